--- a/internal/load/board.go
+++ b/internal/load/board.go
@@ -7,131 +7,138 @@
 	"github.com/rotisserie/eris"
 )
 
-// pictureKept is how long a sum is given out before it is made anew, so that an
-// aggregator's work grows with its reporters and not with their square.
-const pictureKept = 20 * time.Millisecond
+// sumTTL is how long the sums are reused before they are computed again. It makes an aggregator's
+// work grow linearly, not quadratically, with the number of daemons that report to it.
+const sumTTL = 20 * time.Millisecond
 
-// Board is an aggregator's sums. Every daemon has one: it is an aggregator while
-// others report to it. It is safe for concurrent use.
+// Board holds the reports and shares that an aggregator received, and sums them. Every daemon has
+// one, since any daemon becomes an aggregator once others report to it. It is safe for concurrent
+// use.
 type Board struct {
 	now func() time.Time
 
-	mutex   sync.Mutex
-	reports map[string]heard // by member
-	shares  map[string]heard // by aggregator
-	sum     Told             // of reports and shares
-	summed  map[string]Told  // the reports in it
-	sumAt   time.Time
-	// outsideHeard is when an aggregator of another group last answered this one; zero:
-	// none did since this daemon aggregates.
-	outsideHeard time.Time
+	mutex         sync.Mutex
+	reports       map[string]received // by the reporting daemon's machine
+	shares        map[string]received // by the sending aggregator's machine
+	sum           Told                // over reports and shares
+	summedReports map[string]Told     // the reports that sum includes, by machine
+	summedAt      time.Time
+	// lastOutsideContact is when an aggregator of another group last answered this one. It is zero
+	// if none has since this daemon became an aggregator.
+	lastOutsideContact time.Time
 }
 
-// heard is what a daemon or an aggregator last told.
-type heard struct {
-	told Told
-	at   time.Time
+// received is the last report of a daemon, or the last share of an aggregator.
+type received struct {
+	stats Told
+	at    time.Time
 }
 
-// NewBoard makes an empty board.
+// NewBoard returns an empty board that reads the time from now.
 func NewBoard(now func() time.Time) *Board {
-	return &Board{now: now, reports: map[string]heard{}, shares: map[string]heard{}}
+	return &Board{now: now, reports: map[string]received{}, shares: map[string]received{}}
 }
 
-// Report is called by daemons of the own group.
+// Report is the RPC by which the daemons of this group report. It records the report and fills in
+// the current sums. It returns an error if the report can't be decoded.
 func (b *Board) Report(report Sample, picture *Picture) error {
-	if err := check(report.Told); err != nil {
+	if err := validate(report.Told); err != nil {
 		return eris.Wrapf(err, "report of %s", report.Member)
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	now := b.now()
-	b.reports[report.Member] = heard{told: report.Told, at: now}
-	if now.Sub(b.sumAt) >= pictureKept || b.summed == nil {
-		b.makeSum(now)
+	b.reports[report.Member] = received{stats: report.Told, at: now}
+	if now.Sub(b.summedAt) >= sumTTL || b.summedReports == nil {
+		b.rebuildSum(now)
 	}
 	picture.All = b.sum
-	picture.Own = b.summed[report.Member]
-	picture.Outside = b.outside(now)
+	picture.Own = b.summedReports[report.Member]
+	picture.Outside = b.outsideSilence(now)
 	return nil
 }
 
-// outside is how long the other groups have been silent; the lock is held.
-func (b *Board) outside(now time.Time) Silence {
-	if b.outsideHeard.IsZero() {
+// outsideSilence returns the time since another group was last reached. The caller holds the mutex.
+func (b *Board) outsideSilence(now time.Time) Silence {
+	if b.lastOutsideContact.IsZero() {
 		return Silence{}
 	}
-	return Silence{Heard: true, Lasted: now.Sub(b.outsideHeard)}
+	return Silence{Heard: true, Lasted: now.Sub(b.lastOutsideContact)}
 }
 
-// heardOutside notes that an aggregator of another group answered.
-func (b *Board) heardOutside() {
+// recordOutsideContact records that an aggregator of another group has just answered.
+func (b *Board) recordOutsideContact() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.outsideHeard = b.now()
+	b.lastOutsideContact = b.now()
 }
 
-// forgetOutside is called while this daemon does not aggregate.
-func (b *Board) forgetOutside() {
+// clearOutsideContact forgets the last contact with another group. It is called while no daemon
+// reports here.
+func (b *Board) clearOutsideContact() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.outsideHeard = time.Time{}
+	b.lastOutsideContact = time.Time{}
 }
 
-// Share is called by other aggregators.
+// Share is the RPC by which other aggregators send their sums. It returns an error if they can't be
+// decoded.
 func (b *Board) Share(share Share, _ *ShareReply) error {
-	if err := check(share.Told); err != nil {
+	if err := validate(share.Told); err != nil {
 		return eris.Wrapf(err, "share of %s", share.Aggregator)
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.shares[share.Aggregator] = heard{told: share.Told, at: b.now()}
+	b.shares[share.Aggregator] = received{stats: share.Told, at: b.now()}
 	return nil
 }
 
-// makeSum adds up all that is fresh; the lock is held.
-func (b *Board) makeSum(now time.Time) {
-	all := newSum()
-	b.summed = make(map[string]Told, len(b.reports))
-	b.addReports(all, now)
+// rebuildSum computes the sums over all reports and shares that have not expired, and deletes those
+// that have. The caller holds the mutex.
+func (b *Board) rebuildSum(now time.Time) {
+	total := newSum()
+	b.summedReports = make(map[string]Told, len(b.reports))
+	b.addReports(total, now)
 	for aggregator, share := range b.shares {
-		if now.Sub(share.at) > shareKept {
+		if now.Sub(share.at) > shareTTL {
 			delete(b.shares, aggregator)
 			continue
 		}
-		_ = all.add(share.told) // was read whole when it came
+		_ = total.add(share.stats) // was validated on arrival
 	}
 	for member, report := range b.reports {
-		b.summed[member] = report.told
+		b.summedReports[member] = report.stats
 	}
-	b.sum, b.sumAt = all.told(b.programs(now, true)), now
+	b.sum, b.summedAt = total.encode(b.sumPrograms(now, true)), now
 }
 
-// addReports adds the fresh reports; the lock is held.
-func (b *Board) addReports(all *sum, now time.Time) {
+// addReports adds the reports that have not expired to total, and deletes those that have. The
+// caller holds the mutex.
+func (b *Board) addReports(total *sum, now time.Time) {
 	for member, report := range b.reports {
-		if now.Sub(report.at) > reportKept {
+		if now.Sub(report.at) > reportTTL {
 			delete(b.reports, member)
 			continue
 		}
-		_ = all.add(report.told) // was read whole when it came
+		_ = total.add(report.stats) // was validated on arrival
 	}
 }
 
-// reporters counts the daemons that report here.
-func (b *Board) reporters() int {
+// countReporters returns how many daemons report here. It may include daemons whose reports have
+// expired since the sums were last computed.
+func (b *Board) countReporters() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.reports)
 }
 
-// share sums the reports alone, and counts them: none if this daemon aggregates
-// for nobody.
-func (b *Board) share() (told Told, reporters int) {
+// sumReports returns the sums over the reports, without the shares of other aggregators, and the
+// number of daemons that report here (0 if this daemon is not an aggregator).
+func (b *Board) sumReports() (stats Told, reporters int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	all := newSum()
+	total := newSum()
 	now := b.now()
-	b.addReports(all, now)
-	return all.told(b.programs(now, false)), len(b.reports)
+	b.addReports(total, now)
+	return total.encode(b.sumPrograms(now, false)), len(b.reports)
 }
--- a/internal/load/caller_test.go
+++ b/internal/load/caller_test.go
@@ -7,15 +7,15 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// countingCaller answers nothing and counts the calls.
+// countingCaller is a peer.Caller that counts the calls and leaves the replies empty.
 type countingCaller struct{ calls *int }
 
-var counting sync.Mutex
+var callsMutex sync.Mutex
 
 // Call implements peer.Caller.
 func (c countingCaller) Call(context.Context, string, peer.Class, string, any, any) error {
-	counting.Lock()
-	defer counting.Unlock()
+	callsMutex.Lock()
+	defer callsMutex.Unlock()
 	*c.calls++
 	return nil
 }
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -17,68 +17,71 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// Fleet is what a daemon has under way at its engines.
+// Fleet provides this daemon's statistics on engines and takes in those of the other daemons.
 type Fleet interface {
-	// UnderWay counts this daemon's requests by engine.
+	// UnderWay returns the number of this daemon's requests in flight, by engine.
 	UnderWay() Counts
-	// Learn takes in what the other daemons have under way: all less own.
+	// Learn takes in the counts of all daemons. The counts of the other daemons are all minus own.
 	Learn(all, own Counts)
-	// Speeds is what this daemon saw of its engines' work.
+	// Speeds returns the work that this daemon observed at each engine.
 	Speeds() Speeds
-	// LearnSpeeds takes in what the other daemons saw: all less own.
+	// LearnSpeeds takes in the work that all daemons observed. That of the other daemons is all
+	// minus own.
 	LearnSpeeds(all, own Speeds)
 }
 
-// Exchange keeps one daemon's picture up to date, and aggregates for others if
-// they report to it.
+// Exchange reports this daemon's statistics, takes in those of all daemons, and sends this daemon's
+// sums to the other aggregators while daemons report to it. Its exported fields must not change
+// after Run is called.
 type Exchange struct {
 	List   *members.List
 	Caller peer.Caller
-	Board  *Board // of this daemon
+	Board  *Board // this daemon's own board
 	Fleet  Fleet
-	// Programs are told and learnt with the loads; nil: none are.
+	// Programs is exchanged in the same messages. If it is nil, no program statistics are sent or
+	// taken in.
 	Programs ProgramSource
 	Log      *zap.Logger
 
-	metrics metrics
-	outside atomic.Pointer[heardOutside] // as the last picture told
+	metrics     metrics
+	lastOutside atomic.Pointer[outsideContact] // as of the last picture
 
-	mutex      sync.Mutex
-	plan       *plan
-	avoided    map[string]time.Time // address to the time until which it is passed over
-	reportedTo string               // machine of the last aggregator that answered
-	aggregates bool                 // as last logged
+	mutex          sync.Mutex
+	plan           *plan
+	skippedUntil   map[string]time.Time // by address; until when the aggregator is skipped
+	lastAggregator string               // machine of the aggregator that answered last
+	isAggregating  bool                 // whether daemons report here, as last logged
 }
 
-// Run reports and exchanges until the context ends.
+// Run sends reports and shares until the context ends. It returns after both loops have stopped.
 func (e *Exchange) Run(ctx context.Context) {
-	var both sync.WaitGroup
-	defer both.Wait()
-	both.Go(func() {
+	var loops sync.WaitGroup
+	defer loops.Wait()
+	loops.Go(func() {
 		for pause.For(ctx, jittered(reportInterval)) {
 			e.report(ctx)
 		}
 	})
-	both.Go(func() {
-		next := idleInterval
-		for pause.For(ctx, jittered(next)) {
-			next = idleInterval
+	loops.Go(func() {
+		interval := idleCheckInterval
+		for pause.For(ctx, jittered(interval)) {
+			interval = idleCheckInterval
 			if e.share(ctx) {
-				next = exchangeInterval
+				interval = exchangeInterval
 			}
 		}
 	})
 }
 
-// jittered shortens an interval by up to a quarter, so that daemons that started
-// at the same moment do not all report at once.
+// jittered shortens an interval by a random part of up to a quarter, so that daemons that started
+// at the same moment don't all report at once.
 func jittered(interval time.Duration) time.Duration {
 	const jitterShare = 4
 	return interval - time.Duration(rand.Int64N(int64(interval)/jitterShare))
 }
 
-// current gives the plan for the list as it stands.
-func (e *Exchange) current() *plan {
+// currentPlan returns the plan for the current list of members.
+func (e *Exchange) currentPlan() *plan {
 	view := e.List.View()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -88,121 +91,120 @@
 	return e.plan
 }
 
-// usable tells whether a candidate is not passed over, by itself or with its zone.
-func (e *Exchange) usable(candidate members.Member) bool {
+// isUsable reports whether a candidate may be called: neither it nor its zone is being skipped.
+func (e *Exchange) isUsable(candidate members.Member) bool {
 	if e.List.Silent(candidate) {
 		return false
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	until, found := e.avoided[candidate.Process.Address]
+	until, found := e.skippedUntil[candidate.Process.Address]
 	if found && time.Now().After(until) {
-		delete(e.avoided, candidate.Process.Address)
+		delete(e.skippedUntil, candidate.Process.Address)
 		found = false
 	}
 	return !found
 }
 
-func (e *Exchange) avoid(member members.Member, cause error) {
+func (e *Exchange) skip(member members.Member, cause error) {
 	e.List.Missed(member)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.avoided == nil {
-		e.avoided = map[string]time.Time{}
+	if e.skippedUntil == nil {
+		e.skippedUntil = map[string]time.Time{}
 	}
-	e.avoided[member.Process.Address] = time.Now().Add(avoidFor)
-	e.Log.Info("load: aggregator passed over.", zap.String("aggregator", string(member.Process.Machine)),
-		zap.Duration("for", avoidFor), zap.String("cause", cause.Error()))
+	e.skippedUntil[member.Process.Address] = time.Now().Add(skipDuration)
+	e.Log.Info("load: aggregator skipped.", zap.String("aggregator", string(member.Process.Machine)),
+		zap.Duration("for", skipDuration), zap.String("cause", cause.Error()))
 }
 
-// report tells an aggregator of the own group what is under way here, and takes in
-// the picture that it answers with.
+// report sends this daemon's statistics to an aggregator of its group and takes in the reply.
 func (e *Exchange) report(ctx context.Context) {
-	current := e.current()
-	aggregators := current.own.choose(e.usable)
+	current := e.currentPlan()
+	aggregators := current.own.choose(e.isUsable)
 	if len(aggregators) == 0 {
-		e.metrics.ended(resultNobody) // each was asked within avoidFor
+		e.metrics.reportEnded(resultNoAggregator) // all candidates failed within skipDuration
 		return
 	}
 	place := xxhash.Sum64String(string(e.List.Self().Machine)) % uint64(len(aggregators))
 	chosen := aggregators[place]
 	var picture Picture
-	report := Sample{Member: string(e.List.Self().Machine), Told: e.told()}
-	if err := e.reportTo(ctx, chosen, report, &picture); err != nil {
+	report := Sample{Member: string(e.List.Self().Machine), Told: e.localStats()}
+	if err := e.sendReport(ctx, chosen, report, &picture); err != nil {
 		if ctx.Err() == nil {
-			e.metrics.ended(resultNoAnswer)
-			e.avoid(chosen, err)
+			e.metrics.reportEnded(resultNoAnswer)
+			e.skip(chosen, err)
 		}
 		return
 	}
 	all, own := newSum(), newSum()
 	if err := errors.Join(all.add(picture.All), own.add(picture.Own)); err != nil {
-		e.metrics.ended(resultUnreadable)
-		e.avoid(chosen, eris.Wrapf(err, "picture of %s", chosen.Process.Machine))
+		e.metrics.reportEnded(resultUnreadable)
+		e.skip(chosen, eris.Wrapf(err, "load picture of %s", chosen.Process.Machine))
 		return
 	}
 	if err := e.learnPrograms(picture); err != nil {
-		e.metrics.ended(resultUnreadable)
-		e.avoid(chosen, eris.Wrapf(err, "picture of %s", chosen.Process.Machine))
+		e.metrics.reportEnded(resultUnreadable)
+		e.skip(chosen, eris.Wrapf(err, "load picture of %s", chosen.Process.Machine))
 		return
 	}
 	e.Fleet.Learn(all.underWay, own.underWay)
 	e.Fleet.LearnSpeeds(all.speeds, own.speeds)
-	e.noteOutside(picture.Outside)
-	e.metrics.ended(resultLearned)
+	e.recordOutside(picture.Outside)
+	e.metrics.reportEnded(resultLearned)
 	e.List.Answered(chosen)
-	e.noteAggregator(chosen)
+	e.recordAggregator(chosen)
 }
 
-// told is what this daemon tells of its work.
-func (e *Exchange) told() Told {
+// localStats returns this daemon's statistics, encoded.
+func (e *Exchange) localStats() Told {
 	own := sum{underWay: e.Fleet.UnderWay(), speeds: e.Fleet.Speeds()}
-	return own.told(e.ownPrograms())
+	return own.encode(e.localPrograms())
 }
 
-func (e *Exchange) reportTo(parent context.Context, aggregator members.Member, report Sample, picture *Picture) error {
+func (e *Exchange) sendReport(parent context.Context, aggregator members.Member, report Sample, picture *Picture) error {
 	if aggregator.Process == e.List.Self() {
 		return e.Board.Report(report, picture)
 	}
-	ctx, cancel := context.WithTimeout(parent, reportWait)
+	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
 	return e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodReport, report, picture)
 }
 
-func (e *Exchange) noteAggregator(aggregator members.Member) {
+func (e *Exchange) recordAggregator(aggregator members.Member) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	machine := string(aggregator.Process.Machine)
-	if machine == e.reportedTo {
+	if machine == e.lastAggregator {
 		return
 	}
-	e.Log.Info("load: reports to another aggregator.", zap.String("aggregator", machine), zap.String("former", e.reportedTo), zap.Uint64("list", e.plan.version))
-	e.reportedTo = machine
+	e.Log.Info("load: switched to another aggregator.", zap.String("aggregator", machine), zap.String("former", e.lastAggregator), zap.Uint64("list", e.plan.version))
+	e.lastAggregator = machine
 }
 
-// share tells the other aggregators what the daemons that report here have under
-// way; it tells whether any does.
+// share sends the sums over the reports to this daemon to all other aggregators of the region, and
+// waits for their answers. It returns false if no daemon reports here.
 func (e *Exchange) share(ctx context.Context) bool {
-	shared, reporters := e.Board.share()
-	e.noteAggregating(reporters)
+	stats, reporters := e.Board.sumReports()
+	e.recordAggregating(reporters)
 	if reporters == 0 {
-		e.Board.forgetOutside()
+		e.Board.clearOutsideContact()
 		return false
 	}
-	current := e.current()
-	told := Share{Aggregator: string(e.List.Self().Machine), Told: shared}
-	var telling sync.WaitGroup
-	defer telling.Wait()
-	for _, aggregator := range current.own.choose(e.usable) {
+	current := e.currentPlan()
+	share := Share{Aggregator: string(e.List.Self().Machine), Told: stats}
+	var sending sync.WaitGroup
+	defer sending.Wait()
+	for _, aggregator := range current.own.choose(e.isUsable) {
 		if aggregator.Process != e.List.Self() {
-			telling.Go(func() { e.tell(ctx, aggregator, told) })
+			sending.Go(func() { e.sendShare(ctx, aggregator, share) })
 		}
 	}
 	for _, other := range current.others {
-		for _, aggregator := range other.choose(e.usable) {
-			telling.Go(func() {
-				if e.tell(ctx, aggregator, told) {
-					e.Board.heardOutside()
+		for _, aggregator := range other.choose(e.isUsable) {
+			sending.Go(func() {
+				if e.sendShare(ctx, aggregator, share) {
+					e.Board.recordOutsideContact()
 				}
 			})
 		}
@@ -210,56 +212,57 @@
 	return true
 }
 
-// tell shares with one aggregator, and tells whether it answered.
-func (e *Exchange) tell(parent context.Context, aggregator members.Member, told Share) bool {
-	ctx, cancel := context.WithTimeout(parent, reportWait)
+// sendShare sends the sums to one aggregator and reports whether it answered.
+func (e *Exchange) sendShare(parent context.Context, aggregator members.Member, share Share) bool {
+	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
 	var reply ShareReply
-	err := e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodShare, told, &reply)
+	err := e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodShare, share, &reply)
 	if err == nil {
 		e.List.Answered(aggregator)
 	} else if parent.Err() == nil {
-		e.avoid(aggregator, err)
+		e.skip(aggregator, err)
 	}
 	return err == nil
 }
 
-func (e *Exchange) noteAggregating(reporters int) {
+func (e *Exchange) recordAggregating(reporters int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if aggregates := reporters > 0; aggregates != e.aggregates {
-		e.aggregates = aggregates
-		e.Log.Info("load: aggregating changed.", zap.Bool("aggregates", aggregates), zap.Int("reporters", reporters))
+	if aggregates := reporters > 0; aggregates != e.isAggregating {
+		e.isAggregating = aggregates
+		e.Log.Info("load: aggregator role changed.", zap.Bool("aggregates", aggregates), zap.Int("reporters", reporters))
 	}
 }
 
-// heardOutside is when other groups were last heard, by a picture that came at a moment.
-type heardOutside struct {
-	heard time.Time // zero: never, as far as is known
-	told  time.Time
+// outsideContact is the last known contact with other groups, taken from a picture.
+type outsideContact struct {
+	reachedAt  time.Time // when another group was last reached; zero if not known
+	reportedAt time.Time // when the picture arrived
 }
 
-// noteOutside takes in what an aggregator heard. One that knows nothing leaves it at what was
-// known: a silence goes on when an aggregator is replaced in it, also by a process that was
-// started again and has not read who the others are.
-func (e *Exchange) noteOutside(silence Silence) {
+// recordOutside takes in how long ago the aggregator last reached another group. If the aggregator
+// doesn't know, the former time is kept: a silence then keeps its beginning when the aggregator is
+// replaced or restarted.
+func (e *Exchange) recordOutside(silence Silence) {
 	now := time.Now()
-	next := heardOutside{told: now}
-	if former := e.outside.Load(); former != nil {
-		next.heard = former.heard
+	contact := outsideContact{reportedAt: now}
+	if former := e.lastOutside.Load(); former != nil {
+		contact.reachedAt = former.reachedAt
 	}
 	if silence.Heard {
-		next.heard = now.Add(-silence.Lasted)
+		contact.reachedAt = now.Add(-silence.Lasted)
 	}
-	e.outside.Store(&next)
+	e.lastOutside.Store(&contact)
 }
 
-// Outside tells when daemons of other groups were last heard by this daemon's group; false
-// if there are none, none was heard yet, or no picture came for reportKept.
+// Outside returns when this daemon's group last reached a daemon of another group. known is false
+// if there are no other groups, none has been reached yet, or the last picture is older than
+// reportTTL.
 func (e *Exchange) Outside() (heard time.Time, known bool) {
-	last := e.outside.Load()
-	if last == nil || last.heard.IsZero() || time.Since(last.told) > reportKept || len(e.current().others) == 0 {
+	last := e.lastOutside.Load()
+	if last == nil || last.reachedAt.IsZero() || time.Since(last.reportedAt) > reportTTL || len(e.currentPlan().others) == 0 {
 		return time.Time{}, false
 	}
-	return last.heard, true
+	return last.reachedAt, true
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,15 +1,16 @@
-// Package load lets all daemons see how loaded each engine is. Every daemon reports its requests to an aggregator of its group, and learns from the
-// answer what all daemons have under way. A group is a zone, or the whole region
-// while that is small; its aggregators are a few of its larger machines, chosen by
-// hash, and tell those of the other groups their sums.
+// Package load tells all daemons how many requests each engine has in flight and how fast it is.
+// Every daemon sends its own statistics to an aggregator of its group, and the reply holds the sums
+// over all daemons (Picture). A group is a zone, or the whole region if the region has at most
+// maxReportersPerAggregator daemons. A group's aggregators are a few of its larger machines,
+// selected by hash. Each sends the sums over the reports that it received (Share) to all other
+// aggregators of the region.
 //
-// Guarantee: none. What is told is a hint and ages (at most reportInterval +
-// exchangeInterval + reportInterval, plus the ways); a daemon that hears no
-// aggregator goes by what it does itself.
+// There are no guarantees: the sums are hints. Their age is at most 2*reportInterval +
+// exchangeInterval plus the network delays. A daemon that reaches no aggregator uses only its own
+// statistics.
 //
-// Cost: a daemon sends and gets one message each reportInterval, whatever the size
-// of the fleet. An aggregator serves at most reportersEach daemons and exchanges
-// with the aggregators of the other groups: one for each reportersEach daemons.
+// Each daemon sends one report and gets one reply per reportInterval, however large the fleet is. A
+// group has one aggregator for every maxReportersPerAggregator daemons, rounded up.
 package load
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ServiceName is the name under which an aggregator is called by other daemons.
+// ServiceName is the RPC service under which daemons call an aggregator.
 const ServiceName = "Load"
 
 const (
@@ -29,80 +30,78 @@
 	methodShare  = ServiceName + ".Share"
 )
 
-// How often loads are told. A turn lasts some 100 ms on the users' engines, and a
-// picture that is older than that sends bursts to engines that filled up
-// meanwhile: with 295 daemons before 153 engines, under twice the usual load, a picture of
-// 148 ms in place of 885 ms raised what was served in time, weighed by its value, from 0.68 to 0.83.
+// Intervals and timeouts of reports. Turns take about 100 ms, so an older picture would send bursts
+// of requests to engines that have filled up since.
 const (
 	reportInterval   = 100 * time.Millisecond
 	exchangeInterval = 100 * time.Millisecond
-	// idleInterval is how often a daemon looks whether others report to it: most
-	// never aggregate.
-	idleInterval = 300 * time.Millisecond
-	// reportWait is how long a report may take; the aggregator is passed over for
-	// avoidFor after it, so that another one takes its place within half a second.
-	reportWait = 150 * time.Millisecond
-	avoidFor   = time.Second
-	// reportKept and shareKept are how long what was last heard of a daemon, and of
-	// another aggregator, counts: four intervals.
-	reportKept = 4 * reportInterval
-	shareKept  = 4 * exchangeInterval
+	// idleCheckInterval is how often a daemon that is not an aggregator checks whether others report to
+	// it.
+	idleCheckInterval = 300 * time.Millisecond
+	// callTimeout bounds one call to an aggregator. If the call fails, the aggregator is skipped
+	// for skipDuration, so that another one replaces it within half a second.
+	callTimeout  = 150 * time.Millisecond
+	skipDuration = time.Second
+	// reportTTL and shareTTL are how long the last report of a daemon, and the last share of an
+	// aggregator, count in the sums: four intervals.
+	reportTTL = 4 * reportInterval
+	shareTTL  = 4 * exchangeInterval
 )
 
-// Key is the digest by which daemons name an engine to each other: four
-// bytes in place of an identifier. Two of 3,400 share one with a chance of 0.1 %; each
-// then seems to have the counts of both.
+// Key is the 4-byte digest of an identifier (of an engine, a service or a tenant), sent in its
+// place. If the digests of two identifiers collide, each gets the sum of both: among 3,400 engines
+// the probability of any collision is about 0.1 %.
 type Key uint32
 
-// KeyOf gives the digest of an identifier.
+// KeyOf returns the low 32 bits of the identifier's xxHash.
 func KeyOf(identifier string) Key { return Key(xxhash.Sum64String(identifier)) } //nolint:gosec // the low bits are meant
 
-// Counts are requests by engine; those without any are left out.
+// Counts are the numbers of requests in flight, by engine. Engines without requests are left out.
 type Counts map[Key]int
 
-// Told is what daemons tell of their work.
+// Told is the encoded statistics of one daemon, or the sums over several daemons.
 type Told struct {
-	UnderWay []byte // Counts by engine, encoded
-	Speeds   []byte // Speeds by engine, encoded
-	Programs []byte // Programs, encoded; empty: a daemon that tells none
+	UnderWay []byte // Counts, encoded
+	Speeds   []byte // Speeds, encoded
+	Programs []byte // Programs, encoded; empty if the sender has none
 }
 
-// Sample is what one daemon tells.
+// Sample is a daemon's report to its aggregator.
 type Sample struct {
 	Member string
 	Told   Told
 }
 
-// Picture is what all daemons told, as far as the aggregator heard.
+// Picture is an aggregator's reply to a report.
 type Picture struct {
 	All Told
-	// Own is how much of it is the reporting daemon's own: its report before this
-	// one, or this one.
+	// Own is the reporting daemon's part of All. It may be the daemon's previous report, because
+	// the sums are cached for sumTTL.
 	Own Told
-	// Outside tells how long the aggregator has heard none of another group.
+	// Outside is how long ago the aggregator last reached another group.
 	Outside Silence
 }
 
-// Silence is how long nothing was heard of the daemons of other groups.
+// Silence is the time since a daemon of another group was last reached.
 type Silence struct {
-	// Heard tells that the aggregator heard one of them since it aggregates; one that began
-	// lately, or whose list is not read yet, knows nothing.
+	// Heard is false if the aggregator has reached no other group since it became an aggregator.
+	// Lasted has no meaning then.
 	Heard  bool
 	Lasted time.Duration
 }
 
-// Share is what the daemons that report to one aggregator told.
+// Share holds the sums over the reports to one aggregator, which it sends to the other aggregators.
 type Share struct {
 	Aggregator string
 	Told       Told
 }
 
-// ShareReply is empty: aggregators tell each other their shares, each by itself.
+// ShareReply is empty: the aggregator that is called sends its own sums in a call of its own.
 type ShareReply struct{}
 
 const digestBytes = 4
 
-// encode writes each engine's digest and its count as a varint.
+// encode writes each engine's digest, followed by its count as a varint.
 func (c Counts) encode() []byte {
 	encoded := make([]byte, 0, len(c)*(digestBytes+1))
 	for key, count := range c {
@@ -112,16 +111,17 @@
 	return encoded
 }
 
-// add adds encoded counts.
-func (c Counts) add(encoded []byte) error {
+// addEncoded adds encoded counts to c. If it returns an error, the entries before the invalid one
+// have been added.
+func (c Counts) addEncoded(encoded []byte) error {
 	for len(encoded) > 0 {
 		if len(encoded) <= digestBytes {
-			return eris.Errorf("load: %d bytes are left of an entry", len(encoded))
+			return eris.Errorf("load: truncated count entry of %d bytes", len(encoded))
 		}
 		key := Key(binary.LittleEndian.Uint32(encoded))
 		count, length := binary.Uvarint(encoded[digestBytes:])
-		if length <= 0 || count > mostCounted {
-			return eris.Errorf("load: the count of %08x cannot be read", uint32(key))
+		if length <= 0 || count > maxCount {
+			return eris.Errorf("load: invalid count of engine %08x", uint32(key))
 		}
 		c[key] += int(count)
 		encoded = encoded[digestBytes+length:]
@@ -129,11 +129,11 @@
 	return nil
 }
 
-// mostCounted bounds a count that is believed: more requests than any engine has at the
-// target size (letter 1: 22,000 a second in all).
-const mostCounted = 1 << 20
+// maxCount is the largest count that is accepted. It is far above what one engine can have in
+// flight at the target load of 22,000 requests a second for the whole fleet.
+const maxCount = 1 << 20
 
-// check tells whether what was told can be read.
-func check(told Told) error {
-	return errors.Join(newSum().add(told), newPrograms().add(told.Programs))
+// validate returns an error if the statistics can't be decoded.
+func validate(stats Told) error {
+	return errors.Join(newSum().add(stats), newPrograms().addEncoded(stats.Programs))
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -24,30 +24,31 @@
 	RunSpecs(t, "load")
 }
 
-func decoded(encoded []byte) Counts {
+func decodeCounts(encoded []byte) Counts {
 	GinkgoHelper()
 	counts := Counts{}
-	Expect(counts.add(encoded)).To(Succeed())
+	Expect(counts.addEncoded(encoded)).To(Succeed())
 	return counts
 }
 
-// TestCounts reads back whatever was written, and refuses what was cut.
+// TestCounts checks that encoded counts decode to the same counts, and that truncated input is
+// rejected.
 func TestCounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		counts := Counts{}
-		for engine, count := range rapid.MapOf(rapid.Uint32(), rapid.IntRange(1, mostCounted)).Draw(t, "counts") {
+		for engine, count := range rapid.MapOf(rapid.Uint32(), rapid.IntRange(1, maxCount)).Draw(t, "counts") {
 			counts[Key(engine)] = count
 		}
-		read := Counts{}
+		decoded := Counts{}
 		encoded := counts.encode()
-		if err := read.add(encoded); err != nil {
+		if err := decoded.addEncoded(encoded); err != nil {
 			t.Fatal(err)
 		}
-		if fmt.Sprint(read) != fmt.Sprint(counts) {
-			t.Fatalf("%v became %v", counts, read)
+		if fmt.Sprint(decoded) != fmt.Sprint(counts) {
+			t.Fatalf("%v was decoded as %v", counts, decoded)
 		}
-		if len(encoded) > 0 && (Counts{}).add(encoded[:len(encoded)-1]) == nil {
-			t.Fatal("cut counts were read")
+		if len(encoded) > 0 && (Counts{}).addEncoded(encoded[:len(encoded)-1]) == nil {
+			t.Fatal("truncated counts were accepted")
 		}
 	})
 }
@@ -68,77 +69,77 @@
 		return picture
 	}
 
-	It("adds up what all have under way, and says how much is the asking daemon's own", func() {
+	It("sums the counts of all daemons and returns the reporting daemon's own part", func() {
 		report("a", Counts{1: 2, 2: 1})
 		report("b", Counts{1: 3})
-		now = now.Add(pictureKept)
+		now = now.Add(sumTTL)
 		picture := report("c", Counts{3: 1})
-		Expect(decoded(picture.All.UnderWay)).To(Equal(Counts{1: 5, 2: 1, 3: 1}))
-		Expect(decoded(picture.Own.UnderWay)).To(Equal(Counts{3: 1}))
+		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 5, 2: 1, 3: 1}))
+		Expect(decodeCounts(picture.Own.UnderWay)).To(Equal(Counts{3: 1}))
 	})
 
-	It("says which of a daemon's reports a picture counts that was made before the last", func() {
+	It("returns as the daemon's own part the report that the cached sums include", func() {
 		report("a", Counts{1: 2})
 		picture := report("a", Counts{1: 7})
-		Expect(decoded(picture.All.UnderWay)).To(Equal(Counts{1: 2}))
-		Expect(decoded(picture.Own.UnderWay)).To(Equal(Counts{1: 2}))
-		now = now.Add(pictureKept)
+		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 2}))
+		Expect(decodeCounts(picture.Own.UnderWay)).To(Equal(Counts{1: 2}))
+		now = now.Add(sumTTL)
 		picture = report("b", Counts{})
-		Expect(decoded(picture.All.UnderWay)).To(Equal(Counts{1: 7}))
+		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 7}))
 		Expect(picture.Own.UnderWay).To(BeEmpty())
 	})
 
-	It("forgets daemons and aggregators that tell nothing more", func() {
+	It("drops reports and shares that have expired", func() {
 		report("a", Counts{1: 9})
 		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
-		now = now.Add(reportKept)
-		Expect(decoded(report("b", Counts{}).All.UnderWay)).To(Equal(Counts{1: 9, 2: 4}))
+		now = now.Add(reportTTL)
+		Expect(decodeCounts(report("b", Counts{}).All.UnderWay)).To(Equal(Counts{1: 9, 2: 4}))
 		now = now.Add(time.Millisecond)
-		now = now.Add(pictureKept)
-		Expect(decoded(report("b", Counts{}).All.UnderWay)).To(BeEmpty())
+		now = now.Add(sumTTL)
+		Expect(decodeCounts(report("b", Counts{}).All.UnderWay)).To(BeEmpty())
 	})
 
-	It("counts a daemon once that tells again after a silence", func() {
+	It("counts a daemon once when it reports again after its report expired", func() {
 		report("a", Counts{1: 2})
-		now = now.Add(reportKept + time.Millisecond)
+		now = now.Add(reportTTL + time.Millisecond)
 		report("b", Counts{})
 		var picture Picture
 		Expect(board.Report(Sample{Member: "a", Told: Told{UnderWay: Counts{1: 3}.encode()}}, &picture)).To(Succeed())
-		now = now.Add(pictureKept)
+		now = now.Add(sumTTL)
 		Expect(board.Report(Sample{Member: "b"}, &picture)).To(Succeed())
-		Expect(decoded(picture.All.UnderWay)).To(Equal(Counts{1: 3}))
+		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 3}))
 	})
 
-	It("shares what was reported to it, not what others shared", func() {
+	It("sums only the reports for a share, without the shares of others", func() {
 		report("a", Counts{1: 9})
 		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
-		share, reporters := board.share()
-		Expect(decoded(share.UnderWay)).To(Equal(Counts{1: 9}))
+		share, reporters := board.sumReports()
+		Expect(decodeCounts(share.UnderWay)).To(Equal(Counts{1: 9}))
 		Expect(reporters).To(Equal(1))
 	})
 
-	It("tells how long other groups have been silent, once it has heard one", func() {
+	It("returns the time since the last contact with another group, once there was one", func() {
 		Expect(report("a", Counts{}).Outside.Heard).To(BeFalse())
-		board.heardOutside()
+		board.recordOutsideContact()
 		now = now.Add(time.Second)
 		Expect(report("a", Counts{}).Outside).To(Equal(Silence{Heard: true, Lasted: time.Second}))
-		board.heardOutside()
+		board.recordOutsideContact()
 		Expect(report("a", Counts{}).Outside.Lasted).To(BeZero())
-		board.forgetOutside()
+		board.clearOutsideContact()
 		Expect(report("a", Counts{}).Outside.Heard).To(BeFalse())
 	})
 
-	It("refuses what cannot be read", func() {
+	It("rejects reports and shares that can't be decoded", func() {
 		Expect(board.Report(Sample{Member: "a", Told: Told{UnderWay: []byte{1}}}, &Picture{})).To(MatchError(ContainSubstring("report of a")))
 		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: []byte{1, 2, 3, 4}}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
 	})
 })
 
-// fleetView lists members in zones; each tenth is a large machine.
-func fleetView(zones, each int) *members.View {
+// fleetView returns a view of members in zones. Every tenth member of a zone is a large machine.
+func fleetView(zones, perZone int) *members.View {
 	view := &members.View{Version: 1}
 	for zone := range zones {
-		for number := range each {
+		for number := range perZone {
 			capacity := 0.2
 			if number%10 == 0 {
 				capacity = 0.8
@@ -155,15 +156,15 @@
 }
 
 var _ = Describe("Plan", func() {
-	always := func(members.Member) bool { return true }
+	anyMember := func(members.Member) bool { return true }
 
-	It("is the same at all daemons of a zone, and prefers large machines", func() {
+	It("selects the same aggregators at all daemons of a zone, and prefers large machines", func() {
 		view := fleetView(6, 50)
 		first, second := newPlan(view, view.Members[0].Process), newPlan(view, view.Members[49].Process)
 		Expect(first.own).To(Equal(second.own))
-		Expect(first.own.choose(always)).To(HaveLen(2))
+		Expect(first.own.choose(anyMember)).To(HaveLen(2))
 		Expect(first.others).To(HaveLen(5))
-		for _, chosen := range first.own.choose(always) {
+		for _, chosen := range first.own.choose(anyMember) {
 			Expect(chosen.Capacity).To(Equal(0.8))
 		}
 	})
@@ -176,45 +177,45 @@
 		Expect(made.own).To(Equal(newPlan(view, view.Members[11].Process).own))
 	})
 
-	It("puts others in the place of those that are passed over", func() {
+	It("replaces aggregators that are skipped", func() {
 		view := fleetView(6, 50)
 		made := newPlan(view, view.Members[0].Process)
-		gone := made.own.choose(always)[0].Process
+		gone := made.own.choose(anyMember)[0].Process
 		chosen := made.own.choose(func(member members.Member) bool { return member.Process != gone })
 		Expect(chosen).To(HaveLen(2))
 		Expect(chosen).NotTo(ContainElement(HaveField("Process", gone)))
 	})
 
-	It("keeps what a daemon exchanges independent of the fleet, and an aggregator's peers few", func() {
+	It("bounds the reports to an aggregator and the number of its peers, however large the fleet is", func() {
 		for _, each := range []int{12, 35, 120} {
 			view := fleetView(11, each)
 			made := newPlan(view, view.Members[0].Process)
-			Expect(each / made.own.aggregators).To(BeNumerically("<=", reportersEach))
+			Expect(each / made.own.aggregators).To(BeNumerically("<=", maxReportersPerAggregator))
 			peers := made.own.aggregators - 1
 			for _, other := range made.others {
 				peers += other.aggregators
 			}
-			Expect(peers).To(BeNumerically("<=", 11*(each/reportersEach+1)))
+			Expect(peers).To(BeNumerically("<=", 11*(each/maxReportersPerAggregator+1)))
 		}
 	})
 
-	It("leaves out the dead", func() {
+	It("leaves out dead members", func() {
 		view := fleetView(1, 2)
 		view.Members[0].State = members.StateDead
 		Expect(newPlan(view, view.Members[1].Process).own.candidates).To(HaveLen(1))
 	})
 })
 
-// engines stands for a daemon's fleet.
-type engines struct {
+// testFleet is a Fleet with fixed counts. It sends the counts of the other daemons to learned.
+type testFleet struct {
 	own     Counts
 	learned chan Counts
-	toldSpeeds
+	testSpeeds
 }
 
-func (e *engines) UnderWay() Counts { return e.own }
+func (e *testFleet) UnderWay() Counts { return e.own }
 
-func (e *engines) Learn(all, own Counts) {
+func (e *testFleet) Learn(all, own Counts) {
 	for engine, count := range own {
 		all[engine] -= count
 	}
@@ -222,18 +223,19 @@
 }
 
 var _ = Describe("Exchange", func() {
-	// started is a daemon whose place at an engine of its own is one request.
-	type started struct {
+	// testDaemon is a daemon with one request in flight at an engine of its own.
+	type testDaemon struct {
 		*Exchange
 		server *peer.Server
-		fleet  *engines
+		fleet  *testFleet
 	}
-	// daemons in zones; the first region of more than reportersEach is divided.
-	daemons := func(zones, each int) []*started {
+	// startDaemons starts daemons in so many zones, with so many in each. More than
+	// maxReportersPerAggregator form one group per zone.
+	startDaemons := func(zones, perZone int) []*testDaemon {
 		GinkgoHelper()
-		var made []*started
+		var made []*testDaemon
 		var lists []*members.List
-		for number := range zones * each {
+		for number := range zones * perZone {
 			server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(server.Close)
@@ -242,19 +244,19 @@
 			self := members.Member{Process: identity.Process{
 				Machine: identity.Machine(fmt.Sprintf("d%03d", number)), Zone: identity.Zone(fmt.Sprint("z", number%zones)), Region: "r", Address: server.Address(),
 			}}
-			fleet := &engines{own: Counts{Key(number): 1}, learned: make(chan Counts, 1)}
+			fleet := &testFleet{own: Counts{Key(number): 1}, learned: make(chan Counts, 1)}
 			exchange := &Exchange{
 				List: members.NewList(self, time.Now, zap.NewNop()), Caller: pool, Board: NewBoard(time.Now), Fleet: fleet, Log: zap.NewNop(),
 			}
 			Expect(server.Register(ServiceName, exchange.Board)).To(Succeed())
 			lists = append(lists, exchange.List)
-			made = append(made, &started{Exchange: exchange, server: server, fleet: fleet})
+			made = append(made, &testDaemon{Exchange: exchange, server: server, fleet: fleet})
 		}
 		Expect(acquaintance.Make(lists...)).To(Succeed())
 		return made
 	}
-	// round lets all report and share once; what they learned is dropped.
-	round := func(ctx context.Context, all []*started) {
+	// exchangeOnce lets all daemons report and then share once. It discards what they learn.
+	exchangeOnce := func(ctx context.Context, all []*testDaemon) {
 		for _, each := range all {
 			each.report(ctx)
 			select {
@@ -266,11 +268,12 @@
 			each.share(ctx)
 		}
 	}
-	// learn repeats rounds until the daemon knows of so many other engines.
-	learn := func(ctx context.Context, all []*started, asking *started, engineCount int) {
+	// awaitCounts repeats exchangeOnce until the asking daemon knows the counts of so many other
+	// engines.
+	awaitCounts := func(ctx context.Context, all []*testDaemon, asking *testDaemon, engineCount int) {
 		GinkgoHelper()
 		Eventually(func() Counts {
-			round(ctx, all)
+			exchangeOnce(ctx, all)
 			asking.report(ctx)
 			select {
 			case learned := <-asking.fleet.learned:
@@ -286,31 +289,31 @@
 		}).Should(HaveLen(engineCount))
 	}
 
-	It("shows each daemon what the others have under way, over zones", func(ctx SpecContext) {
-		all := daemons(3, 15)
-		learn(ctx, all, all[0], 44)
-		learn(ctx, all, all[44], 44)
+	It("gives each daemon the counts of the others, across zones", func(ctx SpecContext) {
+		all := startDaemons(3, 15)
+		awaitCounts(ctx, all, all[0], 44)
+		awaitCounts(ctx, all, all[44], 44)
 	})
 
-	It("goes on with another aggregator when one is gone", func(ctx SpecContext) {
-		all := daemons(3, 15)
-		learn(ctx, all, all[0], 44)
-		gone := all[0].current().own.candidates[0].Process
-		var living []*started
+	It("switches to another aggregator when one stops", func(ctx SpecContext) {
+		all := startDaemons(3, 15)
+		awaitCounts(ctx, all, all[0], 44)
+		gone := all[0].currentPlan().own.candidates[0].Process
+		var alive []*testDaemon
 		for _, each := range all {
 			if each.List.Self() == gone {
 				Expect(each.server.Close()).To(Succeed())
 				continue
 			}
-			living = append(living, each)
+			alive = append(alive, each)
 		}
-		learn(ctx, living, living[0], 43)
-		learn(ctx, living, living[43], 43)
+		awaitCounts(ctx, alive, alive[0], 43)
+		awaitCounts(ctx, alive, alive[43], 43)
 	})
 
-	It("goes on within a zone that is cut off from the others", func(ctx SpecContext) {
-		all := daemons(3, 15)
-		var zone []*started
+	It("continues within a zone that is cut off from the others", func(ctx SpecContext) {
+		all := startDaemons(3, 15)
+		var zone []*testDaemon
 		for _, each := range all {
 			if each.List.Self().Zone == "z0" {
 				zone = append(zone, each)
@@ -318,40 +321,40 @@
 			}
 			Expect(each.server.Close()).To(Succeed())
 		}
-		learn(ctx, zone, zone[0], 14)
+		awaitCounts(ctx, zone, zone[0], 14)
 	})
 
 	It("tells all daemons of a zone when other zones were last heard", func(ctx SpecContext) {
-		all := daemons(3, 15)
-		var zone []*started
+		all := startDaemons(3, 15)
+		var zone []*testDaemon
 		for _, each := range all {
 			if each.List.Self().Zone == "z0" {
 				zone = append(zone, each)
 			}
 		}
 		last := zone[len(zone)-1]
-		learn(ctx, all, last, 44)
-		soundUntil, known := last.Outside()
+		awaitCounts(ctx, all, last, 44)
+		lastContact, known := last.Outside()
 		Expect(known).To(BeTrue())
 		for _, each := range all {
 			if each.List.Self().Zone != "z0" {
 				Expect(each.server.Close()).To(Succeed())
 			}
 		}
-		learn(ctx, zone, last, 14)
-		silentSince, known := last.Outside()
+		awaitCounts(ctx, zone, last, 14)
+		afterCut, known := last.Outside()
 		Expect(known).To(BeTrue())
-		learn(ctx, zone, last, 14)
-		stillSince, _ := last.Outside()
-		Expect(stillSince).To(BeTemporally("~", silentSince, time.Millisecond), "a silence is counted from its beginning")
-		last.noteOutside(Silence{})
+		awaitCounts(ctx, zone, last, 14)
+		afterRepeat, _ := last.Outside()
+		Expect(afterRepeat).To(BeTemporally("~", afterCut, time.Millisecond), "the time of the last contact stays the same during a silence")
+		last.recordOutside(Silence{})
 		afterRestart, known := last.Outside()
-		Expect(known).To(BeTrue(), "an aggregator that was started again knows nothing of other zones")
-		Expect(afterRestart).To(Equal(stillSince))
-		Expect(silentSince).To(BeTemporally(">=", soundUntil.Add(-time.Millisecond)))
+		Expect(known).To(BeTrue(), "a restarted aggregator doesn't clear the last contact")
+		Expect(afterRestart).To(Equal(afterRepeat))
+		Expect(afterCut).To(BeTemporally(">=", lastContact.Add(-time.Millisecond)))
 	})
 
-	It("sends one report, and as an aggregator one share to each other one, however many daemons there are", func(ctx SpecContext) {
+	It("sends one report, and as an aggregator one share to each other aggregator, however many daemons there are", func(ctx SpecContext) {
 		calls := 0
 		for _, each := range []int{20, 39} {
 			view := fleetView(6, each)
@@ -363,7 +366,7 @@
 			}
 			counted := &Exchange{
 				List: list, Caller: countingCaller{&calls}, Board: NewBoard(time.Now),
-				Fleet: &engines{learned: make(chan Counts, 9)}, Log: zap.NewNop(),
+				Fleet: &testFleet{learned: make(chan Counts, 9)}, Log: zap.NewNop(),
 			}
 			Expect(counted.Board.Report(Sample{Member: "another"}, &Picture{})).To(Succeed())
 			calls = 0
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -8,41 +8,42 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics tell how old this daemon's picture is, and how its reports ended.
+// metrics counts reports by result and holds the time of the last picture.
 type metrics struct {
 	reports *prometheus.CounterVec
-	// learnedAt is when a picture was last taken in, in nanoseconds since the
-	// epoch; 0: never.
+	// learnedAt is when a picture was last taken in, in nanoseconds since the Unix epoch; 0 if
+	// never.
 	learnedAt atomic.Int64
 }
 
-// The ends of a report.
+// Results of a report: values of the metric's label.
 const (
-	resultLearned    = "learned"
-	resultNoAnswer   = "no-answer"
-	resultUnreadable = "unreadable"
-	resultNobody     = "nobody-to-ask"
+	resultLearned      = "learned"
+	resultNoAnswer     = "no-answer"
+	resultUnreadable   = "unreadable"
+	resultNoAggregator = "nobody-to-ask"
 )
 
-// Measure shows the exchange's metrics; it is to be called before Run.
+// Measure registers the exchange's metrics. It must be called before Run.
 func (e *Exchange) Measure(registerer prometheus.Registerer) error {
 	e.metrics.reports = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "thymeloft_load_reports_total", Help: "Reports of this daemon's load to an aggregator, by how they ended.",
+		Name: "thymeloft_load_reports_total", Help: "Reports of this daemon's load to an aggregator, by result.",
 	}, []string{"result"})
 	age := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "thymeloft_load_picture_age_seconds", Help: "Time since the loads of all daemons were last heard; -1: never.",
+		Name: "thymeloft_load_picture_age_seconds", Help: "Time since the loads of all daemons were last received; -1 if never.",
 	}, e.metrics.age)
 	aggregated := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "thymeloft_load_reporters", Help: "Daemons that report to this one.",
-	}, func() float64 { return float64(e.Board.reporters()) })
+		Name: "thymeloft_load_reporters", Help: "Number of daemons that report to this one.",
+	}, func() float64 { return float64(e.Board.countReporters()) })
 	for _, collector := range []prometheus.Collector{e.metrics.reports, age, aggregated} {
 		if err := registerer.Register(collector); err != nil {
-			return eris.Wrap(err, "register metrics of loads")
+			return eris.Wrap(err, "register load metrics")
 		}
 	}
 	return nil
 }
 
+// age returns the seconds since a picture was last taken in, or -1 if none was.
 func (m *metrics) age() float64 {
 	const never = -1
 	at := m.learnedAt.Load()
@@ -52,8 +53,9 @@
 	return time.Since(time.Unix(0, at)).Seconds()
 }
 
-// ended counts a report; nothing is counted where nothing is measured.
-func (m *metrics) ended(result string) {
+// reportEnded counts a report, unless the metrics are not registered, and records the time of a
+// successful one.
+func (m *metrics) reportEnded(result string) {
 	if result == resultLearned {
 		m.learnedAt.Store(time.Now().UnixNano())
 	}
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -11,81 +11,83 @@
 )
 
 const (
-	// reportersEach is how many daemons report to one aggregator: 400 reports a
-	// second, some 4 % of a core.
-	reportersEach = 40
-	// spareCandidates stand by for aggregators that do not answer.
-	spareCandidates = 3
-	// largeMachine is the share of the largest machine's capacity from which a
-	// machine aggregates rather than a smaller one.
-	largeMachine = 0.75
+	// maxReportersPerAggregator bounds how many daemons report to one aggregator. 40 daemons send
+	// 400 reports a second, which take about 4 % of a core.
+	maxReportersPerAggregator = 40
+	// spareAggregators is how many further candidates a group has, to replace aggregators that
+	// don't answer.
+	spareAggregators = 3
+	// minLargeShare is the capacity of a large machine, as a share of the group's largest capacity.
+	// Large machines are preferred as aggregators.
+	minLargeShare = 0.75
 )
 
-// plan says who aggregates for whom. It is a pure function of the list of members,
-// made once for each change of it.
+// plan lists the aggregators of each group. It depends only on the list of members and the daemon's
+// own zone and region, and is computed once for each version of the list.
 type plan struct {
-	version uint64 // of the list
-	own     group  // this daemon's
+	version uint64 // of the list of members
+	own     group  // the group of this daemon
 	others  []group
 }
 
-// group is a zone, or a whole region.
+// group holds the candidates for aggregators of a zone, or of the whole region.
 type group struct {
-	aggregators int              // how many of the candidates aggregate at once
-	candidates  []members.Member // the first claims come first
+	aggregators int              // number of aggregators at a time
+	candidates  []members.Member // in order of preference
 }
 
 func newPlan(view *members.View, self identity.Process) *plan {
-	var living []members.Member
+	var alive []members.Member
 	for _, member := range view.Members {
 		if member.State != members.StateDead && member.Process.Region == self.Region {
-			living = append(living, member)
+			alive = append(alive, member)
 		}
 	}
 	zones := map[identity.Zone][]members.Member{}
-	for _, member := range living {
+	for _, member := range alive {
 		zone := member.Process.Zone
-		if len(living) <= reportersEach {
-			zone = self.Zone // one group is enough
+		if len(alive) <= maxReportersPerAggregator {
+			zone = self.Zone // one group for the whole region
 		}
 		zones[zone] = append(zones[zone], member)
 	}
-	made := &plan{version: view.Version}
+	result := &plan{version: view.Version}
 	for zone, inZone := range zones {
 		if zone == self.Zone {
-			made.own = newGroup(inZone)
+			result.own = newGroup(inZone)
 			continue
 		}
-		made.others = append(made.others, newGroup(inZone))
+		result.others = append(result.others, newGroup(inZone))
 	}
-	return made
+	return result
 }
 
-// newGroup orders the members by their claim to aggregate: large machines first,
-// then by the hash of their names.
+// newGroup sorts the members by preference as aggregators: large machines first, then by the hash
+// of the machine's name.
 func newGroup(inGroup []members.Member) group {
-	most := 0.0
+	maxCapacity := 0.0
 	for _, member := range inGroup {
-		most = max(most, member.Capacity)
+		maxCapacity = max(maxCapacity, member.Capacity)
 	}
-	small := func(member members.Member) int {
-		if member.Capacity >= largeMachine*most {
+	sizeClass := func(member members.Member) int {
+		if member.Capacity >= minLargeShare*maxCapacity {
 			return 0
 		}
 		return 1
 	}
 	slices.SortFunc(inGroup, func(a, b members.Member) int {
-		return cmp.Or(cmp.Compare(small(a), small(b)), cmp.Compare(claim(a), claim(b)))
+		return cmp.Or(cmp.Compare(sizeClass(a), sizeClass(b)), cmp.Compare(rankHash(a), rankHash(b)))
 	})
-	aggregators := (len(inGroup) + reportersEach - 1) / reportersEach
-	return group{aggregators: aggregators, candidates: inGroup[:min(len(inGroup), aggregators+spareCandidates)]}
+	aggregators := (len(inGroup) + maxReportersPerAggregator - 1) / maxReportersPerAggregator
+	return group{aggregators: aggregators, candidates: inGroup[:min(len(inGroup), aggregators+spareAggregators)]}
 }
 
-func claim(member members.Member) uint64 {
+// rankHash returns the hash by which members are sorted. It is the same at all daemons.
+func rankHash(member members.Member) uint64 {
 	return xxhash.Sum64String("load\x00" + string(member.Process.Machine))
 }
 
-// choose returns the first candidates that pass, as many as aggregate at once.
+// choose returns the first usable candidates, at most g.aggregators of them.
 func (g *group) choose(usable func(members.Member) bool) []members.Member {
 	chosen := make([]members.Member, 0, g.aggregators)
 	for _, candidate := range g.candidates {
--- a/internal/load/programs.go
+++ b/internal/load/programs.go
@@ -7,60 +7,62 @@
 	"github.com/rotisserie/eris"
 )
 
-// Programs are what daemons tell each other of the programs under way, so that each can
-// work out how much of what the engines hold is taken, and how much of it is its own part.
+// Programs are statistics of the programs in progress, of one daemon or summed over several. From
+// the sums each daemon derives how much of the engines' capacity is taken, and its own part of the
+// rest.
 type Programs struct {
-	Services map[Key]ServicePrograms // by the digest of the service's name
-	// Spent is what the programs of each tenant cost engines lately, in tokens, by the
-	// digest of the tenant's name.
+	Services map[Key]ServicePrograms // by digest of the service's name
+	// Spent is the recent cost of each tenant's programs at the engines, in tokens, by digest of
+	// the tenant's name.
 	Spent map[Key]int64
 }
 
-// ServicePrograms are sums over daemons, or one daemon's own figures.
+// ServicePrograms are one service's statistics, of one daemon or summed over several.
 type ServicePrograms struct {
-	Daemons   int64 // that told
-	Count     int64 // programs under way
-	Held      int64 // tokens of their contexts
-	Claimed   int64 // tokens of contexts that the daemon may count on having: Held, or more
-	Asked     int64 // tokens of the contexts that callers asked to begin lately, a second
-	Turns     int64 // turns that went on from an earlier one and got a first byte lately
-	FirstByte int64 // the sum of their times to the first byte, in microseconds
+	Daemons   int64 // number of daemons in the sum
+	Count     int64 // programs in progress
+	Held      int64 // tokens of the programs' contexts
+	Claimed   int64 // tokens of contexts that the daemon may admit; at least Held
+	Asked     int64 // recent rate at which callers asked to start contexts, in tokens a second
+	Turns     int64 // recent turns that continued an earlier one and got a first byte
+	FirstByte int64 // sum of these turns' times to the first byte, in microseconds
 }
 
-// ProgramSource is what a daemon has to tell of its programs, and learns of all.
+// ProgramSource provides this daemon's program statistics and takes in those of all daemons.
 type ProgramSource interface {
-	// Programs gives this daemon's own figures.
+	// Programs returns this daemon's own statistics.
 	Programs() Programs
-	// LearnPrograms takes in what all daemons told; own is this daemon's part of it.
+	// LearnPrograms takes in the sums over all daemons; own is this daemon's part of them.
 	LearnPrograms(all, own Programs)
 }
 
-// How old what is told of programs may be.
+// Maximum ages of program statistics.
 const (
-	// programsKept is how long a daemon's programs count at an aggregator, and an
-	// aggregator's sum at another one: an interval and a half. Parts of a bound are the
-	// closer to it the younger all figures are; who is left out is not counted as a
-	// daemon either.
-	programsKept = 150 * time.Millisecond
-	// OldestPrograms bounds how long before a picture's arrival any daemon told what it says
-	// of programs: both calls on the way are given up after reportWait, and the picture is
-	// made anew after pictureKept.
-	OldestPrograms = 2*programsKept + 2*reportWait + pictureKept
+	// programsTTL is how long a daemon's program statistics count at an aggregator, and an
+	// aggregator's sums at another one: one and a half intervals. The younger the statistics are,
+	// the more exactly the daemons together keep to the bound on admitted programs. A daemon whose
+	// statistics have expired isn't counted in ServicePrograms.Daemons either.
+	programsTTL = 150 * time.Millisecond
+	// OldestPrograms is the maximum age of any daemon's program statistics when a picture with them
+	// arrives: both calls on the way end after callTimeout, and an aggregator's sums are reused for
+	// sumTTL.
+	OldestPrograms = 2*programsTTL + 2*callTimeout + sumTTL
 )
 
-// Bounds of what is told and believed.
+// Limits on the contents of a message.
 const (
-	// mostServices is more services of models than a deployment declares.
-	mostServices = 64
-	// mostTenantsTold bounds what one message holds: the tenants that spent lately. At 6 to 8
-	// bytes each a message stays under 8 KB.
-	mostTenantsTold = 1024
-	// mostTokens bounds a sum that is believed: a hundred thousand engines with a hundred
-	// million tokens each.
-	mostTokens = int64(1e13)
+	// maxServices is above the number of services that a deployment declares.
+	maxServices = 64
+	// maxTenantsPerMessage bounds the tenants in Spent. With 6 to 8 bytes for each, a message stays
+	// under 8 KB.
+	maxTenantsPerMessage = 1024
+	// maxNumber is the largest number that is accepted: 100,000 engines with 100 million tokens
+	// each.
+	maxNumber = int64(1e13)
 )
 
-// encode writes the count of services, each with its figures, and the tenants after them.
+// encode writes the number of services, each service's digest and figures, and then each tenant's
+// digest and cost. Tenants beyond maxTenantsPerMessage are left out.
 func (p Programs) encode() []byte {
 	encoded := binary.AppendUvarint(nil, uint64(len(p.Services)))
 	for key, service := range p.Services {
@@ -69,19 +71,19 @@
 			encoded = binary.AppendUvarint(encoded, uint64(max(*figure, 0))) //nolint:gosec // not below zero
 		}
 	}
-	told := 0
+	encodedTenants := 0
 	for key, spent := range p.Spent {
-		if spent <= 0 || told == mostTenantsTold {
+		if spent <= 0 || encodedTenants == maxTenantsPerMessage {
 			continue
 		}
-		told++
+		encodedTenants++
 		encoded = binary.LittleEndian.AppendUint32(encoded, uint32(key))
 		encoded = binary.AppendUvarint(encoded, uint64(spent))
 	}
 	return encoded
 }
 
-// figures lists the fields in the order in which they are written.
+// figures returns pointers to all fields, in the order in which they are encoded.
 func (s *ServicePrograms) figures() []*int64 {
 	return []*int64{&s.Daemons, &s.Count, &s.Held, &s.Claimed, &s.Asked, &s.Turns, &s.FirstByte}
 }
@@ -93,16 +95,16 @@
 	}
 }
 
-// newPrograms makes empty sums.
+// newPrograms returns empty sums.
 func newPrograms() Programs {
 	return Programs{Services: map[Key]ServicePrograms{}, Spent: map[Key]int64{}}
 }
 
-// Include adds what another daemon told.
+// Include adds other to p.
 func (p Programs) Include(other Programs) {
-	for key, told := range other.Services {
+	for key, service := range other.Services {
 		sum := p.Services[key]
-		sum.add(told)
+		sum.add(service)
 		p.Services[key] = sum
 	}
 	for key, spent := range other.Spent {
@@ -110,105 +112,108 @@
 	}
 }
 
-// add adds encoded programs. Nothing at all is a daemon that tells none.
-func (p Programs) add(encoded []byte) error {
+// addEncoded adds encoded statistics to p. Empty input adds nothing. If it returns an error, p is
+// unchanged.
+func (p Programs) addEncoded(encoded []byte) error {
 	if len(encoded) == 0 {
 		return nil
 	}
-	reader := programReader{left: encoded}
-	services := reader.number()
-	if services > mostServices {
-		return eris.Errorf("load: %d services of programs are told", services)
+	reader := programReader{remaining: encoded}
+	services := reader.readNumber()
+	if services > maxServices {
+		return eris.Errorf("load: message has %d services, more than allowed", services)
 	}
-	read := newPrograms()
+	decoded := newPrograms()
 	for range services {
-		key := reader.key()
-		var told ServicePrograms
-		for _, figure := range told.figures() {
-			*figure = reader.number()
+		key := reader.readKey()
+		var service ServicePrograms
+		for _, figure := range service.figures() {
+			*figure = reader.readNumber()
 		}
-		read.Services[key] = told
+		decoded.Services[key] = service
 	}
-	for reader.err == nil && len(reader.left) > 0 {
-		key := reader.key()
-		read.Spent[key] = reader.number()
+	for reader.err == nil && len(reader.remaining) > 0 {
+		key := reader.readKey()
+		decoded.Spent[key] = reader.readNumber()
 	}
 	if reader.err == nil {
-		p.Include(read)
+		p.Include(decoded)
 	}
 	return reader.err
 }
 
-// programReader reads until the first fault, which it keeps.
+// programReader decodes digests and numbers. After the first error its methods return 0 and err
+// stays set.
 type programReader struct {
-	left []byte
-	err  error
+	remaining []byte
+	err       error
 }
 
-func (r *programReader) key() Key {
-	if r.err != nil || len(r.left) < digestBytes {
-		r.fail("a digest is cut off")
+func (r *programReader) readKey() Key {
+	if r.err != nil || len(r.remaining) < digestBytes {
+		r.setError("truncated digest")
 		return 0
 	}
-	key := Key(binary.LittleEndian.Uint32(r.left))
-	r.left = r.left[digestBytes:]
+	key := Key(binary.LittleEndian.Uint32(r.remaining))
+	r.remaining = r.remaining[digestBytes:]
 	return key
 }
 
-func (r *programReader) number() int64 {
+func (r *programReader) readNumber() int64 {
 	if r.err != nil {
 		return 0
 	}
-	number, length := binary.Uvarint(r.left)
-	if length <= 0 || number > uint64(mostTokens) {
-		r.fail("a figure cannot be read")
+	number, length := binary.Uvarint(r.remaining)
+	if length <= 0 || number > uint64(maxNumber) {
+		r.setError("invalid number")
 		return 0
 	}
-	r.left = r.left[length:]
+	r.remaining = r.remaining[length:]
 	return int64(number) //nolint:gosec // bounded above
 }
 
-func (r *programReader) fail(what string) {
+func (r *programReader) setError(what string) {
 	if r.err == nil {
 		r.err = eris.Errorf("load: programs: %s", what)
 	}
 }
 
-// programs adds up what is fresh of the reports, and of the shares if these are asked
-// for; the lock is held.
-func (b *Board) programs(now time.Time, withShares bool) []byte {
+// sumPrograms returns the encoded sums of the program statistics that are at most programsTTL old:
+// those of the reports and, if withShares is set, of the shares. The caller holds the mutex.
+func (b *Board) sumPrograms(now time.Time, withShares bool) []byte {
 	all := newPrograms()
 	for _, report := range b.reports {
-		if now.Sub(report.at) <= programsKept {
-			_ = all.add(report.told.Programs) // was read whole when it came
+		if now.Sub(report.at) <= programsTTL {
+			_ = all.addEncoded(report.stats.Programs) // was validated on arrival
 		}
 	}
 	for _, share := range b.shares {
-		if withShares && now.Sub(share.at) <= programsKept {
-			_ = all.add(share.told.Programs) // was read whole when it came
+		if withShares && now.Sub(share.at) <= programsTTL {
+			_ = all.addEncoded(share.stats.Programs) // was validated on arrival
 		}
 	}
 	return all.encode()
 }
 
-// ownPrograms is what this daemon tells of its programs; nothing where nobody follows them.
-func (e *Exchange) ownPrograms() []byte {
+// localPrograms returns this daemon's encoded program statistics, or nil if it has none.
+func (e *Exchange) localPrograms() []byte {
 	if e.Programs == nil {
 		return nil
 	}
 	return e.Programs.Programs().encode()
 }
 
-// learnPrograms takes in the programs of a picture.
+// learnPrograms passes the program statistics of a picture to e.Programs. It returns an error if
+// they can't be decoded.
 func (e *Exchange) learnPrograms(picture Picture) error {
 	if e.Programs == nil {
 		return nil
 	}
 	all, own := newPrograms(), newPrograms()
-	if err := all.add(picture.All.Programs); err != nil {
+	if err := all.addEncoded(picture.All.Programs); err != nil {
 		return err
 	}
-	if err := own.add(picture.Own.Programs); err != nil {
+	if err := own.addEncoded(picture.Own.Programs); err != nil {
 		return err
 	}
 	e.Programs.LearnPrograms(all, own)
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -19,7 +19,7 @@
 
 func drawPrograms(t *rapid.T) Programs {
 	drawn := newPrograms()
-	figure := rapid.Int64Range(0, mostTokens)
+	figure := rapid.Int64Range(0, maxNumber)
 	for key, figures := range rapid.MapOfN(rapid.Uint32(), rapid.SliceOfN(figure, 7, 7), 0, 4).Draw(t, "services") {
 		var service ServicePrograms
 		for index, field := range service.figures() {
@@ -27,48 +27,49 @@
 		}
 		drawn.Services[Key(key)] = service
 	}
-	for key, spent := range rapid.MapOfN(rapid.Uint32(), rapid.Int64Range(1, mostTokens), 0, 8).Draw(t, "spent") {
+	for key, spent := range rapid.MapOfN(rapid.Uint32(), rapid.Int64Range(1, maxNumber), 0, 8).Draw(t, "spent") {
 		drawn.Spent[Key(key)] = spent
 	}
 	return drawn
 }
 
-// TestPrograms reads back whatever was written, twice as much where it was told twice, and
-// refuses what was cut within a figure.
+// TestPrograms checks that encoded statistics decode to the same values, that decoding twice
+// doubles them, and that truncated input is rejected.
 func TestPrograms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		told := drawPrograms(t)
-		encoded := told.encode()
-		read := newPrograms()
-		if err := read.add(encoded); err != nil {
+		original := drawPrograms(t)
+		encoded := original.encode()
+		decoded := newPrograms()
+		if err := decoded.addEncoded(encoded); err != nil {
 			t.Fatal(err)
 		}
-		if fmt.Sprint(read) != fmt.Sprint(told) {
-			t.Fatalf("%v became %v", told, read)
+		if fmt.Sprint(decoded) != fmt.Sprint(original) {
+			t.Fatalf("%v was decoded as %v", original, decoded)
 		}
-		if err := read.add(encoded); err != nil {
+		if err := decoded.addEncoded(encoded); err != nil {
 			t.Fatal(err)
 		}
-		for key, spent := range told.Spent {
-			if read.Spent[key] != 2*spent {
-				t.Fatalf("%d and %d became %d", spent, spent, read.Spent[key])
+		for key, spent := range original.Spent {
+			if decoded.Spent[key] != 2*spent {
+				t.Fatalf("%d and %d were summed to %d", spent, spent, decoded.Spent[key])
 			}
 		}
-		if len(encoded) > 1 && newPrograms().add(encoded[:len(encoded)-1]) == nil {
-			t.Fatal("cut figures were read")
+		if len(encoded) > 1 && newPrograms().addEncoded(encoded[:len(encoded)-1]) == nil {
+			t.Fatal("truncated statistics were accepted")
 		}
 	})
 }
 
-// toldPrograms stands for a daemon with one program.
-type toldPrograms struct {
+// testProgramSource is a ProgramSource with fixed statistics. It sends the sums over all daemons to
+// learned.
+type testProgramSource struct {
 	own     Programs
 	learned chan Programs
 }
 
-func (p *toldPrograms) Programs() Programs { return p.own }
+func (p *testProgramSource) Programs() Programs { return p.own }
 
-func (p *toldPrograms) LearnPrograms(all, _ Programs) { p.learned <- all }
+func (p *testProgramSource) LearnPrograms(all, _ Programs) { p.learned <- all }
 
 var _ = Describe("Programs", func() {
 	const service, tenant = Key(7), Key(9)
@@ -79,44 +80,44 @@
 		}
 	}
 
-	It("are added up by a board over reports and shares, while they are fresh", func() {
+	It("are summed by a board over reports and shares that have not expired", func() {
 		now := time.Unix(1000, 0)
 		board := NewBoard(func() time.Time { return now })
 		var picture Picture
 		Expect(board.Report(Sample{Member: "a", Told: Told{Programs: own(10).encode()}}, &picture)).To(Succeed())
 		Expect(board.Share(Share{Aggregator: "z", Told: Told{Programs: own(5).encode()}}, &ShareReply{})).To(Succeed())
-		now = now.Add(pictureKept)
+		now = now.Add(sumTTL)
 		Expect(board.Report(Sample{Member: "b", Told: Told{Programs: own(1).encode()}}, &picture)).To(Succeed())
 		all := newPrograms()
-		Expect(all.add(picture.All.Programs)).To(Succeed())
+		Expect(all.addEncoded(picture.All.Programs)).To(Succeed())
 		Expect(all.Services[service]).To(Equal(ServicePrograms{Daemons: 3, Count: 3, Held: 16, Claimed: 16, Asked: 9, Turns: 6, FirstByte: 3000}))
 		Expect(all.Spent[tenant]).To(BeEquivalentTo(16))
-		shared, _ := board.share()
-		ofGroup := newPrograms()
-		Expect(ofGroup.add(shared.Programs)).To(Succeed())
-		Expect(ofGroup.Services[service].Held).To(BeEquivalentTo(11))
-		now = now.Add(programsKept + time.Millisecond)
+		shared, _ := board.sumReports()
+		sharedPrograms := newPrograms()
+		Expect(sharedPrograms.addEncoded(shared.Programs)).To(Succeed())
+		Expect(sharedPrograms.Services[service].Held).To(BeEquivalentTo(11))
+		now = now.Add(programsTTL + time.Millisecond)
 		Expect(board.Report(Sample{Member: "c", Told: Told{Programs: own(2).encode()}}, &picture)).To(Succeed())
 		fresh := newPrograms()
-		Expect(fresh.add(picture.All.Programs)).To(Succeed())
+		Expect(fresh.addEncoded(picture.All.Programs)).To(Succeed())
 		Expect(fresh.Services[service].Held).To(BeEquivalentTo(2))
 	})
 
-	It("are refused where they cannot be read", func() {
+	It("are rejected if they can't be decoded", func() {
 		board := NewBoard(time.Now)
 		Expect(board.Report(Sample{Member: "a", Told: Told{Programs: []byte{1, 2}}}, &Picture{})).To(MatchError(ContainSubstring("report of a")))
-		Expect(newPrograms().add([]byte{200, 200, 3})).To(MatchError(ContainSubstring("services")))
+		Expect(newPrograms().addEncoded([]byte{200, 200, 3})).To(MatchError(ContainSubstring("services")))
 	})
 
-	It("are bounded in a message, however many tenants spent", func() {
+	It("are bounded in the size of their encoding, however many tenants there are", func() {
 		many := newPrograms()
-		for tenant := range Key(5 * mostTenantsTold) {
+		for tenant := range Key(5 * maxTenantsPerMessage) {
 			many.Spent[tenant] = 1 << 20
 		}
 		Expect(len(many.encode())).To(BeNumerically("<", 8<<10))
 	})
 
-	It("are told and learnt with the loads, also beside daemons that tell none", func(ctx SpecContext) {
+	It("are exchanged with the counts, also if another daemon reports none", func(ctx SpecContext) {
 		server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
@@ -124,10 +125,10 @@
 		Expect(server.Register(ServiceName, board)).To(Succeed())
 		Expect(board.Report(Sample{Member: "former", Told: Told{UnderWay: Counts{1: 1}.encode()}}, &Picture{})).To(Succeed())
 		self := members.Member{Process: identity.Process{Machine: "d", Zone: "z", Region: "r", Address: server.Address()}}
-		source := &toldPrograms{own: own(4), learned: make(chan Programs, 1)}
+		source := &testProgramSource{own: own(4), learned: make(chan Programs, 1)}
 		exchange := &Exchange{
 			List: members.NewList(self, time.Now, zap.NewNop()), Caller: peer.NewPool(peer.Options{}), Board: board,
-			Fleet: &engines{learned: make(chan Counts, 1)}, Programs: source, Log: zap.NewNop(),
+			Fleet: &testFleet{learned: make(chan Counts, 1)}, Programs: source, Log: zap.NewNop(),
 		}
 		Expect(acquaintance.Make(exchange.List)).To(Succeed())
 		exchange.report(context.Background())
--- a/internal/load/speeds.go
+++ b/internal/load/speeds.go
@@ -6,51 +6,53 @@
 	"github.com/rotisserie/eris"
 )
 
-// Work is what an engine did lately, as daemons saw it. All three numbers are sums
-// whose parts lose weight with time at the same rate, so that sums of several daemons
-// add up, and a ratio of two of them is a mean.
+// Work is an engine's recent work, as daemons observed it. Each number is a sum in which older
+// observations count less; the weight decreases at the same rate for all three. Sums of several
+// daemons can therefore be added, and the ratio of two numbers is a mean.
 type Work struct {
-	Pieces  int // hundredths of pieces: events of a stream, or whole answers that are no stream
+	Pieces  int // hundredths of pieces; a piece is an event of a stream, or a whole answer that is not a stream
 	Answers int // hundredths of answers
 	Taken   int // milliseconds that these pieces took
 }
 
-// Speeds is the work of engines; those without any are left out.
+// Speeds is the recent work by engine. Engines without work are left out.
 type Speeds map[Key]Work
 
-// mostWork bounds a number that is believed: in milliseconds 24 days, which is more
-// than all the answers of one engine take in the time that sums reach back.
-const mostWork = 1 << 31
+// maxWork is the largest number of a Work that is accepted. As milliseconds it is 24 days, more
+// than the weighted sum of one engine's answer times can reach.
+const maxWork = 1 << 31
 
-// workNumbers are the varints of an entry.
-const workNumbers = 3
+// workFieldCount is the number of varints in an entry.
+const workFieldCount = 3
 
-// encode writes each engine's digest and its numbers as varints, some ten bytes an engine.
+// encode writes each engine's digest, followed by its numbers as varints: about ten bytes an
+// engine.
 func (s Speeds) encode() []byte {
 	const usualNumberBytes = 2
-	encoded := make([]byte, 0, len(s)*(digestBytes+workNumbers*usualNumberBytes))
+	encoded := make([]byte, 0, len(s)*(digestBytes+workFieldCount*usualNumberBytes))
 	for key, work := range s {
 		encoded = binary.LittleEndian.AppendUint32(encoded, uint32(key))
-		for _, number := range [workNumbers]int{work.Pieces, work.Answers, work.Taken} {
-			encoded = binary.AppendUvarint(encoded, uint64(min(max(number, 0), mostWork)))
+		for _, number := range [workFieldCount]int{work.Pieces, work.Answers, work.Taken} {
+			encoded = binary.AppendUvarint(encoded, uint64(min(max(number, 0), maxWork)))
 		}
 	}
 	return encoded
 }
 
-// add adds encoded work; it fails for what is cut or beyond belief.
-func (s Speeds) add(encoded []byte) error {
+// addEncoded adds encoded work to s. It returns an error if the input is truncated or a number
+// exceeds maxWork; the entries before the invalid one have been added by then.
+func (s Speeds) addEncoded(encoded []byte) error {
 	for len(encoded) > 0 {
 		if len(encoded) <= digestBytes {
-			return eris.Errorf("load: %d bytes are left of an engine's work", len(encoded))
+			return eris.Errorf("load: truncated work entry of %d bytes", len(encoded))
 		}
 		key := Key(binary.LittleEndian.Uint32(encoded))
 		encoded = encoded[digestBytes:]
-		var numbers [workNumbers]int
+		var numbers [workFieldCount]int
 		for index := range numbers {
 			number, length := binary.Uvarint(encoded)
-			if length <= 0 || number > mostWork {
-				return eris.Errorf("load: the work of %08x cannot be read", uint32(key))
+			if length <= 0 || number > maxWork {
+				return eris.Errorf("load: invalid work of engine %08x", uint32(key))
 			}
 			numbers[index] = int(number)
 			encoded = encoded[length:]
@@ -60,12 +62,12 @@
 	return nil
 }
 
-// Plus adds up two parts of an engine's work.
+// Plus returns the sums of the numbers of w and other.
 func (w Work) Plus(other Work) Work {
 	return Work{Pieces: w.Pieces + other.Pieces, Answers: w.Answers + other.Answers, Taken: w.Taken + other.Taken}
 }
 
-// Less takes a part out; nothing falls below zero.
+// Less returns w minus part. Numbers don't fall below zero.
 func (w Work) Less(part Work) Work {
 	return Work{
 		Pieces: max(w.Pieces-part.Pieces, 0), Answers: max(w.Answers-part.Answers, 0), Taken: max(w.Taken-part.Taken, 0),
--- a/internal/load/speeds_test.go
+++ b/internal/load/speeds_test.go
@@ -16,9 +16,10 @@
 	"github.com/thymeloft/thymeloft/internal/members"
 )
 
-// TestSpeeds reads back whatever was written, and refuses what was cut.
+// TestSpeeds checks that encoded speeds decode to the same speeds, and that truncated input is
+// rejected.
 func TestSpeeds(t *testing.T) {
-	number := rapid.IntRange(0, mostWork)
+	number := rapid.IntRange(0, maxWork)
 	rapid.Check(t, func(t *rapid.T) {
 		speeds := Speeds{}
 		for _, engine := range rapid.SliceOfDistinct(rapid.Uint32(), rapid.ID).Draw(t, "engines") {
@@ -26,103 +27,103 @@
 				Pieces: number.Draw(t, "pieces"), Answers: number.Draw(t, "answers"), Taken: number.Draw(t, "taken"),
 			}
 		}
-		read := Speeds{}
+		decoded := Speeds{}
 		encoded := speeds.encode()
-		if err := read.add(encoded); err != nil {
+		if err := decoded.addEncoded(encoded); err != nil {
 			t.Fatal(err)
 		}
-		if fmt.Sprint(read) != fmt.Sprint(speeds) {
-			t.Fatalf("%v became %v", speeds, read)
+		if fmt.Sprint(decoded) != fmt.Sprint(speeds) {
+			t.Fatalf("%v was decoded as %v", speeds, decoded)
 		}
-		if len(encoded) > 0 && (Speeds{}).add(encoded[:len(encoded)-1]) == nil {
-			t.Fatal("cut speeds were read")
+		if len(encoded) > 0 && (Speeds{}).addEncoded(encoded[:len(encoded)-1]) == nil {
+			t.Fatal("truncated speeds were accepted")
 		}
 	})
 }
 
-// toldSpeeds is a fleet's part in the exchange of speeds.
-type toldSpeeds struct {
-	worked       Speeds // seen here
-	all, ownPart Speeds // last heard
+// testSpeeds implements the methods of Fleet that exchange speeds.
+type testSpeeds struct {
+	local        Speeds // of this daemon
+	all, ownPart Speeds // arguments of the last LearnSpeeds
 }
 
-func (t *toldSpeeds) Speeds() Speeds { return t.worked }
+func (t *testSpeeds) Speeds() Speeds { return t.local }
 
-func (t *toldSpeeds) LearnSpeeds(all, own Speeds) { t.all, t.ownPart = all, own }
+func (t *testSpeeds) LearnSpeeds(all, own Speeds) { t.all, t.ownPart = all, own }
 
-// testBoard is a board whose clock stands still.
+// testBoard is a board with a manual clock.
 type testBoard struct {
 	*Board
 	clock time.Time
 }
 
 func newTestBoard() *testBoard {
-	made := &testBoard{clock: time.Unix(1000, 0)}
-	made.Board = NewBoard(func() time.Time { return made.clock })
-	return made
+	board := &testBoard{clock: time.Unix(1000, 0)}
+	board.Board = NewBoard(func() time.Time { return board.clock })
+	return board
 }
 
-// reportsTo lets a daemon that started a moment ago report once to a board.
-func reportsTo(ctx context.Context, board *Board) *engines {
+// reportOnce reports to the board once as a newly started daemon, and returns that daemon's fleet.
+func reportOnce(ctx context.Context, board *Board) *testFleet {
 	GinkgoHelper()
 	self := members.Member{Process: identity.Process{Machine: "new", Zone: "z", Region: "r"}, State: members.StateAlive}
 	list := members.NewList(self, time.Now, zap.NewNop())
 	Expect(acquaintance.Make(list)).To(Succeed())
-	fleet := &engines{learned: make(chan Counts, 1)}
+	fleet := &testFleet{learned: make(chan Counts, 1)}
 	exchange := &Exchange{List: list, Board: board, Fleet: fleet, Log: zap.NewNop()}
 	exchange.report(ctx)
 	Expect(fleet.learned).To(Receive())
 	return fleet
 }
 
-func worked(encoded []byte) Speeds {
+func decodeSpeeds(encoded []byte) Speeds {
 	GinkgoHelper()
 	speeds := Speeds{}
-	Expect(speeds.add(encoded)).To(Succeed())
+	Expect(speeds.addEncoded(encoded)).To(Succeed())
 	return speeds
 }
 
 var _ = Describe("Speeds", func() {
 	one, other := Work{Pieces: 700, Answers: 100, Taken: 280}, Work{Pieces: 600, Answers: 100, Taken: 300}
 
-	It("adds up what daemons and aggregators saw, and names the asking daemon's part", func() {
+	It("sums the speeds of reports and shares, and returns the reporting daemon's own part", func() {
 		board := newTestBoard()
 		var picture Picture
 		Expect(board.Report(Sample{Member: "a", Told: Told{Speeds: Speeds{1: one, 2: other}.encode()}}, &picture)).To(Succeed())
 		Expect(board.Share(Share{Aggregator: "z", Told: Told{Speeds: Speeds{1: other}.encode()}}, &ShareReply{})).To(Succeed())
-		board.clock = board.clock.Add(pictureKept)
+		board.clock = board.clock.Add(sumTTL)
 		Expect(board.Report(Sample{Member: "b", Told: Told{Speeds: Speeds{1: one}.encode()}}, &picture)).To(Succeed())
-		Expect(worked(picture.All.Speeds)).To(Equal(Speeds{1: one.Plus(one).Plus(other), 2: other}))
-		Expect(worked(picture.Own.Speeds)).To(Equal(Speeds{1: one}))
-		share, _ := board.share()
-		Expect(worked(share.Speeds)).To(Equal(Speeds{1: one.Plus(one), 2: other}))
+		Expect(decodeSpeeds(picture.All.Speeds)).To(Equal(Speeds{1: one.Plus(one).Plus(other), 2: other}))
+		Expect(decodeSpeeds(picture.Own.Speeds)).To(Equal(Speeds{1: one}))
+		share, _ := board.sumReports()
+		Expect(decodeSpeeds(share.Speeds)).To(Equal(Speeds{1: one.Plus(one), 2: other}))
 	})
 
-	It("shows a daemon that starts with its first picture what the others saw", func(ctx SpecContext) {
+	It("gives a newly started daemon the speeds of the others with its first picture", func(ctx SpecContext) {
 		board := newTestBoard()
 		var picture Picture
 		Expect(board.Report(Sample{Member: "a", Told: Told{Speeds: Speeds{1: one}.encode()}}, &picture)).To(Succeed())
-		board.clock = board.clock.Add(pictureKept)
-		started := reportsTo(ctx, board.Board)
+		board.clock = board.clock.Add(sumTTL)
+		started := reportOnce(ctx, board.Board)
 		Expect(started.all).To(Equal(Speeds{1: one}))
 		Expect(started.ownPart).To(BeEmpty())
 	})
 
-	It("refuses what cannot be read, or is beyond belief", func() {
+	It("rejects speeds that can't be decoded or exceed the limit", func() {
 		board := newTestBoard()
 		for _, told := range [][]byte{{1}, {1, 2, 3, 4}, {1, 2, 3, 4, 1, 1}, Speeds{1: one}.encode()[:6]} {
 			Expect(board.Report(Sample{Member: "a", Told: Told{Speeds: told}}, &Picture{})).To(MatchError(ContainSubstring("report of a")))
 			Expect(board.Share(Share{Aggregator: "z", Told: Told{Speeds: told}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
 		}
-		tooMuch := append(Speeds{1: {Pieces: 1, Answers: 1}}.encode()[:6], 0x81, 0x80, 0x80, 0x80, 0x08) // mostWork and one
-		Expect(Speeds{}.add(tooMuch)).To(MatchError(ContainSubstring("cannot be read")))
+		tooMuch := append(Speeds{1: {Pieces: 1, Answers: 1}}.encode()[:6], 0x81, 0x80, 0x80, 0x80, 0x08) // maxWork + 1
+		Expect(Speeds{}.addEncoded(tooMuch)).To(MatchError(ContainSubstring("invalid work")))
 	})
 
-	It("takes out no more than there is", func() {
+	It("subtracts without falling below zero", func() {
 		Expect(one.Less(other)).To(Equal(Work{Pieces: 100, Answers: 0, Taken: 0}))
 	})
 
-	It("needs few bytes an engine", func() {
+	It("takes at most 10 bytes an engine", func() {
 		Expect(len(Speeds{1: {Pieces: 9000, Answers: 1300, Taken: 4000}}.encode())).To(BeNumerically("<=", 10))
 	})
 })
--- a/internal/load/sum.go
+++ b/internal/load/sum.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// sum adds up what daemons told.
+// sum holds the requests in flight and the work of engines, summed over daemons.
 type sum struct {
 	underWay Counts
 	speeds   Speeds
@@ -10,12 +10,12 @@
 
 func newSum() *sum { return &sum{underWay: Counts{}, speeds: Speeds{}} }
 
-// add adds what was told; it fails for what cannot be read.
-func (s *sum) add(told Told) error {
-	return errors.Join(s.underWay.add(told.UnderWay), s.speeds.add(told.Speeds))
+// add adds the counts and speeds of stats. It returns an error if they can't be decoded.
+func (s *sum) add(stats Told) error {
+	return errors.Join(s.underWay.addEncoded(stats.UnderWay), s.speeds.addEncoded(stats.Speeds))
 }
 
-// told is the sum as it is told on, with the programs' own sum.
-func (s *sum) told(programs []byte) Told {
+// encode returns the sum, encoded, together with the encoded program statistics.
+func (s *sum) encode(programs []byte) Told {
 	return Told{UnderWay: s.underWay.encode(), Speeds: s.speeds.encode(), Programs: programs}
 }
