--- a/internal/reach/monitor.go
+++ b/internal/reach/monitor.go
@@ -15,136 +15,146 @@
 )
 
 const (
-	// observeEvery is the time between two observations: an eighth of the silences that count.
-	observeEvery = 50 * time.Millisecond
-	// probeEvery and probeWait bound the questions to the store while other zones are silent.
-	probeEvery = 150 * time.Millisecond
-	probeWait  = 300 * time.Millisecond
-	// soonestBack is the least time after which a refused caller comes back.
-	soonestBack = 100 * time.Millisecond
-	// backSpread spreads callers that were refused together, as a divisor of their time.
-	backSpread = 4
+	// observeInterval is the time between two observations: an eighth of outsideTimeout and
+	// storeTimeout.
+	observeInterval = 50 * time.Millisecond
+	// probeInterval is the least time between two probes of the store, and probeTimeout the longest
+	// time of one probe.
+	probeInterval = 150 * time.Millisecond
+	probeTimeout  = 300 * time.Millisecond
+	// minRetryAfter is the least delay after which a refused caller is told to retry.
+	minRetryAfter = 100 * time.Millisecond
+	// retryJitterDivisor bounds the random part of a retry delay, as a fraction
+	// 1/retryJitterDivisor of the delay.
+	retryJitterDivisor = 4
 )
 
-// Options are what a Monitor is made of.
+// Options configure a Monitor.
 type Options struct {
-	// Observe tells what is known now.
+	// Observe returns the current observation.
 	Observe func() Observation
-	// AskStore asks the store anything; its answer shows in the next observations.
+	// AskStore sends a small request to the store. The next observations show whether the store
+	// answered.
 	AskStore func(ctx context.Context)
-	// Moved is how long it takes from the moment at which daemons say that they are not
-	// ready until callers are sent to other zones.
+	// Moved is the time from when daemons report that they are not ready until callers are routed
+	// to other zones.
 	Moved time.Duration
-	// OnChange, if given, hears each change of the verdict.
+	// OnChange is called after each change if it is not nil.
 	OnChange func(cutOff bool)
 	Now      func() time.Time
 	Log      *zap.Logger
 }
 
-// Monitor observes all the while. It is safe for concurrent use; readers take no lock.
+// Monitor watches whether this daemon is cut off. It is safe for concurrent use; CutOff, Connected
+// and Back take no locks. CutOff and Connected may be called on a nil Monitor, which is never cut
+// off.
 type Monitor struct {
-	options Options
-	judge   judge
-	since   atomic.Int64 // unix nanoseconds since when this daemon is cut off; 0: it is not
-	asking  sync.Mutex   // one question to the store at a time
-	asked   time.Time
-	spell   atomic.Pointer[connectedSpell]
+	options     Options
+	detector    detector
+	cutOffSince atomic.Int64 // in nanoseconds since the Unix epoch; 0 while not cut off
+	probeMutex  sync.Mutex   // held during a probe: only one runs at a time
+	lastProbe   time.Time
+	connected   atomic.Pointer[connectedPeriod]
 }
 
-// connectedSpell is a time in which this daemon is not cut off.
-type connectedSpell struct {
-	ctx context.Context
-	end context.CancelFunc
+// connectedPeriod is a period in which this daemon is not cut off. Its context is canceled when the
+// period ends.
+type connectedPeriod struct {
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-// NewMonitor makes a monitor of a daemon that is not cut off.
+// NewMonitor returns a monitor that is not cut off. Run must be called to observe.
 func NewMonitor(options Options) *Monitor {
-	made := &Monitor{options: options}
-	made.spell.Store(newConnectedSpell())
-	return made
+	monitor := &Monitor{options: options}
+	monitor.connected.Store(newConnectedPeriod())
+	return monitor
 }
 
-func newConnectedSpell() *connectedSpell {
-	ctx, end := context.WithCancel(context.Background())
-	return &connectedSpell{ctx: ctx, end: end}
+func newConnectedPeriod() *connectedPeriod {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &connectedPeriod{ctx: ctx, cancel: cancel}
 }
 
-// Run observes until the context ends.
+// Run takes an observation every observeInterval until the context ends.
 func (m *Monitor) Run(ctx context.Context) {
-	for pause.For(ctx, observeEvery) {
+	for pause.For(ctx, observeInterval) {
 		m.step(ctx)
 	}
 }
 
-// step takes one observation in.
+// step takes one observation, and starts a probe of the store if one is due.
 func (m *Monitor) step(ctx context.Context) {
-	now, seen := m.options.Now(), m.options.Observe()
-	cut := m.judge.observe(now, seen)
-	if m.judge.suspects(now, seen) && now.Sub(m.asked) >= probeEvery {
-		m.asked = now
-		go m.askStore(ctx)
+	now, observation := m.options.Now(), m.options.Observe()
+	cutOff := m.detector.observe(now, observation)
+	if m.detector.shouldProbeStore(now, observation) && now.Sub(m.lastProbe) >= probeInterval {
+		m.lastProbe = now
+		go m.probeStore(ctx)
 	}
-	if cut == m.CutOff() {
+	if cutOff == m.CutOff() {
 		return
 	}
-	m.change(now, seen, cut)
+	m.setCutOff(now, observation, cutOff)
 }
 
-func (m *Monitor) askStore(parent context.Context) {
-	if !m.asking.TryLock() {
+// probeStore sends a request to the store, unless another probe is running.
+func (m *Monitor) probeStore(parent context.Context) {
+	if !m.probeMutex.TryLock() {
 		return
 	}
-	defer m.asking.Unlock()
-	ctx, cancel := context.WithTimeout(parent, probeWait)
+	defer m.probeMutex.Unlock()
+	ctx, cancel := context.WithTimeout(parent, probeTimeout)
 	defer cancel()
 	m.options.AskStore(ctx)
 }
 
-func (m *Monitor) change(now time.Time, seen Observation, cut bool) {
-	if cut {
-		m.since.Store(now.UnixNano())
-		m.spell.Load().end()
+func (m *Monitor) setCutOff(now time.Time, observation Observation, cutOff bool) {
+	if cutOff {
+		m.cutOffSince.Store(now.UnixNano())
+		m.connected.Load().cancel()
 		m.options.Log.Warn("reach: cut off from other zones and the store.",
-			zap.Duration("outsideSilent", now.Sub(seen.OutsideHeard)), zap.Duration("storeSilent", now.Sub(seen.StoreHeard)))
+			zap.Duration("outsideSilent", now.Sub(observation.OutsideHeard)), zap.Duration("storeSilent", now.Sub(observation.StoreHeard)))
 	} else {
-		lasted := now.Sub(time.Unix(0, m.since.Load()))
-		m.since.Store(0)
-		m.spell.Store(newConnectedSpell())
-		m.options.Log.Info("reach: not cut off any more.", zap.Duration("after", lasted))
+		lasted := now.Sub(time.Unix(0, m.cutOffSince.Load()))
+		m.cutOffSince.Store(0)
+		m.connected.Store(newConnectedPeriod())
+		m.options.Log.Info("reach: no longer cut off.", zap.Duration("after", lasted))
 	}
 	if m.options.OnChange != nil {
-		m.options.OnChange(cut)
+		m.options.OnChange(cutOff)
 	}
 }
 
-// CutOff tells whether this daemon is cut off.
-func (m *Monitor) CutOff() bool { return m != nil && m.since.Load() != 0 }
+// CutOff reports whether this daemon is cut off.
+func (m *Monitor) CutOff() bool { return m != nil && m.cutOffSince.Load() != 0 }
 
-// Connected is a context that ends when this daemon is cut off.
+// Connected returns a context that is canceled when this daemon is next cut off. While it is cut
+// off the context is already canceled.
 func (m *Monitor) Connected() context.Context {
 	if m == nil {
 		return context.Background()
 	}
-	return m.spell.Load().ctx
+	return m.connected.Load().ctx
 }
 
-// Back is when a caller that is refused is likely to reach a daemon of another zone:
-// once callers are sent there, spread over a part of that time.
+// Back returns the delay after which a refused caller is likely to reach a daemon of another zone:
+// the rest of Options.Moved but at least minRetryAfter, plus a random part so that callers don't
+// all retry at once.
 func (m *Monitor) Back() time.Duration {
-	lasted := m.options.Now().Sub(time.Unix(0, m.since.Load()))
-	back := max(m.options.Moved-lasted, soonestBack)
-	return back + rand.N(back/backSpread)
+	lasted := m.options.Now().Sub(time.Unix(0, m.cutOffSince.Load()))
+	delay := max(m.options.Moved-lasted, minRetryAfter)
+	return delay + rand.N(delay/retryJitterDivisor)
 }
 
-// Measure shows the verdict as a metric.
+// Measure registers a metric that shows whether this daemon is cut off.
 func (m *Monitor) Measure(registerer prometheus.Registerer) error {
 	gauge := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "thymeloft_cut_off", Help: "1 while neither other zones nor the store are heard.",
+		Name: "thymeloft_cut_off", Help: "1 while neither other zones nor the store can be reached, otherwise 0.",
 	}, func() float64 {
 		if m.CutOff() {
 			return 1
 		}
 		return 0
 	})
-	return eris.Wrap(registerer.Register(gauge), "register metrics of reach")
+	return eris.Wrap(registerer.Register(gauge), "register reach metrics")
 }
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -1,65 +1,69 @@
-// Package reach tells whether this daemon is cut off: neither a daemon of another
-// zone nor the store is heard. Callers are then better served by daemons of other
-// zones, so a daemon that is cut off says that it is not ready, ends its callers'
-// connections with their answers, and refuses at once what needs the store.
+// Package reach detects whether this daemon is cut off: whether it reaches neither daemons of other
+// zones nor the store. Daemons of other zones can then serve callers better. A daemon that is cut
+// off therefore reports that it is not ready, closes its callers' connections after their answers,
+// and refuses requests that need the store without waiting.
 //
-// Guarantee: none. Nothing may depend on the verdict for its correctness. A daemon that is not cut off may be
-// believed to be for the time of one observation; what it then refuses was not run.
+// The result is a hint, and correctness must not depend on it. A daemon that is connected may be
+// taken as cut off until the next observation; the requests that it refuses meanwhile have not been
+// run.
 //
-// Who decides: each daemon for itself. That other zones are silent is heard from the
-// aggregator of its zone, which exchanges loads with theirs all the while (package
-// load), so nothing is sent for it; the store is asked only once they are silent.
+// Each daemon decides for itself. Whether other zones are silent is known from the reports to the
+// zone's load aggregator (package load), so no further messages are needed for it. The store is
+// probed only while the other zones are silent.
 package reach
 
 import "time"
 
-// How long a silence lasts until it counts.
+// Durations after which a silence counts.
 const (
-	// outsideSilence is four exchanges of loads between zones: one or two are lost when an
+	// outsideTimeout is four exchanges of loads between zones. One or two may be lost when an
 	// aggregator is replaced.
-	outsideSilence = 400 * time.Millisecond
-	// storeSilence is longer than an answer of a store that is slow (some 300 ms).
-	storeSilence = 400 * time.Millisecond
-	// resumedAfter is how long this process must have stood still for what it last heard
-	// to say nothing: a process that was frozen wakes with old news.
-	resumedAfter = 300 * time.Millisecond
+	outsideTimeout = 400 * time.Millisecond
+	// storeTimeout is longer than a slow answer of the store, which takes about 300 ms.
+	storeTimeout = 400 * time.Millisecond
+	// maxObservationGap is the longest time between two observations in which the process counts as
+	// running. After a longer gap the process was suspended, and what it last received is too old
+	// to decide by.
+	maxObservationGap = 300 * time.Millisecond
 )
 
-// Observation is what a daemon knows of its surroundings at a moment.
+// Observation is a daemon's current knowledge of its connections.
 type Observation struct {
-	// OutsideKnown tells that there are daemons in other zones, and that this daemon heard
-	// lately from its own zone's aggregator whether they are silent.
+	// OutsideKnown is true if there are daemons in other zones, and this zone's load aggregator
+	// recently reported when it last reached them.
 	OutsideKnown bool
-	// OutsideHeard is when a daemon of another zone was last heard by this zone.
+	// OutsideHeard is when this zone last reached a daemon of another zone.
 	OutsideHeard time.Time
-	// StoreHeard is when this daemon last had an answer of the store, by whatever way.
+	// StoreHeard is when the store last answered this daemon, by any route.
 	StoreHeard time.Time
 }
 
-// judge keeps what a verdict needs of former observations. It is pure: times are inputs.
-type judge struct {
-	observed time.Time // the last observation
-	resumed  time.Time // since when this process has run without standing still
+// detector decides from observations whether the daemon is cut off. It reads no clock.
+type detector struct {
+	lastObserved time.Time // time of the last observation
+	runningSince time.Time // when this process started, or resumed after its last suspension
 }
 
-// observe tells whether the daemon is cut off.
-func (j *judge) observe(now time.Time, seen Observation) bool {
-	if j.observed.IsZero() || now.Sub(j.observed) > resumedAfter {
-		j.resumed = now
+// observe takes in an observation and reports whether the daemon is cut off.
+func (j *detector) observe(now time.Time, observation Observation) bool {
+	if j.lastObserved.IsZero() || now.Sub(j.lastObserved) > maxObservationGap {
+		j.runningSince = now
 	}
-	j.observed = now
-	return seen.OutsideKnown && j.silence(now, seen.OutsideHeard) >= outsideSilence && j.silence(now, seen.StoreHeard) >= storeSilence
+	j.lastObserved = now
+	return observation.OutsideKnown && j.silenceSince(now, observation.OutsideHeard) >= outsideTimeout && j.silenceSince(now, observation.StoreHeard) >= storeTimeout
 }
 
-// suspects tells whether the store is to be asked, since the other zones are silent.
-func (j *judge) suspects(now time.Time, seen Observation) bool {
-	return seen.OutsideKnown && j.silence(now, seen.OutsideHeard) >= outsideSilence/2
+// shouldProbeStore reports whether the store is to be probed, because the other zones have been
+// silent for half of outsideTimeout.
+func (j *detector) shouldProbeStore(now time.Time, observation Observation) bool {
+	return observation.OutsideKnown && j.silenceSince(now, observation.OutsideHeard) >= outsideTimeout/2
 }
 
-// silence is how long nothing was heard, as far as this process ran all the while.
-func (j *judge) silence(now, heard time.Time) time.Duration {
-	if heard.Before(j.resumed) {
-		heard = j.resumed
+// silenceSince returns the time since heard, or since the process started or resumed if that is
+// later.
+func (j *detector) silenceSince(now, heard time.Time) time.Duration {
+	if heard.Before(j.runningSince) {
+		heard = j.runningSince
 	}
 	return now.Sub(heard)
 }
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -15,119 +15,120 @@
 	RunSpecs(t, "reach")
 }
 
-var begin = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// surroundings are what a daemon hears, in simulated time.
-type surroundings struct {
-	now  time.Time
-	seen Observation
+// testEnvironment holds a simulated clock and what a daemon observes.
+type testEnvironment struct {
+	now         time.Time
+	observation Observation
 }
 
-func newSurroundings() *surroundings {
-	return &surroundings{now: begin, seen: Observation{OutsideKnown: true, OutsideHeard: begin, StoreHeard: begin}}
+func newTestEnvironment() *testEnvironment {
+	return &testEnvironment{now: startTime, observation: Observation{OutsideKnown: true, OutsideHeard: startTime, StoreHeard: startTime}}
 }
 
-// pass lets time pass in which these are heard or silent.
-func (s *surroundings) pass(span time.Duration, outside, store bool, step func()) {
-	for end := s.now.Add(span); s.now.Before(end); {
-		s.now = s.now.Add(observeEvery)
+// advance moves the clock forward in steps of observeInterval and calls step after each. If outside
+// is set, other zones are reached at each step; if store is set, the store is.
+func (e *testEnvironment) advance(span time.Duration, outside, store bool, step func()) {
+	for end := e.now.Add(span); e.now.Before(end); {
+		e.now = e.now.Add(observeInterval)
 		if outside {
-			s.seen.OutsideHeard = s.now
+			e.observation.OutsideHeard = e.now
 		}
 		if store {
-			s.seen.StoreHeard = s.now
+			e.observation.StoreHeard = e.now
 		}
 		step()
 	}
 }
 
-var _ = Describe("A daemon's verdict on its reach", func() {
-	DescribeTable("is that it is cut off only while neither other zones nor the store are heard",
+var _ = Describe("Cut-off detector", func() {
+	DescribeTable("reports that the daemon is cut off only while neither other zones nor the store are reached",
 		func(outside, store, cutOff bool) {
-			around, verdict := newSurroundings(), judge{}
-			around.pass(time.Second, true, true, func() { verdict.observe(around.now, around.seen) })
+			env, d := newTestEnvironment(), detector{}
+			env.advance(time.Second, true, true, func() { d.observe(env.now, env.observation) })
 			var last bool
-			around.pass(time.Second, outside, store, func() { last = verdict.observe(around.now, around.seen) })
+			env.advance(time.Second, outside, store, func() { last = d.observe(env.now, env.observation) })
 			Expect(last).To(Equal(cutOff))
 		},
-		Entry("all is heard", true, true, false),
-		Entry("an outage of the store for all: nobody elsewhere serves better", true, false, false),
-		Entry("the other zones are gone, and the store answers: this zone goes on", false, true, false),
-		Entry("its zone is cut off", false, false, true),
+		Entry("both are reached", true, true, false),
+		Entry("store outage for all zones: other daemons can't serve better", true, false, false),
+		Entry("other zones are silent, and the store answers", false, true, false),
+		Entry("the zone is cut off", false, false, true),
 	)
 
-	It("comes within half a second of the cut, and ends with the first that is heard", func() {
-		around, verdict := newSurroundings(), judge{}
-		around.pass(time.Second, true, true, func() { verdict.observe(around.now, around.seen) })
-		cutAt, since := around.now, time.Duration(0)
-		around.pass(time.Second, false, false, func() {
-			if verdict.observe(around.now, around.seen) && since == 0 {
-				since = around.now.Sub(cutAt)
+	It("detects a cut within half a second, and its end with the first answer", func() {
+		env, d := newTestEnvironment(), detector{}
+		env.advance(time.Second, true, true, func() { d.observe(env.now, env.observation) })
+		cutAt, since := env.now, time.Duration(0)
+		env.advance(time.Second, false, false, func() {
+			if d.observe(env.now, env.observation) && since == 0 {
+				since = env.now.Sub(cutAt)
 			}
 		})
 		Expect(since).To(BeNumerically("<=", 500*time.Millisecond))
-		around.seen.StoreHeard = around.now
-		Expect(verdict.observe(around.now.Add(observeEvery), around.seen)).To(BeFalse())
+		env.observation.StoreHeard = env.now
+		Expect(d.observe(env.now.Add(observeInterval), env.observation)).To(BeFalse())
 	})
 
-	It("says nothing by what was heard before this process stood still", func() {
-		around, verdict := newSurroundings(), judge{}
-		around.pass(time.Second, true, true, func() { verdict.observe(around.now, around.seen) })
-		around.now = around.now.Add(time.Minute)
-		Expect(verdict.observe(around.now, around.seen)).To(BeFalse())
-		around.pass(outsideSilence, true, true, func() { Expect(verdict.observe(around.now, around.seen)).To(BeFalse()) })
+	It("ignores contacts from before the process was suspended", func() {
+		env, d := newTestEnvironment(), detector{}
+		env.advance(time.Second, true, true, func() { d.observe(env.now, env.observation) })
+		env.now = env.now.Add(time.Minute)
+		Expect(d.observe(env.now, env.observation)).To(BeFalse())
+		env.advance(outsideTimeout, true, true, func() { Expect(d.observe(env.now, env.observation)).To(BeFalse()) })
 	})
 
-	It("is not given where no other zone is known", func() {
-		around, verdict := newSurroundings(), judge{}
-		around.seen.OutsideKnown = false
-		around.pass(time.Minute, false, false, func() { Expect(verdict.observe(around.now, around.seen)).To(BeFalse()) })
+	It("never reports a cut if no other zone is known", func() {
+		env, d := newTestEnvironment(), detector{}
+		env.observation.OutsideKnown = false
+		env.advance(time.Minute, false, false, func() { Expect(d.observe(env.now, env.observation)).To(BeFalse()) })
 	})
 })
 
 var _ = Describe("Monitor", func() {
-	var around *surroundings
+	var env *testEnvironment
 	var changes []bool
-	var asked chan struct{}
+	var probed chan struct{}
 	var monitor *Monitor
 
 	BeforeEach(func() {
-		questions := make(chan struct{}, 100) // of this spec alone: one may be asked after its end
-		around, changes, asked = newSurroundings(), nil, questions
+		probes := make(chan struct{}, 100) // local to this spec, since a probe may outlive the spec
+		env, changes, probed = newTestEnvironment(), nil, probes
 		monitor = NewMonitor(Options{
-			Observe:  func() Observation { return around.seen },
-			AskStore: func(context.Context) { questions <- struct{}{} },
+			Observe:  func() Observation { return env.observation },
+			AskStore: func(context.Context) { probes <- struct{}{} },
 			Moved:    2 * time.Second,
 			OnChange: func(cutOff bool) { changes = append(changes, cutOff) },
-			Now:      func() time.Time { return around.now },
+			Now:      func() time.Time { return env.now },
 			Log:      zap.NewNop(),
 		})
 	})
 
-	It("asks the store once other zones are silent, and never before", func(ctx SpecContext) {
-		around.pass(time.Second, true, false, func() { monitor.step(ctx) })
-		Expect(asked).To(BeEmpty())
-		around.pass(outsideSilence, false, false, func() { monitor.step(ctx) })
-		Eventually(asked).Should(Receive())
+	It("probes the store once other zones are silent, and not before", func(ctx SpecContext) {
+		env.advance(time.Second, true, false, func() { monitor.step(ctx) })
+		Expect(probed).To(BeEmpty())
+		env.advance(outsideTimeout, false, false, func() { monitor.step(ctx) })
+		Eventually(probed).Should(Receive())
 	})
 
-	It("ends what waits when the cut begins, and tells callers to come back once they are sent elsewhere", func(ctx SpecContext) {
-		sound := monitor.Connected()
-		around.pass(time.Second, true, true, func() { monitor.step(ctx) })
-		Expect(sound.Err()).NotTo(HaveOccurred())
-		around.pass(outsideSilence, false, false, func() { monitor.step(ctx) })
+	It("cancels Connected when a cut begins, and returns the time until callers are routed elsewhere", func(ctx SpecContext) {
+		connected := monitor.Connected()
+		env.advance(time.Second, true, true, func() { monitor.step(ctx) })
+		Expect(connected.Err()).NotTo(HaveOccurred())
+		env.advance(outsideTimeout, false, false, func() { monitor.step(ctx) })
 		Expect(monitor.CutOff()).To(BeTrue())
-		Expect(sound.Err()).To(HaveOccurred())
+		Expect(connected.Err()).To(HaveOccurred())
 		Expect(monitor.Back()).To(BeNumerically(">=", 2*time.Second))
-		around.pass(time.Minute, false, false, func() { monitor.step(ctx) })
-		Expect(monitor.Back()).To(BeNumerically("<=", soonestBack+soonestBack/backSpread))
-		around.pass(observeEvery, true, true, func() { monitor.step(ctx) })
+		env.advance(time.Minute, false, false, func() { monitor.step(ctx) })
+		Expect(monitor.Back()).To(BeNumerically("<=", minRetryAfter+minRetryAfter/retryJitterDivisor))
+		env.advance(observeInterval, true, true, func() { monitor.step(ctx) })
 		Expect(monitor.CutOff()).To(BeFalse())
 		Expect(monitor.Connected().Err()).NotTo(HaveOccurred())
 		Expect(changes).To(Equal([]bool{true, false}))
 	})
 
-	It("may be left out: then nobody is cut off", func() {
+	It("is never cut off if it is nil", func() {
 		var none *Monitor
 		Expect(none.CutOff()).To(BeFalse())
 		Expect(none.Connected().Err()).NotTo(HaveOccurred())
