--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -17,168 +17,175 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// row is what the store holds of an account.
+// row is the stored value of an account.
 type row struct {
 	Total   int64    `cbor:"t"`
 	Granted int64    `cbor:"g"`
-	Grants  []uint64 `cbor:"n"` // names of the last grants
-	Changed int64    `cbor:"c"` // unix seconds of the last change
+	Grants  []uint64 `cbor:"n"` // IDs of the last commits, at most maxRecentGrants
+	Changed int64    `cbor:"c"` // time of the last change, in Unix seconds
 }
 
-// keptAfterChange is how long after its last change a row is kept. It must be
-// longer than a program goes on without any grant or release of its holders.
-const keptAfterChange = 24 * time.Hour
+// rowTTL is how long a row is kept after its last change. It must be longer than a program can run
+// without a grant to or a release by any holder.
+const rowTTL = 24 * time.Hour
 
-// Leftovers sweeps the rows of programs that ended long ago. mine tells which
-// partitions this daemon sweeps.
+// Leftovers returns a sweep that deletes the rows of programs that ended long ago. mine reports
+// whether this daemon sweeps a partition.
 func Leftovers(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
 		Store: store, Table: table, Partitions: state.Partitions(partitions), Mine: mine, Log: log,
 		Over: func(kept state.Row) bool {
-			var known row
-			err := cbor.Unmarshal(kept.Value, &known)
-			return err == nil && known.Changed > 0 && now().Sub(time.Unix(known.Changed, 0)) > keptAfterChange
+			var current row
+			err := cbor.Unmarshal(kept.Value, &current)
+			return err == nil && current.Changed > 0 && now().Sub(time.Unix(current.Changed, 0)) > rowTTL
 		},
 	}
 }
 
-// account is what this process knows of one account.
+// account is this process's copy of one account of a program's budget, with the state of its last
+// commit.
 type account struct {
-	key     state.Key
-	share   int64 // of the budget
-	whole   bool  // is granted whole to the first that asks
-	known   row
-	version state.Version
-	pending *pendingGrant // a commit that got no verdict; nil: none
+	key        state.Key
+	limit      int64 // the most tokens that may be granted from the account
+	grantWhole bool  // whether all that is left is granted at once
+	stored     row   // as last read or written
+	version    state.Version
+	pending    *pendingGrant // the commit in progress, or whose outcome is unknown; nil if none
 }
 
-// pendingGrant is repeated as it was until the store gives a verdict, so that
-// it is counted once whether or not it was done.
+// pendingGrant is a grant whose commit is repeated unchanged until the store reports its outcome.
+// The ID in the row shows whether an earlier attempt succeeded, so the grant is counted once.
 type pendingGrant struct {
-	name   uint64
-	amount int64
+	id     uint64
+	amount int64 // tokens
 }
 
-// Sizes in tokens. They must be the same at all processes, and what turns ask
-// for must not matter.
+// Thresholds in tokens. They must be the same at all processes, and must not depend on how many
+// tokens a turn requests.
 const (
-	// smallBudget is the size below which nothing of a budget is withheld.
-	smallBudget = 640
-	// smallestDivided is the size below which what the store grants is not
-	// divided: its halves would hold too few turns.
-	smallestDivided = 640
+	// minBudgetWithCreditTokens is the budget up to which there is no credit reserve.
+	minBudgetWithCreditTokens = 640
+	// minDividedTokens is the size from which a budget is divided into two accounts. Half of a
+	// smaller one would hold too few turns.
+	minDividedTokens = 640
 )
 
-// accountsOf divides what the store grants of a budget; all processes divide it alike.
-func accountsOf(identifier string, total int64) []*account {
-	home := xxhash.Sum64String(identifier)
-	total -= withheld(total)
-	if total < smallestDivided {
-		return []*account{{key: keyOf(identifier, home), share: total}}
+// newAccounts returns the accounts of a budget without its credit reserve. The result depends only
+// on the arguments, so all processes divide a budget alike.
+func newAccounts(identifier string, total int64) []*account {
+	hash := xxhash.Sum64String(identifier)
+	total -= creditReserve(total)
+	if total < minDividedTokens {
+		return []*account{{key: accountKey(identifier, hash), limit: total}}
 	}
-	const elsewhere = partitions/2 + 1
+	const partitionDistance = partitions/2 + 1
 	return []*account{
-		{key: keyOf(identifier, home), share: total - total/2, whole: true},
-		{key: keyOf(identifier, home+elsewhere), share: total / 2},
+		{key: accountKey(identifier, hash), limit: total - total/2, grantWhole: true},
+		{key: accountKey(identifier, hash+partitionDistance), limit: total / 2},
 	}
 }
 
-// advance is what a process is granted at once for a need, of what is left of
-// the account. One holder spends for all daemons of a region, so the first
-// half of a budget goes to it whole; those that follow a lost holder, and those
-// of other regions, find enough in the other half. Of an account that holds few
-// turns only the need is granted, since a lost holder takes along what it has.
-func (a *account) advance(left, need int64) int64 {
-	const halves, fewHalves = 2, 3 // an account with less than one turn and a half is not granted in advance
-	if halves*left < fewHalves*need {
+// grantSize returns how many tokens to request from an account that has left tokens, for a turn
+// that lacks need tokens.
+//
+// The first account is granted whole, since one holder serves all daemons of a region. The second
+// account is for the holders of other regions and for replacements of a lost holder: each takes
+// half of what is left. If left is less than one and a half times need, only need is granted, since
+// the tokens granted to a holder that is lost can't be used any more.
+func (a *account) grantSize(left, need int64) int64 {
+	const leftFactor, needFactor = 2, 3 // 2*left < 3*need: less than one and a half times the need is left
+	if leftFactor*left < needFactor*need {
 		return need
 	}
-	if a.whole {
+	if a.grantWhole {
 		return left
 	}
-	const holdersLeft = 2
-	return max(need, left/holdersLeft)
+	const remainingHolders = 2
+	return max(need, left/remainingHolders)
 }
 
-// draw raises what is granted of one account, by the need or what is left;
-// inAdvance, by more, for turns to come.
-func (l *Ledger) draw(ctx context.Context, held *program, from *account, most int64, inAdvance bool) error {
+// draw obtains a grant from one account for the tokens that held lacks for a turn of maxTokens;
+// with inAdvance, also for later turns. It returns a *SpentError if the account has too few tokens
+// left; those that it has are granted.
+func (l *Ledger) draw(ctx context.Context, held *holding, from *account, maxTokens int64, inAdvance bool) error {
 	for range maxConflicts {
 		if from.pending == nil {
-			need := held.missing(most)
+			need := held.shortfall(maxTokens)
 			if need <= 0 {
-				return nil // given back meanwhile
+				return nil // other turns have returned enough meanwhile
 			}
-			left := from.share - from.known.Granted
+			left := from.limit - from.stored.Granted
 			if left <= 0 {
-				return from.spent(need)
+				return from.spentError(need)
 			}
 			amount := need
 			if inAdvance {
-				amount = from.advance(left, need)
+				amount = from.grantSize(left, need)
 			}
-			from.pending = &pendingGrant{name: rand.Uint64(), amount: min(amount, left)}
+			from.pending = &pendingGrant{id: rand.Uint64(), amount: min(amount, left)}
 		}
-		granted, err := l.ask(ctx, from)
+		granted, err := l.commitPending(ctx, from)
 		if err != nil {
 			return err
 		}
 		if granted {
-			held.granted(from.pending.amount)
+			held.addGranted(from.pending.amount)
 		}
 		from.pending = nil
 		if granted {
-			return from.enough(held, most)
+			return from.checkAvailable(held, maxTokens)
 		}
 	}
 	return eris.Wrap(state.ErrNotDone, "reserve budget: too many conflicts")
 }
 
-// ask commits the pending grant. It tells whether the grant is in the row.
-func (l *Ledger) ask(ctx context.Context, from *account) (bool, error) {
+// commitPending commits the pending grant and reports whether it is in the row.
+func (l *Ledger) commitPending(ctx context.Context, from *account) (bool, error) {
 	next := row{
-		Total:   from.share,
-		Granted: from.known.Granted + from.pending.amount,
-		Grants:  recent(from.known.Grants, from.pending.name),
+		Total:   from.limit,
+		Granted: from.stored.Granted + from.pending.amount,
+		Grants:  appendRecent(from.stored.Grants, from.pending.id),
 	}
 	version, err := l.commit(ctx, from, next)
 	if err == nil {
-		from.known, from.version = next, version
+		from.stored, from.version = next, version
 		return true, nil
 	}
-	return from.learn(from.pending.name, err)
+	return from.applyConflict(from.pending.id, err)
 }
 
-func (a *account) enough(held *program, most int64) error {
-	if missing := held.missing(most); missing > 0 {
-		return a.spent(missing)
+// checkAvailable returns a *SpentError if held lacks tokens for a turn of maxTokens.
+func (a *account) checkAvailable(held *holding, maxTokens int64) error {
+	if shortfall := held.shortfall(maxTokens); shortfall > 0 {
+		return a.spentError(shortfall)
 	}
 	return nil
 }
 
-func (a *account) spent(need int64) error {
-	return &SpentError{Total: a.share, Granted: a.known.Granted, Need: need, Version: a.version}
+func (a *account) spentError(need int64) error {
+	return &SpentError{Total: a.limit, Granted: a.stored.Granted, Need: need, Version: a.version}
 }
 
-// learn takes over the row that a conflict showed. It tells whether the grant
-// of that name is in it: an earlier try without an answer was done after all.
-func (a *account) learn(name uint64, err error) (bool, error) {
+// applyConflict takes over the row from a conflict error and reports whether the row contains the
+// grant with this ID: an earlier attempt of its commit succeeded. It returns other errors
+// unchanged.
+func (a *account) applyConflict(id uint64, err error) (bool, error) {
 	var conflict *state.ConflictError
 	if !errors.As(err, &conflict) {
 		return false, err
 	}
 	found, exists := conflict.Find(a.key)
 	if !exists {
-		a.known, a.version = row{}, 0
+		a.stored, a.version = row{}, 0
 		return false, nil
 	}
-	var known row
-	if err := cbor.Unmarshal(found.Value, &known); err != nil {
+	var current row
+	if err := cbor.Unmarshal(found.Value, &current); err != nil {
 		return false, eris.Wrap(err, "decode budget")
 	}
-	a.known, a.version = known, found.Version
-	a.share = min(a.share, known.Total)
-	return slices.Contains(known.Grants, name), nil
+	a.stored, a.version = current, found.Version
+	a.limit = min(a.limit, current.Total)
+	return slices.Contains(current.Grants, id), nil
 }
 
 func (l *Ledger) commit(ctx context.Context, from *account, next row) (state.Version, error) {
@@ -196,13 +203,14 @@
 	return written, eris.Wrap(err, "reserve budget")
 }
 
-// recent appends the name and keeps the last few.
-func recent(grants []uint64, name uint64) []uint64 {
-	kept := append(slices.Clone(grants), name)
-	return kept[max(0, len(kept)-grantsKept):]
+// appendRecent returns a copy of grants with the ID appended, shortened to the last
+// maxRecentGrants.
+func appendRecent(grants []uint64, id uint64) []uint64 {
+	kept := append(slices.Clone(grants), id)
+	return kept[max(0, len(kept)-maxRecentGrants):]
 }
 
-func keyOf(identifier string, hash uint64) state.Key {
+func accountKey(identifier string, hash uint64) state.Key {
 	partition := strconv.FormatUint(hash%partitions, 16)
 	return state.Key{Table: table, Partition: partition, Name: identifier}
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,14 +1,13 @@
-// Package budget holds what each program may still generate, shared by all
-// processes through the store.
+// Package budget limits how many tokens each program may generate. The limit holds across all
+// processes; they share it through the store.
 //
-// A program has two accounts in different partitions of the store, each with
-// a half of the budget, since a part of the partitions may be down. The row
-// of an account holds how many tokens were granted to processes so far. A
-// process is granted a slice by a conditional commit before the first of its
-// tokens is generated, and spends it in memory: the first half at once, and of
-// the second the half of what is left. What a lost process did not
-// spend stays granted: a budget is never exceeded, and may be used up too
-// early only by what lost processes held.
+// A program's budget is divided into two accounts in different partitions of the store, so that it
+// can be used while one of the partitions is down. The row of an account counts the tokens that
+// were granted to processes. A process obtains a grant by a conditional commit before it generates
+// the first of the tokens, and then spends the grant in memory. The first account is granted whole,
+// and each further grant takes half of what is left in the second one. Tokens that a lost process
+// had not spent stay granted. A budget is therefore never exceeded, but a program may use less than
+// its budget, by at most what lost processes held.
 package budget
 
 import (
@@ -24,13 +23,13 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// ErrSpent says that the budget holds no further turn.
+// ErrSpent is returned if the budget has too few tokens left for a turn.
 var ErrSpent = errors.New("the program's budget is spent")
 
-// SpentError is ErrSpent with what decided it.
+// SpentError is an ErrSpent with the state of the account that caused it.
 type SpentError struct {
 	Total, Granted, Need int64
-	Version              state.Version // of the row
+	Version              state.Version // of the account's row
 }
 
 // Error implements error.
@@ -38,167 +37,172 @@
 	return fmt.Sprintf("%v: %d of %d tokens granted, %d more needed, version %d", ErrSpent, e.Granted, e.Total, e.Need, e.Version)
 }
 
-// Is makes it an ErrSpent.
+// Is reports that a SpentError matches ErrSpent.
 func (e *SpentError) Is(target error) bool { return target == ErrSpent }
 
 const (
-	table        = "budgets"
-	partitions   = 256
-	grantsKept   = 4 // recent grants named in a row, to recognize a commit without answer
-	maxConflicts = 8 // commits that lost against others before the reservation fails
+	table           = "budgets"
+	partitions      = 256
+	maxRecentGrants = 4 // commit IDs kept in a row, to recognize a commit whose answer was lost
+	maxConflicts    = 8 // conflicting commits after which a grant or release fails
 )
 
-// Ledger reserves tokens for turns. It is safe for concurrent use.
+// Ledger reserves tokens for turns out of this process's grants, and obtains grants from the store.
+// It is safe for concurrent use.
 type Ledger struct {
 	store    *state.Client
-	mutex    sync.Mutex // for opening
-	programs *expirable.LRU[string, *program]
-	// reclaim, if set, asks other processes to release what they hold of a program.
+	mutex    sync.Mutex // guards adding to programs
+	programs *expirable.LRU[string, *holding]
+	// reclaim asks other processes to release their grants of a program. It may be nil.
 	reclaim func(ctx context.Context, identifier string)
-	lender  *Lender // nil: nothing is lent
+	lender  *Lender // may be nil
 	trails  *Trails
-	// grantWait bounds one question to the store for a grant.
-	grantWait time.Duration
+	// grantTimeout bounds one request to the store for a grant.
+	grantTimeout time.Duration
 }
 
-// program is this process's part in a program's budget.
-type program struct {
-	mutex     sync.Mutex // of what follows; never held while the store is asked
-	available int64      // granted here and neither reserved nor spent
-	inFlight  int
-	settled   chan struct{} // closed and replaced when a reservation is settled
-	asking    *granting     // the question to the store that is under way; nil: none
-	used      time.Time     // when a turn was last reserved or settled
-	generated int64         // by turns that were settled
+// holding is this process's part of a program's budget.
+type holding struct {
+	mutex        sync.Mutex    // guards the fields up to generated; not held during requests to the store
+	available    int64         // tokens granted to this process, neither reserved nor spent
+	inFlight     int           // reservations of granted tokens that are not yet settled
+	settled      chan struct{} // closed and replaced when a reservation is settled
+	grantRequest *grantRequest // the request to the store in progress; nil if none
+	lastUsed     time.Time     // time of the last reservation or settlement
+	generated    int64         // tokens generated by settled turns
 
-	// storeTurn is held by who asks the store about the accounts, and guards them and
-	// what follows.
-	storeTurn    chan struct{}
-	accounts     []*account
-	drawn        int64         // granted by the store in all
-	reclaimed    time.Time     // when others were last asked to release
-	reclaimPause time.Duration // until they are asked again; grows
+	// storeLock is a lock, held while it contains a value. Its owner may send requests to the store
+	// about the accounts; it guards the fields below.
+	storeLock      chan struct{}
+	accounts       []*account
+	totalGranted   int64         // sum of the grants to this process, in tokens
+	lastReclaim    time.Time     // when other processes were last asked to release
+	reclaimBackoff time.Duration // least time until they are asked again; grows with each time
 }
 
-// NewLedger makes a ledger that remembers so many programs for so long.
+// NewLedger returns a ledger that keeps the holdings of at most entries programs, each for at most
+// keep.
 func NewLedger(store *state.Client, entries int, keep time.Duration) *Ledger {
-	return &Ledger{store: store, programs: expirable.NewLRU[string, *program](entries, nil, keep), trails: newTrails(entries, keep), grantWait: grantPatience}
+	return &Ledger{store: store, programs: expirable.NewLRU[string, *holding](entries, nil, keep), trails: newTrails(entries, keep), grantTimeout: defaultGrantTimeout}
 }
 
-// LendWith lets the ledger lend while the store cannot be had. It is to be
-// called before the first use.
+// LendWith sets the lender that lends tokens while the store is unavailable. It must be called
+// before the ledger is used.
 func (l *Ledger) LendWith(lender *Lender) { l.lender = lender }
 
-// Reservation is what one turn may generate.
+// Reservation holds tokens for one turn until it is settled.
 type Reservation struct {
-	program  *program
-	most     int64
-	attained int64
-	once     sync.Once
-	loan     *loan // nil: granted by the store
+	holding   *holding
+	maxTokens int64
+	attained  int64
+	once      sync.Once
+	loan      *loan // nil if the tokens are from a grant of the store
 }
 
 // Attained implements Settler.
 func (r *Reservation) Attained() int64 { return r.attained }
 
-// OnCredit tells whether the tokens were lent, not granted by the store.
+// OnCredit reports whether the tokens were lent rather than granted by the store.
 func (r *Reservation) OnCredit() bool { return r.loan != nil }
 
-// turnNeed is what one turn asks for.
-type turnNeed struct {
-	program     string
-	total, most int64
+// turnRequest asks for up to maxTokens tokens for a turn of a program whose budget is total.
+type turnRequest struct {
+	program          string
+	total, maxTokens int64
 }
 
-// Reserve takes the most that a turn may generate from the program's budget.
-// It returns ErrSpent, or an error of the store or of the context.
-func (l *Ledger) Reserve(ctx context.Context, identifier string, total, most int64) (*Reservation, error) {
-	return l.reserve(ctx, reserveNeed{turnNeed: turnNeed{identifier, total, most}})
+// Reserve reserves maxTokens tokens for a turn of the program whose budget is total. It waits for
+// the store, or for turns in progress, until the context ends. It returns ErrSpent if the budget
+// has too few tokens left, or an error of the store or of the context.
+func (l *Ledger) Reserve(ctx context.Context, identifier string, total, maxTokens int64) (*Reservation, error) {
+	return l.reserve(ctx, reservationRequest{turnRequest: turnRequest{identifier, total, maxTokens}})
 }
 
-// reserveNeed is a turn's need, and how long who asks waits. soon: there is another holder to
-// ask, so that the store is not waited for.
-type reserveNeed struct {
-	turnNeed
-	soon bool
+// reservationRequest is a turnRequest with the choice whether to wait. If failFast is set, reserve
+// doesn't wait for a slow store, because the caller can ask another holder.
+type reservationRequest struct {
+	turnRequest
+	failFast bool
 }
 
-func (l *Ledger) reserve(ctx context.Context, need reserveNeed) (*Reservation, error) {
-	held := l.open(need.program, need.total)
+func (l *Ledger) reserve(ctx context.Context, need reservationRequest) (*Reservation, error) {
+	held := l.openHolding(need.program, need.total)
 	for {
-		reservation, asked, err := l.takeOrAsk(ctx, held, need.turnNeed)
+		reservation, pending, err := l.reserveOrRequestGrant(ctx, held, need.turnRequest)
 		if reservation != nil {
 			return reservation, nil
 		}
 		var lent *loan
-		if asked != nil {
-			lent, err = l.await(ctx, asked, need)
+		if pending != nil {
+			lent, err = l.awaitGrant(ctx, pending, need)
 		}
 		switch {
 		case lent != nil:
-			return held.onCredit(lent), nil
-		case errors.Is(err, ErrSpent) && (asked == nil || need.most >= asked.most): // a smaller turn than the one asked for may still fit
-			reservation, err = l.whenSpent(ctx, held, need.turnNeed, err)
+			return held.reserveOnCredit(lent), nil
+		case errors.Is(err, ErrSpent) && (pending == nil || need.maxTokens >= pending.maxTokens): // a smaller turn than the request's may still fit
+			reservation, err = l.lendOrWait(ctx, held, need.turnRequest, err)
 			if reservation != nil || err != nil {
 				return reservation, err
 			}
-		case err != nil && !errors.Is(err, ErrSpent) && (need.soon || ctx.Err() != nil || !state.NoVerdict(err)):
+		case err != nil && !errors.Is(err, ErrSpent) && (need.failFast || ctx.Err() != nil || !state.NoVerdict(err)):
 			return nil, err
 		}
 	}
 }
 
-// takeOrAsk reserves what is available, or else tells which question to the store is to
-// be waited for; an error says that there is none to wait for.
-func (l *Ledger) takeOrAsk(ctx context.Context, held *program, need turnNeed) (*Reservation, *granting, error) {
-	reservation, err := held.take(ctx, need.most)
+// reserveOrRequestGrant returns a reservation if enough tokens are available. Otherwise it returns
+// the request to the store to wait for, which it starts if none is in progress, or an error if
+// there is nothing to wait for.
+func (l *Ledger) reserveOrRequestGrant(ctx context.Context, held *holding, need turnRequest) (*Reservation, *grantRequest, error) {
+	reservation, err := held.tryReserve(ctx, need.maxTokens)
 	if reservation != nil || err != nil {
 		return reservation, nil, err
 	}
-	if err := l.knownSpent(held, need); err != nil {
+	if err := l.checkSpent(held, need); err != nil {
 		return nil, nil, err
 	}
 	if ctx.Err() != nil {
-		return nil, nil, eris.Wrapf(state.ErrNotDone, "no grant was asked for: %v", ctx.Err())
+		return nil, nil, eris.Wrapf(state.ErrNotDone, "no grant requested: %v", ctx.Err())
 	}
 	held.mutex.Lock()
 	defer held.mutex.Unlock()
-	if held.asking == nil {
-		held.asking = l.beginGranting(held, need)
+	if held.grantRequest == nil {
+		held.grantRequest = l.startGrantRequest(held, need)
 	}
-	return nil, held.asking, nil
+	return nil, held.grantRequest, nil
 }
 
-// take reserves so much if it is available.
-func (p *program) take(ctx context.Context, most int64) (*Reservation, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.available < most {
+// tryReserve reserves maxTokens tokens, or returns nil if fewer are available.
+func (h *holding) tryReserve(ctx context.Context, maxTokens int64) (*Reservation, error) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.available < maxTokens {
 		return nil, nil
 	}
 	if err := ctx.Err(); err != nil {
-		return nil, err // nobody waits for the reservation any more
+		return nil, err // the caller has stopped waiting
 	}
-	p.available -= most
-	p.inFlight++
-	p.used = time.Now()
-	return &Reservation{program: p, most: most, attained: p.generated}, nil
+	h.available -= maxTokens
+	h.inFlight++
+	h.lastUsed = time.Now()
+	return &Reservation{holding: h, maxTokens: maxTokens, attained: h.generated}, nil
 }
 
-// onCredit makes the reservation of a loan.
-func (p *program) onCredit(lent *loan) *Reservation {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return &Reservation{program: p, attained: p.generated, loan: lent}
+// reserveOnCredit returns a reservation of the lent tokens.
+func (h *holding) reserveOnCredit(lent *loan) *Reservation {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return &Reservation{holding: h, attained: h.generated, loan: lent}
 }
 
-// whenSpent lends once the store has granted all that it may, or waits for a turn under
-// way to give something back: it returns nothing when the reservation is to be tried again.
-func (l *Ledger) whenSpent(ctx context.Context, held *program, need turnNeed, spent error) (*Reservation, error) {
+// lendOrWait handles a spent budget: it lends tokens if it can, or else waits until a turn in
+// progress is settled. It returns neither a reservation nor an error if the caller should try
+// again.
+func (l *Ledger) lendOrWait(ctx context.Context, held *holding, need turnRequest, spent error) (*Reservation, error) {
 	if lent := l.lender.lend(need, causeSpent); lent != nil {
-		return held.onCredit(lent), nil
+		return held.reserveOnCredit(lent), nil
 	}
-	settled, again := held.awaitable(need.most)
+	settled, again := held.settlementToAwait(need.maxTokens)
 	switch {
 	case again:
 		return nil, nil
@@ -213,45 +217,46 @@
 	}
 }
 
-// awaitable tells whether so much has become available, or else the channel that is closed when a
-// turn under way is settled; nil: none is.
-func (p *program) awaitable(most int64) (settled <-chan struct{}, available bool) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.available >= most {
+// settlementToAwait reports whether maxTokens tokens are available. If not, it returns a channel
+// that is closed when the next turn is settled, or nil if no turn is in progress.
+func (h *holding) settlementToAwait(maxTokens int64) (settled <-chan struct{}, available bool) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.available >= maxTokens {
 		return nil, true
 	}
-	if p.inFlight == 0 {
+	if h.inFlight == 0 {
 		return nil, false
 	}
-	return p.settled, false
+	return h.settled, false
 }
 
-// Settle gives back what the turn did not generate.
+// Settle returns the tokens that the turn did not generate. Only the first call has an effect.
 func (r *Reservation) Settle(generated int64) {
 	r.once.Do(func() {
-		r.program.mutex.Lock()
-		defer r.program.mutex.Unlock()
-		r.program.generated += generated
+		r.holding.mutex.Lock()
+		defer r.holding.mutex.Unlock()
+		r.holding.generated += generated
 		if r.loan != nil {
 			r.loan.settle(generated)
 			return
 		}
-		r.program.available += max(0, r.most-generated)
-		r.program.inFlight--
-		r.program.used = time.Now()
-		close(r.program.settled)
-		r.program.settled = make(chan struct{})
+		r.holding.available += max(0, r.maxTokens-generated)
+		r.holding.inFlight--
+		r.holding.lastUsed = time.Now()
+		close(r.holding.settled)
+		r.holding.settled = make(chan struct{})
 	})
 }
 
-func (l *Ledger) open(identifier string, total int64) *program {
+// openHolding returns the program's holding, and creates it if there is none.
+func (l *Ledger) openHolding(identifier string, total int64) *holding {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if found, known := l.programs.Get(identifier); known {
 		return found
 	}
-	opened := &program{settled: make(chan struct{}), storeTurn: make(chan struct{}, 1), accounts: accountsOf(identifier, total)}
-	l.programs.Add(identifier, opened)
-	return opened
+	created := &holding{settled: make(chan struct{}), storeLock: make(chan struct{}, 1), accounts: newAccounts(identifier, total)}
+	l.programs.Add(identifier, created)
+	return created
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -21,24 +21,25 @@
 	RunSpecs(t, "budget")
 }
 
-// newLedger makes the ledger of another process.
+// newLedger returns the ledger of one process on the store.
 func newLedger(store state.Store) *Ledger {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	return NewLedger(state.NewClient(state.ClientOptions{Store: store, Availability: availability}), 64, time.Hour)
 }
 
-// newBriefLedger makes one whose questions to the store end as soon as its turns give up, so
-// that a play of many steps does not wait for a store that refuses.
-func newBriefLedger(store state.Store) *Ledger {
-	made := newLedger(store)
-	made.grantWait = briefly
-	return made
+// newShortTimeoutLedger returns a ledger whose requests to the store end after shortTimeout, so
+// that a simulation of many steps doesn't wait for a store that refuses.
+func newShortTimeoutLedger(store state.Store) *Ledger {
+	ledger := newLedger(store)
+	ledger.grantTimeout = shortTimeout
+	return ledger
 }
 
-// budgetOf is the budget of which the store grants so much.
-func budgetOf(granted int64) int64 {
-	for total := granted; ; total++ {
-		if total-withheld(total) == granted {
+// budgetWithGrantable returns the smallest budget of which the store grants exactly grantable
+// tokens.
+func budgetWithGrantable(grantable int64) int64 {
+	for total := grantable; ; total++ {
+		if total-creditReserve(total) == grantable {
 			return total
 		}
 	}
@@ -49,7 +50,7 @@
 
 	BeforeEach(func() { store = memorystore.New() })
 
-	It("grants a slice once and spends it without the store", func(ctx SpecContext) {
+	It("obtains one grant and spends it without the store", func(ctx SpecContext) {
 		ledger := newLedger(store)
 		for range 3 {
 			reservation, err := ledger.Reserve(ctx, "p", 1300, 288)
@@ -59,37 +60,37 @@
 		Expect(store.Calls("commit")).To(Equal(1))
 	})
 
-	DescribeTable("leaves enough to other processes, though none gives back what it holds", func(ctx SpecContext, down ...int) {
+	DescribeTable("leaves enough for other processes, even if none releases its tokens", func(ctx SpecContext, down ...int) {
 		for _, account := range down {
-			partition := accountsOf("p", budgetOf(1300))[account].key.Partition
+			partition := newAccounts("p", budgetWithGrantable(1300))[account].key.Partition
 			store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 				if call.Commit.Puts[0].Key.Partition == partition {
 					return memorystore.Refused
 				}
 				return memorystore.None
 			})
-			_, err := newLedger(store).Reserve(ctx, "p", budgetOf(1300), 288)
+			_, err := newLedger(store).Reserve(ctx, "p", budgetWithGrantable(1300), 288)
 			Expect(err).NotTo(HaveOccurred(), "account %d is down", account)
 		}
 		store.Misbehave(nil)
 		for process := len(down); process < 3; process++ {
-			_, err := newLedger(store).Reserve(ctx, "p", budgetOf(1300), 288)
+			_, err := newLedger(store).Reserve(ctx, "p", budgetWithGrantable(1300), 288)
 			Expect(err).NotTo(HaveOccurred(), "process %d", process)
 		}
 	},
-		Entry("all start at the first account"),
-		Entry("one starts at the other", 0),
-		Entry("one finds the other down", 1),
-		Entry("each finds another one down", 0, 1),
+		Entry("all start with the first account"),
+		Entry("one starts with the second account", 0),
+		Entry("the second account is unavailable to one", 1),
+		Entry("each account is unavailable to one", 0, 1),
 	)
 
-	It("never grants more than the budget, and says what decided", func(ctx SpecContext) {
+	It("never grants more than the budget, and returns the details", func(ctx SpecContext) {
 		first, second := newLedger(store), newLedger(store)
 		_, err := first.Reserve(ctx, "p", 576, 288)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = second.Reserve(ctx, "p", 576, 288)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = second.Reserve(expired(ctx), "p", 576, 288)
+		_, err = second.Reserve(canceledContext(ctx), "p", 576, 288)
 		Expect(err).To(MatchError(ErrSpent))
 		_, err = newLedger(store).Reserve(ctx, "p", 576, 288)
 		var spent *SpentError
@@ -97,11 +98,11 @@
 		Expect(err.Error()).To(ContainSubstring("576 of 576 tokens granted, 288 more needed"))
 	})
 
-	It("asks a slow store once for all turns that wait, and goes on when they give up", func(ctx SpecContext) {
+	It("sends a slow store one request for all waiting turns, which continues after they give up", func(ctx SpecContext) {
 		answers, commits := make(chan struct{}), atomic.Int64{}
 		ledger := newSlowLedger(&slowStore{Store: store, answers: answers, commits: &commits})
 		for range 5 {
-			short, cancel := context.WithTimeout(ctx, briefly)
+			short, cancel := context.WithTimeout(ctx, shortTimeout)
 			_, err := ledger.Reserve(short, "p", 576, 288)
 			cancel()
 			Expect(err).To(MatchError(state.ErrNotDone))
@@ -113,7 +114,7 @@
 		Expect(commits.Load()).To(BeNumerically("==", 1))
 	})
 
-	It("does not keep a turn waiting for another one's question when there is enough", func(ctx SpecContext) {
+	It("does not let a turn wait for another turn's request when enough tokens are available", func(ctx SpecContext) {
 		answers := make(chan struct{})
 		close(answers)
 		slow := &slowStore{Store: store, answers: answers, commits: &atomic.Int64{}}
@@ -131,7 +132,7 @@
 		close(slow.answers)
 	})
 
-	It("waits for turns under way here before it says that the budget is spent", func(ctx SpecContext) {
+	It("waits for turns in progress at this process before it reports the budget as spent", func(ctx SpecContext) {
 		ledger := newLedger(store)
 		running, err := ledger.Reserve(ctx, "p", 288, 288)
 		Expect(err).NotTo(HaveOccurred())
@@ -145,7 +146,7 @@
 		Eventually(next).Should(Receive(BeNil()))
 	})
 
-	It("divides a budget alike, whatever a turn asks for", func(ctx SpecContext) {
+	It("divides a budget in the same way, however many tokens a turn requests", func(ctx SpecContext) {
 		granted := int64(0)
 		for _, asked := range []int64{600, 100, 1000, 400, 300, 200, 100, 50} {
 			if _, err := newLedger(store).Reserve(ctx, "p", 1100, asked); err == nil {
@@ -155,7 +156,7 @@
 		Expect(granted).To(BeNumerically("<=", 1100))
 	})
 
-	It("draws on the other half while a partition is down", func(ctx SpecContext) {
+	It("draws on the second account while the first one's partition is down", func(ctx SpecContext) {
 		down := ""
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			if down == "" {
@@ -174,15 +175,15 @@
 		Expect(store.Calls("commit")).To(BeNumerically("<=", 3))
 	})
 
-	It("puts what is left of both halves together", func(ctx SpecContext) {
+	It("combines the rest of both accounts for one turn", func(ctx SpecContext) {
 		ledger := newLedger(store)
 		for range 5 {
-			_, err := ledger.Reserve(ctx, "p", budgetOf(1500), 300)
+			_, err := ledger.Reserve(ctx, "p", budgetWithGrantable(1500), 300)
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
 
-	It("gives back what it holds, so that another process may go on", func(ctx SpecContext) {
+	It("releases its tokens, so that another process can continue", func(ctx SpecContext) {
 		first, second := newLedger(store), newLedger(store)
 		reservation, err := first.Reserve(ctx, "p", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
@@ -196,20 +197,20 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("goes on by itself when others do not answer the question to give back", func(ctx SpecContext) {
+	It("continues when other holders don't answer the request to release", func(ctx SpecContext) {
 		first, second := newLedger(store), newLedger(store)
 		held, err := first.Reserve(ctx, "p", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
 		held.Settle(0)
 		second.reclaim = func(asked context.Context, _ string) {
 			Expect(first.Release(asked, "p")).To(BeEquivalentTo(288))
-			<-asked.Done() // another holder is silent
+			<-asked.Done() // another holder does not answer
 		}
 		_, err = second.Reserve(ctx, "p", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
 	}, SpecTimeout(time.Minute))
 
-	It("gives back once, though the answer was lost", func(ctx SpecContext) {
+	It("releases tokens once, even if the answer is lost", func(ctx SpecContext) {
 		first := newLedger(store)
 		reservation, err := first.Reserve(ctx, "p", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
@@ -225,10 +226,10 @@
 		_, err = newLedger(store).Reserve(ctx, "p", 500, 213)
 		Expect(err).To(MatchError(ErrSpent), "288 were spent, so 212 are left")
 		_, err = newLedger(store).Reserve(ctx, "p", 500, 212)
-		Expect(err).To(MatchError(ErrSpent), "the one before took them")
+		Expect(err).To(MatchError(ErrSpent), "the previous process was granted the 212")
 	})
 
-	It("recognizes its own grant that was done without an answer", func(ctx SpecContext) {
+	It("recognizes its own grant after a lost answer", func(ctx SpecContext) {
 		calls := 0
 		store.Misbehave(func(memorystore.Call) memorystore.Fault {
 			calls++
@@ -246,7 +247,7 @@
 	})
 })
 
-// slowStore answers commits once it is told to.
+// slowStore is a store that delays commits until answers is closed.
 type slowStore struct {
 	*memorystore.Store
 	answers chan struct{}
@@ -264,44 +265,47 @@
 	}
 }
 
-// newSlowLedger makes one that sends each commit once, however long its answer takes.
+// newSlowLedger returns a ledger that doesn't hedge commits, so each is sent once however long its
+// answer takes.
 func newSlowLedger(store state.Store) *Ledger {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	return NewLedger(state.NewClient(state.ClientOptions{Store: store, Availability: availability, NotHedged: true}), 64, time.Hour)
 }
 
-func expired(ctx context.Context) context.Context {
-	ended, cancel := context.WithCancel(ctx)
+// canceledContext returns a context that has been canceled.
+func canceledContext(ctx context.Context) context.Context {
+	canceled, cancel := context.WithCancel(ctx)
 	cancel()
-	return ended
+	return canceled
 }
 
-// TestNeverExceeded plays processes that reserve, settle, die and start again
-// on a store that refuses, loses answers and does commits late. Whatever they
-// generated stays within the budget.
+// TestNeverExceeded simulates processes that reserve, settle, crash and restart on a store that
+// refuses commits, loses answers and applies commits late. The tokens generated must stay within
+// the budget.
 func TestNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		generated, total := play(t)
-		if generated > total-withheld(total) {
-			t.Fatalf("%d tokens generated of a budget of %d, of which %d are withheld", generated, total, withheld(total))
+		generated, total := simulate(t)
+		if generated > total-creditReserve(total) {
+			t.Fatalf("%d tokens generated of a budget of %d, of which %d are withheld", generated, total, creditReserve(total))
 		}
 	})
 }
 
 const (
-	most = 100
-	// briefly is enough for a store in memory, and short for one that refuses.
-	briefly = 2 * time.Millisecond
+	maxTurnTokens = 100
+	// shortTimeout is long enough for an answer of the in-memory store, and keeps simulations with
+	// a refusing store fast.
+	shortTimeout = 2 * time.Millisecond
 )
 
-type running struct{ reservation *Reservation }
+type runningTurn struct{ reservation *Reservation }
 
-// play returns what was generated and the budget.
-func play(t *rapid.T) (generated, total int64) {
+// simulate runs random steps and returns the tokens generated and the budget.
+func simulate(t *rapid.T) (generated, total int64) {
 	store := memorystore.New()
-	total = rapid.Int64Range(most, 20*most).Draw(t, "total")
-	ledgers := []*Ledger{newBriefLedger(store), newBriefLedger(store), newBriefLedger(store)}
-	turns := make([][]running, len(ledgers))
+	total = rapid.Int64Range(maxTurnTokens, 20*maxTurnTokens).Draw(t, "total")
+	ledgers := []*Ledger{newShortTimeoutLedger(store), newShortTimeoutLedger(store), newShortTimeoutLedger(store)}
+	turns := make([][]runningTurn, len(ledgers))
 	faults := []memorystore.Fault{memorystore.None, memorystore.None, memorystore.Refused, memorystore.Lost, memorystore.Late}
 	steps := rapid.IntRange(1, 60).Draw(t, "steps")
 	for step := range steps {
@@ -310,14 +314,14 @@
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return fault })
 		switch rapid.IntRange(0, 4).Draw(t, fmt.Sprintf("action %d", step)) {
 		case 0, 1:
-			short, cancel := context.WithTimeout(context.Background(), briefly) // never wait for turns under way
-			if reservation, err := ledgers[process].Reserve(short, "p", total, most); err == nil {
-				turns[process] = append(turns[process], running{reservation})
+			short, cancel := context.WithTimeout(context.Background(), shortTimeout) // too short to wait for turns in progress
+			if reservation, err := ledgers[process].Reserve(short, "p", total, maxTurnTokens); err == nil {
+				turns[process] = append(turns[process], runningTurn{reservation})
 			}
 			cancel()
 		case 2:
 			for _, turn := range turns[process] {
-				tokens := rapid.Int64Range(0, most).Draw(t, "tokens")
+				tokens := rapid.Int64Range(0, maxTurnTokens).Draw(t, "tokens")
 				generated += tokens
 				turn.reservation.Settle(tokens)
 			}
@@ -326,15 +330,15 @@
 			short, cancel := context.WithTimeout(context.Background(), time.Second)
 			_, _ = ledgers[process].Release(short, "p")
 			cancel()
-		case 3: // the process dies; what it had running was handed out whole
-			generated += most * int64(len(turns[process]))
+		case 3: // the process crashes; its running turns count as fully generated
+			generated += maxTurnTokens * int64(len(turns[process]))
 			turns[process] = nil
-			ledgers[process] = newBriefLedger(store)
+			ledgers[process] = newShortTimeoutLedger(store)
 			store.Release()
 		}
 	}
 	for _, left := range turns {
-		generated += most * int64(len(left))
+		generated += maxTurnTokens * int64(len(left))
 	}
 	return generated, total
 }
--- a/internal/budget/credit.go
+++ b/internal/budget/credit.go
@@ -7,42 +7,41 @@
 	"go.uber.org/zap"
 )
 
-// A part of each budget is never granted by the store: one daemon may lend it
-// while the store cannot be had, so that a program that begins in an outage
-// does not wait for its end.
+// A part of each budget, its credit reserve, is never granted by the store. One daemon may lend it
+// while the store is unavailable, so that a program that starts during an outage doesn't have to
+// wait for its end.
 //
-// Guarantee: what a program generates stays within its budget and the most of
-// one turn. The store grants at most the budget less the part withheld, and one
-// daemon lends at most the part withheld and the most of one turn. That there
-// is one such daemon in all the time in which a program may come again is what
-// mayLend promises (members.List.MayLend). What was lent needs no record: it is
-// in nobody's grants.
-
-// Of what a budget has beyond a small one, three tenths are withheld: with a
-// turn more, that carries a program of usual turns through an outage. With a
-// quarter of the whole, programs of two turns had too little left once a holder
-// was lost in the middle of one; with a fifth, those of three did not get through.
+// A program generates at most its budget plus the maximum of one turn: the store grants at most the
+// budget without the credit reserve, and one daemon lends at most the credit reserve plus the
+// maximum of one turn. members.List.MayLend guarantees that only one daemon lends to a program for
+// as long as the program may come back. Loans need not be stored, since they are not part of any
+// grant.
+
+// The credit reserve is three tenths of what a budget has above minBudgetWithCreditTokens. With one
+// more turn that is enough for typical programs during an outage, and the rest is enough for short
+// programs whose holder is lost.
 const (
-	withheldParts = 3
-	withheldOf    = 10
+	creditReserveNumerator   = 3
+	creditReserveDenominator = 10
 )
 
-// withheld must be the same at all processes, and hang on nothing but the budget.
-func withheld(total int64) int64 {
-	return max(total-smallBudget, 0) * withheldParts / withheldOf
+// creditReserve returns how many tokens of a budget the store never grants. It must be the same at
+// all processes and depend only on the budget.
+func creditReserve(total int64) int64 {
+	return max(total-minBudgetWithCreditTokens, 0) * creditReserveNumerator / creditReserveDenominator
 }
 
-// Bounds of what is remembered of loans.
+// Limits on the credits that are kept.
 const (
-	// creditsKept programs are remembered; beyond these nothing is lent, since
-	// forgetting one would lend to it twice.
-	creditsKept = 16384
-	// creditKeptFor is how long after its last loan a program is remembered: longer
-	// than it may come again.
-	creditKeptFor = 10 * time.Minute
+	// maxCredits is the number of programs with a credit. No further program gets one, since
+	// dropping a credit could lend to its program twice.
+	maxCredits = 16384
+	// creditTTL is how long a credit is kept after its program's last loan. It is longer than the
+	// time in which a program may come back.
+	creditTTL = 10 * time.Minute
 )
 
-// Lender lends what the store does not grant. It is safe for concurrent use.
+// Lender lends tokens of the credit reserve. It is safe for concurrent use.
 type Lender struct {
 	mayLend func(program string) bool
 	now     func() time.Time
@@ -51,94 +50,96 @@
 	credits map[string]*credit
 }
 
-// credit is what was lent to one program.
+// credit counts the tokens lent to one program.
 type credit struct {
-	lent  int64 // reserved and generated
-	total int64 // the smallest budget that it named
-	most  int64 // of the smallest turn
-	used  time.Time
+	lent      int64 // tokens reserved or generated
+	total     int64 // the smallest budget in the program's requests
+	maxTokens int64 // of the smallest turn in the program's requests
+	lastUsed  time.Time
 }
 
-func (c *credit) limit(why cause) int64 {
-	if why == causeSpent {
-		return withheld(c.total)
+// limit returns how many tokens may be lent in all.
+func (c *credit) limit(reason cause) int64 {
+	if reason == causeSpent {
+		return creditReserve(c.total)
 	}
-	return withheld(c.total) + c.most
+	return creditReserve(c.total) + c.maxTokens
 }
 
-// NewLender makes a lender. mayLend tells whether this daemon is the one that
-// may lend to a program.
+// NewLender returns a lender. mayLend reports whether this daemon is the only one that may lend to
+// a program.
 func NewLender(mayLend func(program string) bool, now func() time.Time, log *zap.Logger) *Lender {
 	return &Lender{mayLend: mayLend, now: now, log: log, credits: map[string]*credit{}}
 }
 
-// cause is why a turn runs on credit.
+// cause is the reason for a loan.
 type cause string
 
 const (
-	// causeOutage lends the part withheld and the most of one turn.
-	causeOutage cause = "store away"
-	// causeSpent lends the part withheld alone, once the rest of the budget is
-	// spent: in calm times a program has its budget, and no more.
+	// causeOutage allows the credit reserve plus the maximum of one turn.
+	causeOutage cause = "store unavailable"
+	// causeSpent allows only the credit reserve, so that without an outage a program generates at
+	// most its budget.
 	causeSpent cause = "granted part spent"
 )
 
-// lend takes the most that a turn may generate from the program's credit. It
-// returns nil if nothing may be lent.
-func (l *Lender) lend(need turnNeed, why cause) *loan {
+// lend reserves the tokens of a turn from the program's credit. It returns nil if nothing may be
+// lent.
+func (l *Lender) lend(need turnRequest, reason cause) *loan {
 	if l == nil || !l.mayLend(need.program) {
 		return nil
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	owed := l.open(need)
-	if owed == nil || owed.lent+need.most > owed.limit(why) {
+	programCredit := l.openCredit(need)
+	if programCredit == nil || programCredit.lent+need.maxTokens > programCredit.limit(reason) {
 		return nil
 	}
-	owed.lent += need.most
-	owed.used = l.now()
-	l.log.Info("budget: lent.", zap.String("program", need.program), zap.Int64("most", need.most),
-		zap.Int64("lent", owed.lent), zap.Int64("limit", owed.limit(why)), zap.String("cause", string(why)))
-	return &loan{lender: l, credit: owed, most: need.most}
+	programCredit.lent += need.maxTokens
+	programCredit.lastUsed = l.now()
+	l.log.Info("budget: lent.", zap.String("program", need.program), zap.Int64("most", need.maxTokens),
+		zap.Int64("lent", programCredit.lent), zap.Int64("limit", programCredit.limit(reason)), zap.String("cause", string(reason)))
+	return &loan{lender: l, credit: programCredit, maxTokens: need.maxTokens}
 }
 
-// open finds the program's credit. Budget and turn count as the smallest that
-// the program ever named.
-func (l *Lender) open(need turnNeed) *credit {
-	owed, known := l.credits[need.program]
+// openCredit returns the program's credit, and creates it if there is none. It returns nil if there
+// are too many credits. The caller holds the mutex.
+func (l *Lender) openCredit(need turnRequest) *credit {
+	programCredit, known := l.credits[need.program]
 	if !known {
-		if len(l.credits) >= creditsKept && l.forgetOld() == 0 {
+		if len(l.credits) >= maxCredits && l.deleteExpired() == 0 {
 			return nil
 		}
-		owed = &credit{total: need.total, most: need.most, used: l.now()}
-		l.credits[need.program] = owed
+		programCredit = &credit{total: need.total, maxTokens: need.maxTokens, lastUsed: l.now()}
+		l.credits[need.program] = programCredit
 	}
-	owed.total = min(owed.total, need.total)
-	owed.most = min(owed.most, need.most)
-	return owed
+	programCredit.total = min(programCredit.total, need.total)
+	programCredit.maxTokens = min(programCredit.maxTokens, need.maxTokens)
+	return programCredit
 }
 
-func (l *Lender) forgetOld() (forgotten int) {
-	for program, owed := range l.credits {
-		if l.now().Sub(owed.used) > creditKeptFor {
+// deleteExpired deletes expired credits and returns their number. The caller holds the mutex.
+func (l *Lender) deleteExpired() (deleted int) {
+	for program, programCredit := range l.credits {
+		if l.now().Sub(programCredit.lastUsed) > creditTTL {
 			delete(l.credits, program)
-			forgotten++
+			deleted++
 		}
 	}
-	return forgotten
+	return deleted
 }
 
-// loan is what one turn may generate on credit.
+// loan holds the tokens that were lent to one turn.
 type loan struct {
-	lender *Lender
-	credit *credit
-	most   int64
+	lender    *Lender
+	credit    *credit
+	maxTokens int64
 }
 
-// settle gives back what was not generated; it is to be called once.
+// settle returns the tokens that were not generated. It must be called only once.
 func (l *loan) settle(generated int64) {
 	l.lender.mutex.Lock()
 	defer l.lender.mutex.Unlock()
-	l.credit.lent -= max(0, l.most-generated)
-	l.credit.used = l.lender.now()
+	l.credit.lent -= max(0, l.maxTokens-generated)
+	l.credit.lastUsed = l.lender.now()
 }
--- a/internal/budget/credit_test.go
+++ b/internal/budget/credit_test.go
@@ -15,14 +15,14 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-func always(string) bool { return true }
+func mayAlwaysLend(string) bool { return true }
 
 func refuseAll(memorystore.Call) memorystore.Fault { return memorystore.Refused }
 
-// silentStore gives no verdict on commits.
-type silentStore struct{ *memorystore.Store }
+// noVerdictStore returns ErrUnknown for each commit once its context ends.
+type noVerdictStore struct{ *memorystore.Store }
 
-func (silentStore) Commit(ctx context.Context, _ state.Commit) (state.Version, error) {
+func (noVerdictStore) Commit(ctx context.Context, _ state.Commit) (state.Version, error) {
 	<-ctx.Done()
 	return 0, state.ErrUnknown
 }
@@ -37,7 +37,7 @@
 		ledger.LendWith(NewLender(mayLend, time.Now, zap.NewNop()))
 		return ledger
 	}
-	// within bounds a reservation that must not succeed.
+	// within returns a context with a deadline, for reservations that must not succeed.
 	within := func(ctx context.Context) context.Context {
 		bounded, cancel := context.WithTimeout(ctx, 200*time.Millisecond)
 		DeferCleanup(cancel)
@@ -46,7 +46,7 @@
 
 	It("lets a program begin and go on while the store is away", func(ctx SpecContext) {
 		store.Misbehave(refuseAll)
-		ledger := lending(always)
+		ledger := lending(mayAlwaysLend)
 		for range 3 {
 			reservation, err := ledger.Reserve(ctx, "p", 2600, 576)
 			Expect(err).NotTo(HaveOccurred())
@@ -55,10 +55,10 @@
 		}
 	})
 
-	It("lends the part that the store does not grant and one turn, to each program", func(ctx SpecContext) {
+	It("lends each program its credit reserve and the maximum of one turn", func(ctx SpecContext) {
 		store.Misbehave(refuseAll)
-		ledger := lending(always)
-		for range 2 { // of 1,600 are 288 withheld, and a turn is 200
+		ledger := lending(mayAlwaysLend)
+		for range 2 { // the reserve of 1,600 is 288, and a turn is 200
 			_, err := ledger.Reserve(ctx, "p", 1600, 200)
 			Expect(err).NotTo(HaveOccurred())
 		}
@@ -68,7 +68,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("leaves enough for a program of two turns whose holder is lost in the middle of the second", func(ctx SpecContext) {
+	It("leaves enough for a program of two turns whose holder is lost during the second", func(ctx SpecContext) {
 		first := newLedger(store)
 		reservation, err := first.Reserve(ctx, "p", 1800, 576)
 		Expect(err).NotTo(HaveOccurred())
@@ -79,29 +79,29 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("lends nothing where another daemon may", func(ctx SpecContext) {
+	It("lends nothing if another daemon is the lender", func(ctx SpecContext) {
 		store.Misbehave(refuseAll)
 		_, err := lending(func(string) bool { return false }).Reserve(within(ctx), "p", 2600, 576)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("lends when the store is up and takes too long", func(ctx SpecContext) {
-		ledger := newLedger(silentStore{store})
-		ledger.LendWith(NewLender(always, time.Now, zap.NewNop()))
+	It("lends if the store is up but takes too long", func(ctx SpecContext) {
+		ledger := newLedger(noVerdictStore{store})
+		ledger.LendWith(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
 		reservation, err := ledger.Reserve(ctx, "p", 2600, 576)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reservation.OnCredit()).To(BeTrue())
 	}, SpecTimeout(time.Minute))
 
 	It("does not lend while the store grants", func(ctx SpecContext) {
-		reservation, err := lending(always).Reserve(ctx, "p", 2600, 576)
+		reservation, err := lending(mayAlwaysLend).Reserve(ctx, "p", 2600, 576)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reservation.OnCredit()).To(BeFalse())
 	})
 
-	It("gives a program its whole budget in calm times, and no more", func(ctx SpecContext) {
-		ledger := lending(always)
-		const total, turn = 2040, 105 // 420 are withheld: four turns
+	It("gives a program its whole budget while the store is available, and no more", func(ctx SpecContext) {
+		ledger := lending(mayAlwaysLend)
+		const total, turn = 2040, 105 // the reserve is 420: four turns
 		for generated := 0; generated+turn <= total; generated += turn {
 			reservation, err := ledger.Reserve(ctx, "p", total, turn)
 			Expect(err).NotTo(HaveOccurred(), "after %d", generated)
@@ -111,42 +111,42 @@
 		Expect(err).To(MatchError(ErrSpent))
 	})
 
-	It("goes by the smallest budget and turn that a program named", func(ctx SpecContext) {
+	It("uses the smallest budget and turn that a program has named", func(ctx SpecContext) {
 		store.Misbehave(refuseAll)
-		ledger := lending(always)
+		ledger := lending(mayAlwaysLend)
 		_, err := ledger.Reserve(ctx, "p", 1600, 300)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = ledger.Reserve(within(ctx), "p", 16000, 3000)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("lends nothing more once it would have to forget a program", func(ctx SpecContext) {
-		lender := NewLender(always, time.Now, zap.NewNop())
-		for number := range creditsKept {
-			Expect(lender.lend(turnNeed{fmt.Sprint(number), 1600, 300}, causeOutage)).NotTo(BeNil())
+	It("lends to no further program while it can't drop a credit", func(ctx SpecContext) {
+		lender := NewLender(mayAlwaysLend, time.Now, zap.NewNop())
+		for number := range maxCredits {
+			Expect(lender.lend(turnRequest{fmt.Sprint(number), 1600, 300}, causeOutage)).NotTo(BeNil())
 		}
-		Expect(lender.lend(turnNeed{"one more", 1600, 300}, causeOutage)).To(BeNil())
+		Expect(lender.lend(turnRequest{"one more", 1600, 300}, causeOutage)).To(BeNil())
 	})
 })
 
-// TestNeverExceededOnCredit plays processes that reserve, settle, die and start
-// again, one of which may lend until it dies first, on a store that refuses,
-// loses answers and does commits late. Whatever they generated stays within the
-// budget and the most of one turn.
+// TestNeverExceededOnCredit simulates processes that reserve, settle, crash and restart, on a store
+// that refuses commits, loses answers and applies commits late. One of the processes may lend until
+// its first crash. The tokens generated must stay within the budget plus the maximum of one turn.
 func TestNeverExceededOnCredit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		generated, total := playLending(t)
-		if generated > total+most {
-			t.Fatalf("%d tokens generated of a budget of %d and turns of %d", generated, total, most)
+		generated, total := simulateLending(t)
+		if generated > total+maxTurnTokens {
+			t.Fatalf("%d tokens generated of a budget of %d and turns of %d", generated, total, maxTurnTokens)
 		}
 	})
 }
 
-func playLending(t *rapid.T) (generated, total int64) {
+// simulateLending runs random steps and returns the tokens generated and the budget.
+func simulateLending(t *rapid.T) (generated, total int64) {
 	store := memorystore.New()
-	total = rapid.Int64Range(most, 40*most).Draw(t, "total")
-	ledgers := []*Ledger{newBriefLedger(store), newBriefLedger(store)}
-	ledgers[0].LendWith(NewLender(always, time.Now, zap.NewNop()))
+	total = rapid.Int64Range(maxTurnTokens, 40*maxTurnTokens).Draw(t, "total")
+	ledgers := []*Ledger{newShortTimeoutLedger(store), newShortTimeoutLedger(store)}
+	ledgers[0].LendWith(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
 	turns := make([][]*Reservation, len(ledgers))
 	faults := []memorystore.Fault{memorystore.None, memorystore.Refused, memorystore.Refused, memorystore.Lost, memorystore.Late}
 	steps := rapid.IntRange(1, 80).Draw(t, "steps")
@@ -156,27 +156,27 @@
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return fault })
 		switch action := rapid.IntRange(0, 9).Draw(t, fmt.Sprintf("action %d", step)); {
 		case action < 6:
-			short, cancel := context.WithTimeout(context.Background(), briefly) // never wait for turns under way
-			if reservation, err := ledgers[process].Reserve(short, "p", total, most); err == nil {
+			short, cancel := context.WithTimeout(context.Background(), shortTimeout) // too short to wait for turns in progress
+			if reservation, err := ledgers[process].Reserve(short, "p", total, maxTurnTokens); err == nil {
 				turns[process] = append(turns[process], reservation)
 			}
 			cancel()
 		case action < 9:
 			for _, turn := range turns[process] {
-				tokens := rapid.Int64Range(0, most).Draw(t, "tokens")
+				tokens := rapid.Int64Range(0, maxTurnTokens).Draw(t, "tokens")
 				generated += tokens
 				turn.Settle(tokens)
 			}
 			turns[process] = nil
-		default: // the process dies; what it had running was handed out whole
-			generated += most * int64(len(turns[process]))
+		default: // the process crashes; its running turns count as fully generated
+			generated += maxTurnTokens * int64(len(turns[process]))
 			turns[process] = nil
-			ledgers[process] = newBriefLedger(store) // it lends no more
+			ledgers[process] = newShortTimeoutLedger(store) // no longer lends
 			store.Release()
 		}
 	}
 	for _, left := range turns {
-		generated += most * int64(len(left))
+		generated += maxTurnTokens * int64(len(left))
 	}
 	return generated, total
 }
--- a/internal/budget/granting.go
+++ b/internal/budget/granting.go
@@ -11,209 +11,219 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// granting is one question to the store for a grant. All turns of the program wait for
-// it, and it goes on when they give up: a store that is slow answers each program once,
-// where questions that end with their askers would be asked again and again, each
-// costing the store a commit that nobody hears of. With a store that took 240 ms an answer, 84
-// daemons made 2,800 such commits a second, twice what it bears, and served nobody.
-type granting struct {
-	most int64 // of the turn that it is asked for
-	done chan struct{}
-	err  error // to be read once done
+// grantRequest is a request to the store for a grant. All turns of the program share it, and it
+// continues after the turns that wait have given up. If each turn sent its own requests, a slow
+// store would get new commits all the time whose answers nobody waits for.
+type grantRequest struct {
+	maxTokens int64 // of the turn that started the request
+	done      chan struct{}
+	err       error // valid after done is closed
 }
 
 const (
-	// grantPatience bounds a question to the store: as long as one call may take.
-	grantPatience = time.Second
-	// lendAfter is how long a turn waits for the store before it runs on credit:
-	// several times what a sound store takes.
-	lendAfter = 60 * time.Millisecond
+	// defaultGrantTimeout is as long as one call to the store may take.
+	defaultGrantTimeout = time.Second
+	// lendDelay is how long a turn waits for the store before it gets a loan: several times the
+	// usual response time.
+	lendDelay = 60 * time.Millisecond
 )
 
-// beginGranting asks the store; the program's mutex is held.
-func (l *Ledger) beginGranting(held *program, need turnNeed) *granting {
-	begun := &granting{most: need.most, done: make(chan struct{})}
+// startGrantRequest starts a request to the store. The caller holds the holding's mutex.
+func (l *Ledger) startGrantRequest(held *holding, need turnRequest) *grantRequest {
+	request := &grantRequest{maxTokens: need.maxTokens, done: make(chan struct{})}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), l.grantWait)
+		ctx, cancel := context.WithTimeout(context.Background(), l.grantTimeout)
 		defer cancel()
-		begun.err = l.fillFromStore(ctx, held, need)
+		request.err = l.acquireFromStore(ctx, held, need)
 		held.mutex.Lock()
-		held.asking = nil
+		held.grantRequest = nil
 		held.mutex.Unlock()
-		close(begun.done)
+		close(request.done)
 	}()
-	return begun
+	return request
 }
 
-// await waits for a question's answer; a turn that waits for long is lent to, if it can be.
-func (l *Ledger) await(ctx context.Context, asked *granting, need reserveNeed) (*loan, error) {
-	soon := time.NewTimer(l.patienceBeforeLoan())
-	defer soon.Stop()
+// awaitGrant waits for a request to the store and returns nil, nil if tokens have been granted. If
+// the store takes longer than the loan delay, or the outcome is unknown, it returns a loan if one
+// is possible. If no loan is possible and need.failFast is set, it returns an error after the loan
+// delay.
+func (l *Ledger) awaitGrant(ctx context.Context, pending *grantRequest, need reservationRequest) (*loan, error) {
+	lendTimer := time.NewTimer(l.loanDelay())
+	defer lendTimer.Stop()
 	select {
-	case <-asked.done:
+	case <-pending.done:
 	case <-ctx.Done():
-	case <-soon.C:
-		if lent := l.lender.lend(need.turnNeed, causeOutage); lent != nil {
+	case <-lendTimer.C:
+		if lent := l.lender.lend(need.turnRequest, causeOutage); lent != nil {
 			return lent, nil
 		}
-		if need.soon {
-			return nil, eris.Wrap(state.ErrNotDone, "the store did not grant soon")
+		if need.failFast {
+			return nil, eris.Wrap(state.ErrNotDone, "no grant from the store in time")
 		}
 	}
 	select {
-	case <-asked.done:
+	case <-pending.done:
 	case <-ctx.Done():
 		return nil, eris.Wrapf(state.ErrNotDone, "wait for a grant: %v", ctx.Err())
 	}
-	if state.NoVerdict(asked.err) {
-		return l.lender.lend(need.turnNeed, causeOutage), asked.err
+	if state.NoVerdict(pending.err) {
+		return l.lender.lend(need.turnRequest, causeOutage), pending.err
 	}
-	return nil, asked.err
+	return nil, pending.err
 }
 
-// patienceBeforeLoan is none when the store is known to be down.
-func (l *Ledger) patienceBeforeLoan() time.Duration {
+// loanDelay returns how long to wait for the store before a loan: not at all if the store is known
+// to be down.
+func (l *Ledger) loanDelay() time.Duration {
 	if !l.store.Available() {
 		return 0
 	}
-	return lendAfter
+	return lendDelay
 }
 
-func (l *Ledger) fillFromStore(ctx context.Context, held *program, need turnNeed) error {
-	if err := held.takeStoreTurn(ctx); err != nil {
+// acquireFromStore obtains a grant from the store. If the budget is spent, it asks the other holders
+// to release theirs and tries once more.
+func (l *Ledger) acquireFromStore(ctx context.Context, held *holding, need turnRequest) error {
+	if err := held.lockStore(ctx); err != nil {
 		return err
 	}
-	defer held.endStoreTurn()
-	grant := func() error { return l.grant(ctx, held, need.most) }
+	defer held.unlockStore()
+	grant := func() error { return l.drawFromAccounts(ctx, held, need.maxTokens) }
 	err := l.store.Repeat(ctx, grant)
-	if errors.Is(err, ErrSpent) && l.mayReclaim(held) {
-		l.askOthers(ctx, need.program)
-		held.forget()
+	if errors.Is(err, ErrSpent) && l.startReclaim(held) {
+		l.reclaimFromOthers(ctx, need.program)
+		held.forgetRows()
 		err = l.store.Repeat(ctx, grant)
 	}
 	return err
 }
 
-// knownSpent is a *SpentError if it is known without the store that nothing more is granted, and
-// other holders are not to be asked now; nil: the store is to be asked.
-func (l *Ledger) knownSpent(held *program, need turnNeed) error {
+// checkSpent returns a *SpentError if it is known without asking that the store grants nothing
+// more, and it is too early to ask the other holders again. It returns nil if the store should be
+// asked.
+func (l *Ledger) checkSpent(held *holding, need turnRequest) error {
 	select {
-	case held.storeTurn <- struct{}{}:
+	case held.storeLock <- struct{}{}:
 	default:
-		return nil // somebody is asking
+		return nil // a request is in progress
 	}
-	defer held.endStoreTurn()
-	if l.reclaims(held) {
+	defer held.unlockStore()
+	if l.canReclaim(held) {
 		return nil
 	}
 	var spent error
 	for _, each := range held.accounts {
-		if each.pending != nil || each.known.Granted < each.share {
+		if each.pending != nil || each.stored.Granted < each.limit {
 			return nil
 		}
-		spent = each.spent(held.missing(need.most))
+		spent = each.spentError(held.shortfall(need.maxTokens))
 	}
 	return spent
 }
 
-// takeStoreTurn waits until nobody else asks the store about the program's accounts.
-func (p *program) takeStoreTurn(ctx context.Context) error {
+// lockStore waits until no other request about the program's accounts is in progress.
+func (h *holding) lockStore(ctx context.Context) error {
 	select {
-	case p.storeTurn <- struct{}{}:
+	case h.storeLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return eris.Wrapf(state.ErrNotDone, "wait for another question about the program: %v", ctx.Err())
+		return eris.Wrapf(state.ErrNotDone, "wait for another request about the program: %v", ctx.Err())
 	}
 }
 
-func (p *program) endStoreTurn() { <-p.storeTurn }
+func (h *holding) unlockStore() { <-h.storeLock }
 
-// missing is how much less than a turn's need is available.
-func (p *program) missing(most int64) int64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return most - p.available
+// shortfall returns how many tokens are missing for a turn; not positive if enough are available.
+func (h *holding) shortfall(maxTokens int64) int64 {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return maxTokens - h.available
 }
 
-// granted adds what the store granted; who calls it has the store turn.
-func (p *program) granted(amount int64) {
-	p.drawn += amount
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.available += amount
+// addGranted adds granted tokens to those available. The caller holds the store lock.
+func (h *holding) addGranted(amount int64) {
+	h.totalGranted += amount
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.available += amount
 }
 
-// withdraw takes at most so much away from what is available, and tells how much.
-func (p *program) withdraw(most int64) int64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	amount := max(min(p.available, most), 0)
-	p.available -= amount
+// withdraw removes up to limit tokens from those available and returns how many.
+func (h *holding) withdraw(limit int64) int64 {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	amount := max(min(h.available, limit), 0)
+	h.available -= amount
 	return amount
 }
 
-// Pauses between two questions to others about one program: one that loops
-// asks again and again after its budget is spent.
+// Bounds of the time between two requests to other holders to release one program's tokens. A
+// program in a loop sends requests long after its budget is spent.
 const (
-	firstReclaimPause   = time.Second
-	longestReclaimPause = 30 * time.Second
+	minReclaimBackoff = time.Second
+	maxReclaimBackoff = 30 * time.Second
 )
 
-// reclaims tells whether others may be asked now to give back what they hold.
-func (l *Ledger) reclaims(held *program) bool {
-	return l.reclaim != nil && time.Since(held.reclaimed) >= held.reclaimPause
+// canReclaim reports whether other holders may be asked now to release tokens. The caller holds the
+// store lock.
+func (l *Ledger) canReclaim(held *holding) bool {
+	return l.reclaim != nil && time.Since(held.lastReclaim) >= held.reclaimBackoff
 }
 
-func (l *Ledger) mayReclaim(held *program) bool {
-	if !l.reclaims(held) {
+// startReclaim reports whether other holders may be asked now and, if so, extends the time until they
+// may be asked again. The caller holds the store lock.
+func (l *Ledger) startReclaim(held *holding) bool {
+	if !l.canReclaim(held) {
 		return false
 	}
-	held.reclaimed = time.Now()
-	held.reclaimPause = min(max(2*held.reclaimPause, firstReclaimPause), longestReclaimPause)
+	held.lastReclaim = time.Now()
+	held.reclaimBackoff = min(max(2*held.reclaimBackoff, minReclaimBackoff), maxReclaimBackoff)
 	return true
 }
 
-// reclaimWait bounds the question, so that time is left for the own grant.
-const reclaimWait = 100 * time.Millisecond
+// reclaimTimeout bounds a request to the other holders. It leaves time to obtain a grant
+// afterwards.
+const reclaimTimeout = 100 * time.Millisecond
 
-func (l *Ledger) askOthers(ctx context.Context, identifier string) {
-	ctx, cancel := context.WithTimeout(ctx, reclaimWait)
+func (l *Ledger) reclaimFromOthers(ctx context.Context, identifier string) {
+	ctx, cancel := context.WithTimeout(ctx, reclaimTimeout)
 	defer cancel()
 	l.reclaim(ctx, identifier)
 }
 
-// forget drops what is known of the rows: others may have released since.
-func (p *program) forget() {
-	for _, each := range p.accounts {
+// forgetRows discards the copies of the rows, since other processes may have released tokens. The
+// caller holds the store lock.
+func (h *holding) forgetRows() {
+	for _, each := range h.accounts {
 		if each.pending == nil {
-			each.known, each.version = row{}, 0
+			each.stored, each.version = row{}, 0
 		}
 	}
 }
 
-// grant takes what a turn needs from the accounts, those first whose
-// partitions are sound. What it took stays available if the rest fails.
-func (l *Ledger) grant(ctx context.Context, held *program, most int64) error {
+// drawFromAccounts obtains grants for a turn of maxTokens, first from accounts whose partitions are
+// available. Tokens granted before an error stay available.
+func (l *Ledger) drawFromAccounts(ctx context.Context, held *holding, maxTokens int64) error {
 	var failure error
-	before := held.drawn
-	for _, from := range l.sorted(held.accounts) {
-		if held.missing(most) <= 0 {
+	before := held.totalGranted
+	for _, from := range l.sortByHealth(held.accounts) {
+		if held.shortfall(maxTokens) <= 0 {
 			return nil
 		}
-		err := l.draw(ctx, held, from, most, held.drawn == before)
+		err := l.draw(ctx, held, from, maxTokens, held.totalGranted == before)
 		var spent *SpentError
 		if err != nil && (failure == nil || errors.As(failure, &spent)) {
 			failure = err
 		}
 	}
-	if held.missing(most) <= 0 {
+	if held.shortfall(maxTokens) <= 0 {
 		return nil
 	}
 	return failure
 }
 
-// sorted puts accounts last whose partition failed a moment ago.
-func (l *Ledger) sorted(accounts []*account) []*account {
+// sortByHealth returns the accounts with those last whose partitions failed recently.
+func (l *Ledger) sortByHealth(accounts []*account) []*account {
 	var names []string
 	for _, each := range accounts {
 		names = append(names, each.key.Partition)
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -15,32 +15,34 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// Release gives what this process holds of a program and has not reserved
-// back to the store, so that others may be granted it. It returns how much.
+// Release returns to the store the tokens of a program that this process holds and has not
+// reserved, so that they can be granted to other processes. It returns their number.
 func (l *Ledger) Release(ctx context.Context, identifier string) (int64, error) {
 	held, known := l.programs.Get(identifier)
 	if !known {
 		return 0, nil
 	}
-	if err := held.takeStoreTurn(ctx); err != nil {
+	if err := held.lockStore(ctx); err != nil {
 		return 0, err
 	}
-	defer held.endStoreTurn()
-	return l.releaseHeld(ctx, held)
+	defer held.unlockStore()
+	return l.releaseHolding(ctx, held)
 }
 
-func (l *Ledger) releaseHeld(ctx context.Context, held *program) (int64, error) {
+// releaseHolding releases the available tokens of a holding. The caller holds the store lock.
+func (l *Ledger) releaseHolding(ctx context.Context, held *holding) (int64, error) {
 	released := int64(0)
-	for _, to := range l.sorted(held.accounts) {
+	for _, to := range l.sortByHealth(held.accounts) {
 		if to.pending != nil {
 			continue
 		}
-		// Whether or not the commit is done: never spent here any more.
-		amount := held.withdraw(to.known.Granted)
+		// Withdrawn before the commit: even if its outcome is unknown, the tokens are not spent
+		// here.
+		amount := held.withdraw(to.stored.Granted)
 		if amount == 0 {
 			continue
 		}
-		if err := l.giveBack(ctx, to, amount); err != nil {
+		if err := l.returnToAccount(ctx, to, amount); err != nil {
 			return released, err
 		}
 		released += amount
@@ -48,42 +50,42 @@
 	return released, nil
 }
 
-// giveBack lowers what is granted of an account once: the name in the row
-// tells whether a try without an answer was done. A commit that ends without
-// a verdict is left at that, and the tokens count as spent.
-func (l *Ledger) giveBack(ctx context.Context, to *account, amount int64) error {
-	name := rand.Uint64()
+// returnToAccount reduces the tokens granted from an account. The ID in the row shows whether an
+// attempt without an answer succeeded, so the amount is subtracted once. If the outcome stays
+// unknown, it returns an error and the tokens count as spent.
+func (l *Ledger) returnToAccount(ctx context.Context, to *account, amount int64) error {
+	grantID := rand.Uint64()
 	for range maxConflicts {
-		next := row{Total: to.share, Granted: to.known.Granted - amount, Grants: recent(to.known.Grants, name)}
+		next := row{Total: to.limit, Granted: to.stored.Granted - amount, Grants: appendRecent(to.stored.Grants, grantID)}
 		version, err := l.commit(ctx, to, next)
 		if err == nil {
-			to.known, to.version = next, version
+			to.stored, to.version = next, version
 			return nil
 		}
-		done, err := to.learn(name, err)
-		if done || err != nil {
+		committed, err := to.applyConflict(grantID, err)
+		if committed || err != nil {
 			return err
 		}
-		if to.known.Granted < amount {
-			return eris.Errorf("account grants %d, less than the %d held", to.known.Granted, amount)
+		if to.stored.Granted < amount {
+			return eris.Errorf("account has %d tokens granted, fewer than the %d to return", to.stored.Granted, amount)
 		}
 	}
 	return eris.New("release budget: too many conflicts")
 }
 
-// recentlyUsed is how long after its last turn a program is likely to go on.
-const recentlyUsed = 5 * time.Second
+// maxReleaseIdle is the time since its last turn after which a program is not expected to continue.
+const maxReleaseIdle = 5 * time.Second
 
-// ReleaseAll gives back what is held of programs that are likely to go on
-// elsewhere; it is for a planned stop.
+// ReleaseAll releases the tokens of programs that are likely to continue at other daemons. It is
+// called before a planned stop. It returns the numbers of programs and tokens released.
 func (l *Ledger) ReleaseAll(ctx context.Context) (programs int, tokens int64) {
-	const together = 8
+	const concurrency = 8
 	var mutex sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(together)
+	group.SetLimit(concurrency)
 	for _, identifier := range l.programs.Keys() {
 		held, known := l.programs.Peek(identifier)
-		if !known || !held.worthReleasing() {
+		if !known || !held.isWorthReleasing() {
 			continue
 		}
 		group.Go(func() error {
@@ -97,35 +99,36 @@
 			return err
 		})
 	}
-	_ = group.Wait() // what could not be released stays granted
+	_ = group.Wait() // tokens that could not be released stay granted
 	return programs, tokens
 }
 
-func (p *program) worthReleasing() bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.available > 0 && time.Since(p.used) < recentlyUsed
+// isWorthReleasing reports whether tokens are available and the program has run recently.
+func (h *holding) isWorthReleasing() bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.available > 0 && time.Since(h.lastUsed) < maxReleaseIdle
 }
 
-// ReleaseRequest asks a holder to give back what it holds of a program.
+// ReleaseRequest asks a holder to release a program's tokens to the store.
 type ReleaseRequest struct{ Program string }
 
-// ReleaseReply tells how much it gave back.
+// ReleaseReply returns the number of tokens released.
 type ReleaseReply struct{ Tokens int64 }
 
 const methodRelease = Service + ".Release"
 
-// Release is called by other daemons.
+// Release is the RPC that releases a program's tokens to the store.
 func (h *Holder) Release(request ReleaseRequest, reply *ReleaseReply) error {
-	ctx, cancel := context.WithTimeout(context.Background(), holderWait)
+	ctx, cancel := context.WithTimeout(context.Background(), holderTimeout)
 	defer cancel()
 	tokens, err := h.ledger.Release(ctx, request.Program)
 	reply.Tokens = tokens
 	return err
 }
 
-// Reclaim asks the likely holders of all zones to release what they hold of a
-// program, until the context ends.
+// Reclaim asks the likely holders in all zones and regions to release a program's tokens, and waits
+// for their replies until the context ends.
 func (s *Shared) Reclaim(ctx context.Context, program string) {
 	var mutex sync.Mutex
 	total := int64(0)
@@ -139,7 +142,7 @@
 			return err
 		})
 	}
-	_ = group.Wait() // who does not answer keeps what it holds
+	_ = group.Wait() // a holder that doesn't reply keeps its tokens
 	s.log.Info("budget: reclaimed from others.", zap.String("program", program), zap.Int64("tokens", total))
 }
 
@@ -147,7 +150,7 @@
 	var reply ReleaseReply
 	err := s.caller.Call(ctx, holder.Process.Address, peer.Control, methodRelease, ReleaseRequest{Program: program}, &reply)
 	if errors.Is(err, peer.ErrNotSent) {
-		s.list.Suspect(holder, suspectWait)
+		s.list.Suspect(holder, suspectDuration)
 	}
 	return reply.Tokens, err
 }
--- a/internal/budget/settling.go
+++ b/internal/budget/settling.go
@@ -12,83 +12,86 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// place is where a turn's prompt was read, and where the turn ran.
-type place struct {
-	request ReserveRequest
-	engine  string
-	read    int
-	ran     string
-	// Of what the turn goes on from, and of the turn itself.
-	keptAt   string
-	self     string // address of this daemon
-	recorded string
+// turnPlacement is where a turn's prompt has been read before, and where the turn ran.
+type turnPlacement struct {
+	request   ReserveRequest
+	engine    string
+	partsRead int
+	ranAt     string
+	// keptAt is the address of the daemon that recorded the previous turn. recordedTurn is the
+	// identifier of this turn if this daemon recorded it.
+	keptAt       string
+	selfAddress  string // this daemon's address
+	recordedTurn string
 }
 
 // ReadAt implements Settler.
-func (p *place) ReadAt() (engine string, parts int) { return p.engine, p.read }
+func (p *turnPlacement) ReadAt() (engine string, parts int) { return p.engine, p.partsRead }
 
 // KeptAt implements Settler.
-func (p *place) KeptAt() string { return p.keptAt }
+func (p *turnPlacement) KeptAt() string { return p.keptAt }
 
 // Recorded implements Settler.
-func (p *place) Recorded(turn string) { p.recorded = turn }
+func (p *turnPlacement) Recorded(turn string) { p.recordedTurn = turn }
 
 // RanAt implements Settler.
-func (p *place) RanAt(engine string) { p.ran = engine }
+func (p *turnPlacement) RanAt(engine string) { p.ranAt = engine }
 
-func (p *place) outcome() Ran {
-	ran := Ran{Program: p.request.Program, Engine: p.ran}
+// outcome returns what the holder is told about the turn.
+func (p *turnPlacement) outcome() Ran {
+	ran := Ran{Program: p.request.Program, Engine: p.ranAt}
 	if count := len(p.request.Parts); count > 0 {
 		ran.Part = p.request.Parts[count-1]
 	}
-	if p.recorded != "" {
-		ran.Turn, ran.Daemon = p.recorded, p.self
+	if p.recordedTurn != "" {
+		ran.Turn, ran.Daemon = p.recordedTurn, p.selfAddress
 	}
 	return ran
 }
 
-// local is a reservation at this daemon itself.
-type local struct {
+// localSettler settles a reservation of this daemon's own ledger.
+type localSettler struct {
 	*Reservation
-	place
+	turnPlacement
 	trails *Trails
 }
 
 // Settle implements Settler.
-func (l *local) Settle(generated int64) {
-	l.trails.settled(l.outcome())
+func (l *localSettler) Settle(generated int64) {
+	l.trails.recordTurn(l.outcome())
 	l.Reservation.Settle(generated)
 }
 
-// remote is a reservation at another daemon.
-type remote struct {
-	place
+// remoteSettler settles a reservation at another daemon.
+type remoteSettler struct {
+	turnPlacement
 	shared   *Shared
-	home     members.Member
+	holder   members.Member
 	attained int64
 }
 
 // Attained implements Settler.
-func (r *remote) Attained() int64 { return r.attained }
+func (r *remoteSettler) Attained() int64 { return r.attained }
 
-// Settle implements Settler; it does not wait for the holder.
-func (r *remote) Settle(generated int64) {
+// Settle implements Settler. It does not wait for the holder: it sends the settlement in the
+// background, and logs a warning if all attempts fail.
+func (r *remoteSettler) Settle(generated int64) {
 	request := SettleRequest{Reservation: r.request.Reservation, Generated: generated, Ran: r.outcome()}
 	go func() {
 		var err error
-		for try := range settleTries {
+		for try := range maxSettleAttempts {
 			if err = r.settleOnce(request); err == nil || errors.Is(err, rpc.ErrShutdown) {
 				return
 			}
-			time.Sleep(time.Duration(try+1) * settlePause)
+			time.Sleep(time.Duration(try+1) * settleBackoff)
 		}
-		r.shared.log.Warn("budget: settlement lost; the tokens stay reserved.", zap.String("holder", string(r.home.Process.Machine)),
-			zap.String("reservation", request.Reservation), zap.Int64("generated", generated), zap.Int("tries", settleTries), zap.String("cause", err.Error()))
+		r.shared.log.Warn("budget: settlement lost; the tokens stay reserved.", zap.String("holder", string(r.holder.Process.Machine)),
+			zap.String("reservation", request.Reservation), zap.Int64("generated", generated), zap.Int("tries", maxSettleAttempts), zap.String("cause", err.Error()))
 	}()
 }
 
-func (r *remote) settleOnce(request SettleRequest) error {
-	ctx, cancel := context.WithTimeout(context.Background(), settleWait)
+func (r *remoteSettler) settleOnce(request SettleRequest) error {
+	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	return r.shared.caller.Call(ctx, r.home.Process.Address, peer.Control, methodSettle, request, &SettleReply{})
+	return r.shared.caller.Call(ctx, r.holder.Process.Address, peer.Control, methodSettle, request, &SettleReply{})
 }
--- a/internal/budget/shared.go
+++ b/internal/budget/shared.go
@@ -17,221 +17,229 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Bounds of what is asked of a holder.
+// Timeouts and retries of calls to holders.
 const (
-	answerWait = 400 * time.Millisecond
-	// A settlement that is lost keeps a program's tokens reserved: it is told again,
-	// over a few seconds, in which a holder that was busy or cut off may be back.
-	settleWait  = time.Second
-	settleTries = 3
-	settlePause = 500 * time.Millisecond
-	suspectWait = time.Second      // a holder that did not answer is passed over
-	leavingWait = 10 * time.Second // and one that stops
+	reserveTimeout = 400 * time.Millisecond // of one reservation request
+	// A lost settlement leaves a program's tokens reserved. It is therefore retried for a few
+	// seconds, in which a holder that was busy or cut off may be available again.
+	settleTimeout     = time.Second
+	maxSettleAttempts = 3
+	settleBackoff     = 500 * time.Millisecond
+	suspectDuration   = time.Second      // how long a holder that did not answer is skipped
+	stoppingDuration  = 10 * time.Second // how long a holder that is stopping is skipped
 )
 
-// Settler ends a reservation.
+// Settler gives access to a reservation and ends it.
 type Settler interface {
-	// Attained is how many tokens the program generated before, as far as the
-	// holder of its budget knows. It is a hint.
+	// Attained returns how many tokens the program has generated, as far as the holder of its
+	// budget knows. It is a hint.
 	Attained() int64
-	// ReadAt is the engine that read the longest part of the turn's prompt, and how
-	// many of its parts; "" if that is not known. It is a hint.
+	// ReadAt returns the engine that has read the longest part of the turn's prompt, and how many
+	// of its parts it has read; "" and 0 if not known. It is a hint.
 	ReadAt() (engine string, parts int)
-	// KeptAt is the address of the daemon that recorded the turn that this one goes on
-	// from; "" if that is not known. It is a hint.
+	// KeptAt returns the address of the daemon that recorded the turn that this one continues; ""
+	// if not known. It is a hint.
 	KeptAt() string
-	// RanAt tells where the turn ran. It is to be called before Settle.
+	// RanAt sets the engine at which the turn ran. It must be called before Settle.
 	RanAt(engine string)
-	// Recorded tells that this daemon recorded the turn. It is to be called before Settle.
+	// Recorded sets the identifier under which this daemon recorded the turn. It must be called
+	// before Settle.
 	Recorded(turn string)
-	// Settle gives back what was not generated; only the first call counts.
+	// Settle returns the tokens that were not generated. Only the first call has an effect.
 	Settle(generated int64)
 }
 
-// Shared reserves at the daemon of the region that holds a program's budget, so
-// that all daemons of the region spend one grant, and needs no store while that
-// lasts. A holder that does not answer is passed over; then this daemon takes
-// a grant of its own, which the store keeps within the budget.
+// Shared reserves tokens at the daemon of the region that holds a program's budget. All daemons of
+// the region thus share one grant, and need no store while it lasts. If the holder doesn't answer,
+// the next one is asked, and finally this daemon's own ledger, whose grants come from the same rows
+// of the store. It is safe for concurrent use, but Alone and Near must be set before its first use.
 type Shared struct {
 	ledger *Ledger
 	list   *members.List
 	caller peer.Caller
 	store  *state.Availability
 	log    *zap.Logger
-	// Alone makes this daemon hold what it spends itself; for experiments.
+	// Alone makes this daemon reserve only from its own ledger. It is for experiments.
 	Alone bool
-	// Near lets the holders of each zone hold what turns that come through it spend, so that a zone that is
-	// cut off goes on with the programs that entered there, and a reservation is a hop less far. What a program is
-	// granted comes from the same rows of the store, and one daemon of all lends, so that its budget bounds
-	// the zones together; each asks the others to give back before it says that the budget is spent.
+	// Near reserves at holders in the zone of the daemon that the turn came to, instead of the
+	// whole region. A zone that is cut off can then continue the programs that started there, and
+	// calls to holders stay within the zone. The budget still limits all zones together: all grants
+	// come from the same rows of the store, and only one daemon lends. Each holder asks those of
+	// other zones to release tokens before it reports a budget as spent.
 	Near bool
 }
 
-// NewShared makes the reserving side.
+// NewShared returns a Shared that uses ledger for this daemon's own reservations. It sets the
+// ledger's function to reclaim tokens from other holders.
 func NewShared(ledger *Ledger, list *members.List, caller peer.Caller, store *state.Availability, log *zap.Logger) *Shared {
-	made := &Shared{ledger: ledger, list: list, caller: caller, store: store, log: log}
-	ledger.reclaim = made.Reclaim
-	return made
+	shared := &Shared{ledger: ledger, list: list, caller: caller, store: store, log: log}
+	ledger.reclaim = shared.Reclaim
+	return shared
 }
 
-// Reserve takes the most that a turn may generate from its program's budget.
-// The reservation's name must be its own. The parts are those of the turn's prompt.
+// Reserve reserves the tokens of a turn. The name of the reservation must be unique. While the
+// store is unavailable to the holder, Reserve waits and retries until the context ends. It returns
+// ErrSpent if the budget has too few tokens left.
 func (s *Shared) Reserve(ctx context.Context, request ReserveRequest) (Settler, error) {
 	name := request.Reservation
-	for question := 1; ; question++ {
+	for attempt := 1; ; attempt++ {
 		settler, err := s.reserveOnce(ctx, request)
 		if !errors.Is(err, errNoStore) || ctx.Err() != nil {
 			return settler, err
 		}
-		if err := s.store.Wait(ctx); err != nil || !pause.For(ctx, noStorePause) {
+		if err := s.store.Wait(ctx); err != nil || !pause.For(ctx, storeRetryDelay) {
 			return nil, errNoStore
 		}
-		// A new name: the settlement of a question without answer may come late.
-		request.Reservation = fmt.Sprintf("%s/%d", name, question)
+		// Each attempt has a new name: the previous one may still be settled late.
+		request.Reservation = fmt.Sprintf("%s/%d", name, attempt)
 	}
 }
 
-// reserveOnce asks the holders of the region, or those of this zone and then, if the program's
-// budget is spent there or their store is away, the one holder that may lend to it.
+// reserveOnce asks the holders once: those of the region or, if Near is set, those of this zone and
+// then the region's first holder.
 func (s *Shared) reserveOnce(ctx context.Context, request ReserveRequest) (Settler, error) {
-	near, apart := s.list.HomesNear(request.Program)
-	if s.Alone || !s.Near || !apart {
-		return s.reserveAmong(ctx, s.list.Homes(request.Program), request)
+	zoneHolders, hasZoneHolders := s.list.HomesNear(request.Program)
+	if s.Alone || !s.Near || !hasZoneHolders {
+		return s.reserveAtHolders(ctx, s.list.Homes(request.Program), request)
 	}
-	return s.reserveNear(ctx, near, request)
+	return s.reserveInZone(ctx, zoneHolders, request)
 }
 
-// Endings of a reservation's name, by who is asked after the holders of the own zone.
+// Suffixes of a reservation's name after the holders of this zone have been asked.
 const (
-	atRegion  = "/region"
-	nearAgain = "/near"
+	regionSuffix    = "/region"
+	zoneRetrySuffix = "/near"
 )
 
-// reserveNear asks the holders of this zone; and where these have nothing left, or can't know, the first of the region.
-func (s *Shared) reserveNear(ctx context.Context, near members.Homes, request ReserveRequest) (Settler, error) {
-	homes := s.list.Homes(request.Program)
-	first := homes.At(0) // this daemon lives at least
-	if first.Process == near.At(0).Process {
-		return s.reserveAmong(ctx, near, request)
+// reserveInZone asks the holders of this zone. If the budget is spent there or their store is
+// unavailable, it asks the region's first holder, which may be able to lend.
+func (s *Shared) reserveInZone(ctx context.Context, zoneHolders members.Homes, request ReserveRequest) (Settler, error) {
+	regionHolders := s.list.Homes(request.Program)
+	first := regionHolders.At(0) // never empty: it includes this daemon
+	if first.Process == zoneHolders.At(0).Process {
+		return s.reserveAtHolders(ctx, zoneHolders, request)
 	}
-	soon := request
-	soon.Soon = true
-	settler, err := s.reserveAmong(ctx, near, soon)
+	zoneRequest := request
+	zoneRequest.Soon = true
+	settler, err := s.reserveAtHolders(ctx, zoneHolders, zoneRequest)
 	spent := errors.Is(err, ErrSpent)
 	undecided := spent || errors.Is(err, errNoStore) || state.NoVerdict(err)
 	if settler != nil || ctx.Err() != nil || !undecided {
 		return settler, err
 	}
-	// Another name: a late settlement of one holder's reservation is not to end another's.
-	request.Reservation += atRegion
-	settler, elsewhere := s.reserveAt(ctx, first, request)
+	// Under a different name, so that a late settlement of the first reservation doesn't end the
+	// second one.
+	request.Reservation += regionSuffix
+	settler, regionErr := s.reserveAt(ctx, first, request)
 	switch {
-	case elsewhere == nil, errors.Is(elsewhere, ErrSpent), errors.Is(elsewhere, errNoStore), ctx.Err() != nil:
-		return settler, elsewhere
+	case regionErr == nil, errors.Is(regionErr, ErrSpent), errors.Is(regionErr, errNoStore), ctx.Err() != nil:
+		return settler, regionErr
 	case spent:
 		return nil, err
-	default: // it gave no answer: the store is waited for here
-		request.Reservation += nearAgain
-		return s.reserveAmong(ctx, near, request)
+	default: // the first holder did not answer: wait for the store in this zone
+		request.Reservation += zoneRetrySuffix
+		return s.reserveAtHolders(ctx, zoneHolders, request)
 	}
 }
 
-// reserveAt asks one holder, or this daemon's own ledger.
+// reserveAt asks one holder, which may be this daemon.
 func (s *Shared) reserveAt(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
 	if holder.Process == s.list.Self() {
-		return s.reserveHere(ctx, request)
+		return s.reserveLocally(ctx, request)
 	}
-	return s.ask(ctx, holder, request)
+	return s.askHolder(ctx, holder, request)
 }
 
-// reserveAmong asks holders in their order, down to this daemon's own ledger.
-func (s *Shared) reserveAmong(ctx context.Context, homes members.Homes, request ReserveRequest) (Settler, error) {
-	var unanswered []identity.Zone // other zones in which a holder gave no answer
-	for order := range homes.Len() {
-		home := homes.At(order)
-		if s.Alone || home.Process == s.list.Self() {
+// reserveAtHolders asks the holders in order, and this daemon's own ledger when its turn comes or
+// no other holder is left. It returns the first definite result.
+func (s *Shared) reserveAtHolders(ctx context.Context, holders members.Homes, request ReserveRequest) (Settler, error) {
+	var silentZones []identity.Zone // other zones with a holder that did not answer
+	for order := range holders.Len() {
+		holder := holders.At(order)
+		if s.Alone || holder.Process == s.list.Self() {
 			break
 		}
-		zone := home.Process.Zone
-		if s.list.Silent(home) || slices.Contains(unanswered, zone) {
-			continue // the zone may be cut off: one wait is enough
+		zone := holder.Process.Zone
+		if s.list.Silent(holder) || slices.Contains(silentZones, zone) {
+			continue // the whole zone may be cut off
 		}
-		settler, err := s.ask(ctx, home, request)
+		settler, err := s.askHolder(ctx, holder, request)
 		if settler != nil || errors.Is(err, ErrSpent) || errors.Is(err, errNoStore) || ctx.Err() != nil {
 			return settler, err
 		}
 		if zone != s.list.Self().Zone && !errors.Is(err, errStopping) {
-			unanswered = append(unanswered, zone)
+			silentZones = append(silentZones, zone)
 		}
 	}
-	return s.reserveHere(ctx, request)
+	return s.reserveLocally(ctx, request)
 }
 
-func (s *Shared) reserveHere(ctx context.Context, request ReserveRequest) (Settler, error) {
-	reservation, err := s.ledger.reserve(ctx, request.question())
+// reserveLocally reserves from this daemon's own ledger.
+func (s *Shared) reserveLocally(ctx context.Context, request ReserveRequest) (Settler, error) {
+	reservation, err := s.ledger.reserve(ctx, request.reservationRequest())
 	if err != nil {
 		return nil, err
 	}
-	engine, read := s.ledger.trails.find(request.Program, request.Parts)
-	told := place{
-		request: request, engine: engine, read: read,
-		keptAt: s.ledger.trails.keptAt(request.Program, request.Previous), self: s.list.Self().Address,
+	engine, partsRead := s.ledger.trails.findEngine(request.Program, request.Parts)
+	placement := turnPlacement{
+		request: request, engine: engine, partsRead: partsRead,
+		keptAt: s.ledger.trails.recordedAt(request.Program, request.Previous), selfAddress: s.list.Self().Address,
 	}
-	return &local{Reservation: reservation, trails: s.ledger.trails, place: told}, nil
+	return &localSettler{Reservation: reservation, trails: s.ledger.trails, turnPlacement: placement}, nil
 }
 
-// ask returns a settler, or ErrSpent, or errNoStore, or another error if the
-// holder did not answer.
-func (s *Shared) ask(ctx context.Context, home members.Member, request ReserveRequest) (Settler, error) {
-	limited, cancel := context.WithTimeout(ctx, answerWait)
+// askHolder sends a reservation request to a holder. It returns ErrSpent, errNoStore or errStopping
+// as the holder replied, or the error of the call if the holder did not answer.
+func (s *Shared) askHolder(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
+	limited, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var reply ReserveReply
-	err := s.caller.Call(limited, home.Process.Address, peer.Control, methodReserve, request, &reply)
-	granted := &remote{shared: s, home: home, place: place{request: request, self: s.list.Self().Address}}
+	err := s.caller.Call(limited, holder.Process.Address, peer.Control, methodReserve, request, &reply)
+	granted := &remoteSettler{shared: s, holder: holder, turnPlacement: turnPlacement{request: request, selfAddress: s.list.Self().Address}}
 	if err != nil {
 		if ctx.Err() == nil {
-			s.list.Missed(home)
-			s.avoid(home, suspectWait, err.Error())
+			s.list.Missed(holder)
+			s.avoidHolder(holder, suspectDuration, err.Error())
 		}
 		if !errors.Is(err, peer.ErrNotSent) {
-			granted.Settle(0) // it may have reserved all the same
+			granted.Settle(0) // the holder may have made the reservation nevertheless
 		}
 		return nil, err
 	}
-	s.list.Trust(home)
+	s.list.Trust(holder)
 	switch reply.Result {
 	case resultReserved:
 		granted.attained = reply.Attained
-		granted.engine, granted.read = reply.Engine, reply.Read
+		granted.engine, granted.partsRead = reply.Engine, reply.Read
 		granted.keptAt = reply.KeptAt
 		return granted, nil
 	case resultSpent:
-		return nil, &HeldError{Holder: string(home.Process.Machine), Detail: reply.Detail}
+		return nil, &HeldError{Holder: string(holder.Process.Machine), Detail: reply.Detail}
 	case resultStopping:
-		s.avoid(home, leavingWait, "stopping")
+		s.avoidHolder(holder, stoppingDuration, "stopping")
 		return nil, errStopping
 	default:
-		return nil, eris.Wrapf(errNoStore, "holder %s: %s", home.Process.Machine, reply.Detail)
+		return nil, eris.Wrapf(errNoStore, "holder %s: %s", holder.Process.Machine, reply.Detail)
 	}
 }
 
-var errNoStore = errors.New("the holder of the budget does not reach the store")
+var errNoStore = errors.New("the holder of the budget cannot reach the store")
 
-// noStorePause spreads the calls after an outage.
-const noStorePause = 20 * time.Millisecond
+// storeRetryDelay is the delay before a retry once the store is available again.
+const storeRetryDelay = 20 * time.Millisecond
 
 var errStopping = errors.New("the holder is stopping")
 
-// HeldError is ErrSpent as a holder told it.
+// HeldError is an ErrSpent that a holder returned.
 type HeldError struct{ Holder, Detail string }
 
 // Error implements error.
 func (e *HeldError) Error() string { return ErrSpent.Error() + " at " + e.Holder + ": " + e.Detail }
 
-// Is makes it an ErrSpent.
+// Is reports that a HeldError matches ErrSpent.
 func (e *HeldError) Is(target error) bool { return target == ErrSpent }
 
-func (s *Shared) avoid(home members.Member, wait time.Duration, cause string) {
-	s.list.Suspect(home, wait)
-	s.log.Warn("budget: holder passed over.", zap.String("holder", string(home.Process.Machine)), zap.Duration("for", wait), zap.String("cause", cause))
+func (s *Shared) avoidHolder(holder members.Member, wait time.Duration, cause string) {
+	s.list.Suspect(holder, wait)
+	s.log.Warn("budget: holder skipped.", zap.String("holder", string(holder.Process.Machine)), zap.Duration("for", wait), zap.String("cause", cause))
 }
--- a/internal/budget/shared_test.go
+++ b/internal/budget/shared_test.go
@@ -16,20 +16,20 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// member is a daemon with a ledger and a holder that others may call.
-type member struct {
-	shared   *Shared
-	ledger   *Ledger
-	list     *members.List
-	server   *peer.Server
-	stopping bool
+// testDaemon is a daemon with a ledger, and a holder that other daemons can call.
+type testDaemon struct {
+	shared     *Shared
+	ledger     *Ledger
+	list       *members.List
+	server     *peer.Server
+	isStopping bool
 }
 
-// fellowship makes members of the regions on one store, each in a zone of its
-// own, all known to each other.
-func fellowship(store state.Store, regions ...string) []*member {
+// newTestDaemons starts one daemon for each of the regions. They use one store, are each in a zone
+// of their own, and know each other.
+func newTestDaemons(store state.Store, regions ...string) []*testDaemon {
 	GinkgoHelper()
-	var made []*member
+	var daemons []*testDaemon
 	var lists []*members.List
 	for index, region := range regions {
 		name := region + string(rune('1'+index))
@@ -43,35 +43,35 @@
 		}}
 		availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 		client := state.NewClient(state.ClientOptions{Store: store, Availability: availability})
-		one := &member{ledger: NewLedger(client, 64, time.Hour), server: server}
-		one.list = members.NewList(self, time.Now, zap.NewNop())
-		one.shared = NewShared(one.ledger, one.list, pool, availability, zap.NewNop())
-		Expect(server.Register(Service, NewHolder(one.ledger, func() bool { return one.stopping }))).To(Succeed())
-		made = append(made, one)
-		lists = append(lists, one.list)
+		daemon := &testDaemon{ledger: NewLedger(client, 64, time.Hour), server: server}
+		daemon.list = members.NewList(self, time.Now, zap.NewNop())
+		daemon.shared = NewShared(daemon.ledger, daemon.list, pool, availability, zap.NewNop())
+		Expect(server.Register(Service, NewHolder(daemon.ledger, func() bool { return daemon.isStopping }))).To(Succeed())
+		daemons = append(daemons, daemon)
+		lists = append(lists, daemon.list)
 	}
 	Expect(acquaintance.Make(lists...)).To(Succeed())
-	return made
+	return daemons
 }
 
-// home returns the member that holds the program, and the others.
-func home(all []*member, program string) (*member, []*member) {
+// findHolder returns the daemon that holds the program's budget, and the others.
+func findHolder(all []*testDaemon, program string) (*testDaemon, []*testDaemon) {
 	homes := all[0].list.Homes(program)
 	self := homes.At(0).Process
-	var holder *member
-	var others []*member
-	for _, one := range all {
-		if one.list.Self() == self {
-			holder = one
+	var holder *testDaemon
+	var others []*testDaemon
+	for _, daemon := range all {
+		if daemon.list.Self() == self {
+			holder = daemon
 			continue
 		}
-		others = append(others, one)
+		others = append(others, daemon)
 	}
 	return holder, others
 }
 
-// busyOnceCaller answers the first question in the holder's place, as one that
-// does not reach the store, and notes the names of all reservations asked for.
+// busyOnceCaller replies to the first reservation request as a holder that can't reach the store,
+// and records the names of all reservations requested.
 type busyOnceCaller struct {
 	peer.Caller
 	names []string
@@ -93,15 +93,15 @@
 
 	BeforeEach(func() { store = memorystore.New() })
 
-	reserve := func(ctx context.Context, one *member, name string, total, most int64) (Settler, error) {
-		return one.shared.Reserve(ctx, ReserveRequest{Reservation: name, Program: "p", Total: total, Most: most})
+	reserve := func(ctx context.Context, daemon *testDaemon, name string, total, most int64) (Settler, error) {
+		return daemon.shared.Reserve(ctx, ReserveRequest{Reservation: name, Program: "p", Total: total, Most: most})
 	}
 
-	It("spends one grant at all members of a region", func(ctx SpecContext) {
-		all := fellowship(store, "a", "a", "a")
+	It("spends one grant at all daemons of a region", func(ctx SpecContext) {
+		all := newTestDaemons(store, "a", "a", "a")
 		before := store.Calls("commit")
-		for number, one := range append(all, all...) {
-			settler, err := reserve(ctx, one, string(rune('a'+number)), 13000, 288)
+		for number, daemon := range append(all, all...) {
+			settler, err := reserve(ctx, daemon, string(rune('a'+number)), 13000, 288)
 			Expect(err).NotTo(HaveOccurred())
 			settler.Settle(70)
 		}
@@ -109,8 +109,8 @@
 	})
 
 	It("goes on while the store is down", func(ctx SpecContext) {
-		all := fellowship(store, "a", "a", "a")
-		_, others := home(all, "p")
+		all := newTestDaemons(store, "a", "a", "a")
+		_, others := findHolder(all, "p")
 		_, err := reserve(ctx, others[0], "first", 13000, 288)
 		Expect(err).NotTo(HaveOccurred())
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
@@ -129,7 +129,7 @@
 		Expect(next.Result).To(Equal(resultReserved), next.Detail)
 	})
 
-	It("grants nothing to who does not wait any more", func(ctx SpecContext) {
+	It("reserves nothing for a caller that has stopped waiting", func(ctx SpecContext) {
 		ledger := newLedger(memorystore.New())
 		ended, cancel := context.WithCancel(ctx)
 		first, err := ledger.Reserve(ctx, "p", 500, 100)
@@ -140,7 +140,7 @@
 		Expect(err).To(MatchError(context.Canceled))
 	})
 
-	It("counts a reservation once that is asked for twice", func(ctx SpecContext) {
+	It("counts a reservation once if it is requested twice", func(ctx SpecContext) {
 		holder := NewHolder(newLedger(store), func() bool { return false })
 		for range 2 {
 			var reply ReserveReply
@@ -149,16 +149,16 @@
 		}
 	})
 
-	It("asks again under another name, so that a late settlement frees nothing that is used", func(ctx SpecContext) {
-		all := fellowship(store, "a", "a", "a")
-		holder, others := home(all, "p")
+	It("retries under another name, so that a late settlement doesn't end a reservation in use", func(ctx SpecContext) {
+		all := newTestDaemons(store, "a", "a", "a")
+		holder, others := findHolder(all, "p")
 		caller := &busyOnceCaller{Caller: others[0].shared.caller}
 		others[0].shared.caller = caller
 		_, err := reserve(ctx, others[0], "r", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(caller.names).To(Equal([]string{"r", "r/1"}))
 
-		limited, cancel := context.WithTimeout(ctx, settleWait)
+		limited, cancel := context.WithTimeout(ctx, settleTimeout)
 		defer cancel()
 		late := SettleRequest{Reservation: "r"}
 		Expect(caller.Call(limited, holder.list.Self().Address, peer.Control, methodSettle, late, &SettleReply{})).To(Succeed())
@@ -166,10 +166,10 @@
 		Expect(err).To(MatchError(ErrSpent))
 	})
 
-	It("passes over a holder that is gone or stopping", func(ctx SpecContext) {
-		all := fellowship(store, "a", "a", "a")
-		holder, others := home(all, "p")
-		holder.stopping = true
+	It("skips a holder that has stopped or is stopping", func(ctx SpecContext) {
+		all := newTestDaemons(store, "a", "a", "a")
+		holder, others := findHolder(all, "p")
+		holder.isStopping = true
 		_, err := reserve(ctx, others[0], "r1", 13000, 288)
 		Expect(err).NotTo(HaveOccurred())
 		homes := others[0].list.Homes("p")
@@ -181,28 +181,28 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("says that a budget is spent only after the holders of other regions gave back", func(ctx SpecContext) {
-		all := fellowship(store, "a", "b")
+	It("reports a budget as spent only after the holders of other regions have released their tokens", func(ctx SpecContext) {
+		all := newTestDaemons(store, "a", "b")
 		first, err := reserve(ctx, all[0], "r1", 576, 288)
 		Expect(err).NotTo(HaveOccurred())
 		first.Settle(10)
 		second, err := reserve(ctx, all[1], "r2", 576, 288)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = reserve(ctx, all[1], "r3", 576, 278)
-		Expect(err).NotTo(HaveOccurred(), "278 of the first region were given back")
-		_, err = reserve(expired(ctx), all[1], "r4", 576, 288)
+		Expect(err).NotTo(HaveOccurred(), "the first region released 278")
+		_, err = reserve(canceledContext(ctx), all[1], "r4", 576, 288)
 		Expect(err).To(MatchError(ErrSpent))
 		second.Settle(0)
 	})
 
-	It("gives all back at a planned stop", func(ctx SpecContext) {
-		all := fellowship(store, "a")
-		settler, err := reserve(ctx, all[0], "r1", budgetOf(13000), 288)
+	It("releases all tokens at a planned stop", func(ctx SpecContext) {
+		all := newTestDaemons(store, "a")
+		settler, err := reserve(ctx, all[0], "r1", budgetWithGrantable(13000), 288)
 		Expect(err).NotTo(HaveOccurred())
 		settler.Settle(70)
 		programs, _ := all[0].ledger.ReleaseAll(ctx)
 		Expect(programs).To(Equal(1))
-		_, err = newLedger(store).Reserve(ctx, "p", budgetOf(13000), 12930)
+		_, err = newLedger(store).Reserve(ctx, "p", budgetWithGrantable(13000), 12930)
 		Expect(err).NotTo(HaveOccurred())
 	})
 })
--- a/internal/budget/trail.go
+++ b/internal/budget/trail.go
@@ -8,88 +8,90 @@
 	"github.com/hashicorp/golang-lru/v2/expirable"
 )
 
-// Trails are the engines at which programs' turns ran, by the last part of the
-// turn's prompt. The holder of a program's budget hears of each of its turns,
-// through whichever daemon it came, so it can tell the next daemon which engine
-// has read most of a prompt, and which daemon has the turn before it in memory. Both
-// are hints. It is safe for concurrent use.
+// Trails records at which engine each program's turns ran, by the last part of the turn's prompt,
+// and which daemon recorded each turn. The holder of a program's budget learns of all the program's
+// turns, whichever daemon they came to. It can therefore tell the next daemon which engine has read
+// most of a prompt, and which daemon has the previous turn in memory. Both are hints. It is safe
+// for concurrent use.
 type Trails struct {
 	mutex    sync.Mutex
-	programs *expirable.LRU[string, *trail]
+	programs *expirable.LRU[string, *programTrail]
 }
 
-// partsTrailed bounds what is remembered of one program; the oldest part gives way.
-const partsTrailed = 64
+// maxPartsPerProgram is the number of parts kept for each program; beyond it the oldest is dropped.
+const maxPartsPerProgram = 64
 
-type trail struct {
-	engines map[string]string // by part
-	order   []string          // parts, the oldest first
-	// kept are the turns that were recorded last, the oldest first.
-	kept []keptTurn
+type programTrail struct {
+	engines map[string]string // by part of a prompt
+	parts   []string          // keys of engines, oldest first
+	// recordedTurns are the last maxTurnsPerProgram recorded turns, oldest first.
+	recordedTurns []recordedTurn
 }
 
-// keptTurn is which daemon recorded a turn.
-type keptTurn struct{ turn, daemon string }
+// recordedTurn is a turn and the address of the daemon that recorded it.
+type recordedTurn struct{ turn, daemon string }
 
-// turnsTrailed bounds the recorded turns that are remembered of one program: a program
-// goes on from one of its last few, also where it runs several lines of turns at once.
-const turnsTrailed = 16
+// maxTurnsPerProgram is the number of recorded turns kept for each program. A program continues one
+// of its last few turns, even if it runs several conversations at once.
+const maxTurnsPerProgram = 16
 
-// newTrails makes trails of so many programs, each remembered for so long.
+// newTrails returns Trails that keep at most entries programs, each for at most keep.
 func newTrails(entries int, keep time.Duration) *Trails {
-	return &Trails{programs: expirable.NewLRU[string, *trail](entries, nil, keep)}
+	return &Trails{programs: expirable.NewLRU[string, *programTrail](entries, nil, keep)}
 }
 
-// note takes in that an engine read a prompt up to this part.
-func (t *Trails) note(program, part, engine string) {
+// recordEngine records that an engine has read a prompt up to and including the part. It does
+// nothing if the part or the engine is empty.
+func (t *Trails) recordEngine(program, part, engine string) {
 	if part == "" || engine == "" {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.of(program)
-	if _, noted := known.engines[part]; !noted {
-		known.order = append(known.order, part)
+	trail := t.trailOf(program)
+	if _, exists := trail.engines[part]; !exists {
+		trail.parts = append(trail.parts, part)
 	}
-	known.engines[part] = engine
-	if len(known.order) > partsTrailed {
-		delete(known.engines, known.order[0])
-		known.order = known.order[1:]
+	trail.engines[part] = engine
+	if len(trail.parts) > maxPartsPerProgram {
+		delete(trail.engines, trail.parts[0])
+		trail.parts = trail.parts[1:]
 	}
 }
 
-// of returns the trail of a program; the caller holds the mutex.
-func (t *Trails) of(program string) *trail {
-	known, found := t.programs.Get(program)
+// trailOf returns the trail of a program, and creates it if there is none. The caller holds the
+// mutex.
+func (t *Trails) trailOf(program string) *programTrail {
+	trail, found := t.programs.Get(program)
 	if !found {
-		known = &trail{engines: map[string]string{}}
-		t.programs.Add(program, known)
+		trail = &programTrail{engines: map[string]string{}}
+		t.programs.Add(program, trail)
 	}
-	return known
+	return trail
 }
 
-// settled takes in what a settlement tells.
-func (t *Trails) settled(ran Ran) {
-	t.note(ran.Program, ran.Part, ran.Engine)
+// recordTurn records where a settled turn ran and, if it was recorded, by which daemon.
+func (t *Trails) recordTurn(ran Ran) {
+	t.recordEngine(ran.Program, ran.Part, ran.Engine)
 	if ran.Turn == "" || ran.Daemon == "" {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.of(ran.Program)
-	known.kept = append(known.kept, keptTurn{turn: ran.Turn, daemon: ran.Daemon})
-	known.kept = known.kept[max(0, len(known.kept)-turnsTrailed):]
+	trail := t.trailOf(ran.Program)
+	trail.recordedTurns = append(trail.recordedTurns, recordedTurn{turn: ran.Turn, daemon: ran.Daemon})
+	trail.recordedTurns = trail.recordedTurns[max(0, len(trail.recordedTurns)-maxTurnsPerProgram):]
 }
 
-// keptAt returns the address of the daemon that recorded a turn; "": it is not known.
-func (t *Trails) keptAt(program, turn string) string {
+// recordedAt returns the address of the daemon that recorded a turn, or "" if not known.
+func (t *Trails) recordedAt(program, turn string) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known, found := t.programs.Get(program)
+	trail, found := t.programs.Get(program)
 	if !found || turn == "" {
 		return ""
 	}
-	for _, each := range slices.Backward(known.kept) {
+	for _, each := range slices.Backward(trail.recordedTurns) {
 		if each.turn == turn {
 			return each.daemon
 		}
@@ -97,17 +99,17 @@
 	return ""
 }
 
-// find returns the engine that read the longest part of a prompt, and how many of
-// the parts it read. It returns "" if none is known.
-func (t *Trails) find(program string, parts []string) (engine string, read int) {
+// findEngine returns the engine that has read the longest part of a prompt, and the number of parts
+// that it has read; "" and 0 if none is known.
+func (t *Trails) findEngine(program string, parts []string) (engine string, partsRead int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known, found := t.programs.Get(program)
+	trail, found := t.programs.Get(program)
 	if !found {
 		return "", 0
 	}
 	for index := len(parts) - 1; index >= 0; index-- {
-		if engine, noted := known.engines[parts[index]]; noted {
+		if engine, exists := trail.engines[parts[index]]; exists {
 			return engine, index + 1
 		}
 	}
--- a/internal/budget/zones_test.go
+++ b/internal/budget/zones_test.go
@@ -21,16 +21,16 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// zonesFleet is three zones of three daemons each on one store, which call one another without a network. The daemon with
-// the first claim on a program may lend to it, until it dies.
+// zonesFleet is three zones of three daemons each, which share a store and call one another without
+// a network. The daemon with the first claim on a program may lend to it until it crashes.
 type zonesFleet struct {
-	store    *memorystore.Store
-	daemons  []*zoneDaemon
-	byPlace  map[string]*zoneDaemon
-	cut      atomic.Value // identity.Zone that reaches no other zone and no store; empty: none
-	program  string
-	refused  atomic.Int64  // questions over the cut
-	settling chan struct{} // gets a value for each settlement that came, or that is lost
+	store            *memorystore.Store
+	daemons          []*zoneDaemon
+	daemonsByAddress map[string]*zoneDaemon
+	isolatedZone     atomic.Value // identity.Zone that reaches no other zone and not the store; empty if none
+	program          string
+	blockedReserves  atomic.Int64  // reservation requests that the cut blocked
+	settlements      chan struct{} // receives a value for each settlement that arrives or is lost
 }
 
 // zoneDaemon is one daemon of a zonesFleet.
@@ -42,14 +42,14 @@
 	shared *Shared
 }
 
-// cutZone is the zone that is cut off now; a question of a process that died may ask, too.
-func (f *zonesFleet) cutZone() identity.Zone {
-	zone, _ := f.cut.Load().(identity.Zone)
+// currentIsolatedZone returns the zone that is cut off, or "" if none is.
+func (f *zonesFleet) currentIsolatedZone() identity.Zone {
+	zone, _ := f.isolatedZone.Load().(identity.Zone)
 	return zone
 }
 
 func newZonesFleet(store *memorystore.Store) (*zonesFleet, error) {
-	fleet := &zonesFleet{store: store, byPlace: map[string]*zoneDaemon{}, program: "p", settling: make(chan struct{}, 1)}
+	fleet := &zonesFleet{store: store, daemonsByAddress: map[string]*zoneDaemon{}, program: "p", settlements: make(chan struct{}, 1)}
 	var lists []*members.List
 	const daemons = 9
 	for number := range daemons {
@@ -57,16 +57,16 @@
 		self := members.Member{Process: identity.Process{
 			Machine: identity.Machine(name), Zone: identity.Zone(fmt.Sprint("z", number%3)), Region: "r", Address: name,
 		}}
-		made := &zoneDaemon{fleet: fleet, list: members.NewList(self, time.Now, zap.NewNop())}
-		fleet.daemons, lists = append(fleet.daemons, made), append(lists, made.list)
-		fleet.byPlace[name] = made
-		made.start()
-		made.ledger.LendWith(NewLender(made.claimsFirst, time.Now, zap.NewNop()))
+		daemon := &zoneDaemon{fleet: fleet, list: members.NewList(self, time.Now, zap.NewNop())}
+		fleet.daemons, lists = append(fleet.daemons, daemon), append(lists, daemon.list)
+		fleet.daemonsByAddress[name] = daemon
+		daemon.start()
+		daemon.ledger.LendWith(NewLender(daemon.hasFirstClaim, time.Now, zap.NewNop()))
 	}
 	return fleet, acquaintance.Make(lists...)
 }
 
-// start begins a process that knows of nothing before, and lends nothing.
+// start replaces the daemon's process by a new one, which has no state and lends nothing.
 func (d *zoneDaemon) start() {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	client := state.NewClient(state.ClientOptions{Store: d, Availability: availability, NotHedged: true})
@@ -76,14 +76,15 @@
 	d.shared.Near = true
 }
 
-// claimsFirst goes by all daemons: no suspicion moves it.
-func (d *zoneDaemon) claimsFirst(program string) bool { return d.list.Sweeps(program) }
+// hasFirstClaim reports whether this daemon has the first claim on a program among all daemons,
+// suspected or not.
+func (d *zoneDaemon) hasFirstClaim(program string) bool { return d.list.Sweeps(program) }
 
 func (d *zoneDaemon) zone() identity.Zone { return d.list.Self().Zone }
 
 // Commit implements state.Store.
 func (d *zoneDaemon) Commit(ctx context.Context, commit state.Commit) (state.Version, error) {
-	if d.zone() == d.fleet.cutZone() {
+	if d.zone() == d.fleet.currentIsolatedZone() {
 		return 0, state.ErrNotDone
 	}
 	return d.fleet.store.Commit(ctx, commit)
@@ -91,55 +92,55 @@
 
 // Read implements state.Store.
 func (d *zoneDaemon) Read(ctx context.Context, selected state.Range) (state.Page, error) {
-	if d.zone() == d.fleet.cutZone() {
+	if d.zone() == d.fleet.currentIsolatedZone() {
 		return state.Page{}, state.ErrNotDone
 	}
 	return d.fleet.store.Read(ctx, selected)
 }
 
-// Feed implements state.Store; nobody follows a table here.
+// Feed implements state.Store. No test follows a table.
 func (d *zoneDaemon) Feed(context.Context, string, state.Version, time.Duration) (state.Change, error) {
 	return state.Change{}, state.ErrNotDone
 }
 
-var errCut = fmt.Errorf("no way: %w", peer.ErrNotSent)
+var errCut = fmt.Errorf("unreachable: %w", peer.ErrNotSent)
 
 // Call implements peer.Caller.
 func (d *zoneDaemon) Call(ctx context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
-	asked := d.fleet.byPlace[address]
-	over := asked.zone() != d.zone() && (asked.zone() == d.fleet.cutZone() || d.zone() == d.fleet.cutZone())
+	callee := d.fleet.daemonsByAddress[address]
+	crossesCut := callee.zone() != d.zone() && (callee.zone() == d.fleet.currentIsolatedZone() || d.zone() == d.fleet.currentIsolatedZone())
 	switch method {
 	case methodReserve:
-		if over {
-			d.fleet.refused.Add(1)
+		if crossesCut {
+			d.fleet.blockedReserves.Add(1)
 			return errCut
 		}
-		return asked.holder.Load().Reserve(arguments.(ReserveRequest), reply.(*ReserveReply))
+		return callee.holder.Load().Reserve(arguments.(ReserveRequest), reply.(*ReserveReply))
 	case methodRelease:
-		if over {
+		if crossesCut {
 			return errCut
 		}
-		return asked.holder.Load().Release(arguments.(ReleaseRequest), reply.(*ReleaseReply))
+		return callee.holder.Load().Release(arguments.(ReleaseRequest), reply.(*ReleaseReply))
 	default:
-		defer func() { d.fleet.settling <- struct{}{} }()
-		if over {
-			return rpc.ErrShutdown // it is not told again: the tokens stay reserved
+		defer func() { d.fleet.settlements <- struct{}{} }()
+		if crossesCut {
+			return rpc.ErrShutdown // the settlement is not retried, so the tokens stay reserved
 		}
-		return asked.holder.Load().Settle(arguments.(SettleRequest), &SettleReply{})
+		return callee.holder.Load().Settle(arguments.(SettleRequest), &SettleReply{})
 	}
 }
 
-// zoneTurn is a turn under way.
+// zoneTurn is a turn in progress.
 type zoneTurn struct {
 	settler Settler
 	fleet   *zonesFleet
 }
 
-// settle ends the turn, and waits until that was told.
+// settle ends the turn, and waits until the settlement has arrived or is lost.
 func (t *zoneTurn) settle(generated int64) {
 	t.settler.Settle(generated)
-	if _, told := t.settler.(*remote); told {
-		<-t.fleet.settling
+	if _, isRemote := t.settler.(*remoteSettler); isRemote {
+		<-t.fleet.settlements
 	}
 }
 
@@ -161,7 +162,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// within bounds a reservation that is not to succeed.
+	// within returns a context with a deadline, for reservations that must not succeed.
 	within := func(parent context.Context) context.Context {
 		ctx, cancel := context.WithTimeout(parent, 100*time.Millisecond)
 		DeferCleanup(cancel)
@@ -171,9 +172,9 @@
 	It("are whole for a program whose turns come through one zone", func(ctx SpecContext) {
 		const total, turn = 2040, 105
 		for generated := 0; generated+turn <= total; generated += turn {
-			made, err := fleet.reserve(ctx, 3*(generated/turn%3), generated, total, turn)
+			reserved, err := fleet.reserve(ctx, 3*(generated/turn%3), generated, total, turn)
 			Expect(err).NotTo(HaveOccurred(), "after %d", generated)
-			made.settle(turn)
+			reserved.settle(turn)
 		}
 		_, err := fleet.reserve(within(ctx), 0, total, total, turn)
 		Expect(err).To(MatchError(ErrSpent))
@@ -185,81 +186,82 @@
 			fleet.program = fmt.Sprint("p", number)
 			generated := 0
 			for ; generated <= total; generated += turn {
-				made, err := fleet.reserve(within(ctx), generated/turn%len(fleet.daemons), generated, total, turn)
+				reserved, err := fleet.reserve(within(ctx), generated/turn%len(fleet.daemons), generated, total, turn)
 				if err != nil {
 					Expect(err).To(MatchError(ErrSpent))
 					break
 				}
-				made.settle(turn)
+				reserved.settle(turn)
 			}
 			Expect(generated).To(BeNumerically("<=", total))
 			Expect(generated).To(BeNumerically(">", total-2*turn))
 		}
 	})
 
-	It("go on in a zone that is cut off for a program that entered there, without a call over the cut", func(ctx SpecContext) {
-		made, err := fleet.reserve(ctx, 0, 0, 13000, 288)
+	It("last in a zone that is cut off for a program that started there, without a call across the cut", func(ctx SpecContext) {
+		reserved, err := fleet.reserve(ctx, 0, 0, 13000, 288)
 		Expect(err).NotTo(HaveOccurred())
-		made.settle(70)
-		fleet.cut.Store(fleet.daemons[0].zone())
+		reserved.settle(70)
+		fleet.isolatedZone.Store(fleet.daemons[0].zone())
 		limited, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		for number := 1; number < 10; number++ {
-			made, err := fleet.reserve(limited, 3*(number%3), number, 13000, 288)
+			reserved, err := fleet.reserve(limited, 3*(number%3), number, 13000, 288)
 			Expect(err).NotTo(HaveOccurred(), "turn %d", number)
-			made.settle(70)
+			reserved.settle(70)
 		}
 	})
 })
 
-var _ = Describe("A turn's way to the holders", func() {
-	It("asks one holder of a zone that gives no answer, not the next one in it", func(ctx SpecContext) {
+var _ = Describe("The order in which holders are asked", func() {
+	It("skips the other holders of a zone after one gave no answer", func(ctx SpecContext) {
 		asked := 0
 		for number := range 20 {
 			fleet, err := newZonesFleet(memorystore.New())
 			Expect(err).NotTo(HaveOccurred())
 			fleet.program = fmt.Sprint("p", number)
-			fleet.cut.Store(fleet.daemons[0].zone())
+			fleet.isolatedZone.Store(fleet.daemons[0].zone())
 			fleet.daemons[1].shared.Near = false
-			made, err := fleet.reserve(ctx, 1, number, 13000, 288)
+			reserved, err := fleet.reserve(ctx, 1, number, 13000, 288)
 			Expect(err).NotTo(HaveOccurred())
-			made.settle(70)
-			Expect(fleet.refused.Load()).To(BeNumerically("<=", 1))
-			asked += int(fleet.refused.Load())
+			reserved.settle(70)
+			Expect(fleet.blockedReserves.Load()).To(BeNumerically("<=", 1))
+			asked += int(fleet.blockedReserves.Load())
 		}
 		Expect(asked).To(BeNumerically(">", 0))
 	})
 
-	It("does not wait at a holder whose store is away while another one can be asked", func(ctx SpecContext) {
+	It("does not wait at a holder whose store is unavailable if another one can be asked", func(ctx SpecContext) {
 		store := memorystore.New()
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
 		limited, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
-		_, err := newLedger(store).reserve(limited, reserveNeed{turnNeed{"p", 13000, 288}, true})
+		_, err := newLedger(store).reserve(limited, reservationRequest{turnRequest{"p", 13000, 288}, true})
 		Expect(state.NoVerdict(err)).To(BeTrue(), "%v", err)
 		Expect(limited.Err()).NotTo(HaveOccurred())
 	})
 })
 
-// TestNeverExceededInZones plays a program whose turns come through daemons of all zones, while one zone after the other is cut off
-// and daemons die and start again, on a store that refuses and loses answers. Whatever they generated stays
-// within the budget and the most of one turn.
+// TestNeverExceededInZones simulates a program whose turns come to daemons of all zones, while
+// zones are cut off and daemons crash and restart, on a store that refuses commits and loses
+// answers. The tokens generated must stay within the budget plus the maximum of one turn.
 func TestNeverExceededInZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		generated, total := playZones(t)
-		if generated > total+most {
-			t.Fatalf("%d tokens generated of a budget of %d and turns of %d", generated, total, most)
+		generated, total := simulateZones(t)
+		if generated > total+maxTurnTokens {
+			t.Fatalf("%d tokens generated of a budget of %d and turns of %d", generated, total, maxTurnTokens)
 		}
 	})
 }
 
-func playZones(t *rapid.T) (generated, total int64) {
+// simulateZones runs random steps and returns the tokens generated and the budget.
+func simulateZones(t *rapid.T) (generated, total int64) {
 	store := memorystore.New()
 	fleet, err := newZonesFleet(store)
 	if err != nil {
 		t.Fatal(err)
 	}
-	total = rapid.Int64Range(most, 40*most).Draw(t, "total")
+	total = rapid.Int64Range(maxTurnTokens, 40*maxTurnTokens).Draw(t, "total")
 	var turns []*zoneTurn
 	faults := []memorystore.Fault{memorystore.None, memorystore.None, memorystore.None, memorystore.None, memorystore.None, memorystore.Refused, memorystore.Lost}
 	for step := range rapid.IntRange(1, 25).Draw(t, "steps") {
@@ -268,23 +270,23 @@
 		daemon := rapid.IntRange(0, len(fleet.daemons)-1).Draw(t, fmt.Sprint("daemon ", step))
 		switch rapid.IntRange(0, 9).Draw(t, fmt.Sprint("action ", step)) {
 		case 0:
-			fleet.cut.Store(rapid.SampledFrom([]identity.Zone{"", "", "z0", "z1", "z2"}).Draw(t, fmt.Sprint("cut ", step)))
+			fleet.isolatedZone.Store(rapid.SampledFrom([]identity.Zone{"", "", "z0", "z1", "z2"}).Draw(t, fmt.Sprint("cut ", step)))
 		case 1:
 			fleet.daemons[daemon].start()
 		case 2, 3, 4:
 			for _, turn := range turns {
-				tokens := rapid.Int64Range(0, most).Draw(t, "tokens")
+				tokens := rapid.Int64Range(0, maxTurnTokens).Draw(t, "tokens")
 				generated += tokens
 				turn.settle(tokens)
 			}
 			turns = nil
 		default:
-			short, cancel := context.WithTimeout(context.Background(), briefly) // never wait for turns under way
-			if turn, err := fleet.reserve(short, daemon, step, total, most); err == nil {
+			short, cancel := context.WithTimeout(context.Background(), shortTimeout) // too short to wait for turns in progress
+			if turn, err := fleet.reserve(short, daemon, step, total, maxTurnTokens); err == nil {
 				turns = append(turns, turn)
 			}
 			cancel()
 		}
 	}
-	return generated + most*int64(len(turns)), total
+	return generated + maxTurnTokens*int64(len(turns)), total
 }
