--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,6 +1,6 @@
-// Package mechanism names the mechanisms that can be switched off one by one, so
-// that an experiment shows what each is worth. In service all are on. None of
-// them guards a promise: without one the system is slower, never wrong.
+// Package mechanism lists the mechanisms that can be switched off one by one, so that experiments
+// can measure the effect of each. In production all are on. No mechanism is needed for correctness:
+// without one the system is only slower.
 package mechanism
 
 import (
@@ -10,33 +10,34 @@
 	"github.com/rotisserie/eris"
 )
 
-// Name is a mechanism.
+// Name is the name of a mechanism in the setting that switches mechanisms off.
 type Name string
 
 // The mechanisms.
 const (
-	Lending        Name = "lending"         // budgets on credit while the store is away
-	LoadBoard      Name = "load-board"      // the load of other daemons in placement
-	Trails         Name = "trails"          // where a prompt was read through other daemons
-	SharedBudgets  Name = "shared-budgets"  // one holder of a program's budget in a region
-	StoreRelay     Name = "store-relay"     // the store through other daemons
-	HedgedCalls    Name = "hedged-calls"    // a second try of a slow call to the store
-	QualityClasses Name = "quality-classes" // slow and failing engines come last
-	Ejection       Name = "ejection"        // an engine that failed several times rests
-	PrefixGuess    Name = "prefix-guess"    // what an engine has read counts in placement
-	SharedParts    Name = "shared-parts"    // what programs share counts as read at every engine
-	ZoneCost       Name = "zone-cost"       // engines of other zones cost more
-	// WarmConnections: engines to which no connection is kept cost more.
+	Lending        Name = "lending"         // lends parts of budgets while the store is unavailable
+	LoadBoard      Name = "load-board"      // placement considers the load of other daemons
+	Trails         Name = "trails"          // placement considers engines that have read a prompt for other daemons
+	SharedBudgets  Name = "shared-budgets"  // one holder per region for each program's budget
+	StoreRelay     Name = "store-relay"     // reaches the store through other daemons
+	HedgedCalls    Name = "hedged-calls"    // sends a slow call to the store a second time
+	QualityClasses Name = "quality-classes" // placement prefers engines that are neither slow nor failing
+	Ejection       Name = "ejection"        // pauses an engine after several failures
+	PrefixGuess    Name = "prefix-guess"    // placement considers which prompts an engine has read
+	SharedParts    Name = "shared-parts"    // parts that many programs share count as read at every engine
+	ZoneCost       Name = "zone-cost"       // engines in other zones have a higher cost
+	// WarmConnections gives engines to which no connection is open a higher cost.
 	WarmConnections Name = "warm-connections"
-	// SilentZones: a zone whose members don't answer is passed over whole.
+	// SilentZones skips all members of a zone that doesn't answer.
 	SilentZones Name = "silent-zones"
-	// NearBudgets: the holders of a program's budget are of the zone that its turns come through.
+	// NearBudgets takes the holders of a program's budget from the zone that its turns come
+	// through.
 	NearBudgets  Name = "near-budgets"
-	EngineSpeeds Name = "engine-speeds" // slow engines get less, by what all daemons saw
-	Admission    Name = "admission"     // programs under way are bounded by what engines hold
+	EngineSpeeds Name = "engine-speeds" // slow engines get fewer requests, by the speeds that all daemons observe
+	Admission    Name = "admission"     // bounds the programs in progress by the capacity of the engines
 )
 
-// All lists the mechanisms.
+// All returns all mechanisms.
 func All() []Name {
 	return []Name{
 		Lending, LoadBoard, Trails, SharedBudgets, StoreRelay, HedgedCalls, QualityClasses, Ejection, PrefixGuess, SharedParts, ZoneCost,
@@ -44,23 +45,25 @@
 	}
 }
 
-// Off is what is switched off; nil: nothing.
+// Off lists the mechanisms that are switched off; nil if none is.
 type Off []Name
 
-// Has tells whether a mechanism is switched off.
+// Has reports whether a mechanism is switched off.
 func (o Off) Has(name Name) bool { return slices.Contains(o, name) }
 
-// Check returns an error that names what is no mechanism.
+// Check returns an error if o contains a name that is not a mechanism. The error lists all
+// mechanisms.
 func (o Off) Check() error {
 	for _, name := range o {
 		if !slices.Contains(All(), name) {
-			return eris.Errorf("%q is no mechanism; there are %s", name, list())
+			return eris.Errorf("%q is no mechanism; the mechanisms are %s", name, joinNames())
 		}
 	}
 	return nil
 }
 
-func list() string {
+// joinNames returns the names of all mechanisms, separated by ", ".
+func joinNames() string {
 	var names []string
 	for _, name := range All() {
 		names = append(names, string(name))
