--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -25,8 +25,8 @@
 	Changed int64    `cbor:"c"` // time of the last change, in Unix seconds
 }
 
-// rowTTL is how long a row is kept after its last change. It must be longer than a program can run
-// without a grant to or a release by any holder.
+// rowTTL is how long a row is kept after its last change. It must be longer than any program can go
+// without a change of its rows.
 const rowTTL = 24 * time.Hour
 
 // Leftovers returns a sweep that deletes the rows of programs that ended long ago. mine reports
@@ -47,7 +47,7 @@
 type account struct {
 	key        state.Key
 	limit      int64 // the most tokens that may be granted from the account
-	grantWhole bool  // whether all that is left is granted at once
+	grantWhole bool  // if true, all that remains is granted at once
 	stored     row   // as last read or written
 	version    state.Version
 	pending    *pendingGrant // the commit in progress, or whose outcome is unknown; nil if none
@@ -60,8 +60,7 @@
 	amount int64 // tokens
 }
 
-// Thresholds in tokens. They must be the same at all processes, and must not depend on how many
-// tokens a turn requests.
+// Thresholds in tokens. They must be the same at all processes.
 const (
 	// minBudgetWithCreditTokens is the budget up to which there is no credit reserve.
 	minBudgetWithCreditTokens = 640
@@ -85,28 +84,28 @@
 	}
 }
 
-// grantSize returns how many tokens to request from an account that has left tokens, for a turn
-// that lacks need tokens.
+// grantSize returns how many tokens to request from an account with remaining tokens, for a turn
+// that is short of `need` tokens.
 //
 // The first account is granted whole, since one holder serves all daemons of a region. The second
 // account is for the holders of other regions and for replacements of a lost holder: each takes
-// half of what is left. If left is less than one and a half times need, only need is granted, since
-// the tokens granted to a holder that is lost can't be used any more.
-func (a *account) grantSize(left, need int64) int64 {
-	const leftFactor, needFactor = 2, 3 // 2*left < 3*need: less than one and a half times the need is left
-	if leftFactor*left < needFactor*need {
+// half of what remains. If less than one and a half times `need` remains, only `need` is granted,
+// since the tokens granted to a holder that is lost can't be used any more.
+func (a *account) grantSize(remaining, need int64) int64 {
+	const remainingFactor, needFactor = 2, 3 // remaining < 1.5*need, in integers
+	if remainingFactor*remaining < needFactor*need {
 		return need
 	}
 	if a.grantWhole {
-		return left
+		return remaining
 	}
 	const remainingHolders = 2
-	return max(need, left/remainingHolders)
+	return max(need, remaining/remainingHolders)
 }
 
-// draw obtains a grant from one account for the tokens that held lacks for a turn of maxTokens;
-// with inAdvance, also for later turns. It returns a *SpentError if the account has too few tokens
-// left; those that it has are granted.
+// draw obtains a grant from one account, for the tokens that held is short of for a turn of
+// maxTokens tokens. If inAdvance is set, the grant includes tokens for later turns. If the account
+// has too few tokens left, those are granted, and draw returns a *SpentError.
 func (l *Ledger) draw(ctx context.Context, held *holding, from *account, maxTokens int64, inAdvance bool) error {
 	for range maxConflicts {
 		if from.pending == nil {
@@ -114,15 +113,15 @@
 			if need <= 0 {
 				return nil // other turns have returned enough meanwhile
 			}
-			left := from.limit - from.stored.Granted
-			if left <= 0 {
+			remaining := from.limit - from.stored.Granted
+			if remaining <= 0 {
 				return from.spentError(need)
 			}
 			amount := need
 			if inAdvance {
-				amount = from.grantSize(left, need)
+				amount = from.grantSize(remaining, need)
 			}
-			from.pending = &pendingGrant{id: rand.Uint64(), amount: min(amount, left)}
+			from.pending = &pendingGrant{id: rand.Uint64(), amount: min(amount, remaining)}
 		}
 		granted, err := l.commitPending(ctx, from)
 		if err != nil {
@@ -154,7 +153,8 @@
 	return from.applyConflict(from.pending.id, err)
 }
 
-// checkAvailable returns a *SpentError if held lacks tokens for a turn of maxTokens.
+// checkAvailable returns a *SpentError if held has too few tokens available for a turn of maxTokens
+// tokens.
 func (a *account) checkAvailable(held *holding, maxTokens int64) error {
 	if shortfall := held.shortfall(maxTokens); shortfall > 0 {
 		return a.spentError(shortfall)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -60,7 +60,7 @@
 		Expect(store.Calls("commit")).To(Equal(1))
 	})
 
-	DescribeTable("leaves enough for other processes, even if none releases its tokens", func(ctx SpecContext, down ...int) {
+	DescribeTable("leaves enough to other processes, even if none releases its tokens", func(ctx SpecContext, down ...int) {
 		for _, account := range down {
 			partition := newAccounts("p", budgetWithGrantable(1300))[account].key.Partition
 			store.Misbehave(func(call memorystore.Call) memorystore.Fault {
@@ -84,7 +84,7 @@
 		Entry("each account is unavailable to one", 0, 1),
 	)
 
-	It("never grants more than the budget, and returns the details", func(ctx SpecContext) {
+	It("never grants more than the budget, and returns the account's state in the error", func(ctx SpecContext) {
 		first, second := newLedger(store), newLedger(store)
 		_, err := first.Reserve(ctx, "p", 576, 288)
 		Expect(err).NotTo(HaveOccurred())
@@ -98,7 +98,7 @@
 		Expect(err.Error()).To(ContainSubstring("576 of 576 tokens granted, 288 more needed"))
 	})
 
-	It("sends a slow store one request for all waiting turns, which continues after they give up", func(ctx SpecContext) {
+	It("asks a slow store once for all turns that wait, and doesn't cancel the request when they give up", func(ctx SpecContext) {
 		answers, commits := make(chan struct{}), atomic.Int64{}
 		ledger := newSlowLedger(&slowStore{Store: store, answers: answers, commits: &commits})
 		for range 5 {
@@ -146,7 +146,7 @@
 		Eventually(next).Should(Receive(BeNil()))
 	})
 
-	It("divides a budget in the same way, however many tokens a turn requests", func(ctx SpecContext) {
+	It("divides a budget alike, however many tokens a turn requests", func(ctx SpecContext) {
 		granted := int64(0)
 		for _, asked := range []int64{600, 100, 1000, 400, 300, 200, 100, 50} {
 			if _, err := newLedger(store).Reserve(ctx, "p", 1100, asked); err == nil {
@@ -156,7 +156,7 @@
 		Expect(granted).To(BeNumerically("<=", 1100))
 	})
 
-	It("draws on the second account while the first one's partition is down", func(ctx SpecContext) {
+	It("draws on the other half while a partition is down", func(ctx SpecContext) {
 		down := ""
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			if down == "" {
@@ -197,7 +197,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("continues when other holders don't answer the request to release", func(ctx SpecContext) {
+	It("goes on by itself when others do not answer the request to release their tokens", func(ctx SpecContext) {
 		first, second := newLedger(store), newLedger(store)
 		held, err := first.Reserve(ctx, "p", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
@@ -286,7 +286,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		generated, total := simulate(t)
 		if generated > total-creditReserve(total) {
-			t.Fatalf("%d tokens generated of a budget of %d, of which %d are withheld", generated, total, creditReserve(total))
+			t.Fatalf("%d tokens generated of a budget of %d, with a credit reserve of %d", generated, total, creditReserve(total))
 		}
 	})
 }
--- a/internal/budget/credit.go
+++ b/internal/budget/credit.go
@@ -85,36 +85,36 @@
 
 // lend reserves the tokens of a turn from the program's credit. It returns nil if nothing may be
 // lent.
-func (l *Lender) lend(need turnRequest, reason cause) *loan {
-	if l == nil || !l.mayLend(need.program) {
+func (l *Lender) lend(turn turnParams, reason cause) *loan {
+	if l == nil || !l.mayLend(turn.program) {
 		return nil
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	programCredit := l.openCredit(need)
-	if programCredit == nil || programCredit.lent+need.maxTokens > programCredit.limit(reason) {
+	programCredit := l.openCredit(turn)
+	if programCredit == nil || programCredit.lent+turn.maxTokens > programCredit.limit(reason) {
 		return nil
 	}
-	programCredit.lent += need.maxTokens
+	programCredit.lent += turn.maxTokens
 	programCredit.lastUsed = l.now()
-	l.log.Info("budget: lent.", zap.String("program", need.program), zap.Int64("most", need.maxTokens),
+	l.log.Info("budget: lent.", zap.String("program", turn.program), zap.Int64("most", turn.maxTokens),
 		zap.Int64("lent", programCredit.lent), zap.Int64("limit", programCredit.limit(reason)), zap.String("cause", string(reason)))
-	return &loan{lender: l, credit: programCredit, maxTokens: need.maxTokens}
+	return &loan{lender: l, credit: programCredit, maxTokens: turn.maxTokens}
 }
 
 // openCredit returns the program's credit, and creates it if there is none. It returns nil if there
 // are too many credits. The caller holds the mutex.
-func (l *Lender) openCredit(need turnRequest) *credit {
-	programCredit, known := l.credits[need.program]
+func (l *Lender) openCredit(turn turnParams) *credit {
+	programCredit, known := l.credits[turn.program]
 	if !known {
 		if len(l.credits) >= maxCredits && l.deleteExpired() == 0 {
 			return nil
 		}
-		programCredit = &credit{total: need.total, maxTokens: need.maxTokens, lastUsed: l.now()}
-		l.credits[need.program] = programCredit
+		programCredit = &credit{total: turn.total, maxTokens: turn.maxTokens, lastUsed: l.now()}
+		l.credits[turn.program] = programCredit
 	}
-	programCredit.total = min(programCredit.total, need.total)
-	programCredit.maxTokens = min(programCredit.maxTokens, need.maxTokens)
+	programCredit.total = min(programCredit.total, turn.total)
+	programCredit.maxTokens = min(programCredit.maxTokens, turn.maxTokens)
 	return programCredit
 }
 
--- a/internal/budget/credit_test.go
+++ b/internal/budget/credit_test.go
@@ -120,12 +120,12 @@
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("lends to no further program while it can't drop a credit", func(ctx SpecContext) {
+	It("doesn't lend to another program when maxCredits is reached", func(ctx SpecContext) {
 		lender := NewLender(mayAlwaysLend, time.Now, zap.NewNop())
 		for number := range maxCredits {
-			Expect(lender.lend(turnRequest{fmt.Sprint(number), 1600, 300}, causeOutage)).NotTo(BeNil())
+			Expect(lender.lend(turnParams{fmt.Sprint(number), 1600, 300}, causeOutage)).NotTo(BeNil())
 		}
-		Expect(lender.lend(turnRequest{"one more", 1600, 300}, causeOutage)).To(BeNil())
+		Expect(lender.lend(turnParams{"one more", 1600, 300}, causeOutage)).To(BeNil())
 	})
 })
 
--- a/internal/budget/granting.go
+++ b/internal/budget/granting.go
@@ -11,9 +11,9 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// grantRequest is a request to the store for a grant. All turns of the program share it, and it
-// continues after the turns that wait have given up. If each turn sent its own requests, a slow
-// store would get new commits all the time whose answers nobody waits for.
+// grantRequest is a request to the store for a grant, shared by all turns of the program. It is not
+// canceled when the turns that wait for it give up: with a slow store, new turns would otherwise
+// send the same commit again and again.
 type grantRequest struct {
 	maxTokens int64 // of the turn that started the request
 	done      chan struct{}
@@ -21,20 +21,21 @@
 }
 
 const (
-	// defaultGrantTimeout is as long as one call to the store may take.
+	// defaultGrantTimeout bounds one request to the store. It is as long as one call to the store
+	// may take.
 	defaultGrantTimeout = time.Second
-	// lendDelay is how long a turn waits for the store before it gets a loan: several times the
+	// maxLoanDelay is how long a turn waits for the store before it gets a loan: several times the
 	// usual response time.
-	lendDelay = 60 * time.Millisecond
+	maxLoanDelay = 60 * time.Millisecond
 )
 
 // startGrantRequest starts a request to the store. The caller holds the holding's mutex.
-func (l *Ledger) startGrantRequest(held *holding, need turnRequest) *grantRequest {
-	request := &grantRequest{maxTokens: need.maxTokens, done: make(chan struct{})}
+func (l *Ledger) startGrantRequest(held *holding, turn turnParams) *grantRequest {
+	request := &grantRequest{maxTokens: turn.maxTokens, done: make(chan struct{})}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), l.grantTimeout)
 		defer cancel()
-		request.err = l.acquireFromStore(ctx, held, need)
+		request.err = l.acquireFromStore(ctx, held, turn)
 		held.mutex.Lock()
 		held.grantRequest = nil
 		held.mutex.Unlock()
@@ -43,21 +44,20 @@
 	return request
 }
 
-// awaitGrant waits for a request to the store and returns nil, nil if tokens have been granted. If
-// the store takes longer than the loan delay, or the outcome is unknown, it returns a loan if one
-// is possible. If no loan is possible and need.failFast is set, it returns an error after the loan
-// delay.
-func (l *Ledger) awaitGrant(ctx context.Context, pending *grantRequest, need reservationRequest) (*loan, error) {
-	lendTimer := time.NewTimer(l.loanDelay())
-	defer lendTimer.Stop()
+// awaitGrant waits for a request to the store, and returns nil, nil if tokens have been granted. If
+// the store takes longer than loanDelay, or the outcome is unknown, it returns a loan if one is
+// possible. If no loan is possible and params.failFast is set, it returns an error after loanDelay.
+func (l *Ledger) awaitGrant(ctx context.Context, pending *grantRequest, params reserveParams) (*loan, error) {
+	loanTimer := time.NewTimer(l.loanDelay())
+	defer loanTimer.Stop()
 	select {
 	case <-pending.done:
 	case <-ctx.Done():
-	case <-lendTimer.C:
-		if lent := l.lender.lend(need.turnRequest, causeOutage); lent != nil {
+	case <-loanTimer.C:
+		if lent := l.lender.lend(params.turnParams, causeOutage); lent != nil {
 			return lent, nil
 		}
-		if need.failFast {
+		if params.failFast {
 			return nil, eris.Wrap(state.ErrNotDone, "no grant from the store in time")
 		}
 	}
@@ -67,31 +67,31 @@
 		return nil, eris.Wrapf(state.ErrNotDone, "wait for a grant: %v", ctx.Err())
 	}
 	if state.NoVerdict(pending.err) {
-		return l.lender.lend(need.turnRequest, causeOutage), pending.err
+		return l.lender.lend(params.turnParams, causeOutage), pending.err
 	}
 	return nil, pending.err
 }
 
-// loanDelay returns how long to wait for the store before a loan: not at all if the store is known
-// to be down.
+// loanDelay returns how long a turn waits for the store before it gets a loan: 0 if the store is
+// known to be down, otherwise maxLoanDelay.
 func (l *Ledger) loanDelay() time.Duration {
 	if !l.store.Available() {
 		return 0
 	}
-	return lendDelay
+	return maxLoanDelay
 }
 
 // acquireFromStore obtains a grant from the store. If the budget is spent, it asks the other holders
 // to release theirs and tries once more.
-func (l *Ledger) acquireFromStore(ctx context.Context, held *holding, need turnRequest) error {
+func (l *Ledger) acquireFromStore(ctx context.Context, held *holding, turn turnParams) error {
 	if err := held.lockStore(ctx); err != nil {
 		return err
 	}
 	defer held.unlockStore()
-	grant := func() error { return l.drawFromAccounts(ctx, held, need.maxTokens) }
+	grant := func() error { return l.drawFromAccounts(ctx, held, turn.maxTokens) }
 	err := l.store.Repeat(ctx, grant)
 	if errors.Is(err, ErrSpent) && l.startReclaim(held) {
-		l.reclaimFromOthers(ctx, need.program)
+		l.reclaimFromOthers(ctx, turn.program)
 		held.forgetRows()
 		err = l.store.Repeat(ctx, grant)
 	}
@@ -101,7 +101,7 @@
 // checkSpent returns a *SpentError if it is known without asking that the store grants nothing
 // more, and it is too early to ask the other holders again. It returns nil if the store should be
 // asked.
-func (l *Ledger) checkSpent(held *holding, need turnRequest) error {
+func (l *Ledger) checkSpent(held *holding, turn turnParams) error {
 	select {
 	case held.storeLock <- struct{}{}:
 	default:
@@ -116,7 +116,7 @@
 		if each.pending != nil || each.stored.Granted < each.limit {
 			return nil
 		}
-		spent = each.spentError(held.shortfall(need.maxTokens))
+		spent = each.spentError(held.shortfall(turn.maxTokens))
 	}
 	return spent
 }
@@ -201,8 +201,8 @@
 	}
 }
 
-// drawFromAccounts obtains grants for a turn of maxTokens, first from accounts whose partitions are
-// available. Tokens granted before an error stay available.
+// drawFromAccounts obtains grants for a turn of maxTokens tokens. It tries accounts in available
+// partitions first. Tokens that were granted before an error stay available.
 func (l *Ledger) drawFromAccounts(ctx context.Context, held *holding, maxTokens int64) error {
 	var failure error
 	before := held.totalGranted
@@ -222,7 +222,8 @@
 	return failure
 }
 
-// sortByHealth returns the accounts with those last whose partitions failed recently.
+// sortByHealth returns a copy of accounts in which those whose partitions failed recently come
+// last.
 func (l *Ledger) sortByHealth(accounts []*account) []*account {
 	var names []string
 	for _, each := range accounts {
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -31,8 +31,9 @@
 	Soon bool
 }
 
-func (r *ReserveRequest) reservationRequest() reservationRequest {
-	return reservationRequest{turnRequest: turnRequest{program: r.Program, total: r.Total, maxTokens: r.Most}, failFast: r.Soon}
+// params returns the arguments for Ledger.reserve.
+func (r *ReserveRequest) params() reserveParams {
+	return reserveParams{turnParams: turnParams{program: r.Program, total: r.Total, maxTokens: r.Most}, failFast: r.Soon}
 }
 
 // Result is the outcome of a ReserveRequest.
@@ -121,7 +122,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), holderTimeout)
 	defer cancel()
-	reservation, err := h.ledger.reserve(ctx, request.reservationRequest())
+	reservation, err := h.ledger.reserve(ctx, request.params())
 	var spent *SpentError
 	switch {
 	case err == nil && h.addReservation(request.Reservation, reservation):
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -36,8 +36,8 @@
 		if to.pending != nil {
 			continue
 		}
-		// Withdrawn before the commit: even if its outcome is unknown, the tokens are not spent
-		// here.
+		// Withdraw the tokens before the commit, so that this process can't spend them even if the
+		// commit's outcome is unknown.
 		amount := held.withdraw(to.stored.Granted)
 		if amount == 0 {
 			continue
@@ -50,9 +50,9 @@
 	return released, nil
 }
 
-// returnToAccount reduces the tokens granted from an account. The ID in the row shows whether an
-// attempt without an answer succeeded, so the amount is subtracted once. If the outcome stays
-// unknown, it returns an error and the tokens count as spent.
+// returnToAccount subtracts the amount from the tokens granted from an account. The ID in the row
+// shows whether an attempt without an answer succeeded, so the amount is subtracted once. If the
+// outcome stays unknown, it returns an error and the tokens stay granted.
 func (l *Ledger) returnToAccount(ctx context.Context, to *account, amount int64) error {
 	grantID := rand.Uint64()
 	for range maxConflicts {
@@ -73,7 +73,8 @@
 	return eris.New("release budget: too many conflicts")
 }
 
-// maxReleaseIdle is the time since its last turn after which a program is not expected to continue.
+// maxReleaseIdle is how long after its last turn a program is expected to continue. The tokens of
+// programs that have been idle for longer are not released.
 const maxReleaseIdle = 5 * time.Second
 
 // ReleaseAll releases the tokens of programs that are likely to continue at other daemons. It is
--- a/internal/budget/settling.go
+++ b/internal/budget/settling.go
@@ -65,13 +65,13 @@
 // remoteSettler settles a reservation at another daemon.
 type remoteSettler struct {
 	turnPlacement
-	shared   *Shared
-	holder   members.Member
-	attained int64
+	shared    *Shared
+	holder    members.Member
+	generated int64
 }
 
 // Attained implements Settler.
-func (r *remoteSettler) Attained() int64 { return r.attained }
+func (r *remoteSettler) Attained() int64 { return r.generated }
 
 // Settle implements Settler. It does not wait for the holder: it sends the settlement in the
 // background, and logs a warning if all attempts fail.
--- a/internal/budget/shared.go
+++ b/internal/budget/shared.go
@@ -19,14 +19,15 @@
 
 // Timeouts and retries of calls to holders.
 const (
-	reserveTimeout = 400 * time.Millisecond // of one reservation request
-	// A lost settlement leaves a program's tokens reserved. It is therefore retried for a few
-	// seconds, in which a holder that was busy or cut off may be available again.
+	reserveTimeout = 400 * time.Millisecond // bounds one reservation request
+	// settleTimeout bounds one attempt to send a settlement. A settlement is sent up to
+	// maxSettleAttempts times, with growing pauses that start at settleBackoff, since the tokens of
+	// a lost one stay reserved.
 	settleTimeout     = time.Second
 	maxSettleAttempts = 3
 	settleBackoff     = 500 * time.Millisecond
-	suspectDuration   = time.Second      // how long a holder that did not answer is skipped
-	stoppingDuration  = 10 * time.Second // how long a holder that is stopping is skipped
+	suspectDuration   = time.Second      // a holder that did not answer is skipped for this long
+	stoppingDuration  = 10 * time.Second // a holder that is stopping is skipped for this long
 )
 
 // Settler gives access to a reservation and ends it.
@@ -105,7 +106,7 @@
 	return s.reserveInZone(ctx, zoneHolders, request)
 }
 
-// Suffixes of a reservation's name after the holders of this zone have been asked.
+// Suffixes of the reservation's name in the second and third attempt of reserveInZone.
 const (
 	regionSuffix    = "/region"
 	zoneRetrySuffix = "/near"
@@ -115,7 +116,7 @@
 // unavailable, it asks the region's first holder, which may be able to lend.
 func (s *Shared) reserveInZone(ctx context.Context, zoneHolders members.Homes, request ReserveRequest) (Settler, error) {
 	regionHolders := s.list.Homes(request.Program)
-	first := regionHolders.At(0) // never empty: it includes this daemon
+	first := regionHolders.At(0) // there is at least one: this daemon
 	if first.Process == zoneHolders.At(0).Process {
 		return s.reserveAtHolders(ctx, zoneHolders, request)
 	}
@@ -127,7 +128,7 @@
 	if settler != nil || ctx.Err() != nil || !undecided {
 		return settler, err
 	}
-	// Under a different name, so that a late settlement of the first reservation doesn't end the
+	// The name must differ, so that a late settlement of the first reservation doesn't end the
 	// second one.
 	request.Reservation += regionSuffix
 	settler, regionErr := s.reserveAt(ctx, first, request)
@@ -176,7 +177,7 @@
 
 // reserveLocally reserves from this daemon's own ledger.
 func (s *Shared) reserveLocally(ctx context.Context, request ReserveRequest) (Settler, error) {
-	reservation, err := s.ledger.reserve(ctx, request.reservationRequest())
+	reservation, err := s.ledger.reserve(ctx, request.params())
 	if err != nil {
 		return nil, err
 	}
@@ -191,10 +192,10 @@
 // askHolder sends a reservation request to a holder. It returns ErrSpent, errNoStore or errStopping
 // as the holder replied, or the error of the call if the holder did not answer.
 func (s *Shared) askHolder(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
-	limited, cancel := context.WithTimeout(ctx, reserveTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var reply ReserveReply
-	err := s.caller.Call(limited, holder.Process.Address, peer.Control, methodReserve, request, &reply)
+	err := s.caller.Call(callCtx, holder.Process.Address, peer.Control, methodReserve, request, &reply)
 	granted := &remoteSettler{shared: s, holder: holder, turnPlacement: turnPlacement{request: request, selfAddress: s.list.Self().Address}}
 	if err != nil {
 		if ctx.Err() == nil {
@@ -209,7 +210,7 @@
 	s.list.Trust(holder)
 	switch reply.Result {
 	case resultReserved:
-		granted.attained = reply.Attained
+		granted.generated = reply.Attained
 		granted.engine, granted.partsRead = reply.Engine, reply.Read
 		granted.keptAt = reply.KeptAt
 		return granted, nil
@@ -230,7 +231,8 @@
 
 var errStopping = errors.New("the holder is stopping")
 
-// HeldError is an ErrSpent that a holder returned.
+// HeldError is returned if another daemon, as the holder, reports that the budget is spent. It
+// matches ErrSpent.
 type HeldError struct{ Holder, Detail string }
 
 // Error implements error.
--- a/internal/budget/shared_test.go
+++ b/internal/budget/shared_test.go
@@ -56,12 +56,12 @@
 
 // findHolder returns the daemon that holds the program's budget, and the others.
 func findHolder(all []*testDaemon, program string) (*testDaemon, []*testDaemon) {
-	homes := all[0].list.Homes(program)
-	self := homes.At(0).Process
+	holders := all[0].list.Homes(program)
+	holderProcess := holders.At(0).Process
 	var holder *testDaemon
 	var others []*testDaemon
 	for _, daemon := range all {
-		if daemon.list.Self() == self {
+		if daemon.list.Self() == holderProcess {
 			holder = daemon
 			continue
 		}
@@ -108,7 +108,7 @@
 		Expect(store.Calls("commit") - before).To(Equal(1))
 	})
 
-	It("goes on while the store is down", func(ctx SpecContext) {
+	It("continues while the store is down", func(ctx SpecContext) {
 		all := newTestDaemons(store, "a", "a", "a")
 		_, others := findHolder(all, "p")
 		_, err := reserve(ctx, others[0], "first", 13000, 288)
@@ -149,7 +149,7 @@
 		}
 	})
 
-	It("retries under another name, so that a late settlement doesn't end a reservation in use", func(ctx SpecContext) {
+	It("asks again under another name, so that a late settlement doesn't end a reservation in use", func(ctx SpecContext) {
 		all := newTestDaemons(store, "a", "a", "a")
 		holder, others := findHolder(all, "p")
 		caller := &busyOnceCaller{Caller: others[0].shared.caller}
@@ -158,10 +158,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(caller.names).To(Equal([]string{"r", "r/1"}))
 
-		limited, cancel := context.WithTimeout(ctx, settleTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 		defer cancel()
 		late := SettleRequest{Reservation: "r"}
-		Expect(caller.Call(limited, holder.list.Self().Address, peer.Control, methodSettle, late, &SettleReply{})).To(Succeed())
+		Expect(caller.Call(callCtx, holder.list.Self().Address, peer.Control, methodSettle, late, &SettleReply{})).To(Succeed())
 		_, err = reserve(ctx, others[1], "next", 500, 288)
 		Expect(err).To(MatchError(ErrSpent))
 	})
--- a/internal/budget/trail.go
+++ b/internal/budget/trail.go
@@ -35,9 +35,10 @@
 // of its last few turns, even if it runs several conversations at once.
 const maxTurnsPerProgram = 16
 
-// newTrails returns Trails that keep at most entries programs, each for at most keep.
-func newTrails(entries int, keep time.Duration) *Trails {
-	return &Trails{programs: expirable.NewLRU[string, *programTrail](entries, nil, keep)}
+// newTrails returns Trails that keep up to maxPrograms programs. A program is dropped when its
+// trail is older than ttl.
+func newTrails(maxPrograms int, ttl time.Duration) *Trails {
+	return &Trails{programs: expirable.NewLRU[string, *programTrail](maxPrograms, nil, ttl)}
 }
 
 // recordEngine records that an engine has read a prompt up to and including the part. It does
--- a/internal/budget/trail_test.go
+++ b/internal/budget/trail_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymeloft/thymeloft/internal/lab/memorystore"
 )
 
-var _ = Describe("Trails", func() {
+var _ = Describe("Where a program's turns ran", func() {
 	var all []*testDaemon
 
 	BeforeEach(func() { all = newTestDaemons(memorystore.New(), "a", "a", "a") })
@@ -30,7 +30,7 @@
 		return readAt, partsRead
 	}
 
-	It("give the next turn's daemon the engine, whichever daemon had the previous turn", func(ctx SpecContext) {
+	It("is known at the daemon that gets the next turn, whichever daemon had the previous one", func(ctx SpecContext) {
 		holder, others := findHolder(all, "p")
 		turn(ctx, others[0], "e1", "shared", "one")
 		Eventually(func() string {
@@ -49,7 +49,7 @@
 		Expect(read).To(Equal(3))
 	})
 
-	It("return the engine that has read the longest part of the prompt", func(ctx SpecContext) {
+	It("is given by the longest part of the prompt that an engine has read", func(ctx SpecContext) {
 		holder, _ := findHolder(all, "p")
 		turn(ctx, holder, "e1", "shared", "one")
 		turn(ctx, holder, "e2", "shared", "one", "child")
@@ -61,7 +61,7 @@
 		Expect(read).To(Equal(3))
 	})
 
-	It("record nothing for a turn that did not run, nor for other programs", func(ctx SpecContext) {
+	It("is not recorded for a turn that did not run, nor for other programs", func(ctx SpecContext) {
 		holder, _ := findHolder(all, "p")
 		turn(ctx, holder, "", "shared", "one")
 		engine, _ := turn(ctx, holder, "e1", "shared", "one")
@@ -70,7 +70,7 @@
 		Expect(engine).To(BeEmpty())
 	})
 
-	It("return the daemon that recorded the previous turn", func(ctx SpecContext) {
+	It("includes the daemon that recorded the previous turn", func(ctx SpecContext) {
 		holder, others := findHolder(all, "p")
 		recorded := func(daemon *testDaemon, name, previous string) (keptAt string) {
 			GinkgoHelper()
@@ -93,7 +93,7 @@
 		Expect(holder.ledger.trails.recordedAt("p", "one")).To(BeEmpty(), "the oldest turn was dropped")
 	})
 
-	It("record no daemon for a turn that was not recorded", func(ctx SpecContext) {
+	It("includes no daemon for a turn that was not recorded", func(ctx SpecContext) {
 		holder, _ := findHolder(all, "p")
 		settler, err := holder.shared.Reserve(ctx, ReserveRequest{Reservation: "one", Program: "p", Total: 13000, Most: 288})
 		Expect(err).NotTo(HaveOccurred())
@@ -102,7 +102,7 @@
 		Expect(holder.ledger.trails.recordedAt("p", "one")).To(BeEmpty())
 	})
 
-	It("are bounded for each program", func() {
+	It("is bounded for each program", func() {
 		trails := newTrails(8, time.Hour)
 		for part := range maxPartsPerProgram + 1 {
 			trails.recordEngine("p", fmt.Sprint(part), "e")
--- a/internal/budget/zones_test.go
+++ b/internal/budget/zones_test.go
@@ -169,7 +169,7 @@
 		return ctx
 	}
 
-	It("are whole for a program whose turns come through one zone", func(ctx SpecContext) {
+	It("can be used in full by a program whose turns come through one zone", func(ctx SpecContext) {
 		const total, turn = 2040, 105
 		for generated := 0; generated+turn <= total; generated += turn {
 			reserved, err := fleet.reserve(ctx, 3*(generated/turn%3), generated, total, turn)
@@ -180,7 +180,7 @@
 		Expect(err).To(MatchError(ErrSpent))
 	})
 
-	It("are whole for a program whose turns come through all zones in turn", func(ctx SpecContext) {
+	It("can be used in full by a program whose turns come through all zones in rotation", func(ctx SpecContext) {
 		const total, turn, programs = 2040, 105, 10
 		for number := range programs {
 			fleet.program = fmt.Sprint("p", number)
@@ -198,22 +198,22 @@
 		}
 	})
 
-	It("last in a zone that is cut off for a program that started there, without a call across the cut", func(ctx SpecContext) {
+	It("remain usable in a zone that is cut off, for a program that started there, without a call across the cut", func(ctx SpecContext) {
 		reserved, err := fleet.reserve(ctx, 0, 0, 13000, 288)
 		Expect(err).NotTo(HaveOccurred())
 		reserved.settle(70)
 		fleet.isolatedZone.Store(fleet.daemons[0].zone())
-		limited, cancel := context.WithTimeout(ctx, 5*time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		for number := 1; number < 10; number++ {
-			reserved, err := fleet.reserve(limited, 3*(number%3), number, 13000, 288)
+			reserved, err := fleet.reserve(callCtx, 3*(number%3), number, 13000, 288)
 			Expect(err).NotTo(HaveOccurred(), "turn %d", number)
 			reserved.settle(70)
 		}
 	})
 })
 
-var _ = Describe("The order in which holders are asked", func() {
+var _ = Describe("Asking the holders", func() {
 	It("skips the other holders of a zone after one gave no answer", func(ctx SpecContext) {
 		asked := 0
 		for number := range 20 {
@@ -234,11 +234,11 @@
 	It("does not wait at a holder whose store is unavailable if another one can be asked", func(ctx SpecContext) {
 		store := memorystore.New()
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
-		limited, cancel := context.WithTimeout(ctx, 5*time.Second)
+		callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
-		_, err := newLedger(store).reserve(limited, reservationRequest{turnRequest{"p", 13000, 288}, true})
+		_, err := newLedger(store).reserve(callCtx, reserveParams{turnParams{"p", 13000, 288}, true})
 		Expect(state.NoVerdict(err)).To(BeTrue(), "%v", err)
-		Expect(limited.Err()).NotTo(HaveOccurred())
+		Expect(callCtx.Err()).NotTo(HaveOccurred())
 	})
 })
 
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -17,29 +17,29 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// Fleet provides this daemon's statistics on engines and takes in those of the other daemons.
+// Fleet provides this daemon's statistics on engines and receives those of all daemons.
 type Fleet interface {
 	// UnderWay returns the number of this daemon's requests in flight, by engine.
 	UnderWay() Counts
-	// Learn takes in the counts of all daemons. The counts of the other daemons are all minus own.
+	// Learn receives the counts of all daemons. The counts of the other daemons are all minus own.
 	Learn(all, own Counts)
 	// Speeds returns the work that this daemon observed at each engine.
 	Speeds() Speeds
-	// LearnSpeeds takes in the work that all daemons observed. That of the other daemons is all
+	// LearnSpeeds receives the work that all daemons observed. That of the other daemons is all
 	// minus own.
 	LearnSpeeds(all, own Speeds)
 }
 
-// Exchange reports this daemon's statistics, takes in those of all daemons, and sends this daemon's
-// sums to the other aggregators while daemons report to it. Its exported fields must not change
-// after Run is called.
+// Exchange reports this daemon's statistics, passes those of all daemons to Fleet and Programs, and
+// sends this daemon's sums to the other aggregators while daemons report to it. Its exported fields
+// must not change after Run is called.
 type Exchange struct {
 	List   *members.List
 	Caller peer.Caller
 	Board  *Board // this daemon's own board
 	Fleet  Fleet
-	// Programs is exchanged in the same messages. If it is nil, no program statistics are sent or
-	// taken in.
+	// Programs is the source of the program statistics, which are exchanged in the same messages.
+	// If it is nil, none are exchanged.
 	Programs ProgramSource
 	Log      *zap.Logger
 
@@ -118,16 +118,16 @@
 		zap.Duration("for", skipDuration), zap.String("cause", cause.Error()))
 }
 
-// report sends this daemon's statistics to an aggregator of its group and takes in the reply.
+// report sends this daemon's statistics to an aggregator of its group and processes the reply.
 func (e *Exchange) report(ctx context.Context) {
 	current := e.currentPlan()
 	aggregators := current.own.choose(e.isUsable)
 	if len(aggregators) == 0 {
-		e.metrics.reportEnded(resultNoAggregator) // all candidates failed within skipDuration
+		e.metrics.reportEnded(resultNoAggregator) // all candidates are being skipped
 		return
 	}
-	place := xxhash.Sum64String(string(e.List.Self().Machine)) % uint64(len(aggregators))
-	chosen := aggregators[place]
+	index := xxhash.Sum64String(string(e.List.Self().Machine)) % uint64(len(aggregators))
+	chosen := aggregators[index]
 	var picture Picture
 	report := Sample{Member: string(e.List.Self().Machine), Told: e.localStats()}
 	if err := e.sendReport(ctx, chosen, report, &picture); err != nil {
@@ -140,12 +140,12 @@
 	all, own := newSum(), newSum()
 	if err := errors.Join(all.add(picture.All), own.add(picture.Own)); err != nil {
 		e.metrics.reportEnded(resultUnreadable)
-		e.skip(chosen, eris.Wrapf(err, "load picture of %s", chosen.Process.Machine))
+		e.skip(chosen, eris.Wrapf(err, "decode the picture from %s", chosen.Process.Machine))
 		return
 	}
 	if err := e.learnPrograms(picture); err != nil {
 		e.metrics.reportEnded(resultUnreadable)
-		e.skip(chosen, eris.Wrapf(err, "load picture of %s", chosen.Process.Machine))
+		e.skip(chosen, eris.Wrapf(err, "decode the picture from %s", chosen.Process.Machine))
 		return
 	}
 	e.Fleet.Learn(all.underWay, own.underWay)
@@ -178,12 +178,12 @@
 	if machine == e.lastAggregator {
 		return
 	}
-	e.Log.Info("load: switched to another aggregator.", zap.String("aggregator", machine), zap.String("former", e.lastAggregator), zap.Uint64("list", e.plan.version))
+	e.Log.Info("load: aggregator selected.", zap.String("aggregator", machine), zap.String("former", e.lastAggregator), zap.Uint64("list", e.plan.version))
 	e.lastAggregator = machine
 }
 
 // share sends the sums over the reports to this daemon to all other aggregators of the region, and
-// waits for their answers. It returns false if no daemon reports here.
+// waits for the calls to end. It returns false if no daemon reports here.
 func (e *Exchange) share(ctx context.Context) bool {
 	stats, reporters := e.Board.sumReports()
 	e.recordAggregating(reporters)
@@ -241,9 +241,8 @@
 	reportedAt time.Time // when the picture arrived
 }
 
-// recordOutside takes in how long ago the aggregator last reached another group. If the aggregator
-// doesn't know, the former time is kept: a silence then keeps its beginning when the aggregator is
-// replaced or restarted.
+// recordOutside records when the aggregator last reached another group. If the aggregator doesn't
+// know, because it started recently, the time known before is kept.
 func (e *Exchange) recordOutside(silence Silence) {
 	now := time.Now()
 	contact := outsideContact{reportedAt: now}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -30,22 +30,23 @@
 	methodShare  = ServiceName + ".Share"
 )
 
-// Intervals and timeouts of reports. Turns take about 100 ms, so an older picture would send bursts
-// of requests to engines that have filled up since.
+// Intervals and timeouts. Turns take about 100 ms, so with older sums daemons would send bursts of
+// requests to engines that have filled up since.
 const (
 	reportInterval   = 100 * time.Millisecond
 	exchangeInterval = 100 * time.Millisecond
 	// idleCheckInterval is how often a daemon that is not an aggregator checks whether others report to
 	// it.
 	idleCheckInterval = 300 * time.Millisecond
-	// callTimeout bounds one call to an aggregator. If the call fails, the aggregator is skipped
-	// for skipDuration, so that another one replaces it within half a second.
-	callTimeout  = 150 * time.Millisecond
+	// callTimeout bounds one call to an aggregator.
+	callTimeout = 150 * time.Millisecond
+	// skipDuration is how long an aggregator is skipped after a call to it failed. Another one
+	// replaces it meanwhile.
 	skipDuration = time.Second
-	// reportTTL and shareTTL are how long the last report of a daemon, and the last share of an
-	// aggregator, count in the sums: four intervals.
+	// reportTTL is how long a daemon's last report is included in the sums.
 	reportTTL = 4 * reportInterval
-	shareTTL  = 4 * exchangeInterval
+	// shareTTL is how long an aggregator's last share is included in the sums.
+	shareTTL = 4 * exchangeInterval
 )
 
 // Key is the 4-byte digest of an identifier (of an engine, a service or a tenant), sent in its
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -78,7 +78,7 @@
 		Expect(decodeCounts(picture.Own.UnderWay)).To(Equal(Counts{3: 1}))
 	})
 
-	It("returns as the daemon's own part the report that the cached sums include", func() {
+	It("returns the report that the cached sums include as the daemon's own part", func() {
 		report("a", Counts{1: 2})
 		picture := report("a", Counts{1: 7})
 		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 2}))
@@ -110,7 +110,7 @@
 		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 3}))
 	})
 
-	It("sums only the reports for a share, without the shares of others", func() {
+	It("sends only the sums over its own reports in a share", func() {
 		report("a", Counts{1: 9})
 		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
 		share, reporters := board.sumReports()
@@ -171,17 +171,17 @@
 
 	It("makes one group of a small region", func() {
 		view := fleetView(4, 3)
-		made := newPlan(view, view.Members[0].Process)
-		Expect(made.others).To(BeEmpty())
-		Expect(made.own.aggregators).To(Equal(1))
-		Expect(made.own).To(Equal(newPlan(view, view.Members[11].Process).own))
+		plan := newPlan(view, view.Members[0].Process)
+		Expect(plan.others).To(BeEmpty())
+		Expect(plan.own.aggregators).To(Equal(1))
+		Expect(plan.own).To(Equal(newPlan(view, view.Members[11].Process).own))
 	})
 
 	It("replaces aggregators that are skipped", func() {
 		view := fleetView(6, 50)
-		made := newPlan(view, view.Members[0].Process)
-		gone := made.own.choose(anyMember)[0].Process
-		chosen := made.own.choose(func(member members.Member) bool { return member.Process != gone })
+		plan := newPlan(view, view.Members[0].Process)
+		gone := plan.own.choose(anyMember)[0].Process
+		chosen := plan.own.choose(func(member members.Member) bool { return member.Process != gone })
 		Expect(chosen).To(HaveLen(2))
 		Expect(chosen).NotTo(ContainElement(HaveField("Process", gone)))
 	})
@@ -189,10 +189,10 @@
 	It("bounds the reports to an aggregator and the number of its peers, however large the fleet is", func() {
 		for _, each := range []int{12, 35, 120} {
 			view := fleetView(11, each)
-			made := newPlan(view, view.Members[0].Process)
-			Expect(each / made.own.aggregators).To(BeNumerically("<=", maxReportersPerAggregator))
-			peers := made.own.aggregators - 1
-			for _, other := range made.others {
+			plan := newPlan(view, view.Members[0].Process)
+			Expect(each / plan.own.aggregators).To(BeNumerically("<=", maxReportersPerAggregator))
+			peers := plan.own.aggregators - 1
+			for _, other := range plan.others {
 				peers += other.aggregators
 			}
 			Expect(peers).To(BeNumerically("<=", 11*(each/maxReportersPerAggregator+1)))
@@ -229,11 +229,11 @@
 		server *peer.Server
 		fleet  *testFleet
 	}
-	// startDaemons starts daemons in so many zones, with so many in each. More than
-	// maxReportersPerAggregator form one group per zone.
+	// startDaemons starts perZone daemons in each zone. If these are more than
+	// maxReportersPerAggregator in all, each zone is a group.
 	startDaemons := func(zones, perZone int) []*testDaemon {
 		GinkgoHelper()
-		var made []*testDaemon
+		var started []*testDaemon
 		var lists []*members.List
 		for number := range zones * perZone {
 			server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
@@ -250,10 +250,10 @@
 			}
 			Expect(server.Register(ServiceName, exchange.Board)).To(Succeed())
 			lists = append(lists, exchange.List)
-			made = append(made, &testDaemon{Exchange: exchange, server: server, fleet: fleet})
+			started = append(started, &testDaemon{Exchange: exchange, server: server, fleet: fleet})
 		}
 		Expect(acquaintance.Make(lists...)).To(Succeed())
-		return made
+		return started
 	}
 	// exchangeOnce lets all daemons report and then share once. It discards what they learn.
 	exchangeOnce := func(ctx context.Context, all []*testDaemon) {
@@ -268,8 +268,8 @@
 			each.share(ctx)
 		}
 	}
-	// awaitCounts repeats exchangeOnce until the asking daemon knows the counts of so many other
-	// engines.
+	// awaitCounts repeats exchangeOnce until the asking daemon knows the counts of engineCount
+	// other engines.
 	awaitCounts := func(ctx context.Context, all []*testDaemon, asking *testDaemon, engineCount int) {
 		GinkgoHelper()
 		Eventually(func() Counts {
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -11,7 +11,7 @@
 // metrics counts reports by result and holds the time of the last picture.
 type metrics struct {
 	reports *prometheus.CounterVec
-	// learnedAt is when a picture was last taken in, in nanoseconds since the Unix epoch; 0 if
+	// learnedAt is when a picture was last received, in nanoseconds since the Unix epoch; 0 if
 	// never.
 	learnedAt atomic.Int64
 }
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// age returns the seconds since a picture was last taken in, or -1 if none was.
+// age returns the seconds since a picture was last received, or -1 if none was.
 func (m *metrics) age() float64 {
 	const never = -1
 	at := m.learnedAt.Load()
--- a/internal/load/programs.go
+++ b/internal/load/programs.go
@@ -28,20 +28,20 @@
 	FirstByte int64 // sum of these turns' times to the first byte, in microseconds
 }
 
-// ProgramSource provides this daemon's program statistics and takes in those of all daemons.
+// ProgramSource provides this daemon's program statistics and receives those of all daemons.
 type ProgramSource interface {
 	// Programs returns this daemon's own statistics.
 	Programs() Programs
-	// LearnPrograms takes in the sums over all daemons; own is this daemon's part of them.
+	// LearnPrograms receives the sums over all daemons; own is this daemon's part of them.
 	LearnPrograms(all, own Programs)
 }
 
 // Maximum ages of program statistics.
 const (
-	// programsTTL is how long a daemon's program statistics count at an aggregator, and an
-	// aggregator's sums at another one: one and a half intervals. The younger the statistics are,
-	// the more exactly the daemons together keep to the bound on admitted programs. A daemon whose
-	// statistics have expired isn't counted in ServicePrograms.Daemons either.
+	// programsTTL is how long a daemon's program statistics are included in an aggregator's sums,
+	// and an aggregator's sums in those of another one: one and a half intervals. The younger the
+	// statistics are, the more exactly the daemons together keep to the bound on admitted programs.
+	// A daemon whose statistics have expired isn't counted in ServicePrograms.Daemons either.
 	programsTTL = 150 * time.Millisecond
 	// OldestPrograms is the maximum age of any daemon's program statistics when a picture with them
 	// arrives: both calls on the way end after callTimeout, and an aggregator's sums are reused for
@@ -121,7 +121,7 @@
 	reader := programReader{remaining: encoded}
 	services := reader.readNumber()
 	if services > maxServices {
-		return eris.Errorf("load: message has %d services, more than allowed", services)
+		return eris.Errorf("load: too many services in a message: %d", services)
 	}
 	decoded := newPrograms()
 	for range services {
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -117,7 +117,7 @@
 		Expect(len(many.encode())).To(BeNumerically("<", 8<<10))
 	})
 
-	It("are exchanged with the counts, also if another daemon reports none", func(ctx SpecContext) {
+	It("are exchanged with the counts, even if another daemon reports none", func(ctx SpecContext) {
 		server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
--- a/internal/load/speeds.go
+++ b/internal/load/speeds.go
@@ -10,7 +10,7 @@
 // observations count less; the weight decreases at the same rate for all three. Sums of several
 // daemons can therefore be added, and the ratio of two numbers is a mean.
 type Work struct {
-	Pieces  int // hundredths of pieces; a piece is an event of a stream, or a whole answer that is not a stream
+	Pieces  int // hundredths of pieces; a piece is an event of a stream, or an answer that is not a stream
 	Answers int // hundredths of answers
 	Taken   int // milliseconds that these pieces took
 }
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -56,7 +56,7 @@
 func (o Off) Check() error {
 	for _, name := range o {
 		if !slices.Contains(All(), name) {
-			return eris.Errorf("%q is no mechanism; the mechanisms are %s", name, joinNames())
+			return eris.Errorf("unknown mechanism %q; the mechanisms are %s", name, joinNames())
 		}
 	}
 	return nil
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -15,12 +15,12 @@
 }
 
 var _ = Describe("Off", func() {
-	It("is valid and has no mechanism if it is nil", func() {
+	It("is valid and empty if it is nil", func() {
 		Expect(mechanism.Off(nil).Check()).To(Succeed())
 		Expect(mechanism.Off(nil).Has(mechanism.Trails)).To(BeFalse())
 	})
 
-	It("is rejected with an unknown name, in an error that lists the mechanisms", func() {
+	It("rejects an unknown name with an error that lists the mechanisms", func() {
 		off := mechanism.Off{mechanism.Trails, "trials"}
 		Expect(off.Has(mechanism.Trails)).To(BeTrue())
 		Expect(off.Check()).To(MatchError(And(ContainSubstring(`"trials"`), ContainSubstring("load-board"))))
--- a/internal/reach/monitor.go
+++ b/internal/reach/monitor.go
@@ -18,14 +18,14 @@
 	// observeInterval is the time between two observations: an eighth of outsideTimeout and
 	// storeTimeout.
 	observeInterval = 50 * time.Millisecond
-	// probeInterval is the least time between two probes of the store, and probeTimeout the longest
-	// time of one probe.
+	// probeInterval is the least time between the starts of two probes of the store.
 	probeInterval = 150 * time.Millisecond
-	probeTimeout  = 300 * time.Millisecond
+	// probeTimeout bounds one probe.
+	probeTimeout = 300 * time.Millisecond
 	// minRetryAfter is the least delay after which a refused caller is told to retry.
 	minRetryAfter = 100 * time.Millisecond
-	// retryJitterDivisor bounds the random part of a retry delay, as a fraction
-	// 1/retryJitterDivisor of the delay.
+	// retryJitterDivisor bounds the random part of a retry delay: it is less than the delay divided
+	// by retryJitterDivisor.
 	retryJitterDivisor = 4
 )
 
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -14,16 +14,17 @@
 
 import "time"
 
-// Durations after which a silence counts.
+// Limits that the detector applies.
 const (
-	// outsideTimeout is four exchanges of loads between zones. One or two may be lost when an
-	// aggregator is replaced.
+	// outsideTimeout is how long other zones must be silent: four exchanges of loads between zones.
+	// One or two may be lost when an aggregator is replaced.
 	outsideTimeout = 400 * time.Millisecond
-	// storeTimeout is longer than a slow answer of the store, which takes about 300 ms.
+	// storeTimeout is how long the store must be silent. It is longer than a slow answer of the
+	// store, which takes about 300 ms.
 	storeTimeout = 400 * time.Millisecond
-	// maxObservationGap is the longest time between two observations in which the process counts as
-	// running. After a longer gap the process was suspended, and what it last received is too old
-	// to decide by.
+	// maxObservationGap is the longest time between two observations of a process that runs
+	// normally. After a longer gap the process was suspended, and contacts from before the gap are
+	// ignored.
 	maxObservationGap = 300 * time.Millisecond
 )
 
@@ -44,26 +45,26 @@
 	runningSince time.Time // when this process started, or resumed after its last suspension
 }
 
-// observe takes in an observation and reports whether the daemon is cut off.
-func (j *detector) observe(now time.Time, observation Observation) bool {
-	if j.lastObserved.IsZero() || now.Sub(j.lastObserved) > maxObservationGap {
-		j.runningSince = now
+// observe processes an observation and reports whether the daemon is cut off.
+func (d *detector) observe(now time.Time, observation Observation) bool {
+	if d.lastObserved.IsZero() || now.Sub(d.lastObserved) > maxObservationGap {
+		d.runningSince = now
 	}
-	j.lastObserved = now
-	return observation.OutsideKnown && j.silenceSince(now, observation.OutsideHeard) >= outsideTimeout && j.silenceSince(now, observation.StoreHeard) >= storeTimeout
+	d.lastObserved = now
+	return observation.OutsideKnown && d.silenceSince(now, observation.OutsideHeard) >= outsideTimeout && d.silenceSince(now, observation.StoreHeard) >= storeTimeout
 }
 
 // shouldProbeStore reports whether the store is to be probed, because the other zones have been
 // silent for half of outsideTimeout.
-func (j *detector) shouldProbeStore(now time.Time, observation Observation) bool {
-	return observation.OutsideKnown && j.silenceSince(now, observation.OutsideHeard) >= outsideTimeout/2
+func (d *detector) shouldProbeStore(now time.Time, observation Observation) bool {
+	return observation.OutsideKnown && d.silenceSince(now, observation.OutsideHeard) >= outsideTimeout/2
 }
 
 // silenceSince returns the time since heard, or since the process started or resumed if that is
 // later.
-func (j *detector) silenceSince(now, heard time.Time) time.Duration {
-	if heard.Before(j.runningSince) {
-		heard = j.runningSince
+func (d *detector) silenceSince(now, heard time.Time) time.Duration {
+	if heard.Before(d.runningSince) {
+		heard = d.runningSince
 	}
 	return now.Sub(heard)
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -87,7 +87,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.Disabled.Has(mechanism.Trails)).To(BeTrue())
 		_, err = Load(written(validSettings + "disabled: [trials]\n"))
-		Expect(err).To(MatchError(ContainSubstring(`disabled: "trials" is no mechanism`)))
+		Expect(err).To(MatchError(ContainSubstring(`disabled: unknown mechanism "trials"`)))
 	})
 
 	It("names line and field of what it does not know", func() {
