--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -7,40 +7,42 @@
 	"github.com/thymeloft/thymeloft/internal/mechanism"
 )
 
-// Request is what placement needs to know of a request.
+// Request holds the properties of a request that placement uses.
 type Request struct {
-	Affinity string // requests with the same text share prefixes; empty: none
+	Affinity string // requests with equal values share prompt prefixes; empty if there is none
 	Prefix   []PromptPart
-	// Everywhere is how many parts of the prefix every engine keeps (Sharing.Note).
+	// Everywhere is the number of leading parts of Prefix that every engine is assumed to have
+	// cached, as returned by Sharing.Note.
 	Everywhere int
-	Zone       string // of this process
-	Slots      int    // of the service's engines, if declared
-	Excluded   []string
-	// Order differs from process to process and stays the same in one: requests
-	// without an affinity go to the same few instances first, and so over few connections.
+	Zone       string   // zone of this process
+	Slots      int      // slots of each engine of the service; 0 if not declared
+	Excluded   []string // IDs of instances that must not be chosen
+	// Order seeds the placement of requests without an affinity. It is constant within a process
+	// and differs between processes, so that each process prefers a few instances and needs few
+	// connections.
 	Order uint64
-	// LeavingAllowed is how long an instance that is gone may still be used
-	// when there is no other: its entry may have lapsed while it serves on.
+	// LeavingAllowed is how long an instance that has left may still be used if no other is
+	// available: its registration may have expired while it still serves.
 	LeavingAllowed time.Duration
 	Now            time.Time
-	// Off is what placement goes without; for experiments.
+	// Off lists the mechanisms that are disabled, for experiments.
 	Off mechanism.Off
 }
 
-// Choose picks an instance, or nil if none is fit. It is a pure function of
-// the request and what is known of the instances.
+// Choose returns the best instance for the request, or nil if none is usable. The choice depends
+// only on the request and on the state of the instances.
 //
-// Order: instances that are healthy and stay; then those that begin their answers too
-// late for any use; then those that failed often lately, then ejected ones (better a try than a
-// refusal); then those that left a moment ago. Within an order the lowest
-// cost wins. A slow instance has no order of its own: it is used for what it is worth.
+// Instances are ranked by class: healthy ones, then those whose responses start late, then those
+// with many recent failures, then ejected ones, then those that left less than LeavingAllowed
+// ago. Within a class the instance with the lowest cost is chosen. Slow instances have no class
+// of their own: their speed is part of the cost.
 func Choose(instances []*Instance, request *Request) *Instance {
 	var firstByte decayedMean
 	for _, instance := range instances {
-		firstByte = firstByte.plus(instance.quality.measure(request.Now).firstByte)
+		firstByte = firstByte.plus(instance.quality.snapshot(request.Now).firstByte)
 	}
-	usual := referenceOf(instances, request)
-	inHaste := hasty(request, usual)
+	baseline := computeSpeedBaseline(instances, request)
+	fastFirst := prefersFast(request, baseline)
 	var best *Instance
 	bestClass, bestCost := classUnfit, math.Inf(1)
 	for _, instance := range instances {
@@ -48,7 +50,7 @@
 		if class == classUnfit || class > bestClass {
 			continue
 		}
-		cost := costOf(instance, request, usual, inHaste)
+		cost := costOf(instance, request, baseline, fastFirst)
 		if class < bestClass || cost < bestCost {
 			best, bestClass, bestCost = instance, class, cost
 		}
@@ -56,16 +58,16 @@
 	return best
 }
 
-// class orders instances by fitness; smaller is better.
+// class ranks instances by fitness; lower is better.
 type class uint8
 
 const (
-	classReady class = iota
-	classLate
-	classFailing
+	classReady   class = iota
+	classLate          // its responses start late
+	classFailing       // it had many failures recently
 	classEjected
-	classLeft
-	classUnfit
+	classLeft  // it left less than LeavingAllowed ago
+	classUnfit // it must not be chosen
 )
 
 func classOf(instance *Instance, request *Request, firstByte decayedMean) class {
@@ -80,17 +82,17 @@
 		}
 		return classUnfit
 	}
-	if instance.health.ejected(request.Now) && !request.Off.Has(mechanism.Ejection) {
+	if instance.health.isEjected(request.Now) && !request.Off.Has(mechanism.Ejection) {
 		return classEjected
 	}
 	if request.Off.Has(mechanism.QualityClasses) {
 		return classReady
 	}
-	shown := instance.quality.measure(request.Now)
+	snapshot := instance.quality.snapshot(request.Now)
 	switch {
-	case shown.failing:
+	case snapshot.failing:
 		return classFailing
-	case shown.firstByte.late(firstByte):
+	case snapshot.firstByte.isLate(firstByte):
 		return classLate
 	default:
 		return classReady
--- a/internal/backend/cost.go
+++ b/internal/backend/cost.go
@@ -6,81 +6,83 @@
 	"github.com/thymeloft/thymeloft/internal/mechanism"
 )
 
-// The parts of the cost, in milliseconds.
+// Constants of the placement cost. All costs are in milliseconds.
 const (
-	// tokensPerMillisecond is what the usual engine reads. Where prompts are read in
-	// batches it is hundreds; it sets reading against the preferences below.
+	// tokensPerMillisecond is the prompt reading rate of a typical engine. It converts tokens
+	// into cost.
 	tokensPerMillisecond = 256.0
-	// tokenWeight is how often a token counts that would have to be read. It takes its time, and it
-	// takes the place of one that the engine keeps and that is then read again in turn:
-	// where memory is short, contexts that move from engine to engine push each other
-	// out (docs/design/shifted-work.md, round 3; 3 and 4 do as well, 1 does not).
-	tokenWeight = 2.0
-	// fullEngineCost is of an engine whose slots are all taken, where all are alike:
-	// the time in which 1,300 tokens are read. With three times as much, turns leave the engine
-	// that keeps their prompt (docs/design/placement.md).
-	fullEngineCost = 1300 / tokensPerMillisecond
-	// affinityCost is the spread of the affinity's order of preference.
-	affinityCost = 256 / tokensPerMillisecond
-	// otherZoneCost breaks ties only: the way is longer, and bytes between zones cost.
-	otherZoneCost = 48 / tokensPerMillisecond
-	// newConnectionCost is for an instance to which no connection is kept: opening one
-	// takes an exchange of packets and up to a millisecond of work at the instance.
-	newConnectionCost = 200 / tokensPerMillisecond
-	defaultSlots      = 4
+	// missingTokenWeight multiplies the cost of tokens that the engine has to read. The weight is
+	// above 1 because reading them also evicts other cached tokens, which then have to be read
+	// again. With 1, contexts that move between engines with little memory keep evicting each
+	// other.
+	missingTokenWeight = 2.0
+	// fullEngineCostMs is the load cost of an engine whose slots are all taken: the time to read
+	// 1,300 tokens. A much higher cost moves turns away from the engine that has their prompt
+	// cached.
+	fullEngineCostMs = 1300 / tokensPerMillisecond
+	// maxAffinityCostMs is the largest cost that the affinity preference adds.
+	maxAffinityCostMs = 256 / tokensPerMillisecond
+	// otherZoneCostMs only breaks ties: traffic between zones has a higher latency and is
+	// charged.
+	otherZoneCostMs = 48 / tokensPerMillisecond
+	// newConnectionCostMs is added for an instance without an idle connection: opening one takes
+	// a round trip and up to a millisecond of work at the instance.
+	newConnectionCostMs = 200 / tokensPerMillisecond
+	defaultSlots        = 4
 )
 
-// costOf is the time that the request is expected to cost at the instance, in
-// milliseconds: reading what is missing, what making the answer takes longer than at a
-// fast instance, the load, and the preference that all processes share without a
-// message, a hash of affinity and instance.
-func costOf(instance *Instance, request *Request, usual reference, inHaste bool) float64 {
-	speed := usual.speedOf(instance, request.Now)
-	cost := tokenWeight * float64(Missing(instance, request)) / tokensPerMillisecond
-	if inHaste && speed < 1 {
-		cost += usual.answerTime * (1/speed - 1)
+// costOf returns the expected cost of the request at the instance, in milliseconds. It is the
+// sum of the time to read missing prompt tokens, the extra answer time of a slow instance if
+// fastFirst is set, the load cost, and smaller costs for affinity, new connections and other
+// zones. All processes compute the same affinity preference without communication, as a hash of
+// affinity and instance ID.
+func costOf(instance *Instance, request *Request, baseline speedBaseline, fastFirst bool) float64 {
+	speed := baseline.speedRatio(instance, request.Now)
+	cost := missingTokenWeight * float64(Missing(instance, request)) / tokensPerMillisecond
+	if fastFirst && speed < 1 {
+		cost += baseline.answerTimeMs * (1/speed - 1)
 	}
 	cost += loadCost(instance, request)
-	cost += affinityCost * preference(instance, request)
-	if !instance.pool.warm(request.Now) && !request.Off.Has(mechanism.WarmConnections) {
-		cost += newConnectionCost
+	cost += maxAffinityCostMs * preference(instance, request)
+	if !instance.pool.isWarm(request.Now) && !request.Off.Has(mechanism.WarmConnections) {
+		cost += newConnectionCostMs
 	}
 	if instance.Zone != request.Zone && !request.Off.Has(mechanism.ZoneCost) {
-		cost += otherZoneCost
+		cost += otherZoneCostMs
 	}
 	return cost
 }
 
-// hasty tells whether the request's program goes by time, or by capacity: a part of the
-// programs, chosen by their hash so that each keeps to one way and no message is needed.
-func hasty(request *Request, usual reference) bool {
-	return usual.hasty >= 1 || share(request, "hasty") < usual.hasty
+// prefersFast reports whether the speed of engines counts in the placement of the request's
+// program. A hash selects the programs, so that all processes agree on each program without
+// communication.
+func prefersFast(request *Request, baseline speedBaseline) bool {
+	return baseline.fastFirstShare >= 1 || hashFraction(request, "hasty") < baseline.fastFirstShare
 }
 
-// Missing is how many tokens of the prompt the instance would have to read, as far
-// as this process knows.
+// Missing returns the estimated number of prompt tokens that the instance would have to read.
 func Missing(instance *Instance, request *Request) int {
 	if request.Off.Has(mechanism.PrefixGuess) {
 		return 0
 	}
-	everywhere := request.Everywhere
+	sharedParts := request.Everywhere
 	if request.Off.Has(mechanism.SharedParts) {
-		everywhere = 0
+		sharedParts = 0
 	}
-	return instance.prefixes.missing(request.Prefix, everywhere)
+	return instance.prefixes.missingTokens(request.Prefix, sharedParts)
 }
 
-// loadCost grows with the square of the load: an engine is hardly slower for a few
-// requests, and a full one lets requests wait. It is small beside the time that a
-// request waits in the worst case: pictures are 100 ms old and more, and what follows
-// them closely sends all daemons to the same engines.
+// loadCost returns the cost of the instance's load in milliseconds. It grows with the square of
+// the load: a few requests hardly slow an engine down, while a full one queues them. The cost is
+// far below the longest queueing time on purpose: load reports are at least 100 ms old, and a
+// stronger reaction would send all daemons to the same engines.
 func loadCost(instance *Instance, request *Request) float64 {
-	share := float64(instance.Load(request.Now)) / float64(Slots(instance, request))
-	return fullEngineCost * share * share
+	utilization := float64(instance.Load(request.Now)) / float64(Slots(instance, request))
+	return fullEngineCostMs * utilization * utilization
 }
 
-// Slots is how many requests the instance works on at a time, by its own word, by its
-// service's or by guess.
+// Slots returns how many requests the instance processes at a time: its own declared value, else
+// that of its service, else a default.
 func Slots(instance *Instance, request *Request) int {
 	switch {
 	case instance.Slots > 0:
@@ -92,20 +94,22 @@
 	}
 }
 
-// preference is a number from 0 to 1, the same at every process for requests
-// with an affinity, and the process's own order for others.
-func preference(instance *Instance, request *Request) float64 { return share(request, instance.ID) }
+// preference returns a number from 0 to 1 for the instance. It is the same in every process for
+// requests with an affinity, and depends on request.Order for others.
+func preference(instance *Instance, request *Request) float64 {
+	return hashFraction(request, instance.ID)
+}
 
-// share is a number from 0 to 1 by the hash of the request's affinity, or of the
-// process's order, and a name.
-func share(request *Request, name string) float64 {
-	text := request.Affinity
+// hashFraction returns a hash of the name and the request's affinity as a number from 0 to 1.
+// Without an affinity, request.Order seeds the hash.
+func hashFraction(request *Request, name string) float64 {
+	affinity := request.Affinity
 	seed := uint64(0)
-	if text == "" {
+	if affinity == "" {
 		seed = request.Order
 	}
 	digest := xxhash.NewWithSeed(seed)
-	_, _ = digest.WriteString(text)
+	_, _ = digest.WriteString(affinity)
 	_, _ = digest.WriteString(name)
 	const bits = 53
 	return float64(digest.Sum64()>>(64-bits)) / (1 << bits)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -15,26 +15,26 @@
 	"github.com/rotisserie/eris"
 )
 
-// Outgoing is one request as an instance is to get it.
+// Outgoing is a request to send to an instance.
 type Outgoing struct {
 	Method string
-	Target string // path and query as the caller sent them
+	Target string // path and query, exactly as the caller sent them
 	Host   string
 	Header http.Header
-	Body   [][]byte // written one after another
-	// Belongs tells whether an answer is the answer to this request.
+	Body   [][]byte // chunks, written in this order
+	// Belongs reports whether a response with this header answers this request.
 	Belongs func(header http.Header) bool
 }
 
-// Reply is an instance's answer. Its body must be read to the end or closed.
+// Reply is an instance's response. The caller must read Body to the end or close it.
 type Reply struct {
 	Status int
 	Header http.Header
-	Length int64 // of the body; -1 when unknown
+	Length int64 // length of the body in bytes; -1 if unknown
 	Body   io.ReadCloser
 }
 
-// NotSentError says that no byte of the request left this process.
+// NotSentError says that no byte of the request was sent.
 type NotSentError struct {
 	Peer string
 	Err  error
@@ -43,10 +43,10 @@
 // Error implements error.
 func (e *NotSentError) Error() string { return fmt.Sprintf("connect to %s: %v", e.Peer, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError says that the request may have run and that no answer came.
+// LostError says that no response was received although the request may have been executed.
 type LostError struct {
 	Peer string
 	Step string
@@ -56,19 +56,19 @@
 // Error implements error.
 func (e *LostError) Error() string { return fmt.Sprintf("%s with %s: %v", e.Step, e.Peer, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *LostError) Unwrap() error { return e.Err }
 
-// Exchange sends the request to the instance and returns the head of its
-// answer. It sends at most once. When the context ends, the connection is
-// closed, so that the instance stops its work.
+// Exchange sends the request to the instance and returns the head of the response. It never
+// sends a request twice. When the context ends, the connection is closed so that the instance
+// can stop its work. The error is a *NotSentError or a *LostError.
 func (i *Instance) Exchange(ctx context.Context, outgoing *Outgoing) (*Reply, error) {
-	used, err := i.pool.get(ctx)
+	conn, err := i.pool.get(ctx)
 	if err != nil {
 		return nil, &NotSentError{Peer: i.Address, Err: err}
 	}
-	current := &exchange{instance: i, connection: used, written: make(chan error, 1)}
-	current.stop = context.AfterFunc(ctx, func() { _ = used.Close() })
+	current := &exchange{instance: i, connection: conn, writeResult: make(chan error, 1)}
+	current.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	reply, err := current.run(outgoing)
 	if err != nil {
 		current.abandon()
@@ -77,40 +77,40 @@
 	return reply, nil
 }
 
-// exchange is one request and its answer on a connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
-	instance   *Instance
-	connection *connection
-	written    chan error // one result of the writer
-	stop       func() bool
-	reusable   bool
-	finished   bool
-	answered   atomic.Bool // the head of the answer was read
+	instance        *Instance
+	connection      *connection
+	writeResult     chan error // receives the writer's error or nil, once
+	stop            func() bool
+	reusable        bool
+	finished        bool
+	responseStarted atomic.Bool // whether the response head was read
 }
 
-// longestInlineWrite is what fits a connection's window: larger requests are
-// written beside reading, since an instance may answer before it has read all.
-const longestInlineWrite = 16 << 10
+// maxInlineWriteBytes is the largest body that fits the socket buffers. Larger requests are
+// written in a goroutine, since an instance may respond before it has read all of the body.
+const maxInlineWriteBytes = 16 << 10
 
 func (e *exchange) run(outgoing *Outgoing) (*Reply, error) {
-	request, size := encode(outgoing)
-	if size <= longestInlineWrite {
+	request, bodyBytes := buildRequest(outgoing)
+	if bodyBytes <= maxInlineWriteBytes {
 		e.write(request)
 	} else {
 		go e.write(request)
 	}
-	reply, err := e.readAnswer(request, outgoing)
+	reply, err := e.readResponse(request, outgoing)
 	if err != nil {
-		return nil, &LostError{Peer: e.instance.Address, Step: "read answer", Err: e.cause(err)}
+		return nil, &LostError{Peer: e.instance.Address, Step: "read answer", Err: e.closeWithCause(err)}
 	}
 	return reply, nil
 }
 
-// take makes the reply of an answer whose head was read.
-func (e *exchange) take(response *http.Response) *Reply {
-	e.answered.Store(true)
+// newReply returns the reply for a response whose head was read.
+func (e *exchange) newReply(response *http.Response) *Reply {
+	e.responseStarted.Store(true)
 	e.reusable = !response.Close && response.ProtoAtLeast(1, 1)
-	e.connection.idleLimit = idleLimit(response.Header)
+	e.connection.idleTimeout = parseIdleTimeout(response.Header)
 	return &Reply{
 		Status: response.StatusCode,
 		Header: response.Header,
@@ -119,35 +119,36 @@
 	}
 }
 
-// encode makes the request; the target stays as the caller wrote it.
-func encode(outgoing *Outgoing) (*http.Request, int64) {
-	size := int64(0)
+// buildRequest returns the HTTP request and the length of its body. The target is sent
+// unchanged.
+func buildRequest(outgoing *Outgoing) (*http.Request, int64) {
+	bodyBytes := int64(0)
 	readers := make([]io.Reader, 0, len(outgoing.Body))
-	for _, piece := range outgoing.Body {
-		size += int64(len(piece))
-		readers = append(readers, bytes.NewReader(piece))
+	for _, chunk := range outgoing.Body {
+		bodyBytes += int64(len(chunk))
+		readers = append(readers, bytes.NewReader(chunk))
 	}
 	request := &http.Request{
 		Method:        outgoing.Method,
 		URL:           &url.URL{Opaque: outgoing.Target},
 		Host:          outgoing.Host,
 		Header:        outgoing.Header,
-		ContentLength: size,
+		ContentLength: bodyBytes,
 		Proto:         "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
-	if size > 0 {
+	if bodyBytes > 0 {
 		request.Body = io.NopCloser(io.MultiReader(readers...))
 	}
 	if _, set := request.Header["User-Agent"]; !set {
-		request.Header["User-Agent"] = []string{""} // keeps the library's own out
+		request.Header["User-Agent"] = []string{""} // suppresses the default of net/http
 	}
-	return request, size
+	return request, bodyBytes
 }
 
-// readAnswer reads the head of the answer to this request. One answer to an
-// earlier request on the connection may stand before it and is dropped.
-func (e *exchange) readAnswer(request *http.Request, outgoing *Outgoing) (*Reply, error) {
-	const largestStray = 1 << 20
+// readResponse reads the head of the response to this request. It discards at most one response
+// to an earlier request on a reused connection.
+func (e *exchange) readResponse(request *http.Request, outgoing *Outgoing) (*Reply, error) {
+	const maxStrayBytes = 1 << 20
 	strays := 0
 	for {
 		response, err := http.ReadResponse(e.connection.reader, request)
@@ -155,18 +156,18 @@
 			return nil, err
 		}
 		if response.StatusCode/100 == 1 {
-			_ = response.Body.Close() // it has none
+			_ = response.Body.Close() // always empty
 			continue
 		}
 		if outgoing.Belongs(response.Header) {
 			if strays > 0 {
 				response.Close = true
 			}
-			return e.take(response), nil
+			return e.newReply(response), nil
 		}
 		strays++
-		if e.connection.exchanges == 0 || strays > 1 || response.ContentLength < 0 || response.ContentLength > largestStray {
-			return nil, eris.New("an answer that belongs to another request")
+		if e.connection.completedExchanges == 0 || strays > 1 || response.ContentLength < 0 || response.ContentLength > maxStrayBytes {
+			return nil, eris.New("response belongs to another request")
 		}
 		_, err = io.Copy(io.Discard, response.Body)
 		_ = response.Body.Close()
@@ -176,18 +177,19 @@
 	}
 }
 
-// idleLimit is how long the connection may rest by the instance's word.
-func idleLimit(header http.Header) time.Duration {
+// parseIdleTimeout returns how long the connection may stay idle, from the Keep-Alive header of
+// the response.
+func parseIdleTimeout(header http.Header) time.Duration {
 	for field := range strings.SplitSeq(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
-			return time.Duration(seconds)*time.Second - idleMargin
+			return time.Duration(seconds)*time.Second - idleTimeoutMargin
 		}
 	}
-	return defaultIdleLimit
+	return defaultIdleTimeout
 }
 
-// abandon closes the connection.
+// abandon ends the exchange and closes the connection.
 func (e *exchange) abandon() {
 	if e.finished {
 		return
@@ -197,15 +199,15 @@
 	_ = e.connection.Close()
 }
 
-// release keeps the connection for the next request, if it is sound: the
-// request was written whole, and nothing stands behind the answer.
+// release ends the exchange and returns the connection to the pool if it is reusable: the
+// request was written completely, and no bytes follow the response.
 func (e *exchange) release() {
 	if e.finished {
 		return
 	}
 	sent := false
 	select {
-	case err := <-e.written:
+	case err := <-e.writeResult:
 		sent = err == nil
 	default:
 	}
@@ -214,11 +216,12 @@
 		return
 	}
 	e.finished = true
-	e.connection.exchanges++
+	e.connection.completedExchanges++
 	e.instance.pool.put(e.connection)
 }
 
-// body ends the exchange when it was read to its end, or closed.
+// body is a response body that releases the connection when it was read to the end, and closes
+// it otherwise.
 type body struct {
 	exchange *exchange
 	inner    io.ReadCloser
@@ -237,8 +240,7 @@
 	return count, err
 }
 
-// Close implements io.Closer; an answer that was not read to its end takes
-// its connection along.
+// Close implements io.Closer. It closes the connection unless the body was read to the end.
 func (b *body) Close() error {
 	b.exchange.abandon()
 	return nil
--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -17,16 +17,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// rawServer answers each request on each connection by a script, and may do
-// on the wire what a library would not.
+// rawServer answers requests with raw bytes, so that tests can send malformed and misplaced
+// responses.
 type rawServer struct {
 	listener    net.Listener
 	connections atomic.Int64
 	requests    atomic.Int64
 }
 
-// newRawServer calls the script for each request with its number.
-func newRawServer(script func(number int64, id string, connection net.Conn) (goOn bool)) *rawServer {
+// newRawServer starts a server that calls respond for each request, with the number of the
+// request and its Id header. The connection is closed when respond returns false.
+func newRawServer(respond func(number int64, id string, connection net.Conn) (goOn bool)) *rawServer {
 	GinkgoHelper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -39,13 +40,13 @@
 				return
 			}
 			server.connections.Add(1)
-			go server.serve(accepted, script)
+			go server.serve(accepted, respond)
 		}
 	}()
 	return server
 }
 
-func (r *rawServer) serve(connection net.Conn, script func(int64, string, net.Conn) bool) {
+func (r *rawServer) serve(connection net.Conn, respond func(int64, string, net.Conn) bool) {
 	defer connection.Close()
 	reader := bufio.NewReader(connection)
 	for {
@@ -56,7 +57,7 @@
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		if !script(r.requests.Add(1), request.Header.Get("Id"), connection) {
+		if !respond(r.requests.Add(1), request.Header.Get("Id"), connection) {
 			return
 		}
 	}
@@ -68,8 +69,8 @@
 	return fleet.Of("s")[0]
 }
 
-func answer(id, text string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(text), text)
+func responseText(id, content string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(content), content)
 }
 
 func send(ctx context.Context, instance *Instance, id string) (string, error) {
@@ -86,9 +87,9 @@
 }
 
 var _ = Describe("Exchange", func() {
-	It("keeps a sound connection for the next request", func(ctx SpecContext) {
+	It("reuses a connection for the next request", func(ctx SpecContext) {
 		server := newRawServer(func(_ int64, id string, connection net.Conn) bool {
-			_, err := io.WriteString(connection, answer(id, "to "+id))
+			_, err := io.WriteString(connection, responseText(id, "to "+id))
 			return err == nil
 		})
 		instance := server.instance()
@@ -98,7 +99,7 @@
 		Expect(server.connections.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("passes the target and the pieces of the body on unchanged", func(ctx SpecContext) {
+	It("sends the target and the body chunks unchanged", func(ctx SpecContext) {
 		received := make(chan string, 1)
 		served, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
@@ -115,11 +116,11 @@
 		Expect(<-received).To(Equal("/path?q=%2F h abc "))
 	})
 
-	It("gives no answer of another request, and drops one that stands before its own", func(ctx SpecContext) {
+	It("never returns the response to another request, and discards one that precedes its own", func(ctx SpecContext) {
 		server := newRawServer(func(number int64, id string, connection net.Conn) bool {
-			text := answer(id, "to "+id)
+			text := responseText(id, "to "+id)
 			if number == 2 {
-				text = answer("1", "again to 1") + text
+				text = responseText("1", "again to 1") + text
 			}
 			_, err := io.WriteString(connection, text)
 			return err == nil
@@ -128,12 +129,12 @@
 		Expect(send(ctx, instance, "1")).To(Equal("to 1"))
 		Expect(send(ctx, instance, "2")).To(Equal("to 2"))
 		Expect(send(ctx, instance, "3")).To(Equal("to 3"))
-		Expect(server.connections.Load()).To(BeEquivalentTo(2), "a connection with a stray answer is not kept")
+		Expect(server.connections.Load()).To(BeEquivalentTo(2), "a connection with a stray response is not reused")
 	})
 
-	It("does not use a connection on which something stands after the answer", func(ctx SpecContext) {
+	It("does not reuse a connection with bytes after the response", func(ctx SpecContext) {
 		server := newRawServer(func(_ int64, id string, connection net.Conn) bool {
-			_, err := io.WriteString(connection, answer(id, "x")+answer(id, "x"))
+			_, err := io.WriteString(connection, responseText(id, "x")+responseText(id, "x"))
 			return err == nil
 		})
 		instance := server.instance()
@@ -142,9 +143,9 @@
 		Expect(server.connections.Load()).To(BeEquivalentTo(2))
 	})
 
-	It("refuses an answer on a new connection that is not its own", func(ctx SpecContext) {
+	It("rejects a response to another request on a new connection", func(ctx SpecContext) {
 		server := newRawServer(func(_ int64, _ string, connection net.Conn) bool {
-			_, err := io.WriteString(connection, answer("other", "x"))
+			_, err := io.WriteString(connection, responseText("other", "x"))
 			return err == nil
 		})
 		_, err := send(ctx, server.instance(), "1")
@@ -152,7 +153,7 @@
 		Expect(errors.As(err, &lost)).To(BeTrue())
 	})
 
-	DescribeTable("tells a cut answer from a whole one", func(ctx SpecContext, head, body string, whole bool) {
+	DescribeTable("distinguishes truncated responses from complete ones", func(ctx SpecContext, head, body string, whole bool) {
 		server := newRawServer(func(_ int64, id string, connection net.Conn) bool {
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: "+id+"\r\n"+head+"\r\n"+body)
 			return false
@@ -165,13 +166,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(content).To(Equal("abc"))
 	},
-		Entry("short of its length", "Content-Length: 5\r\n", "abc", false),
+		Entry("shorter than its Content-Length", "Content-Length: 5\r\n", "abc", false),
 		Entry("without the last chunk", "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n", false),
 		Entry("chunked", "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n", true),
-		Entry("ended by the connection", "Connection: close\r\n", "abc", true),
+		Entry("ended by closing the connection", "Connection: close\r\n", "abc", true),
 	)
 
-	It("says that nothing was sent when nobody listens", func(ctx SpecContext) {
+	It("reports that nothing was sent if the instance does not listen", func(ctx SpecContext) {
 		server := newRawServer(func(int64, string, net.Conn) bool { return false })
 		instance := server.instance()
 		Expect(server.listener.Close()).To(Succeed())
@@ -180,12 +181,12 @@
 		Expect(errors.As(err, &notSent)).To(BeTrue())
 	})
 
-	It("never sends twice: a kept connection that is closed on the request is an unknown ending", func(ctx SpecContext) {
+	It("does not retry when a reused connection is closed after the request was sent", func(ctx SpecContext) {
 		server := newRawServer(func(number int64, id string, connection net.Conn) bool {
 			if number == 2 {
 				return false
 			}
-			_, err := io.WriteString(connection, answer(id, "x"))
+			_, err := io.WriteString(connection, responseText(id, "x"))
 			return err == nil
 		})
 		instance := server.instance()
@@ -196,7 +197,7 @@
 		Expect(server.requests.Load()).To(BeEquivalentTo(2))
 	})
 
-	It("takes an answer that comes before a long request is read, and drops the connection", func(ctx SpecContext) {
+	It("returns a response that arrives before a long request is read, and closes the connection", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -208,7 +209,7 @@
 				}
 				go func() {
 					_, _ = bufio.NewReader(accepted).ReadString('\n')
-					_, _ = io.WriteString(accepted, answer("1", "early"))
+					_, _ = io.WriteString(accepted, responseText("1", "early"))
 				}()
 			}
 		}()
@@ -224,7 +225,7 @@
 		Expect(instance.pool.pop()).To(BeNil())
 	})
 
-	It("gives an instance up that does not read the request, and promises nothing", func(ctx SpecContext) {
+	It("reports a lost request if the instance stops reading", func(ctx SpecContext) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -246,50 +247,50 @@
 		Eventually(accepted).Should(Receive())
 	})
 
-	It("goes on sending to an instance that reads slowly", func() {
+	It("keeps writing to an instance that reads slowly", func() {
 		near, far := net.Pipe()
 		defer near.Close()
-		const patience, pieces = 200 * time.Millisecond, 8
+		const stallTimeout, writes = 200 * time.Millisecond, 8
 		received := make(chan int, 1)
 		go func() {
 			sum := 0
-			for range pieces {
+			for range writes {
 				count, _ := far.Read(make([]byte, 1000))
 				sum += count
 			}
 			received <- sum
 		}()
-		writer := &patientWriter{connection: near, patience: patience}
-		count, err := writer.Write(make([]byte, pieces*1000))
+		writer := &stallTimeoutWriter{connection: near, stallTimeout: stallTimeout}
+		count, err := writer.Write(make([]byte, writes*1000))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(count).To(Equal(pieces * 1000))
-		Expect(<-received).To(Equal(pieces * 1000))
+		Expect(count).To(Equal(writes * 1000))
+		Expect(<-received).To(Equal(writes * 1000))
 		count, err = writer.Write(make([]byte, 10))
 		Expect(err).To(MatchError(os.ErrDeadlineExceeded))
 		Expect(count).To(BeZero())
 	})
 
-	It("closes the connection when the caller leaves", func(ctx SpecContext) {
+	It("closes the connection when the caller cancels", func(ctx SpecContext) {
 		closed := make(chan struct{})
 		server := newRawServer(func(_ int64, _ string, connection net.Conn) bool {
 			_, _ = connection.Read(make([]byte, 1))
 			close(closed)
 			return false
 		})
-		left, leave := context.WithCancel(ctx)
+		canceled, cancel := context.WithCancel(ctx)
 		done := make(chan error, 1)
 		go func() {
-			_, err := send(left, server.instance(), "1")
+			_, err := send(canceled, server.instance(), "1")
 			done <- err
 		}()
 		Eventually(server.requests.Load).Should(BeEquivalentTo(1))
-		leave()
+		cancel()
 		Eventually(closed).Should(BeClosed())
 		Eventually(done).Should(Receive(HaveOccurred()))
 	})
 
-	It("closes kept connections before the instance does", func() {
-		Expect(idleLimit(http.Header{"Keep-Alive": {"timeout=5, max=100"}})).To(Equal(5*time.Second - idleMargin))
-		Expect(idleLimit(http.Header{})).To(Equal(defaultIdleLimit))
+	It("closes idle connections before the instance does", func() {
+		Expect(parseIdleTimeout(http.Header{"Keep-Alive": {"timeout=5, max=100"}})).To(Equal(5*time.Second - idleTimeoutMargin))
+		Expect(parseIdleTimeout(http.Header{})).To(Equal(defaultIdleTimeout))
 	})
 })
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -6,27 +6,28 @@
 	"time"
 )
 
-// Fleet is the picture of all instances. Readers take it without a lock.
+// Fleet holds the known instances of all services. It is safe for concurrent use; reading the
+// instances of a service takes no lock.
 type Fleet struct {
-	// Sharing is what programs share of their prompts.
-	Sharing *Sharing
-	now     func() time.Time
-	mutex   sync.Mutex
-	known   map[string]*Instance
-	current atomic.Pointer[map[string][]*Instance] // by service
+	// Sharing tracks the prompt parts that programs have in common.
+	Sharing   *Sharing
+	now       func() time.Time
+	mutex     sync.Mutex
+	byID      map[string]*Instance
+	byService atomic.Pointer[map[string][]*Instance] // immutable; replaced on change
 }
 
-// NewFleet makes an empty picture.
+// NewFleet returns an empty fleet that uses the given clock.
 func NewFleet(now func() time.Time) *Fleet {
-	fleet := &Fleet{Sharing: NewSharing(), now: now, known: map[string]*Instance{}}
-	fleet.current.Store(&map[string][]*Instance{})
+	fleet := &Fleet{Sharing: NewSharing(), now: now, byID: map[string]*Instance{}}
+	fleet.byService.Store(&map[string][]*Instance{})
 	return fleet
 }
 
-// Event says what a declaration changed.
+// Event is the change that a declaration caused.
 type Event string
 
-// The events of the picture.
+// Values of Event.
 const (
 	EventNone     Event = ""
 	EventJoined   Event = "joined"
@@ -35,53 +36,55 @@
 	EventMoved    Event = "address taken by another"
 )
 
-// Apply takes a declaration in, unless it is older than what is known. An instance that
-// started anew under the same ID is a new one: nothing of before holds for it.
-func (f *Fleet) Apply(declared Declaration) Event {
+// Apply updates the fleet with a declaration and returns what changed. It ignores declarations
+// older than the known version. An instance that restarted under the same ID replaces the former
+// one and inherits no state from it.
+func (f *Fleet) Apply(declaration Declaration) Event {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	instance, known := f.known[declared.ID]
-	if known && declared.Version < instance.Version {
+	instance, known := f.byID[declaration.ID]
+	if known && declaration.Version < instance.Version {
 		return EventNone
 	}
 	switch {
-	case declared.Gone && known:
-		return f.leave(instance, declared.Version, EventGone)
-	case declared.Gone:
+	case declaration.Gone && known:
+		return f.markLeaving(instance, declaration.Version, EventGone)
+	case declaration.Gone:
 		return EventNone
-	case known && declared.Born != instance.Born:
+	case known && declaration.Born != instance.Born:
 		instance.pool.closeAll()
-		delete(f.known, declared.ID)
-	case known && declared.Draining:
-		return f.leave(instance, declared.Version, EventDraining)
-	case known && instance.Address == declared.Address && instance.Service == declared.Service:
-		instance.Version = declared.Version
+		delete(f.byID, declaration.ID)
+	case known && declaration.Draining:
+		return f.markLeaving(instance, declaration.Version, EventDraining)
+	case known && instance.Address == declaration.Address && instance.Service == declaration.Service:
+		instance.Version = declaration.Version
 		instance.leftAt.Store(0)
 		return EventNone
 	}
-	f.known[declared.ID] = f.join(declared)
+	f.byID[declaration.ID] = f.newInstance(declaration)
 	f.publish()
-	if declared.Draining {
-		f.known[declared.ID].leftAt.Store(f.now().UnixNano())
+	if declaration.Draining {
+		f.byID[declaration.ID].leftAt.Store(f.now().UnixNano())
 		return EventDraining
 	}
 	return EventJoined
 }
 
-// join also drops former holders of the address: addresses are used again.
-func (f *Fleet) join(declared Declaration) *Instance {
-	for id, other := range f.known {
-		if _, leaving := other.Leaving(); leaving && other.Address == declared.Address {
+// newInstance returns an instance for the declaration. It removes leaving instances with the
+// same address, since addresses are reused.
+func (f *Fleet) newInstance(declaration Declaration) *Instance {
+	for id, other := range f.byID {
+		if _, leaving := other.Leaving(); leaving && other.Address == declaration.Address {
 			other.pool.closeAll()
-			delete(f.known, id)
+			delete(f.byID, id)
 		}
 	}
 	return &Instance{
-		Declaration: declared, digest: digestOf(declared), pool: newPool(declared.Address), prefixes: newPrefixes(),
+		Declaration: declaration, loadKey: loadKeyOf(declaration), pool: newPool(declaration.Address), prefixes: newPrefixCache(),
 	}
 }
 
-func (f *Fleet) leave(instance *Instance, version uint64, event Event) Event {
+func (f *Fleet) markLeaving(instance *Instance, version uint64, event Event) Event {
 	instance.Version = version
 	if !instance.leftAt.CompareAndSwap(0, f.now().UnixNano()) {
 		return EventNone
@@ -89,42 +92,43 @@
 	return event
 }
 
-// Replace takes in a whole reading: instances that it does not name are gone.
-func (f *Fleet) Replace(declared []Declaration, version uint64) {
-	named := make(map[string]bool, len(declared))
-	for _, declaration := range declared {
-		named[declaration.ID] = true
+// Replace applies a complete list of declarations read at the given version. Instances missing
+// from the list are marked as gone, unless their version is newer.
+func (f *Fleet) Replace(declarations []Declaration, version uint64) {
+	listed := make(map[string]bool, len(declarations))
+	for _, declaration := range declarations {
+		listed[declaration.ID] = true
 		f.Apply(declaration)
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for id, instance := range f.known {
-		if !named[id] && instance.Version <= version {
-			f.leave(instance, version, EventGone)
+	for id, instance := range f.byID {
+		if !listed[id] && instance.Version <= version {
+			f.markLeaving(instance, version, EventGone)
 		}
 	}
 }
 
-// Displace drops an instance whose address answered for another one.
+// Displace removes an instance after another instance answered at its address.
 func (f *Fleet) Displace(instance *Instance) {
 	instance.leftAt.CompareAndSwap(0, f.now().UnixNano())
 	instance.pool.closeAll()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	delete(f.known, instance.ID)
+	delete(f.byID, instance.ID)
 	f.publish()
 }
 
-// Forget drops instances that left longer ago than this.
-func (f *Fleet) Forget(after time.Duration) {
+// Forget removes instances that left longer ago than the retention.
+func (f *Fleet) Forget(retention time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	changed := false
-	for id, instance := range f.known {
+	for id, instance := range f.byID {
 		since, leaving := instance.Leaving()
-		if leaving && f.now().Sub(since) > after {
+		if leaving && f.now().Sub(since) > retention {
 			instance.pool.closeAll()
-			delete(f.known, id)
+			delete(f.byID, id)
 			changed = true
 		}
 	}
@@ -135,18 +139,19 @@
 
 func (f *Fleet) publish() {
 	next := make(map[string][]*Instance)
-	for _, instance := range f.known {
+	for _, instance := range f.byID {
 		next[instance.Service] = append(next[instance.Service], instance)
 	}
-	f.current.Store(&next)
+	f.byService.Store(&next)
 }
 
-// Of returns the instances of a service, also those that leave.
-func (f *Fleet) Of(service string) []*Instance { return (*f.current.Load())[service] }
+// Of returns the instances of a service, including those that are leaving. The caller must not
+// change the slice.
+func (f *Fleet) Of(service string) []*Instance { return (*f.byService.Load())[service] }
 
-// Size counts the known instances.
+// Size returns the number of known instances.
 func (f *Fleet) Size() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return len(f.known)
+	return len(f.byID)
 }
--- a/internal/backend/instance.go
+++ b/internal/backend/instance.go
@@ -1,6 +1,5 @@
-// Package backend knows the engines and services behind the system: which
-// instances stand ready, how loaded they are as far as this process knows,
-// and how one request is exchanged with one of them.
+// Package backend tracks the instances of engines and services, chooses an instance for each
+// request by health, load, speed and cached prompts, and exchanges HTTP requests with it.
 package backend
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// Declaration is what an instance says of itself, or that its entry is gone.
+// Declaration is the registration of an instance, or the news that the registration is gone.
 type Declaration struct {
 	ID       string
 	Service  string
@@ -21,70 +20,71 @@
 	Slots    int
 	Draining bool
 	Gone     bool
-	// Born is when the instance started, in unix milliseconds; 0: not declared. The
-	// same ID with another Born is another instance.
+	// Born is the start time in unix milliseconds; 0 if not declared. The same ID with another
+	// Born is another instance.
 	Born    int64
-	Version uint64 // of the entry
+	Version uint64 // version of the registration; increases with each change
 }
 
-// Instance is one start of an engine or service.
+// Instance is one running engine or service process. It is safe for concurrent use.
 type Instance struct {
 	Declaration
-	pool     *pool
-	inFlight atomic.Int64
-	quality  quality
-	speed    speedometer
-	health   health
-	prefixes *prefixes
-	digest   load.Key     // by which daemons name it to each other
-	others   atomic.Int64 // requests of other processes under way, as last heard
-	heardAt  atomic.Int64 // unix nanoseconds of that; 0: never
-	leftAt   atomic.Int64 // unix nanoseconds since when it is draining or gone; 0: it is not
+	pool            *pool
+	inFlight        atomic.Int64
+	quality         quality
+	speed           speedTracker
+	health          health
+	prefixes        *prefixCache
+	loadKey         load.Key     // identifies the instance in load reports between daemons
+	othersInFlight  atomic.Int64 // requests of other processes, as last reported
+	othersUpdatedAt atomic.Int64 // unix nanoseconds of the last report; 0 if there was none
+	leftAt          atomic.Int64 // unix nanoseconds when it began draining or was gone; 0 if neither
 }
 
-// digestOf names one start of an instance: what was told of a former start under the
-// same ID does not hold for it.
-func digestOf(declared Declaration) load.Key {
-	if declared.Born == 0 {
-		return load.KeyOf(declared.ID)
+// loadKeyOf returns the key of an instance in load reports. It includes Born, so that reports
+// about a previous start under the same ID are not applied to this one.
+func loadKeyOf(declaration Declaration) load.Key {
+	if declaration.Born == 0 {
+		return load.KeyOf(declaration.ID)
 	}
-	return load.KeyOf(declared.ID + "\x00" + strconv.FormatInt(declared.Born, 10))
+	return load.KeyOf(declaration.ID + "\x00" + strconv.FormatInt(declaration.Born, 10))
 }
 
-// InFlight is how many requests of this process the instance works on.
+// InFlight returns the number of requests of this process at the instance.
 func (i *Instance) InFlight() int { return int(i.inFlight.Load()) }
 
-// Leaving tells whether the instance is draining or gone, and since when.
+// Leaving reports whether the instance is draining or gone, and since when.
 func (i *Instance) Leaving() (since time.Time, leaving bool) {
 	at := i.leftAt.Load()
 	return time.Unix(0, at), at != 0
 }
 
-// Begin counts a request in; the returned function counts it out.
+// Begin counts a request as in flight until the returned function is called. Calling that
+// function again has no effect.
 func (i *Instance) Begin() (end func()) {
 	i.inFlight.Add(1)
 	var once sync.Once
 	return func() { once.Do(func() { i.inFlight.Add(-1) }) }
 }
 
-// Observe notes what a request showed of the instance.
+// Observe records the outcome of a request.
 func (i *Instance) Observe(outcome Outcome, now time.Time) {
 	i.quality.observe(outcome, now)
 	i.speed.observe(outcome, now)
 }
 
-// Succeeded notes that the instance answered.
-func (i *Instance) Succeeded() { i.health.succeeded() }
+// Succeeded records that the instance responded, which ends an ejection.
+func (i *Instance) Succeeded() { i.health.recordSuccess() }
 
-// Failed notes that the instance could not be reached or broke off. It tells
-// whether the instance was ejected for it, and for how long.
-func (i *Instance) Failed(now time.Time) (time.Duration, bool) { return i.health.failed(now) }
+// Failed records that the instance could not be reached or broke the connection. It returns
+// whether the instance is now ejected, and for how long.
+func (i *Instance) Failed(now time.Time) (time.Duration, bool) { return i.health.recordFailure(now) }
 
-// Remember notes that the instance has read these parts of a prompt.
+// Remember records that the instance has read these parts of a prompt.
 func (i *Instance) Remember(parts []PromptPart) { i.prefixes.add(parts) }
 
-// health ejects an instance that fails several times in a row, and lets
-// requests try it again after a pause that grows.
+// health ejects an instance after consecutive failures. Each further ejection lasts twice as
+// long, up to maxEjection.
 type health struct {
 	mutex        sync.Mutex
 	failures     int
@@ -93,32 +93,32 @@
 }
 
 const (
-	failuresUntilEjected = 2
-	firstEjection        = 500 * time.Millisecond
-	longestEjection      = 4 * time.Second
+	ejectionThreshold = 2 // consecutive failures
+	minEjection       = 500 * time.Millisecond
+	maxEjection       = 4 * time.Second
 )
 
-func (h *health) succeeded() {
+func (h *health) recordSuccess() {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.failures, h.ejections = 0, 0
 	h.ejectedUntil = time.Time{}
 }
 
-func (h *health) failed(now time.Time) (time.Duration, bool) {
+func (h *health) recordFailure(now time.Time) (time.Duration, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.failures++
-	if h.failures < failuresUntilEjected {
+	if h.failures < ejectionThreshold {
 		return 0, false
 	}
-	wait := min(firstEjection<<min(h.ejections, 8), longestEjection)
+	ejection := min(minEjection<<min(h.ejections, 8), maxEjection)
 	h.ejections++
-	h.ejectedUntil = now.Add(wait)
-	return wait, true
+	h.ejectedUntil = now.Add(ejection)
+	return ejection, true
 }
 
-func (h *health) ejected(now time.Time) bool {
+func (h *health) isEjected(now time.Time) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return now.Before(h.ejectedUntil)
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -6,41 +6,42 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// loadBelieved is how long what was heard of others counts: ten intervals of the
-// reports, so that a change of the aggregator leaves no gap.
-const loadBelieved = time.Second
+// loadTTL is how long a load report is used: ten report intervals, enough to cover a change of
+// the aggregator.
+const loadTTL = time.Second
 
-// UnderWay counts this process's requests at each instance that has any.
+// UnderWay returns the number of requests of this process at each instance, omitting zeros.
 func (f *Fleet) UnderWay() load.Counts {
 	counts := load.Counts{}
-	for _, instances := range *f.current.Load() {
+	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
 			if count := instance.InFlight(); count > 0 {
-				counts[instance.digest] += count
+				counts[instance.loadKey] += count
 			}
 		}
 	}
 	return counts
 }
 
-// Learn takes in what all processes have under way; own is this one's part.
+// Learn updates the instances with the requests of all processes. own is this process's part of
+// them, which is already counted.
 func (f *Fleet) Learn(all, own load.Counts) {
 	now := f.now().UnixNano()
-	for _, instances := range *f.current.Load() {
+	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
-			count := max(all[instance.digest]-own[instance.digest], 0)
-			instance.others.Store(int64(count))
-			instance.heardAt.Store(now)
+			count := max(all[instance.loadKey]-own[instance.loadKey], 0)
+			instance.othersInFlight.Store(int64(count))
+			instance.othersUpdatedAt.Store(now)
 		}
 	}
 }
 
-// Load is how many requests all processes together have at the instance, as far
-// as this one knows.
+// Load returns the number of requests of all processes at the instance, as far as they were
+// reported within loadTTL.
 func (i *Instance) Load(now time.Time) int {
-	underWay := i.InFlight()
-	if now.UnixNano()-i.heardAt.Load() < int64(loadBelieved) {
-		underWay += int(i.others.Load())
+	inFlight := i.InFlight()
+	if now.UnixNano()-i.othersUpdatedAt.Load() < int64(loadTTL) {
+		inFlight += int(i.othersInFlight.Load())
 	}
-	return underWay
+	return inFlight
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -11,46 +11,47 @@
 	"time"
 )
 
-// Bounds of connections to instances.
+// Limits of connections to instances.
 const (
-	connectTimeout   = 500 * time.Millisecond
-	peerSilence      = 2500 * time.Millisecond // unacknowledged bytes end a connection
-	readBuffer       = 4 << 10
-	defaultIdleLimit = 10 * time.Second
-	idleMargin       = 700 * time.Millisecond // closed by us before the instance does
-	tcpUserTimeout   = 18                     // TCP_USER_TIMEOUT of the operating system
+	connectTimeout       = 500 * time.Millisecond
+	unackedTimeout       = 2500 * time.Millisecond // TCP closes a connection whose data stays unacknowledged for this long
+	readBufferBytes      = 4 << 10
+	defaultIdleTimeout   = 10 * time.Second
+	idleTimeoutMargin    = 700 * time.Millisecond // closes idle connections before the instance does
+	tcpUserTimeoutOption = 18                     // TCP_USER_TIMEOUT on Linux
 )
 
-// connection carries one request at a time.
+// connection is a TCP connection that carries one request at a time.
 type connection struct {
 	net.Conn
-	reader    *bufio.Reader
-	exchanges int
-	idleSince time.Time
-	idleLimit time.Duration
+	reader             *bufio.Reader
+	completedExchanges int
+	idleSince          time.Time
+	idleTimeout        time.Duration
 }
 
-// pool keeps idle connections to one address, the last used first.
+// pool keeps idle connections to one address and reuses the most recent first. It is safe for
+// concurrent use.
 type pool struct {
 	address string
 	mutex   sync.Mutex
 	idle    []*connection
 	closed  bool
-	// warmUntil is when the connection given back last stops counting as usable, in
-	// unix nanoseconds; 0: none is idle.
+	// warmUntil is when the most recently returned connection expires, in unix nanoseconds; 0 if
+	// no connection is idle.
 	warmUntil atomic.Int64
 }
 
 func newPool(address string) *pool { return &pool{address: address} }
 
-// get returns an idle connection that is still sound, or a new one.
+// get returns an idle connection that is still usable, or opens a new one.
 func (p *pool) get(ctx context.Context) (*connection, error) {
 	for {
 		idle := p.pop()
 		if idle == nil {
 			return p.dial(ctx)
 		}
-		if time.Since(idle.idleSince) < idle.idleLimit && quiet(idle) {
+		if time.Since(idle.idleSince) < idle.idleTimeout && isReusable(idle) {
 			return idle, nil
 		}
 		_ = idle.Close()
@@ -81,11 +82,11 @@
 		return
 	}
 	p.idle = append(p.idle, used)
-	p.warmUntil.Store(used.idleSince.Add(used.idleLimit).UnixNano())
+	p.warmUntil.Store(used.idleSince.Add(used.idleTimeout).UnixNano())
 }
 
-// warm tells whether an idle connection is likely to be usable; it takes no lock.
-func (p *pool) warm(now time.Time) bool { return now.UnixNano() < p.warmUntil.Load() }
+// isWarm reports whether a usable idle connection is likely to exist. It takes no lock.
+func (p *pool) isWarm(now time.Time) bool { return now.UnixNano() < p.warmUntil.Load() }
 
 func (p *pool) closeAll() {
 	p.mutex.Lock()
@@ -105,41 +106,42 @@
 		return nil, err
 	}
 	return &connection{
-		Conn:      opened,
-		reader:    bufio.NewReaderSize(opened, readBuffer),
-		idleLimit: defaultIdleLimit,
+		Conn:        opened,
+		reader:      bufio.NewReaderSize(opened, readBufferBytes),
+		idleTimeout: defaultIdleTimeout,
 	}, nil
 }
 
-// setUserTimeout lets the operating system notice a peer that is gone.
+// setUserTimeout makes the operating system close the connection when the peer stops
+// acknowledging data.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failure error
+	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failure = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeout, int(peerSilence.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, tcpUserTimeoutOption, int(unackedTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failure)
+	return errors.Join(err, optionErr)
 }
 
-// quiet tells whether an idle connection is open and nothing arrived on it:
-// bytes that nobody asked for belong to no request.
-func quiet(idle *connection) bool {
+// isReusable reports whether the idle connection is open and has no unread bytes. Bytes received
+// while idle belong to no request.
+func isReusable(idle *connection) bool {
 	if idle.reader.Buffered() > 0 {
 		return false
 	}
-	syscallConn, is := idle.Conn.(syscall.Conn)
-	if !is {
+	syscallConn, ok := idle.Conn.(syscall.Conn)
+	if !ok {
 		return true
 	}
 	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	sound := false
+	reusable := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, readErr := syscall.Read(int(descriptor), one[:])
-		sound = readErr == syscall.EAGAIN
+		var buffer [1]byte
+		_, readErr := syscall.Read(int(descriptor), buffer[:])
+		reusable = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && sound
+	return err == nil && reusable
 }
--- a/internal/backend/prefixes.go
+++ b/internal/backend/prefixes.go
@@ -4,43 +4,43 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// PromptPart is a part of a prompt that requests may share.
+// PromptPart is a named part of a prompt. Requests with a part in common use the same name.
 type PromptPart struct {
 	Name   string
 	Tokens int
 }
 
-// prefixes guesses which parts of prompts lie in an instance's memory: those
-// that this process sent there last, up to the memory's size.
-type prefixes struct {
+// prefixCache estimates which prompt parts an instance has cached: the last maxCachedParts parts
+// that this process sent to it.
+type prefixCache struct {
 	parts *lru.Cache[string, struct{}]
 }
 
-// partsRemembered bounds the guess; the memory of an engine holds fewer.
-const partsRemembered = 512
+// maxCachedParts is above the number of parts that an engine's memory holds.
+const maxCachedParts = 512
 
-func newPrefixes() *prefixes {
-	cache, err := lru.New[string, struct{}](partsRemembered)
+func newPrefixCache() *prefixCache {
+	cache, err := lru.New[string, struct{}](maxCachedParts)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	return &prefixes{parts: cache}
+	return &prefixCache{parts: cache}
 }
 
-func (p *prefixes) add(parts []PromptPart) {
+func (p *prefixCache) add(parts []PromptPart) {
 	for _, part := range parts {
 		p.parts.Add(part.Name, struct{}{})
 	}
 }
 
-// missing counts the tokens of a prompt that the instance would have to read, if
-// it keeps so many parts as every instance does, and those guessed here.
-func (p *prefixes) missing(parts []PromptPart, everywhere int) int {
+// missingTokens returns the number of tokens after the cached prefix of a prompt. The first
+// sharedParts parts count as cached.
+func (p *prefixCache) missingTokens(parts []PromptPart, sharedParts int) int {
 	tokens := 0
-	kept := true
+	cached := true
 	for index, part := range parts {
-		kept = kept && (index < everywhere || p.parts.Contains(part.Name))
-		if !kept {
+		cached = cached && (index < sharedParts || p.parts.Contains(part.Name))
+		if !cached {
 			tokens += part.Tokens
 		}
 	}
--- a/internal/backend/quality.go
+++ b/internal/backend/quality.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Outcome is what one request showed of an instance.
+// Outcome is what one request revealed about an instance.
 type Outcome struct {
-	// Failed: unreachable, broke off, silent until the caller left, or an
-	// answer that was no use.
+	// Failed is set if the instance was unreachable, broke the connection, sent nothing before
+	// the caller left, or sent an unusable answer.
 	Failed    bool
-	FirstByte time.Duration // until the answer began; 0: it did not
-	PerEvent  time.Duration // between events of a stream; 0: too few to tell
-	Further   int           // events after the first
-	Load      int           // requests that the instance was believed to have when it was chosen
-	Slots     int           // of the instance; 0: not declared
+	FirstByte time.Duration // time until the response began; 0 if it did not
+	PerEvent  time.Duration // mean time between events of a stream; 0 if there were too few
+	Further   int           // number of events after the first
+	Load      int           // requests at the instance when it was chosen, as far as known
+	Slots     int           // slots of the instance; 0 if not declared
 }
 
-// share is the part of the slots that was believed to be taken.
-func (o Outcome) share() float64 {
+// utilization returns the load at the time of choice as a fraction of the slots.
+func (o Outcome) utilization() float64 {
 	slots := o.Slots
 	if slots <= 0 {
 		slots = defaultSlots
@@ -27,48 +27,50 @@
 	return float64(o.Load) / float64(slots)
 }
 
-// quality is how often an instance failed lately, and how late its answers began. What is old counts less and less,
-// so that an instance that was avoided is tried again.
+// quality records how often an instance failed recently and how late its responses began.
+// Observations decay with age, so that an avoided instance is tried again.
 type quality struct {
 	mutex     sync.Mutex
-	at        time.Time // until when the sums are decayed
+	decayedAt time.Time // time up to which the sums are decayed
 	attempts  float64
 	failures  float64
-	firstByte decayedMean // of answers that found room
+	firstByte decayedMean // of requests that found a free slot
 }
 
-// halfLife is after how long an observation counts half.
-const halfLife = 3 * time.Second
+// qualityHalfLife is the age at which an observation counts half.
+const qualityHalfLife = 3 * time.Second
 
-// Bounds of what is told apart.
+// Thresholds for avoiding an instance.
 const (
-	// enough is the weight of observations from which an instance is judged.
-	enough = 3.0
-	// failingShare is the share of failures from which an instance is avoided.
-	failingShare = 0.25
-	// lateRatio is how many times the service's mean an instance takes for its first
-	// byte, though it has room, when it is avoided: noise makes it two or three
-	// times as slow for moments, and more is a fault.
-	lateRatio = 4.0
+	// minObservations is the smallest decayed number of observations from which an instance is
+	// judged.
+	minObservations = 3.0
+	// failureRateThreshold is the smallest failure rate at which an instance is avoided.
+	failureRateThreshold = 0.25
+	// maxFirstByteRatio is the largest ratio of an instance's mean time to first byte, with a
+	// free slot, to that of the other instances. Noise can cause a ratio of two or three for a
+	// short time; a higher one indicates a fault.
+	maxFirstByteRatio = 4.0
 )
 
-// decayedMean is a mean whose values lose weight with time.
+// decayedMean is a weighted mean whose terms decay with age.
 type decayedMean struct {
-	sum    float64 // seconds
+	sum    float64 // of seconds
 	weight float64
 }
 
-// plus adds up two means, each by its weight.
+// plus returns the mean of both sets of values.
 func (m decayedMean) plus(other decayedMean) decayedMean {
 	return decayedMean{sum: m.sum + other.sum, weight: m.weight + other.weight}
 }
 
-// late tells whether the mean is beyond any use beside that of the others.
-func (m decayedMean) late(all decayedMean) bool {
-	if m.weight < enough || all.weight <= m.weight {
+// isLate reports whether the mean exceeds maxFirstByteRatio times the mean of the other
+// instances. all includes m itself.
+func (m decayedMean) isLate(all decayedMean) bool {
+	if m.weight < minObservations || all.weight <= m.weight {
 		return false
 	}
-	return m.sum/m.weight > lateRatio*(all.sum-m.sum)/(all.weight-m.weight)
+	return m.sum/m.weight > maxFirstByteRatio*(all.sum-m.sum)/(all.weight-m.weight)
 }
 
 func (q *quality) observe(outcome Outcome, now time.Time) {
@@ -79,36 +81,36 @@
 	if outcome.Failed {
 		q.failures++
 	}
-	if outcome.FirstByte > 0 && outcome.share() < 1 {
+	if outcome.FirstByte > 0 && outcome.utilization() < 1 {
 		q.firstByte = q.firstByte.plus(decayedMean{sum: outcome.FirstByte.Seconds(), weight: 1})
 	}
 }
 
 func (q *quality) decay(now time.Time) {
-	if elapsed := now.Sub(q.at); !q.at.IsZero() && elapsed > 0 {
-		factor := math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
+	if elapsed := now.Sub(q.decayedAt); !q.decayedAt.IsZero() && elapsed > 0 {
+		factor := math.Exp2(-elapsed.Seconds() / qualityHalfLife.Seconds())
 		q.attempts *= factor
 		q.failures *= factor
 		q.firstByte.sum *= factor
 		q.firstByte.weight *= factor
 	}
-	q.at = now
+	q.decayedAt = now
 }
 
-// measured is a quality at a moment.
-type measured struct {
+// qualitySnapshot is the state of a quality at one point in time.
+type qualitySnapshot struct {
 	failing   bool
 	firstByte decayedMean
 }
 
-// measure tells whether the instance failed so often that it is avoided, and how
-// late its answers began.
-func (q *quality) measure(now time.Time) measured {
+// snapshot returns whether the instance fails too often, and the decayed mean of its time to
+// first byte.
+func (q *quality) snapshot(now time.Time) qualitySnapshot {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if q.attempts > 0 {
 		q.decay(now)
 	}
-	failing := q.attempts >= enough && q.failures >= failingShare*q.attempts
-	return measured{failing: failing, firstByte: q.firstByte}
+	failing := q.attempts >= minObservations && q.failures >= failureRateThreshold*q.attempts
+	return qualitySnapshot{failing: failing, firstByte: q.firstByte}
 }
--- a/internal/backend/reference.go
+++ b/internal/backend/reference.go
@@ -6,148 +6,153 @@
 	"github.com/thymeloft/thymeloft/internal/mechanism"
 )
 
-// reference is what the instances of a service do, as all daemons saw it. The fast
-// instances are those that are not told apart from the fastest ones.
-type reference struct {
-	fastest    float64 // pieces a second of the mean fast instance; 0: not known
-	mean       float64 // pieces a second of the mean instance
-	prior      float64 // pieces that count as made at the mean speed (priorAnswers)
-	answerTime float64 // milliseconds that a fast instance takes for an answer
-	// hasty is the part of the programs that a fast instance has room for.
-	hasty float64
+// speedBaseline summarizes the speeds of a service's instances, as observed by all daemons. An
+// instance counts as fast if its speed is near that of the fastest ones (minFastSpeedRatio).
+type speedBaseline struct {
+	fastMean     float64 // mean speed of the fast instances in events per second; 0 if unknown
+	mean         float64 // mean speed of all instances in events per second
+	priorEvents  float64 // events added to each instance at the mean speed; see priorAnswers
+	answerTimeMs float64 // mean time of an answer at a fast instance, in milliseconds
+	// fastFirstShare is the share of the programs that prefer fast instances, from 0 to 1.
+	fastFirstShare float64
 }
 
 const (
-	// enoughAnswers is the weight from which an instance tells what is usual.
-	enoughAnswers = 3.0
-	// nearlyMean keeps rounding from telling equal speeds apart.
-	nearlyMean = 0.99
-	// fastShare is the share of the fastest speeds from which an instance counts as fast.
-	fastShare = 0.75
-	// roomyShare is the part of the fast instances' work for which they are asked first. A
-	// batch of half its size is hardly slower for one more, and the other half is for what
-	// daemons send there that have not heard of each other.
-	roomyShare = 0.5
-	// priorAnswers is the weight, in answers, with which an instance counts as one of the
-	// mean speed, so that one late answer changes little, and an instance that nobody
-	// used for a while is tried again.
+	// minAnswers is the smallest decayed number of answers for which an instance's speed counts
+	// in the baseline.
+	minAnswers = 3.0
+	// minUpperSpeedRatio is the smallest ratio to the mean speed at which an instance belongs to
+	// the upper part. It is just below 1 so that rounding does not separate equal speeds.
+	minUpperSpeedRatio = 0.99
+	// minFastSpeedRatio is the smallest ratio to the mean speed of the upper part at which an
+	// instance counts as fast.
+	minFastSpeedRatio = 0.75
+	// maxFastFirstUtilization is the utilization up to which fast instances are preferred. A
+	// half-full batch is hardly slowed down by one more request, and the other half is left for
+	// requests that other daemons send before their reports arrive.
+	maxFastFirstUtilization = 0.5
+	// priorAnswers is the weight, in answers, of the assumption that an instance has the mean
+	// speed. It limits the effect of a single late answer, and makes unused instances be tried
+	// again.
 	priorAnswers = 8.0
-	// alikeFrom is the speed, to that of fast instances, from which an instance counts
-	// as one of them. Engines that are slower for moments differ by a
-	// third over some seconds, and all daemons would go after that at once: on a fleet that is
-	// alike but for moments, and over half full, the 99th percentile of a turn was
-	// 1.02 s without speeds, 1.00 s with 0.61 and 1.11 s with 0.67 (simulation, five seeds).
-	alikeFrom = 0.6
-	// distinctFrom is the speed below which it is taken as it is.
-	distinctFrom = 0.35
-	// slowestBelieved bounds what is believed: below, something else than speed is wrong.
-	slowestBelieved = 1.0 / 32
-	// millisecondsEach is milliseconds a second.
-	millisecondsEach = 1000
+	// minEqualSpeedRatio is the smallest ratio to the fast speed at which an instance is treated
+	// as fast. Short disturbances change a speed by about a third for seconds; with a higher
+	// ratio all daemons would react to them together.
+	minEqualSpeedRatio = 0.6
+	// maxExactSpeedRatio is the largest ratio to the fast speed that is used unchanged. Ratios
+	// from here to minEqualSpeedRatio are interpolated up to 1.
+	maxExactSpeedRatio = 0.35
+	// minSpeedRatio is the smallest ratio to the fast speed that is used. An engine that seems
+	// even slower has another fault.
+	minSpeedRatio         = 1.0 / 32
+	millisecondsPerSecond = 1000
 )
 
-// speeds sums up the speeds of instances that did enough, each of them once.
-type speeds struct {
-	sum   float64 // pieces a second
+// speedSum adds up the speeds of instances, with equal weight for each.
+type speedSum struct {
+	sum   float64 // events per second
 	count int
 	work  work
 }
 
-func (s speeds) mean() float64 { return s.sum / float64(s.count) }
+func (s speedSum) mean() float64 { return s.sum / float64(s.count) }
 
-// speedsFrom takes the instances that make so many pieces a second or more.
-func speedsFrom(instances []*Instance, now time.Time, bound float64) speeds {
-	var taken speeds
+// sumSpeeds adds up the speeds of the instances that have at least minAnswers answers and
+// minSpeed events per second.
+func sumSpeeds(instances []*Instance, now time.Time, minSpeed float64) speedSum {
+	var total speedSum
 	for _, instance := range instances {
-		done := instance.speed.known(now)
-		if done.answers < enoughAnswers || done.speed() < bound {
+		observed := instance.speed.current(now)
+		if observed.answers < minAnswers || observed.speed() < minSpeed {
 			continue
 		}
-		taken.sum += done.speed()
-		taken.count++
-		taken.work = taken.work.plus(done)
+		total.sum += observed.speed()
+		total.count++
+		total.work = total.work.plus(observed)
 	}
-	return taken
+	return total
 }
 
-// referenceOf takes the mean of all speeds, then that of the upper ones, and then
-// that of all that are near it.
-func referenceOf(instances []*Instance, request *Request) reference {
+// computeSpeedBaseline returns the baseline of the instances. The fast speed is found in three
+// steps: the mean of all speeds, the mean of the speeds above it, and the mean of all speeds
+// near that one. The result is zero if no speed is known.
+func computeSpeedBaseline(instances []*Instance, request *Request) speedBaseline {
 	if request.Off.Has(mechanism.EngineSpeeds) {
-		return reference{}
+		return speedBaseline{}
 	}
-	all := speedsFrom(instances, request.Now, 0)
+	all := sumSpeeds(instances, request.Now, 0)
 	if all.count == 0 {
-		return reference{}
+		return speedBaseline{}
 	}
-	upper := speedsFrom(instances, request.Now, nearlyMean*all.mean())
-	bound := fastShare * upper.mean()
-	fast := speedsFrom(instances, request.Now, bound)
-	return reference{
-		fastest:    fast.mean(),
-		mean:       all.mean(),
-		prior:      priorAnswers * all.work.pieces / all.work.answers,
-		answerTime: millisecondsEach * fast.work.seconds / fast.work.answers,
-		hasty:      roomAt(instances, request, all.mean(), bound).hasty(),
+	upper := sumSpeeds(instances, request.Now, minUpperSpeedRatio*all.mean())
+	minFastSpeed := minFastSpeedRatio * upper.mean()
+	fast := sumSpeeds(instances, request.Now, minFastSpeed)
+	return speedBaseline{
+		fastMean:       fast.mean(),
+		mean:           all.mean(),
+		priorEvents:    priorAnswers * all.work.events / all.work.answers,
+		answerTimeMs:   millisecondsPerSecond * fast.work.seconds / fast.work.answers,
+		fastFirstShare: measureCapacity(instances, request, all.mean(), minFastSpeed).fastFirstShare(),
 	}
 }
 
-// room is the work that instances do and could do, in pieces a second.
-type room struct {
-	done     float64 // by all
-	all      float64 // if all slots of all were taken
-	fastOnes float64 // if all slots of the fast ones were taken
+// capacity is the work of instances in events per second.
+type capacity struct {
+	used  float64 // of the requests under way
+	total float64 // with all slots of all instances taken
+	fast  float64 // with all slots of the fast instances taken
 }
 
-func roomAt(instances []*Instance, request *Request, mean, bound float64) room {
-	var found room
+func measureCapacity(instances []*Instance, request *Request, defaultSpeed, minFastSpeed float64) capacity {
+	var result capacity
 	for _, instance := range instances {
-		speed := mean
-		if done := instance.speed.known(request.Now); done.answers >= enoughAnswers {
-			speed = done.speed()
+		speed := defaultSpeed
+		if observed := instance.speed.current(request.Now); observed.answers >= minAnswers {
+			speed = observed.speed()
 		}
 		slots := Slots(instance, request)
-		found.done += speed * float64(min(instance.Load(request.Now), slots))
-		found.all += speed * float64(slots)
-		if speed >= bound {
-			found.fastOnes += speed * float64(slots)
+		result.used += speed * float64(min(instance.Load(request.Now), slots))
+		result.total += speed * float64(slots)
+		if speed >= minFastSpeed {
+			result.fast += speed * float64(slots)
 		}
 	}
-	return found
+	return result
 }
 
-// hasty is the part of the work that fast instances have room for, less the fuller all
-// instances are: what is full altogether is shared by capacity. The work that is done
-// depends little on where it is done, so that the part hardly changes with it, and
-// daemons do not go to and fro.
-func (r room) hasty() float64 {
-	if r.done <= 0 {
+// fastFirstShare returns the share of the work that fast instances have room for. It falls to 0
+// as the whole fleet fills up; a full fleet is shared by capacity. The used capacity depends
+// little on which instances do the work, so that the share is stable and daemons do not
+// oscillate.
+func (c capacity) fastFirstShare() float64 {
+	if c.used <= 0 {
 		return 1
 	}
-	part := min(roomyShare*r.fastOnes/r.done, 1)
-	left := (1 - r.done/r.all) / (1 - roomyShare)
-	return part * min(left, 1)
+	share := min(maxFastFirstUtilization*c.fast/c.used, 1)
+	idleFactor := (1 - c.used/c.total) / (1 - maxFastFirstUtilization)
+	return share * min(idleFactor, 1)
 }
 
-// speedOf is the instance's speed to that of fast ones, at most 1; 1 if nothing is known.
-func (r reference) speedOf(instance *Instance, now time.Time) float64 {
-	if r.fastest == 0 {
+// speedRatio returns the instance's speed relative to the fast ones, from minSpeedRatio to 1. It
+// returns 1 if no speed is known.
+func (b speedBaseline) speedRatio(instance *Instance, now time.Time) float64 {
+	if b.fastMean == 0 {
 		return 1
 	}
-	done := instance.speed.known(now)
-	speed := (done.pieces + r.prior) / (done.seconds + r.prior/r.mean) / r.fastest
-	return distinctSpeed(max(speed, slowestBelieved))
+	observed := instance.speed.current(now)
+	ratio := (observed.events + b.priorEvents) / (observed.seconds + b.priorEvents/b.mean) / b.fastMean
+	return adjustSpeedRatio(max(ratio, minSpeedRatio))
 }
 
-// distinctSpeed makes 1 of speeds that are nearly 1, and leaves those alone that are far
-// from it, without a step between.
-func distinctSpeed(speed float64) float64 {
+// adjustSpeedRatio returns 1 for ratios near 1 and leaves small ratios unchanged. The function
+// is continuous and increasing between them.
+func adjustSpeedRatio(ratio float64) float64 {
 	switch {
-	case speed >= alikeFrom:
+	case ratio >= minEqualSpeedRatio:
 		return 1
-	case speed <= distinctFrom:
-		return speed
+	case ratio <= maxExactSpeedRatio:
+		return ratio
 	default:
-		return distinctFrom + (speed-distinctFrom)*(1-distinctFrom)/(alikeFrom-distinctFrom)
+		return maxExactSpeedRatio + (ratio-maxExactSpeedRatio)*(1-maxExactSpeedRatio)/(minEqualSpeedRatio-maxExactSpeedRatio)
 	}
 }
--- a/internal/backend/sending.go
+++ b/internal/backend/sending.go
@@ -11,52 +11,53 @@
 	"github.com/rotisserie/eris"
 )
 
-// unreadFor is how long an instance may take nothing of a request that is being sent: longer than
-// a segment takes that was lost twice (0.6 s), and below peerSilence, after which the operating
-// system ends a connection whose other end takes nothing.
-const unreadFor = 1200 * time.Millisecond
+// writeStallTimeout is how long an instance may accept no bytes while a request is written. It
+// is longer than TCP takes to retransmit a segment that was lost twice (0.6 s), and shorter than
+// unackedTimeout.
+const writeStallTimeout = 1200 * time.Millisecond
 
-// ErrUnread says that the exchange ended before the instance had taken the whole request.
+// ErrUnread says that the exchange ended before the instance had accepted the whole request.
 var ErrUnread = errors.New("the instance has not read the whole request")
 
-// write sends the request. An instance that does not read loses the connection, unless it has
-// begun to answer: what it answers still counts.
+// write sends the request and stores the result in writeResult. If the instance stops reading
+// before it responds, write closes the connection; a response that has begun is still read.
 func (e *exchange) write(request *http.Request) {
-	err := request.Write(&patientWriter{connection: e.connection.Conn, patience: unreadFor})
+	err := request.Write(&stallTimeoutWriter{connection: e.connection.Conn, stallTimeout: writeStallTimeout})
 	if err == nil {
 		err = e.connection.SetWriteDeadline(time.Time{})
 	}
-	e.written <- err
-	if errors.Is(err, os.ErrDeadlineExceeded) && !e.answered.Load() {
-		_ = e.connection.Close() // ends the reading of an answer; it fails only when it is closed already
+	e.writeResult <- err
+	if errors.Is(err, os.ErrDeadlineExceeded) && !e.responseStarted.Load() {
+		_ = e.connection.Close() // stops readResponse; an error only means that the connection is already closed
 	}
 }
 
-// cause tells why no answer was read, and whether the request had been sent whole. What ran is
-// unknown in either case: the instance may work on what it has read.
-func (e *exchange) cause(err error) error {
-	_ = e.connection.Close() // ends the sending, if it is still under way
-	if sent := <-e.written; sent != nil {
-		return eris.Wrapf(ErrUnread, "%v; sending: %v", err, sent)
+// closeWithCause closes the connection and returns why there is no response: err, wrapped in
+// ErrUnread if the request was not sent completely. In both cases the instance may have executed
+// the request.
+func (e *exchange) closeWithCause(err error) error {
+	_ = e.connection.Close() // stops a write that is still in progress
+	if writeErr := <-e.writeResult; writeErr != nil {
+		return eris.Wrapf(ErrUnread, "%v; write request: %v", err, writeErr)
 	}
 	return err
 }
 
-// patientWriter writes to a connection whose other end may be slow, but takes something within
-// the patience.
-type patientWriter struct {
-	connection net.Conn
-	patience   time.Duration
+// stallTimeoutWriter writes to a connection and fails when the peer accepts no bytes for
+// stallTimeout. A slow peer may take longer in total.
+type stallTimeoutWriter struct {
+	connection   net.Conn
+	stallTimeout time.Duration
 }
 
 // Write implements io.Writer.
-func (p *patientWriter) Write(content []byte) (int, error) {
+func (w *stallTimeoutWriter) Write(content []byte) (int, error) {
 	written := 0
 	for {
-		if err := p.connection.SetWriteDeadline(time.Now().Add(p.patience)); err != nil {
+		if err := w.connection.SetWriteDeadline(time.Now().Add(w.stallTimeout)); err != nil {
 			return written, err
 		}
-		count, err := p.connection.Write(content[written:])
+		count, err := w.connection.Write(content[written:])
 		written += count
 		if count == 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return written, err
@@ -64,16 +65,16 @@
 	}
 }
 
-// ReadFrom implements io.ReaderFrom: a body is written in pieces as large as a connection would
-// take it, and not through the small buffer for a request's head.
-func (p *patientWriter) ReadFrom(body io.Reader) (int64, error) {
-	const piece = 32 << 10
-	buffer := make([]byte, piece)
+// ReadFrom implements io.ReaderFrom. It copies in large chunks instead of through the small
+// buffer that http.Request.Write uses for the head.
+func (w *stallTimeoutWriter) ReadFrom(body io.Reader) (int64, error) {
+	const chunkBytes = 32 << 10
+	buffer := make([]byte, chunkBytes)
 	total := int64(0)
 	for {
 		count, err := body.Read(buffer)
 		if count > 0 {
-			written, writeErr := p.Write(buffer[:count])
+			written, writeErr := w.Write(buffer[:count])
 			total += int64(written)
 			if writeErr != nil {
 				return total, writeErr
--- a/internal/backend/shared_tokens.go
+++ b/internal/backend/shared_tokens.go
@@ -1,6 +1,6 @@
 package backend
 
-// Tokens is how many tokens the parts hold that programs share, as far as this process saw.
+// Tokens returns the total size of all shared parts known to this process, in tokens.
 func (s *Sharing) Tokens() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/backend/sharing.go
+++ b/internal/backend/sharing.go
@@ -6,83 +6,82 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Sharing knows which parts of prompts several programs share, as far as this
-// process saw them. Such parts are asked for again and again, and by a program
-// that comes to any engine: all engines keep them soon, and it pays to read one
-// once more rather than to send all its programs to the engine that has it.
-// It is a hint. It is safe for concurrent use.
+// Sharing records which prompt parts several programs have in common, as far as this process
+// sees them. Programs on any engine use such parts, so that all engines soon have them cached.
+// Reading a shared part once more is cheaper than sending all its programs to one engine. The
+// result is an estimate. Sharing is safe for concurrent use.
 type Sharing struct {
 	mutex        sync.Mutex
-	parts        *simplelru.LRU[string, namedPart]
-	sharedTokens int // of all parts that are shared
+	parts        *simplelru.LRU[string, seenPart]
+	sharedTokens int // size of all shared parts
 }
 
-// namedPart is a part that was named by a program.
-type namedPart struct {
-	program string // the last that named it
-	tokens  int
-	shared  bool // another program had named it before
+// seenPart is a prompt part that a program has used.
+type seenPart struct {
+	lastProgram string // program that used it most recently
+	tokens      int
+	shared      bool // used by at least two programs
 }
 
 const (
-	// partsNoted bounds what is remembered; the part unused the longest gives way.
-	partsNoted = 4096
-	// memoryForShared is the part of an engine's memory, as a divisor, that shared
-	// parts may take and still count as kept at all engines: the rest is for what
-	// runs and for what is not shared.
-	memoryForShared = 2
+	// maxTrackedParts bounds the recorded parts; the least recently used one is evicted.
+	maxTrackedParts = 4096
+	// sharedMemoryDivisor limits the shared parts that count as cached at all engines to
+	// 1/sharedMemoryDivisor of an engine's memory. The rest is left for running requests and
+	// other prompts.
+	sharedMemoryDivisor = 2
 )
 
-// NewSharing knows nothing yet.
+// NewSharing returns an empty Sharing.
 func NewSharing() *Sharing {
 	sharing := &Sharing{}
-	cache, err := simplelru.NewLRU(partsNoted, sharing.forgotten)
+	parts, err := simplelru.NewLRU(maxTrackedParts, sharing.onEvicted)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	sharing.parts = cache
+	sharing.parts = parts
 	return sharing
 }
 
-// Note takes in that a program named these parts. It returns how many of them, from
-// the first on, count as kept at every engine whose memory holds so many tokens:
-// those that programs share, if all that are shared fit in. Without a program
-// nothing is taken in.
+// Note records that a program used these parts. It returns how many of the leading parts count
+// as cached at every engine with this memory: the shared ones, or none if the shared parts known
+// to this process take too much of the memory. If program is empty, it records nothing and
+// returns 0.
 func (s *Sharing) Note(program string, parts []PromptPart, memoryTokens int) int {
 	if program == "" {
 		return 0
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	everywhere := 0
+	sharedPrefix := 0
 	for index, part := range parts {
-		if s.note(program, part) && index == everywhere {
-			everywhere++
+		if s.recordPart(program, part) && index == sharedPrefix {
+			sharedPrefix++
 		}
 	}
-	if s.sharedTokens > memoryTokens/memoryForShared {
+	if s.sharedTokens > memoryTokens/sharedMemoryDivisor {
 		return 0
 	}
-	return everywhere
+	return sharedPrefix
 }
 
-// note tells whether programs share the part.
-func (s *Sharing) note(program string, part PromptPart) bool {
+// recordPart records one use of a part and reports whether programs share it.
+func (s *Sharing) recordPart(program string, part PromptPart) bool {
 	known, found := s.parts.Get(part.Name)
 	if !found {
 		known.tokens = part.Tokens
 	}
-	if found && !known.shared && known.program != program {
+	if found && !known.shared && known.lastProgram != program {
 		known.shared = true
 		s.sharedTokens += known.tokens
 	}
-	known.program = program
+	known.lastProgram = program
 	s.parts.Add(part.Name, known)
 	return known.shared
 }
 
-// forgotten is called for a part that gives way.
-func (s *Sharing) forgotten(_ string, part namedPart) {
+// onEvicted subtracts the tokens of an evicted part.
+func (s *Sharing) onEvicted(_ string, part seenPart) {
 	if part.shared {
 		s.sharedTokens -= part.tokens
 	}
--- a/internal/backend/sharing_test.go
+++ b/internal/backend/sharing_test.go
@@ -14,7 +14,7 @@
 
 	BeforeEach(func() { sharing = NewSharing() })
 
-	It("knows a part as shared once a second program named it", func() {
+	It("marks a part as shared once a second program uses it", func() {
 		for range 3 {
 			Expect(sharing.Note("p1", prompt, memory)).To(Equal(0), "one program's own parts are not shared")
 		}
@@ -23,18 +23,18 @@
 		Expect(sharing.Note("p1", prompt, memory)).To(Equal(1))
 	})
 
-	It("counts no part that comes after one of the program's own", func() {
+	It("does not count shared parts after an unshared one", func() {
 		sharing.Note("p1", prompt, memory)
 		Expect(sharing.Note("p2", []PromptPart{{Name: "new", Tokens: 10}, prompt[0]}, memory)).To(Equal(0))
 	})
 
-	It("takes nothing in that no program named", func() {
+	It("records nothing without a program", func() {
 		sharing.Note("", prompt, memory)
 		sharing.Note("", prompt, memory)
 		Expect(sharing.Note("p1", prompt, memory)).To(Equal(0))
 	})
 
-	It("counts none as kept everywhere when all that are shared do not fit in", func() {
+	It("counts no part as cached everywhere if the shared parts exceed their share of the memory", func() {
 		share := func(number int) int {
 			part := []PromptPart{{Name: fmt.Sprintf("shared %d", number), Tokens: 12_000}}
 			sharing.Note("p1", part, memory)
@@ -46,10 +46,10 @@
 		Expect(share(5)).To(Equal(0), "60,000 of 100,000 tokens")
 		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, memory)).To(Equal(0))
 		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 2*memory)).To(Equal(1))
-		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 0)).To(Equal(0), "a memory that is not known")
+		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 0)).To(Equal(0), "unknown memory size")
 	})
 
-	It("gives room back for shared parts that nobody named for long", func() {
+	It("frees the tokens of shared parts that were not used for long", func() {
 		share := func(name string) int {
 			part := []PromptPart{{Name: name, Tokens: memory / 3}}
 			sharing.Note("p1", part, memory)
@@ -57,7 +57,7 @@
 		}
 		Expect(share("old")).To(Equal(1))
 		Expect(share("next")).To(Equal(0))
-		for number := range partsNoted - 1 {
+		for number := range maxTrackedParts - 1 {
 			sharing.Note("p1", []PromptPart{{Name: fmt.Sprint(number), Tokens: 1}}, memory)
 		}
 		Expect(sharing.Note("p3", []PromptPart{{Name: "next", Tokens: memory / 3}}, memory)).To(Equal(1))
--- a/internal/backend/simulation_test.go
+++ b/internal/backend/simulation_test.go
@@ -11,187 +11,187 @@
 	"github.com/thymeloft/thymeloft/internal/mechanism"
 )
 
-// The work of the simulation: many daemons before few engines, so that one daemon sees
-// less than one answer of an engine a second.
+// Parameters of the simulation. Many daemons share few engines, so that a daemon gets less than
+// one answer per second from each engine.
 const (
 	simulatedDaemons = 84
 	simulatedSlots   = 8
-	simulatedEvents  = 7
-	pictureInterval  = 100 * time.Millisecond
-	idleEvent        = 40 * time.Millisecond // of an engine of speed 1
-	idleFirst        = 12 * time.Millisecond // before the first event
-	fullSlowdown     = 0.17                  // of an event in a full batch
-	readPerMs        = 328.0                 // tokens
-	ownTokens        = 1680                  // that a turn adds to its prompt
-	turnsEach        = 5                     // of a program
-	settling         = 4 * time.Second       // not counted
-	simulated        = 14 * time.Second
+	eventsPerTurn    = 7
+	reportInterval   = 100 * time.Millisecond
+	idleEventTime    = 40 * time.Millisecond // at speed 1
+	firstEventDelay  = 12 * time.Millisecond // in addition to reading the prompt
+	fullSlowdown     = 0.17                  // slowdown of an event in a full batch
+	readTokensPerMs  = 328.0
+	tokensPerTurn    = 1680 // added to the prompt by each turn
+	turnsPerProgram  = 5
+	warmup           = 4 * time.Second // excluded from the measurements
+	simulationLength = 14 * time.Second
 )
 
 // simulatedEngine is an engine with slots, a queue and a speed that may change.
 type simulatedEngine struct {
-	id      string
-	speed   func(at time.Duration) float64
-	running int
-	queue   []*simulatedTurn
-	kept    map[int]int // turns read, by program
-	work    float64     // events made, from settling on
+	id          string
+	speed       func(at time.Duration) float64
+	running     int
+	queue       []*simulatedTurn
+	cachedTurns map[int]int // index of turns whose prompt is cached, by program
+	events      float64     // produced after the warmup
 }
 
-// simulatedTurn is one turn under way.
+// simulatedTurn is a turn being processed.
 type simulatedTurn struct {
 	program, number int
 	daemon          int
 	engine          int
 	arrived         time.Duration
 	firstEvent      time.Duration
-	made            int
-	end             func()
-	believed        int
+	eventsDone      int
+	endRequest      func()
+	expectedLoad    int
 }
 
-// simulation runs turns on engines. Time is its own, and chance comes from a seed.
+// simulation runs turns on engines in simulated time, with seeded randomness.
 type simulation struct {
-	now      time.Duration
-	random   *rand.Rand
-	engines  []*simulatedEngine
-	daemons  []*Fleet
-	off      mechanism.Off
-	agenda   agenda
-	took     []time.Duration
-	last     map[int]int // engine of a program's last turn
-	programs int
-	counts   []load.Counts // told at the last tick, by daemon
-	speeds   []load.Speeds
-	pickBest bool // by what nobody can know: the state of each engine now
+	now            time.Duration
+	random         *rand.Rand
+	engines        []*simulatedEngine
+	daemons        []*Fleet
+	off            mechanism.Off
+	tasks          taskQueue
+	turnTimes      []time.Duration
+	lastEngine     map[int]int // index of the engine of the previous turn, by program
+	programs       int
+	reportedCounts []load.Counts // reports of the last interval, by daemon
+	reportedSpeeds []load.Speeds
+	chooseOptimal  bool // place by the true state of all engines, which no daemon knows
 }
 
-// happening is what is to be done at a moment.
-type happening struct {
-	at    time.Duration
-	order int
-	do    func()
+// task is a function to run at a point in simulated time.
+type task struct {
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type agenda struct {
-	entries []happening
-	added   int
+type taskQueue struct {
+	entries  []task
+	sequence int
 }
 
-func (a *agenda) Len() int { return len(a.entries) }
-func (a *agenda) Less(i, j int) bool {
-	if a.entries[i].at != a.entries[j].at {
-		return a.entries[i].at < a.entries[j].at
+func (q *taskQueue) Len() int { return len(q.entries) }
+func (q *taskQueue) Less(i, j int) bool {
+	if q.entries[i].at != q.entries[j].at {
+		return q.entries[i].at < q.entries[j].at
 	}
-	return a.entries[i].order < a.entries[j].order
+	return q.entries[i].sequence < q.entries[j].sequence
 }
-func (a *agenda) Swap(i, j int) { a.entries[i], a.entries[j] = a.entries[j], a.entries[i] }
-func (a *agenda) Push(x any)    { a.entries = append(a.entries, x.(happening)) }
-func (a *agenda) Pop() any {
-	last := a.entries[len(a.entries)-1]
-	a.entries = a.entries[:len(a.entries)-1]
+func (q *taskQueue) Swap(i, j int) { q.entries[i], q.entries[j] = q.entries[j], q.entries[i] }
+func (q *taskQueue) Push(x any)    { q.entries = append(q.entries, x.(task)) }
+func (q *taskQueue) Pop() any {
+	last := q.entries[len(q.entries)-1]
+	q.entries = q.entries[:len(q.entries)-1]
 	return last
 }
 
-func (s *simulation) after(wait time.Duration, do func()) {
-	s.agenda.added++
-	heap.Push(&s.agenda, happening{at: s.now + wait, order: s.agenda.added, do: do})
+func (s *simulation) schedule(delay time.Duration, run func()) {
+	s.tasks.sequence++
+	heap.Push(&s.tasks, task{at: s.now + delay, sequence: s.tasks.sequence, run: run})
 }
 
 func newSimulation(seed uint64, speeds []func(time.Duration) float64) *simulation {
-	made := &simulation{random: rand.New(rand.NewPCG(seed, 1)), last: map[int]int{}} //nolint:gosec // repeatable
-	for number, speed := range speeds {
-		made.engines = append(made.engines, &simulatedEngine{id: fmt.Sprintf("e%02d", number), speed: speed, kept: map[int]int{}})
+	result := &simulation{random: rand.New(rand.NewPCG(seed, 1)), lastEngine: map[int]int{}} //nolint:gosec // repeatable
+	for index, speed := range speeds {
+		result.engines = append(result.engines, &simulatedEngine{id: fmt.Sprintf("e%02d", index), speed: speed, cachedTurns: map[int]int{}})
 	}
 	for range simulatedDaemons {
-		fleet := NewFleet(func() time.Time { return start.Add(made.now) })
-		for _, engine := range made.engines {
+		fleet := NewFleet(func() time.Time { return start.Add(result.now) })
+		for _, engine := range result.engines {
 			fleet.Apply(Declaration{ID: engine.id, Service: "s", Address: engine.id + ":1", Slots: simulatedSlots, Version: 1})
 		}
-		made.daemons = append(made.daemons, fleet)
+		result.daemons = append(result.daemons, fleet)
 	}
-	return made
+	return result
 }
 
-// run begins so many programs a second.
-func (s *simulation) run(programsEach float64) {
+// run starts programs at the given rate until the simulation ends.
+func (s *simulation) run(programsPerSecond float64) {
 	var arrive func()
 	arrive = func() {
 		s.programs++
-		s.turn(s.programs, 0)
-		s.after(time.Duration(s.random.ExpFloat64()/programsEach*float64(time.Second)), arrive)
+		s.startTurn(s.programs, 0)
+		s.schedule(time.Duration(s.random.ExpFloat64()/programsPerSecond*float64(time.Second)), arrive)
 	}
-	s.after(0, arrive)
-	if !s.pickBest {
-		s.after(pictureInterval, s.tell)
+	s.schedule(0, arrive)
+	if !s.chooseOptimal {
+		s.schedule(reportInterval, s.exchangeReports)
 	}
-	for s.agenda.Len() > 0 && s.now < simulated {
-		next := heap.Pop(&s.agenda).(happening)
+	for s.tasks.Len() > 0 && s.now < simulationLength {
+		next := heap.Pop(&s.tasks).(task)
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
-// tell lets all daemons learn what was told at the tick before.
-func (s *simulation) tell() {
-	all, worked := load.Counts{}, load.Speeds{}
-	for index := range s.counts {
-		for key, count := range s.counts[index] {
+// exchangeReports gives all daemons the reports of the previous interval and collects new ones.
+func (s *simulation) exchangeReports() {
+	all, speeds := load.Counts{}, load.Speeds{}
+	for index := range s.reportedCounts {
+		for key, count := range s.reportedCounts[index] {
 			all[key] += count
 		}
-		for key, work := range s.speeds[index] {
-			worked[key] = worked[key].Plus(work)
+		for key, work := range s.reportedSpeeds[index] {
+			speeds[key] = speeds[key].Plus(work)
 		}
 	}
-	for index := range s.counts {
-		s.daemons[index].Learn(all, s.counts[index])
-		if len(worked) > 0 {
-			s.daemons[index].LearnSpeeds(worked, s.speeds[index])
+	for index := range s.reportedCounts {
+		s.daemons[index].Learn(all, s.reportedCounts[index])
+		if len(speeds) > 0 {
+			s.daemons[index].LearnSpeeds(speeds, s.reportedSpeeds[index])
 		}
 	}
-	s.counts, s.speeds = nil, nil
+	s.reportedCounts, s.reportedSpeeds = nil, nil
 	for _, daemon := range s.daemons {
-		s.counts = append(s.counts, daemon.UnderWay())
-		s.speeds = append(s.speeds, s.speedsOf(daemon))
+		s.reportedCounts = append(s.reportedCounts, daemon.UnderWay())
+		s.reportedSpeeds = append(s.reportedSpeeds, s.daemonSpeeds(daemon))
 	}
-	s.after(pictureInterval, s.tell)
+	s.schedule(reportInterval, s.exchangeReports)
 }
 
-// speedsOf is what a daemon tells of speeds; nothing where they are switched off.
-func (s *simulation) speedsOf(daemon *Fleet) load.Speeds {
+// daemonSpeeds returns the speeds that a daemon reports, or nil if speeds are disabled.
+func (s *simulation) daemonSpeeds(daemon *Fleet) load.Speeds {
 	if s.off.Has(mechanism.EngineSpeeds) {
 		return nil
 	}
 	return daemon.Speeds()
 }
 
-// turn places the next turn of a program through some daemon.
-func (s *simulation) turn(program, number int) {
+// startTurn places a turn of a program through a random daemon.
+func (s *simulation) startTurn(program, number int) {
 	turn := &simulatedTurn{program: program, number: number, daemon: s.random.IntN(simulatedDaemons), arrived: s.now}
 	fleet := s.daemons[turn.daemon]
 	chosen := s.choose(turn, fleet)
 	turn.engine = slices.IndexFunc(s.engines, func(engine *simulatedEngine) bool { return engine.id == chosen.ID })
-	turn.believed = chosen.Load(fleet.now())
-	turn.end = chosen.Begin()
-	s.last[program] = turn.engine
+	turn.expectedLoad = chosen.Load(fleet.now())
+	turn.endRequest = chosen.Begin()
+	s.lastEngine[program] = turn.engine
 	engine := s.engines[turn.engine]
 	if engine.running >= simulatedSlots {
 		engine.queue = append(engine.queue, turn)
 		return
 	}
-	s.begin(turn)
+	s.runTurn(turn)
 }
 
 func (s *simulation) choose(turn *simulatedTurn, fleet *Fleet) *Instance {
 	instances := fleet.Of("s")
-	if s.pickBest {
-		return s.best(turn, instances)
+	if s.chooseOptimal {
+		return s.optimalInstance(turn, instances)
 	}
 	request := &Request{Affinity: fmt.Sprint(turn.program), Order: uint64(turn.daemon), Now: fleet.now(), Off: s.off}
 	for part := range turn.number + 1 {
-		request.Prefix = append(request.Prefix, PromptPart{Name: fmt.Sprint(turn.program, "/", part), Tokens: ownTokens})
+		request.Prefix = append(request.Prefix, PromptPart{Name: fmt.Sprint(turn.program, "/", part), Tokens: tokensPerTurn})
 	}
-	if engine, found := s.last[turn.program]; found { // the holder of the budget tells who read it
+	if engine, found := s.lastEngine[turn.program]; found { // as told by the holder of the program's budget
 		for _, instance := range instances {
 			if instance.ID == s.engines[engine].id {
 				instance.Remember(request.Prefix[:turn.number])
@@ -201,76 +201,76 @@
 	return Choose(instances, request)
 }
 
-// best is the engine at which the turn would end first.
-func (s *simulation) best(turn *simulatedTurn, instances []*Instance) *Instance {
-	ends := func(engine *simulatedEngine) time.Duration {
-		one := s.eventTime(engine, 1) * simulatedEvents
-		waits := max(engine.running+len(engine.queue)+1-simulatedSlots, 0)
-		return s.readTime(engine, turn) + one + one*time.Duration(waits)/simulatedSlots
+// optimalInstance returns the instance at which the turn would finish first.
+func (s *simulation) optimalInstance(turn *simulatedTurn, instances []*Instance) *Instance {
+	finishTime := func(engine *simulatedEngine) time.Duration {
+		turnTime := s.eventTime(engine, 1) * eventsPerTurn
+		queued := max(engine.running+len(engine.queue)+1-simulatedSlots, 0)
+		return s.readTime(engine, turn) + turnTime + turnTime*time.Duration(queued)/simulatedSlots
 	}
-	first := slices.MinFunc(s.engines, func(a, b *simulatedEngine) int { return int(ends(a) - ends(b)) })
+	first := slices.MinFunc(s.engines, func(a, b *simulatedEngine) int { return int(finishTime(a) - finishTime(b)) })
 	return instances[slices.IndexFunc(instances, func(instance *Instance) bool { return instance.ID == first.id })]
 }
 
-func (s *simulation) eventTime(engine *simulatedEngine, more int) time.Duration {
-	share := min(float64(engine.running+more)/simulatedSlots, 1)
-	return time.Duration(float64(idleEvent) * (1 + fullSlowdown*share) / engine.speed(s.now))
+func (s *simulation) eventTime(engine *simulatedEngine, added int) time.Duration {
+	share := min(float64(engine.running+added)/simulatedSlots, 1)
+	return time.Duration(float64(idleEventTime) * (1 + fullSlowdown*share) / engine.speed(s.now))
 }
 
 func (s *simulation) readTime(engine *simulatedEngine, turn *simulatedTurn) time.Duration {
-	tokens := float64(turn.number+1-engine.kept[turn.program]) * ownTokens
-	return time.Duration(tokens / readPerMs * float64(time.Millisecond) / engine.speed(s.now))
+	tokens := float64(turn.number+1-engine.cachedTurns[turn.program]) * tokensPerTurn
+	return time.Duration(tokens / readTokensPerMs * float64(time.Millisecond) / engine.speed(s.now))
 }
 
-// begin reads the prompt and makes the events one after the other.
-func (s *simulation) begin(turn *simulatedTurn) {
+// runTurn reads the prompt and then produces the events one by one.
+func (s *simulation) runTurn(turn *simulatedTurn) {
 	engine := s.engines[turn.engine]
 	engine.running++
-	wait := idleFirst + s.readTime(engine, turn)
-	engine.kept[turn.program] = turn.number + 1
+	wait := firstEventDelay + s.readTime(engine, turn)
+	engine.cachedTurns[turn.program] = turn.number + 1
 	var event func()
 	event = func() {
-		if turn.made++; turn.made == 1 {
+		if turn.eventsDone++; turn.eventsDone == 1 {
 			turn.firstEvent = s.now
 		}
-		if s.now > settling {
-			engine.work++
+		if s.now > warmup {
+			engine.events++
 		}
-		if turn.made == simulatedEvents {
+		if turn.eventsDone == eventsPerTurn {
 			s.finish(turn)
 			return
 		}
-		s.after(s.eventTime(engine, 0), event)
+		s.schedule(s.eventTime(engine, 0), event)
 	}
-	s.after(wait+s.eventTime(engine, 0), event)
+	s.schedule(wait+s.eventTime(engine, 0), event)
 }
 
 func (s *simulation) finish(turn *simulatedTurn) {
 	engine := s.engines[turn.engine]
 	engine.running--
-	turn.end()
+	turn.endRequest()
 	s.observe(turn)
-	if turn.arrived > settling {
-		s.took = append(s.took, s.now-turn.arrived)
+	if turn.arrived > warmup {
+		s.turnTimes = append(s.turnTimes, s.now-turn.arrived)
 	}
 	if len(engine.queue) > 0 {
 		next := engine.queue[0]
 		engine.queue = engine.queue[1:]
-		s.begin(next)
+		s.runTurn(next)
 	}
-	if turn.number+1 < turnsEach {
-		s.after(pictureInterval, func() { s.turn(turn.program, turn.number+1) })
+	if turn.number+1 < turnsPerProgram {
+		s.schedule(reportInterval, func() { s.startTurn(turn.program, turn.number+1) })
 	}
 }
 
-// observe tells the daemon what the turn showed.
+// observe reports the outcome of the turn to its daemon.
 func (s *simulation) observe(turn *simulatedTurn) {
 	fleet := s.daemons[turn.daemon]
 	for _, instance := range fleet.Of("s") {
 		if instance.ID == s.engines[turn.engine].id {
 			instance.Observe(Outcome{
-				FirstByte: turn.firstEvent - turn.arrived, PerEvent: (s.now - turn.firstEvent) / (simulatedEvents - 1),
-				Further: simulatedEvents - 1, Load: turn.believed, Slots: simulatedSlots,
+				FirstByte: turn.firstEvent - turn.arrived, PerEvent: (s.now - turn.firstEvent) / (eventsPerTurn - 1),
+				Further: eventsPerTurn - 1, Load: turn.expectedLoad, Slots: simulatedSlots,
 			}, fleet.now())
 		}
 	}
--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -9,173 +9,174 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// work is what an instance did lately: sums whose parts lose weight with time. A piece
-// is an event of a stream, or a whole answer that is no stream, as an instance makes it
-// that works on nothing else.
+// work is the recent work of an instance: sums whose terms decay with age. An event is one event
+// of a stream, or a whole answer that is not streamed.
 //
-// The speed is a ratio of two sums, pieces to time. A regression on load and prompt
-// length is not needed: a batch makes events for all its requests in one step, so
-// that load changes the time of a piece by a tenth or two (batchSlowdown), and what
-// prompts differ in cancels out between instances that serve the same requests. Sums
-// add up over daemons in any order, and weigh a long answer by what it shows.
+// The speed is events divided by time. It needs no correction for load or prompt length: a batch
+// produces events for all its requests in one step, so that load changes the time of an event by
+// at most batchSlowdown, and differences between prompts average out over instances that serve
+// the same requests. Sums of several daemons can be added in any order, and long answers weigh
+// more than short ones.
 type work struct {
-	pieces  float64
+	events  float64
 	answers float64
 	seconds float64
 }
 
 const (
-	// speedHalfLife is after how long what an instance did counts half: long enough that
-	// moments of noise of half a second are averaged out, short enough that an instance
-	// that turns four times slower is told apart in some seconds.
+	// speedHalfLife is the age at which an observation counts half. It averages out noise of half
+	// a second, and still reveals within seconds that an instance has become four times slower.
 	speedHalfLife = 4 * time.Second
-	// speedBelieved is how long a speed is believed when nothing is heard any more, of this
-	// process's answers or of others'.
-	speedBelieved = 12 * time.Second
-	// batchSlowdown is by how much a piece takes longer in a full batch: measured
-	// engines of language models take 3 to 30 % longer. An error of it shifts the
-	// speed of a fuller instance by as much, which is within what counts as alike (alikeFrom).
+	// speedTTL is how long a speed is used after the last observation by this process or report
+	// from others.
+	speedTTL = 12 * time.Second
+	// batchSlowdown is how much longer an event takes in a full batch than in an idle engine, as
+	// a fraction. Engines of language models range from 3 to 30 %; the resulting error of the
+	// speed is within the tolerance of minEqualSpeedRatio.
 	batchSlowdown = 0.15
-	hundredth     = 100
+	// fixedPointScale multiplies events and answers in reports, which hold integers.
+	fixedPointScale = 100
 )
 
-// decayed is the work as it counts after a time.
+// decayed returns the work with the weight it has after the elapsed time.
 func (w work) decayed(elapsed time.Duration) work {
 	if elapsed <= 0 {
 		return w
 	}
 	factor := math.Exp2(-elapsed.Seconds() / speedHalfLife.Seconds())
-	return work{pieces: w.pieces * factor, answers: w.answers * factor, seconds: w.seconds * factor}
+	return work{events: w.events * factor, answers: w.answers * factor, seconds: w.seconds * factor}
 }
 
-// speed is in pieces a second.
-func (w work) speed() float64 { return w.pieces / w.seconds }
+// speed returns the events per second.
+func (w work) speed() float64 { return w.events / w.seconds }
 
 func (w work) plus(other work) work {
-	return work{pieces: w.pieces + other.pieces, answers: w.answers + other.answers, seconds: w.seconds + other.seconds}
+	return work{events: w.events + other.events, answers: w.answers + other.answers, seconds: w.seconds + other.seconds}
 }
 
-// workOf is the work that an outcome shows; none if it shows nothing of the speed. Of a
-// stream it is the events after the first: an engine makes them at its own speed, while
-// the first byte waits for what runs there, and a speed that fell with waiting would
-// send all daemons to and fro. An answer without such events counts if it found room.
-func workOf(outcome Outcome) work {
-	share := outcome.share()
-	slowdown := 1 + batchSlowdown*min(share, 1)
+// workFrom returns the work of one request, or none if the outcome reveals no speed. For a
+// stream it counts the events after the first, which the engine produces at its own pace. The
+// first byte also includes queueing: if the speed fell with it, all daemons would move between
+// engines together. An answer without further events counts only if the engine had a free slot.
+func workFrom(outcome Outcome) work {
+	utilization := outcome.utilization()
+	slowdown := 1 + batchSlowdown*min(utilization, 1)
 	switch {
 	case outcome.Failed:
 		return work{}
 	case outcome.PerEvent > 0:
-		further := float64(max(outcome.Further, 1))
-		return work{answers: 1, pieces: further * slowdown, seconds: further * outcome.PerEvent.Seconds()}
-	case outcome.FirstByte > 0 && share < 1:
-		return work{answers: 1, pieces: slowdown, seconds: outcome.FirstByte.Seconds()}
+		eventCount := float64(max(outcome.Further, 1))
+		return work{answers: 1, events: eventCount * slowdown, seconds: eventCount * outcome.PerEvent.Seconds()}
+	case outcome.FirstByte > 0 && utilization < 1:
+		return work{answers: 1, events: slowdown, seconds: outcome.FirstByte.Seconds()}
 	default:
 		return work{}
 	}
 }
 
-// speedometer keeps the work of one instance: what this process saw, and what others
-// did. It is safe for concurrent use.
-type speedometer struct {
-	mutex   sync.Mutex
-	at      time.Time // until when own is decayed
-	own     work
-	others  work
-	heardAt time.Time
-	shown   atomic.Pointer[shownWork]
+// speedTracker records the work of one instance as seen by this process and as reported by the
+// others. It is safe for concurrent use.
+type speedTracker struct {
+	mutex           sync.Mutex
+	decayedAt       time.Time // time up to which own is decayed
+	own             work
+	others          work
+	othersUpdatedAt time.Time
+	snapshot        atomic.Pointer[workSnapshot]
 }
 
-// shownWork is the sum as placement reads it without a lock.
-type shownWork struct {
+// workSnapshot is the summed work that placement reads without a lock.
+type workSnapshot struct {
 	work
-	until int64 // unix nanoseconds when it is no longer believed
+	validUntil int64 // unix nanoseconds after which it is ignored
 }
 
-func (s *speedometer) observe(outcome Outcome, now time.Time) {
-	done := workOf(outcome)
-	if done.answers == 0 {
+func (s *speedTracker) observe(outcome Outcome, now time.Time) {
+	observed := workFrom(outcome)
+	if observed.answers == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.own = s.ownAt(now).plus(done)
-	s.show(now)
+	s.own = s.decayOwn(now).plus(observed)
+	s.publish(now)
 }
 
-// ownAt decays what this process saw; the lock is held.
-func (s *speedometer) ownAt(now time.Time) work {
-	if !s.at.IsZero() {
-		s.own = s.own.decayed(now.Sub(s.at))
+// decayOwn decays this process's sums to the given time and returns them. The caller must hold
+// the mutex.
+func (s *speedTracker) decayOwn(now time.Time) work {
+	if !s.decayedAt.IsZero() {
+		s.own = s.own.decayed(now.Sub(s.decayedAt))
 	}
-	s.at = now
+	s.decayedAt = now
 	return s.own
 }
 
-// tell is what this process saw, as it is told to others.
-func (s *speedometer) tell(now time.Time) load.Work {
+// report returns this process's sums in the encoding that is sent to others.
+func (s *speedTracker) report(now time.Time) load.Work {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	own := s.ownAt(now)
+	own := s.decayOwn(now)
 	return load.Work{
-		Pieces:  int(math.Round(own.pieces * hundredth)),
-		Answers: int(math.Round(own.answers * hundredth)),
-		Taken:   int(math.Round(own.seconds * millisecondsEach)),
+		Pieces:  int(math.Round(own.events * fixedPointScale)),
+		Answers: int(math.Round(own.answers * fixedPointScale)),
+		Taken:   int(math.Round(own.seconds * millisecondsPerSecond)),
 	}
 }
 
-// learn takes in what the other processes saw.
-func (s *speedometer) learn(others load.Work, now time.Time) {
+// setOthers replaces the sums reported by the other processes.
+func (s *speedTracker) setOthers(others load.Work, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.others = work{
-		pieces:  float64(others.Pieces) / hundredth,
-		answers: float64(others.Answers) / hundredth,
-		seconds: float64(others.Taken) / millisecondsEach,
+		events:  float64(others.Pieces) / fixedPointScale,
+		answers: float64(others.Answers) / fixedPointScale,
+		seconds: float64(others.Taken) / millisecondsPerSecond,
 	}
-	s.heardAt = now
-	s.ownAt(now)
-	s.show(now)
+	s.othersUpdatedAt = now
+	s.decayOwn(now)
+	s.publish(now)
 }
 
-// show adds up what is known; the lock is held.
-func (s *speedometer) show(now time.Time) {
+// publish stores a new snapshot of all sums. The caller must hold the mutex.
+func (s *speedTracker) publish(now time.Time) {
 	sum := s.own
-	if age := now.Sub(s.heardAt); !s.heardAt.IsZero() && age < speedBelieved {
+	if age := now.Sub(s.othersUpdatedAt); !s.othersUpdatedAt.IsZero() && age < speedTTL {
 		sum = sum.plus(s.others.decayed(age))
 	}
-	s.shown.Store(&shownWork{work: sum, until: now.Add(speedBelieved).UnixNano()})
+	s.snapshot.Store(&workSnapshot{work: sum, validUntil: now.Add(speedTTL).UnixNano()})
 }
 
-// known is the work of all processes at the instance, as far as this one knows.
-func (s *speedometer) known(now time.Time) work {
-	shown := s.shown.Load()
-	if shown == nil || now.UnixNano() >= shown.until {
+// current returns the summed work of all processes at the instance, or none if it has expired.
+func (s *speedTracker) current(now time.Time) work {
+	snapshot := s.snapshot.Load()
+	if snapshot == nil || now.UnixNano() >= snapshot.validUntil {
 		return work{}
 	}
-	return shown.work
+	return snapshot.work
 }
 
-// Speeds is what this process saw of each instance's work.
+// Speeds returns the work that this process observed at each instance.
 func (f *Fleet) Speeds() load.Speeds {
 	now := f.now()
 	speeds := load.Speeds{}
-	for _, instances := range *f.current.Load() {
+	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
-			if told := instance.speed.tell(now); told.Pieces > 0 && told.Taken > 0 {
-				speeds[instance.digest] = speeds[instance.digest].Plus(told)
+			if report := instance.speed.report(now); report.Pieces > 0 && report.Taken > 0 {
+				speeds[instance.loadKey] = speeds[instance.loadKey].Plus(report)
 			}
 		}
 	}
 	return speeds
 }
 
-// LearnSpeeds takes in the work that all processes saw; own is this one's part.
+// LearnSpeeds updates the instances with the work that all processes observed. own is this
+// process's part of it, which is already counted.
 func (f *Fleet) LearnSpeeds(all, own load.Speeds) {
 	now := f.now()
-	for _, instances := range *f.current.Load() {
+	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
-			instance.speed.learn(all[instance.digest].Less(own[instance.digest]), now)
+			instance.speed.setOthers(all[instance.loadKey].Less(own[instance.loadKey]), now)
 		}
 	}
 }
--- a/internal/backend/uneven_test.go
+++ b/internal/backend/uneven_test.go
@@ -15,161 +15,161 @@
 
 const simulatedEngines = 24
 
-// steady engines have the speeds in turn.
-func steady(speeds ...float64) []speedOverTime {
-	var made []speedOverTime
-	for number := range simulatedEngines {
-		speed := speeds[number%len(speeds)]
-		made = append(made, func(time.Duration) float64 { return speed })
+// constantSpeeds returns engines whose speeds never change, assigned round-robin.
+func constantSpeeds(speeds ...float64) []speedOverTime {
+	var engines []speedOverTime
+	for index := range simulatedEngines {
+		speed := speeds[index%len(speeds)]
+		engines = append(engines, func(time.Duration) float64 { return speed })
 	}
-	return made
+	return engines
 }
 
-// noisy engines are 2.5 times slower for 0.6 s now and then, 15 % of the time.
-func noisy(engines []speedOverTime) []speedOverTime {
-	var made []speedOverTime
-	for number, steadily := range engines {
-		made = append(made, func(at time.Duration) float64 {
-			const moment, one, every, slower = 600 * time.Millisecond, 3, 20, 2.5
-			slot := uint64(at/moment)*2654435761 + uint64(number)*40503*65537
-			if slot>>7%every < one {
-				return steadily(at) / slower
+// withNoise makes engines 2.5 times slower in random slots of 0.6 s, 15 % of the time.
+func withNoise(engines []speedOverTime) []speedOverTime {
+	var noisy []speedOverTime
+	for index, speed := range engines {
+		noisy = append(noisy, func(at time.Duration) float64 {
+			const slotLength, slowSlots, totalSlots, slowdown = 600 * time.Millisecond, 3, 20, 2.5
+			slot := uint64(at/slotLength)*2654435761 + uint64(index)*40503*65537
+			if slot>>7%totalSlots < slowSlots {
+				return speed(at) / slowdown
 			}
-			return steadily(at)
+			return speed(at)
 		})
 	}
-	return made
+	return noisy
 }
 
-// turning makes the first engine four times slower from a moment on.
-func turning(engines []speedOverTime, from time.Duration) []speedOverTime {
-	steadily := engines[0]
+// withSlowdown makes the first engine four times slower from the given time on.
+func withSlowdown(engines []speedOverTime, from time.Duration) []speedOverTime {
+	speed := engines[0]
 	engines[0] = func(at time.Duration) float64 {
 		if at < from {
-			return steadily(at)
+			return speed(at)
 		}
-		return steadily(at) / 4
+		return speed(at) / 4
 	}
 	return engines
 }
 
-// shown is what a simulation shows.
-type shown struct {
-	busiest float64 // work of the engine that has most for its speed, over its share
-	first   float64 // part of the work that the first engine made
-	p99     time.Duration
-	mean    time.Duration
+// simulationResult holds the measurements of one simulation.
+type simulationResult struct {
+	maxRelativeLoad float64 // largest ratio of an engine's work to its share by speed
+	firstShare      float64 // share of the work done by the first engine
+	p99             time.Duration
+	mean            time.Duration
 }
 
-// meanSpeed is an engine's over the time that counts.
+// meanSpeed returns the engine's mean speed after the warmup.
 func meanSpeed(engine *simulatedEngine) float64 {
 	const step = 50 * time.Millisecond
 	sum, count := 0.0, 0.0
-	for at := settling; at < simulated; at += step {
+	for at := warmup; at < simulationLength; at += step {
 		sum += engine.speed(at)
 		count++
 	}
 	return sum / count
 }
 
-func shownBy(run *simulation) shown {
+func resultOf(run *simulation) simulationResult {
 	total, speeds := 0.0, 0.0
 	for _, engine := range run.engines {
-		total += engine.work
+		total += engine.events
 		speeds += meanSpeed(engine)
 	}
-	result := shown{}
+	result := simulationResult{}
 	for _, engine := range run.engines {
-		result.busiest = max(result.busiest, engine.work/total/(meanSpeed(engine)/speeds))
+		result.maxRelativeLoad = max(result.maxRelativeLoad, engine.events/total/(meanSpeed(engine)/speeds))
 	}
-	result.first = run.engines[0].work / total
-	slices.Sort(run.took)
-	result.p99 = run.took[len(run.took)*99/100]
-	for _, took := range run.took {
-		result.mean += took / time.Duration(len(run.took))
+	result.firstShare = run.engines[0].events / total
+	slices.Sort(run.turnTimes)
+	result.p99 = run.turnTimes[len(run.turnTimes)*99/100]
+	for _, turnTime := range run.turnTimes {
+		result.mean += turnTime / time.Duration(len(run.turnTimes))
 	}
 	return result
 }
 
-func simulate(engines []speedOverTime, programsEach float64, change func(*simulation)) shown {
+func simulate(engines []speedOverTime, programsPerSecond float64, configure func(*simulation)) simulationResult {
 	run := newSimulation(1, engines)
-	change(run)
-	run.run(programsEach)
-	return shownBy(run)
+	configure(run)
+	run.run(programsPerSecond)
+	return resultOf(run)
 }
 
-// compared is one fleet under the same turns, without and with what daemons learn of
-// speeds, and as one would place them who sees each engine as it is.
-type compared struct{ without, with, best shown }
-
-func compare(engines []speedOverTime, programsEach float64) compared {
-	without := func(run *simulation) { run.off = mechanism.Off{mechanism.EngineSpeeds} }
-	best := func(run *simulation) { run.pickBest = true }
-	result := compared{
-		without: simulate(engines, programsEach, without),
-		with:    simulate(engines, programsEach, func(*simulation) {}),
-		best:    simulate(engines, programsEach, best),
+// comparison holds the results of the same load on one fleet: without speeds, with speeds, and
+// with placement that sees the state of every engine.
+type comparison struct{ withoutSpeeds, withSpeeds, optimal simulationResult }
+
+func compare(engines []speedOverTime, programsPerSecond float64) comparison {
+	withoutSpeeds := func(run *simulation) { run.off = mechanism.Off{mechanism.EngineSpeeds} }
+	optimal := func(run *simulation) { run.chooseOptimal = true }
+	results := comparison{
+		withoutSpeeds: simulate(engines, programsPerSecond, withoutSpeeds),
+		withSpeeds:    simulate(engines, programsPerSecond, func(*simulation) {}),
+		optimal:       simulate(engines, programsPerSecond, optimal),
 	}
-	AddReportEntry("figures", result)
-	return result
+	AddReportEntry("figures", results)
+	return results
 }
 
-// String tells the figures of a simulation.
-func (s shown) String() string {
-	return fmt.Sprintf("busiest %.2f, mean %v, p99 %v", s.busiest, s.mean.Round(time.Millisecond), s.p99.Round(time.Millisecond))
+// String formats the measurements for the test report.
+func (s simulationResult) String() string {
+	return fmt.Sprintf("max relative load %.2f, mean %v, p99 %v", s.maxRelativeLoad, s.mean.Round(time.Millisecond), s.p99.Round(time.Millisecond))
 }
 
-// Programs of five turns a second: at the first a quarter of the places are taken, and each of
-// the 84 daemons sees an answer of an engine every twelve seconds; at the second over
-// half are, and bursts fill engines.
+// Programs started per second, with five turns each. With fewPrograms a quarter of the slots are
+// taken, and each of the 84 daemons gets an answer from an engine every twelve seconds. With
+// manyPrograms more than half of the slots are taken, and bursts fill engines.
 const (
 	fewPrograms  = 32
 	manyPrograms = 75
 )
 
-var _ = Describe("Fleets of uneven speed", func() {
-	slowQuarter := steady(0.55, 1.2, 1.2, 1.2)
-	fastQuarter := steady(1/0.55, 1/1.2, 1/1.2, 1/1.2)
-	fourSpeeds := steady(0.5, 0.8, 1.1, 1.4)
-	oneFast := steady(append([]float64{3}, slices.Repeat([]float64{1}, simulatedEngines-1)...)...)
-
-	// With room at fast engines, the mean of a turn comes near that of who sees each engine as
-	// it is at the moment; without what is learnt it does not.
-	DescribeTable("with room, are used for time", func(engines []speedOverTime, overBest float64) {
-		figures := compare(engines, fewPrograms)
-		Expect(figures.with.mean.Seconds()).To(BeNumerically("<=", overBest*figures.best.mean.Seconds()))
-		Expect(figures.without.mean.Seconds()).To(BeNumerically(">", overBest*figures.best.mean.Seconds()))
-		Expect(figures.with.p99).To(BeNumerically("<=", figures.without.p99))
+var _ = Describe("Fleet of engines with different speeds", func() {
+	slowQuarter := constantSpeeds(0.55, 1.2, 1.2, 1.2)
+	fastQuarter := constantSpeeds(1/0.55, 1/1.2, 1/1.2, 1/1.2)
+	fourSpeeds := constantSpeeds(0.5, 0.8, 1.1, 1.4)
+	oneFast := constantSpeeds(append([]float64{3}, slices.Repeat([]float64{1}, simulatedEngines-1)...)...)
+
+	// With free fast engines, the mean turn time is close to that of optimal placement. Without
+	// learned speeds it is not.
+	DescribeTable("minimizes the turn time while engines have free slots", func(engines []speedOverTime, maxRatio float64) {
+		results := compare(engines, fewPrograms)
+		Expect(results.withSpeeds.mean.Seconds()).To(BeNumerically("<=", maxRatio*results.optimal.mean.Seconds()))
+		Expect(results.withoutSpeeds.mean.Seconds()).To(BeNumerically(">", maxRatio*results.optimal.mean.Seconds()))
+		Expect(results.withSpeeds.p99).To(BeNumerically("<=", results.withoutSpeeds.p99))
 	},
-		Entry("a slow quarter that is noisy for moments", noisy(slowQuarter), 1.2),
-		Entry("a fast quarter that is noisy for moments", noisy(fastQuarter), 1.25),
+		Entry("a slow quarter, with noise", withNoise(slowQuarter), 1.2),
+		Entry("a fast quarter, with noise", withNoise(fastQuarter), 1.25),
 		Entry("four speeds", fourSpeeds, 1.25),
 	)
 
-	// When places become few, each engine gets work by its speed: the busiest has little more than
-	// its share, and no turn waits longer than where engines count as alike.
-	DescribeTable("nearly full, are used by capacity, without herds", func(engines []speedOverTime, mostOverShare float64) {
-		figures := compare(engines, manyPrograms)
+	// When few slots are free, each engine gets work in proportion to its speed, and turns wait
+	// no longer than without learned speeds.
+	DescribeTable("loads engines in proportion to their capacity when few slots are free", func(engines []speedOverTime, maxRelativeLoad float64) {
+		results := compare(engines, manyPrograms)
 		const noise = 1.05
-		Expect(figures.with.busiest).To(BeNumerically("<=", mostOverShare))
-		Expect(figures.with.mean.Seconds()).To(BeNumerically("<=", noise*figures.without.mean.Seconds()))
-		Expect(figures.with.p99.Seconds()).To(BeNumerically("<=", noise*figures.without.p99.Seconds()))
+		Expect(results.withSpeeds.maxRelativeLoad).To(BeNumerically("<=", maxRelativeLoad))
+		Expect(results.withSpeeds.mean.Seconds()).To(BeNumerically("<=", noise*results.withoutSpeeds.mean.Seconds()))
+		Expect(results.withSpeeds.p99.Seconds()).To(BeNumerically("<=", noise*results.withoutSpeeds.p99.Seconds()))
 	},
-		Entry("a slow quarter that is noisy for moments", noisy(slowQuarter), 1.3),
+		Entry("a slow quarter, with noise", withNoise(slowQuarter), 1.3),
 		Entry("four speeds", fourSpeeds, 1.25),
-		Entry("one fast engine, which looks free to all daemons", oneFast, 1.3),
-		Entry("engines that are alike but for moments", noisy(steady(1)), 1.25),
+		Entry("one fast engine that looks free to all daemons", oneFast, 1.3),
+		Entry("equal engines, with noise", withNoise(constantSpeeds(1)), 1.25),
 	)
 
-	It("give less to an engine that turns slow midway", func() {
-		const turns = settling - time.Second // counted from a second after it
-		figures := compare(turning(steady(1), turns), fewPrograms)
-		Expect(figures.with.mean).To(BeNumerically("<", figures.without.mean))
-		Expect(figures.with.first).To(BeNumerically("<", 0.7*figures.without.first))
+	It("gives less work to an engine that becomes slow", func() {
+		const slowFrom = warmup - time.Second // one second before measurements start
+		results := compare(withSlowdown(constantSpeeds(1), slowFrom), fewPrograms)
+		Expect(results.withSpeeds.mean).To(BeNumerically("<", results.withoutSpeeds.mean))
+		Expect(results.withSpeeds.firstShare).To(BeNumerically("<", 0.7*results.withoutSpeeds.firstShare))
 	})
 
-	It("are placed as before where all engines are alike", func() {
-		figures := compare(steady(1), manyPrograms)
-		Expect(figures.with).To(Equal(figures.without))
+	It("places equal engines as it does without learned speeds", func() {
+		results := compare(constantSpeeds(1), manyPrograms)
+		Expect(results.withSpeeds).To(Equal(results.withoutSpeeds))
 	})
 })
