--- a/internal/retention/export_test.go
+++ b/internal/retention/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// Pause sets the time between two rounds.
-func (q *Queue) Pause(between time.Duration) { q.between = between }
+// Pause sets the interval between two removals.
+func (q *Queue) Pause(interval time.Duration) { q.interval = interval }
--- a/internal/retention/retention.go
+++ b/internal/retention/retention.go
@@ -1,8 +1,8 @@
-// Package retention removes rows whose time is over. A daemon removes what it
-// wrote itself, many rows with one call; what lost daemons left behind is
-// found by a slow sweep, which the daemons of all zones divide among them.
+// Package retention removes expired rows. A daemon removes the rows that it wrote, many in one
+// commit. A slow sweep, divided among the daemons of all zones, finds the rows that terminated
+// daemons left behind.
 //
-// Guarantee: nothing is removed before the time that its writer set for it.
+// Guarantee: no row is removed before the expiry time that its writer set.
 package retention
 
 import (
@@ -16,91 +16,96 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// rowsPerCommit is how many rows one commit removes at most.
-const rowsPerCommit = 100
+// maxRowsPerCommit bounds the rows that one commit removes.
+const maxRowsPerCommit = 100
 
-// Batch is rows that are due together.
+// Batch is a group of rows that are removed together.
 type Batch struct {
 	Keys []state.Key
-	// Removed is called once the rows are gone; nil: nobody asks.
+	// Removed is called after the rows were removed; it may be nil.
 	Removed func()
 
 	due time.Time
 }
 
-// Queue holds what this process wrote until it is due.
+// Queue holds the rows that this process wrote until they are due for removal. It is safe for
+// concurrent use.
 type Queue struct {
 	store *state.Client
 	now   func() time.Time
 	log   *zap.Logger
-	hurry chan struct{}
+	wake  chan struct{}
 
-	between time.Duration // rounds of removal
+	interval time.Duration // between two removals
 
-	mutex   sync.Mutex
-	batches []Batch // by rising time as long as all are kept equally long
-	waiting int
+	mutex       sync.Mutex
+	batches     []Batch // in the order of AddBatch; sorted by due time only if all delays are equal
+	pendingKeys int
 }
 
-// mostWaiting bounds the memory of a queue; rows beyond it are left to the sweep.
-const mostWaiting = 1 << 17
+// maxPendingKeys bounds the memory of a queue. Rows beyond it are left to the sweep.
+const maxPendingKeys = 1 << 17
 
-// NewQueue makes an empty queue.
+// NewQueue returns an empty queue.
 func NewQueue(store *state.Client, now func() time.Time, log *zap.Logger) *Queue {
-	return &Queue{store: store, now: now, log: log, hurry: make(chan struct{}, 1), between: queuePause}
+	return &Queue{store: store, now: now, log: log, wake: make(chan struct{}, 1), interval: defaultQueueInterval}
 }
 
-// Hurry has what is due removed at once: the store has no room. It does not block.
+// Hurry requests the removal of due rows without waiting for the next interval, for example
+// because the store is full. It does not block.
 func (q *Queue) Hurry() {
 	select {
-	case q.hurry <- struct{}{}:
-	default: // it is asked for already
+	case q.wake <- struct{}{}:
+	default: // already requested
 	}
 }
 
-// Add has rows removed after so long.
+// Add schedules the removal of rows after the given delay.
 func (q *Queue) Add(after time.Duration, keys ...state.Key) {
 	q.AddBatch(after, Batch{Keys: keys})
 }
 
-// AddBatch has rows removed together after so long.
+// AddBatch schedules the removal of a batch after the given delay. If the queue is full, the
+// batch is dropped and left to the sweep.
 func (q *Queue) AddBatch(after time.Duration, batch Batch) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.waiting+len(batch.Keys) > mostWaiting {
+	if q.pendingKeys+len(batch.Keys) > maxPendingKeys {
 		return
 	}
-	q.waiting += len(batch.Keys)
+	q.pendingKeys += len(batch.Keys)
 	batch.due = q.now().Add(after)
 	q.batches = append(q.batches, batch)
 }
 
-// take returns batches that are due, at most one commit's worth.
-func (q *Queue) take() (due []Batch, keys []state.Key) {
+// takeDue removes due batches from the queue and returns them with their keys. It returns at
+// most maxRowsPerCommit keys, or a single batch if that is larger.
+func (q *Queue) takeDue() (due []Batch, keys []state.Key) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for len(q.batches) > 0 && !q.now().Before(q.batches[0].due) {
 		next := q.batches[0]
-		if len(keys) > 0 && len(keys)+len(next.Keys) > rowsPerCommit {
+		if len(keys) > 0 && len(keys)+len(next.Keys) > maxRowsPerCommit {
 			break
 		}
 		due = append(due, next)
 		keys = append(keys, next.Keys...)
 		q.batches = q.batches[1:]
 	}
-	q.waiting -= len(keys)
+	q.pendingKeys -= len(keys)
 	return due, keys
 }
 
-// RemoveDue removes all rows that are due now.
+// RemoveDue removes all rows that are due now. After an error, the rows taken from the queue are
+// left to the sweep.
 func (q *Queue) RemoveDue(ctx context.Context) error {
 	for {
-		due, keys := q.take()
+		due, keys := q.takeDue()
 		if len(due) == 0 {
 			return nil
 		}
-		if err := remove(ctx, q.store, keys); err != nil {
-			return err // the sweep finds them
+		if err := removeRows(ctx, q.store, keys); err != nil {
+			return err // left to the sweep
 		}
 		for _, batch := range due {
 			if batch.Removed != nil {
@@ -110,7 +115,7 @@
 	}
 }
 
-func remove(ctx context.Context, store *state.Client, keys []state.Key) error {
+func removeRows(ctx context.Context, store *state.Client, keys []state.Key) error {
 	return store.Repeat(ctx, func() error {
 		_, err := store.Commit(ctx, state.Commit{Class: state.ClassSweep, Removals: keys})
 		return err
@@ -118,33 +123,33 @@
 }
 
 const (
-	queuePause   = 5 * time.Second
-	hurriedPause = 250 * time.Millisecond // bounds the removals of all daemons while the store is full
-	removalLimit = 20 * time.Second
+	defaultQueueInterval = 5 * time.Second
+	minQueueInterval     = 250 * time.Millisecond // limits the load on the store when all daemons hurry
+	removalTimeout       = 20 * time.Second
 )
 
-// Run removes what is due until the context ends.
+// Run removes due rows until the context ends.
 func (q *Queue) Run(ctx context.Context) {
 	for q.wait(ctx) {
-		limited, cancel := context.WithTimeout(ctx, removalLimit)
-		if err := q.RemoveDue(limited); err != nil {
-			q.log.Warn("retention: rows left to the sweep.", zap.String("error", err.Error()))
+		timeoutCtx, cancel := context.WithTimeout(ctx, removalTimeout)
+		if err := q.RemoveDue(timeoutCtx); err != nil {
+			q.log.Warn("retention: removal failed; rows left to the sweep.", zap.String("error", err.Error()))
 		}
 		cancel()
 	}
 }
 
-// wait returns when it is time to remove again, or false when the context ended.
+// wait returns true when it is time for the next removal, and false when the context ended.
 func (q *Queue) wait(ctx context.Context) bool {
-	if !pause.For(ctx, hurriedPause) {
+	if !pause.For(ctx, minQueueInterval) {
 		return false
 	}
-	timer := time.NewTimer(q.between - hurriedPause)
+	timer := time.NewTimer(q.interval - minQueueInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-q.hurry:
+	case <-q.wake:
 	case <-timer.C:
 	}
 	return true
--- a/internal/retention/retention_test.go
+++ b/internal/retention/retention_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "retention")
 }
 
-var _ = Describe("rows whose time is over", func() {
+var _ = Describe("Expired rows", func() {
 	var store *memorystore.Store
 	var client *state.Client
 	var now time.Time
@@ -48,7 +48,7 @@
 		}
 	})
 
-	It("are removed by their writer, a hundred with a call", func(ctx SpecContext) {
+	It("are removed by their writer, up to a hundred in a commit", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		for number := range 250 {
 			queue.Add(time.Minute, key(number))
@@ -62,7 +62,7 @@
 		Expect(store.Calls("commit") - before).To(Equal(3))
 	})
 
-	It("are told as removed once they are gone, and as a sweep's work", func(ctx SpecContext) {
+	It("trigger the Removed callback after their removal, which uses the sweep class", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		removed := 0
 		for number := range 250 {
@@ -81,24 +81,24 @@
 		Expect(classes).To(HaveEach(state.ClassSweep))
 	})
 
-	It("are removed without waiting for the next round when room is needed", func(ctx SpecContext) {
+	It("are removed without waiting for the interval after Hurry", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		queue.Pause(time.Hour)
 		queue.Add(0, key(0))
-		running, cancel := context.WithCancel(ctx)
-		ended := make(chan struct{})
+		runCtx, cancel := context.WithCancel(ctx)
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
-			queue.Run(running)
+			defer close(done)
+			queue.Run(runCtx)
 		}()
 		queue.Hurry()
 		queue.Hurry()
 		Eventually(func() int { return rows(ctx) }).Should(Equal(249))
 		cancel()
-		Eventually(ended).Should(BeClosed())
+		Eventually(done).Should(BeClosed())
 	})
 
-	It("are swept in the version that was read, and others stay", func(ctx SpecContext) {
+	It("are removed by the sweep, and other rows are kept", func(ctx SpecContext) {
 		sweep := &retention.Sweep{
 			Store: client, Table: "t", Log: zap.NewNop(),
 			Over: func(row state.Row) bool { return row.Value[0] >= 100 },
--- a/internal/retention/sweep.go
+++ b/internal/retention/sweep.go
@@ -10,72 +10,71 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Sweep looks through a table for rows that outlived their time.
+// Sweep removes expired rows from a table.
 type Sweep struct {
 	Store      *state.Client
 	Table      string
 	Partitions []string
-	// Mine tells whether this daemon sweeps a partition; others sweep the rest.
+	// Mine reports whether this daemon sweeps a partition.
 	Mine func(partition string) bool
-	// Over tells whether a row's time is over.
+	// Over reports whether a row has expired.
 	Over func(row state.Row) bool
 	Log  *zap.Logger
-	// Every is how long a pass over all partitions takes; 0: an hour.
+	// Every is the duration of a pass over all partitions; 0 means one hour.
 	Every time.Duration
 }
 
-// defaultEvery is how long a pass takes where a daemon removes what it wrote itself,
-// and the sweep only what lost daemons left.
-const defaultEvery = time.Hour
+// defaultPassDuration is long because the sweep finds only what terminated daemons left behind.
+const defaultPassDuration = time.Hour
 
 // Run sweeps one partition after another until the context ends.
 func (s *Sweep) Run(ctx context.Context) {
-	every := s.Every
-	if every <= 0 {
-		every = defaultEvery
+	passDuration := s.Every
+	if passDuration <= 0 {
+		passDuration = defaultPassDuration
 	}
-	between := every / time.Duration(len(s.Partitions))
+	interval := passDuration / time.Duration(len(s.Partitions))
 	for {
 		for _, partition := range s.Partitions {
-			if !pause.For(ctx, between) {
+			if !pause.For(ctx, interval) {
 				return
 			}
 			if !s.Mine(partition) {
 				continue
 			}
-			limited, cancel := context.WithTimeout(ctx, removalLimit)
-			removed, err := s.Partition(limited, partition)
+			timeoutCtx, cancel := context.WithTimeout(ctx, removalTimeout)
+			removed, err := s.Partition(timeoutCtx, partition)
 			cancel()
 			if err != nil || removed > 0 {
-				s.Log.Info("retention: swept.", zap.String("table", s.Table), zap.String("partition", partition), zap.Int("removed", removed), zap.Error(err))
+				s.Log.Info("retention: partition swept.", zap.String("table", s.Table), zap.String("partition", partition), zap.Int("removed", removed), zap.Error(err))
 			}
 		}
 	}
 }
 
-// Partition sweeps one partition and returns how many rows it removed. A row
-// is removed only in the version that was read.
+// Partition sweeps one partition and returns the number of removed rows. It does not remove a
+// row that changed after it was read.
 func (s *Sweep) Partition(ctx context.Context, partition string) (int, error) {
 	removed := 0
-	from := ""
+	start := ""
 	for {
-		page, err := s.Store.Read(ctx, state.Range{Class: state.ClassSweep, Table: s.Table, Partition: partition, From: from})
+		page, err := s.Store.Read(ctx, state.Range{Class: state.ClassSweep, Table: s.Table, Partition: partition, From: start})
 		if err != nil {
 			return removed, err
 		}
-		count, err := s.removeOver(ctx, page.Rows)
+		count, err := s.removeExpired(ctx, page.Rows)
 		removed += count
 		if err != nil || !page.More || len(page.Rows) == 0 {
 			return removed, err
 		}
-		from = page.Rows[len(page.Rows)-1].Key.Name + "\x00"
+		start = page.Rows[len(page.Rows)-1].Key.Name + "\x00"
 	}
 }
 
-// removeOver removes rows one commit at a time, since one changed row among
-// many would hold all of them up.
-func (s *Sweep) removeOver(ctx context.Context, rows []state.Row) (int, error) {
-	const perCommit = rowsPerCommit / 2 // a condition and a removal for each row
+// removeExpired removes the expired rows in commits of limited size, since a single changed row
+// makes its whole commit fail.
+func (s *Sweep) removeExpired(ctx context.Context, rows []state.Row) (int, error) {
+	const maxRemovals = maxRowsPerCommit / 2 // each row takes a condition and a removal
 	commit := state.Commit{Class: state.ClassSweep}
 	count := 0
 	flush := func() error {
@@ -95,7 +94,7 @@
 		}
 		commit.Conditions = append(commit.Conditions, state.Condition{Key: row.Key, Version: row.Version})
 		commit.Removals = append(commit.Removals, row.Key)
-		if len(commit.Removals) == perCommit {
+		if len(commit.Removals) == maxRemovals {
 			if err := flush(); err != nil {
 				return count, err
 			}
