--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -1,10 +1,9 @@
-// Package memory counts the bytes that this process holds for others: bodies of
-// requests, histories, answers that callers have not read, turns that are not
-// saved. It bounds them in all and for each owner.
+// Package memory accounts for the bytes that this process holds for callers: request bodies,
+// conversation histories, answers that callers have not read, and unsaved turns. It limits their
+// total and the amount of each owner.
 //
-// Guarantee: what is held never exceeds the limit, and neither one owner nor the answers
-// that callers have not taken hold more than half of it, at any moment and however many ask at
-// once.
+// Guarantee: the total never exceeds the limit, and neither a single owner nor all unread
+// answers together exceed half of it, even under concurrent use.
 package memory
 
 import (
@@ -13,38 +12,39 @@
 	"sync/atomic"
 )
 
-// Owner is for whom bytes are held: a tenant, or else a caller's connection.
+// Owner identifies who bytes are held for: a tenant, or a caller's connection if the tenant is
+// unknown.
 type Owner string
 
-// Kind is what bytes are held as.
+// Kind is the purpose for which bytes are held.
 type Kind uint8
 
-// The kinds.
+// Values of Kind.
 const (
-	// Request is a request under way: its body, and what each request takes.
+	// Request is a request in progress: its body and a fixed overhead.
 	Request Kind = iota
-	// History is what was said before a turn, sent to an engine with it.
+	// History is the conversation before a turn, which is sent to the engine.
 	History
-	// Answer is what an engine has answered and the caller has not taken.
+	// Answer is output of an engine that the caller has not read yet.
 	Answer
-	// UnsavedTurn is the output of a turn, and the copies that saving it makes.
+	// UnsavedTurn is the output of a turn and the copies made to save it.
 	UnsavedTurn
 	kindCount
 )
 
-// String gives the name used in metrics and errors.
+// String returns the name used in metrics and errors.
 func (k Kind) String() string {
 	return [kindCount]string{"request", "history", "answer", "unsaved-turn"}[k]
 }
 
-// ExceededError says that there is no room for further bytes.
+// ExceededError says that a reservation would exceed a limit. All amounts are in bytes.
 type ExceededError struct {
 	Kind   Kind
-	Wanted int64 // bytes asked for
-	Held   int64 // by all
-	Own    int64 // by the owner
-	Limit  int64 // of all
-	// OwnersBound tells that there is room, but not for this owner.
+	Wanted int64 // requested amount
+	Held   int64 // held by all owners
+	Own    int64 // held by the owner
+	Limit  int64 // limit for all owners
+	// OwnersBound is set if only the limit of the owner would be exceeded.
 	OwnersBound bool
 }
 
@@ -52,142 +52,145 @@
 func (e *ExceededError) Error() string {
 	bound := "all"
 	if e.OwnersBound {
-		bound = "its owner"
+		bound = "the owner"
 	}
-	return fmt.Sprintf("no room for %d bytes (%s) within the bound of %s: %d held, %d for the owner, limit %d",
+	return fmt.Sprintf("cannot hold %d more bytes (%s) within the limit for %s: %d held in total, %d by the owner, limit %d",
 		e.Wanted, e.Kind, bound, e.Held, e.Own, e.Limit)
 }
 
-// Account is what is held for all owners. It is safe for concurrent use; a nil
-// Account bounds and counts nothing.
+// Account accounts for the bytes held for all owners. It is safe for concurrent use. A nil
+// Account limits and counts nothing: its Open returns a nil Holding.
 type Account struct {
-	limit   int64 // bytes; 0: none
+	limit   int64 // bytes; 0 if there is no limit
 	held    atomic.Int64
 	byKind  [kindCount]atomic.Int64
 	refused [kindCount]atomic.Int64
 
 	mutex  sync.Mutex
-	owners map[Owner]*share
+	owners map[Owner]*ownerUsage
 }
 
-// share is what one owner holds.
-type share struct {
-	held     atomic.Int64
-	holdings int // under the account's mutex
+// ownerUsage is the amount that one owner holds.
+type ownerUsage struct {
+	held         atomic.Int64
+	openHoldings int // protected by the account's mutex
 }
 
-// NewAccount makes an account with a limit in bytes; 0: it only counts.
+// NewAccount returns an account with a limit in bytes. With a limit of 0 it only counts.
 func NewAccount(limit int64) *Account {
-	return &Account{limit: limit, owners: map[Owner]*share{}}
+	return &Account{limit: limit, owners: map[Owner]*ownerUsage{}}
 }
 
-// Held is the sum of what is held, in bytes.
+// Held returns the number of bytes held for all owners.
 func (a *Account) Held() int64 { return a.held.Load() }
 
-// Limit is the most that may be held, in bytes; 0: there is none.
+// Limit returns the limit in bytes; 0 if there is none.
 func (a *Account) Limit() int64 { return a.limit }
 
-// Open begins a holding of the owner; it must be closed.
+// Open returns a new holding of the owner. The caller must close it. Open of a nil Account
+// returns a nil Holding.
 func (a *Account) Open(owner Owner) *Holding {
 	if a == nil {
 		return nil
 	}
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	owned, known := a.owners[owner]
-	if !known {
-		owned = &share{}
-		a.owners[owner] = owned
+	usage, exists := a.owners[owner]
+	if !exists {
+		usage = &ownerUsage{}
+		a.owners[owner] = usage
 	}
-	owned.holdings++
-	return &Holding{account: a, owner: owner, share: owned}
+	usage.openHoldings++
+	return &Holding{account: a, owner: owner, ownerUsage: usage}
 }
 
-// leave ends one holding of an owner, and forgets owners without any.
-func (a *Account) leave(owner Owner, owned *share) {
+// closeHolding removes one holding of an owner, and the owner with its last holding.
+func (a *Account) closeHolding(owner Owner, usage *ownerUsage) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	owned.holdings--
-	if owned.holdings == 0 {
+	usage.openHoldings--
+	if usage.openHoldings == 0 {
 		delete(a.owners, owner)
 	}
 }
 
-// take counts bytes, or refuses them.
+// reserve adds bytes to the sums or returns an *ExceededError.
 //
-// An owner may hold as much as is left free by all (a dynamic threshold): one owner
-// alone gets half of the limit, each of two a third, so that room is left for an owner
-// that comes later without a part set aside for owners that may never come.
-func (a *Account) take(owned *share, kind Kind, bytes int64) error {
-	if !raise(&a.byKind[kind], bytes, a.limitOf(kind)) {
-		return a.refuse(owned, kind, bytes, false)
+// An owner may hold as much as is free in total (a dynamic threshold): a single owner gets half
+// of the limit, each of two owners a third. This leaves space for further owners without a fixed
+// reserve.
+func (a *Account) reserve(usage *ownerUsage, kind Kind, bytes int64) error {
+	if !addWithin(&a.byKind[kind], bytes, a.kindLimit(kind)) {
+		return a.refuse(usage, kind, bytes, false)
 	}
-	if !raise(&a.held, bytes, a.limit) {
+	if !addWithin(&a.held, bytes, a.limit) {
 		a.byKind[kind].Add(-bytes)
-		return a.refuse(owned, kind, bytes, false)
+		return a.refuse(usage, kind, bytes, false)
 	}
-	// The sum is raised before the share and lowered after it, so that it is never
-	// below the sum of shares: what is free is never overrated.
-	if !a.takeFromShare(owned, bytes) {
+	// The total is raised before the owner's amount and lowered after it, so that it never falls
+	// below the sum of all owners' amounts and the free space is never overestimated.
+	if !a.reserveForOwner(usage, bytes) {
 		a.held.Add(-bytes)
 		a.byKind[kind].Add(-bytes)
-		return a.refuse(owned, kind, bytes, true)
+		return a.refuse(usage, kind, bytes, true)
 	}
 	return nil
 }
 
-// limitOf is the most that is held of a kind. Answers that callers do not take leave half to
-// requests: many callers that do not read never keep others from being served.
-func (a *Account) limitOf(kind Kind) int64 {
+// kindLimit returns the limit for one kind. Answers may take only half of the total, so that
+// callers that do not read their answers cannot block other requests.
+func (a *Account) kindLimit(kind Kind) int64 {
 	if kind == Answer {
 		return a.limit / 2
 	}
 	return a.limit
 }
 
-// raise adds to a sum within a limit; 0: none.
-func raise(sum *atomic.Int64, bytes, limit int64) bool {
+// addWithin adds bytes to the sum unless that exceeds the limit, and reports whether it did. A
+// limit of 0 means no limit.
+func addWithin(sum *atomic.Int64, bytes, limit int64) bool {
 	for {
-		held := sum.Load()
-		if limit > 0 && held+bytes > limit {
+		old := sum.Load()
+		if limit > 0 && old+bytes > limit {
 			return false
 		}
-		if sum.CompareAndSwap(held, held+bytes) {
+		if sum.CompareAndSwap(old, old+bytes) {
 			return true
 		}
 	}
 }
 
-func (a *Account) takeFromShare(owned *share, bytes int64) bool {
+func (a *Account) reserveForOwner(usage *ownerUsage, bytes int64) bool {
 	for {
-		own := owned.held.Load()
+		own := usage.held.Load()
 		if a.limit > 0 && own+bytes > a.limit-a.held.Load() {
 			return false
 		}
-		if owned.held.CompareAndSwap(own, own+bytes) {
+		if usage.held.CompareAndSwap(own, own+bytes) {
 			return true
 		}
 	}
 }
 
-func (a *Account) refuse(owned *share, kind Kind, bytes int64, ownersBound bool) error {
+func (a *Account) refuse(usage *ownerUsage, kind Kind, bytes int64, ownersBound bool) error {
 	a.refused[kind].Add(1)
 	return &ExceededError{
-		Kind: kind, Wanted: bytes, Held: a.held.Load(), Own: owned.held.Load(), Limit: a.limit, OwnersBound: ownersBound,
+		Kind: kind, Wanted: bytes, Held: a.held.Load(), Own: usage.held.Load(), Limit: a.limit, OwnersBound: ownersBound,
 	}
 }
 
-func (a *Account) give(owned *share, kind Kind, bytes int64) {
-	owned.held.Add(-bytes)
+func (a *Account) release(usage *ownerUsage, kind Kind, bytes int64) {
+	usage.held.Add(-bytes)
 	a.held.Add(-bytes)
 	a.byKind[kind].Add(-bytes)
 }
 
-// Fits tells whether so many bytes more of a request would find room for the holding's owner now.
+// Fits reports whether a reservation of this many bytes would currently succeed, leaving aside
+// the lower limit for answers.
 func (h *Holding) Fits(bytes int64) bool {
 	if h == nil || h.account.limit == 0 {
 		return true
 	}
 	free := h.account.limit - h.account.held.Load() - bytes
-	return h.share.held.Load()+bytes <= free
+	return h.ownerUsage.held.Load()+bytes <= free
 }
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -16,9 +16,8 @@
 	RunSpecs(t, "memory")
 }
 
-// The property: however holdings of a few owners grow, shrink and end, the account is the
-// sum of what they hold, never exceeds its limit, leaves each owner at most half of it, and
-// ends empty.
+// TestAccountKeepsItsBounds checks that for any sequence of operations the account equals the
+// sum of all holdings, stays within the limits in total and for each owner, and ends empty.
 func TestAccountKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
@@ -38,7 +37,7 @@
 				fits := holding.Fits(bytes)
 				err := holding.Grow(kind, bytes)
 				if kind != Answer && fits != (err == nil) && bytes > 0 {
-					t.Fatalf("fits: %v, grown: %v", fits, err)
+					t.Fatalf("Fits returned %v, but Grow returned %v", fits, err)
 				}
 				if err == nil {
 					expected[holding] += bytes
@@ -62,7 +61,7 @@
 			holding.Close()
 		}
 		if account.Held() != 0 || len(account.owners) != 0 {
-			t.Fatalf("held at the end: %d by %d owners", account.Held(), len(account.owners))
+			t.Fatalf("%d bytes still held at the end by %d owners", account.Held(), len(account.owners))
 		}
 	})
 }
@@ -81,17 +80,17 @@
 	}
 	for owner, bytes := range byOwner {
 		if bytes > account.Limit()/2 {
-			t.Fatalf("%s holds %d of %d", owner, bytes, account.Limit())
+			t.Fatalf("owner %s holds %d bytes, limit %d", owner, bytes, account.Limit())
 		}
 	}
 }
 
-var _ = Describe("an account", func() {
-	It("keeps its bounds while many ask at once", func() {
+var _ = Describe("Account", func() {
+	It("keeps its limits under concurrent use", func() {
 		const limit, callers, rounds = 1 << 20, 32, 400
 		account := NewAccount(limit)
 		var all sync.WaitGroup
-		over := make(chan int64, callers*rounds)
+		violations := make(chan int64, callers*rounds)
 		for caller := range callers {
 			all.Go(func() {
 				for round := range rounds {
@@ -99,22 +98,22 @@
 					_ = holding.Grow(Request, int64(1+(caller*round)%(limit/8)))
 					_ = holding.Grow(Answer, int64(1+(caller+round)%(limit/16)))
 					if held := account.Held(); held > limit {
-						over <- held
+						violations <- held
 					}
-					if own := holding.share.held.Load(); own > limit/2 {
-						over <- own
+					if own := holding.ownerUsage.held.Load(); own > limit/2 {
+						violations <- own
 					}
 					holding.Close()
 				}
 			})
 		}
 		all.Wait()
-		Expect(over).To(BeEmpty())
+		Expect(violations).To(BeEmpty())
 		Expect(account.Held()).To(BeZero())
 		Expect(account.owners).To(BeEmpty())
 	})
 
-	It("leaves room for an owner that comes after a greedy one", func() {
+	It("leaves space for another owner after a greedy one", func() {
 		account := NewAccount(100)
 		greedy := account.Open("greedy")
 		for greedy.Grow(Request, 1) == nil {
@@ -126,7 +125,7 @@
 		Expect(exceeded.OwnersBound).To(BeTrue())
 	})
 
-	It("serves others however many callers do not take their answers", func() {
+	It("accepts requests even if many callers do not read their answers", func() {
 		account := NewAccount(1000)
 		for caller := range 100 {
 			holding := account.Open(Owner(fmt.Sprint(caller)))
@@ -137,7 +136,7 @@
 		Expect(account.Open("late").Grow(Request, 250)).To(Succeed())
 	})
 
-	It("bounds nothing without a limit, and counts", func() {
+	It("only counts if it has no limit", func() {
 		account := NewAccount(0)
 		holding := account.Open("one")
 		Expect(holding.Grow(History, 1<<40)).To(Succeed())
@@ -148,7 +147,7 @@
 		Expect(account.Held()).To(BeZero())
 	})
 
-	It("is nobody's where there is none", func() {
+	It("can be nil", func() {
 		var account *Account
 		holding := account.Open("one")
 		Expect(holding.Grow(Request, 1)).To(Succeed())
@@ -157,17 +156,17 @@
 	})
 })
 
-var _ = DescribeTable("Divide leaves room for the kernel's buffers, the process and the collector",
+var _ = DescribeTable("Divide leaves memory for kernel buffers, the process and garbage",
 	func(machineMB int) {
 		divided := Divide(machineMB)
 		machine := int64(machineMB) * megabyte
-		Expect(divided.Runtime + outside + machine/kernelPart).To(BeNumerically("<=", machine))
-		Expect(collected*divided.Held + own).To(BeNumerically("<=", divided.Runtime))
-		Expect(divided.Held).To(BeNumerically(">=", leastHeld))
+		Expect(divided.Runtime + nonRuntimeBytes + machine/kernelDivisor).To(BeNumerically("<=", machine))
+		Expect(heapFactor*divided.Held + processLiveBytes).To(BeNumerically("<=", divided.Runtime))
+		Expect(divided.Held).To(BeNumerically(">=", minHeldBytes))
 	},
-	Entry("the smallest machines", 112), Entry("middle ones", 254), Entry("the largest", 536), Entry("others", 4096),
+	Entry("the smallest machine", 112), Entry("a medium machine", 254), Entry("a large machine", 536), Entry("others", 4096),
 )
 
-var _ = It("Divide bounds nothing where no memory is told", func() {
+var _ = It("Divide sets no limits if the memory size is unknown", func() {
 	Expect(Divide(0)).To(Equal(Division{}))
 })
--- a/internal/memory/holding.go
+++ b/internal/memory/holding.go
@@ -2,21 +2,20 @@
 
 import "sync"
 
-// Holding is what is held for one request or connection of an owner. It grows
-// and shrinks; Close gives the rest back, once. It is safe for concurrent use; a
-// nil Holding takes everything and counts nothing.
+// Holding is the memory held for one request or connection of an owner. It is safe for
+// concurrent use. A nil Holding accepts everything and counts nothing.
 type Holding struct {
-	account *Account
-	owner   Owner
-	share   *share
+	account    *Account
+	owner      Owner
+	ownerUsage *ownerUsage
 
 	mutex  sync.Mutex
 	bytes  [kindCount]int64
 	closed bool
 }
 
-// Grow counts further bytes before they are allocated, or returns *ExceededError.
-// A closed holding stays empty and refuses.
+// Grow reserves bytes before they are allocated. It returns an *ExceededError if a limit would
+// be exceeded or the holding is closed.
 func (h *Holding) Grow(kind Kind, bytes int64) error {
 	if h == nil || bytes <= 0 {
 		return nil
@@ -26,14 +25,14 @@
 	if h.closed {
 		return &ExceededError{Kind: kind, Wanted: bytes}
 	}
-	if err := h.account.take(h.share, kind, bytes); err != nil {
+	if err := h.account.reserve(h.ownerUsage, kind, bytes); err != nil {
 		return err
 	}
 	h.bytes[kind] += bytes
 	return nil
 }
 
-// Shrink gives bytes back that are not held any more, at most those that were counted.
+// Shrink releases bytes that are no longer held, at most the reserved amount of the kind.
 func (h *Holding) Shrink(kind Kind, bytes int64) {
 	if h == nil || bytes <= 0 {
 		return
@@ -45,10 +44,10 @@
 
 func (h *Holding) shrink(kind Kind, bytes int64) {
 	h.bytes[kind] -= bytes
-	h.account.give(h.share, kind, bytes)
+	h.account.release(h.ownerUsage, kind, bytes)
 }
 
-// Close gives everything back. Further calls do nothing.
+// Close releases everything. Further calls have no effect.
 func (h *Holding) Close() {
 	if h == nil {
 		return
@@ -62,5 +61,5 @@
 	for kind, bytes := range h.bytes {
 		h.shrink(Kind(kind), bytes)
 	}
-	h.account.leave(h.owner, h.share)
+	h.account.closeHolding(h.owner, h.ownerUsage)
 }
--- a/internal/memory/metrics.go
+++ b/internal/memory/metrics.go
@@ -7,16 +7,16 @@
 
 var (
 	heldDescription = prometheus.NewDesc("thymeloft_memory_held_bytes",
-		"Bytes held for callers, engines and tenants, by what they are.", []string{"kind"}, nil)
+		"Bytes held for callers, by kind.", []string{"kind"}, nil)
 	limitDescription = prometheus.NewDesc("thymeloft_memory_limit_bytes",
-		"The most bytes that are held for others; 0: no bound.", nil, nil)
+		"Limit for the bytes held for callers; 0 if there is none.", nil, nil)
 	refusedDescription = prometheus.NewDesc("thymeloft_memory_refused_total",
-		"Bytes asked for that found no room, counted by occasion.", []string{"kind"}, nil)
+		"Refused reservations of memory, by kind.", []string{"kind"}, nil)
 )
 
-// Measure shows the account.
+// Measure registers the metrics of the account.
 func (a *Account) Measure(registerer prometheus.Registerer) error {
-	return eris.Wrap(registerer.Register(a), "register metrics of memory held")
+	return eris.Wrap(registerer.Register(a), "register memory metrics")
 }
 
 // Describe implements prometheus.Collector.
