--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,4 @@
-// Package pause waits between tries: for a time that a context may cut short,
-// and by schedules that grow with jitter.
+// Package pause provides waits that a context can cancel, and exponential backoff with jitter.
 package pause
 
 import (
@@ -9,7 +8,7 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// For waits; it returns false when the context ended first.
+// For waits for the given duration. It returns true, or false if the context ended first.
 func For(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -21,8 +20,8 @@
 	}
 }
 
-// Growing gives jittered pauses that grow from the first to the longest. It
-// is not safe for use by several goroutines at once.
+// Growing returns an exponential backoff with jitter, with intervals from first to longest. It
+// is not safe for concurrent use.
 func Growing(first, longest time.Duration) *backoff.ExponentialBackOff {
 	schedule := backoff.NewExponentialBackOff()
 	schedule.InitialInterval = first
