--- a/internal/piece/piece.go
+++ b/internal/piece/piece.go
@@ -1,9 +1,10 @@
-// Package piece keeps byte strings that several turns share, each once, under its
-// digest. A piece never changes; what changes is until when it is kept.
+// Package piece stores byte strings that several turns have in common. Each distinct string,
+// called a piece, is stored once under its digest. Its content never changes; its expiry time
+// can be extended.
 //
-// Guarantees: Ensure returns nil only if the store holds the piece at least until
-// the time asked for, whatever other daemons write meanwhile; Load returns bytes of
-// the digest asked for, or an error.
+// Guarantees: if Ensure returns no error, the store holds the piece at least until the requested
+// time, even with concurrent writes by other daemons. Load returns bytes that match the
+// requested digest, or an error.
 package piece
 
 import (
@@ -23,21 +24,21 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Errors of Load, besides those of the store and of rowset.
+// Errors of Load, in addition to those of the packages state and rowset.
 var (
-	// ErrMissing says that the piece is in none of its places.
-	ErrMissing = errors.New("a piece is not there")
-	// ErrDiffers says that what is kept under a digest has another one.
-	ErrDiffers = errors.New("a piece differs from its digest")
+	// ErrMissing says that no partition that may hold the piece has it.
+	ErrMissing = errors.New("piece not found")
+	// ErrDiffers says that the stored bytes do not match the digest.
+	ErrDiffers = errors.New("piece does not match its digest")
 )
 
-// Reference names a piece.
+// Reference identifies a piece by digest and length.
 type Reference struct {
 	Digest [sha256.Size]byte
 	Length int
 }
 
-// ReferenceOf names the piece that holds these bytes.
+// ReferenceOf returns the reference of the piece with this content.
 func ReferenceOf(content []byte) Reference {
 	return Reference{Digest: sha256.Sum256(content), Length: len(content)}
 }
@@ -46,102 +47,103 @@
 
 const table = "pieces"
 
-// Options of a Pieces.
+// Options configures a Pieces.
 type Options struct {
 	Store    *state.Client
-	RowBytes int // most bytes of a value
-	// CacheBytes bounds the pieces in memory.
+	RowBytes int // maximum size of a row's value in bytes
+	// CacheBytes bounds the total size of the pieces cached in memory.
 	CacheBytes int
 }
 
-// Pieces loads and keeps pieces. It is safe for concurrent use.
+// Pieces stores and loads pieces and caches them in memory. It is safe for concurrent use.
 type Pieces struct {
 	options Options
 
-	mutex sync.Mutex
-	known *simplelru.LRU[Reference, *kept]
-	bytes int
+	mutex       sync.Mutex
+	cache       *simplelru.LRU[Reference, *cachedPiece]
+	cachedBytes int
 }
 
-// kept is a piece in memory.
-type kept struct {
+// cachedPiece is a piece in the cache.
+type cachedPiece struct {
 	content []byte
-	expires int64 // the store holds it until then, in unix seconds
+	expires int64 // time until which the store holds it, in unix seconds; 0 if unknown
 }
 
-// mostKnown bounds the pieces in memory besides their bytes.
-const mostKnown = 4096
+// maxCachedPieces bounds the number of cached pieces, in addition to CacheBytes.
+const maxCachedPieces = 4096
 
-// New makes the repository.
+// New returns a Pieces with an empty cache.
 func New(options Options) *Pieces {
-	made := &Pieces{options: options}
-	known, err := simplelru.NewLRU(mostKnown, func(_ Reference, gone *kept) { made.bytes -= len(gone.content) })
+	pieces := &Pieces{options: options}
+	cache, err := simplelru.NewLRU(maxCachedPieces, func(_ Reference, evicted *cachedPiece) { pieces.cachedBytes -= len(evicted.content) })
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	made.known = known
-	return made
+	pieces.cache = cache
+	return pieces
 }
 
-// Bytes is how many bytes of pieces are in memory.
+// Bytes returns the total size of the cached pieces in bytes.
 func (p *Pieces) Bytes() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.bytes
+	return p.cachedBytes
 }
 
-// Stored is a piece that the store holds.
+// Stored describes a piece in the store.
 type Stored struct {
-	Content []byte // shared: not to be changed
-	Expires int64  // unix seconds from which it may be removed
-	Written int    // bytes that this call wrote
+	Content []byte // shared with the cache; must not be changed
+	Expires int64  // unix seconds after which it may be removed
+	Written int    // number of content bytes written by this call
 }
 
-// Ensure has the store hold a piece until needed or longer. A piece that has to be
-// written is kept until expires, so that it is not written anew too soon.
-func (p *Pieces) Ensure(ctx context.Context, content []byte, needed, expires int64) (Stored, error) {
+// Ensure makes sure that the store holds the piece at least until neededUntil. If it has to
+// write the piece, it sets the expiry time to expires, which may be later to avoid writing the
+// piece again soon. Both times are in unix seconds.
+func (p *Pieces) Ensure(ctx context.Context, content []byte, neededUntil, expires int64) (Stored, error) {
 	reference := ReferenceOf(content)
-	if known := p.find(reference); known != nil && known.expires >= needed {
-		return Stored{Content: known.content, Expires: known.expires}, nil
+	if cached := p.lookUp(reference); cached != nil && cached.expires >= neededUntil {
+		return Stored{Content: cached.content, Expires: cached.expires}, nil
 	}
 	stored := Stored{Content: content}
 	err := p.options.Store.Repeat(ctx, func() error {
 		var err error
-		stored.Expires, stored.Written, err = p.place(ctx, reference, content, needed, expires)
+		stored.Expires, stored.Written, err = p.writeToAny(ctx, reference, content, neededUntil, expires)
 		return err
 	})
 	if err != nil {
 		return Stored{}, err
 	}
-	stored.Content = p.remember(reference, content, stored.Expires)
+	stored.Content = p.addToCache(reference, content, stored.Expires)
 	return stored, nil
 }
 
-// place tries the piece's places until one takes it.
-func (p *Pieces) place(ctx context.Context, reference Reference, content []byte, needed, expires int64) (until int64, written int, err error) {
+// writeToAny tries the partitions that may hold the piece until one gives a definite result.
+func (p *Pieces) writeToAny(ctx context.Context, reference Reference, content []byte, neededUntil, expires int64) (expiresAt int64, written int, err error) {
 	for _, partition := range p.options.Store.Prefer(rowset.PlacesOf(reference.name())) {
 		key := state.Key{Table: table, Partition: partition, Name: reference.name()}
-		until, written, err = p.write(ctx, key, content, needed, expires)
+		expiresAt, written, err = p.writeTo(ctx, key, content, neededUntil, expires)
 		if !state.NoVerdict(err) {
 			break
 		}
 	}
-	return until, written, eris.Wrap(err, "keep piece")
+	return expiresAt, written, eris.Wrap(err, "store piece")
 }
 
-// mostConflicts bounds how often a piece is tried to be written while others do.
-const mostConflicts = 4
+// maxConflicts bounds the attempts to write a piece that other daemons write at the same time.
+const maxConflicts = 4
 
-// write puts a piece where it is not kept for long enough. The condition keeps one
-// who asks for less time, or a late commit, from shortening the time that another
-// daemon was promised.
-func (p *Pieces) write(ctx context.Context, key state.Key, content []byte, needed, expires int64) (until int64, written int, err error) {
+// writeTo writes the piece to a partition unless it is already stored there until neededUntil.
+// The condition on the version prevents an earlier expiry time or a delayed commit from
+// replacing a later expiry time.
+func (p *Pieces) writeTo(ctx context.Context, key state.Key, content []byte, neededUntil, expires int64) (currentExpires int64, written int, err error) {
 	puts, err := rowset.Cut(key, content, expires, p.options.RowBytes)
 	if err != nil {
 		return 0, 0, err
 	}
 	version := state.Version(0)
-	for range mostConflicts {
+	for range maxConflicts {
 		_, err := p.options.Store.Commit(ctx, state.Commit{
 			Class: state.ClassTurn, Conditions: []state.Condition{{Key: key, Version: version}}, Puts: puts,
 		})
@@ -152,47 +154,47 @@
 		case !errors.As(err, &conflict):
 			return 0, 0, err
 		}
-		found, exists := conflict.Find(key)
+		row, exists := conflict.Find(key)
 		if !exists {
 			version = 0
 			continue
 		}
-		if until, ours := rowset.Expires(found); ours && until >= needed {
-			return until, 0, nil
+		if currentExpires, ok := rowset.Expires(row); ok && currentExpires >= neededUntil {
+			return currentExpires, 0, nil
 		}
-		version = found.Version
+		version = row.Version
 	}
-	return 0, 0, eris.Wrap(state.ErrNotDone, "keep piece: too many conflicts")
+	return 0, 0, eris.Wrap(state.ErrNotDone, "store piece: too many conflicts")
 }
 
-// Load returns a piece.
+// Load returns a piece from the cache or the store.
 func (p *Pieces) Load(ctx context.Context, reference Reference) (Stored, error) {
-	if known := p.find(reference); known != nil {
-		return Stored{Content: known.content, Expires: known.expires}, nil
+	if cached := p.lookUp(reference); cached != nil {
+		return Stored{Content: cached.content, Expires: cached.expires}, nil
 	}
-	var unanswered error
+	var unavailableErr error
 	for _, partition := range p.options.Store.Prefer(rowset.PlacesOf(reference.name())) {
-		value, err := p.read(ctx, reference, partition)
+		value, err := p.readFrom(ctx, reference, partition)
 		switch {
 		case err == nil:
-			content := p.remember(reference, value.Bytes, value.Expires)
+			content := p.addToCache(reference, value.Bytes, value.Expires)
 			return Stored{Content: content, Expires: value.Expires}, nil
 		case state.NoVerdict(err):
-			unanswered = err
+			unavailableErr = err
 		case !errors.Is(err, rowset.ErrAbsent):
 			return Stored{}, err
 		}
 	}
-	if unanswered != nil {
-		return Stored{}, unanswered
+	if unavailableErr != nil {
+		return Stored{}, unavailableErr
 	}
 	return Stored{}, eris.Wrapf(ErrMissing, "piece %s", reference.name())
 }
 
-func (p *Pieces) read(ctx context.Context, reference Reference, partition string) (rowset.Value, error) {
-	selected := rowset.Range(state.Key{Table: table, Partition: partition, Name: reference.name()})
-	selected.Class = state.ClassTurn
-	page, err := p.options.Store.Read(ctx, selected)
+func (p *Pieces) readFrom(ctx context.Context, reference Reference, partition string) (rowset.Value, error) {
+	rowRange := rowset.Range(state.Key{Table: table, Partition: partition, Name: reference.name()})
+	rowRange.Class = state.ClassTurn
+	page, err := p.options.Store.Read(ctx, rowRange)
 	if err != nil {
 		return rowset.Value{}, eris.Wrap(err, "read piece")
 	}
@@ -206,55 +208,56 @@
 	return value, nil
 }
 
-func (p *Pieces) find(reference Reference) *kept {
+func (p *Pieces) lookUp(reference Reference) *cachedPiece {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	found, _ := p.known.Get(reference)
-	return found
+	piece, _ := p.cache.Get(reference)
+	return piece
 }
 
-// Share returns the copy of a piece that all share in memory, and takes in one that is
-// not there yet. Nothing is known of how long the store keeps it.
+// Share returns the cached copy of the content and adds it to the cache if it is missing. The
+// expiry time in the store remains unknown.
 func (p *Pieces) Share(content []byte) []byte {
-	return p.remember(ReferenceOf(content), content, 0)
+	return p.addToCache(ReferenceOf(content), content, 0)
 }
 
-// largestCached is the part of the memory for pieces that one may take: the parts of a
-// turn that one commit does not hold are shared by few, and would displace many.
-const largestCached = 8
+// maxPieceCacheDivisor limits the size of a cached piece to 1/maxPieceCacheDivisor of
+// CacheBytes. Larger pieces are shared by few turns and would evict many others.
+const maxPieceCacheDivisor = 8
 
-// remember keeps a piece in memory and returns the copy that all share.
-func (p *Pieces) remember(reference Reference, content []byte, expires int64) []byte {
+// addToCache adds a piece to the cache and returns the cached copy. It returns the content
+// itself if it is too large for the cache.
+func (p *Pieces) addToCache(reference Reference, content []byte, expires int64) []byte {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if known, found := p.known.Get(reference); found {
-		p.known.Add(reference, &kept{content: known.content, expires: max(known.expires, expires)})
-		return known.content
+	if cached, found := p.cache.Get(reference); found {
+		p.cache.Add(reference, &cachedPiece{content: cached.content, expires: max(cached.expires, expires)})
+		return cached.content
 	}
-	if len(content) > p.options.CacheBytes/largestCached {
+	if len(content) > p.options.CacheBytes/maxPieceCacheDivisor {
 		return content
 	}
-	own := append([]byte(nil), content...) // the caller's bytes may be a part of more
-	p.known.Add(reference, &kept{content: own, expires: expires})
-	p.bytes += len(own)
-	for p.bytes > p.options.CacheBytes && p.known.Len() > 1 {
-		p.known.RemoveOldest()
+	copied := append([]byte(nil), content...) // the content may be part of a larger array
+	p.cache.Add(reference, &cachedPiece{content: copied, expires: expires})
+	p.cachedBytes += len(copied)
+	for p.cachedBytes > p.options.CacheBytes && p.cache.Len() > 1 {
+		p.cache.RemoveOldest()
 	}
-	return own
+	return copied
 }
 
-// sweepEvery is how long a pass over the pieces takes: nobody but the sweep removes
-// a piece, so that what is over stays for a part of the time that it was kept.
-const sweepEvery = 10 * time.Minute
+// sweepInterval is the duration of a sweep over all pieces. It is short because only the sweep
+// removes pieces.
+const sweepInterval = 10 * time.Minute
 
-// Leftovers sweeps pieces whose time is over. mine tells which partitions this
-// daemon sweeps.
+// Leftovers returns a sweep that removes expired pieces from the partitions for which mine
+// returns true.
 func Leftovers(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: mine, Log: log, Every: sweepEvery,
+		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: mine, Log: log, Every: sweepInterval,
 		Over: func(row state.Row) bool {
-			expires, ours := rowset.Expires(row)
-			return ours && now().Unix() > expires
+			expires, ok := rowset.Expires(row)
+			return ok && now().Unix() > expires
 		},
 	}
 }
