--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -27,7 +27,7 @@
 
 // newRawServer starts a server that calls respond for each request, with the number of the
 // request and its Id header. The connection is closed when respond returns false.
-func newRawServer(respond func(number int64, id string, connection net.Conn) (goOn bool)) *rawServer {
+func newRawServer(respond func(number int64, id string, connection net.Conn) (keepOpen bool)) *rawServer {
 	GinkgoHelper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -101,16 +101,16 @@
 
 	It("sends the target and the body chunks unchanged", func(ctx SpecContext) {
 		received := make(chan string, 1)
-		served, err := net.Listen("tcp", "127.0.0.1:0")
+		tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			body, _ := io.ReadAll(request.Body)
 			received <- request.RequestURI + " " + request.Host + " " + string(body) + " " + request.UserAgent()
 			writer.Header().Set("Id", request.Header.Get("Id"))
 		})}
-		go func() { _ = server.Serve(served) }()
+		go func() { _ = server.Serve(tcpListener) }()
 		DeferCleanup(server.Close)
-		instance := (&rawServer{listener: served}).instance()
+		instance := (&rawServer{listener: tcpListener}).instance()
 		_, err = send(ctx, instance, "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(<-received).To(Equal("/path?q=%2F h abc "))
@@ -248,19 +248,19 @@
 	})
 
 	It("keeps writing to an instance that reads slowly", func() {
-		near, far := net.Pipe()
-		defer near.Close()
+		local, remote := net.Pipe()
+		defer local.Close()
 		const stallTimeout, writes = 200 * time.Millisecond, 8
 		received := make(chan int, 1)
 		go func() {
 			sum := 0
 			for range writes {
-				count, _ := far.Read(make([]byte, 1000))
+				count, _ := remote.Read(make([]byte, 1000))
 				sum += count
 			}
 			received <- sum
 		}()
-		writer := &stallTimeoutWriter{connection: near, stallTimeout: stallTimeout}
+		writer := &stallTimeoutWriter{connection: local, stallTimeout: stallTimeout}
 		count, err := writer.Write(make([]byte, writes*1000))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(count).To(Equal(writes * 1000))
