--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -83,7 +83,7 @@
 		Expect(fleet.Size()).To(Equal(1))
 	})
 
-	It("forgets instances after the retention", func() {
+	It("removes instances that left longer ago than the retention", func() {
 		fleet, testClock := newTestFleet("a", "b")
 		fleet.Apply(Declaration{ID: "a", Gone: true, Version: 2})
 		fleet.Forget(time.Second)
@@ -95,7 +95,7 @@
 })
 
 var _ = Describe("Choose", func() {
-	It("uses an instance that left only within LeavingAllowed and only without an alternative", func() {
+	It("uses an instance that has left only if there is no other, and not after LeavingAllowed", func() {
 		fleet, _ := newTestFleet("a")
 		fleet.Apply(Declaration{ID: "a", Gone: true, Version: 2})
 		Expect(choose(fleet, start.Add(900*time.Millisecond), nil)).NotTo(BeNil())
@@ -166,7 +166,7 @@
 		}
 	})
 
-	It("ejects an instance after consecutive failures for increasing times, and uses it if there is no other", func() {
+	It("ejects an instance after consecutive failures, longer each time, and uses it if there is no other", func() {
 		fleet, _ := newTestFleet("a", "b")
 		failing := fleet.Of("s")[0]
 		_, ejected := failing.Failed(start)
@@ -201,7 +201,7 @@
 			}
 			warm.pool.warmUntil.Store(0)
 		}
-		Expect(warmChosen).To(BeNumerically(">", orders*3/4), "an instance that the process strongly prefers wins over a warm one that it does not")
+		Expect(warmChosen).To(BeNumerically(">", orders*3/4), "number of times that the warm instance was chosen")
 	})
 
 	It("sends requests without an affinity to few instances per process, and to all instances across processes", func() {
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -37,22 +37,22 @@
 // ago. Within a class the instance with the lowest cost is chosen. Slow instances have no class
 // of their own: their speed is part of the cost.
 func Choose(instances []*Instance, request *Request) *Instance {
-	var firstByte decayedMean
+	var allFirstBytes decayedMean
 	for _, instance := range instances {
-		firstByte = firstByte.plus(instance.quality.snapshot(request.Now).firstByte)
+		allFirstBytes = allFirstBytes.plus(instance.quality.snapshot(request.Now).firstByte)
 	}
 	baseline := computeSpeedBaseline(instances, request)
-	fastFirst := prefersFast(request, baseline)
+	preferFast := prefersFast(request, baseline)
 	var best *Instance
 	bestClass, bestCost := classUnfit, math.Inf(1)
 	for _, instance := range instances {
-		class := classOf(instance, request, firstByte)
-		if class == classUnfit || class > bestClass {
+		instanceClass := classOf(instance, request, allFirstBytes)
+		if instanceClass == classUnfit || instanceClass > bestClass {
 			continue
 		}
-		cost := costOf(instance, request, baseline, fastFirst)
-		if class < bestClass || cost < bestCost {
-			best, bestClass, bestCost = instance, class, cost
+		cost := costOf(instance, request, baseline, preferFast)
+		if instanceClass < bestClass || cost < bestCost {
+			best, bestClass, bestCost = instance, instanceClass, cost
 		}
 	}
 	return best
@@ -70,7 +70,7 @@
 	classUnfit // it must not be chosen
 )
 
-func classOf(instance *Instance, request *Request, firstByte decayedMean) class {
+func classOf(instance *Instance, request *Request, allFirstBytes decayedMean) class {
 	for _, excluded := range request.Excluded {
 		if instance.ID == excluded {
 			return classUnfit
@@ -92,7 +92,7 @@
 	switch {
 	case snapshot.failing:
 		return classFailing
-	case snapshot.firstByte.isLate(firstByte):
+	case snapshot.firstByte.isLate(allFirstBytes):
 		return classLate
 	default:
 		return classReady
--- a/internal/backend/cost.go
+++ b/internal/backend/cost.go
@@ -13,17 +13,18 @@
 	tokensPerMillisecond = 256.0
 	// missingTokenWeight multiplies the cost of tokens that the engine has to read. The weight is
 	// above 1 because reading them also evicts other cached tokens, which then have to be read
-	// again. With 1, contexts that move between engines with little memory keep evicting each
-	// other.
+	// again. With 1, contexts that move between engines with little memory would keep evicting
+	// each other.
 	missingTokenWeight = 2.0
 	// fullEngineCostMs is the load cost of an engine whose slots are all taken: the time to read
-	// 1,300 tokens. A much higher cost moves turns away from the engine that has their prompt
-	// cached.
+	// 1,300 tokens. A much higher cost would move turns away from the engine that has their
+	// prompt cached.
 	fullEngineCostMs = 1300 / tokensPerMillisecond
 	// maxAffinityCostMs is the largest cost that the affinity preference adds.
 	maxAffinityCostMs = 256 / tokensPerMillisecond
-	// otherZoneCostMs only breaks ties: traffic between zones has a higher latency and is
-	// charged.
+	// otherZoneCostMs is added for an instance in another zone: traffic between zones has a
+	// higher latency and costs money. It is small, so that it decides only between otherwise
+	// similar instances.
 	otherZoneCostMs = 48 / tokensPerMillisecond
 	// newConnectionCostMs is added for an instance without an idle connection: opening one takes
 	// a round trip and up to a millisecond of work at the instance.
@@ -33,13 +34,13 @@
 
 // costOf returns the expected cost of the request at the instance, in milliseconds. It is the
 // sum of the time to read missing prompt tokens, the extra answer time of a slow instance if
-// fastFirst is set, the load cost, and smaller costs for affinity, new connections and other
+// preferFast is set, the load cost, and smaller costs for affinity, new connections and other
 // zones. All processes compute the same affinity preference without communication, as a hash of
 // affinity and instance ID.
-func costOf(instance *Instance, request *Request, baseline speedBaseline, fastFirst bool) float64 {
+func costOf(instance *Instance, request *Request, baseline speedBaseline, preferFast bool) float64 {
 	speed := baseline.speedRatio(instance, request.Now)
 	cost := missingTokenWeight * float64(Missing(instance, request)) / tokensPerMillisecond
-	if fastFirst && speed < 1 {
+	if preferFast && speed < 1 {
 		cost += baseline.answerTimeMs * (1/speed - 1)
 	}
 	cost += loadCost(instance, request)
@@ -57,7 +58,7 @@
 // program. A hash selects the programs, so that all processes agree on each program without
 // communication.
 func prefersFast(request *Request, baseline speedBaseline) bool {
-	return baseline.fastFirstShare >= 1 || hashFraction(request, "hasty") < baseline.fastFirstShare
+	return baseline.preferFastShare >= 1 || hashFraction(request, "hasty") < baseline.preferFastShare
 }
 
 // Missing returns the estimated number of prompt tokens that the instance would have to read.
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -46,7 +46,8 @@
 // Unwrap returns the underlying error.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError says that no response was received although the request may have been executed.
+// LostError says that no usable response was received although the request may have been
+// executed.
 type LostError struct {
 	Peer string
 	Step string
@@ -88,8 +89,9 @@
 	responseStarted atomic.Bool // whether the response head was read
 }
 
-// maxInlineWriteBytes is the largest body that fits the socket buffers. Larger requests are
-// written in a goroutine, since an instance may respond before it has read all of the body.
+// maxInlineWriteBytes is the largest body that is written without a goroutine. It fits the
+// socket buffers. A larger body is written in a goroutine, since an instance may respond before
+// it has read all of it.
 const maxInlineWriteBytes = 16 << 10
 
 func (e *exchange) run(outgoing *Outgoing) (*Reply, error) {
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -61,7 +61,7 @@
 		instance.leftAt.Store(0)
 		return EventNone
 	}
-	f.byID[declaration.ID] = f.newInstance(declaration)
+	f.byID[declaration.ID] = f.createAtAddress(declaration)
 	f.publish()
 	if declaration.Draining {
 		f.byID[declaration.ID].leftAt.Store(f.now().UnixNano())
@@ -70,9 +70,9 @@
 	return EventJoined
 }
 
-// newInstance returns an instance for the declaration. It removes leaving instances with the
-// same address, since addresses are reused.
-func (f *Fleet) newInstance(declaration Declaration) *Instance {
+// createAtAddress returns a new instance for the declaration. It first removes leaving instances
+// with the same address, since addresses are reused.
+func (f *Fleet) createAtAddress(declaration Declaration) *Instance {
 	for id, other := range f.byID {
 		if _, leaving := other.Leaving(); leaving && other.Address == declaration.Address {
 			other.pool.closeAll()
--- a/internal/backend/instance.go
+++ b/internal/backend/instance.go
@@ -26,7 +26,7 @@
 	Version uint64 // version of the registration; increases with each change
 }
 
-// Instance is one running engine or service process. It is safe for concurrent use.
+// Instance is one running engine or service process. Its methods are safe for concurrent use.
 type Instance struct {
 	Declaration
 	pool            *pool
@@ -67,13 +67,14 @@
 	return func() { once.Do(func() { i.inFlight.Add(-1) }) }
 }
 
-// Observe records the outcome of a request.
+// Observe records the outcome of a request for the quality and the speed of the instance. It
+// does not eject the instance; see Failed.
 func (i *Instance) Observe(outcome Outcome, now time.Time) {
 	i.quality.observe(outcome, now)
 	i.speed.observe(outcome, now)
 }
 
-// Succeeded records that the instance responded, which ends an ejection.
+// Succeeded records that the instance responded. It ends an ejection.
 func (i *Instance) Succeeded() { i.health.recordSuccess() }
 
 // Failed records that the instance could not be reached or broke the connection. It returns
--- a/internal/backend/metrics.go
+++ b/internal/backend/metrics.go
@@ -9,23 +9,23 @@
 		return prometheus.NewDesc("thymeloft_engine_speeds_"+name, help, []string{"service"}, nil)
 	}
 	return &speedsCollector{
-		fleet:     f,
-		known:     describe("known", "Engines whose speed is known."),
-		slow:      describe("slow", "Engines that are slower than the fast ones."),
-		fastFirst: describe("hasty", "Share of the programs that prefer fast engines, from 0 to 1; 0 if no speed is known."),
+		fleet:           f,
+		known:           describe("known", "Engines whose speed is known."),
+		slow:            describe("slow", "Engines that are slower than the fast ones."),
+		preferFastShare: describe("hasty", "Share of the programs that prefer fast engines, from 0 to 1; 0 if no speed is known."),
 	}
 }
 
 type speedsCollector struct {
-	fleet                  *Fleet
-	known, slow, fastFirst *prometheus.Desc
+	fleet                        *Fleet
+	known, slow, preferFastShare *prometheus.Desc
 }
 
 // Describe implements prometheus.Collector.
 func (c *speedsCollector) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- c.known
 	descriptions <- c.slow
-	descriptions <- c.fastFirst
+	descriptions <- c.preferFastShare
 }
 
 // Collect implements prometheus.Collector.
@@ -48,6 +48,6 @@
 		}
 		gauge(c.known, float64(known))
 		gauge(c.slow, float64(slow))
-		gauge(c.fastFirst, baseline.fastFirstShare)
+		gauge(c.preferFastShare, baseline.preferFastShare)
 	}
 }
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Limits of connections to instances.
+// Parameters of connections to instances.
 const (
 	connectTimeout       = 500 * time.Millisecond
 	unackedTimeout       = 2500 * time.Millisecond // TCP closes a connection whose data stays unacknowledged for this long
--- a/internal/backend/prefixes.go
+++ b/internal/backend/prefixes.go
@@ -16,7 +16,7 @@
 	parts *lru.Cache[string, struct{}]
 }
 
-// maxCachedParts is above the number of parts that an engine's memory holds.
+// maxCachedParts bounds the recorded parts of an instance. Engines hold fewer parts in memory.
 const maxCachedParts = 512
 
 func newPrefixCache() *prefixCache {
--- a/internal/backend/quality.go
+++ b/internal/backend/quality.go
@@ -42,7 +42,7 @@
 
 // Thresholds for avoiding an instance.
 const (
-	// minObservations is the smallest decayed number of observations from which an instance is
+	// minObservations is the number of observations, after decay, below which an instance is not
 	// judged.
 	minObservations = 3.0
 	// failureRateThreshold is the smallest failure rate at which an instance is avoided.
--- a/internal/backend/reference.go
+++ b/internal/backend/reference.go
@@ -13,37 +13,38 @@
 	mean         float64 // mean speed of all instances in events per second
 	priorEvents  float64 // events added to each instance at the mean speed; see priorAnswers
 	answerTimeMs float64 // mean time of an answer at a fast instance, in milliseconds
-	// fastFirstShare is the share of the programs that prefer fast instances, from 0 to 1.
-	fastFirstShare float64
+	// preferFastShare is the share of the programs that prefer fast instances, from 0 to 1.
+	preferFastShare float64
 }
 
 const (
-	// minAnswers is the smallest decayed number of answers for which an instance's speed counts
-	// in the baseline.
+	// minAnswers is the number of answers, after decay, below which the speed of an instance does
+	// not count in the baseline.
 	minAnswers = 3.0
-	// minUpperSpeedRatio is the smallest ratio to the mean speed at which an instance belongs to
-	// the upper part. It is just below 1 so that rounding does not separate equal speeds.
+	// minUpperSpeedRatio is the smallest ratio to the mean speed of all instances at which an
+	// instance counts as above the mean (see computeSpeedBaseline). It is just below 1 so that
+	// rounding does not separate equal speeds.
 	minUpperSpeedRatio = 0.99
-	// minFastSpeedRatio is the smallest ratio to the mean speed of the upper part at which an
-	// instance counts as fast.
+	// minFastSpeedRatio is the smallest ratio to the mean speed of the instances above the mean
+	// at which an instance counts as fast.
 	minFastSpeedRatio = 0.75
-	// maxFastFirstUtilization is the utilization up to which fast instances are preferred. A
+	// maxPreferFastUtilization is the utilization up to which fast instances are preferred. A
 	// half-full batch is hardly slowed down by one more request, and the other half is left for
 	// requests that other daemons send before their reports arrive.
-	maxFastFirstUtilization = 0.5
+	maxPreferFastUtilization = 0.5
 	// priorAnswers is the weight, in answers, of the assumption that an instance has the mean
-	// speed. It limits the effect of a single late answer, and makes unused instances be tried
-	// again.
+	// speed. It limits the effect of a single late answer, and lets instances without recent
+	// requests be tried again.
 	priorAnswers = 8.0
-	// minEqualSpeedRatio is the smallest ratio to the fast speed at which an instance is treated
-	// as fast. Short disturbances change a speed by about a third for seconds; with a higher
-	// ratio all daemons would react to them together.
+	// minEqualSpeedRatio is the smallest ratio to speedBaseline.fastMean at which an instance is
+	// treated as fast. Short disturbances change a speed by about a third for seconds; with a
+	// higher ratio all daemons would react to them together.
 	minEqualSpeedRatio = 0.6
-	// maxExactSpeedRatio is the largest ratio to the fast speed that is used unchanged. Ratios
-	// from here to minEqualSpeedRatio are interpolated up to 1.
+	// maxExactSpeedRatio is the largest ratio to speedBaseline.fastMean that is used unchanged.
+	// Ratios from here to minEqualSpeedRatio are interpolated up to 1.
 	maxExactSpeedRatio = 0.35
-	// minSpeedRatio is the smallest ratio to the fast speed that is used. An engine that seems
-	// even slower has another fault.
+	// minSpeedRatio is the smallest ratio to speedBaseline.fastMean that is used. An engine that
+	// seems even slower has another fault.
 	minSpeedRatio         = 1.0 / 32
 	millisecondsPerSecond = 1000
 )
@@ -73,9 +74,10 @@
 	return total
 }
 
-// computeSpeedBaseline returns the baseline of the instances. The fast speed is found in three
-// steps: the mean of all speeds, the mean of the speeds above it, and the mean of all speeds
-// near that one. The result is zero if no speed is known.
+// computeSpeedBaseline returns the baseline of the instances. It finds the fast instances in
+// three steps: it computes the mean of all speeds, then the mean of the speeds above that, and
+// then takes all instances with a speed near the second mean. The result is zero if no speed is
+// known.
 func computeSpeedBaseline(instances []*Instance, request *Request) speedBaseline {
 	if request.Off.Has(mechanism.EngineSpeeds) {
 		return speedBaseline{}
@@ -88,11 +90,11 @@
 	minFastSpeed := minFastSpeedRatio * upper.mean()
 	fast := sumSpeeds(instances, request.Now, minFastSpeed)
 	return speedBaseline{
-		fastMean:       fast.mean(),
-		mean:           all.mean(),
-		priorEvents:    priorAnswers * all.work.events / all.work.answers,
-		answerTimeMs:   millisecondsPerSecond * fast.work.seconds / fast.work.answers,
-		fastFirstShare: measureCapacity(instances, request, all.mean(), minFastSpeed).fastFirstShare(),
+		fastMean:        fast.mean(),
+		mean:            all.mean(),
+		priorEvents:     priorAnswers * all.work.events / all.work.answers,
+		answerTimeMs:    millisecondsPerSecond * fast.work.seconds / fast.work.answers,
+		preferFastShare: measureCapacity(instances, request, all.mean(), minFastSpeed).preferFastShare(),
 	}
 }
 
@@ -120,16 +122,16 @@
 	return result
 }
 
-// fastFirstShare returns the share of the work that fast instances have room for. It falls to 0
-// as the whole fleet fills up; a full fleet is shared by capacity. The used capacity depends
-// little on which instances do the work, so that the share is stable and daemons do not
-// oscillate.
-func (c capacity) fastFirstShare() float64 {
+// preferFastShare returns the share of the programs that fast instances have room for. It falls
+// to 0 as the fleet fills up: in a full fleet all programs are placed by load and capacity
+// alone. The used capacity depends little on which instances do the work, so that the share is
+// stable and daemons do not oscillate.
+func (c capacity) preferFastShare() float64 {
 	if c.used <= 0 {
 		return 1
 	}
-	share := min(maxFastFirstUtilization*c.fast/c.used, 1)
-	idleFactor := (1 - c.used/c.total) / (1 - maxFastFirstUtilization)
+	share := min(maxPreferFastUtilization*c.fast/c.used, 1)
+	idleFactor := (1 - c.used/c.total) / (1 - maxPreferFastUtilization)
 	return share * min(idleFactor, 1)
 }
 
--- a/internal/backend/sending.go
+++ b/internal/backend/sending.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// closeWithCause closes the connection and returns why there is no response: err, wrapped in
-// ErrUnread if the request was not sent completely. In both cases the instance may have executed
-// the request.
+// closeWithCause closes the connection and returns why there is no response: ErrUnread, with the
+// texts of both errors, if the request was not sent completely, and err otherwise. In either
+// case the instance may have executed the request.
 func (e *exchange) closeWithCause(err error) error {
 	_ = e.connection.Close() // stops a write that is still in progress
 	if writeErr := <-e.writeResult; writeErr != nil {
--- a/internal/backend/sharing_test.go
+++ b/internal/backend/sharing_test.go
@@ -49,7 +49,7 @@
 		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 0)).To(Equal(0), "unknown memory size")
 	})
 
-	It("frees the tokens of shared parts that were not used for long", func() {
+	It("frees the tokens of shared parts that have not been used for a long time", func() {
 		noteTwice := func(name string) int {
 			part := []PromptPart{{Name: name, Tokens: memoryTokens / 3}}
 			sharing.Note("p1", part, memoryTokens)
--- a/internal/backend/simulation_test.go
+++ b/internal/backend/simulation_test.go
@@ -191,7 +191,7 @@
 	for part := range turn.number + 1 {
 		request.Prefix = append(request.Prefix, PromptPart{Name: fmt.Sprint(turn.program, "/", part), Tokens: tokensPerTurn})
 	}
-	if engine, found := s.lastEngine[turn.program]; found { // as told by the holder of the program's budget
+	if engine, found := s.lastEngine[turn.program]; found { // in production, the daemon that holds the program's budget reports this
 		for _, instance := range instances {
 			if instance.ID == s.engines[engine].id {
 				instance.Remember(request.Prefix[:turn.number])
--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -12,11 +12,10 @@
 // work is the recent work of an instance: sums whose terms decay with age. An event is one event
 // of a stream, or a whole answer that is not streamed.
 //
-// The speed is events divided by time. It needs no correction for load or prompt length: a batch
-// produces events for all its requests in one step, so that load changes the time of an event by
-// at most batchSlowdown, and differences between prompts average out over instances that serve
-// the same requests. Sums of several daemons can be added in any order, and long answers weigh
-// more than short ones.
+// The speed is events divided by time. It needs no correction for prompt length, and only a
+// small one for load (batchSlowdown): a batch produces events for all its requests in one step,
+// and differences between prompts average out over instances that serve the same requests. Sums
+// of several daemons can be added in any order, and long answers weigh more than short ones.
 type work struct {
 	events  float64
 	answers float64
@@ -38,7 +37,7 @@
 	fixedPointScale = 100
 )
 
-// decayed returns the work with the weight it has after the elapsed time.
+// decayed returns the sums after decay over the elapsed time.
 func (w work) decayed(elapsed time.Duration) work {
 	if elapsed <= 0 {
 		return w
@@ -56,8 +55,9 @@
 
 // workFrom returns the work of one request, or none if the outcome reveals no speed. For a
 // stream it counts the events after the first, which the engine produces at its own pace. The
-// first byte also includes queueing: if the speed fell with it, all daemons would move between
-// engines together. An answer without further events counts only if the engine had a free slot.
+// time to first byte is left out because it includes queueing: counting it would make a busy
+// engine look slow, and all daemons would leave it at the same time. An answer without further
+// events counts only if the engine had a free slot.
 func workFrom(outcome Outcome) work {
 	utilization := outcome.utilization()
 	slowdown := 1 + batchSlowdown*min(utilization, 1)
--- a/internal/backend/uneven_test.go
+++ b/internal/backend/uneven_test.go
@@ -25,14 +25,14 @@
 	return engines
 }
 
-// withNoise makes engines 2.5 times slower in random slots of 0.6 s, 15 % of the time.
+// withNoise makes engines 2.5 times slower in random periods of 0.6 s, 15 % of the time.
 func withNoise(engines []speedOverTime) []speedOverTime {
 	var noisy []speedOverTime
 	for index, speed := range engines {
 		noisy = append(noisy, func(at time.Duration) float64 {
-			const slotLength, slowSlots, totalSlots, slowdown = 600 * time.Millisecond, 3, 20, 2.5
-			slot := uint64(at/slotLength)*2654435761 + uint64(index)*40503*65537
-			if slot>>7%totalSlots < slowSlots {
+			const periodLength, slowPeriods, totalPeriods, slowdown = 600 * time.Millisecond, 3, 20, 2.5
+			period := uint64(at/periodLength)*2654435761 + uint64(index)*40503*65537
+			if period>>7%totalPeriods < slowPeriods {
 				return speed(at) / slowdown
 			}
 			return speed(at)
