--- a/internal/retention/retention.go
+++ b/internal/retention/retention.go
@@ -105,7 +105,7 @@
 			return nil
 		}
 		if err := removeRows(ctx, q.store, keys); err != nil {
-			return err // left to the sweep
+			return err
 		}
 		for _, batch := range due {
 			if batch.Removed != nil {
--- a/internal/retention/retention_test.go
+++ b/internal/retention/retention_test.go
@@ -81,7 +81,7 @@
 		Expect(classes).To(HaveEach(state.ClassSweep))
 	})
 
-	It("are removed without waiting for the interval after Hurry", func(ctx SpecContext) {
+	It("are removed soon after Hurry, without waiting for the interval", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		queue.Pause(time.Hour)
 		queue.Add(0, key(0))
--- a/internal/retention/sweep.go
+++ b/internal/retention/sweep.go
@@ -46,7 +46,7 @@
 			removed, err := s.Partition(timeoutCtx, partition)
 			cancel()
 			if err != nil || removed > 0 {
-				s.Log.Info("retention: partition swept.", zap.String("table", s.Table), zap.String("partition", partition), zap.Int("removed", removed), zap.Error(err))
+				s.Log.Info("retention: sweep of partition ended.", zap.String("table", s.Table), zap.String("partition", partition), zap.Int("removed", removed), zap.Error(err))
 			}
 		}
 	}
