--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -50,12 +50,12 @@
 
 // Error implements error.
 func (e *ExceededError) Error() string {
-	bound := "all"
+	scope := "all"
 	if e.OwnersBound {
-		bound = "the owner"
+		scope = "the owner"
 	}
-	return fmt.Sprintf("cannot hold %d more bytes (%s) within the limit for %s: %d held in total, %d by the owner, limit %d",
-		e.Wanted, e.Kind, bound, e.Held, e.Own, e.Limit)
+	return fmt.Sprintf("cannot hold %d more bytes (%s), exceeded limit applies to %s: %d held in total, %d by the owner, total limit %d",
+		e.Wanted, e.Kind, scope, e.Held, e.Own, e.Limit)
 }
 
 // Account accounts for the bytes held for all owners. It is safe for concurrent use. A nil
@@ -104,7 +104,8 @@
 	return &Holding{account: a, owner: owner, ownerUsage: usage}
 }
 
-// closeHolding removes one holding of an owner, and the owner with its last holding.
+// closeHolding removes one holding of an owner, and the owner itself if that was its last
+// holding.
 func (a *Account) closeHolding(owner Owner, usage *ownerUsage) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -172,10 +173,10 @@
 	}
 }
 
-func (a *Account) refuse(usage *ownerUsage, kind Kind, bytes int64, ownersBound bool) error {
+func (a *Account) refuse(usage *ownerUsage, kind Kind, bytes int64, ownerLimited bool) error {
 	a.refused[kind].Add(1)
 	return &ExceededError{
-		Kind: kind, Wanted: bytes, Held: a.held.Load(), Own: usage.held.Load(), Limit: a.limit, OwnersBound: ownersBound,
+		Kind: kind, Wanted: bytes, Held: a.held.Load(), Own: usage.held.Load(), Limit: a.limit, OwnersBound: ownerLimited,
 	}
 }
 
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -16,9 +16,9 @@
 	RunSpecs(t, "memory")
 }
 
-// TestAccountKeepsItsBounds checks that for any sequence of operations the account equals the
+// TestAccountStaysWithinLimits checks that for any sequence of operations the account equals the
 // sum of all holdings, stays within the limits in total and for each owner, and ends empty.
-func TestAccountKeepsItsBounds(t *testing.T) {
+func TestAccountStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
 		account := NewAccount(limit)
