--- a/internal/piece/piece.go
+++ b/internal/piece/piece.go
@@ -120,15 +120,15 @@
 }
 
 // writeToAny tries the partitions that may hold the piece until one gives a definite result.
-func (p *Pieces) writeToAny(ctx context.Context, reference Reference, content []byte, neededUntil, expires int64) (expiresAt int64, written int, err error) {
+func (p *Pieces) writeToAny(ctx context.Context, reference Reference, content []byte, neededUntil, expires int64) (storedExpires int64, written int, err error) {
 	for _, partition := range p.options.Store.Prefer(rowset.PlacesOf(reference.name())) {
 		key := state.Key{Table: table, Partition: partition, Name: reference.name()}
-		expiresAt, written, err = p.writeTo(ctx, key, content, neededUntil, expires)
+		storedExpires, written, err = p.writeTo(ctx, key, content, neededUntil, expires)
 		if !state.NoVerdict(err) {
 			break
 		}
 	}
-	return expiresAt, written, eris.Wrap(err, "store piece")
+	return storedExpires, written, eris.Wrap(err, "store piece")
 }
 
 // maxConflicts bounds the attempts to write a piece that other daemons write at the same time.
@@ -137,7 +137,7 @@
 // writeTo writes the piece to a partition unless it is already stored there until neededUntil.
 // The condition on the version prevents an earlier expiry time or a delayed commit from
 // replacing a later expiry time.
-func (p *Pieces) writeTo(ctx context.Context, key state.Key, content []byte, neededUntil, expires int64) (currentExpires int64, written int, err error) {
+func (p *Pieces) writeTo(ctx context.Context, key state.Key, content []byte, neededUntil, expires int64) (storedExpires int64, written int, err error) {
 	puts, err := rowset.Cut(key, content, expires, p.options.RowBytes)
 	if err != nil {
 		return 0, 0, err
@@ -159,12 +159,12 @@
 			version = 0
 			continue
 		}
-		if currentExpires, ok := rowset.Expires(row); ok && currentExpires >= neededUntil {
-			return currentExpires, 0, nil
+		if storedExpires, ok := rowset.Expires(row); ok && storedExpires >= neededUntil {
+			return storedExpires, 0, nil
 		}
 		version = row.Version
 	}
-	return 0, 0, eris.Wrap(state.ErrNotDone, "store piece: too many conflicts")
+	return 0, 0, eris.Wrap(state.ErrNotDone, "too many conflicts")
 }
 
 // Load returns a piece from the cache or the store.
@@ -188,7 +188,7 @@
 	if unavailableErr != nil {
 		return Stored{}, unavailableErr
 	}
-	return Stored{}, eris.Wrapf(ErrMissing, "piece %s", reference.name())
+	return Stored{}, eris.Wrapf(ErrMissing, "load %s", reference.name())
 }
 
 func (p *Pieces) readFrom(ctx context.Context, reference Reference, partition string) (rowset.Value, error) {
@@ -203,7 +203,7 @@
 		return rowset.Value{}, eris.Wrap(err, "read piece")
 	}
 	if ReferenceOf(value.Bytes) != reference {
-		return rowset.Value{}, eris.Wrapf(ErrDiffers, "piece %s", reference.name())
+		return rowset.Value{}, eris.Wrapf(ErrDiffers, "load %s", reference.name())
 	}
 	return value, nil
 }
@@ -211,12 +211,12 @@
 func (p *Pieces) lookUp(reference Reference) *cachedPiece {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	piece, _ := p.cache.Get(reference)
-	return piece
+	cached, _ := p.cache.Get(reference)
+	return cached
 }
 
-// Share returns the cached copy of the content and adds it to the cache if it is missing. The
-// expiry time in the store remains unknown.
+// Share returns the cached copy of the content and adds it to the cache if it is missing. A
+// piece that it adds has no known expiry time.
 func (p *Pieces) Share(content []byte) []byte {
 	return p.addToCache(ReferenceOf(content), content, 0)
 }
@@ -246,15 +246,15 @@
 	return copied
 }
 
-// sweepInterval is the duration of a sweep over all pieces. It is short because only the sweep
-// removes pieces.
-const sweepInterval = 10 * time.Minute
+// sweepPassDuration is how long one sweep over all partitions takes. It is short because only
+// the sweep removes pieces.
+const sweepPassDuration = 10 * time.Minute
 
 // Leftovers returns a sweep that removes expired pieces from the partitions for which mine
 // returns true.
 func Leftovers(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: mine, Log: log, Every: sweepInterval,
+		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: mine, Log: log, Every: sweepPassDuration,
 		Over: func(row state.Row) bool {
 			expires, ok := rowset.Expires(row)
 			return ok && now().Unix() > expires
