--- a/internal/retention/retention.go
+++ b/internal/retention/retention.go
@@ -1,6 +1,6 @@
-// Package retention removes expired rows. A daemon removes the rows that it wrote, many in one
-// commit. A slow sweep, divided among the daemons of all zones, finds the rows that terminated
-// daemons left behind.
+// Package retention removes expired rows. A Queue removes rows that this daemon wrote, many in
+// one commit. A Sweep, divided among the daemons of all zones, removes the expired rows that no
+// queue removed, for example because their writer terminated.
 //
 // Guarantee: no row is removed before the expiry time that its writer set.
 package retention
@@ -16,10 +16,10 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// maxRowsPerCommit bounds the rows that one commit removes.
+// maxRowsPerCommit bounds the rows that one commit removes, unless a single Batch is larger.
 const maxRowsPerCommit = 100
 
-// Batch is a group of rows that are removed together.
+// Batch is a group of rows that are removed in the same commit.
 type Batch struct {
 	Keys []state.Key
 	// Removed is called after the rows were removed; it may be nil.
@@ -28,8 +28,8 @@
 	due time.Time
 }
 
-// Queue holds the rows that this process wrote until they are due for removal. It is safe for
-// concurrent use.
+// Queue holds the keys of rows that this process wrote until the rows are due for removal. It is
+// safe for concurrent use.
 type Queue struct {
 	store *state.Client
 	now   func() time.Time
@@ -51,8 +51,8 @@
 	return &Queue{store: store, now: now, log: log, wake: make(chan struct{}, 1), interval: defaultQueueInterval}
 }
 
-// Hurry requests the removal of due rows without waiting for the next interval, for example
-// because the store is full. It does not block.
+// Hurry makes Run remove due rows soon instead of after the full interval, for example because
+// the store is full. It does not block.
 func (q *Queue) Hurry() {
 	select {
 	case q.wake <- struct{}{}:
@@ -96,8 +96,8 @@
 	return due, keys
 }
 
-// RemoveDue removes all rows that are due now. After an error, the rows taken from the queue are
-// left to the sweep.
+// RemoveDue removes all rows that are due now. It stops at the first error; the rows of the
+// failed commit are then left to the sweep.
 func (q *Queue) RemoveDue(ctx context.Context) error {
 	for {
 		due, keys := q.takeDue()
@@ -124,11 +124,11 @@
 
 const (
 	defaultQueueInterval = 5 * time.Second
-	minQueueInterval     = 250 * time.Millisecond // limits the load on the store when all daemons hurry
+	minQueueInterval     = 250 * time.Millisecond // limits the load on the store when all daemons call Hurry
 	removalTimeout       = 20 * time.Second
 )
 
-// Run removes due rows until the context ends.
+// Run removes due rows in intervals, and soon after Hurry, until the context ends.
 func (q *Queue) Run(ctx context.Context) {
 	for q.wait(ctx) {
 		timeoutCtx, cancel := context.WithTimeout(ctx, removalTimeout)
--- a/internal/retention/sweep.go
+++ b/internal/retention/sweep.go
@@ -24,10 +24,11 @@
 	Every time.Duration
 }
 
-// defaultPassDuration is long because the sweep finds only what terminated daemons left behind.
+// defaultPassDuration is the duration of a pass if Every is not set. It suits tables whose rows
+// are normally removed by their writers, or whose expired rows may stay for long.
 const defaultPassDuration = time.Hour
 
-// Run sweeps one partition after another until the context ends.
+// Run sweeps one partition after another, spread evenly over a pass, until the context ends.
 func (s *Sweep) Run(ctx context.Context) {
 	passDuration := s.Every
 	if passDuration <= 0 {
@@ -71,8 +72,8 @@
 	}
 }
 
-// removeExpired removes the expired rows in commits of limited size, since a single changed row
-// makes its whole commit fail.
+// removeExpired removes the expired rows among the given ones. It makes commits of limited size,
+// since a single changed row makes its whole commit fail.
 func (s *Sweep) removeExpired(ctx context.Context, rows []state.Row) (int, error) {
 	const maxRemovals = maxRowsPerCommit / 2 // each row takes a condition and a removal
 	commit := state.Commit{Class: state.ClassSweep}
