--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -37,7 +37,8 @@
 	return [kindCount]string{"request", "history", "answer", "unsaved-turn"}[k]
 }
 
-// ExceededError says that a reservation would exceed a limit. All amounts are in bytes.
+// ExceededError says that a reservation would exceed a limit, or that its holding is closed; in
+// the latter case only Kind and Wanted are set. All amounts are in bytes.
 type ExceededError struct {
 	Kind   Kind
 	Wanted int64 // requested amount
@@ -52,9 +53,9 @@
 func (e *ExceededError) Error() string {
 	scope := "all"
 	if e.OwnersBound {
-		scope = "the owner"
+		scope = "the owner's"
 	}
-	return fmt.Sprintf("cannot hold %d more bytes (%s), exceeded limit applies to %s: %d held in total, %d by the owner, total limit %d",
+	return fmt.Sprintf("cannot hold %d more bytes (%s) within the limit for %s holdings: %d held in total, %d by the owner, total limit %d",
 		e.Wanted, e.Kind, scope, e.Held, e.Own, e.Limit)
 }
 
@@ -117,9 +118,9 @@
 
 // reserve adds bytes to the sums or returns an *ExceededError.
 //
-// An owner may hold as much as is free in total (a dynamic threshold): a single owner gets half
-// of the limit, each of two owners a third. This leaves space for further owners without a fixed
-// reserve.
+// An owner may hold as much as is free in total (a dynamic threshold): a single owner can get
+// half of the limit, each of two owners a third. This leaves space for further owners without a
+// fixed reserve.
 func (a *Account) reserve(usage *ownerUsage, kind Kind, bytes int64) error {
 	if !addWithin(&a.byKind[kind], bytes, a.kindLimit(kind)) {
 		return a.refuse(usage, kind, bytes, false)
@@ -147,8 +148,8 @@
 	return a.limit
 }
 
-// addWithin adds bytes to the sum unless that exceeds the limit, and reports whether it did. A
-// limit of 0 means no limit.
+// addWithin adds bytes to the sum and returns true, or returns false if the sum would exceed the
+// limit. A limit of 0 means no limit.
 func addWithin(sum *atomic.Int64, bytes, limit int64) bool {
 	for {
 		old := sum.Load()
@@ -186,7 +187,7 @@
 	a.byKind[kind].Add(-bytes)
 }
 
-// Fits reports whether a reservation of this many bytes would currently succeed, leaving aside
+// Fits reports whether an open holding could currently reserve this many bytes. It disregards
 // the lower limit for answers.
 func (h *Holding) Fits(bytes int64) bool {
 	if h == nil || h.account.limit == 0 {
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -76,11 +76,11 @@
 		t.Fatalf("held %d, expected %d, limit %d", account.Held(), sum, account.Limit())
 	}
 	if answers := account.byKind[Answer].Load(); answers > account.Limit()/2 {
-		t.Fatalf("%d bytes of answers, limit %d", answers, account.Limit())
+		t.Fatalf("%d bytes of answers, total limit %d", answers, account.Limit())
 	}
 	for owner, bytes := range byOwner {
 		if bytes > account.Limit()/2 {
-			t.Fatalf("owner %s holds %d bytes, limit %d", owner, bytes, account.Limit())
+			t.Fatalf("owner %s holds %d bytes, total limit %d", owner, bytes, account.Limit())
 		}
 	}
 }
--- a/internal/memory/division.go
+++ b/internal/memory/division.go
@@ -16,19 +16,20 @@
 const (
 	megabyte = 1 << 20
 	// kernelDivisor reserves 1/kernelDivisor of the memory for socket buffers, which count as
-	// memory of the process. Larger machines have more connections.
+	// memory of the process. The reserve grows with the memory since larger machines have more
+	// connections.
 	kernelDivisor = 5
-	// nonRuntimeBytes is memory that the process maps outside the Go runtime: code, the C library
-	// and thread stacks.
+	// nonRuntimeBytes is reserved for memory that the process maps outside the Go runtime: code,
+	// the C library and thread stacks.
 	nonRuntimeBytes = 12 * megabyte
-	// processLiveBytes is the live heap of the process itself: the state of engines and daemons,
-	// configuration, recent turns, budgets and metrics.
+	// processLiveBytes is reserved for the live heap of the process itself: the state of engines
+	// and daemons, configuration, recent turns, budgets and metrics.
 	processLiveBytes = 32 * megabyte
-	// heapFactor is the heap size needed for each held byte, including copies that are not
-	// collected yet.
+	// heapFactor is the number of heap bytes reserved for each held byte, including copies that
+	// are not collected yet.
 	heapFactor = 2
-	// gcPercent is half of the runtime's default: the live heap is a few megabytes, so that
-	// collections are cheap and garbage makes up most of the peak.
+	// gcPercent is half of the runtime's default: the live heap is usually a few megabytes, so
+	// that collections are cheap and garbage makes up most of the peak.
 	gcPercent = 50
 	// minRuntimeBytes and minHeldBytes let a small machine serve at least a few requests of the
 	// usual maximum size.
--- a/internal/memory/holding.go
+++ b/internal/memory/holding.go
@@ -14,8 +14,8 @@
 	closed bool
 }
 
-// Grow reserves bytes before they are allocated. It returns an *ExceededError if a limit would
-// be exceeded or the holding is closed.
+// Grow reserves bytes that the caller is about to allocate. It returns an *ExceededError if a
+// limit would be exceeded or the holding is closed.
 func (h *Holding) Grow(kind Kind, bytes int64) error {
 	if h == nil || bytes <= 0 {
 		return nil
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Shrink releases bytes that are no longer held, at most the reserved amount of the kind.
+// Shrink releases bytes of the kind, at most as many as the holding has reserved.
 func (h *Holding) Shrink(kind Kind, bytes int64) {
 	if h == nil || bytes <= 0 {
 		return
@@ -47,7 +47,8 @@
 	h.account.release(h.ownerUsage, kind, bytes)
 }
 
-// Close releases everything. Further calls have no effect.
+// Close releases all bytes of the holding, which cannot grow afterwards. Closing it again has no
+// effect.
 func (h *Holding) Close() {
 	if h == nil {
 		return
