--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Growing returns an exponential backoff with jitter, with intervals from first to longest. It
-// is not safe for concurrent use.
+// Growing returns an exponential backoff with jitter, whose intervals grow from first to longest
+// before jitter is applied. It is not safe for concurrent use.
 func Growing(first, longest time.Duration) *backoff.ExponentialBackOff {
 	schedule := backoff.NewExponentialBackOff()
 	schedule.InitialInterval = first
