--- a/internal/piece/piece.go
+++ b/internal/piece/piece.go
@@ -93,8 +93,8 @@
 
 // Stored describes a piece in the store.
 type Stored struct {
-	Content []byte // shared with the cache; must not be changed
-	Expires int64  // unix seconds after which it may be removed
+	Content []byte // may be shared with the cache; must not be changed
+	Expires int64  // unix seconds after which it may be removed; 0 if unknown
 	Written int    // number of content bytes written by this call
 }
 
@@ -135,8 +135,8 @@
 const maxConflicts = 4
 
 // writeTo writes the piece to a partition unless it is already stored there until neededUntil.
-// The condition on the version prevents an earlier expiry time or a delayed commit from
-// replacing a later expiry time.
+// The commits depend on the stored version, so that a later expiry time is not replaced by an
+// earlier one, even if a commit is executed late.
 func (p *Pieces) writeTo(ctx context.Context, key state.Key, content []byte, neededUntil, expires int64) (storedExpires int64, written int, err error) {
 	puts, err := rowset.Cut(key, content, expires, p.options.RowBytes)
 	if err != nil {
@@ -167,7 +167,8 @@
 	return 0, 0, eris.Wrap(state.ErrNotDone, "too many conflicts")
 }
 
-// Load returns a piece from the cache or the store.
+// Load returns a piece from the cache or the store. It returns ErrMissing only if every
+// partition that may hold the piece responded that it does not.
 func (p *Pieces) Load(ctx context.Context, reference Reference) (Stored, error) {
 	if cached := p.lookUp(reference); cached != nil {
 		return Stored{Content: cached.content, Expires: cached.expires}, nil
