--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -10,7 +10,8 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// fleet makes engines of one model and three generations in eleven zones, busy to a varying degree.
+// fleet returns engines of one model with three prefill speeds, in eleven zones
+// and with different loads.
 func fleet(count int) []scheduling.Engine {
 	engines := make([]scheduling.Engine, count)
 	for index := range engines {
@@ -26,8 +27,8 @@
 	return engines
 }
 
-// decisionCase is a call whose prefix lies on some engines; with free above
-// zero, only one engine in so many has room, and with -1 none.
+// decisionCase returns a snapshot and a call whose prefix some engines hold. If
+// free is positive, one in free engines has room; if it is negative, none has.
 func decisionCase(count, free int) (*scheduling.Snapshot, *scheduling.Request) {
 	engines := fleet(count)
 	engines[count-1].Adapters = append(engines[count-1].Adapters, "adapter-rare")
--- a/internal/scheduling/budget.go
+++ b/internal/scheduling/budget.go
@@ -2,70 +2,73 @@
 
 import "time"
 
-// Bucket is a token bucket as a value: time is passed in. It serves for
-// limits by tenant and class and for budgets of retries.
+// Bucket is an immutable token bucket: its methods take the current time and
+// return the changed bucket. It is used for rate limits and retry budgets.
 type Bucket struct {
-	Rate   float64 // tokens added a second
-	Burst  float64 // the most it holds
-	Level  float64 // tokens at Filled
-	Filled time.Duration
+	Rate   float64       // tokens added per second
+	Burst  float64       // capacity in tokens
+	Level  float64       // tokens in the bucket at the time Filled
+	Filled time.Duration // time of the last update
 }
 
-// NewBucket makes a full bucket at the time now (since any fixed moment).
+// NewBucket returns a full bucket. Times are relative to an epoch of the
+// caller's choice, the same for all calls.
 func NewBucket(rate, burst float64, now time.Duration) Bucket {
 	return Bucket{Rate: rate, Burst: burst, Level: burst, Filled: now}
 }
 
-// Take removes tokens if there are enough. Otherwise the bucket only is
-// brought up to now, and wait tells when there will be; a request beyond the
-// burst waits until the bucket would be full.
+// Take removes tokens if the bucket holds enough of them. Otherwise it only
+// refills the bucket, and wait is the time until there will be enough, or, if
+// tokens exceeds the burst, until the bucket will be full.
 func (b Bucket) Take(tokens float64, now time.Duration) (next Bucket, taken bool, wait time.Duration) {
-	next = b.at(now)
+	next = b.refill(now)
 	if next.Level >= tokens {
 		next.Level -= tokens
 		return next, true, 0
 	}
 	missing := min(tokens, b.Burst) - next.Level
 	if b.Rate <= 0 {
-		return next, false, longestBackoff
+		return next, false, maxBackoff
 	}
-	return next, false, max(seconds(missing/b.Rate), time.Millisecond)
+	return next, false, max(secondsToDuration(missing/b.Rate), time.Millisecond)
 }
 
-// Add puts tokens back or earns them, up to the burst.
+// Add returns the bucket with more tokens in it, at most the burst.
 func (b Bucket) Add(tokens float64, now time.Duration) Bucket {
-	next := b.at(now)
+	next := b.refill(now)
 	next.Level = min(next.Level+tokens, next.Burst)
 	return next
 }
 
-func (b Bucket) at(now time.Duration) Bucket {
+func (b Bucket) refill(now time.Duration) Bucket {
 	elapsed := max(now-b.Filled, 0).Seconds()
 	b.Level = min(b.Level+elapsed*b.Rate, b.Burst)
 	b.Filled = max(b.Filled, now)
 	return b
 }
 
-// RetryBudget allows retries as a share of first attempts, so that an outage
-// is not multiplied by its retries.
+// RetryBudget limits retries to a share of first attempts, so that retries do
+// not multiply the load during an outage. It is immutable like Bucket.
 type RetryBudget struct {
 	share  float64
 	bucket Bucket
 }
 
-// NewRetryBudget allows share retries for each first attempt (0.1: one in
-// ten), besides a few a second so that a quiet daemon may retry too.
+// NewRetryBudget returns a budget that allows share retries per first attempt
+// (0.1: one in ten) and another perSecond retries a second, so that a daemon
+// with little traffic may retry too. At most burst unused retries are kept.
 func NewRetryBudget(share, perSecond, burst float64, now time.Duration) RetryBudget {
 	return RetryBudget{share: share, bucket: NewBucket(perSecond, burst, now)}
 }
 
-// First counts a first attempt.
+// First records a first attempt, which adds to the budget.
 func (r RetryBudget) First(now time.Duration) RetryBudget {
 	r.bucket = r.bucket.Add(r.share, now)
 	return r
 }
 
-// Retry asks for one retry; refused, it tells how long to wait at least.
+// Retry takes one retry from the budget. If that is not allowed, wait is the
+// minimum time until it may be.
 func (r RetryBudget) Retry(now time.Duration) (next RetryBudget, allowed bool, wait time.Duration) {
 	next = r
 	next.bucket, allowed, wait = r.bucket.Take(1, now)
@@ -73,15 +76,16 @@
 }
 
 const (
-	firstBackoff   = 50 * time.Millisecond
-	longestBackoff = 10 * time.Second
-	backoffDoubles = 8
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 10 * time.Second
+	maxDoublings   = 8
 )
 
-// Backoff is the wait before the attempt with that number (from 1), doubling,
-// with full jitter from the seed. It is at least a millisecond.
+// Backoff returns the delay before an attempt, which is counted from 1. The
+// delay has full jitter, derived from the seed: it is at least a millisecond,
+// and its upper bound doubles with each attempt up to about 10 s.
 func Backoff(attempt int, seed uint64) time.Duration {
-	doubles := min(max(attempt-1, 0), backoffDoubles)
-	ceiling := min(firstBackoff<<doubles, longestBackoff)
+	doublings := min(max(attempt-1, 0), maxDoublings)
+	ceiling := min(initialBackoff<<doublings, maxBackoff)
 	return time.Duration(mix(seed)%uint64(ceiling)) + time.Millisecond
 }
--- a/internal/scheduling/lease.go
+++ b/internal/scheduling/lease.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// PauseEstimate is what is known of a pause that begins, such as a tool call.
+// PauseEstimate is what is known about a pause of a program, such as a tool
+// call, when it begins.
 type PauseEstimate struct {
-	Mean        time.Duration // of pauses of this kind; zero: unknown
-	ReuseChance float64       // chance that the program comes back at all, 0 to 1
+	Mean        time.Duration // mean length of pauses of this kind; zero: unknown
+	ReuseChance float64       // probability that the program continues after the pause, 0 to 1
 }
 
-// CachePrice is what memory of an engine's prefix cache is worth.
+// CachePrice is the value of memory in an engine's prefix cache.
 type CachePrice struct {
-	// HitsPerToken is how often a cached token is hit, a second, on average
-	// over the cache: what other prefixes would earn in the same memory.
+	// HitsPerToken is the average number of hits per second of a cached token.
+	// It is the benefit of using the same memory for other prefixes.
 	HitsPerToken float64
 	// Pressure is the share of the cache in use, 0 to 1.
 	Pressure float64
 }
 
 const (
-	pauseTail       = 2.0 // shape of the Lomax distribution that pauses follow
-	longestInMeans  = 4.0 // a pause that lasts longer than so many means is taken for an end
-	unknownPause    = 5 * time.Second
-	leastHoldTokens = 512 // less is computed again sooner than it is asked to be held
+	lomaxShape       = 2.0 // shape of the Lomax distribution of pause lengths
+	maxHoldInMeans   = 4.0 // a pause longer than this multiple of the mean is assumed not to end
+	defaultPauseMean = 5 * time.Second
+	minHoldTokens    = 512 // shorter prefixes are cheaper to recompute than to hold
 )
 
-// HoldLease tells for how long it pays to keep a program's prefix of so many
-// tokens through a pause; zero: not at all. While the cache has room nothing
-// is evicted, and no lease is needed.
+// HoldLease returns how long a program's prefix of the given length should be
+// kept in the cache during a pause, at most limit. Zero means that it need not
+// be held or is not worth it: while the cache has room, nothing is evicted and
+// no lease is needed.
 //
-// Pauses have long tails: the longer one lasts, the less likely it ends in
-// the next second. For a Lomax distribution of that mean the chance of an end
-// in the next second is tail/(mean+elapsed); holding pays while it exceeds
-// the rate at which other prefixes in that memory would be hit.
+// Pause lengths are assumed to follow a Lomax distribution, which has a long
+// tail: the longer a pause has lasted, the less likely it ends in the next
+// second. That probability is lomaxShape/(mean+elapsed). Holding the prefix is
+// worth it while this exceeds the hit rate of other prefixes in the same memory.
 func HoldLease(tokens int64, pause PauseEstimate, price CachePrice, limit time.Duration) time.Duration {
-	if tokens < leastHoldTokens || pause.ReuseChance <= 0 || price.Pressure < pressureFrom {
+	if tokens < minHoldTokens || pause.ReuseChance <= 0 || price.Pressure < evictionThreshold {
 		return 0
 	}
 	mean := pause.Mean
 	if mean <= 0 {
-		mean = unknownPause
+		mean = defaultPauseMean
 	}
-	longest := min(seconds(longestInMeans*mean.Seconds()), limit)
+	maxHold := min(secondsToDuration(maxHoldInMeans*mean.Seconds()), limit)
 	if price.HitsPerToken <= 0 {
-		return longest // the memory has no better use
+		return maxHold // other prefixes get no hits
 	}
-	pays := seconds(pauseTail * min(pause.ReuseChance, 1) / price.HitsPerToken)
-	return min(max(pays-mean, 0), longest)
+	payingTime := secondsToDuration(lomaxShape * min(pause.ReuseChance, 1) / price.HitsPerToken)
+	return min(max(payingTime-mean, 0), maxHold)
 }
--- a/internal/scheduling/policy.go
+++ b/internal/scheduling/policy.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// costPolicy places a call where the sum of expected costs is least.
+// costPolicy places each call on the engine with the lowest estimated cost.
 type costPolicy struct {
 	settings    Settings
 	zonePenalty float64 // seconds
 	staleAfter  float64 // seconds
 }
 
-// NewPolicy returns the policy that weighs queueing, prefill, decoding,
-// wasted cache and transfer. It is stateless and safe for concurrent use;
-// a decision does not allocate.
+// NewPolicy returns a policy that places each call on the engine with the
+// lowest estimated cost of queueing, prefill, decoding, recomputed cache
+// contents and transfer. Its Decide method does not allocate memory.
 func NewPolicy(settings Settings) Policy {
 	settings = settings.withDefaults()
 	return &costPolicy{
@@ -29,32 +29,33 @@
 	if request.DeadlineIn < 0 {
 		return p.refuse(request, ReasonDeadline, 0)
 	}
-	if request.Waited > p.bound(request) {
+	if request.Waited > p.maxWait(request) {
 		return p.refuse(request, ReasonBound, 0)
 	}
 	search := newSearch(p, snapshot, request)
 	search.run()
-	if search.usable && p.overcommitted(snapshot, request) {
+	if search.usable && p.isOvercommitted(snapshot, request) {
 		return p.waitForMemory()
 	}
 	switch {
 	case search.found:
 		return p.place(&search)
 	case search.usable:
-		return p.wait(request, ReasonFull, search.freeing)
+		return p.wait(request, ReasonFull, search.slotInterval)
 	default:
 		return p.refuse(request, ReasonNoEngine, 0)
 	}
 }
 
-// place answers with the best candidate, unless it would end too late.
+// place chooses the best candidate, or refuses the call if it would finish
+// after its deadline or wait too long on that engine.
 func (p *costPolicy) place(search *search) Decision {
 	request := search.request
 	best := search.best
-	if request.DeadlineIn > 0 && seconds(best.firstToken+best.decode) > request.DeadlineIn {
+	if request.DeadlineIn > 0 && secondsToDuration(best.firstToken+best.decode) > request.DeadlineIn {
 		return p.refuse(request, ReasonDeadline, best.firstToken)
 	}
-	if seconds(best.queueing) > p.bound(request) {
+	if secondsToDuration(best.queueing) > p.maxWait(request) {
 		return p.refuse(request, ReasonBound, best.queueing)
 	}
 	return Decision{
@@ -62,56 +63,59 @@
 		Engine:       best.engine,
 		CachedTokens: best.cached,
 		TransferFrom: best.transferFrom,
-		Cost:         seconds(best.firstToken),
+		Cost:         secondsToDuration(best.firstToken),
 		Reason:       best.reason,
 	}
 }
 
-// wait queues the call, unless its wait would become longer than allowed.
-// freeing is the expected time in seconds between two slots that become free.
-func (p *costPolicy) wait(request *Request, reason Reason, freeing float64) Decision {
-	expected := freeing * float64(request.QueuedAhead+1)
-	total := request.Waited + seconds(expected)
-	if request.DeadlineIn > 0 && seconds(expected) > request.DeadlineIn {
+// wait queues the call, or refuses it if it would wait too long or past its
+// deadline. slotInterval is the expected time in seconds between two slots
+// becoming free.
+func (p *costPolicy) wait(request *Request, reason Reason, slotInterval float64) Decision {
+	expected := slotInterval * float64(request.QueuedAhead+1)
+	total := request.Waited + secondsToDuration(expected)
+	if request.DeadlineIn > 0 && secondsToDuration(expected) > request.DeadlineIn {
 		return p.refuse(request, ReasonDeadline, expected)
 	}
-	if total > p.bound(request) {
+	if total > p.maxWait(request) {
 		return p.refuse(request, ReasonBound, expected)
 	}
 	return Decision{
 		Action:       ActionWait,
 		TransferFrom: noTransfer,
-		Cost:         seconds(expected),
-		Retry:        min(max(seconds(freeing), time.Millisecond), p.settings.Poll),
+		Cost:         secondsToDuration(expected),
+		Retry:        min(max(secondsToDuration(slotInterval), time.Millisecond), p.settings.Poll),
 		Reason:       reason,
 	}
 }
 
-// overcommitted tells whether one more program would displace the prefixes of
-// live ones, which would then be computed again and again.
-func (p *costPolicy) overcommitted(snapshot *Snapshot, request *Request) bool {
+// isOvercommitted reports whether the request starts a new program although
+// prefixes of live programs already fill their share of the caches. One more
+// prefix would evict others, which would then have to be recomputed.
+func (p *costPolicy) isOvercommitted(snapshot *Snapshot, request *Request) bool {
 	if request.Attained > 0 || request.FleetShare <= 0 || p.settings.WorkingSet <= 0 {
 		return false
 	}
-	memory := float64(snapshot.cacheTokens(request.Model)) * request.FleetShare
-	return memory > 0 && float64(request.LiveTokens) > memory*p.settings.WorkingSet
+	capacity := float64(snapshot.cacheTokens(request.Model)) * request.FleetShare
+	return capacity > 0 && float64(request.LiveTokens) > capacity*p.settings.WorkingSet
 }
 
-// waitForMemory lets a new program wait till live ones have ended.
+// waitForMemory queues a call of a new program until live programs have ended.
 func (p *costPolicy) waitForMemory() Decision {
 	return Decision{Action: ActionWait, TransferFrom: noTransfer, Retry: p.settings.Poll, Reason: ReasonMemory}
 }
 
-// refuse gives the call up at once. The time to come back is spread by up to
-// its half, so that callers do not return together.
+// refuse rejects the call. expected is the estimated wait in seconds. Up to
+// half of the retry delay is added as jitter, so that callers do not all
+// return at the same time.
 func (p *costPolicy) refuse(request *Request, reason Reason, expected float64) Decision {
-	retry := max(seconds(expected), p.settings.Comeback, time.Millisecond)
-	spread := time.Duration(mix(request.Seed) % uint64(retry/2+1))
-	return Decision{Action: ActionRefuse, TransferFrom: noTransfer, Retry: retry + spread, Reason: reason}
+	retry := max(secondsToDuration(expected), p.settings.Comeback, time.Millisecond)
+	jitter := time.Duration(mix(request.Seed) % uint64(retry/2+1))
+	return Decision{Action: ActionRefuse, TransferFrom: noTransfer, Retry: retry + jitter, Reason: reason}
 }
 
-// bound is how long the call may wait before it is placed.
-func (p *costPolicy) bound(request *Request) time.Duration {
+// maxWait returns how long the call may wait before it is placed.
+func (p *costPolicy) maxWait(request *Request) time.Duration {
 	class := min(int(request.Class), ClassCount-1)
 	bound := p.settings.MaxWait[class]
 	if request.Attained > 0 {
@@ -120,16 +124,17 @@
 	return bound
 }
 
-// output is the expected count of generated tokens.
-func (p *costPolicy) output(request *Request) float64 {
+// expectedOutput returns the expected number of output tokens.
+func (p *costPolicy) expectedOutput(request *Request) float64 {
 	if request.MaxOutputTokens > 0 {
 		return float64(min(request.MaxOutputTokens, p.settings.ExpectedOutput))
 	}
 	return float64(p.settings.ExpectedOutput)
 }
 
-// seconds converts without overflow.
-func seconds(value float64) time.Duration {
+// secondsToDuration converts seconds to a duration. Large values are capped
+// instead of overflowing.
+func secondsToDuration(value float64) time.Duration {
 	nanoseconds := value * float64(time.Second)
 	if nanoseconds >= math.MaxInt64/4 {
 		return math.MaxInt64 / 4
@@ -137,7 +142,7 @@
 	return time.Duration(nanoseconds)
 }
 
-// mix scrambles a number (the finalizer of SplitMix64).
+// mix returns a hash of the number, as computed by SplitMix64.
 func mix(value uint64) uint64 {
 	value += 0x9e3779b97f4a7c15
 	value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -9,7 +9,7 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// engine is an idle engine of middling speed.
+// engine returns an idle engine.
 func engine(id string) scheduling.Engine {
 	return scheduling.Engine{
 		ID: id, Model: "assess", Zone: "leith-a",
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestPlacementFollowsThePrefixAndLeavesAnOverloadedHolder(t *testing.T) {
+func TestDecidePrefersHolderUnlessOverloaded(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
 	engines := []scheduling.Engine{engine("a"), engine("b"), engine("c")}
@@ -46,7 +46,7 @@
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonLeastCost))
 }
 
-func TestSharedPrefixAndPlacementsSinceTheReportCount(t *testing.T) {
+func TestDecideCountsSharedPrefixesAndRecentPlacements(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
 	engines := []scheduling.Engine{engine("a"), engine("b"), engine("c")}
@@ -64,7 +64,7 @@
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonSharedPrefix))
 }
 
-func TestFullEnginesMakeCallsWaitAndThenRefuse(t *testing.T) {
+func TestDecideWaitsOrRefusesWhenEnginesAreFull(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
 	full := engine("a")
@@ -89,20 +89,20 @@
 	expect.Expect(decision.Retry).To(gomega.BeNumerically(">", 0))
 }
 
-func TestLeaseLastsAsLongAsItPays(t *testing.T) {
+func TestHoldLease(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	pause := scheduling.PauseEstimate{Mean: 2 * time.Second, ReuseChance: 0.9}
 	lease := func(tokens int64, hits, pressure float64) time.Duration {
 		return scheduling.HoldLease(tokens, pause, scheduling.CachePrice{HitsPerToken: hits, Pressure: pressure}, time.Minute)
 	}
-	expect.Expect(lease(8000, 0.1, 0.2)).To(gomega.BeZero(), "there is room")
-	expect.Expect(lease(100, 0.1, 0.9)).To(gomega.BeZero(), "too short a prefix")
-	expect.Expect(lease(8000, 10, 0.9)).To(gomega.BeZero(), "the memory is worth more")
+	expect.Expect(lease(8000, 0.1, 0.2)).To(gomega.BeZero(), "the cache has room")
+	expect.Expect(lease(100, 0.1, 0.9)).To(gomega.BeZero(), "the prefix is too short")
+	expect.Expect(lease(8000, 10, 0.9)).To(gomega.BeZero(), "other prefixes are hit more often")
 	expect.Expect(lease(8000, 0.3, 0.9)).To(gomega.Equal(4 * time.Second))
 	expect.Expect(lease(8000, 0, 0.9)).To(gomega.Equal(8 * time.Second))
 }
 
-func TestBudgetsRefillAndSayWhenToComeBack(t *testing.T) {
+func TestBudgetsRefillAndReturnWait(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	bucket := scheduling.NewBucket(2, 4, 0)
 	bucket, taken, _ := bucket.Take(4, 0)
@@ -113,7 +113,7 @@
 	bucket, taken, _ = bucket.Take(1, wait)
 	expect.Expect(taken).To(gomega.BeTrue())
 	_, taken, _ = bucket.Take(4.5, time.Hour)
-	expect.Expect(taken).To(gomega.BeFalse(), "beyond the burst")
+	expect.Expect(taken).To(gomega.BeFalse(), "more than the burst")
 
 	budget := scheduling.NewRetryBudget(0.5, 0, 1, 0)
 	budget, allowed, _ := budget.Retry(0)
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestSketchIsBoundedAndForgets(t *testing.T) {
+func TestSketchIsBoundedAndExpires(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	snapshot := scheduling.Build([]scheduling.Engine{engine("a"), engine("b"), engine("c")}, nil)
 	sketch := scheduling.NewSketch(2, 2, time.Minute)
@@ -146,16 +146,16 @@
 
 	sketch.Record(runs[:1], "c", 2*time.Second)
 	found = sketch.Holders(nil, runs[:1], snapshot, 2*time.Second)
-	expect.Expect(found).To(gomega.HaveLen(2), "two holders a prefix")
+	expect.Expect(found).To(gomega.HaveLen(2), "at most two holders per prefix")
 	sketch.Record([]scheduling.PrefixRun{{Hash: 3, Tokens: 10}}, "a", 3*time.Second)
-	expect.Expect(sketch.Holders(nil, runs[1:], snapshot, 3*time.Second)).To(gomega.BeEmpty(), "two prefixes")
+	expect.Expect(sketch.Holders(nil, runs[1:], snapshot, 3*time.Second)).To(gomega.BeEmpty(), "at most two prefixes")
 	sketch.Forget("b")
 	found = sketch.Holders(nil, runs[:1], snapshot, 3*time.Second)
 	expect.Expect(found).To(gomega.Equal([]scheduling.PrefixHolder{{Engine: 2, Tokens: 1000}}))
 	expect.Expect(sketch.Holders(nil, runs[:1], snapshot, time.Hour)).To(gomega.BeEmpty(), "expired")
 }
 
-func TestRefusedCallersDoNotComeBackTogether(t *testing.T) {
+func TestRefuseSpreadsRetries(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
 	outage := scheduling.Build(nil, nil)
@@ -169,11 +169,11 @@
 		seen[decision.Retry.Milliseconds()/100]++
 	}
 	for tenth := int64(10); tenth < 15; tenth++ {
-		expect.Expect(seen[tenth]).To(gomega.BeNumerically("~", callers/5, callers/10), "returns spread over half a second")
+		expect.Expect(seen[tenth]).To(gomega.BeNumerically("~", callers/5, callers/10), "retries are spread over half a second")
 	}
 }
 
-func TestCacheIsMovedWhenThatIsSoonerThanPrefill(t *testing.T) {
+func TestDecideTransfersCacheWhenFasterThanPrefill(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	engines := []scheduling.Engine{engine("a"), engine("b")}
 	engines[0].WaitingTokens = 100_000
@@ -183,21 +183,21 @@
 		policy := scheduling.NewPolicy(scheduling.Settings{TransferPerSec: perSec})
 		return policy.Decide(scheduling.Build(engines, nil), &call)
 	}
-	still, moved := decide(0), decide(100_000)
-	expect.Expect(still.Engine).To(gomega.Equal(1))
-	expect.Expect(still.TransferFrom).To(gomega.Equal(-1))
-	expect.Expect(moved.Engine).To(gomega.Equal(1))
-	expect.Expect(moved.TransferFrom).To(gomega.Equal(0))
-	expect.Expect(moved.CachedTokens).To(gomega.Equal(int64(7000)))
-	expect.Expect(moved.Cost).To(gomega.BeNumerically("<", still.Cost))
+	withoutTransfer, withTransfer := decide(0), decide(100_000)
+	expect.Expect(withoutTransfer.Engine).To(gomega.Equal(1))
+	expect.Expect(withoutTransfer.TransferFrom).To(gomega.Equal(-1))
+	expect.Expect(withTransfer.Engine).To(gomega.Equal(1))
+	expect.Expect(withTransfer.TransferFrom).To(gomega.Equal(0))
+	expect.Expect(withTransfer.CachedTokens).To(gomega.Equal(int64(7000)))
+	expect.Expect(withTransfer.Cost).To(gomega.BeNumerically("<", withoutTransfer.Cost))
 }
 
-func TestNewProgramsWaitWhileLivePrefixesFillTheCaches(t *testing.T) {
+func TestDecideMakesNewProgramsWaitForMemory(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
 	snapshot := scheduling.Build([]scheduling.Engine{engine("a"), engine("b")}, nil)
 	call := request()
-	call.FleetShare, call.LiveTokens = 0.5, 50_001 // half of its half of 200,000
+	call.FleetShare, call.LiveTokens = 0.5, 50_001 // just above WorkingSet (0.5) times FleetShare (0.5) times 200,000 cache tokens
 	decision := policy.Decide(snapshot, &call)
 	expect.Expect(decision.Action).To(gomega.Equal(scheduling.ActionWait))
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonMemory))
--- a/internal/scheduling/properties_test.go
+++ b/internal/scheduling/properties_test.go
@@ -59,7 +59,8 @@
 	return drawn
 }
 
-// mayServe is the rule of placement, stated apart from the code under test.
+// mayServe reports whether an engine may serve a call. It states the rule
+// independently of the code under test.
 func mayServe(candidate scheduling.Engine, call scheduling.Request) bool {
 	probation := candidate.Probing && candidate.PlacedSince == 0 && !call.NotRepeatable
 	return candidate.Model == call.Model &&
@@ -72,7 +73,7 @@
 	return candidate.Running+candidate.Waiting+candidate.PlacedSince < max(candidate.MaxRunning, 1)
 }
 
-func TestDecisionsKeepTheirRules(t *testing.T) {
+func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 12).Draw(t, "engines")
 		engines := make([]scheduling.Engine, count)
@@ -95,16 +96,17 @@
 
 		unprepared := &scheduling.Snapshot{Engines: engines, ByModel: snapshot.ByModel, SharedPrefixes: shared}
 		if other := policy.Decide(unprepared, &call); other != decision {
-			t.Fatalf("decided %+v with Build, %+v without", decision, other)
+			t.Fatalf("decided %+v on a snapshot from Build, %+v on an unprepared one", decision, other)
 		}
 		if other := policy.Decide(refreshed(engines, shared), &call); other != decision {
-			t.Fatalf("decided %+v with Build, %+v with Refresh", decision, other)
+			t.Fatalf("decided %+v on a snapshot from Build, %+v on one from Refresh", decision, other)
 		}
 		checkDecision(t, engines, call, decision)
 	})
 }
 
-// refreshed prepares the engines after an older state of them.
+// refreshed returns a snapshot of the engines that Refresh made from an older
+// state of them.
 func refreshed(engines []scheduling.Engine, shared map[uint64][]scheduling.PrefixHolder) *scheduling.Snapshot {
 	older := slices.Clone(engines)
 	for index := range older {
@@ -116,7 +118,7 @@
 
 func checkDecision(t *rapid.T, engines []scheduling.Engine, call scheduling.Request, decision scheduling.Decision) {
 	if decision.Reason == "" || decision.Cost < 0 {
-		t.Fatalf("without reason or of negative cost: %+v", decision)
+		t.Fatalf("decision without a reason or with a negative cost: %+v", decision)
 	}
 	roomFound := slices.ContainsFunc(engines, func(candidate scheduling.Engine) bool {
 		return mayServe(candidate, call) && hasRoom(candidate)
@@ -127,27 +129,28 @@
 			t.Fatalf("placed on an engine that may not serve: %+v", engines[decision.Engine])
 		}
 		if decision.CachedTokens > call.PromptTokens || decision.CachedTokens < 0 {
-			t.Fatalf("expects %d of %d prompt tokens cached", decision.CachedTokens, call.PromptTokens)
+			t.Fatalf("expects %d cached tokens of %d prompt tokens", decision.CachedTokens, call.PromptTokens)
 		}
 	case scheduling.ActionWait:
 		if decision.Reason == scheduling.ReasonMemory {
 			if call.Attained > 0 || !overcommitted(engines, call) {
-				t.Fatalf("waits for memory although there is")
+				t.Fatalf("waits for memory although memory is available")
 			}
 		} else if roomFound {
 			t.Fatalf("waits although an engine has room")
 		}
 		if decision.Retry <= 0 {
-			t.Fatalf("waits without when to try again")
+			t.Fatalf("waits without a retry time")
 		}
 	case scheduling.ActionRefuse:
 		if decision.Retry <= 0 {
-			t.Fatalf("refused without when to come back")
+			t.Fatalf("refused without a retry time")
 		}
 	}
 }
 
-// overcommitted is the rule of new programs, stated apart from the code under test.
+// overcommitted reports whether a new program has to wait for memory. It states
+// the rule independently of the code under test.
 func overcommitted(engines []scheduling.Engine, call scheduling.Request) bool {
 	memory := int64(0)
 	for _, candidate := range engines {
@@ -167,15 +170,15 @@
 	}
 }
 
-func TestOrderIsAStrictWeakOrder(t *testing.T) {
+func TestBeforeIsStrictWeakOrder(t *testing.T) {
 	before := scheduling.Before
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawItem(t, "a"), drawItem(t, "b"), drawItem(t, "c")
 		if before(a, a) {
-			t.Fatalf("before itself: %+v", a)
+			t.Fatalf("item goes before itself: %+v", a)
 		}
 		if before(a, b) && before(b, a) {
-			t.Fatalf("both before each other: %+v %+v", a, b)
+			t.Fatalf("two items go before each other: %+v %+v", a, b)
 		}
 		if before(a, b) && before(b, c) && !before(a, c) {
 			t.Fatalf("not transitive: %+v %+v %+v", a, b, c)
@@ -185,7 +188,7 @@
 			t.Fatalf("ties are not transitive: %+v %+v %+v", a, b, c)
 		}
 		if a.Enqueued == b.Enqueued && a.Class < b.Class && b.Class < scheduling.ClassCount && !before(a, b) {
-			t.Fatalf("a worse class goes first: %+v %+v", a, b)
+			t.Fatalf("item of the better class does not go first: %+v %+v", a, b)
 		}
 	})
 }
@@ -195,12 +198,12 @@
 		waiting, newcomer := drawItem(t, "waiting"), drawItem(t, "newcomer")
 		newcomer.Enqueued = waiting.Enqueued + scheduling.ClassCount*scheduling.ClassHeadStart
 		if !scheduling.Before(waiting, newcomer) {
-			t.Fatalf("overtaken for ever: %+v by %+v", waiting, newcomer)
+			t.Fatalf("%+v is overtaken by the much later %+v", waiting, newcomer)
 		}
 	})
 }
 
-func TestQueueIsBoundedAndInOrder(t *testing.T) {
+func TestQueueIsBoundedAndOrdered(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 8).Draw(t, "limit")
 		queue := scheduling.NewQueue[scheduling.QueueItem](limit)
@@ -212,10 +215,10 @@
 			slices.SortFunc(kept, compareItems)
 			displaced, full := queue.Push(item, item)
 			if full != (len(kept) > limit) {
-				t.Fatalf("full is %v with %d of %d", full, len(kept), limit)
+				t.Fatalf("full is %v for %d calls with a limit of %d", full, len(kept), limit)
 			}
 			if full && displaced != kept[limit] {
-				t.Fatalf("displaced %+v, the last is %+v", displaced, kept[limit])
+				t.Fatalf("dropped %+v, but the last in order is %+v", displaced, kept[limit])
 			}
 			kept = kept[:min(len(kept), limit)]
 		}
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// QueueItem is what the order of waiting calls depends on.
+// QueueItem holds the properties of a waiting call that determine its order.
 type QueueItem struct {
 	Class    Class
-	Attained time.Duration // service that the program attained so far
-	Enqueued time.Duration // since any fixed moment, the same for all items
-	Sequence uint64        // order of arrival; tells equal items apart
+	Attained time.Duration // service time that the program has received so far
+	Enqueued time.Duration // when the call was queued, relative to an epoch shared by all items
+	Sequence uint64        // order of arrival; breaks ties
 }
 
-// The head start of one class over the next also is the ageing: an item
-// overtakes a better class once it has waited that much longer. Attained
-// service moves an item back inside its class only.
+// Each class has a head start over the next one. This also implements ageing:
+// a call goes before a call of the next better class if it was queued earlier
+// by more than the head start. Attained service moves a call back by less than
+// one head start.
 const (
-	ClassHeadStart = 30 * time.Second
-	attainedShare  = 4 // attained service counts by one part in four
-	attainedLimit  = ClassHeadStart - time.Second
+	ClassHeadStart   = 30 * time.Second
+	attainedDivisor  = 4 // a quarter of the attained service is added to the rank
+	maxAttainedDelay = ClassHeadStart - time.Second
 )
 
-// Before orders waiting calls: by class, then by least attained service,
-// with ageing. It is a strict weak order that does not depend on the present
-// time, and no item is overtaken by one that came more than
-// ClassCount * ClassHeadStart after it.
+// Before reports whether a goes before b. Calls are ordered by class, then by
+// least attained service, with ageing. This is a strict weak order that does
+// not depend on the current time. No item is overtaken by one that was queued
+// more than ClassCount * ClassHeadStart later.
 func Before(a, b QueueItem) bool {
 	rankA, rankB := a.rank(), b.rank()
 	if rankA != rankB {
@@ -37,15 +38,15 @@
 	return a.Sequence < b.Sequence
 }
 
-// rank is the moment at which an item would be as urgent as a fresh
-// interactive one of a program that attained nothing.
+// rank returns the sort key of the item; lower goes first. It is the queueing
+// time plus one head start per better class and a delay for attained service.
 func (i QueueItem) rank() time.Duration {
 	class := min(time.Duration(i.Class), ClassCount-1)
-	attained := min(max(i.Attained, 0)/attainedShare, attainedLimit)
+	attained := min(max(i.Attained, 0)/attainedDivisor, maxAttainedDelay)
 	return i.Enqueued + class*ClassHeadStart + attained
 }
 
-// Queue is a bounded priority queue of waiting calls in the order of Before.
+// Queue is a bounded priority queue of waiting calls, ordered by Before.
 // It is not safe for concurrent use.
 type Queue[T any] struct {
 	limit   int
@@ -57,14 +58,15 @@
 	value T
 }
 
-// NewQueue makes a queue that holds at most limit calls, at least one.
+// NewQueue returns a queue that holds at most limit calls. A limit below one
+// counts as one.
 func NewQueue[T any](limit int) *Queue[T] {
 	return &Queue[T]{limit: max(limit, 1)}
 }
 
-// Push adds a call. When the queue is full, the last in order is pushed out
-// and returned with true: it may be the new call itself. It must be answered
-// as not run.
+// Push adds a call. If the queue is full, the call that is last in order,
+// which may be the new one, is dropped and returned with full set. The caller
+// must then report the dropped call as not run.
 func (q *Queue[T]) Push(item QueueItem, value T) (displaced T, full bool) {
 	if len(q.entries) < q.limit {
 		heap.Push(&q.entries, entry[T]{item: item, value: value})
@@ -80,7 +82,8 @@
 	return displaced, true
 }
 
-// Peek returns the first call without removing it.
+// Peek returns the first call without removing it; found is false if the queue
+// is empty.
 func (q *Queue[T]) Peek() (item QueueItem, value T, found bool) {
 	if len(q.entries) == 0 {
 		return item, value, false
@@ -88,7 +91,7 @@
 	return q.entries[0].item, q.entries[0].value, true
 }
 
-// Pop removes and returns the first call.
+// Pop removes and returns the first call; found is false if the queue is empty.
 func (q *Queue[T]) Pop() (item QueueItem, value T, found bool) {
 	if len(q.entries) == 0 {
 		return item, value, false
@@ -97,7 +100,8 @@
 	return first.item, first.value, true
 }
 
-// Remove takes out every call that matches, in order, and returns their count.
+// Remove removes every call for which matches returns true, and returns how
+// many there were.
 func (q *Queue[T]) Remove(matches func(value T) bool) int {
 	kept := q.entries[:0]
 	for _, candidate := range q.entries {
@@ -112,7 +116,7 @@
 	return removed
 }
 
-// Ahead counts the calls that go before the item.
+// Ahead returns the number of queued calls that go before the item.
 func (q *Queue[T]) Ahead(item QueueItem) int {
 	count := 0
 	for index := range q.entries {
@@ -123,10 +127,11 @@
 	return count
 }
 
-// Len is the count of waiting calls.
+// Len returns the number of queued calls.
 func (q *Queue[T]) Len() int { return len(q.entries) }
 
-// last finds the entry that comes last; it is among the leaves of the heap.
+// last returns the index of the entry that is last in order. It searches only
+// the leaves of the heap, since one of them is the last.
 func (q *Queue[T]) last() int {
 	last := len(q.entries) / 2
 	for index := last + 1; index < len(q.entries); index++ {
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -1,6 +1,6 @@
-// Package scheduling decides admission, order and placement. It is pure: a
-// decision depends on the snapshot and the request alone; there is no I/O
-// and no reading of clocks.
+// Package scheduling decides whether a call is admitted, in which order
+// waiting calls are placed, and on which engine. Decisions depend only on
+// their arguments: the package does no I/O and reads no clock.
 package scheduling
 
 import (
@@ -9,18 +9,18 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Class is the declared priority of a program; a smaller number goes first.
+// Class is the declared priority of a program; lower values go first.
 type Class uint8
 
-// The priority classes.
+// The priority classes, most urgent first.
 const (
 	ClassInteractive Class = 0
 	ClassStandard    Class = 1
 	ClassBatch       Class = 2
 )
 
-// Engine is the state of one model engine as the scheduler sees it: the
-// lagging report, corrected by this daemon's own placements since.
+// Engine is the state of one model engine as the scheduler sees it: its last
+// load report and the calls that this daemon has placed on it since then.
 type Engine struct {
 	ID            string
 	Address       string
@@ -29,104 +29,106 @@
 	Adapters      []string
 	Zone          identity.Zone
 	Generation    string
-	PrefillPerSec float64 // prompt tokens a second, measured
-	DecodePerSec  float64 // generated tokens a second and stream, measured while few streams run
-	MaxRunning    int     // sequences that it batches
-	Running       int     // reported
-	Waiting       int     // reported
-	WaitingTokens int64   // reported prompt tokens not yet prefilled
-	CacheTokens   int64   // capacity of its prefix cache
-	CacheUsed     int64
-	PlacedSince   int   // placements by this daemon since the report
-	PlacedTokens  int64 // their prompt tokens that are not expected in its cache
+	PrefillPerSec float64 // measured prefill throughput, in prompt tokens per second
+	DecodePerSec  float64 // measured decode throughput of one stream at low load, in tokens per second
+	MaxRunning    int     // maximum number of sequences in a batch
+	Running       int     // reported number of sequences in the batch
+	Waiting       int     // reported number of sequences queued in the engine
+	WaitingTokens int64   // reported number of prompt tokens not prefilled yet
+	CacheTokens   int64   // capacity of the prefix cache, in tokens
+	CacheUsed     int64   // tokens in the prefix cache
+	PlacedSince   int     // calls placed by this daemon since the report
+	PlacedTokens  int64   // prompt tokens of those calls that are not expected in the cache
 	ReportAge     time.Duration
-	Accepting     bool // false: draining, ejected, loading, or role without serving
-	Probing       bool // may take one trial request after an ejection
-	ErrorRate     float64
+	Accepting     bool    // false if the engine is draining, ejected, loading or not in a serving role
+	Probing       bool    // may take one trial call after an ejection
+	ErrorRate     float64 // share of failed calls, 0 to 1
 }
 
-// Snapshot is an immutable picture of all engines of a region. Requests read
-// it through an atomic pointer.
+// Snapshot is an immutable view of all engines of a region. It is safe for
+// concurrent use.
 type Snapshot struct {
 	Engines []Engine
-	// ByModel indexes Engines by model name.
+	// ByModel maps a model name to the indexes of its engines in Engines.
 	ByModel map[string][]int
-	// SharedPrefixes maps the hash of a hot shared prefix to engines that hold it.
+	// SharedPrefixes maps the hash of a shared prefix to the engines that hold it.
 	SharedPrefixes map[uint64][]PrefixHolder
 
-	prepared    []candidate       // by Build; nil: worked out when it is needed
-	byID        map[string]int    // by Build; nil: searched
-	adapterBits map[string]uint64 // by Build: adapters with a bit to themselves
-	roomy       map[string][]int  // by Build: ByModel without full engines
-	memory      map[string]int64  // by Build: cache tokens of accepting engines by model
+	prepared      []candidate       // set by Build; nil: computed on demand
+	byID          map[string]int    // set by Build: indexes by engine ID; nil: Engines is searched
+	adapterBits   map[string]uint64 // set by Build: the adapters that have a bit of their own
+	withRoom      map[string][]int  // set by Build: ByModel without the full engines
+	cacheCapacity map[string]int64  // set by Build: total CacheTokens of the accepting engines, by model
 }
 
-// PrefixHolder tells that an engine holds the first Tokens of a prefix.
+// PrefixHolder is an engine that holds the first Tokens tokens of a prompt in
+// its cache.
 type PrefixHolder struct {
 	Engine int // index in Snapshot.Engines
 	Tokens int64
 }
 
-// Request is what is known of a call when it is placed.
+// Request describes a call that is to be placed.
 type Request struct {
 	Tenant          identity.Tenant
 	Class           Class
 	Model           string
 	Adapter         string
-	Zone            identity.Zone // of the deciding daemon
-	PromptTokens    int64         // estimate, whole prompt
+	Zone            identity.Zone // zone of the daemon that decides
+	PromptTokens    int64         // estimated length of the whole prompt
 	MaxOutputTokens int64
-	Attained        time.Duration // service that the program attained so far
-	Waited          time.Duration // since the call was accepted
-	DeadlineIn      time.Duration // zero: none
-	HolderID        string        // engine that served the program last; empty: none
-	HolderTokens    int64         // tokens of the prompt expected in its cache
-	SharedPrefix    uint64        // hash of the first block run; zero: none
-	Excluded        []string      // engines that failed this call already
-	NotRepeatable   bool          // never goes to an engine on probation
-	QueuedAhead     int           // calls that wait in this daemon's queue before it
-	Seed            uint64        // any random number; spreads choices and comebacks
-	LiveTokens      int64         // own parts of the prefixes of live programs led by this daemon
-	FleetShare      float64       // share of the fleet's memory that this daemon may count on; zero: unknown
+	Attained        time.Duration // service time that the program has received so far
+	Waited          time.Duration // time since the call was accepted
+	DeadlineIn      time.Duration // time left until the deadline; zero: no deadline
+	HolderID        string        // ID of the engine that last served the program; empty: none
+	HolderTokens    int64         // prompt tokens expected in the cache of that engine
+	SharedPrefix    uint64        // hash of the prefix that the call shares with other programs; zero: none
+	Excluded        []string      // IDs of engines that have already failed this call
+	NotRepeatable   bool          // the call must not run twice; it is never sent to a Probing engine
+	QueuedAhead     int           // calls before it in this daemon's queue
+	Seed            uint64        // random number for sampling engines and for retry jitter
+	LiveTokens      int64         // unshared prefix tokens of the live programs that this daemon leads
+	FleetShare      float64       // share of the model's total cache that this daemon may use, 0 to 1; zero: unknown
 }
 
-// Action is what to do with a call.
+// Action says what to do with a call.
 type Action uint8
 
 // The actions.
 const (
-	ActionPlace  Action = iota
-	ActionWait          // queue it here; try again when a slot frees or after Retry
-	ActionRefuse        // give it up at once, with when to come back
+	ActionPlace  Action = iota // send it to Decision.Engine
+	ActionWait                 // queue it; decide again when a slot becomes free or after Decision.Retry
+	ActionRefuse               // reject it at once; the caller may retry after Decision.Retry
 )
 
-// Reason says why a decision was made; a small closed set, for metrics and logs.
+// Reason says why a decision was made. It is logged and used as a metric label.
 type Reason string
 
 // The reasons of decisions.
 const (
-	ReasonHolder       Reason = "holder"        // placed where the program's prefix lies
-	ReasonSharedPrefix Reason = "shared-prefix" // placed where a shared prefix lies
-	ReasonLeastCost    Reason = "least-cost"    // placed where it costs least, without a cached prefix
+	ReasonHolder       Reason = "holder"        // placed on the engine that last served the program
+	ReasonSharedPrefix Reason = "shared-prefix" // placed on an engine that holds a shared prefix
+	ReasonLeastCost    Reason = "least-cost"    // placed on the cheapest engine, which has no known prefix of the prompt
 	ReasonFull         Reason = "full"          // every usable engine is full
 	ReasonNoEngine     Reason = "no-engine"     // no usable engine serves the model and adapter
-	ReasonDeadline     Reason = "deadline"      // it could not end before its deadline
-	ReasonMemory       Reason = "memory"        // the caches are full of live programs; a new one waits
-	ReasonBound        Reason = "bound"         // it would wait, or has waited, longer than its class may
+	ReasonDeadline     Reason = "deadline"      // the call cannot finish before its deadline
+	ReasonMemory       Reason = "memory"        // prefixes of live programs fill the caches; a new program waits
+	ReasonBound        Reason = "bound"         // the wait exceeds, or would exceed, the maximum of the class
 )
 
-// Decision is the outcome. It holds no pointers into the snapshot.
+// Decision is the result for one call. It holds no pointers into the snapshot.
 type Decision struct {
 	Action       Action
 	Engine       int           // index in Snapshot.Engines, for ActionPlace
-	CachedTokens int64         // tokens expected to be found in its cache
-	TransferFrom int           // index of the engine to move KV from; -1: none
-	Cost         time.Duration // estimate till the first token
-	Retry        time.Duration // for ActionWait and ActionRefuse
+	CachedTokens int64         // prompt tokens expected in the cache of that engine
+	TransferFrom int           // index of the engine to transfer the KV cache from; -1: no transfer
+	Cost         time.Duration // estimated time to the first token; for ActionWait, to a free slot
+	Retry        time.Duration // for ActionWait and ActionRefuse: time after which to try again
 	Reason       Reason
 }
 
-// Policy decides. Implementations are stateless and safe for concurrent use.
+// Policy decides about calls. Implementations are stateless and safe for
+// concurrent use.
 type Policy interface {
 	Decide(snapshot *Snapshot, request *Request) Decision
 }
--- a/internal/scheduling/search.go
+++ b/internal/scheduling/search.go
@@ -5,49 +5,50 @@
 	"slices"
 )
 
-// mostExcluded is how many engines a decision keeps out by index; more are
-// kept out by name, which is slower.
-const mostExcluded = 8
+// maxExcludedIndexes is how many excluded engines are compared by index. If
+// there are more, IDs are compared too, which is slower.
+const maxExcludedIndexes = 8
 
-// leastWithRoom is how many engines with room a sample must have met.
-const leastWithRoom = 4
+// minWithRoom is how many engines with room a sample must include. Otherwise
+// all engines with room are evaluated.
+const minWithRoom = 4
 
-// noTransfer is Decision.TransferFrom when nothing is moved.
+// noTransfer is the value of Decision.TransferFrom if there is no transfer.
 const noTransfer = -1
 
-// placement is one evaluated candidate; times are in seconds.
+// placement is one evaluated candidate. Times are in seconds.
 type placement struct {
 	engine       int
-	cached       int64
+	cached       int64 // prompt tokens expected in the cache
 	transferFrom int
-	queueing     float64
-	firstToken   float64 // queueing, prefill or transfer, distance
-	decode       float64
-	score        float64 // what is compared
+	queueing     float64 // wait before prefill begins
+	firstToken   float64 // time to the first token: queueing, prefill or transfer, and zone penalty
+	decode       float64 // generation of all output tokens
+	score        float64 // estimated cost; the lowest wins
 	reason       Reason
 }
 
-// search looks for the cheapest placement of one request.
+// search finds the placement of one request with the lowest score.
 type search struct {
 	policy   *costPolicy
 	snapshot *Snapshot
 	request  *Request
 
-	output     float64 // expected generated tokens
-	zone       uint32
-	adapter    uint64
-	excluded   [mostExcluded]int // indexes
-	exclusions int
-	scratch    candidate // of a snapshot that was not prepared
-	holder     int       // index of the engine that served last; -1: none
-	mostCached int64     // the longest part of the prompt that any engine holds
+	output     float64                 // expected number of output tokens
+	zone       uint32                  // hash of the daemon's zone
+	adapter    uint64                  // bit that an engine must have to serve the request
+	excluded   [maxExcludedIndexes]int // indexes of excluded engines
+	exclusions int                     // number of valid entries in excluded
+	unprepared candidate               // result of candidate for a snapshot without prepared candidates
+	holder     int                     // index of the engine that last served the program; -1: none
+	mostCached int64                   // tokens of the longest part of the prompt that any engine holds
 
-	found    bool
-	best     placement
-	usable   bool    // some engine could take the call if it had room
-	freeing  float64 // expected seconds between two slots becoming free, over all full engines
-	slots    float64 // sum of candidate.freeing of full engines
-	withRoom int     // evaluations of engines with room
+	found          bool
+	best           placement
+	usable         bool    // some engine may serve the call, though it may be full
+	slotInterval   float64 // expected seconds between two slots becoming free on the full engines
+	fullDecodeRate float64 // sum of batchDecodeRate of the full engines evaluated
+	withRoom       int     // evaluations of engines with room; an engine drawn twice counts twice
 }
 
 func newSearch(policy *costPolicy, snapshot *Snapshot, request *Request) search {
@@ -55,12 +56,12 @@
 		policy:   policy,
 		snapshot: snapshot,
 		request:  request,
-		output:   policy.output(request),
+		output:   policy.expectedOutput(request),
 		zone:     zoneHash(request.Zone),
 		adapter:  snapshot.adapterBit(request.Adapter),
 		holder:   noTransfer,
 	}
-	for _, id := range request.Excluded[:min(len(request.Excluded), mostExcluded)] {
+	for _, id := range request.Excluded[:min(len(request.Excluded), maxExcludedIndexes)] {
 		if index, found := snapshot.Find(id); found {
 			result.excluded[result.exclusions] = index
 			result.exclusions++
@@ -76,36 +77,36 @@
 	return result
 }
 
-// run evaluates the holders of the prefix first, then the others: all of
-// them when they are few, else a sample. When the sample has too few with
-// room, all that have room are evaluated.
+// run evaluates the holders of the prefix first, then the other engines of the
+// model: all if there are at most ScanLimit, otherwise a random sample. If the
+// sample has too few engines with room, all engines with room are evaluated.
 func (s *search) run() {
-	if s.snapshot.nowhere(s.request.Adapter) {
+	if s.snapshot.isUnknownAdapter(s.request.Adapter) {
 		return
 	}
 	s.considerHolders()
 	indexes := s.snapshot.ByModel[s.request.Model]
-	s.slots, s.withRoom = 0, 0
+	s.fullDecodeRate, s.withRoom = 0, 0
 	if len(indexes) <= s.policy.settings.ScanLimit {
 		s.considerAll(indexes)
-		s.expectFreeing(1)
+		s.estimateSlotInterval(1)
 		return
 	}
 	s.sample(indexes)
-	s.expectFreeing(float64(len(indexes)) / float64(s.policy.settings.SampleSize))
-	if s.withRoom >= leastWithRoom {
+	s.estimateSlotInterval(float64(len(indexes)) / float64(s.policy.settings.SampleSize))
+	if s.withRoom >= minWithRoom {
 		return
 	}
-	sampledFull := s.slots > 0
-	s.considerAll(s.roomy(indexes))
+	sampledFull := s.fullDecodeRate > 0
+	s.considerAll(s.indexesWithRoom(indexes))
 	if !s.found && !sampledFull {
-		s.slots = 0
+		s.fullDecodeRate = 0
 		s.considerAll(indexes)
-		s.expectFreeing(1)
+		s.estimateSlotInterval(1)
 	}
 }
 
-// considerHolders evaluates the engines that hold a part of the prompt.
+// considerHolders evaluates the engines that have a part of the prompt cached.
 func (s *search) considerHolders() {
 	holders := s.sharedHolders()
 	for _, holder := range holders {
@@ -127,7 +128,7 @@
 	}
 }
 
-// sample draws candidates.
+// sample evaluates SampleSize engines, drawn with replacement.
 func (s *search) sample(indexes []int) {
 	state := s.request.Seed
 	for range s.policy.settings.SampleSize {
@@ -136,19 +137,20 @@
 	}
 }
 
-// roomy gives the engines of the model without those known to be full.
-func (s *search) roomy(indexes []int) []int {
+// indexesWithRoom returns the engines of the model that are not full, or
+// indexes if the snapshot has no prepared candidates.
+func (s *search) indexesWithRoom(indexes []int) []int {
 	if s.snapshot.prepared == nil {
 		return indexes
 	}
-	return s.snapshot.roomy[s.request.Model]
+	return s.snapshot.withRoom[s.request.Model]
 }
 
-// expectFreeing works out how soon slots become free from the full engines
-// that were seen, of which there are factor times as many.
-func (s *search) expectFreeing(factor float64) {
-	if s.slots > 0 {
-		s.freeing = s.output * (1 + s.policy.settings.BatchSlowdown) / (s.slots * factor)
+// estimateSlotInterval sets slotInterval from the full engines evaluated. The
+// number of full engines is assumed to be factor times as large.
+func (s *search) estimateSlotInterval(factor float64) {
+	if s.fullDecodeRate > 0 {
+		s.slotInterval = s.output * (1 + s.policy.settings.BatchSlowdown) / (s.fullDecodeRate * factor)
 	}
 }
 
@@ -159,10 +161,11 @@
 	return s.snapshot.SharedPrefixes[s.request.SharedPrefix]
 }
 
-// consider evaluates one engine and keeps it if it is the cheapest so far.
+// consider evaluates one engine, which has cached tokens of the prompt, and
+// keeps it if its score is the lowest so far.
 func (s *search) consider(index int, cached int64, reason Reason) {
 	engine := s.candidate(index)
-	if !s.eligible(index, engine) {
+	if !s.isEligible(index, engine) {
 		return
 	}
 	s.usable = true
@@ -171,12 +174,12 @@
 		room += int32(s.policy.settings.HolderQueue)
 	}
 	if engine.busy >= room {
-		s.slots += engine.freeing
+		s.fullDecodeRate += engine.batchDecodeRate
 		return
 	}
 	s.withRoom++
 	if s.found && engine.backlog >= s.best.score {
-		return // every other part of the cost only adds to it
+		return // the other terms of the score can only add to the backlog
 	}
 	placed := s.evaluate(index, engine, cached)
 	placed.reason = reason
@@ -186,9 +189,9 @@
 	}
 }
 
-// eligible tells whether the engine may serve the request at all.
-func (s *search) eligible(index int, engine *candidate) bool {
-	if !engine.accepting && (!engine.probational || s.request.NotRepeatable) {
+// isEligible reports whether the engine may serve the request, whatever its load.
+func (s *search) isEligible(index int, engine *candidate) bool {
+	if !engine.accepting && (!engine.probing || s.request.NotRepeatable) {
 		return false
 	}
 	if engine.adapters&s.adapter != s.adapter {
@@ -200,32 +203,33 @@
 	return !s.isExcluded(index)
 }
 
-// isExcluded tells whether the engine failed this call already.
+// isExcluded reports whether the engine has already failed this call.
 func (s *search) isExcluded(index int) bool {
 	for _, other := range s.excluded[:s.exclusions] {
 		if other == index {
 			return true
 		}
 	}
-	if len(s.request.Excluded) <= mostExcluded {
+	if len(s.request.Excluded) <= maxExcludedIndexes {
 		return false
 	}
 	return slices.Contains(s.request.Excluded, s.snapshot.Engines[index].ID)
 }
 
-// candidate gives what a decision reads of an engine, until the next call.
+// candidate returns the candidate of an engine. It is valid until the next call.
 func (s *search) candidate(index int) *candidate {
 	if s.snapshot.prepared != nil {
 		return &s.snapshot.prepared[index]
 	}
 	engine := &s.snapshot.Engines[index]
-	s.scratch = prepare(engine)
-	s.scratch.zone = zoneHash(engine.Zone)
-	s.scratch.adapters = s.snapshot.adapterBitsOf(engine.Adapters)
-	return &s.scratch
+	s.unprepared = newCandidate(engine)
+	s.unprepared.zone = zoneHash(engine.Zone)
+	s.unprepared.adapters = s.snapshot.adapterBitsOf(engine.Adapters)
+	return &s.unprepared
 }
 
-// evaluate works out the cost of a placement.
+// evaluate estimates the cost of placing the request on an engine that has
+// cached tokens of the prompt.
 func (s *search) evaluate(index int, engine *candidate, cached int64) placement {
 	settings := &s.policy.settings
 	cached = min(cached, s.request.PromptTokens)
@@ -238,40 +242,43 @@
 	result.decode = s.output * engine.outputCost * slowdown
 	prefill := uncached * engine.promptCost
 	wasted := float64(s.mostCached-cached) * engine.promptCost
-	if moved := s.transfer(cached); moved < wasted {
+	if moved := s.transferTime(cached); moved < wasted {
 		prefill -= wasted - moved
 		wasted = 0
 		result.cached = s.mostCached
 		result.transferFrom = s.holder
 	}
-	result.firstToken = result.queueing + prefill + s.distance(engine)
+	result.firstToken = result.queueing + prefill + s.zoneCost(engine)
 	inflicted := float64(min(engine.busy, engine.slots)) * (prefill + s.output*engine.outputCost*settings.BatchSlowdown/float64(engine.slots))
 	evicted := uncached * engine.promptCost * engine.pressure
 
-	result.score = (result.firstToken+result.decode)*engine.failure +
+	result.score = (result.firstToken+result.decode)*engine.failureFactor +
 		settings.InflictedWeight*inflicted +
 		settings.WasteWeight*max(wasted, 0) +
 		settings.EvictionWeight*evicted +
-		max(engine.stale-s.policy.staleAfter, 0)
+		max(engine.reportAge-s.policy.staleAfter, 0)
 	return result
 }
 
-// slotWait is the expected wait for a slot inside a full engine.
+// slotWait returns the expected seconds until a full engine has a free slot for
+// the call, and zero for an engine that is not full.
 func (s *search) slotWait(engine *candidate) float64 {
 	if engine.busy < engine.slots {
 		return 0
 	}
-	before := float64(engine.busy - engine.slots + 1)
-	return before * s.serviceTime(engine) / float64(engine.slots)
+	ahead := float64(engine.busy - engine.slots + 1)
+	return ahead * s.serviceTime(engine) / float64(engine.slots)
 }
 
-// serviceTime is how long a call like this one occupies a slot of a full batch.
+// serviceTime returns how many seconds a call of this kind occupies a slot of a
+// full batch.
 func (s *search) serviceTime(engine *candidate) float64 {
 	return s.output * engine.outputCost * (1 + s.policy.settings.BatchSlowdown)
 }
 
-// transfer is the time to move the holder's KV cache, or infinite.
-func (s *search) transfer(cached int64) float64 {
+// transferTime returns the seconds that a transfer of the holder's KV cache
+// takes, or infinity if it cannot be transferred.
+func (s *search) transferTime(cached int64) float64 {
 	perSec := s.policy.settings.TransferPerSec
 	movable := s.holder >= 0 && s.mostCached <= s.request.HolderTokens
 	if perSec <= 0 || !movable {
@@ -280,7 +287,7 @@
 	return float64(s.mostCached-cached) / perSec
 }
 
-func (s *search) distance(engine *candidate) float64 {
+func (s *search) zoneCost(engine *candidate) float64 {
 	if engine.zone == s.zone {
 		return 0
 	}
--- a/internal/scheduling/settings.go
+++ b/internal/scheduling/settings.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// Settings weigh the parts of the cost and bound the waits. A zero field
-// takes its default from DefaultSettings; a negative weight switches the part off.
+// Settings are the weights of the cost function and the limits on waiting. A
+// zero field takes its default from DefaultSettings; a negative one counts as
+// zero, which disables that part of the cost.
 type Settings struct {
-	// ExpectedOutput is the usual count of generated tokens of a call; a
-	// smaller MaxOutputTokens of the request takes its place.
+	// ExpectedOutput is the assumed number of output tokens of a call. A
+	// smaller MaxOutputTokens of the request overrides it.
 	ExpectedOutput int64
-	// BatchSlowdown is how much longer a token takes when the batch is full,
-	// relative to an almost empty batch: 1 means twice as long.
+	// BatchSlowdown is the relative increase of the time per output token from
+	// an almost empty batch to a full one: 1 means twice as long.
 	BatchSlowdown float64
-	// InflictedWeight weighs the delay that a placement inflicts on the
-	// streams that run already at the engine.
+	// InflictedWeight is the weight of the delay that a placement causes to
+	// the streams already running on the engine.
 	InflictedWeight float64
-	// WasteWeight weighs prompt tokens that lie in a cache elsewhere and
-	// would be computed again, in multiples of their prefill time.
+	// WasteWeight is the cost of recomputing prompt tokens that another engine
+	// has in its cache, as a multiple of their prefill time.
 	WasteWeight float64
-	// EvictionWeight weighs what a new prefix displaces from a full cache, in
-	// multiples of the prefill time of the uncached part.
+	// EvictionWeight is the cost of the evictions that a new prefix causes in a
+	// full cache, as a multiple of the prefill time of its uncached part.
 	EvictionWeight float64
-	// ZonePenalty is added for an engine in another zone than the daemon.
+	// ZonePenalty is added to the cost of an engine outside the daemon's zone.
 	ZonePenalty time.Duration
-	// StaleAfter is the age from which a load report is distrusted; its
-	// further age is added to the cost.
+	// StaleAfter is the age up to which a load report counts as current. Any
+	// age beyond it is added to the cost.
 	StaleAfter time.Duration
-	// HolderQueue is how many calls beyond a full batch may wait inside the
-	// engine that holds their program's prefix. Others wait in the daemon.
+	// HolderQueue is how many calls beyond a full batch may queue inside the
+	// engine that holds their program's prefix. Other calls wait in the daemon.
 	HolderQueue int
-	// TransferPerSec is the speed of moving KV cache between engines, in
-	// tokens a second; zero or less: never moved.
+	// TransferPerSec is the speed of KV cache transfers between engines, in
+	// tokens per second. Zero or less disables transfers.
 	TransferPerSec float64
-	// MaxWait bounds the wait of a call before placement, by class.
+	// MaxWait is the maximum time that a call may wait for placement, by class.
 	MaxWait [ClassCount]time.Duration
 	// StartedFactor multiplies MaxWait for programs that have been served
-	// before: refusing them wastes what they attained.
+	// before, because refusing them wastes the work already done for them.
 	StartedFactor float64
-	// Comeback is the least time after which a refused call may come back.
+	// Comeback is the minimum time after which a refused call may be retried.
 	Comeback time.Duration
-	// Poll is the longest time till a waiting call is decided again.
+	// Poll is the maximum time until a waiting call is decided again.
 	Poll time.Duration
 	// WorkingSet is the share of the accepting engines' caches that prefixes
-	// of live programs may fill before new programs have to wait.
+	// of live programs may fill. Beyond it, new programs have to wait.
 	WorkingSet float64
-	// ScanLimit is the count of candidates up to which all are compared;
-	// beyond it SampleSize of them are drawn, besides the prefix holders.
+	// ScanLimit is the number of engines up to which all are evaluated. Beyond
+	// it, SampleSize engines are drawn at random besides the prefix holders.
 	ScanLimit int
-	// SampleSize is the count of drawn candidates.
+	// SampleSize is the number of engines drawn at random.
 	SampleSize int
 }
 
 // ClassCount is the number of priority classes.
 const ClassCount = 3
 
-// DefaultSettings are the settings that the committed experiments ran with.
+// DefaultSettings returns the values that replace zero fields of Settings.
 func DefaultSettings() Settings {
 	return Settings{
 		ExpectedOutput:  100,
@@ -74,33 +75,33 @@
 	}
 }
 
-// withDefaults fills zero fields.
+// withDefaults applies the defaults to all fields.
 func (s Settings) withDefaults() Settings {
 	defaults := DefaultSettings()
-	fill(&s.ExpectedOutput, defaults.ExpectedOutput)
-	fill(&s.BatchSlowdown, defaults.BatchSlowdown)
-	fill(&s.InflictedWeight, defaults.InflictedWeight)
-	fill(&s.WasteWeight, defaults.WasteWeight)
-	fill(&s.EvictionWeight, defaults.EvictionWeight)
-	fill(&s.ZonePenalty, defaults.ZonePenalty)
-	fill(&s.StaleAfter, defaults.StaleAfter)
-	fill(&s.HolderQueue, defaults.HolderQueue)
+	applyDefault(&s.ExpectedOutput, defaults.ExpectedOutput)
+	applyDefault(&s.BatchSlowdown, defaults.BatchSlowdown)
+	applyDefault(&s.InflictedWeight, defaults.InflictedWeight)
+	applyDefault(&s.WasteWeight, defaults.WasteWeight)
+	applyDefault(&s.EvictionWeight, defaults.EvictionWeight)
+	applyDefault(&s.ZonePenalty, defaults.ZonePenalty)
+	applyDefault(&s.StaleAfter, defaults.StaleAfter)
+	applyDefault(&s.HolderQueue, defaults.HolderQueue)
 	for class := range s.MaxWait {
-		fill(&s.MaxWait[class], defaults.MaxWait[class])
+		applyDefault(&s.MaxWait[class], defaults.MaxWait[class])
 	}
-	fill(&s.StartedFactor, defaults.StartedFactor)
-	fill(&s.Comeback, defaults.Comeback)
-	fill(&s.Poll, defaults.Poll)
-	fill(&s.WorkingSet, defaults.WorkingSet)
-	fill(&s.ScanLimit, defaults.ScanLimit)
-	fill(&s.SampleSize, defaults.SampleSize)
+	applyDefault(&s.StartedFactor, defaults.StartedFactor)
+	applyDefault(&s.Comeback, defaults.Comeback)
+	applyDefault(&s.Poll, defaults.Poll)
+	applyDefault(&s.WorkingSet, defaults.WorkingSet)
+	applyDefault(&s.ScanLimit, defaults.ScanLimit)
+	applyDefault(&s.SampleSize, defaults.SampleSize)
 	return s
 }
 
-// fill sets a zero value to its default and a negative one to zero.
-func fill[T int | int64 | float64 | time.Duration](value *T, standard T) {
+// applyDefault sets a zero value to its default and a negative one to zero.
+func applyDefault[T int | int64 | float64 | time.Duration](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = standard
+		*value = defaultValue
 		return
 	}
 	*value = max(*value, 0)
--- a/internal/scheduling/sketch.go
+++ b/internal/scheduling/sketch.go
@@ -5,72 +5,76 @@
 	"time"
 )
 
-// PrefixRun is a part of a prompt that several programs may share. Its hash
-// covers everything before it too; Tokens count from the start of the prompt.
+// PrefixRun identifies a prefix of a prompt that several programs may share.
+// Hash and Tokens cover everything from the start of the prompt.
 type PrefixRun struct {
 	Hash   uint64
 	Tokens int64
 }
 
-// Sketch remembers which engines were lately given a shared prefix, so that
-// no global index of caches is needed: each daemon learns from its own
-// placements. It is bounded in prefixes and holders; what is remembered
-// wrongly costs a prefill, never correctness. It is not safe for concurrent use.
+// Sketch records which engines recently received which shared prefixes. Each
+// daemon learns from its own placements, so no global index of caches is
+// needed. The number of prefixes and of engines per prefix is bounded. A wrong
+// record costs a prefill but does not affect correctness. A Sketch is not safe
+// for concurrent use.
 type Sketch struct {
-	limit   int
-	holders int
-	expiry  time.Duration
-	known   map[uint64]*list.Element
-	recent  *list.List // of *sketched, most recently used first
+	maxPrefixes int
+	maxHolders  int
+	expiry      time.Duration
+	elements    map[uint64]*list.Element
+	lru         *list.List // of *prefixEntry, most recently used first
 }
 
-type sketched struct {
+type prefixEntry struct {
 	run     PrefixRun
-	engines []sketchedHolder
+	engines []recentEngine
 }
 
-type sketchedHolder struct {
-	engine string
-	used   time.Duration
+type recentEngine struct {
+	engine   string
+	lastUsed time.Duration
 }
 
-// NewSketch remembers at most limit prefixes with holders engines each, and
-// a holder no longer than expiry after its last use.
-func NewSketch(limit, holders int, expiry time.Duration) *Sketch {
+// NewSketch returns a Sketch of at most maxPrefixes prefixes with at most
+// maxHolders engines each. An engine counts as a holder of a prefix for the time
+// expiry after it last received that prefix.
+func NewSketch(maxPrefixes, maxHolders int, expiry time.Duration) *Sketch {
 	return &Sketch{
-		limit: max(limit, 1), holders: max(holders, 1), expiry: expiry,
-		known: make(map[uint64]*list.Element), recent: list.New(),
+		maxPrefixes: max(maxPrefixes, 1), maxHolders: max(maxHolders, 1), expiry: expiry,
+		elements: make(map[uint64]*list.Element), lru: list.New(),
 	}
 }
 
-// Record notes that the engine was given a prompt that begins with the runs.
+// Record notes that the engine received a prompt that begins with each of the
+// runs. now is relative to an epoch shared by all calls.
 func (s *Sketch) Record(runs []PrefixRun, engine string, now time.Duration) {
 	for _, run := range runs {
-		s.entry(run).use(engine, now, s.holders)
+		s.findOrAdd(run).recordUse(engine, now, s.maxHolders)
 	}
 }
 
-// Forget drops an engine, whose cache is known to be lost.
+// Forget removes an engine that has lost its cache from all prefixes.
 func (s *Sketch) Forget(engine string) {
-	for element := s.recent.Front(); element != nil; element = element.Next() {
-		element.Value.(*sketched).forget(engine)
+	for element := s.lru.Front(); element != nil; element = element.Next() {
+		element.Value.(*prefixEntry).removeEngine(engine)
 	}
 }
 
-// Holders appends to found the engines that hold the longest remembered part
-// of the runs, each engine once, by index in the snapshot.
+// Holders appends to found the engines of the snapshot that hold any of the
+// runs, each engine once with the longest run it holds, and returns the
+// extended slice. The runs must be ordered by increasing length.
 func (s *Sketch) Holders(found []PrefixHolder, runs []PrefixRun, snapshot *Snapshot, now time.Duration) []PrefixHolder {
 	for index := len(runs) - 1; index >= 0; index-- {
-		element, ok := s.known[runs[index].Hash]
+		element, ok := s.elements[runs[index].Hash]
 		if !ok {
 			continue
 		}
-		for _, holder := range element.Value.(*sketched).engines {
-			if now-holder.used > s.expiry {
+		for _, holder := range element.Value.(*prefixEntry).engines {
+			if now-holder.lastUsed > s.expiry {
 				continue
 			}
 			engine, exists := snapshot.Find(holder.engine)
-			if exists && !holds(found, engine) {
+			if exists && !containsEngine(found, engine) {
 				found = append(found, PrefixHolder{Engine: engine, Tokens: runs[index].Tokens})
 			}
 		}
@@ -78,7 +82,7 @@
 	return found
 }
 
-func holds(found []PrefixHolder, engine int) bool {
+func containsEngine(found []PrefixHolder, engine int) bool {
 	for _, holder := range found {
 		if holder.Engine == engine {
 			return true
@@ -87,42 +91,44 @@
 	return false
 }
 
-// entry finds or makes the entry of a run, dropping the least recently used.
-func (s *Sketch) entry(run PrefixRun) *sketched {
-	if element, ok := s.known[run.Hash]; ok {
-		s.recent.MoveToFront(element)
-		return element.Value.(*sketched)
+// findOrAdd returns the entry of a prefix as the most recently used one. If it
+// has to add one to a full sketch, it drops the least recently used.
+func (s *Sketch) findOrAdd(run PrefixRun) *prefixEntry {
+	if element, ok := s.elements[run.Hash]; ok {
+		s.lru.MoveToFront(element)
+		return element.Value.(*prefixEntry)
 	}
-	if s.recent.Len() >= s.limit {
-		oldest := s.recent.Back()
-		delete(s.known, oldest.Value.(*sketched).run.Hash)
-		s.recent.Remove(oldest)
+	if s.lru.Len() >= s.maxPrefixes {
+		oldest := s.lru.Back()
+		delete(s.elements, oldest.Value.(*prefixEntry).run.Hash)
+		s.lru.Remove(oldest)
 	}
-	added := &sketched{run: run}
-	s.known[run.Hash] = s.recent.PushFront(added)
+	added := &prefixEntry{run: run}
+	s.elements[run.Hash] = s.lru.PushFront(added)
 	return added
 }
 
-// use notes a holder, in place of the one unused for longest when full.
-func (s *sketched) use(engine string, now time.Duration, limit int) {
+// recordUse adds the engine or updates its last use. If there are already limit
+// engines, it replaces the least recently used one.
+func (s *prefixEntry) recordUse(engine string, now time.Duration, limit int) {
 	oldest := 0
 	for index := range s.engines {
 		if s.engines[index].engine == engine {
-			s.engines[index].used = now
+			s.engines[index].lastUsed = now
 			return
 		}
-		if s.engines[index].used < s.engines[oldest].used {
+		if s.engines[index].lastUsed < s.engines[oldest].lastUsed {
 			oldest = index
 		}
 	}
 	if len(s.engines) < limit {
-		s.engines = append(s.engines, sketchedHolder{engine: engine, used: now})
+		s.engines = append(s.engines, recentEngine{engine: engine, lastUsed: now})
 		return
 	}
-	s.engines[oldest] = sketchedHolder{engine: engine, used: now}
+	s.engines[oldest] = recentEngine{engine: engine, lastUsed: now}
 }
 
-func (s *sketched) forget(engine string) {
+func (s *prefixEntry) removeEngine(engine string) {
 	kept := s.engines[:0]
 	for _, holder := range s.engines {
 		if holder.engine != engine {
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -8,35 +8,35 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// candidate is what a decision reads of one engine, worked out once for each
-// snapshot and kept small, so that many fit the processor's caches.
+// candidate holds what decisions read about one engine. It is computed once
+// per snapshot and kept small, so that many fit into the CPU caches.
 type candidate struct {
-	promptCost  float64 // seconds for each uncached prompt token
-	outputCost  float64 // seconds for each generated token, almost alone
-	backlog     float64 // seconds of prefill that wait before a new prompt
-	failure     float64 // factor of at least 1, for the chance that it fails
-	pressure    float64 // how far the prefix cache is from having room, 0 to 1
-	stale       float64 // seconds of age of its report
-	freeing     float64 // slots that a full batch frees a second, for each generated token of a call
-	adapters    uint64  // bits of its adapters
-	zone        uint32  // hash
-	busy        int32   // sequences that run, wait or were placed since the report
-	slots       int32   // sequences that it batches
-	accepting   bool
-	probational bool
+	promptCost      float64 // seconds per uncached prompt token
+	outputCost      float64 // seconds per output token in an almost empty batch
+	backlog         float64 // seconds of prefill queued before a new prompt
+	failureFactor   float64 // at least 1; grows with the error rate
+	pressure        float64 // how much a new prefix evicts others, from 0 (not at all) to 1 (cache full)
+	reportAge       float64 // age of the load report in seconds
+	batchDecodeRate float64 // output tokens per second of all slots, without the slowdown of a full batch
+	adapters        uint64  // bits of the engine's adapters
+	zone            uint32  // hash of the zone
+	busy            int32   // sequences that run, wait or have been placed since the report
+	slots           int32   // maximum number of sequences in a batch
+	accepting       bool
+	probing         bool
 }
 
 const (
-	slowestPerSec     = 1.0  // stands in for a speed that was not measured
-	pressureFrom      = 0.75 // share of the cache in use from which new prefixes displace others
-	worstErrorRate    = 0.9  // an error rate beyond this counts as this
-	exactAdapterBits  = 63   // adapters that have a bit to themselves; the others share the last
+	minTokensPerSec   = 1.0  // lower bound for speeds, which are zero until measured
+	evictionThreshold = 0.75 // share of the cache in use above which new prefixes evict others
+	maxErrorRate      = 0.9  // higher error rates count as this
+	exactAdapterBits  = 63   // adapters that have a bit of their own; the others share the last bit
 	sharedAdapterBit  = uint64(1) << exactAdapterBits
 	defaultMaxRunning = 1
 )
 
-// Build prepares a snapshot: it indexes engines by model and identifier and
-// works out what decisions read. It takes over the slice and the map.
+// Build returns a snapshot of the engines with its indexes and candidates
+// prepared. It takes ownership of the slice and the map.
 func Build(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	snapshot := &Snapshot{
 		Engines:        engines,
@@ -49,18 +49,17 @@
 		engine := &engines[index]
 		snapshot.ByModel[engine.Model] = append(snapshot.ByModel[engine.Model], index)
 		snapshot.byID[engine.ID] = index
-		snapshot.internAdapters(engine.Adapters)
+		snapshot.assignAdapterBits(engine.Adapters)
 	}
 	snapshot.prepareAll(nil)
 	return snapshot
 }
 
-// Refresh prepares the next snapshot from newer states of the same engines.
-// It shares the indexes with the present one, which makes it about twice as
-// fast as Build; when engines, their models, zones or adapters changed
-// it is the same as Build.
+// Refresh returns the next snapshot from newer states of the same engines. It
+// is faster than Build because both snapshots share their indexes. If engines,
+// their models, zones or adapters have changed, it does the same as Build.
 func (s *Snapshot) Refresh(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
-	if s.prepared == nil || !s.sameEngines(engines) {
+	if s.prepared == nil || !s.hasSameEngines(engines) {
 		return Build(engines, sharedPrefixes)
 	}
 	next := &Snapshot{
@@ -74,7 +73,7 @@
 	return next
 }
 
-func (s *Snapshot) sameEngines(engines []Engine) bool {
+func (s *Snapshot) hasSameEngines(engines []Engine) bool {
 	if len(s.Engines) != len(engines) {
 		return false
 	}
@@ -90,34 +89,36 @@
 	return true
 }
 
-// prepareAll works out what decisions read of each engine. What depends on
-// names is taken from former candidates of the same engines, if there are.
-func (s *Snapshot) prepareAll(former []candidate) {
+// prepareAll computes the candidates of all engines. It copies the zone hashes
+// and adapter bits from previous, if not nil, which holds the candidates of the
+// same engines in an earlier snapshot.
+func (s *Snapshot) prepareAll(previous []candidate) {
 	s.prepared = make([]candidate, len(s.Engines))
-	s.roomy = make(map[string][]int, len(s.ByModel))
-	s.memory = make(map[string]int64, len(s.ByModel))
+	s.withRoom = make(map[string][]int, len(s.ByModel))
+	s.cacheCapacity = make(map[string]int64, len(s.ByModel))
 	for model, indexes := range s.ByModel {
-		roomy := make([]int, 0, len(indexes))
+		withRoom := make([]int, 0, len(indexes))
 		for _, index := range indexes {
 			prepared := &s.prepared[index]
 			engine := &s.Engines[index]
-			*prepared = prepare(engine)
-			if former != nil {
-				prepared.zone, prepared.adapters = former[index].zone, former[index].adapters
+			*prepared = newCandidate(engine)
+			if previous != nil {
+				prepared.zone, prepared.adapters = previous[index].zone, previous[index].adapters
 			} else {
 				prepared.zone, prepared.adapters = zoneHash(engine.Zone), s.adapterBitsOf(engine.Adapters)
 			}
 			if prepared.busy < prepared.slots {
-				roomy = append(roomy, index)
+				withRoom = append(withRoom, index)
 			}
 		}
-		s.roomy[model] = roomy
-		s.memory[model] = s.memoryOf(indexes)
+		s.withRoom[model] = withRoom
+		s.cacheCapacity[model] = s.sumCacheTokens(indexes)
 	}
 }
 
-// memoryOf adds up the cache tokens of accepting engines.
-func (s *Snapshot) memoryOf(indexes []int) int64 {
+// sumCacheTokens returns the sum of CacheTokens of the accepting engines among
+// indexes.
+func (s *Snapshot) sumCacheTokens(indexes []int) int64 {
 	total := int64(0)
 	for _, index := range indexes {
 		if s.Engines[index].Accepting {
@@ -127,16 +128,17 @@
 	return total
 }
 
-// cacheTokens is the memory of the accepting engines of a model.
+// cacheTokens returns the sum of CacheTokens of a model's accepting engines.
 func (s *Snapshot) cacheTokens(model string) int64 {
 	if s.prepared != nil {
-		return s.memory[model]
+		return s.cacheCapacity[model]
 	}
-	return s.memoryOf(s.ByModel[model])
+	return s.sumCacheTokens(s.ByModel[model])
 }
 
-// internAdapters gives new adapters a bit to themselves while there are bits.
-func (s *Snapshot) internAdapters(adapters []string) {
+// assignAdapterBits gives each new adapter a bit of its own until all
+// exactAdapterBits are in use.
+func (s *Snapshot) assignAdapterBits(adapters []string) {
 	for _, adapter := range adapters {
 		_, known := s.adapterBits[adapter]
 		if !known && len(s.adapterBits) < exactAdapterBits {
@@ -153,8 +155,8 @@
 	return bits
 }
 
-// nowhere tells that certainly no engine has the adapter.
-func (s *Snapshot) nowhere(adapter string) bool {
+// isUnknownAdapter reports whether it is certain that no engine has the adapter.
+func (s *Snapshot) isUnknownAdapter(adapter string) bool {
 	if adapter == "" || s.prepared == nil || len(s.adapterBits) == exactAdapterBits {
 		return false
 	}
@@ -162,7 +164,8 @@
 	return !known
 }
 
-// adapterBit gives the bit that an engine must have to serve the adapter.
+// adapterBit returns the bit that an engine must have to serve the adapter, and
+// zero for the empty name.
 func (s *Snapshot) adapterBit(adapter string) uint64 {
 	if adapter == "" {
 		return 0
@@ -173,7 +176,7 @@
 	return sharedAdapterBit
 }
 
-// Find returns the index of the engine with the identifier.
+// Find returns the index in Engines of the engine with the ID.
 func (s *Snapshot) Find(id string) (index int, found bool) {
 	if s.byID != nil {
 		index, found = s.byID[id]
@@ -187,23 +190,23 @@
 	return 0, false
 }
 
-// prepare works out all that depends on an engine's state; zone and adapters
-// are left to the caller.
-func prepare(engine *Engine) candidate {
-	prefill := max(engine.PrefillPerSec, slowestPerSec)
-	decode := max(engine.DecodePerSec, slowestPerSec)
+// newCandidate computes the candidate of an engine except zone and adapters,
+// which the caller sets.
+func newCandidate(engine *Engine) candidate {
+	prefill := max(engine.PrefillPerSec, minTokensPerSec)
+	decode := max(engine.DecodePerSec, minTokensPerSec)
 	return candidate{
-		promptCost:  1 / prefill,
-		outputCost:  1 / decode,
-		backlog:     float64(engine.WaitingTokens+engine.PlacedTokens) / prefill,
-		failure:     1 / (1 - min(max(engine.ErrorRate, 0), worstErrorRate)),
-		pressure:    cachePressure(engine),
-		stale:       engine.ReportAge.Seconds(),
-		freeing:     float64(max(engine.MaxRunning, defaultMaxRunning)) * decode,
-		busy:        int32(engine.Running + engine.Waiting + engine.PlacedSince),
-		slots:       int32(max(engine.MaxRunning, defaultMaxRunning)),
-		accepting:   engine.Accepting,
-		probational: !engine.Accepting && engine.Probing && engine.PlacedSince == 0,
+		promptCost:      1 / prefill,
+		outputCost:      1 / decode,
+		backlog:         float64(engine.WaitingTokens+engine.PlacedTokens) / prefill,
+		failureFactor:   1 / (1 - min(max(engine.ErrorRate, 0), maxErrorRate)),
+		pressure:        cachePressure(engine),
+		reportAge:       engine.ReportAge.Seconds(),
+		batchDecodeRate: float64(max(engine.MaxRunning, defaultMaxRunning)) * decode,
+		busy:            int32(engine.Running + engine.Waiting + engine.PlacedSince),
+		slots:           int32(max(engine.MaxRunning, defaultMaxRunning)),
+		accepting:       engine.Accepting,
+		probing:         !engine.Accepting && engine.Probing && engine.PlacedSince == 0,
 	}
 }
 
@@ -212,7 +215,7 @@
 		return 1
 	}
 	used := float64(engine.CacheUsed) / float64(engine.CacheTokens)
-	return min(max((used-pressureFrom)/(1-pressureFrom), 0), 1)
+	return min(max((used-evictionThreshold)/(1-evictionThreshold), 0), 1)
 }
 
 func zoneHash(zone identity.Zone) uint32 {
