--- a/internal/dispatch/cancel.go
+++ b/internal/dispatch/cancel.go
@@ -12,56 +12,58 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// States of a request at an engine, from api/engine/v1.
+// The states of a request that an engine reports, as in api/engine/v1.
 const (
 	stateFinished  = "finished"
 	stateCancelled = "cancelled"
 	stateFailed    = "failed"
 )
 
-// errForgotten means that the engine restarted and lost the count of tokens.
-var errForgotten = errors.New("the engine forgot what it generated")
+// errEngineRestarted means that the engine reports no tokens although it has
+// sent content: it has restarted and lost the count.
+var errEngineRestarted = errors.New("the engine restarted and lost the count of tokens")
 
-// cleanup gives a short time of its own after the attempt's context ended.
+// cleanup returns a context for requests after the attempt has ended. It is not
+// cancelled with ctx but lasts for CleanupTimeout.
 func (a *attempt) cleanup(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(ctx), a.http.options.CleanupTimeout)
 }
 
-// abandon ends a completion that could not be followed to its end: it is
-// cancelled at the engine, which then says exactly what was generated. After
-// a loss of leadership the request is left to the next leader.
+// abandon reports a completion that could not be followed to its end. It cancels
+// the request at the engine, which then returns the exact number of generated
+// tokens. After a loss of leadership it leaves the request to the next leader.
 func (c *completion) abandon(ctx context.Context, end streamEnd) Report {
 	if errors.Is(context.Cause(ctx), ErrLeadershipLost) {
-		return c.unknown("leave to the next leader", ErrLeadershipLost)
+		return c.reportUnknown("leave to the next leader", ErrLeadershipLost)
 	}
 	cleanup, cancel := c.cleanup(ctx)
 	defer cancel()
-	if !end.alive && !c.known(cleanup) {
-		return c.unknown(end.step, end.err)
+	if !end.endedLocally && !c.isKnown(cleanup) {
+		return c.reportUnknown(end.step, end.err)
 	}
 	status, err := c.cancel(cleanup)
 	if err != nil {
-		return c.unknown("cancel request", eris.Wrapf(err, "%s: %v; then", end.step, end.err))
+		return c.reportUnknown("cancel request", eris.Wrapf(err, "%s: %v; cancellation failed", end.step, end.err))
 	}
 	if status.Usage.CompletionTokens == 0 && c.assembly.content.Len() > 0 {
-		return c.unknown("cancel request", errForgotten)
+		return c.reportUnknown("cancel request", errEngineRestarted)
 	}
 	switch status.State {
 	case stateFinished:
-		return c.collect(ctx, cleanup, end, status)
+		return c.collectFinished(ctx, cleanup, end, status)
 	case stateCancelled, stateFailed:
-		return c.failed(c.abandonProblem(ctx, end), status.Usage.CompletionTokens, 0)
+		return c.reportFailed(c.abandonProblem(ctx, end), status.Usage.CompletionTokens, 0)
 	default:
-		return c.unknown("cancel request", eris.Errorf("%s: %v; the engine says %q", end.step, end.err, status.State))
+		return c.reportUnknown("cancel request", eris.Errorf("%s: %v; the engine reports the state %q", end.step, end.err, status.State))
 	}
 }
 
-// known says whether the engine still knows the request. One that restarted
-// does not, and must not be believed when it says that nothing was generated.
-func (c *completion) known(ctx context.Context) bool {
+// isKnown reports whether the engine still knows the request. An engine that has
+// restarted does not, and its answer that nothing was generated would be wrong.
+func (c *completion) isKnown(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	response, err := ask(ctx, c.http.control, http.MethodGet, c.resumeAddress())
+	response, err := doRequest(ctx, c.http.control, http.MethodGet, c.resumeAddress())
 	if err != nil {
 		return false
 	}
@@ -69,14 +71,14 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// collect fetches the rest of a request that finished before it could be cancelled.
-func (c *completion) collect(ctx, cleanup context.Context, end streamEnd, status enginev1.RequestStatus) Report {
+// collectFinished fetches the rest of a request that finished before it could be cancelled.
+func (c *completion) collectFinished(ctx, cleanup context.Context, end streamEnd, status enginev1.RequestStatus) Report {
 	if end.verdict != verdictTooLarge {
 		if last := c.resume(cleanup); last.verdict == verdictComplete {
-			return c.answered(c.answer())
+			return c.reportAnswered(c.answer())
 		}
 	}
-	return c.failed(c.abandonProblem(ctx, end), status.Usage.CompletionTokens, 0)
+	return c.reportFailed(c.abandonProblem(ctx, end), status.Usage.CompletionTokens, 0)
 }
 
 func (c *completion) abandonProblem(ctx context.Context, end streamEnd) *problem.Problem {
@@ -86,10 +88,12 @@
 	return c.problem(problem.KindBackEndFailed, end.step, end.err)
 }
 
-// generated gives the exact count of a failed request: as told, or asked for.
-func (c *completion) generated(ctx context.Context, told *enginev1.Usage) int64 {
-	if told != nil {
-		return told.CompletionTokens
+// generatedTokens returns the exact number of tokens that a failed request
+// generated: the reported one, or else the one that the engine returns on
+// cancellation. It returns tokensUnknown if that fails.
+func (c *completion) generatedTokens(ctx context.Context, reported *enginev1.Usage) int64 {
+	if reported != nil {
+		return reported.CompletionTokens
 	}
 	cleanup, cancel := c.cleanup(ctx)
 	defer cancel()
@@ -100,17 +104,17 @@
 	return status.Usage.CompletionTokens
 }
 
-// cancel asks the engine to cancel, and returns the state that it tells.
+// cancel asks the engine to cancel the request and returns its final status.
 func (c *completion) cancel(ctx context.Context) (enginev1.RequestStatus, error) {
 	var status enginev1.RequestStatus
 	c.http.metrics.cancels.Inc()
-	response, err := ask(ctx, c.http.control, http.MethodDelete, c.address(enginev1.PathRequests, c.requestID()))
+	response, err := doRequest(ctx, c.http.control, http.MethodDelete, c.address(enginev1.PathRequests, c.requestID()))
 	if err != nil {
 		return status, err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		_, detail := errorReply(response)
+		_, detail := readErrorReply(response)
 		return status, detail
 	}
 	body, err := readBody(response.Body, maxErrorBytes)
@@ -121,7 +125,7 @@
 		return status, eris.Wrap(err, "decode request status")
 	}
 	if status.RequestID != c.requestID() {
-		return status, eris.Wrapf(errForeign, "status of %q", status.RequestID)
+		return status, eris.Wrapf(errWrongID, "status of %q", status.RequestID)
 	}
 	return status, nil
 }
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -16,34 +16,34 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// verdict is what one stream of a completion came to.
+// verdict is the outcome of one stream of a completion.
 type verdict uint8
 
 const (
-	verdictBroken   verdict = iota // cut, silent or unreachable: look it up
-	verdictComplete                // the whole answer is there
-	verdictNeverRan                // nothing left, or the engine says that it did not start
+	verdictBroken   verdict = iota // interrupted, silent or unreachable: the request has to be looked up
+	verdictComplete                // the whole answer was received
+	verdictNeverRan                // nothing was sent, or the engine says that it did not start
 	verdictFailed                  // the engine says that it ended without an answer
 	verdictGone                    // the engine does not know the request
-	verdictTooLarge                // more than the limits allow
+	verdictTooLarge                // the answer exceeds the limits
 )
 
-// streamEnd tells how one stream ended.
+// streamEnd describes how one stream ended.
 type streamEnd struct {
-	verdict    verdict
-	step       string
-	err        error
-	usage      *enginev1.Usage // of a failure, if told
-	retry      time.Duration
-	progressed bool // brought content, or was silent though the engine knows it
-	alive      bool // the stream stood until the attempt's own context ended it
+	verdict      verdict
+	step         string
+	err          error
+	usage        *enginev1.Usage // usage of a failed request, if the engine reported it
+	retryAfter   time.Duration
+	progressed   bool // the stream brought content, or was silent although the engine knows the request
+	endedLocally bool // this side ended a working stream: its context ended or the answer was too large
 }
 
 // completion is an attempt at a model engine.
 type completion struct {
 	*attempt
 	assembly   assembly
-	firstToken time.Duration
+	firstToken time.Duration // time to the first content; zero: none received
 }
 
 func newCompletion(a *attempt) *completion {
@@ -54,10 +54,10 @@
 }
 
 func (c *completion) run(ctx context.Context) Report {
-	end := streamEnd{step: "resume stream", err: errors.New("sent by a former leader")}
+	end := streamEnd{step: "resume stream", err: errors.New("sent by a previous leader")}
 	if !c.order.Resume {
-		if c.maxTokens() <= 0 {
-			return c.neverRan(c.problem(problem.KindBudgetExhausted, "check limit", errors.New("no tokens reserved")), 0)
+		if c.tokenLimit() <= 0 {
+			return c.reportNeverRan(c.problem(problem.KindBudgetExhausted, "check limit", errors.New("no tokens reserved")), 0)
 		}
 		end = c.start(ctx)
 	}
@@ -65,27 +65,28 @@
 	return c.report(ctx, end)
 }
 
-// maxTokens is the smaller of what the caller asked for and what is reserved.
-func (c *completion) maxTokens() int64 {
+// tokenLimit returns the smaller of the caller's limit and the reserved tokens.
+func (c *completion) tokenLimit() int64 {
 	if c.order.Call.MaxTokens > 0 {
 		return min(c.order.Call.MaxTokens, c.order.Limit)
 	}
 	return c.order.Limit
 }
 
-// follow resumes a broken stream until it ends, tries run out or the context does.
+// follow resumes a broken stream until it ends, MaxTries tries have made no
+// progress, or ctx ends.
 func (c *completion) follow(ctx context.Context, end streamEnd) streamEnd {
-	pauses := c.http.pauses()
+	backoff := c.http.newBackoff()
 	tries := 0
 	for end.verdict == verdictBroken && ctx.Err() == nil {
 		if end.progressed {
 			tries = 0
-			pauses.Reset()
+			backoff.Reset()
 		}
 		if tries == c.http.options.MaxTries {
 			return end
 		}
-		if tries > 0 && !pause.For(ctx, pauses.NextBackOff()) {
+		if tries > 0 && !pause.For(ctx, backoff.NextBackOff()) {
 			return end
 		}
 		tries++
@@ -95,22 +96,22 @@
 	return end
 }
 
-// start posts the request, once.
+// start posts the request once and reads the stream.
 func (c *completion) start(ctx context.Context) streamEnd {
-	ctx, stop, dog := watch(ctx, c.http.options.IdleStream)
-	response, left, err := post(ctx, c.client(), c.order.Address+enginev1.PathCompletions, c.request())
+	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.IdleStream)
+	response, sent, err := postOnce(ctx, c.postClient(), c.order.Address+enginev1.PathCompletions, c.request())
 	if err != nil {
 		stop()
-		if !left {
+		if !sent {
 			return streamEnd{verdict: verdictNeverRan, step: "dial engine", err: err}
 		}
 		return streamEnd{verdict: verdictBroken, step: "post completion", err: err}
 	}
 	if response.StatusCode != http.StatusOK {
 		defer stop()
-		return c.refused(response)
+		return c.handleErrorReply(response)
 	}
-	return c.consume(response, stop, dog)
+	return c.consume(response, stop, timer)
 }
 
 func (c *completion) request() *enginev1.CompletionRequest {
@@ -127,14 +128,15 @@
 		Model:      c.order.Call.Name,
 		Adapter:    c.order.Call.Adapter,
 		Messages:   messages,
-		MaxTokens:  c.maxTokens(),
+		MaxTokens:  c.tokenLimit(),
 		Priority:   priorityOf(c.order.Class),
 		DeadlineMS: c.deadlineMS(),
 		Stream:     true,
 	}
 }
 
-// priorityOf maps the declared class to the engine's number; unknown is standard.
+// priorityOf returns the engine's priority for a declared class. Unknown classes
+// count as standard.
 func priorityOf(class string) int {
 	switch class {
 	case "interactive":
@@ -146,34 +148,35 @@
 	}
 }
 
-// refused reads an error reply to the post.
-func (c *completion) refused(response *http.Response) streamEnd {
+// handleErrorReply returns how the stream ended if the post was answered with an
+// error status.
+func (c *completion) handleErrorReply(response *http.Response) streamEnd {
 	defer response.Body.Close()
 	end := streamEnd{
-		verdict: verdictFailed,
-		step:    "post completion",
-		retry:   retryAfter(response),
+		verdict:    verdictFailed,
+		step:       "post completion",
+		retryAfter: retryAfter(response),
 	}
-	if neverStarted(response) {
+	if isNeverStarted(response) {
 		end.verdict = verdictNeverRan
 	}
-	usage, detail := errorReply(response)
+	usage, detail := readErrorReply(response)
 	end.err = detail
 	end.usage = usage
 	return end
 }
 
-// resume asks for the rest of the stream from the next byte on.
+// resume requests the rest of the stream after the content received so far.
 func (c *completion) resume(ctx context.Context) streamEnd {
-	ctx, stop, dog := watch(ctx, c.http.options.IdleStream)
-	response, err := ask(ctx, c.http.data, http.MethodGet, c.resumeAddress())
+	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.IdleStream)
+	response, err := doRequest(ctx, c.http.data, http.MethodGet, c.resumeAddress())
 	if err != nil {
 		stop()
 		return streamEnd{verdict: verdictBroken, step: "resume stream", err: err}
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
-		return c.consume(response, stop, dog)
+		return c.consume(response, stop, timer)
 	case http.StatusNotFound:
 		defer stop()
 		defer response.Body.Close()
@@ -181,7 +184,7 @@
 	default:
 		defer stop()
 		defer response.Body.Close()
-		_, detail := errorReply(response)
+		_, detail := readErrorReply(response)
 		return streamEnd{verdict: verdictBroken, step: "resume stream", err: detail}
 	}
 }
@@ -190,19 +193,19 @@
 	return c.address(enginev1.PathRequests, c.requestID()) + "?offset=" + strconv.Itoa(c.assembly.content.Len())
 }
 
-// consume reads a stream that was opened.
-func (c *completion) consume(response *http.Response, stop context.CancelFunc, dog *watchdog) streamEnd {
+// consume reads a stream to its end and closes it.
+func (c *completion) consume(response *http.Response, stop context.CancelFunc, timer *idleTimer) streamEnd {
 	before := c.assembly.content.Len()
 	end := streamEnd{verdict: verdictBroken, step: "read stream"}
-	end.err = readEvents(aliveReader{Reader: response.Body, dog: dog}, c.http.options.MaxEventBytes,
-		func(chunk *enginev1.CompletionChunk) (bool, error) { return c.takeChunk(chunk, &end) })
+	end.err = readEvents(idleResetReader{Reader: response.Body, timer: timer}, c.http.options.MaxEventBytes,
+		func(chunk *enginev1.CompletionChunk) (bool, error) { return c.addChunk(chunk, &end) })
 	if end.verdict == verdictComplete {
 		drain(response.Body, stop)
 		return end
 	}
 	cause := context.Cause(response.Request.Context())
 	idle := errors.Is(cause, errIdle)
-	end.alive = cause != nil && !idle || errors.Is(end.err, errTooLarge)
+	end.endedLocally = cause != nil && !idle || errors.Is(end.err, errTooLarge)
 	stop()
 	_ = response.Body.Close()
 	if errors.Is(end.err, errTooLarge) {
@@ -212,48 +215,48 @@
 	return end
 }
 
-func (c *completion) takeChunk(chunk *enginev1.CompletionChunk, end *streamEnd) (bool, error) {
+func (c *completion) addChunk(chunk *enginev1.CompletionChunk, end *streamEnd) (bool, error) {
 	if chunk.Error != "" && chunk.ID == c.assembly.requestID {
 		end.verdict = verdictFailed
 		end.usage = chunk.Usage
 		return true, eris.New(chunk.Error)
 	}
-	fresh, err := c.assembly.take(chunk)
+	added, err := c.assembly.add(chunk)
 	if err != nil {
 		return true, err
 	}
-	if fresh != "" {
+	if added != "" {
 		if c.firstToken == 0 {
 			c.firstToken = time.Since(c.started)
 		}
-		c.piece(fresh)
+		c.onContent(added)
 	}
-	if c.assembly.complete() {
+	if c.assembly.isComplete() {
 		end.verdict = verdictComplete
 		return true, nil
 	}
 	return false, nil
 }
 
-// report turns the last stream's end into what is certain.
+// report returns what is certain after the last stream ended.
 func (c *completion) report(ctx context.Context, end streamEnd) Report {
 	switch end.verdict {
 	case verdictComplete:
-		return c.answered(c.answer())
+		return c.reportAnswered(c.answer())
 	case verdictNeverRan:
 		kind := problem.KindBackEndFailed
 		if ctx.Err() != nil {
-			return c.neverRan(c.contextProblem(ctx, end.step), end.retry)
+			return c.reportNeverRan(c.contextProblem(ctx, end.step), end.retryAfter)
 		}
-		return c.neverRan(c.problem(kind, end.step, end.err), end.retry)
+		return c.reportNeverRan(c.problem(kind, end.step, end.err), end.retryAfter)
 	case verdictFailed:
-		return c.failed(c.problem(problem.KindBackEndFailed, end.step, end.err), c.generated(ctx, end.usage), end.retry)
+		return c.reportFailed(c.problem(problem.KindBackEndFailed, end.step, end.err), c.generatedTokens(ctx, end.usage), end.retryAfter)
 	case verdictGone:
-		return c.unknown(end.step, end.err)
+		return c.reportUnknown(end.step, end.err)
 	case verdictBroken, verdictTooLarge:
 		return c.abandon(ctx, end)
 	}
-	return c.unknown(end.step, end.err)
+	return c.reportUnknown(end.step, end.err)
 }
 
 func (c *completion) answer() *program.Answer {
@@ -267,17 +270,18 @@
 	}
 }
 
-// errorReply reads the error text, and the usage if it is told.
-func errorReply(response *http.Response) (*enginev1.Usage, error) {
-	body, _ := readBody(response.Body, maxErrorBytes) // what arrived of the text is better than none
+// readErrorReply returns the usage, if the reply has one, and its text as an
+// error.
+func readErrorReply(response *http.Response) (*enginev1.Usage, error) {
+	body, _ := readBody(response.Body, maxErrorBytes) // error ignored: a partial text is better than none
 	var reply struct {
 		Usage *enginev1.Usage `json:"usage"`
 	}
-	_ = json.Unmarshal(body, &reply) // a text that is no document tells no usage
-	return reply.Usage, eris.Errorf("%s: %.*s", response.Status, maxErrorText, body)
+	_ = json.Unmarshal(body, &reply) // error ignored: without valid JSON there is no usage
+	return reply.Usage, eris.Errorf("%s: %.*s", response.Status, maxErrorTextBytes, body)
 }
 
 const (
-	maxErrorBytes = 64 << 10
-	maxErrorText  = 300
+	maxErrorBytes     = 64 << 10
+	maxErrorTextBytes = 300
 )
--- a/internal/dispatch/completion_test.go
+++ b/internal/dispatch/completion_test.go
@@ -18,8 +18,8 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// wholeAnswer is what any engine gives to modelOrder.
-func wholeAnswer() string {
+// expectedAnswer returns the content with which every engine answers modelOrder.
+func expectedAnswer() string {
 	content, _ := modelengine.Answer("model", "", []enginev1.Message{{Role: "user", Content: "before"}, {Role: "user", Content: "now tokens=60"}}, 50)
 	return content
 }
@@ -27,15 +27,15 @@
 var _ = Describe("a completion", func() {
 	var (
 		engine     *modelengine.Engine
-		served     *backEnd
+		backend    *backEnd
 		dispatcher *dispatch.HTTP
 		pieces     *strings.Builder
 	)
-	piece := func(content string) { pieces.WriteString(content) }
+	onContent := func(content string) { pieces.WriteString(content) }
 	serveEngine := func(timeScale float64) {
 		engine = modelengine.New(modelengine.Options{Name: "engine-1", Model: "model", TimeScale: timeScale})
 		DeferCleanup(engine.Close)
-		served = serve(engine)
+		backend = serve(engine)
 	}
 
 	BeforeEach(func() {
@@ -44,10 +44,10 @@
 		pieces = &strings.Builder{}
 	})
 
-	It("streams the whole answer and gives the smaller limit to the engine", func() {
-		report := dispatcher.Send(context.Background(), modelOrder(served.address), piece)
+	It("streams the whole answer and passes the smaller token limit to the engine", func() {
+		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingAnswered))
-		Expect(report.Answer.Content).To(Equal(wholeAnswer()))
+		Expect(report.Answer.Content).To(Equal(expectedAnswer()))
 		Expect(report.Answer.CompletionTokens).To(BeEquivalentTo(50))
 		Expect(report.Answer.FinishReason).To(Equal("length"))
 		Expect(pieces.String()).To(Equal(report.Answer.Content))
@@ -56,76 +56,76 @@
 		Expect(record.RequestID).To(Equal(string(testProgram) + "/3/1"))
 	})
 
-	It("resumes a stream that was cut, also before its last chunk, and posts once", func() {
+	It("resumes an interrupted stream, also before its last chunk, and posts only once", func() {
 		engine.Faults.Set([]standin.Rule{
 			{Point: standin.PointStream, Action: standin.ActionLose, AfterChunks: 2, Times: 4},
 			{Point: standin.PointAfter, Action: standin.ActionLose, Times: 1},
 		})
-		report := dispatcher.Send(context.Background(), modelOrder(served.address), piece)
+		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingAnswered))
-		Expect(pieces.String()).To(Equal(wholeAnswer()))
-		Expect(served.posts.Load()).To(BeEquivalentTo(1))
+		Expect(pieces.String()).To(Equal(expectedAnswer()))
+		Expect(backend.posts.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("follows an attempt of a former leader without posting it", func() {
-		order := modelOrder(served.address)
+	It("follows an attempt of a previous leader without posting it", func() {
+		order := modelOrder(backend.address)
 		order.Resume = true
-		Expect(dispatcher.Send(context.Background(), order, piece).Ending).To(Equal(dispatch.EndingUnknown))
-		Expect(served.posts.Load()).To(BeZero())
-		Expect(dispatcher.Send(context.Background(), modelOrder(served.address), piece).Ending).To(Equal(dispatch.EndingAnswered))
-		Expect(dispatcher.Send(context.Background(), order, piece).Ending).To(Equal(dispatch.EndingAnswered))
-		Expect(served.posts.Load()).To(BeEquivalentTo(1))
+		Expect(dispatcher.Send(context.Background(), order, onContent).Ending).To(Equal(dispatch.EndingUnknown))
+		Expect(backend.posts.Load()).To(BeZero())
+		Expect(dispatcher.Send(context.Background(), modelOrder(backend.address), onContent).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(dispatcher.Send(context.Background(), order, onContent).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(backend.posts.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("says that it never ran only when nothing left, or the engine says so", func() {
+	It("reports never-ran only if nothing was sent or the engine says so", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
-		report := dispatcher.Send(context.Background(), modelOrder("http://"+address), piece)
+		report := dispatcher.Send(context.Background(), modelOrder("http://"+address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingNeverRan))
 		Expect(report.Problem.Error()).To(ContainSubstring("dial engine with engine-1"))
 
 		header := map[string]string{enginev1.HeaderNeverStarted: "true", "Retry-After": "2"}
-		served.meddle = func(writer http.ResponseWriter, request *http.Request) bool {
+		backend.intercept = func(writer http.ResponseWriter, request *http.Request) bool {
 			for name, value := range header {
 				writer.Header().Set(name, value)
 			}
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return true
 		}
-		report = dispatcher.Send(context.Background(), modelOrder(served.address), piece)
+		report = dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingNeverRan))
 		Expect(report.Retry).To(Equal(2 * time.Second))
 
 		clear(header)
-		report = dispatcher.Send(context.Background(), modelOrder(served.address), piece)
+		report = dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
 		Expect(report.Generated).To(BeEquivalentTo(-1))
 	})
 
-	It("never says never-ran of a post that was cut and that the engine does not know", func() {
+	It("does not report never-ran for an interrupted post that the engine does not know", func() {
 		engine.Faults.Add(standin.Rule{Point: standin.PointBefore, Action: standin.ActionLose, Times: 1})
-		report := dispatcher.Send(context.Background(), modelOrder(served.address), piece)
+		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(report.Problem.Outcome).To(Equal(problem.OutcomeUnknown))
-		Expect(served.posts.Load()).To(BeEquivalentTo(1))
+		Expect(backend.posts.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("takes no other request's content", func() {
-		served.meddle = func(writer http.ResponseWriter, _ *http.Request) bool {
+	It("rejects the content of another request", func() {
+		backend.intercept = func(writer http.ResponseWriter, _ *http.Request) bool {
 			_, _ = io.WriteString(writer, `data: {"id":"another/1/1","choices":[{"delta":{"content":"x"},"finish_reason":"stop"}],"usage":{}}`+"\n\n")
 			return true
 		}
-		report := dispatcher.Send(context.Background(), modelOrder(served.address), piece)
+		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(pieces.Len()).To(BeZero())
 	})
 
-	It("cancels at the engine when the caller cancels, and tells what was generated", func() {
+	It("cancels at the engine when the caller cancels, and reports the generated tokens", func() {
 		serveEngine(1)
 		ctx, cancel := context.WithCancel(context.Background())
-		report := dispatcher.Send(ctx, modelOrder(served.address), func(string) { cancel() })
+		report := dispatcher.Send(ctx, modelOrder(backend.address), func(string) { cancel() })
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
 		Expect(report.Problem.Kind).To(Equal(problem.KindCancelled))
 		record := engine.Records().Requests[0]
@@ -136,7 +136,7 @@
 	It("leaves the request running when leadership is lost", func() {
 		serveEngine(1)
 		ctx, cancel := context.WithCancelCause(context.Background())
-		report := dispatcher.Send(ctx, modelOrder(served.address), func(string) { cancel(dispatch.ErrLeadershipLost) })
+		report := dispatcher.Send(ctx, modelOrder(backend.address), func(string) { cancel(dispatch.ErrLeadershipLost) })
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(engine.Records().Requests[0].State).To(Equal("running"))
 	})
--- a/internal/dispatch/connection.go
+++ b/internal/dispatch/connection.go
@@ -11,50 +11,50 @@
 )
 
 const (
-	idleConnectionTimeout = 30 * time.Second
-	idleConnectionsPerEnd = 64
-	maxHeaderBytes        = 64 << 10
+	idleConnectionTimeout     = 30 * time.Second
+	maxIdleConnectionsPerHost = 64
+	maxHeaderBytes            = 64 << 10
 )
 
-// guardedConnection counts what is written and can be sealed: after Seal
-// returns, no further byte leaves, so the count is final.
+// guardedConnection counts the bytes written to a connection. After Seal has
+// returned, no more bytes are sent, so the count is final.
 type guardedConnection struct {
 	net.Conn
-	writing sync.Mutex
-	written int64
-	sealed  atomic.Bool
+	writeMutex sync.Mutex
+	written    int64
+	sealed     atomic.Bool
 }
 
 func (c *guardedConnection) Write(data []byte) (int, error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
 	if c.sealed.Load() {
 		return 0, net.ErrClosed
 	}
-	c.written += int64(len(data)) // Counted before the effect: never too few.
+	c.written += int64(len(data)) // Counted before the write, so that the count is never too low.
 	return c.Conn.Write(data)
 }
 
-// Seal closes the connection and returns the bytes that may have left.
+// Seal closes the connection and returns how many bytes may have been sent.
 func (c *guardedConnection) Seal() int64 {
 	c.sealed.Store(true)
-	_ = c.Close() // Unblocks a Write that is under way.
+	_ = c.Close() // Unblocks a Write in progress.
 	return c.Written()
 }
 
-// Written returns the bytes that may have left so far.
+// Written returns how many bytes may have been sent so far.
 func (c *guardedConnection) Written() int64 {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMutex.Lock()
+	defer c.writeMutex.Unlock()
 	return c.written
 }
 
-// sentTrace finds out whether a byte of one request may have left.
+// sentTrace determines whether any byte of one HTTP request may have been sent.
 type sentTrace struct {
-	mutex      sync.Mutex
-	connection *guardedConnection
-	before     int64
-	uncertain  bool
+	mutex         sync.Mutex
+	connection    *guardedConnection
+	writtenBefore int64
+	isUncertain   bool
 }
 
 func (t *sentTrace) attach(ctx context.Context) context.Context {
@@ -66,29 +66,30 @@
 	defer t.mutex.Unlock()
 	guarded, ok := info.Conn.(*guardedConnection)
 	if !ok || t.connection != nil {
-		t.uncertain = true
+		t.isUncertain = true
 		return
 	}
 	t.connection = guarded
-	t.before = guarded.Written()
+	t.writtenBefore = guarded.Written()
 }
 
-// mayHaveLeft is called after the request failed. False is certain: no byte
-// left and none will.
-func (t *sentTrace) mayHaveLeft() bool {
+// mayHaveSent reports whether any byte may have been sent. It must be called
+// after the request has failed, and closes the connection, so that nothing is
+// sent later either.
+func (t *sentTrace) mayHaveSent() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.uncertain {
+	if t.isUncertain {
 		return true
 	}
 	if t.connection == nil {
 		return false
 	}
-	return t.connection.Seal() != t.before
+	return t.connection.Seal() != t.writtenBefore
 }
 
-// newClient makes an HTTP client that follows no redirect, uses no proxy and
-// whose connections are guarded.
+// newClient returns an HTTP client that follows no redirects, uses no proxy and
+// dials guardedConnections.
 func newClient(options Options, maxPerHost int, keepAlive bool) *http.Client {
 	dialer := &net.Dialer{Timeout: options.DialTimeout}
 	transport := &http.Transport{
@@ -100,7 +101,7 @@
 			return &guardedConnection{Conn: connection}, nil
 		},
 		MaxConnsPerHost:        maxPerHost,
-		MaxIdleConnsPerHost:    idleConnectionsPerEnd,
+		MaxIdleConnsPerHost:    maxIdleConnectionsPerHost,
 		IdleConnTimeout:        idleConnectionTimeout,
 		DisableKeepAlives:      !keepAlive,
 		DisableCompression:     true,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,5 +1,6 @@
-// Package dispatch sends attempts to back ends over HTTP: it streams, carries
-// deadlines, cancels, and tells truthfully how each attempt ended.
+// Package dispatch sends attempts to back ends over HTTP. It streams answers,
+// passes on deadlines, cancels, and reports what is certain about how each
+// attempt ended.
 package dispatch
 
 import (
@@ -16,44 +17,47 @@
 
 // The endings of an attempt.
 const (
-	// EndingAnswered: the whole answer was received.
+	// EndingAnswered means that the whole answer was received.
 	EndingAnswered Ending = iota
-	// EndingNeverRan: no byte left this process, or the back end itself said that it did not start.
+	// EndingNeverRan means that no byte was sent, or that the back end said that
+	// it did not start.
 	EndingNeverRan
-	// EndingFailed: the back end ran or rejected it and said so; Generated is exact.
+	// EndingFailed means that the back end said that the attempt failed or was
+	// rejected.
 	EndingFailed
-	// EndingUnknown: it may have run, may still run.
+	// EndingUnknown means that the attempt may have run or may still be running.
 	EndingUnknown
 )
 
-// Order is one attempt to send. Its identifier "program/sequence/attempt" and
-// the call's "program/sequence" are given to the back end.
+// Order describes one attempt to send. The back end receives the identifiers of
+// the attempt, "program/sequence/attempt", and of the call, "program/sequence".
 type Order struct {
 	Program  identity.Program
 	Tenant   identity.Tenant
 	Call     program.CallSpec
-	Number   uint32
+	Number   uint32 // number of the attempt in its call
 	Class    string
-	History  []program.Message // models: the whole prompt before this call's messages
-	BackEnd  string
-	Address  string // base URL "http://ip:port"
-	Limit    int64  // tokens reserved: the most that may be generated
-	Deadline time.Time
-	Resume   bool // the attempt was sent by a former leader: look it up, never send it anew
+	History  []program.Message // for models: the prompt before this call's messages
+	BackEnd  string            // name of the back end, for reports
+	Address  string            // base URL, "http://ip:port"
+	Limit    int64             // reserved tokens, the maximum that may be generated
+	Deadline time.Time         // zero: Options.MaxAttempt from now
+	Resume   bool              // a previous leader sent the attempt: it is looked up and not sent again
 }
 
-// Report is the end of an attempt.
+// Report describes how an attempt ended.
 type Report struct {
 	Ending    Ending
-	Answer    *program.Answer
-	Generated int64 // tokens known to be generated (EndingFailed); -1 unknown
-	Problem   *problem.Problem
-	Retry     time.Duration // the back end's advice when to come back
+	Answer    *program.Answer  // nil unless EndingAnswered
+	Generated int64            // tokens known to have been generated; -1: unknown
+	Problem   *problem.Problem // nil for EndingAnswered
+	Retry     time.Duration    // retry delay that the back end advises; zero: none
 }
 
 // Dispatcher sends attempts. *HTTP implements it.
 type Dispatcher interface {
-	// Send runs the attempt until it ends; piece is called with each streamed
-	// part, in order. Cancelling the context cancels at the back end too.
-	Send(ctx context.Context, order Order, piece func(content string)) Report
+	// Send runs the attempt until it ends. onContent is called with each
+	// streamed part of the content, in order. Cancelling ctx also cancels the
+	// attempt at the back end, unless the cause is ErrLeadershipLost.
+	Send(ctx context.Context, order Order, onContent func(content string)) Report
 }
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -15,42 +15,42 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// States of an execution, from api/engine/v1.
+// The states of an execution that a service reports, as in api/engine/v1.
 const (
 	executionDone    = "done"
 	executionRunning = "running"
 	executionFailed  = "failed"
 )
 
-// errNoRecord means that the service has no record of the call: it may still
-// arrive, so this proves nothing.
+// errNoRecord means that the service has no record of the call. That does not
+// prove that the call will not run, since it may still arrive.
 var errNoRecord = errors.New("the service has no record of the call")
 
-// finishReasonDone is the finish reason of answers of services and tools.
+// finishReasonDone is the finish reason of answers from services and tools.
 const finishReasonDone = "stop"
 
 // execute runs an attempt at a service or tool.
 func (a *attempt) execute(ctx context.Context) Report {
 	if a.order.Resume {
-		return a.lookUp(ctx, "look up execution", errors.New("sent by a former leader"))
+		return a.lookUp(ctx, "look up execution", errors.New("sent by a previous leader"))
 	}
-	response, left, err := post(ctx, a.client(), a.order.Address+enginev1.PathExecute, a.executeRequest())
+	response, sent, err := postOnce(ctx, a.postClient(), a.order.Address+enginev1.PathExecute, a.executeRequest())
 	if err != nil {
-		if left {
+		if sent {
 			return a.lookUp(ctx, "post execution", err)
 		}
 		if ctx.Err() != nil {
-			return a.neverRan(a.contextProblem(ctx, "dial service"), 0)
+			return a.reportNeverRan(a.contextProblem(ctx, "dial service"), 0)
 		}
-		return a.neverRan(a.problem(problem.KindBackEndFailed, "dial service", err), 0)
+		return a.reportNeverRan(a.problem(problem.KindBackEndFailed, "dial service", err), 0)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return a.executionRefused(ctx, response)
+		return a.handleExecuteError(ctx, response)
 	}
 	reply, err := a.decodeReply(response)
 	if errors.Is(err, errTooLarge) {
-		return a.failed(a.problem(problem.KindTooLarge, "read execution", err), 0, 0)
+		return a.reportFailed(a.problem(problem.KindTooLarge, "read execution", err), 0, 0)
 	}
 	if err != nil {
 		return a.lookUp(ctx, "read execution", err)
@@ -72,17 +72,18 @@
 	}
 }
 
-// executionRefused reads an error reply. A server's error may hide an
-// execution that goes on, so its record is asked for first.
-func (a *attempt) executionRefused(ctx context.Context, response *http.Response) Report {
+// handleExecuteError reports an attempt that was answered with an error status.
+// After a server error the execution may still go on, so its record is
+// requested first.
+func (a *attempt) handleExecuteError(ctx context.Context, response *http.Response) Report {
 	retry := retryAfter(response)
-	_, detail := errorReply(response)
+	_, detail := readErrorReply(response)
 	found := a.problem(problem.KindBackEndFailed, "post execution", detail)
-	if neverStarted(response) {
-		return a.neverRan(found, retry)
+	if isNeverStarted(response) {
+		return a.reportNeverRan(found, retry)
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
-		reply, err := a.askExecution(ctx, http.MethodGet)
+		reply, err := a.requestExecution(ctx, http.MethodGet)
 		if err == nil && reply.State == executionRunning {
 			return a.lookUp(ctx, "post execution", detail)
 		}
@@ -90,23 +91,23 @@
 			return a.executionReport("look up execution", reply)
 		}
 	}
-	return a.failed(found, 0, retry)
+	return a.reportFailed(found, 0, retry)
 }
 
-// lookUp polls the record of the call until it is final, tries without a
-// record run out or the context ends. It never sends the call.
+// lookUp polls the record of the call until it is final, MaxTries requests in a
+// row have failed, or ctx ends. It never sends the call.
 func (a *attempt) lookUp(ctx context.Context, step string, cause error) Report {
-	pauses := a.http.pauses()
+	backoff := a.http.newBackoff()
 	for missing := 0; ctx.Err() == nil && missing < a.http.options.MaxTries; {
 		a.http.metrics.lookups.Inc()
-		reply, err := a.askExecution(ctx, http.MethodGet)
+		reply, err := a.requestExecution(ctx, http.MethodGet)
 		switch {
 		case err == nil && reply.State != executionRunning:
 			return a.executionReport("look up execution", reply)
 		case err == nil:
 			missing = 0
 		case errors.Is(err, errTooLarge):
-			return a.failed(a.problem(problem.KindTooLarge, "look up execution", err), 0, 0)
+			return a.reportFailed(a.problem(problem.KindTooLarge, "look up execution", err), 0, 0)
 		default:
 			cause = err
 			missing++
@@ -114,32 +115,32 @@
 		if errors.Is(err, errNoRecord) && a.order.Resume {
 			break
 		}
-		if !pause.For(ctx, pauses.NextBackOff()) {
+		if !pause.For(ctx, backoff.NextBackOff()) {
 			break
 		}
 	}
 	return a.abandonExecution(ctx, step, cause)
 }
 
-// abandonExecution ends an attempt whose outcome the lookups did not tell. A
-// call that may still be tried again is left alone, since a service may take a
-// cancellation for the call as a whole; any other is cancelled at the service,
-// and only its own final record makes the outcome certain.
+// abandonExecution reports an attempt whose outcome the lookups did not show. A
+// call that may be tried again is left alone, since a service may apply a
+// cancellation to the whole call. Any other call is cancelled at the service,
+// and the outcome is certain only if the service then returns a final record.
 func (a *attempt) abandonExecution(ctx context.Context, step string, cause error) Report {
 	if errors.Is(context.Cause(ctx), ErrLeadershipLost) {
-		return a.unknown("leave to the next leader", ErrLeadershipLost)
+		return a.reportUnknown("leave to the next leader", ErrLeadershipLost)
 	}
 	if cause == nil {
 		cause = context.Cause(ctx)
 	}
 	if ctx.Err() == nil && !a.order.Call.NotRepeatable {
-		return a.unknown(step, cause)
+		return a.reportUnknown(step, cause)
 	}
 	cleanup, cancel := a.cleanup(ctx)
 	defer cancel()
 	reply, err := a.cancelExecution(cleanup)
 	if err != nil || reply.State == executionRunning {
-		return a.unknown(step, cause)
+		return a.reportUnknown(step, cause)
 	}
 	report := a.executionReport("cancel execution", reply)
 	if report.Ending == EndingFailed && ctx.Err() != nil {
@@ -148,21 +149,23 @@
 	return report
 }
 
-// cancelExecution cancels, and reads the whole record if it was done already.
+// cancelExecution cancels the call and returns its record. If the call was
+// already done, it reads the record again to get the payload.
 func (a *attempt) cancelExecution(ctx context.Context) (*enginev1.ExecuteReply, error) {
 	a.http.metrics.cancels.Inc()
-	reply, err := a.askExecution(ctx, http.MethodDelete)
+	reply, err := a.requestExecution(ctx, http.MethodDelete)
 	if err == nil && reply.State == executionDone {
-		return a.askExecution(ctx, http.MethodGet)
+		return a.requestExecution(ctx, http.MethodGet)
 	}
 	return reply, err
 }
 
-// askExecution reads (GET) or cancels (DELETE) the call's record.
-func (a *attempt) askExecution(ctx context.Context, method string) (*enginev1.ExecuteReply, error) {
+// requestExecution reads (GET) or cancels (DELETE) the call and returns its
+// record, or errNoRecord if there is none.
+func (a *attempt) requestExecution(ctx context.Context, method string) (*enginev1.ExecuteReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.http.options.CleanupTimeout)
 	defer cancel()
-	response, err := ask(ctx, a.http.control, method, a.address(enginev1.PathExecutions, a.callID()))
+	response, err := doRequest(ctx, a.http.control, method, a.address(enginev1.PathExecutions, a.callID()))
 	if err != nil {
 		return nil, err
 	}
@@ -173,12 +176,13 @@
 	case http.StatusNotFound:
 		return nil, errNoRecord
 	default:
-		_, detail := errorReply(response)
+		_, detail := readErrorReply(response)
 		return nil, detail
 	}
 }
 
-// decodeReply reads a reply and refuses another call's.
+// decodeReply decodes a reply. It returns errWrongID if the reply belongs to
+// another call.
 func (a *attempt) decodeReply(response *http.Response) (*enginev1.ExecuteReply, error) {
 	body, err := readBody(response.Body, base64.StdEncoding.EncodedLen(a.http.options.MaxAnswerBytes)+maxErrorBytes)
 	if err != nil {
@@ -189,19 +193,19 @@
 		return nil, eris.Wrap(err, "decode execution")
 	}
 	if reply.CallID != a.callID() {
-		return nil, eris.Wrapf(errForeign, "execution of %q", reply.CallID)
+		return nil, eris.Wrapf(errWrongID, "execution of %q", reply.CallID)
 	}
 	return &reply, nil
 }
 
-// executionReport turns a final record into a report.
+// executionReport returns the report for a record of the call.
 func (a *attempt) executionReport(step string, reply *enginev1.ExecuteReply) Report {
 	switch reply.State {
 	case executionDone:
-		return a.answered(&program.Answer{Payload: reply.Payload, FinishReason: finishReasonDone})
+		return a.reportAnswered(&program.Answer{Payload: reply.Payload, FinishReason: finishReasonDone})
 	case executionFailed:
-		return a.failed(a.problem(problem.KindBackEndFailed, step, errors.New(reply.Error)), 0, 0)
+		return a.reportFailed(a.problem(problem.KindBackEndFailed, step, errors.New(reply.Error)), 0, 0)
 	default:
-		return a.unknown(step, eris.Errorf("the service says %q", reply.State))
+		return a.reportUnknown(step, eris.Errorf("the service reports the state %q", reply.State))
 	}
 }
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -22,7 +22,7 @@
 var _ = Describe("an execution", func() {
 	var (
 		service    *appservice.Service
-		served     *backEnd
+		backend    *backEnd
 		dispatcher *dispatch.HTTP
 	)
 	ignore := func(string) {}
@@ -38,30 +38,30 @@
 
 	BeforeEach(func() {
 		service = appservice.New(appservice.Options{Name: "ledger", Hangs: func(operation string) bool { return operation == "hang" }})
-		served = serve(service)
+		backend = serve(service)
 		dispatcher = newDispatcher()
 	})
 
-	loseAll := func(_ http.ResponseWriter, request *http.Request) bool {
+	abortAllButPosts := func(_ http.ResponseWriter, request *http.Request) bool {
 		if request.Method != http.MethodPost {
 			panic(http.ErrAbortHandler)
 		}
 		return false
 	}
-	keepsFromRunning := func(writer http.ResponseWriter, request *http.Request) bool {
+	cancelBeforeRun := func(writer http.ResponseWriter, request *http.Request) bool {
 		if request.Method == http.MethodDelete {
 			_, _ = io.WriteString(writer, `{"call_id":"`+string(testProgram)+`/5","state":"failed"}`)
 		}
 		return request.Method == http.MethodDelete
 	}
-	anotherCalls := func(writer http.ResponseWriter, _ *http.Request) bool {
+	replyForOtherCall := func(writer http.ResponseWriter, _ *http.Request) bool {
 		_, _ = io.WriteString(writer, `{"call_id":"another/1","state":"done"}`)
 		return true
 	}
 	type expectation struct {
 		point         standin.Point
 		action        standin.Action
-		meddle        func(http.ResponseWriter, *http.Request) bool
+		intercept     func(http.ResponseWriter, *http.Request) bool
 		notRepeatable bool
 		ending        dispatch.Ending
 		executed      int
@@ -70,8 +70,8 @@
 	DescribeTable("tells how it ended",
 		func(e expectation) {
 			service.Faults.Add(standin.Rule{Point: e.point, Action: e.action, Match: string(testProgram) + "/5/2"})
-			served.meddle = e.meddle
-			report := dispatcher.Send(context.Background(), serviceOrder(served.address, e.notRepeatable), ignore)
+			backend.intercept = e.intercept
+			report := dispatcher.Send(context.Background(), serviceOrder(backend.address, e.notRepeatable), ignore)
 			Expect(report.Ending).To(Equal(e.ending))
 			_, executed, cancelled := attempts()
 			Expect(executed).To(Equal(e.executed))
@@ -81,27 +81,27 @@
 			}
 		},
 		Entry("answered", expectation{ending: dispatch.EndingAnswered, executed: 1}),
-		Entry("answer lost, found by its record", expectation{point: standin.PointAfter, action: standin.ActionLose, ending: dispatch.EndingAnswered, executed: 1}),
-		Entry("cut before the work, may be tried again", expectation{point: standin.PointBefore, action: standin.ActionLose, ending: dispatch.EndingUnknown}),
-		Entry("cut before the work, not to be repeated", expectation{
+		Entry("lost answer, found in the record", expectation{point: standin.PointAfter, action: standin.ActionLose, ending: dispatch.EndingAnswered, executed: 1}),
+		Entry("connection lost before execution, repeatable", expectation{point: standin.PointBefore, action: standin.ActionLose, ending: dispatch.EndingUnknown}),
+		Entry("connection lost before execution, not repeatable", expectation{
 			point: standin.PointBefore, action: standin.ActionLose, notRepeatable: true, ending: dispatch.EndingUnknown,
 		}),
-		Entry("cut before the work, and the service keeps it from running", expectation{
-			point: standin.PointBefore, action: standin.ActionLose, meddle: keepsFromRunning, notRepeatable: true, ending: dispatch.EndingFailed,
+		Entry("connection lost before execution, cancelled at the service", expectation{
+			point: standin.PointBefore, action: standin.ActionLose, intercept: cancelBeforeRun, notRepeatable: true, ending: dispatch.EndingFailed,
 		}),
-		Entry("cut before the work, may be tried again: not cancelled", expectation{
-			point: standin.PointBefore, action: standin.ActionLose, meddle: keepsFromRunning, ending: dispatch.EndingUnknown,
+		Entry("connection lost before execution, repeatable and not cancelled", expectation{
+			point: standin.PointBefore, action: standin.ActionLose, intercept: cancelBeforeRun, ending: dispatch.EndingUnknown,
 		}),
-		Entry("cut, and nothing answers any more", expectation{
-			point: standin.PointAfter, action: standin.ActionLose, meddle: loseAll, notRepeatable: true, ending: dispatch.EndingUnknown, executed: 1,
+		Entry("connection lost, and lookups fail too", expectation{
+			point: standin.PointAfter, action: standin.ActionLose, intercept: abortAllButPosts, notRepeatable: true, ending: dispatch.EndingUnknown, executed: 1,
 		}),
-		Entry("server's error without a record", expectation{point: standin.PointBefore, action: standin.ActionFail, ending: dispatch.EndingFailed}),
+		Entry("server error without a record", expectation{point: standin.PointBefore, action: standin.ActionFail, ending: dispatch.EndingFailed}),
 		Entry("refused before it started", expectation{point: standin.PointBefore, action: standin.ActionRefuse, ending: dispatch.EndingNeverRan}),
-		Entry("another call's reply", expectation{meddle: anotherCalls, ending: dispatch.EndingUnknown}),
+		Entry("reply for another call", expectation{intercept: replyForOtherCall, ending: dispatch.EndingUnknown}),
 	)
 
 	It("cancels a hung execution at the deadline", func() {
-		order := serviceOrder(served.address, true)
+		order := serviceOrder(backend.address, true)
 		order.Call.Operation = "hang"
 		order.Deadline = time.Now().Add(50 * time.Millisecond)
 		report := dispatcher.Send(context.Background(), order, ignore)
@@ -111,38 +111,37 @@
 		Expect(cancelled).To(BeTrue())
 	})
 
-	It("never sends what a former leader sent", func() {
-		order := serviceOrder(served.address, false)
+	It("does not send an attempt of a previous leader again", func() {
+		order := serviceOrder(backend.address, false)
 		order.Resume = true
 		Expect(dispatcher.Send(context.Background(), order, ignore).Ending).To(Equal(dispatch.EndingUnknown))
 		arrived, _, cancelled := attempts()
 		Expect(arrived).To(BeZero())
 		Expect(cancelled).To(BeFalse())
-		Expect(dispatcher.Send(context.Background(), serviceOrder(served.address, false), ignore).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(dispatcher.Send(context.Background(), serviceOrder(backend.address, false), ignore).Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(dispatcher.Send(context.Background(), order, ignore).Ending).To(Equal(dispatch.EndingAnswered))
 		arrived, _, _ = attempts()
 		Expect(arrived).To(Equal(1))
 	})
 
-	It("never says never-ran after a reused connection broke under the request", func() {
+	It("does not report never-ran after a reused connection broke during the request", func() {
 		var received atomic.Int64
-		breaking := serve(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		unreliable := serve(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			_, _ = io.Copy(io.Discard, request.Body)
 			if request.Method == http.MethodPost && received.Add(1) == 2 {
 				panic(http.ErrAbortHandler)
 			}
 			http.NotFound(writer, request)
 		}))
-		Expect(dispatcher.Send(context.Background(), serviceOrder(breaking.address, false), ignore).Ending).To(Equal(dispatch.EndingFailed))
-		Expect(dispatcher.Send(context.Background(), serviceOrder(breaking.address, false), ignore).Ending).To(Equal(dispatch.EndingUnknown))
+		Expect(dispatcher.Send(context.Background(), serviceOrder(unreliable.address, false), ignore).Ending).To(Equal(dispatch.EndingFailed))
+		Expect(dispatcher.Send(context.Background(), serviceOrder(unreliable.address, false), ignore).Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(received.Load()).To(BeEquivalentTo(2))
 	})
 })
 
-// A back end that closes the connection after any number of bytes of the
-// request, and refuses later ones, can't make an attempt that arrived whole
-// end as never-ran.
-func TestNeverRanIsNeverSaidOfWhatArrived(t *testing.T) {
+// An attempt of which any byte arrived must end as unknown, wherever the back
+// end closes the connection.
+func TestNeverRanIsNotReportedAfterBytesArrived(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -164,9 +163,9 @@
 		dispatcher := dispatch.NewHTTP(dispatch.Options{MaxTries: 1, RetryInitial: time.Millisecond, CleanupTimeout: 100 * time.Millisecond})
 		defer dispatcher.Close()
 		order := serviceOrder("http://"+listener.Addr().String(), rapid.Bool().Draw(t, "not repeatable"))
-		order.Deadline = time.Now().Add(50 * time.Millisecond) // When the back end waits for more than comes.
+		order.Deadline = time.Now().Add(50 * time.Millisecond) // Ends the attempt if the back end waits for more bytes than are sent.
 		report := dispatcher.Send(context.Background(), order, func(string) {})
-		_ = listener.Close() // Nothing may have dialled.
+		_ = listener.Close() // Unblocks Accept if nothing has dialled.
 		if <-arrived > 0 && report.Ending != dispatch.EndingUnknown {
 			t.Fatalf("ended as %s after bytes had arrived: %v", report.Ending, report.Problem)
 		}
--- a/internal/dispatch/standin_test.go
+++ b/internal/dispatch/faults_test.go
@@ -15,21 +15,22 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// actionsAt are the faults that a truthful back end can have at a point: it
-// refuses as not started, or fails with a status, only before it starts.
-var actionsAt = map[standin.Point][]standin.Action{
+// faultActions lists the faults of a back end that reports correctly. Such a
+// back end refuses or fails a request with a status only before it starts.
+var faultActions = map[standin.Point][]standin.Action{
 	standin.PointBefore: {standin.ActionLose, standin.ActionRefuse, standin.ActionFail, standin.ActionDelay},
 	standin.PointStream: {standin.ActionLose, standin.ActionDelay},
 	standin.PointAfter:  {standin.ActionLose, standin.ActionDelay},
 }
 
-// drawFaults gives some faults, each for its first one or two requests.
+// drawFaults draws up to four faults, each of which applies to one or two
+// requests.
 func drawFaults(t *rapid.T) []standin.Rule {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) standin.Rule {
 		point := rapid.SampledFrom([]standin.Point{standin.PointBefore, standin.PointStream, standin.PointAfter}).Draw(t, "point")
 		return standin.Rule{
 			Point:       point,
-			Action:      rapid.SampledFrom(actionsAt[point]).Draw(t, "action"),
+			Action:      rapid.SampledFrom(faultActions[point]).Draw(t, "action"),
 			DelayMS:     rapid.IntRange(1, 20).Draw(t, "delay"),
 			AfterChunks: rapid.IntRange(0, 8).Draw(t, "chunks"),
 			Times:       rapid.IntRange(1, 2).Draw(t, "times"),
@@ -37,21 +38,21 @@
 	}), 0, 4).Draw(t, "faults")
 }
 
-func quickDispatcher() *dispatch.HTTP {
+func newFastDispatcher() *dispatch.HTTP {
 	return dispatch.NewHTTP(dispatch.Options{
 		MaxTries: 3, RetryInitial: time.Millisecond, RetryMaximum: 3 * time.Millisecond, CleanupTimeout: 500 * time.Millisecond,
 	})
 }
 
-// Whatever is cut, refused or late: the report agrees with what the engine
-// itself recorded, and only the engine's own text is passed on.
-func TestReportsAgreeWithTheEnginesRecords(t *testing.T) {
+// With any faults, the report must match the engine's own records, and only text
+// that the engine generated may be passed on.
+func TestReportsMatchEngineRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engine := modelengine.New(modelengine.Options{Name: "engine-1", Model: "model", TimeScale: 0.001})
 		defer engine.Close()
 		server := httptest.NewServer(engine)
 		defer server.Close()
-		dispatcher := quickDispatcher()
+		dispatcher := newFastDispatcher()
 		defer dispatcher.Close()
 		order := modelOrder(server.URL)
 		order.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{15, 2000}).Draw(t, "deadline")) * time.Millisecond)
@@ -60,9 +61,9 @@
 		var pieces strings.Builder
 		report := dispatcher.Send(context.Background(), order, func(piece string) { pieces.WriteString(piece) })
 
-		want := wholeAnswer()
+		want := expectedAnswer()
 		if !strings.HasPrefix(want, pieces.String()) {
-			t.Fatalf("passed on %q of %q", pieces.String(), want)
+			t.Fatalf("passed on %q, which is not a prefix of %q", pieces.String(), want)
 		}
 		records := engine.Records().Requests
 		switch {
@@ -71,22 +72,23 @@
 				t.Fatalf("answered %q (%d tokens), engine generated %q (%d)", report.Answer.Content, report.Answer.CompletionTokens, want, records[0].Generated)
 			}
 		case report.Ending == dispatch.EndingNeverRan && len(records) > 0:
-			t.Fatalf("never ran, yet the engine has %+v", records[0])
+			t.Fatalf("reported as never ran, but the engine recorded %+v", records[0])
 		case report.Ending == dispatch.EndingFailed && report.Generated >= 0 && len(records) > 0:
 			if records[0].Generated != report.Generated || records[0].State == "running" || records[0].State == "waiting" {
-				t.Fatalf("failed after %d tokens, yet the engine has %+v", report.Generated, records[0])
+				t.Fatalf("reported as failed after %d tokens, but the engine recorded %+v", report.Generated, records[0])
 			}
 		}
 	})
 }
 
-// The same against a service that counts executions.
-func TestReportsAgreeWithTheServicesRecords(t *testing.T) {
+// With any faults, the report must match the number of executions that the
+// service recorded.
+func TestReportsMatchServiceRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		service := appservice.New(appservice.Options{Name: "ledger", Delay: time.Millisecond})
 		server := httptest.NewServer(service)
 		defer server.Close()
-		dispatcher := quickDispatcher()
+		dispatcher := newFastDispatcher()
 		defer dispatcher.Close()
 		order := serviceOrder(server.URL, rapid.Bool().Draw(t, "not repeatable"))
 		order.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{8, 2000}).Draw(t, "deadline")) * time.Millisecond)
@@ -104,7 +106,7 @@
 			}
 		case dispatch.EndingNeverRan:
 			if executions != 0 {
-				t.Fatalf("never ran, yet %d executions", executions)
+				t.Fatalf("reported as never ran, but there were %d executions", executions)
 			}
 		}
 		if executions > 1 {
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -15,29 +15,30 @@
 
 const testProgram = identity.Program("p0001-aaaaaaaaaaaaaaaaaaaaaaaaaa")
 
-// backEnd serves a stand-in; meddle answers in its place where it returns true.
+// backEnd serves a handler over HTTP and counts the posts. If intercept is set
+// and returns true, it has answered the request instead of the handler.
 type backEnd struct {
-	address string
-	meddle  func(http.ResponseWriter, *http.Request) bool
-	posts   atomic.Int64
+	address   string
+	intercept func(http.ResponseWriter, *http.Request) bool
+	posts     atomic.Int64
 }
 
-func serve(standIn http.Handler) *backEnd {
-	served := &backEnd{}
+func serve(handler http.Handler) *backEnd {
+	backend := &backEnd{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodPost {
-			served.posts.Add(1)
+			backend.posts.Add(1)
 		}
-		if served.meddle == nil || !served.meddle(writer, request) {
-			standIn.ServeHTTP(writer, request)
+		if backend.intercept == nil || !backend.intercept(writer, request) {
+			handler.ServeHTTP(writer, request)
 		}
 	}))
-	served.address = server.URL
+	backend.address = server.URL
 	DeferCleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return served
+	return backend
 }
 
 func modelOrder(address string) dispatch.Order {
--- a/internal/dispatch/http.go
+++ b/internal/dispatch/http.go
@@ -21,44 +21,44 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// errDeadline is the cause of a context that ended by the order's deadline.
-var errDeadline = errors.New("deadline of the attempt passed")
+// errDeadline is the cause of a context that ended at the order's deadline.
+var errDeadline = errors.New("deadline of the attempt exceeded")
 
-// HTTP sends attempts by the protocol of api/engine/v1. Safe for concurrent
-// use. It never sends the same attempt twice.
+// HTTP sends attempts with the protocol of api/engine/v1. It never sends the
+// same attempt twice. It is safe for concurrent use.
 type HTTP struct {
-	options Options
-	logger  *zap.Logger
-	metrics *metrics
-	data    *http.Client // streams and executions, kept alive
-	fresh   *http.Client // calls that must not be repeated: a new connection each, so that a failed dial proves that nothing ran
-	control *http.Client // records and cancellation: never wait behind streams
+	options   Options
+	logger    *zap.Logger
+	metrics   *metrics
+	data      *http.Client // streams and executions; reuses connections
+	singleUse *http.Client // calls that must not be repeated: a new connection each, so that a failed dial proves that nothing was sent
+	control   *http.Client // lookups and cancellations, which must not wait behind streams
 }
 
 var _ Dispatcher = (*HTTP)(nil)
 
-// NewHTTP makes a dispatcher. Close frees its idle connections.
+// NewHTTP returns a dispatcher. Close frees its idle connections.
 func NewHTTP(options Options) *HTTP {
 	options = options.withDefaults()
 	return &HTTP{
-		options: options,
-		logger:  options.Logger.Named("dispatch"),
-		metrics: newMetrics(options.Registerer),
-		data:    newClient(options, options.MaxConnectionsPerHost, true),
-		fresh:   newClient(options, options.MaxConnectionsPerHost, false),
-		control: newClient(options, options.MaxConnectionsPerHost, true),
+		options:   options,
+		logger:    options.Logger.Named("dispatch"),
+		metrics:   newMetrics(options.Registerer),
+		data:      newClient(options, options.MaxConnectionsPerHost, true),
+		singleUse: newClient(options, options.MaxConnectionsPerHost, false),
+		control:   newClient(options, options.MaxConnectionsPerHost, true),
 	}
 }
 
-// Close frees idle connections; attempts under way are not touched.
+// Close frees idle connections. It does not affect attempts in progress.
 func (h *HTTP) Close() {
 	h.data.CloseIdleConnections()
-	h.fresh.CloseIdleConnections()
+	h.singleUse.CloseIdleConnections()
 	h.control.CloseIdleConnections()
 }
 
-// Send implements Dispatcher. The Answer's times count from the call of Send.
-func (h *HTTP) Send(ctx context.Context, order Order, piece func(content string)) Report {
+// Send implements Dispatcher. Times in the Answer count from the call of Send.
+func (h *HTTP) Send(ctx context.Context, order Order, onContent func(content string)) Report {
 	started := time.Now()
 	deadline := order.Deadline
 	if deadline.IsZero() {
@@ -69,28 +69,28 @@
 
 	h.metrics.inFlight.Inc()
 	defer h.metrics.inFlight.Dec()
-	attempt := &attempt{http: h, order: &order, started: started, deadline: deadline, piece: piece}
+	attempt := &attempt{http: h, order: &order, started: started, deadline: deadline, onContent: onContent}
 	report := attempt.run(ctx)
-	h.metrics.ended(order.Call.Target, report.Ending, time.Since(started))
+	h.metrics.observe(order.Call.Target, report.Ending, time.Since(started))
 	if report.Problem != nil {
-		h.logger.Debug("dispatch: attempt ended without answer.",
+		h.logger.Debug("dispatch: attempt ended without an answer.",
 			zap.String("attempt", attempt.requestID()), zap.String("peer", attempt.peer()), zap.Error(report.Problem))
 	}
 	return report
 }
 
-// attempt is one order while it is being sent.
+// attempt is an order that is being sent.
 type attempt struct {
-	http     *HTTP
-	order    *Order
-	started  time.Time
-	deadline time.Time
-	piece    func(string)
+	http      *HTTP
+	order     *Order
+	started   time.Time
+	deadline  time.Time
+	onContent func(string)
 }
 
 func (a *attempt) run(ctx context.Context) Report {
 	if ctx.Err() != nil && !a.order.Resume {
-		return a.neverRan(a.contextProblem(ctx, "before sending"), 0)
+		return a.reportNeverRan(a.contextProblem(ctx, "before sending"), 0)
 	}
 	if a.order.Call.Target == program.TargetModel {
 		return newCompletion(a).run(ctx)
@@ -112,28 +112,29 @@
 	return a.order.Address + path + url.PathEscape(identifier)
 }
 
-// deadlineMS is what remains for the back end, at least a millisecond.
+// deadlineMS returns the milliseconds left until the deadline, at least 1.
 func (a *attempt) deadlineMS() int64 {
 	return max(1, time.Until(a.deadline).Milliseconds())
 }
 
-// client gives calls that must not be repeated a connection of their own.
-func (a *attempt) client() *http.Client {
+// postClient returns the client that posts the order. It uses a new connection
+// for a call that must not be repeated.
+func (a *attempt) postClient() *http.Client {
 	if a.order.Call.NotRepeatable {
-		return a.http.fresh
+		return a.http.singleUse
 	}
 	return a.http.data
 }
 
-// pauses gives the jittered pauses between lookups.
-func (h *HTTP) pauses() *backoff.ExponentialBackOff {
+// newBackoff returns the jittered delays between lookups.
+func (h *HTTP) newBackoff() *backoff.ExponentialBackOff {
 	return pause.Growing(h.options.RetryInitial, h.options.RetryMaximum)
 }
 
-// post sends a body exactly once: net/http must not repeat it by itself, so
-// the body cannot be rewound. The second result says whether a byte may have
-// left, when there is an error.
-func post(ctx context.Context, client *http.Client, address string, body any) (*http.Response, bool, error) {
+// postOnce sends body as JSON. The request body cannot be rewound, so that
+// net/http does not send it again on its own. In case of an error, the second
+// result says whether any byte may have been sent.
+func postOnce(ctx context.Context, client *http.Client, address string, body any) (*http.Response, bool, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, false, eris.Wrap(err, "encode request")
@@ -148,13 +149,13 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, trace.mayHaveLeft(), eris.Wrap(err, "post")
+		return nil, trace.mayHaveSent(), eris.Wrap(err, "post")
 	}
 	return response, true, nil
 }
 
-// ask sends a request without body.
-func ask(ctx context.Context, client *http.Client, method, address string) (*http.Response, error) {
+// doRequest sends a request without a body.
+func doRequest(ctx context.Context, client *http.Client, method, address string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, method, address, nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "build request")
@@ -163,7 +164,8 @@
 	return response, eris.Wrap(err, method)
 }
 
-// readBody reads at most limit bytes; more is an error.
+// readBody reads the whole body. It returns errTooLarge if there are more than
+// limit bytes.
 func readBody(body io.Reader, limit int) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
 	if err != nil {
@@ -175,7 +177,8 @@
 	return data, nil
 }
 
-// retryAfter reads the advice when to come back; zero: none.
+// retryAfter returns the delay of the Retry-After header, or zero if it is
+// missing, invalid or longer than maxRetryAfter.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 	if err != nil || seconds < 0 || seconds > maxRetryAfter.Seconds() {
@@ -186,11 +189,11 @@
 
 const maxRetryAfter = time.Hour
 
-func neverStarted(response *http.Response) bool {
+func isNeverStarted(response *http.Response) bool {
 	return response.Header.Get(enginev1.HeaderNeverStarted) == "true"
 }
 
-// contextProblem tells why the context ended.
+// contextProblem returns a problem that says why ctx ended.
 func (a *attempt) contextProblem(ctx context.Context, step string) *problem.Problem {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, errDeadline) || errors.Is(cause, context.DeadlineExceeded) {
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// String gives the ending as it stands in metrics and logs.
+// String returns the name of the ending in metrics and logs.
 func (e Ending) String() string {
 	switch e {
 	case EndingAnswered:
@@ -56,7 +56,7 @@
 	return m
 }
 
-func (m *metrics) ended(target program.TargetKind, ending Ending, elapsed time.Duration) {
+func (m *metrics) observe(target program.TargetKind, ending Ending, elapsed time.Duration) {
 	m.attempts.WithLabelValues(string(target), ending.String()).Inc()
 	m.seconds.WithLabelValues(string(target)).Observe(elapsed.Seconds())
 }
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -8,26 +8,26 @@
 	"go.uber.org/zap"
 )
 
-// ErrLeadershipLost is the cause that a caller of Send gives when it cancels
-// the context because it no longer leads the program's shard. The attempt is
-// then left alone at the back end, for the next leader to follow.
+// ErrLeadershipLost is the cause with which a caller of Send cancels the context
+// when it no longer leads the program's shard. The attempt then continues at the
+// back end, so that the next leader can follow it.
 var ErrLeadershipLost = errors.New("leadership lost")
 
 // Options are the limits of an HTTP dispatcher. Zero values take the default
 // given with each field.
 type Options struct {
-	MaxConnectionsPerHost int           // streams and executions at once at one back end; 512
-	DialTimeout           time.Duration // until the TCP connection stands; 2 s
-	IdleStream            time.Duration // silence on a stream after which it is resumed; 20 s
-	MaxAttempt            time.Duration // bound of an attempt whose order has no deadline; 15 min
-	CleanupTimeout        time.Duration // for lookups and cancellation after the attempt's own time; 2 s
-	MaxTries              int           // lookups without progress before the outcome is unknown; 6
-	RetryInitial          time.Duration // first pause between lookups, jittered; 50 ms
-	RetryMaximum          time.Duration // longest pause between lookups; 2 s
-	MaxAnswerBytes        int           // content or payload of one answer; 16 MiB
-	MaxEventBytes         int           // one server-sent event; 1 MiB
-	Logger                *zap.Logger
-	Registerer            prometheus.Registerer // nil: metrics are kept but not exposed
+	MaxConnectionsPerHost int                   // concurrent streams and executions at one back end; 512
+	DialTimeout           time.Duration         // limit on establishing a TCP connection; 2 s
+	IdleStream            time.Duration         // time without data after which a stream is resumed; 20 s
+	MaxAttempt            time.Duration         // limit on an attempt whose order has no deadline; 15 min
+	CleanupTimeout        time.Duration         // limit on a lookup, and on all cleanup after the attempt has ended; 2 s
+	MaxTries              int                   // successive lookups without progress before the outcome is unknown; 6
+	RetryInitial          time.Duration         // first delay between lookups, jittered; 50 ms
+	RetryMaximum          time.Duration         // maximum delay between lookups; 2 s
+	MaxAnswerBytes        int                   // limit on the content or payload of one answer; 16 MiB
+	MaxEventBytes         int                   // limit on one server-sent event; 1 MiB
+	Logger                *zap.Logger           // nil: nothing is logged
+	Registerer            prometheus.Registerer // nil: metrics are not exposed
 }
 
 const (
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -8,25 +8,26 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// errTooLarge is returned when a back end sends more than the limit.
+// errTooLarge is returned if a back end sends more than the limit.
 var errTooLarge = errors.New("answer too large")
 
-// tokensUnknown is Report.Generated when the back end did not tell.
+// tokensUnknown is the value of Report.Generated if the number is not known.
 const tokensUnknown = -1
 
-// problem makes a problem at the step with this attempt's back end.
+// problem returns a problem with this attempt's back end at the step.
 func (a *attempt) problem(kind problem.Kind, step string, cause error) *problem.Problem {
 	return problem.New(kind, step, "%v", cause).WithPeer(a.peer())
 }
 
-func (a *attempt) answered(answer *program.Answer) Report {
+func (a *attempt) reportAnswered(answer *program.Answer) Report {
 	answer.Engine = a.order.BackEnd
 	answer.Elapsed = time.Since(a.started)
 	return Report{Ending: EndingAnswered, Answer: answer, Generated: answer.CompletionTokens}
 }
 
-// neverRan is said only with proof: nothing left, or the back end said so.
-func (a *attempt) neverRan(found *problem.Problem, retry time.Duration) Report {
+// reportNeverRan must be called only with proof: nothing was sent, or the back
+// end said that it did not start.
+func (a *attempt) reportNeverRan(found *problem.Problem, retry time.Duration) Report {
 	return Report{
 		Ending:  EndingNeverRan,
 		Problem: found.WithOutcome(problem.OutcomeNotRun).WithRetryAfter(retry),
@@ -34,7 +35,7 @@
 	}
 }
 
-func (a *attempt) failed(found *problem.Problem, generated int64, retry time.Duration) Report {
+func (a *attempt) reportFailed(found *problem.Problem, generated int64, retry time.Duration) Report {
 	return Report{
 		Ending:    EndingFailed,
 		Generated: generated,
@@ -43,7 +44,7 @@
 	}
 }
 
-func (a *attempt) unknown(step string, cause error) Report {
+func (a *attempt) reportUnknown(step string, cause error) Report {
 	return Report{
 		Ending:    EndingUnknown,
 		Generated: tokensUnknown,
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -17,11 +17,11 @@
 
 // Errors of a stream.
 var (
-	errIdle       = errors.New("stream was silent for too long")
+	errIdle       = errors.New("stream was idle for too long")
 	errEndedEarly = errors.New("stream ended before its last chunk")
 	errGap        = errors.New("stream skipped a part of the content")
-	errDiffers    = errors.New("stream repeats content with another text")
-	errForeign    = errors.New("stream carries another request's identifier")
+	errMismatch   = errors.New("stream repeats a part of the content with a different text")
+	errWrongID    = errors.New("stream carries another request's identifier")
 )
 
 const (
@@ -32,32 +32,35 @@
 	drainBytes        = 4 << 10
 )
 
-// assembly puts a completion together out of chunks, over several streams.
+// assembly builds the content of a completion from the chunks of one or more
+// streams.
 type assembly struct {
 	requestID string
-	limit     int // bytes
+	limit     int // maximum content in bytes
 	content   strings.Builder
 	finish    string
 	usage     *enginev1.Usage
 }
 
-// complete says that the last chunk came: finish reason and usage are there.
-func (a *assembly) complete() bool { return a.finish != "" && a.usage != nil }
+// isComplete reports whether the last chunk was received, which means that
+// finish reason and usage are set.
+func (a *assembly) isComplete() bool { return a.finish != "" && a.usage != nil }
 
-// take adds a chunk and returns the content that is new. A gap, a foreign
-// identifier or a contradiction is an error and adds nothing.
-func (a *assembly) take(chunk *enginev1.CompletionChunk) (string, error) {
+// add adds a chunk and returns the content that is new. It adds nothing and
+// returns an error if the chunk leaves a gap, contradicts earlier content,
+// belongs to another request or exceeds the limit.
+func (a *assembly) add(chunk *enginev1.CompletionChunk) (string, error) {
 	if chunk.ID != a.requestID {
-		return "", eris.Wrapf(errForeign, "chunk of %q", chunk.ID)
+		return "", eris.Wrapf(errWrongID, "chunk of %q", chunk.ID)
 	}
-	fresh, err := a.align(chunk.Offset, contentOf(chunk))
+	added, err := a.trimReceived(chunk.Offset, chunkContent(chunk))
 	if err != nil {
 		return "", err
 	}
-	if a.content.Len()+len(fresh) > a.limit {
+	if a.content.Len()+len(added) > a.limit {
 		return "", eris.Wrapf(errTooLarge, "more than %d bytes", a.limit)
 	}
-	a.content.WriteString(fresh)
+	a.content.WriteString(added)
 	for _, choice := range chunk.Choices {
 		if choice.FinishReason != "" {
 			a.finish = choice.FinishReason
@@ -66,31 +69,33 @@
 	if chunk.Usage != nil {
 		a.usage = chunk.Usage
 	}
-	return fresh, nil
+	return added, nil
 }
 
-// align cuts off what is there already.
-func (a *assembly) align(offset int, text string) (string, error) {
-	known := a.content.Len()
-	if offset < 0 || offset > known {
-		return "", eris.Wrapf(errGap, "have %d bytes, chunk begins at %d", known, offset)
+// trimReceived returns text without the part that was received before. offset is
+// the position of text in the whole content.
+func (a *assembly) trimReceived(offset int, text string) (string, error) {
+	received := a.content.Len()
+	if offset < 0 || offset > received {
+		return "", eris.Wrapf(errGap, "have %d bytes, chunk begins at %d", received, offset)
 	}
-	overlap := min(known-offset, len(text))
+	overlap := min(received-offset, len(text))
 	if a.content.String()[offset:offset+overlap] != text[:overlap] {
-		return "", eris.Wrapf(errDiffers, "at byte %d", offset)
+		return "", eris.Wrapf(errMismatch, "at byte %d", offset)
 	}
 	return text[overlap:], nil
 }
 
-func contentOf(chunk *enginev1.CompletionChunk) string {
+func chunkContent(chunk *enginev1.CompletionChunk) string {
 	if len(chunk.Choices) == 0 {
 		return ""
 	}
 	return chunk.Choices[0].Delta.Content
 }
 
-// readEvents reads server-sent events until one ends the stream: visit
-// returns true to stop. An end without that is errEndedEarly.
+// readEvents reads server-sent events and calls visit with each chunk until
+// visit returns true or an error. If the stream ends before that, it returns
+// errEndedEarly.
 func readEvents(body io.Reader, maxEvent int, visit func(*enginev1.CompletionChunk) (bool, error)) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, min(initialEventBytes, maxEvent)), maxEvent)
@@ -121,45 +126,45 @@
 	return errEndedEarly
 }
 
-// watchdog cancels a context after a silence; touch is called at each sign of life.
-type watchdog struct {
+// idleTimer cancels a context if reset is not called for the timeout.
+type idleTimer struct {
 	timer   *time.Timer
-	silence time.Duration
+	timeout time.Duration
 }
 
-func watch(ctx context.Context, silence time.Duration) (context.Context, context.CancelFunc, *watchdog) {
+func withIdleTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc, *idleTimer) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	dog := &watchdog{silence: silence}
-	dog.timer = time.AfterFunc(silence, func() { cancel(errIdle) })
+	idle := &idleTimer{timeout: timeout}
+	idle.timer = time.AfterFunc(timeout, func() { cancel(errIdle) })
 	stop := func() {
-		dog.timer.Stop()
+		idle.timer.Stop()
 		cancel(nil)
 	}
-	return ctx, stop, dog
+	return ctx, stop, idle
 }
 
-func (w *watchdog) touch() { w.timer.Reset(w.silence) }
+func (w *idleTimer) reset() { w.timer.Reset(w.timeout) }
 
-// aliveReader touches the watchdog with each read that brought something.
-type aliveReader struct {
+// idleResetReader resets the timer with each read that returns data.
+type idleResetReader struct {
 	io.Reader
-	dog *watchdog
+	timer *idleTimer
 }
 
-func (r aliveReader) Read(buffer []byte) (int, error) {
+func (r idleResetReader) Read(buffer []byte) (int, error) {
 	count, err := r.Reader.Read(buffer)
 	if count > 0 {
-		r.dog.touch()
+		r.timer.reset()
 	}
 	return count, err
 }
 
-// drain reads the short rest of a stream, so that its connection can be used
-// again, then stops it; it never holds up the answer.
+// drain reads the short rest of a stream in the background, so that its
+// connection can be reused, and then closes it. It returns at once.
 func drain(body io.ReadCloser, stop context.CancelFunc) {
 	timer := time.AfterFunc(drainTimeout, stop)
 	go func() {
-		_, _ = io.CopyN(io.Discard, body, drainBytes) // its end, or none: the connection shows by itself whether it can be used again
+		_, _ = io.CopyN(io.Discard, body, drainBytes) // error ignored: the connection is then just not reused
 		_ = body.Close()
 		timer.Stop()
 		stop()
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -11,65 +11,66 @@
 	enginev1 "github.com/thymeloft/thymeloft/api/engine/v1"
 )
 
-const fuzzedRequest = "program/1/1"
+const testRequestID = "program/1/1"
 
-// follow reads streams one after the other, as resuming does.
-func follow(streams ...string) (taken *assembly, passedOn string) {
-	taken = &assembly{requestID: fuzzedRequest, limit: 1 << 10}
+// follow reads the streams one after the other into one assembly, as resuming
+// does.
+func follow(streams ...string) (result *assembly, passedOn string) {
+	result = &assembly{requestID: testRequestID, limit: 1 << 10}
 	var pieces strings.Builder
 	for _, stream := range streams {
 		_ = readEvents(strings.NewReader(stream), 1<<9, func(chunk *enginev1.CompletionChunk) (bool, error) {
-			fresh, err := taken.take(chunk)
+			fresh, err := result.add(chunk)
 			pieces.WriteString(fresh)
-			return taken.complete(), err
+			return result.isComplete(), err
 		})
 	}
-	return taken, pieces.String()
+	return result, pieces.String()
 }
 
-func event(offset int, text, finish string, usage *enginev1.Usage) string {
+func encodeEvent(offset int, text, finish string, usage *enginev1.Usage) string {
 	encoded, _ := json.Marshal(enginev1.CompletionChunk{
-		ID: fuzzedRequest, Offset: offset, Choices: []enginev1.Choice{{Delta: enginev1.Message{Content: text}, FinishReason: finish}}, Usage: usage,
+		ID: testRequestID, Offset: offset, Choices: []enginev1.Choice{{Delta: enginev1.Message{Content: text}, FinishReason: finish}}, Usage: usage,
 	})
 	return fmt.Sprintf("data: %s\n\n", encoded)
 }
 
 func FuzzReadEvents(f *testing.F) {
-	f.Add(event(0, "one ", "", nil), event(4, "two", "stop", &enginev1.Usage{CompletionTokens: 2}))
-	f.Add("data: {\"id\":\""+fuzzedRequest+"\",\"offset\":-1}\n", ": comment\r\ndata: [DONE]\n")
+	f.Add(encodeEvent(0, "one ", "", nil), encodeEvent(4, "two", "stop", &enginev1.Usage{CompletionTokens: 2}))
+	f.Add("data: {\"id\":\""+testRequestID+"\",\"offset\":-1}\n", ": comment\r\ndata: [DONE]\n")
 	f.Fuzz(func(t *testing.T, first, second string) {
-		taken, passedOn := follow(first, second)
-		if taken.content.String() != passedOn || len(passedOn) > 1<<10 {
-			t.Fatalf("kept %q, passed on %q", taken.content.String(), passedOn)
+		result, passedOn := follow(first, second)
+		if result.content.String() != passedOn || len(passedOn) > 1<<10 {
+			t.Fatalf("kept %q, passed on %q", result.content.String(), passedOn)
 		}
 	})
 }
 
-// However a stream is chunked, cut and resumed with overlaps and gaps, what is
-// passed on is a beginning of the content, and it is complete only when whole.
-func TestResumedStreamsGiveTheContent(t *testing.T) {
+// However a stream is split, interrupted and resumed with overlaps and gaps, the
+// text passed on must be a prefix of the content, and equal to it if complete.
+func TestResumedStreamsReassembleContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		content := rapid.StringMatching(`[a-z ]{1,60}`).Draw(t, "content")
 		var streams []string
 		for range rapid.IntRange(1, 6).Draw(t, "streams") {
 			var stream strings.Builder
-			at := rapid.IntRange(0, len(content)).Draw(t, "from")
-			for at < len(content) && rapid.IntRange(0, 9).Draw(t, "goes on") > 0 {
-				size := rapid.IntRange(1, len(content)-at).Draw(t, "size")
-				stream.WriteString(event(at, content[at:at+size], "", nil))
-				at += size
+			offset := rapid.IntRange(0, len(content)).Draw(t, "from")
+			for offset < len(content) && rapid.IntRange(0, 9).Draw(t, "goes on") > 0 {
+				size := rapid.IntRange(1, len(content)-offset).Draw(t, "size")
+				stream.WriteString(encodeEvent(offset, content[offset:offset+size], "", nil))
+				offset += size
 			}
-			if at == len(content) {
-				stream.WriteString(event(at, "", "stop", &enginev1.Usage{}))
+			if offset == len(content) {
+				stream.WriteString(encodeEvent(offset, "", "stop", &enginev1.Usage{}))
 			}
 			streams = append(streams, stream.String())
 		}
-		taken, passedOn := follow(streams...)
+		result, passedOn := follow(streams...)
 		if !strings.HasPrefix(content, passedOn) {
-			t.Fatalf("passed on %q of %q", passedOn, content)
+			t.Fatalf("passed on %q, which is not a prefix of %q", passedOn, content)
 		}
-		if taken.complete() && passedOn != content {
-			t.Fatalf("complete with %q of %q", passedOn, content)
+		if result.isComplete() && passedOn != content {
+			t.Fatalf("complete with %q, but the content is %q", passedOn, content)
 		}
 	})
 }
