--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -1,6 +1,6 @@
-// Package routetable holds what operators declare for requests by host and
-// path: routes, their splits over services, services and limits. A Table is
-// immutable; a Holder replaces it and never goes back to an older revision.
+// Package routetable holds the routes, services and limits that operators declare
+// for requests by host and path. A route can split its requests over services. A
+// Table is immutable; a Holder replaces it only by a newer revision.
 package routetable
 
 import (
@@ -12,55 +12,55 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Repeat says what may be repeated of a request.
+// Repeat says whether a request may run more than once.
 type Repeat uint8
 
-// The kinds of requests by what may be repeated.
+// The values of Repeat.
 const (
-	// Once is for requests that run at most once.
+	// Once means that a request runs at most once.
 	Once Repeat = iota
-	// Any is for requests that may run more than once.
+	// Any means that a request may run more than once.
 	Any
 )
 
-// Route says how requests of a host below a path prefix are served.
+// Route says how requests to a host below a path prefix are served.
 type Route struct {
 	Name        string
 	Host        string
 	Prefix      string // begins and ends with a slash
 	Repeat      Repeat
 	Streaming   bool
-	Resumable   bool // a stream may go on at another engine
-	Recorded    bool // turns are kept with their chain
-	Retention   time.Duration
+	Resumable   bool          // a stream may be continued on another engine
+	Recorded    bool          // turns are stored, so that later requests can continue them
+	Retention   time.Duration // how long recorded turns are kept
 	Timeout     time.Duration
-	Target      time.Duration // latency within which an answer is in time
-	Patience    time.Duration // callers leave a stream after a longer gap
+	Target      time.Duration // maximum latency of an answer that is in time
+	Patience    time.Duration // callers give up a stream after a longer gap
 	MaxAttempts int
 	Priority    int // 0 is the highest
-	// Public requests need no key.
-	Public  bool
-	Parts   []Part
-	balance *balance
+	// Public means that requests need no key.
+	Public   bool
+	Parts    []Part
+	balancer *balancer
 }
 
-// Part is a service's weight in a route.
+// Part is one of the services of a route and its weight.
 type Part struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of engines that serve the same.
+// Service is a group of interchangeable engines.
 type Service struct {
 	Name           string
 	MaxConnections int
 	Slots          int
-	Model          bool // engines that generate tokens in batches
+	Model          bool // the engines generate tokens in batches
 	TokensPerEvent int
-	MemoryTokens   int // prompt and output tokens that an engine holds
+	MemoryTokens   int // number of prompt and output tokens that an engine can hold
 }
 
-// Limits bound what a caller may send and for how long.
+// Limits are the maximum sizes and durations of what a caller sends.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -68,17 +68,18 @@
 	IdleTimeout   time.Duration
 }
 
-// Table is one revision of the declared routes.
+// Table is one revision of the declared routes. It is safe for concurrent use.
 type Table struct {
 	Revision uint64
 	Limits   Limits
-	// Tenants are who may call; nil, or none in it: anybody may, without a key.
+	// Tenants are the callers with access. If it is nil or empty, anyone may
+	// call without a key.
 	Tenants  *tenant.Directory
 	services map[string]*Service
 	byHost   map[string][]*Route // longest prefix first
 }
 
-// New makes a table. The routes and services belong to it from then on.
+// New returns a table, which takes ownership of the routes and services.
 func New(revision uint64, limits Limits, routes []*Route, services []*Service) *Table {
 	table := &Table{
 		Revision: revision,
@@ -90,18 +91,18 @@
 		table.services[service.Name] = service
 	}
 	for _, route := range routes {
-		route.balance = newBalance(route.Parts)
+		route.balancer = newBalancer(route.Parts)
 		table.byHost[route.Host] = append(table.byHost[route.Host], route)
 	}
-	for _, ofHost := range table.byHost {
-		sort.SliceStable(ofHost, func(i, j int) bool { return len(ofHost[i].Prefix) > len(ofHost[j].Prefix) })
+	for _, hostRoutes := range table.byHost {
+		sort.SliceStable(hostRoutes, func(i, j int) bool { return len(hostRoutes[i].Prefix) > len(hostRoutes[j].Prefix) })
 	}
 	return table
 }
 
-// Find returns the route of the host with the longest prefix of the path.
+// Find returns the route of the host that has the longest prefix of the path.
 func (t *Table) Find(host, path string) (*Route, bool) {
-	for _, route := range t.byHost[hostName(host)] {
+	for _, route := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route, true
 		}
@@ -109,7 +110,8 @@
 	return nil, false
 }
 
-// Service returns a declared service, or an empty one with that name.
+// Service returns the declared service, or an empty one with the name if it is
+// not declared.
 func (t *Table) Service(name string) *Service {
 	if service, known := t.services[name]; known {
 		return service
@@ -117,7 +119,8 @@
 	return &Service{Name: name}
 }
 
-// ModelServices names the declared services whose engines generate tokens; nil: no table.
+// ModelServices returns the names of the services whose engines generate tokens,
+// in any order. It returns nil for a nil table.
 func (t *Table) ModelServices() []string {
 	if t == nil {
 		return nil
@@ -131,15 +134,15 @@
 	return names
 }
 
-// hostName drops a port and folds the case.
-func hostName(host string) string {
+// normalizeHost returns the host without its port and in lower case.
+func normalizeHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
 
-// Holder gives the newest table to readers without a lock.
+// Holder holds the newest table. It is safe for concurrent use and lock-free.
 type Holder struct {
 	current atomic.Pointer[Table]
 }
@@ -147,8 +150,9 @@
 // Current returns the newest table, or nil before the first.
 func (h *Holder) Current() *Table { return h.current.Load() }
 
-// Replace takes the table if its revision is larger than the current one's.
-// Weighted splits go on where the former revision of the route stopped.
+// Replace stores the table if its revision is larger than the current one's, and
+// reports whether it did. Routes whose parts have not changed continue their
+// weighted split.
 func (h *Holder) Replace(table *Table) bool {
 	for {
 		current := h.current.Load()
@@ -156,7 +160,7 @@
 			return false
 		}
 		if current != nil {
-			table.inherit(current)
+			table.inheritBalancers(current)
 		}
 		if h.current.CompareAndSwap(current, table) {
 			return true
@@ -164,13 +168,14 @@
 	}
 }
 
-// inherit keeps the state of splits whose parts did not change.
-func (t *Table) inherit(former *Table) {
+// inheritBalancers takes over the balancers of the routes whose parts have not
+// changed.
+func (t *Table) inheritBalancers(previous *Table) {
 	for host, routes := range t.byHost {
 		for _, route := range routes {
-			for _, old := range former.byHost[host] {
-				if old.Prefix == route.Prefix && old.balance.same(route.Parts) {
-					route.balance = old.balance
+			for _, old := range previous.byHost[host] {
+				if old.Prefix == route.Prefix && old.balancer.hasParts(route.Parts) {
+					route.balancer = old.balancer
 				}
 			}
 		}
