--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -10,8 +10,8 @@
 	"github.com/thymeloft/thymeloft/internal/routing"
 )
 
-// BenchmarkFollow measures one look at a call at another daemon over loopback:
-// the router, net/rpc and gob on both sides.
+// BenchmarkFollow measures one Follow operation at another daemon over loopback,
+// which includes the router, net/rpc and gob on both sides.
 func BenchmarkFollow(b *testing.B) {
 	leader, err := peer.Listen("127.0.0.1:0", peer.Options{})
 	if err != nil {
@@ -20,7 +20,7 @@
 	defer leader.Close()
 	pool := peer.NewPool(peer.Options{})
 	defer pool.Close()
-	local := &site{}
+	local := &fakeDaemon{}
 	local.leading.Store(true)
 	replicas := []identity.Process{{Machine: "a", Address: leader.Address()}}
 	options := routing.Options{Self: replicas[0], Local: local, Groups: noGroups{}, Map: mapOf(replicas[0]), Caller: pool, Registrar: leader}
@@ -37,7 +37,7 @@
 	b.RunParallel(func(parallel *testing.PB) {
 		for parallel.Next() {
 			if reply, _ := router.Follow(context.Background(), arguments); !reply.Done {
-				b.Error("no end")
+				b.Error("reply is not final")
 			}
 		}
 	})
--- a/internal/routing/fake_test.go
+++ b/internal/routing/fake_test.go
@@ -16,66 +16,67 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// site is a daemon's local side: it decides when it leads, else it hints.
-type site struct {
-	routing.Local // what a test does not use stays nil
+// fakeDaemon is the local side of a daemon. While it does not lead, it replies
+// with a problem that may name the leader.
+type fakeDaemon struct {
+	routing.Local // nil, since tests use only the methods below
 	self          identity.Process
 	leading       atomic.Bool
-	hint          atomic.Pointer[string]
+	leaderHint    atomic.Pointer[string]
 	submits       atomic.Int64
 	router        *routing.Router
 	server        *peer.Server
-	known         *fakeMap
+	shardMap      *fakeMap
 }
 
-func (s *site) elsewhere() *problem.Problem {
+func (d *fakeDaemon) notLeaderProblem() *problem.Problem {
 	found := problem.New(problem.KindUnavailable, "lead", "not the leader")
-	if hint := s.hint.Load(); hint != nil {
+	if hint := d.leaderHint.Load(); hint != nil {
 		found.Leader = *hint
 	}
 	return found
 }
 
-func (s *site) Create(_ context.Context, arguments execution.CreateArguments) (execution.CreateReply, error) {
-	if !s.leading.Load() {
-		return execution.CreateReply{Problem: s.elsewhere()}, nil
+func (d *fakeDaemon) Create(_ context.Context, arguments execution.CreateArguments) (execution.CreateReply, error) {
+	if !d.leading.Load() {
+		return execution.CreateReply{Problem: d.notLeaderProblem()}, nil
 	}
 	shard := identity.ShardOfCreation(arguments.Tenant, arguments.CreationKey, shardCount)
 	return execution.CreateReply{Program: identity.NewProgram(shard)}, nil
 }
 
-func (s *site) Submit(context.Context, execution.SubmitArguments) (execution.SubmitReply, error) {
-	if !s.leading.Load() {
-		return execution.SubmitReply{Problem: s.elsewhere()}, nil
+func (d *fakeDaemon) Submit(context.Context, execution.SubmitArguments) (execution.SubmitReply, error) {
+	if !d.leading.Load() {
+		return execution.SubmitReply{Problem: d.notLeaderProblem()}, nil
 	}
-	s.submits.Add(1)
+	d.submits.Add(1)
 	return execution.SubmitReply{}, nil
 }
 
-func (s *site) Follow(context.Context, execution.FollowArguments) (execution.FollowReply, error) {
-	if !s.leading.Load() {
-		return execution.FollowReply{Problem: s.elsewhere()}, nil
+func (d *fakeDaemon) Follow(context.Context, execution.FollowArguments) (execution.FollowReply, error) {
+	if !d.leading.Load() {
+		return execution.FollowReply{Problem: d.notLeaderProblem()}, nil
 	}
 	ended := problem.New(problem.KindUnavailable, "await the answer", "the back end is gone").WithOutcome(problem.OutcomeNotRun)
 	return execution.FollowReply{Done: true, State: program.CallNotRun, Problem: ended}, nil
 }
 
-func (s *site) Gone(_ context.Context, arguments execution.GoneArguments) (execution.GoneReply, error) {
-	if !s.leading.Load() {
-		return execution.GoneReply{Problem: s.elsewhere()}, nil
+func (d *fakeDaemon) Gone(_ context.Context, arguments execution.GoneArguments) (execution.GoneReply, error) {
+	if !d.leading.Load() {
+		return execution.GoneReply{Problem: d.notLeaderProblem()}, nil
 	}
 	return execution.GoneReply{Programs: arguments.Programs[:1]}, nil
 }
 
 const shardCount = 4
 
-// fakeMap has every shard on the same leader.
+// fakeMap is a source of shard maps in which one process leads all shards.
 type fakeMap struct{ current atomic.Pointer[shards.Map] }
 
 func (m *fakeMap) Current() *shards.Map { return m.current.Load() }
 
-// name makes a process the leader of all shards.
-func (m *fakeMap) name(leader identity.Process) {
+// setLeader makes a process the leader of all shards.
+func (m *fakeMap) setLeader(leader identity.Process) {
 	known := &shards.Map{Shards: shardCount, Leaders: map[identity.Shard]shards.Leader{}}
 	for number := range identity.Shard(shardCount) {
 		known.Leaders[number+1] = shards.Leader{Process: leader, Term: 1}
@@ -84,39 +85,40 @@
 }
 
 func mapOf(leader identity.Process) *fakeMap {
-	made := &fakeMap{}
-	made.name(leader)
-	return made
+	shardMap := &fakeMap{}
+	shardMap.setLeader(leader)
+	return shardMap
 }
 
-// noGroups is a daemon that knows no leader.
+// noGroups are the shard groups of a daemon that knows no leader.
 type noGroups struct{ shards.Groups }
 
 func (noGroups) Leader(identity.Shard) (identity.Process, bool) { return identity.Process{}, false }
 
-// newSites makes daemons that talk over loopback; the first one leads.
-func newSites(count int) []*site {
+// newFakeDaemons starts daemons that communicate over loopback. The first one
+// leads.
+func newFakeDaemons(count int) []*fakeDaemon {
 	GinkgoHelper()
-	sites := make([]*site, count)
+	daemons := make([]*fakeDaemon, count)
 	replicas := make([]identity.Process, count)
-	for i := range sites {
+	for i := range daemons {
 		server, err := peer.Listen("127.0.0.1:0", peer.Options{})
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(server.Close)
 		replicas[i] = identity.Process{Machine: identity.Machine(rune('a' + i)), Address: server.Address()}
-		sites[i] = &site{self: replicas[i], server: server}
+		daemons[i] = &fakeDaemon{self: replicas[i], server: server}
 	}
-	sites[0].leading.Store(true)
-	for _, created := range sites {
+	daemons[0].leading.Store(true)
+	for _, created := range daemons {
 		pool := peer.NewPool(peer.Options{})
 		DeferCleanup(pool.Close)
 		var err error
-		created.known = mapOf(replicas[0])
+		created.shardMap = mapOf(replicas[0])
 		created.router, err = routing.New(routing.Options{
-			Self: created.self, Local: created, Groups: noGroups{}, Map: created.known,
+			Self: created.self, Local: created, Groups: noGroups{}, Map: created.shardMap,
 			Caller: pool, Registrar: created.server,
 		})
 		Expect(err).NotTo(HaveOccurred())
 	}
-	return sites
+	return daemons
 }
--- a/internal/routing/gone.go
+++ b/internal/routing/gone.go
@@ -10,9 +10,9 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// EndedOrUnknown returns those of the programs that ended or that nobody
-// knows, by the word of each shard's leader. An identifier that was never
-// issued is unknown. An error means that nothing may be concluded.
+// EndedOrUnknown returns those of the programs that have ended or are unknown,
+// according to the leader of each shard. Identifiers that were never issued count
+// as unknown. If it returns an error, nothing is known about any program.
 func (r *Router) EndedOrUnknown(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
 	var gone []identity.Program
 	byShard := map[identity.Shard][]identity.Program{}
@@ -25,7 +25,7 @@
 		byShard[shard] = append(byShard[shard], program)
 	}
 	for shard, asked := range byShard {
-		found, err := r.goneOf(ctx, shard, asked)
+		found, err := r.queryGone(ctx, shard, asked)
 		if err != nil {
 			return nil, err
 		}
@@ -34,7 +34,7 @@
 	return gone, nil
 }
 
-func (r *Router) goneOf(ctx context.Context, shard identity.Shard, asked []identity.Program) ([]identity.Program, error) {
+func (r *Router) queryGone(ctx context.Context, shard identity.Shard, asked []identity.Program) ([]identity.Program, error) {
 	reply := route(ctx, r, operation[execution.GoneArguments, execution.GoneReply]{
 		method:    "Gone",
 		arguments: execution.GoneArguments{Shard: shard, Programs: asked},
@@ -45,7 +45,7 @@
 	switch {
 	case reply.Problem == nil:
 		return reply.Programs, nil
-	case reply.Problem.Kind == problem.KindUnknownProgram: // a shard that does not exist
+	case reply.Problem.Kind == problem.KindUnknownProgram: // the shard does not exist
 		return asked, nil
 	default:
 		return nil, eris.Wrapf(reply.Problem, "ask shard %d for ended programs", shard)
--- a/internal/routing/leaders.go
+++ b/internal/routing/leaders.go
@@ -7,14 +7,15 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// leaderCache remembers the leader's peer address of each shard. Reads are
-// atomic loads; the slots are made once, when the number of shards is known.
+// leaderCache holds the peer address of each shard's leader. It is safe for
+// concurrent use; reads are atomic loads. The slots are allocated once, when the
+// number of shards is known.
 type leaderCache struct {
 	once  sync.Once
 	slots atomic.Pointer[[]atomic.Pointer[string]]
 }
 
-func (c *leaderCache) size(shards uint32) {
+func (c *leaderCache) allocate(shards uint32) {
 	c.once.Do(func() {
 		slots := make([]atomic.Pointer[string], shards+1)
 		c.slots.Store(&slots)
@@ -52,7 +53,7 @@
 	slot.Store(&address)
 }
 
-// forget drops the address unless another one has replaced it meanwhile.
+// forget removes the address unless another one has replaced it meanwhile.
 func (c *leaderCache) forget(shard identity.Shard, address string) {
 	slot := c.slot(shard)
 	if slot == nil {
--- a/internal/routing/metrics.go
+++ b/internal/routing/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Values of the labels.
+// Values of the result labels.
 const (
 	resultDecided = "decided"
 	resultGivenUp = "given-up"
@@ -43,10 +43,10 @@
 	return m, nil
 }
 
-func (m *metrics) routed(method, result string, started time.Time) {
+func (m *metrics) observeOperation(method, result string, started time.Time) {
 	m.operations.WithLabelValues(method, result).Observe(time.Since(started).Seconds())
 }
 
-func (m *metrics) tried(method, result string) {
+func (m *metrics) countTry(method, result string) {
 	m.tries.WithLabelValues(method, result).Inc()
 }
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	firstBackoff   = 20 * time.Millisecond
-	longestBackoff = 500 * time.Millisecond
-	// refusalPatience is how long an operation that a leader refused is tried
-	// further: a leader that drains hands over soon, any other reason is the
-	// caller's to wait for.
-	refusalPatience = 2 * time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
+	// maxRefusalRetry is how long an operation is tried again after a leader
+	// has refused it. A draining leader hands over within that time; after any
+	// other refusal the caller has to retry.
+	maxRefusalRetry = 2 * time.Second
 	stepRoute       = "find the leader"
 )
 
-// operation is one operation on its way.
+// operation is an operation that is being routed.
 type operation[Arguments, Reply any] struct {
-	method    string
-	runs      bool          // it may make a back end run something
-	wait      time.Duration // the time that the receiver may wait for news
+	method    string        // name of the net/rpc method
+	mayRun    bool          // it may cause a back end to run something
+	wait      time.Duration // how long the receiver may wait before it replies
 	arguments Arguments
-	shard     func(shards uint32) (identity.Shard, error)
-	local     func(context.Context, Arguments) (Reply, error)
-	problemOf func(*Reply) **problem.Problem
-	final     func(*Reply) bool // the problem is the call's own end
+	shard     func(shards uint32) (identity.Shard, error)     // returns the shard, given the number of shards
+	local     func(context.Context, Arguments) (Reply, error) // runs the operation at this daemon
+	problemOf func(*Reply) **problem.Problem                  // returns the problem field of a reply
+	isFinal   func(*Reply) bool                               // reports whether a reply is the result of the call itself; nil: never
 }
 
-// fate is what the tries so far tell about the operation.
-type fate struct {
-	uncertain bool             // a try may have been taken, without a word about it
-	refused   time.Time        // when a daemon that knows the shard first refused it; zero: never
-	last      *problem.Problem // the last problem that a daemon replied
-	lastError error            // the last error of transport
-	lastPeer  string
+// tryState holds what the tries so far have shown about an operation.
+type tryState struct {
+	outcomeUnknown bool             // a try may have taken effect without a reply that says so
+	refusedAt      time.Time        // time of the first refusal by a daemon that knows the shard; zero: none
+	lastProblem    *problem.Problem // last problem in a reply
+	lastError      error            // last transport error
+	lastPeer       string           // address of the last daemon tried
 }
 
-// route tries the operation until a daemon decides on it, the context ends or
-// the patience is over.
+// route tries the operation until a daemon decides on it, ctx ends, or
+// Options.Patience plus the operation's wait have passed.
 func route[Arguments, Reply any](ctx context.Context, r *Router, operation operation[Arguments, Reply]) Reply {
 	started := time.Now()
 	limit := r.options.Patience + operation.wait
@@ -54,121 +54,125 @@
 	defer cancel()
 	var reply Reply
 	found := operation.problemOf(&reply)
-	shard, known, rejection := locate(ctx, r, operation.shard)
+	shard, known, rejection := locateShard(ctx, r, operation.shard)
 	if rejection != nil {
 		*found = rejection
 		return reply
 	}
-	var fate fate
-	if known && tryRounds(ctx, r, shard, &operation, &reply, &fate) {
-		r.metrics.routed(operation.method, resultDecided, started)
+	var state tryState
+	if known && tryRounds(ctx, r, shard, &operation, &reply, &state) {
+		r.metrics.observeOperation(operation.method, resultDecided, started)
 		return reply
 	}
-	*found = r.giveUp(operation.method, operation.runs, &fate)
-	r.metrics.routed(operation.method, resultGivenUp, started)
+	*found = r.giveUpProblem(operation.method, operation.mayRun, &state)
+	r.metrics.observeOperation(operation.method, resultGivenUp, started)
 	return reply
 }
 
-// locate waits for the shard map and gives the shard of the operation. A
-// shard that does not exist means an identifier that was never issued.
-func locate(ctx context.Context, r *Router, shardOf func(uint32) (identity.Shard, error)) (identity.Shard, bool, *problem.Problem) {
-	pauses := pause.Growing(firstBackoff, longestBackoff)
+// locateShard waits for the shard map and returns the shard of the operation. The
+// second result is false if ctx ended first. If the shard does not exist, the
+// identifier was never issued, and locateShard returns a problem.
+func locateShard(ctx context.Context, r *Router, shardOf func(uint32) (identity.Shard, error)) (identity.Shard, bool, *problem.Problem) {
+	backoff := pause.Growing(initialBackoff, maxBackoff)
 	for {
 		if current := r.options.Map.Current(); current != nil {
-			r.leaders.size(current.Shards)
+			r.leaders.allocate(current.Shards)
 			shard, err := shardOf(current.Shards)
 			if err != nil || uint32(shard) > current.Shards {
 				return 0, false, problem.New(problem.KindUnknownProgram, stepRoute, "no such program")
 			}
 			return shard, true, nil
 		}
-		if !pause.For(ctx, pauses.NextBackOff()) {
+		if !pause.For(ctx, backoff.NextBackOff()) {
 			return 0, false, nil
 		}
 	}
 }
 
-// tryRounds goes through the candidates, round after round with backoff, and
-// says whether a daemon decided on the operation.
-func tryRounds[Arguments, Reply any](ctx context.Context, r *Router, shard identity.Shard, operation *operation[Arguments, Reply], reply *Reply, fate *fate) bool {
-	pauses := pause.Growing(firstBackoff, longestBackoff)
+// tryRounds tries all candidates in rounds, with backoff between the rounds, and
+// reports whether a daemon decided on the operation.
+func tryRounds[Arguments, Reply any](ctx context.Context, r *Router, shard identity.Shard, operation *operation[Arguments, Reply], reply *Reply, state *tryState) bool {
+	backoff := pause.Growing(initialBackoff, maxBackoff)
 	for {
 		tried := make([]string, 0, 4)
 		for ctx.Err() == nil {
-			address := r.candidate(shard, fate, tried)
+			address := r.nextCandidate(shard, state, tried)
 			if address == "" {
 				break
 			}
 			tried = append(tried, address)
-			if try(ctx, r, shard, address, operation, reply, fate) {
+			if tryOnce(ctx, r, shard, address, operation, reply, state) {
 				return true
 			}
 		}
-		if fate.refusedFor() >= refusalPatience || !pause.For(ctx, pauses.NextBackOff()) {
+		if state.sinceRefusal() >= maxRefusalRetry || !pause.For(ctx, backoff.NextBackOff()) {
 			return false
 		}
 	}
 }
 
-// refusedFor is the time since the first refusal.
-func (f *fate) refusedFor() time.Duration {
-	if f.refused.IsZero() {
+// sinceRefusal returns the time since the first refusal, or zero if there was
+// none.
+func (s *tryState) sinceRefusal() time.Duration {
+	if s.refusedAt.IsZero() {
 		return 0
 	}
-	return time.Since(f.refused)
+	return time.Since(s.refusedAt)
 }
 
-// candidate gives the next daemon to try in this round: the last hint, the
-// leader known here, the remembered one, then the one of the shard map.
-func (r *Router) candidate(shard identity.Shard, fate *fate, tried []string) string {
-	fresh := func(address string) bool { return address != "" && !slices.Contains(tried, address) }
-	if fate.last != nil && fresh(fate.last.Leader) {
-		return fate.last.Leader
-	}
-	if leader, known := r.options.Groups.Leader(shard); known && fresh(leader.Address) {
+// nextCandidate returns the address of the next daemon to try in this round, or
+// "" if there is none left. It prefers the leader named in the last reply, then
+// the one known to the shard groups, the cached one, and the one in the shard map.
+func (r *Router) nextCandidate(shard identity.Shard, state *tryState, tried []string) string {
+	untried := func(address string) bool { return address != "" && !slices.Contains(tried, address) }
+	if state.lastProblem != nil && untried(state.lastProblem.Leader) {
+		return state.lastProblem.Leader
+	}
+	if leader, known := r.options.Groups.Leader(shard); known && untried(leader.Address) {
 		return leader.Address
 	}
-	if address := r.leaders.get(shard); fresh(address) {
+	if address := r.leaders.get(shard); untried(address) {
 		return address
 	}
-	if leader := r.options.Map.Current().Leaders[shard].Process; fresh(leader.Address) {
+	if leader := r.options.Map.Current().Leaders[shard].Process; untried(leader.Address) {
 		return leader.Address
 	}
 	return ""
 }
 
-// try runs the operation at one daemon and says whether that decided on it.
-func try[Arguments, Reply any](ctx context.Context, r *Router, shard identity.Shard, address string, operation *operation[Arguments, Reply], reply *Reply, fate *fate) bool {
+// tryOnce runs the operation at one daemon and reports whether that daemon
+// decided on it.
+func tryOnce[Arguments, Reply any](ctx context.Context, r *Router, shard identity.Shard, address string, operation *operation[Arguments, Reply], reply *Reply, state *tryState) bool {
 	ctx, cancel := context.WithTimeout(ctx, r.options.TryTimeout+operation.wait)
 	defer cancel()
 	result, err := call(ctx, r, address, operation)
-	fate.lastPeer = address
+	state.lastPeer = address
 	if err != nil {
-		r.metrics.tried(operation.method, tryError)
+		r.metrics.countTry(operation.method, tryError)
 		r.leaders.forget(shard, address)
-		fate.lastError = err
-		fate.uncertain = fate.uncertain || !errors.Is(err, peer.ErrNotSent)
-		r.logger.Debug("routing: a try failed.", zap.String("method", operation.method), zap.String("peer", address), zap.Error(err))
+		state.lastError = err
+		state.outcomeUnknown = state.outcomeUnknown || !errors.Is(err, peer.ErrNotSent)
+		r.logger.Debug("routing: operation failed at a daemon.", zap.String("method", operation.method), zap.String("peer", address), zap.Error(err))
 		return false
 	}
 	found := *operation.problemOf(&result)
-	if found == nil || found.Kind != problem.KindUnavailable || (operation.final != nil && operation.final(&result)) {
-		r.metrics.tried(operation.method, tryDecided)
+	if found == nil || found.Kind != problem.KindUnavailable || (operation.isFinal != nil && operation.isFinal(&result)) {
+		r.metrics.countTry(operation.method, tryDecided)
 		r.leaders.set(shard, address)
 		*reply = result
 		return true
 	}
-	r.metrics.tried(operation.method, tryElsewhere)
+	r.metrics.countTry(operation.method, tryElsewhere)
 	r.leaders.forget(shard, address)
-	fate.last = found
-	fate.uncertain = fate.uncertain || found.Outcome == problem.OutcomeUnknown
-	if found.Outcome == problem.OutcomeNotRun && fate.refused.IsZero() {
-		fate.refused = time.Now()
+	state.lastProblem = found
+	state.outcomeUnknown = state.outcomeUnknown || found.Outcome == problem.OutcomeUnknown
+	if found.Outcome == problem.OutcomeNotRun && state.refusedAt.IsZero() {
+		state.refusedAt = time.Now()
 	}
 	return false
 }
 
-// call runs the operation here or at the peer.
+// call runs the operation at the daemon with the address, which may be this one.
 func call[Arguments, Reply any](ctx context.Context, r *Router, address string, operation *operation[Arguments, Reply]) (Reply, error) {
 	if address == r.options.Self.Address {
 		return operation.local(ctx, operation.arguments)
@@ -180,31 +184,32 @@
 	return reply, err
 }
 
-// giveUp makes the truthful problem. "Not run" is said only when a daemon
-// that knows the shard said it and no try is in doubt: that nothing was sent
-// from here says nothing of an earlier request for the same call.
-func (r *Router) giveUp(method string, runs bool, fate *fate) *problem.Problem {
-	given := problem.New(problem.KindUnavailable, stepRoute, "no leader of the program's shard could be reached for %s", method).
+// giveUpProblem returns the problem of an operation on which no daemon decided.
+// Its outcome is OutcomeNotRun only if the last reply said so and no try has an
+// unknown outcome. If nothing was sent, the outcome is still unknown, because an
+// earlier request for the same call may have been sent.
+func (r *Router) giveUpProblem(method string, mayRun bool, state *tryState) *problem.Problem {
+	result := problem.New(problem.KindUnavailable, stepRoute, "no leader of the program's shard could be reached for %s", method).
 		WithRetryAfter(r.options.RetryAfter)
-	given.Peer = fate.lastPeer
+	result.Peer = state.lastPeer
 	switch {
-	case !fate.refused.IsZero() && !fate.uncertain:
-		given.Detail = fate.last.Detail
-		given.Step = fate.last.Step
-	case fate.last != nil:
-		given.Detail += ": " + fate.last.Error()
-	case fate.lastError != nil:
-		given.Detail += ": " + fate.lastError.Error()
+	case !state.refusedAt.IsZero() && !state.outcomeUnknown:
+		result.Detail = state.lastProblem.Detail
+		result.Step = state.lastProblem.Step
+	case state.lastProblem != nil:
+		result.Detail += ": " + state.lastProblem.Error()
+	case state.lastError != nil:
+		result.Detail += ": " + state.lastError.Error()
 	}
-	if fate.last != nil && fate.last.RetryAfter > 0 {
-		given.RetryAfter = fate.last.RetryAfter
+	if state.lastProblem != nil && state.lastProblem.RetryAfter > 0 {
+		result.RetryAfter = state.lastProblem.RetryAfter
 	}
-	if !runs {
-		return given
+	if !mayRun {
+		return result
 	}
-	given.Outcome = problem.OutcomeUnknown
-	if !fate.uncertain && fate.last != nil && fate.last.Outcome == problem.OutcomeNotRun {
-		given.Outcome = problem.OutcomeNotRun
+	result.Outcome = problem.OutcomeUnknown
+	if !state.outcomeUnknown && state.lastProblem != nil && state.lastProblem.Outcome == problem.OutcomeNotRun {
+		result.Outcome = problem.OutcomeNotRun
 	}
-	return given
+	return result
 }
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,7 +1,7 @@
-// Package routing takes a caller's operation from any daemon to the leader of
-// the program's shard. It remembers leaders, follows hints when a leader
-// moved, and tries other replicas. All operations are idempotent by design,
-// so an operation whose fate is unknown is tried again.
+// Package routing forwards a caller's operation from any daemon to the leader of
+// the program's shard. It caches leaders, follows the hints of daemons that no
+// longer lead, and tries other replicas. All operations are idempotent, so an
+// operation with an unknown outcome is tried again.
 package routing
 
 import (
@@ -27,13 +27,14 @@
 	defaultRetryAfter = 2 * time.Second
 )
 
-// Local is what a daemon does for the shards that it leads; *execution.Service implements it.
+// Local runs operations for the shards that this daemon leads.
+// *execution.Service implements it.
 type Local interface {
 	execution.Programs
 	Gone(ctx context.Context, arguments execution.GoneArguments) (execution.GoneReply, error)
 }
 
-// Options are what a router needs. Durations left zero take the defaults.
+// Options configure a Router. Zero durations take their defaults.
 type Options struct {
 	Self       identity.Process
 	Local      Local // for shards led by this daemon
@@ -41,15 +42,16 @@
 	Map        shards.Source
 	Caller     peer.Caller
 	Registrar  peer.Registrar
-	Logger     *zap.Logger
-	Registerer prometheus.Registerer
+	Logger     *zap.Logger           // nil: nothing is logged
+	Registerer prometheus.Registerer // nil: metrics are not exposed
 
-	Patience   time.Duration // how long a leader is looked for before giving up
-	TryTimeout time.Duration // bound of one try, besides the wait that the caller asked for
-	RetryAfter time.Duration // advice to the caller when giving up
+	Patience   time.Duration // how long a leader is searched for before giving up; 10 s
+	TryTimeout time.Duration // limit on one try, in addition to the wait that the caller asked for; 4 s
+	RetryAfter time.Duration // retry delay given to the caller when giving up; 2 s
 }
 
-// Router implements execution.Programs for all shards. Safe for concurrent use.
+// Router implements execution.Programs for all shards. It is safe for concurrent
+// use.
 type Router struct {
 	options Options
 	leaders leaderCache
@@ -59,10 +61,10 @@
 
 var _ execution.Programs = (*Router)(nil)
 
-// New makes a router and registers its service for other daemons' calls.
+// New returns a router and registers the net/rpc service for other daemons.
 func New(options Options) (*Router, error) {
 	if options.Local == nil || options.Groups == nil || options.Map == nil || options.Caller == nil || options.Registrar == nil {
-		return nil, errors.New("routing: Local, Groups, Map, Caller and Registrar are needed")
+		return nil, errors.New("routing: Local, Groups, Map, Caller and Registrar are required")
 	}
 	setDefault(&options.Patience, defaultPatience)
 	setDefault(&options.TryTimeout, defaultTryTimeout)
@@ -73,22 +75,23 @@
 	router := &Router{options: options, logger: options.Logger.Named("routing")}
 	var err error
 	if router.metrics, err = newMetrics(options.Registerer); err != nil {
-		return nil, eris.Wrap(err, "register metrics of routing")
+		return nil, eris.Wrap(err, "register the routing metrics")
 	}
 	service := &Service{local: options.Local}
 	if err := options.Registrar.Register(serviceName, service); err != nil {
-		return nil, eris.Wrap(err, "register the service of routing")
+		return nil, eris.Wrap(err, "register the routing service")
 	}
 	return router, nil
 }
 
-func setDefault(value *time.Duration, standard time.Duration) {
+func setDefault(value *time.Duration, defaultValue time.Duration) {
 	if *value == 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
-// Create asks the shard that the creation key hashes to, or the parent's.
+// Create creates a program in its parent's shard or, without a parent, in the
+// shard to which the creation key hashes.
 func (r *Router) Create(ctx context.Context, arguments execution.CreateArguments) (execution.CreateReply, error) {
 	operation := operation[execution.CreateArguments, execution.CreateReply]{
 		method:    "Create",
@@ -105,11 +108,11 @@
 	return route(ctx, r, operation), nil
 }
 
-// Submit hands a call to the leader of its program.
+// Submit passes a call to the leader of its program's shard.
 func (r *Router) Submit(ctx context.Context, arguments execution.SubmitArguments) (execution.SubmitReply, error) {
 	return route(ctx, r, operation[execution.SubmitArguments, execution.SubmitReply]{
 		method:    "Submit",
-		runs:      true,
+		mayRun:    true,
 		arguments: arguments,
 		shard:     shardOf(arguments.Program),
 		local:     r.options.Local.Submit,
@@ -117,7 +120,7 @@
 	}), nil
 }
 
-// Follow reads on in a call's answer.
+// Follow returns the next part of a call's answer.
 func (r *Router) Follow(ctx context.Context, arguments execution.FollowArguments) (execution.FollowReply, error) {
 	return route(ctx, r, operation[execution.FollowArguments, execution.FollowReply]{
 		method:    "Follow",
@@ -126,7 +129,7 @@
 		shard:     shardOf(arguments.Program),
 		local:     r.options.Local.Follow,
 		problemOf: func(reply *execution.FollowReply) **problem.Problem { return &reply.Problem },
-		final:     func(reply *execution.FollowReply) bool { return reply.Done },
+		isFinal:   func(reply *execution.FollowReply) bool { return reply.Done },
 	}), nil
 }
 
@@ -141,7 +144,7 @@
 	}), nil
 }
 
-// History reads a program as committed.
+// History returns the committed state of a program.
 func (r *Router) History(ctx context.Context, arguments execution.HistoryArguments) (execution.HistoryReply, error) {
 	return route(ctx, r, operation[execution.HistoryArguments, execution.HistoryReply]{
 		method:    "History",
