--- a/internal/dispatch/cancel.go
+++ b/internal/dispatch/cancel.go
@@ -20,7 +20,7 @@
 )
 
 // errEngineRestarted means that the engine reports no tokens although it has
-// sent content: it has restarted and lost the count.
+// sent content. It must have restarted and lost the count.
 var errEngineRestarted = errors.New("the engine restarted and lost the count of tokens")
 
 // cleanup returns a context for requests after the attempt has ended. It is not
@@ -29,9 +29,9 @@
 	return context.WithTimeout(context.WithoutCancel(ctx), a.http.options.CleanupTimeout)
 }
 
-// abandon reports a completion that could not be followed to its end. It cancels
-// the request at the engine, which then returns the exact number of generated
-// tokens. After a loss of leadership it leaves the request to the next leader.
+// abandon ends a completion that could not be followed to its end. It cancels
+// the request at the engine to learn the exact number of generated tokens. After
+// a loss of leadership it leaves the request to the next leader instead.
 func (c *completion) abandon(ctx context.Context, end streamEnd) Report {
 	if errors.Is(context.Cause(ctx), ErrLeadershipLost) {
 		return c.reportUnknown("leave to the next leader", ErrLeadershipLost)
@@ -63,7 +63,7 @@
 func (c *completion) isKnown(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	response, err := doRequest(ctx, c.http.control, http.MethodGet, c.resumeAddress())
+	response, err := doRequest(ctx, c.http.controlClient, http.MethodGet, c.resumeAddress())
 	if err != nil {
 		return false
 	}
@@ -88,9 +88,9 @@
 	return c.problem(problem.KindBackEndFailed, end.step, end.err)
 }
 
-// generatedTokens returns the exact number of tokens that a failed request
-// generated: the reported one, or else the one that the engine returns on
-// cancellation. It returns tokensUnknown if that fails.
+// generatedTokens returns how many tokens a failed request generated. If the
+// number was not reported, it asks the engine by cancelling the request, and
+// returns tokensUnknown if that fails.
 func (c *completion) generatedTokens(ctx context.Context, reported *enginev1.Usage) int64 {
 	if reported != nil {
 		return reported.CompletionTokens
@@ -104,11 +104,12 @@
 	return status.Usage.CompletionTokens
 }
 
-// cancel asks the engine to cancel the request and returns its final status.
+// cancel asks the engine to cancel the request and returns the status that the
+// engine reports, which need not be final.
 func (c *completion) cancel(ctx context.Context) (enginev1.RequestStatus, error) {
 	var status enginev1.RequestStatus
 	c.http.metrics.cancels.Inc()
-	response, err := doRequest(ctx, c.http.control, http.MethodDelete, c.address(enginev1.PathRequests, c.requestID()))
+	response, err := doRequest(ctx, c.http.controlClient, http.MethodDelete, c.address(enginev1.PathRequests, c.requestID()))
 	if err != nil {
 		return status, err
 	}
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -22,8 +22,8 @@
 const (
 	verdictBroken   verdict = iota // interrupted, silent or unreachable: the request has to be looked up
 	verdictComplete                // the whole answer was received
-	verdictNeverRan                // nothing was sent, or the engine says that it did not start
-	verdictFailed                  // the engine says that it ended without an answer
+	verdictNeverRan                // nothing was sent, or the engine reports that the request did not start
+	verdictFailed                  // the engine reports that the request ended without an answer
 	verdictGone                    // the engine does not know the request
 	verdictTooLarge                // the answer exceeds the limits
 )
@@ -36,7 +36,7 @@
 	usage        *enginev1.Usage // usage of a failed request, if the engine reported it
 	retryAfter   time.Duration
 	progressed   bool // the stream brought content, or was silent although the engine knows the request
-	endedLocally bool // this side ended a working stream: its context ended or the answer was too large
+	endedLocally bool // the stream was intact until ctx ended or the answer became too large
 }
 
 // completion is an attempt at a model engine.
@@ -54,7 +54,7 @@
 }
 
 func (c *completion) run(ctx context.Context) Report {
-	end := streamEnd{step: "resume stream", err: errors.New("sent by a previous leader")}
+	end := streamEnd{step: "resume stream", err: errors.New("the attempt of a former leader has not been found yet")}
 	if !c.order.Resume {
 		if c.tokenLimit() <= 0 {
 			return c.reportNeverRan(c.problem(problem.KindBudgetExhausted, "check limit", errors.New("no tokens reserved")), 0)
@@ -148,8 +148,8 @@
 	}
 }
 
-// handleErrorReply returns how the stream ended if the post was answered with an
-// error status.
+// handleErrorReply returns the result of a post that was answered with an error
+// status.
 func (c *completion) handleErrorReply(response *http.Response) streamEnd {
 	defer response.Body.Close()
 	end := streamEnd{
@@ -169,7 +169,7 @@
 // resume requests the rest of the stream after the content received so far.
 func (c *completion) resume(ctx context.Context) streamEnd {
 	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.IdleStream)
-	response, err := doRequest(ctx, c.http.data, http.MethodGet, c.resumeAddress())
+	response, err := doRequest(ctx, c.http.dataClient, http.MethodGet, c.resumeAddress())
 	if err != nil {
 		stop()
 		return streamEnd{verdict: verdictBroken, step: "resume stream", err: err}
@@ -262,7 +262,7 @@
 func (c *completion) answer() *program.Answer {
 	return &program.Answer{
 		Content:          c.assembly.content.String(),
-		FinishReason:     c.assembly.finish,
+		FinishReason:     c.assembly.finishReason,
 		PromptTokens:     c.assembly.usage.PromptTokens,
 		CachedTokens:     c.assembly.usage.CachedTokens,
 		CompletionTokens: c.assembly.usage.CompletionTokens,
@@ -273,11 +273,11 @@
 // readErrorReply returns the usage, if the reply has one, and its text as an
 // error.
 func readErrorReply(response *http.Response) (*enginev1.Usage, error) {
-	body, _ := readBody(response.Body, maxErrorBytes) // error ignored: a partial text is better than none
+	body, _ := readBody(response.Body, maxErrorBytes) // ignore the error: a partial text is better than none
 	var reply struct {
 		Usage *enginev1.Usage `json:"usage"`
 	}
-	_ = json.Unmarshal(body, &reply) // error ignored: without valid JSON there is no usage
+	_ = json.Unmarshal(body, &reply) // ignore the error: without valid JSON there is no usage
 	return reply.Usage, eris.Errorf("%s: %.*s", response.Status, maxErrorTextBytes, body)
 }
 
--- a/internal/dispatch/completion_test.go
+++ b/internal/dispatch/completion_test.go
@@ -18,7 +18,7 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// expectedAnswer returns the content with which every engine answers modelOrder.
+// expectedAnswer returns the content of the answer to modelOrder.
 func expectedAnswer() string {
 	content, _ := modelengine.Answer("model", "", []enginev1.Message{{Role: "user", Content: "before"}, {Role: "user", Content: "now tokens=60"}}, 50)
 	return content
@@ -27,7 +27,7 @@
 var _ = Describe("a completion", func() {
 	var (
 		engine     *modelengine.Engine
-		backend    *backEnd
+		backEnd    *testBackEnd
 		dispatcher *dispatch.HTTP
 		pieces     *strings.Builder
 	)
@@ -35,7 +35,7 @@
 	serveEngine := func(timeScale float64) {
 		engine = modelengine.New(modelengine.Options{Name: "engine-1", Model: "model", TimeScale: timeScale})
 		DeferCleanup(engine.Close)
-		backend = serve(engine)
+		backEnd = serve(engine)
 	}
 
 	BeforeEach(func() {
@@ -45,7 +45,7 @@
 	})
 
 	It("streams the whole answer and passes the smaller token limit to the engine", func() {
-		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
+		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(report.Answer.Content).To(Equal(expectedAnswer()))
 		Expect(report.Answer.CompletionTokens).To(BeEquivalentTo(50))
@@ -56,25 +56,25 @@
 		Expect(record.RequestID).To(Equal(string(testProgram) + "/3/1"))
 	})
 
-	It("resumes an interrupted stream, also before its last chunk, and posts only once", func() {
+	It("resumes an interrupted stream, even if only its last chunk is missing, and posts only once", func() {
 		engine.Faults.Set([]standin.Rule{
 			{Point: standin.PointStream, Action: standin.ActionLose, AfterChunks: 2, Times: 4},
 			{Point: standin.PointAfter, Action: standin.ActionLose, Times: 1},
 		})
-		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
+		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(pieces.String()).To(Equal(expectedAnswer()))
-		Expect(backend.posts.Load()).To(BeEquivalentTo(1))
+		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("follows an attempt of a previous leader without posting it", func() {
-		order := modelOrder(backend.address)
+	It("follows an attempt of a former leader without posting it", func() {
+		order := modelOrder(backEnd.address)
 		order.Resume = true
 		Expect(dispatcher.Send(context.Background(), order, onContent).Ending).To(Equal(dispatch.EndingUnknown))
-		Expect(backend.posts.Load()).To(BeZero())
-		Expect(dispatcher.Send(context.Background(), modelOrder(backend.address), onContent).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(backEnd.posts.Load()).To(BeZero())
+		Expect(dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent).Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(dispatcher.Send(context.Background(), order, onContent).Ending).To(Equal(dispatch.EndingAnswered))
-		Expect(backend.posts.Load()).To(BeEquivalentTo(1))
+		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
 	It("reports never-ran only if nothing was sent or the engine says so", func() {
@@ -87,37 +87,37 @@
 		Expect(report.Problem.Error()).To(ContainSubstring("dial engine with engine-1"))
 
 		header := map[string]string{enginev1.HeaderNeverStarted: "true", "Retry-After": "2"}
-		backend.intercept = func(writer http.ResponseWriter, request *http.Request) bool {
+		backEnd.intercept = func(writer http.ResponseWriter, request *http.Request) bool {
 			for name, value := range header {
 				writer.Header().Set(name, value)
 			}
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return true
 		}
-		report = dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
+		report = dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingNeverRan))
 		Expect(report.Retry).To(Equal(2 * time.Second))
 
 		clear(header)
-		report = dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
+		report = dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
 		Expect(report.Generated).To(BeEquivalentTo(-1))
 	})
 
 	It("does not report never-ran for an interrupted post that the engine does not know", func() {
 		engine.Faults.Add(standin.Rule{Point: standin.PointBefore, Action: standin.ActionLose, Times: 1})
-		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
+		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(report.Problem.Outcome).To(Equal(problem.OutcomeUnknown))
-		Expect(backend.posts.Load()).To(BeEquivalentTo(1))
+		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
 	It("rejects the content of another request", func() {
-		backend.intercept = func(writer http.ResponseWriter, _ *http.Request) bool {
+		backEnd.intercept = func(writer http.ResponseWriter, _ *http.Request) bool {
 			_, _ = io.WriteString(writer, `data: {"id":"another/1/1","choices":[{"delta":{"content":"x"},"finish_reason":"stop"}],"usage":{}}`+"\n\n")
 			return true
 		}
-		report := dispatcher.Send(context.Background(), modelOrder(backend.address), onContent)
+		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(pieces.Len()).To(BeZero())
 	})
@@ -125,7 +125,7 @@
 	It("cancels at the engine when the caller cancels, and reports the generated tokens", func() {
 		serveEngine(1)
 		ctx, cancel := context.WithCancel(context.Background())
-		report := dispatcher.Send(ctx, modelOrder(backend.address), func(string) { cancel() })
+		report := dispatcher.Send(ctx, modelOrder(backEnd.address), func(string) { cancel() })
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
 		Expect(report.Problem.Kind).To(Equal(problem.KindCancelled))
 		record := engine.Records().Requests[0]
@@ -136,7 +136,7 @@
 	It("leaves the request running when leadership is lost", func() {
 		serveEngine(1)
 		ctx, cancel := context.WithCancelCause(context.Background())
-		report := dispatcher.Send(ctx, modelOrder(backend.address), func(string) { cancel(dispatch.ErrLeadershipLost) })
+		report := dispatcher.Send(ctx, modelOrder(backEnd.address), func(string) { cancel(dispatch.ErrLeadershipLost) })
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(engine.Records().Requests[0].State).To(Equal("running"))
 	})
--- a/internal/dispatch/connection.go
+++ b/internal/dispatch/connection.go
@@ -54,7 +54,7 @@
 	mutex         sync.Mutex
 	connection    *guardedConnection
 	writtenBefore int64
-	isUncertain   bool
+	uncertain     bool
 }
 
 func (t *sentTrace) attach(ctx context.Context) context.Context {
@@ -66,7 +66,7 @@
 	defer t.mutex.Unlock()
 	guarded, ok := info.Conn.(*guardedConnection)
 	if !ok || t.connection != nil {
-		t.isUncertain = true
+		t.uncertain = true
 		return
 	}
 	t.connection = guarded
@@ -79,7 +79,7 @@
 func (t *sentTrace) mayHaveSent() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.isUncertain {
+	if t.uncertain {
 		return true
 	}
 	if t.connection == nil {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -19,11 +19,11 @@
 const (
 	// EndingAnswered means that the whole answer was received.
 	EndingAnswered Ending = iota
-	// EndingNeverRan means that no byte was sent, or that the back end said that
-	// it did not start.
+	// EndingNeverRan means that no byte was sent, or that the back end reported
+	// that the attempt did not start.
 	EndingNeverRan
-	// EndingFailed means that the back end said that the attempt failed or was
-	// rejected.
+	// EndingFailed means that the attempt certainly failed: the back end rejected
+	// it, reported its failure or cancelled it, or the answer was too large.
 	EndingFailed
 	// EndingUnknown means that the attempt may have run or may still be running.
 	EndingUnknown
@@ -42,7 +42,7 @@
 	Address  string            // base URL, "http://ip:port"
 	Limit    int64             // reserved tokens, the maximum that may be generated
 	Deadline time.Time         // zero: Options.MaxAttempt from now
-	Resume   bool              // a previous leader sent the attempt: it is looked up and not sent again
+	Resume   bool              // a former leader sent the attempt, which is looked up and not sent again
 }
 
 // Report describes how an attempt ended.
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -32,7 +32,7 @@
 // execute runs an attempt at a service or tool.
 func (a *attempt) execute(ctx context.Context) Report {
 	if a.order.Resume {
-		return a.lookUp(ctx, "look up execution", errors.New("sent by a previous leader"))
+		return a.lookUp(ctx, "look up execution", errors.New("the attempt of a former leader has not been found yet"))
 	}
 	response, sent, err := postOnce(ctx, a.postClient(), a.order.Address+enginev1.PathExecute, a.executeRequest())
 	if err != nil {
@@ -72,15 +72,15 @@
 	}
 }
 
-// handleExecuteError reports an attempt that was answered with an error status.
-// After a server error the execution may still go on, so its record is
-// requested first.
+// handleExecuteError returns the report of an attempt that was answered with an
+// error status. After a server error the execution may still be running, so its
+// record is requested before the attempt is reported as failed.
 func (a *attempt) handleExecuteError(ctx context.Context, response *http.Response) Report {
 	retry := retryAfter(response)
 	_, detail := readErrorReply(response)
-	found := a.problem(problem.KindBackEndFailed, "post execution", detail)
+	failure := a.problem(problem.KindBackEndFailed, "post execution", detail)
 	if isNeverStarted(response) {
-		return a.reportNeverRan(found, retry)
+		return a.reportNeverRan(failure, retry)
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
 		reply, err := a.requestExecution(ctx, http.MethodGet)
@@ -91,26 +91,27 @@
 			return a.executionReport("look up execution", reply)
 		}
 	}
-	return a.reportFailed(found, 0, retry)
+	return a.reportFailed(failure, 0, retry)
 }
 
 // lookUp polls the record of the call until it is final, MaxTries requests in a
-// row have failed, or ctx ends. It never sends the call.
+// row have failed, or ctx ends. For a resumed order, it also stops when there is
+// no record. It never sends the call.
 func (a *attempt) lookUp(ctx context.Context, step string, cause error) Report {
 	backoff := a.http.newBackoff()
-	for missing := 0; ctx.Err() == nil && missing < a.http.options.MaxTries; {
+	for failures := 0; ctx.Err() == nil && failures < a.http.options.MaxTries; {
 		a.http.metrics.lookups.Inc()
 		reply, err := a.requestExecution(ctx, http.MethodGet)
 		switch {
 		case err == nil && reply.State != executionRunning:
 			return a.executionReport("look up execution", reply)
 		case err == nil:
-			missing = 0
+			failures = 0
 		case errors.Is(err, errTooLarge):
 			return a.reportFailed(a.problem(problem.KindTooLarge, "look up execution", err), 0, 0)
 		default:
 			cause = err
-			missing++
+			failures++
 		}
 		if errors.Is(err, errNoRecord) && a.order.Resume {
 			break
@@ -122,10 +123,10 @@
 	return a.abandonExecution(ctx, step, cause)
 }
 
-// abandonExecution reports an attempt whose outcome the lookups did not show. A
-// call that may be tried again is left alone, since a service may apply a
-// cancellation to the whole call. Any other call is cancelled at the service,
-// and the outcome is certain only if the service then returns a final record.
+// abandonExecution ends an attempt whose outcome could not be looked up. While
+// ctx is alive, a repeatable call is not cancelled, since a service may apply the
+// cancellation to later attempts too. Otherwise the call is cancelled at the
+// service, and the outcome is known if the service returns a final record.
 func (a *attempt) abandonExecution(ctx context.Context, step string, cause error) Report {
 	if errors.Is(context.Cause(ctx), ErrLeadershipLost) {
 		return a.reportUnknown("leave to the next leader", ErrLeadershipLost)
@@ -165,7 +166,7 @@
 func (a *attempt) requestExecution(ctx context.Context, method string) (*enginev1.ExecuteReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, a.http.options.CleanupTimeout)
 	defer cancel()
-	response, err := doRequest(ctx, a.http.control, method, a.address(enginev1.PathExecutions, a.callID()))
+	response, err := doRequest(ctx, a.http.controlClient, method, a.address(enginev1.PathExecutions, a.callID()))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -22,7 +22,7 @@
 var _ = Describe("an execution", func() {
 	var (
 		service    *appservice.Service
-		backend    *backEnd
+		backEnd    *testBackEnd
 		dispatcher *dispatch.HTTP
 	)
 	ignore := func(string) {}
@@ -38,7 +38,7 @@
 
 	BeforeEach(func() {
 		service = appservice.New(appservice.Options{Name: "ledger", Hangs: func(operation string) bool { return operation == "hang" }})
-		backend = serve(service)
+		backEnd = serve(service)
 		dispatcher = newDispatcher()
 	})
 
@@ -70,8 +70,8 @@
 	DescribeTable("tells how it ended",
 		func(e expectation) {
 			service.Faults.Add(standin.Rule{Point: e.point, Action: e.action, Match: string(testProgram) + "/5/2"})
-			backend.intercept = e.intercept
-			report := dispatcher.Send(context.Background(), serviceOrder(backend.address, e.notRepeatable), ignore)
+			backEnd.intercept = e.intercept
+			report := dispatcher.Send(context.Background(), serviceOrder(backEnd.address, e.notRepeatable), ignore)
 			Expect(report.Ending).To(Equal(e.ending))
 			_, executed, cancelled := attempts()
 			Expect(executed).To(Equal(e.executed))
@@ -101,7 +101,7 @@
 	)
 
 	It("cancels a hung execution at the deadline", func() {
-		order := serviceOrder(backend.address, true)
+		order := serviceOrder(backEnd.address, true)
 		order.Call.Operation = "hang"
 		order.Deadline = time.Now().Add(50 * time.Millisecond)
 		report := dispatcher.Send(context.Background(), order, ignore)
@@ -111,14 +111,14 @@
 		Expect(cancelled).To(BeTrue())
 	})
 
-	It("does not send an attempt of a previous leader again", func() {
-		order := serviceOrder(backend.address, false)
+	It("does not send an attempt of a former leader again", func() {
+		order := serviceOrder(backEnd.address, false)
 		order.Resume = true
 		Expect(dispatcher.Send(context.Background(), order, ignore).Ending).To(Equal(dispatch.EndingUnknown))
 		arrived, _, cancelled := attempts()
 		Expect(arrived).To(BeZero())
 		Expect(cancelled).To(BeFalse())
-		Expect(dispatcher.Send(context.Background(), serviceOrder(backend.address, false), ignore).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(dispatcher.Send(context.Background(), serviceOrder(backEnd.address, false), ignore).Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(dispatcher.Send(context.Background(), order, ignore).Ending).To(Equal(dispatch.EndingAnswered))
 		arrived, _, _ = attempts()
 		Expect(arrived).To(Equal(1))
@@ -139,15 +139,15 @@
 	})
 })
 
-// An attempt of which any byte arrived must end as unknown, wherever the back
-// end closes the connection.
+// Once any byte of an attempt has arrived, the attempt must end as unknown, no
+// matter after how many bytes the back end closes the connection.
 func TestNeverRanIsNotReportedAfterBytesArrived(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		cut := rapid.IntRange(0, 300).Draw(t, "cut")
+		bytesRead := rapid.IntRange(0, 300).Draw(t, "cut")
 		arrived := make(chan int, 1)
 		go func() {
 			defer close(arrived)
@@ -156,7 +156,7 @@
 			if err != nil {
 				return
 			}
-			count, _ := io.ReadAtLeast(connection, make([]byte, cut+1), cut)
+			count, _ := io.ReadAtLeast(connection, make([]byte, bytesRead+1), bytesRead)
 			_ = connection.Close()
 			arrived <- count
 		}()
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -23,8 +23,7 @@
 	standin.PointAfter:  {standin.ActionLose, standin.ActionDelay},
 }
 
-// drawFaults draws up to four faults, each of which applies to one or two
-// requests.
+// drawFaults draws up to four faults. Each applies to one or two requests.
 func drawFaults(t *rapid.T) []standin.Rule {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) standin.Rule {
 		point := rapid.SampledFrom([]standin.Point{standin.PointBefore, standin.PointStream, standin.PointAfter}).Draw(t, "point")
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -15,30 +15,30 @@
 
 const testProgram = identity.Program("p0001-aaaaaaaaaaaaaaaaaaaaaaaaaa")
 
-// backEnd serves a handler over HTTP and counts the posts. If intercept is set
-// and returns true, it has answered the request instead of the handler.
-type backEnd struct {
+// testBackEnd serves a handler over HTTP and counts the posts. If intercept is
+// set, it is called first and returns true for requests that it has answered.
+type testBackEnd struct {
 	address   string
 	intercept func(http.ResponseWriter, *http.Request) bool
 	posts     atomic.Int64
 }
 
-func serve(handler http.Handler) *backEnd {
-	backend := &backEnd{}
+func serve(handler http.Handler) *testBackEnd {
+	backEnd := &testBackEnd{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodPost {
-			backend.posts.Add(1)
+			backEnd.posts.Add(1)
 		}
-		if backend.intercept == nil || !backend.intercept(writer, request) {
+		if backEnd.intercept == nil || !backEnd.intercept(writer, request) {
 			handler.ServeHTTP(writer, request)
 		}
 	}))
-	backend.address = server.URL
+	backEnd.address = server.URL
 	DeferCleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return backend
+	return backEnd
 }
 
 func modelOrder(address string) dispatch.Order {
--- a/internal/dispatch/http.go
+++ b/internal/dispatch/http.go
@@ -27,12 +27,12 @@
 // HTTP sends attempts with the protocol of api/engine/v1. It never sends the
 // same attempt twice. It is safe for concurrent use.
 type HTTP struct {
-	options   Options
-	logger    *zap.Logger
-	metrics   *metrics
-	data      *http.Client // streams and executions; reuses connections
-	singleUse *http.Client // calls that must not be repeated: a new connection each, so that a failed dial proves that nothing was sent
-	control   *http.Client // lookups and cancellations, which must not wait behind streams
+	options         Options
+	logger          *zap.Logger
+	metrics         *metrics
+	dataClient      *http.Client // streams and executions; reuses connections
+	singleUseClient *http.Client // calls that must not be repeated: a new connection each, so that a failed dial proves that nothing was sent
+	controlClient   *http.Client // lookups and cancellations, which must not wait behind streams
 }
 
 var _ Dispatcher = (*HTTP)(nil)
@@ -41,20 +41,20 @@
 func NewHTTP(options Options) *HTTP {
 	options = options.withDefaults()
 	return &HTTP{
-		options:   options,
-		logger:    options.Logger.Named("dispatch"),
-		metrics:   newMetrics(options.Registerer),
-		data:      newClient(options, options.MaxConnectionsPerHost, true),
-		singleUse: newClient(options, options.MaxConnectionsPerHost, false),
-		control:   newClient(options, options.MaxConnectionsPerHost, true),
+		options:         options,
+		logger:          options.Logger.Named("dispatch"),
+		metrics:         newMetrics(options.Registerer),
+		dataClient:      newClient(options, options.MaxConnectionsPerHost, true),
+		singleUseClient: newClient(options, options.MaxConnectionsPerHost, false),
+		controlClient:   newClient(options, options.MaxConnectionsPerHost, true),
 	}
 }
 
 // Close frees idle connections. It does not affect attempts in progress.
 func (h *HTTP) Close() {
-	h.data.CloseIdleConnections()
-	h.singleUse.CloseIdleConnections()
-	h.control.CloseIdleConnections()
+	h.dataClient.CloseIdleConnections()
+	h.singleUseClient.CloseIdleConnections()
+	h.controlClient.CloseIdleConnections()
 }
 
 // Send implements Dispatcher. Times in the Answer count from the call of Send.
@@ -121,9 +121,9 @@
 // for a call that must not be repeated.
 func (a *attempt) postClient() *http.Client {
 	if a.order.Call.NotRepeatable {
-		return a.http.singleUse
+		return a.http.singleUseClient
 	}
-	return a.http.data
+	return a.http.dataClient
 }
 
 // newBackoff returns the jittered delays between lookups.
@@ -131,9 +131,9 @@
 	return pause.Growing(h.options.RetryInitial, h.options.RetryMaximum)
 }
 
-// postOnce sends body as JSON. The request body cannot be rewound, so that
-// net/http does not send it again on its own. In case of an error, the second
-// result says whether any byte may have been sent.
+// postOnce sends body as JSON. net/http cannot repeat the request, because its
+// body cannot be rewound. In case of an error, the second result says whether any
+// byte may have been sent.
 func postOnce(ctx context.Context, client *http.Client, address string, body any) (*http.Response, bool, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -8,9 +8,9 @@
 	"go.uber.org/zap"
 )
 
-// ErrLeadershipLost is the cause with which a caller of Send cancels the context
-// when it no longer leads the program's shard. The attempt then continues at the
-// back end, so that the next leader can follow it.
+// ErrLeadershipLost is the cancellation cause that callers of Send use when they
+// no longer lead the program's shard. The attempt then continues at the back end,
+// so that the next leader can follow it.
 var ErrLeadershipLost = errors.New("leadership lost")
 
 // Options are the limits of an HTTP dispatcher. Zero values take the default
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -14,7 +14,7 @@
 // tokensUnknown is the value of Report.Generated if the number is not known.
 const tokensUnknown = -1
 
-// problem returns a problem with this attempt's back end at the step.
+// problem returns a problem that names the step and this attempt's back end.
 func (a *attempt) problem(kind problem.Kind, step string, cause error) *problem.Problem {
 	return problem.New(kind, step, "%v", cause).WithPeer(a.peer())
 }
@@ -26,20 +26,20 @@
 }
 
 // reportNeverRan must be called only with proof: nothing was sent, or the back
-// end said that it did not start.
-func (a *attempt) reportNeverRan(found *problem.Problem, retry time.Duration) Report {
+// end reported that the attempt did not start.
+func (a *attempt) reportNeverRan(failure *problem.Problem, retry time.Duration) Report {
 	return Report{
 		Ending:  EndingNeverRan,
-		Problem: found.WithOutcome(problem.OutcomeNotRun).WithRetryAfter(retry),
+		Problem: failure.WithOutcome(problem.OutcomeNotRun).WithRetryAfter(retry),
 		Retry:   retry,
 	}
 }
 
-func (a *attempt) reportFailed(found *problem.Problem, generated int64, retry time.Duration) Report {
+func (a *attempt) reportFailed(failure *problem.Problem, generated int64, retry time.Duration) Report {
 	return Report{
 		Ending:    EndingFailed,
 		Generated: generated,
-		Problem:   found.WithOutcome(problem.OutcomeFailed).WithRetryAfter(retry),
+		Problem:   failure.WithOutcome(problem.OutcomeFailed).WithRetryAfter(retry),
 		Retry:     retry,
 	}
 }
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -20,7 +20,7 @@
 	errIdle       = errors.New("stream was idle for too long")
 	errEndedEarly = errors.New("stream ended before its last chunk")
 	errGap        = errors.New("stream skipped a part of the content")
-	errMismatch   = errors.New("stream repeats a part of the content with a different text")
+	errMismatch   = errors.New("stream repeats a part of the content with different text")
 	errWrongID    = errors.New("stream carries another request's identifier")
 )
 
@@ -35,16 +35,16 @@
 // assembly builds the content of a completion from the chunks of one or more
 // streams.
 type assembly struct {
-	requestID string
-	limit     int // maximum content in bytes
-	content   strings.Builder
-	finish    string
-	usage     *enginev1.Usage
+	requestID    string
+	limit        int // maximum content in bytes
+	content      strings.Builder
+	finishReason string
+	usage        *enginev1.Usage
 }
 
 // isComplete reports whether the last chunk was received, which means that
-// finish reason and usage are set.
-func (a *assembly) isComplete() bool { return a.finish != "" && a.usage != nil }
+// finishReason reason and usage are set.
+func (a *assembly) isComplete() bool { return a.finishReason != "" && a.usage != nil }
 
 // add adds a chunk and returns the content that is new. It adds nothing and
 // returns an error if the chunk leaves a gap, contradicts earlier content,
@@ -63,7 +63,7 @@
 	a.content.WriteString(added)
 	for _, choice := range chunk.Choices {
 		if choice.FinishReason != "" {
-			a.finish = choice.FinishReason
+			a.finishReason = choice.FinishReason
 		}
 	}
 	if chunk.Usage != nil {
@@ -143,7 +143,7 @@
 	return ctx, stop, idle
 }
 
-func (w *idleTimer) reset() { w.timer.Reset(w.timeout) }
+func (t *idleTimer) reset() { t.timer.Reset(t.timeout) }
 
 // idleResetReader resets the timer with each read that returns data.
 type idleResetReader struct {
@@ -164,7 +164,7 @@
 func drain(body io.ReadCloser, stop context.CancelFunc) {
 	timer := time.AfterFunc(drainTimeout, stop)
 	go func() {
-		_, _ = io.CopyN(io.Discard, body, drainBytes) // error ignored: the connection is then just not reused
+		_, _ = io.CopyN(io.Discard, body, drainBytes) // ignore the error: the connection is then not reused
 		_ = body.Close()
 		timer.Stop()
 		stop()
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -13,8 +13,8 @@
 
 const testRequestID = "program/1/1"
 
-// follow reads the streams one after the other into one assembly, as resuming
-// does.
+// follow reads the streams one after the other into one assembly, like a
+// completion that is resumed.
 func follow(streams ...string) (result *assembly, passedOn string) {
 	result = &assembly{requestID: testRequestID, limit: 1 << 10}
 	var pieces strings.Builder
@@ -46,8 +46,8 @@
 	})
 }
 
-// However a stream is split, interrupted and resumed with overlaps and gaps, the
-// text passed on must be a prefix of the content, and equal to it if complete.
+// The text passed on must be a prefix of the content, and the whole content if the
+// assembly is complete, however streams are split, interrupted and resumed.
 func TestResumedStreamsReassembleContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		content := rapid.StringMatching(`[a-z ]{1,60}`).Draw(t, "content")
--- a/internal/routetable/balancer.go
+++ b/internal/routetable/balancer.go
@@ -6,8 +6,8 @@
 )
 
 // balancer distributes requests over the parts of a route by smooth weighted
-// round robin, so that any few successive requests are split close to the weights.
-// It is safe for concurrent use.
+// round robin, so that even a few successive requests are split close to the
+// weights. It is safe for concurrent use.
 type balancer struct {
 	mutex   sync.Mutex
 	parts   []Part
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -1,6 +1,7 @@
-// Package routetable holds the routes, services and limits that operators declare
-// for requests by host and path. A route can split its requests over services. A
-// Table is immutable; a Holder replaces it only by a newer revision.
+// Package routetable holds the routes, services and limits that operators
+// declare. A route is found by the host and path of a request and can split its
+// requests over several services. A Table is immutable; a Holder replaces it only
+// with a newer revision.
 package routetable
 
 import (
@@ -23,7 +24,8 @@
 	Any
 )
 
-// Route says how requests to a host below a path prefix are served.
+// Route says how requests are served whose host is Host and whose path begins
+// with Prefix.
 type Route struct {
 	Name        string
 	Host        string
@@ -34,8 +36,8 @@
 	Recorded    bool          // turns are stored, so that later requests can continue them
 	Retention   time.Duration // how long recorded turns are kept
 	Timeout     time.Duration
-	Target      time.Duration // maximum latency of an answer that is in time
-	Patience    time.Duration // callers give up a stream after a longer gap
+	Target      time.Duration // latency up to which an answer counts as in time
+	Patience    time.Duration // longest gap in a stream before callers give up
 	MaxAttempts int
 	Priority    int // 0 is the highest
 	// Public means that requests need no key.
@@ -60,7 +62,8 @@
 	MemoryTokens   int // number of prompt and output tokens that an engine can hold
 }
 
-// Limits are the maximum sizes and durations of what a caller sends.
+// Limits are the maximum sizes of a caller's request and the maximum times to
+// wait for it.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -100,7 +103,8 @@
 	return table
 }
 
-// Find returns the route of the host that has the longest prefix of the path.
+// Find returns the route of the host with the longest Prefix that the path
+// begins with. Host may include a port.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	for _, route := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -110,8 +114,8 @@
 	return nil, false
 }
 
-// Service returns the declared service, or an empty one with the name if it is
-// not declared.
+// Service returns the service with the name. If there is none, it returns an
+// empty one with that name.
 func (t *Table) Service(name string) *Service {
 	if service, known := t.services[name]; known {
 		return service
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -42,7 +42,7 @@
 })
 
 var _ = Describe("Holder", func() {
-	It("does not replace a table by an older revision", func() {
+	It("does not replace a table with an older or equal revision", func() {
 		var holder routetable.Holder
 		Expect(holder.Replace(tableOf(5))).To(BeTrue())
 		Expect(holder.Replace(tableOf(4))).To(BeFalse())
@@ -50,7 +50,7 @@
 		Expect(holder.Current().Revision).To(BeEquivalentTo(5))
 	})
 
-	It("splits any few requests by weight, also across revisions", func() {
+	It("splits even a few requests by weight, also across revisions", func() {
 		parts := []routetable.Part{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}, {Service: "z", Weight: 0}}
 		var holder routetable.Holder
 		counts := map[string]int{}
--- a/internal/routing/fake_test.go
+++ b/internal/routing/fake_test.go
@@ -19,7 +19,7 @@
 // fakeDaemon is the local side of a daemon. While it does not lead, it replies
 // with a problem that may name the leader.
 type fakeDaemon struct {
-	routing.Local // nil, since tests use only the methods below
+	routing.Local // nil: only the methods below may be called
 	self          identity.Process
 	leading       atomic.Bool
 	leaderHint    atomic.Pointer[string]
--- a/internal/routing/gone.go
+++ b/internal/routing/gone.go
@@ -25,11 +25,11 @@
 		byShard[shard] = append(byShard[shard], program)
 	}
 	for shard, asked := range byShard {
-		found, err := r.queryGone(ctx, shard, asked)
+		ended, err := r.queryGone(ctx, shard, asked)
 		if err != nil {
 			return nil, err
 		}
-		gone = append(gone, found...)
+		gone = append(gone, ended...)
 	}
 	return gone, nil
 }
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -17,9 +17,9 @@
 const (
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
-	// maxRefusalRetry is how long an operation is tried again after a leader
-	// has refused it. A draining leader hands over within that time; after any
-	// other refusal the caller has to retry.
+	// maxRefusalRetry is how long an operation is retried after its first
+	// refusal. This is enough for a draining leader to hand over; after other
+	// refusals, the caller has to retry.
 	maxRefusalRetry = 2 * time.Second
 	stepRoute       = "find the leader"
 )
@@ -53,10 +53,10 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var reply Reply
-	found := operation.problemOf(&reply)
+	problemField := operation.problemOf(&reply)
 	shard, known, rejection := locateShard(ctx, r, operation.shard)
 	if rejection != nil {
-		*found = rejection
+		*problemField = rejection
 		return reply
 	}
 	var state tryState
@@ -64,7 +64,7 @@
 		r.metrics.observeOperation(operation.method, resultDecided, started)
 		return reply
 	}
-	*found = r.giveUpProblem(operation.method, operation.mayRun, &state)
+	*problemField = r.giveUpProblem(operation.method, operation.mayRun, &state)
 	r.metrics.observeOperation(operation.method, resultGivenUp, started)
 	return reply
 }
@@ -152,7 +152,7 @@
 		r.leaders.forget(shard, address)
 		state.lastError = err
 		state.outcomeUnknown = state.outcomeUnknown || !errors.Is(err, peer.ErrNotSent)
-		r.logger.Debug("routing: operation failed at a daemon.", zap.String("method", operation.method), zap.String("peer", address), zap.Error(err))
+		r.logger.Debug("routing: try at a daemon failed; the operation may be retried.", zap.String("method", operation.method), zap.String("peer", address), zap.Error(err))
 		return false
 	}
 	found := *operation.problemOf(&result)
@@ -186,8 +186,8 @@
 
 // giveUpProblem returns the problem of an operation on which no daemon decided.
 // Its outcome is OutcomeNotRun only if the last reply said so and no try has an
-// unknown outcome. If nothing was sent, the outcome is still unknown, because an
-// earlier request for the same call may have been sent.
+// unknown outcome. Having sent nothing is not enough, because an earlier request
+// for the same call may have been sent.
 func (r *Router) giveUpProblem(method string, mayRun bool, state *tryState) *problem.Problem {
 	result := problem.New(problem.KindUnavailable, stepRoute, "no leader of the program's shard could be reached for %s", method).
 		WithRetryAfter(r.options.RetryAfter)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Create creates a program in its parent's shard or, without a parent, in the
-// shard to which the creation key hashes.
+// Create creates a program. Its shard is that of its parent, if it has one, or
+// else given by a hash of the creation key.
 func (r *Router) Create(ctx context.Context, arguments execution.CreateArguments) (execution.CreateReply, error) {
 	operation := operation[execution.CreateArguments, execution.CreateReply]{
 		method:    "Create",
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -46,7 +46,7 @@
 var _ = Describe("router", func() {
 	ctx := context.Background()
 
-	It("reaches the leader from any daemon, also after it has changed", func() {
+	It("reaches the leader from any daemon, even after the leader has changed", func() {
 		daemons := newFakeDaemons(3)
 		created, err := daemons[2].router.Create(ctx, execution.CreateArguments{Tenant: "t", CreationKey: "k"})
 		Expect(err).NotTo(HaveOccurred())
@@ -74,7 +74,7 @@
 		Expect(daemons[2].submits.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("returns the result of a call, also if its back end was unavailable", func() {
+	It("returns the result of a call, even if its back end was unavailable", func() {
 		daemons := newFakeDaemons(2)
 		reply, err := daemons[1].router.Follow(ctx, execution.FollowArguments{Program: identity.NewProgram(1)})
 		Expect(err).NotTo(HaveOccurred())
@@ -122,8 +122,8 @@
 		Entry("nothing was sent, but an earlier request for the call may have been", []scriptedReply{notSent}, problem.OutcomeUnknown),
 		Entry("a reply was lost", []scriptedReply{lost}, problem.OutcomeUnknown),
 		Entry("no daemon leads", []scriptedReply{notLeading}, problem.OutcomeUnknown),
-		Entry("the leader refused it", []scriptedReply{notSent, notLeading, refused}, problem.OutcomeNotRun),
-		Entry("a try was lost before the leader refused it", []scriptedReply{lost, refused}, problem.OutcomeUnknown),
+		Entry("the leader refused the call", []scriptedReply{notSent, notLeading, refused}, problem.OutcomeNotRun),
+		Entry("a reply was lost before the leader refused the call", []scriptedReply{lost, refused}, problem.OutcomeUnknown),
 		Entry("an earlier commit was uncertain", []scriptedReply{commitUncertain, refused}, problem.OutcomeUnknown),
 	)
 })
--- a/internal/routing/service.go
+++ b/internal/routing/service.go
@@ -56,13 +56,13 @@
 
 // serve runs the local operation. It turns an error into a problem with unknown
 // outcome, because net/rpc would transmit only the text of the error.
-func serve[Arguments, Reply any](request Request[Arguments], local func(context.Context, Arguments) (Reply, error), reply *Reply, found **problem.Problem) error {
+func serve[Arguments, Reply any](request Request[Arguments], local func(context.Context, Arguments) (Reply, error), reply *Reply, problemField **problem.Problem) error {
 	ctx, cancel := context.WithTimeout(context.Background(), request.TimeLeft)
 	defer cancel()
 	result, err := local(ctx, request.Arguments)
 	*reply = result
-	if err != nil && *found == nil {
-		*found = unknownOutcome(err)
+	if err != nil && *problemField == nil {
+		*problemField = unknownOutcome(err)
 	}
 	return nil
 }
--- a/internal/scheduling/budget.go
+++ b/internal/scheduling/budget.go
@@ -18,8 +18,8 @@
 }
 
 // Take removes tokens if the bucket holds enough of them. Otherwise it only
-// refills the bucket, and wait is the time until there will be enough, or, if
-// tokens exceeds the burst, until the bucket will be full.
+// refills the bucket, and wait is the time until there will be enough. If tokens
+// exceeds the burst, wait is the time until the bucket will be full.
 func (b Bucket) Take(tokens float64, now time.Duration) (next Bucket, taken bool, wait time.Duration) {
 	next = b.refill(now)
 	if next.Level >= tokens {
@@ -67,8 +67,8 @@
 	return r
 }
 
-// Retry takes one retry from the budget. If that is not allowed, wait is the
-// minimum time until it may be.
+// Retry takes one retry from the budget. If none is left, wait is the time to
+// wait at least before the next request.
 func (r RetryBudget) Retry(now time.Duration) (next RetryBudget, allowed bool, wait time.Duration) {
 	next = r
 	next.bucket, allowed, wait = r.bucket.Take(1, now)
@@ -81,9 +81,9 @@
 	maxDoublings   = 8
 )
 
-// Backoff returns the delay before an attempt, which is counted from 1. The
-// delay has full jitter, derived from the seed: it is at least a millisecond,
-// and its upper bound doubles with each attempt up to about 10 s.
+// Backoff returns the delay before an attempt; attempts are counted from 1. The
+// delay is at least a millisecond. Its upper bound doubles with each attempt, up
+// to about 10 s, and full jitter is derived from the seed.
 func Backoff(attempt int, seed uint64) time.Duration {
 	doublings := min(max(attempt-1, 0), maxDoublings)
 	ceiling := min(initialBackoff<<doublings, maxBackoff)
--- a/internal/scheduling/lease.go
+++ b/internal/scheduling/lease.go
@@ -20,15 +20,14 @@
 
 const (
 	lomaxShape       = 2.0 // shape of the Lomax distribution of pause lengths
-	maxHoldInMeans   = 4.0 // a pause longer than this multiple of the mean is assumed not to end
+	maxHoldInMeans   = 4.0 // a prefix is not held for longer than this multiple of the mean pause
 	defaultPauseMean = 5 * time.Second
 	minHoldTokens    = 512 // shorter prefixes are cheaper to recompute than to hold
 )
 
 // HoldLease returns how long a program's prefix of the given length should be
-// kept in the cache during a pause, at most limit. Zero means that it need not
-// be held or is not worth it: while the cache has room, nothing is evicted and
-// no lease is needed.
+// kept in the cache during a pause, at most limit. It returns zero if the prefix
+// is not worth holding, and if the cache has room, since nothing is evicted then.
 //
 // Pause lengths are assumed to follow a Lomax distribution, which has a long
 // tail: the longer a pause has lasted, the less likely it ends in the next
--- a/internal/scheduling/policy.go
+++ b/internal/scheduling/policy.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// isOvercommitted reports whether the request starts a new program although
-// prefixes of live programs already fill their share of the caches. One more
-// prefix would evict others, which would then have to be recomputed.
+// isOvercommitted reports whether a new program has to wait because prefixes of
+// live programs fill their share of the caches. One more prefix would evict
+// others, which would then have to be recomputed.
 func (p *costPolicy) isOvercommitted(snapshot *Snapshot, request *Request) bool {
 	if request.Attained > 0 || request.FleetShare <= 0 || p.settings.WorkingSet <= 0 {
 		return false
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -197,7 +197,7 @@
 	policy := scheduling.NewPolicy(scheduling.Settings{})
 	snapshot := scheduling.Build([]scheduling.Engine{engine("a"), engine("b")}, nil)
 	call := request()
-	call.FleetShare, call.LiveTokens = 0.5, 50_001 // just above WorkingSet (0.5) times FleetShare (0.5) times 200,000 cache tokens
+	call.FleetShare, call.LiveTokens = 0.5, 50_001 // one token above WorkingSet (0.5) * FleetShare (0.5) * 200,000 cache tokens
 	decision := policy.Decide(snapshot, &call)
 	expect.Expect(decision.Action).To(gomega.Equal(scheduling.ActionWait))
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonMemory))
--- a/internal/scheduling/properties_test.go
+++ b/internal/scheduling/properties_test.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// refreshed returns a snapshot of the engines that Refresh made from an older
-// state of them.
+// refreshed builds a snapshot of older states of the engines and returns its
+// Refresh with the given states.
 func refreshed(engines []scheduling.Engine, shared map[uint64][]scheduling.PrefixHolder) *scheduling.Snapshot {
 	older := slices.Clone(engines)
 	for index := range older {
@@ -140,11 +140,11 @@
 			t.Fatalf("waits although an engine has room")
 		}
 		if decision.Retry <= 0 {
-			t.Fatalf("waits without a retry time")
+			t.Fatalf("waits without a retry delay")
 		}
 	case scheduling.ActionRefuse:
 		if decision.Retry <= 0 {
-			t.Fatalf("refused without a retry time")
+			t.Fatalf("refused without a retry delay")
 		}
 	}
 }
@@ -213,12 +213,12 @@
 			item.Sequence = uint64(index)
 			kept = append(kept, item)
 			slices.SortFunc(kept, compareItems)
-			displaced, full := queue.Push(item, item)
+			dropped, full := queue.Push(item, item)
 			if full != (len(kept) > limit) {
 				t.Fatalf("full is %v for %d calls with a limit of %d", full, len(kept), limit)
 			}
-			if full && displaced != kept[limit] {
-				t.Fatalf("dropped %+v, but the last in order is %+v", displaced, kept[limit])
+			if full && dropped != kept[limit] {
+				t.Fatalf("dropped %+v, but the last in order is %+v", dropped, kept[limit])
 			}
 			kept = kept[:min(len(kept), limit)]
 		}
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -67,19 +67,19 @@
 // Push adds a call. If the queue is full, the call that is last in order,
 // which may be the new one, is dropped and returned with full set. The caller
 // must then report the dropped call as not run.
-func (q *Queue[T]) Push(item QueueItem, value T) (displaced T, full bool) {
+func (q *Queue[T]) Push(item QueueItem, value T) (dropped T, full bool) {
 	if len(q.entries) < q.limit {
 		heap.Push(&q.entries, entry[T]{item: item, value: value})
-		return displaced, false
+		return dropped, false
 	}
 	last := q.last()
 	if !Before(item, q.entries[last].item) {
 		return value, true
 	}
-	displaced = q.entries[last].value
+	dropped = q.entries[last].value
 	q.entries[last] = entry[T]{item: item, value: value}
 	heap.Fix(&q.entries, last)
-	return displaced, true
+	return dropped, true
 }
 
 // Peek returns the first call without removing it; found is false if the queue
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -54,11 +54,13 @@
 	// SharedPrefixes maps the hash of a shared prefix to the engines that hold it.
 	SharedPrefixes map[uint64][]PrefixHolder
 
-	prepared      []candidate       // set by Build; nil: computed on demand
-	byID          map[string]int    // set by Build: indexes by engine ID; nil: Engines is searched
-	adapterBits   map[string]uint64 // set by Build: the adapters that have a bit of their own
-	withRoom      map[string][]int  // set by Build: ByModel without the full engines
-	cacheCapacity map[string]int64  // set by Build: total CacheTokens of the accepting engines, by model
+	// Build and Refresh set the fields below. Without them, decisions are the
+	// same but slower.
+	prepared      []candidate       // by index in Engines
+	byID          map[string]int    // indexes in Engines by engine ID
+	adapterBits   map[string]uint64 // bits of the adapters that have one of their own
+	withRoom      map[string][]int  // ByModel without the full engines
+	cacheCapacity map[string]int64  // total CacheTokens of the accepting engines, by model
 }
 
 // PrefixHolder is an engine that holds the first Tokens tokens of a prompt in
@@ -108,7 +110,7 @@
 const (
 	ReasonHolder       Reason = "holder"        // placed on the engine that last served the program
 	ReasonSharedPrefix Reason = "shared-prefix" // placed on an engine that holds a shared prefix
-	ReasonLeastCost    Reason = "least-cost"    // placed on the cheapest engine, which has no known prefix of the prompt
+	ReasonLeastCost    Reason = "least-cost"    // placed on the cheapest engine, which is not known to hold a prefix of the prompt
 	ReasonFull         Reason = "full"          // every usable engine is full
 	ReasonNoEngine     Reason = "no-engine"     // no usable engine serves the model and adapter
 	ReasonDeadline     Reason = "deadline"      // the call cannot finish before its deadline
@@ -123,7 +125,7 @@
 	CachedTokens int64         // prompt tokens expected in the cache of that engine
 	TransferFrom int           // index of the engine to transfer the KV cache from; -1: no transfer
 	Cost         time.Duration // estimated time to the first token; for ActionWait, to a free slot
-	Retry        time.Duration // for ActionWait and ActionRefuse: time after which to try again
+	Retry        time.Duration // for ActionWait and ActionRefuse: delay before the next try
 	Reason       Reason
 }
 
--- a/internal/scheduling/search.go
+++ b/internal/scheduling/search.go
@@ -9,8 +9,8 @@
 // there are more, IDs are compared too, which is slower.
 const maxExcludedIndexes = 8
 
-// minWithRoom is how many engines with room a sample must include. Otherwise
-// all engines with room are evaluated.
+// minWithRoom is how many engines with room a sample must include. If it has
+// fewer, all engines with room are evaluated.
 const minWithRoom = 4
 
 // noTransfer is the value of Decision.TransferFrom if there is no transfer.
@@ -146,8 +146,8 @@
 	return s.snapshot.withRoom[s.request.Model]
 }
 
-// estimateSlotInterval sets slotInterval from the full engines evaluated. The
-// number of full engines is assumed to be factor times as large.
+// estimateSlotInterval sets slotInterval from the full engines evaluated. factor
+// is the assumed ratio of all full engines to the evaluated ones.
 func (s *search) estimateSlotInterval(factor float64) {
 	if s.fullDecodeRate > 0 {
 		s.slotInterval = s.output * (1 + s.policy.settings.BatchSlowdown) / (s.fullDecodeRate * factor)
@@ -161,8 +161,8 @@
 	return s.snapshot.SharedPrefixes[s.request.SharedPrefix]
 }
 
-// consider evaluates one engine, which has cached tokens of the prompt, and
-// keeps it if its score is the lowest so far.
+// consider evaluates one engine and keeps it if its score is the lowest so far.
+// cached is how many tokens of the prompt the engine is expected to hold.
 func (s *search) consider(index int, cached int64, reason Reason) {
 	engine := s.candidate(index)
 	if !s.isEligible(index, engine) {
@@ -205,8 +205,8 @@
 
 // isExcluded reports whether the engine has already failed this call.
 func (s *search) isExcluded(index int) bool {
-	for _, other := range s.excluded[:s.exclusions] {
-		if other == index {
+	for _, excluded := range s.excluded[:s.exclusions] {
+		if excluded == index {
 			return true
 		}
 	}
@@ -228,8 +228,8 @@
 	return &s.unprepared
 }
 
-// evaluate estimates the cost of placing the request on an engine that has
-// cached tokens of the prompt.
+// evaluate estimates the cost of placing the request on an engine. cached is how
+// many tokens of the prompt the engine is expected to hold.
 func (s *search) evaluate(index int, engine *candidate, cached int64) placement {
 	settings := &s.policy.settings
 	cached = min(cached, s.request.PromptTokens)
--- a/internal/scheduling/settings.go
+++ b/internal/scheduling/settings.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Settings are the weights of the cost function and the limits on waiting. A
-// zero field takes its default from DefaultSettings; a negative one counts as
-// zero, which disables that part of the cost.
+// zero field takes its default from DefaultSettings. A negative field counts as
+// zero, which disables that part of the cost if it is a weight.
 type Settings struct {
 	// ExpectedOutput is the assumed number of output tokens of a call. A
 	// smaller MaxOutputTokens of the request overrides it.
@@ -44,8 +44,9 @@
 	// WorkingSet is the share of the accepting engines' caches that prefixes
 	// of live programs may fill. Beyond it, new programs have to wait.
 	WorkingSet float64
-	// ScanLimit is the number of engines up to which all are evaluated. Beyond
-	// it, SampleSize engines are drawn at random besides the prefix holders.
+	// ScanLimit is the largest number of engines of a model that are all
+	// evaluated. If there are more, only the prefix holders and SampleSize
+	// engines, drawn at random, are evaluated.
 	ScanLimit int
 	// SampleSize is the number of engines drawn at random.
 	SampleSize int
@@ -75,7 +76,8 @@
 	}
 }
 
-// withDefaults applies the defaults to all fields.
+// withDefaults replaces zero fields by their defaults and negative ones by zero.
+// TransferPerSec, whose default is zero, stays as it is.
 func (s Settings) withDefaults() Settings {
 	defaults := DefaultSettings()
 	applyDefault(&s.ExpectedOutput, defaults.ExpectedOutput)
--- a/internal/scheduling/sketch.go
+++ b/internal/scheduling/sketch.go
@@ -36,8 +36,8 @@
 }
 
 // NewSketch returns a Sketch of at most maxPrefixes prefixes with at most
-// maxHolders engines each. An engine counts as a holder of a prefix for the time
-// expiry after it last received that prefix.
+// maxHolders engines each. An engine no longer counts as a holder when expiry has
+// passed since it last received the prefix.
 func NewSketch(maxPrefixes, maxHolders int, expiry time.Duration) *Sketch {
 	return &Sketch{
 		maxPrefixes: max(maxPrefixes, 1), maxHolders: max(maxHolders, 1), expiry: expiry,
@@ -53,7 +53,7 @@
 	}
 }
 
-// Forget removes an engine that has lost its cache from all prefixes.
+// Forget removes the engine from all prefixes, because its cache is lost.
 func (s *Sketch) Forget(engine string) {
 	for element := s.lru.Front(); element != nil; element = element.Next() {
 		element.Value.(*prefixEntry).removeEngine(engine)
@@ -91,8 +91,9 @@
 	return false
 }
 
-// findOrAdd returns the entry of a prefix as the most recently used one. If it
-// has to add one to a full sketch, it drops the least recently used.
+// findOrAdd returns the entry of a prefix, which it adds if necessary, and marks
+// it as most recently used. If the sketch is full, adding an entry drops the least
+// recently used one.
 func (s *Sketch) findOrAdd(run PrefixRun) *prefixEntry {
 	if element, ok := s.elements[run.Hash]; ok {
 		s.lru.MoveToFront(element)
@@ -110,30 +111,30 @@
 
 // recordUse adds the engine or updates its last use. If there are already limit
 // engines, it replaces the least recently used one.
-func (s *prefixEntry) recordUse(engine string, now time.Duration, limit int) {
+func (e *prefixEntry) recordUse(engine string, now time.Duration, limit int) {
 	oldest := 0
-	for index := range s.engines {
-		if s.engines[index].engine == engine {
-			s.engines[index].lastUsed = now
+	for index := range e.engines {
+		if e.engines[index].engine == engine {
+			e.engines[index].lastUsed = now
 			return
 		}
-		if s.engines[index].lastUsed < s.engines[oldest].lastUsed {
+		if e.engines[index].lastUsed < e.engines[oldest].lastUsed {
 			oldest = index
 		}
 	}
-	if len(s.engines) < limit {
-		s.engines = append(s.engines, recentEngine{engine: engine, lastUsed: now})
+	if len(e.engines) < limit {
+		e.engines = append(e.engines, recentEngine{engine: engine, lastUsed: now})
 		return
 	}
-	s.engines[oldest] = recentEngine{engine: engine, lastUsed: now}
+	e.engines[oldest] = recentEngine{engine: engine, lastUsed: now}
 }
 
-func (s *prefixEntry) removeEngine(engine string) {
-	kept := s.engines[:0]
-	for _, holder := range s.engines {
+func (e *prefixEntry) removeEngine(engine string) {
+	kept := e.engines[:0]
+	for _, holder := range e.engines {
 		if holder.engine != engine {
 			kept = append(kept, holder)
 		}
 	}
-	s.engines = kept
+	e.engines = kept
 }
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -15,7 +15,7 @@
 	outputCost      float64 // seconds per output token in an almost empty batch
 	backlog         float64 // seconds of prefill queued before a new prompt
 	failureFactor   float64 // at least 1; grows with the error rate
-	pressure        float64 // how much a new prefix evicts others, from 0 (not at all) to 1 (cache full)
+	pressure        float64 // share of a new prefix that evicts others, 0 (cache has room) to 1 (cache full)
 	reportAge       float64 // age of the load report in seconds
 	batchDecodeRate float64 // output tokens per second of all slots, without the slowdown of a full batch
 	adapters        uint64  // bits of the engine's adapters
@@ -35,8 +35,8 @@
 	defaultMaxRunning = 1
 )
 
-// Build returns a snapshot of the engines with its indexes and candidates
-// prepared. It takes ownership of the slice and the map.
+// Build returns a snapshot of the engines, with everything computed that
+// decisions need. It takes ownership of the slice and the map.
 func Build(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	snapshot := &Snapshot{
 		Engines:        engines,
@@ -89,9 +89,9 @@
 	return true
 }
 
-// prepareAll computes the candidates of all engines. It copies the zone hashes
-// and adapter bits from previous, if not nil, which holds the candidates of the
-// same engines in an earlier snapshot.
+// prepareAll computes the candidates of all engines. If previous is not nil, it
+// holds the candidates of the same engines in an earlier snapshot, and their zone
+// hashes and adapter bits are copied.
 func (s *Snapshot) prepareAll(previous []candidate) {
 	s.prepared = make([]candidate, len(s.Engines))
 	s.withRoom = make(map[string][]int, len(s.ByModel))
