--- a/internal/dispatch/cancel.go
+++ b/internal/dispatch/cancel.go
@@ -24,14 +24,16 @@
 var errEngineRestarted = errors.New("the engine restarted and lost the count of tokens")
 
 // cleanup returns a context for requests after the attempt has ended. It is not
-// cancelled with ctx but lasts for CleanupTimeout.
+// cancelled with ctx, but ends after CleanupTimeout.
 func (a *attempt) cleanup(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(ctx), a.http.options.CleanupTimeout)
 }
 
-// abandon ends a completion that could not be followed to its end. It cancels
-// the request at the engine to learn the exact number of generated tokens. After
-// a loss of leadership it leaves the request to the next leader instead.
+// abandon ends a completion whose answer was not received completely. It cancels
+// the request at the engine to learn the exact number of generated tokens or, if
+// the request has finished meanwhile, calls collectFinished. If the stream broke
+// and the engine no longer knows the request, the outcome is unknown. After a
+// loss of leadership, the request is left to the next leader instead.
 func (c *completion) abandon(ctx context.Context, end streamEnd) Report {
 	if errors.Is(context.Cause(ctx), ErrLeadershipLost) {
 		return c.reportUnknown("leave to the next leader", ErrLeadershipLost)
@@ -59,7 +61,7 @@
 }
 
 // isKnown reports whether the engine still knows the request. An engine that has
-// restarted does not, and its answer that nothing was generated would be wrong.
+// restarted does not, and would wrongly report that nothing was generated.
 func (c *completion) isKnown(ctx context.Context) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -71,7 +73,9 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// collectFinished fetches the rest of a request that finished before it could be cancelled.
+// collectFinished fetches the rest of the answer of a request that finished
+// before it could be cancelled. If the answer is too large or cannot be fetched,
+// the attempt is reported as failed.
 func (c *completion) collectFinished(ctx, cleanup context.Context, end streamEnd, status enginev1.RequestStatus) Report {
 	if end.verdict != verdictTooLarge {
 		if last := c.resume(cleanup); last.verdict == verdictComplete {
@@ -90,7 +94,7 @@
 
 // generatedTokens returns how many tokens a failed request generated. If the
 // number was not reported, it asks the engine by cancelling the request, and
-// returns tokensUnknown if that fails.
+// returns tokensUnknown if the engine reports no final status.
 func (c *completion) generatedTokens(ctx context.Context, reported *enginev1.Usage) int64 {
 	if reported != nil {
 		return reported.CompletionTokens
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -23,7 +23,7 @@
 	verdictBroken   verdict = iota // interrupted, silent or unreachable: the request has to be looked up
 	verdictComplete                // the whole answer was received
 	verdictNeverRan                // nothing was sent, or the engine reports that the request did not start
-	verdictFailed                  // the engine reports that the request ended without an answer
+	verdictFailed                  // the engine rejected the request or reports that the request failed
 	verdictGone                    // the engine does not know the request
 	verdictTooLarge                // the answer exceeds the limits
 )
@@ -35,7 +35,7 @@
 	err          error
 	usage        *enginev1.Usage // usage of a failed request, if the engine reported it
 	retryAfter   time.Duration
-	progressed   bool // the stream brought content, or was silent although the engine knows the request
+	progressed   bool // new content was received, or the engine accepted the stream and then sent nothing for too long
 	endedLocally bool // the stream was intact until ctx ended or the answer became too large
 }
 
@@ -73,8 +73,9 @@
 	return c.order.Limit
 }
 
-// follow resumes a broken stream until it ends, MaxTries tries have made no
-// progress, or ctx ends.
+// follow resumes the stream while it is broken. It stops when MaxTries tries in
+// a row have made no progress or ctx has ended, and returns how the last stream
+// ended.
 func (c *completion) follow(ctx context.Context, end streamEnd) streamEnd {
 	backoff := c.http.newBackoff()
 	tries := 0
@@ -193,7 +194,8 @@
 	return c.address(enginev1.PathRequests, c.requestID()) + "?offset=" + strconv.Itoa(c.assembly.content.Len())
 }
 
-// consume reads a stream to its end and closes it.
+// consume reads a stream until the answer is complete or an error occurs, and
+// closes the stream.
 func (c *completion) consume(response *http.Response, stop context.CancelFunc, timer *idleTimer) streamEnd {
 	before := c.assembly.content.Len()
 	end := streamEnd{verdict: verdictBroken, step: "read stream"}
@@ -238,7 +240,8 @@
 	return false, nil
 }
 
-// report returns what is certain after the last stream ended.
+// report returns the report of the attempt after its last stream ended. It may
+// cancel the request at the engine.
 func (c *completion) report(ctx context.Context, end streamEnd) Report {
 	switch end.verdict {
 	case verdictComplete:
@@ -270,8 +273,8 @@
 	}
 }
 
-// readErrorReply returns the usage, if the reply has one, and its text as an
-// error.
+// readErrorReply returns the usage in an error reply, or nil if there is none,
+// and the status and text of the reply as an error.
 func readErrorReply(response *http.Response) (*enginev1.Usage, error) {
 	body, _ := readBody(response.Body, maxErrorBytes) // ignore the error: a partial text is better than none
 	var reply struct {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,6 @@
 // Package dispatch sends attempts to back ends over HTTP. It streams answers,
-// passes on deadlines, cancels, and reports what is certain about how each
-// attempt ended.
+// passes on deadlines, cancels attempts, and reports what is certain about how
+// each attempt ended.
 package dispatch
 
 import (
@@ -29,8 +29,9 @@
 	EndingUnknown
 )
 
-// Order describes one attempt to send. The back end receives the identifiers of
-// the attempt, "program/sequence/attempt", and of the call, "program/sequence".
+// Order describes one attempt to send. The back end receives the identifier of
+// the attempt, "program/sequence/attempt". Services and tools also receive that
+// of the call, "program/sequence".
 type Order struct {
 	Program  identity.Program
 	Tenant   identity.Tenant
@@ -42,7 +43,7 @@
 	Address  string            // base URL, "http://ip:port"
 	Limit    int64             // reserved tokens, the maximum that may be generated
 	Deadline time.Time         // zero: Options.MaxAttempt from now
-	Resume   bool              // a former leader sent the attempt, which is looked up and not sent again
+	Resume   bool              // a former leader sent the attempt, so it is looked up and not sent again
 }
 
 // Report describes how an attempt ended.
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -74,7 +74,8 @@
 
 // handleExecuteError returns the report of an attempt that was answered with an
 // error status. After a server error the execution may still be running, so its
-// record is requested before the attempt is reported as failed.
+// record is requested first, and the attempt is reported as failed only if none
+// is returned or the record says so.
 func (a *attempt) handleExecuteError(ctx context.Context, response *http.Response) Report {
 	retry := retryAfter(response)
 	_, detail := readErrorReply(response)
@@ -95,8 +96,8 @@
 }
 
 // lookUp polls the record of the call until it is final, MaxTries requests in a
-// row have failed, or ctx ends. For a resumed order, it also stops when there is
-// no record. It never sends the call.
+// row have failed, or ctx ends. For an order with Resume, it also stops when
+// there is no record. It never sends the call.
 func (a *attempt) lookUp(ctx context.Context, step string, cause error) Report {
 	backoff := a.http.newBackoff()
 	for failures := 0; ctx.Err() == nil && failures < a.http.options.MaxTries; {
@@ -123,10 +124,11 @@
 	return a.abandonExecution(ctx, step, cause)
 }
 
-// abandonExecution ends an attempt whose outcome could not be looked up. While
-// ctx is alive, a repeatable call is not cancelled, since a service may apply the
-// cancellation to later attempts too. Otherwise the call is cancelled at the
-// service, and the outcome is known if the service returns a final record.
+// abandonExecution ends an attempt whose outcome could not be looked up. After a
+// loss of leadership, the call is left to the next leader. Until ctx ends, a
+// repeatable call is not cancelled, since a service may apply the cancellation
+// to later attempts too. Otherwise the call is cancelled at the service, and the
+// outcome is known if the service returns a final record.
 func (a *attempt) abandonExecution(ctx context.Context, step string, cause error) Report {
 	if errors.Is(context.Cause(ctx), ErrLeadershipLost) {
 		return a.reportUnknown("leave to the next leader", ErrLeadershipLost)
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -67,7 +67,7 @@
 		executed      int
 		cancelled     bool
 	}
-	DescribeTable("tells how it ended",
+	DescribeTable("reports how the attempt ended",
 		func(e expectation) {
 			service.Faults.Add(standin.Rule{Point: e.point, Action: e.action, Match: string(testProgram) + "/5/2"})
 			backEnd.intercept = e.intercept
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -16,7 +16,7 @@
 )
 
 // faultActions lists the faults of a back end that reports correctly. Such a
-// back end refuses or fails a request with a status only before it starts.
+// back end replies with an error status only if the request has not started.
 var faultActions = map[standin.Point][]standin.Action{
 	standin.PointBefore: {standin.ActionLose, standin.ActionRefuse, standin.ActionFail, standin.ActionDelay},
 	standin.PointStream: {standin.ActionLose, standin.ActionDelay},
--- a/internal/dispatch/http.go
+++ b/internal/dispatch/http.go
@@ -24,8 +24,8 @@
 // errDeadline is the cause of a context that ended at the order's deadline.
 var errDeadline = errors.New("deadline of the attempt exceeded")
 
-// HTTP sends attempts with the protocol of api/engine/v1. It never sends the
-// same attempt twice. It is safe for concurrent use.
+// HTTP sends attempts with the protocol of api/engine/v1. Each Send posts its
+// attempt at most once. HTTP is safe for concurrent use.
 type HTTP struct {
 	options         Options
 	logger          *zap.Logger
@@ -57,7 +57,7 @@
 	h.controlClient.CloseIdleConnections()
 }
 
-// Send implements Dispatcher. Times in the Answer count from the call of Send.
+// Send implements Dispatcher. Times in the Answer count from the start of Send.
 func (h *HTTP) Send(ctx context.Context, order Order, onContent func(content string)) Report {
 	started := time.Now()
 	deadline := order.Deadline
@@ -165,14 +165,14 @@
 }
 
 // readBody reads the whole body. It returns errTooLarge if there are more than
-// limit bytes.
-func readBody(body io.Reader, limit int) ([]byte, error) {
-	data, err := io.ReadAll(io.LimitReader(body, int64(limit)+1))
+// maxBytes bytes.
+func readBody(body io.Reader, maxBytes int) ([]byte, error) {
+	data, err := io.ReadAll(io.LimitReader(body, int64(maxBytes)+1))
 	if err != nil {
 		return nil, eris.Wrap(err, "read reply")
 	}
-	if len(data) > limit {
-		return nil, eris.Wrapf(errTooLarge, "read reply of more than %d bytes", limit)
+	if len(data) > maxBytes {
+		return nil, eris.Wrapf(errTooLarge, "read reply of more than %d bytes", maxBytes)
 	}
 	return data, nil
 }
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -20,7 +20,7 @@
 	DialTimeout           time.Duration         // limit on establishing a TCP connection; 2 s
 	IdleStream            time.Duration         // time without data after which a stream is resumed; 20 s
 	MaxAttempt            time.Duration         // limit on an attempt whose order has no deadline; 15 min
-	CleanupTimeout        time.Duration         // limit on a lookup, and on all cleanup after the attempt has ended; 2 s
+	CleanupTimeout        time.Duration         // limit on each lookup of an execution, and on all cleanup after the attempt has ended; 2 s
 	MaxTries              int                   // successive lookups without progress before the outcome is unknown; 6
 	RetryInitial          time.Duration         // first delay between lookups, jittered; 50 ms
 	RetryMaximum          time.Duration         // maximum delay between lookups; 2 s
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -25,8 +25,8 @@
 	return Report{Ending: EndingAnswered, Answer: answer, Generated: answer.CompletionTokens}
 }
 
-// reportNeverRan must be called only with proof: nothing was sent, or the back
-// end reported that the attempt did not start.
+// reportNeverRan must be called only if the attempt certainly did not run:
+// nothing was sent, or the back end reported that the attempt did not start.
 func (a *attempt) reportNeverRan(failure *problem.Problem, retry time.Duration) Report {
 	return Report{
 		Ending:  EndingNeverRan,
--- a/internal/dispatch/stream.go
+++ b/internal/dispatch/stream.go
@@ -15,13 +15,13 @@
 	enginev1 "github.com/thymeloft/thymeloft/api/engine/v1"
 )
 
-// Errors of a stream.
+// Errors of a stream. errWrongID is also used for other replies.
 var (
 	errIdle       = errors.New("stream was idle for too long")
 	errEndedEarly = errors.New("stream ended before its last chunk")
 	errGap        = errors.New("stream skipped a part of the content")
 	errMismatch   = errors.New("stream repeats a part of the content with different text")
-	errWrongID    = errors.New("stream carries another request's identifier")
+	errWrongID    = errors.New("reply belongs to another request or call")
 )
 
 const (
@@ -43,7 +43,7 @@
 }
 
 // isComplete reports whether the last chunk was received, which means that
-// finishReason reason and usage are set.
+// finishReason and usage are set.
 func (a *assembly) isComplete() bool { return a.finishReason != "" && a.usage != nil }
 
 // add adds a chunk and returns the content that is new. It adds nothing and
@@ -94,8 +94,8 @@
 }
 
 // readEvents reads server-sent events and calls visit with each chunk until
-// visit returns true or an error. If the stream ends before that, it returns
-// errEndedEarly.
+// visit returns true or an error. It returns errEndedEarly if the stream ends
+// before that, and errTooLarge if an event has more than maxEvent bytes.
 func readEvents(body io.Reader, maxEvent int, visit func(*enginev1.CompletionChunk) (bool, error)) error {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, min(initialEventBytes, maxEvent)), maxEvent)
@@ -126,7 +126,8 @@
 	return errEndedEarly
 }
 
-// idleTimer cancels a context if reset is not called for the timeout.
+// idleTimer cancels a context with the cause errIdle if reset is not called for
+// the duration of the timeout.
 type idleTimer struct {
 	timer   *time.Timer
 	timeout time.Duration
@@ -159,8 +160,8 @@
 	return count, err
 }
 
-// drain reads the short rest of a stream in the background, so that its
-// connection can be reused, and then closes it. It returns at once.
+// drain reads the short rest of a stream in the background, so that the
+// connection can be reused, and then closes the stream. It returns at once.
 func drain(body io.ReadCloser, stop context.CancelFunc) {
 	timer := time.AfterFunc(drainTimeout, stop)
 	go func() {
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -20,8 +20,8 @@
 	var pieces strings.Builder
 	for _, stream := range streams {
 		_ = readEvents(strings.NewReader(stream), 1<<9, func(chunk *enginev1.CompletionChunk) (bool, error) {
-			fresh, err := result.add(chunk)
-			pieces.WriteString(fresh)
+			added, err := result.add(chunk)
+			pieces.WriteString(added)
 			return result.isComplete(), err
 		})
 	}
@@ -55,7 +55,7 @@
 		for range rapid.IntRange(1, 6).Draw(t, "streams") {
 			var stream strings.Builder
 			offset := rapid.IntRange(0, len(content)).Draw(t, "from")
-			for offset < len(content) && rapid.IntRange(0, 9).Draw(t, "goes on") > 0 {
+			for offset < len(content) && rapid.IntRange(0, 9).Draw(t, "another chunk") > 0 {
 				size := rapid.IntRange(1, len(content)-offset).Draw(t, "size")
 				stream.WriteString(encodeEvent(offset, content[offset:offset+size], "", nil))
 				offset += size
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -24,7 +24,7 @@
 	Any
 )
 
-// Route says how requests are served whose host is Host and whose path begins
+// Route declares how to serve requests whose host is Host and whose path begins
 // with Prefix.
 type Route struct {
 	Name        string
@@ -36,7 +36,7 @@
 	Recorded    bool          // turns are stored, so that later requests can continue them
 	Retention   time.Duration // how long recorded turns are kept
 	Timeout     time.Duration
-	Target      time.Duration // latency up to which an answer counts as in time
+	Target      time.Duration // maximum latency of an answer that counts as in time
 	Patience    time.Duration // longest gap in a stream before callers give up
 	MaxAttempts int
 	Priority    int // 0 is the highest
@@ -75,8 +75,8 @@
 type Table struct {
 	Revision uint64
 	Limits   Limits
-	// Tenants are the callers with access. If it is nil or empty, anyone may
-	// call without a key.
+	// Tenants lists the callers with access. If the list is nil or empty, anyone
+	// may call without a key.
 	Tenants  *tenant.Directory
 	services map[string]*Service
 	byHost   map[string][]*Route // longest prefix first
@@ -103,8 +103,8 @@
 	return table
 }
 
-// Find returns the route of the host with the longest Prefix that the path
-// begins with. Host may include a port.
+// Find returns the host's route with the longest Prefix that the path begins
+// with. Host may include a port.
 func (t *Table) Find(host, path string) (*Route, bool) {
 	for _, route := range t.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -114,8 +114,8 @@
 	return nil, false
 }
 
-// Service returns the service with the name. If there is none, it returns an
-// empty one with that name.
+// Service returns the service with the name. If there is none, it returns one
+// with only the name set.
 func (t *Table) Service(name string) *Service {
 	if service, known := t.services[name]; known {
 		return service
@@ -155,8 +155,8 @@
 func (h *Holder) Current() *Table { return h.current.Load() }
 
 // Replace stores the table if its revision is larger than the current one's, and
-// reports whether it did. Routes whose parts have not changed continue their
-// weighted split.
+// reports whether it did. Routes whose host, prefix and parts have not changed
+// continue their weighted split.
 func (h *Holder) Replace(table *Table) bool {
 	for {
 		current := h.current.Load()
@@ -172,8 +172,8 @@
 	}
 }
 
-// inheritBalancers takes over the balancers of the routes whose parts have not
-// changed.
+// inheritBalancers takes over the balancers of the routes whose host, prefix and
+// parts have not changed.
 func (t *Table) inheritBalancers(previous *Table) {
 	for host, routes := range t.byHost {
 		for _, route := range routes {
--- a/internal/routing/fake_test.go
+++ b/internal/routing/fake_test.go
@@ -16,8 +16,8 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// fakeDaemon is the local side of a daemon. While it does not lead, it replies
-// with a problem that may name the leader.
+// fakeDaemon implements routing.Local for one daemon. While it does not lead, it
+// replies with a problem that may name the leader.
 type fakeDaemon struct {
 	routing.Local // nil: only the methods below may be called
 	self          identity.Process
@@ -30,11 +30,11 @@
 }
 
 func (d *fakeDaemon) notLeaderProblem() *problem.Problem {
-	found := problem.New(problem.KindUnavailable, "lead", "not the leader")
+	result := problem.New(problem.KindUnavailable, "lead", "not the leader")
 	if hint := d.leaderHint.Load(); hint != nil {
-		found.Leader = *hint
+		result.Leader = *hint
 	}
-	return found
+	return result
 }
 
 func (d *fakeDaemon) Create(_ context.Context, arguments execution.CreateArguments) (execution.CreateReply, error) {
@@ -77,11 +77,11 @@
 
 // setLeader makes a process the leader of all shards.
 func (m *fakeMap) setLeader(leader identity.Process) {
-	known := &shards.Map{Shards: shardCount, Leaders: map[identity.Shard]shards.Leader{}}
+	shardMap := &shards.Map{Shards: shardCount, Leaders: map[identity.Shard]shards.Leader{}}
 	for number := range identity.Shard(shardCount) {
-		known.Leaders[number+1] = shards.Leader{Process: leader, Term: 1}
+		shardMap.Leaders[number+1] = shards.Leader{Process: leader, Term: 1}
 	}
-	m.current.Store(known)
+	m.current.Store(shardMap)
 }
 
 func mapOf(leader identity.Process) *fakeMap {
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -24,10 +24,11 @@
 	stepRoute       = "find the leader"
 )
 
-// operation is an operation that is being routed.
+// operation describes an operation to route: its arguments, how to run it, and
+// how to read its replies.
 type operation[Arguments, Reply any] struct {
 	method    string        // name of the net/rpc method
-	mayRun    bool          // it may cause a back end to run something
+	mayRun    bool          // the operation may cause a back end to run something
 	wait      time.Duration // how long the receiver may wait before it replies
 	arguments Arguments
 	shard     func(shards uint32) (identity.Shard, error)     // returns the shard, given the number of shards
@@ -39,14 +40,15 @@
 // tryState holds what the tries so far have shown about an operation.
 type tryState struct {
 	outcomeUnknown bool             // a try may have taken effect without a reply that says so
-	refusedAt      time.Time        // time of the first refusal by a daemon that knows the shard; zero: none
+	refusedAt      time.Time        // time of the first reply with OutcomeNotRun; zero: none
 	lastProblem    *problem.Problem // last problem in a reply
 	lastError      error            // last transport error
 	lastPeer       string           // address of the last daemon tried
 }
 
-// route tries the operation until a daemon decides on it, ctx ends, or
-// Options.Patience plus the operation's wait have passed.
+// route tries the operation until a daemon decides on it. It gives up when ctx
+// ends, when Options.Patience plus the operation's wait have passed, or
+// maxRefusalRetry after the first refusal. The reply then holds a problem.
 func route[Arguments, Reply any](ctx context.Context, r *Router, operation operation[Arguments, Reply]) Reply {
 	started := time.Now()
 	limit := r.options.Patience + operation.wait
@@ -111,8 +113,8 @@
 	}
 }
 
-// sinceRefusal returns the time since the first refusal, or zero if there was
-// none.
+// sinceRefusal returns the time since refusedAt, or zero if there was no
+// refusal.
 func (s *tryState) sinceRefusal() time.Duration {
 	if s.refusedAt.IsZero() {
 		return 0
@@ -155,8 +157,8 @@
 		r.logger.Debug("routing: try at a daemon failed; the operation may be retried.", zap.String("method", operation.method), zap.String("peer", address), zap.Error(err))
 		return false
 	}
-	found := *operation.problemOf(&result)
-	if found == nil || found.Kind != problem.KindUnavailable || (operation.isFinal != nil && operation.isFinal(&result)) {
+	replyProblem := *operation.problemOf(&result)
+	if replyProblem == nil || replyProblem.Kind != problem.KindUnavailable || (operation.isFinal != nil && operation.isFinal(&result)) {
 		r.metrics.countTry(operation.method, tryDecided)
 		r.leaders.set(shard, address)
 		*reply = result
@@ -164,9 +166,9 @@
 	}
 	r.metrics.countTry(operation.method, tryElsewhere)
 	r.leaders.forget(shard, address)
-	state.lastProblem = found
-	state.outcomeUnknown = state.outcomeUnknown || found.Outcome == problem.OutcomeUnknown
-	if found.Outcome == problem.OutcomeNotRun && state.refusedAt.IsZero() {
+	state.lastProblem = replyProblem
+	state.outcomeUnknown = state.outcomeUnknown || replyProblem.Outcome == problem.OutcomeUnknown
+	if replyProblem.Outcome == problem.OutcomeNotRun && state.refusedAt.IsZero() {
 		state.refusedAt = time.Now()
 	}
 	return false
@@ -185,9 +187,10 @@
 }
 
 // giveUpProblem returns the problem of an operation on which no daemon decided.
-// Its outcome is OutcomeNotRun only if the last reply said so and no try has an
-// unknown outcome. Having sent nothing is not enough, because an earlier request
-// for the same call may have been sent.
+// For an operation that may run something, the outcome is OutcomeUnknown, unless
+// the last problem in a reply has OutcomeNotRun and no try has an unknown
+// outcome. Having sent nothing is not enough, because an earlier request for the
+// same call may have been sent.
 func (r *Router) giveUpProblem(method string, mayRun bool, state *tryState) *problem.Problem {
 	result := problem.New(problem.KindUnavailable, stepRoute, "no leader of the program's shard could be reached for %s", method).
 		WithRetryAfter(r.options.RetryAfter)
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -1,7 +1,8 @@
 // Package routing forwards a caller's operation from any daemon to the leader of
 // the program's shard. It caches leaders, follows the hints of daemons that no
-// longer lead, and tries other replicas. All operations are idempotent, so an
-// operation with an unknown outcome is tried again.
+// longer lead, and looks up leaders in the shard groups and the shard map. All
+// operations are idempotent, so an operation with an unknown outcome is tried
+// again.
 package routing
 
 import (
@@ -47,7 +48,7 @@
 
 	Patience   time.Duration // how long a leader is searched for before giving up; 10 s
 	TryTimeout time.Duration // limit on one try, in addition to the wait that the caller asked for; 4 s
-	RetryAfter time.Duration // retry delay given to the caller when giving up; 2 s
+	RetryAfter time.Duration // retry delay given to the caller when giving up, unless a reply named one; 2 s
 }
 
 // Router implements execution.Programs for all shards. It is safe for concurrent
@@ -91,7 +92,7 @@
 }
 
 // Create creates a program. Its shard is that of its parent, if it has one, or
-// else given by a hash of the creation key.
+// else given by a hash of the tenant and the creation key.
 func (r *Router) Create(ctx context.Context, arguments execution.CreateArguments) (execution.CreateReply, error) {
 	operation := operation[execution.CreateArguments, execution.CreateReply]{
 		method:    "Create",
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -69,7 +69,7 @@
 		Expect(daemons[1].router.Submit(ctx, submit)).To(HaveField("Problem", BeNil()))
 		Expect(daemons[0].server.Close()).To(Succeed())
 		daemons[2].leading.Store(true)
-		go daemons[1].shardMap.setLeader(daemons[2].self) // as the store does
+		go daemons[1].shardMap.setLeader(daemons[2].self) // the shard map may change while the operation is tried
 		Expect(daemons[1].router.Submit(ctx, submit)).To(HaveField("Problem", BeNil()))
 		Expect(daemons[2].submits.Load()).To(BeEquivalentTo(1))
 	})
--- a/internal/routing/service.go
+++ b/internal/routing/service.go
@@ -19,7 +19,8 @@
 }
 
 // Service runs operations for other daemons. It uses only the local
-// implementation and never forwards, so that operations cannot circulate.
+// implementation and never forwards an operation, so that daemons cannot pass it
+// on in a loop.
 type Service struct{ local Local }
 
 // Create creates a program if this daemon leads its shard.
@@ -54,8 +55,9 @@
 	return serve(request, s.local.Gone, reply, &reply.Problem)
 }
 
-// serve runs the local operation. It turns an error into a problem with unknown
-// outcome, because net/rpc would transmit only the text of the error.
+// serve runs the local operation. If that returns an error but no problem, serve
+// sets a problem with unknown outcome, because net/rpc would transmit only the
+// text of the error.
 func serve[Arguments, Reply any](request Request[Arguments], local func(context.Context, Arguments) (Reply, error), reply *Reply, problemField **problem.Problem) error {
 	ctx, cancel := context.WithTimeout(context.Background(), request.TimeLeft)
 	defer cancel()
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -28,12 +28,13 @@
 }
 
 // decisionCase returns a snapshot and a call whose prefix some engines hold. If
-// free is positive, one in free engines has room; if it is negative, none has.
-func decisionCase(count, free int) (*scheduling.Snapshot, *scheduling.Request) {
+// roomEvery is n > 1, every nth engine has room; if it is zero, all engines have
+// room; if it is negative, none has.
+func decisionCase(count, roomEvery int) (*scheduling.Snapshot, *scheduling.Request) {
 	engines := fleet(count)
 	engines[count-1].Adapters = append(engines[count-1].Adapters, "adapter-rare")
 	for index := range engines {
-		if free < 0 || free > 0 && index%free != 1 {
+		if roomEvery < 0 || roomEvery > 0 && index%roomEvery != 1 {
 			engines[index].Running = engines[index].MaxRunning + 100
 		}
 	}
@@ -51,20 +52,20 @@
 
 func BenchmarkDecide(b *testing.B) {
 	for _, variant := range []struct {
-		name    string
-		scan    int
-		free    int
-		adapter string
+		name      string
+		scan      int
+		roomEvery int
+		adapter   string
 	}{
 		{name: "sampled", adapter: "adapter-b"},
 		{name: "scanned", adapter: "adapter-b", scan: 1 << 20},
-		{name: "few-free", adapter: "adapter-b", free: 16},
-		{name: "all-full", adapter: "adapter-b", free: -1},
+		{name: "few-free", adapter: "adapter-b", roomEvery: 16},
+		{name: "all-full", adapter: "adapter-b", roomEvery: -1},
 		{name: "rare-adapter", adapter: "adapter-rare"},
 	} {
 		for _, count := range []int{10, 100, 1000, 3400} {
 			b.Run(fmt.Sprintf("%s/engines=%d", variant.name, count), func(b *testing.B) {
-				snapshot, call := decisionCase(count, variant.free)
+				snapshot, call := decisionCase(count, variant.roomEvery)
 				call.Adapter = variant.adapter
 				policy := scheduling.NewPolicy(scheduling.Settings{ScanLimit: variant.scan})
 				b.ReportAllocs()
@@ -104,8 +105,8 @@
 
 func TestDecisionsDoNotAllocate(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	for _, free := range []int{0, 16, -1} {
-		snapshot, call := decisionCase(3400, free)
+	for _, roomEvery := range []int{0, 16, -1} {
+		snapshot, call := decisionCase(3400, roomEvery)
 		policy := scheduling.NewPolicy(scheduling.Settings{})
 		allocations := testing.AllocsPerRun(100, func() { policy.Decide(snapshot, call) })
 		expect.Expect(allocations).To(gomega.BeZero())
--- a/internal/scheduling/budget.go
+++ b/internal/scheduling/budget.go
@@ -7,7 +7,7 @@
 type Bucket struct {
 	Rate   float64       // tokens added per second
 	Burst  float64       // capacity in tokens
-	Level  float64       // tokens in the bucket at the time Filled
+	Level  float64       // tokens in the bucket at the last update
 	Filled time.Duration // time of the last update
 }
 
@@ -17,9 +17,10 @@
 	return Bucket{Rate: rate, Burst: burst, Level: burst, Filled: now}
 }
 
-// Take removes tokens if the bucket holds enough of them. Otherwise it only
-// refills the bucket, and wait is the time until there will be enough. If tokens
-// exceeds the burst, wait is the time until the bucket will be full.
+// Take refills the bucket up to now and removes the given number of tokens if
+// the bucket holds that many. Otherwise wait is the time until the bucket will
+// hold that many or, if the number exceeds the burst, until it will be full;
+// wait is at least a millisecond. If Rate is not positive, wait is maxBackoff.
 func (b Bucket) Take(tokens float64, now time.Duration) (next Bucket, taken bool, wait time.Duration) {
 	next = b.refill(now)
 	if next.Level >= tokens {
@@ -33,7 +34,8 @@
 	return next, false, max(secondsToDuration(missing/b.Rate), time.Millisecond)
 }
 
-// Add returns the bucket with more tokens in it, at most the burst.
+// Add refills the bucket up to now and adds the given number of tokens, up to
+// the burst.
 func (b Bucket) Add(tokens float64, now time.Duration) Bucket {
 	next := b.refill(now)
 	next.Level = min(next.Level+tokens, next.Burst)
@@ -47,16 +49,18 @@
 	return b
 }
 
-// RetryBudget limits retries to a share of first attempts, so that retries do
-// not multiply the load during an outage. It is immutable like Bucket.
+// RetryBudget limits retries to a share of first attempts plus a constant rate,
+// so that retries do not multiply the load during an outage. It is immutable
+// like Bucket.
 type RetryBudget struct {
 	share  float64
 	bucket Bucket
 }
 
-// NewRetryBudget returns a budget that allows share retries per first attempt
-// (0.1: one in ten) and another perSecond retries a second, so that a daemon
-// with little traffic may retry too. At most burst unused retries are kept.
+// NewRetryBudget returns a full budget, which holds at most burst retries. Each
+// first attempt adds share retries to it (0.1: one retry per ten first
+// attempts), and each second adds perSecond retries, so that a daemon with
+// little traffic may retry too.
 func NewRetryBudget(share, perSecond, burst float64, now time.Duration) RetryBudget {
 	return RetryBudget{share: share, bucket: NewBucket(perSecond, burst, now)}
 }
@@ -67,8 +71,8 @@
 	return r
 }
 
-// Retry takes one retry from the budget. If none is left, wait is the time to
-// wait at least before the next request.
+// Retry takes one retry from the budget. If less than one is left, allowed is
+// false, and wait is the same as that of Bucket.Take.
 func (r RetryBudget) Retry(now time.Duration) (next RetryBudget, allowed bool, wait time.Duration) {
 	next = r
 	next.bucket, allowed, wait = r.bucket.Take(1, now)
@@ -81,9 +85,10 @@
 	maxDoublings   = 8
 )
 
-// Backoff returns the delay before an attempt; attempts are counted from 1. The
-// delay is at least a millisecond. Its upper bound doubles with each attempt, up
-// to about 10 s, and full jitter is derived from the seed.
+// Backoff returns a delay before the attempt with the given number, counted from
+// 1. The delay is derived from the seed and lies between 1 ms and an upper
+// bound, which is about 50 ms for the first attempt and doubles with each
+// further attempt, up to about 10 s.
 func Backoff(attempt int, seed uint64) time.Duration {
 	doublings := min(max(attempt-1, 0), maxDoublings)
 	ceiling := min(initialBackoff<<doublings, maxBackoff)
--- a/internal/scheduling/lease.go
+++ b/internal/scheduling/lease.go
@@ -9,10 +9,10 @@
 	ReuseChance float64       // probability that the program continues after the pause, 0 to 1
 }
 
-// CachePrice is the value of memory in an engine's prefix cache.
+// CachePrice describes the demand for memory in an engine's prefix cache.
 type CachePrice struct {
 	// HitsPerToken is the average number of hits per second of a cached token.
-	// It is the benefit of using the same memory for other prefixes.
+	// It measures the benefit of using the same memory for other prefixes.
 	HitsPerToken float64
 	// Pressure is the share of the cache in use, 0 to 1.
 	Pressure float64
@@ -25,14 +25,18 @@
 	minHoldTokens    = 512 // shorter prefixes are cheaper to recompute than to hold
 )
 
-// HoldLease returns how long a program's prefix of the given length should be
-// kept in the cache during a pause, at most limit. It returns zero if the prefix
-// is not worth holding, and if the cache has room, since nothing is evicted then.
+// HoldLease returns how long a program's prefix of the given length in tokens
+// should be kept in the cache during a pause, at most limit and at most
+// maxHoldInMeans times the mean pause. It returns zero if the prefix is shorter
+// than minHoldTokens or not worth holding, and if the cache has room, since
+// nothing is evicted then.
 //
 // Pause lengths are assumed to follow a Lomax distribution, which has a long
 // tail: the longer a pause has lasted, the less likely it ends in the next
-// second. That probability is lomaxShape/(mean+elapsed). Holding the prefix is
-// worth it while this exceeds the hit rate of other prefixes in the same memory.
+// second. If the program continues after the pause, the probability per second
+// that the pause ends is lomaxShape/(mean+elapsed). Holding the prefix is worth
+// it while this, times ReuseChance, exceeds HitsPerToken, the rate at which other
+// prefixes in the same memory are hit.
 func HoldLease(tokens int64, pause PauseEstimate, price CachePrice, limit time.Duration) time.Duration {
 	if tokens < minHoldTokens || pause.ReuseChance <= 0 || price.Pressure < evictionThreshold {
 		return 0
--- a/internal/scheduling/policy.go
+++ b/internal/scheduling/policy.go
@@ -12,9 +12,9 @@
 	staleAfter  float64 // seconds
 }
 
-// NewPolicy returns a policy that places each call on the engine with the
-// lowest estimated cost of queueing, prefill, decoding, recomputed cache
-// contents and transfer. Its Decide method does not allocate memory.
+// NewPolicy returns a policy that places each call on the engine with the lowest
+// estimated cost among those it evaluates. Settings lists the parts of the cost.
+// The Decide method of the policy does not allocate memory.
 func NewPolicy(settings Settings) Policy {
 	settings = settings.withDefaults()
 	return &costPolicy{
@@ -61,7 +61,7 @@
 	return Decision{
 		Action:       ActionPlace,
 		Engine:       best.engine,
-		CachedTokens: best.cached,
+		CachedTokens: best.cachedTokens,
 		TransferFrom: best.transferFrom,
 		Cost:         secondsToDuration(best.firstToken),
 		Reason:       best.reason,
@@ -82,16 +82,18 @@
 	}
 	return Decision{
 		Action:       ActionWait,
-		TransferFrom: noTransfer,
+		TransferFrom: noEngine,
 		Cost:         secondsToDuration(expected),
 		Retry:        min(max(secondsToDuration(slotInterval), time.Millisecond), p.settings.Poll),
 		Reason:       reason,
 	}
 }
 
-// isOvercommitted reports whether a new program has to wait because prefixes of
-// live programs fill their share of the caches. One more prefix would evict
-// others, which would then have to be recomputed.
+// isOvercommitted reports whether a call of a new program has to wait because
+// the prefixes of live programs fill the share of the caches that
+// Settings.WorkingSet allows. Placing the call would then evict other prefixes,
+// which would have to be recomputed. The result is false if the request has no
+// FleetShare.
 func (p *costPolicy) isOvercommitted(snapshot *Snapshot, request *Request) bool {
 	if request.Attained > 0 || request.FleetShare <= 0 || p.settings.WorkingSet <= 0 {
 		return false
@@ -100,18 +102,19 @@
 	return capacity > 0 && float64(request.LiveTokens) > capacity*p.settings.WorkingSet
 }
 
-// waitForMemory queues a call of a new program until live programs have ended.
+// waitForMemory queues a call of a new program until the prefixes of live
+// programs use less memory.
 func (p *costPolicy) waitForMemory() Decision {
-	return Decision{Action: ActionWait, TransferFrom: noTransfer, Retry: p.settings.Poll, Reason: ReasonMemory}
+	return Decision{Action: ActionWait, TransferFrom: noEngine, Retry: p.settings.Poll, Reason: ReasonMemory}
 }
 
-// refuse rejects the call. expected is the estimated wait in seconds. Up to
-// half of the retry delay is added as jitter, so that callers do not all
-// return at the same time.
+// refuse rejects the call. expected is the estimated wait in seconds. The retry
+// delay is this wait, but at least Settings.Comeback, plus up to half of it as
+// jitter, so that callers do not all return at the same time.
 func (p *costPolicy) refuse(request *Request, reason Reason, expected float64) Decision {
 	retry := max(secondsToDuration(expected), p.settings.Comeback, time.Millisecond)
 	jitter := time.Duration(mix(request.Seed) % uint64(retry/2+1))
-	return Decision{Action: ActionRefuse, TransferFrom: noTransfer, Retry: retry + jitter, Reason: reason}
+	return Decision{Action: ActionRefuse, TransferFrom: noEngine, Retry: retry + jitter, Reason: reason}
 }
 
 // maxWait returns how long the call may wait before it is placed.
@@ -124,7 +127,7 @@
 	return bound
 }
 
-// expectedOutput returns the expected number of output tokens.
+// expectedOutput returns the expected number of output tokens of the call.
 func (p *costPolicy) expectedOutput(request *Request) float64 {
 	if request.MaxOutputTokens > 0 {
 		return float64(min(request.MaxOutputTokens, p.settings.ExpectedOutput))
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -122,7 +122,7 @@
 	expect.Expect(allowed).To(gomega.BeFalse())
 	expect.Expect(wait).To(gomega.BeNumerically(">", 0))
 	budget, allowed, _ = budget.First(0).First(0).Retry(0)
-	expect.Expect(allowed).To(gomega.BeTrue(), "two first attempts earn a retry")
+	expect.Expect(allowed).To(gomega.BeTrue(), "two first attempts allow one retry")
 	_, allowed, _ = budget.Retry(0)
 	expect.Expect(allowed).To(gomega.BeFalse())
 
--- a/internal/scheduling/properties_test.go
+++ b/internal/scheduling/properties_test.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// refreshed builds a snapshot of older states of the engines and returns its
-// Refresh with the given states.
+// refreshed builds a snapshot from other states of the same engines and returns
+// the result of its Refresh method for the given states.
 func refreshed(engines []scheduling.Engine, shared map[uint64][]scheduling.PrefixHolder) *scheduling.Snapshot {
 	older := slices.Clone(engines)
 	for index := range older {
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -13,20 +13,21 @@
 	Sequence uint64        // order of arrival; breaks ties
 }
 
-// Each class has a head start over the next one. This also implements ageing:
-// a call goes before a call of the next better class if it was queued earlier
-// by more than the head start. Attained service moves a call back by less than
-// one head start.
+// Each class has a head start over the next one. If two programs have received
+// the same service, a call goes before a call of the next better class only if
+// it was queued earlier by the head start or more; this is the ageing of waiting
+// calls. Attained service moves a call back by less than one head start.
 const (
 	ClassHeadStart   = 30 * time.Second
 	attainedDivisor  = 4 // a quarter of the attained service is added to the rank
 	maxAttainedDelay = ClassHeadStart - time.Second
 )
 
-// Before reports whether a goes before b. Calls are ordered by class, then by
-// least attained service, with ageing. This is a strict weak order that does
-// not depend on the current time. No item is overtaken by one that was queued
-// more than ClassCount * ClassHeadStart later.
+// Before reports whether a goes before b. An earlier queueing time, a better
+// class and less attained service move an item forward; rank says by how much.
+// Before is a strict weak order and does not depend on the current time. No item
+// is overtaken by one that was queued later by ClassCount * ClassHeadStart or
+// more.
 func Before(a, b QueueItem) bool {
 	rankA, rankB := a.rank(), b.rank()
 	if rankA != rankB {
@@ -39,7 +40,8 @@
 }
 
 // rank returns the sort key of the item; lower goes first. It is the queueing
-// time plus one head start per better class and a delay for attained service.
+// time, plus one head start for each better class, plus a delay for attained
+// service. Unknown classes count as the last one.
 func (i QueueItem) rank() time.Duration {
 	class := min(time.Duration(i.Class), ClassCount-1)
 	attained := min(max(i.Attained, 0)/attainedDivisor, maxAttainedDelay)
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -38,7 +38,7 @@
 	CacheTokens   int64   // capacity of the prefix cache, in tokens
 	CacheUsed     int64   // tokens in the prefix cache
 	PlacedSince   int     // calls placed by this daemon since the report
-	PlacedTokens  int64   // prompt tokens of those calls that are not expected in the cache
+	PlacedTokens  int64   // prompt tokens of the calls in PlacedSince, without the tokens expected in the cache
 	ReportAge     time.Duration
 	Accepting     bool    // false if the engine is draining, ejected, loading or not in a serving role
 	Probing       bool    // may take one trial call after an ejection
@@ -54,11 +54,11 @@
 	// SharedPrefixes maps the hash of a shared prefix to the engines that hold it.
 	SharedPrefixes map[uint64][]PrefixHolder
 
-	// Build and Refresh set the fields below. Without them, decisions are the
-	// same but slower.
+	// Build and Refresh set the fields below. Without these fields, decisions
+	// are the same but slower.
 	prepared      []candidate       // by index in Engines
 	byID          map[string]int    // indexes in Engines by engine ID
-	adapterBits   map[string]uint64 // bits of the adapters that have one of their own
+	adapterBits   map[string]uint64 // the bit of each adapter that has its own
 	withRoom      map[string][]int  // ByModel without the full engines
 	cacheCapacity map[string]int64  // total CacheTokens of the accepting engines, by model
 }
@@ -86,8 +86,8 @@
 	HolderTokens    int64         // prompt tokens expected in the cache of that engine
 	SharedPrefix    uint64        // hash of the prefix that the call shares with other programs; zero: none
 	Excluded        []string      // IDs of engines that have already failed this call
-	NotRepeatable   bool          // the call must not run twice; it is never sent to a Probing engine
-	QueuedAhead     int           // calls before it in this daemon's queue
+	NotRepeatable   bool          // the call must not run twice; it is never the trial call of a Probing engine
+	QueuedAhead     int           // calls before this one in the daemon's queue
 	Seed            uint64        // random number for sampling engines and for retry jitter
 	LiveTokens      int64         // unshared prefix tokens of the live programs that this daemon leads
 	FleetShare      float64       // share of the model's total cache that this daemon may use, 0 to 1; zero: unknown
@@ -115,7 +115,7 @@
 	ReasonNoEngine     Reason = "no-engine"     // no usable engine serves the model and adapter
 	ReasonDeadline     Reason = "deadline"      // the call cannot finish before its deadline
 	ReasonMemory       Reason = "memory"        // prefixes of live programs fill the caches; a new program waits
-	ReasonBound        Reason = "bound"         // the wait exceeds, or would exceed, the maximum of the class
+	ReasonBound        Reason = "bound"         // the wait exceeds, or would exceed, the maximum for the call
 )
 
 // Decision is the result for one call. It holds no pointers into the snapshot.
@@ -124,7 +124,7 @@
 	Engine       int           // index in Snapshot.Engines, for ActionPlace
 	CachedTokens int64         // prompt tokens expected in the cache of that engine
 	TransferFrom int           // index of the engine to transfer the KV cache from; -1: no transfer
-	Cost         time.Duration // estimated time to the first token; for ActionWait, to a free slot
+	Cost         time.Duration // ActionPlace: estimated time to the first token; ReasonFull: estimated time to a free slot; otherwise zero
 	Retry        time.Duration // for ActionWait and ActionRefuse: delay before the next try
 	Reason       Reason
 }
--- a/internal/scheduling/search.go
+++ b/internal/scheduling/search.go
@@ -13,22 +13,23 @@
 // fewer, all engines with room are evaluated.
 const minWithRoom = 4
 
-// noTransfer is the value of Decision.TransferFrom if there is no transfer.
-const noTransfer = -1
+// noEngine means that there is no engine, in Decision.TransferFrom and
+// search.holder.
+const noEngine = -1
 
 // placement is one evaluated candidate. Times are in seconds.
 type placement struct {
 	engine       int
-	cached       int64 // prompt tokens expected in the cache
+	cachedTokens int64 // prompt tokens expected in the cache
 	transferFrom int
 	queueing     float64 // wait before prefill begins
-	firstToken   float64 // time to the first token: queueing, prefill or transfer, and zone penalty
-	decode       float64 // generation of all output tokens
+	firstToken   float64 // time to the first token: queueing, transfer, prefill and zone penalty
+	decode       float64 // time to generate all output tokens
 	score        float64 // estimated cost; the lowest wins
 	reason       Reason
 }
 
-// search finds the placement of one request with the lowest score.
+// search finds the placement with the lowest score for one request.
 type search struct {
 	policy   *costPolicy
 	snapshot *Snapshot
@@ -41,7 +42,7 @@
 	exclusions int                     // number of valid entries in excluded
 	unprepared candidate               // result of candidate for a snapshot without prepared candidates
 	holder     int                     // index of the engine that last served the program; -1: none
-	mostCached int64                   // tokens of the longest part of the prompt that any engine holds
+	mostCached int64                   // tokens of the longest part of the prompt that any engine is known to hold
 
 	found          bool
 	best           placement
@@ -59,7 +60,7 @@
 		output:   policy.expectedOutput(request),
 		zone:     zoneHash(request.Zone),
 		adapter:  snapshot.adapterBit(request.Adapter),
-		holder:   noTransfer,
+		holder:   noEngine,
 	}
 	for _, id := range request.Excluded[:min(len(request.Excluded), maxExcludedIndexes)] {
 		if index, found := snapshot.Find(id); found {
@@ -77,9 +78,12 @@
 	return result
 }
 
-// run evaluates the holders of the prefix first, then the other engines of the
-// model: all if there are at most ScanLimit, otherwise a random sample. If the
-// sample has too few engines with room, all engines with room are evaluated.
+// run evaluates the holders of the prefix first and then engines of the model:
+// all of them if there are at most ScanLimit, otherwise a random sample. If the
+// sample has too few engines with room, it evaluates all engines with room. If
+// there is still no placement and no sampled engine was full, it evaluates all
+// engines to estimate the slot interval. If no engine has the adapter, it
+// evaluates none.
 func (s *search) run() {
 	if s.snapshot.isUnknownAdapter(s.request.Adapter) {
 		return
@@ -137,8 +141,9 @@
 	}
 }
 
-// indexesWithRoom returns the engines of the model that are not full, or
-// indexes if the snapshot has no prepared candidates.
+// indexesWithRoom returns the indexes of the model's engines that are not full.
+// If the snapshot has no prepared candidates, it returns its argument, the
+// indexes of all engines of the model.
 func (s *search) indexesWithRoom(indexes []int) []int {
 	if s.snapshot.prepared == nil {
 		return indexes
@@ -146,8 +151,9 @@
 	return s.snapshot.withRoom[s.request.Model]
 }
 
-// estimateSlotInterval sets slotInterval from the full engines evaluated. factor
-// is the assumed ratio of all full engines to the evaluated ones.
+// estimateSlotInterval sets slotInterval from the full engines evaluated, if
+// there are any. factor is the assumed ratio of all full engines to the
+// evaluated ones.
 func (s *search) estimateSlotInterval(factor float64) {
 	if s.fullDecodeRate > 0 {
 		s.slotInterval = s.output * (1 + s.policy.settings.BatchSlowdown) / (s.fullDecodeRate * factor)
@@ -161,9 +167,10 @@
 	return s.snapshot.SharedPrefixes[s.request.SharedPrefix]
 }
 
-// consider evaluates one engine and keeps it if its score is the lowest so far.
-// cached is how many tokens of the prompt the engine is expected to hold.
-func (s *search) consider(index int, cached int64, reason Reason) {
+// consider evaluates one engine. It keeps the placement if the engine is
+// eligible and has room and the score is the lowest so far. cachedTokens is how
+// many tokens of the prompt the engine is expected to hold.
+func (s *search) consider(index int, cachedTokens int64, reason Reason) {
 	engine := s.candidate(index)
 	if !s.isEligible(index, engine) {
 		return
@@ -181,7 +188,7 @@
 	if s.found && engine.backlog >= s.best.score {
 		return // the other terms of the score can only add to the backlog
 	}
-	placed := s.evaluate(index, engine, cached)
+	placed := s.evaluate(index, engine, cachedTokens)
 	placed.reason = reason
 	if !s.found || placed.score < s.best.score {
 		s.found = true
@@ -189,7 +196,8 @@
 	}
 }
 
-// isEligible reports whether the engine may serve the request, whatever its load.
+// isEligible reports whether the engine may serve the request, regardless of its
+// load.
 func (s *search) isEligible(index int, engine *candidate) bool {
 	if !engine.accepting && (!engine.probing || s.request.NotRepeatable) {
 		return false
@@ -216,7 +224,8 @@
 	return slices.Contains(s.request.Excluded, s.snapshot.Engines[index].ID)
 }
 
-// candidate returns the candidate of an engine. It is valid until the next call.
+// candidate returns the candidate of an engine. The result is valid until the
+// next call.
 func (s *search) candidate(index int) *candidate {
 	if s.snapshot.prepared != nil {
 		return &s.snapshot.prepared[index]
@@ -228,24 +237,24 @@
 	return &s.unprepared
 }
 
-// evaluate estimates the cost of placing the request on an engine. cached is how
-// many tokens of the prompt the engine is expected to hold.
-func (s *search) evaluate(index int, engine *candidate, cached int64) placement {
+// evaluate estimates the cost of placing the request on an engine. cachedTokens
+// is how many tokens of the prompt the engine is expected to hold.
+func (s *search) evaluate(index int, engine *candidate, cachedTokens int64) placement {
 	settings := &s.policy.settings
-	cached = min(cached, s.request.PromptTokens)
-	uncached := float64(s.request.PromptTokens - cached)
+	cachedTokens = min(cachedTokens, s.request.PromptTokens)
+	uncached := float64(s.request.PromptTokens - cachedTokens)
 	occupancy := float64(engine.busy) / float64(engine.slots)
 	slowdown := 1 + settings.BatchSlowdown*min(occupancy, 1)
 
-	result := placement{engine: index, cached: cached, transferFrom: noTransfer}
+	result := placement{engine: index, cachedTokens: cachedTokens, transferFrom: noEngine}
 	result.queueing = engine.backlog + s.slotWait(engine)
 	result.decode = s.output * engine.outputCost * slowdown
 	prefill := uncached * engine.promptCost
-	wasted := float64(s.mostCached-cached) * engine.promptCost
-	if moved := s.transferTime(cached); moved < wasted {
+	wasted := float64(s.mostCached-cachedTokens) * engine.promptCost
+	if moved := s.transferTime(cachedTokens); moved < wasted {
 		prefill -= wasted - moved
 		wasted = 0
-		result.cached = s.mostCached
+		result.cachedTokens = s.mostCached
 		result.transferFrom = s.holder
 	}
 	result.firstToken = result.queueing + prefill + s.zoneCost(engine)
@@ -270,21 +279,23 @@
 	return ahead * s.serviceTime(engine) / float64(engine.slots)
 }
 
-// serviceTime returns how many seconds a call of this kind occupies a slot of a
-// full batch.
+// serviceTime returns the expected time in seconds to generate the output of the
+// request in a full batch.
 func (s *search) serviceTime(engine *candidate) float64 {
 	return s.output * engine.outputCost * (1 + s.policy.settings.BatchSlowdown)
 }
 
-// transferTime returns the seconds that a transfer of the holder's KV cache
-// takes, or infinity if it cannot be transferred.
-func (s *search) transferTime(cached int64) float64 {
+// transferTime returns the seconds that it takes to transfer the KV cache of the
+// prompt tokens from cachedTokens up to mostCached from the holder. It returns
+// infinity if transfers are disabled or the holder does not have all these
+// tokens.
+func (s *search) transferTime(cachedTokens int64) float64 {
 	perSec := s.policy.settings.TransferPerSec
 	movable := s.holder >= 0 && s.mostCached <= s.request.HolderTokens
 	if perSec <= 0 || !movable {
 		return math.Inf(1)
 	}
-	return float64(s.mostCached-cached) / perSec
+	return float64(s.mostCached-cachedTokens) / perSec
 }
 
 func (s *search) zoneCost(engine *candidate) float64 {
--- a/internal/scheduling/settings.go
+++ b/internal/scheduling/settings.go
@@ -4,7 +4,7 @@
 
 // Settings are the weights of the cost function and the limits on waiting. A
 // zero field takes its default from DefaultSettings. A negative field counts as
-// zero, which disables that part of the cost if it is a weight.
+// zero; a negative weight thus disables its part of the cost.
 type Settings struct {
 	// ExpectedOutput is the assumed number of output tokens of a call. A
 	// smaller MaxOutputTokens of the request overrides it.
@@ -26,8 +26,9 @@
 	// StaleAfter is the age up to which a load report counts as current. Any
 	// age beyond it is added to the cost.
 	StaleAfter time.Duration
-	// HolderQueue is how many calls beyond a full batch may queue inside the
-	// engine that holds their program's prefix. Other calls wait in the daemon.
+	// HolderQueue is how many calls beyond a full batch may queue inside an
+	// engine. Only calls of programs that were last served by that engine may
+	// queue there; other calls wait in the daemon.
 	HolderQueue int
 	// TransferPerSec is the speed of KV cache transfers between engines, in
 	// tokens per second. Zero or less disables transfers.
@@ -39,16 +40,19 @@
 	StartedFactor float64
 	// Comeback is the minimum time after which a refused call may be retried.
 	Comeback time.Duration
-	// Poll is the maximum time until a waiting call is decided again.
+	// Poll is the maximum time until the policy decides on a waiting call again.
 	Poll time.Duration
-	// WorkingSet is the share of the accepting engines' caches that prefixes
-	// of live programs may fill. Beyond it, new programs have to wait.
+	// WorkingSet is the share of the accepting engines' caches that prefixes of
+	// live programs may fill. Beyond it, new programs have to wait. A negative
+	// value disables the limit.
 	WorkingSet float64
-	// ScanLimit is the largest number of engines of a model that are all
-	// evaluated. If there are more, only the prefix holders and SampleSize
-	// engines, drawn at random, are evaluated.
+	// ScanLimit is the number of engines of a model up to which all of them are
+	// evaluated. If there are more, the prefix holders and a random sample of
+	// SampleSize engines are evaluated, and further engines only if too few of
+	// the sample have room.
 	ScanLimit int
-	// SampleSize is the number of engines drawn at random.
+	// SampleSize is the number of engines drawn at random; an engine may be
+	// drawn more than once.
 	SampleSize int
 }
 
--- a/internal/scheduling/sketch.go
+++ b/internal/scheduling/sketch.go
@@ -13,10 +13,10 @@
 }
 
 // Sketch records which engines recently received which shared prefixes. Each
-// daemon learns from its own placements, so no global index of caches is
-// needed. The number of prefixes and of engines per prefix is bounded. A wrong
-// record costs a prefill but does not affect correctness. A Sketch is not safe
-// for concurrent use.
+// daemon records its own placements, so no global index of caches is needed. The
+// number of prefixes and of engines per prefix is bounded. A wrong record costs
+// a prefill but does not affect correctness. A Sketch is not safe for concurrent
+// use.
 type Sketch struct {
 	maxPrefixes int
 	maxHolders  int
@@ -36,8 +36,9 @@
 }
 
 // NewSketch returns a Sketch of at most maxPrefixes prefixes with at most
-// maxHolders engines each. An engine no longer counts as a holder when expiry has
-// passed since it last received the prefix.
+// maxHolders engines each; a limit below one counts as one. An engine counts as
+// a holder of a prefix until the expiry time has passed since it last received
+// the prefix.
 func NewSketch(maxPrefixes, maxHolders int, expiry time.Duration) *Sketch {
 	return &Sketch{
 		maxPrefixes: max(maxPrefixes, 1), maxHolders: max(maxHolders, 1), expiry: expiry,
@@ -46,24 +47,26 @@
 }
 
 // Record notes that the engine received a prompt that begins with each of the
-// runs. now is relative to an epoch shared by all calls.
+// given prefixes. now is relative to an epoch shared by all calls.
 func (s *Sketch) Record(runs []PrefixRun, engine string, now time.Duration) {
 	for _, run := range runs {
 		s.findOrAdd(run).recordUse(engine, now, s.maxHolders)
 	}
 }
 
-// Forget removes the engine from all prefixes, because its cache is lost.
+// Forget removes the engine from all prefixes. It is for an engine whose cache
+// is lost.
 func (s *Sketch) Forget(engine string) {
 	for element := s.lru.Front(); element != nil; element = element.Next() {
 		element.Value.(*prefixEntry).removeEngine(engine)
 	}
 }
 
-// Holders appends to found the engines of the snapshot that hold any of the
-// runs, each engine once with the longest run it holds, and returns the
-// extended slice. The runs must be ordered by increasing length.
-func (s *Sketch) Holders(found []PrefixHolder, runs []PrefixRun, snapshot *Snapshot, now time.Duration) []PrefixHolder {
+// Holders appends to holders the engines of the snapshot that hold any of the
+// prefixes in runs, each with the longest prefix that it holds, and returns the
+// extended slice. Engines that the slice already contains are not appended
+// again. The prefixes must be ordered by increasing length.
+func (s *Sketch) Holders(holders []PrefixHolder, runs []PrefixRun, snapshot *Snapshot, now time.Duration) []PrefixHolder {
 	for index := len(runs) - 1; index >= 0; index-- {
 		element, ok := s.elements[runs[index].Hash]
 		if !ok {
@@ -74,16 +77,16 @@
 				continue
 			}
 			engine, exists := snapshot.Find(holder.engine)
-			if exists && !containsEngine(found, engine) {
-				found = append(found, PrefixHolder{Engine: engine, Tokens: runs[index].Tokens})
+			if exists && !containsEngine(holders, engine) {
+				holders = append(holders, PrefixHolder{Engine: engine, Tokens: runs[index].Tokens})
 			}
 		}
 	}
-	return found
+	return holders
 }
 
-func containsEngine(found []PrefixHolder, engine int) bool {
-	for _, holder := range found {
+func containsEngine(holders []PrefixHolder, engine int) bool {
+	for _, holder := range holders {
 		if holder.Engine == engine {
 			return true
 		}
@@ -91,9 +94,9 @@
 	return false
 }
 
-// findOrAdd returns the entry of a prefix, which it adds if necessary, and marks
-// it as most recently used. If the sketch is full, adding an entry drops the least
-// recently used one.
+// findOrAdd returns the entry of a prefix and marks the entry as most recently
+// used. If the prefix has no entry, one is added; if the sketch is full, this
+// drops the least recently used entry.
 func (s *Sketch) findOrAdd(run PrefixRun) *prefixEntry {
 	if element, ok := s.elements[run.Hash]; ok {
 		s.lru.MoveToFront(element)
@@ -109,9 +112,9 @@
 	return added
 }
 
-// recordUse adds the engine or updates its last use. If there are already limit
-// engines, it replaces the least recently used one.
-func (e *prefixEntry) recordUse(engine string, now time.Duration, limit int) {
+// recordUse adds the engine or updates its last use. If the entry already has
+// maxHolders other engines, the new one replaces the least recently used.
+func (e *prefixEntry) recordUse(engine string, now time.Duration, maxHolders int) {
 	oldest := 0
 	for index := range e.engines {
 		if e.engines[index].engine == engine {
@@ -122,7 +125,7 @@
 			oldest = index
 		}
 	}
-	if len(e.engines) < limit {
+	if len(e.engines) < maxHolders {
 		e.engines = append(e.engines, recentEngine{engine: engine, lastUsed: now})
 		return
 	}
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -8,8 +8,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// candidate holds what decisions read about one engine. It is computed once
-// per snapshot and kept small, so that many fit into the CPU caches.
+// candidate holds what decisions read about one engine. It is computed once per
+// snapshot and kept small, so that many candidates fit into the CPU caches.
 type candidate struct {
 	promptCost      float64 // seconds per uncached prompt token
 	outputCost      float64 // seconds per output token in an almost empty batch
@@ -30,13 +30,13 @@
 	minTokensPerSec   = 1.0  // lower bound for speeds, which are zero until measured
 	evictionThreshold = 0.75 // share of the cache in use above which new prefixes evict others
 	maxErrorRate      = 0.9  // higher error rates count as this
-	exactAdapterBits  = 63   // adapters that have a bit of their own; the others share the last bit
+	exactAdapterBits  = 63   // number of adapters with a bit of their own; all others share the last bit
 	sharedAdapterBit  = uint64(1) << exactAdapterBits
 	defaultMaxRunning = 1
 )
 
-// Build returns a snapshot of the engines, with everything computed that
-// decisions need. It takes ownership of the slice and the map.
+// Build returns a snapshot of the engines and computes in advance what decisions
+// read. It takes ownership of the slice and the map.
 func Build(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	snapshot := &Snapshot{
 		Engines:        engines,
@@ -55,9 +55,11 @@
 	return snapshot
 }
 
-// Refresh returns the next snapshot from newer states of the same engines. It
-// is faster than Build because both snapshots share their indexes. If engines,
-// their models, zones or adapters have changed, it does the same as Build.
+// Refresh returns a snapshot of newer states of the same engines. It is faster
+// than Build because both snapshots share their indexes. If the number, order,
+// IDs, models, zones or adapters of the engines have changed, or if s was made
+// without Build and Refresh, it does the same as Build. It takes ownership of
+// the slice and the map.
 func (s *Snapshot) Refresh(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	if s.prepared == nil || !s.hasSameEngines(engines) {
 		return Build(engines, sharedPrefixes)
@@ -116,8 +118,8 @@
 	}
 }
 
-// sumCacheTokens returns the sum of CacheTokens of the accepting engines among
-// indexes.
+// sumCacheTokens returns the sum of CacheTokens of the engines with the given
+// indexes, leaving out those that are not accepting calls.
 func (s *Snapshot) sumCacheTokens(indexes []int) int64 {
 	total := int64(0)
 	for _, index := range indexes {
