--- a/internal/quota/alone.go
+++ b/internal/quota/alone.go
@@ -9,36 +9,38 @@
 	"github.com/thymeloft/thymeloft/internal/members"
 )
 
-// alone is a directory of one daemon that keeps everything since long ago.
-type alone struct{ since time.Time }
+// standalone implements Directory and Standing for a single daemon that has owned all
+// parts since the given time.
+type standalone struct{ since time.Time }
 
 // Keeper implements Directory.
-func (alone) Keeper(string, int) (members.Member, bool) { return members.Member{}, true }
+func (standalone) Keeper(string, int) (members.Member, bool) { return members.Member{}, true }
 
 // Silent implements Directory.
-func (alone) Silent(members.Member) bool { return false }
+func (standalone) Silent(members.Member) bool { return false }
 
 // Missed implements Directory.
-func (alone) Missed(members.Member) {}
+func (standalone) Missed(members.Member) {}
 
 // Answered implements Directory.
-func (alone) Answered(members.Member) {}
+func (standalone) Answered(members.Member) {}
 
 // Self implements Directory.
-func (alone) Self() identity.Process { return identity.Process{} }
+func (standalone) Self() identity.Process { return identity.Process{} }
 
 // Keeps implements Standing.
-func (a alone) Keeps(string, int) (time.Time, bool) { return a.since, true }
+func (a standalone) Keeps(string, int) (time.Time, bool) { return a.since, true }
 
-// longAgo fills up any quota that has a place a year or more.
-const longAgo = 10 * 365 * 24 * time.Hour
+// standaloneAge is how long a standalone daemon is assumed to have owned its parts. It is
+// long enough to fill any quota that allows at least one request a year.
+const standaloneAge = 10 * 365 * 24 * time.Hour
 
-// NewAlone makes a limiter for one daemon by itself: its quotas are in one part and full
-// from the start.
+// NewAlone returns a limiter for a single daemon. Each quota consists of one part, which
+// is full at the start.
 func NewAlone(settings Settings, now func() time.Time) *Limiter {
 	settings.Parts = 1
-	standing := alone{since: now().Add(-longAgo)}
+	directory := standalone{since: now().Add(-standaloneAge)}
 	return NewLimiter(Options{
-		Settings: settings, Keeper: NewKeeper(settings, standing, now), Directory: standing, Now: now, Log: zap.NewNop(),
+		Settings: settings, Keeper: NewKeeper(settings, directory, now), Directory: directory, Now: now, Log: zap.NewNop(),
 	})
 }
--- a/internal/quota/asking.go
+++ b/internal/quota/asking.go
@@ -9,83 +9,87 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// asking is one request's way through the parts of its tenant's quota.
-type asking struct {
-	limiter  *Limiter
-	request  Request
-	left     []candidate // to be asked, in this order
-	pending  int
-	answers  chan answer
-	back     time.Duration // the earliest moment at which there is likely to be a place
-	decision Decision
+// acquisition is one request's attempt to get a permit from any part of its tenant's
+// quota. It is used by a single goroutine.
+type acquisition struct {
+	limiter    *Limiter
+	request    Request
+	remaining  []candidate // parts not asked yet, in the order in which to ask them
+	pending    int         // calls without an answer yet
+	answers    chan answer
+	retryAfter time.Duration // shortest wait after which a permit is likely to be free
+	decision   Decision
 }
 
-// candidate is a part and who keeps it.
+// candidate is a part of the quota and its keeper.
 type candidate struct {
 	part   partKey
 	keeper members.Member
 }
 
-// answer is what came of asking one keeper.
+// answer is the result of one call to a keeper.
 type answer struct {
 	candidate
 	reply TakeReply
 	err   error
 }
 
-// newAsking orders the parts: those kept in this zone first, since an answer from there is a hop less far
-// and comes also while other zones are cut off; else at random, so that all are used alike and none is empty
-// while another overflows; and keepers that did not answer lately at the end.
-func newAsking(limiter *Limiter, request Request) *asking {
-	made := &asking{limiter: limiter, request: request, answers: make(chan answer, limiter.settings.Parts), back: never}
-	var far, last []candidate
-	own := limiter.directory.Self().Zone
+// newAcquisition determines the order in which to ask the parts. Parts kept in the local
+// zone come first, because they are closer and stay reachable when other zones are cut off.
+// Keepers that recently failed to answer come last. Within each group the order is random,
+// which spreads the load evenly over the parts. Parts known to have no permit are left out.
+func newAcquisition(limiter *Limiter, request Request) *acquisition {
+	attempt := &acquisition{limiter: limiter, request: request, answers: make(chan answer, limiter.settings.Parts), retryAfter: maxWait}
+	var remote, avoided []candidate
+	ownZone := limiter.directory.Self().Zone
 	for _, number := range rand.Perm(limiter.settings.Parts) {
 		part := partKey{tenant: request.Tenant, number: number}
-		if made.knownEmpty(part) {
+		if attempt.isKnownEmpty(part) {
 			continue
 		}
-		keeper, known := limiter.directory.Keeper(ownerOf(part.tenant), part.number)
+		keeper, known := limiter.directory.Keeper(claimOwner(part.tenant), part.number)
 		switch {
 		case !known, limiter.directory.Silent(keeper):
-			made.decision.Silent++
+			attempt.decision.Silent++
 		case limiter.isAvoided(keeper.Process.Machine):
-			last = append(last, candidate{part, keeper})
-		case keeper.Process.Zone != own:
-			far = append(far, candidate{part, keeper})
+			avoided = append(avoided, candidate{part, keeper})
+		case keeper.Process.Zone != ownZone:
+			remote = append(remote, candidate{part, keeper})
 		default:
-			made.left = append(made.left, candidate{part, keeper})
+			attempt.remaining = append(attempt.remaining, candidate{part, keeper})
 		}
 	}
-	made.left = append(append(made.left, far...), last...)
-	return made
+	attempt.remaining = append(append(attempt.remaining, remote...), avoided...)
+	return attempt
 }
 
-// knownEmpty tells whether a part said lately that it has no place until a moment to come.
-func (a *asking) knownEmpty(part partKey) bool {
-	until, found := a.limiter.empty.Get(a.emptyKey(part))
+// isKnownEmpty reports whether the part's keeper has said that it will have no permit until
+// a time that is still in the future.
+func (a *acquisition) isKnownEmpty(part partKey) bool {
+	until, found := a.limiter.emptyUntil.Get(a.emptyKey(part))
 	wait := until.Sub(a.limiter.now())
 	if !found || wait <= 0 {
 		return false
 	}
-	a.back = min(a.back, wait)
+	a.retryAfter = min(a.retryAfter, wait)
 	a.decision.Known++
 	return true
 }
 
-func (a *asking) emptyKey(part partKey) emptyKey {
-	return emptyKey{part: part, underWay: a.request.UnderWay, revision: a.request.Revision}
+func (a *acquisition) emptyKey(part partKey) emptyPartKey {
+	return emptyPartKey{part: part, underWay: a.request.UnderWay, revision: a.request.Revision}
 }
 
-// run asks one keeper after the other, and the next one beside one that is slow; it returns
-// nil if there is no place. A place that comes too late is given back.
-func (a *asking) run(parent context.Context) *Taken {
-	ctx, cancel := context.WithTimeout(parent, askWait)
+// run asks the keepers in turn and returns the first permit, or nil if there is none. When
+// a keeper is slow, run also asks the next one. Permits that arrive after run has returned
+// are given back.
+func (a *acquisition) run(parent context.Context) *Taken {
+	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
-	hedge := time.NewTimer(hedgeAfter)
-	defer hedge.Stop()
-	defer a.leavePending()
-	for len(a.left) > 0 || a.pending > 0 {
+	hedgeTimer := time.NewTimer(hedgeDelay)
+	defer hedgeTimer.Stop()
+	defer a.releasePending()
+	for len(a.remaining) > 0 || a.pending > 0 {
 		if a.pending == 0 {
 			if taken := a.askNext(ctx); taken != nil {
 				return taken
@@ -95,52 +99,53 @@
 		select {
 		case received := <-a.answers:
 			a.pending--
-			if taken := a.judge(received); taken != nil {
+			if taken := a.handleAnswer(received); taken != nil {
 				return taken
 			}
-		case <-hedge.C:
-			hedge.Reset(hedgeAfter)
+		case <-hedgeTimer.C:
+			hedgeTimer.Reset(hedgeDelay)
 			if taken := a.askNext(ctx); taken != nil {
 				return taken
 			}
 		case <-ctx.Done():
-			a.decision.Silent += a.pending + len(a.left)
+			a.decision.Silent += a.pending + len(a.remaining)
 			return nil
 		}
 	}
 	return nil
 }
 
-// askNext asks the next keeper, if there is one; this daemon itself answers at once.
-func (a *asking) askNext(ctx context.Context) *Taken {
-	if len(a.left) == 0 {
+// askNext asks the next keeper, if any. A remote keeper is called in a goroutine. If this
+// daemon is the keeper, its answer is handled before askNext returns.
+func (a *acquisition) askNext(ctx context.Context) *Taken {
+	if len(a.remaining) == 0 {
 		return nil
 	}
-	next := a.left[0]
-	a.left = a.left[1:]
+	next := a.remaining[0]
+	a.remaining = a.remaining[1:]
 	a.decision.Asked++
-	question := TakeRequest{
+	request := TakeRequest{
 		Tenant: a.request.Tenant, Part: next.part.number, UnderWay: a.request.UnderWay,
 		PerSecond: a.request.Quota.PerSecond, Burst: a.request.Quota.Burst, Revision: a.request.Revision,
 	}
 	if next.keeper.Process == a.limiter.directory.Self() {
 		received := answer{candidate: next}
-		received.err = a.limiter.keeper.Take(question, &received.reply)
-		return a.judge(received)
+		received.err = a.limiter.keeper.Take(request, &received.reply)
+		return a.handleAnswer(received)
 	}
 	a.pending++
 	go func() {
-		limited, cancel := context.WithTimeout(context.WithoutCancel(ctx), askWait)
+		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
 		received := answer{candidate: next}
-		received.err = a.limiter.caller.Call(limited, next.keeper.Process.Address, peer.Control, methodTake, question, &received.reply)
+		received.err = a.limiter.caller.Call(callCtx, next.keeper.Process.Address, peer.Control, methodTake, request, &received.reply)
 		a.answers <- received
 	}()
 	return nil
 }
 
-// judge takes an answer in.
-func (a *asking) judge(received answer) *Taken {
+// handleAnswer records the answer of a keeper and returns the permit if it granted one.
+func (a *acquisition) handleAnswer(received answer) *Taken {
 	if received.err != nil {
 		a.decision.Silent++
 		a.limiter.avoid(received.keeper, received.err.Error())
@@ -150,11 +155,11 @@
 	a.decision.Keeper, a.decision.Level = string(received.keeper.Process.Machine), received.reply.Level
 	switch received.reply.Verdict {
 	case VerdictTaken:
-		return a.taken(received)
+		return a.newTaken(received)
 	case VerdictRefused:
-		a.back = min(a.back, received.reply.Back)
+		a.retryAfter = min(a.retryAfter, received.reply.Back)
 		if received.keeper.Process != a.limiter.directory.Self() {
-			a.limiter.empty.Add(a.emptyKey(received.part), a.limiter.now().Add(received.reply.Empty))
+			a.limiter.emptyUntil.Add(a.emptyKey(received.part), a.limiter.now().Add(received.reply.Empty))
 		}
 	default:
 		a.decision.Silent++
@@ -162,13 +167,14 @@
 	return nil
 }
 
-func (a *asking) taken(received answer) *Taken {
-	place := GiveBackRequest{Tenant: a.request.Tenant, Part: received.part.number, Place: received.reply.Place}
-	return &Taken{limiter: a.limiter, keeper: received.keeper, place: place}
+func (a *acquisition) newTaken(received answer) *Taken {
+	giveBack := GiveBackRequest{Tenant: a.request.Tenant, Part: received.part.number, Place: received.reply.Place}
+	return &Taken{limiter: a.limiter, keeper: received.keeper, giveBack: giveBack}
 }
 
-// leavePending takes in the answers that nobody waits for: their places are given back.
-func (a *asking) leavePending() {
+// releasePending waits in the background for the calls that are still pending, and gives
+// back the permits that they return.
+func (a *acquisition) releasePending() {
 	if a.pending == 0 {
 		return
 	}
@@ -178,7 +184,7 @@
 			if received.err != nil {
 				a.limiter.avoid(received.keeper, received.err.Error())
 			} else if received.reply.Verdict == VerdictTaken {
-				a.taken(received).Return()
+				a.newTaken(received).Return()
 			}
 		}
 	}(a.pending)
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -5,112 +5,119 @@
 	"time"
 )
 
-// rates are what one part of a quota allows: in any time t at most capacity + perSecond x t places.
+// rates are the limits of one part of a quota: in any interval of t seconds it issues at
+// most capacity + perSecond x t permits.
 type rates struct {
 	perSecond float64
 	capacity  float64
-	// reserved is the level down to which new work is served; what is below it is for
-	// work under way.
-	reserved float64
+	// reservedLevel is the lowest level at which new work still gets a permit. The permits
+	// below it are reserved for work in progress.
+	reservedLevel float64
 }
 
-// slots divide the time in which places can be given back; a bucket counts places by slot.
-// What a full bucket loses by that is the steady rate of one slot: 2 % of a second's with a
-// window of 5 s. Working out a level takes some 0.3 us.
-const slots = 250
+// slotCount is the number of slots in a window. A bucket counts its permits by slot. A permit
+// can be given back until its slot is slotCount slots old.
+const slotCount = 250
 
-// roundingError is what sums of fractions of places may be wrong by.
+// roundingError is the rounding error allowed in the comparison of levels, in permits.
 const roundingError = 1e-6
 
-// bucket holds one part's places. It fills up steadily, to its capacity.
+// bucket is a token bucket for the permits of one part. It refills at a constant rate up to
+// its capacity. It is not safe for concurrent use.
 //
-// Guarantee: the places that were given and not given back are, in any time t, at most
-// capacity + perSecond x t, by the rates of the last call. A place that is given back
-// counts as if it had never been taken, and no more than that: what would have overflown
-// meanwhile is not won back. For that, the places of the last slots are kept apart, and
-// the level is worked out from them; each counts at the end of its slot, where the
-// bucket may have been full, so that the level is never too high.
+// Guarantee: in any interval of t seconds, the permits that were issued and not given back
+// number at most capacity + perSecond x t, with the rates of the last call to take.
+//
+// A permit that is given back leaves the bucket as if it had not been issued: the refill
+// since then is again limited by the capacity. For this purpose the bucket counts the
+// permits of each recent slot and computes its level from the counts. A permit is subtracted
+// at the end of its slot, so that the level is never overestimated.
 type bucket struct {
-	slotLength time.Duration
-	start      time.Time
-	settled    float64 // level at the beginning of the slot oldest
-	oldest     int64   // number of the oldest slot, since start
-	counts     [slots]uint16
-	rates      rates
+	slotLength   time.Duration
+	start        time.Time
+	settledLevel float64 // level at the start of the oldest slot
+	oldestSlot   int64   // number of the oldest slot; the slot at start is 0
+	counts       [slotCount]uint16
+	rates        rates
 }
 
-// newBucket makes a bucket that was empty at start.
+// newBucket returns a bucket that was empty at start. Its slots cover one window.
 func newBucket(window time.Duration, start time.Time) *bucket {
-	return &bucket{slotLength: window / slots, start: start}
+	return &bucket{slotLength: window / slotCount, start: start}
 }
 
+// slotAt returns the number of the slot at the given time.
 func (b *bucket) slotAt(now time.Time) int64 { return max(int64(now.Sub(b.start)/b.slotLength), 0) }
 
-// take takes a place if the level is at least the need; it returns the slot in which the
-// place counts, and the level without it.
-func (b *bucket) take(now time.Time, current rates, need float64) (slot int64, level float64, taken bool) {
+// take sets the rates, then issues a permit if the level is at least minLevel. It returns the
+// slot in which the permit is counted and the level afterwards.
+func (b *bucket) take(now time.Time, current rates, minLevel float64) (slot int64, level float64, taken bool) {
 	b.rates = current
 	b.advance(now)
 	slot = b.slotAt(now)
 	level = b.level(now)
-	if level+roundingError < need || b.counts[slot%slots] == math.MaxUint16 {
+	if level+roundingError < minLevel || b.counts[slot%slotCount] == math.MaxUint16 {
 		return slot, level, false
 	}
-	b.counts[slot%slots]++
+	b.counts[slot%slotCount]++
 	return slot, level - 1, true
 }
 
-// giveBack takes back a place that was taken in a slot, unless that was too long ago.
+// giveBack returns a permit to the slot in which it was issued. It returns false if the
+// slot is too old, in the future, or has no permit left.
 func (b *bucket) giveBack(now time.Time, slot int64) bool {
 	b.advance(now)
-	if slot < b.oldest || slot > b.slotAt(now) || b.counts[slot%slots] == 0 {
+	if slot < b.oldestSlot || slot > b.slotAt(now) || b.counts[slot%slotCount] == 0 {
 		return false
 	}
-	b.counts[slot%slots]--
+	b.counts[slot%slotCount]--
 	return true
 }
 
-// advance settles the slots that are too old for places to be given back.
+// advance folds the slots that have become too old into settledLevel. Permits issued in
+// them can no longer be given back.
 func (b *bucket) advance(now time.Time) {
 	newest := b.slotAt(now)
-	for b.oldest+slots <= newest {
-		if idle := newest - b.oldest - 2*slots; idle > 0 && b.empty() {
-			b.settled = b.filled(b.settled, time.Duration(idle)*b.slotLength)
-			b.oldest += idle
+	for b.oldestSlot+slotCount <= newest {
+		if idle := newest - b.oldestSlot - 2*slotCount; idle > 0 && b.isUnused() {
+			b.settledLevel = b.refill(b.settledLevel, time.Duration(idle)*b.slotLength)
+			b.oldestSlot += idle
 			continue
 		}
-		place := b.oldest % slots
-		b.settled = b.filled(b.settled, b.slotLength) - float64(b.counts[place])
-		b.counts[place] = 0
-		b.oldest++
+		index := b.oldestSlot % slotCount
+		b.settledLevel = b.refill(b.settledLevel, b.slotLength) - float64(b.counts[index])
+		b.counts[index] = 0
+		b.oldestSlot++
 	}
 }
 
-// empty tells whether no place is counted in a slot.
-func (b *bucket) empty() bool { return b.counts == [slots]uint16{} }
+// isUnused reports whether no slot counts any permit.
+func (b *bucket) isUnused() bool { return b.counts == [slotCount]uint16{} }
 
-func (b *bucket) filled(level float64, lasting time.Duration) float64 {
-	return min(level+b.rates.perSecond*lasting.Seconds(), b.rates.capacity)
+// refill returns the level that a bucket at the given level has after the elapsed time.
+func (b *bucket) refill(level float64, elapsed time.Duration) float64 {
+	return min(level+b.rates.perSecond*elapsed.Seconds(), b.rates.capacity)
 }
 
-// level works out the level now, from the settled one and the places since.
+// level returns the number of permits available now. The caller must have called advance.
 func (b *bucket) level(now time.Time) float64 {
-	level := min(b.settled, b.rates.capacity)
+	level := min(b.settledLevel, b.rates.capacity)
 	newest := b.slotAt(now)
-	for slot := b.oldest; slot < newest; slot++ {
-		level = b.filled(level, b.slotLength) - float64(b.counts[slot%slots])
+	for slot := b.oldestSlot; slot < newest; slot++ {
+		level = b.refill(level, b.slotLength) - float64(b.counts[slot%slotCount])
 	}
-	begun := b.start.Add(time.Duration(newest) * b.slotLength)
-	return b.filled(level, max(now.Sub(begun), 0)) - float64(b.counts[newest%slots])
+	slotStart := b.start.Add(time.Duration(newest) * b.slotLength)
+	return b.refill(level, max(now.Sub(slotStart), 0)) - float64(b.counts[newest%slotCount])
 }
 
-// until is how long it takes until so many places have come that a level reaches a need.
-func (r rates) until(level, need float64) time.Duration {
+// timeUntil returns how long the bucket takes to refill from level to minLevel, at most
+// maxWait. It returns maxWait if the bucket does not refill.
+func (r rates) timeUntil(level, minLevel float64) time.Duration {
 	if r.perSecond <= 0 {
-		return never
+		return maxWait
 	}
-	return min(time.Duration((need-level)/r.perSecond*float64(time.Second)), never)
+	return min(time.Duration((minLevel-level)/r.perSecond*float64(time.Second)), maxWait)
 }
 
-// never is longer than any caller waits.
-const never = time.Hour
+// maxWait is the wait when no permit is expected. No caller waits as long.
+const maxWait = time.Hour
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -9,7 +9,7 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// ServiceName is the name under which a keeper is called by other daemons.
+// ServiceName is the net/rpc service name of Keeper.
 const ServiceName = "Quota"
 
 const (
@@ -17,7 +17,7 @@
 	methodGiveBack = ServiceName + ".GiveBack"
 )
 
-// TakeRequest asks for a place in a part of a tenant's quota.
+// TakeRequest asks a keeper for a permit from one part of a tenant's quota.
 type TakeRequest struct {
 	Tenant    identity.Tenant
 	Part      int
@@ -27,58 +27,61 @@
 	Revision  uint64 // of the configuration that declares the quota
 }
 
-// TakeReply is a keeper's answer.
+// TakeReply is a keeper's answer to a TakeRequest.
 type TakeReply struct {
 	Verdict Verdict
-	Level   float64 // places left in the part
-	// Empty is how long there will certainly be no place, but for those given back.
+	Level   float64 // permits left in the part
+	// Empty is how long the part will have no permit unless one is given back.
 	Empty time.Duration
-	// Back is when there is likely to be a place, after those who were refused before.
+	// Back is how long the caller should wait before it asks again. It takes into account
+	// the callers that were refused earlier.
 	Back  time.Duration
 	Place Place
 }
 
-// Verdict is what a keeper says of a request.
+// Verdict is a keeper's decision on a request.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts of a keeper.
 const (
 	VerdictTaken Verdict = iota + 1
 	VerdictRefused
-	VerdictNotKept // this daemon does not keep the part
+	VerdictNotKept // this daemon is not the keeper of the part
 )
 
-// Place names a place at its keeper, so that it can be given back.
+// Place identifies a permit at the keeper that issued it, so that it can be given back.
 type Place struct {
 	Bucket uint64
 	Slot   int64
 }
 
-// GiveBackRequest gives back the place of a request that was not run.
+// GiveBackRequest gives back the permit of a request that was not run.
 type GiveBackRequest struct {
 	Tenant identity.Tenant
 	Part   int
 	Place  Place
 }
 
-// GiveBackReply is empty: a place that can't be taken back stays taken.
+// GiveBackReply is empty. A permit that is too old to be given back stays issued, which is
+// not an error.
 type GiveBackReply struct{}
 
-// Standing tells which parts this process keeps alone (package members).
+// Standing reports which parts this process is the only keeper of, and since when.
+// *members.List implements it.
 type Standing interface {
 	Keeps(owner string, part int) (since time.Time, keeps bool)
 }
 
-// Keeper gives out the places of the parts of quotas that this daemon keeps. It is safe
+// Keeper issues the permits of the quota parts that are assigned to this daemon. It is safe
 // for concurrent use.
 type Keeper struct {
 	settings Settings
-	standing Standing
+	claims   Standing
 	now      func() time.Time
 
-	mutex sync.Mutex
-	parts map[partKey]*part
-	swept time.Time
+	mutex     sync.Mutex
+	parts     map[partKey]*part
+	lastSweep time.Time
 }
 
 type partKey struct {
@@ -86,59 +89,60 @@
 	number int
 }
 
-// ownerOf is the name by which members claim the parts of a tenant's quota.
-func ownerOf(tenant identity.Tenant) string { return "quota\x00" + string(tenant) }
+// claimOwner returns the name under which members claim the parts of the tenant's quota.
+func claimOwner(tenant identity.Tenant) string { return "quota\x00" + string(tenant) }
 
-// part is a part of one tenant's quota.
+// part is the state of one part of a tenant's quota.
 type part struct {
 	*bucket
-	number   uint64    // of the bucket; drawn, so that a former process's differ
-	since    time.Time // nobody else kept the part since then
-	declared tenant.Quota
-	revision uint64
-	used     time.Time
-	waiting  float64 // callers that were refused and are likely to come back, this part's share
-	waitedAt time.Time
+	bucketID       uint64    // random, so that buckets of earlier processes have other IDs
+	since          time.Time // when this daemon became the only keeper of the part
+	declared       tenant.Quota
+	revision       uint64
+	lastUsed       time.Time
+	queueLength    float64 // this part's share of the refused callers that are expected to retry
+	queueUpdatedAt time.Time
 }
 
-// NewKeeper makes a keeper that keeps nothing yet.
-func NewKeeper(settings Settings, standing Standing, now func() time.Time) *Keeper {
-	return &Keeper{settings: settings, standing: standing, now: now, parts: map[partKey]*part{}}
+// NewKeeper returns a keeper without any parts. A part is added when it is first asked for.
+func NewKeeper(settings Settings, claims Standing, now func() time.Time) *Keeper {
+	return &Keeper{settings: settings, claims: claims, now: now, parts: map[partKey]*part{}}
 }
 
-// Take is called by other daemons.
+// Take issues a permit or refuses the request. Other daemons call it with net/rpc.
 func (k *Keeper) Take(request TakeRequest, reply *TakeReply) error {
 	key := partKey{tenant: request.Tenant, number: request.Part}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.now()
-	since, keeps := k.standing.Keeps(ownerOf(key.tenant), key.number)
+	since, keeps := k.claims.Keeps(claimOwner(key.tenant), key.number)
 	if !keeps {
-		// What was given stays in memory: if nobody else keeps the part meanwhile, it goes on.
+		// The part stays in memory and is used again if no other daemon keeps it meanwhile.
 		reply.Verdict = VerdictNotKept
 		return nil
 	}
 	k.sweep(now)
-	kept := k.part(key, since, now)
-	kept.declare(request)
-	*reply = kept.serve(now, k.settings, request)
+	entry := k.part(key, since, now)
+	entry.updateQuota(request)
+	*reply = entry.serve(now, k.settings, request)
 	return nil
 }
 
-// part finds a part; one that was kept by another meanwhile begins anew. The lock is held.
+// part returns the part with the key. If the part is new, or another daemon kept it in the
+// meantime, it gets a new bucket that was empty at since. The caller must hold the lock.
 func (k *Keeper) part(key partKey, since, now time.Time) *part {
-	kept := k.parts[key]
-	if kept == nil || !kept.since.Equal(since) {
-		kept = &part{bucket: newBucket(k.settings.Window, since), number: rand.Uint64(), since: since, waitedAt: now}
-		k.parts[key] = kept
+	entry := k.parts[key]
+	if entry == nil || !entry.since.Equal(since) {
+		entry = &part{bucket: newBucket(k.settings.Window, since), bucketID: rand.Uint64(), since: since, queueUpdatedAt: now}
+		k.parts[key] = entry
 	}
-	kept.used = now
-	return kept
+	entry.lastUsed = now
+	return entry
 }
 
-// declare takes over the quota as the newest configuration declares it that any
-// daemon asked by.
-func (p *part) declare(request TakeRequest) {
+// updateQuota adopts the quota of the request, unless the part already has one of a newer
+// configuration revision.
+func (p *part) updateQuota(request TakeRequest) {
 	if request.Revision >= p.revision {
 		p.declared = tenant.Quota{PerSecond: request.PerSecond, Burst: request.Burst}
 		p.revision = request.Revision
@@ -147,69 +151,70 @@
 
 func (p *part) serve(now time.Time, settings Settings, request TakeRequest) TakeReply {
 	current := settings.rates(p.declared, request.Part)
-	need := current.reserved
+	minLevel := current.reservedLevel
 	if request.UnderWay {
-		need = 1
+		minLevel = 1
 	}
-	slot, level, taken := p.take(now, current, need)
-	reply := TakeReply{Verdict: VerdictTaken, Level: level, Place: Place{Bucket: p.number, Slot: slot}}
+	slot, level, taken := p.take(now, current, minLevel)
+	reply := TakeReply{Verdict: VerdictTaken, Level: level, Place: Place{Bucket: p.bucketID, Slot: slot}}
 	if taken {
 		return reply
 	}
 	reply.Verdict = VerdictRefused
-	reply.Empty = current.until(level, need)
-	before := p.queue(now, current, 1/float64(settings.Parts))
-	reply.Back = min(current.until(level, need+before), settings.Window)
+	reply.Empty = current.timeUntil(level, minLevel)
+	ahead := p.enqueue(now, current, 1/float64(settings.Parts))
+	reply.Back = min(current.timeUntil(level, minLevel+ahead), settings.Window)
 	return reply
 }
 
-// queue counts one more refused caller, and tells how many are likely to be before it. Each
-// refused caller asked all parts, so that each part has its share of it.
-func (p *part) queue(now time.Time, current rates, share float64) float64 {
-	served := current.perSecond * now.Sub(p.waitedAt).Seconds()
-	p.waiting, p.waitedAt = max(p.waiting-served, 0), now
-	before := p.waiting
-	p.waiting += share
-	return before
+// enqueue adds a refused caller to the estimated queue and returns the length of the queue
+// ahead of it. A refused caller has asked all parts, so each part counts only its share.
+func (p *part) enqueue(now time.Time, current rates, share float64) float64 {
+	served := current.perSecond * now.Sub(p.queueUpdatedAt).Seconds()
+	p.queueLength, p.queueUpdatedAt = max(p.queueLength-served, 0), now
+	ahead := p.queueLength
+	p.queueLength += share
+	return ahead
 }
 
-// GiveBack is called by other daemons.
+// GiveBack makes an issued permit available again. Other daemons call it with net/rpc.
 func (k *Keeper) GiveBack(request GiveBackRequest, _ *GiveBackReply) error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	kept := k.parts[partKey{tenant: request.Tenant, number: request.Part}]
-	if kept != nil && kept.number == request.Place.Bucket {
-		kept.giveBack(k.now(), request.Place.Slot)
+	entry := k.parts[partKey{tenant: request.Tenant, number: request.Part}]
+	if entry != nil && entry.bucketID == request.Place.Bucket {
+		entry.giveBack(k.now(), request.Place.Slot)
 	}
 	return nil
 }
 
-// Parts that nobody asked for in sweepAfter are dropped. They are full by then: a bucket
-// that is made anew has filled up since nobody else kept the part.
+// Parts that were not asked for during sweepAfter are dropped once they are full. No permit
+// is lost: a new bucket for the part refills from the time at which this daemon became its
+// keeper.
 const (
-	sweepAfter = 10 * time.Minute
-	sweepEvery = time.Minute
+	sweepAfter    = 10 * time.Minute
+	sweepInterval = time.Minute
 )
 
-// sweep drops parts that were not used for long; the lock is held.
+// sweep drops unused parts, at most once per sweepInterval. The caller must hold the lock.
 func (k *Keeper) sweep(now time.Time) {
-	if now.Sub(k.swept) < sweepEvery {
+	if now.Sub(k.lastSweep) < sweepInterval {
 		return
 	}
-	k.swept = now
-	for key, kept := range k.parts {
-		if now.Sub(kept.used) > sweepAfter && kept.full(now) {
+	k.lastSweep = now
+	for key, entry := range k.parts {
+		if now.Sub(entry.lastUsed) > sweepAfter && entry.isFull(now) {
 			delete(k.parts, key)
 		}
 	}
 }
 
-func (b *bucket) full(now time.Time) bool {
+func (b *bucket) isFull(now time.Time) bool {
 	b.advance(now)
-	return b.empty() && b.level(now) >= b.rates.capacity
+	return b.isUnused() && b.level(now) >= b.rates.capacity
 }
 
-// Count is how many parts this daemon keeps.
+// Count returns the number of parts in memory.
 func (k *Keeper) Count() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -14,57 +14,58 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// Bounds of what is asked of keepers.
+// Timeouts and limits for calls to keepers.
 const (
-	// askWait bounds one call: a keeper answers within some 3 ms, on a machine that is
-	// slow or under load within some tens.
-	askWait = 150 * time.Millisecond
-	// hedgeAfter is when the next part is asked beside one that has not answered. It bounds
-	// what a lost keeper costs a request, and is ten times a usual answer.
-	hedgeAfter = 30 * time.Millisecond
-	// avoidFor is how long a keeper that did not answer is asked last.
-	avoidFor = 500 * time.Millisecond
-	// giveBackWait bounds the call that gives a place back.
-	giveBackWait = time.Second
-	// soonestRoom is the least time after which a refused caller comes back.
-	soonestRoom = 100 * time.Millisecond
-	// emptyKept is how many parts are remembered as empty: those of all tenants that are
-	// at their limit at once.
-	emptyKept = 4096
+	// callTimeout limits one call, and also the whole search for a permit.
+	callTimeout = 150 * time.Millisecond
+	// hedgeDelay is how long to wait for an answer before the next keeper is asked as well.
+	hedgeDelay = 30 * time.Millisecond
+	// avoidDuration is how long a keeper that failed to answer is asked after all others.
+	avoidDuration = 500 * time.Millisecond
+	// giveBackTimeout limits the call that gives back a permit.
+	giveBackTimeout = time.Second
+	// minRetryAfter is the shortest wait that a refused caller is told, before jitter.
+	minRetryAfter = 100 * time.Millisecond
+	// emptyCacheSize is the number of parts that are remembered as empty. It covers the
+	// tenants that are at their limit at the same time.
+	emptyCacheSize = 4096
 )
 
-// Directory tells who keeps what; *members.List implements it.
+// Directory knows the keepers of the parts and whether they can be reached. *members.List
+// implements it.
 type Directory interface {
 	Keeper(owner string, part int) (members.Member, bool)
-	// Silent tells whether a member's zone is silent; Missed and Answered tell how a call of it ended.
+	// Silent reports whether the member's whole zone has stopped answering.
+	// Missed and Answered record whether a call to the member failed or succeeded.
 	Silent(member members.Member) bool
 	Missed(member members.Member)
 	Answered(member members.Member)
 	Self() identity.Process
 }
 
-// Limiter takes places for the requests of one daemon. It is safe for concurrent use.
+// Limiter gets permits for the requests that arrive at this daemon. It is safe for
+// concurrent use.
 type Limiter struct {
-	settings  Settings
-	keeper    *Keeper // this daemon's own parts
-	directory Directory
-	caller    peer.Caller
-	now       func() time.Time
-	log       *zap.Logger
-	empty     *lru.Cache[emptyKey, time.Time] // until when a part has certainly no place
+	settings   Settings
+	keeper     *Keeper // of the parts assigned to this daemon
+	directory  Directory
+	caller     peer.Caller
+	now        func() time.Time
+	log        *zap.Logger
+	emptyUntil *lru.Cache[emptyPartKey, time.Time] // when the part may have a permit again
 
 	mutex   sync.Mutex
 	avoided map[identity.Machine]time.Time
 	metrics metrics
 }
 
-type emptyKey struct {
+type emptyPartKey struct {
 	part     partKey
 	underWay bool
 	revision uint64
 }
 
-// Options are what a Limiter is made of.
+// Options are the settings and dependencies of a Limiter.
 type Options struct {
 	Settings  Settings
 	Keeper    *Keeper
@@ -74,84 +75,86 @@
 	Log       *zap.Logger
 }
 
-// NewLimiter makes a limiter.
+// NewLimiter returns a limiter with its own cache of empty parts.
 func NewLimiter(options Options) *Limiter {
-	empty, err := lru.New[emptyKey, time.Time](emptyKept)
+	emptyUntil, err := lru.New[emptyPartKey, time.Time](emptyCacheSize)
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // only for a size below 1
 	}
 	return &Limiter{
 		settings: options.Settings, keeper: options.Keeper, directory: options.Directory, caller: options.Caller, now: options.Now, log: options.Log,
-		empty: empty, avoided: map[identity.Machine]time.Time{},
+		emptyUntil: emptyUntil, avoided: map[identity.Machine]time.Time{},
 	}
 }
 
-// Take gives the request its place; *ExceededError and *UnreachedError say that there
-// is none. Without a limit there is nothing to take, and nil is returned.
+// Take gets a permit for the request. It returns nil without an error if the tenant has no
+// limit, *ExceededError if the quota is used up, and *UnreachedError if no keeper could be reached.
 func (l *Limiter) Take(ctx context.Context, request Request) (*Taken, error) {
 	if !request.Quota.Limited() {
 		return nil, nil
 	}
-	started := l.now()
-	asking := newAsking(l, request)
-	taken := asking.run(ctx)
-	asking.decision.Took = l.now().Sub(started)
+	start := l.now()
+	attempt := newAcquisition(l, request)
+	taken := attempt.run(ctx)
+	attempt.decision.Took = l.now().Sub(start)
 	if taken != nil {
-		taken.Decision = asking.decision
-		l.metrics.ended(resultTaken)
+		taken.Decision = attempt.decision
+		l.metrics.count(resultTaken)
 		return taken, nil
 	}
-	if asking.back == never {
-		l.metrics.ended(resultUnreached)
-		return nil, &UnreachedError{Decision: asking.decision, Tenant: request.Tenant}
+	if attempt.retryAfter == maxWait {
+		l.metrics.count(resultUnreached)
+		return nil, &UnreachedError{Decision: attempt.decision, Tenant: request.Tenant}
 	}
-	l.metrics.ended(resultRefused)
+	l.metrics.count(resultRefused)
 	return nil, &ExceededError{
-		Decision: asking.decision, Tenant: request.Tenant, Allowed: int(l.settings.limit(request.Quota)), After: spread(asking.back),
+		Decision: attempt.decision, Tenant: request.Tenant, Allowed: int(l.settings.limit(request.Quota)), After: addJitter(attempt.retryAfter),
 	}
 }
 
-// spread lets callers that were refused together come back apart.
-func spread(back time.Duration) time.Duration {
-	least := max(back, soonestRoom)
-	return least + rand.N(least)/2
+// addJitter returns the wait, at least minRetryAfter, lengthened by a random part of up to
+// half, so that callers that were refused together do not retry together.
+func addJitter(wait time.Duration) time.Duration {
+	minWait := max(wait, minRetryAfter)
+	return minWait + rand.N(minWait)/2
 }
 
-// Taken is a place in a tenant's quota; nil where there is no limit.
+// Taken is a permit for one request. It is nil for a tenant without a limit.
 type Taken struct {
 	Decision
-	limiter *Limiter
-	keeper  members.Member
-	place   GiveBackRequest
-	once    sync.Once
+	limiter  *Limiter
+	keeper   members.Member
+	giveBack GiveBackRequest
+	once     sync.Once
 }
 
-// Return gives the place back: the request was not run. Only the first call counts; it
-// does not wait for the keeper.
+// Return gives back the permit of a request that was not run. It does not wait for the
+// keeper. Only the first call has an effect, and a nil permit may be returned.
 func (t *Taken) Return() {
 	if t == nil {
 		return
 	}
 	t.once.Do(func() {
 		if t.keeper.Process == t.limiter.directory.Self() {
-			_ = t.limiter.keeper.GiveBack(t.place, &GiveBackReply{}) // never fails
+			_ = t.limiter.keeper.GiveBack(t.giveBack, &GiveBackReply{}) // maxWait fails
 			return
 		}
-		go t.limiter.giveBack(t.keeper, t.place)
+		go t.limiter.giveBack(t.keeper, t.giveBack)
 	})
 }
 
-func (l *Limiter) giveBack(keeper members.Member, place GiveBackRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), giveBackWait)
+func (l *Limiter) giveBack(keeper members.Member, request GiveBackRequest) {
+	ctx, cancel := context.WithTimeout(context.Background(), giveBackTimeout)
 	defer cancel()
-	if err := l.caller.Call(ctx, keeper.Process.Address, peer.Control, methodGiveBack, place, &GiveBackReply{}); err != nil {
-		l.metrics.ended(resultNotGivenBack)
-		l.log.Info("quota: place not given back; it counts as taken.", zap.String("tenant", string(place.Tenant)),
+	if err := l.caller.Call(ctx, keeper.Process.Address, peer.Control, methodGiveBack, request, &GiveBackReply{}); err != nil {
+		l.metrics.count(resultNotGivenBack)
+		l.log.Info("quota: giving back a place failed; it still counts as taken.", zap.String("tenant", string(request.Tenant)),
 			zap.String("keeper", string(keeper.Process.Machine)), zap.String("cause", err.Error()))
 	}
 }
 
-// isAvoided tells whether a keeper did not answer lately.
+// isAvoided reports whether the keeper on the machine failed to answer within the last
+// avoidDuration.
 func (l *Limiter) isAvoided(machine identity.Machine) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -168,9 +171,9 @@
 	l.directory.Missed(keeper)
 	l.mutex.Lock()
 	_, known := l.avoided[machine]
-	l.avoided[machine] = l.now().Add(avoidFor)
+	l.avoided[machine] = l.now().Add(avoidDuration)
 	l.mutex.Unlock()
 	if !known {
-		l.log.Info("quota: keeper asked last.", zap.String("keeper", string(machine)), zap.Duration("for", avoidFor), zap.String("cause", cause))
+		l.log.Info("quota: keeper did not answer; asking it last.", zap.String("keeper", string(machine)), zap.Duration("for", avoidDuration), zap.String("cause", cause))
 	}
 }
--- a/internal/quota/metrics.go
+++ b/internal/quota/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// The results of asking for a place.
+// The values of the result label.
 const (
 	resultTaken        = "taken"
 	resultRefused      = "refused"
@@ -13,24 +13,24 @@
 	resultNotGivenBack = "not-given-back"
 )
 
-// metrics counts what came of asking; its zero value counts nothing.
+// metrics counts the results of permit requests. The zero value counts nothing.
 type metrics struct{ results *prometheus.CounterVec }
 
-// Measure shows what came of asking for places, and how many parts this daemon keeps.
+// Measure registers the limiter's metrics. It must be called before the first request.
 func (l *Limiter) Measure(registerer prometheus.Registerer) error {
 	l.metrics.results = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "thymeloft_quota_places_total", Help: "Places in tenants' quotas, by what came of asking for them.",
+		Name: "thymeloft_quota_places_total", Help: "Requests for a place in a tenant's quota, by result.",
 	}, []string{"result"})
-	kept := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "thymeloft_quota_parts_kept", Help: "Parts of tenants' quotas that this daemon gives places of.",
+	partCount := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+		Name: "thymeloft_quota_parts_kept", Help: "Parts of tenants' quotas that this daemon keeps.",
 	}, func() float64 { return float64(l.keeper.Count()) })
 	if err := registerer.Register(l.metrics.results); err != nil {
-		return eris.Wrap(err, "register metrics of quotas")
+		return eris.Wrap(err, "register the quota result counter")
 	}
-	return eris.Wrap(registerer.Register(kept), "register metrics of kept quotas")
+	return eris.Wrap(registerer.Register(partCount), "register the gauge of kept quota parts")
 }
 
-func (m *metrics) ended(result string) {
+func (m *metrics) count(result string) {
 	if m.results != nil {
 		m.results.WithLabelValues(result).Inc()
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,22 +1,24 @@
-// Package quota bounds what each tenant asks of the whole fleet in any window of
-// time. A quota is kept in parts, each by one daemon alone (members.List.Keeps);
-// a request takes a place in one of them before it runs.
+// Package quota limits the rate at which the whole fleet runs each tenant's requests. The
+// limit applies to a sliding window of time.
 //
-// Guarantee: in any window, the requests of a tenant that ran are at most its limit with
-// the tolerance, for all daemons together, in touch or not, however much is asked at
-// once and however old any daemon's knowledge is. A part's keeper decides alone, by what
-// it gave out itself; whoever keeps it next begins with nothing, and gives out the steady
-// rate from the moment since which nobody else did (bucket.go). What is counted is the
-// moment at which the place was taken: it lies between the arrival of the request
-// and its start at an engine. Where two configurations declare different quotas, the
-// higher one bounds until all daemons have the newer.
+// A tenant's quota is divided into parts. Each part is assigned to one daemon, its keeper
+// (see members.List.Keeps). A request needs a permit from one of the parts before it runs.
+// Metrics, messages and RPC types call a permit a place.
 //
-// New work is served while its tenant stays within its rate and burst, if all parts are
-// kept and reached; work under way may use the tolerance.
+// Guarantee: in any window, all daemons together run at most as many requests of a tenant
+// as its limit and the tolerance allow. This holds for any load, during network partitions,
+// and with outdated information at any daemon. A keeper decides only by the permits that it
+// issued itself. A new keeper starts with an empty bucket that refills from the time at
+// which the previous keeper can no longer have issued permits. A request counts at the time
+// at which it got its permit, which is after its arrival and before an engine starts it.
+// While daemons have different revisions of a quota, the higher limit applies.
 //
-// Cost: one call to another daemon for each request of a limited tenant, four at most
-// where there is no place; nothing is told while nothing is asked. A daemon that reaches
-// no keeper serves no limited tenant.
+// If all parts have a reachable keeper, new work is served as long as the tenant stays
+// within its rate and burst. Work in progress may also use the tolerance.
+//
+// Cost: usually one call to another daemon for each request of a limited tenant. A request
+// that is refused asks each part at most once. A daemon that reaches no keeper refuses all
+// requests of limited tenants.
 package quota
 
 import (
@@ -27,50 +29,51 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Request is one request that asks for its place in a tenant's quota.
+// Request describes a request that needs a permit.
 type Request struct {
 	Tenant identity.Tenant
 	Quota  tenant.Quota
-	// Revision is that of the configuration which declares the quota.
+	// Revision is the revision of the configuration that declares the quota.
 	Revision uint64
-	// UnderWay tells that it belongs to work that was begun before: it may use the
-	// tolerance, since refusing it loses what was done.
+	// UnderWay is set for a request that continues earlier work. It may use the tolerance,
+	// because refusing it would waste the work already done.
 	UnderWay bool
 }
 
-// Decision is what a place was given or refused by.
+// Decision holds the details of how a permit was issued or refused, for logs and errors.
 type Decision struct {
-	Keeper string  // the machine that decided last
-	Level  float64 // places left in its part
-	Asked  int     // keepers that were asked
-	Known  int     // parts that were known to be empty without asking
-	Silent int     // parts whose keeper is unknown, or did not answer
+	Keeper string  // machine of the keeper that answered last
+	Level  float64 // permits left in the part of that keeper
+	Asked  int     // number of keepers asked
+	Known  int     // parts not asked because they were known to be empty
+	Silent int     // parts whose keeper is unknown or did not answer
 	Took   time.Duration
 }
 
-// String tells the decision in a log line.
+// String returns the details in one line.
 func (d Decision) String() string {
 	return fmt.Sprintf("%d parts asked, %d known to be empty, %d not reached, %.1f places left at %q, took %s",
 		d.Asked, d.Known, d.Silent, d.Level, d.Keeper, d.Took.Round(time.Millisecond))
 }
 
-// ExceededError says that a tenant is at its limit.
+// ExceededError is returned when a tenant has used up its quota.
 type ExceededError struct {
 	Decision
 	Tenant identity.Tenant
-	// Allowed is how many requests its quota allows in a window.
+	// Allowed is the number of requests that the quota allows in a window, without the
+	// tolerance.
 	Allowed int
-	// After is when there is likely to be room.
+	// After is how long the caller should wait before it tries again.
 	After time.Duration
 }
 
 // Error implements error.
 func (e *ExceededError) Error() string {
-	return fmt.Sprintf("tenant %s: no place left, %d allowed in a window; %s", e.Tenant, e.Allowed, e.Decision)
+	return fmt.Sprintf("tenant %s: quota used up, %d requests allowed in a window; %s", e.Tenant, e.Allowed, e.Decision)
 }
 
-// UnreachedError says that no keeper of a tenant's quota was reached, so that nobody
-// knows whether there is a place.
+// UnreachedError is returned when no keeper of the tenant's quota answered. Whether the
+// tenant has used up its quota is then unknown.
 type UnreachedError struct {
 	Decision
 	Tenant identity.Tenant
@@ -78,5 +81,5 @@
 
 // Error implements error.
 func (e *UnreachedError) Error() string {
-	return fmt.Sprintf("tenant %s: no keeper of its quota was reached; %s", e.Tenant, e.Decision)
+	return fmt.Sprintf("tenant %s: no keeper of its quota answered; %s", e.Tenant, e.Decision)
 }
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -6,62 +6,65 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Settings are how quotas are meant. All come from the operator's sheet.
+// Settings define how quotas are counted.
 type Settings struct {
 	// Window is the length of the sliding windows in which requests are counted.
 	Window time.Duration
-	// Tolerance: this part of a limit, and so many requests, may be taken beyond it.
+	// A tenant may exceed its limit by the share ToleranceShare of it plus ToleranceRequests
+	// requests in a window.
 	ToleranceShare    float64
 	ToleranceRequests int
-	// Parts is how many members keep a quota, each a part of it; the same at all daemons.
+	// Parts is the number of parts into which each quota is divided. It must be the same at
+	// all daemons.
 	Parts int
 }
 
-// DefaultParts is how many members keep a quota, each a part of it. A member that is lost
-// takes its part along, until it is started again or its claims are released: with four,
-// a tenant that asks for less than three quarters of its limit notices nothing. More
-// parts lose less, but leave each with fewer places, and a refusal asks them all.
+// DefaultParts is the usual number of parts of a quota. When a keeper fails, its part is
+// lost until it restarts or its claims are released. With four parts, a tenant that uses
+// less than three quarters of its limit is not affected. With more parts, a failure costs
+// less, but each part has fewer permits and a refused request has to ask more keepers.
 const DefaultParts = 4
 
-// mostPlaces is how many places may be taken of a quota in a window.
-func (s Settings) mostPlaces(declared tenant.Quota) float64 {
+// maxPermits returns how many permits a quota allows in a window, including the tolerance.
+func (s Settings) maxPermits(declared tenant.Quota) float64 {
 	limit := s.limit(declared)
 	return limit*(1+s.ToleranceShare) + float64(s.ToleranceRequests)
 }
 
-// limit is how many requests a quota allows in a window.
+// limit returns how many requests a quota allows in a window, without the tolerance.
 func (s Settings) limit(declared tenant.Quota) float64 {
 	return declared.PerSecond*s.Window.Seconds() + float64(declared.Burst)
 }
 
-// belowWhole keeps a sum of places below the next whole number.
-const belowWhole = 1e-3
+// permitMargin is subtracted from a number of permits to keep it below a whole number.
+const permitMargin = 1e-3
 
-// rates are what one part of a quota allows. The whole places of a window are divided among
-// the parts; each part's capacity and steady rate over a window stay below one place more, so
-// that they come to no more than those. The capacity is the burst and the tolerance, so that
-// work under way may use the tolerance. New work is served while the limit itself is not used
-// up; a fraction of a place may be left in each part, and be lost to its slots, and so much of
-// the tolerance is new work's, too. Where a window has fewer places than there are parts,
-// the last parts have none.
+// rates returns the limits of one part of a quota. The permits of a window are divided among
+// the parts as whole numbers. If there are fewer permits than parts, the last parts get none.
+//
+// In a window a part issues its capacity and its steady rate. The sum stays below the next
+// whole permit, so that rounding never yields an additional one. The capacity covers the
+// burst and the tolerance. The tolerance is reserved for work in progress, except for a
+// small amount that makes up for what new work may lose by counting in slots.
 func (s Settings) rates(declared tenant.Quota, part int) rates {
-	places := int(s.mostPlaces(declared))
-	used := min(s.Parts, places)
-	if part >= used {
+	permits := int(s.maxPermits(declared))
+	usedParts := min(s.Parts, permits)
+	if part >= usedParts {
 		return rates{}
 	}
-	own := places / used
-	if part < places%used {
-		own++
+	partPermits := permits / usedParts
+	if part < permits%usedParts {
+		partPermits++
 	}
-	most := float64(own) + 1 - belowWhole // in a window, below one place more
-	perSecond := min(declared.PerSecond/float64(used), (most-1)/s.Window.Seconds())
-	capacity := most - perSecond*s.Window.Seconds()
-	forNewWork := (float64(declared.Burst) + s.lostToSlots(declared)) / float64(used)
-	return rates{perSecond: perSecond, capacity: capacity, reserved: max(capacity-forNewWork, 1)}
+	maxInWindow := float64(partPermits) + 1 - permitMargin // below the next whole permit
+	perSecond := min(declared.PerSecond/float64(usedParts), (maxInWindow-1)/s.Window.Seconds())
+	capacity := maxInWindow - perSecond*s.Window.Seconds()
+	newWorkCapacity := (float64(declared.Burst) + s.slotLoss(declared)) / float64(usedParts)
+	return rates{perSecond: perSecond, capacity: capacity, reservedLevel: max(capacity-newWorkCapacity, 1)}
 }
 
-// lostToSlots is what all parts together may lose of the steady rate by counting in slots.
-func (s Settings) lostToSlots(declared tenant.Quota) float64 {
-	return declared.PerSecond * (s.Window / slots).Seconds()
+// slotLoss returns how many permits all parts together may lose by counting in slots: the
+// steady rate of one slot.
+func (s Settings) slotLoss(declared tenant.Quota) float64 {
+	return declared.PerSecond * (s.Window / slotCount).Seconds()
 }
