--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,19 +1,20 @@
-// Package admission decides whether a new agent program may begin. Engines keep the contexts
-// of the programs that they serve; where more programs are under way than fit in, contexts
-// push each other out, each turn reads again what had been read, and the fleet does less the
-// more it is asked. So the contexts of programs under way are bounded by what engines hold,
-// and what exceeds the bound is refused at its first turn. Turns that go on from an earlier
-// one, sub-agents and tool calls are counted and never refused.
+// Package admission decides whether a new agent program may start. A program is a sequence of
+// requests to a model, called turns, with a growing context. Engines keep the contexts of the
+// programs that they serve in memory. If too many programs run, their contexts evict each
+// other, each turn has to process its whole context again, and throughput falls as the load
+// rises. Admission therefore bounds the total size of the contexts of all running programs.
+// A program that would exceed the bound is refused at its first turn. Later turns, sub-agents
+// and tool calls are counted but never refused.
 //
-// Every daemon decides by itself, on its part of the bound (see Part). What it needs of the
-// others comes with the loads that daemons tell each other.
+// Every daemon decides alone, within its own part of the bound (see Part). The figures that it
+// needs of other daemons come with the load reports that daemons exchange.
 //
-// Guarantee: while daemons count the same members and engines, the parts of all daemons sum to
-// the bound at most, whatever the age of their pictures; a daemon begins a program only if
-// the contexts that it holds then fit into its part.
+// Guarantee: while all daemons agree on the numbers of members and engines, their parts sum to
+// at most the bound, no matter how old their snapshots of the fleet are. A daemon starts a
+// program only if all contexts that it holds still fit into its part.
 //
-// Decisions are pure: time and random numbers are inputs. Controller keeps their state and
-// is safe for concurrent use.
+// Decisions are pure functions, with the time and random numbers as inputs. Controller holds
+// the state and is safe for concurrent use.
 package admission
 
 import (
@@ -21,77 +22,80 @@
 	"time"
 )
 
-// PromptPart is a part of a prompt, in order.
+// PromptPart is a section of a prompt. Sections with the same name count once for a program.
 type PromptPart struct {
 	Name   string
 	Tokens int
 }
 
-// Room is what the engines of a service hold, as the daemon sees them now.
+// Room is the capacity of a service's engines, as the daemon currently knows them.
 type Room struct {
-	Engines int // that may get work
-	// MemoryTokens is what one of them holds; 0: it is not declared.
+	Engines int // number of engines that accept work
+	// MemoryTokens is how many tokens one engine keeps in memory; 0: not declared.
 	MemoryTokens int
-	// SharedTokens are kept at each engine for all programs.
+	// SharedTokens is how many of them hold prompt sections that all programs share.
 	SharedTokens int
 }
 
-// tokens is what is left at all engines for the programs' own contexts.
-func (r Room) tokens() float64 {
+// contextCapacity returns how many tokens all engines together have for the programs' own
+// contexts.
+func (r Room) contextCapacity() float64 {
 	return float64(r.Engines) * float64(max(r.MemoryTokens-r.SharedTokens, 0))
 }
 
-// Request is a turn as far as admission needs to know it.
+// Request describes one turn of a program.
 type Request struct {
 	Service string
 	Route   string
-	Tenant  string // empty: nobody's
+	Tenant  string // empty: no tenant
 	Program string
-	// Priority is the tenant's or else the route's; 0 is the highest.
+	// Priority is the tenant's priority, or that of the route if the tenant has none; 0 is
+	// the highest.
 	Priority int
 	Prompt   []PromptPart
-	// Everywhere is how many parts of the prompt every engine keeps.
+	// Everywhere is the number of leading prompt sections that every engine keeps. They do
+	// not count as the program's own context.
 	Everywhere int
-	// TimeLeft is the time until the program should be over; 0: not told.
+	// TimeLeft is the time until the program's deadline; 0: not known.
 	TimeLeft time.Duration
 	Room     Room
-	// Random spreads the times at which refused callers come back, 0 to 1.
+	// Random is a number from 0 to 1 that spreads the retries of refused callers.
 	Random float64
 }
 
-// Cause is why a program was refused.
+// Cause is the reason why a program was refused.
 type Cause string
 
-// The causes.
+// The causes of a refusal.
 const (
-	CauseFull   Cause = "full"   // the daemon's part of the bound is taken
-	CauseShare  Cause = "share"  // the tenant has had more than its fair share
-	CauseUrgent Cause = "urgent" // what is left is kept for more urgent requests
-	CauseLate   Cause = "late"   // the program can't end in its time any more
+	CauseFull   Cause = "full"   // the daemon's part of the bound is used up
+	CauseShare  Cause = "share"  // the tenant has used more than its fair share
+	CauseUrgent Cause = "urgent" // the rest is reserved for higher priorities
+	CauseLate   Cause = "late"   // the program can no longer meet its deadline
 )
 
-// RefusedError refuses a program that has not begun.
+// RefusedError is returned for a program that may not start now.
 type RefusedError struct {
 	Cause   Cause
-	After   time.Duration // when to come back
+	After   time.Duration // wait before the next attempt
 	Figures Figures
 }
 
-// Figures are what a decision was made on; contexts are in tokens.
+// Figures are the inputs of a decision. Contexts and bounds are in tokens.
 type Figures struct {
-	Asked      int64 // context that the program is expected to need
-	Held       int64 // contexts of the programs under way here
-	Part       int64 // this daemon's part of the bound, for this request
-	FleetHeld  int64 // contexts of the programs under way in the fleet, as last heard
-	Bound      int64 // of the fleet
-	Daemons    int64 // whose figures are in FleetHeld
-	PictureAge time.Duration
-	Share      float64 // what the tenant spent lately, against the mean of the tenants
+	Asked      int64         // expected context of the program
+	Held       int64         // contexts of the programs at this daemon
+	Part       int64         // this daemon's part of the bound, with the limits for this request applied
+	FleetHeld  int64         // contexts of all programs in the fleet, by the last snapshot
+	Bound      int64         // bound of the fleet
+	Daemons    int64         // number of daemons in the snapshot
+	PictureAge time.Duration // age of the snapshot
+	Share      float64       // recent spending of the tenant, relative to the mean of all tenants
 }
 
 // Error implements error.
 func (r *RefusedError) Error() string {
 	f := r.Figures
-	return fmt.Sprintf("admission: refused (%s): a context of %d tokens, %d held here of a part of %d; %d held by %d daemons of a bound of %d, heard %s ago; the tenant's share is %.2f",
+	return fmt.Sprintf("admission: refused (%s): the program needs a context of %d tokens; this daemon holds %d and its part of the bound is %d; the fleet holds %d at %d daemons and its bound is %d, as of %s ago; the tenant's share is %.2f",
 		r.Cause, f.Asked, f.Held, f.Part, f.FleetHeld, f.Daemons, f.Bound, f.PictureAge.Round(time.Millisecond), f.Share)
 }
--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -5,117 +5,120 @@
 	"time"
 )
 
-// The law by which the bound follows what engines show.
+// Parameters of the control loop for the bound.
 const (
-	// memoryFloor is the share of the engines' memory below which contexts are never
-	// bounded: half of it stays for what programs leave behind and for engines that got
-	// more than others. It is the share that scheduling.Settings.WorkingSet has.
-	memoryFloor = 0.5
-	// memoryCeiling is the share of the memory that parts sum to at most. Programs are few at
-	// each daemon and their number swings, so that daemons use some two thirds of their parts:
-	// at 1.5, 45 of 9,700 programs at the usual load of this package's simulation are refused
-	// (22 of them before daemons first hear each other), at 1.25 103, and an overload earns
-	// the same. Where engines bear less, first bytes tell.
-	memoryCeiling = 1.5
-	// slowRatio and calmRatio compare the first byte of turns with the idle one. Beyond
-	// slowRatio a program misses an aim of 1.3 times its idle time, of which a third is
-	// first bytes.
-	slowRatio = 1.6
-	calmRatio = 1.5
-	// decrease is the part of the bound that goes in a second of slow first bytes; increase is
-	// what comes back in a second of quick ones, as a part of the least bound. An overload is
-	// left within two seconds.
-	decrease = 0.4
-	increase = 0.1
-	// servedFollow is how fast what was served without trouble is believed: it has to
-	// last for some seconds, since contexts grow before first bytes do.
-	servedFollow = 0.2
-	servedForget = 0.02
-	// servedMargin is what the bound leaves above what was served without trouble: what
-	// callers ask swings by some tenths.
+	// minMemoryFraction is the fraction of the engines' memory below which the bound never
+	// falls. It has the same value as scheduling.Settings.WorkingSet. The rest of the memory
+	// allows for contexts of ended programs and for an uneven load of the engines.
+	minMemoryFraction = 0.5
+	// maxMemoryFraction is the highest bound, as a fraction of the engines' memory. It is
+	// above 1 because a daemon has few programs and therefore seldom uses its whole part. If
+	// that is too much, slow first bytes lower the bound.
+	maxMemoryFraction = 1.5
+	// slowRatio and normalRatio are thresholds for the time to first byte, relative to its
+	// baseline. Above slowRatio the bound falls; below normalRatio it rises.
+	slowRatio   = 1.6
+	normalRatio = 1.5
+	// decreasePerSecond is the fraction by which the bound falls in a second of slow first
+	// bytes. increasePerSecond is how much it rises in a second of normal ones, as a fraction
+	// of the lowest bound.
+	decreasePerSecond = 0.4
+	increasePerSecond = 0.1
+	// servedGainPerSecond is the fraction by which Bound.servedPerEngine approaches a higher
+	// load in a second of normal first bytes. A load has to last for seconds to count, because
+	// contexts grow before first bytes become slow. servedDecayPerSecond is the fraction by
+	// which servedPerEngine falls in a second of slow first bytes.
+	servedGainPerSecond  = 0.2
+	servedDecayPerSecond = 0.02
+	// servedMargin times servedPerEngine is a lower limit of the bound. The margin allows for
+	// the usual fluctuation of the demand.
 	servedMargin = 1.5
-	// longestStep bounds what one step changes after a silence.
-	longestStep = time.Second
+	// maxStepDuration limits the change of a single step after a gap in the observations.
+	maxStepDuration = time.Second
 )
 
-// Bound is how many tokens of programs' contexts an engine bears, learnt from what the
-// fleet shows. The zero value has learnt nothing.
+// Bound is the number of context tokens that an engine can serve, learned from observations
+// of the fleet. The zero value has no observations.
 type Bound struct {
-	perEngine float64 // +Inf: none was found; 0: not begun
-	served    float64 // contexts an engine that were served without trouble
+	tokensPerEngine float64 // +Inf: no limit known; 0: no observation yet
+	servedPerEngine float64 // context tokens that an engine served with normal first bytes
 }
 
-// Observation is what the fleet showed since the last step.
+// Observation is the state of the fleet since the previous step.
 type Observation struct {
 	Elapsed time.Duration
 	Room    Room
-	Held    float64 // tokens of contexts, of all daemons
-	// Ratio is the mean first byte of turns under way against the idle one; 0: not known.
+	Held    float64 // tokens of the contexts held by all daemons
+	// Ratio is the mean time to first byte of turns other than first ones, relative to its
+	// baseline; 0: not known.
 	Ratio float64
 }
 
-// Step gives the bound after one more observation: additive increase, multiplicative
-// decrease, between what was served without trouble and what the memory holds.
-func (b Bound) Step(seen Observation) Bound {
-	engines := float64(max(seen.Room.Engines, 1))
-	held := seen.Held / engines
-	seconds := min(seen.Elapsed, longestStep).Seconds()
-	least, most := b.limits(seen.Room)
-	if b.perEngine == 0 {
-		b.perEngine = most
+// Step returns the bound after another observation. The bound increases additively and
+// decreases multiplicatively, between the load that was served with normal first bytes and
+// the limit given by the memory.
+func (b Bound) Step(observation Observation) Bound {
+	engines := float64(max(observation.Room.Engines, 1))
+	heldPerEngine := observation.Held / engines
+	seconds := min(observation.Elapsed, maxStepDuration).Seconds()
+	minTokens, maxTokens := b.limits(observation.Room)
+	if b.tokensPerEngine == 0 {
+		b.tokensPerEngine = maxTokens
 	}
 	switch {
-	case seen.Ratio > slowRatio:
-		b.perEngine = min(b.perEngine, held) * (1 - decrease*seconds)
-		b.served *= 1 - servedForget*seconds
-	case seen.Ratio < calmRatio:
-		b.served += max(held-b.served, 0) * servedFollow * seconds
-		b.perEngine += increase * least * seconds
+	case observation.Ratio > slowRatio:
+		b.tokensPerEngine = min(b.tokensPerEngine, heldPerEngine) * (1 - decreasePerSecond*seconds)
+		b.servedPerEngine *= 1 - servedDecayPerSecond*seconds
+	case observation.Ratio < normalRatio:
+		b.servedPerEngine += max(heldPerEngine-b.servedPerEngine, 0) * servedGainPerSecond * seconds
+		b.tokensPerEngine += increasePerSecond * minTokens * seconds
 	}
-	b.perEngine = max(min(b.perEngine, most), least)
+	b.tokensPerEngine = max(min(b.tokensPerEngine, maxTokens), minTokens)
 	return b
 }
 
-// limits are the least and the most that an engine is taken to bear.
-func (b Bound) limits(room Room) (least, most float64) {
+// limits returns the lowest and the highest bound for one engine. There is no highest bound
+// (+Inf) if the memory size is not declared.
+func (b Bound) limits(room Room) (minTokens, maxTokens float64) {
 	if room.MemoryTokens <= 0 {
-		return b.served * servedMargin, math.Inf(1)
+		return b.servedPerEngine * servedMargin, math.Inf(1)
 	}
-	memory := room.tokens() / float64(max(room.Engines, 1))
-	most = memoryCeiling * memory
-	return min(max(memoryFloor*memory, b.served*servedMargin), most), most
+	memory := room.contextCapacity() / float64(max(room.Engines, 1))
+	maxTokens = maxMemoryFraction * memory
+	return min(max(minMemoryFraction*memory, b.servedPerEngine*servedMargin), maxTokens), maxTokens
 }
 
-// Tokens is the bound of the whole fleet.
+// Tokens returns the bound for all engines of the service. It may be +Inf.
 func (b Bound) Tokens(room Room) float64 {
 	if room.Engines == 0 {
 		return 0
 	}
-	_, most := b.limits(room)
-	if b.perEngine == 0 {
-		return most * float64(room.Engines)
+	_, maxTokens := b.limits(room)
+	if b.tokensPerEngine == 0 {
+		return maxTokens * float64(room.Engines)
 	}
-	return min(b.perEngine, most) * float64(room.Engines)
+	return min(b.tokensPerEngine, maxTokens) * float64(room.Engines)
 }
 
-// idle learns the first byte of turns while engines have little to do: the least mean that
-// was seen, which rises slowly so that a fleet that became slower is not slow for ever.
-type idle struct{ seconds float64 }
+// idleBaseline estimates the time to first byte at low load. The estimate is the lowest
+// mean so far. It rises slowly to adapt to a fleet that has become slower.
+type idleBaseline struct{ seconds float64 }
 
-// idleRise is the part by which the idle first byte rises in a second: it doubles in six
-// minutes of slower turns.
-const idleRise = 0.002
+// baselineRisePerSecond is the fraction by which the baseline rises in a second. It doubles in
+// six minutes if all turns are slower.
+const baselineRisePerSecond = 0.002
 
-// ratio takes in the fleet's mean first byte over so many turns.
-func (i *idle) ratio(turns, firstByte float64, elapsed time.Duration) float64 {
-	// fewestTurns is from how many turns within shownFor a mean is believed: its error is some
-	// fifth of the spread of single first bytes.
-	const fewestTurns = 20
-	if turns < fewestTurns {
+// ratio updates the baseline and returns the current mean relative to it. The mean is
+// firstByteSeconds, the sum of the times to first byte, divided by the number of turns. The
+// result is 0 if there are fewer than minTurns turns.
+func (i *idleBaseline) ratio(turns, firstByteSeconds float64, elapsed time.Duration) float64 {
+	// minTurns is the number of turns that a reliable mean needs.
+	const minTurns = 20
+	if turns < minTurns {
 		return 0
 	}
-	mean := firstByte / turns
-	i.seconds *= 1 + idleRise*elapsed.Seconds()
+	mean := firstByteSeconds / turns
+	i.seconds *= 1 + baselineRisePerSecond*elapsed.Seconds()
 	if i.seconds == 0 || mean < i.seconds {
 		i.seconds = mean
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -9,181 +9,185 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// Options are what a Controller is made of.
+// Options are the dependencies of a Controller.
 type Options struct {
-	// Members counts the daemons that divide the bound.
+	// Members returns the number of daemons that share the bound.
 	Members func() int
-	// Services names the services of models that are declared. A daemon tells of them from
-	// its start on, also before it is asked: it counts among those who divide the bound.
+	// Services returns the names of the declared model services. A daemon reports on all of
+	// them from its start, even without requests, so that it counts among the daemons that
+	// share the bound.
 	Services func() []string
 	Now      func() time.Time
 	Log      *zap.Logger
 }
 
-// Controller decides for one daemon. It is safe for concurrent use.
+// Controller makes the admission decisions of one daemon. It is safe for concurrent use.
 type Controller struct {
 	options Options
 	metrics metrics
 
-	mutex    sync.Mutex
-	services map[string]*service
-	spent    map[load.Key]*decayed // by tenant, here
-	fleet    spentByAll
+	mutex         sync.Mutex
+	services      map[string]*service
+	spentByTenant map[load.Key]*decayingSum // tokens spent at this daemon
+	fleetSpending tenantSpending
 }
 
-// NewController makes a controller that knows nothing yet.
+// NewController returns a controller that has no programs and no reports of other daemons.
 func NewController(options Options) *Controller {
-	return &Controller{options: options, services: map[string]*service{}, spent: map[load.Key]*decayed{}}
+	return &Controller{options: options, services: map[string]*service{}, spentByTenant: map[load.Key]*decayingSum{}}
 }
 
-// service is one service of models.
+// service is the state of one model service.
 type service struct {
-	name      string
-	programs  programs
-	room      Room // as last seen
-	bound     Bound
-	idle      idle
-	ratio     float64 // of the first byte, as last heard
-	claims    claims
-	usualHeld mean // of the contexts here; claimed, since it swings less than they do
-	picture   Picture
-	part      float64 // when the picture came, for the whole bound
-	// firstTold, steppedAt and loggedAt are when the figures were first told, the bound last
-	// took a step, and the figures were last logged.
-	firstTold, steppedAt, loggedAt time.Time
-
-	asked     decayed // tokens of contexts that were asked for
-	turns     decayed
-	firstByte decayed // seconds
+	name           string
+	programs       programs
+	room           Room // as of the last request
+	bound          Bound
+	baseline       idleBaseline
+	firstByteRatio float64 // mean time to first byte relative to baseline, by the last snapshot
+	claims         claims
+	meanHeld       runningMean // tokens held; reported as the claim because it fluctuates less than the current value
+	snapshot       Picture
+	part           float64 // part of the whole bound when the snapshot arrived
+	// firstReported is the time of the first report, steppedAt that of the last step of the
+	// bound, and loggedAt that of the last log line.
+	firstReported, steppedAt, loggedAt time.Time
+
+	demand           decayingSum // context tokens requested by new programs
+	turns            decayingSum // turns other than first ones
+	firstByteSeconds decayingSum // times to first byte of these turns
 }
 
-// service finds a service by its name, or begins to count it.
+// service returns the service with the name, which it adds if necessary.
 func (c *Controller) service(name string) *service {
-	known, found := c.services[name]
+	entry, found := c.services[name]
 	if !found {
-		known = &service{name: name, programs: newPrograms()}
-		c.services[name] = known
+		entry = &service{name: name, programs: newPrograms()}
+		c.services[name] = entry
 	}
-	return known
+	return entry
 }
 
-// see takes in the engines as they are now. A daemon that told of itself before it knew any
-// counts as having first told now: what it claimed before was no part of what they hold.
-func (s *service) see(room Room, now time.Time) {
-	if s.room.Engines == 0 && !s.firstTold.IsZero() {
-		s.firstTold = now
+// updateRoom stores the current engines. If there were none before, the daemon counts as having
+// first reported now, because its earlier claims did not take the capacity into account.
+func (s *service) updateRoom(room Room, now time.Time) {
+	if s.room.Engines == 0 && !s.firstReported.IsZero() {
+		s.firstReported = now
 	}
 	s.room = room
 }
 
-// Begin decides whether a program may begin, and counts it in with its first turn; a program
-// that is under way here goes on. Leave or Drop is to be called when the turn is over.
-// Without an engine nothing is refused: that is placement's to tell.
+// Begin decides whether a program may start, and counts the program and its first turn. It
+// returns a *RefusedError if the program may not start. A program that already runs at this
+// daemon is never refused. After a successful call the caller must call Leave or Drop when
+// the turn has ended. If there is no engine, Begin refuses nothing and leaves the error to
+// placement.
 func (c *Controller) Begin(request *Request) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
 	service := c.service(request.Service)
-	service.see(request.Room, now)
-	if _, underWay := service.programs.underWay[request.Program]; underWay {
-		service.programs.enter(request, now)
+	service.updateRoom(request.Room, now)
+	if _, underWay := service.programs.byName[request.Program]; underWay {
+		service.programs.startRequest(request, now)
 		return nil
 	}
-	service.programs.sweep(now)
-	asked := service.programs.expected(request)
-	service.asked.add(float64(asked), now, askedFor)
-	if refused := c.decide(service, request, asked, now); refused != nil {
-		service.programs.refuse(request, now)
-		c.metrics.refused(refused.Cause, request.Priority)
+	service.programs.removeEnded(now)
+	expected := service.programs.expectedTokens(request)
+	service.demand.add(float64(expected), now, demandHalfLife)
+	if refused := c.decide(service, request, expected, now); refused != nil {
+		service.programs.recordRefusal(request, now)
+		c.metrics.countRefusal(refused.Cause, request.Priority)
 		return refused
 	}
-	service.programs.begin(request, now)
-	service.programs.enter(request, now)
+	service.programs.add(request, now)
+	service.programs.startRequest(request, now)
 	return nil
 }
 
-// Continue counts a turn of a program that has begun, here or elsewhere.
+// Continue counts a later turn of a program that started at this or another daemon.
 func (c *Controller) Continue(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
 	service := c.service(request.Service)
-	service.see(request.Room, now)
-	if _, underWay := service.programs.underWay[request.Program]; !underWay {
-		service.programs.begin(request, now)
+	service.updateRoom(request.Room, now)
+	if _, underWay := service.programs.byName[request.Program]; !underWay {
+		service.programs.add(request, now)
 	}
-	service.programs.enter(request, now)
+	service.programs.startRequest(request, now)
 }
 
-// decide returns nil, or why the program may not begin; the lock is held.
-func (c *Controller) decide(service *service, request *Request, asked int64, now time.Time) *RefusedError {
+// decide returns nil if the program may start, or the refusal. The caller must hold the lock.
+func (c *Controller) decide(service *service, request *Request, expected int64, now time.Time) *RefusedError {
 	if request.Room.Engines == 0 {
 		return nil
 	}
-	claimant := Claimant{Priority: request.Priority, Share: c.fleet.of(request.Tenant), Late: service.programs.late(request, now)}
+	claimant := Claimant{Priority: request.Priority, Share: c.fleetSpending.shareOf(request.Tenant), Late: service.programs.isLate(request, now)}
 	bound := service.bound.Tokens(request.Room)
-	reach, cause := Reach(claimant, service.fill(bound, now))
-	part := service.partOf(bound*reach, c.options.Members(), now)
-	held := service.programs.held(now)
-	if float64(held+asked) <= part {
+	fraction, cause := Reach(claimant, service.fill(bound, now))
+	part := service.partOf(bound*fraction, c.options.Members(), now)
+	held := service.programs.heldTokens(now)
+	if float64(held+expected) <= part {
 		return nil
 	}
-	wanted := perSecond(service.asked.value(now, askedFor), askedFor)
+	demandPerSecond := ratePerSecond(service.demand.value(now, demandHalfLife), demandHalfLife)
 	return &RefusedError{
-		Cause: cause, After: ComeBack(wanted, part, service.usualTime(request.Route), request.Random),
+		Cause: cause, After: ComeBack(demandPerSecond, part, service.meanDuration(request.Route), request.Random),
 		Figures: Figures{
-			Asked: asked, Held: held, Part: bounded(part), FleetHeld: service.picture.Held, Bound: bounded(bound),
-			Daemons: service.picture.Daemons, PictureAge: service.picture.age(now), Share: claimant.Share,
+			Asked: expected, Held: held, Part: capTokens(part), FleetHeld: service.snapshot.Held, Bound: capTokens(bound),
+			Daemons: service.snapshot.Daemons, PictureAge: service.snapshot.age(now), Share: claimant.Share,
 		},
 	}
 }
 
-// usualTime is how long programs of the route take; 0: not known.
-func (s *service) usualTime(route string) time.Duration {
-	return time.Duration(s.programs.usual(route).seconds.value * float64(time.Second))
+// meanDuration returns the mean duration of the programs of a route, or 0 if none has ended.
+func (s *service) meanDuration(route string) time.Duration {
+	return time.Duration(s.programs.stats(route).durationSeconds.value * float64(time.Second))
 }
 
-// fill is how much of the bound is taken, as far as is known.
+// fill returns the fraction of the bound that is in use, as far as this daemon knows.
 func (s *service) fill(bound float64, now time.Time) float64 {
-	return float64(max(s.picture.Held, s.programs.held(now))) / max(bound, 1)
+	return float64(max(s.snapshot.Held, s.programs.heldTokens(now))) / max(bound, 1)
 }
 
-// partOf is this daemon's part of so many tokens.
+// partOf returns this daemon's part of the given bound, in tokens.
 func (s *service) partOf(bound float64, members int, now time.Time) float64 {
-	return Part(Share{Bound: bound, Members: members, Picture: s.picture, Least: s.claims.least(now), Last: s.part, FirstTold: s.firstTold, Now: now})
+	return Part(Share{Bound: bound, Members: members, Picture: s.snapshot, Least: s.claims.minimum(now), Last: s.part, FirstTold: s.firstReported, Now: now})
 }
 
-// Leave counts a turn out. spent is what it cost the engine, in tokens.
+// Leave records the end of a turn. spent is its cost to the engine, in tokens.
 func (c *Controller) Leave(request *Request, spent int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	c.service(request.Service).programs.leave(request.Program, now)
+	c.service(request.Service).programs.endRequest(request.Program, now)
 	if request.Tenant == "" || spent <= 0 {
 		return
 	}
 	key := load.KeyOf(request.Tenant)
-	if c.spent[key] == nil {
-		c.spent[key] = &decayed{}
+	if c.spentByTenant[key] == nil {
+		c.spentByTenant[key] = &decayingSum{}
 	}
-	c.spent[key].add(float64(spent), now, spentFor)
+	c.spentByTenant[key].add(float64(spent), now, spendingHalfLife)
 }
 
-// Drop counts a first turn out that no engine began to run: its program has not begun.
+// Drop removes a first turn that no engine started to run. It also removes the program if no
+// other request of it is active.
 func (c *Controller) Drop(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	programs := &c.service(request.Service).programs
-	programs.leave(request.Program, c.options.Now())
-	programs.drop(request.Program)
+	programs.endRequest(request.Program, c.options.Now())
+	programs.removeIdle(request.Program)
 }
 
-// Answered takes in how long a turn that went on from an earlier one took until its first byte.
+// Answered records the time to first byte of a turn that is not the first of its program.
 func (c *Controller) Answered(service string, firstByte time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	known := c.service(service)
-	known.turns.add(1, now, shownFor)
-	known.firstByte.add(firstByte.Seconds(), now, shownFor)
+	entry := c.service(service)
+	entry.turns.add(1, now, firstByteHalfLife)
+	entry.firstByteSeconds.add(firstByte.Seconds(), now, firstByteHalfLife)
 }
--- a/internal/admission/decayed.go
+++ b/internal/admission/decayed.go
@@ -5,23 +5,26 @@
 	"time"
 )
 
-// How long what was seen counts; each is a half-life.
+// Half-lives of the decaying sums.
 const (
-	// shownFor is of first bytes: the bound is to follow an overload within a second.
-	shownFor = time.Second
-	// askedFor is of what is asked: parts follow callers that move, not single requests.
-	askedFor = 10 * time.Second
-	// spentFor is of what tenants spend: some lives of a program.
-	spentFor = 10 * time.Second
+	// firstByteHalfLife is short so that the bound reacts to an overload within a second.
+	firstByteHalfLife = time.Second
+	// demandHalfLife is long enough for parts to follow callers that move to another daemon,
+	// but not single requests.
+	demandHalfLife = 10 * time.Second
+	// spendingHalfLife covers several times the duration of a program.
+	spendingHalfLife = 10 * time.Second
 )
 
-// decayed is a sum whose values lose weight with time.
-type decayed struct {
+// decayingSum is a sum of values whose weights decay exponentially. All calls for one sum
+// must use the same half-life. It is not safe for concurrent use.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-func (d *decayed) value(now time.Time, halfLife time.Duration) float64 {
+// value returns the sum at the given time.
+func (d *decayingSum) value(now time.Time, halfLife time.Duration) float64 {
 	if elapsed := now.Sub(d.at); elapsed > 0 {
 		d.sum *= math.Exp2(-elapsed.Seconds() / halfLife.Seconds())
 		d.at = now
@@ -29,11 +32,11 @@
 	return d.sum
 }
 
-func (d *decayed) add(value float64, now time.Time, halfLife time.Duration) {
+func (d *decayingSum) add(value float64, now time.Time, halfLife time.Duration) {
 	d.sum = d.value(now, halfLife) + value
 }
 
-// perSecond is the rate that a decayed sum of what came shows.
-func perSecond(sum float64, halfLife time.Duration) float64 {
+// ratePerSecond converts a decaying sum to the rate per second of the values added.
+func ratePerSecond(sum float64, halfLife time.Duration) float64 {
 	return sum * math.Ln2 / halfLife.Seconds()
 }
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -22,30 +22,30 @@
 		return bound
 	}
 
-	It("is what the engines' memory holds, shared parts once an engine, before anything was seen", func() {
-		Expect(Bound{}.Tokens(memory)).To(BeNumerically("~", memoryCeiling*10*1000, 1))
+	It("is derived from the engines' memory without the shared tokens before any observation", func() {
+		Expect(Bound{}.Tokens(memory)).To(BeNumerically("~", maxMemoryFraction*10*1000, 1))
 	})
 
-	It("falls while first bytes are slow, never below half of the memory, and comes back", func() {
+	It("falls while first bytes are slow, but not below half of the memory, and recovers", func() {
 		slow := observe(Bound{}, memory, 9000, 2, 1)
-		Expect(slow.Tokens(memory)).To(BeNumerically("~", 9000*(1-decrease), 1))
-		Expect(observe(slow, memory, 9000, 2, 30).Tokens(memory)).To(BeNumerically("~", memoryFloor*10000, 1))
-		Expect(observe(slow, memory, 4000, 1, 30).Tokens(memory)).To(BeNumerically("~", memoryCeiling*10000, 1))
+		Expect(slow.Tokens(memory)).To(BeNumerically("~", 9000*(1-decreasePerSecond), 1))
+		Expect(observe(slow, memory, 9000, 2, 30).Tokens(memory)).To(BeNumerically("~", minMemoryFraction*10000, 1))
+		Expect(observe(slow, memory, 4000, 1, 30).Tokens(memory)).To(BeNumerically("~", maxMemoryFraction*10000, 1))
 	})
 
-	It("is never below what was served without trouble", func() {
+	It("is never below the load that was served with normal first bytes", func() {
 		served := observe(Bound{}, memory, 6000, 1, 60)
 		Expect(observe(served, memory, 9000, 3, 3).Tokens(memory)).To(BeNumerically(">", 6000))
 	})
 
-	It("follows the engines that there are", func() {
+	It("is proportional to the number of engines", func() {
 		fewer := memory
 		fewer.Engines = 5
 		slow := observe(Bound{}, memory, 9000, 2, 1)
 		Expect(slow.Tokens(fewer)).To(BeNumerically("~", slow.Tokens(memory)/2, 1))
 	})
 
-	It("is learnt alone where memory says nothing: none until first bytes are slow", func() {
+	It("is infinite until first bytes are slow if the memory size is not declared", func() {
 		unknown := Room{Engines: 10}
 		Expect(math.IsInf(observe(Bound{}, unknown, 5000, 1, 60).Tokens(unknown), 1)).To(BeTrue())
 		slow := observe(observe(Bound{}, unknown, 3000, 1, 60), unknown, 9000, 3, 2)
@@ -55,8 +55,8 @@
 })
 
 var _ = Describe("idle", func() {
-	It("compares first bytes with the least mean that was seen, once there are enough turns", func() {
-		var learnt idle
+	It("compares the mean with the lowest one so far if there are enough turns", func() {
+		var learnt idleBaseline
 		Expect(learnt.ratio(5, 50, time.Second)).To(BeZero())
 		Expect(learnt.ratio(100, 10, time.Second)).To(BeNumerically("~", 1, 0.01))
 		Expect(learnt.ratio(100, 25, time.Second)).To(BeNumerically("~", 2.5, 0.01))
@@ -65,29 +65,29 @@
 })
 
 var _ = Describe("Reach", func() {
-	DescribeTable("says who goes first", func(claimant Claimant, fill, expected float64, cause Cause) {
+	DescribeTable("limits claimants by deadline, priority and share", func(claimant Claimant, fill, expected float64, cause Cause) {
 		reach, why := Reach(claimant, fill)
 		Expect(reach).To(BeNumerically("~", expected, 1e-9))
 		Expect(why).To(Equal(cause))
 	},
-		Entry("anybody while there is room", Claimant{Priority: 2, Share: 5}, 0.4, 1.0, CauseFull),
-		Entry("the most urgent", Claimant{Share: 1}, 0.9, 1.0, CauseFull),
-		Entry("the less urgent", Claimant{Priority: 1, Share: 1}, 0.9, 0.9, CauseUrgent),
-		Entry("the least urgent is kept back so far and no further", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CauseUrgent),
-		Entry("a tenant far ahead", Claimant{Share: 2.5}, 0.9, 0.5, CauseShare),
-		Entry("a tenant that asks for nearly all", Claimant{Share: 80}, 0.9, leastOfShare, CauseShare),
-		Entry("a tenant that had hardly anything goes first, whatever its priority", Claimant{Priority: 9, Share: 0.2}, 0.99, 1.0, CauseFull),
-		Entry("who can't end in time comes last", Claimant{Late: true, Share: 0.1}, 0.3, lateOf, CauseLate),
+		Entry("any claimant below contentionFill", Claimant{Priority: 2, Share: 5}, 0.4, 1.0, CauseFull),
+		Entry("the highest priority", Claimant{Share: 1}, 0.9, 1.0, CauseFull),
+		Entry("a lower priority", Claimant{Priority: 1, Share: 1}, 0.9, 0.9, CauseUrgent),
+		Entry("a very low priority gets the reserve limit", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CauseUrgent),
+		Entry("a tenant far above its share", Claimant{Share: 2.5}, 0.9, 0.5, CauseShare),
+		Entry("a tenant that spent nearly everything", Claimant{Share: 80}, 0.9, minShareFraction, CauseShare),
+		Entry("a tenant that spent hardly anything, at any priority", Claimant{Priority: 9, Share: 0.2}, 0.99, 1.0, CauseFull),
+		Entry("a program that cannot meet its deadline", Claimant{Late: true, Share: 0.1}, 0.3, lateFraction, CauseLate),
 	)
 })
 
 var _ = Describe("ComeBack", func() {
-	It("spreads callers over the time in which there will be room", func() {
-		Expect(ComeBack(1000, 500, time.Second, 0)).To(Equal(soonestBack))
+	It("spreads callers over the time that it takes to serve the demand", func() {
+		Expect(ComeBack(1000, 500, time.Second, 0)).To(Equal(minRetryAfter))
 		Expect(ComeBack(1000, 500, time.Second, 1)).To(Equal(2 * time.Second))
-		Expect(ComeBack(1e9, 500, time.Second, 1)).To(Equal(latestBack))
-		Expect(ComeBack(0, 500, time.Second, 1)).To(Equal(2 * soonestBack))
-		Expect(ComeBack(1000, math.Inf(1), time.Second, 1)).To(Equal(2 * soonestBack))
+		Expect(ComeBack(1e9, 500, time.Second, 1)).To(Equal(maxRetryAfter))
+		Expect(ComeBack(0, 500, time.Second, 1)).To(Equal(2 * minRetryAfter))
+		Expect(ComeBack(1000, math.Inf(1), time.Second, 1)).To(Equal(2 * minRetryAfter))
 	})
 })
 
@@ -114,22 +114,22 @@
 		return refused
 	}
 	held := func() int64 { return controller.Programs().Services[load.KeyOf("llm")].Held }
-	// bound is what one engine of turn's room is taken to bear.
-	const bound = int64(1000 * memoryCeiling)
+	// bound is the bound for the single engine of the requests from turn, in tokens.
+	const bound = int64(1000 * maxMemoryFraction)
 
-	It("begins programs while their own contexts fit, and refuses at once what does not, with its figures", func() {
+	It("starts programs while their own contexts fit, and refuses others with the figures", func() {
 		Expect(refusal(turn("a", 700))).To(BeNil())
 		Expect(refusal(turn("b", 700))).To(BeNil())
 		refused := refusal(turn("c", 200))
 		Expect(refused).NotTo(BeNil())
 		Expect(refused.Cause).To(Equal(CauseFull))
-		Expect(refused.After).To(BeNumerically(">=", soonestBack))
+		Expect(refused.After).To(BeNumerically(">=", minRetryAfter))
 		Expect(refused.Figures.Held).To(BeEquivalentTo(1400))
 		Expect(refused.Figures.Bound).To(Equal(bound))
-		Expect(refused).To(MatchError(ContainSubstring("1400 held here of a part of 1500")))
+		Expect(refused).To(MatchError(ContainSubstring("this daemon holds 1400 and its part of the bound is 1500")))
 	})
 
-	It("never refuses what goes on, here or from elsewhere, and counts what contexts grow by", func() {
+	It("never refuses later turns of programs from any daemon, and counts the growth of contexts", func() {
 		Expect(refusal(turn("a", 1200))).To(BeNil())
 		controller.Continue(turn("elsewhere", 900))
 		grown := turn("a", 1200)
@@ -138,36 +138,36 @@
 		Expect(held()).To(BeEquivalentTo(1200 + 300 + 900))
 	})
 
-	It("counts a resting program by its chance to go on, and takes it out when that is gone", func() {
+	It("weights an idle program with its probability to continue, and removes it in the end", func() {
 		Expect(refusal(turn("a", 1000))).To(BeNil())
 		controller.Leave(turn("a", 1000), 10)
-		Expect(held()).To(BeNumerically("~", 1000*usualGoesOn, 1))
+		Expect(held()).To(BeNumerically("~", 1000*defaultContinueProbability, 1))
 		now = now.Add(300 * time.Millisecond)
 		Expect(held()).To(BeNumerically("<", 400))
-		now = now.Add(longestRest)
+		now = now.Add(maxIdleTime)
 		Expect(held()).To(BeZero())
 		Expect(refusal(turn("b", 1000))).To(BeNil())
 	})
 
-	It("takes back a program whose first turn no engine began to run", func() {
+	It("removes a program whose first turn no engine started to run", func() {
 		Expect(refusal(turn("a", 1200))).To(BeNil())
 		controller.Drop(turn("a", 1200))
 		Expect(refusal(turn("b", 1200))).To(BeNil())
 	})
 
-	It("refuses nothing where there is no engine: that is placement's to tell", func() {
+	It("refuses nothing if there is no engine", func() {
 		none := turn("a", 1<<30)
 		none.Room.Engines = 0
 		Expect(refusal(none)).To(BeNil())
 	})
 
-	It("lets a refused program come back like a new one, and last once it can't end in its time", func() {
+	It("treats a refused program like a new one until it can no longer meet its deadline", func() {
 		slow := turn("first", 100)
 		slow.TimeLeft = time.Second
 		Expect(refusal(slow)).To(BeNil())
-		now = now.Add(800 * time.Millisecond) // programs take four fifths of their time
+		now = now.Add(800 * time.Millisecond) // the route's programs take four fifths of their time
 		controller.Leave(slow, 0)
-		now = now.Add(longestRest)
+		now = now.Add(maxIdleTime)
 		Expect(held()).To(BeZero())
 		now = now.Add(claimWindow)
 		Expect(refusal(turn("full", 1450))).To(BeNil())
@@ -180,28 +180,28 @@
 		Expect(refusal(back).Cause).To(Equal(CauseLate))
 	})
 
-	It("tells its services from its start on, and no others once they are not declared and not used", func() {
+	It("reports declared services from the start, and others until they are unused", func() {
 		Expect(controller.Programs().Services).To(HaveKeyWithValue(load.KeyOf("llm"), load.ServicePrograms{Daemons: 1}))
 		other := turn("a", 100)
 		other.Service = "former"
 		Expect(refusal(other)).To(BeNil())
 		Expect(controller.Programs().Services).To(HaveLen(2))
 		controller.Leave(other, 0)
-		now = now.Add(20 * askedFor)
+		now = now.Add(20 * demandHalfLife)
 		controller.Programs()
 		Expect(controller.Programs().Services).To(HaveLen(1))
 	})
 
-	It("claims the equal part that it goes on with when it hears nothing", func() {
+	It("claims the equal part while it has no valid snapshot", func() {
 		Expect(refusal(turn("a", 100))).To(BeNil())
 		controller.Programs()
-		now = now.Add(partEnds + time.Millisecond)
+		now = now.Add(maxSnapshotAge + time.Millisecond)
 		told := controller.Programs().Services[load.KeyOf("llm")]
 		Expect(told.Claimed).To(BeNumerically(">=", bound))
 		Expect(told.Held).To(BeEquivalentTo(100))
 	})
 
-	It("takes no equal part at once that it could not claim before it knew engines", func() {
+	It("does not use the equal part before it could claim it with known engines", func() {
 		controller.Programs()
 		now = now.Add(time.Minute)
 		Expect(controller.Programs().Services[load.KeyOf("llm")].Claimed).To(BeZero())
@@ -211,7 +211,7 @@
 		Expect(refusal(turn("a", 100))).To(BeNil())
 	})
 
-	It("knows a tenant's share from what all daemons told, and forgets what was spent long ago", func() {
+	It("computes a tenant's share from all daemons' reports, and forgets old spending", func() {
 		spent := turn("a", 100)
 		spent.Tenant = "greedy"
 		Expect(refusal(spent)).To(BeNil())
@@ -220,9 +220,9 @@
 		Expect(told.Spent).To(HaveKeyWithValue(load.KeyOf("greedy"), BeNumerically(">=", 899)))
 		told.Include(load.Programs{Spent: map[load.Key]int64{load.KeyOf("other"): 100}})
 		controller.LearnPrograms(told, load.Programs{})
-		Expect(controller.fleet.of("greedy")).To(BeNumerically("~", 1.8, 0.01))
-		Expect(controller.fleet.of("")).To(BeEquivalentTo(1))
-		now = now.Add(20 * spentFor)
+		Expect(controller.fleetSpending.shareOf("greedy")).To(BeNumerically("~", 1.8, 0.01))
+		Expect(controller.fleetSpending.shareOf("")).To(BeEquivalentTo(1))
+		now = now.Add(20 * spendingHalfLife)
 		Expect(controller.Programs().Spent).To(BeEmpty())
 	})
 })
--- a/internal/admission/exchange.go
+++ b/internal/admission/exchange.go
@@ -10,58 +10,61 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// leastSpent is the least that is told, in tokens: below it a tenant's share is nothing.
-const leastSpent = 1
+// minReportedSpending is the lowest spending that is reported, in tokens. Lower sums are
+// dropped.
+const minReportedSpending = 1
 
-// Programs implements load.ProgramSource: what this daemon tells of itself.
+// Programs implements load.ProgramSource. It returns this daemon's own figures and removes
+// services that are neither declared nor used.
 func (c *Controller) Programs() load.Programs {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	told := load.Programs{Services: map[load.Key]load.ServicePrograms{}, Spent: map[load.Key]int64{}}
+	report := load.Programs{Services: map[load.Key]load.ServicePrograms{}, Spent: map[load.Key]int64{}}
 	declared := c.options.Services()
 	for _, name := range declared {
 		c.service(name)
 	}
 	for name, service := range c.services {
-		if !slices.Contains(declared, name) && service.unused() {
+		if !slices.Contains(declared, name) && service.isUnused() {
 			delete(c.services, name)
 			continue
 		}
-		told.Services[load.KeyOf(name)] = service.tell(now, c.options.Members())
+		report.Services[load.KeyOf(name)] = service.report(now, c.options.Members())
 	}
-	for key, spent := range c.spent {
-		value := int64(spent.value(now, spentFor))
-		if value < leastSpent {
-			delete(c.spent, key)
+	for key, spent := range c.spentByTenant {
+		value := int64(spent.value(now, spendingHalfLife))
+		if value < minReportedSpending {
+			delete(c.spentByTenant, key)
 			continue
 		}
-		told.Spent[key] = value
+		report.Spent[key] = value
 	}
-	return told
+	return report
 }
 
-// tell gives the service's figures, and remembers what was claimed. A daemon that hears
-// nothing claims the equal part that it goes on with.
-func (s *service) tell(now time.Time, members int) load.ServicePrograms {
-	s.programs.sweep(now)
-	s.usualHeld.add(float64(s.programs.held(now)))
-	claim := Claim{At: now, Held: int64(s.usualHeld.value), Asked: int64(perSecond(s.asked.value(now, askedFor), askedFor))}
+// report returns the service's figures and stores the claim in them. A daemon without a
+// current snapshot claims at least the equal part of the bound that it uses meanwhile.
+func (s *service) report(now time.Time, members int) load.ServicePrograms {
+	s.programs.removeEnded(now)
+	s.meanHeld.add(float64(s.programs.heldTokens(now)))
+	claim := Claim{At: now, Held: int64(s.meanHeld.value), Asked: int64(ratePerSecond(s.demand.value(now, demandHalfLife), demandHalfLife))}
 	switch {
-	case s.firstTold.IsZero():
-		s.firstTold, s.part = now, float64(claim.Held)
-	case now.Sub(s.picture.At) > partEnds:
+	case s.firstReported.IsZero():
+		s.firstReported, s.part = now, float64(claim.Held)
+	case now.Sub(s.snapshot.At) > maxSnapshotAge:
 		claim.Held = max(claim.Held, s.equalPart(members))
 	}
 	s.claims.add(claim)
 	const microseconds = 1e6
 	return load.ServicePrograms{
-		Daemons: 1, Count: int64(len(s.programs.underWay)), Held: s.programs.held(now), Claimed: claim.Held, Asked: claim.Asked,
-		Turns: int64(s.turns.value(now, shownFor) + 0.5), FirstByte: int64(s.firstByte.value(now, shownFor) * microseconds),
+		Daemons: 1, Count: int64(len(s.programs.byName)), Held: s.programs.heldTokens(now), Claimed: claim.Held, Asked: claim.Asked,
+		Turns: int64(s.turns.value(now, firstByteHalfLife) + 0.5), FirstByte: int64(s.firstByteSeconds.value(now, firstByteHalfLife) * microseconds),
 	}
 }
 
-// equalPart is what a daemon that hears nothing goes on with; 0 where nothing is bounded.
+// equalPart returns the bound divided by the number of members, in tokens. It returns 0 if
+// there is no bound.
 func (s *service) equalPart(members int) int64 {
 	bound := s.bound.Tokens(s.room)
 	if math.IsInf(bound, 1) {
@@ -70,63 +73,63 @@
 	return int64(bound / float64(max(members, 1)))
 }
 
-// mostLogged stands for no bound at all.
-const mostLogged = 1e12
+// maxLoggedTokens replaces larger values, and an infinite bound, in logs and errors.
+const maxLoggedTokens = 1e12
 
-func bounded(tokens float64) int64 { return int64(min(tokens, mostLogged)) }
+func capTokens(tokens float64) int64 { return int64(min(tokens, maxLoggedTokens)) }
 
 // LearnPrograms implements load.ProgramSource.
 func (c *Controller) LearnPrograms(all, _ load.Programs) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	c.fleet = spentByAll{byTenant: all.Spent}
+	c.fleetSpending = tenantSpending{byTenant: all.Spent}
 	for _, spent := range all.Spent {
-		c.fleet.total += spent
+		c.fleetSpending.total += spent
 	}
 	for name, service := range c.services {
-		service.learn(all.Services[load.KeyOf(name)], c.options.Members(), now)
-		c.noteFill(service, now)
+		service.update(all.Services[load.KeyOf(name)], c.options.Members(), now)
+		c.logFill(service, now)
 	}
-	c.metrics.learned(c.services, c.fleet, now)
+	c.metrics.update(c.services, c.fleetSpending, now)
 }
 
-// unused tells whether nothing of the service is under way or was asked lately.
-func (s *service) unused() bool {
-	return len(s.programs.underWay) == 0 && s.asked.sum < 1
+// isUnused reports whether the service has neither programs nor recent demand.
+func (s *service) isUnused() bool {
+	return len(s.programs.byName) == 0 && s.demand.sum < 1
 }
 
-// learn takes in the fleet's figures: the bound takes a step, and the part is worked out.
-func (s *service) learn(all load.ServicePrograms, members int, now time.Time) {
+// update applies the sum of all daemons' reports to the bound, the snapshot and the part.
+func (s *service) update(all load.ServicePrograms, members int, now time.Time) {
 	elapsed := now.Sub(s.steppedAt)
 	if s.steppedAt.IsZero() {
 		elapsed = 0
 	}
 	s.steppedAt = now
 	const microseconds = 1e6
-	s.ratio = s.idle.ratio(float64(all.Turns), float64(all.FirstByte)/microseconds, elapsed)
-	s.bound = s.bound.Step(Observation{Elapsed: elapsed, Room: s.room, Held: float64(all.Held), Ratio: s.ratio})
-	s.picture = Picture{At: now, Daemons: all.Daemons, Held: all.Held, Claimed: all.Claimed, Asked: all.Asked}
+	s.firstByteRatio = s.baseline.ratio(float64(all.Turns), float64(all.FirstByte)/microseconds, elapsed)
+	s.bound = s.bound.Step(Observation{Elapsed: elapsed, Room: s.room, Held: float64(all.Held), Ratio: s.firstByteRatio})
+	s.snapshot = Picture{At: now, Daemons: all.Daemons, Held: all.Held, Claimed: all.Claimed, Asked: all.Asked}
 	s.part = s.partOf(s.bound.Tokens(s.room), members, now)
 }
 
-// fillNoted is the share of the bound from which the fleet's figures are logged, once in
-// noteInterval.
+// The fleet's figures are logged at most once per logInterval while at least the fraction
+// logFillThreshold of the bound is in use.
 const (
-	fillNoted    = 0.5
-	noteInterval = 5 * time.Second
+	logFillThreshold = 0.5
+	logInterval      = 5 * time.Second
 )
 
-// noteFill logs what this daemon knows of a fleet whose room gets short.
-func (c *Controller) noteFill(service *service, now time.Time) {
+// logFill logs the figures of the fleet and of this daemon if much of the bound is in use.
+func (c *Controller) logFill(service *service, now time.Time) {
 	bound := service.bound.Tokens(service.room)
 	fill := service.fill(bound, now)
-	if service.room.Engines == 0 || fill < fillNoted || now.Sub(service.loggedAt) < noteInterval {
+	if service.room.Engines == 0 || fill < logFillThreshold || now.Sub(service.loggedAt) < logInterval {
 		return
 	}
 	service.loggedAt = now
-	c.options.Log.Info("admission: room is short.", zap.String("service", service.name), zap.Int64("fleetHeld", service.picture.Held),
-		zap.Int64("bound", bounded(bound)), zap.Float64("fill", fill), zap.Float64("firstByteRatio", service.ratio),
-		zap.Int64("held", service.programs.held(now)), zap.Int64("part", bounded(service.part)), zap.Int("programs", len(service.programs.underWay)),
-		zap.Int64("daemons", service.picture.Daemons), zap.Int("engines", service.room.Engines))
+	c.options.Log.Info("admission: context memory is filling up.", zap.String("service", service.name), zap.Int64("fleetHeld", service.snapshot.Held),
+		zap.Int64("bound", capTokens(bound)), zap.Float64("fill", fill), zap.Float64("firstByteRatio", service.firstByteRatio),
+		zap.Int64("held", service.programs.heldTokens(now)), zap.Int64("part", capTokens(service.part)), zap.Int("programs", len(service.programs.byName)),
+		zap.Int64("daemons", service.snapshot.Daemons), zap.Int("engines", service.room.Engines))
 }
--- a/internal/admission/main_test.go
+++ b/internal/admission/main_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestMain fixes the seed of the property tests, unless one is given.
+// TestMain sets a fixed seed for the property tests unless RAPID_SEED is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("RAPID_SEED") == "" {
 		if err := flag.Set("rapid.seed", "1"); err != nil {
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -9,105 +9,107 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load: programs of two kinds, 64 short and 33 long ones a second, before 44 engines whose
-// memory holds some ten of the long ones each; then more of them for a while. Engines bear one
-// and a half times that load; at 2.5 times, without admission, contexts push each other out,
-// every turn reads its whole history, and programs end late long after the burst is over.
+// The usual load is 64 short and 33 long programs per second on 44 engines, each with memory
+// for about ten long programs. These specs guard against a persistent overload: without
+// admission, a burst makes contexts evict each other, and programs miss their deadlines long
+// after the burst has ended.
 
 const (
-	calmUntil = 10 * time.Second
-	usualLoad = 1.0
+	burstStart = 10 * time.Second
+	usualLoad  = 1.0
 )
 
-// burst offers a multiple of the usual load from calmUntil on, for so long.
-func burst(times float64, lasts time.Duration) func(time.Duration, kind, int) float64 {
+// burst returns a load that is the usual one times the factor from burstStart on for the
+// given duration.
+func burst(factor float64, duration time.Duration) func(time.Duration, kind, int) float64 {
 	return func(at time.Duration, _ kind, _ int) float64 {
-		if at >= calmUntil && at < calmUntil+lasts {
-			return times
+		if at >= burstStart && at < burstStart+duration {
+			return factor
 		}
 		return usualLoad
 	}
 }
 
-// fullLoads are the loads that are more than engines bear.
-var fullLoads = []float64{1.5, 2.5, 4}
+// overloads are loads at or above the capacity of the engines, as factors on the usual load.
+var overloads = []float64{1.5, 2.5, 4}
 
-// playLoads plays a scenario at each of fullLoads, side by side.
-func playLoads(of func(times float64) scenario) map[float64]*simulation {
-	var playing sync.WaitGroup
+// simulateOverloads runs a scenario for each of overloads in parallel and returns the results
+// by load.
+func simulateOverloads(scenarioAt func(times float64) scenario) map[float64]*simulation {
+	var group sync.WaitGroup
 	var mutex sync.Mutex
-	played := map[float64]*simulation{}
-	for _, times := range fullLoads {
-		playing.Go(func() {
-			ended := play(of(times))
+	results := map[float64]*simulation{}
+	for _, times := range overloads {
+		group.Go(func() {
+			result := simulate(scenarioAt(times))
 			mutex.Lock()
 			defer mutex.Unlock()
-			played[times] = ended
+			results[times] = result
 		})
 	}
-	playing.Wait()
-	return played
+	group.Wait()
+	return results
 }
 
 var _ = Describe("A fleet in an overload", func() {
-	const age = 100 * time.Millisecond
+	const snapshotAge = 100 * time.Millisecond
 
-	It("does not recover by itself: the simulation has the fault that admission is for", func() {
-		played := play(scenario{length: 38 * time.Second, seed: 5, unbound: true, offered: burst(3, 8*time.Second)})
-		Expect(played.servedOf(2, 4)).To(BeNumerically(">", 0.95))
-		Expect(played.servedOf(20, 28)).To(BeNumerically("<", 0.1))
+	It("does not recover without admission, which shows that the simulation has the fault", func() {
+		result := simulate(scenario{length: 38 * time.Second, seed: 5, noAdmission: true, load: burst(3, 8*time.Second)})
+		Expect(result.servedShare(2, 4)).To(BeNumerically(">", 0.95))
+		Expect(result.servedShare(20, 28)).To(BeNumerically("<", 0.1))
 	})
 
-	DescribeTable("goes on doing what it can, at any load, however old pictures are", func(age time.Duration, least float64) {
+	DescribeTable("keeps up its goodput at any load and age of snapshots", func(snapshotAge time.Duration, least float64) {
 		const from, to = 14, 32
 		goodput := map[float64]float64{}
 		best := 0.0
-		all := playLoads(func(times float64) scenario {
-			return scenario{length: to * time.Second, seed: 1, age: age, offered: burst(times, time.Hour)}
+		all := simulateOverloads(func(times float64) scenario {
+			return scenario{length: to * time.Second, seed: 1, snapshotAge: snapshotAge, load: burst(times, time.Hour)}
 		})
-		for times, played := range all {
-			goodput[times] = played.goodput(from, to)
+		for times, result := range all {
+			goodput[times] = result.goodput(from, to)
 			best = max(best, goodput[times])
 		}
-		alone := play(scenario{length: to * time.Second, seed: 1, unbound: true, offered: burst(1.5, time.Hour)})
+		alone := simulate(scenario{length: to * time.Second, seed: 1, noAdmission: true, load: burst(1.5, time.Hour)})
 		best = max(best, alone.goodput(from, to))
 		for times, reached := range goodput {
-			Expect(reached).To(BeNumerically(">=", least*best), "at %g times the usual load, with %.0f at best", times, best)
+			Expect(reached).To(BeNumerically(">=", least*best), "goodput at %g times the usual load, best goodput %.0f", times, best)
 		}
-	}, Entry("100 ms", 100*time.Millisecond, 0.9), Entry("500 ms: the bound follows later", 500*time.Millisecond, 0.85))
+	}, Entry("100 ms", 100*time.Millisecond, 0.9), Entry("500 ms, with a slower reaction of the bound", 500*time.Millisecond, 0.85))
 
-	It("does what callers ask again within two seconds of a burst, and serves newcomers again within six", func() {
-		all := playLoads(func(times float64) scenario {
-			return scenario{length: 38 * time.Second, seed: 5, age: age, offered: burst(times, 8*time.Second)}
+	It("recovers its goodput within two seconds of a burst, and serves new programs within six", func() {
+		all := simulateOverloads(func(times float64) scenario {
+			return scenario{length: 38 * time.Second, seed: 5, snapshotAge: snapshotAge, load: burst(times, 8*time.Second)}
 		})
-		for times, played := range all {
-			Expect(played.goodput(20, 26)).To(BeNumerically(">=", 0.95*played.goodput(7, 10)), "after %g times", times)
-			Expect(played.servedOf(24, 28)).To(BeNumerically(">", 0.95), "after %g times", times)
+		for times, result := range all {
+			Expect(result.goodput(20, 26)).To(BeNumerically(">=", 0.95*result.goodput(7, 10)), "after %g times", times)
+			Expect(result.servedShare(24, 28)).To(BeNumerically(">", 0.95), "after %g times", times)
 		}
 	})
 
-	It("refuses hardly anything at the usual load", func() {
-		played := play(scenario{length: 30 * time.Second, seed: 5, age: age, offered: burst(usualLoad, 0)})
+	It("refuses few programs at the usual load", func() {
+		result := simulate(scenario{length: 30 * time.Second, seed: 5, snapshotAge: snapshotAge, load: burst(usualLoad, 0)})
 		refused := 0
-		for _, count := range played.refusals {
+		for _, count := range result.refusals {
 			refused += count
 		}
-		Expect(refused).To(BeNumerically("<", 60), "of some 2,900 programs")
-		Expect(played.servedOf(4, 22)).To(BeNumerically(">", 0.97))
+		Expect(refused).To(BeNumerically("<", 60), "refusals among about 2,900 programs")
+		Expect(result.servedShare(4, 22)).To(BeNumerically(">", 0.97))
 	})
 
-	It("recovers also where it has fewer engines", func() {
-		played := play(scenario{length: 38 * time.Second, seed: 5, age: age, fewRooms: 10, offered: burst(3, 8*time.Second)})
-		Expect(played.goodput(20, 26)).To(BeNumerically(">=", 0.9*played.goodput(7, 10)))
+	It("recovers with fewer engines, too", func() {
+		result := simulate(scenario{length: 38 * time.Second, seed: 5, snapshotAge: snapshotAge, missingEngines: 10, load: burst(3, 8*time.Second)})
+		Expect(result.goodput(20, 26)).To(BeNumerically(">=", 0.9*result.goodput(7, 10)))
 	})
 })
 
-var _ = Describe("Tenants and kinds in an overload", func() {
-	const hotTimes = 6
-	hot := func(tenants int) func(time.Duration, kind, int) float64 {
+var _ = Describe("Tenants and priorities in an overload", func() {
+	const highLoadFactor = 6
+	highLoad := func(tenants int) func(time.Duration, kind, int) float64 {
 		return func(_ time.Duration, _ kind, tenant int) float64 {
 			if tenant < tenants {
-				return hotTimes
+				return highLoadFactor
 			}
 			return 1.4
 		}
@@ -122,52 +124,52 @@
 	}
 	together := func(at time.Duration, kind kind, tenant int) float64 {
 		if tenant < 3 {
-			return hotTimes
+			return highLoadFactor
 		}
 		return ofKind("short")(at, kind, tenant)
 	}
-	// playToEnd stops what is asked early enough for all programs to end.
-	playToEnd := func(offered func(time.Duration, kind, int) float64) *simulation {
+	// simulateToEnd stops the arrivals early enough for all programs to end.
+	simulateToEnd := func(load func(time.Duration, kind, int) float64) *simulation {
 		const asked, ended = 20 * time.Second, 28 * time.Second
-		return play(scenario{length: ended, seed: 3, age: 100 * time.Millisecond, offered: func(at time.Duration, kind kind, tenant int) float64 {
+		return simulate(scenario{length: ended, seed: 3, snapshotAge: 100 * time.Millisecond, load: func(at time.Duration, kind kind, tenant int) float64 {
 			if at > asked {
 				return 0
 			}
-			return offered(at, kind, tenant)
+			return load(at, kind, tenant)
 		}})
 	}
-	rate := func(count *second) float64 { return count.served / count.asked }
+	rate := func(count *outcomeCounts) float64 { return count.served / count.asked }
 
-	DescribeTable("who asks most pays, and nobody is starved", func(hotTenants int, offered func(time.Duration, kind, int) float64, mostOfHot, leastOfOthers float64) {
-		played := playToEnd(offered)
-		others, all := second{}, second{}
-		for tenant, count := range played.byTenant {
+	DescribeTable("limits the tenants with the highest load, and serves every tenant", func(highLoadTenants int, load func(time.Duration, kind, int) float64, maxHighLoadRate, minOthersRate float64) {
+		result := simulateToEnd(load)
+		others, all := outcomeCounts{}, outcomeCounts{}
+		for tenant, count := range result.byTenant {
 			all.asked, all.served = all.asked+count.asked, all.served+count.served
-			if tenant >= hotTenants {
+			if tenant >= highLoadTenants {
 				others.asked, others.served = others.asked+count.asked, others.served+count.served
 			}
 		}
-		for tenant, count := range played.byTenant {
+		for tenant, count := range result.byTenant {
 			Expect(rate(count)).To(BeNumerically(">=", rate(&all)/4), "tenant %d", tenant)
-			if tenant < hotTenants {
-				Expect(rate(count)).To(BeNumerically("<", mostOfHot), "tenant %d", tenant)
-				Expect(count.served).To(BeNumerically(">", others.served/float64(simTenants-hotTenants)), "a hot tenant gets its share")
+			if tenant < highLoadTenants {
+				Expect(rate(count)).To(BeNumerically("<", maxHighLoadRate), "tenant %d", tenant)
+				Expect(count.served).To(BeNumerically(">", others.served/float64(simTenants-highLoadTenants)), "a tenant with a high load gets its share")
 			}
 		}
-		GinkgoWriter.Printf("others %.3f of what they asked, hot %.3f\n", rate(&others), rate(played.byTenant[0]))
-		Expect(rate(&others)).To(BeNumerically(">", leastOfOthers))
+		GinkgoWriter.Printf("served fraction: others %.3f, tenant with a high load %.3f\n", rate(&others), rate(result.byTenant[0]))
+		Expect(rate(&others)).To(BeNumerically(">", minOthersRate))
 	},
-		Entry("one tenant at six times", 1, hot(1), 0.6, 0.75),
-		Entry("three tenants at six times", 3, hot(3), 0.6, 0.75),
-		Entry("a burst of the less urgent kind", 0, ofKind("short"), 1.0, 0.68),
-		Entry("a burst of the urgent kind", 0, ofKind("long"), 1.0, 0.48),
-		Entry("three tenants and a burst together", 3, together, 0.6, 0.68),
+		Entry("one tenant at six times the usual load", 1, highLoad(1), 0.6, 0.75),
+		Entry("three tenants at six times the usual load", 3, highLoad(3), 0.6, 0.75),
+		Entry("a burst of the low-priority kind", 0, ofKind("short"), 1.0, 0.68),
+		Entry("a burst of the high-priority kind", 0, ofKind("long"), 1.0, 0.48),
+		Entry("three tenants and a burst of the low-priority kind", 3, together, 0.6, 0.68),
 	)
 
-	It("serves the urgent kind no worse when the other one grows", func() {
-		played := playToEnd(ofKind("short"))
-		long, short := rate(played.byKind["long"]), rate(played.byKind["short"])
-		GinkgoWriter.Printf("long %.3f short %.3f\n", long, short)
-		Expect(long).To(BeNumerically(">=", short), fmt.Sprintf("%.2f of the long ones and %.2f of the short ones were served", long, short))
+	It("serves the high-priority kind at least as well as a growing low-priority kind", func() {
+		result := simulateToEnd(ofKind("short"))
+		long, short := rate(result.byKind["long"]), rate(result.byKind["short"])
+		GinkgoWriter.Printf("served fraction: long %.3f, short %.3f\n", long, short)
+		Expect(long).To(BeNumerically(">=", short), fmt.Sprintf("%.2f of the long programs and %.2f of the short ones were served", long, short))
 	})
 })
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -6,37 +6,38 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// The times of a part.
+// Times that limit the age of the figures behind a part.
 const (
-	// partEnds is how long a picture is believed: an interval of reports and a half.
-	partEnds = 150 * time.Millisecond
-	// claimWindow reaches back to the oldest figure that any picture in use holds.
-	claimWindow = load.OldestPrograms + partEnds
+	// maxSnapshotAge is how long a snapshot is valid. It is one and a half report intervals.
+	maxSnapshotAge = 150 * time.Millisecond
+	// claimWindow is the age of the oldest report that a valid snapshot may contain.
+	claimWindow = load.OldestPrograms + maxSnapshotAge
 )
 
-// evenShare of the free room is divided alike, so that a daemon that was asked little has
-// room for a first program; the rest goes by what each is asked. With twice as many daemons as
-// engines, which keep some ten programs each, a quarter is room for one program. A half would
-// leave more of the bound to daemons that nobody asks.
-const evenShare = 0.25
+// evenFraction is the fraction of the free tokens that is divided equally among the daemons,
+// so that a daemon with little demand can start a first program. The rest is divided in
+// proportion to demand. A quarter is enough for one program with twice as many daemons as
+// engines and about ten programs at each engine.
+const evenFraction = 0.25
 
-// Claim is what a daemon told of itself at a moment, in tokens.
+// Claim is what a daemon reported of itself at a certain time.
 type Claim struct {
 	At    time.Time
-	Held  int64 // or what it may hold where that is more
-	Asked int64 // a second
+	Held  int64 // tokens held, or the tokens that it may hold if that is more
+	Asked int64 // tokens requested per second by new programs
 }
 
-// Picture is the last that a daemon heard of all.
+// Picture is a daemon's latest snapshot of the fleet: the sums of all daemons' reports, in
+// tokens.
 type Picture struct {
-	At      time.Time // when it came; zero: never
-	Daemons int64     // whose figures are in it
-	Held    int64     // of contexts
+	At      time.Time // when it arrived; zero: no snapshot yet
+	Daemons int64     // number of daemons in the sums
+	Held    int64     // sum of the contexts
 	Claimed int64     // sum of the claims
-	Asked   int64
+	Asked   int64     // per second
 }
 
-// age is how long ago the picture came; 0: never.
+// age returns how long ago the snapshot arrived, or 0 if there is none.
 func (p Picture) age(now time.Time) time.Duration {
 	if p.At.IsZero() {
 		return 0
@@ -44,62 +45,65 @@
 	return now.Sub(p.At)
 }
 
-// Share is what a daemon's part is worked out from.
+// Share holds the inputs of Part.
 type Share struct {
-	Bound   float64 // of the fleet, in tokens
-	Members int     // all daemons
+	Bound   float64 // bound of the fleet, in tokens
+	Members int     // number of all daemons
 	Picture Picture
-	Least   Claim // the least that this daemon told in claimWindow
-	// Last is the part that the daemon had when it last heard a picture, or what it held
-	// when it first told of itself.
+	Least   Claim // lowest values that this daemon reported within claimWindow
+	// Last is the daemon's part when its last snapshot arrived, or what it held at its first
+	// report, in tokens.
 	Last float64
-	// FirstTold is when the daemon first told of itself; zero: it has not.
+	// FirstTold is the time of the daemon's first report; zero: none yet.
 	FirstTold time.Time
 	Now       time.Time
 }
 
-// Part is how many tokens of contexts a daemon may hold when it begins a program.
+// Part returns how many tokens of contexts a daemon may hold when it starts a program.
 //
-// A daemon keeps the least that it told of its contexts within claimWindow, and gets a part
-// of what the picture leaves free. All that a picture says was told within claimWindow, so
-// that each picture's sum is at least the sum of what all daemons keep: however the pictures
-// differ, what all keep and what all get of the free room sum to the bound at most. The
-// daemons in a picture divide as much of the bound as they are of all members, so that those
-// who are cut off from each other don't divide it twice. Who hears nothing goes on with an
-// equal part, and claims that in what it tells.
+// A part is the sum of two amounts. The first is the lowest claim that the daemon reported
+// within claimWindow. The second is a fraction of the tokens that are free by its snapshot.
+// All claims in a valid snapshot are from within claimWindow, so their sum is at least the sum
+// of all daemons' first amounts. Therefore all parts sum to at most the bound, even if the
+// daemons' snapshots differ.
+//
+// If a snapshot covers only some of the members, these daemons divide only the corresponding
+// fraction of the bound. During a network partition, no tokens are therefore given out on
+// both sides. A daemon without a valid snapshot uses an equal part, and claims it in its
+// reports.
 func Part(share Share) float64 {
 	members := max(float64(share.Members), float64(share.Picture.Daemons), 1)
-	if share.silent() {
-		return share.alone(share.Bound / members)
+	if share.isIsolated() {
+		return share.isolatedPart(share.Bound / members)
 	}
-	picture := share.Picture
-	whole := share.Bound * float64(picture.Daemons) / members
-	held, kept := float64(picture.Claimed), float64(min(share.Least.Held, picture.Claimed))
-	if held >= whole {
-		return kept * whole / max(held, 1)
+	snapshot := share.Picture
+	available := share.Bound * float64(snapshot.Daemons) / members
+	held, kept := float64(snapshot.Claimed), float64(min(share.Least.Held, snapshot.Claimed))
+	if held >= available {
+		return kept * available / max(held, 1)
 	}
-	asked := 1 / float64(picture.Daemons)
-	if picture.Asked > 0 {
-		asked = min(float64(share.Least.Asked)/float64(picture.Asked), 1)
+	demandFraction := 1 / float64(snapshot.Daemons)
+	if snapshot.Asked > 0 {
+		demandFraction = min(float64(share.Least.Asked)/float64(snapshot.Asked), 1)
 	}
-	return kept + (evenShare/float64(picture.Daemons)+(1-evenShare)*asked)*(whole-held)
+	return kept + (evenFraction/float64(snapshot.Daemons)+(1-evenFraction)*demandFraction)*(available-held)
 }
 
-// silent tells whether no picture is believed any more.
-func (s Share) silent() bool {
-	return s.Picture.At.IsZero() || s.Picture.Daemons <= 0 || s.Now.Sub(s.Picture.At) > partEnds
+// isIsolated reports whether the daemon has no valid snapshot.
+func (s Share) isIsolated() bool {
+	return s.Picture.At.IsZero() || s.Picture.Daemons <= 0 || s.Now.Sub(s.Picture.At) > maxSnapshotAge
 }
 
-// alone is the part of a daemon that hears nothing: the equal one. For as long as others may
-// go by what it told before, it is the last one if that was less. A daemon that has told
-// nothing yet is in nobody's picture, so that the others leave it its equal part.
-func (s Share) alone(equal float64) float64 {
+// isolatedPart returns the part of a daemon without a valid snapshot, given the equal part.
+// While other daemons may still use its earlier claims, it gets at most its last part. A
+// daemon that has not reported yet is in no snapshot, so the others leave it its equal part.
+func (s Share) isolatedPart(equal float64) float64 {
 	if s.FirstTold.IsZero() {
 		return equal
 	}
 	since := s.FirstTold
-	if heard := s.Picture.At.Add(partEnds); heard.After(since) {
-		since = heard
+	if snapshotEnd := s.Picture.At.Add(maxSnapshotAge); snapshotEnd.After(since) {
+		since = snapshotEnd
 	}
 	if s.Now.Sub(since) < claimWindow {
 		return min(equal, s.Last)
@@ -107,25 +111,25 @@
 	return equal
 }
 
-// claims are what a daemon told lately, oldest first.
-type claims struct{ told []Claim }
+// claims holds the recent claims of a daemon, oldest first.
+type claims struct{ history []Claim }
 
-func (c *claims) add(claim Claim) { c.told = append(c.told, claim) }
+func (c *claims) add(claim Claim) { c.history = append(c.history, claim) }
 
-// least gives the least of each figure within claimWindow; nothing before a daemon has told
-// anything for so long, since others know nothing of it then.
-func (c *claims) least(now time.Time) Claim {
-	from := now.Add(-claimWindow)
-	for len(c.told) > 1 && !c.told[1].At.After(from) {
-		c.told = c.told[1:]
+// minimum returns the lowest value of each figure reported within claimWindow. The values are
+// 0 if the first report is more recent, because some snapshots may not include the daemon yet.
+func (c *claims) minimum(now time.Time) Claim {
+	windowStart := now.Add(-claimWindow)
+	for len(c.history) > 1 && !c.history[1].At.After(windowStart) {
+		c.history = c.history[1:]
 	}
-	if len(c.told) == 0 || c.told[0].At.After(from) {
+	if len(c.history) == 0 || c.history[0].At.After(windowStart) {
 		return Claim{At: now}
 	}
-	least := c.told[0]
-	for _, claim := range c.told[1:] {
-		least.Held = min(least.Held, claim.Held)
-		least.Asked = min(least.Asked, claim.Asked)
+	lowest := c.history[0]
+	for _, claim := range c.history[1:] {
+		lowest.Held = min(lowest.Held, claim.Held)
+		lowest.Asked = min(lowest.Asked, claim.Asked)
 	}
-	return least
+	return lowest
 }
--- a/internal/admission/part_test.go
+++ b/internal/admission/part_test.go
@@ -14,17 +14,17 @@
 
 var start = time.Unix(1000, 0)
 
-// toldFleet is what daemons told, each on its own, every 100 ms.
-type toldFleet struct{ claims [][]Claim }
+// reportedClaims holds the claims of each daemon, one per reportInterval.
+type reportedClaims struct{ claims [][]Claim }
 
-const toldEach = 100 * time.Millisecond
+const reportInterval = 100 * time.Millisecond
 
-// drawTold lets daemons tell figures that stand still for a while and then jump; some join
+// drawReports draws claims that stay constant for a while and then jump. Some daemons join
 // late.
-func drawTold(t *rapid.T, daemons, times int) toldFleet {
-	var fleet toldFleet
+func drawReports(t *rapid.T, daemons, times int) reportedClaims {
+	var fleet reportedClaims
 	for range daemons {
-		var told []Claim
+		var reported []Claim
 		claim := Claim{}
 		joins := rapid.SampledFrom([]int{0, 0, 0, times / 2, times - 4, times - 1}).Draw(t, "joins")
 		for number := joins; number < times; number++ {
@@ -32,16 +32,16 @@
 				claim.Held = rapid.Int64Range(0, 60000).Draw(t, "held")
 				claim.Asked = rapid.Int64Range(0, 5000).Draw(t, "asked")
 			}
-			claim.At = start.Add(time.Duration(number) * toldEach)
-			told = append(told, claim)
+			claim.At = start.Add(time.Duration(number) * reportInterval)
+			reported = append(reported, claim)
 		}
-		fleet.claims = append(fleet.claims, told)
+		fleet.claims = append(fleet.claims, reported)
 	}
 	return fleet
 }
 
-// at gives what a daemon had told last by a moment, if it had told anything.
-func (f toldFleet) at(daemon int, moment time.Time) (last Claim, told bool) {
+// at returns a daemon's last claim at the given time, if there is one.
+func (f reportedClaims) at(daemon int, moment time.Time) (last Claim, told bool) {
 	for _, claim := range f.claims[daemon] {
 		if !claim.At.After(moment) {
 			last, told = claim, true
@@ -50,24 +50,24 @@
 	return last, told
 }
 
-// sumOfParts gives each daemon of a side a picture of its own side, each entry of another age
-// up to the oldest that is possible, and adds up what daemons take for their parts.
-func sumOfParts(t *rapid.T, fleet toldFleet, sideOf []int, bound float64, now time.Time) float64 {
+// sumOfParts returns the sum of all daemons' parts. Each daemon gets a snapshot of its own
+// network partition, in which the claims have random ages up to the highest possible one.
+func sumOfParts(t *rapid.T, fleet reportedClaims, partitionOf []int, bound float64, now time.Time) float64 {
 	sum := 0.0
 	for daemon := range fleet.claims {
-		came := now.Add(-time.Duration(rapid.Int64Range(0, int64(partEnds)).Draw(t, "believed")))
-		picture := Picture{At: came}
+		receivedAt := now.Add(-time.Duration(rapid.Int64Range(0, int64(maxSnapshotAge)).Draw(t, "believed")))
+		snapshot := Picture{At: receivedAt}
 		for other := range fleet.claims {
-			if sideOf[other] != sideOf[daemon] {
+			if partitionOf[other] != partitionOf[daemon] {
 				continue
 			}
-			told, joined := fleet.at(other, came.Add(-time.Duration(rapid.Int64Range(0, int64(load.OldestPrograms)).Draw(t, "age"))))
+			reported, joined := fleet.at(other, receivedAt.Add(-time.Duration(rapid.Int64Range(0, int64(load.OldestPrograms)).Draw(t, "age"))))
 			if !joined {
 				continue
 			}
-			picture.Daemons++
-			picture.Claimed += told.Held
-			picture.Asked += told.Asked
+			snapshot.Daemons++
+			snapshot.Claimed += reported.Held
+			snapshot.Asked += reported.Asked
 		}
 		kept := claims{}
 		for _, claim := range fleet.claims[daemon] {
@@ -76,30 +76,30 @@
 			}
 		}
 		sum += Part(Share{
-			Bound: bound, Members: len(fleet.claims), Picture: picture, Least: kept.least(now),
-			FirstTold: kept.told[0].At, Last: float64(kept.told[0].Held), Now: now,
+			Bound: bound, Members: len(fleet.claims), Picture: snapshot, Least: kept.minimum(now),
+			FirstTold: kept.history[0].At, Last: float64(kept.history[0].Held), Now: now,
 		})
 	}
 	return sum
 }
 
-// TestParts holds the sum of the parts to the bound, whatever daemons told, however old each
-// figure of each picture is, and whoever is cut off from whom.
+// TestParts checks that the parts sum to at most the bound, for any claims of any age and for
+// any network partition.
 func TestParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(1, 12).Draw(t, "daemons")
-		fleet := drawTold(t, daemons, 25)
+		fleet := drawReports(t, daemons, 25)
 		sideOf := rapid.SliceOfN(rapid.IntRange(0, 1), daemons, daemons).Draw(t, "sides")
 		bound := rapid.Float64Range(1, 1e6).Draw(t, "bound")
-		now := start.Add(24 * toldEach)
+		now := start.Add(24 * reportInterval)
 		if sum := sumOfParts(t, fleet, sideOf, bound, now); sum > bound*(1+1e-9) {
-			t.Fatalf("parts sum to %.1f of a bound of %.1f", sum, bound)
+			t.Fatalf("parts sum to %.1f, want at most the bound of %.1f", sum, bound)
 		}
 	})
 }
 
 var _ = Describe("Part", func() {
-	DescribeTable("gives out nearly the whole bound of a fleet whose figures stand still", func(daemons int) {
+	DescribeTable("divides nearly the whole bound if the claims are constant", func(daemons int) {
 		picture := Picture{At: start, Daemons: int64(daemons), Claimed: 2000 * int64(daemons), Asked: 100 * int64(daemons)}
 		part := Part(Share{
 			Bound: 40000 * float64(daemons), Members: daemons, Picture: picture, Least: Claim{Held: 2000, Asked: 100}, FirstTold: start, Now: start,
@@ -107,7 +107,7 @@
 		Expect(part).To(BeNumerically("~", 40000, 1))
 	}, Entry("84 daemons", 84), Entry("390 daemons", 390))
 
-	It("goes where callers ask", func() {
+	It("is larger for a daemon with more demand", func() {
 		share := Share{
 			Bound: 1e6, Members: 10, Picture: Picture{At: start, Daemons: 10, Asked: 1000}, FirstTold: start, Now: start, Least: Claim{Asked: 500},
 		}
@@ -115,27 +115,27 @@
 		share.Least.Asked = 10
 		quiet := Part(share)
 		Expect(busy).To(BeNumerically(">", 9*quiet))
-		Expect(quiet).To(BeNumerically(">=", evenShare*1e6/10))
+		Expect(quiet).To(BeNumerically(">=", evenFraction*1e6/10))
 	})
 
-	It("is the equal part of who never told anything, and of who has heard nothing for long", func() {
+	It("is the equal part for a daemon that has not reported, and for one without a snapshot for long", func() {
 		share := Share{Bound: 1000, Members: 10, Now: start}
 		Expect(Part(share)).To(BeEquivalentTo(100))
 		share.FirstTold, share.Picture, share.Last = start, Picture{At: start, Daemons: 10}, 7
-		share.Now = start.Add(partEnds + claimWindow - time.Millisecond)
-		Expect(Part(share)).To(BeEquivalentTo(7), "others may go by what it told before")
-		share.Now = start.Add(partEnds + claimWindow)
+		share.Now = start.Add(maxSnapshotAge + claimWindow - time.Millisecond)
+		Expect(Part(share)).To(BeEquivalentTo(7), "other daemons may still use its earlier claims")
+		share.Now = start.Add(maxSnapshotAge + claimWindow)
 		Expect(Part(share)).To(BeEquivalentTo(100))
 	})
 
-	It("lets the first daemons of a fleet that starts anew begin programs", func() {
+	It("lets the first daemons of a restarted fleet start programs", func() {
 		share := Share{Bound: 84 * 1000, Members: 84, Picture: Picture{At: start, Daemons: 3, Asked: 10}, FirstTold: start, Now: start}
-		Expect(Part(share)).To(BeNumerically("~", evenShare*1000, 1))
+		Expect(Part(share)).To(BeNumerically("~", evenFraction*1000, 1))
 	})
 
-	It("ends with the picture that it was worked out from", func() {
+	It("is no longer valid when the snapshot has expired", func() {
 		share := Share{Bound: 1000, Members: 2, Picture: Picture{At: start, Daemons: 2, Claimed: 100}, Least: Claim{Held: 50}, Last: 3, FirstTold: start}
-		share.Now = start.Add(partEnds)
+		share.Now = start.Add(maxSnapshotAge)
 		Expect(Part(share)).To(BeNumerically(">", 100))
 		share.Now = share.Now.Add(1)
 		Expect(Part(share)).To(BeEquivalentTo(3))
@@ -143,13 +143,13 @@
 })
 
 var _ = Describe("claims", func() {
-	It("are the least of what was told in the window, and nothing before it is whole", func() {
+	It("have the lowest values of the window as minimum, and 0 before a whole window was reported", func() {
 		told := claims{}
 		for number, held := range []int64{9, 3, 5, 7} {
-			told.add(Claim{At: start.Add(time.Duration(number) * toldEach), Held: held, Asked: held})
+			told.add(Claim{At: start.Add(time.Duration(number) * reportInterval), Held: held, Asked: held})
 		}
-		Expect(told.least(start.Add(4 * toldEach)).Held).To(BeZero())
-		Expect(told.least(start.Add(claimWindow)).Held).To(BeEquivalentTo(3))
-		Expect(told.least(start.Add(claimWindow+3*toldEach)).Held).To(BeEquivalentTo(7), fmt.Sprint(told.told))
+		Expect(told.minimum(start.Add(4 * reportInterval)).Held).To(BeZero())
+		Expect(told.minimum(start.Add(claimWindow)).Held).To(BeEquivalentTo(3))
+		Expect(told.minimum(start.Add(claimWindow+3*reportInterval)).Held).To(BeEquivalentTo(7), fmt.Sprint(told.history))
 	})
 })
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -8,242 +8,252 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Bounds of when a program is taken to be over: nobody tells its last turn.
+// Parameters for detecting the end of a program. Callers do not announce the last turn.
 const (
-	// overBelow is the chance to go on below which a resting program is over.
-	overBelow = 0.02
-	// longestRest is how long a program may rest at most: callers' tools answer sooner.
-	longestRest = 2 * time.Second
-	// usualGoesOn and usualPause are taken before a program was seen.
-	usualGoesOn = 0.5
-	usualPause  = 0.3 // seconds
-	// usualWeight is the weight of one more value in a running mean.
-	usualWeight = 0.05
+	// minContinueProbability is the probability of another turn below which an idle program
+	// counts as ended.
+	minContinueProbability = 0.02
+	// maxIdleTime is the idle time after which a program has ended in any case. Callers' tools
+	// answer sooner.
+	maxIdleTime = 2 * time.Second
+	// defaultContinueProbability and defaultPauseSeconds are used before any program of the
+	// route was observed.
+	defaultContinueProbability = 0.5
+	defaultPauseSeconds        = 0.3
+	// meanWeight is the weight of a new value in a running mean.
+	meanWeight = 0.05
 )
 
-// mean is a running mean; its first value counts whole.
-type mean struct {
+// runningMean is an exponentially weighted moving average that starts at the first value.
+type runningMean struct {
 	value float64
 	known bool
 }
 
-func (m *mean) add(value float64) {
+func (m *runningMean) add(value float64) {
 	if !m.known {
 		m.value, m.known = value, true
 		return
 	}
-	m.value += usualWeight * (value - m.value)
+	m.value += meanWeight * (value - m.value)
 }
 
-// or is the mean, or a value for when none is known.
-func (m *mean) or(unknown float64) float64 {
+// valueOr returns the mean, or the fallback if there are no values.
+func (m *runningMean) valueOr(fallback float64) float64 {
 	if !m.known {
-		return unknown
+		return fallback
 	}
 	return m.value
 }
 
-// routeUsual is what programs of a route usually are, as this daemon saw them.
-type routeUsual struct {
-	context mean // tokens at a program's end
-	seconds mean // from its first turn to its last
-	pause   mean // seconds between two of its turns
-	goesOn  mean // share of the turns after which another one came
-	// timeUsed is the part of the time that a program had at its first turn which it took.
-	timeUsed mean
+// routeStats holds statistics of the programs of a route at this daemon.
+type routeStats struct {
+	contextTokens   runningMean // at the program's end
+	durationSeconds runningMean // from its first turn to its last
+	pauseSeconds    runningMean // between two turns
+	continueShare   runningMean // fraction of the turns that were followed by another
+	// timeUsedShare is a program's duration as a fraction of the time that it had left at its
+	// first turn.
+	timeUsedShare runningMean
 }
 
-// alive is the chance that a program goes on that rests for so long: pauses are taken to be
-// spread exponentially, and the longer one lasts, the likelier it is the end.
-func (r *routeUsual) alive(rest time.Duration) float64 {
-	if rest >= longestRest {
+// continueProbability returns the probability that a program continues after it has been idle
+// for the given time. It assumes that the pauses between turns are exponentially distributed.
+func (r *routeStats) continueProbability(idleTime time.Duration) float64 {
+	if idleTime >= maxIdleTime {
 		return 0
 	}
-	goesOn := r.goesOn.or(usualGoesOn)
-	pauses := goesOn * math.Exp(-rest.Seconds()/max(r.pause.or(usualPause), 0.001))
-	return pauses / (pauses + 1 - goesOn + 1e-9)
+	continueShare := r.continueShare.valueOr(defaultContinueProbability)
+	pausing := continueShare * math.Exp(-idleTime.Seconds()/max(r.pauseSeconds.valueOr(defaultPauseSeconds), 0.001))
+	return pausing / (pausing + 1 - continueShare + 1e-9)
 }
 
-// program is one under way at this daemon.
+// program is a running program at this daemon.
 type program struct {
-	name    string
-	route   string
-	counted map[string]struct{} // parts of its prompts
-	context int64               // tokens of them
-	weight  int64               // tokens that it is expected to need, or has
-	active  int                 // requests under way
-	began   time.Time
-	hadTime time.Duration // at its first turn; 0: not told
-	rests   time.Time     // since when, if none is under way
-}
-
-// grow counts the parts of a prompt that are the program's own and were not counted yet.
-func (p *program) grow(request *Request) {
+	name            string
+	route           string
+	countedParts    map[string]struct{} // names of the prompt sections in contextTokens
+	contextTokens   int64               // its own sections of all prompts so far
+	expectedTokens  int64               // expected context, at least contextTokens
+	activeRequests  int                 // number of requests that have not ended
+	startedAt       time.Time
+	initialTimeLeft time.Duration // time to the deadline at the first turn; 0: not known
+	idleSince       time.Time     // valid if there is no active request
+}
+
+// addPrompt adds the program's own sections of a prompt that have not been counted yet.
+func (p *program) addPrompt(request *Request) {
 	for index, part := range request.Prompt {
 		if index < request.Everywhere {
 			continue
 		}
-		if _, counted := p.counted[part.Name]; counted {
+		if _, counted := p.countedParts[part.Name]; counted {
 			continue
 		}
-		p.counted[part.Name] = struct{}{}
-		p.context += int64(part.Tokens)
+		p.countedParts[part.Name] = struct{}{}
+		p.contextTokens += int64(part.Tokens)
 	}
 }
 
-// programs are those of one service that are under way at this daemon.
+// programs holds the running programs of one service at this daemon, and the statistics of
+// their routes.
 type programs struct {
-	underWay map[string]*program
-	inOrder  []*program // the same, in an order that does not differ from run to run
-	routes   map[string]*routeUsual
-	refused  *simplelru.LRU[string, refusedProgram] // when they first came
+	byName   map[string]*program
+	ordered  []*program // in order of their start, for reproducible sums
+	routes   map[string]*routeStats
+	refusals *simplelru.LRU[string, refusal] // first refusal of each program, by name
 }
 
 func newPrograms() programs {
-	refused, err := simplelru.NewLRU[string, refusedProgram](refusedKept, nil)
+	refusals, err := simplelru.NewLRU[string, refusal](maxRefusals, nil)
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // only for a size below 1
 	}
-	return programs{underWay: map[string]*program{}, routes: map[string]*routeUsual{}, refused: refused}
+	return programs{byName: map[string]*program{}, routes: map[string]*routeStats{}, refusals: refusals}
 }
 
-func (p *programs) usual(route string) *routeUsual {
-	known, found := p.routes[route]
+// stats returns the statistics of the route, which it adds if necessary.
+func (p *programs) stats(route string) *routeStats {
+	entry, found := p.routes[route]
 	if !found {
-		known = &routeUsual{}
-		p.routes[route] = known
+		entry = &routeStats{}
+		p.routes[route] = entry
 	}
-	return known
+	return entry
 }
 
-// expected is the context that a program with this first prompt is taken to need: the middle
-// between its first and its last one, since some programs begin while others end.
-func (p *programs) expected(request *Request) int64 {
-	own := &program{counted: map[string]struct{}{}}
-	own.grow(request)
-	last := int64(p.usual(request.Route).context.value)
-	return max(own.context, (own.context+last)/2)
+// expectedTokens returns the expected mean context of a program with this first prompt. It is
+// halfway between the first context and the usual last one, because the programs that run at
+// the same time are at different stages.
+func (p *programs) expectedTokens(request *Request) int64 {
+	candidate := &program{countedParts: map[string]struct{}{}}
+	candidate.addPrompt(request)
+	usualTokens := int64(p.stats(request.Route).contextTokens.value)
+	return max(candidate.contextTokens, (candidate.contextTokens+usualTokens)/2)
 }
 
-// held are the tokens of the contexts under way: a resting program's count by the chance that
-// it goes on. What an ended one leaves behind gives way to others and does not count.
-func (p *programs) held(now time.Time) int64 {
+// heldTokens returns the tokens of the contexts of all running programs. An idle program is
+// weighted with the probability that it continues. Contexts of ended programs do not count,
+// because engines evict them when they need the memory.
+func (p *programs) heldTokens(now time.Time) int64 {
 	sum := 0.0
-	for _, current := range p.inOrder {
-		alive := 1.0
-		if current.active == 0 {
-			alive = p.usual(current.route).alive(now.Sub(current.rests))
+	for _, current := range p.ordered {
+		probability := 1.0
+		if current.activeRequests == 0 {
+			probability = p.stats(current.route).continueProbability(now.Sub(current.idleSince))
 		}
-		sum += alive * float64(current.weight)
+		sum += probability * float64(current.expectedTokens)
 	}
 	return int64(sum)
 }
 
-// Which refused programs are remembered, and for how long: those that come back within the
-// longest wait that callers are asked for, as many as a daemon refuses in that time.
+// Limits for remembering refused programs. The time covers the longest wait that a refused
+// caller is told, and the number the refusals of one daemon during that time.
 const (
-	refusedKept    = 4096
-	refusedKeptFor = 2 * latestBack
+	maxRefusals = 4096
+	refusalTTL  = 2 * maxRetryAfter
 )
 
-// refusedProgram is what a program that was refused had when it first came.
-type refusedProgram struct {
+// refusal records the first attempt of a program that was refused.
+type refusal struct {
 	at       time.Time
 	timeLeft time.Duration
 }
 
-// refusedBefore finds a program that was refused lately.
-func (p *programs) refusedBefore(name string, now time.Time) (refusedProgram, bool) {
-	known, found := p.refused.Get(name)
-	return known, found && now.Sub(known.at) <= refusedKeptFor
+// recentRefusal returns the first refusal of the program, if it is not older than refusalTTL.
+func (p *programs) recentRefusal(name string, now time.Time) (refusal, bool) {
+	known, found := p.refusals.Get(name)
+	return known, found && now.Sub(known.at) <= refusalTTL
 }
 
-// late tells whether a program that was refused before has less time left than such programs
-// take. Programs differ in length; what they need of the time that they are given does not.
-func (p *programs) late(request *Request, now time.Time) bool {
-	before, refused := p.refusedBefore(request.Program, now)
+// isLate reports whether a program that was refused before can no longer meet its deadline. It
+// expects the program to need the usual fraction of the time that it had at first, because
+// that fraction varies less between programs than their durations.
+func (p *programs) isLate(request *Request, now time.Time) bool {
+	first, refused := p.recentRefusal(request.Program, now)
 	if !refused || request.TimeLeft <= 0 {
 		return false
 	}
-	return request.TimeLeft.Seconds() < p.usual(request.Route).timeUsed.or(0)*before.timeLeft.Seconds()
+	return request.TimeLeft.Seconds() < p.stats(request.Route).timeUsedShare.valueOr(0)*first.timeLeft.Seconds()
 }
 
-// refuse remembers how much time the program had when it first came.
-func (p *programs) refuse(request *Request, now time.Time) {
-	if _, again := p.refusedBefore(request.Program, now); !again {
-		p.refused.Add(request.Program, refusedProgram{at: now, timeLeft: request.TimeLeft})
+// recordRefusal stores the time that the program has left, unless it was refused recently.
+func (p *programs) recordRefusal(request *Request, now time.Time) {
+	if _, known := p.recentRefusal(request.Program, now); !known {
+		p.refusals.Add(request.Program, refusal{at: now, timeLeft: request.TimeLeft})
 	}
 }
 
-// begin counts a program in that has begun.
-func (p *programs) begin(request *Request, now time.Time) {
-	begun := &program{
-		name: request.Program, route: request.Route, counted: map[string]struct{}{}, weight: p.expected(request), began: now, hadTime: request.TimeLeft,
+// add adds a program that starts now, without any request.
+func (p *programs) add(request *Request, now time.Time) {
+	added := &program{
+		name: request.Program, route: request.Route, countedParts: map[string]struct{}{}, expectedTokens: p.expectedTokens(request), startedAt: now, initialTimeLeft: request.TimeLeft,
 	}
-	p.underWay[begun.name] = begun
-	p.inOrder = append(p.inOrder, begun)
+	p.byName[added.name] = added
+	p.ordered = append(p.ordered, added)
 }
 
-// enter counts a request of a program that is under way.
-func (p *programs) enter(request *Request, now time.Time) {
-	current := p.underWay[request.Program]
-	if current.active == 0 && !current.rests.IsZero() {
-		usual := p.usual(current.route)
-		usual.pause.add(now.Sub(current.rests).Seconds())
-		usual.goesOn.add(1)
+// startRequest records the start of a request. The program must have been added.
+func (p *programs) startRequest(request *Request, now time.Time) {
+	current := p.byName[request.Program]
+	if current.activeRequests == 0 && !current.idleSince.IsZero() {
+		stats := p.stats(current.route)
+		stats.pauseSeconds.add(now.Sub(current.idleSince).Seconds())
+		stats.continueShare.add(1)
 	}
-	current.active++
-	current.grow(request)
-	current.weight = max(current.weight, current.context)
+	current.activeRequests++
+	current.addPrompt(request)
+	current.expectedTokens = max(current.expectedTokens, current.contextTokens)
 }
 
-// leave counts a request out.
-func (p *programs) leave(name string, now time.Time) {
-	current, found := p.underWay[name]
-	if !found || current.active == 0 {
+// endRequest records the end of a request. It ignores unknown programs.
+func (p *programs) endRequest(name string, now time.Time) {
+	current, found := p.byName[name]
+	if !found || current.activeRequests == 0 {
 		return
 	}
-	current.active--
-	current.rests = now
+	current.activeRequests--
+	current.idleSince = now
 }
 
-// drop takes a program back that did not begin after all.
-func (p *programs) drop(name string) {
-	if current, found := p.underWay[name]; found && current.active == 0 {
-		p.remove(func(each *program) bool { return each == current })
+// removeIdle removes the program unless it has active requests.
+func (p *programs) removeIdle(name string) {
+	if current, found := p.byName[name]; found && current.activeRequests == 0 {
+		p.removeIf(func(each *program) bool { return each == current })
 	}
 }
 
-// remove takes out the programs that match.
-func (p *programs) remove(matches func(*program) bool) {
-	p.inOrder = slices.DeleteFunc(p.inOrder, func(each *program) bool {
+// removeIf removes the programs that match.
+func (p *programs) removeIf(matches func(*program) bool) {
+	p.ordered = slices.DeleteFunc(p.ordered, func(each *program) bool {
 		if !matches(each) {
 			return false
 		}
-		delete(p.underWay, each.name)
+		delete(p.byName, each.name)
 		return true
 	})
 }
 
-// sweep takes out the programs that are over, and learns from them.
-func (p *programs) sweep(now time.Time) {
-	p.remove(func(each *program) bool {
-		usual := p.usual(each.route)
-		if each.active > 0 || usual.alive(now.Sub(each.rests)) >= overBelow {
+// removeEnded removes the programs that have probably ended, and records them in the
+// statistics.
+func (p *programs) removeEnded(now time.Time) {
+	p.removeIf(func(each *program) bool {
+		stats := p.stats(each.route)
+		if each.activeRequests > 0 || stats.continueProbability(now.Sub(each.idleSince)) >= minContinueProbability {
 			return false
 		}
-		usual.learn(each)
+		stats.record(each)
 		return true
 	})
 }
 
-// learn takes in a program that is over.
-func (r *routeUsual) learn(ended *program) {
-	r.goesOn.add(0)
-	r.context.add(float64(ended.context))
-	took := ended.rests.Sub(ended.began)
-	r.seconds.add(took.Seconds())
-	if ended.hadTime > 0 {
-		r.timeUsed.add(took.Seconds() / ended.hadTime.Seconds())
+// record adds an ended program to the statistics.
+func (r *routeStats) record(ended *program) {
+	r.continueShare.add(0)
+	r.contextTokens.add(float64(ended.contextTokens))
+	duration := ended.idleSince.Sub(ended.startedAt)
+	r.durationSeconds.add(duration.Seconds())
+	if ended.initialTimeLeft > 0 {
+		r.timeUsedShare.add(duration.Seconds() / ended.initialTimeLeft.Seconds())
 	}
 }
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -2,78 +2,80 @@
 
 import "time"
 
-// Who goes first where room is short.
+// Parameters for the order in which programs may start while capacity is scarce.
 const (
-	// shortFrom is the part of the bound that is taken from which room is short: below it
-	// nobody is held back. At a half, the more urgent of two kinds of programs is served as
-	// well as before when the other kind comes at 2.6 times its usual rate; at 0.85 it is
-	// served less than the kind that grew (simulation in this package).
-	shortFrom = 0.5
-	// aheadShare is how far over the mean of the tenants one is ahead: what each spends
-	// within spentFor swings by some tenths without any difference in what is asked.
-	aheadShare = 1.25
-	// leastOfShare bounds how far a tenant is held back.
-	leastOfShare = 0.25
-	// starvedShare is the part of the mean below which a tenant goes before all others.
+	// contentionFill is the fill from which priorities and shares count. It has to be low
+	// enough for urgent programs to be served first when the load of others grows.
+	contentionFill = 0.5
+	// maxFairShare is the share above which a tenant is limited. It is above 1 because the
+	// tenants' spending fluctuates even if they ask for the same.
+	maxFairShare = 1.25
+	// minShareFraction is the lowest fraction of the bound that a tenant above its share gets.
+	minShareFraction = 0.25
+	// starvedShare is the share below which a tenant may use the whole bound.
 	starvedShare = 0.25
-	// keptBack of the bound is kept from each further step of priority, for more urgent
-	// requests; mostKeptBack bounds it, so that the least urgent are served as well.
-	keptBack     = 0.1
-	mostKeptBack = 0.2
-	// lateOf is the part of the bound that may be taken when a program begins that can't end
-	// in its time any more.
-	lateOf = 0.5
+	// reservePerPriority is the fraction of the bound that each priority level leaves to the
+	// next higher one. maxPriorityReserve limits the sum, so that the lowest priority is
+	// served, too.
+	reservePerPriority = 0.1
+	maxPriorityReserve = 0.2
+	// lateFraction is the fraction of the bound that a program may use if it can no longer
+	// meet its deadline.
+	lateFraction = 0.5
 )
 
-// Claimant is who asks for a program to begin.
+// Claimant describes a program that is to start.
 type Claimant struct {
 	Priority int // 0 is the highest
-	// Share is what the tenant spent lately against the mean of the tenants; 0: it spent
-	// nothing; 1 where there are no tenants.
+	// Share is the tenant's recent spending relative to the mean of all tenants. It is 0 if
+	// the tenant has spent nothing, and 1 without tenants.
 	Share float64
-	// Late tells that the program can't end in its time any more.
+	// Late is set if the program can no longer meet its deadline.
 	Late bool
 }
 
-// Reach is the part of the bound up to which the claimant may begin a program, and what
-// holds it back; fill is how much of the bound is taken. What tenants spent are virtual
-// counters: who is ahead of the mean gets as much less of the bound, until the others have
-// caught up.
+// Reach returns the fraction of the bound up to which the claimant may start a program, and
+// the cause to give if it is refused. fill is the fraction of the bound in use. A tenant that
+// has spent more than its fair share gets a fraction that shrinks in proportion, until the
+// other tenants have caught up.
 func Reach(claimant Claimant, fill float64) (float64, Cause) {
 	if claimant.Late {
-		return lateOf, CauseLate
+		return lateFraction, CauseLate
 	}
-	if fill < shortFrom || claimant.Share < starvedShare {
+	if fill < contentionFill || claimant.Share < starvedShare {
 		return 1, CauseFull
 	}
-	reach, cause := 1.0, CauseFull
+	fraction, cause := 1.0, CauseFull
 	if claimant.Priority > 0 {
-		reach, cause = 1-min(keptBack*float64(claimant.Priority), mostKeptBack), CauseUrgent
+		fraction, cause = 1-min(reservePerPriority*float64(claimant.Priority), maxPriorityReserve), CauseUrgent
 	}
-	if claimant.Share > aheadShare {
-		reach, cause = reach*max(aheadShare/claimant.Share, leastOfShare), CauseShare
+	if claimant.Share > maxFairShare {
+		fraction, cause = fraction*max(maxFairShare/claimant.Share, minShareFraction), CauseShare
 	}
-	return reach, cause
+	return fraction, cause
 }
 
-// When refused callers come back.
+// Limits of the wait that refused callers are told.
 const (
-	soonestBack = 100 * time.Millisecond
-	latestBack  = 4 * time.Second
-	// usualProgram is taken for the time of a program before one has ended.
-	usualProgram = time.Second
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
+	// defaultProgramDuration is the assumed duration of a program before any has ended.
+	defaultProgramDuration = time.Second
 )
 
-// ComeBack spreads refused callers over the time in which there will be room for them: what
-// is asked within the time of a program needs as many such times as it has bounds.
-func ComeBack(asked, bound float64, usual time.Duration, random float64) time.Duration {
-	if usual <= 0 {
-		usual = usualProgram
+// ComeBack returns a random wait before a refused caller should try again. The waits spread
+// the callers over the time that it takes to serve the demand. demandPerSecond is in tokens
+// per second, bound is the number of available tokens, and random is from 0 to 1. If the demand
+// during the mean duration of a program is n times the bound, serving it takes n such
+// durations.
+func ComeBack(demandPerSecond, bound float64, meanDuration time.Duration, random float64) time.Duration {
+	if meanDuration <= 0 {
+		meanDuration = defaultProgramDuration
 	}
-	needed := usual
+	serveTime := meanDuration
 	if bound > 0 {
-		needed = time.Duration(asked * usual.Seconds() / bound * float64(usual))
+		serveTime = time.Duration(demandPerSecond * meanDuration.Seconds() / bound * float64(meanDuration))
 	}
-	span := min(max(needed, 2*soonestBack), latestBack)
-	return soonestBack + time.Duration(random*float64(span-soonestBack))
+	maxWait := min(max(serveTime, 2*minRetryAfter), maxRetryAfter)
+	return minRetryAfter + time.Duration(random*float64(maxWait-minRetryAfter))
 }
--- a/internal/admission/simulated_engine_test.go
+++ b/internal/admission/simulated_engine_test.go
@@ -6,69 +6,69 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// simEngine keeps contexts until others push them out, reads one prompt after another, and
-// makes tokens for simSlots at once.
+// simEngine keeps contexts until others evict them. It processes one prompt after another and
+// decodes for up to simSlots turns at once.
 type simEngine struct {
-	contexts *simplelru.LRU[string, int]
-	used     int
-	readFree time.Duration
-	running  int
-	waiting  []*simProgram
+	contexts      *simplelru.LRU[string, int]
+	used          int
+	prefillFreeAt time.Duration
+	running       int
+	waiting       []*simProgram
 }
 
-func (s *simulation) queue(p *simProgram) {
+func (s *simulation) enqueue(p *simProgram) {
 	p.queuedAt = s.now
-	if len(p.engine.waiting) >= simQueue {
-		s.in(simTick, func() { s.queue(p) }) // turned away; it asks again
+	if len(p.engine.waiting) >= simQueueLength {
+		s.after(simReportInterval, func() { s.enqueue(p) }) // the queue is full; try again later
 		return
 	}
 	p.engine.waiting = append(p.engine.waiting, p)
 	s.run(p.engine)
 }
 
-// run begins turns while there are slots.
+// run starts waiting turns while there are free slots.
 func (s *simulation) run(engine *simEngine) {
 	for engine.running < simSlots && len(engine.waiting) > 0 {
 		p := engine.waiting[0]
 		engine.waiting = engine.waiting[1:]
-		if s.now-p.queuedAt > simPatient {
+		if s.now-p.queuedAt > simMaxWait {
 			s.leave(p, 0)
 			continue
 		}
-		missing := engine.keep(p)
+		prefillTokens := engine.load(p)
 		engine.running++
-		engine.readFree = max(engine.readFree, s.now) + time.Duration(float64(missing)/simReading*float64(time.Second))
-		first := engine.readFree + simFirst - s.now
-		waited := s.now - p.queuedAt
-		s.in(first, func() {
-			if !p.first {
-				s.daemons[p.daemon].Answered(simService, waited+first)
+		engine.prefillFreeAt = max(engine.prefillFreeAt, s.now) + time.Duration(float64(prefillTokens)/simPrefillTokensPerSecond*float64(time.Second))
+		firstByte := engine.prefillFreeAt + simFirstTokenTime - s.now
+		queueTime := s.now - p.queuedAt
+		s.after(firstByte, func() {
+			if !p.firstTurn {
+				s.daemons[p.daemon].Answered(simService, queueTime+firstByte)
 			}
 		})
-		s.in(first+simMaking, func() { s.turnEnds(p, missing) })
+		s.after(firstByte+simDecodeTime, func() { s.endTurn(p, prefillTokens) })
 	}
 }
 
-// keep puts the program's context into the memory, and tells how much of it had to be read.
-func (e *simEngine) keep(p *simProgram) int {
-	missing := p.kind.brings
-	had, kept := e.contexts.Get(p.name)
-	if !kept {
-		missing += p.context
+// load puts the program's context into memory and returns how many tokens were not there yet.
+func (e *simEngine) load(p *simProgram) int {
+	prefillTokens := p.kind.promptTokens
+	had, found := e.contexts.Get(p.name)
+	if !found {
+		prefillTokens += p.context
 	}
-	p.context += p.kind.brings + p.kind.makes
+	p.context += p.kind.promptTokens + p.kind.outputTokens
 	e.used += p.context - had
 	e.contexts.Add(p.name, p.context)
 	for e.used > simMemory {
-		_, gone, _ := e.contexts.RemoveOldest()
-		e.used -= gone
+		_, evicted, _ := e.contexts.RemoveOldest()
+		e.used -= evicted
 	}
-	return missing
+	return prefillTokens
 }
 
 type simEvent struct {
-	at   time.Duration
-	then func()
+	at  time.Duration
+	run func()
 }
 type simEvents []simEvent
 
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -13,32 +13,32 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// kind is a kind of programs: turns, each of which brings and makes tokens.
+// kind is a kind of program. Every turn adds promptTokens and outputTokens to the context.
 type kind struct {
-	name            string
-	perSecond       float64
-	turns           int
-	brings, makes   int
-	pause           time.Duration
-	priority        int
-	aimOverIdleTime float64
+	name                       string
+	perSecond                  float64
+	turns                      int
+	promptTokens, outputTokens int
+	pause                      time.Duration
+	priority                   int
+	deadlineFactor             float64
 }
 
-// Engines and programs as a deployment has them whose engines keep some ten long programs.
+// Parameters of a deployment whose engines each keep about ten long programs in memory.
 const (
-	simEngines = 44
-	simMemory  = 40000 // tokens for programs' own contexts
-	simSlots   = 8
-	simQueue   = 24
-	simReading = 64800 // tokens a second
-	simMaking  = 240 * time.Millisecond
-	simFirst   = 30 * time.Millisecond
-	simPatient = 4 * time.Second // a turn that waits longer ends its program
-	simDaemons = 84
-	simTenants = 84
-	simClients = 104
-	simTick    = 100 * time.Millisecond
-	simService = "models"
+	simEngines                = 44
+	simMemory                 = 40000 // tokens for programs' own contexts
+	simSlots                  = 8
+	simQueueLength            = 24
+	simPrefillTokensPerSecond = 64800
+	simDecodeTime             = 240 * time.Millisecond
+	simFirstTokenTime         = 30 * time.Millisecond
+	simMaxWait                = 4 * time.Second // a turn that waits longer ends its program
+	simDaemons                = 84
+	simTenants                = 84
+	simClients                = 104
+	simReportInterval         = 100 * time.Millisecond
+	simService                = "models"
 )
 
 var simKinds = []kind{
@@ -46,36 +46,38 @@
 	{"long", 33, 16, 220, 50, 120 * time.Millisecond, 0, 1.5},
 }
 
-func (k kind) idleTime() time.Duration {
-	turn := simFirst + simMaking + time.Duration(float64(k.brings)/simReading*float64(time.Second))
+func (k kind) minDuration() time.Duration {
+	turn := simFirstTokenTime + simDecodeTime + time.Duration(float64(k.promptTokens)/simPrefillTokensPerSecond*float64(time.Second))
 	return time.Duration(k.turns)*turn + time.Duration(k.turns-1)*k.pause
 }
 
-// scenario says what is offered, times the usual load.
+// scenario is the configuration of a simulation. load returns a factor on the usual load.
 type scenario struct {
-	length   time.Duration
-	offered  func(at time.Duration, kind kind, tenant int) float64
-	age      time.Duration // of pictures
-	unbound  bool          // without admission
-	seed     uint64
-	fewRooms int // engines with so many fewer
+	length         time.Duration
+	load           func(at time.Duration, kind kind, tenant int) float64
+	snapshotAge    time.Duration // age of the snapshots that daemons get
+	noAdmission    bool          // start all programs
+	seed           uint64
+	missingEngines int // number by which there are fewer than simEngines
 }
 
-// simProgram is one of a caller's.
+// simProgram is a simulated program.
 type simProgram struct {
-	kind           kind
-	name           string
-	tenant, daemon int
-	came, queuedAt time.Duration
-	turn, context  int
-	engine         *simEngine
-	refused        int
-	request        *Request
-	first          bool
+	kind                kind
+	name                string
+	tenant, daemon      int
+	arrivedAt, queuedAt time.Duration
+	turn, context       int
+	engine              *simEngine
+	refusals            int
+	request             *Request
+	firstTurn           bool
 }
 
-// second is what came of the programs that came, and of those that ended in time, in a second.
-type second struct{ asked, served, ended float64 }
+// outcomeCounts counts turns. asked and served are those of programs by their arrival, and
+// ended those of programs by their end. Only programs that met their deadline count as served
+// or ended.
+type outcomeCounts struct{ asked, served, ended float64 }
 
 type simulation struct {
 	scenario
@@ -85,22 +87,22 @@
 	daemons  []*Controller
 	clients  []int
 	engines  []*simEngine
-	pictures []load.Programs
-	seconds  []second
-	byTenant map[int]*second
-	byKind   map[string]*second
+	reports  []load.Programs
+	seconds  []outcomeCounts
+	byTenant map[int]*outcomeCounts
+	byKind   map[string]*outcomeCounts
 	refusals map[Cause]int
 }
 
-func (s *simulation) in(wait time.Duration, then func()) {
+func (s *simulation) after(wait time.Duration, then func()) {
 	heap.Push(&s.events, simEvent{s.now + wait, then})
 }
 
-// play runs a scenario to its end.
-func play(what scenario) *simulation {
+// simulate runs a scenario to its end and returns the final state.
+func simulate(config scenario) *simulation {
 	s := &simulation{
-		scenario: what, random: rand.New(rand.NewPCG(what.seed, 1)), seconds: make([]second, int(what.length/time.Second)+1),
-		byTenant: map[int]*second{}, byKind: map[string]*second{}, refusals: map[Cause]int{},
+		scenario: config, random: rand.New(rand.NewPCG(config.seed, 1)), seconds: make([]outcomeCounts, int(config.length/time.Second)+1),
+		byTenant: map[int]*outcomeCounts{}, byKind: map[string]*outcomeCounts{}, refusals: map[Cause]int{},
 	}
 	clock := func() time.Time { return time.Unix(1000, 0).Add(s.now) }
 	for range simDaemons {
@@ -111,133 +113,135 @@
 	for range simClients {
 		s.clients = append(s.clients, s.random.IntN(simDaemons))
 	}
-	for range simEngines - what.fewRooms {
+	for range simEngines - config.missingEngines {
 		engine := &simEngine{}
 		engine.contexts, _ = simplelru.NewLRU[string, int](1<<20, nil)
 		s.engines = append(s.engines, engine)
 	}
 	for _, each := range simKinds {
-		s.in(0, func() { s.arrive(each) })
+		s.after(0, func() { s.arrive(each) })
 	}
-	s.in(0, s.exchange)
-	for len(s.events) > 0 && s.now < what.length {
+	s.after(0, s.exchange)
+	for len(s.events) > 0 && s.now < config.length {
 		next := heap.Pop(&s.events).(simEvent)
 		s.now = next.at
-		next.then()
+		next.run()
 	}
 	return s
 }
 
-// arrive draws one program after the other; thinning makes the offered load.
-func (s *simulation) arrive(of kind) {
-	const most = 6
-	s.in(time.Duration(s.random.ExpFloat64()/(of.perSecond*most)*float64(time.Second)), func() { s.arrive(of) })
+// arrive starts a program and schedules the next arrival. Arrivals come at the highest
+// possible rate and are discarded at random to match the load.
+func (s *simulation) arrive(arriving kind) {
+	const maxFactor = 6
+	s.after(time.Duration(s.random.ExpFloat64()/(arriving.perSecond*maxFactor)*float64(time.Second)), func() { s.arrive(arriving) })
 	tenant := s.random.IntN(simTenants)
-	if s.random.Float64()*most >= s.offered(s.now, of, tenant) {
+	if s.random.Float64()*maxFactor >= s.load(s.now, arriving, tenant) {
 		return
 	}
-	program := &simProgram{kind: of, name: fmt.Sprint(s.random.Uint64()), tenant: tenant, daemon: s.clients[s.random.IntN(simClients)], came: s.now}
-	for _, count := range s.counted(program) {
-		count.asked += float64(of.turns)
+	program := &simProgram{kind: arriving, name: fmt.Sprint(s.random.Uint64()), tenant: tenant, daemon: s.clients[s.random.IntN(simClients)], arrivedAt: s.now}
+	for _, count := range s.counters(program) {
+		count.asked += float64(arriving.turns)
 	}
 	s.begin(program)
 }
 
-func (s *simulation) counted(p *simProgram) []*second {
+func (s *simulation) counters(p *simProgram) []*outcomeCounts {
 	if s.byTenant[p.tenant] == nil {
-		s.byTenant[p.tenant] = &second{}
+		s.byTenant[p.tenant] = &outcomeCounts{}
 	}
 	if s.byKind[p.kind.name] == nil {
-		s.byKind[p.kind.name] = &second{}
+		s.byKind[p.kind.name] = &outcomeCounts{}
 	}
-	return []*second{&s.seconds[int(p.came/time.Second)], s.byTenant[p.tenant], s.byKind[p.kind.name]}
+	return []*outcomeCounts{&s.seconds[int(p.arrivedAt/time.Second)], s.byTenant[p.tenant], s.byKind[p.kind.name]}
 }
 
-func (p *simProgram) aim() time.Duration {
-	return time.Duration(p.kind.aimOverIdleTime * float64(p.kind.idleTime()))
+func (p *simProgram) deadline() time.Duration {
+	return time.Duration(p.kind.deadlineFactor * float64(p.kind.minDuration()))
 }
 
-// begin asks for admission; who is refused comes back twice, as long as that can help.
+// begin asks for admission. A refused program tries twice more if its deadline allows it.
 func (s *simulation) begin(p *simProgram) {
 	p.request = s.request(p)
-	if !s.unbound {
+	if !s.noAdmission {
 		var refused *RefusedError
 		if errors.As(s.daemons[p.daemon].Begin(p.request), &refused) {
 			s.refusals[refused.Cause]++
-			left := p.came + p.aim() - s.now
-			if p.refused++; p.refused <= 2 && left > 0 {
-				s.in(min(refused.After, left/3), func() { s.begin(p) })
+			timeLeft := p.arrivedAt + p.deadline() - s.now
+			if p.refusals++; p.refusals <= 2 && timeLeft > 0 {
+				s.after(min(refused.After, timeLeft/3), func() { s.begin(p) })
 			}
 			return
 		}
 	}
-	p.first = true
+	p.firstTurn = true
 	p.engine = s.engines[s.random.IntN(len(s.engines))]
 	for range 3 {
 		if other := s.engines[s.random.IntN(len(s.engines))]; other.running+len(other.waiting) < p.engine.running+len(p.engine.waiting) {
 			p.engine = other
 		}
 	}
-	s.queue(p)
+	s.enqueue(p)
 }
 
 func (s *simulation) request(p *simProgram) *Request {
 	request := &Request{
 		Service: simService, Route: p.kind.name, Tenant: fmt.Sprint(p.tenant), Program: p.name, Priority: p.kind.priority,
-		TimeLeft: p.came + p.aim() - s.now, Room: Room{Engines: len(s.engines), MemoryTokens: simMemory}, Random: s.random.Float64(),
+		TimeLeft: p.arrivedAt + p.deadline() - s.now, Room: Room{Engines: len(s.engines), MemoryTokens: simMemory}, Random: s.random.Float64(),
 	}
 	for turn := range p.turn + 1 {
-		request.Prompt = append(request.Prompt, PromptPart{Name: fmt.Sprint(turn), Tokens: p.kind.brings + p.kind.makes})
+		request.Prompt = append(request.Prompt, PromptPart{Name: fmt.Sprint(turn), Tokens: p.kind.promptTokens + p.kind.outputTokens})
 	}
 	return request
 }
 
 func (s *simulation) leave(p *simProgram, spent int) {
-	if !s.unbound {
+	if !s.noAdmission {
 		s.daemons[p.daemon].Leave(p.request, int64(spent))
 	}
 }
 
-func (s *simulation) turnEnds(p *simProgram, missing int) {
+func (s *simulation) endTurn(p *simProgram, prefillTokens int) {
 	p.engine.running--
 	s.run(p.engine)
-	s.leave(p, missing+10*p.kind.makes)
+	s.leave(p, prefillTokens+10*p.kind.outputTokens)
 	p.turn++
-	p.first = false
+	p.firstTurn = false
 	if p.turn < p.kind.turns {
-		s.in(time.Duration(s.random.ExpFloat64()*float64(p.kind.pause)), func() {
+		s.after(time.Duration(s.random.ExpFloat64()*float64(p.kind.pause)), func() {
 			p.request = s.request(p)
 			s.daemons[p.daemon].Continue(p.request)
-			s.queue(p)
+			s.enqueue(p)
 		})
 		return
 	}
-	if s.now-p.came <= p.aim() {
-		for _, count := range s.counted(p) {
+	if s.now-p.arrivedAt <= p.deadline() {
+		for _, count := range s.counters(p) {
 			count.served += float64(p.kind.turns)
 		}
 		s.seconds[int(s.now/time.Second)].ended += float64(p.kind.turns)
 	}
 }
 
-// exchange lets all tell, and learn a sum that is as old as the scenario says.
+// exchange collects the reports of all daemons and passes them a sum of the scenario's age.
 func (s *simulation) exchange() {
-	s.in(simTick, s.exchange)
+	s.after(simReportInterval, s.exchange)
 	sum := load.Programs{Services: map[load.Key]load.ServicePrograms{}, Spent: map[load.Key]int64{}}
 	for _, daemon := range s.daemons {
 		sum.Include(daemon.Programs())
 	}
-	s.pictures = append(s.pictures, sum)
-	late := int(s.age / simTick)
-	if len(s.pictures) <= late {
+	s.reports = append(s.reports, sum)
+	delay := int(s.snapshotAge / simReportInterval)
+	if len(s.reports) <= delay {
 		return
 	}
 	for _, daemon := range s.daemons {
-		daemon.LearnPrograms(s.pictures[len(s.pictures)-1-late], load.Programs{})
+		daemon.LearnPrograms(s.reports[len(s.reports)-1-delay], load.Programs{})
 	}
 }
 
-// goodput is what ended in time a second, in turns, over a span.
+// goodput returns the turns per second of programs that ended within their deadline, from one
+// second to another.
 func (s *simulation) goodput(from, to int) float64 {
 	sum := 0.0
 	for _, each := range s.seconds[from:to] {
@@ -246,8 +250,9 @@
 	return sum / float64(to-from)
 }
 
-// servedOf is the part of what came in a span that ended in time.
-func (s *simulation) servedOf(from, to int) float64 {
+// servedShare returns the fraction of the turns that arrived in a period whose programs met
+// their deadline.
+func (s *simulation) servedShare(from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for _, each := range s.seconds[from:to] {
 		asked, served = asked+each.asked, served+each.served
