--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,9 +1,8 @@
-// Package tenant says which customer a request belongs to: the owners of keys, and
-// what is agreed with each customer.
+// Package tenant identifies the tenant, that is the customer, to which a request belongs. It
+// holds the tenants' keys, priorities and quotas.
 //
-// Guarantee: a Directory never changes; it is replaced whole with the configuration
-// that it is a part of, so that a request sees the keys, priorities and quotas of
-// one revision.
+// Guarantee: a Directory never changes. A new configuration comes with a new Directory, so that
+// a request sees the keys, priorities and quotas of a single configuration revision.
 package tenant
 
 import (
@@ -15,47 +14,48 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Tenant is a customer as its requests meet it.
+// Tenant is the configuration of one customer.
 type Tenant struct {
 	Name identity.Tenant
 	Keys []Digest
-	// Priority goes before that of a route; 0 is the highest. Nil: the route's holds.
+	// Priority overrides the priority of the route if it is not nil. 0 is the highest.
 	Priority *int
 	Quota    Quota
 }
 
-// Quota is what a tenant may ask of the whole fleet.
+// Quota limits the requests of a tenant at all daemons together.
 type Quota struct {
-	PerSecond float64 // requests a second; 0: no limit
-	Burst     int     // requests on top of that in any window
+	PerSecond float64 // requests per second; 0: no limit
+	Burst     int     // additional requests in any window
 }
 
-// Limited tells whether there is a limit at all.
+// Limited reports whether the quota has a limit.
 func (q Quota) Limited() bool { return q.PerSecond > 0 }
 
-// Directory finds tenants by key. The zero value and nil hold none.
+// Directory finds tenants by key. It is safe for concurrent use. The zero value and a nil
+// pointer are empty directories.
 type Directory struct {
 	keys   Keys
 	byName map[identity.Tenant]*Tenant
 }
 
-// NewDirectory makes a directory. The tenants belong to it from then on.
+// NewDirectory returns a directory of the tenants. It takes ownership of the slice.
 func NewDirectory(tenants []Tenant) *Directory {
-	made := &Directory{keys: Keys{}, byName: make(map[identity.Tenant]*Tenant, len(tenants))}
+	directory := &Directory{keys: Keys{}, byName: make(map[identity.Tenant]*Tenant, len(tenants))}
 	for index := range tenants {
-		each := &tenants[index]
-		made.byName[each.Name] = each
-		for _, digest := range each.Keys {
-			made.keys[digest] = each.Name
+		tenant := &tenants[index]
+		directory.byName[tenant.Name] = tenant
+		for _, digest := range tenant.Keys {
+			directory.keys[digest] = tenant.Name
 		}
 	}
-	return made
+	return directory
 }
 
-// Demanded tells whether requests need a key at all.
+// Demanded reports whether requests need a key, which is the case if there are any tenants.
 func (d *Directory) Demanded() bool { return d != nil && len(d.byName) > 0 }
 
-// All gives the tenants by name; it is not to be changed.
+// All returns the tenants by name. The caller must not change the map or the tenants.
 func (d *Directory) All() map[identity.Tenant]*Tenant {
 	if d == nil {
 		return nil
@@ -63,7 +63,7 @@
 	return d.byName
 }
 
-// Find returns the tenant that holds a key.
+// Find returns the tenant that owns the key with the digest. The caller must not change it.
 func (d *Directory) Find(digest Digest) (*Tenant, bool) {
 	if d == nil {
 		return nil, false
@@ -75,10 +75,10 @@
 	return d.byName[owner], true
 }
 
-// Scope makes the name of something that a tenant's callers chose (a turn, a
-// program) the tenant's own, so that the same name of another tenant is another
-// thing. The prefix is a digest of the tenant's name, of one length and without
-// separators. Without a tenant, or a name, the name stays as it is.
+// Scope prefixes a name that a tenant's callers chose, such as that of a turn or a program, so
+// that equal names of different tenants do not collide. The prefix is a digest of the tenant's
+// name, which has a fixed length and no separators. If the tenant or the name is empty, Scope
+// returns the name unchanged.
 func Scope(owner identity.Tenant, name string) string {
 	if owner == "" || name == "" {
 		return name
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -21,18 +21,18 @@
 		{Name: "two", Keys: []tenant.Digest{tenant.DigestOf("k3")}},
 	})
 
-	DescribeTable("finds who holds a key", func(key, expected string) {
+	DescribeTable("finds the tenant that owns a key", func(key, expected string) {
 		found, known := directory.Find(tenant.DigestOf(key))
 		Expect(known).To(Equal(expected != ""))
 		if known {
 			Expect(string(found.Name)).To(Equal(expected))
 		}
 	},
-		Entry("the first key", "k1", "one"), Entry("the second", "k2", "one"), Entry("of another", "k3", "two"),
-		Entry("unknown", "k4", ""), Entry("empty", "", ""), Entry("other case", "K1", ""),
+		Entry("the first key of a tenant", "k1", "one"), Entry("the second key of a tenant", "k2", "one"), Entry("a key of another tenant", "k3", "two"),
+		Entry("unknown", "k4", ""), Entry("empty", "", ""), Entry("a key in different case", "K1", ""),
 	)
 
-	It("demands keys once there are tenants", func() {
+	It("requires keys if there are tenants", func() {
 		Expect(directory.Demanded()).To(BeTrue())
 		var none *tenant.Directory
 		Expect(none.Demanded()).To(BeFalse())
@@ -43,12 +43,12 @@
 })
 
 var _ = Describe("Digest", func() {
-	It("is read back from hexadecimal", func() {
+	It("can be parsed from its hexadecimal form", func() {
 		digest := tenant.DigestOf("k1")
 		Expect(tenant.ParseDigest(digest.String())).To(Equal(digest))
 	})
 
-	DescribeTable("refuses other texts without repeating them", func(text string) {
+	DescribeTable("rejects other texts without repeating them in the error", func(text string) {
 		_, err := tenant.ParseDigest(text)
 		Expect(err).To(HaveOccurred())
 		if text != "" {
@@ -60,7 +60,7 @@
 })
 
 var _ = Describe("Scope", func() {
-	It("keeps the names of two tenants apart, and leaves names without a tenant alone", func() {
+	It("distinguishes equal names of two tenants, and does not change names without a tenant", func() {
 		Expect(tenant.Scope("one", "p")).NotTo(Equal(tenant.Scope("two", "p")))
 		Expect(tenant.Scope("one", "p")).To(HaveSuffix(".p"))
 		Expect(tenant.Scope("", "p")).To(Equal("p"))
