--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,5 +1,6 @@
-// Package identity names machines, zones and programs. The types are plain
-// strings on the wire, so that every protocol carries them unchanged.
+// Package identity defines the identifiers of machines, zones, processes, tenants, shards and
+// programs. Names are plain strings and numbers plain integers, so that every protocol can carry
+// them unchanged.
 package identity
 
 import (
@@ -13,47 +14,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Machine names one machine; it stays the same when its process restarts.
+// Machine is the name of a machine. It stays the same when the daemon on it restarts.
 type Machine string
 
-// Zone names a failure domain; machines of one zone may fail or be cut off together.
+// Zone is the name of a failure domain. The machines of a zone may fail or lose their network
+// connection together.
 type Zone string
 
-// Region names a group of zones that are close to each other.
+// Region is the name of a group of zones with a short network distance.
 type Region string
 
-// Incarnation tells apart the processes that ran on one machine, one after the
-// other. A later process has the larger number (start time in nanoseconds).
+// Incarnation distinguishes the successive processes on one machine. It is the start time in
+// nanoseconds, so a later process has a larger number.
 type Incarnation uint64
 
-// Process is one run of a daemon on a machine. Processes keep nothing when
-// they end, so a restarted machine is a new Process and never acts as its
-// former self. The type is comparable and may be a map key.
+// Process is one run of a daemon on a machine. A process loses its state when it ends, so a
+// restarted daemon is a new Process and never resumes the role of the previous one. The type is
+// comparable and may be a map key.
 type Process struct {
 	Machine     Machine
 	Incarnation Incarnation
-	Address     string // peer address, "ip:port"
+	Address     string // address for other daemons, "ip:port"
 	Zone        Zone
 	Region      Region
 }
 
-// String gives "machine/incarnation", the form used in logs and errors.
+// String returns "machine/incarnation", the form used in logs and errors.
 func (p Process) String() string {
 	return string(p.Machine) + "/" + strconv.FormatUint(uint64(p.Incarnation), 10)
 }
 
-// Tenant names a customer. Every program belongs to exactly one tenant.
+// Tenant is the name of a customer. Every program belongs to exactly one tenant.
 type Tenant string
 
-// Shard numbers a log of programs in the store; programs hash to shards. Shard
-// 0 never holds programs.
+// Shard is the number of a program log in the store. Every program is assigned to a shard.
+// Shard 0 never holds programs.
 type Shard uint32
 
-// Program is the identifier of a program, issued by thymeloft, never by the
-// caller: "p<shard in hex>-<26 random characters>". It cannot be guessed.
+// Program is the identifier of a program. It is issued by thymeloft, never by the caller, and
+// cannot be guessed. The format is "p<shard in hex>-<26 random characters>".
 type Program string
 
-// ErrMalformedProgram is returned for text that thymeloft never issued.
+// ErrMalformedProgram is returned for a text that does not have the format of Program.
 var ErrMalformedProgram = errors.New("malformed program identifier")
 
 const (
@@ -63,14 +65,15 @@
 
 var programEncoding = base32.NewEncoding("abcdefghijklmnopqrstuvwxyz234567").WithPadding(base32.NoPadding)
 
-// NewProgram issues an identifier on the shard.
+// NewProgram returns a new random identifier on the shard.
 func NewProgram(shard Shard) Program {
 	var random [programRandomBytes]byte
 	_, _ = rand.Read(random[:]) // crypto/rand.Read never fails since Go 1.24.
 	return Program(fmt.Sprintf("p%04x-%s", uint32(shard), programEncoding.EncodeToString(random[:])))
 }
 
-// Shard reads the shard out of the identifier, or returns ErrMalformedProgram.
+// Shard returns the shard in the identifier. The error is ErrMalformedProgram if the identifier
+// is malformed or names shard 0.
 func (p Program) Shard() (Shard, error) {
 	head, random, found := strings.Cut(string(p), "-")
 	if !found || len(head) < 2 || head[0] != 'p' || len(random) != programRandomLength {
@@ -83,9 +86,9 @@
 	return Shard(number), nil
 }
 
-// ShardOfCreation gives the shard of a new root program: a repeated creation
-// with the same key of the same tenant hashes to the same shard and there
-// finds the first. shardCount counts program shards (numbered from 1).
+// ShardOfCreation returns the shard for a new root program. It hashes the tenant and the
+// creation key, so a repeated creation with the same key goes to the same shard and finds
+// the first. shardCount is the number of program shards, which are numbered from 1.
 func ShardOfCreation(tenant Tenant, key string, shardCount uint32) Shard {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(tenant))
