--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -71,8 +71,8 @@
 			goodput[times] = result.goodput(from, to)
 			best = max(best, goodput[times])
 		}
-		alone := simulate(scenario{length: to * time.Second, seed: 1, noAdmission: true, load: burst(1.5, time.Hour)})
-		best = max(best, alone.goodput(from, to))
+		withoutAdmission := simulate(scenario{length: to * time.Second, seed: 1, noAdmission: true, load: burst(1.5, time.Hour)})
+		best = max(best, withoutAdmission.goodput(from, to))
 		for times, reached := range goodput {
 			Expect(reached).To(BeNumerically(">=", least*best), "goodput at %g times the usual load, best goodput %.0f", times, best)
 		}
