--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -196,9 +196,9 @@
 		Expect(refusal(turn("a", 100))).To(BeNil())
 		controller.Programs()
 		now = now.Add(maxSnapshotAge + time.Millisecond)
-		told := controller.Programs().Services[load.KeyOf("llm")]
-		Expect(told.Claimed).To(BeNumerically(">=", bound))
-		Expect(told.Held).To(BeEquivalentTo(100))
+		report := controller.Programs().Services[load.KeyOf("llm")]
+		Expect(report.Claimed).To(BeNumerically(">=", bound))
+		Expect(report.Held).To(BeEquivalentTo(100))
 	})
 
 	It("does not use the equal part before it could claim it with known engines", func() {
@@ -216,10 +216,10 @@
 		spent.Tenant = "greedy"
 		Expect(refusal(spent)).To(BeNil())
 		controller.Leave(spent, 900)
-		told := controller.Programs()
-		Expect(told.Spent).To(HaveKeyWithValue(load.KeyOf("greedy"), BeNumerically(">=", 899)))
-		told.Include(load.Programs{Spent: map[load.Key]int64{load.KeyOf("other"): 100}})
-		controller.LearnPrograms(told, load.Programs{})
+		report := controller.Programs()
+		Expect(report.Spent).To(HaveKeyWithValue(load.KeyOf("greedy"), BeNumerically(">=", 899)))
+		report.Include(load.Programs{Spent: map[load.Key]int64{load.KeyOf("other"): 100}})
+		controller.LearnPrograms(report, load.Programs{})
 		Expect(controller.fleetSpending.shareOf("greedy")).To(BeNumerically("~", 1.8, 0.01))
 		Expect(controller.fleetSpending.shareOf("")).To(BeEquivalentTo(1))
 		now = now.Add(20 * spendingHalfLife)
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -78,15 +78,15 @@
 	}
 	snapshot := share.Picture
 	available := share.Bound * float64(snapshot.Daemons) / members
-	held, kept := float64(snapshot.Claimed), float64(min(share.Least.Held, snapshot.Claimed))
+	held, minClaim := float64(snapshot.Claimed), float64(min(share.Least.Held, snapshot.Claimed))
 	if held >= available {
-		return kept * available / max(held, 1)
+		return minClaim * available / max(held, 1)
 	}
 	demandFraction := 1 / float64(snapshot.Daemons)
 	if snapshot.Asked > 0 {
 		demandFraction = min(float64(share.Least.Asked)/float64(snapshot.Asked), 1)
 	}
-	return kept + (evenFraction/float64(snapshot.Daemons)+(1-evenFraction)*demandFraction)*(available-held)
+	return minClaim + (evenFraction/float64(snapshot.Daemons)+(1-evenFraction)*demandFraction)*(available-held)
 }
 
 // isIsolated reports whether the daemon has no valid snapshot.
--- a/internal/admission/part_test.go
+++ b/internal/admission/part_test.go
@@ -41,13 +41,13 @@
 }
 
 // at returns a daemon's last claim at the given time, if there is one.
-func (f reportedClaims) at(daemon int, moment time.Time) (last Claim, told bool) {
+func (f reportedClaims) at(daemon int, moment time.Time) (last Claim, found bool) {
 	for _, claim := range f.claims[daemon] {
 		if !claim.At.After(moment) {
-			last, told = claim, true
+			last, found = claim, true
 		}
 	}
-	return last, told
+	return last, found
 }
 
 // sumOfParts returns the sum of all daemons' parts. Each daemon gets a snapshot of its own
@@ -69,15 +69,15 @@
 			snapshot.Claimed += reported.Held
 			snapshot.Asked += reported.Asked
 		}
-		kept := claims{}
+		history := claims{}
 		for _, claim := range fleet.claims[daemon] {
 			if !claim.At.After(now) {
-				kept.add(claim)
+				history.add(claim)
 			}
 		}
 		sum += Part(Share{
-			Bound: bound, Members: len(fleet.claims), Picture: snapshot, Least: kept.minimum(now),
-			FirstTold: kept.history[0].At, Last: float64(kept.history[0].Held), Now: now,
+			Bound: bound, Members: len(fleet.claims), Picture: snapshot, Least: history.minimum(now),
+			FirstTold: history.history[0].At, Last: float64(history.history[0].Held), Now: now,
 		})
 	}
 	return sum
@@ -100,9 +100,9 @@
 
 var _ = Describe("Part", func() {
 	DescribeTable("divides nearly the whole bound if the claims are constant", func(daemons int) {
-		picture := Picture{At: start, Daemons: int64(daemons), Claimed: 2000 * int64(daemons), Asked: 100 * int64(daemons)}
+		snapshot := Picture{At: start, Daemons: int64(daemons), Claimed: 2000 * int64(daemons), Asked: 100 * int64(daemons)}
 		part := Part(Share{
-			Bound: 40000 * float64(daemons), Members: daemons, Picture: picture, Least: Claim{Held: 2000, Asked: 100}, FirstTold: start, Now: start,
+			Bound: 40000 * float64(daemons), Members: daemons, Picture: snapshot, Least: Claim{Held: 2000, Asked: 100}, FirstTold: start, Now: start,
 		})
 		Expect(part).To(BeNumerically("~", 40000, 1))
 	}, Entry("84 daemons", 84), Entry("390 daemons", 390))
@@ -144,12 +144,12 @@
 
 var _ = Describe("claims", func() {
 	It("have the lowest values of the window as minimum, and 0 before a whole window was reported", func() {
-		told := claims{}
+		reported := claims{}
 		for number, held := range []int64{9, 3, 5, 7} {
-			told.add(Claim{At: start.Add(time.Duration(number) * reportInterval), Held: held, Asked: held})
+			reported.add(Claim{At: start.Add(time.Duration(number) * reportInterval), Held: held, Asked: held})
 		}
-		Expect(told.minimum(start.Add(4 * reportInterval)).Held).To(BeZero())
-		Expect(told.minimum(start.Add(claimWindow)).Held).To(BeEquivalentTo(3))
-		Expect(told.minimum(start.Add(claimWindow+3*reportInterval)).Held).To(BeEquivalentTo(7), fmt.Sprint(told.history))
+		Expect(reported.minimum(start.Add(4 * reportInterval)).Held).To(BeZero())
+		Expect(reported.minimum(start.Add(claimWindow)).Held).To(BeEquivalentTo(3))
+		Expect(reported.minimum(start.Add(claimWindow+3*reportInterval)).Held).To(BeEquivalentTo(7), fmt.Sprint(reported.history))
 	})
 })
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -26,13 +26,13 @@
 
 // runningMean is an exponentially weighted moving average that starts at the first value.
 type runningMean struct {
-	value float64
-	known bool
+	value    float64
+	hasValue bool
 }
 
 func (m *runningMean) add(value float64) {
-	if !m.known {
-		m.value, m.known = value, true
+	if !m.hasValue {
+		m.value, m.hasValue = value, true
 		return
 	}
 	m.value += meanWeight * (value - m.value)
@@ -40,7 +40,7 @@
 
 // valueOr returns the mean, or the fallback if there are no values.
 func (m *runningMean) valueOr(fallback float64) float64 {
-	if !m.known {
+	if !m.hasValue {
 		return fallback
 	}
 	return m.value
@@ -219,17 +219,17 @@
 // removeIdle removes the program unless it has active requests.
 func (p *programs) removeIdle(name string) {
 	if current, found := p.byName[name]; found && current.activeRequests == 0 {
-		p.removeIf(func(each *program) bool { return each == current })
+		p.removeIf(func(candidate *program) bool { return candidate == current })
 	}
 }
 
 // removeIf removes the programs that match.
 func (p *programs) removeIf(matches func(*program) bool) {
-	p.ordered = slices.DeleteFunc(p.ordered, func(each *program) bool {
-		if !matches(each) {
+	p.ordered = slices.DeleteFunc(p.ordered, func(candidate *program) bool {
+		if !matches(candidate) {
 			return false
 		}
-		delete(p.byName, each.name)
+		delete(p.byName, candidate.name)
 		return true
 	})
 }
@@ -237,12 +237,12 @@
 // removeEnded removes the programs that have probably ended, and records them in the
 // statistics.
 func (p *programs) removeEnded(now time.Time) {
-	p.removeIf(func(each *program) bool {
-		stats := p.stats(each.route)
-		if each.activeRequests > 0 || stats.continueProbability(now.Sub(each.idleSince)) >= minContinueProbability {
+	p.removeIf(func(candidate *program) bool {
+		stats := p.stats(candidate.route)
+		if candidate.activeRequests > 0 || stats.continueProbability(now.Sub(candidate.idleSince)) >= minContinueProbability {
 			return false
 		}
-		stats.record(each)
+		stats.record(candidate)
 		return true
 	})
 }
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -118,8 +118,8 @@
 		engine.contexts, _ = simplelru.NewLRU[string, int](1<<20, nil)
 		s.engines = append(s.engines, engine)
 	}
-	for _, each := range simKinds {
-		s.after(0, func() { s.arrive(each) })
+	for _, simulated := range simKinds {
+		s.after(0, func() { s.arrive(simulated) })
 	}
 	s.after(0, s.exchange)
 	for len(s.events) > 0 && s.now < config.length {
@@ -244,8 +244,8 @@
 // second to another.
 func (s *simulation) goodput(from, to int) float64 {
 	sum := 0.0
-	for _, each := range s.seconds[from:to] {
-		sum += each.ended
+	for _, counts := range s.seconds[from:to] {
+		sum += counts.ended
 	}
 	return sum / float64(to-from)
 }
@@ -254,8 +254,8 @@
 // their deadline.
 func (s *simulation) servedShare(from, to int) float64 {
 	asked, served := 0.0, 0.0
-	for _, each := range s.seconds[from:to] {
-		asked, served = asked+each.asked, served+each.served
+	for _, counts := range s.seconds[from:to] {
+		asked, served = asked+counts.asked, served+counts.served
 	}
 	return served / asked
 }
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -110,8 +110,8 @@
 func (p *faultSimulation) learnQuota(daemon int) {
 	p.knownQuota[daemon] = len(p.declared) - 1
 	used := make([]bool, len(p.declared))
-	for _, known := range p.knownQuota {
-		used[known] = true
+	for _, index := range p.knownQuota {
+		used[index] = true
 	}
 	for number := range p.declared[:len(p.declared)-1] {
 		if !used[number] && p.declared[number].until.IsZero() {
@@ -129,8 +129,8 @@
 		if p.random.IntN(3) == 0 {
 			p.learnQuota(daemon)
 		}
-		known := p.knownQuota[daemon]
-		req := quota.Request{Tenant: "t", Quota: p.declared[known].Quota, Revision: uint64(known), UnderWay: p.random.IntN(5) > 0}
+		index := p.knownQuota[daemon]
+		req := quota.Request{Tenant: "t", Quota: p.declared[index].Quota, Revision: uint64(index), UnderWay: p.random.IntN(5) > 0}
 		if taken, err := p.daemons[daemon].limiter.Take(context.Background(), req); err == nil {
 			p.permits = append(p.permits, &issuedPermit{at: p.now(), daemon: p.daemons[daemon].process.Machine, taken: taken})
 		}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -85,7 +85,7 @@
 func (c callers) Swap(a, b int)      { c[a], c[b] = c[b], c[a] }
 
 // Push implements heap.Interface.
-func (c *callers) Push(each any) { *c = append(*c, each.(caller)) }
+func (c *callers) Push(item any) { *c = append(*c, item.(caller)) }
 
 // Pop implements heap.Interface.
 func (c *callers) Pop() any {
