--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -53,8 +53,8 @@
 	// the highest.
 	Priority int
 	Prompt   []PromptPart
-	// Everywhere is the number of leading prompt sections that every engine keeps. They do
-	// not count as the program's own context.
+	// Everywhere is the number of leading prompt sections that every engine keeps in memory.
+	// They do not count as the program's own context.
 	Everywhere int
 	// TimeLeft is the time until the program's deadline; 0: not known.
 	TimeLeft time.Duration
@@ -85,7 +85,7 @@
 type Figures struct {
 	Asked      int64         // expected context of the program
 	Held       int64         // contexts of the programs at this daemon
-	Part       int64         // this daemon's part of the bound, with the limits for this request applied
+	Part       int64         // this daemon's part of the bound, reduced to the fraction that this request may use
 	FleetHeld  int64         // contexts of all programs in the fleet, by the last snapshot
 	Bound      int64         // bound of the fleet
 	Daemons    int64         // number of daemons in the snapshot
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -41,21 +41,21 @@
 type service struct {
 	name           string
 	programs       programs
-	room           Room // as of the last request
+	room           Room // capacity of the engines, as of the last request
 	bound          Bound
 	baseline       idleBaseline
 	firstByteRatio float64 // mean time to first byte relative to baseline, by the last snapshot
 	claims         claims
 	meanHeld       runningMean // tokens held; reported as the claim because it fluctuates less than the current value
 	snapshot       Picture
-	part           float64 // part of the whole bound when the snapshot arrived
+	part           float64 // this daemon's part of the bound when the snapshot arrived, in tokens
 	// firstReported is the time of the first report, steppedAt that of the last step of the
 	// bound, and loggedAt that of the last log line.
 	firstReported, steppedAt, loggedAt time.Time
 
 	demand           decayingSum // context tokens requested by new programs
-	turns            decayingSum // turns other than first ones
-	firstByteSeconds decayingSum // times to first byte of these turns
+	turns            decayingSum // number of turns other than first ones
+	firstByteSeconds decayingSum // sum of the times to first byte of these turns
 }
 
 // service returns the service with the name, which it adds if necessary.
@@ -105,7 +105,8 @@
 	return nil
 }
 
-// Continue counts a later turn of a program that started at this or another daemon.
+// Continue counts a later turn of a program that started at this or another daemon. The caller
+// must call Leave when the turn has ended.
 func (c *Controller) Continue(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -22,7 +22,7 @@
 		return bound
 	}
 
-	It("is derived from the engines' memory without the shared tokens before any observation", func() {
+	It("starts from the engines' memory minus the shared tokens", func() {
 		Expect(Bound{}.Tokens(memory)).To(BeNumerically("~", maxMemoryFraction*10*1000, 1))
 	})
 
@@ -45,7 +45,7 @@
 		Expect(slow.Tokens(fewer)).To(BeNumerically("~", slow.Tokens(memory)/2, 1))
 	})
 
-	It("is infinite until first bytes are slow if the memory size is not declared", func() {
+	It("has no limit without a declared memory size, until first bytes are slow", func() {
 		unknown := Room{Engines: 10}
 		Expect(math.IsInf(observe(Bound{}, unknown, 5000, 1, 60).Tokens(unknown), 1)).To(BeTrue())
 		slow := observe(observe(Bound{}, unknown, 3000, 1, 60), unknown, 9000, 3, 2)
@@ -56,24 +56,24 @@
 
 var _ = Describe("idle", func() {
 	It("compares the mean with the lowest one so far if there are enough turns", func() {
-		var learnt idleBaseline
-		Expect(learnt.ratio(5, 50, time.Second)).To(BeZero())
-		Expect(learnt.ratio(100, 10, time.Second)).To(BeNumerically("~", 1, 0.01))
-		Expect(learnt.ratio(100, 25, time.Second)).To(BeNumerically("~", 2.5, 0.01))
-		Expect(learnt.ratio(100, 5, time.Second)).To(BeNumerically("~", 1, 0.01))
+		var baseline idleBaseline
+		Expect(baseline.ratio(5, 50, time.Second)).To(BeZero())
+		Expect(baseline.ratio(100, 10, time.Second)).To(BeNumerically("~", 1, 0.01))
+		Expect(baseline.ratio(100, 25, time.Second)).To(BeNumerically("~", 2.5, 0.01))
+		Expect(baseline.ratio(100, 5, time.Second)).To(BeNumerically("~", 1, 0.01))
 	})
 })
 
 var _ = Describe("Reach", func() {
 	DescribeTable("limits claimants by deadline, priority and share", func(claimant Claimant, fill, expected float64, cause Cause) {
-		reach, why := Reach(claimant, fill)
-		Expect(reach).To(BeNumerically("~", expected, 1e-9))
-		Expect(why).To(Equal(cause))
+		fraction, gotCause := Reach(claimant, fill)
+		Expect(fraction).To(BeNumerically("~", expected, 1e-9))
+		Expect(gotCause).To(Equal(cause))
 	},
 		Entry("any claimant below contentionFill", Claimant{Priority: 2, Share: 5}, 0.4, 1.0, CauseFull),
 		Entry("the highest priority", Claimant{Share: 1}, 0.9, 1.0, CauseFull),
 		Entry("a lower priority", Claimant{Priority: 1, Share: 1}, 0.9, 0.9, CauseUrgent),
-		Entry("a very low priority gets the reserve limit", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CauseUrgent),
+		Entry("a very low priority is limited by maxPriorityReserve at most", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CauseUrgent),
 		Entry("a tenant far above its share", Claimant{Share: 2.5}, 0.9, 0.5, CauseShare),
 		Entry("a tenant that spent nearly everything", Claimant{Share: 80}, 0.9, minShareFraction, CauseShare),
 		Entry("a tenant that spent hardly anything, at any priority", Claimant{Priority: 9, Share: 0.2}, 0.99, 1.0, CauseFull),
@@ -114,7 +114,7 @@
 		return refused
 	}
 	held := func() int64 { return controller.Programs().Services[load.KeyOf("llm")].Held }
-	// bound is the bound for the single engine of the requests from turn, in tokens.
+	// bound is the expected Figures.Bound, in tokens. All requests have one engine.
 	const bound = int64(1000 * maxMemoryFraction)
 
 	It("starts programs while their own contexts fit, and refuses others with the figures", func() {
@@ -138,7 +138,7 @@
 		Expect(held()).To(BeEquivalentTo(1200 + 300 + 900))
 	})
 
-	It("weights an idle program with its probability to continue, and removes it in the end", func() {
+	It("weights an idle program by the probability that it continues, and removes it when it has ended", func() {
 		Expect(refusal(turn("a", 1000))).To(BeNil())
 		controller.Leave(turn("a", 1000), 10)
 		Expect(held()).To(BeNumerically("~", 1000*defaultContinueProbability, 1))
--- a/internal/admission/exchange.go
+++ b/internal/admission/exchange.go
@@ -43,7 +43,7 @@
 	return report
 }
 
-// report returns the service's figures and stores the claim in them. A daemon without a
+// report returns the service's figures and records the claim in s.claims. A daemon without a
 // current snapshot claims at least the equal part of the bound that it uses meanwhile.
 func (s *service) report(now time.Time, members int) load.ServicePrograms {
 	s.programs.removeEnded(now)
@@ -128,7 +128,7 @@
 		return
 	}
 	service.loggedAt = now
-	c.options.Log.Info("admission: context memory is filling up.", zap.String("service", service.name), zap.Int64("fleetHeld", service.snapshot.Held),
+	c.options.Log.Info("admission: at least half of the context bound is in use.", zap.String("service", service.name), zap.Int64("fleetHeld", service.snapshot.Held),
 		zap.Int64("bound", capTokens(bound)), zap.Float64("fill", fill), zap.Float64("firstByteRatio", service.firstByteRatio),
 		zap.Int64("held", service.programs.heldTokens(now)), zap.Int64("part", capTokens(service.part)), zap.Int("programs", len(service.programs.byName)),
 		zap.Int64("daemons", service.snapshot.Daemons), zap.Int("engines", service.room.Engines))
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// overloads are loads at or above the capacity of the engines, as factors on the usual load.
+// overloads are loads at or above the capacity of the engines, as multiples of the usual load.
 var overloads = []float64{1.5, 2.5, 4}
 
 // simulateOverloads runs a scenario for each of overloads in parallel and returns the results
@@ -60,7 +60,7 @@
 		Expect(result.servedShare(20, 28)).To(BeNumerically("<", 0.1))
 	})
 
-	DescribeTable("keeps up its goodput at any load and age of snapshots", func(snapshotAge time.Duration, least float64) {
+	DescribeTable("maintains its goodput at any load, even with old snapshots", func(snapshotAge time.Duration, least float64) {
 		const from, to = 14, 32
 		goodput := map[float64]float64{}
 		best := 0.0
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -14,10 +14,10 @@
 	claimWindow = load.OldestPrograms + maxSnapshotAge
 )
 
-// evenFraction is the fraction of the free tokens that is divided equally among the daemons,
-// so that a daemon with little demand can start a first program. The rest is divided in
-// proportion to demand. A quarter is enough for one program with twice as many daemons as
-// engines and about ten programs at each engine.
+// evenFraction is the fraction of the free tokens that is divided equally among the daemons.
+// The rest is divided in proportion to their demand. With a quarter, a daemon without demand
+// can still start one program if there are at most twice as many daemons as engines, and an
+// engine holds about ten programs.
 const evenFraction = 0.25
 
 // Claim is what a daemon reported of itself at a certain time.
@@ -34,7 +34,7 @@
 	Daemons int64     // number of daemons in the sums
 	Held    int64     // sum of the contexts
 	Claimed int64     // sum of the claims
-	Asked   int64     // per second
+	Asked   int64     // sum of the tokens per second that new programs request
 }
 
 // age returns how long ago the snapshot arrived, or 0 if there is none.
@@ -50,7 +50,7 @@
 	Bound   float64 // bound of the fleet, in tokens
 	Members int     // number of all daemons
 	Picture Picture
-	Least   Claim // lowest values that this daemon reported within claimWindow
+	Least   Claim // lowest values of this daemon's claims, as returned by claims.minimum
 	// Last is the daemon's part when its last snapshot arrived, or what it held at its first
 	// report, in tokens.
 	Last float64
@@ -61,11 +61,11 @@
 
 // Part returns how many tokens of contexts a daemon may hold when it starts a program.
 //
-// A part is the sum of two amounts. The first is the lowest claim that the daemon reported
-// within claimWindow. The second is a fraction of the tokens that are free by its snapshot.
-// All claims in a valid snapshot are from within claimWindow, so their sum is at least the sum
-// of all daemons' first amounts. Therefore all parts sum to at most the bound, even if the
-// daemons' snapshots differ.
+// A part is the sum of two amounts. The first is the lowest claim of the daemon that was current
+// at any time within claimWindow. The second is a fraction of the tokens that are free
+// according to its snapshot. All claims in a valid snapshot were current within claimWindow, so
+// their sum is at least the sum of all daemons' first amounts. Therefore all parts sum to at
+// most the bound, even if the daemons' snapshots differ.
 //
 // If a snapshot covers only some of the members, these daemons divide only the corresponding
 // fraction of the bound. During a network partition, no tokens are therefore given out on
@@ -116,8 +116,9 @@
 
 func (c *claims) add(claim Claim) { c.history = append(c.history, claim) }
 
-// minimum returns the lowest value of each figure reported within claimWindow. The values are
-// 0 if the first report is more recent, because some snapshots may not include the daemon yet.
+// minimum returns the lowest value of each figure among the claims within claimWindow, including
+// the claim that was current at its start. It returns zeros if the daemon has reported for less
+// than claimWindow, because some snapshots may not include the daemon yet.
 func (c *claims) minimum(now time.Time) Claim {
 	windowStart := now.Add(-claimWindow)
 	for len(c.history) > 1 && !c.history[1].At.After(windowStart) {
--- a/internal/admission/part_test.go
+++ b/internal/admission/part_test.go
@@ -69,15 +69,15 @@
 			snapshot.Claimed += reported.Held
 			snapshot.Asked += reported.Asked
 		}
-		history := claims{}
+		recorded := claims{}
 		for _, claim := range fleet.claims[daemon] {
 			if !claim.At.After(now) {
-				history.add(claim)
+				recorded.add(claim)
 			}
 		}
 		sum += Part(Share{
-			Bound: bound, Members: len(fleet.claims), Picture: snapshot, Least: history.minimum(now),
-			FirstTold: history.history[0].At, Last: float64(history.history[0].Held), Now: now,
+			Bound: bound, Members: len(fleet.claims), Picture: snapshot, Least: recorded.minimum(now),
+			FirstTold: recorded.history[0].At, Last: float64(recorded.history[0].Held), Now: now,
 		})
 	}
 	return sum
@@ -89,10 +89,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		daemons := rapid.IntRange(1, 12).Draw(t, "daemons")
 		fleet := drawReports(t, daemons, 25)
-		sideOf := rapid.SliceOfN(rapid.IntRange(0, 1), daemons, daemons).Draw(t, "sides")
+		partitionOf := rapid.SliceOfN(rapid.IntRange(0, 1), daemons, daemons).Draw(t, "sides")
 		bound := rapid.Float64Range(1, 1e6).Draw(t, "bound")
 		now := start.Add(24 * reportInterval)
-		if sum := sumOfParts(t, fleet, sideOf, bound, now); sum > bound*(1+1e-9) {
+		if sum := sumOfParts(t, fleet, partitionOf, bound, now); sum > bound*(1+1e-9) {
 			t.Fatalf("parts sum to %.1f, want at most the bound of %.1f", sum, bound)
 		}
 	})
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -13,8 +13,8 @@
 	// minContinueProbability is the probability of another turn below which an idle program
 	// counts as ended.
 	minContinueProbability = 0.02
-	// maxIdleTime is the idle time after which a program has ended in any case. Callers' tools
-	// answer sooner.
+	// maxIdleTime is the idle time after which a program has ended in any case. The tools
+	// that callers run between two turns answer sooner.
 	maxIdleTime = 2 * time.Second
 	// defaultContinueProbability and defaultPauseSeconds are used before any program of the
 	// route was observed.
@@ -48,10 +48,10 @@
 
 // routeStats holds statistics of the programs of a route at this daemon.
 type routeStats struct {
-	contextTokens   runningMean // at the program's end
-	durationSeconds runningMean // from its first turn to its last
-	pauseSeconds    runningMean // between two turns
-	continueShare   runningMean // fraction of the turns that were followed by another
+	contextTokens   runningMean // context of a program when it ends
+	durationSeconds runningMean // of a program, from the start of its first turn to the end of its last
+	pauseSeconds    runningMean // time between two turns of a program
+	continueShare   runningMean // fraction of the turns that were followed by another turn
 	// timeUsedShare is a program's duration as a fraction of the time that it had left at its
 	// first turn.
 	timeUsedShare runningMean
@@ -73,12 +73,12 @@
 	name            string
 	route           string
 	countedParts    map[string]struct{} // names of the prompt sections in contextTokens
-	contextTokens   int64               // its own sections of all prompts so far
+	contextTokens   int64               // tokens of the program's own sections in all prompts so far
 	expectedTokens  int64               // expected context, at least contextTokens
 	activeRequests  int                 // number of requests that have not ended
 	startedAt       time.Time
 	initialTimeLeft time.Duration // time to the deadline at the first turn; 0: not known
-	idleSince       time.Time     // valid if there is no active request
+	idleSince       time.Time     // end of the last request; valid only without an active request
 }
 
 // addPrompt adds the program's own sections of a prompt that have not been counted yet.
@@ -122,9 +122,10 @@
 	return entry
 }
 
-// expectedTokens returns the expected mean context of a program with this first prompt. It is
-// halfway between the first context and the usual last one, because the programs that run at
-// the same time are at different stages.
+// expectedTokens returns the expected mean context of a program with this first prompt, in
+// tokens. It is halfway between the first context and the mean last context of the route's
+// programs, but not less than the first context. Halfway is enough because the programs that run
+// at the same time are at different stages.
 func (p *programs) expectedTokens(request *Request) int64 {
 	candidate := &program{countedParts: map[string]struct{}{}}
 	candidate.addPrompt(request)
@@ -147,8 +148,8 @@
 	return int64(sum)
 }
 
-// Limits for remembering refused programs. The time covers the longest wait that a refused
-// caller is told, and the number the refusals of one daemon during that time.
+// Limits for remembering refused programs. refusalTTL is longer than any wait that a refused
+// caller is told. maxRefusals covers the programs that one daemon refuses during that time.
 const (
 	maxRefusals = 4096
 	refusalTTL  = 2 * maxRetryAfter
@@ -167,8 +168,8 @@
 }
 
 // isLate reports whether a program that was refused before can no longer meet its deadline. It
-// expects the program to need the usual fraction of the time that it had at first, because
-// that fraction varies less between programs than their durations.
+// assumes that the program needs the mean timeUsedShare of its route, applied to the time left
+// at its first attempt. That fraction varies less between programs than their durations.
 func (p *programs) isLate(request *Request, now time.Time) bool {
 	first, refused := p.recentRefusal(request.Program, now)
 	if !refused || request.TimeLeft <= 0 {
@@ -177,14 +178,16 @@
 	return request.TimeLeft.Seconds() < p.stats(request.Route).timeUsedShare.valueOr(0)*first.timeLeft.Seconds()
 }
 
-// recordRefusal stores the time that the program has left, unless it was refused recently.
+// recordRefusal records the first refusal of the program with its remaining time. It keeps an
+// earlier refusal that is still recent.
 func (p *programs) recordRefusal(request *Request, now time.Time) {
 	if _, known := p.recentRefusal(request.Program, now); !known {
 		p.refusals.Add(request.Program, refusal{at: now, timeLeft: request.TimeLeft})
 	}
 }
 
-// add adds a program that starts now, without any request.
+// add adds the program of the request, with no active request. The caller must call
+// startRequest for it.
 func (p *programs) add(request *Request, now time.Time) {
 	added := &program{
 		name: request.Program, route: request.Route, countedParts: map[string]struct{}{}, expectedTokens: p.expectedTokens(request), startedAt: now, initialTimeLeft: request.TimeLeft,
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -10,7 +10,8 @@
 	// maxFairShare is the share above which a tenant is limited. It is above 1 because the
 	// tenants' spending fluctuates even if they ask for the same.
 	maxFairShare = 1.25
-	// minShareFraction is the lowest fraction of the bound that a tenant above its share gets.
+	// minShareFraction is the lowest factor that a tenant's share may apply to its fraction of
+	// the bound.
 	minShareFraction = 0.25
 	// starvedShare is the share below which a tenant may use the whole bound.
 	starvedShare = 0.25
@@ -35,9 +36,13 @@
 }
 
 // Reach returns the fraction of the bound up to which the claimant may start a program, and
-// the cause to give if it is refused. fill is the fraction of the bound in use. A tenant that
-// has spent more than its fair share gets a fraction that shrinks in proportion, until the
-// other tenants have caught up.
+// the cause to give if it is refused. fill is the fraction of the bound in use.
+//
+// A program that can no longer meet its deadline gets lateFraction. Other programs may use the
+// whole bound while fill is below contentionFill, or if their tenant is below starvedShare.
+// Otherwise each priority level below the highest reduces the fraction by reservePerPriority,
+// and a share above maxFairShare reduces it in inverse proportion to the share, by a factor of
+// at least minShareFraction.
 func Reach(claimant Claimant, fill float64) (float64, Cause) {
 	if claimant.Late {
 		return lateFraction, CauseLate
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -51,14 +51,15 @@
 	return time.Duration(k.turns)*turn + time.Duration(k.turns-1)*k.pause
 }
 
-// scenario is the configuration of a simulation. load returns a factor on the usual load.
+// scenario is the configuration of a simulation. load returns the load as a multiple
+// of the usual one.
 type scenario struct {
 	length         time.Duration
 	load           func(at time.Duration, kind kind, tenant int) float64
 	snapshotAge    time.Duration // age of the snapshots that daemons get
-	noAdmission    bool          // start all programs
+	noAdmission    bool          // start all programs without asking for admission
 	seed           uint64
-	missingEngines int // number by which there are fewer than simEngines
+	missingEngines int // number of engines fewer than simEngines
 }
 
 // simProgram is a simulated program.
@@ -74,9 +75,9 @@
 	firstTurn           bool
 }
 
-// outcomeCounts counts turns. asked and served are those of programs by their arrival, and
-// ended those of programs by their end. Only programs that met their deadline count as served
-// or ended.
+// outcomeCounts counts the turns of programs. asked counts all programs in the period in which
+// they arrived. served counts those of them that met their deadline. ended counts programs that
+// met their deadline in the period in which they ended.
 type outcomeCounts struct{ asked, served, ended float64 }
 
 type simulation struct {
@@ -223,7 +224,8 @@
 	}
 }
 
-// exchange collects the reports of all daemons and passes them a sum of the scenario's age.
+// exchange collects the reports of all daemons and passes each daemon a sum that is snapshotAge
+// old.
 func (s *simulation) exchange() {
 	s.after(simReportInterval, s.exchange)
 	sum := load.Programs{Services: map[load.Key]load.ServicePrograms{}, Spent: map[load.Key]int64{}}
@@ -240,8 +242,8 @@
 	}
 }
 
-// goodput returns the turns per second of programs that ended within their deadline, from one
-// second to another.
+// goodput returns the mean turns per second of the programs that ended and met their deadline
+// between two seconds.
 func (s *simulation) goodput(from, to int) float64 {
 	sum := 0.0
 	for _, counts := range s.seconds[from:to] {
@@ -250,8 +252,8 @@
 	return sum / float64(to-from)
 }
 
-// servedShare returns the fraction of the turns that arrived in a period whose programs met
-// their deadline.
+// servedShare returns the fraction of programs that met their deadline, weighted by turns, among
+// those that arrived between two seconds.
 func (s *simulation) servedShare(from, to int) float64 {
 	asked, served := 0.0, 0.0
 	for _, counts := range s.seconds[from:to] {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -21,7 +21,7 @@
 // connection together.
 type Zone string
 
-// Region is the name of a group of zones with a short network distance.
+// Region is the name of a group of zones that are close to each other in the network.
 type Region string
 
 // Incarnation distinguishes the successive processes on one machine. It is the start time in
@@ -88,7 +88,8 @@
 
 // ShardOfCreation returns the shard for a new root program. It hashes the tenant and the
 // creation key, so a repeated creation with the same key goes to the same shard and finds
-// the first. shardCount is the number of program shards, which are numbered from 1.
+// the program that the first one created. shardCount is the number of program shards, which are
+// numbered from 1.
 func ShardOfCreation(tenant Tenant, key string, shardCount uint32) Shard {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(string(tenant))
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -26,12 +26,13 @@
 // its capacity. It is not safe for concurrent use.
 //
 // Guarantee: in any interval of t seconds, the permits that were issued and not given back
-// number at most capacity + perSecond x t, with the rates of the last call to take.
+// number at most capacity + perSecond x t. The rates are those of the last call to take.
 //
-// A permit that is given back leaves the bucket as if it had not been issued: the refill
-// since then is again limited by the capacity. For this purpose the bucket counts the
-// permits of each recent slot and computes its level from the counts. A permit is subtracted
-// at the end of its slot, so that the level is never overestimated.
+// When a permit is given back, the level becomes what it would be if the permit had not been
+// issued. In particular, it does not exceed the capacity. For this purpose the bucket counts
+// the permits of each recent slot and computes its level from the counts. Within a slot, the
+// refill is added and capped before the permits are subtracted, so that the computed level is
+// never above the true one.
 type bucket struct {
 	slotLength   time.Duration
 	start        time.Time
@@ -119,5 +120,6 @@
 	return min(time.Duration((minLevel-level)/r.perSecond*float64(time.Second)), maxWait)
 }
 
-// maxWait is the wait when no permit is expected. No caller waits as long.
+// maxWait is the longest wait that is computed. As acquisition.retryAfter it means that no
+// keeper has said when to try again.
 const maxWait = time.Hour
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -14,14 +14,15 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// TestQuotasUnderFaults checks that no window admits more requests than a quota allows, at up to ten times the load that it
-// allows. Meanwhile daemons restart, become unreachable, lose replies, stop keeping their parts, and disagree on the current
+// TestQuotasUnderFaults checks that no window admits more requests than a quota allows, with 1 to 390 daemons and up to ten
+// times the load that it allows. Meanwhile daemons restart, become unreachable, lose replies, stop keeping their parts, and disagree on the current
 // quota; parts move to other keepers; and permits are given back at any time.
 func TestQuotasUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { newFaultSimulation(t).run() })
 }
 
-// faultSimulation is one run. Rapid draws the steps; the many requests come from a seeded generator.
+// faultSimulation is one run of TestQuotasUnderFaults. Rapid draws the faults. The requests come from a seeded generator, because
+// there are too many to draw.
 type faultSimulation struct {
 	*testFleet
 	t          *rapid.T
@@ -30,7 +31,7 @@
 	knownQuota []int           // by daemon: index in declared of the quota that it uses
 	loadFactor float64
 	permits    []*issuedPermit
-	expired    int // number of the first permits, which are too old to be given back
+	expired    int // number of leading entries of permits that are too old to be given back
 }
 
 // declaredQuota is a quota and the time from which no daemon used it any more.
@@ -61,108 +62,108 @@
 	return simulation
 }
 
-func (p *faultSimulation) run() {
-	for step := range rapid.IntRange(1, 60).Draw(p.t, "steps") {
-		p.advanceBy(time.Duration(rapid.SampledFrom([]int{0, 1, 20, 100, 300, 1000, 4000}).Draw(p.t, fmt.Sprint("pause ", step))) * time.Millisecond)
-		switch rapid.IntRange(0, 9).Draw(p.t, fmt.Sprint("action ", step)) {
+func (s *faultSimulation) run() {
+	for step := range rapid.IntRange(1, 60).Draw(s.t, "steps") {
+		s.advanceBy(time.Duration(rapid.SampledFrom([]int{0, 1, 20, 100, 300, 1000, 4000}).Draw(s.t, fmt.Sprint("pause ", step))) * time.Millisecond)
+		switch rapid.IntRange(0, 9).Draw(s.t, fmt.Sprint("action ", step)) {
 		case 0:
-			p.locked(p.drawDaemon(step).start)
+			s.locked(s.drawDaemon(step).start)
 		case 1:
-			chosen := p.drawDaemon(step)
-			p.locked(func() { chosen.unreachable = !chosen.unreachable })
+			chosen := s.drawDaemon(step)
+			s.locked(func() { chosen.unreachable = !chosen.unreachable })
 		case 2:
-			chosen := p.drawDaemon(step)
-			loses := rapid.IntRange(1, 5).Draw(p.t, fmt.Sprint("loses ", step))
-			p.locked(func() { chosen.lostReplies = loses })
+			chosen := s.drawDaemon(step)
+			loses := rapid.IntRange(1, 5).Draw(s.t, fmt.Sprint("loses ", step))
+			s.locked(func() { chosen.lostReplies = loses })
 		case 3:
-			p.locked(p.moveClaims)
+			s.locked(s.moveClaims)
 		case 4:
-			p.declare(step)
+			s.declare(step)
 		case 5:
-			p.giveBack(rapid.IntRange(1, 30).Draw(p.t, fmt.Sprint("gives back ", step)))
+			s.giveBack(rapid.IntRange(1, 30).Draw(s.t, fmt.Sprint("gives back ", step)))
 		case 6:
-			chosen := p.drawDaemon(step)
-			p.locked(func() { chosen.suspended = !chosen.suspended })
+			chosen := s.drawDaemon(step)
+			s.locked(func() { chosen.suspended = !chosen.suspended })
 		default:
-			p.ask(step)
+			s.ask(step)
 		}
 	}
 }
 
-func (p *faultSimulation) drawDaemon(step int) *testDaemon {
-	return p.daemons[rapid.IntRange(0, len(p.daemons)-1).Draw(p.t, fmt.Sprint("daemon ", step))]
+func (s *faultSimulation) drawDaemon(step int) *testDaemon {
+	return s.daemons[rapid.IntRange(0, len(s.daemons)-1).Draw(s.t, fmt.Sprint("daemon ", step))]
 }
 
 // moveClaims assigns all parts to other keepers. The new keepers are the only ones from now on.
-func (p *faultSimulation) moveClaims() {
-	p.assignment++
-	for _, daemon := range p.daemons {
-		daemon.since = p.now()
+func (s *faultSimulation) moveClaims() {
+	s.assignment++
+	for _, daemon := range s.daemons {
+		daemon.since = s.now()
 	}
 }
 
 // declare adds a new quota. Daemons learn of it one after the other.
-func (p *faultSimulation) declare(step int) {
-	p.declared = append(p.declared, declaredQuota{Quota: rapid.SampledFrom(testQuotas).Draw(p.t, fmt.Sprint("quota ", step))})
+func (s *faultSimulation) declare(step int) {
+	s.declared = append(s.declared, declaredQuota{Quota: rapid.SampledFrom(testQuotas).Draw(s.t, fmt.Sprint("quota ", step))})
 }
 
 // learnQuota tells a daemon the newest quota, and records when a quota is no longer used by any daemon.
-func (p *faultSimulation) learnQuota(daemon int) {
-	p.knownQuota[daemon] = len(p.declared) - 1
-	used := make([]bool, len(p.declared))
-	for _, index := range p.knownQuota {
+func (s *faultSimulation) learnQuota(daemon int) {
+	s.knownQuota[daemon] = len(s.declared) - 1
+	used := make([]bool, len(s.declared))
+	for _, index := range s.knownQuota {
 		used[index] = true
 	}
-	for number := range p.declared[:len(p.declared)-1] {
-		if !used[number] && p.declared[number].until.IsZero() {
-			p.declared[number].until = p.now()
+	for number := range s.declared[:len(s.declared)-1] {
+		if !used[number] && s.declared[number].until.IsZero() {
+			s.declared[number].until = s.now()
 		}
 	}
 }
 
-// ask sends the requests that the load offers in a tenth of a second or in one second.
-func (p *faultSimulation) ask(step int) {
-	seconds := rapid.SampledFrom([]float64{0.1, 1}).Draw(p.t, fmt.Sprint("lasting ", step))
-	newest := p.declared[len(p.declared)-1]
-	for range 1 + int(newest.PerSecond*p.loadFactor*seconds) {
-		daemon := p.random.IntN(len(p.daemons))
-		if p.random.IntN(3) == 0 {
-			p.learnQuota(daemon)
+// ask sends the requests that the load offers in a tenth of a second or in one second, as rapid draws.
+func (s *faultSimulation) ask(step int) {
+	seconds := rapid.SampledFrom([]float64{0.1, 1}).Draw(s.t, fmt.Sprint("lasting ", step))
+	newest := s.declared[len(s.declared)-1]
+	for range 1 + int(newest.PerSecond*s.loadFactor*seconds) {
+		daemon := s.random.IntN(len(s.daemons))
+		if s.random.IntN(3) == 0 {
+			s.learnQuota(daemon)
 		}
-		index := p.knownQuota[daemon]
-		req := quota.Request{Tenant: "t", Quota: p.declared[index].Quota, Revision: uint64(index), UnderWay: p.random.IntN(5) > 0}
-		if taken, err := p.daemons[daemon].limiter.Take(context.Background(), req); err == nil {
-			p.permits = append(p.permits, &issuedPermit{at: p.now(), daemon: p.daemons[daemon].process.Machine, taken: taken})
+		index := s.knownQuota[daemon]
+		req := quota.Request{Tenant: "t", Quota: s.declared[index].Quota, Revision: uint64(index), UnderWay: s.random.IntN(5) > 0}
+		if taken, err := s.daemons[daemon].limiter.Take(context.Background(), req); err == nil {
+			s.permits = append(s.permits, &issuedPermit{at: s.now(), daemon: s.daemons[daemon].process.Machine, taken: taken})
 		}
-		p.advanceBy(time.Duration(float64(time.Second) * seconds / (1 + newest.PerSecond*p.loadFactor)))
+		s.advanceBy(time.Duration(float64(time.Second) * seconds / (1 + newest.PerSecond*s.loadFactor)))
 	}
-	p.check()
+	s.check()
 }
 
 // giveBack gives back up to count random permits of the last two windows.
-func (p *faultSimulation) giveBack(count int) {
-	for p.expired < len(p.permits) && p.now().Sub(p.permits[p.expired].at) > 2*windowLength {
-		p.expired++
+func (s *faultSimulation) giveBack(count int) {
+	for s.expired < len(s.permits) && s.now().Sub(s.permits[s.expired].at) > 2*windowLength {
+		s.expired++
 	}
 	for range count {
-		if p.expired == len(p.permits) {
+		if s.expired == len(s.permits) {
 			return
 		}
-		chosen := p.permits[p.expired+p.random.IntN(len(p.permits)-p.expired)]
+		chosen := s.permits[s.expired+s.random.IntN(len(s.permits)-s.expired)]
 		if !chosen.returned {
 			chosen.returned = true
 			chosen.taken.Return()
 			if chosen.taken.Keeper != string(chosen.daemon) {
-				<-p.gaveBack
+				<-s.gaveBack
 			}
 		}
 	}
 }
 
 // check counts the requests in every window, without those whose permit was given back.
-func (p *faultSimulation) check() {
+func (s *faultSimulation) check() {
 	var admitted []time.Time
-	for _, permit := range p.permits {
+	for _, permit := range s.permits {
 		if !permit.returned {
 			admitted = append(admitted, permit.at)
 		}
@@ -172,19 +173,19 @@
 		for admitted[newest].Sub(admitted[oldest]) > windowLength {
 			oldest++
 		}
-		if count, bound := newest-oldest+1, p.maxRequestsSince(admitted[oldest]); count > bound {
-			p.t.Fatalf("%d requests were admitted from %v to %v, want at most %d", count, admitted[oldest], admitted[newest], bound)
+		if count, bound := newest-oldest+1, s.maxRequestsSince(admitted[oldest]); count > bound {
+			s.t.Fatalf("%d requests were admitted from %v to %v, want at most %d", count, admitted[oldest], admitted[newest], bound)
 		}
 	}
 }
 
 // maxRequestsSince returns maxRequests for the highest quota that any daemon has used since the given time.
-func (p *faultSimulation) maxRequestsSince(since time.Time) int {
-	most := 0
-	for _, declared := range p.declared {
+func (s *faultSimulation) maxRequestsSince(since time.Time) int {
+	maximum := 0
+	for _, declared := range s.declared {
 		if declared.until.IsZero() || declared.until.After(since) {
-			most = max(most, maxRequests(declared.Quota))
+			maximum = max(maximum, maxRequests(declared.Quota))
 		}
 	}
-	return most
+	return maximum
 }
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -54,7 +54,7 @@
 type demand struct {
 	daemons    int
 	quota      tenant.Quota
-	loadFactor float64 // relative to the rate of the quota
+	loadFactor float64 // offered load as a multiple of the quota's rate
 	length     time.Duration
 	seed       uint64
 }
@@ -115,8 +115,8 @@
 			continue
 		}
 		result.refused++
-		const mostTries, comesBack = 4, 0.7
-		if next.retries < mostTries && random.Float64() < comesBack {
+		const maxRetries, retryProbability = 4, 0.7
+		if next.retries < maxRetries && random.Float64() < retryProbability {
 			heap.Push(&pending, caller{at: next.at.Add(after), underWay: next.underWay, retries: next.retries + 1})
 		}
 	}
@@ -127,14 +127,14 @@
 
 // arrivals returns requests in groups of four at random times. Below the rate of the quota they are spread evenly instead.
 func arrivals(load demand, start time.Time, random *rand.Rand) callers {
-	const atOnce, underWayShare = 4, 0.8
-	perSecond := load.quota.PerSecond * load.loadFactor / atOnce
+	const groupSize, underWayShare = 4, 0.8
+	perSecond := load.quota.PerSecond * load.loadFactor / groupSize
 	if load.loadFactor < 1 {
 		return evenArrivals(load, start, random)
 	}
 	var result callers
 	for at := time.Duration(0); at < load.length; at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
-		for range atOnce {
+		for range groupSize {
 			result = append(result, caller{at: start.Add(at), underWay: random.Float64() < underWayShare})
 		}
 	}
@@ -157,12 +157,12 @@
 // maxInWindow returns the largest number of the given times in any window.
 func maxInWindow(moments []time.Time) int {
 	sort.Slice(moments, func(a, b int) bool { return moments[a].Before(moments[b]) })
-	most, oldest := 0, 0
+	maximum, oldest := 0, 0
 	for newest := range moments {
 		for moments[newest].Sub(moments[oldest]) > windowLength {
 			oldest++
 		}
-		most = max(most, newest-oldest+1)
+		maximum = max(maximum, newest-oldest+1)
 	}
-	return most
+	return maximum
 }
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -100,7 +100,7 @@
 	declared       tenant.Quota
 	revision       uint64
 	lastUsed       time.Time
-	queueLength    float64 // this part's share of the refused callers that are expected to retry
+	queueLength    float64 // estimated number of refused callers that will retry, divided by the number of parts
 	queueUpdatedAt time.Time
 }
 
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -16,13 +16,13 @@
 
 // Timeouts and limits for calls to keepers.
 const (
-	// callTimeout limits one call, and also the whole search for a permit.
+	// callTimeout limits the duration of one call, and that of the whole search for a permit.
 	callTimeout = 150 * time.Millisecond
 	// hedgeDelay is how long to wait for an answer before the next keeper is asked as well.
 	hedgeDelay = 30 * time.Millisecond
-	// avoidDuration is how long a keeper that failed to answer is asked after all others.
+	// avoidDuration is how long a keeper is asked after all others when a call to it has failed.
 	avoidDuration = 500 * time.Millisecond
-	// giveBackTimeout limits the call that gives back a permit.
+	// giveBackTimeout limits the duration of the call that gives back a permit.
 	giveBackTimeout = time.Second
 	// minRetryAfter is the shortest wait that a refused caller is told, before jitter.
 	minRetryAfter = 100 * time.Millisecond
@@ -34,12 +34,15 @@
 // Directory knows the keepers of the parts and whether they can be reached. *members.List
 // implements it.
 type Directory interface {
+	// Keeper returns the keeper of a part, if it is known.
 	Keeper(owner string, part int) (members.Member, bool)
 	// Silent reports whether the member's whole zone has stopped answering.
-	// Missed and Answered record whether a call to the member failed or succeeded.
 	Silent(member members.Member) bool
+	// Missed records that a call to the member failed.
 	Missed(member members.Member)
+	// Answered records that a call to the member succeeded.
 	Answered(member members.Member)
+	// Self returns the process of this daemon.
 	Self() identity.Process
 }
 
@@ -136,7 +139,7 @@
 	}
 	t.once.Do(func() {
 		if t.keeper.Process == t.limiter.directory.Self() {
-			_ = t.limiter.keeper.GiveBack(t.giveBack, &GiveBackReply{}) // maxWait fails
+			_ = t.limiter.keeper.GiveBack(t.giveBack, &GiveBackReply{}) // never fails
 			return
 		}
 		go t.limiter.giveBack(t.keeper, t.giveBack)
@@ -153,7 +156,7 @@
 	}
 }
 
-// isAvoided reports whether the keeper on the machine failed to answer within the last
+// isAvoided reports whether a call to the keeper on the machine has failed during the last
 // avoidDuration.
 func (l *Limiter) isAvoided(machine identity.Machine) bool {
 	l.mutex.Lock()
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -72,8 +72,8 @@
 	return fmt.Sprintf("tenant %s: quota used up, %d requests allowed in a window; %s", e.Tenant, e.Allowed, e.Decision)
 }
 
-// UnreachedError is returned when no keeper of the tenant's quota answered. Whether the
-// tenant has used up its quota is then unknown.
+// UnreachedError is returned when no keeper of the tenant's quota could be reached. Whether
+// the tenant has used up its quota is then unknown.
 type UnreachedError struct {
 	Decision
 	Tenant identity.Tenant
@@ -81,5 +81,5 @@
 
 // Error implements error.
 func (e *UnreachedError) Error() string {
-	return fmt.Sprintf("tenant %s: no keeper of its quota answered; %s", e.Tenant, e.Decision)
+	return fmt.Sprintf("tenant %s: no keeper of its quota could be reached; %s", e.Tenant, e.Decision)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -103,7 +103,7 @@
 		Expect(last).To(BeNumerically(">", 250*time.Millisecond))
 	})
 
-	It("gives back the permit of a request that was not run only once", func() {
+	It("gives back a permit only once if the request was not run", func() {
 		var permits []*quota.Taken
 		for {
 			taken, err := take(0, request(true))
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -10,8 +10,8 @@
 type Settings struct {
 	// Window is the length of the sliding windows in which requests are counted.
 	Window time.Duration
-	// A tenant may exceed its limit by the share ToleranceShare of it plus ToleranceRequests
-	// requests in a window.
+	// A tenant may exceed its limit by ToleranceShare, which is a fraction of the limit, plus
+	// ToleranceRequests in any window.
 	ToleranceShare    float64
 	ToleranceRequests int
 	// Parts is the number of parts into which each quota is divided. It must be the same at
@@ -36,7 +36,7 @@
 	return declared.PerSecond*s.Window.Seconds() + float64(declared.Burst)
 }
 
-// permitMargin is subtracted from a number of permits to keep it below a whole number.
+// permitMargin is subtracted from a number of permits to keep it below the next whole number.
 const permitMargin = 1e-3
 
 // rates returns the limits of one part of a quota. The permits of a window are divided among
--- a/internal/quota/test_fleet_test.go
+++ b/internal/quota/test_fleet_test.go
@@ -16,7 +16,7 @@
 	"github.com/thymeloft/thymeloft/internal/quota"
 )
 
-// testFleet is a set of daemons that call each other directly. All of them agree on the keeper of each part.
+// f is a set of daemons that call each other directly. All of them agree on the keeper of each part.
 type testFleet struct {
 	clock      atomic.Int64 // nanoseconds since the epoch
 	mutex      sync.Mutex   // guards the daemons' state, since calls may outlive the request that made them
@@ -39,7 +39,7 @@
 	update()
 }
 
-// testDaemon is one daemon of a testFleet.
+// testDaemon is one daemon of a f.
 type testDaemon struct {
 	fleet       *testFleet
 	process     identity.Process
@@ -56,16 +56,16 @@
 func newFleet(daemons int, start time.Time) fleet { return newTestFleet(daemons, start) }
 
 func newTestFleet(daemons int, start time.Time) *testFleet {
-	testFleet := &testFleet{byAddress: map[string]*testDaemon{}, gaveBack: make(chan struct{}, 1)}
-	testFleet.clock.Store(start.UnixNano())
+	f := &testFleet{byAddress: map[string]*testDaemon{}, gaveBack: make(chan struct{}, 1)}
+	f.clock.Store(start.UnixNano())
 	for number := range daemons {
 		name := fmt.Sprint("m", number)
-		daemon := &testDaemon{fleet: testFleet, process: identity.Process{Machine: identity.Machine(name), Address: name}}
-		testFleet.daemons = append(testFleet.daemons, daemon)
-		testFleet.byAddress[name] = daemon
+		daemon := &testDaemon{fleet: f, process: identity.Process{Machine: identity.Machine(name), Address: name}}
+		f.daemons = append(f.daemons, daemon)
+		f.byAddress[name] = daemon
 		daemon.start()
 	}
-	return testFleet
+	return f
 }
 
 // start replaces the daemon's process by a new one without any state.
@@ -104,9 +104,9 @@
 		return f.soleKeeper
 	}
 	digest := uint64(0)
-	for _, each := range append([]byte(fmt.Sprint(owner, "\x00", part)), f.assignment) {
+	for _, b := range append([]byte(fmt.Sprint(owner, "\x00", part)), f.assignment) {
 		const prime = 1099511628211
-		digest = (digest ^ uint64(each)) * prime
+		digest = (digest ^ uint64(b)) * prime
 	}
 	return f.daemons[digest%uint64(len(f.daemons))]
 }
