--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -9,9 +9,10 @@
 // Every daemon decides alone, within its own part of the bound (see Part). The figures that it
 // needs of other daemons come with the load reports that daemons exchange.
 //
-// Guarantee: while all daemons agree on the numbers of members and engines, their parts sum to
-// at most the bound, no matter how old their snapshots of the fleet are. A daemon starts a
-// program only if all contexts that it holds still fit into its part.
+// Guarantee: while all daemons agree on the bound and on the number of members, their parts sum
+// to at most the bound, no matter how old their snapshots of the fleet are. If there are engines,
+// a daemon starts a program only if the contexts that it holds, with the expected context of this
+// program, fit into its part.
 //
 // Decisions are pure functions, with the time and random numbers as inputs. Controller holds
 // the state and is safe for concurrent use.
@@ -33,7 +34,8 @@
 	Engines int // number of engines that accept work
 	// MemoryTokens is how many tokens one engine keeps in memory; 0: not declared.
 	MemoryTokens int
-	// SharedTokens is how many of them hold prompt sections that all programs share.
+	// SharedTokens is how many of the MemoryTokens are used for prompt sections that all
+	// programs share.
 	SharedTokens int
 }
 
@@ -81,12 +83,13 @@
 	Figures Figures
 }
 
-// Figures are the inputs of a decision. Contexts and bounds are in tokens.
+// Figures are the values on which a decision is based. Contexts, the part and the bound are in
+// tokens.
 type Figures struct {
 	Asked      int64         // expected context of the program
 	Held       int64         // contexts of the programs at this daemon
 	Part       int64         // this daemon's part of the bound, reduced to the fraction that this request may use
-	FleetHeld  int64         // contexts of all programs in the fleet, by the last snapshot
+	FleetHeld  int64         // contexts of all programs in the fleet, according to the last snapshot
 	Bound      int64         // bound of the fleet
 	Daemons    int64         // number of daemons in the snapshot
 	PictureAge time.Duration // age of the snapshot
--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -20,8 +20,9 @@
 	slowRatio   = 1.6
 	normalRatio = 1.5
 	// decreasePerSecond is the fraction by which the bound falls in a second of slow first
-	// bytes. increasePerSecond is how much it rises in a second of normal ones, as a fraction
-	// of the lowest bound.
+	// bytes. The decrease starts from the held tokens if these are fewer than the bound.
+	// increasePerSecond is how much the bound rises in a second of normal first bytes, as a
+	// fraction of the lowest bound.
 	decreasePerSecond = 0.4
 	increasePerSecond = 0.1
 	// servedGainPerSecond is the fraction by which Bound.servedPerEngine approaches a higher
@@ -30,10 +31,11 @@
 	// which servedPerEngine falls in a second of slow first bytes.
 	servedGainPerSecond  = 0.2
 	servedDecayPerSecond = 0.02
-	// servedMargin times servedPerEngine is a lower limit of the bound. The margin allows for
-	// the usual fluctuation of the demand.
+	// servedMargin times servedPerEngine is a lower limit of the bound, unless the highest bound
+	// is below it. The margin allows for the usual fluctuation of the demand.
 	servedMargin = 1.5
-	// maxStepDuration limits the change of a single step after a gap in the observations.
+	// maxStepDuration is the longest time that a single step accounts for. It limits the change
+	// after a gap in the observations.
 	maxStepDuration = time.Second
 )
 
@@ -44,7 +46,7 @@
 	servedPerEngine float64 // context tokens that an engine served with normal first bytes
 }
 
-// Observation is the state of the fleet since the previous step.
+// Observation describes the fleet since the previous step.
 type Observation struct {
 	Elapsed time.Duration
 	Room    Room
@@ -54,9 +56,9 @@
 	Ratio float64
 }
 
-// Step returns the bound after another observation. The bound increases additively and
-// decreases multiplicatively, between the load that was served with normal first bytes and
-// the limit given by the memory.
+// Step returns the bound after another observation. Normal first bytes increase the bound
+// additively, and slow first bytes decrease it multiplicatively. An unknown ratio counts as
+// normal. The result stays within the limits of b before the step.
 func (b Bound) Step(observation Observation) Bound {
 	engines := float64(max(observation.Room.Engines, 1))
 	heldPerEngine := observation.Held / engines
@@ -100,12 +102,12 @@
 	return min(b.tokensPerEngine, maxTokens) * float64(room.Engines)
 }
 
-// idleBaseline estimates the time to first byte at low load. The estimate is the lowest
-// mean so far. It rises slowly to adapt to a fleet that has become slower.
+// idleBaseline estimates the time to first byte at low load. The estimate is the lowest mean so
+// far, raised slowly to adapt to a fleet that has become slower.
 type idleBaseline struct{ seconds float64 }
 
-// baselineRisePerSecond is the fraction by which the baseline rises in a second. It doubles in
-// six minutes if all turns are slower.
+// baselineRisePerSecond is the fraction by which the baseline rises in a second. The baseline
+// doubles in six minutes if all turns are slower.
 const baselineRisePerSecond = 0.002
 
 // ratio updates the baseline and returns the current mean relative to it. The mean is
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -46,7 +46,7 @@
 	baseline       idleBaseline
 	firstByteRatio float64 // mean time to first byte relative to baseline, by the last snapshot
 	claims         claims
-	meanHeld       runningMean // tokens held; reported as the claim because it fluctuates less than the current value
+	meanHeld       runningMean // mean of the tokens held; reported as the claim because it fluctuates less than the current value
 	snapshot       Picture
 	part           float64 // this daemon's part of the bound when the snapshot arrived, in tokens
 	// firstReported is the time of the first report, steppedAt that of the last step of the
@@ -58,7 +58,7 @@
 	firstByteSeconds decayingSum // sum of the times to first byte of these turns
 }
 
-// service returns the service with the name, which it adds if necessary.
+// service returns the service with the name, and adds the service if it is not known yet.
 func (c *Controller) service(name string) *service {
 	entry, found := c.services[name]
 	if !found {
@@ -68,8 +68,8 @@
 	return entry
 }
 
-// updateRoom stores the current engines. If there were none before, the daemon counts as having
-// first reported now, because its earlier claims did not take the capacity into account.
+// updateRoom stores the current capacity. If the daemon has reported without any engines so far,
+// updateRoom sets firstReported to now, because the earlier claims did not allow for the capacity.
 func (s *service) updateRoom(room Room, now time.Time) {
 	if s.room.Engines == 0 && !s.firstReported.IsZero() {
 		s.firstReported = now
@@ -119,7 +119,8 @@
 	service.programs.startRequest(request, now)
 }
 
-// decide returns nil if the program may start, or the refusal. The caller must hold the lock.
+// decide returns nil if the program may start, and otherwise the refusal. The caller must hold the
+// lock.
 func (c *Controller) decide(service *service, request *Request, expected int64, now time.Time) *RefusedError {
 	if request.Room.Engines == 0 {
 		return nil
--- a/internal/admission/decaying_sum.go
+++ b/internal/admission/decaying_sum.go
@@ -9,10 +9,10 @@
 const (
 	// firstByteHalfLife is short so that the bound reacts to an overload within a second.
 	firstByteHalfLife = time.Second
-	// demandHalfLife is long enough for parts to follow callers that move to another daemon,
-	// but not single requests.
+	// demandHalfLife lets the parts follow callers that move to another daemon, but not single
+	// requests.
 	demandHalfLife = 10 * time.Second
-	// spendingHalfLife covers several times the duration of a program.
+	// spendingHalfLife is several times the usual duration of a program.
 	spendingHalfLife = 10 * time.Second
 )
 
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -22,7 +22,7 @@
 		return bound
 	}
 
-	It("starts from the engines' memory minus the shared tokens", func() {
+	It("starts at maxMemoryFraction of the engines' memory without the shared tokens", func() {
 		Expect(Bound{}.Tokens(memory)).To(BeNumerically("~", maxMemoryFraction*10*1000, 1))
 	})
 
@@ -73,7 +73,7 @@
 		Entry("any claimant below contentionFill", Claimant{Priority: 2, Share: 5}, 0.4, 1.0, CauseFull),
 		Entry("the highest priority", Claimant{Share: 1}, 0.9, 1.0, CauseFull),
 		Entry("a lower priority", Claimant{Priority: 1, Share: 1}, 0.9, 0.9, CauseUrgent),
-		Entry("a very low priority is limited by maxPriorityReserve at most", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CauseUrgent),
+		Entry("a very low priority loses at most maxPriorityReserve", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CauseUrgent),
 		Entry("a tenant far above its share", Claimant{Share: 2.5}, 0.9, 0.5, CauseShare),
 		Entry("a tenant that spent nearly everything", Claimant{Share: 80}, 0.9, minShareFraction, CauseShare),
 		Entry("a tenant that spent hardly anything, at any priority", Claimant{Priority: 9, Share: 0.2}, 0.99, 1.0, CauseFull),
--- a/internal/admission/exchange.go
+++ b/internal/admission/exchange.go
@@ -43,8 +43,8 @@
 	return report
 }
 
-// report returns the service's figures and records the claim in s.claims. A daemon without a
-// current snapshot claims at least the equal part of the bound that it uses meanwhile.
+// report returns the service's figures and records the claim in s.claims. If there is no valid
+// snapshot, the claim is at least the equal part of the bound, except in the first report.
 func (s *service) report(now time.Time, members int) load.ServicePrograms {
 	s.programs.removeEnded(now)
 	s.meanHeld.add(float64(s.programs.heldTokens(now)))
@@ -99,7 +99,7 @@
 	return len(s.programs.byName) == 0 && s.demand.sum < 1
 }
 
-// update applies the sum of all daemons' reports to the bound, the snapshot and the part.
+// update computes the bound, the snapshot and the part from the sum of all daemons' reports.
 func (s *service) update(all load.ServicePrograms, members int, now time.Time) {
 	elapsed := now.Sub(s.steppedAt)
 	if s.steppedAt.IsZero() {
@@ -113,14 +113,15 @@
 	s.part = s.partOf(s.bound.Tokens(s.room), members, now)
 }
 
-// The fleet's figures are logged at most once per logInterval while at least the fraction
-// logFillThreshold of the bound is in use.
+// The figures of a service are logged at most once per logInterval while at least the fraction
+// logFillThreshold of its bound is in use.
 const (
 	logFillThreshold = 0.5
 	logInterval      = 5 * time.Second
 )
 
-// logFill logs the figures of the fleet and of this daemon if much of the bound is in use.
+// logFill logs the figures of the service, for the fleet and for this daemon, if much of the bound
+// is in use.
 func (c *Controller) logFill(service *service, now time.Time) {
 	bound := service.bound.Tokens(service.room)
 	fill := service.fill(bound, now)
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// update sets the gauges after a report of the fleet's figures.
+// update sets the gauges to the current figures of all services and tenants.
 func (m *metrics) update(services map[string]*service, spent tenantSpending, now time.Time) {
 	if m.contexts == nil {
 		return
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -19,8 +19,7 @@
 	usualLoad  = 1.0
 )
 
-// burst returns a load that is the usual one times the factor from burstStart on for the
-// given duration.
+// burst returns the usual load, multiplied by factor for the given duration from burstStart on.
 func burst(factor float64, duration time.Duration) func(time.Duration, kind, int) float64 {
 	return func(at time.Duration, _ kind, _ int) float64 {
 		if at >= burstStart && at < burstStart+duration {
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -6,7 +6,7 @@
 	"github.com/thymeloft/thymeloft/internal/load"
 )
 
-// Times that limit the age of the figures behind a part.
+// Times that limit the age of the figures from which a part is computed.
 const (
 	// maxSnapshotAge is how long a snapshot is valid. It is one and a half report intervals.
 	maxSnapshotAge = 150 * time.Millisecond
@@ -23,7 +23,7 @@
 // Claim is what a daemon reported of itself at a certain time.
 type Claim struct {
 	At    time.Time
-	Held  int64 // tokens held, or the tokens that it may hold if that is more
+	Held  int64 // tokens that the daemon holds, or that it may hold if that is more
 	Asked int64 // tokens requested per second by new programs
 }
 
@@ -61,16 +61,22 @@
 
 // Part returns how many tokens of contexts a daemon may hold when it starts a program.
 //
-// A part is the sum of two amounts. The first is the lowest claim of the daemon that was current
-// at any time within claimWindow. The second is a fraction of the tokens that are free
-// according to its snapshot. All claims in a valid snapshot were current within claimWindow, so
-// their sum is at least the sum of all daemons' first amounts. Therefore all parts sum to at
-// most the bound, even if the daemons' snapshots differ.
+// With a valid snapshot, a part is the sum of two amounts. The first is the lowest claim of the
+// daemon that was current at any time within claimWindow. The second is a fraction of the tokens
+// that no daemon claims according to the snapshot. If there are no such tokens, the part is the
+// first amount alone, reduced in proportion if the claims exceed the bound.
+//
+// All claims in a valid snapshot were current within claimWindow, so their sum is at least the sum
+// of the first amounts of the daemons in it. The fractions of all daemons sum to at most one.
+// Therefore the parts of all daemons sum to at most the bound, even if their snapshots differ.
 //
 // If a snapshot covers only some of the members, these daemons divide only the corresponding
 // fraction of the bound. During a network partition, no tokens are therefore given out on
-// both sides. A daemon without a valid snapshot uses an equal part, and claims it in its
-// reports.
+// both sides.
+//
+// A daemon without a valid snapshot uses an equal part. If it has reported before, that part is at
+// first limited to its last one (see isolatedPart). From its second report on, the daemon claims at
+// least the equal part.
 func Part(share Share) float64 {
 	members := max(float64(share.Members), float64(share.Picture.Daemons), 1)
 	if share.isIsolated() {
@@ -94,9 +100,10 @@
 	return s.Picture.At.IsZero() || s.Picture.Daemons <= 0 || s.Now.Sub(s.Picture.At) > maxSnapshotAge
 }
 
-// isolatedPart returns the part of a daemon without a valid snapshot, given the equal part.
-// While other daemons may still use its earlier claims, it gets at most its last part. A
-// daemon that has not reported yet is in no snapshot, so the others leave it its equal part.
+// isolatedPart returns the part of a daemon without a valid snapshot, given the equal part. While
+// the snapshots of other daemons may still contain its earlier claims, the part is at most its
+// last one. A daemon that has not reported yet is in no snapshot. The other daemons therefore
+// leave the equal part to it.
 func (s Share) isolatedPart(equal float64) float64 {
 	if s.FirstTold.IsZero() {
 		return equal
--- a/internal/admission/part_test.go
+++ b/internal/admission/part_test.go
@@ -118,7 +118,7 @@
 		Expect(quiet).To(BeNumerically(">=", evenFraction*1e6/10))
 	})
 
-	It("is the equal part for a daemon that has not reported, and for one without a snapshot for long", func() {
+	It("is the equal part for a daemon that has not reported, or has had no valid snapshot for long", func() {
 		share := Share{Bound: 1000, Members: 10, Now: start}
 		Expect(Part(share)).To(BeEquivalentTo(100))
 		share.FirstTold, share.Picture, share.Last = start, Picture{At: start, Daemons: 10}, 7
@@ -143,7 +143,7 @@
 })
 
 var _ = Describe("claims", func() {
-	It("have the lowest values of the window as minimum, and 0 before a whole window was reported", func() {
+	It("have the lowest values of the window as their minimum, and 0 until they cover a whole window", func() {
 		reported := claims{}
 		for number, held := range []int64{9, 3, 5, 7} {
 			reported.add(Claim{At: start.Add(time.Duration(number) * reportInterval), Held: held, Asked: held})
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -14,7 +14,7 @@
 	// counts as ended.
 	minContinueProbability = 0.02
 	// maxIdleTime is the idle time after which a program has ended in any case. The tools
-	// that callers run between two turns answer sooner.
+	// that callers run between two turns usually answer sooner.
 	maxIdleTime = 2 * time.Second
 	// defaultContinueProbability and defaultPauseSeconds are used before any program of the
 	// route was observed.
@@ -72,7 +72,7 @@
 type program struct {
 	name            string
 	route           string
-	countedParts    map[string]struct{} // names of the prompt sections in contextTokens
+	countedParts    map[string]struct{} // names of the prompt sections that contextTokens includes
 	contextTokens   int64               // tokens of the program's own sections in all prompts so far
 	expectedTokens  int64               // expected context, at least contextTokens
 	activeRequests  int                 // number of requests that have not ended
@@ -81,7 +81,8 @@
 	idleSince       time.Time     // end of the last request; valid only without an active request
 }
 
-// addPrompt adds the program's own sections of a prompt that have not been counted yet.
+// addPrompt adds the tokens of the prompt's sections to contextTokens, without the sections that
+// every engine keeps and those that are counted already.
 func (p *program) addPrompt(request *Request) {
 	for index, part := range request.Prompt {
 		if index < request.Everywhere {
@@ -112,7 +113,7 @@
 	return programs{byName: map[string]*program{}, routes: map[string]*routeStats{}, refusals: refusals}
 }
 
-// stats returns the statistics of the route, which it adds if necessary.
+// stats returns the statistics of the route, and adds empty ones if the route is not known yet.
 func (p *programs) stats(route string) *routeStats {
 	entry, found := p.routes[route]
 	if !found {
@@ -148,28 +149,30 @@
 	return int64(sum)
 }
 
-// Limits for remembering refused programs. refusalTTL is longer than any wait that a refused
-// caller is told. maxRefusals covers the programs that one daemon refuses during that time.
+// Limits for remembering refused programs. maxRefusals is the maximum number of programs that are
+// remembered per service. refusalTTL is how long a refusal is used. It is longer than any wait that
+// ComeBack returns.
 const (
 	maxRefusals = 4096
 	refusalTTL  = 2 * maxRetryAfter
 )
 
-// refusal records the first attempt of a program that was refused.
+// refusal is the first refusal of a program. timeLeft is the time that was left until the
+// deadline; 0: not known.
 type refusal struct {
 	at       time.Time
 	timeLeft time.Duration
 }
 
-// recentRefusal returns the first refusal of the program, if it is not older than refusalTTL.
+// recentRefusal returns the recorded refusal of the program, if it is not older than refusalTTL.
 func (p *programs) recentRefusal(name string, now time.Time) (refusal, bool) {
 	known, found := p.refusals.Get(name)
 	return known, found && now.Sub(known.at) <= refusalTTL
 }
 
-// isLate reports whether a program that was refused before can no longer meet its deadline. It
-// assumes that the program needs the mean timeUsedShare of its route, applied to the time left
-// at its first attempt. That fraction varies less between programs than their durations.
+// isLate reports whether a program that was refused before can no longer meet its deadline. The
+// time that the program needs is estimated as the mean timeUsedShare of its route times the time
+// left at its first refusal. This fraction varies less between programs than their durations do.
 func (p *programs) isLate(request *Request, now time.Time) bool {
 	first, refused := p.recentRefusal(request.Program, now)
 	if !refused || request.TimeLeft <= 0 {
@@ -186,8 +189,8 @@
 	}
 }
 
-// add adds the program of the request, with no active request. The caller must call
-// startRequest for it.
+// add adds the program of the request, without an active request. The caller must then call
+// startRequest for the request.
 func (p *programs) add(request *Request, now time.Time) {
 	added := &program{
 		name: request.Program, route: request.Route, countedParts: map[string]struct{}{}, expectedTokens: p.expectedTokens(request), startedAt: now, initialTimeLeft: request.TimeLeft,
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Parameters for the order in which programs may start while capacity is scarce.
+// Parameters of Reach.
 const (
-	// contentionFill is the fill from which priorities and shares count. It has to be low
-	// enough for urgent programs to be served first when the load of others grows.
+	// contentionFill is the fraction of the bound in use from which on priorities and shares
+	// limit programs. It is low enough to serve high-priority programs first when the load of
+	// other programs grows.
 	contentionFill = 0.5
 	// maxFairShare is the share above which a tenant is limited. It is above 1 because the
-	// tenants' spending fluctuates even if they ask for the same.
+	// tenants' spending fluctuates even if their demand is the same.
 	maxFairShare = 1.25
-	// minShareFraction is the lowest factor that a tenant's share may apply to its fraction of
-	// the bound.
+	// minShareFraction is the lowest factor by which Reach multiplies the fraction of the bound
+	// for a tenant above maxFairShare.
 	minShareFraction = 0.25
-	// starvedShare is the share below which a tenant may use the whole bound.
+	// starvedShare is the share below which a tenant may use the whole bound at any priority.
 	starvedShare = 0.25
 	// reservePerPriority is the fraction of the bound that each priority level leaves to the
 	// next higher one. maxPriorityReserve limits the sum, so that the lowest priority is
@@ -40,9 +41,9 @@
 //
 // A program that can no longer meet its deadline gets lateFraction. Other programs may use the
 // whole bound while fill is below contentionFill, or if their tenant is below starvedShare.
-// Otherwise each priority level below the highest reduces the fraction by reservePerPriority,
-// and a share above maxFairShare reduces it in inverse proportion to the share, by a factor of
-// at least minShareFraction.
+// Otherwise each priority level below the highest reduces the fraction by reservePerPriority, by
+// maxPriorityReserve at most. For a share above maxFairShare, the fraction is then multiplied by
+// maxFairShare/share, but not by less than minShareFraction.
 func Reach(claimant Claimant, fill float64) (float64, Cause) {
 	if claimant.Late {
 		return lateFraction, CauseLate
@@ -60,7 +61,7 @@
 	return fraction, cause
 }
 
-// Limits of the wait that refused callers are told.
+// Parameters of ComeBack.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 4 * time.Second
@@ -68,11 +69,14 @@
 	defaultProgramDuration = time.Second
 )
 
-// ComeBack returns a random wait before a refused caller should try again. The waits spread
-// the callers over the time that it takes to serve the demand. demandPerSecond is in tokens
-// per second, bound is the number of available tokens, and random is from 0 to 1. If the demand
-// during the mean duration of a program is n times the bound, serving it takes n such
-// durations.
+// ComeBack returns a random wait before a refused caller should try again. The waits spread the
+// callers from minRetryAfter to the time that it takes to serve the demand. This time is limited to
+// the range from twice minRetryAfter to maxRetryAfter. If the demand during the mean duration of a
+// program is n times the bound, serving this demand takes n such durations. If the bound is 0, one
+// such duration is assumed.
+//
+// demandPerSecond is in tokens per second, and bound is the number of available tokens. If
+// meanDuration is 0, defaultProgramDuration is used. random, from 0 to 1, selects the wait.
 func ComeBack(demandPerSecond, bound float64, meanDuration time.Duration, random float64) time.Duration {
 	if meanDuration <= 0 {
 		meanDuration = defaultProgramDuration
--- a/internal/admission/simulated_engine_test.go
+++ b/internal/admission/simulated_engine_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// load puts the program's context into memory and returns how many tokens were not there yet.
+// load puts the program's context into memory and returns how many tokens have to be prefilled.
 func (e *simEngine) load(p *simProgram) int {
 	prefillTokens := p.kind.promptTokens
 	had, found := e.contexts.Get(p.name)
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -59,7 +59,7 @@
 	snapshotAge    time.Duration // age of the snapshots that daemons get
 	noAdmission    bool          // start all programs without asking for admission
 	seed           uint64
-	missingEngines int // number of engines fewer than simEngines
+	missingEngines int // how many of the simEngines engines are missing
 }
 
 // simProgram is a simulated program.
@@ -75,9 +75,10 @@
 	firstTurn           bool
 }
 
-// outcomeCounts counts the turns of programs. asked counts all programs in the period in which
-// they arrived. served counts those of them that met their deadline. ended counts programs that
-// met their deadline in the period in which they ended.
+// outcomeCounts counts the turns of programs, for one second, tenant or kind. asked counts the
+// turns of all programs, and served those of the programs that met their deadline, both in the
+// second in which the program arrived. ended also counts the turns of the programs that met their
+// deadline, but in the second in which the program ended, and not by tenant or kind.
 type outcomeCounts struct{ asked, served, ended float64 }
 
 type simulation struct {
@@ -161,7 +162,7 @@
 	return time.Duration(p.kind.deadlineFactor * float64(p.kind.minDuration()))
 }
 
-// begin asks for admission. A refused program tries twice more if its deadline allows it.
+// begin asks for admission. A refused program tries up to twice more, until its deadline.
 func (s *simulation) begin(p *simProgram) {
 	p.request = s.request(p)
 	if !s.noAdmission {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -73,7 +73,8 @@
 }
 
 // Shard returns the shard in the identifier. The error is ErrMalformedProgram if the identifier
-// is malformed or names shard 0.
+// is malformed or names shard 0. Shard checks the number of the random characters, but not which
+// characters they are.
 func (p Program) Shard() (Shard, error) {
 	head, random, found := strings.Cut(string(p), "-")
 	if !found || len(head) < 2 || head[0] != 'p' || len(random) != programRandomLength {
--- a/internal/quota/acquisition.go
+++ b/internal/quota/acquisition.go
@@ -15,9 +15,9 @@
 	limiter    *Limiter
 	request    Request
 	remaining  []candidate // parts not asked yet, in the order in which to ask them
-	pending    int         // calls without an answer yet
+	pending    int         // number of calls without an answer yet
 	answers    chan answer
-	retryAfter time.Duration // shortest wait after which a permit is likely to be free
+	retryAfter time.Duration // shortest wait after which a permit may be free; maxWait: not known
 	decision   Decision
 }
 
@@ -34,10 +34,11 @@
 	err   error
 }
 
-// newAcquisition determines the order in which to ask the parts. Parts kept in the local
-// zone come first, because they are closer and stay reachable when other zones are cut off.
-// Keepers that recently failed to answer come last. Within each group the order is random,
-// which spreads the load evenly over the parts. Parts known to have no permit are left out.
+// newAcquisition returns an attempt for the request and determines the order in which it asks
+// the parts. Parts with a keeper in the local zone come first, because that keeper is closer and
+// stays reachable when other zones are cut off. Parts whose keeper is avoided after a failed call
+// come last. Within each group the order is random, which spreads the load evenly over the parts.
+// Parts that are known to be empty, or whose keeper is unknown or in a silent zone, are left out.
 func newAcquisition(limiter *Limiter, request Request) *acquisition {
 	attempt := &acquisition{limiter: limiter, request: request, answers: make(chan answer, limiter.settings.Parts), retryAfter: maxWait}
 	var remote, avoided []candidate
@@ -63,8 +64,8 @@
 	return attempt
 }
 
-// isKnownEmpty reports whether the part's keeper has said that it will have no permit until
-// a time that is still in the future.
+// isKnownEmpty reports whether, by an earlier answer of its keeper, the part still has no permit
+// for such a request. If so, isKnownEmpty also updates retryAfter and the decision.
 func (a *acquisition) isKnownEmpty(part partKey) bool {
 	until, found := a.limiter.emptyUntil.Get(a.emptyKey(part))
 	wait := until.Sub(a.limiter.now())
@@ -80,9 +81,9 @@
 	return emptyPartKey{part: part, underWay: a.request.UnderWay, revision: a.request.Revision}
 }
 
-// run asks the keepers in turn and returns the first permit, or nil if there is none. When
-// a keeper is slow, run also asks the next one. Permits that arrive after run has returned
-// are given back.
+// run asks the keepers one after another and returns the first permit. It returns nil if no
+// keeper grants a permit within callTimeout, or if the parent context ends first. When a keeper
+// is slow, run also asks the next one. Permits that arrive after run has returned are given back.
 func (a *acquisition) run(parent context.Context) *Taken {
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
@@ -115,8 +116,9 @@
 	return nil
 }
 
-// askNext asks the next keeper, if any. A remote keeper is called in a goroutine. If this
-// daemon is the keeper, its answer is handled before askNext returns.
+// askNext asks the next keeper, if any. A remote keeper is called in a goroutine, which sends the
+// answer to a.answers. If this daemon is the keeper, askNext handles the answer itself and returns
+// the permit, if there is one.
 func (a *acquisition) askNext(ctx context.Context) *Taken {
 	if len(a.remaining) == 0 {
 		return nil
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// handleAnswer records the answer of a keeper and returns the permit if it granted one.
+// handleAnswer records the answer of a keeper and returns the permit, or nil if there is none.
 func (a *acquisition) handleAnswer(received answer) *Taken {
 	if received.err != nil {
 		a.decision.Silent++
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -50,8 +50,9 @@
 // slotAt returns the number of the slot at the given time.
 func (b *bucket) slotAt(now time.Time) int64 { return max(int64(now.Sub(b.start)/b.slotLength), 0) }
 
-// take sets the rates, then issues a permit if the level is at least minLevel. It returns the
-// slot in which the permit is counted and the level afterwards.
+// take sets the rates, then issues a permit if the level is at least minLevel and the counter of
+// the current slot is not full. It returns the current slot, in which the permit is counted, and
+// the level afterwards.
 func (b *bucket) take(now time.Time, current rates, minLevel float64) (slot int64, level float64, taken bool) {
 	b.rates = current
 	b.advance(now)
@@ -64,8 +65,8 @@
 	return slot, level - 1, true
 }
 
-// giveBack returns a permit to the slot in which it was issued. It returns false if the
-// slot is too old, in the future, or has no permit left.
+// giveBack removes a permit from the count of the slot in which it was issued. It returns false
+// if the slot is too old, is in the future, or counts no permit.
 func (b *bucket) giveBack(now time.Time, slot int64) bool {
 	b.advance(now)
 	if slot < b.oldestSlot || slot > b.slotAt(now) || b.counts[slot%slotCount] == 0 {
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -14,15 +14,16 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// TestQuotasUnderFaults checks that no window admits more requests than a quota allows, with 1 to 390 daemons and up to ten
-// times the load that it allows. Meanwhile daemons restart, become unreachable, lose replies, stop keeping their parts, and disagree on the current
-// quota; parts move to other keepers; and permits are given back at any time.
+// TestQuotasUnderFaults checks that in no window more requests are admitted than the quota allows,
+// with 1 to 390 daemons and a load of up to ten times the quota. Meanwhile daemons restart, become
+// unreachable, lose replies, stop keeping their parts, and disagree on the current quota; parts
+// move to other keepers; and permits are given back at any time.
 func TestQuotasUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { newFaultSimulation(t).run() })
 }
 
-// faultSimulation is one run of TestQuotasUnderFaults. Rapid draws the faults. The requests come from a seeded generator, because
-// there are too many to draw.
+// faultSimulation is one run of TestQuotasUnderFaults. Rapid draws the faults. The requests come
+// from a seeded generator, because there are too many to draw.
 type faultSimulation struct {
 	*testFleet
 	t          *rapid.T
@@ -34,10 +35,10 @@
 	expired    int // number of leading entries of permits that are too old to be given back
 }
 
-// declaredQuota is a quota and the time from which no daemon used it any more.
+// declaredQuota is a quota and the time at which the last daemon stopped using it.
 type declaredQuota struct {
 	tenant.Quota
-	until time.Time // zero: it is the newest, or a daemon still uses it
+	until time.Time // zero: it is the newest quota, or a daemon still uses it
 }
 
 // issuedPermit is a permit that a daemon got.
@@ -94,7 +95,7 @@
 	return s.daemons[rapid.IntRange(0, len(s.daemons)-1).Draw(s.t, fmt.Sprint("daemon ", step))]
 }
 
-// moveClaims assigns all parts to other keepers. The new keepers are the only ones from now on.
+// moveClaims reassigns the parts. Each new keeper is the only keeper of its parts from now on.
 func (s *faultSimulation) moveClaims() {
 	s.assignment++
 	for _, daemon := range s.daemons {
@@ -107,7 +108,8 @@
 	s.declared = append(s.declared, declaredQuota{Quota: rapid.SampledFrom(testQuotas).Draw(s.t, fmt.Sprint("quota ", step))})
 }
 
-// learnQuota tells a daemon the newest quota, and records when a quota is no longer used by any daemon.
+// learnQuota makes a daemon use the newest quota, and records the time at which no daemon uses an
+// older quota any more.
 func (s *faultSimulation) learnQuota(daemon int) {
 	s.knownQuota[daemon] = len(s.declared) - 1
 	used := make([]bool, len(s.declared))
@@ -121,7 +123,7 @@
 	}
 }
 
-// ask sends the requests that the load offers in a tenth of a second or in one second, as rapid draws.
+// ask sends the requests that arrive in 0.1 s or 1 s, as drawn by rapid, and calls check.
 func (s *faultSimulation) ask(step int) {
 	seconds := rapid.SampledFrom([]float64{0.1, 1}).Draw(s.t, fmt.Sprint("lasting ", step))
 	newest := s.declared[len(s.declared)-1]
@@ -160,7 +162,8 @@
 	}
 }
 
-// check counts the requests in every window, without those whose permit was given back.
+// check fails the test if more requests were admitted in any window than maxRequestsSince allows.
+// Requests whose permit was given back do not count.
 func (s *faultSimulation) check() {
 	var admitted []time.Time
 	for _, permit := range s.permits {
@@ -179,7 +182,8 @@
 	}
 }
 
-// maxRequestsSince returns maxRequests for the highest quota that any daemon has used since the given time.
+// maxRequestsSince returns maxRequests for the highest quota that a daemon may have used since the
+// given time.
 func (s *faultSimulation) maxRequestsSince(since time.Time) int {
 	maximum := 0
 	for _, declared := range s.declared {
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -14,8 +14,8 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// These specs guard against many daemons taking the same free permit at once, each on the basis of an outdated count. The limit
-// checked has no allowance for outdated information.
+// These specs guard against many daemons taking the same free permit at once, each on the basis of
+// an outdated count. The bounds of the checks have no allowance for outdated information.
 var _ = Describe("Quotas of a fleet", func() {
 	It("hold in every window at any load on any number of daemons", func() {
 		var broken []string
@@ -44,7 +44,8 @@
 	})
 })
 
-// maxRequests returns how many requests of a tenant all daemons together may run in any window, including the tolerance.
+// maxRequests returns how many requests of a tenant all daemons together may run in any window,
+// including the tolerance.
 func maxRequests(declared tenant.Quota) int {
 	limit := declared.PerSecond*windowLength.Seconds() + float64(declared.Burst)
 	return int(limit*(1+settings.ToleranceShare)) + settings.ToleranceRequests
@@ -59,12 +60,14 @@
 	seed       uint64
 }
 
-// outcome counts the requests of a simulation; worstWindow is the most that were admitted in one window.
+// outcome counts the requests of a simulation. worstWindow is the largest number that was admitted
+// in one window.
 type outcome struct{ worstWindow, taken, refused int }
 
 // fleet is a set of daemons in simulated time.
 type fleet interface {
-	// take asks a daemon for a permit; after is how long a refused caller should wait before a retry.
+	// take asks a daemon for a permit. after is how long a refused caller should wait before it
+	// retries.
 	take(daemon int, request quota.Request) (after time.Duration, admitted bool)
 	// advance sets the clock.
 	advance(to time.Time)
@@ -94,8 +97,8 @@
 	return last
 }
 
-// simulateDemand sends the requests of a load to random daemons. Most requests belong to work in progress, and most refused
-// callers retry after the wait that they were told.
+// simulateDemand sends the requests of a load to random daemons. Most refused callers retry after
+// the wait that the daemon returned.
 func simulateDemand(load demand) outcome {
 	random := rand.New(rand.NewPCG(load.seed, uint64(load.daemons)))
 	start := time.Unix(1000, 0)
@@ -125,7 +128,8 @@
 	return result
 }
 
-// arrivals returns requests in groups of four at random times. Below the rate of the quota they are spread evenly instead.
+// arrivals returns requests that arrive in groups of groupSize at random times. If the load is
+// below the rate of the quota, it returns evenArrivals instead.
 func arrivals(load demand, start time.Time, random *rand.Rand) callers {
 	const groupSize, underWayShare = 4, 0.8
 	perSecond := load.quota.PerSecond * load.loadFactor / groupSize
@@ -141,7 +145,8 @@
 	return result
 }
 
-// evenArrivals returns requests that stay within the quota: first its burst at once, then one request at a time at a constant rate.
+// evenArrivals returns requests that stay within the quota: first its burst at once, then single
+// requests at a constant rate.
 func evenArrivals(load demand, start time.Time, random *rand.Rand) callers {
 	var result callers
 	for range load.quota.Burst {
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -31,10 +31,11 @@
 type TakeReply struct {
 	Verdict Verdict
 	Level   float64 // permits left in the part
-	// Empty is how long the part will have no permit unless one is given back.
+	// Empty is how long the part will have no permit for such a request, unless one is given
+	// back.
 	Empty time.Duration
-	// Back is how long the caller should wait before it asks again. It takes into account
-	// the callers that were refused earlier.
+	// Back is how long the caller should wait before it asks again. This wait allows for the
+	// retries of callers that were refused earlier.
 	Back  time.Duration
 	Place Place
 }
@@ -109,7 +110,8 @@
 	return &Keeper{settings: settings, claims: claims, now: now, parts: map[partKey]*part{}}
 }
 
-// Take issues a permit or refuses the request. Other daemons call it with net/rpc.
+// Take issues a permit or refuses the request. If this daemon is not the keeper of the part, the
+// verdict is VerdictNotKept. Other daemons call Take with net/rpc.
 func (k *Keeper) Take(request TakeRequest, reply *TakeReply) error {
 	key := partKey{tenant: request.Tenant, number: request.Part}
 	k.mutex.Lock()
@@ -117,7 +119,7 @@
 	now := k.now()
 	since, keeps := k.claims.Keeps(claimOwner(key.tenant), key.number)
 	if !keeps {
-		// The part stays in memory and is used again if no other daemon keeps it meanwhile.
+		// The part stays in memory and is used again if no other daemon keeps it in the meantime.
 		reply.Verdict = VerdictNotKept
 		return nil
 	}
@@ -167,8 +169,9 @@
 	return reply
 }
 
-// enqueue adds a refused caller to the estimated queue and returns the length of the queue
-// ahead of it. A refused caller has asked all parts, so each part counts only its share.
+// enqueue adds a refused caller to the estimated queue and returns the length of the queue ahead
+// of this caller. Refused callers usually ask all parts, so each part adds only the given share
+// of a caller.
 func (p *part) enqueue(now time.Time, current rates, share float64) float64 {
 	served := current.perSecond * now.Sub(p.queueUpdatedAt).Seconds()
 	p.queueLength, p.queueUpdatedAt = max(p.queueLength-served, 0), now
@@ -177,7 +180,8 @@
 	return ahead
 }
 
-// GiveBack makes an issued permit available again. Other daemons call it with net/rpc.
+// GiveBack makes an issued permit available again, unless the permit is too old or from a bucket
+// that no longer exists. Other daemons call GiveBack with net/rpc.
 func (k *Keeper) GiveBack(request GiveBackRequest, _ *GiveBackReply) error {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -188,15 +192,16 @@
 	return nil
 }
 
-// Parts that were not asked for during sweepAfter are dropped once they are full. No permit
-// is lost: a new bucket for the part refills from the time at which this daemon became its
-// keeper.
+// A part that was not asked for during sweepAfter is dropped if it is full. No permit is lost: a
+// new bucket for the part refills from the time at which this daemon became its keeper.
+// sweepInterval is the shortest time between two searches for such parts.
 const (
 	sweepAfter    = 10 * time.Minute
 	sweepInterval = time.Minute
 )
 
-// sweep drops unused parts, at most once per sweepInterval. The caller must hold the lock.
+// sweep drops full parts that were not asked for during sweepAfter, at most once per
+// sweepInterval. The caller must hold the lock.
 func (k *Keeper) sweep(now time.Time) {
 	if now.Sub(k.lastSweep) < sweepInterval {
 		return
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -14,20 +14,20 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// Timeouts and limits for calls to keepers.
+// Timeouts and limits of a Limiter.
 const (
 	// callTimeout limits the duration of one call, and that of the whole search for a permit.
 	callTimeout = 150 * time.Millisecond
 	// hedgeDelay is how long to wait for an answer before the next keeper is asked as well.
 	hedgeDelay = 30 * time.Millisecond
-	// avoidDuration is how long a keeper is asked after all others when a call to it has failed.
+	// avoidDuration is how long a keeper stays last in the order after a call to it has failed.
 	avoidDuration = 500 * time.Millisecond
 	// giveBackTimeout limits the duration of the call that gives back a permit.
 	giveBackTimeout = time.Second
 	// minRetryAfter is the shortest wait that a refused caller is told, before jitter.
 	minRetryAfter = 100 * time.Millisecond
-	// emptyCacheSize is the number of parts that are remembered as empty. It covers the
-	// tenants that are at their limit at the same time.
+	// emptyCacheSize is the maximum number of parts that are remembered as empty. It allows for
+	// many tenants that are at their limit at the same time.
 	emptyCacheSize = 4096
 )
 
@@ -90,8 +90,9 @@
 	}
 }
 
-// Take gets a permit for the request. It returns nil without an error if the tenant has no
-// limit, *ExceededError if the quota is used up, and *UnreachedError if no keeper could be reached.
+// Take gets a permit for the request. It returns nil without an error if the tenant has no limit.
+// If no keeper grants a permit, the error is *ExceededError if a keeper refused the request, or if
+// a part is known to be empty from an earlier answer. Otherwise it is *UnreachedError.
 func (l *Limiter) Take(ctx context.Context, request Request) (*Taken, error) {
 	if !request.Quota.Limited() {
 		return nil, nil
@@ -115,8 +116,8 @@
 	}
 }
 
-// addJitter returns the wait, at least minRetryAfter, lengthened by a random part of up to
-// half, so that callers that were refused together do not retry together.
+// addJitter returns the wait, but at least minRetryAfter, plus a random addition of up to half of
+// that, so that callers that were refused together do not retry together.
 func addJitter(wait time.Duration) time.Duration {
 	minWait := max(wait, minRetryAfter)
 	return minWait + rand.N(minWait)/2
@@ -132,7 +133,7 @@
 }
 
 // Return gives back the permit of a request that was not run. It does not wait for the
-// keeper. Only the first call has an effect, and a nil permit may be returned.
+// keeper. Only the first call has an effect. A call on a nil permit does nothing.
 func (t *Taken) Return() {
 	if t == nil {
 		return
@@ -151,7 +152,7 @@
 	defer cancel()
 	if err := l.caller.Call(ctx, keeper.Process.Address, peer.Control, methodGiveBack, request, &GiveBackReply{}); err != nil {
 		l.metrics.count(resultNotGivenBack)
-		l.log.Info("quota: giving back a place failed; it still counts as taken.", zap.String("tenant", string(request.Tenant)),
+		l.log.Info("quota: giving back a place failed; it may still count as taken.", zap.String("tenant", string(request.Tenant)),
 			zap.String("keeper", string(keeper.Process.Machine)), zap.String("cause", err.Error()))
 	}
 }
@@ -177,6 +178,6 @@
 	l.avoided[machine] = l.now().Add(avoidDuration)
 	l.mutex.Unlock()
 	if !known {
-		l.log.Info("quota: keeper did not answer; asking it last.", zap.String("keeper", string(machine)), zap.Duration("for", avoidDuration), zap.String("cause", cause))
+		l.log.Info("quota: call to keeper failed; asking it last.", zap.String("keeper", string(machine)), zap.Duration("for", avoidDuration), zap.String("cause", cause))
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -44,9 +44,9 @@
 type Decision struct {
 	Keeper string  // machine of the keeper that answered last
 	Level  float64 // permits left in the part of that keeper
-	Asked  int     // number of keepers asked
-	Known  int     // parts not asked because they were known to be empty
-	Silent int     // parts whose keeper is unknown or did not answer
+	Asked  int     // number of parts whose keeper was asked
+	Known  int     // number of parts not asked because they were known to be empty
+	Silent int     // number of parts whose keeper is unknown, could not be reached, or no longer keeps the part
 	Took   time.Duration
 }
 
@@ -72,8 +72,8 @@
 	return fmt.Sprintf("tenant %s: quota used up, %d requests allowed in a window; %s", e.Tenant, e.Allowed, e.Decision)
 }
 
-// UnreachedError is returned when no keeper of the tenant's quota could be reached. Whether
-// the tenant has used up its quota is then unknown.
+// UnreachedError is returned when no keeper of the tenant's quota could be reached. It is then
+// unknown whether the tenant has used up its quota.
 type UnreachedError struct {
 	Decision
 	Tenant identity.Tenant
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -74,7 +74,7 @@
 		Expect(takeAll(request(true))).To(BeNumerically("~", perSecond, quota.DefaultParts))
 	})
 
-	It("remembers how long a part is empty and does not ask it again until then", func() {
+	It("does not ask a part again while the part is known to be empty", func() {
 		takeAll(request(true))
 		_, err := take(0, request(true))
 		Expect(err).To(HaveOccurred(), "all parts have been asked by now")
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -19,10 +19,10 @@
 	Parts int
 }
 
-// DefaultParts is the usual number of parts of a quota. When a keeper fails, its part is
-// lost until it restarts or its claims are released. With four parts, a tenant that uses
-// less than three quarters of its limit is not affected. With more parts, a failure costs
-// less, but each part has fewer permits and a refused request has to ask more keepers.
+// DefaultParts is the usual number of parts of a quota. When a keeper fails, its parts issue no
+// permits until it restarts or its claims are released. If one of four parts is lost, a tenant
+// that uses less than three quarters of its limit is not affected. With more parts, the loss of
+// one costs less, but each part has fewer permits and a refused request has to ask more keepers.
 const DefaultParts = 4
 
 // maxPermits returns how many permits a quota allows in a window, including the tolerance.
@@ -42,10 +42,10 @@
 // rates returns the limits of one part of a quota. The permits of a window are divided among
 // the parts as whole numbers. If there are fewer permits than parts, the last parts get none.
 //
-// In a window a part issues its capacity and its steady rate. The sum stays below the next
-// whole permit, so that rounding never yields an additional one. The capacity covers the
-// burst and the tolerance. The tolerance is reserved for work in progress, except for a
-// small amount that makes up for what new work may lose by counting in slots.
+// In a window, a part issues at most its capacity plus its steady rate. This sum stays below the
+// next whole number, so that rounding never yields an additional permit. The capacity covers the
+// burst and the tolerance. The tolerance is reserved for work in progress, except for an
+// amount of slotLoss, which makes up for the permits that new work may lose by counting in slots.
 func (s Settings) rates(declared tenant.Quota, part int) rates {
 	permits := int(s.maxPermits(declared))
 	usedParts := min(s.Parts, permits)
--- a/internal/quota/standalone.go
+++ b/internal/quota/standalone.go
@@ -32,7 +32,7 @@
 func (a standalone) Keeps(string, int) (time.Time, bool) { return a.since, true }
 
 // standaloneAge is how long a standalone daemon is assumed to have owned its parts. It is
-// long enough to fill any quota that allows at least one request a year.
+// long enough to fill the bucket of any practical quota.
 const standaloneAge = 10 * 365 * 24 * time.Hour
 
 // NewAlone returns a limiter for a single daemon. Each quota consists of one part, which
--- a/internal/quota/test_fleet_test.go
+++ b/internal/quota/test_fleet_test.go
@@ -16,15 +16,17 @@
 	"github.com/thymeloft/thymeloft/internal/quota"
 )
 
-// f is a set of daemons that call each other directly. All of them agree on the keeper of each part.
+// testFleet is a set of daemons that call each other directly. All daemons agree on the keeper of
+// each part.
 type testFleet struct {
 	clock      atomic.Int64 // nanoseconds since the epoch
-	mutex      sync.Mutex   // guards the daemons' state, since calls may outlive the request that made them
+	mutex      sync.Mutex   // guards the daemons' state; a call may still run after its request has ended
 	daemons    []*testDaemon
 	byAddress  map[string]*testDaemon
 	soleKeeper *testDaemon // keeper of all parts, if not nil
-	assignment byte        // changing it assigns the parts to other daemons
-	// gaveBack receives a value after a call that gave back a permit; it drops values that nobody waits for.
+	assignment byte        // any change reassigns the parts
+	// gaveBack receives a value after each Quota.GiveBack call. The value is dropped if an earlier
+	// one has not been received yet.
 	gaveBack chan struct{}
 }
 
@@ -39,7 +41,7 @@
 	update()
 }
 
-// testDaemon is one daemon of a f.
+// testDaemon is one daemon of a testFleet.
 type testDaemon struct {
 	fleet       *testFleet
 	process     identity.Process
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -63,7 +63,8 @@
 	return d.byName
 }
 
-// Find returns the tenant that owns the key with the digest. The caller must not change it.
+// Find returns the tenant that owns the key with the digest, and whether there is one. The caller
+// must not change the tenant.
 func (d *Directory) Find(digest Digest) (*Tenant, bool) {
 	if d == nil {
 		return nil, false
