--- a/internal/members/claims.go
+++ b/internal/members/claims.go
@@ -9,146 +9,147 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// picture is a View with what lookups need, made once for each change of the
-// list: a lookup is one pass over numbers, without sorting or allocation.
-type picture struct {
-	view    *View
-	living  []*record                   // all zones, by machine
-	dead    []*record                   // whose claims still count for lending
-	regions [][]*record                 // living, this daemon's region first
-	zones   [2][]*record                // living others: of this daemon's zone, of other zones
-	near    []*record                   // living, of this daemon's zone and region, this daemon among them
-	away    map[identity.Zone][]*record // living, by zone, of other zones
-	own     *record                     // this daemon
-	keepers keeperSet
-	self    identity.Process // this daemon
+// snapshot is a View with the indexes that lookups need. It is built once for each change of the
+// list, so that a lookup is one pass over the members without sorting or allocation.
+type snapshot struct {
+	view       *View
+	living     []*memberRecord                   // all zones, by machine name
+	dead       []*memberRecord                   // their scores still count for lending
+	byRegion   [][]*memberRecord                 // living members; this daemon's region is the first
+	others     [2][]*memberRecord                // other living members: of this daemon's zone, of other zones
+	sameZone   []*memberRecord                   // living members of this daemon's zone and region, including itself
+	otherZones map[identity.Zone][]*memberRecord // living members of other zones, by zone
+	own        *memberRecord                     // this daemon's record
+	owners     ownerSet
+	self       identity.Process // this process
 }
 
-func newPicture(view *View, records []*record, self identity.Process, own Standing, laid seenLayout) *picture {
-	made := &picture{view: view, self: self, regions: make([][]*record, 1), away: map[identity.Zone][]*record{}, keepers: keeperSet{layout: laid, found: &sync.Map{}}}
-	places := map[identity.Region]int{self.Region: 0}
-	for _, known := range records {
-		process := known.member.Process
+func newSnapshot(view *View, records []*memberRecord, self identity.Process, ownStanding Standing, stored storedLayout) *snapshot {
+	built := &snapshot{view: view, self: self, byRegion: make([][]*memberRecord, 1), otherZones: map[identity.Zone][]*memberRecord{}, owners: ownerSet{layout: stored, cache: &sync.Map{}}}
+	regionIndex := map[identity.Region]int{self.Region: 0}
+	for _, candidate := range records {
+		process := candidate.member.Process
 		if process.Machine == self.Machine {
-			made.own = known
+			built.own = candidate
 		}
-		standing := known.member.Standing
+		standing := candidate.member.Standing
 		if process.Machine == self.Machine {
-			standing = own
+			standing = ownStanding
 		}
-		if standing.claims() {
-			made.keepers.records = append(made.keepers.records, known)
+		if standing.hasClaims() {
+			built.owners.records = append(built.owners.records, candidate)
 		}
-		if known.member.State == StateDead {
-			made.dead = append(made.dead, known)
+		if candidate.member.State == StateDead {
+			built.dead = append(built.dead, candidate)
 			continue
 		}
-		made.living = append(made.living, known)
-		place, seen := places[process.Region]
+		built.living = append(built.living, candidate)
+		index, seen := regionIndex[process.Region]
 		if !seen {
-			place = len(made.regions)
-			places[process.Region] = place
-			made.regions = append(made.regions, nil)
+			index = len(built.byRegion)
+			regionIndex[process.Region] = index
+			built.byRegion = append(built.byRegion, nil)
 		}
-		made.regions[place] = append(made.regions[place], known)
+		built.byRegion[index] = append(built.byRegion[index], candidate)
 		if process.Region == self.Region && process.Zone == self.Zone {
-			made.near = append(made.near, known)
+			built.sameZone = append(built.sameZone, candidate)
 		}
 		switch {
 		case process.Machine == self.Machine:
 		case process.Zone == self.Zone:
-			made.zones[0] = append(made.zones[0], known)
+			built.others[0] = append(built.others[0], candidate)
 		default:
-			made.zones[1] = append(made.zones[1], known)
-			made.away[process.Zone] = append(made.away[process.Zone], known)
+			built.others[1] = append(built.others[1], candidate)
+			built.otherZones[process.Zone] = append(built.otherZones[process.Zone], candidate)
 		}
 	}
-	return made
+	return built
 }
 
-// mostHomes is how many members of a region may hold a key: its home, and those
-// that stand in one after the other while the home does not answer. Three losses
-// at once outside of this daemon's sight are left to this daemon itself.
-const mostHomes = 3
+// maxHomes bounds the members of a region that may hold a key: its home, and those that replace it
+// in turn while it doesn't answer. If all of them fail before this daemon notices, this daemon
+// handles the key itself.
+const maxHomes = 3
 
-// Homes are the members of a region with the first claims on a key, the first
-// claim first. It is a value, so that a lookup allocates nothing.
+// Homes are the members of a region with the highest scores for a key, in descending order of
+// score. It is a value, so a lookup allocates nothing.
 type Homes struct {
-	found  [mostHomes]*record
-	claims [mostHomes]uint64
+	found  [maxHomes]*memberRecord
+	scores [maxHomes]uint64
 	count  int
 }
 
-// Len is how many there are: mostHomes, or as many as live unsuspected.
+// Len returns the number of homes: maxHomes, or fewer if not as many members are alive and
+// unsuspected.
 func (h *Homes) Len() int { return h.count }
 
-// At returns the member with the claim of that order, from 0.
+// At returns the home at the given position; position 0 has the highest score.
 func (h *Homes) At(order int) Member { return h.found[order].member }
 
-// offer takes the member in if its claim is among the first.
-func (h *Homes) offer(candidate *record, claim uint64) {
-	place := h.count
-	for place > 0 && h.claims[place-1] < claim {
-		place--
+// insert adds the member if its score is among the maxHomes highest.
+func (h *Homes) insert(candidate *memberRecord, memberScore uint64) {
+	index := h.count
+	for index > 0 && h.scores[index-1] < memberScore {
+		index--
 	}
-	if place == mostHomes {
+	if index == maxHomes {
 		return
 	}
-	h.count = min(h.count+1, mostHomes)
-	copy(h.found[place+1:h.count], h.found[place:])
-	copy(h.claims[place+1:h.count], h.claims[place:])
-	h.found[place], h.claims[place] = candidate, claim
+	h.count = min(h.count+1, maxHomes)
+	copy(h.found[index+1:h.count], h.found[index:])
+	copy(h.scores[index+1:h.count], h.scores[index:])
+	h.found[index], h.scores[index] = candidate, memberScore
 }
 
-// Homes finds the members of this daemon's region with the first claims on a
-// key, the same at every daemon of the region (rendezvous hashing). Suspected
-// members are left out; this daemon itself never is.
+// Homes returns the members of this daemon's region with the highest scores for the key (rendezvous
+// hashing); all daemons of the region find the same ones. Suspected members are left out, except
+// this daemon itself.
 func (l *List) Homes(key string) Homes {
 	current := l.current.Load()
-	return l.homesAmong(current, current.regions[0], digestOf(key))
+	return l.topHomes(current, current.byRegion[0], hashOf(key))
 }
 
-func (l *List) homesAmong(current *picture, members []*record, key uint64) Homes {
+func (l *List) topHomes(current *snapshot, members []*memberRecord, key uint64) Homes {
 	var homes Homes
 	now := l.now().UnixNano()
 	for _, candidate := range members {
-		claimed := claim(candidate.digest, key)
-		if homes.count == mostHomes && claimed < homes.claims[mostHomes-1] {
+		candidateScore := score(candidate.nameHash, key)
+		if homes.count == maxHomes && candidateScore < homes.scores[maxHomes-1] {
 			continue
 		}
-		if candidate != current.own && candidate.avoided(now) {
+		if candidate != current.own && candidate.isAvoided(now) {
 			continue
 		}
-		homes.offer(candidate, claimed)
+		homes.insert(candidate, candidateScore)
 	}
 	return homes
 }
 
-// leastNear is how many living members a zone has at least to have homes of its own: as many as may hold a key one
-// after the other.
-const leastNear = mostHomes
+// minZoneMembers is the minimum number of living members of a zone that has homes of its own.
+const minZoneMembers = maxHomes
 
-// HomesNear are the members of this daemon's zone with the first claims on a key among that zone's; false
-// if the zone is too small for homes of its own, or has the region to itself.
+// HomesNear returns the members of this daemon's zone with the highest scores for the key. It
+// returns false if the zone has fewer than minZoneMembers members or is the only one of its region.
 func (l *List) HomesNear(key string) (Homes, bool) {
 	current := l.current.Load()
-	if len(current.near) < leastNear || len(current.near) == len(current.regions[0]) {
+	if len(current.sameZone) < minZoneMembers || len(current.sameZone) == len(current.byRegion[0]) {
 		return Homes{}, false
 	}
-	return l.homesAmong(current, current.near, digestOf(key)), true
+	return l.topHomes(current, current.sameZone, hashOf(key)), true
 }
 
-// LikelyHomes returns the other members that are likely to hold a key: its homes in all regions, and in each of their zones.
+// LikelyHomes returns the other members that are likely to hold the key: its homes in each region
+// and in each zone.
 func (l *List) LikelyHomes(key string) []Member {
 	current := l.current.Load()
-	digest := digestOf(key)
-	groups := append(slices.Clone(current.regions), current.near)
-	for _, zone := range current.away {
+	keyHash := hashOf(key)
+	groups := append(slices.Clone(current.byRegion), current.sameZone)
+	for _, zone := range current.otherZones {
 		groups = append(groups, zone)
 	}
-	var likely []*record
+	var likely []*memberRecord
 	for _, among := range groups {
-		homes := l.homesAmong(current, among, digest)
+		homes := l.topHomes(current, among, keyHash)
 		for _, found := range homes.found[:homes.count] {
 			if found != current.own && !slices.Contains(likely, found) {
 				likely = append(likely, found)
@@ -162,44 +163,45 @@
 	return members
 }
 
-// Sweeps tells whether this daemon has the first claim on a key among the
-// living members of all zones.
+// Sweeps reports whether this daemon has the highest score for the key among the living members of
+// all zones. It selects one daemon for work that only one should do.
 func (l *List) Sweeps(key string) bool {
 	current := l.current.Load()
-	return firstClaim(current.living, current.own, digestOf(key))
+	return isHighestScore(current.living, current.own, hashOf(key))
 }
 
-// claimsAmongAll is Sweeps with the claims of dead members counted, too.
-func (l *List) claimsAmongAll(key string) bool {
+// isFirstAmongAll reports whether this daemon has the highest score for the key among the living
+// and the dead members of all zones.
+func (l *List) isFirstAmongAll(key string) bool {
 	current := l.current.Load()
-	digest := digestOf(key)
-	return firstClaim(current.living, current.own, digest) && firstClaim(current.dead, current.own, digest)
+	keyHash := hashOf(key)
+	return isHighestScore(current.living, current.own, keyHash) && isHighestScore(current.dead, current.own, keyHash)
 }
 
-func firstClaim(members []*record, own *record, key uint64) bool {
-	ownClaim := claim(own.digest, key)
+func isHighestScore(members []*memberRecord, own *memberRecord, key uint64) bool {
+	ownScore := score(own.nameHash, key)
 	for _, member := range members {
-		if claim(member.digest, key) > ownClaim {
+		if score(member.nameHash, key) > ownScore {
 			return false
 		}
 	}
 	return true
 }
 
-// Others returns at most so many other members that are not suspected, those of
-// this zone first, beginning at a place that differs from key to key.
-func (l *List) Others(key string, most int) []Member {
+// Others returns up to limit other members that are not suspected, those of this daemon's zone
+// first. The starting point in each list depends on the key, to spread load.
+func (l *List) Others(key string, limit int) []Member {
 	current := l.current.Load()
 	now := l.now().UnixNano()
-	digest := digestOf(key)
-	others := make([]Member, 0, min(most, len(current.living)))
-	for _, zone := range current.zones {
+	keyHash := hashOf(key)
+	others := make([]Member, 0, min(limit, len(current.living)))
+	for _, zone := range current.others {
 		for step := range zone {
-			if len(others) == most {
+			if len(others) == limit {
 				return others
 			}
-			candidate := zone[(digest+uint64(step))%uint64(len(zone))]
-			if !candidate.avoided(now) {
+			candidate := zone[(keyHash+uint64(step))%uint64(len(zone))]
+			if !candidate.isAvoided(now) {
 				others = append(others, candidate.member)
 			}
 		}
@@ -207,11 +209,11 @@
 	return others
 }
 
-func digestOf(text string) uint64 { return xxhash.Sum64String(text) }
+func hashOf(text string) uint64 { return xxhash.Sum64String(text) }
 
-// claim mixes the digests of a member's name and of a key (the finalizer of
-// splitmix64, whose bits all depend on all bits of the input).
-func claim(member, key uint64) uint64 {
+// score returns the rendezvous score of a member for a key from their hashes (the finalizer of
+// splitmix64, in which each output bit depends on all input bits).
+func score(member, key uint64) uint64 {
 	const (
 		firstFactor, secondFactor          = 0xbf58476d1ce4e5b9, 0x94d049bb133111eb
 		firstShift, secondShift, lastShift = 30, 27, 31
--- a/internal/members/fleet_world_test.go
+++ b/internal/members/fleet_world_test.go
@@ -13,66 +13,67 @@
 
 const testRenewal = time.Second
 
-// daemon is one process of a test: its list, its lease and its way to the store.
+// daemon is a simulated process: its list, its lease and its access to the store, of which it is
+// the state.Store.
 type daemon struct {
-	list  *List
-	lease *Lease
-	world *fleetWorld
-	cut   bool // from the store
+	list     *List
+	lease    *Lease
+	env      *testEnv
+	isCutOff bool // no access to the store
 }
 
-// fleetWorld is a store, its daemons and a clock.
-type fleetWorld struct {
+// testEnv is a store, the daemons that use it and a simulated clock.
+type testEnv struct {
 	store   *memorystore.Store
 	now     time.Time
 	started int
-	zones   map[string]identity.Zone // by machine; others are in the zone without a name
+	zones   map[string]identity.Zone // by machine; other machines are in the zone with the empty name
 }
 
-func newFleetWorld() *fleetWorld {
-	return &fleetWorld{store: memorystore.New(), now: time.Unix(1000, 0), zones: map[string]identity.Zone{}}
+func newTestEnv() *testEnv {
+	return &testEnv{store: memorystore.New(), now: time.Unix(1000, 0), zones: map[string]identity.Zone{}}
 }
 
-// start makes a process on a machine; it does not reach for the store yet.
-func (w *fleetWorld) start(machine string, firstStart bool) *daemon {
-	return w.startAt(machine, machine, firstStart)
+// startDaemon creates a process on a machine. It doesn't call the store yet.
+func (e *testEnv) startDaemon(machine string, firstStart bool) *daemon {
+	return e.startDaemonAt(machine, machine, firstStart)
 }
 
-func (w *fleetWorld) startAt(machine, address string, firstStart bool) *daemon {
-	w.started++
+func (e *testEnv) startDaemonAt(machine, address string, firstStart bool) *daemon {
+	e.started++
 	self := Member{Process: identity.Process{
-		Machine: identity.Machine(machine), Zone: w.zones[machine], Region: "r", Address: address, Incarnation: identity.Incarnation(w.started),
+		Machine: identity.Machine(machine), Zone: e.zones[machine], Region: "r", Address: address, Incarnation: identity.Incarnation(e.started),
 	}}
-	made := &daemon{world: w}
-	made.list = NewList(self, func() time.Time { return w.now }, zap.NewNop())
+	d := &daemon{env: e}
+	d.list = NewList(self, func() time.Time { return e.now }, zap.NewNop())
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	client := state.NewClient(state.ClientOptions{Store: made, Availability: availability, NotHedged: true})
-	made.lease = &Lease{List: made.list, Store: client, FirstStart: firstStart, ShortestRenewal: testRenewal, Log: zap.NewNop()}
-	return made
+	client := state.NewClient(state.ClientOptions{Store: d, Availability: availability, NotHedged: true})
+	d.lease = &Lease{List: d.list, Store: client, FirstStart: firstStart, ShortestRenewal: testRenewal, Log: zap.NewNop()}
+	return d
 }
 
-// Commit implements state.Store: the daemon's own way to the store.
+// Commit implements state.Store.
 func (d *daemon) Commit(ctx context.Context, commit state.Commit) (state.Version, error) {
-	if d.cut {
+	if d.isCutOff {
 		return 0, state.ErrNotDone
 	}
-	return d.world.store.Commit(ctx, commit)
+	return d.env.store.Commit(ctx, commit)
 }
 
 // Read implements state.Store.
 func (d *daemon) Read(ctx context.Context, selected state.Range) (state.Page, error) {
-	if d.cut {
+	if d.isCutOff {
 		return state.Page{}, state.ErrNotDone
 	}
-	return d.world.store.Read(ctx, selected)
+	return d.env.store.Read(ctx, selected)
 }
 
 // Feed implements state.Store.
 func (d *daemon) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.Change, error) {
-	return d.world.store.Feed(ctx, table, after, wait)
+	return d.env.store.Feed(ctx, table, after, wait)
 }
 
-// read takes in the whole list, if the daemon reaches the store.
+// read reads the whole list, unless the daemon is cut off.
 func (d *daemon) read() {
 	page, err := d.Read(context.Background(), state.Range{Table: Table, Partition: partition})
 	if err != nil {
@@ -82,26 +83,27 @@
 	d.list.Heard()
 }
 
-// step renews as Run does, without waiting long where there is no way.
+// step renews the lease as Lease.Run does and then reads the list. It doesn't wait for the store if
+// the daemon is cut off.
 func (d *daemon) step() bool {
-	ctx, cancel := d.reach()
+	ctx, cancel := d.storeContext()
 	defer cancel()
-	kept := d.lease.Step(ctx)
+	registered := d.lease.Step(ctx)
 	d.read()
-	return kept
+	return registered
 }
 
-// reach gives a context that has ended if there is no way to the store, so that
-// no test waits for what cannot come.
-func (d *daemon) reach() (context.Context, context.CancelFunc) {
+// storeContext returns a context that has already ended if the daemon is cut off, so that no test
+// waits for a timeout.
+func (d *daemon) storeContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
-	if d.cut {
+	if d.isCutOff {
 		cancel()
 	}
 	return ctx, cancel
 }
 
-func (d *daemon) sees(machine string) State {
+func (d *daemon) stateOf(machine string) State {
 	member, found := d.list.member(identity.Machine(machine))
 	if !found {
 		return ""
@@ -109,9 +111,9 @@
 	return member.State
 }
 
-// run lets so much time pass; the daemons renew every testRenewal.
-func (w *fleetWorld) run(lasting time.Duration, daemons ...*daemon) {
-	for end := w.now.Add(lasting); w.now.Before(end); w.now = w.now.Add(testRenewal) {
+// run advances the clock by duration; the daemons step every testRenewal.
+func (e *testEnv) run(duration time.Duration, daemons ...*daemon) {
+	for end := e.now.Add(duration); e.now.Before(end); e.now = e.now.Add(testRenewal) {
 		for _, each := range daemons {
 			each.step()
 		}
--- a/internal/members/founding.go
+++ b/internal/members/founding.go
@@ -8,76 +8,82 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// foundedKey marks that the founding of the system is over, and holds its layout. The registration that
-// would make a process a founder is on condition that it is absent, so that no founder comes after it, however
-// often a machine is told of the system's first start; and nobody lends, or settles as a keeper, by a
-// list that does not show it.
+// bootstrapKey is the row that marks the end of the bootstrap, the time in which the founders of a
+// system register, and that holds the layout. A founder's registration is conditional on the
+// absence of this row, so no founder can register once it exists, however often a machine is told
+// that the system is started for the first time. Nobody lends, or becomes a shard owner after
+// settling, by a list that doesn't show the row.
 //
-// Any registered member writes it after a renewal, once founding and foundersApart have passed since its own
-// start and its list does not show it; the first one does. While the store is away nobody writes it, and
-// nobody lends yet. It stands in Table, so that who hears it has heard each row that was
-// written before. No machine has such a name.
-var foundedKey = state.Key{Table: Table, Partition: partition, Name: "/founded"}
+// Any registered member writes it after a renewal, once founderRegistrationWindow plus
+// maxFounderStartSkew have passed since its own start and its list doesn't show the row. The first
+// such commit succeeds. While the store can't be reached, nobody writes it and nobody lends yet.
+// The row is in Table, so a daemon that sees it has seen each row written before it. No machine has
+// this name.
+var bootstrapKey = state.Key{Table: Table, Partition: partition, Name: "/founded"}
 
-// noteFounded takes in that the founding is over, if the marker is among the rows of a list that is whole as of a
-// version. A reading of several pages is whole as of the oldest of them only. The list is published before: who
-// sees that it may lend sees the founders, too.
-func (l *List) noteFounded(rows []state.Row, whole state.Version) {
-	shown := slices.ContainsFunc(rows, func(row state.Row) bool {
-		return row.Key.Name == foundedKey.Name && row.Version <= whole
+// noteBootstrapped records the end of the bootstrap if rows holds bootstrapKey with a version of at
+// most completeAt, the version as of which the list is complete. A reading of several pages is
+// complete only as of the oldest page. The caller publishes the list first, so that a reader who
+// sees that it may lend also sees all founders.
+func (l *List) noteBootstrapped(rows []state.Row, completeAt state.Version) {
+	hasMarker := slices.ContainsFunc(rows, func(row state.Row) bool {
+		return row.Key.Name == bootstrapKey.Name && row.Version <= completeAt
 	})
-	if shown && !l.seasoning.founded.Swap(true) {
+	if hasMarker && !l.localStatus.bootstrapped.Swap(true) {
 		l.log.Info("members: the founding is over.")
 	}
 }
 
-// untilFounded is how long until this process may end the founding; not above zero: it may.
-func (l *List) untilFounded() time.Duration {
-	return founding + foundersApart - time.Duration(l.seasoning.elapsed(l.now()))
+// untilBootstrapEnd returns the time until this process may end the bootstrap; zero or negative: it
+// may now.
+func (l *List) untilBootstrapEnd() time.Duration {
+	return founderRegistrationWindow + maxFounderStartSkew - time.Duration(l.localStatus.elapsed(l.now()))
 }
 
-// endsFounding tells whether this process is to end the founding.
-func (l *List) endsFounding() bool {
-	return !l.seasoning.founded.Load() && l.seasoning.heard.Load() != 0 && l.untilFounded() <= 0
+// shouldEndBootstrap reports whether this process should write the end of the bootstrap.
+func (l *List) shouldEndBootstrap() bool {
+	return !l.localStatus.bootstrapped.Load() && l.localStatus.lastHeard.Load() != 0 && l.untilBootstrapEnd() <= 0
 }
 
-// firstLayout is what the end of the founding puts in force. Keepers of a system that had no layouts
-// keep as one group, and a change is announced to them.
+// firstLayout returns the layout that takes effect at the end of the bootstrap. If members own
+// shards already, in a system that had no layouts, they remain one group, and a change is announced
+// to them afterwards.
 func (l *List) firstLayout() layout {
 	current := l.current.Load()
-	for _, known := range current.keepers.records {
-		if known.member.Standing == StandingKeeps {
+	for _, rec := range current.owners.records {
+		if rec.member.Standing == StandingKeeps {
 			return layout{}
 		}
 	}
-	return layout{Zones: laidZones(current.keepers.claims(), nil)}
+	return layout{Zones: zonesWithShards(current.owners.countByZone(), nil)}
 }
 
-// seenLayout is the layout as the store has it.
-type seenLayout struct {
+// storedLayout is the layout as last read from the store.
+type storedLayout struct {
 	layout
-	version state.Version // zero: the store has none yet
-	since   time.Time     // this version was first seen here
-	// unreadable: its writer was another version of this program. Nobody who can't read it keeps.
-	unreadable bool
+	version   state.Version // zero: the store has none yet
+	firstSeen time.Time     // when this daemon first saw the version
+	// isUnreadable reports that the layout can't be decoded, because another version of this
+	// program wrote it. Then this process treats all shards as having no owner.
+	isUnreadable bool
 }
 
-// nextLayout is the layout that is to follow the one in the store, if another is to.
-func (l *List) nextLayout(now time.Time) (seen seenLayout, next layout, due bool) {
+// nextLayout returns the stored layout, the one that should follow it, and whether that is due.
+func (l *List) nextLayout(now time.Time) (seen storedLayout, next layout, due bool) {
 	current := l.current.Load()
-	seen = current.keepers.layout
-	if seen.version == 0 || seen.unreadable {
+	seen = current.owners.layout
+	if seen.version == 0 || seen.isUnreadable {
 		return seen, layout{}, false
 	}
-	next, due = seen.next(current.keepers.claims(), now.Sub(seen.since))
+	next, due = seen.next(current.owners.countByZone(), now.Sub(seen.firstSeen))
 	return seen, next, due
 }
 
-// claims counts the members with claims by the zone that they have them in.
-func (k keeperSet) claims() map[identity.Zone]int {
+// countByZone returns the number of members with claims by the zone of their claims.
+func (s ownerSet) countByZone() map[identity.Zone]int {
 	counts := map[identity.Zone]int{}
-	for _, known := range k.records {
-		counts[known.member.claimZone()]++
+	for _, rec := range s.records {
+		counts[rec.member.claimZone()]++
 	}
 	return counts
 }
--- a/internal/members/keeper.go
+++ b/internal/members/keeper.go
@@ -6,225 +6,232 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Some things are kept in parts, each by one member alone, in its memory. The layout says
-// in which zone a part is kept: there it is the member with the first claim on it among those
-// whose standing lets them have claims.
+// Some state is divided into shards, each owned by a single member and held in its memory. The
+// layout assigns each shard to a zone. In that zone, the owner is the member with the highest score
+// for the shard among the members with claims: those whose standing lets shards be assigned to
+// them.
 //
-// Guarantee: no two processes keep one part at a moment, however old their lists are;
-// and who keeps a part was told since when nobody else did. A part moves to another zone by an
-// announced change of the layout (layout.go). Within a zone a claim moves in two ways:
-//   - to a member that joined: its claims do not count before it is settling, and it
-//     keeps nothing before settlingTime is over. Others stop when they hear of it, or
-//     keeperContact after they last heard the list, which is shorter;
-//   - from a member that ended: its claims count until its row says that they are
-//     released, which is written on condition that the row did not change. One that
-//     was killed, or cut off, released at the earliest when it would long have stopped by
-//     itself; one that said that it ends had stopped before it said so.
+// Guarantee: no two processes own a shard at the same time, however old their lists are, and an
+// owner knows since when no other process has owned the shard. Shards move to another zone by an
+// announced change of the layout (layout.go). Within a zone they move in two cases.
+//   - A member joins. It has no claims until it is settling, and owns no shard until
+//     settlingDuration is over. The former owners stop when they see its row, or maxOwnerListAge
+//     after the store last confirmed their list, which is shorter.
+//   - A member ends. It has claims until its row says that they are released; that commit is
+//     conditional on the row being unchanged. The claims of a member that was killed or cut off are
+//     released only after it must have stopped using its list. A member that writes that it has
+//     ended stops owning shards before it does so.
 //
-// A process that is started again at its former address goes on with its machine's
-// claims at once, unless they were released: who listened there before is gone.
+// A process restarted at its machine's former address owns the machine's shards at once, unless
+// their claims were released: the process that listened at that address is gone.
 const (
-	// keeperContact is how long a list is believed by who keeps something. It bridges
-	// outages of the store; within it, nobody else can keep the same.
-	keeperContact = 5 * time.Minute
-	// hearingDelay bounds how much older the list may be than the moment when it was heard.
-	hearingDelay = time.Minute
-	// settlingTime is longer than any other member believes a list without this one.
-	settlingTime = keeperContact + hearingDelay
-	// joinedTime is how long a joined member has no claims: its first claim takes the key from
-	// another member for settlingTime, so machines that come for a while take none.
-	joinedTime = 10 * time.Minute
-	// joinedSpread spreads the moments at which members that joined together settle, so
-	// that only a part of all keys is without a keeper at a time.
-	joinedSpread = 30 * time.Minute
-	// releaseEndedAfter is the time in which a member that ended as planned may be started
-	// again and go on with its claims.
-	releaseEndedAfter = 20 * time.Second
-	// inheritedFor is how long a process goes on with its machine's claims without having
-	// registered: a reading that is some seconds old may show a former process that has ended as
-	// planned since, and its claims are released releaseEndedAfter later.
-	inheritedFor = releaseEndedAfter / 2
-	// releaseDeadAfter is when a member that was marked dead has certainly stopped.
-	releaseDeadAfter = keeperContact + hearingDelay
+	// maxOwnerListAge is how long a shard owner may use its list after the store last confirmed it.
+	// It bridges outages of the store.
+	maxOwnerListAge = 5 * time.Minute
+	// maxListDelay bounds how far the list may be behind the store when the store confirms it.
+	maxListDelay = time.Minute
+	// settlingDuration is longer than any other member may use a list without this one.
+	settlingDuration = maxOwnerListAge + maxListDelay
+	// joinDelay is how long a member that joined has no claims. When it gets claims, its shards
+	// have no owner for settlingDuration, so machines that join for a short time should get none.
+	joinDelay = 10 * time.Minute
+	// joinDelaySpread is the interval over which members that joined together start to settle, so
+	// that only some of the shards have no owner at a time.
+	joinDelaySpread = 30 * time.Minute
+	// endedReleaseDelay is the time within which a member that shut down as planned may be
+	// restarted and continue to own its shards.
+	endedReleaseDelay = 20 * time.Second
+	// maxInheritedTime is how long a process may own its machine's shards without having
+	// registered. Its list may be some seconds old, and the former process may have shut down
+	// since; then its claims are released endedReleaseDelay after the shutdown.
+	maxInheritedTime = endedReleaseDelay / 2
+	// deadReleaseDelay is the time after which a member that was marked dead must have stopped
+	// using its list.
+	deadReleaseDelay = maxOwnerListAge + maxListDelay
 )
 
-// Standing says whether a member's claims count for what one member keeps.
+// Standing is a member's status as a possible owner of shards.
 type Standing uint8
 
-// The standings. Rows of before there were standings have the first.
+// Standings. StandingKeeps is zero, because rows written by versions without standings lack the
+// field.
 const (
-	StandingKeeps    Standing = iota // its claims count, and it may keep
-	StandingJoined                   // it joined lately: no claims yet
-	StandingSettling                 // its claims count, but it may not keep yet
-	StandingEnded                    // it ended as planned; its claims count for a while
-	StandingReleased                 // it ended, and its claims count no more
+	StandingKeeps    Standing = iota // has claims and may own shards
+	StandingJoined                   // joined recently; has no claims yet
+	StandingSettling                 // has claims, but may not own shards yet
+	StandingEnded                    // shut down as planned; still has claims for endedReleaseDelay
+	StandingReleased                 // ended; has no claims any more
 )
 
-// claims tells whether a member of this standing has claims.
-func (s Standing) claims() bool { return s != StandingJoined && s != StandingReleased }
+// hasClaims reports whether shards are assigned to members of this standing.
+func (s Standing) hasClaims() bool { return s != StandingJoined && s != StandingReleased }
 
-// Keeper returns the member that keeps a part of what an owner has, as far as this list tells;
-// false if nobody does who lives.
-func (l *List) Keeper(owner string, part int) (Member, bool) {
-	first := l.current.Load().keepers.first(share{digestOf(owner), part})
-	if first == nil || first.member.State == StateDead {
+// Keeper returns the owner of a shard of the key according to this list. It returns false if the
+// shard has no living owner.
+func (l *List) Keeper(key string, shardNumber int) (Member, bool) {
+	owner := l.current.Load().owners.ownerOf(shard{hashOf(key), shardNumber})
+	if owner == nil || owner.member.State == StateDead {
 		return Member{}, false
 	}
-	return first.member, true
+	return owner.member, true
 }
 
-// Keeps tells whether this process is the one that keeps a part of what an owner has, and since
-// when nobody else did.
-func (l *List) Keeps(owner string, part int) (since time.Time, keeps bool) {
-	if !l.mayKeep() {
+// Keeps reports whether this process owns a shard of the key, and since when no other process has
+// owned it.
+func (l *List) Keeps(key string, shardNumber int) (since time.Time, owns bool) {
+	if !l.mayOwnShards() {
 		return time.Time{}, false
 	}
-	current, kept := l.current.Load(), share{digestOf(owner), part} // no older than the list by which it may
-	if current.keepers.first(kept) != current.own {
+	current, wanted := l.current.Load(), shard{hashOf(key), shardNumber} // loaded after the check, so not older than the checked list
+	if current.owners.ownerOf(wanted) != current.own {
 		return time.Time{}, false
 	}
-	l.seasoning.kept.Store(true)
-	since = current.keepers.keptSince(kept, l.self.Process.Machine)
-	// What others kept while this list was not believed does not show in it.
-	latest := max(l.seasoning.heardAgain.Load(), l.settledAt())
-	if permitted := l.seasoning.started.Add(time.Duration(latest)); permitted.After(since) {
-		return permitted, true
+	l.localStatus.hasOwned.Store(true)
+	since = current.owners.ownedSince(wanted, l.self.Process.Machine)
+	// The list doesn't show who owned the shard while it was too old to use.
+	latest := max(l.localStatus.staleUntil.Load(), l.mayOwnFrom())
+	if allowedFrom := l.localStatus.startedAt.Add(time.Duration(latest)); allowedFrom.After(since) {
+		return allowedFrom, true
 	}
 	return since, true
 }
 
-// settledAt is from when this process's standing lets it keep, in nanoseconds since its start.
-func (l *List) settledAt() int64 {
+// mayOwnFrom returns the time from which this process's standing lets it own shards, in nanoseconds
+// since its start.
+func (l *List) mayOwnFrom() int64 {
 	switch {
 	case l.standing() == StandingKeeps:
-		return l.seasoning.settled.Load()
-	case l.seasoning.founder.Load():
-		return 0 // nobody was there before
+		return l.localStatus.exclusiveSince.Load()
+	case l.localStatus.isFounder.Load():
+		return 0 // a founder has no predecessors
 	default:
-		return l.seasoning.stood.Load() + int64(settlingTime)
+		return l.localStatus.standingSince.Load() + int64(settlingDuration)
 	}
 }
 
-// mayKeep tells whether this process may keep what it has the first claim on.
-func (l *List) mayKeep() bool {
-	elapsed := l.seasoning.elapsed(l.now())
-	heard := l.seasoning.heard.Load()
-	inherited := l.seasoning.inherited.Load()
-	stands := l.seasoning.registered.Load() != 0 || inherited != 0 && elapsed-inherited < int64(inheritedFor)
-	if heard == 0 || !stands || elapsed-heard > int64(keeperContact) {
+// mayOwnShards reports whether this process may own the shards for which it has the highest score.
+func (l *List) mayOwnShards() bool {
+	elapsed := l.localStatus.elapsed(l.now())
+	heard := l.localStatus.lastHeard.Load()
+	inherited := l.localStatus.inheritedAt.Load()
+	isMember := l.localStatus.registeredAt.Load() != 0 || inherited != 0 && elapsed-inherited < int64(maxInheritedTime)
+	if heard == 0 || !isMember || elapsed-heard > int64(maxOwnerListAge) {
 		return false
 	}
 	switch l.standing() {
 	case StandingKeeps:
 		return true
 	case StandingSettling:
-		return l.seasoning.founded.Load() && elapsed > l.settledAt()
+		return l.localStatus.bootstrapped.Load() && elapsed > l.mayOwnFrom()
 	default:
 		return false
 	}
 }
 
-// inherit lets this process go on with the claims of its machine's former one as soon as it has
-// read their row, so that a daemon that was killed keeps again before it has registered.
-// It may: claims of a row that is not marked dead are released releaseDeadAfter later at
-// the earliest, and this list is believed for a shorter time. The lock is held.
-func (l *List) inherit(former Member) {
-	goesOn := former.State != StateDead && former.Standing == StandingKeeps && former.Process.Address == l.self.Process.Address
-	if !goesOn || former.Process.Incarnation >= l.self.Process.Incarnation || l.seasoning.registered.Load() != 0 || l.seasoning.inherited.Load() != 0 {
+// inheritShards lets this process own the shards of its machine's former process as soon as it has
+// read that process's row, before it has registered. This is safe: the claims of a row that isn't
+// marked dead are released deadReleaseDelay later at the earliest, and this list is used for a
+// shorter time. The caller holds the lock.
+func (l *List) inheritShards(former Member) {
+	canInherit := former.State != StateDead && former.Standing == StandingKeeps && former.Process.Address == l.self.Process.Address
+	if !canInherit || former.Process.Incarnation >= l.self.Process.Incarnation || l.localStatus.registeredAt.Load() != 0 || l.localStatus.inheritedAt.Load() != 0 {
 		return
 	}
-	l.stand(StandingKeeps, former.claimZone())
-	l.seasoning.inherited.Store(l.seasoning.elapsed(l.now()))
+	l.setStanding(StandingKeeps, former.claimZone())
+	l.localStatus.inheritedAt.Store(l.localStatus.elapsed(l.now()))
 }
 
-// noteStanding takes in the standing that this process's row has in the store.
+// noteStanding records the standing that this process's row has in the store.
 func (l *List) noteStanding(standing Standing, claimZone identity.Zone) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.stand(standing, claimZone)
-	l.seasoning.inherited.Store(0) // the own row counts from now on
+	l.setStanding(standing, claimZone)
+	l.localStatus.inheritedAt.Store(0) // registered now: the process's own row counts
 	l.publish()
 }
 
-// stand changes the standing and the zone in which its claims are; the lock is held, and publish follows.
-func (l *List) stand(standing Standing, claimZone identity.Zone) {
-	now := l.seasoning.elapsed(l.now())
-	settled := now
+// setStanding changes this process's standing and the zone of its claims. The caller holds the lock
+// and calls publish afterwards.
+func (l *List) setStanding(standing Standing, claimZone identity.Zone) {
+	now := l.localStatus.elapsed(l.now())
+	exclusiveSince := now
 	switch {
 	case l.standing() == StandingSettling:
-		settled = l.settledAt()
-	case !l.seasoning.kept.Load() || l.standing() == StandingKeeps:
-		settled = l.seasoning.settled.Load() // zero at first: the former process ended before this one started
+		exclusiveSince = l.mayOwnFrom()
+	case !l.localStatus.hasOwned.Load() || l.standing() == StandingKeeps:
+		exclusiveSince = l.localStatus.exclusiveSince.Load() // initially zero: the former process ended before this one started
 	}
-	l.seasoning.settled.Store(settled)
-	l.seasoning.stood.Store(now)
-	l.seasoning.standing.Store(uint32(standing))
+	l.localStatus.exclusiveSince.Store(exclusiveSince)
+	l.localStatus.standingSince.Store(now)
+	l.localStatus.standing.Store(uint32(standing))
 	own := *l.records[l.self.Process.Machine]
 	own.member.Standing, own.member.ClaimZone = standing, claimZone
 	l.records[l.self.Process.Machine] = &own
 }
 
-// setSince is since when nobody else kept what the members with claims, as they are now, let this
-// process keep. Before it kept anything, that is its start: the former process of its machine ended
-// before, and the claims of other members that ended were released releaseEndedAfter later at the earliest,
-// as a change of the layout is in force so much after everybody else stopped.
-func (l *List) setSince() time.Time {
+// currentSetSince returns the time since which no other process can have owned the shards that the
+// current members with claims leave to this process. That is now; or the start of this process, if
+// it has owned no shard yet and started less than endedReleaseDelay ago. The former process of its
+// machine ended before that start, and other owners stop at least endedReleaseDelay before a
+// release of claims or a change of the layout takes effect.
+func (l *List) currentSetSince() time.Time {
 	now := l.now()
-	if earliest := now.Add(-releaseEndedAfter); !l.seasoning.kept.Load() && l.seasoning.started.After(earliest) {
-		return l.seasoning.started
+	if earliest := now.Add(-endedReleaseDelay); !l.localStatus.hasOwned.Load() && l.localStatus.startedAt.After(earliest) {
+		return l.localStatus.startedAt
 	}
 	return now
 }
 
-// standing is what this process's row says, as far as it was acknowledged.
+// standing returns the acknowledged standing of this process's row.
 func (l *List) standing() Standing {
-	return Standing(l.seasoning.standing.Load()) //nolint:gosec // was a Standing
+	return Standing(l.localStatus.standing.Load()) //nolint:gosec // was a Standing
 }
 
-// nextStanding is what this process's row is to say next.
+// nextStanding returns the standing that the next renewal should write.
 func (l *List) nextStanding() Standing {
 	current := l.standing()
 	switch {
-	case current == StandingSettling && l.mayKeep():
+	case current == StandingSettling && l.mayOwnShards():
 		return StandingKeeps
-	case current == StandingJoined && l.joinedLongAgo():
+	case current == StandingJoined && l.isJoinDelayOver():
 		return StandingSettling
 	default:
 		return current
 	}
 }
 
-// untilFounderSettles is how long until a founder may write that it keeps, so that a later process
-// of its machine goes on at once: until then, one that is started again waits for settlingTime.
-func (l *List) untilFounderSettles() (wait time.Duration, settles bool) {
-	if !l.seasoning.founder.Load() || l.standing() != StandingSettling {
+// untilFounderOwns returns the time until a founder should try to write StandingKeeps, and whether
+// it is a founder that hasn't done so. Until it is written, a restarted process of its machine has
+// to wait for settlingDuration.
+func (l *List) untilFounderOwns() (wait time.Duration, waiting bool) {
+	if !l.localStatus.isFounder.Load() || l.standing() != StandingSettling {
 		return 0, false
 	}
-	return max(l.untilFounded(), founderRecheck), true
+	return max(l.untilBootstrapEnd(), founderRecheckInterval), true
 }
 
-// founderRecheck is what it takes to hear that the founding is over.
-const founderRecheck = 200 * time.Millisecond
+// founderRecheckInterval is the time to wait for the list to show the end of the bootstrap.
+const founderRecheckInterval = 200 * time.Millisecond
 
-func (l *List) joinedLongAgo() bool {
-	own := digestOf(string(l.self.Process.Machine))
-	wait := int64(joinedTime) + int64(own%uint64(joinedSpread))
-	return l.seasoning.elapsed(l.now())-l.seasoning.stood.Load() > wait
+func (l *List) isJoinDelayOver() bool {
+	own := hashOf(string(l.self.Process.Machine))
+	wait := int64(joinDelay) + int64(own%uint64(joinDelaySpread))
+	return l.localStatus.elapsed(l.now())-l.localStatus.standingSince.Load() > wait
 }
 
-// registeredStanding is how this process stands at first, by the row that it found of its
-// machine, if any.
-func registeredStanding(found *Member, self Member, firstStart bool) Standing {
+// initialStanding returns the standing with which this process registers. existing is the row of
+// its machine, or nil.
+func initialStanding(existing *Member, self Member, firstStart bool) Standing {
 	switch {
-	case found == nil && firstStart:
+	case existing == nil && firstStart:
 		return StandingSettling
-	case found == nil, found.Standing == StandingReleased:
+	case existing == nil, existing.Standing == StandingReleased:
 		return StandingJoined
-	case found.Standing == StandingEnded:
-		return StandingKeeps // it had stopped before it said so
-	case found.Standing == StandingKeeps && found.Process.Address != self.Process.Address:
-		return StandingSettling // the former process may go on at its address
+	case existing.Standing == StandingEnded:
+		return StandingKeeps // the former process stopped before it wrote this
+	case existing.Standing == StandingKeeps && existing.Process.Address != self.Process.Address:
+		return StandingSettling // the former process may still run at its address
 	default:
-		return found.Standing
+		return existing.Standing
 	}
 }
--- a/internal/members/keeper_play_test.go
+++ b/internal/members/keeper_play_test.go
@@ -9,99 +9,102 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneKeeper plays machines that start within a second, register late, renew and read the list now
-// and then, are frozen, cut off from the store, killed, ended as planned and started again at their address or
-// another one, or join, in one to three zones that appear and go with them. One process at most keeps a part, and since the moment that it
-// names nobody else did.
+// TestOneKeeper simulates machines that start within a second, register late, renew and read the
+// list now and then, are suspended, cut off from the store, killed, shut down, restarted at the
+// same or another address, or join later, in one to three zones. It checks that at most one process
+// owns a shard at a time, and that no other process has owned it since the time that the owner
+// states.
 func TestOneKeeper(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		play := &keepingPlay{lendingPlay: newLendingPlayIn(t, rapid.IntRange(1, 3).Draw(t, "zones")), kept: map[share]map[*List]time.Time{}}
+		simulation := &ownerSimulation{lenderSimulation: newZonedLenderSimulation(t, rapid.IntRange(1, 3).Draw(t, "zones")), lastOwned: map[shard]map[*List]time.Time{}}
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
-			play.pause(t, step)
+			simulation.advanceClock(t, step)
 			if rapid.IntRange(0, 9).Draw(t, fmt.Sprint("long pause ", step)) == 0 {
-				play.goOn(t, step)
+				simulation.runLongPause(t, step)
 			}
-			play.registerDue()
-			play.act(t, step)
-			play.check(t)
+			simulation.registerDue()
+			simulation.runAction(t, step)
+			simulation.checkOwners(t)
 		}
 	})
 }
 
-// goOn lets so much time pass that a joined member settles or a layout changes; some daemons renew and read meanwhile.
-func (p *keepingPlay) goOn(t *rapid.T, step int) {
-	const looks = 8
-	for range looks {
-		p.now = p.now.Add(joinedTime / looks)
-		for number, each := range p.daemons {
-			if p.delays[each] == 0 && rapid.IntRange(0, 3).Draw(t, fmt.Sprint("goes on ", step, number)) > 0 {
+// runLongPause advances the clock far enough for a joined member to settle or a layout to change,
+// while some daemons renew and read.
+func (s *ownerSimulation) runLongPause(t *rapid.T, step int) {
+	const rounds = 8
+	for range rounds {
+		s.now = s.now.Add(joinDelay / rounds)
+		for number, each := range s.daemons {
+			if s.delays[each] == 0 && rapid.IntRange(0, 3).Draw(t, fmt.Sprint("goes on ", step, number)) > 0 {
 				each.step()
 			}
 		}
-		p.check(t)
+		s.checkOwners(t)
 	}
 }
 
-// keepingPlay is a lendingPlay whose machines may be started elsewhere.
-type keepingPlay struct {
-	*lendingPlay
-	kept map[share]map[*List]time.Time // when each process last kept each part
+// ownerSimulation is a lenderSimulation whose machines may be restarted at another address or in
+// another zone.
+type ownerSimulation struct {
+	*lenderSimulation
+	lastOwned map[shard]map[*List]time.Time // when each process last owned each shard
 }
 
-func (p *keepingPlay) act(t *rapid.T, step int) {
-	machine := rapid.IntRange(0, len(p.daemons)-1).Draw(t, fmt.Sprint("machine ", step))
-	chosen := p.daemons[machine]
-	switch rapid.IntRange(0, 5).Draw(t, fmt.Sprint("keeping action ", step)) {
+func (s *ownerSimulation) runAction(t *rapid.T, step int) {
+	machine := rapid.IntRange(0, len(s.daemons)-1).Draw(t, fmt.Sprint("machine ", step))
+	chosen := s.daemons[machine]
+	switch rapid.IntRange(0, 5).Draw(t, fmt.Sprint("owner action ", step)) {
 	case 0:
-		delete(p.delays, chosen)
+		delete(s.delays, chosen)
 		name, address := fmt.Sprint("m", machine), chosen.list.Self().Address
-		moves := rapid.Bool().Draw(t, "moves")
-		if moves {
-			address = fmt.Sprint(name, "/", p.started)
-			p.former = append(p.former, chosen) // it may run on there
+		movesAddress := rapid.Bool().Draw(t, "moves")
+		if movesAddress {
+			address = fmt.Sprint(name, "/", s.started)
+			s.replaced = append(s.replaced, chosen) // it may still run at the former address
 		}
-		if p.zoneCount > 1 && rapid.IntRange(0, 3).Draw(t, "moves to another zone") == 0 {
-			p.zones[name] = zoneNumber(rapid.IntRange(0, p.zoneCount-1).Draw(t, "zone"))
+		if s.zoneCount > 1 && rapid.IntRange(0, 3).Draw(t, "moves to another zone") == 0 {
+			s.zones[name] = zoneName(rapid.IntRange(0, s.zoneCount-1).Draw(t, "zone"))
 		}
-		again := p.startAt(name, address, rapid.Bool().Draw(t, "told that it is the first start"))
+		restarted := s.startDaemonAt(name, address, rapid.Bool().Draw(t, "told that it is the first start"))
 		if rapid.Bool().Draw(t, "registers at once") {
-			register(again)
+			registerOnce(restarted)
 		} else {
-			p.delays[again] = time.Duration(rapid.IntRange(0, 15000).Draw(t, "registers after")) * time.Millisecond
+			s.delays[restarted] = time.Duration(rapid.IntRange(0, 15000).Draw(t, "registers after")) * time.Millisecond
 		}
-		p.daemons[machine] = again
+		s.daemons[machine] = restarted
 	case 1:
-		if !chosen.cut {
-			_ = chosen.lease.End(context.Background()) // rapid shows the play if a promise breaks
+		if !chosen.isCutOff {
+			_ = chosen.lease.End(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
 		}
 	default:
-		p.actBut(t, step, machine)
+		s.runOtherAction(t, step, machine)
 	}
 }
 
-func (p *keepingPlay) check(t *rapid.T) {
-	for _, each := range append(p.former, p.daemons...) {
-		for _, owner := range []string{"p", "q", "r"} {
-			for part := range 4 {
-				p.note(t, owner, part, each.list)
+func (s *ownerSimulation) checkOwners(t *rapid.T) {
+	for _, each := range append(s.replaced, s.daemons...) {
+		for _, key := range []string{"p", "q", "r"} {
+			for shardNumber := range 4 {
+				s.checkShard(t, key, shardNumber, each.list)
 			}
 		}
 	}
 }
 
-func (p *keepingPlay) note(t *rapid.T, owner string, part int, list *List) {
-	since, kept := list.Keeps(owner, part)
-	if !kept {
+func (s *ownerSimulation) checkShard(t *rapid.T, key string, shardNumber int, list *List) {
+	since, owned := list.Keeps(key, shardNumber)
+	if !owned {
 		return
 	}
-	key := share{digestOf(owner), part}
-	if p.kept[key] == nil {
-		p.kept[key] = map[*List]time.Time{}
+	target := shard{hashOf(key), shardNumber}
+	if s.lastOwned[target] == nil {
+		s.lastOwned[target] = map[*List]time.Time{}
 	}
-	for other, at := range p.kept[key] {
+	for other, at := range s.lastOwned[target] {
 		if other != list && at.After(since) {
-			t.Fatalf("%v keeps %s/%d since %v, and %v did at %v", list.self, owner, part, since, other.self, at)
+			t.Fatalf("%v owns %s/%d since %v, but %v owned it at %v", list.self, key, shardNumber, since, other.self, at)
 		}
 	}
-	p.kept[key][list] = p.now
+	s.lastOwned[target][list] = s.now
 }
--- a/internal/members/keeper_set.go
+++ b/internal/members/keeper_set.go
@@ -7,95 +7,98 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// keeperSet are the members with claims, as one list shows them.
-type keeperSet struct {
-	records []*record
-	layout  seenLayout
-	since   time.Time // nobody else kept since then what the set lets this process keep
-	// found remembers who has the first claim on a key, so that a request's way does not
-	// grow with the members: 64 ns in place of 1.4 us at 390 (BenchmarkKeeper). It holds the keys that
-	// are asked for, and goes with the list's next change.
-	found *sync.Map // by share, *record
-	// former is the set before, setsKept deep: a key that this process has kept through
-	// several sets is not kept anew with each of them.
-	former *keeperSet
+// ownerSet is the set of members with claims in one version of the list, with the layout. It
+// determines the owner of each shard.
+type ownerSet struct {
+	records []*memberRecord
+	layout  storedLayout
+	since   time.Time // since then no other process has owned the shards that this set leaves to this process
+	// cache holds the owners of shards looked up before, so that repeated lookups don't depend on
+	// the number of members. It is discarded with the next change of the list.
+	cache *sync.Map // shard to *memberRecord
+	// previous is the set before the last change. The chain is at most maxPreviousSets long and
+	// tells how long this process has owned a shard across changes.
+	previous *ownerSet
 }
 
-// setsKept is how many former sets are remembered: changes of the members with claims in as
-// many minutes as it takes a quota to fill up anew are far fewer.
-const setsKept = 8
+// maxPreviousSets bounds the chain of previous sets. Fewer changes of the members with claims are
+// expected in the time in which a quota refills.
+const maxPreviousSets = 8
 
-// follows takes over what lasts from the set before. A set that holds the same machines, laid out alike, goes on.
-func (k keeperSet) follows(before keeperSet, since time.Time) keeperSet {
-	if k.layout.version == before.layout.version && k.sameMachines(before) {
-		k.since, k.former = before.since, before.former
-		return k
+// continueFrom returns s linked to the previous set, with since as the time of the change. If the
+// layout and the machines are the same, s takes over the previous set's times instead.
+func (s ownerSet) continueFrom(previous ownerSet, since time.Time) ownerSet {
+	if s.layout.version == previous.layout.version && s.hasSameMachines(previous) {
+		s.since, s.previous = previous.since, previous.previous
+		return s
 	}
-	k.since, k.former = since, &before
-	oldest := k.former
-	for range setsKept - 1 {
-		if oldest.former == nil {
-			return k
+	s.since, s.previous = since, &previous
+	oldest := s.previous
+	for range maxPreviousSets - 1 {
+		if oldest.previous == nil {
+			return s
 		}
-		copied := *oldest.former
-		oldest.former, oldest = &copied, &copied
+		clone := *oldest.previous
+		oldest.previous, oldest = &clone, &clone
 	}
-	oldest.former = nil
-	return k
+	oldest.previous = nil
+	return s
 }
 
-// keptSince tells since when a machine has had the first claim on a key. Between two sets that this
-// process saw, no other member can have kept it: one that comes settles for longer than
-// a list is believed.
-func (k keeperSet) keptSince(kept share, machine identity.Machine) time.Time {
-	since := k.since
-	for before := k.former; before != nil; before = before.former {
-		if first := before.first(kept); first == nil || first.member.Process.Machine != machine {
+// ownedSince returns the time since which the machine has been the owner of the shard without
+// interruption. No other member can have owned it between two sets that this process saw, because a
+// new member settles for longer than a list may be used.
+func (s ownerSet) ownedSince(wanted shard, machine identity.Machine) time.Time {
+	since := s.since
+	for earlier := s.previous; earlier != nil; earlier = earlier.previous {
+		if owner := earlier.ownerOf(wanted); owner == nil || owner.member.Process.Machine != machine {
 			break
 		}
-		since = before.since
+		since = earlier.since
 	}
 	return since
 }
 
-// sameMachines tells whether both sets hold the same machines; both are ordered by machine. A machine's claims come to
-// another zone only joinedTime after they were released, so that a set in between was seen, or the list not believed.
-func (k keeperSet) sameMachines(other keeperSet) bool {
-	if len(k.records) != len(other.records) {
+// hasSameMachines reports whether both sets, which are ordered by machine, hold the same machines.
+// The zone of a machine's claims needn't be compared: it changes only joinDelay after the claims
+// were released, so a set without them was seen in between, or the list became too old to use.
+func (s ownerSet) hasSameMachines(other ownerSet) bool {
+	if len(s.records) != len(other.records) {
 		return false
 	}
-	for index, known := range k.records {
-		if known.member.Process.Machine != other.records[index].member.Process.Machine {
+	for index, rec := range s.records {
+		if rec.member.Process.Machine != other.records[index].member.Process.Machine {
 			return false
 		}
 	}
 	return true
 }
 
-// first returns the member with the first claim on a part; nil if none has claims, or the part moves.
-func (k keeperSet) first(kept share) *record {
-	if known, found := k.found.Load(kept); found {
-		return known.(*record)
+// ownerOf returns the owner of a shard; nil if no member has claims or the shard is moving to
+// another zone.
+func (s ownerSet) ownerOf(wanted shard) *memberRecord {
+	if cached, isCached := s.cache.Load(wanted); isCached {
+		return cached.(*memberRecord)
 	}
-	first := k.search(kept)
-	k.found.Store(kept, first)
-	return first
+	owner := s.findOwner(wanted)
+	s.cache.Store(wanted, owner)
+	return owner
 }
 
-func (k keeperSet) search(kept share) *record {
-	holder, held := k.layout.holder(kept)
-	if !held || k.layout.unreadable {
+func (s ownerSet) findOwner(wanted shard) *memberRecord {
+	group, assigned := s.layout.groupOf(wanted)
+	if !assigned || s.layout.isUnreadable {
 		return nil
 	}
-	var first *record
-	key, most := kept.digest(), uint64(0)
-	for _, candidate := range k.records {
-		if !holder.has(&candidate.member) {
+	var owner *memberRecord
+	key, highest := wanted.hash(), uint64(0)
+	for _, candidate := range s.records {
+		if !group.has(&candidate.member) {
 			continue
 		}
-		if claimed := claim(candidate.digest, key); first == nil || claimed > most {
-			first, most = candidate, claimed
+		if candidateScore := score(candidate.nameHash, key); owner == nil || candidateScore > highest {
+			owner, highest = candidate, candidateScore
 		}
 	}
-	return first
+	return owner
 }
--- a/internal/members/keeper_test.go
+++ b/internal/members/keeper_test.go
@@ -11,248 +11,249 @@
 )
 
 var _ = Describe("Keepers", func() {
-	var world *fleetWorld
+	var env *testEnv
 
-	BeforeEach(func() { world = newFleetWorld() })
+	BeforeEach(func() { env = newTestEnv() })
 
-	founded := func(machines ...string) []*daemon {
-		var made []*daemon
+	bootstrapFleet := func(machines ...string) []*daemon {
+		var fleet []*daemon
 		for _, machine := range machines {
-			each := world.start(machine, true)
-			register(each)
-			made = append(made, each)
+			each := env.startDaemon(machine, true)
+			registerOnce(each)
+			fleet = append(fleet, each)
 		}
-		world.run(founding+foundersApart+2*testRenewal, made...)
-		return made
+		env.run(founderRegistrationWindow+maxFounderStartSkew+2*testRenewal, fleet...)
+		return fleet
 	}
-	keeps := func(asked *daemon, key string) bool {
-		_, kept := asked.list.Keeps(key, 0)
-		return kept
+	owns := func(observer *daemon, key string) bool {
+		_, owned := observer.list.Keeps(key, 0)
+		return owned
 	}
-	// keptBy finds a key that a daemon keeps.
-	keptBy := func(keeper *daemon) string {
+	// ownedKey returns a key whose shard 0 the daemon owns.
+	ownedKey := func(owner *daemon) string {
 		GinkgoHelper()
 		for number := range 100 {
-			if key := fmt.Sprint("key ", number); keeps(keeper, key) {
+			if key := fmt.Sprint("key ", number); owns(owner, key) {
 				return key
 			}
 		}
-		Fail("it keeps nothing")
+		Fail("the daemon owns no shard")
 		return ""
 	}
 
-	It("are the founders soon after they started, and all name the same", func() {
-		fleet := founded("m0", "m1", "m2")
-		key := keptBy(fleet[0])
+	It("are found among the founders soon after the start, the same by every daemon", func() {
+		fleet := bootstrapFleet("m0", "m1", "m2")
+		key := ownedKey(fleet[0])
 		for _, each := range fleet {
-			keeper, found := each.list.Keeper(key, 0)
+			owner, found := each.list.Keeper(key, 0)
 			Expect(found).To(BeTrue())
-			Expect(keeper.Process).To(Equal(fleet[0].list.Self()))
+			Expect(owner.Process).To(Equal(fleet[0].list.Self()))
 		}
-		Expect(keeps(fleet[1], key) || keeps(fleet[2], key)).To(BeFalse())
+		Expect(owns(fleet[1], key) || owns(fleet[2], key)).To(BeFalse())
 	})
 
-	It("go on at once when they are started again at their address", func() {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
-		again := world.start("m0", false)
-		Expect(keeps(again, key)).To(BeFalse(), "it has read nothing yet")
-		started := world.now
-		world.now = world.now.Add(time.Second)
-		again.read()
-		since, kept := again.list.Keeps(key, 0)
-		Expect(kept).To(BeTrue())
-		Expect(since).To(BeTemporally("~", started, time.Microsecond), "it does not know what was kept before")
-		world.now = world.now.Add(time.Second)
-		register(again)
-		again.read()
-		since, kept = again.list.Keeps(key, 0)
-		Expect(kept).To(BeTrue())
-		Expect(since).To(BeTemporally("~", started, time.Microsecond), "nothing moved")
+	It("own their shards again at once after a restart at the same address", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
+		restarted := env.startDaemon("m0", false)
+		Expect(owns(restarted, key)).To(BeFalse(), "it has read nothing yet")
+		startedAt := env.now
+		env.now = env.now.Add(time.Second)
+		restarted.read()
+		since, owned := restarted.list.Keeps(key, 0)
+		Expect(owned).To(BeTrue())
+		Expect(since).To(BeTemporally("~", startedAt, time.Microsecond), "earlier ownership is unknown")
+		env.now = env.now.Add(time.Second)
+		registerOnce(restarted)
+		restarted.read()
+		since, owned = restarted.list.Keeps(key, 0)
+		Expect(owned).To(BeTrue())
+		Expect(since).To(BeTemporally("~", startedAt, time.Microsecond), "ownership is unchanged")
 	})
 
-	It("do not go on before they are registered where the former process ended as planned", func(ctx SpecContext) {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
+	It("own nothing before they register, if the former process shut down as planned", func(ctx SpecContext) {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
 		Expect(fleet[0].lease.End(ctx)).To(Succeed())
-		again := world.start("m0", false)
-		again.read()
-		Expect(keeps(again, key)).To(BeFalse(), "its claims may be released at any moment")
-		register(again)
-		Expect(keeps(again, key)).To(BeTrue())
+		restarted := env.startDaemon("m0", false)
+		restarted.read()
+		Expect(owns(restarted, key)).To(BeFalse(), "its claims may be released at any moment")
+		registerOnce(restarted)
+		Expect(owns(restarted, key)).To(BeTrue())
 	})
 
-	It("go on after a planned end, unless another one took their claims over", func(ctx SpecContext) {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
+	It("own their shards again after a planned shutdown, unless the claims were released", func(ctx SpecContext) {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
 		Expect(fleet[0].lease.End(ctx)).To(Succeed())
-		Expect(keeps(fleet[0], key)).To(BeFalse())
-		world.run(releaseEndedAfter-2*testRenewal, fleet[1])
-		Expect(keeps(fleet[1], key)).To(BeFalse(), "it may be started again")
-		again := world.start("m0", false)
-		register(again)
-		again.read()
-		Expect(keeps(again, key)).To(BeTrue())
-		Expect(again.lease.End(ctx)).To(Succeed())
-		world.run(releaseEndedAfter+3*testRenewal, fleet[1])
-		Expect(keeps(fleet[1], key)).To(BeTrue())
-		late := world.start("m0", false)
-		register(late)
+		Expect(owns(fleet[0], key)).To(BeFalse())
+		env.run(endedReleaseDelay-2*testRenewal, fleet[1])
+		Expect(owns(fleet[1], key)).To(BeFalse(), "m0 may be restarted")
+		restarted := env.startDaemon("m0", false)
+		registerOnce(restarted)
+		restarted.read()
+		Expect(owns(restarted, key)).To(BeTrue())
+		Expect(restarted.lease.End(ctx)).To(Succeed())
+		env.run(endedReleaseDelay+3*testRenewal, fleet[1])
+		Expect(owns(fleet[1], key)).To(BeTrue())
+		late := env.startDaemon("m0", false)
+		registerOnce(late)
 		late.read()
-		world.run(time.Minute, fleet[1], late)
-		Expect(keeps(late, key)).To(BeFalse())
-		Expect(keeps(fleet[1], key)).To(BeTrue())
+		env.run(time.Minute, fleet[1], late)
+		Expect(owns(late, key)).To(BeFalse())
+		Expect(owns(fleet[1], key)).To(BeTrue())
 	})
 
-	It("are followed by others once who was killed would long have stopped", func() {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
-		killed := world.now
-		for !keeps(fleet[1], key) {
-			world.run(testRenewal, fleet[1])
-			Expect(world.now.Sub(killed)).To(BeNumerically("<", time.Hour), "nobody keeps it ever again")
+	It("are replaced after a kill only once the killed process must have stopped using its list", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
+		killedAt := env.now
+		for !owns(fleet[1], key) {
+			env.run(testRenewal, fleet[1])
+			Expect(env.now.Sub(killedAt)).To(BeNumerically("<", time.Hour), "the shard never gets a new owner")
 		}
-		Expect(world.now.Sub(killed)).To(BeNumerically(">", releaseDeadAfter))
+		Expect(env.now.Sub(killedAt)).To(BeNumerically(">", deadReleaseDelay))
 	})
 
-	It("keep while others take them for dead and they have not heard so, and nobody else does", func() {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
-		fleet[0].cut = true
-		for cutSince := world.now; world.now.Sub(cutSince) < keeperContact-time.Second; {
-			world.run(testRenewal, fleet...)
-			Expect(keeps(fleet[0], key)).To(BeTrue())
-			Expect(keeps(fleet[1], key)).To(BeFalse())
+	It("remain the only owners while cut off and marked dead, as long as their list may be used", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
+		fleet[0].isCutOff = true
+		for cutSince := env.now; env.now.Sub(cutSince) < maxOwnerListAge-time.Second; {
+			env.run(testRenewal, fleet...)
+			Expect(owns(fleet[0], key)).To(BeTrue())
+			Expect(owns(fleet[1], key)).To(BeFalse())
 		}
-		Expect(fleet[1].sees("m0")).To(Equal(StateDead))
+		Expect(fleet[1].stateOf("m0")).To(Equal(StateDead))
 	})
 
-	It("know nothing of who kept before they read the list, also where nobody else is left by then", func() {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
-		again := world.start("m1", false)
-		register(again)
-		joined := world.start("m2", false)
-		register(joined)
+	It("do not backdate ownership to before they read the list, even if no other member is left", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
+		restarted := env.startDaemon("m1", false)
+		registerOnce(restarted)
+		joined := env.startDaemon("m2", false)
+		registerOnce(joined)
 		joined.read()
 		Expect(fleet[0].lease.End(context.Background())).To(Succeed())
-		ended := world.now
-		for world.now.Sub(ended) < releaseEndedAfter+3*testRenewal {
-			world.run(testRenewal, joined)
-			register(again) // it renews and reads nothing yet
+		endedAt := env.now
+		for env.now.Sub(endedAt) < endedReleaseDelay+3*testRenewal {
+			env.run(testRenewal, joined)
+			registerOnce(restarted) // renews without reading the list
 		}
-		again.read()
-		since, kept := again.list.Keeps(key, 0)
-		Expect(kept).To(BeTrue())
-		Expect(since).To(BeTemporally(">=", ended.Add(releaseEndedAfter)))
+		restarted.read()
+		since, owned := restarted.list.Keeps(key, 0)
+		Expect(owned).To(BeTrue())
+		Expect(since).To(BeTemporally(">=", endedAt.Add(endedReleaseDelay)))
 	})
 
-	It("go on without having registered for a short while only", func() {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
-		again := world.start("m0", false)
-		again.read()
-		Expect(keeps(again, key)).To(BeTrue())
-		world.now = world.now.Add(inheritedFor + time.Second)
-		again.read()
-		Expect(keeps(again, key)).To(BeFalse(), "what it read may have been old")
-		register(again)
-		Expect(keeps(again, key)).To(BeTrue())
+	It("own inherited shards without registration only for a short time", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
+		restarted := env.startDaemon("m0", false)
+		restarted.read()
+		Expect(owns(restarted, key)).To(BeTrue())
+		env.now = env.now.Add(maxInheritedTime + time.Second)
+		restarted.read()
+		Expect(owns(restarted, key)).To(BeFalse(), "the list that it read may have been old")
+		registerOnce(restarted)
+		Expect(owns(restarted, key)).To(BeTrue())
 	})
 
-	It("do not go on before they are registered where the former process was marked dead", func() {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
-		world.run(termInRenewals*testRenewal+3*testRenewal, fleet[1])
-		Expect(fleet[1].sees("m0")).To(Equal(StateDead))
-		again := world.start("m0", false)
-		again.read()
-		Expect(keeps(again, key)).To(BeFalse(), "its claims may be released while its list is believed")
-		register(again)
-		Expect(keeps(again, key)).To(BeTrue())
+	It("own nothing before they register, if the former process was marked dead", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
+		env.run(renewalsPerTerm*testRenewal+3*testRenewal, fleet[1])
+		Expect(fleet[1].stateOf("m0")).To(Equal(StateDead))
+		restarted := env.startDaemon("m0", false)
+		restarted.read()
+		Expect(owns(restarted, key)).To(BeFalse(), "its claims may be released while its list may be used")
+		registerOnce(restarted)
+		Expect(owns(restarted, key)).To(BeTrue())
 	})
 
-	It("do not know what others kept while they did not believe their list", func() {
-		fleet := founded("m0")
-		key := keptBy(fleet[0])
-		world.now = world.now.Add(keeperContact + time.Minute)
+	It("do not backdate ownership to before a time in which their list was too old", func() {
+		fleet := bootstrapFleet("m0")
+		key := ownedKey(fleet[0])
+		env.now = env.now.Add(maxOwnerListAge + time.Minute)
 		fleet[0].list.Heard()
-		since, kept := fleet[0].list.Keeps(key, 0)
-		Expect(kept).To(BeTrue())
-		Expect(since).To(BeTemporally("~", world.now, time.Microsecond))
+		since, owned := fleet[0].list.Keeps(key, 0)
+		Expect(owned).To(BeTrue())
+		Expect(since).To(BeTemporally("~", env.now, time.Microsecond))
 	})
 
-	It("stop when they have not heard the list for long", func() {
-		fleet := founded("m0")
-		key := keptBy(fleet[0])
-		world.now = world.now.Add(keeperContact - time.Second)
-		Expect(keeps(fleet[0], key)).To(BeTrue())
-		world.now = world.now.Add(2 * time.Second)
-		Expect(keeps(fleet[0], key)).To(BeFalse())
+	It("stop when the store has not confirmed their list for too long", func() {
+		fleet := bootstrapFleet("m0")
+		key := ownedKey(fleet[0])
+		env.now = env.now.Add(maxOwnerListAge - time.Second)
+		Expect(owns(fleet[0], key)).To(BeTrue())
+		env.now = env.now.Add(2 * time.Second)
+		Expect(owns(fleet[0], key)).To(BeFalse())
 	})
 
-	It("lose nothing to machines that join for a while, and share with those that stay", func() {
-		fleet := founded("m0", "m1")
-		joined := world.start("m2", false)
-		register(joined)
-		world.run(joinedTime-time.Minute, append(fleet, joined)...)
+	It("lose no shards to machines that join for a short time, and some to those that stay", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		joined := env.startDaemon("m2", false)
+		registerOnce(joined)
+		env.run(joinDelay-time.Minute, append(fleet, joined)...)
 		for number := range 100 {
 			key := fmt.Sprint("key ", number)
-			Expect(keeps(fleet[0], key) != keeps(fleet[1], key)).To(BeTrue())
+			Expect(owns(fleet[0], key) != owns(fleet[1], key)).To(BeTrue())
 		}
-		world.run(joinedSpread+settlingTime+2*time.Minute, append(fleet, joined)...)
-		key := keptBy(joined)
-		Expect(keeps(fleet[0], key) || keeps(fleet[1], key)).To(BeFalse())
+		env.run(joinDelaySpread+settlingDuration+2*time.Minute, append(fleet, joined)...)
+		key := ownedKey(joined)
+		Expect(owns(fleet[0], key) || owns(fleet[1], key)).To(BeFalse())
 	})
 
-	It("keep on what they kept while the members with claims change", func(ctx SpecContext) {
-		fleet := founded("m0", "m1", "m2")
-		key, before := keptBy(fleet[0]), world.now
-		other := keptBy(fleet[1])
+	It("retain their shards and ownership times while the members with claims change", func(ctx SpecContext) {
+		fleet := bootstrapFleet("m0", "m1", "m2")
+		key, before := ownedKey(fleet[0]), env.now
+		other := ownedKey(fleet[1])
 		Expect(fleet[1].lease.End(ctx)).To(Succeed())
-		world.run(releaseEndedAfter+3*testRenewal, fleet[0], fleet[2])
-		since, kept := fleet[0].list.Keeps(key, 0)
-		Expect(kept).To(BeTrue())
-		Expect(since).To(BeTemporally("<=", before), "its own key did not move")
-		heir := fleet[0]
-		if !keeps(heir, other) {
-			heir = fleet[2]
+		env.run(endedReleaseDelay+3*testRenewal, fleet[0], fleet[2])
+		since, owned := fleet[0].list.Keeps(key, 0)
+		Expect(owned).To(BeTrue())
+		Expect(since).To(BeTemporally("<=", before), "its own shard did not move")
+		newOwner := fleet[0]
+		if !owns(newOwner, other) {
+			newOwner = fleet[2]
 		}
-		since, kept = heir.list.Keeps(other, 0)
-		Expect(kept).To(BeTrue())
-		Expect(since).To(BeTemporally(">", before.Add(releaseEndedAfter)), "another one kept it before")
+		since, owned = newOwner.list.Keeps(other, 0)
+		Expect(owned).To(BeTrue())
+		Expect(since).To(BeTemporally(">", before.Add(endedReleaseDelay)), "another daemon owned it before")
 	})
 
-	It("wait at a new address, where the former process may go on at the old one", func() {
-		fleet := founded("m0", "m1")
-		key := keptBy(fleet[0])
-		moved := world.startAt("m0", "elsewhere", false)
-		register(moved)
+	It("wait after a restart at another address, since the former process may still run", func() {
+		fleet := bootstrapFleet("m0", "m1")
+		key := ownedKey(fleet[0])
+		moved := env.startDaemonAt("m0", "elsewhere", false)
+		registerOnce(moved)
 		moved.read()
-		Expect(keeps(moved, key)).To(BeFalse())
-		world.run(settlingTime+2*testRenewal, fleet[1], moved)
-		Expect(keeps(moved, key)).To(BeTrue())
+		Expect(owns(moved, key)).To(BeFalse())
+		env.run(settlingDuration+2*testRenewal, fleet[1], moved)
+		Expect(owns(moved, key)).To(BeTrue())
 	})
 })
 
-// BenchmarkKeeper looks up who keeps a key among 390 members, as each request of a tenant with a quota does.
+// BenchmarkKeeper measures the lookup of a shard's owner among 390 members, which each request of a
+// tenant with a quota makes.
 func BenchmarkKeeper(b *testing.B) {
-	world := newFleetWorld()
-	asking := world.start("m0", true)
-	register(asking)
+	env := newTestEnv()
+	d := env.startDaemon("m0", true)
+	registerOnce(d)
 	for number := range 389 {
-		register(world.start(fmt.Sprint("other ", number), true))
+		registerOnce(env.startDaemon(fmt.Sprint("other ", number), true))
 	}
-	asking.read()
+	d.read()
 	b.Run("found before", func(b *testing.B) {
 		for b.Loop() {
-			asking.list.Keeper("key", 0)
+			d.list.Keeper("key", 0)
 		}
 	})
 	b.Run("searched", func(b *testing.B) {
-		keepers := asking.list.current.Load().keepers
+		owners := d.list.current.Load().owners
 		for b.Loop() {
-			keepers.search(share{digestOf("key"), 0})
+			owners.findOwner(shard{hashOf("key"), 0})
 		}
 	})
 }
--- a/internal/members/laying.go
+++ b/internal/members/laying.go
@@ -9,38 +9,41 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// endFounding writes that the founding is over, unless that stands already.
-func (l *Lease) endFounding(parent context.Context) {
-	if l.List.endsFounding() {
+// endBootstrap writes the first layout, which marks the end of the bootstrap, if this daemon's list
+// shows none and the time has come.
+func (l *Lease) endBootstrap(parent context.Context) {
+	if l.List.shouldEndBootstrap() {
 		l.writeLayout(parent, l.List.firstLayout(), 0)
 	}
 }
 
-// lay changes the layout where zones came or went. The one with the first claim on the row does it.
-func (l *Lease) lay(parent context.Context, now time.Time) {
+// updateLayout writes the next layout after zones came or went. The living member with the highest
+// score for the layout's row does it.
+func (l *Lease) updateLayout(parent context.Context, now time.Time) {
 	seen, next, due := l.List.nextLayout(now)
-	if due && l.List.Sweeps(foundedKey.Name) {
+	if due && l.List.Sweeps(bootstrapKey.Name) {
 		l.writeLayout(parent, next, seen.version)
 	}
 }
 
-// writeLayout writes a layout on condition that the former is as it was seen.
+// writeLayout writes a layout, on condition that the stored one still has the version seen (zero:
+// there is none).
 func (l *Lease) writeLayout(parent context.Context, next layout, seen state.Version) {
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	fields := []zap.Field{zap.Any("zones", next.Zones), zap.Bool("moving", next.Moving), zap.Any("next", next.Next), zap.Uint64("seen", uint64(seen))}
 	value, err := next.encode()
 	if err != nil {
-		l.Log.Error("members: layout not written.", append(fields, zap.String("error", err.Error()))...)
+		l.Log.Error("members: cannot encode the layout.", append(fields, zap.String("error", err.Error()))...)
 		return
 	}
 	_, err = l.Store.Commit(ctx, state.Commit{
 		Class:      state.ClassLease,
-		Conditions: []state.Condition{{Key: foundedKey, Version: seen}},
-		Puts:       []state.Put{{Key: foundedKey, Value: value}},
+		Conditions: []state.Condition{{Key: bootstrapKey, Version: seen}},
+		Puts:       []state.Put{{Key: bootstrapKey, Value: value}},
 	})
 	if err != nil {
-		l.Log.Info("members: layout not written; another may have, or it is tried again.", append(fields, zap.String("error", err.Error()))...)
+		l.Log.Info("members: layout not written; another member may have written it, otherwise it is retried.", append(fields, zap.String("error", err.Error()))...)
 		return
 	}
 	l.Log.Info("members: layout written.", fields...)
--- a/internal/members/layout.go
+++ b/internal/members/layout.go
@@ -10,110 +10,118 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// layout says which zones hold the parts of what is kept in parts (keeper.go). It is one row of the
-// store, since a process that starts must know it at once, and whether a change of it is under way.
+// layout assigns shards (see keeper.go) to zones. It is a single row of the store, so that a
+// starting process reads it at once, together with any change in progress.
 //
-// A change takes two commits. The first announces it: from then on nobody keeps a part that is to move to
-// another zone. The second, movingTime later, puts it in force. Any list that is believed shows the
-// same row as the row in the store or the one before, and of two such rows each part has a keeper by one at most.
+// A change takes two commits. The first one announces it: from then on, shards that move to another
+// zone have no owner. The second one, layoutChangeDelay later, puts it in force. Any list that is
+// still in use shows the stored layout or the one before it, and by those two layouts each shard
+// has at most one owner.
 //
-// It buys: a zone that is cut off still reaches its part of each owner's places, and the others reach theirs.
-// It costs: parts that move have no keeper for movingTime, when a zone comes or goes (TestPartsThatMove).
+// As a result, a zone that is cut off still reaches its share of each key's shards, and so do the
+// other zones. The cost is that shards that move have no owner for layoutChangeDelay when a zone
+// comes or goes.
 type layout struct {
-	Zones  []identity.Zone `cbor:"z,omitempty"` // in force; none: all members are one group
-	Moving bool            `cbor:"m,omitempty"` // Next is announced
+	Zones  []identity.Zone `cbor:"z,omitempty"` // in force; empty: all members form one group
+	Moving bool            `cbor:"m,omitempty"` // a change to Next is announced
 	Next   []identity.Zone `cbor:"n,omitempty"`
 }
 
 const (
-	// movingTime is how long a change stands announced: by then no list is believed any more that
-	// does not show it. The rest lets a process that was started a moment ago take its start for
-	// the time since which nobody else kept (List.setSince).
-	movingTime = settlingTime + releaseEndedAfter
-	// laidShare: a zone gets parts once it has so much of the mean zone's members with claims, as a
-	// divisor, so that a few members do not carry a whole zone's parts; it keeps them while it has any.
-	laidShare = 2
+	// layoutChangeDelay is the time between the announcement of a change and its commit. After
+	// settlingDuration no list is in use that lacks the announcement; the rest lets a process that
+	// started a moment ago use its start time as the time since which no other process owned its
+	// shards (List.currentSetSince).
+	layoutChangeDelay = settlingDuration + endedReleaseDelay
+	// minZoneSizeDivisor gives the minimum size of a zone that receives shards: the mean number of
+	// members with claims per zone, divided by it. So a few members don't carry all shards of a
+	// zone. A zone that has shards retains them while it has any members with claims.
+	minZoneSizeDivisor = 2
 )
 
-// share is a part of what an owner has. It is kept by one member.
-type share struct {
-	owner uint64 // the digest of its name
-	part  int
+// shard identifies one of the shards of a key. Each shard is owned by one member.
+type shard struct {
+	key    uint64 // hash of the key
+	number int
 }
 
-// digest mixes both, for the claims on the part.
-func (s share) digest() uint64 { return claim(s.owner, uint64(s.part)+1) } //nolint:gosec // parts are counted from 0
+// hash returns the hash of the shard, for the scores of zones and members.
+func (s shard) hash() uint64 { return score(s.key, uint64(s.number)+1) } //nolint:gosec // parts are counted from 0
 
-// group are the members that may keep a part: those of a zone, or all.
-type group struct {
-	zone  identity.Zone
-	whole bool
+// zoneGroup is the set of members that may own a shard: those of one zone, or all members.
+type zoneGroup struct {
+	zone        identity.Zone
+	isEveryZone bool
 }
 
-func (g group) has(member *Member) bool { return g.whole || member.claimZone() == g.zone }
+func (g zoneGroup) has(member *Member) bool { return g.isEveryZone || member.claimZone() == g.zone }
 
-// holder is the group that keeps a part; false while the part moves.
-func (l *layout) holder(kept share) (group, bool) {
-	holder := holderAmong(l.Zones, kept)
-	return holder, !l.Moving || holderAmong(l.Next, kept) == holder
+// groupOf returns the group that may own a shard, and whether it may: false while the shard moves
+// to another group.
+func (l *layout) groupOf(wanted shard) (zoneGroup, bool) {
+	current := assignZone(l.Zones, wanted)
+	return current, !l.Moving || assignZone(l.Next, wanted) == current
 }
 
-// holderAmong lets each part of an owner in turn choose the zone with the first claim on it among those
-// that no part has chosen yet, and among all again once each has a part. So each zone
-// has a part if there are enough, and a zone that comes moves few.
-func holderAmong(zones []identity.Zone, kept share) group {
+// assignZone returns the zone of a shard. The shards of a key choose zones in turn: each takes the
+// zone with the highest score for it among those not yet chosen, and all zones are available again
+// once each has a shard. So each zone has a shard if there are enough, and few shards move to a new
+// zone.
+func assignZone(zones []identity.Zone, wanted shard) zoneGroup {
 	if len(zones) == 0 {
-		return group{whole: true}
+		return zoneGroup{isEveryZone: true}
 	}
 	var left []identity.Zone
-	for part := 0; ; part++ {
+	for number := 0; ; number++ {
 		if len(left) == 0 {
 			left = slices.Clone(zones)
 		}
-		chosen := firstZone(left, share{kept.owner, part}.digest())
-		if part == kept.part {
-			return group{zone: left[chosen]}
+		chosen := highestScoringZone(left, shard{wanted.key, number}.hash())
+		if number == wanted.number {
+			return zoneGroup{zone: left[chosen]}
 		}
 		left = slices.Delete(left, chosen, chosen+1)
 	}
 }
 
-func firstZone(zones []identity.Zone, key uint64) int {
-	first, most := 0, uint64(0)
-	for place, zone := range zones {
-		if claimed := claim(digestOf(string(zone)), key); place == 0 || claimed > most {
-			first, most = place, claimed
+func highestScoringZone(zones []identity.Zone, key uint64) int {
+	best, highest := 0, uint64(0)
+	for index, zone := range zones {
+		if zoneScore := score(hashOf(string(zone)), key); index == 0 || zoneScore > highest {
+			best, highest = index, zoneScore
 		}
 	}
-	return first
+	return best
 }
 
-// next is the layout that is to follow one that was seen for so long, if another is to.
-func (l *layout) next(claims map[identity.Zone]int, seenFor time.Duration) (layout, bool) {
+// next returns the layout that should follow this one, and whether there is one. members counts the
+// members with claims by zone; seenFor is how long this layout has been seen in the store.
+func (l *layout) next(members map[identity.Zone]int, seenFor time.Duration) (layout, bool) {
 	if l.Moving {
-		return layout{Zones: l.Next}, seenFor > movingTime
+		return layout{Zones: l.Next}, seenFor > layoutChangeDelay
 	}
-	wanted := laidZones(claims, l.Zones)
+	wanted := zonesWithShards(members, l.Zones)
 	if len(wanted) == 0 || slices.Equal(wanted, l.Zones) {
 		return layout{}, false
 	}
 	return layout{Zones: l.Zones, Moving: true, Next: wanted}, true
 }
 
-// laidZones are the zones that are to hold parts, by how many members with claims each has, in order.
-func laidZones(claims map[identity.Zone]int, inForce []identity.Zone) []identity.Zone {
+// zonesWithShards returns the zones that should hold shards, sorted, from the number of members
+// with claims by zone.
+func zonesWithShards(members map[identity.Zone]int, inForce []identity.Zone) []identity.Zone {
 	total := 0
-	for _, count := range claims {
+	for _, count := range members {
 		total += count
 	}
-	var laid []identity.Zone
-	for zone, count := range claims {
-		if slices.Contains(inForce, zone) || count*len(claims)*laidShare >= total {
-			laid = append(laid, zone)
+	var selected []identity.Zone
+	for zone, count := range members {
+		if slices.Contains(inForce, zone) || count*len(members)*minZoneSizeDivisor >= total {
+			selected = append(selected, zone)
 		}
 	}
-	slices.Sort(laid)
-	return laid
+	slices.Sort(selected)
+	return selected
 }
 
 func (l *layout) encode() ([]byte, error) {
--- a/internal/members/lease.go
+++ b/internal/members/lease.go
@@ -17,68 +17,65 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// LeaseTable holds a row for each member that lives, by its machine's name. It
-// is not followed: each daemon reads the few rows that it watches.
+// LeaseTable is the store table with one row per living member, keyed by machine name. It isn't
+// followed: each daemon reads only the few rows that it checks.
 const LeaseTable = "member-leases"
 
-// How leases are kept.
+// Timing of leases.
 const (
-	// renewalShare is the part of all renewals' time that each member takes, so
-	// that all daemons together renew 20 times a second at any size above
-	// shortestRenewal / renewalShare: a fifteenth of what one partition of the
-	// users' stores takes (300 commits a second).
-	renewalShare = 50 * time.Millisecond
-	// termInRenewals is how many renewals may fail in a row before a lease ends.
-	termInRenewals = 4
-	// commitWait bounds a registration and each commit; they are tried again.
-	commitWait = 2 * time.Second
-	// lookWait bounds a look at the leases of others.
-	lookWait = 2 * time.Second
-	// registrationSpread is the time over which the daemons of a fleet that starts at
-	// once register: 300 of them take one partition of the store a second. Until then
-	// others go by the row of this machine's former process, if there was one. It is
-	// also at most a part of the shortest renewal, as a divisor.
-	registrationSpread = time.Second
-	registrationShare  = 10
-	// registerAgain is the pause before a registration that failed is tried again.
-	registerAgain = 250 * time.Millisecond
-	// jitterShare spreads renewals, as a divisor of the interval.
-	jitterShare = 8
-	// deadKeptFor is how long a dead member stays listed: its last moment as a
-	// lender (lenderContact after its list was last heard, and readings that are
-	// behind by less than a minute), and then the time in which its programs may
-	// come again.
-	deadKeptFor = memoryOfPrograms + 2*lenderContact
+	// renewalIntervalPerMember times the number of members is the renewal interval, unless
+	// ShortestRenewal is longer. So a large fleet makes 20 renewals a second in total, of the 300
+	// commits a second that one store partition takes.
+	renewalIntervalPerMember = 50 * time.Millisecond
+	// renewalsPerTerm is the number of consecutive renewals that may fail before a lease expires.
+	renewalsPerTerm = 4
+	// commitTimeout bounds each commit and each attempt to register.
+	commitTimeout = 2 * time.Second
+	// leaseReadTimeout bounds one check of the leases of other members.
+	leaseReadTimeout = 2 * time.Second
+	// maxRegistrationDelay is the interval over which daemons that start together spread their
+	// registrations. One store partition takes 300 of them a second. The delay is also at most the
+	// shortest renewal interval divided by registrationDelayDivisor.
+	maxRegistrationDelay     = time.Second
+	registrationDelayDivisor = 10
+	// registrationRetryDelay is the delay before a failed registration is retried.
+	registrationRetryDelay = 250 * time.Millisecond
+	// renewalJitterDivisor bounds the jitter of renewals: the interval divided by it.
+	renewalJitterDivisor = 8
+	// deadRetention is how long a dead member stays listed. A member may lend for maxLenderListAge
+	// after the store last confirmed its list, which may have been up to a minute old by then, and
+	// its programs may return for programReuseWindow after that.
+	deadRetention = programReuseWindow + 2*maxLenderListAge
 )
 
-// Lease keeps this daemon's lease, and ends the leases of others that ran out.
+// Lease maintains this daemon's lease, and ends the expired leases of others. It is safe for
+// concurrent use.
 type Lease struct {
 	List  *List
 	Store *state.Client
-	// FirstStart tells that the whole system was never started before, as far as
-	// this process was told.
+	// FirstStart reports whether this process was told that the system is started for the first
+	// time.
 	FirstStart bool
-	// ShortestRenewal is the least time between two renewals, which fleets have
-	// that are small.
+	// ShortestRenewal is the minimum renewal interval; it applies to small fleets.
 	ShortestRenewal time.Duration
 	Log             *zap.Logger
-	// Revision is the configuration in force here, told with each renewal.
+	// Revision is the configuration revision in force here; each renewal writes it to the lease.
 	Revision atomic.Uint64
 
-	mutex      sync.Mutex // of what follows
-	registered bool
-	version    state.Version // of the own row in LeaseTable
-	claimZone  identity.Zone // that the own row names
-	leaving    bool          // Leave was called
-	superseded bool          // a later process of this machine has registered
-	finished   bool          // this process ends
-	watched    watchedLeases
+	mutex         sync.Mutex // guards the fields below
+	registered    bool
+	version       state.Version // of this daemon's row in LeaseTable
+	claimZone     identity.Zone // as written in this daemon's row in Table
+	leaving       bool          // set by Leave
+	superseded    bool          // a later process of this machine has registered
+	finished      bool          // set by End
+	watchedLeases watchedLeases
 }
 
-// leaseRow is the value of a row in LeaseTable.
+// leaseRow is the encoded value of a row in LeaseTable.
 type leaseRow struct {
 	Incarnation identity.Incarnation `cbor:"i"`
-	Term        time.Duration        `cbor:"t"` // without a renewal for so long the lease is over
+	Term        time.Duration        `cbor:"t"` // the lease expires after this time without a renewal
 	Revision    uint64               `cbor:"r"` // of the configuration in force
 }
 
@@ -86,78 +83,78 @@
 	return state.Key{Table: table, Partition: partition, Name: string(machine)}
 }
 
-// removedKey is written with the removal of a dead member's row. Where it stands,
-// an absent row does not tell that no process of that name was there before, so
-// that nobody counts as a founder any more.
+// removedKey is written when a dead member's row is removed. Once it exists, the absence of a row
+// no longer proves that no process of that name existed before, so no new process counts as a
+// founder.
 var removedKey = state.Key{Table: "members-removed", Partition: partition, Name: "any"}
 
-// partition holds all tables, since they are committed together; it is apart
-// from what operators write.
+// partition is the store partition of all tables of this package, since they are committed
+// together. It is separate from the rows that operators write.
 const partition = "members"
 
-// renewal is the time between two renewals.
+// renewal returns the renewal interval.
 func (l *Lease) renewal() time.Duration {
-	return max(l.ShortestRenewal, time.Duration(l.List.Count())*renewalShare)
+	return max(l.ShortestRenewal, time.Duration(l.List.Count())*renewalIntervalPerMember)
 }
 
-// Run keeps the lease until the context ends.
+// Run registers this daemon and renews its lease until the context ends.
 func (l *Lease) Run(ctx context.Context) {
-	spread := min(registrationSpread, l.ShortestRenewal/registrationShare)
+	spread := min(maxRegistrationDelay, l.ShortestRenewal/registrationDelayDivisor)
 	pause.For(ctx, time.Duration(rand.Int64N(int64(spread)+1)))
 	for ctx.Err() == nil {
-		wait := l.renewal() // also after a renewal that failed: a term is several of them
+		wait := l.renewal() // also after a failed renewal: a term spans several intervals
 		if !l.Step(ctx) {
-			wait = registerAgain
+			wait = registrationRetryDelay
 		}
-		wait -= time.Duration(rand.Int64N(int64(wait)/jitterShare + 1))
-		if soon, settles := l.List.untilFounderSettles(); settles {
-			wait = min(wait, soon+time.Duration(rand.Int64N(int64(spread)+1)))
+		wait -= time.Duration(rand.Int64N(int64(wait)/renewalJitterDivisor + 1))
+		if untilOwner, waiting := l.List.untilFounderOwns(); waiting {
+			wait = min(wait, untilOwner+time.Duration(rand.Int64N(int64(spread)+1)))
 		}
 		pause.For(ctx, wait)
 	}
 }
 
-// Step registers this daemon or renews its lease, and then looks after the
-// leases of others. It tells whether this daemon is registered.
+// Step registers this daemon or renews its lease, and then checks the leases of others. It reports
+// whether this daemon is registered.
 func (l *Lease) Step(ctx context.Context) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.superseded || l.finished {
 		return true
 	}
-	if err := l.keep(ctx); err != nil {
-		l.watched.forget() // others may not have reached the store either
+	if err := l.registerOrRenew(ctx); err != nil {
+		l.watchedLeases.reset() // other members may not have reached the store either
 		if ctx.Err() == nil {
-			l.Log.Warn("members: lease not kept.", zap.Bool("registered", l.registered), zap.String("error", err.Error()))
+			l.Log.Warn("members: lease not registered or renewed.", zap.Bool("registered", l.registered), zap.String("error", err.Error()))
 		}
 		return l.registered
 	}
-	l.endFounding(ctx)
-	l.lookAfterOthers(ctx)
+	l.endBootstrap(ctx)
+	l.checkOthers(ctx)
 	return true
 }
 
-func (l *Lease) keep(parent context.Context) error {
+func (l *Lease) registerOrRenew(parent context.Context) error {
 	if !l.registered {
 		return l.register(parent)
 	}
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	err := l.renew(ctx)
 	if !errors.Is(err, errLeaseEnded) {
 		return err
 	}
 	l.registered = false
-	l.List.seasoning.ended()
+	l.List.localStatus.endMembership()
 	l.Log.Warn("members: lease was ended by another daemon.", zap.Uint64("version", uint64(l.version)))
 	return l.register(parent)
 }
 
-// register writes this daemon's rows, whatever a former process of this machine left.
+// register writes this daemon's rows, replacing those of a former process of this machine.
 func (l *Lease) register(parent context.Context) error {
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
-	registration := registration{lease: l, row: keyOf(Table, l.List.self.Process.Machine), newcomer: true}
+	registration := registration{lease: l, memberKey: keyOf(Table, l.List.self.Process.Machine), newcomer: true}
 	if err := l.Store.Repeat(ctx, func() error { return registration.try(ctx) }); err != nil {
 		return err
 	}
@@ -170,9 +167,10 @@
 	return nil
 }
 
-var errLeaseEnded = errors.New("the lease was ended")
+var errLeaseEnded = errors.New("lease was ended by another daemon")
 
-// renew writes the own lease on condition that it is still there.
+// renew writes this daemon's lease if it still exists in the store. It returns errLeaseEnded if it
+// doesn't.
 func (l *Lease) renew(ctx context.Context) error {
 	value, err := l.encodeLease()
 	if err != nil {
@@ -217,17 +215,17 @@
 	switch own := l.List.self.Process.Incarnation; {
 	case lease.Incarnation > own:
 		l.superseded = true
-		l.List.seasoning.ended()
+		l.List.localStatus.endMembership()
 		l.Log.Error("members: a later process runs on this machine.", zap.Uint64("incarnation", uint64(lease.Incarnation)))
 		return nil
 	case lease.Incarnation < own:
-		return errLeaseEnded // a registration of a former process was done late
+		return errLeaseEnded // a delayed registration of a former process overwrote the lease
 	}
-	l.version = found.Version // an earlier renewal without an answer was done
+	l.version = found.Version // an earlier renewal was committed, but its answer was lost
 	return nil
 }
 
-// member is this daemon as its row says.
+// member returns this daemon as its row describes it, with the given standing.
 func (l *Lease) member(standing Standing) Member {
 	member := l.List.self
 	member.Standing, member.ClaimZone = standing, l.claimZone
@@ -238,7 +236,7 @@
 }
 
 func (l *Lease) encodeLease() ([]byte, error) {
-	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: termInRenewals * l.renewal(), Revision: l.Revision.Load()}
+	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: renewalsPerTerm * l.renewal(), Revision: l.Revision.Load()}
 	value, err := cbor.Marshal(row)
 	return value, eris.Wrap(err, "encode lease")
 }
@@ -248,7 +246,7 @@
 	return lease, eris.Wrapf(cbor.Unmarshal(row.Value, &lease), "decode lease of %s", row.Key.Name)
 }
 
-// Leave tells the others that this daemon takes no new work.
+// Leave writes that this daemon is leaving, so that others give it no new work.
 func (l *Lease) Leave(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -257,27 +255,28 @@
 	return l.writeState(ctx, StateLeaving, state.Commit{})
 }
 
-// End tells the others that this process is over, so that nobody has to wait
-// until its lease runs out.
+// End writes that this process has ended, so that others needn't wait for its lease to expire.
 func (l *Lease) End(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.finished = true
-	l.List.seasoning.ended()
-	leased := keyOf(LeaseTable, l.List.self.Process.Machine)
-	return l.writeState(ctx, StateDead, state.Commit{Removals: []state.Key{leased}})
+	l.List.localStatus.endMembership()
+	leaseKey := keyOf(LeaseTable, l.List.self.Process.Machine)
+	return l.writeState(ctx, StateDead, state.Commit{Removals: []state.Key{leaseKey}})
 }
 
-// writeState writes this daemon's state, if its lease still stands; the lock is held.
+// writeState commits this daemon's new state together with the given commit, on condition that its
+// lease is unchanged. It does nothing if this process isn't registered or a later one is. The
+// caller holds the lock.
 func (l *Lease) writeState(parent context.Context, next State, commit state.Commit) error {
 	if !l.registered || l.superseded {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	standing := l.List.standing()
 	if next == StateDead && standing == StandingKeeps {
-		standing = StandingEnded // this process keeps nothing since it is finished
+		standing = StandingEnded // a finished process owns no shards any more
 	}
 	member := l.member(standing)
 	member.State = next
@@ -290,5 +289,5 @@
 	commit.Conditions = []state.Condition{{Key: keyOf(LeaseTable, machine), Version: l.version}}
 	commit.Puts = []state.Put{{Key: keyOf(Table, machine), Value: value}}
 	_, err = l.Store.Commit(ctx, commit)
-	return eris.Wrapf(err, "tell that this daemon is %s", next)
+	return eris.Wrapf(err, "write state %s of this daemon", next)
 }
--- a/internal/members/lease_test.go
+++ b/internal/members/lease_test.go
@@ -14,184 +14,184 @@
 )
 
 var _ = Describe("Lease", func() {
-	const term = termInRenewals * testRenewal
-	var world *fleetWorld
+	const term = renewalsPerTerm * testRenewal
+	var env *testEnv
 
-	BeforeEach(func() { world = newFleetWorld() })
+	BeforeEach(func() { env = newTestEnv() })
 
 	fleetOf := func(count int) []*daemon {
 		var daemons []*daemon
 		for number := range count {
-			daemons = append(daemons, world.start(fmt.Sprintf("m%02d", number), false))
+			daemons = append(daemons, env.startDaemon(fmt.Sprintf("m%02d", number), false))
 		}
-		world.run(testRenewal, daemons...)
+		env.run(testRenewal, daemons...)
 		return daemons
 	}
 
-	It("shows each daemon all others that keep theirs", func() {
+	It("keeps all daemons that renew it alive in every list", func() {
 		daemons := fleetOf(5)
-		world.run(10*term, daemons...)
+		env.run(10*term, daemons...)
 		for _, each := range daemons {
 			for _, other := range daemons {
-				Expect(each.sees(string(other.list.Self().Machine))).To(Equal(StateAlive))
+				Expect(each.stateOf(string(other.list.Self().Machine))).To(Equal(StateAlive))
 			}
 		}
 	})
 
-	It("ends soon after its daemon died, also when many next to each other died at once", func() {
+	It("expires soon after its daemon dies, even if many neighbors die at once", func() {
 		daemons := fleetOf(40)
 		living := []*daemon{daemons[0], daemons[39]}
-		world.run(term+3*testRenewal, living...)
+		env.run(term+3*testRenewal, living...)
 		for _, dead := range daemons[1:39] {
-			Expect(living[0].sees(string(dead.list.Self().Machine))).To(Equal(StateDead))
+			Expect(living[0].stateOf(string(dead.list.Self().Machine))).To(Equal(StateDead))
 		}
-		Expect(living[0].sees("m39")).To(Equal(StateAlive))
+		Expect(living[0].stateOf("m39")).To(Equal(StateAlive))
 		Expect(living[0].list.Count()).To(Equal(2))
 	})
 
-	It("ends for a daemon that was frozen, which registers again when it wakes and ends nobody's", func() {
+	It("expires for a suspended daemon, which registers again on resuming and ends no other lease", func() {
 		daemons := fleetOf(4)
 		frozen, awake := daemons[1], daemons[2:]
-		world.run(3*term, awake...)
-		Expect(awake[0].sees("m01")).To(Equal(StateDead))
+		env.run(3*term, awake...)
+		Expect(awake[0].stateOf("m01")).To(Equal(StateDead))
 		Expect(frozen.step()).To(BeTrue())
-		world.run(2*testRenewal, append(awake, frozen)...)
-		Expect(awake[0].sees("m01")).To(Equal(StateAlive))
-		Expect(frozen.sees("m02")).To(Equal(StateAlive))
+		env.run(2*testRenewal, append(awake, frozen)...)
+		Expect(awake[0].stateOf("m01")).To(Equal(StateAlive))
+		Expect(frozen.stateOf("m02")).To(Equal(StateAlive))
 	})
 
-	It("ends for daemons that are cut off from the store, and they are back after the cut", func() {
+	It("expires for daemons cut off from the store, which register again after the cut", func() {
 		daemons := fleetOf(6)
 		for _, each := range daemons[:3] {
-			each.cut = true
+			each.isCutOff = true
 		}
-		world.run(2*term, daemons...)
-		Expect(daemons[3].sees("m00")).To(Equal(StateDead))
-		Expect(daemons[0].sees("m03")).To(Equal(StateAlive), "who hears nothing blames nobody")
+		env.run(2*term, daemons...)
+		Expect(daemons[3].stateOf("m00")).To(Equal(StateDead))
+		Expect(daemons[0].stateOf("m03")).To(Equal(StateAlive), "a daemon that reads nothing marks nobody dead")
 		for _, each := range daemons[:3] {
-			each.cut = false
+			each.isCutOff = false
 		}
-		world.run(2*testRenewal, daemons...)
+		env.run(2*testRenewal, daemons...)
 		for _, each := range daemons {
 			Expect(each.list.Count()).To(Equal(6))
 		}
 	})
 
-	It("ends for nobody while nobody reaches the store", func() {
+	It("does not expire while no daemon reaches the store", func() {
 		daemons := fleetOf(6)
 		for _, each := range daemons {
-			each.cut = true
+			each.isCutOff = true
 		}
-		world.run(3*term, daemons...)
+		env.run(3*term, daemons...)
 		for _, each := range daemons {
-			each.cut = false
+			each.isCutOff = false
 		}
-		world.run(2*term, daemons...)
+		env.run(2*term, daemons...)
 		Expect(daemons[0].list.Count()).To(Equal(6))
 	})
 
-	It("tells of a daemon that leaves, and of its end, at once", func(ctx SpecContext) {
+	It("shows at once that a daemon is leaving and that it has ended", func(ctx SpecContext) {
 		daemons := fleetOf(3)
 		Expect(daemons[0].lease.Leave(ctx)).To(Succeed())
 		daemons[1].read()
-		Expect(daemons[1].sees("m00")).To(Equal(StateLeaving))
-		Expect(daemons[0].sees("m00")).To(Equal(StateLeaving))
+		Expect(daemons[1].stateOf("m00")).To(Equal(StateLeaving))
+		Expect(daemons[0].stateOf("m00")).To(Equal(StateLeaving))
 		Expect(daemons[0].lease.End(ctx)).To(Succeed())
 		daemons[1].read()
-		Expect(daemons[1].sees("m00")).To(Equal(StateDead))
+		Expect(daemons[1].stateOf("m00")).To(Equal(StateDead))
 		daemons[0].step()
 		daemons[1].read()
-		Expect(daemons[1].sees("m00")).To(Equal(StateDead), "it does not come back by itself")
+		Expect(daemons[1].stateOf("m00")).To(Equal(StateDead), "an ended process does not register again")
 	})
 
-	It("stays that of a leaving daemon when it was ended meanwhile", func(ctx SpecContext) {
+	It("registers a leaving daemon as leaving after its lease has expired", func(ctx SpecContext) {
 		daemons := fleetOf(3)
 		Expect(daemons[0].lease.Leave(ctx)).To(Succeed())
-		world.run(term+3*testRenewal, daemons[1:]...)
-		Expect(daemons[1].sees("m00")).To(Equal(StateDead))
+		env.run(term+3*testRenewal, daemons[1:]...)
+		Expect(daemons[1].stateOf("m00")).To(Equal(StateDead))
 		Expect(daemons[0].step()).To(BeTrue())
 		daemons[1].read()
-		Expect(daemons[1].sees("m00")).To(Equal(StateLeaving))
+		Expect(daemons[1].stateOf("m00")).To(Equal(StateLeaving))
 	})
 
-	It("goes to a later process of the machine", func() {
+	It("passes to a later process of the machine", func() {
 		daemons := fleetOf(3)
-		again := world.start("m00", false)
-		Expect(again.step()).To(BeTrue())
+		restarted := env.startDaemon("m00", false)
+		Expect(restarted.step()).To(BeTrue())
 		daemons[0].step()
-		world.run(2*term, append(daemons[1:], again)...)
-		Expect(daemons[1].sees("m00")).To(Equal(StateAlive))
+		env.run(2*term, append(daemons[1:], restarted)...)
+		Expect(daemons[1].stateOf("m00")).To(Equal(StateAlive))
 		member, _ := daemons[1].list.member("m00")
-		Expect(member.Process).To(Equal(again.list.Self()))
+		Expect(member.Process).To(Equal(restarted.list.Self()))
 	})
 
-	It("is kept though the answer to a renewal or to the registration was lost", func() {
+	It("survives lost answers to renewals and to the registration", func() {
 		calls := 0
-		world.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		env.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			calls++
 			if call.Name == "commit" && calls%2 == 1 {
 				return memorystore.Lost
 			}
 			return memorystore.None
 		})
-		first := world.start("m00", true)
+		first := env.startDaemon("m00", true)
 		Expect(first.step()).To(BeTrue())
 		for range 4 {
 			first.step()
 		}
-		world.store.Misbehave(nil)
+		env.store.Misbehave(nil)
 		Expect(first.step()).To(BeTrue())
 		Expect(first.lease.registered).To(BeTrue())
 	})
 
-	It("leaves a list as long as the living part of a fleet that was replaced many times over", func() {
-		watcher := world.start("a", false)
+	It("leaves no dead members in the list after a fleet was replaced many times", func() {
+		watcher := env.startDaemon("a", false)
 		for generation := range 100 {
-			machine := world.start(fmt.Sprint("m", generation), false)
-			world.run(term+3*testRenewal, watcher, machine)
-			world.run(term+3*testRenewal, watcher)
+			machine := env.startDaemon(fmt.Sprint("m", generation), false)
+			env.run(term+3*testRenewal, watcher, machine)
+			env.run(term+3*testRenewal, watcher)
 		}
-		world.run(deadKeptFor, watcher)
-		world.run(3*testRenewal, watcher)
+		env.run(deadRetention, watcher)
+		env.run(3*testRenewal, watcher)
 		Expect(watcher.list.View().Members).To(HaveLen(1))
 	})
 
 	It("hears of many that register at once in few answers", func(ctx SpecContext) {
 		const fleet = 200
-		listening := world.start("a", false)
+		listener := env.startDaemon("a", false)
 		following, stop := context.WithCancel(ctx)
 		followed := make(chan struct{})
 		go func() {
 			defer close(followed)
-			watch.Run(following, listening.list.Watch(world.store, time.Minute), listening.list)
+			watch.Run(following, listener.list.Watch(env.store, time.Minute), listener.list)
 		}()
-		Eventually(func() bool { return listening.list.View().Read }).Should(BeTrue())
-		before := world.store.Calls("feed")
+		Eventually(func() bool { return listener.list.View().Read }).Should(BeTrue())
+		before := env.store.Calls("feed")
 		for number := range fleet {
-			world.start(fmt.Sprint("m", number), false).lease.Step(ctx)
-			time.Sleep(time.Millisecond) // a store takes one after the other
+			env.startDaemon(fmt.Sprint("m", number), false).lease.Step(ctx)
+			time.Sleep(time.Millisecond) // the store commits one after the other
 		}
-		Eventually(listening.list.Count).Should(Equal(fleet + 1))
-		Expect(world.store.Calls("feed") - before).To(BeNumerically("<", fleet/4))
+		Eventually(listener.list.Count).Should(Equal(fleet + 1))
+		Expect(env.store.Calls("feed") - before).To(BeNumerically("<", fleet/4))
 		stop()
 		Eventually(followed).Should(BeClosed())
 	})
 
-	It("tells which configuration each daemon has in force", func(ctx SpecContext) {
+	It("shows which configuration revision each daemon has in force", func(ctx SpecContext) {
 		daemons := fleetOf(3)
 		daemons[1].lease.Revision.Store(7)
-		world.run(testRenewal, daemons...)
+		env.run(testRenewal, daemons...)
 		Expect(daemons[0].lease.Revisions(ctx)).To(Equal(map[identity.Machine]uint64{"m00": 0, "m01": 7, "m02": 0}))
 	})
 
-	It("costs each daemon one commit and one reading a renewal, whatever the size of the fleet", func() {
+	It("costs each daemon one commit and one read per renewal, independent of the fleet's size", func() {
 		daemons := fleetOf(50)
-		world.run(testRenewal, daemons...)
-		commits, readings := world.store.Calls("commit"), world.store.Calls("read")
+		env.run(testRenewal, daemons...)
+		commits, readings := env.store.Calls("commit"), env.store.Calls("read")
 		for _, each := range daemons[:40] {
 			each.lease.Step(context.Background())
 		}
-		Expect(world.store.Calls("commit") - commits).To(Equal(40))
-		Expect(world.store.Calls("read") - readings).To(Equal(40))
+		Expect(env.store.Calls("commit") - commits).To(Equal(40))
+		Expect(env.store.Calls("read") - readings).To(Equal(40))
 	})
 })
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -5,96 +5,99 @@
 	"time"
 )
 
-// One daemon of all may lend to a program, and the same one in all the time in
-// which the program may come again: the one with the first claim on it, if that
-// has been so for long enough.
+// At most one daemon may lend to a program (see package budget), and it stays the same one for as
+// long as the program may return: the daemon with the highest score for the program, once it has
+// had that score for long enough.
 //
-// Guarantee: no two processes lend to one program within memoryOfPrograms of
-// each other. A claim moves in two ways, and a process that is started again
-// under its machine's name is another one:
-//   - to a daemon that joins: it lends only memoryOfPrograms after its row was
-//     committed, and a list is believed for lenderContact, which is far shorter;
-//   - from a daemon that ended: its row is kept, marked dead, and its claims with
-//     it, for deadKeptFor. It lent for the last time at most lenderContact after it
-//     last heard a list in which it lived; one that hears that it was marked dead
-//     lends no more, and as a newcomer only if it registers again;
-//   - the founders of a system lend soon, since there were no programs before, and
-//     no row was ever removed (removedKey). Each has written its row on condition that
-//     the founding was not over (foundedKey), and nobody lends on a list that does not
-//     show that it is: such a list has the rows of all founders.
+// Guarantee: no two processes lend to the same program within programReuseWindow of each other. The
+// highest score passes to another process in the following cases; a process restarted under its
+// machine's name counts as another process.
+//   - A daemon joins. It lends only programReuseWindow after its row was committed. Lists without
+//     that row are used for at most maxLenderListAge, which is far shorter.
+//   - A daemon ends. Its row stays for deadRetention, marked dead, and its score still counts. It
+//     lends for the last time at most maxLenderListAge after the store last confirmed a list in
+//     which it was alive. A daemon that learns that it was marked dead stops lending; it lends
+//     again only after it has registered again and waited like a daemon that joins.
+//   - The system starts for the first time. Its founders lend early, since there were no programs
+//     before and no row was ever removed (removedKey). Each founder's row was committed on
+//     condition that the bootstrap was not over (bootstrapKey), and nobody lends by a list that
+//     doesn't show the end of the bootstrap. A list that shows it has the rows of all founders.
 const (
-	// founding is the time from its own start within which a founder must have registered.
-	founding = 3500 * time.Millisecond
-	// foundersApart is how far apart the machines of a system usually start. Who starts later
-	// than foundersApart and founding after the first joins: it lends and keeps later, never wrongly.
-	foundersApart = time.Second
-	// lenderContact is how long a list is believed.
-	lenderContact = time.Minute
-	// memoryOfPrograms is longer than lenderContact and the time within which a
-	// program may come again.
-	memoryOfPrograms = 10 * time.Minute
+	// founderRegistrationWindow is the time after its own start within which a founder must have
+	// registered.
+	founderRegistrationWindow = 3500 * time.Millisecond
+	// maxFounderStartSkew is the expected maximum difference between the start times of the
+	// founders. A process that starts later than this plus founderRegistrationWindow after the
+	// first one joins as a newcomer: it lends and owns shards later, which is safe.
+	maxFounderStartSkew = time.Second
+	// maxLenderListAge is how long a list may be used for lending after the store last confirmed
+	// it.
+	maxLenderListAge = time.Minute
+	// programReuseWindow is longer than maxLenderListAge and longer than the time within which a
+	// program may return.
+	programReuseWindow = 10 * time.Minute
 )
 
-// seasoning is what a process knows of its own standing as a lender. Times are
-// nanoseconds since its start, by the steady clock.
-type seasoning struct {
-	started    time.Time
-	registered atomic.Int64 // when its row was acknowledged; 0: it was not
-	heard      atomic.Int64 // when the list was last heard; 0: it was not
-	founder    atomic.Bool
-	founded    atomic.Bool   // the list in force shows that the founding is over
-	standing   atomic.Uint32 // that this process's row has, for what one member keeps
-	stood      atomic.Int64  // when it was acknowledged
-	// settled is since when nobody else may have kept what this process may keep; it
-	// holds while standing is StandingKeeps.
-	settled atomic.Int64
-	// inherited is when this process went on with the claims of its machine's former one,
-	// before it is registered itself (inherit); 0: it did not.
-	inherited atomic.Int64
-	// kept tells that this process kept something, so that it does not know any more
-	// what it itself gave out before a change of the keepers.
-	kept atomic.Bool
-	// heardAgain is when the list was heard after a time in which it was not believed
-	// any more; 0: that was never so.
-	heardAgain atomic.Int64
+// localStatus holds what this process knows of its own membership, which decides whether it may
+// lend and own shards. Its fields are atomic, since lookups take no lock. Times are nanoseconds
+// since startedAt by the monotonic clock.
+type localStatus struct {
+	startedAt     time.Time
+	registeredAt  atomic.Int64 // when its row was acknowledged; 0: not registered
+	lastHeard     atomic.Int64 // when the store last confirmed the list; 0: never
+	isFounder     atomic.Bool
+	bootstrapped  atomic.Bool   // the list shows the end of the bootstrap
+	standing      atomic.Uint32 // the acknowledged Standing of this process's row
+	standingSince atomic.Int64  // when that standing was acknowledged
+	// exclusiveSince is the time since which no other process can have owned the shards that this
+	// process may own. It is valid while standing is StandingKeeps.
+	exclusiveSince atomic.Int64
+	// inheritedAt is when this process took over the shards of its machine's former process before
+	// registering (see inheritShards); 0: it didn't.
+	inheritedAt atomic.Int64
+	// hasOwned reports whether this process has owned a shard. If so, a new set of owners can't be
+	// backdated to its start.
+	hasOwned atomic.Bool
+	// staleUntil is when the store last confirmed the list after it had become too old for shard
+	// owners; 0: never.
+	staleUntil atomic.Int64
 }
 
-func (s *seasoning) elapsed(now time.Time) int64 { return max(int64(now.Sub(s.started)), 1) }
+func (s *localStatus) elapsed(now time.Time) int64 { return max(int64(now.Sub(s.startedAt)), 1) }
 
-// Heard notes that the store told the list as it stands.
+// Heard records that the store has just confirmed the list.
 func (l *List) Heard() {
-	elapsed := l.seasoning.elapsed(l.now())
-	if former := l.seasoning.heard.Swap(elapsed); elapsed-former > int64(keeperContact) {
-		l.seasoning.heardAgain.Store(elapsed)
+	elapsed := l.localStatus.elapsed(l.now())
+	if previous := l.localStatus.lastHeard.Swap(elapsed); elapsed-previous > int64(maxOwnerListAge) {
+		l.localStatus.staleUntil.Store(elapsed)
 	}
 }
 
-// MayLend tells whether this process is the only one that lends to a program.
+// MayLend reports whether this process is the only one that may lend to the program.
 func (l *List) MayLend(program string) bool {
-	return l.seasoning.lends(l.now()) && l.claimsAmongAll(program)
+	return l.localStatus.mayLend(l.now()) && l.isFirstAmongAll(program)
 }
 
-// ended notes that this process is not the member any more that it was.
-func (s *seasoning) ended() {
-	s.founder.Store(false)
-	s.registered.Store(0)
-	s.inherited.Store(0)
+// endMembership records that this process no longer has a valid registration.
+func (s *localStatus) endMembership() {
+	s.isFounder.Store(false)
+	s.registeredAt.Store(0)
+	s.inheritedAt.Store(0)
 }
 
-func (s *seasoning) lends(now time.Time) bool {
+func (s *localStatus) mayLend(now time.Time) bool {
 	elapsed := s.elapsed(now)
-	heard, registered := s.heard.Load(), s.registered.Load()
-	if heard == 0 || registered == 0 || elapsed-heard > int64(lenderContact) || !s.founded.Load() {
+	heard, registered := s.lastHeard.Load(), s.registeredAt.Load()
+	if heard == 0 || registered == 0 || elapsed-heard > int64(maxLenderListAge) || !s.bootstrapped.Load() {
 		return false
 	}
-	return s.founder.Load() || elapsed-registered > int64(memoryOfPrograms)
+	return s.isFounder.Load() || elapsed-registered > int64(programReuseWindow)
 }
 
-// noteRegistered takes in that this process's row stands in the store. founder
-// tells that this is the first start of the system and no process of this name
-// was there before.
+// noteRegistered records that this process's row is stored. founder reports that this is the first
+// start of the system and that no process of this machine existed before.
 func (l *List) noteRegistered(founder bool) {
-	elapsed := l.seasoning.elapsed(l.now())
-	l.seasoning.founder.Store(founder && elapsed < int64(founding))
-	l.seasoning.registered.Store(elapsed)
+	elapsed := l.localStatus.elapsed(l.now())
+	l.localStatus.isFounder.Store(founder && elapsed < int64(founderRegistrationWindow))
+	l.localStatus.registeredAt.Store(elapsed)
 }
--- a/internal/members/lender_play_test.go
+++ b/internal/members/lender_play_test.go
@@ -11,116 +11,116 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// TestOneLender plays machines that start within a second, register late, renew
-// and read the list now and then, are frozen, cut off from the store, killed,
-// ended as planned and started again, or join. In any stretch of time in which a
-// program may come again, one process lends to it.
+// TestOneLender simulates machines that start within a second, register late, renew and read the
+// list now and then, are suspended, cut off from the store, killed, shut down, restarted or join
+// later. It checks that only one process lends to a program within the time in which the program
+// may return.
 func TestOneLender(t *testing.T) {
-	rapid.Check(t, playLenders)
+	rapid.Check(t, checkOneLender)
 }
 
-const programComesAgainWithin = time.Minute
-
-// lendingPlay is one play: the machines' latest processes, and those that were
-// replaced but run on, since nobody told them.
-type lendingPlay struct {
-	*fleetWorld
-	daemons []*daemon
-	delays  map[*daemon]time.Duration // until the first registration
-	former  []*daemon
-	lent    loans
-	// zoneCount is how many zones there are; one: it has no name.
+const programReturnTime = time.Minute
+
+// lenderSimulation holds the latest process of each machine, and former processes that still run
+// although they were replaced.
+type lenderSimulation struct {
+	*testEnv
+	daemons  []*daemon
+	delays   map[*daemon]time.Duration // until the first registration, after the start
+	replaced []*daemon
+	lastLent lastLoans
+	// zoneCount is the number of zones; a single zone has no name.
 	zoneCount int
 }
 
-func newLendingPlay(t *rapid.T) *lendingPlay { return newLendingPlayIn(t, 1) }
+func newLenderSimulation(t *rapid.T) *lenderSimulation { return newZonedLenderSimulation(t, 1) }
 
-// newLendingPlayIn begins a play in so many zones.
-func newLendingPlayIn(t *rapid.T, zones int) *lendingPlay {
-	play := &lendingPlay{fleetWorld: newFleetWorld(), delays: map[*daemon]time.Duration{}, lent: loans{}, zoneCount: zones}
-	const mostMachines = 7
-	for machine := range mostMachines {
+// newZonedLenderSimulation starts a simulation in the given number of zones.
+func newZonedLenderSimulation(t *rapid.T, zones int) *lenderSimulation {
+	simulation := &lenderSimulation{testEnv: newTestEnv(), delays: map[*daemon]time.Duration{}, lastLent: lastLoans{}, zoneCount: zones}
+	const maxMachines = 7
+	for machine := range maxMachines {
 		if zones > 1 {
-			play.zones[fmt.Sprint("m", machine)] = zoneNumber(rapid.IntRange(0, zones-1).Draw(t, fmt.Sprint("zone of ", machine)))
+			simulation.zones[fmt.Sprint("m", machine)] = zoneName(rapid.IntRange(0, zones-1).Draw(t, fmt.Sprint("zone of ", machine)))
 		}
 	}
 	for machine := range rapid.IntRange(1, 4).Draw(t, "founders") {
-		play.now = play.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "apart")) * time.Millisecond / 2)
-		founder := play.start(fmt.Sprint("m", machine), true)
-		play.daemons = append(play.daemons, founder)
-		play.delays[founder] = time.Duration(rapid.IntRange(0, 15000).Draw(t, "registers after")) * time.Millisecond
+		simulation.now = simulation.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "apart")) * time.Millisecond / 2)
+		founder := simulation.startDaemon(fmt.Sprint("m", machine), true)
+		simulation.daemons = append(simulation.daemons, founder)
+		simulation.delays[founder] = time.Duration(rapid.IntRange(0, 15000).Draw(t, "registers after")) * time.Millisecond
 	}
-	return play
+	return simulation
 }
 
-func zoneNumber(number int) identity.Zone { return identity.Zone(fmt.Sprint("z", number)) }
+func zoneName(number int) identity.Zone { return identity.Zone(fmt.Sprint("z", number)) }
 
-func playLenders(t *rapid.T) {
-	play := newLendingPlay(t)
+func checkOneLender(t *rapid.T) {
+	simulation := newLenderSimulation(t)
 	for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
-		play.pause(t, step)
-		play.registerDue()
-		play.act(t, step)
-		play.check(t)
+		simulation.advanceClock(t, step)
+		simulation.registerDue()
+		simulation.runAction(t, step)
+		simulation.checkLenders(t)
 	}
 }
 
-func (p *lendingPlay) pause(t *rapid.T, step int) {
+func (s *lenderSimulation) advanceClock(t *rapid.T, step int) {
 	pauses := []time.Duration{0, 200 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 20 * time.Second, 3 * time.Minute, 6 * time.Minute}
-	p.now = p.now.Add(rapid.SampledFrom(pauses).Draw(t, fmt.Sprint("pause ", step)))
+	s.now = s.now.Add(rapid.SampledFrom(pauses).Draw(t, fmt.Sprint("pause ", step)))
 }
 
-// registerDue registers the late founders as soon as they are due.
-func (p *lendingPlay) registerDue() {
-	for late, delay := range p.delays {
-		if p.now.Sub(late.list.seasoning.started) >= delay {
-			register(late)
-			delete(p.delays, late)
+// registerDue registers the daemons whose registration delay is over.
+func (s *lenderSimulation) registerDue() {
+	for late, delay := range s.delays {
+		if s.now.Sub(late.list.localStatus.startedAt) >= delay {
+			registerOnce(late)
+			delete(s.delays, late)
 		}
 	}
 }
 
-func (p *lendingPlay) act(t *rapid.T, step int) {
-	machine := rapid.IntRange(0, len(p.daemons)-1).Draw(t, fmt.Sprint("machine ", step))
-	chosen := p.daemons[machine]
+func (s *lenderSimulation) runAction(t *rapid.T, step int) {
+	machine := rapid.IntRange(0, len(s.daemons)-1).Draw(t, fmt.Sprint("machine ", step))
+	chosen := s.daemons[machine]
 	switch rapid.IntRange(0, 11).Draw(t, fmt.Sprint("action ", step)) {
-	case 0: // killed, or thought to be killed, and started again
-		delete(p.delays, chosen)
-		again := p.start(fmt.Sprint("m", machine), rapid.Bool().Draw(t, "told that it is the first start"))
-		register(again)
-		p.daemons[machine] = again
+	case 0: // killed, or assumed to be killed, and restarted
+		delete(s.delays, chosen)
+		restarted := s.startDaemon(fmt.Sprint("m", machine), rapid.Bool().Draw(t, "told that it is the first start"))
+		registerOnce(restarted)
+		s.daemons[machine] = restarted
 		if rapid.Bool().Draw(t, "the former runs on") {
-			p.former = append(p.former, chosen)
+			s.replaced = append(s.replaced, chosen)
 		}
 	default:
-		p.actBut(t, step, machine)
+		s.runOtherAction(t, step, machine)
 	}
 }
 
-// actBut is any action but a start again.
-func (p *lendingPlay) actBut(t *rapid.T, step, machine int) {
-	chosen := p.daemons[machine]
+// runOtherAction runs any action except a restart.
+func (s *lenderSimulation) runOtherAction(t *rapid.T, step, machine int) {
+	chosen := s.daemons[machine]
 	switch rapid.IntRange(1, 11).Draw(t, fmt.Sprint("other action ", step)) {
 	case 1:
-		if len(p.daemons) < 7 {
-			joined := p.start(fmt.Sprint("m", len(p.daemons)), false)
-			register(joined)
-			p.daemons = append(p.daemons, joined)
+		if len(s.daemons) < 7 {
+			joined := s.startDaemon(fmt.Sprint("m", len(s.daemons)), false)
+			registerOnce(joined)
+			s.daemons = append(s.daemons, joined)
 		}
 	case 2:
-		chosen.cut = !chosen.cut
+		chosen.isCutOff = !chosen.isCutOff
 	case 3:
-		if !chosen.cut {
-			_ = chosen.lease.End(context.Background()) // rapid shows the play if a promise breaks
+		if !chosen.isCutOff {
+			_ = chosen.lease.End(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
 		}
-	case 4, 5, 6: // others go on while the chosen one is frozen
-		for _, each := range p.daemons {
-			if each != chosen && p.delays[each] == 0 {
+	case 4, 5, 6: // other daemons step while the chosen one is suspended
+		for _, each := range s.daemons {
+			if each != chosen && s.delays[each] == 0 {
 				each.step()
 			}
 		}
 	case 7, 8:
-		if p.delays[chosen] == 0 {
+		if s.delays[chosen] == 0 {
 			chosen.step()
 		}
 	default:
@@ -128,18 +128,18 @@
 	}
 }
 
-func (p *lendingPlay) check(t *rapid.T) {
-	for _, each := range append(p.former, p.daemons...) {
+func (s *lenderSimulation) checkLenders(t *rapid.T) {
+	for _, each := range append(s.replaced, s.daemons...) {
 		for _, program := range []string{"p", "q", "r", "s", "t", "u"} {
-			p.lent.note(t, program, each.list, p.now)
+			s.lastLent.check(t, program, each.list, s.now)
 		}
 	}
 }
 
-// loans are when each process last lent to each program.
-type loans map[string]map[*List]time.Time
+// lastLoans holds when each process last was allowed to lend to each program.
+type lastLoans map[string]map[*List]time.Time
 
-func (l loans) note(t *rapid.T, program string, list *List, now time.Time) {
+func (l lastLoans) check(t *rapid.T, program string, list *List, now time.Time) {
 	if !list.MayLend(program) {
 		return
 	}
@@ -148,8 +148,8 @@
 	}
 	l[program][list] = now
 	for other, at := range l[program] {
-		if other != list && now.Sub(at) <= programComesAgainWithin {
-			t.Fatalf("%v lends to %s, and %v did %v ago", list.self, program, other.self, now.Sub(at))
+		if other != list && now.Sub(at) <= programReturnTime {
+			t.Fatalf("%v lends to %s, but %v lent to it %v ago", list.self, program, other.self, now.Sub(at))
 		}
 	}
 }
--- a/internal/members/lender_test.go
+++ b/internal/members/lender_test.go
@@ -13,158 +13,159 @@
 )
 
 var _ = Describe("Lenders", func() {
-	var world *fleetWorld
+	var env *testEnv
 
-	BeforeEach(func() { world = newFleetWorld() })
+	BeforeEach(func() { env = newTestEnv() })
 
-	founded := func() *daemon {
-		first := world.start("1", true)
-		register(first)
+	bootstrapOne := func() *daemon {
+		first := env.startDaemon("1", true)
+		registerOnce(first)
 		first.read()
-		world.now = world.now.Add(founding + foundersApart + time.Millisecond)
+		env.now = env.now.Add(founderRegistrationWindow + maxFounderStartSkew + time.Millisecond)
 		first.step()
 		return first
 	}
 
-	It("lend soon after they founded the system, on a list read after all founders registered", func() {
-		first := world.start("1", true)
-		register(first)
+	It("lend soon after the bootstrap, by a list read after all founders registered", func() {
+		first := env.startDaemon("1", true)
+		registerOnce(first)
 		first.read()
-		world.now = world.now.Add(time.Minute / 2)
-		Expect(first.list.MayLend("p")).To(BeFalse(), "the list is older than the founding")
-		register(first)
-		Expect(first.list.MayLend("p")).To(BeFalse(), "the list does not show that the founding is over")
+		env.now = env.now.Add(time.Minute / 2)
+		Expect(first.list.MayLend("p")).To(BeFalse(), "the list is older than the end of the bootstrap")
+		registerOnce(first)
+		Expect(first.list.MayLend("p")).To(BeFalse(), "the list does not show that the bootstrap is over")
 		first.read()
 		Expect(first.list.MayLend("p")).To(BeTrue())
 	})
 
-	It("hear at once that the founding is over, however long the feed may be silent, and not before they know all founders", func(ctx SpecContext) {
-		first, second := world.start("m0", true), world.start("m1", true)
-		register(first)
+	It("learn from the feed at once that the bootstrap is over, but not before they know all founders", func(ctx SpecContext) {
+		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
+		registerOnce(first)
 		first.read()
-		read, err := world.store.Read(ctx, state.Range{Table: Table, Partition: partition})
+		read, err := env.store.Read(ctx, state.Range{Table: Table, Partition: partition})
 		Expect(err).NotTo(HaveOccurred())
-		register(second)
+		registerOnce(second)
 		second.read()
-		world.now = world.now.Add(founding + foundersApart)
-		register(second)
-		change, err := world.store.Feed(ctx, Table, read.Version, time.Hour)
+		env.now = env.now.Add(founderRegistrationWindow + maxFounderStartSkew)
+		registerOnce(second)
+		change, err := env.store.Feed(ctx, Table, read.Version, time.Hour)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(change.Rows).NotTo(BeEmpty())
-		late, err := world.store.Read(ctx, state.Range{Table: Table, Partition: partition})
+		late, err := env.store.Read(ctx, state.Range{Table: Table, Partition: partition})
 		Expect(err).NotTo(HaveOccurred())
-		marker := slices.IndexFunc(late.Rows, func(row state.Row) bool { return row.Key == foundedKey })
-		first.list.Replace(append(read.Rows, late.Rows[marker]), read.Version) // two pages, of two moments
+		marker := slices.IndexFunc(late.Rows, func(row state.Row) bool { return row.Key == bootstrapKey })
+		first.list.Replace(append(read.Rows, late.Rows[marker]), read.Version) // two pages, as of two times
 		first.list.Heard()
-		Expect(first.list.MayLend("p")).To(BeFalse(), "a page of this reading is older than the end of the founding")
+		Expect(first.list.MayLend("p")).To(BeFalse(), "a page of this reading is older than the end of the bootstrap")
 		first.list.Change(change.Rows)
 		first.list.Heard()
 		second.read()
 		Expect(first.list.MayLend("p") != second.list.MayLend("p")).To(BeTrue())
 	})
 
-	It("are not those that registered late, or were started before", func() {
-		late := world.start("1", true)
-		world.now = world.now.Add(founding)
-		register(late)
-		world.now = world.now.Add(time.Minute)
+	It("are not processes that registered late or were restarted", func() {
+		late := env.startDaemon("1", true)
+		env.now = env.now.Add(founderRegistrationWindow)
+		registerOnce(late)
+		env.now = env.now.Add(time.Minute)
 		late.read()
 		Expect(late.list.MayLend("p")).To(BeFalse())
 
-		again := world.start("1", true)
-		register(again)
-		world.now = world.now.Add(founding + time.Minute)
-		again.read()
-		Expect(again.list.MayLend("p")).To(BeFalse())
+		restarted := env.startDaemon("1", true)
+		registerOnce(restarted)
+		env.now = env.now.Add(founderRegistrationWindow + time.Minute)
+		restarted.read()
+		Expect(restarted.list.MayLend("p")).To(BeFalse())
 	})
 
-	It("are others once programs of before cannot come again", func() {
-		joined := world.start("1", false)
-		register(joined)
+	It("include joined daemons once earlier programs cannot return", func() {
+		joined := env.startDaemon("1", false)
+		registerOnce(joined)
 		joined.read()
-		world.now = world.now.Add(memoryOfPrograms - time.Second)
+		env.now = env.now.Add(programReuseWindow - time.Second)
 		joined.step()
 		Expect(joined.list.MayLend("p")).To(BeFalse())
-		world.now = world.now.Add(2 * time.Second)
+		env.now = env.now.Add(2 * time.Second)
 		Expect(joined.list.MayLend("p")).To(BeTrue())
 	})
 
-	// Seen in plays of TestOneLender, one of some 2,700: two processes lent to one program. A machine could not write its row at its first start; it
-	// was started again and told once more that the system is started for the first time, so that it registered as a founder, while another
-	// founder lent by a list that it had read before. Proved by this play, the shortest that was found.
+	// Guards against two processes lending to one program. A machine failed to write its row at its
+	// first start, was restarted, was told again that the system is started for the first time, and
+	// registered as a founder, while another founder already lent by a list that it had read
+	// before.
 	It("are one where a machine that has no row yet is told of the system's first start once more", func() {
-		first, second := world.start("m0", true), world.start("m1", true)
-		first.cut = true
-		register(second)
-		world.now = world.now.Add(founding + foundersApart + time.Second)
+		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
+		first.isCutOff = true
+		registerOnce(second)
+		env.now = env.now.Add(founderRegistrationWindow + maxFounderStartSkew + time.Second)
 		second.read()
-		again := world.start("m0", true)
-		register(again)
-		world.now = world.now.Add(founding + foundersApart + time.Second)
-		again.read()
+		restarted := env.startDaemon("m0", true)
+		registerOnce(restarted)
+		env.now = env.now.Add(founderRegistrationWindow + maxFounderStartSkew + time.Second)
+		restarted.read()
 		for number := range 100 {
 			program := fmt.Sprint("p", number)
-			Expect(again.list.MayLend(program) && second.list.MayLend(program)).To(BeFalse(), "both lend to %s", program)
+			Expect(restarted.list.MayLend(program) && second.list.MayLend(program)).To(BeFalse(), "both lend to %s", program)
 		}
 	})
 
-	It("are one where the founding was over before a machine is told of the first start once more", func() {
-		first, second := world.start("m0", true), world.start("m1", true)
-		first.cut = true
-		register(second)
-		world.run(founding+foundersApart+2*testRenewal, second)
+	It("are unique if a machine is told of the first start again after the bootstrap is over", func() {
+		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
+		first.isCutOff = true
+		registerOnce(second)
+		env.run(founderRegistrationWindow+maxFounderStartSkew+2*testRenewal, second)
 		Expect(second.list.MayLend("p")).To(BeTrue())
-		again := world.start("m0", true)
-		register(again)
-		world.run(founding+foundersApart+2*testRenewal, again)
+		restarted := env.startDaemon("m0", true)
+		registerOnce(restarted)
+		env.run(founderRegistrationWindow+maxFounderStartSkew+2*testRenewal, restarted)
 		for number := range 100 {
 			program := fmt.Sprint("p", number)
-			Expect(again.list.MayLend(program)).To(BeFalse())
+			Expect(restarted.list.MayLend(program)).To(BeFalse())
 		}
 	})
 
-	It("do not believe an old list", func() {
-		first := founded()
+	It("do not lend by an old list", func() {
+		first := bootstrapOne()
 		Expect(first.list.MayLend("p")).To(BeTrue())
-		world.now = world.now.Add(lenderContact + time.Second)
+		env.now = env.now.Add(maxLenderListAge + time.Second)
 		Expect(first.list.MayLend("p")).To(BeFalse())
 	})
 
-	It("take a dead one's programs over only when these cannot come again", func(ctx SpecContext) {
-		first, second := world.start("m0", true), world.start("m1", true)
-		register(first)
-		register(second)
-		world.run(founding+foundersApart+2*testRenewal, first, second)
+	It("take over a dead member's programs only once these cannot return", func(ctx SpecContext) {
+		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
+		registerOnce(first)
+		registerOnce(second)
+		env.run(founderRegistrationWindow+maxFounderStartSkew+2*testRenewal, first, second)
 		program := "of the first"
 		for number := 0; !first.list.MayLend(program); number++ {
 			program = fmt.Sprint("p", number)
 		}
 		Expect(first.lease.End(ctx)).To(Succeed())
 		Expect(first.list.MayLend(program)).To(BeFalse())
-		ended := world.now
+		endedAt := env.now
 		for !second.list.MayLend(program) {
-			Expect(world.now.Sub(ended)).To(BeNumerically("<", time.Hour), "nobody lends to it ever again")
-			world.run(testRenewal, second)
+			Expect(env.now.Sub(endedAt)).To(BeNumerically("<", time.Hour), "the program never gets a lender again")
+			env.run(testRenewal, second)
 		}
-		Expect(world.now.Sub(ended)).To(BeNumerically(">", memoryOfPrograms+lenderContact))
+		Expect(env.now.Sub(endedAt)).To(BeNumerically(">", programReuseWindow+maxLenderListAge))
 	})
 
-	It("knows its own row again, though the answer was lost", func() {
+	It("recognize their own row after the answer to its commit was lost", func() {
 		calls := 0
-		world.store.Misbehave(func(memorystore.Call) memorystore.Fault {
+		env.store.Misbehave(func(memorystore.Call) memorystore.Fault {
 			calls++
 			if calls == 1 {
 				return memorystore.Lost
 			}
 			return memorystore.None
 		})
-		Expect(founded().list.MayLend("p")).To(BeTrue())
+		Expect(bootstrapOne().list.MayLend("p")).To(BeTrue())
 	})
 })
 
-// register makes the daemon's first step alone; its list stays as it is.
-func register(joining *daemon) {
-	ctx, cancel := joining.reach()
+// registerOnce runs one step of the lease without reading the list.
+func registerOnce(d *daemon) {
+	ctx, cancel := d.storeContext()
 	defer cancel()
-	joining.lease.Step(ctx)
+	d.lease.Step(ctx)
 }
--- a/internal/members/list.go
+++ b/internal/members/list.go
@@ -15,72 +15,73 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// List is the picture of all members. It is safe for concurrent use; readers
-// never wait for a change.
+// List is the list of all members. It is safe for concurrent use; readers of the current snapshot
+// take no lock.
 type List struct {
 	self    Member
 	now     func() time.Time
 	log     *zap.Logger
-	current atomic.Pointer[picture]
+	current atomic.Pointer[snapshot]
 
-	// WatchZones lets a silent zone be passed over whole; set before the list is used.
+	// WatchZones enables the detection of silent zones. It must be set before the list is used.
 	WatchZones bool
-	// OnZoneBack, if given, is told the addresses of a zone's members when it answers again, and for how long it was
-	// silent; set before the list is used. It must not wait.
+	// OnZoneBack, if set, is called when a silent zone answers again, with the addresses of its
+	// living members and the length of the silence. It must be set before the list is used and must
+	// not block.
 	OnZoneBack func(addresses []string, silent time.Duration)
 
-	mutex       sync.Mutex // of changes
-	reaches     map[identity.Zone]*reach
-	records     map[identity.Machine]*record
-	version     uint64
-	read        bool
-	layout      seenLayout
-	subscribers []chan struct{}
+	mutex        sync.Mutex // serializes changes
+	zones        map[identity.Zone]*zoneHealth
+	records      map[identity.Machine]*memberRecord
+	version      uint64
+	read         bool
+	storedLayout storedLayout
+	subscribers  []chan struct{}
 
-	seasoning seasoning
+	localStatus localStatus
 }
 
-// record is what is known of one machine's latest process.
-type record struct {
-	member Member
-	row    state.Version // of the member's row; zero: not read yet
-	digest uint64        // of the machine's name, for claims
-	diedAt time.Time     // when it was first seen dead here
-	// suspicion lasts as long as the process.
+// memberRecord holds what is known about the latest process of a machine.
+type memberRecord struct {
+	member     Member
+	rowVersion state.Version // of the member's row; zero: not read yet
+	nameHash   uint64        // hash of the machine name, for rendezvous scores
+	diedAt     time.Time     // when this daemon first saw it dead
+	// suspicion is shared by all records of the same process.
 	suspicion *suspicion
-	reach     *reach // of the member's zone
+	zone      *zoneHealth // health of the member's zone
 }
 
-// NewList makes a list that holds only this daemon.
+// NewList returns a list that holds only this daemon. now returns the current time.
 func NewList(self Member, now func() time.Time, log *zap.Logger) *List {
 	self.State = StateAlive
-	made := &List{
-		self: self, now: now, log: log, seasoning: seasoning{started: now()},
-		records: map[identity.Machine]*record{}, reaches: map[identity.Zone]*reach{},
+	list := &List{
+		self: self, now: now, log: log, localStatus: localStatus{startedAt: now()},
+		records: map[identity.Machine]*memberRecord{}, zones: map[identity.Zone]*zoneHealth{},
 	}
-	made.records[self.Process.Machine] = made.newRecord(self, 0)
-	made.seasoning.standing.Store(uint32(StandingJoined)) // until it is registered
-	made.publish()
-	return made
+	list.records[self.Process.Machine] = list.newRecord(self, 0)
+	list.localStatus.standing.Store(uint32(StandingJoined)) // until it has registered
+	list.publish()
+	return list
 }
 
-func (l *List) newRecord(member Member, row state.Version) *record {
-	return &record{
-		member: member, row: row, digest: digestOf(string(member.Process.Machine)),
-		suspicion: &suspicion{}, reach: l.reachOf(member.Process.Zone),
+func (l *List) newRecord(member Member, rowVersion state.Version) *memberRecord {
+	return &memberRecord{
+		member: member, rowVersion: rowVersion, nameHash: hashOf(string(member.Process.Machine)),
+		suspicion: &suspicion{}, zone: l.zoneHealthOf(member.Process.Zone),
 	}
 }
 
-// Self is part of Directory.
+// Self implements Directory.
 func (l *List) Self() identity.Process { return l.self.Process }
 
-// View is part of Directory.
+// View implements Directory.
 func (l *List) View() *View { return l.current.Load().view }
 
-// Count is how many members live, this one among them.
+// Count returns the number of living members, including this one.
 func (l *List) Count() int { return len(l.current.Load().living) }
 
-// Subscribe is part of Directory.
+// Subscribe implements Directory.
 func (l *List) Subscribe() <-chan struct{} {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -89,16 +90,17 @@
 	return subscriber
 }
 
-// Watch are the options to follow the list with.
+// Watch returns the options for watch.Run to follow the member table. wait is how long the feed may
+// be silent.
 func (l *List) Watch(store state.Store, wait time.Duration) watch.Options {
 	return watch.Options{
-		Store: store, Table: Table, Partition: partition, Wait: wait, Pause: changesTogether, Log: l.log, OnHeard: l.Heard,
+		Store: store, Table: Table, Partition: partition, Wait: wait, Pause: changeBatchInterval, Log: l.log, OnHeard: l.Heard,
 	}
 }
 
-// changesTogether is how long changes of the list are gathered: when a whole
-// fleet starts, each daemon takes in some pages of rows, not each by itself.
-const changesTogether = 200 * time.Millisecond
+// changeBatchInterval is the minimum time between two batches of changes, so that the start of a
+// whole fleet arrives as a few batches of rows.
+const changeBatchInterval = 200 * time.Millisecond
 
 // Replace implements watch.Follower.
 func (l *List) Replace(rows []state.Row, version state.Version) {
@@ -114,36 +116,36 @@
 		}
 	}
 	l.read = true
-	l.take(rows)
-	l.noteFounded(rows, version)
+	l.applyRows(rows)
+	l.noteBootstrapped(rows, version)
 }
 
 // Change implements watch.Follower.
 func (l *List) Change(rows []state.Row) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.take(rows)
-	l.noteFounded(rows, math.MaxUint64) // a feed tells each change after all that came before it
+	l.applyRows(rows)
+	l.noteBootstrapped(rows, math.MaxUint64) // the feed delivers each change after all earlier ones
 }
 
-// take takes rows in; the lock is held.
-func (l *List) take(rows []state.Row) {
+// applyRows applies the rows and publishes a new snapshot. The caller holds the lock.
+func (l *List) applyRows(rows []state.Row) {
 	for _, row := range rows {
-		l.takeRow(row)
+		l.applyRow(row)
 	}
 	l.publish()
 	living, dead := len(l.current.Load().living), len(l.current.Load().dead)
 	l.log.Info("members: list changed.", zap.Int("rows", len(rows)), zap.Int("living", living), zap.Int("dead", dead), zap.Uint64("version", l.version))
 }
 
-func (l *List) takeRow(row state.Row) {
-	if row.Key.Name == foundedKey.Name {
-		l.takeLayout(row)
+func (l *List) applyRow(row state.Row) {
+	if row.Key.Name == bootstrapKey.Name {
+		l.applyLayoutRow(row)
 		return
 	}
 	machine := identity.Machine(row.Key.Name)
 	if machine == l.self.Process.Machine {
-		l.takeOwnRow(row)
+		l.applyOwnRow(row)
 		return
 	}
 	if row.Removed {
@@ -152,12 +154,12 @@
 	}
 	member, err := decode(row.Key.Name, row.Value)
 	if err != nil {
-		l.log.Error("members: row cannot be read.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
+		l.log.Error("members: cannot decode a member's row.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
 		return
 	}
 	next := l.newRecord(member, row.Version)
-	if former, known := l.records[machine]; known && former.member.Process == member.Process {
-		next.suspicion, next.diedAt = former.suspicion, former.diedAt
+	if previous, known := l.records[machine]; known && previous.member.Process == member.Process {
+		next.suspicion, next.diedAt = previous.suspicion, previous.diedAt
 	}
 	if member.State == StateDead && next.diedAt.IsZero() {
 		next.diedAt = l.now()
@@ -165,39 +167,39 @@
 	l.records[machine] = next
 }
 
-func (l *List) takeLayout(row state.Row) {
-	laid, err := decodeLayout(row.Value)
+func (l *List) applyLayoutRow(row state.Row) {
+	decoded, err := decodeLayout(row.Value)
 	if err != nil {
-		l.log.Error("members: layout cannot be read; nothing is kept.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
+		l.log.Error("members: cannot decode the layout; no shard has an owner.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
 	}
-	if row.Version != l.layout.version {
-		l.layout = seenLayout{layout: laid, version: row.Version, since: l.now(), unreadable: err != nil}
+	if row.Version != l.storedLayout.version {
+		l.storedLayout = storedLayout{layout: decoded, version: row.Version, firstSeen: l.now(), isUnreadable: err != nil}
 	}
 }
 
-// takeOwnRow takes in what the store says of this daemon: that it was marked
-// dead ends its standing as a lender, and its lease registers it again.
-func (l *List) takeOwnRow(row state.Row) {
+// applyOwnRow applies this daemon's own row. If the row was removed, is dead or belongs to a later
+// process, this process may no longer lend or own shards until its lease registers it again.
+func (l *List) applyOwnRow(row state.Row) {
 	if row.Removed {
-		l.seasoning.ended()
+		l.localStatus.endMembership()
 		return
 	}
 	member, err := decode(row.Key.Name, row.Value)
 	if err != nil {
-		l.log.Error("members: own row cannot be read.", zap.String("error", err.Error()))
+		l.log.Error("members: cannot decode this daemon's row.", zap.String("error", err.Error()))
 		return
 	}
 	own, written := l.self.Process.Incarnation, member.Process.Incarnation
 	if written > own || written == own && member.State == StateDead {
-		l.seasoning.ended()
-		l.log.Warn("members: this daemon was marked dead, or replaced.",
+		l.localStatus.endMembership()
+		l.log.Warn("members: this daemon was marked dead or replaced by a later process.",
 			zap.Uint64("incarnation", uint64(written)), zap.Uint64("version", uint64(row.Version)))
 		return
 	}
-	l.inherit(member)
+	l.inheritShards(member)
 }
 
-// markLeaving shows this daemon as leaving in its own list at once.
+// markLeaving shows this daemon as leaving in its own list, without waiting for the store.
 func (l *List) markLeaving() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -208,24 +210,25 @@
 	l.publish()
 }
 
-// publish replaces the picture; the lock is held, or nobody else knows the list.
+// publish replaces the current snapshot and signals the subscribers. The caller holds the lock or
+// is the constructor.
 func (l *List) publish() {
 	l.version++
-	records := make([]*record, 0, len(l.records))
-	for _, known := range l.records {
-		records = append(records, known)
+	records := make([]*memberRecord, 0, len(l.records))
+	for _, rec := range l.records {
+		records = append(records, rec)
 	}
-	slices.SortFunc(records, func(a, b *record) int {
+	slices.SortFunc(records, func(a, b *memberRecord) int {
 		return cmp.Compare(a.member.Process.Machine, b.member.Process.Machine)
 	})
 	view := &View{Version: l.version, Read: l.read, Members: make([]Member, 0, len(records))}
-	for _, known := range records {
-		view.Members = append(view.Members, known.member)
+	for _, rec := range records {
+		view.Members = append(view.Members, rec.member)
 	}
-	next := newPicture(view, records, l.self.Process, l.standing(), l.layout)
-	next.keepers.since = l.setSince()
-	if former := l.current.Load(); former != nil && former.view.Read { // before, it knew of itself alone
-		next.keepers = next.keepers.follows(former.keepers, next.keepers.since)
+	next := newSnapshot(view, records, l.self.Process, l.standing(), l.storedLayout)
+	next.owners.since = l.currentSetSince()
+	if previous := l.current.Load(); previous != nil && previous.view.Read { // an earlier snapshot holds only this daemon
+		next.owners = next.owners.continueFrom(previous.owners, next.owners.since)
 	}
 	l.current.Store(next)
 	for _, subscriber := range l.subscribers {
@@ -236,27 +239,27 @@
 	}
 }
 
-// Suspect avoids a member for so long.
+// Suspect makes lookups skip the member for the given time.
 func (l *List) Suspect(member Member, wait time.Duration) {
-	if known := l.find(member.Process); known != nil {
+	if rec := l.findLiving(member.Process); rec != nil {
 		now := l.now()
-		known.suspicion.from.Store(now.UnixNano())
-		known.suspicion.until.Store(now.Add(wait).UnixNano())
+		rec.suspicion.from.Store(now.UnixNano())
+		rec.suspicion.until.Store(now.Add(wait).UnixNano())
 	}
 }
 
 // Trust ends the suspicion of a member that answered.
 func (l *List) Trust(member Member) {
-	if known := l.find(member.Process); known != nil {
-		known.suspicion.until.Store(0)
+	if rec := l.findLiving(member.Process); rec != nil {
+		rec.suspicion.until.Store(0)
 	}
 	l.Answered(member)
 }
 
-// find returns the living record of a process, or nil.
-func (l *List) find(process identity.Process) *record {
+// findLiving returns the record of a living process, or nil.
+func (l *List) findLiving(process identity.Process) *memberRecord {
 	living := l.current.Load().living
-	at, found := slices.BinarySearchFunc(living, process.Machine, func(known *record, machine identity.Machine) int {
+	at, found := slices.BinarySearchFunc(living, process.Machine, func(known *memberRecord, machine identity.Machine) int {
 		return cmp.Compare(known.member.Process.Machine, machine)
 	})
 	if !found || living[at].member.Process != process {
@@ -265,13 +268,13 @@
 	return living[at]
 }
 
-// avoided tells whether a member is under suspicion at a moment, in nanoseconds
-// since the epoch, by itself or with its zone.
-func (r *record) avoided(now int64) bool {
-	return r.reach.silent.Load() || now < r.suspicion.until.Load() && r.suspicion.from.Load() > r.reach.backAt.Load()
+// isAvoided reports whether lookups skip the member at the given time (nanoseconds since the
+// epoch), because it is suspected or its zone is silent.
+func (r *memberRecord) isAvoided(now int64) bool {
+	return r.zone.silent.Load() || now < r.suspicion.until.Load() && r.suspicion.from.Load() > r.zone.backAt.Load()
 }
 
-// member returns what is known of a machine's latest process.
+// member returns the latest known process of a machine, and whether there is one.
 func (l *List) member(machine identity.Machine) (Member, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,14 +1,14 @@
-// Package members tells which daemons there are. Each daemon keeps a lease in
-// the transactional store and follows the rows of all members; a daemon whose
-// lease ran out is marked dead by one that watches it.
+// Package members maintains the list of all daemons. Each daemon registers a row and renews a lease
+// in the transactional store, and follows the rows of all members. A daemon whose lease expires is
+// marked dead by another daemon that checks it.
 //
-// Guarantee: none that anything true may rest on. The list may name daemons
-// that are gone and lack new ones; who must be certain asks the store. The two
-// promises are MayLend's and Keeps', with their arguments in lender.go and keeper.go.
+// The list is eventually consistent: it may name daemons that have ended and lack new ones. Callers
+// that need certainty must ask the store. Only List.MayLend and List.Keeps give stronger
+// guarantees; lender.go and keeper.go describe them.
 //
-// Cost: a daemon renews its own lease and reads those of a few others, at
-// intervals that grow with the fleet, so that all daemons together call the
-// store at a constant rate. Rows change only when a daemon comes, leaves or dies.
+// Each daemon renews its own lease and reads the leases of a few others. The interval between
+// renewals grows with the number of members, so all daemons together call the store at a constant
+// rate. Member rows change only when a daemon joins, leaves or dies.
 package members
 
 import (
@@ -18,36 +18,37 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Table holds a row for each member, by its machine's name.
+// Table is the store table with one row per member, keyed by machine name.
 const Table = "members"
 
-// State is the life of a member.
+// State is a member's lifecycle state.
 type State string
 
-// The states of a member.
+// Lifecycle states.
 const (
 	StateAlive   State = "alive"
-	StateLeaving State = "leaving" // a planned stop: takes no new work
-	// StateDead is kept for a while after the end: a dead member's claims on
-	// programs that it may have lent to must not pass on at once (lender.go).
+	StateLeaving State = "leaving" // planned shutdown in progress: accepts no new work
+	// StateDead members stay listed for deadRetention, because the programs that a dead member may
+	// have lent to must not pass to another member at once (see lender.go).
 	StateDead State = "dead"
 )
 
-// Member is one daemon as this one knows it.
+// Member describes one daemon as known to this daemon.
 type Member struct {
 	Process       identity.Process
-	CallerAddress string // where callers reach it, "ip:port"; empty: not told
-	// Capacity is the share of a processor core that the machine has; 0: not
-	// told. What one daemon does for many is done by the larger machines.
+	CallerAddress string // address for callers, "ip:port"; empty: unknown
+	// Capacity is the machine's processor capacity in cores; 0: unknown. Work that one daemon does
+	// for many goes to the larger machines.
 	Capacity float64
 	State    State
 	Standing Standing
-	// ClaimZone is the zone in which the member has claims; empty: its own. A machine that moved
-	// to another zone keeps for its former one until its claims were released.
+	// ClaimZone is the zone in which shards are assigned to the member; empty: its own zone. A
+	// machine that moved to another zone owns shards of its former zone until its claims are
+	// released.
 	ClaimZone identity.Zone
 }
 
-// claimZone is the zone in which the member has claims.
+// claimZone returns the zone in which shards are assigned to the member.
 func (m *Member) claimZone() identity.Zone {
 	if m.ClaimZone != "" {
 		return m.ClaimZone
@@ -55,25 +56,26 @@
 	return m.Process.Zone
 }
 
-// View is an immutable picture of all members, ordered by machine name.
+// View is an immutable snapshot of all members, ordered by machine name.
 type View struct {
-	Version uint64 // grows with each change
-	// Read tells that the whole list was read from the store at least once.
+	Version uint64 // increases with each change
+	// Read reports whether the whole list was read from the store at least once.
 	Read    bool
 	Members []Member
 }
 
-// Directory is what other packages need of the list; *List implements it.
+// Directory is the read access to the list that other packages need; *List implements it.
 type Directory interface {
-	// View returns the current picture; never nil; read through an atomic pointer.
+	// View returns the current snapshot, never nil. It takes no lock.
 	View() *View
-	// Self is this process.
+	// Self returns this process.
 	Self() identity.Process
-	// Subscribe delivers a signal after changes; signals may coalesce.
+	// Subscribe returns a channel that receives a signal after changes; several changes may be
+	// reported by one signal.
 	Subscribe() <-chan struct{}
 }
 
-// memberRow is the value of a row in Table.
+// memberRow is the encoded value of a row in Table.
 type memberRow struct {
 	Address       string               `cbor:"a"` // for calls between daemons, "ip:port"
 	Zone          identity.Zone        `cbor:"z"`
@@ -86,7 +88,7 @@
 	ClaimZone     identity.Zone        `cbor:"w,omitempty"`
 }
 
-// Encode gives the value of the member's row.
+// Encode returns the value of the member's row in Table.
 func Encode(member Member) ([]byte, error) {
 	row := memberRow{
 		Address: member.Process.Address, Zone: member.Process.Zone, Region: member.Process.Region,
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -53,7 +53,7 @@
 
 	BeforeEach(func() { now = time.Unix(1000, 0) })
 
-	// lists makes a list for each member; all know each other.
+	// lists returns a list for each member; all lists hold all members.
 	lists := func(known ...members.Member) []*members.List {
 		GinkgoHelper()
 		var made []*members.List
@@ -70,7 +70,7 @@
 		return made
 	}
 
-	It("gives each key one home in a region, the same at every member of its zones", func() {
+	It("gives each key the same homes in a region at every member", func() {
 		made := lists(all...)
 		homes := map[string]int{}
 		for _, key := range []string{"p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"} {
@@ -83,7 +83,7 @@
 		Expect(len(homes)).To(BeNumerically(">", 1))
 	})
 
-	It("spreads keys evenly, and moves only those of a member that left", func() {
+	It("spreads keys evenly and moves only the keys of a member that left", func() {
 		const fleet, keys = 60, 6000
 		var known []members.Member
 		for number := range fleet {
@@ -111,7 +111,7 @@
 		}
 	})
 
-	It("passes over a suspected member for a while, but never itself", func() {
+	It("skips a suspected member for a while, but never itself", func() {
 		list := lists(all...)[0]
 		for _, member := range all {
 			list.Suspect(member, time.Second)
@@ -126,7 +126,7 @@
 		Expect(list.Others("p", 2)).To(HaveLen(2))
 	})
 
-	It("keeps a suspicion when others come or go", func() {
+	It("retains a suspicion when other members join or leave", func() {
 		list := lists(all...)[0]
 		list.Suspect(all[1], time.Minute)
 		list.Change([]state.Row{row(memberOf("a4", "a", "r")), row(all[1])})
@@ -134,15 +134,15 @@
 		again := all[1]
 		again.Process.Incarnation++
 		list.Change([]state.Row{row(again)})
-		Expect(namesIn(list.Others("p", 9))).To(ContainElement("a2"), "a later process is another one")
+		Expect(namesIn(list.Others("p", 9))).To(ContainElement("a2"), "the suspicion does not apply to a later process")
 	})
 
-	It("asks three likely homes of each region", func() {
+	It("returns the likely homes of each region", func() {
 		likely := namesIn(lists(all...)[0].LikelyHomes("p"))
 		Expect(likely).To(ConsistOf("a2", "a3", "b1", "b2"))
 	})
 
-	It("forgets who was removed, and takes a member's newest row", func() {
+	It("drops removed members and applies a member's newest row", func() {
 		list := lists(all[0], all[1])[0]
 		moved := all[1]
 		moved.Process.Address = "a2:2"
@@ -154,7 +154,7 @@
 		Expect(list.View().Members).To(Equal([]members.Member{all[0]}))
 	})
 
-	It("signals a change and counts versions", func() {
+	It("signals a change and increments the version", func() {
 		list := lists(all[0])[0]
 		changed := list.Subscribe()
 		version := list.View().Version
@@ -163,13 +163,13 @@
 		Expect(list.View().Version).To(Equal(version + 1))
 	})
 
-	It("looks a home up without allocation", func() {
+	It("finds homes without allocating", func() {
 		list := lists(all...)[0]
 		Expect(testing.AllocsPerRun(100, func() { _ = list.Homes("p") })).To(BeZero())
 	})
 })
 
-// BenchmarkHomes shows how a lookup grows with the fleet.
+// BenchmarkHomes measures a lookup by the number of members.
 func BenchmarkHomes(b *testing.B) {
 	for _, fleet := range []int{12, 66, 295, 390} {
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
--- a/internal/members/metrics.go
+++ b/internal/members/metrics.go
@@ -5,44 +5,44 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics counts members by state when they are read.
+// metrics is a collector that counts the members when metrics are scraped.
 type metrics struct {
 	list    *List
 	members *prometheus.Desc
 	silent  *prometheus.Desc
 }
 
-// Measure shows how many members there are by state.
+// Measure registers the metrics of the list.
 func (l *List) Measure(registerer prometheus.Registerer) error {
-	counted := &metrics{
+	collector := &metrics{
 		list:    l,
 		members: prometheus.NewDesc("thymeloft_members", "Members by state, as this daemon knows them.", []string{"state"}, nil),
 		silent: prometheus.NewDesc("thymeloft_member_zone_silent",
-			"1 for another zone whose members are passed over, since several gave no answer and none did.", []string{"zone"}, nil),
+			"1 for another zone whose members are skipped, because several of them gave no answer and none has answered since.", []string{"zone"}, nil),
 	}
-	return eris.Wrap(registerer.Register(counted), "register metrics of members")
+	return eris.Wrap(registerer.Register(collector), "register metrics of members")
 }
 
-// Describe is part of prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (m *metrics) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- m.members
 	descriptions <- m.silent
 }
 
-// Collect is part of prometheus.Collector.
-func (m *metrics) Collect(collected chan<- prometheus.Metric) {
+// Collect implements prometheus.Collector.
+func (m *metrics) Collect(output chan<- prometheus.Metric) {
 	counts := map[State]int{StateAlive: 0, StateLeaving: 0, StateDead: 0}
 	for _, member := range m.list.View().Members {
 		counts[member.State]++
 	}
 	for state, count := range counts {
-		collected <- prometheus.MustNewConstMetric(m.members, prometheus.GaugeValue, float64(count), string(state))
+		output <- prometheus.MustNewConstMetric(m.members, prometheus.GaugeValue, float64(count), string(state))
 	}
-	for zone, living := range m.list.current.Load().away {
+	for zone, living := range m.list.current.Load().otherZones {
 		silent := 0.0
-		if living[0].reach.silent.Load() {
+		if living[0].zone.silent.Load() {
 			silent = 1
 		}
-		collected <- prometheus.MustNewConstMetric(m.silent, prometheus.GaugeValue, silent, string(zone))
+		output <- prometheus.MustNewConstMetric(m.silent, prometheus.GaugeValue, silent, string(zone))
 	}
 }
--- a/internal/members/prober.go
+++ b/internal/members/prober.go
@@ -12,104 +12,108 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// ServiceName is the name under which members ask one another for an answer.
+// ServiceName is the name of the RPC service that answers probes.
 const ServiceName = "Members"
 
 const methodPing = ServiceName + ".Ping"
 
-// Service answers other members.
+// Service is the RPC service that answers probes. It has no state.
 type Service struct{}
 
-// PingRequest asks for any answer.
+// PingRequest is the empty request of Service.Ping.
 type PingRequest struct{}
 
-// PingReply is any answer.
+// PingReply is the empty reply of Service.Ping.
 type PingReply struct{}
 
-// Ping is called by other daemons.
+// Ping answers a probe.
 func (Service) Ping(_ PingRequest, _ *PingReply) error { return nil }
 
 const (
-	// probeEvery is how often it is looked which zones to ask. With quietFor and two probes, one that finds the first
-	// miss and one that confirms it, a cut is known 0.9 s after it came, also where no request found it.
-	probeEvery = 100 * time.Millisecond
-	// probeWait bounds a probe: members answer within some 3 ms, on machines under load within some tens.
-	probeWait = 200 * time.Millisecond
+	// probeInterval is the interval at which zones are checked for due probes. With maxQuiet and
+	// two rounds of probes, one that finds the first miss and one that confirms it, a cut is
+	// detected within 0.9 s, even without requests.
+	probeInterval = 100 * time.Millisecond
+	// probeTimeout bounds a probe. Members usually answer within some milliseconds.
+	probeTimeout = 200 * time.Millisecond
 )
 
-// Prober asks members of other zones for an answer, a few of a zone at once and one at a time of a zone that is silent. What a
-// daemon asks does not grow with the fleet: some three small calls a second for each other zone, less where requests bring answers.
+// Prober probes members of other zones: several of a suspected zone at once, and one at a time of a
+// silent or quiet zone. The load doesn't grow with the fleet: each daemon makes about three small
+// calls a second for each other zone, and fewer if its requests bring answers.
 type Prober struct {
 	List   *List
 	Caller peer.Caller
 
-	mutex  sync.Mutex
-	asking map[identity.Zone]bool
-	round  int
+	mutex   sync.Mutex
+	probing map[identity.Zone]bool
+	round   int
 }
 
-// Run asks until the context ends.
+// Run probes zones until the context ends, and returns once all probes have ended.
 func (p *Prober) Run(ctx context.Context) {
-	var asking sync.WaitGroup
-	defer asking.Wait()
-	for pause.For(ctx, probeEvery) {
-		for _, due := range p.due() {
-			asking.Go(func() { p.ask(ctx, due) })
+	var running sync.WaitGroup
+	defer running.Wait()
+	for pause.For(ctx, probeInterval) {
+		for _, due := range p.startProbes() {
+			running.Go(func() { p.sendProbe(ctx, due) })
 		}
 	}
 }
 
-// probe is which members of a zone are asked at once.
+// probe lists the members of a zone to call at once.
 type probe struct {
 	zone    identity.Zone
 	members []Member
 }
 
-// due are the probes that are to be made now: none of a zone whose last one is not over.
-func (p *Prober) due() []probe {
+// startProbes returns the probes that are due and marks their zones as being probed. It skips zones
+// whose last probe hasn't ended.
+func (p *Prober) startProbes() []probe {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.asking == nil {
-		p.asking = map[identity.Zone]bool{}
+	if p.probing == nil {
+		p.probing = map[identity.Zone]bool{}
 	}
 	current, now := p.List.current.Load(), p.List.now().UnixNano()
 	p.round++
-	var made []probe
-	for zone, living := range current.away {
-		count := min(living[0].reach.probes(now), len(living))
-		if count == 0 || p.asking[zone] {
+	var due []probe
+	for zone, living := range current.otherZones {
+		count := min(living[0].zone.probeCount(now), len(living))
+		if count == 0 || p.probing[zone] {
 			continue
 		}
-		p.asking[zone] = true
-		made = append(made, probe{zone, p.targets(living, count)})
+		p.probing[zone] = true
+		due = append(due, probe{zone, p.pickTargets(living, count)})
 	}
-	return made
+	return due
 }
 
-// targets picks members from a place of this daemon's own; so all are asked alike. A zone that answers is asked
-// at few members, to which connections are kept; else it is asked all around.
-func (p *Prober) targets(living []*record, count int) []Member {
-	around := len(living)
-	if reach := living[0].reach; !reach.doubted.Load() {
-		around = min(silentMembers, around)
+// pickTargets returns the members to probe. They start at an index that depends on this daemon's
+// name, so that the daemons together probe all members evenly. In a zone that isn't suspected it
+// rotates over few members, whose connections stay open; otherwise over all.
+func (p *Prober) pickTargets(living []*memberRecord, count int) []Member {
+	candidates := len(living)
+	if health := living[0].zone; !health.suspected.Load() {
+		candidates = min(minMissesForSilence, candidates)
 	}
-	first := digestOf(string(p.List.self.Process.Machine)) % uint64(len(living))
+	first := hashOf(string(p.List.self.Process.Machine)) % uint64(len(living))
 	picked := make([]Member, 0, count)
 	for step := range count {
-		place := (first + uint64((p.round+step)%around)) % uint64(len(living)) //nolint:gosec // both are counted from 0
-		picked = append(picked, living[place].member)
+		index := (first + uint64((p.round+step)%candidates)) % uint64(len(living)) //nolint:gosec // both are counted from 0
+		picked = append(picked, living[index].member)
 	}
 	return picked
 }
 
-func (p *Prober) ask(parent context.Context, due probe) {
-	ctx, cancel := context.WithTimeout(parent, probeWait)
+func (p *Prober) sendProbe(parent context.Context, due probe) {
+	ctx, cancel := context.WithTimeout(parent, probeTimeout)
 	defer cancel()
-	var asking sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, member := range due.members {
-		asking.Go(func() {
+		calls.Go(func() {
 			err := p.Caller.Call(ctx, member.Process.Address, peer.Control, methodPing, PingRequest{}, &PingReply{})
-			var answered rpc.ServerError // of a version that does not know the question
+			var answered rpc.ServerError // from a version without this method; still an answer
 			switch {
 			case err == nil || errors.As(err, &answered):
 				p.List.Answered(member)
@@ -118,8 +122,8 @@
 			}
 		})
 	}
-	asking.Wait()
+	calls.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.asking, due.zone)
+	delete(p.probing, due.zone)
 }
--- a/internal/members/registration.go
+++ b/internal/members/registration.go
@@ -10,27 +10,28 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// registration writes a process's rows. What they say of its standing hangs on the row that its
-// machine's former process left, so each try is on condition that this row is as it was seen.
+// registration writes the rows of a process that registers. Its initial standing depends on the row
+// of the machine's former process, so each attempt is conditional on the version of that row.
 type registration struct {
-	lease    *Lease
-	row      state.Key
-	seen     state.Version // of the row; zero: none is known
-	found    *Member       // what the row said
-	newcomer bool          // no row of this machine was there, and none was ever removed
-	standing Standing
-	// claimZone is that of the machine's claims, if it has any already.
+	lease       *Lease
+	memberKey   state.Key
+	seenVersion state.Version // of the row at memberKey; zero: no row is expected
+	existing    *Member       // decoded row at memberKey, if there is one
+	newcomer    bool          // no row of this machine is expected, and none was ever removed
+	standing    Standing
+	// claimZone is the zone of the machine's existing claims; empty: none, or this process's own
+	// zone.
 	claimZone identity.Zone
 }
 
-// try commits the rows; on a conflict it tries once more by the row that was found.
+// try commits the rows; on a conflict it tries once more with the row that was found.
 func (r *registration) try(ctx context.Context) error {
 	err := r.commit(ctx)
 	var conflict *state.ConflictError
 	if !errors.As(err, &conflict) {
 		return eris.Wrap(err, "register member")
 	}
-	done, err := r.learn(conflict)
+	done, err := r.applyConflict(conflict)
 	if done || err != nil {
 		return err
 	}
@@ -38,7 +39,7 @@
 }
 
 func (r *registration) commit(ctx context.Context) error {
-	commit, err := r.rows()
+	commit, err := r.buildCommit()
 	if err != nil {
 		return err
 	}
@@ -49,11 +50,11 @@
 	return err
 }
 
-func (r *registration) rows() (state.Commit, error) {
-	r.standing = registeredStanding(r.found, r.lease.List.self, r.newcomer && r.lease.FirstStart)
+func (r *registration) buildCommit() (state.Commit, error) {
+	r.standing = initialStanding(r.existing, r.lease.List.self, r.newcomer && r.lease.FirstStart)
 	r.claimZone = ""
-	if r.found != nil && r.standing.claims() && r.found.claimZone() != r.lease.List.self.Process.Zone {
-		r.claimZone = r.found.claimZone()
+	if r.existing != nil && r.standing.hasClaims() && r.existing.claimZone() != r.lease.List.self.Process.Zone {
+		r.claimZone = r.existing.claimZone()
 	}
 	member := r.lease.member(r.standing)
 	member.ClaimZone = r.claimZone
@@ -65,26 +66,27 @@
 	if err != nil {
 		return state.Commit{}, err
 	}
-	leased := keyOf(LeaseTable, r.lease.List.self.Process.Machine)
+	leaseKey := keyOf(LeaseTable, r.lease.List.self.Process.Machine)
 	commit := state.Commit{
 		Class:      state.ClassLease,
-		Conditions: []state.Condition{{Key: r.row, Version: r.seen}},
-		Puts:       []state.Put{{Key: r.row, Value: value}, {Key: leased, Value: lease}},
+		Conditions: []state.Condition{{Key: r.memberKey, Version: r.seenVersion}},
+		Puts:       []state.Put{{Key: r.memberKey, Value: value}, {Key: leaseKey, Value: lease}},
 	}
 	if r.newcomer {
 		commit.Conditions = append(commit.Conditions, state.Condition{Key: removedKey})
 	}
 	if r.newcomer && r.lease.FirstStart {
-		commit.Conditions = append(commit.Conditions, state.Condition{Key: foundedKey})
+		commit.Conditions = append(commit.Conditions, state.Condition{Key: bootstrapKey})
 	}
 	return commit, nil
 }
 
-// learn takes in the row that was found; done tells that an earlier try without an answer wrote it.
-func (r *registration) learn(conflict *state.ConflictError) (done bool, err error) {
-	row, exists := conflict.Find(r.row)
+// applyConflict prepares the next attempt from the rows of the conflict. done reports that an
+// earlier attempt had written the row, but its answer was lost.
+func (r *registration) applyConflict(conflict *state.ConflictError) (done bool, err error) {
+	row, exists := conflict.Find(r.memberKey)
 	if !exists {
-		r.newcomer, r.seen, r.found = false, 0, nil // a row of some machine was removed before, or the founding is over
+		r.newcomer, r.seenVersion, r.existing = false, 0, nil // a member row was removed before, or the bootstrap is over
 		return false, nil
 	}
 	found, err := decode(row.Key.Name, row.Value)
@@ -95,6 +97,6 @@
 		r.lease.version, r.standing, r.claimZone = row.Version, found.Standing, found.ClaimZone
 		return true, nil
 	}
-	r.newcomer, r.seen, r.found = false, row.Version, &found
+	r.newcomer, r.seenVersion, r.existing = false, row.Version, &found
 	return false, nil
 }
--- a/internal/members/release.go
+++ b/internal/members/release.go
@@ -9,37 +9,37 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// release ends the claims of members that ended, so that others keep what they kept. The
-// one with the first claim on the row does it.
-func (l *Lease) release(parent context.Context, now time.Time) {
-	for _, known := range l.List.current.Load().dead {
-		wait := releaseDeadAfter
-		if known.member.Standing == StandingEnded {
-			wait = releaseEndedAfter
+// releaseClaims releases the claims of ended members, so that their shards are assigned to others.
+// Each row is handled by the living member with the highest score for it.
+func (l *Lease) releaseClaims(parent context.Context, now time.Time) {
+	for _, rec := range l.List.current.Load().dead {
+		wait := deadReleaseDelay
+		if rec.member.Standing == StandingEnded {
+			wait = endedReleaseDelay
 		}
-		machine := known.member.Process.Machine
-		if !known.member.Standing.claims() || now.Sub(known.diedAt) <= wait || !l.List.Sweeps(string(machine)) {
+		machine := rec.member.Process.Machine
+		if !rec.member.Standing.hasClaims() || now.Sub(rec.diedAt) <= wait || !l.List.Sweeps(string(machine)) {
 			continue
 		}
-		l.releaseOne(parent, known)
+		l.releaseClaimsOf(parent, rec)
 	}
 }
 
-func (l *Lease) releaseOne(parent context.Context, known *record) {
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+func (l *Lease) releaseClaimsOf(parent context.Context, rec *memberRecord) {
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
-	released := known.member
+	released := rec.member
 	released.Standing = StandingReleased
 	machine := zap.String("member", string(released.Process.Machine))
 	value, err := Encode(released)
 	if err != nil {
-		l.Log.Error("members: released claims not written.", machine, zap.String("error", err.Error()))
+		l.Log.Error("members: cannot encode a member's row to release its claims.", machine, zap.String("error", err.Error()))
 		return
 	}
 	key := keyOf(Table, released.Process.Machine)
 	_, err = l.Store.Commit(ctx, state.Commit{
 		Class:      state.ClassLease,
-		Conditions: []state.Condition{{Key: key, Version: known.row}},
+		Conditions: []state.Condition{{Key: key, Version: rec.rowVersion}},
 		Puts:       []state.Put{{Key: key, Value: value}},
 	})
 	if err != nil {
--- a/internal/members/silence.go
+++ b/internal/members/silence.go
@@ -11,145 +11,154 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// A zone that is cut off is noticed by a daemon once, not by each request: when several members of another zone
-// gave no answer, one after the other, and none of that zone did in between, all its members are under
-// suspicion until one answers. A wrong suspicion costs a longer way for as long as a probe takes; its
-// correctness does not matter to any promise.
+// A daemon detects once that another zone is cut off, instead of by a timeout of each request: if
+// several members of the zone fail to answer without any answer from the zone in between, the zone
+// is silent, and lookups skip all its members until one answers. A zone wrongly taken for silent
+// costs a detour until the next probe; no guarantee depends on it.
 const (
-	// silentMembers without an answer make a zone silent: one or two may be lost by themselves.
-	silentMembers = 3
-	// lateMisses is how long after a zone's first answer misses don't count for the zone: they are of calls that
-	// were made before it. It is longer than any call waits whose miss is noted (400 ms, for a budget's holder).
-	lateMisses = 500 * time.Millisecond
-	// quietFor without an answer from a zone, another one is asked for: so a cut is noticed where nothing else is asked.
-	quietFor = 300 * time.Millisecond
+	// minMissesForSilence is the number of members without an answer that make a zone silent; one
+	// or two may fail by themselves.
+	minMissesForSilence = 3
+	// lateMissWindow is how long after a silent zone's first answer misses are ignored, since they
+	// come from calls made before that answer. It is longer than the longest timeout of a call
+	// whose miss is recorded (400 ms, for a budget's holder).
+	lateMissWindow = 500 * time.Millisecond
+	// maxQuiet is the time without an answer after which a zone is probed, so that a cut is noticed
+	// even without requests.
+	maxQuiet = 300 * time.Millisecond
 )
 
-// reach is whether the members of one other zone answer. Readers never wait; times are nanoseconds since the epoch.
-type reach struct {
+// zoneHealth records whether the members of another zone answer. It is safe for concurrent use;
+// reading silent takes no lock. Times are nanoseconds since the epoch.
+type zoneHealth struct {
 	silent     atomic.Bool
-	doubted    atomic.Bool  // somebody missed since the last answer
+	suspected  atomic.Bool  // a member missed since the last answer
 	answeredAt atomic.Int64 // the last answer
-	backAt     atomic.Int64 // the first answer after the last silence; suspicions from before are void
+	backAt     atomic.Int64 // the first answer after the last silence; earlier suspicions of members are void
 
-	mutex  sync.Mutex
-	missed []uint64 // digests of the members that missed since the last answer, each once
-	since  int64    // the silence began then
+	mutex       sync.Mutex
+	missed      []uint64 // name hashes of the members that missed since the last answer, without duplicates
+	silentSince int64    // start of the silence
 }
 
-// miss takes in that a member gave no answer; living is how many its zone has. It tells whether the zone falls silent.
-func (r *reach) miss(member uint64, living int, now int64) (falls bool) {
-	if r.silent.Load() || now-r.backAt.Load() < int64(lateMisses) {
+// recordMiss records that the member with this name hash gave no answer. living is the number of
+// living members of its zone. It reports whether the zone became silent by this miss.
+func (h *zoneHealth) recordMiss(member uint64, living int, now int64) (becameSilent bool) {
+	if h.silent.Load() || now-h.backAt.Load() < int64(lateMissWindow) {
 		return false
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if !slices.Contains(r.missed, member) {
-		r.missed = append(r.missed, member)
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if !slices.Contains(h.missed, member) {
+		h.missed = append(h.missed, member)
 	}
-	r.doubted.Store(true)
-	if len(r.missed) < min(silentMembers, living) || r.silent.Load() {
+	h.suspected.Store(true)
+	if len(h.missed) < min(minMissesForSilence, living) || h.silent.Load() {
 		return false
 	}
-	r.since = now
-	r.silent.Store(true)
+	h.silentSince = now
+	h.silent.Store(true)
 	return true
 }
 
-// answer takes in that a member answered; it tells for how long the zone was silent, if it was.
-func (r *reach) answer(now int64) (lasted time.Duration, back bool) {
-	r.answeredAt.Store(now)
-	if !r.doubted.Load() {
+// recordAnswer records an answer from a member. If that ends a silence, isBack is true and
+// silentFor is its length.
+func (h *zoneHealth) recordAnswer(now int64) (silentFor time.Duration, isBack bool) {
+	h.answeredAt.Store(now)
+	if !h.suspected.Load() {
 		return 0, false
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.missed = r.missed[:0]
-	r.doubted.Store(false)
-	if !r.silent.Load() {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	h.missed = h.missed[:0]
+	h.suspected.Store(false)
+	if !h.silent.Load() {
 		return 0, false
 	}
-	r.backAt.Store(now)
-	r.silent.Store(false)
-	return time.Duration(now - r.since), true
+	h.backAt.Store(now)
+	h.silent.Store(false)
+	return time.Duration(now - h.silentSince), true
 }
 
-// probes is how many members of the zone are to be asked now: one while it is silent or quiet, and while it is
-// in doubt as many as make it silent.
-func (r *reach) probes(now int64) int {
+// probeCount returns the number of members of the zone to probe now: one if the zone is silent or
+// quiet, minMissesForSilence if it is suspected, otherwise none.
+func (h *zoneHealth) probeCount(now int64) int {
 	switch {
-	case r.silent.Load():
+	case h.silent.Load():
 		return 1
-	case r.doubted.Load():
-		return silentMembers
-	case now-r.answeredAt.Load() > int64(quietFor):
+	case h.suspected.Load():
+		return minMissesForSilence
+	case now-h.answeredAt.Load() > int64(maxQuiet):
 		return 1
 	default:
 		return 0
 	}
 }
 
-// suspicion is whether one member is passed over.
+// suspicion is the period in which lookups skip a member.
 type suspicion struct {
 	until atomic.Int64 // nanoseconds since the epoch
-	from  atomic.Int64 // when it arose
+	from  atomic.Int64 // when it began, nanoseconds since the epoch
 }
 
-// reachOf is what is known of a zone; the lock is held, or nobody else knows the list.
-func (l *List) reachOf(zone identity.Zone) *reach {
-	known, found := l.reaches[zone]
+// zoneHealthOf returns the health of a zone, which it creates if necessary. The caller holds the
+// lock or is the constructor.
+func (l *List) zoneHealthOf(zone identity.Zone) *zoneHealth {
+	health, found := l.zones[zone]
 	if !found {
-		known = &reach{}
-		l.reaches[zone] = known
+		health = &zoneHealth{}
+		l.zones[zone] = health
 	}
-	return known
+	return health
 }
 
-// Missed notes that a member did not answer a call in its time.
+// Missed records that a member did not answer a call in time.
 func (l *List) Missed(member Member) {
-	known := l.away(member)
-	if known == nil {
+	rec := l.findInOtherZone(member)
+	if rec == nil {
 		return
 	}
-	zone := known.member.Process.Zone
-	if known.reach.miss(known.digest, len(l.current.Load().away[zone]), l.now().UnixNano()) {
-		l.log.Warn("members: zone is silent; its members are passed over until one answers.", zap.String("zone", string(zone)))
+	zone := rec.member.Process.Zone
+	if rec.zone.recordMiss(rec.nameHash, len(l.current.Load().otherZones[zone]), l.now().UnixNano()) {
+		l.log.Warn("members: zone is silent; its members are skipped until one answers.", zap.String("zone", string(zone)))
 	}
 }
 
-// Answered notes that a member answered a call.
+// Answered records that a member answered a call.
 func (l *List) Answered(member Member) {
-	known := l.away(member)
-	if known == nil {
+	rec := l.findInOtherZone(member)
+	if rec == nil {
 		return
 	}
-	if lasted, back := known.reach.answer(l.now().UnixNano()); back {
-		l.log.Info("members: zone answers again.", zap.String("zone", string(member.Process.Zone)), zap.Duration("silent", lasted))
-		l.tellBack(member.Process.Zone, lasted)
+	if silentFor, back := rec.zone.recordAnswer(l.now().UnixNano()); back {
+		l.log.Info("members: zone answers again.", zap.String("zone", string(member.Process.Zone)), zap.Duration("silent", silentFor))
+		l.notifyZoneBack(member.Process.Zone, silentFor)
 	}
 }
 
-func (l *List) tellBack(zone identity.Zone, lasted time.Duration) {
+func (l *List) notifyZoneBack(zone identity.Zone, silentFor time.Duration) {
 	if l.OnZoneBack == nil {
 		return
 	}
 	var addresses []string
-	for _, living := range l.current.Load().away[zone] {
+	for _, living := range l.current.Load().otherZones[zone] {
 		addresses = append(addresses, living.member.Process.Address)
 	}
-	l.OnZoneBack(addresses, lasted)
+	l.OnZoneBack(addresses, silentFor)
 }
 
-// Silent tells whether a member's zone is silent, so that no request is to wait for it.
+// Silent reports whether the member's zone is silent, in which case requests should not wait for
+// the member.
 func (l *List) Silent(member Member) bool {
-	known := l.away(member)
-	return known != nil && known.reach.silent.Load()
+	rec := l.findInOtherZone(member)
+	return rec != nil && rec.zone.silent.Load()
 }
 
-// away returns the living record of a member in another zone, if zones are watched; or nil.
-func (l *List) away(member Member) *record {
+// findInOtherZone returns the record of a living member in another zone. It returns nil if there is
+// none or if WatchZones is off.
+func (l *List) findInOtherZone(member Member) *memberRecord {
 	if !l.WatchZones || member.Process.Zone == l.self.Process.Zone {
 		return nil
 	}
-	return l.find(member.Process)
+	return l.findLiving(member.Process)
 }
