--- a/internal/members/silence_test.go
+++ b/internal/members/silence_test.go
@@ -15,121 +15,121 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-var _ = Describe("A zone's reach", func() {
+var _ = Describe("Zone health", func() {
 	const now = int64(time.Hour)
 
-	It("falls silent when several members missed in a row, each counted once", func() {
-		var zone reach
-		Expect(zone.miss(1, 28, now)).To(BeFalse())
-		Expect(zone.miss(1, 28, now)).To(BeFalse())
-		Expect(zone.miss(2, 28, now)).To(BeFalse())
-		Expect(zone.miss(2, 28, now)).To(BeFalse())
-		Expect(zone.miss(3, 28, now)).To(BeTrue())
-		Expect(zone.miss(4, 28, now)).To(BeFalse(), "it is told once")
+	It("becomes silent when several members miss in a row, each counted once", func() {
+		var zone zoneHealth
+		Expect(zone.recordMiss(1, 28, now)).To(BeFalse())
+		Expect(zone.recordMiss(1, 28, now)).To(BeFalse())
+		Expect(zone.recordMiss(2, 28, now)).To(BeFalse())
+		Expect(zone.recordMiss(2, 28, now)).To(BeFalse())
+		Expect(zone.recordMiss(3, 28, now)).To(BeTrue())
+		Expect(zone.recordMiss(4, 28, now)).To(BeFalse(), "it is reported once")
 		Expect(zone.silent.Load()).To(BeTrue())
 	})
 
-	It("does not fall silent where somebody answers in between, however many are lost", func() {
-		var zone reach
+	It("does not become silent if members answer in between, however many miss", func() {
+		var zone zoneHealth
 		for member := range uint64(20) {
-			Expect(zone.miss(member, 28, now)).To(BeFalse())
+			Expect(zone.recordMiss(member, 28, now)).To(BeFalse())
 			if member%2 == 1 {
-				zone.answer(now)
+				zone.recordAnswer(now)
 			}
 		}
 	})
 
-	It("falls silent with all its members where it has few", func() {
-		var zone reach
-		Expect(zone.miss(1, 2, now)).To(BeFalse())
-		Expect(zone.miss(2, 2, now)).To(BeTrue())
+	It("becomes silent when all of its few members miss", func() {
+		var zone zoneHealth
+		Expect(zone.recordMiss(1, 2, now)).To(BeFalse())
+		Expect(zone.recordMiss(2, 2, now)).To(BeTrue())
 	})
 
-	It("is back with the first answer, whatever calls of before still miss", func() {
-		var zone reach
-		for member := range uint64(silentMembers) {
-			zone.miss(member, 28, now)
+	It("ends the silence with the first answer, even if earlier calls still miss", func() {
+		var zone zoneHealth
+		for member := range uint64(minMissesForSilence) {
+			zone.recordMiss(member, 28, now)
 		}
-		lasted, back := zone.answer(now + int64(time.Second))
+		lasted, back := zone.recordAnswer(now + int64(time.Second))
 		Expect(back).To(BeTrue())
 		Expect(lasted).To(Equal(time.Second))
 		for member := range uint64(10) {
-			Expect(zone.miss(member, 28, now+int64(time.Second+lateMisses)-1)).To(BeFalse())
+			Expect(zone.recordMiss(member, 28, now+int64(time.Second+lateMissWindow)-1)).To(BeFalse())
 		}
 		Expect(zone.silent.Load()).To(BeFalse())
-		later := now + int64(time.Second+lateMisses)
-		zone.miss(1, 28, later)
-		zone.miss(2, 28, later)
-		Expect(zone.miss(3, 28, later)).To(BeTrue(), "a second cut is one")
+		later := now + int64(time.Second+lateMissWindow)
+		zone.recordMiss(1, 28, later)
+		zone.recordMiss(2, 28, later)
+		Expect(zone.recordMiss(3, 28, later)).To(BeTrue(), "a second cut is detected, too")
 	})
 
-	It("is asked for an answer when it is quiet, more of it in doubt, and by one at a time while it is silent", func() {
-		var zone reach
-		zone.answer(now)
-		Expect(zone.probes(now + int64(quietFor))).To(BeZero())
-		Expect(zone.probes(now + int64(quietFor) + 1)).To(Equal(1))
-		zone.miss(1, 28, now)
-		Expect(zone.probes(now)).To(Equal(silentMembers))
-		zone.miss(2, 28, now)
-		zone.miss(3, 28, now)
-		Expect(zone.probes(now)).To(Equal(1))
+	It("asks for one probe when the zone is quiet or silent, and for several when it is suspected", func() {
+		var zone zoneHealth
+		zone.recordAnswer(now)
+		Expect(zone.probeCount(now + int64(maxQuiet))).To(BeZero())
+		Expect(zone.probeCount(now + int64(maxQuiet) + 1)).To(Equal(1))
+		zone.recordMiss(1, 28, now)
+		Expect(zone.probeCount(now)).To(Equal(minMissesForSilence))
+		zone.recordMiss(2, 28, now)
+		zone.recordMiss(3, 28, now)
+		Expect(zone.probeCount(now)).To(Equal(1))
 	})
 })
 
-// The load is a zone of three that is cut off for 6 s while each of 84 daemons has four requests a second. Before, each request
-// asked up to three holders, and waited 400 ms for each that was behind the cut.
+// Guards against requests that each wait for up to three holders behind a network cut. One zone of
+// three is cut off for 6 s, while each of 84 daemons has four requests a second.
 var _ = Describe("A zone that is cut off", func() {
 	for kind, name := range []string{cutSilent: "silently", cutRefused: "with refusals", cutOneWay: "one way"} {
-		It(name+" lets a request wait once for each zone behind the cut, and none after the first second", func() {
-			play := newZonesPlay(cutKind(kind))
-			play.run(2 * time.Second)
-			Expect(play.most(time.Time{}, play.now)).To(BeZero())
-			Expect(play.silentLists()).To(BeZero())
-			began := play.now
-			play.cut = true
-			play.run(6 * time.Second)
-			healed := play.now
-			Expect(play.most(began, healed, "a", "b")).To(BeNumerically("<=", 1))
-			Expect(play.most(began, healed, cutOff)).To(BeNumerically("<=", 2), "two zones are behind the cut")
-			Expect(play.most(began.Add(time.Second), healed.Add(-holderWait))).To(BeZero())
-			play.cut = false
-			play.run(probeEvery + probeWait + 2*playStep)
-			Expect(play.silentLists()).To(BeZero(), "one answer is enough")
-			play.run(2 * time.Second)
-			Expect(play.most(healed, play.now.Add(-holderWait))).To(BeZero())
-			Expect(play.silentLists()).To(BeZero(), "no second time")
+		It(name+" makes a request wait at most once for each zone behind the cut, and not at all after the first second", func() {
+			simulation := newZoneSimulation(cutKind(kind))
+			simulation.run(2 * time.Second)
+			Expect(simulation.maxTimeouts(time.Time{}, simulation.now)).To(BeZero())
+			Expect(simulation.countSilentZones()).To(BeZero())
+			began := simulation.now
+			simulation.isCutOff = true
+			simulation.run(6 * time.Second)
+			healed := simulation.now
+			Expect(simulation.maxTimeouts(began, healed, "a", "b")).To(BeNumerically("<=", 1))
+			Expect(simulation.maxTimeouts(began, healed, cutOffZone)).To(BeNumerically("<=", 2), "two zones are behind the cut")
+			Expect(simulation.maxTimeouts(began.Add(time.Second), healed.Add(-holderTimeout))).To(BeZero())
+			simulation.isCutOff = false
+			simulation.run(probeInterval + probeTimeout + 2*clockStep)
+			Expect(simulation.countSilentZones()).To(BeZero(), "one answer is enough")
+			simulation.run(2 * time.Second)
+			Expect(simulation.maxTimeouts(healed, simulation.now.Add(-holderTimeout))).To(BeZero())
+			Expect(simulation.countSilentZones()).To(BeZero(), "no zone becomes silent again")
 		})
 	}
 })
 
-// pingCaller answers as it is told.
+// pingCaller returns err from each call.
 type pingCaller struct{ err error }
 
 func (c *pingCaller) Call(context.Context, string, peer.Class, string, any, any) error { return c.err }
 
 var _ = Describe("Prober", func() {
-	It("takes an error of the other daemon for an answer, and none for none", func(ctx SpecContext) {
-		play := newZonesPlay(cutSilent)
+	It("counts an error returned by the other daemon as an answer, and a failed call as a miss", func(ctx SpecContext) {
+		simulation := newZoneSimulation(cutSilent)
 		caller := &pingCaller{err: errors.New("no answer")}
-		prober := &Prober{List: play.lists[0], Caller: caller, asking: map[identity.Zone]bool{}}
+		prober := &Prober{List: simulation.lists[0], Caller: caller, probing: map[identity.Zone]bool{}}
 		ask := func() {
-			for _, due := range prober.due() {
-				prober.ask(ctx, due)
+			for _, due := range prober.startProbes() {
+				prober.sendProbe(ctx, due)
 			}
 		}
 		ask()
-		Expect(play.silentLists()).To(BeZero(), "one may be lost by itself")
+		Expect(simulation.countSilentZones()).To(BeZero(), "a single member may fail by itself")
 		ask()
-		Expect(play.silentLists()).To(Equal(2), "the zones of the others")
+		Expect(simulation.countSilentZones()).To(Equal(2), "both other zones")
 		caller.err = rpc.ServerError("rpc: can't find service Members.Ping")
 		ask()
-		Expect(play.silentLists()).To(BeZero())
-		Expect(prober.due()).To(BeEmpty(), "they just answered")
+		Expect(simulation.countSilentZones()).To(BeZero())
+		Expect(prober.startProbes()).To(BeEmpty(), "they just answered")
 	})
 
-	It("leaves silent zones out of what is asked, and suspicions of before out of what comes after", func() {
-		play := newZonesPlay(cutSilent)
-		list := play.lists[0]
+	It("skips silent zones in lookups, and drops earlier suspicions when a zone answers again", func() {
+		simulation := newZoneSimulation(cutSilent)
+		list := simulation.lists[0]
 		for _, member := range list.View().Members {
 			if member.Process.Zone != "a" {
 				list.Suspect(member, time.Hour)
@@ -143,7 +143,7 @@
 			}
 			return zones
 		}
-		play.now = play.now.Add(2 * time.Hour) // each by itself would be asked again
+		simulation.now = simulation.now.Add(2 * time.Hour) // the members' own suspicions are over
 		Expect(homesOf("key")).To(HaveEach(identity.Zone("a")))
 		for number := range 50 {
 			for _, other := range list.Others(fmt.Sprint(number), math.MaxInt32) {
@@ -151,16 +151,16 @@
 				Expect(list.Silent(other)).To(BeFalse())
 			}
 		}
-		play.now = play.now.Add(time.Second)
-		told := 0
+		simulation.now = simulation.now.Add(time.Second)
+		addressCount := 0
 		list.OnZoneBack = func(addresses []string, silent time.Duration) {
-			told += len(addresses)
+			addressCount += len(addresses)
 			Expect(silent).To(Equal(2*time.Hour + time.Second))
 		}
-		list.Answered(play.lists[1].self)
-		Expect(told).To(Equal(28), "those of the zone that answered")
-		Expect(list.Silent(play.lists[4].self)).To(BeFalse())
-		Expect(list.Silent(play.lists[2].self)).To(BeTrue())
+		list.Answered(simulation.lists[1].self)
+		Expect(addressCount).To(Equal(28), "the members of the zone that answered")
+		Expect(list.Silent(simulation.lists[4].self)).To(BeFalse())
+		Expect(list.Silent(simulation.lists[2].self)).To(BeTrue())
 		Expect(len(list.Others("key", math.MaxInt32))).To(Equal(27 + 28))
 	})
 })
--- a/internal/members/watching.go
+++ b/internal/members/watching.go
@@ -12,37 +12,39 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Each daemon watches the leases of those that follow it in the order of names,
-// the last one those from the start: as many as successorsWatched, and further
-// ones only behind leases that stand still. A row's version shows a renewal, so
-// no clock but the watcher's own is compared with itself.
+// Each daemon checks the leases of the successorsWatched members that follow it in the order of
+// names, wrapping around at the end. It reads further leases only if all leases read so far have
+// been unchanged for longer than a renewal interval. A renewal is recognized by the row's version,
+// so only times of the checking daemon's own clock are compared.
 const (
 	successorsWatched = 4
-	// furtherWatched is read at once behind successors that all stand still,
-	// mostReadings bounds how often: many machines may go at the same moment.
-	furtherWatched = 100
-	mostReadings   = 6
-	// pausedRenewals without a look of its own make a watcher forget what it
-	// saw: it may have been frozen.
-	pausedRenewals = 3
+	// furtherLeasesPerRead is the number of leases in each further read, and maxLeaseReads bounds
+	// the reads of one check. There may be many expired leases in a row, since many machines may
+	// die at the same moment.
+	furtherLeasesPerRead = 100
+	maxLeaseReads        = 6
+	// maxRenewalsBetweenChecks bounds the time between two checks, in renewal intervals. After a
+	// longer pause the observations are discarded, since this process may have been suspended.
+	maxRenewalsBetweenChecks = 3
 )
 
-// watchedLeases are the leases that a daemon watches.
+// watchedLeases holds the leases that a daemon checks.
 type watchedLeases struct {
-	seen     map[string]watchedLease
-	lastLook time.Time
+	seen      map[string]watchedLease
+	lastCheck time.Time
 }
 
-// watchedLease is one lease as it was last seen.
+// watchedLease is one lease as last observed.
 type watchedLease struct {
 	version state.Version
-	since   time.Time // of this daemon, when the version was first seen
+	since   time.Time // when this daemon first saw the version
 }
 
-func (w *watchedLeases) forget() { w.seen = nil }
+func (w *watchedLeases) reset() { w.seen = nil }
 
-// standsStill notes a row, and tells how long it is known not to have changed.
-func (w *watchedLeases) standsStill(row state.Row, now time.Time) time.Duration {
+// unchangedFor records the row's version and returns how long it has been unchanged, as observed
+// here.
+func (w *watchedLeases) unchangedFor(row state.Row, now time.Time) time.Duration {
 	if w.seen == nil {
 		w.seen = map[string]watchedLease{}
 	}
@@ -54,46 +56,46 @@
 	return now.Sub(known.since)
 }
 
-// lookAfterOthers ends leases that ran out, and removes members dead for long.
-func (l *Lease) lookAfterOthers(ctx context.Context) {
+// checkOthers ends expired leases, releases claims, updates the layout and removes dead members.
+func (l *Lease) checkOthers(ctx context.Context) {
 	now := l.List.now()
-	if now.Sub(l.watched.lastLook) > pausedRenewals*l.renewal() {
-		l.watched.forget()
+	if now.Sub(l.watchedLeases.lastCheck) > maxRenewalsBetweenChecks*l.renewal() {
+		l.watchedLeases.reset()
 	}
-	l.watched.lastLook = now
-	looking, cancel := context.WithTimeout(ctx, lookWait)
+	l.watchedLeases.lastCheck = now
+	readCtx, cancel := context.WithTimeout(ctx, leaseReadTimeout)
 	defer cancel()
-	if err := l.watchSuccessors(looking, now); err != nil && ctx.Err() == nil {
-		l.watched.forget()
-		l.Log.Warn("members: leases of others not read.", zap.String("error", err.Error()))
+	if err := l.checkSuccessors(readCtx, now); err != nil && ctx.Err() == nil {
+		l.watchedLeases.reset()
+		l.Log.Warn("members: cannot read the leases of other members.", zap.String("error", err.Error()))
 	}
-	l.release(ctx, now)
-	l.lay(ctx, now)
+	l.releaseClaims(ctx, now)
+	l.updateLayout(ctx, now)
 	l.removeDead(ctx, now)
 }
 
-// watchSuccessors goes on along the order of names as long as all leases that
-// it read stand still.
-func (l *Lease) watchSuccessors(ctx context.Context, now time.Time) error {
+// checkSuccessors checks the leases that follow this daemon's in the order of names, as long as all
+// leases read so far have been unchanged for longer than a renewal interval.
+func (l *Lease) checkSuccessors(ctx context.Context, now time.Time) error {
 	own := string(l.List.self.Process.Machine)
 	selected := state.Range{Class: state.ClassFollow, Table: LeaseTable, Partition: partition, From: own + "\x00", Limit: successorsWatched}
 	wrapped := false
-	before := l.watched.seen
-	l.watched.seen = map[string]watchedLease{}
-	for range mostReadings {
+	previous := l.watchedLeases.seen
+	l.watchedLeases.seen = map[string]watchedLease{}
+	for range maxLeaseReads {
 		page, err := l.Store.Read(ctx, selected)
 		if err != nil {
 			return eris.Wrap(err, "read leases")
 		}
-		stopped := true
+		allUnchanged := true
 		for _, row := range page.Rows {
-			if known, found := before[row.Key.Name]; found {
-				l.watched.seen[row.Key.Name] = known
+			if known, found := previous[row.Key.Name]; found {
+				l.watchedLeases.seen[row.Key.Name] = known
 			}
-			stopped = l.look(ctx, row, now) && stopped
+			allUnchanged = l.checkLease(ctx, row, now) && allUnchanged
 		}
 		switch {
-		case !stopped:
+		case !allUnchanged:
 			return nil
 		case page.More && len(page.Rows) > 0:
 			selected.From = page.Rows[len(page.Rows)-1].Key.Name + "\x00"
@@ -103,29 +105,30 @@
 		default:
 			return nil
 		}
-		selected.Limit = furtherWatched
+		selected.Limit = furtherLeasesPerRead
 	}
 	return nil
 }
 
-// look judges one lease; it tells whether the lease stood still for longer than
-// a renewal takes.
-func (l *Lease) look(ctx context.Context, row state.Row, now time.Time) bool {
+// checkLease ends the lease if it has expired. It reports whether the lease has been unchanged for
+// longer than a renewal interval, or can't be decoded.
+func (l *Lease) checkLease(ctx context.Context, row state.Row, now time.Time) bool {
 	lease, err := decodeLease(row)
 	if err != nil {
-		l.Log.Error("members: lease cannot be read.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
+		l.Log.Error("members: cannot decode a lease.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
 		return true
 	}
-	unchanged := l.watched.standsStill(row, now)
+	unchanged := l.watchedLeases.unchangedFor(row, now)
 	if unchanged > lease.Term {
-		l.endLease(ctx, row, lease, unchanged)
+		l.expireLease(ctx, row, lease, unchanged)
 	}
-	return unchanged > lease.Term/termInRenewals
+	return unchanged > lease.Term/renewalsPerTerm
 }
 
-// endLease marks the holder of a lease dead, unless it renewed meanwhile.
-func (l *Lease) endLease(parent context.Context, row state.Row, lease leaseRow, unchanged time.Duration) {
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+// expireLease removes an expired lease and marks its holder dead, unless the lease was renewed
+// meanwhile.
+func (l *Lease) expireLease(parent context.Context, row state.Row, lease leaseRow, unchanged time.Duration) {
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	commit := state.Commit{
 		Class:      state.ClassLease,
@@ -137,12 +140,12 @@
 		holder.State = StateDead
 		value, err := Encode(holder)
 		if err != nil {
-			l.Log.Error("members: dead member not written.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
+			l.Log.Error("members: cannot encode the row of a dead member.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
 			return
 		}
 		commit.Puts = []state.Put{{Key: keyOf(Table, machine), Value: value}}
 	} else if found {
-		return // the list is behind the lease, or ahead of it
+		return // the list is older or newer than the lease
 	}
 	_, err := l.Store.Commit(ctx, commit)
 	fields := []zap.Field{
@@ -150,25 +153,25 @@
 		zap.Duration("unchanged", unchanged), zap.Duration("term", lease.Term), zap.Uint64("version", uint64(row.Version)),
 	}
 	if err != nil {
-		l.Log.Info("members: lease not ended.", append(fields, zap.String("error", err.Error()))...)
+		l.Log.Info("members: expired lease not ended.", append(fields, zap.String("error", err.Error()))...)
 		return
 	}
 	l.Log.Warn("members: lease ended.", fields...)
 }
 
-// removeDead removes the rows of members that were dead for deadKeptFor. The one
-// with the first claim on the row does it.
+// removeDead removes the rows of members that have been dead for deadRetention. Each row is handled
+// by the living member with the highest score for it.
 func (l *Lease) removeDead(parent context.Context, now time.Time) {
-	for _, known := range l.List.current.Load().dead {
-		machine := string(known.member.Process.Machine)
-		if now.Sub(known.diedAt) <= deadKeptFor || !l.List.Sweeps(machine) {
+	for _, rec := range l.List.current.Load().dead {
+		machine := string(rec.member.Process.Machine)
+		if now.Sub(rec.diedAt) <= deadRetention || !l.List.Sweeps(machine) {
 			continue
 		}
-		ctx, cancel := context.WithTimeout(parent, commitWait)
-		key := keyOf(Table, known.member.Process.Machine)
+		ctx, cancel := context.WithTimeout(parent, commitTimeout)
+		key := keyOf(Table, rec.member.Process.Machine)
 		_, err := l.Store.Commit(ctx, state.Commit{
 			Class:      state.ClassSweep,
-			Conditions: []state.Condition{{Key: key, Version: known.row}},
+			Conditions: []state.Condition{{Key: key, Version: rec.rowVersion}},
 			Puts:       []state.Put{{Key: removedKey, Value: []byte{}}},
 			Removals:   []state.Key{key},
 		})
@@ -181,7 +184,7 @@
 	}
 }
 
-// Revisions reads which configuration each member last said to be in force.
+// Revisions reads the configuration revision that each member last wrote to its lease.
 func (l *Lease) Revisions(ctx context.Context) (map[identity.Machine]uint64, error) {
 	revisions := map[identity.Machine]uint64{}
 	selected := state.Range{Class: state.ClassFollow, Table: LeaseTable, Partition: partition}
@@ -190,13 +193,13 @@
 		if err != nil {
 			return nil, eris.Wrap(err, "read leases")
 		}
-		var undecoded []error
+		var decodeErrors []error
 		for _, row := range page.Rows {
 			lease, err := decodeLease(row)
-			undecoded = append(undecoded, err)
+			decodeErrors = append(decodeErrors, err)
 			revisions[identity.Machine(row.Key.Name)] = lease.Revision
 		}
-		if err := errors.Join(undecoded...); err != nil {
+		if err := errors.Join(decodeErrors...); err != nil {
 			return nil, err
 		}
 		if !page.More || len(page.Rows) == 0 {
--- a/internal/members/zones_play_test.go
+++ b/internal/members/zones_play_test.go
@@ -12,147 +12,149 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// cutKind is how calls over a cut end.
+// cutKind is how calls across the cut fail.
 type cutKind int
 
 const (
-	cutSilent  cutKind = iota // no answer until the caller's time is over
-	cutRefused                // an error at once
-	cutOneWay                 // silent towards the cut zone; what comes from there arrives and is answered
+	cutSilent  cutKind = iota // no answer until the caller's timeout
+	cutRefused                // an immediate error
+	cutOneWay                 // calls into the cut zone get no answer; calls out of it succeed
 )
 
-// zonesPlay is 84 daemons in three zones of which one is cut off, in simulated time. Each gets a request every
-// requestEvery, which asks the holders of its program until one answers, as the budgets' do.
-type zonesPlay struct {
-	now    time.Time
-	kind   cutKind
-	cut    bool
-	lists  []*List
-	due    map[time.Time][]func() // what happens at a moment, a multiple of playStep
-	waited []requestWait
+// zoneSimulation simulates 84 daemons in three zones, of which cutOffZone can be cut off. Each
+// daemon gets a request every requestInterval, and asks the holders of its program in turn until
+// one answers, as package budget does.
+type zoneSimulation struct {
+	now      time.Time
+	kind     cutKind
+	isCutOff bool
+	lists    []*List
+	events   map[time.Time][]func() // by time, a multiple of clockStep
+	requests []requestResult
 }
 
-// requestWait is how often a request waited in vain.
-type requestWait struct {
-	at    time.Time
-	zone  identity.Zone
-	times int
+// requestResult is the number of calls of a request that got no answer.
+type requestResult struct {
+	at       time.Time
+	zone     identity.Zone
+	timeouts int
 }
 
 const (
-	playStep     = 10 * time.Millisecond
-	holderWait   = 400 * time.Millisecond // package budget's wait for a holder
-	requestEvery = 250 * time.Millisecond // of each daemon: 336 a second of all
-	cutOff       = identity.Zone("c")
+	clockStep       = 10 * time.Millisecond
+	holderTimeout   = 400 * time.Millisecond // package budget's timeout for a holder
+	requestInterval = 250 * time.Millisecond // of each daemon: 336 requests a second in total
+	cutOffZone      = identity.Zone("c")
 )
 
-func newZonesPlay(kind cutKind) *zonesPlay {
-	play := &zonesPlay{now: time.Unix(1000, 0), kind: kind, due: map[time.Time][]func(){}}
+func newZoneSimulation(kind cutKind) *zoneSimulation {
+	simulation := &zoneSimulation{now: time.Unix(1000, 0), kind: kind, events: map[time.Time][]func(){}}
 	var rows []state.Row
 	const daemons = 84
 	for number := range daemons {
-		zone := []identity.Zone{"a", "b", cutOff}[number%3]
+		zone := []identity.Zone{"a", "b", cutOffZone}[number%3]
 		self := Member{State: StateAlive, Process: identity.Process{Machine: identity.Machine(fmt.Sprintf("m%02d", number)), Zone: zone, Region: "r"}}
-		list := NewList(self, func() time.Time { return play.now }, zap.NewNop())
+		list := NewList(self, func() time.Time { return simulation.now }, zap.NewNop())
 		list.WatchZones = true
-		play.lists = append(play.lists, list)
+		simulation.lists = append(simulation.lists, list)
 		value, err := Encode(self)
 		Expect(err).NotTo(HaveOccurred())
 		rows = append(rows, state.Row{Key: keyOf(Table, self.Process.Machine), Value: value, Version: 1})
 	}
-	for number, list := range play.lists {
+	for number, list := range simulation.lists {
 		list.Replace(rows, 1)
-		offset := requestEvery * time.Duration(number) / daemons
-		play.at(offset, func() { play.request(list, 0) })
-		prober := &Prober{List: list, asking: map[identity.Zone]bool{}}
-		play.at(probeEvery*time.Duration(number)/daemons, func() { play.probe(prober) })
+		offset := requestInterval * time.Duration(number) / daemons
+		simulation.schedule(offset, func() { simulation.request(list, 0) })
+		prober := &Prober{List: list, probing: map[identity.Zone]bool{}}
+		simulation.schedule(probeInterval*time.Duration(number)/daemons, func() { simulation.probe(prober) })
 	}
-	return play
+	return simulation
 }
 
-func (p *zonesPlay) at(wait time.Duration, what func()) {
-	moment := p.now.Add(wait).Truncate(playStep).Add(playStep)
-	p.due[moment] = append(p.due[moment], what)
+func (s *zoneSimulation) schedule(wait time.Duration, event func()) {
+	moment := s.now.Add(wait).Truncate(clockStep).Add(clockStep)
+	s.events[moment] = append(s.events[moment], event)
 }
 
-func (p *zonesPlay) run(lasting time.Duration) {
-	for end := p.now.Add(lasting).Truncate(playStep); p.now.Before(end); {
-		p.now = p.now.Truncate(playStep).Add(playStep)
-		happens := p.due[p.now]
-		delete(p.due, p.now)
-		for _, what := range happens {
-			what()
+func (s *zoneSimulation) run(duration time.Duration) {
+	for end := s.now.Add(duration).Truncate(clockStep); s.now.Before(end); {
+		s.now = s.now.Truncate(clockStep).Add(clockStep)
+		events := s.events[s.now]
+		delete(s.events, s.now)
+		for _, event := range events {
+			event()
 		}
 	}
 }
 
-// answers tells whether a call gets an answer, and how long one that gets none waits.
-func (p *zonesPlay) answers(from, to identity.Zone, wait time.Duration) (answered bool, after time.Duration) {
-	over := p.cut && (from == cutOff) != (to == cutOff)
+// simulateCall reports whether a call is answered, and after which time a call without an answer
+// fails.
+func (s *zoneSimulation) simulateCall(from, to identity.Zone, wait time.Duration) (answered bool, after time.Duration) {
+	crossesCut := s.isCutOff && (from == cutOffZone) != (to == cutOffZone)
 	switch {
-	case !over, p.kind == cutOneWay && from == cutOff:
+	case !crossesCut, s.kind == cutOneWay && from == cutOffZone:
 		return true, 0
-	case p.kind == cutRefused:
+	case s.kind == cutRefused:
 		return false, 0
 	default:
 		return false, wait
 	}
 }
 
-func (p *zonesPlay) request(list *List, number int) {
-	p.at(requestEvery, func() { p.request(list, number+1) })
+func (s *zoneSimulation) request(list *List, number int) {
+	s.schedule(requestInterval, func() { s.request(list, number+1) })
 	own := list.Self()
-	asked := &asking{play: p, list: list, homes: list.Homes(fmt.Sprint(own.Machine, "/", number)), began: p.now}
-	asked.next(0)
+	request := &simulatedRequest{simulation: s, list: list, homes: list.Homes(fmt.Sprint(own.Machine, "/", number)), startedAt: s.now}
+	request.askFrom(0)
 }
 
-// asking is one request at the holders of its program.
-type asking struct {
-	play  *zonesPlay
-	list  *List
-	homes Homes
-	began time.Time
-	times int
-	// unanswered are zones in which a holder gave no answer.
+// simulatedRequest is one request that asks the holders of its program.
+type simulatedRequest struct {
+	simulation *zoneSimulation
+	list       *List
+	homes      Homes
+	startedAt  time.Time
+	timeouts   int
+	// unanswered holds the zones in which a holder gave no answer.
 	unanswered []identity.Zone
 }
 
-func (a *asking) next(order int) {
-	own := a.list.Self()
-	for ; order < a.homes.Len(); order++ {
-		home := a.homes.At(order)
+func (r *simulatedRequest) askFrom(order int) {
+	own := r.list.Self()
+	for ; order < r.homes.Len(); order++ {
+		home := r.homes.At(order)
 		if home.Process == own {
 			break
 		}
-		if a.list.Silent(home) || slices.Contains(a.unanswered, home.Process.Zone) {
+		if r.list.Silent(home) || slices.Contains(r.unanswered, home.Process.Zone) {
 			continue
 		}
-		answered, after := a.play.answers(own.Zone, home.Process.Zone, holderWait)
+		answered, after := r.simulation.simulateCall(own.Zone, home.Process.Zone, holderTimeout)
 		if answered {
-			a.list.Trust(home)
+			r.list.Trust(home)
 			break
 		}
-		a.times++
-		a.play.at(after, func() {
-			a.unanswered = append(a.unanswered, home.Process.Zone)
-			a.list.Missed(home)
-			a.list.Suspect(home, time.Second)
-			a.next(order + 1)
+		r.timeouts++
+		r.simulation.schedule(after, func() {
+			r.unanswered = append(r.unanswered, home.Process.Zone)
+			r.list.Missed(home)
+			r.list.Suspect(home, time.Second)
+			r.askFrom(order + 1)
 		})
 		return
 	}
-	a.play.waited = append(a.play.waited, requestWait{a.began, own.Zone, a.times})
+	r.simulation.requests = append(r.simulation.requests, requestResult{r.startedAt, own.Zone, r.timeouts})
 }
 
-func (p *zonesPlay) probe(prober *Prober) {
-	p.at(probeEvery, func() { p.probe(prober) })
+func (s *zoneSimulation) probe(prober *Prober) {
+	s.schedule(probeInterval, func() { s.probe(prober) })
 	list := prober.List
-	for _, due := range prober.due() {
+	for _, due := range prober.startProbes() {
 		ends := time.Duration(0)
 		for _, member := range due.members {
-			answered, after := p.answers(list.Self().Zone, member.Process.Zone, probeWait)
+			answered, after := s.simulateCall(list.Self().Zone, member.Process.Zone, probeTimeout)
 			ends = max(ends, after)
-			p.at(after, func() {
+			s.schedule(after, func() {
 				if answered {
 					list.Answered(member)
 				} else {
@@ -160,26 +162,26 @@
 				}
 			})
 		}
-		p.at(ends, func() { delete(prober.asking, due.zone) })
+		s.schedule(ends, func() { delete(prober.probing, due.zone) })
 	}
 }
 
-// most is how often any request waited that began in a stretch of time.
-// No zones: those of all.
-func (p *zonesPlay) most(from, to time.Time, zones ...identity.Zone) int {
-	most := 0
-	for _, each := range p.waited {
+// maxTimeouts returns the highest number of unanswered calls of any request that began in [from,
+// to) in the given zones, or in all zones if none are given.
+func (s *zoneSimulation) maxTimeouts(from, to time.Time, zones ...identity.Zone) int {
+	highest := 0
+	for _, each := range s.requests {
 		if !each.at.Before(from) && each.at.Before(to) && (len(zones) == 0 || slices.Contains(zones, each.zone)) {
-			most = max(most, each.times)
+			highest = max(highest, each.timeouts)
 		}
 	}
-	return most
+	return highest
 }
 
-func (p *zonesPlay) silentLists() (count int) {
-	for _, list := range p.lists {
-		for _, living := range list.current.Load().away {
-			if living[0].reach.silent.Load() {
+func (s *zoneSimulation) countSilentZones() (count int) {
+	for _, list := range s.lists {
+		for _, living := range list.current.Load().otherZones {
+			if living[0].zone.silent.Load() {
 				count++
 			}
 		}
