--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,8 +1,8 @@
-// Package watch follows a table of the store: it reads the table once, then
-// hears its changes, and reads again when the history was lost.
+// Package watch follows a table of the store: it reads the table once, then receives its changes
+// from the feed, and reads the table again if the feed's history was lost.
 //
-// Guarantee: versions given to the follower never fall; a reading that is
-// older than what is known already is not given.
+// The versions passed to the follower never decrease. A reading that is older than what the
+// follower already has is discarded.
 package watch
 
 import (
@@ -17,74 +17,72 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Follower takes in what a table holds.
+// Follower receives the contents of a table. Calls come from one goroutine.
 type Follower interface {
-	// Replace takes a whole reading.
+	// Replace replaces all rows by a complete reading, which is as of the version.
 	Replace(rows []state.Row, version state.Version)
-	// Change takes rows that changed, in order.
+	// Change applies changed and removed rows, in the order of the changes.
 	Change(rows []state.Row)
 }
 
-// Options of a watch.
+// Options configure a watch.
 type Options struct {
 	Store state.Store
 	Table string
-	// Partition is where all rows of the table lie.
+	// Partition is the store partition that holds all rows of the table.
 	Partition string
-	// Wait is how long a feed may be silent before it is asked again; it
-	// bounds how long a connection that says nothing is believed.
+	// Wait is the longest time that a feed call may wait for a change before the store is called
+	// again. It bounds how long a dead connection goes unnoticed.
 	Wait time.Duration
-	// Due, if given, tells how soon an answer is needed; it shortens Wait. Zero: not
-	// sooner than Wait.
+	// Due, if set, returns the time within which the next answer is needed; it shortens Wait. Zero
+	// or less: no need before Wait.
 	Due func() time.Duration
-	// Pause is the least time between two changes, so that many small ones
-	// come together.
+	// Pause is the minimum time between two batches of changes; it makes the batches larger.
 	Pause time.Duration
-	// OnHeard, if given, is told each time the store answered, once the follower has
-	// taken the answer in: who goes by the time of the last answer then knows it.
+	// OnHeard, if set, is called after each answer of the store, once the follower has applied it.
 	OnHeard func()
 	Log     *zap.Logger
 }
 
 const (
-	firstRetry   = 50 * time.Millisecond
-	longestRetry = 250 * time.Millisecond
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 250 * time.Millisecond
 )
 
-// watch is the state of one following.
-type watch struct {
+// watcher is the state of one call of Run.
+type watcher struct {
 	Options
 	follower Follower
 	version  state.Version
-	read     bool // a reading was taken since the start or the last lost history
+	hasRead  bool // a reading was applied since the start or since the history was lost
 }
 
-// Run follows the table until the context ends.
+// Run follows the table until the context ends. It retries with growing delays.
 func Run(ctx context.Context, options Options, follower Follower) {
 	if options.OnHeard == nil {
 		options.OnHeard = func() {}
 	}
-	current := &watch{Options: options, follower: follower}
-	schedule := pause.Growing(firstRetry, longestRetry)
+	w := &watcher{Options: options, follower: follower}
+	schedule := pause.Growing(initialRetryDelay, maxRetryDelay)
 	for ctx.Err() == nil {
-		err := current.step(ctx)
+		err := w.step(ctx)
 		if err == nil {
 			schedule.Reset()
 			continue
 		}
 		if errors.Is(err, state.ErrHistoryLost) {
-			current.read = false
-			options.Log.Warn("watch: history lost, reading again.", zap.String("table", options.Table), zap.Uint64("version", uint64(current.version)))
+			w.hasRead = false
+			options.Log.Warn("watch: history lost, reading again.", zap.String("table", options.Table), zap.Uint64("version", uint64(w.version)))
 		}
 		pause.For(ctx, schedule.NextBackOff())
 	}
 }
 
-func (w *watch) step(ctx context.Context) error {
-	if !w.read {
+func (w *watcher) step(ctx context.Context) error {
+	if !w.hasRead {
 		return w.readAll(ctx)
 	}
-	change, err := w.Store.Feed(ctx, w.Table, w.version, w.wait())
+	change, err := w.Store.Feed(ctx, w.Table, w.version, w.feedWait())
 	if err != nil {
 		return err
 	}
@@ -99,8 +97,8 @@
 	return nil
 }
 
-// wait is how long the next feed may be silent.
-func (w *watch) wait() time.Duration {
+// feedWait returns how long the next feed call may wait for a change.
+func (w *watcher) feedWait() time.Duration {
 	if w.Due == nil {
 		return w.Wait
 	}
@@ -110,9 +108,9 @@
 	return w.Wait
 }
 
-// readAll reads the table page by page; each page is as of one moment, and
-// the feed goes on from the oldest of them.
-func (w *watch) readAll(ctx context.Context) error {
+// readAll reads the table page by page. Each page is consistent as of its own version; the feed
+// continues from the oldest of them.
+func (w *watcher) readAll(ctx context.Context) error {
 	var rows []state.Row
 	oldest := state.Version(0)
 	from := ""
@@ -131,10 +129,10 @@
 		from = page.Rows[len(page.Rows)-1].Key.Name + "\x00"
 	}
 	if oldest < w.version {
-		return eris.Errorf("a reading of %s is behind: version %d after %d", w.Table, oldest, w.version)
+		return eris.Errorf("stale reading of %s: version %d, already at version %d", w.Table, oldest, w.version)
 	}
 	w.version = oldest
-	w.read = true
+	w.hasRead = true
 	w.follower.Replace(rows, oldest)
 	w.OnHeard()
 	w.Log.Info("watch: table read.", zap.String("table", w.Table), zap.Int("rows", len(rows)), zap.Uint64("version", uint64(oldest)))
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "watch")
 }
 
-// follower keeps the newest rows and counts readings.
+// follower holds the current rows and counts complete readings.
 type follower struct {
 	mutex    sync.Mutex
 	rows     map[string]string
@@ -114,7 +114,7 @@
 		Expect(first).To(Equal(map[string]string{"a": "1"}))
 	})
 
-	It("asks again when an answer is due, before the feed's own wait is over", func() {
+	It("polls again when an answer is due, before the feed's own wait is over", func() {
 		heard := make(chan struct{}, 8)
 		running, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -126,18 +126,18 @@
 				OnHeard: func() {
 					select {
 					case heard <- struct{}{}:
-					default: // nobody waits for more
+					default: // the test receives only the first ones
 					}
 				},
 			}, &follower{})
 		}()
 		DeferCleanup(func() { cancel(); <-done })
-		for range 3 { // the reading, and two feeds without a change
+		for range 3 { // the reading and two feed calls without a change
 			Eventually(heard).Should(Receive())
 		}
 	})
 
-	It("hears changes and removals", func(ctx SpecContext) {
+	It("delivers changes and removals", func(ctx SpecContext) {
 		write(ctx, "b", "2")
 		Eventually(followed.seen).Should(Equal(map[string]string{"a": "1", "b": "2"}))
 		_, err := store.Commit(ctx, state.Commit{Removals: []state.Key{{Table: "t", Name: "a"}}})
@@ -146,7 +146,7 @@
 		Expect(followed.readingCount()).To(Equal(1))
 	})
 
-	It("reads again when the history is lost, and takes no reading that is behind", func(ctx SpecContext) {
+	It("reads the table again when the history is lost, and ignores a stale reading", func(ctx SpecContext) {
 		write(ctx, "b", "2")
 		Eventually(followed.seen).Should(HaveKey("b"))
 		store.AnswerReadings(&state.Page{Version: 1, Rows: []state.Row{{Key: state.Key{Table: "t", Name: "a"}, Value: []byte("0"), Version: 1}}})
@@ -161,7 +161,7 @@
 		Eventually(followed.seen).Should(HaveKeyWithValue("c", "3"))
 	})
 
-	It("goes on after the store was down", func(ctx SpecContext) {
+	It("continues after an outage of the store", func(ctx SpecContext) {
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
 		before := store.Calls("feed")
 		Eventually(func() int { return store.Calls("feed") }).Should(BeNumerically(">", before+1))
