--- a/internal/members/claims.go
+++ b/internal/members/claims.go
@@ -10,14 +10,14 @@
 )
 
 // snapshot is a View with the indexes that lookups need. It is built once for each change of the
-// list, so that a lookup is one pass over the members without sorting or allocation.
+// list, so that a lookup needs one pass over the members and no sorting or allocation.
 type snapshot struct {
 	view       *View
-	living     []*memberRecord                   // all zones, by machine name
-	dead       []*memberRecord                   // their scores still count for lending
-	byRegion   [][]*memberRecord                 // living members; this daemon's region is the first
-	others     [2][]*memberRecord                // other living members: of this daemon's zone, of other zones
-	sameZone   []*memberRecord                   // living members of this daemon's zone and region, including itself
+	living     []*memberRecord                   // living members of all zones, by machine name
+	dead       []*memberRecord                   // dead members; their scores still count for lending
+	byRegion   [][]*memberRecord                 // living members by region; index 0 is this daemon's region
+	others     [2][]*memberRecord                // living members except this daemon; index 0: same zone, 1: other zones
+	sameZone   []*memberRecord                   // living members of this daemon's zone and region, including this daemon
 	otherZones map[identity.Zone][]*memberRecord // living members of other zones, by zone
 	own        *memberRecord                     // this daemon's record
 	owners     ownerSet
@@ -66,21 +66,20 @@
 	return built
 }
 
-// maxHomes bounds the members of a region that may hold a key: its home, and those that replace it
-// in turn while it doesn't answer. If all of them fail before this daemon notices, this daemon
+// maxHomes bounds the homes of a key in a region. The first home holds the key; the others replace
+// it in order while it doesn't answer. If all of them fail before this daemon notices, this daemon
 // handles the key itself.
 const maxHomes = 3
 
-// Homes are the members of a region with the highest scores for a key, in descending order of
-// score. It is a value, so a lookup allocates nothing.
+// Homes are the available members of a region with the highest scores for a key, in descending
+// order of score. Homes is a value, so that a lookup allocates nothing.
 type Homes struct {
 	found  [maxHomes]*memberRecord
 	scores [maxHomes]uint64
 	count  int
 }
 
-// Len returns the number of homes: maxHomes, or fewer if not as many members are alive and
-// unsuspected.
+// Len returns the number of homes. It is less than maxHomes if fewer members are available.
 func (h *Homes) Len() int { return h.count }
 
 // At returns the home at the given position; position 0 has the highest score.
@@ -102,8 +101,8 @@
 }
 
 // Homes returns the members of this daemon's region with the highest scores for the key (rendezvous
-// hashing); all daemons of the region find the same ones. Suspected members are left out, except
-// this daemon itself.
+// hashing). Suspected members and members of silent zones are left out, except this daemon itself.
+// Apart from that, all daemons of the region get the same homes.
 func (l *List) Homes(key string) Homes {
 	current := l.current.Load()
 	return l.topHomes(current, current.byRegion[0], hashOf(key))
@@ -125,11 +124,11 @@
 	return homes
 }
 
-// minZoneMembers is the minimum number of living members of a zone that has homes of its own.
+// minZoneMembers is the minimum number of living members for a zone to have homes of its own.
 const minZoneMembers = maxHomes
 
-// HomesNear returns the members of this daemon's zone with the highest scores for the key. It
-// returns false if the zone has fewer than minZoneMembers members or is the only one of its region.
+// HomesNear is like Homes, but considers only the members of this daemon's zone. It returns false
+// if the zone has fewer than minZoneMembers living members or is the only one of its region.
 func (l *List) HomesNear(key string) (Homes, bool) {
 	current := l.current.Load()
 	if len(current.sameZone) < minZoneMembers || len(current.sameZone) == len(current.byRegion[0]) {
@@ -138,8 +137,8 @@
 	return l.topHomes(current, current.sameZone, hashOf(key)), true
 }
 
-// LikelyHomes returns the other members that are likely to hold the key: its homes in each region
-// and in each zone.
+// LikelyHomes returns the members except this daemon that are likely to hold the key: its homes in
+// each region and in each zone.
 func (l *List) LikelyHomes(key string) []Member {
 	current := l.current.Load()
 	keyHash := hashOf(key)
@@ -164,21 +163,21 @@
 }
 
 // Sweeps reports whether this daemon has the highest score for the key among the living members of
-// all zones. It selects one daemon for work that only one should do.
+// all zones. Callers use it to let a single daemon do a task.
 func (l *List) Sweeps(key string) bool {
 	current := l.current.Load()
-	return isHighestScore(current.living, current.own, hashOf(key))
+	return hasHighestScore(current.living, current.own, hashOf(key))
 }
 
-// isFirstAmongAll reports whether this daemon has the highest score for the key among the living
+// hasHighestScoreOfAll reports whether this daemon has the highest score for the key among the living
 // and the dead members of all zones.
-func (l *List) isFirstAmongAll(key string) bool {
+func (l *List) hasHighestScoreOfAll(key string) bool {
 	current := l.current.Load()
 	keyHash := hashOf(key)
-	return isHighestScore(current.living, current.own, keyHash) && isHighestScore(current.dead, current.own, keyHash)
+	return hasHighestScore(current.living, current.own, keyHash) && hasHighestScore(current.dead, current.own, keyHash)
 }
 
-func isHighestScore(members []*memberRecord, own *memberRecord, key uint64) bool {
+func hasHighestScore(members []*memberRecord, own *memberRecord, key uint64) bool {
 	ownScore := score(own.nameHash, key)
 	for _, member := range members {
 		if score(member.nameHash, key) > ownScore {
@@ -188,8 +187,9 @@
 	return true
 }
 
-// Others returns up to limit other members that are not suspected, those of this daemon's zone
-// first. The starting point in each list depends on the key, to spread load.
+// Others returns up to limit members except this daemon, those of this daemon's zone first.
+// Suspected members and members of silent zones are left out. To spread load, the first member
+// depends on the key.
 func (l *List) Others(key string, limit int) []Member {
 	current := l.current.Load()
 	now := l.now().UnixNano()
@@ -211,8 +211,8 @@
 
 func hashOf(text string) uint64 { return xxhash.Sum64String(text) }
 
-// score returns the rendezvous score of a member for a key from their hashes (the finalizer of
-// splitmix64, in which each output bit depends on all input bits).
+// score returns the rendezvous score of a member for a key. Both are given as hashes. The function
+// is the finalizer of splitmix64, in which each output bit depends on all input bits.
 func score(member, key uint64) uint64 {
 	const (
 		firstFactor, secondFactor          = 0xbf58476d1ce4e5b9, 0x94d049bb133111eb
--- a/internal/members/fleet_world_test.go
+++ b/internal/members/fleet_world_test.go
@@ -13,16 +13,16 @@
 
 const testRenewal = time.Second
 
-// daemon is a simulated process: its list, its lease and its access to the store, of which it is
-// the state.Store.
+// daemon is a simulated process with its list and its lease. It implements state.Store by passing
+// calls on to the store of the environment. If the daemon is cut off, Commit and Read fail.
 type daemon struct {
 	list     *List
 	lease    *Lease
 	env      *testEnv
-	isCutOff bool // no access to the store
+	isCutOff bool // Commit and Read fail
 }
 
-// testEnv is a store, the daemons that use it and a simulated clock.
+// testEnv is the environment of simulated daemons: their store and their clock.
 type testEnv struct {
 	store   *memorystore.Store
 	now     time.Time
@@ -68,12 +68,12 @@
 	return d.env.store.Read(ctx, selected)
 }
 
-// Feed implements state.Store.
+// Feed implements state.Store. It works even if the daemon is cut off.
 func (d *daemon) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.Change, error) {
 	return d.env.store.Feed(ctx, table, after, wait)
 }
 
-// read reads the whole list, unless the daemon is cut off.
+// read reads all rows into the daemon's list, unless the daemon is cut off.
 func (d *daemon) read() {
 	page, err := d.Read(context.Background(), state.Range{Table: Table, Partition: partition})
 	if err != nil {
@@ -83,8 +83,7 @@
 	d.list.Heard()
 }
 
-// step renews the lease as Lease.Run does and then reads the list. It doesn't wait for the store if
-// the daemon is cut off.
+// step runs one step of the lease and then reads the list. It returns the result of Lease.Step.
 func (d *daemon) step() bool {
 	ctx, cancel := d.storeContext()
 	defer cancel()
@@ -93,8 +92,8 @@
 	return registered
 }
 
-// storeContext returns a context that has already ended if the daemon is cut off, so that no test
-// waits for a timeout.
+// storeContext returns a context for calls of the store. It has already ended if the daemon is cut
+// off, so that no test waits for a timeout.
 func (d *daemon) storeContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(context.Background())
 	if d.isCutOff {
@@ -111,7 +110,8 @@
 	return member.State
 }
 
-// run advances the clock by duration; the daemons step every testRenewal.
+// run advances the clock by duration. All daemons step every testRenewal, and read the list at the
+// end.
 func (e *testEnv) run(duration time.Duration, daemons ...*daemon) {
 	for end := e.now.Add(duration); e.now.Before(end); e.now = e.now.Add(testRenewal) {
 		for _, each := range daemons {
--- a/internal/members/keeper.go
+++ b/internal/members/keeper.go
@@ -6,44 +6,48 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Some state is divided into shards, each owned by a single member and held in its memory. The
-// layout assigns each shard to a zone. In that zone, the owner is the member with the highest score
-// for the shard among the members with claims: those whose standing lets shards be assigned to
-// them.
+// State that needs a single owner, such as the level of a tenant's quota, is divided into shards.
+// Each shard is held in the memory of the member that owns it. The layout assigns the shard to a
+// zone, and the owner is the member with the highest score for the shard among the members with
+// claims in that zone. A member has claims if its standing makes it eligible (Standing.hasClaims).
 //
 // Guarantee: no two processes own a shard at the same time, however old their lists are, and an
 // owner knows since when no other process has owned the shard. Shards move to another zone by an
 // announced change of the layout (layout.go). Within a zone they move in two cases.
-//   - A member joins. It has no claims until it is settling, and owns no shard until
-//     settlingDuration is over. The former owners stop when they see its row, or maxOwnerListAge
-//     after the store last confirmed their list, which is shorter.
+//   - A member joins. It has no claims until it is settling, and owns no shards until
+//     settlingDuration is over. The former owners stop when they see that it is settling, or
+//     maxOwnerListAge after the store last confirmed their list; both are sooner.
 //   - A member ends. It has claims until its row says that they are released; that commit is
 //     conditional on the row being unchanged. The claims of a member that was killed or cut off are
-//     released only after it must have stopped using its list. A member that writes that it has
-//     ended stops owning shards before it does so.
+//     released only when the member must have stopped using its list. A member that shuts down as
+//     planned stops owning shards before it writes so.
 //
-// A process restarted at its machine's former address owns the machine's shards at once, unless
-// their claims were released: the process that listened at that address is gone.
+// A process that is restarted at its machine's former address owns the machine's shards at once,
+// unless their claims were released. The former process can't be running, since it used the same
+// address.
 const (
-	// maxOwnerListAge is how long a shard owner may use its list after the store last confirmed it.
-	// It bridges outages of the store.
+	// maxOwnerListAge is how long a shard owner may use its list after the store last confirmed the
+	// list. It is long enough to bridge outages of the store.
 	maxOwnerListAge = 5 * time.Minute
-	// maxListDelay bounds how far the list may be behind the store when the store confirms it.
+	// maxListDelay is the maximum age of the list's contents at the time when the store confirms
+	// the list.
 	maxListDelay = time.Minute
-	// settlingDuration is longer than any other member may use a list without this one.
+	// settlingDuration is the longest time for which another member may use a list without this
+	// member.
 	settlingDuration = maxOwnerListAge + maxListDelay
-	// joinDelay is how long a member that joined has no claims. When it gets claims, its shards
-	// have no owner for settlingDuration, so machines that join for a short time should get none.
+	// joinDelay is how long a member that joined has no claims. When it gets claims, the shards
+	// that pass to it have no owner for settlingDuration, so a machine that joins for a short time
+	// should get none.
 	joinDelay = 10 * time.Minute
 	// joinDelaySpread is the interval over which members that joined together start to settle, so
-	// that only some of the shards have no owner at a time.
+	// that not all shards that move are without an owner at the same time.
 	joinDelaySpread = 30 * time.Minute
 	// endedReleaseDelay is the time within which a member that shut down as planned may be
-	// restarted and continue to own its shards.
+	// restarted without losing its claims.
 	endedReleaseDelay = 20 * time.Second
 	// maxInheritedTime is how long a process may own its machine's shards without having
-	// registered. Its list may be some seconds old, and the former process may have shut down
-	// since; then its claims are released endedReleaseDelay after the shutdown.
+	// registered. The former process may have shut down since the list was read. Its claims are
+	// then released endedReleaseDelay after the shutdown.
 	maxInheritedTime = endedReleaseDelay / 2
 	// deadReleaseDelay is the time after which a member that was marked dead must have stopped
 	// using its list.
@@ -53,8 +57,8 @@
 // Standing is a member's status as a possible owner of shards.
 type Standing uint8
 
-// Standings. StandingKeeps is zero, because rows written by versions without standings lack the
-// field.
+// Standings of a member. StandingKeeps is zero, because rows written by earlier versions have no
+// standing.
 const (
 	StandingKeeps    Standing = iota // has claims and may own shards
 	StandingJoined                   // joined recently; has no claims yet
@@ -63,11 +67,11 @@
 	StandingReleased                 // ended; has no claims any more
 )
 
-// hasClaims reports whether shards are assigned to members of this standing.
+// hasClaims reports whether members of this standing are eligible as owners of shards.
 func (s Standing) hasClaims() bool { return s != StandingJoined && s != StandingReleased }
 
 // Keeper returns the owner of a shard of the key according to this list. It returns false if the
-// shard has no living owner.
+// shard has no owner or if its owner is dead.
 func (l *List) Keeper(key string, shardNumber int) (Member, bool) {
 	owner := l.current.Load().owners.ownerOf(shard{hashOf(key), shardNumber})
 	if owner == nil || owner.member.State == StateDead {
@@ -76,19 +80,20 @@
 	return owner.member, true
 }
 
-// Keeps reports whether this process owns a shard of the key, and since when no other process has
-// owned it.
+// Keeps reports whether this process owns a shard of the key, and returns the time since which no
+// other process has owned the shard.
 func (l *List) Keeps(key string, shardNumber int) (since time.Time, owns bool) {
 	if !l.mayOwnShards() {
 		return time.Time{}, false
 	}
-	current, wanted := l.current.Load(), shard{hashOf(key), shardNumber} // loaded after the check, so not older than the checked list
+	// loaded after the check by mayOwnShards, so not older than the list that was checked
+	current, wanted := l.current.Load(), shard{hashOf(key), shardNumber}
 	if current.owners.ownerOf(wanted) != current.own {
 		return time.Time{}, false
 	}
 	l.localStatus.hasOwned.Store(true)
 	since = current.owners.ownedSince(wanted, l.self.Process.Machine)
-	// The list doesn't show who owned the shard while it was too old to use.
+	// While the list was too old to use, another process may have owned the shard.
 	latest := max(l.localStatus.staleUntil.Load(), l.mayOwnFrom())
 	if allowedFrom := l.localStatus.startedAt.Add(time.Duration(latest)); allowedFrom.After(since) {
 		return allowedFrom, true
@@ -96,8 +101,8 @@
 	return since, true
 }
 
-// mayOwnFrom returns the time from which this process's standing lets it own shards, in nanoseconds
-// since its start.
+// mayOwnFrom returns the time from which this process may own shards by its standing, in
+// nanoseconds since its start.
 func (l *List) mayOwnFrom() int64 {
 	switch {
 	case l.standing() == StandingKeeps:
@@ -122,16 +127,16 @@
 	case StandingKeeps:
 		return true
 	case StandingSettling:
-		return l.localStatus.bootstrapped.Load() && elapsed > l.mayOwnFrom()
+		return l.localStatus.isBootstrapped.Load() && elapsed > l.mayOwnFrom()
 	default:
 		return false
 	}
 }
 
 // inheritShards lets this process own the shards of its machine's former process as soon as it has
-// read that process's row, before it has registered. This is safe: the claims of a row that isn't
-// marked dead are released deadReleaseDelay later at the earliest, and this list is used for a
-// shorter time. The caller holds the lock.
+// read that process's row, even before it has registered. This is safe: if the row isn't marked
+// dead, the claims are released deadReleaseDelay later at the earliest, and this process stops
+// using its list sooner. The caller holds the lock.
 func (l *List) inheritShards(former Member) {
 	canInherit := former.State != StateDead && former.Standing == StandingKeeps && former.Process.Address == l.self.Process.Address
 	if !canInherit || former.Process.Incarnation >= l.self.Process.Incarnation || l.localStatus.registeredAt.Load() != 0 || l.localStatus.inheritedAt.Load() != 0 {
@@ -141,12 +146,12 @@
 	l.localStatus.inheritedAt.Store(l.localStatus.elapsed(l.now()))
 }
 
-// noteStanding records the standing that this process's row has in the store.
-func (l *List) noteStanding(standing Standing, claimZone identity.Zone) {
+// recordStanding records the standing that this process's row has in the store.
+func (l *List) recordStanding(standing Standing, claimZone identity.Zone) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.setStanding(standing, claimZone)
-	l.localStatus.inheritedAt.Store(0) // registered now: the process's own row counts
+	l.localStatus.inheritedAt.Store(0) // from now on this process's own registration counts
 	l.publish()
 }
 
@@ -159,7 +164,7 @@
 	case l.standing() == StandingSettling:
 		exclusiveSince = l.mayOwnFrom()
 	case !l.localStatus.hasOwned.Load() || l.standing() == StandingKeeps:
-		exclusiveSince = l.localStatus.exclusiveSince.Load() // initially zero: the former process ended before this one started
+		exclusiveSince = l.localStatus.exclusiveSince.Load() // zero at first, since the former process ended before this one started
 	}
 	l.localStatus.exclusiveSince.Store(exclusiveSince)
 	l.localStatus.standingSince.Store(now)
@@ -169,12 +174,12 @@
 	l.records[l.self.Process.Machine] = &own
 }
 
-// currentSetSince returns the time since which no other process can have owned the shards that the
-// current members with claims leave to this process. That is now; or the start of this process, if
-// it has owned no shard yet and started less than endedReleaseDelay ago. The former process of its
-// machine ended before that start, and other owners stop at least endedReleaseDelay before a
-// release of claims or a change of the layout takes effect.
-func (l *List) currentSetSince() time.Time {
+// currentOwnersSince returns a time since which no other process can have owned the shards that the
+// current ownerSet assigns to this process. It is the start of this process if the process has
+// owned no shard yet and started less than endedReleaseDelay ago; otherwise it is now. The start is
+// safe: the former process of the machine ended before it, and other owners stop at least
+// endedReleaseDelay before a release of claims or a change of the layout takes effect.
+func (l *List) currentOwnersSince() time.Time {
 	now := l.now()
 	if earliest := now.Add(-endedReleaseDelay); !l.localStatus.hasOwned.Load() && l.localStatus.startedAt.After(earliest) {
 		return l.localStatus.startedAt
@@ -182,12 +187,13 @@
 	return now
 }
 
-// standing returns the acknowledged standing of this process's row.
+// standing returns this process's standing: that of its row, or before registration StandingJoined
+// or the inherited one.
 func (l *List) standing() Standing {
 	return Standing(l.localStatus.standing.Load()) //nolint:gosec // was a Standing
 }
 
-// nextStanding returns the standing that the next renewal should write.
+// nextStanding returns the standing that the next renewal writes.
 func (l *List) nextStanding() Standing {
 	current := l.standing()
 	switch {
@@ -200,17 +206,18 @@
 	}
 }
 
-// untilFounderOwns returns the time until a founder should try to write StandingKeeps, and whether
-// it is a founder that hasn't done so. Until it is written, a restarted process of its machine has
-// to wait for settlingDuration.
-func (l *List) untilFounderOwns() (wait time.Duration, waiting bool) {
+// untilFounderOwns returns how long a founder should wait before it tries to write StandingKeeps.
+// pending is false if this process is no founder or has already written it. Until it is written, a
+// restarted process of this machine would have to wait for settlingDuration.
+func (l *List) untilFounderOwns() (wait time.Duration, pending bool) {
 	if !l.localStatus.isFounder.Load() || l.standing() != StandingSettling {
 		return 0, false
 	}
 	return max(l.untilBootstrapEnd(), founderRecheckInterval), true
 }
 
-// founderRecheckInterval is the time to wait for the list to show the end of the bootstrap.
+// founderRecheckInterval is the minimum wait of a founder until it checks again whether the list
+// shows the end of the bootstrap.
 const founderRecheckInterval = 200 * time.Millisecond
 
 func (l *List) isJoinDelayOver() bool {
@@ -220,7 +227,7 @@
 }
 
 // initialStanding returns the standing with which this process registers. existing is the row of
-// its machine, or nil.
+// its machine's former process, or nil if there is none.
 func initialStanding(existing *Member, self Member, firstStart bool) Standing {
 	switch {
 	case existing == nil && firstStart:
@@ -228,7 +235,7 @@
 	case existing == nil, existing.Standing == StandingReleased:
 		return StandingJoined
 	case existing.Standing == StandingEnded:
-		return StandingKeeps // the former process stopped before it wrote this
+		return StandingKeeps // the former process stopped owning shards before it wrote this
 	case existing.Standing == StandingKeeps && existing.Process.Address != self.Process.Address:
 		return StandingSettling // the former process may still run at its address
 	default:
--- a/internal/members/keeper_play_test.go
+++ b/internal/members/keeper_play_test.go
@@ -9,11 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneKeeper simulates machines that start within a second, register late, renew and read the
-// list now and then, are suspended, cut off from the store, killed, shut down, restarted at the
-// same or another address, or join later, in one to three zones. It checks that at most one process
-// owns a shard at a time, and that no other process has owned it since the time that the owner
-// states.
+// TestOneKeeper simulates machines in one to three zones. They start within a second or join later,
+// register late, renew and read the list now and then, are suspended, cut off from the store,
+// killed, shut down, and restarted at the same or another address. At most one process may own a
+// shard at a time, and no other process may have owned it since the time that Keeps returns.
 func TestOneKeeper(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulation := &ownerSimulation{lenderSimulation: newZonedLenderSimulation(t, rapid.IntRange(1, 3).Draw(t, "zones")), lastOwned: map[shard]map[*List]time.Time{}}
@@ -22,21 +21,21 @@
 			if rapid.IntRange(0, 9).Draw(t, fmt.Sprint("long pause ", step)) == 0 {
 				simulation.runLongPause(t, step)
 			}
-			simulation.registerDue()
+			simulation.registerDueDaemons()
 			simulation.runAction(t, step)
 			simulation.checkOwners(t)
 		}
 	})
 }
 
-// runLongPause advances the clock far enough for a joined member to settle or a layout to change,
-// while some daemons renew and read.
+// runLongPause advances the clock by joinDelay, long enough for a layout change. Some daemons renew
+// and read meanwhile.
 func (s *ownerSimulation) runLongPause(t *rapid.T, step int) {
 	const rounds = 8
 	for range rounds {
 		s.now = s.now.Add(joinDelay / rounds)
 		for number, each := range s.daemons {
-			if s.delays[each] == 0 && rapid.IntRange(0, 3).Draw(t, fmt.Sprint("goes on ", step, number)) > 0 {
+			if s.delays[each] == 0 && rapid.IntRange(0, 3).Draw(t, fmt.Sprint("steps during the pause ", step, number)) > 0 {
 				each.step()
 			}
 		}
@@ -58,8 +57,8 @@
 	case 0:
 		delete(s.delays, chosen)
 		name, address := fmt.Sprint("m", machine), chosen.list.Self().Address
-		movesAddress := rapid.Bool().Draw(t, "moves")
-		if movesAddress {
+		changesAddress := rapid.Bool().Draw(t, "moves")
+		if changesAddress {
 			address = fmt.Sprint(name, "/", s.started)
 			s.replaced = append(s.replaced, chosen) // it may still run at the former address
 		}
--- a/internal/members/keeper_set.go
+++ b/internal/members/keeper_set.go
@@ -7,26 +7,27 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// ownerSet is the set of members with claims in one version of the list, with the layout. It
-// determines the owner of each shard.
+// ownerSet determines the owner of each shard. It holds the members with claims and the layout of
+// one version of the list.
 type ownerSet struct {
 	records []*memberRecord
 	layout  storedLayout
-	since   time.Time // since then no other process has owned the shards that this set leaves to this process
-	// cache holds the owners of shards looked up before, so that repeated lookups don't depend on
-	// the number of members. It is discarded with the next change of the list.
+	since   time.Time // since then, no other process has owned the shards that this set assigns to this process
+	// cache holds the results of ownerOf, so that repeated lookups don't depend on the number of
+	// members. Each new version of the list starts with an empty cache.
 	cache *sync.Map // shard to *memberRecord
-	// previous is the set before the last change. The chain is at most maxPreviousSets long and
-	// tells how long this process has owned a shard across changes.
+	// previous is the set before the last change, or nil. The chain of previous sets has at most
+	// maxPreviousSets elements. It tells how long this process has owned a shard across changes.
 	previous *ownerSet
 }
 
-// maxPreviousSets bounds the chain of previous sets. Fewer changes of the members with claims are
-// expected in the time in which a quota refills.
+// maxPreviousSets bounds the chain of previous sets. It exceeds the number of changes that are
+// expected while a quota refills.
 const maxPreviousSets = 8
 
-// continueFrom returns s linked to the previous set, with since as the time of the change. If the
-// layout and the machines are the same, s takes over the previous set's times instead.
+// continueFrom returns s as the successor of the previous set, where since is the time of the
+// change. If neither the layout nor the machines have changed, s takes over the time and the chain
+// of the previous set instead.
 func (s ownerSet) continueFrom(previous ownerSet, since time.Time) ownerSet {
 	if s.layout.version == previous.layout.version && s.hasSameMachines(previous) {
 		s.since, s.previous = previous.since, previous.previous
@@ -45,9 +46,9 @@
 	return s
 }
 
-// ownedSince returns the time since which the machine has been the owner of the shard without
-// interruption. No other member can have owned it between two sets that this process saw, because a
-// new member settles for longer than a list may be used.
+// ownedSince returns the time since which the machine has owned the shard without interruption.
+// Between two sets that this process saw, no other member can have owned it, because a new member
+// settles for longer than any list may be used.
 func (s ownerSet) ownedSince(wanted shard, machine identity.Machine) time.Time {
 	since := s.since
 	for earlier := s.previous; earlier != nil; earlier = earlier.previous {
@@ -59,9 +60,10 @@
 	return since
 }
 
-// hasSameMachines reports whether both sets, which are ordered by machine, hold the same machines.
-// The zone of a machine's claims needn't be compared: it changes only joinDelay after the claims
-// were released, so a set without them was seen in between, or the list became too old to use.
+// hasSameMachines reports whether both sets hold the same machines in the same order. It needn't
+// compare the zones of the claims. These change only joinDelay after a release of the claims.
+// Before that, this process either saw a set without the machine, or its list became too old to
+// use.
 func (s ownerSet) hasSameMachines(other ownerSet) bool {
 	if len(s.records) != len(other.records) {
 		return false
@@ -74,8 +76,8 @@
 	return true
 }
 
-// ownerOf returns the owner of a shard; nil if no member has claims or the shard is moving to
-// another zone.
+// ownerOf returns the owner of a shard. It is nil if the shard is moving to another zone or if no
+// member of its zone has claims.
 func (s ownerSet) ownerOf(wanted shard) *memberRecord {
 	if cached, isCached := s.cache.Load(wanted); isCached {
 		return cached.(*memberRecord)
--- a/internal/members/keeper_test.go
+++ b/internal/members/keeper_test.go
@@ -29,7 +29,7 @@
 		_, owned := observer.list.Keeps(key, 0)
 		return owned
 	}
-	// ownedKey returns a key whose shard 0 the daemon owns.
+	// ownedKey returns a key of which the daemon owns shard 0.
 	ownedKey := func(owner *daemon) string {
 		GinkgoHelper()
 		for number := range 100 {
@@ -235,8 +235,8 @@
 	})
 })
 
-// BenchmarkKeeper measures the lookup of a shard's owner among 390 members, which each request of a
-// tenant with a quota makes.
+// BenchmarkKeeper measures the lookup of a shard's owner among 390 members. Each request of a
+// tenant with a quota makes such a lookup.
 func BenchmarkKeeper(b *testing.B) {
 	env := newTestEnv()
 	d := env.startDaemon("m0", true)
--- a/internal/members/laying.go
+++ b/internal/members/laying.go
@@ -9,29 +9,28 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// endBootstrap writes the first layout, which marks the end of the bootstrap, if this daemon's list
-// shows none and the time has come.
+// endBootstrap ends the bootstrap by writing the first layout, if shouldEndBootstrap says so.
 func (l *Lease) endBootstrap(parent context.Context) {
 	if l.List.shouldEndBootstrap() {
 		l.writeLayout(parent, l.List.firstLayout(), 0)
 	}
 }
 
-// updateLayout writes the next layout after zones came or went. The living member with the highest
-// score for the layout's row does it.
+// updateLayout writes the next layout if one is due. The living member with the highest score for
+// the layout's row does it.
 func (l *Lease) updateLayout(parent context.Context, now time.Time) {
-	seen, next, due := l.List.nextLayout(now)
+	stored, next, due := l.List.nextLayout(now)
 	if due && l.List.Sweeps(bootstrapKey.Name) {
-		l.writeLayout(parent, next, seen.version)
+		l.writeLayout(parent, next, stored.version)
 	}
 }
 
-// writeLayout writes a layout, on condition that the stored one still has the version seen (zero:
-// there is none).
-func (l *Lease) writeLayout(parent context.Context, next layout, seen state.Version) {
+// writeLayout writes a layout, on condition that the stored layout has the version storedVersion;
+// zero: none is stored.
+func (l *Lease) writeLayout(parent context.Context, next layout, storedVersion state.Version) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
-	fields := []zap.Field{zap.Any("zones", next.Zones), zap.Bool("moving", next.Moving), zap.Any("next", next.Next), zap.Uint64("seen", uint64(seen))}
+	fields := []zap.Field{zap.Any("zones", next.Zones), zap.Bool("moving", next.Moving), zap.Any("next", next.Next), zap.Uint64("seen", uint64(storedVersion))}
 	value, err := next.encode()
 	if err != nil {
 		l.Log.Error("members: cannot encode the layout.", append(fields, zap.String("error", err.Error()))...)
@@ -39,7 +38,7 @@
 	}
 	_, err = l.Store.Commit(ctx, state.Commit{
 		Class:      state.ClassLease,
-		Conditions: []state.Condition{{Key: bootstrapKey, Version: seen}},
+		Conditions: []state.Condition{{Key: bootstrapKey, Version: storedVersion}},
 		Puts:       []state.Put{{Key: bootstrapKey, Value: value}},
 	})
 	if err != nil {
--- a/internal/members/layout.go
+++ b/internal/members/layout.go
@@ -10,17 +10,17 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// layout assigns shards (see keeper.go) to zones. It is a single row of the store, so that a
-// starting process reads it at once, together with any change in progress.
+// layout assigns shards (see keeper.go) to zones. It is stored in a single row, so that a starting
+// process reads it at once, together with any change in progress.
 //
-// A change takes two commits. The first one announces it: from then on, shards that move to another
-// zone have no owner. The second one, layoutChangeDelay later, puts it in force. Any list that is
-// still in use shows the stored layout or the one before it, and by those two layouts each shard
-// has at most one owner.
+// A change takes two commits. The first one announces the change: from then on, shards that move to
+// another zone have no owner. The second one, layoutChangeDelay later, puts the change in force. By
+// then, each list that daemons still use shows the announcement. The stored layout and the one
+// before it never give a shard two different owners.
 //
-// As a result, a zone that is cut off still reaches its share of each key's shards, and so do the
-// other zones. The cost is that shards that move have no owner for layoutChangeDelay when a zone
-// comes or goes.
+// Because each zone owns some of a key's shards, a zone that is cut off still reaches its own share
+// of them, and the other zones reach theirs. The cost is that shards that move have no owner for
+// layoutChangeDelay when a zone is added or removed.
 type layout struct {
 	Zones  []identity.Zone `cbor:"z,omitempty"` // in force; empty: all members form one group
 	Moving bool            `cbor:"m,omitempty"` // a change to Next is announced
@@ -28,24 +28,25 @@
 }
 
 const (
-	// layoutChangeDelay is the time between the announcement of a change and its commit. After
-	// settlingDuration no list is in use that lacks the announcement; the rest lets a process that
-	// started a moment ago use its start time as the time since which no other process owned its
-	// shards (List.currentSetSince).
+	// layoutChangeDelay is the time between the announcement of a change and the commit that puts
+	// it in force. After settlingDuration, no daemon uses a list without the announcement. The
+	// additional endedReleaseDelay allows currentOwnersSince to return the start time of a process
+	// that started within it.
 	layoutChangeDelay = settlingDuration + endedReleaseDelay
-	// minZoneSizeDivisor gives the minimum size of a zone that receives shards: the mean number of
-	// members with claims per zone, divided by it. So a few members don't carry all shards of a
-	// zone. A zone that has shards retains them while it has any members with claims.
+	// minZoneSizeDivisor determines the minimum size of a zone that receives shards: the mean
+	// number of members with claims per zone, divided by minZoneSizeDivisor. It prevents a few
+	// members from carrying all shards of a zone. A zone that has shards retains them as long as it
+	// has any members with claims.
 	minZoneSizeDivisor = 2
 )
 
-// shard identifies one of the shards of a key. Each shard is owned by one member.
+// shard identifies one of the shards of a key. Each shard is owned by at most one member.
 type shard struct {
 	key    uint64 // hash of the key
 	number int
 }
 
-// hash returns the hash of the shard, for the scores of zones and members.
+// hash returns the hash of the shard, from which the scores of zones and members are computed.
 func (s shard) hash() uint64 { return score(s.key, uint64(s.number)+1) } //nolint:gosec // parts are counted from 0
 
 // zoneGroup is the set of members that may own a shard: those of one zone, or all members.
@@ -56,17 +57,17 @@
 
 func (g zoneGroup) has(member *Member) bool { return g.isEveryZone || member.claimZone() == g.zone }
 
-// groupOf returns the group that may own a shard, and whether it may: false while the shard moves
-// to another group.
+// groupOf returns the group to which a shard is assigned. It returns false while the shard moves to
+// another group, during which it has no owner.
 func (l *layout) groupOf(wanted shard) (zoneGroup, bool) {
 	current := assignZone(l.Zones, wanted)
 	return current, !l.Moving || assignZone(l.Next, wanted) == current
 }
 
-// assignZone returns the zone of a shard. The shards of a key choose zones in turn: each takes the
-// zone with the highest score for it among those not yet chosen, and all zones are available again
-// once each has a shard. So each zone has a shard if there are enough, and few shards move to a new
-// zone.
+// assignZone returns the zone to which a shard is assigned. The shards of a key choose zones in
+// order: each takes the zone with the highest score for it among those not yet chosen. Once all
+// zones are chosen, all are available again. So each zone has a shard if there are enough of them,
+// and few shards move to a new zone.
 func assignZone(zones []identity.Zone, wanted shard) zoneGroup {
 	if len(zones) == 0 {
 		return zoneGroup{isEveryZone: true}
@@ -94,8 +95,8 @@
 	return best
 }
 
-// next returns the layout that should follow this one, and whether there is one. members counts the
-// members with claims by zone; seenFor is how long this layout has been seen in the store.
+// next returns the layout that should follow l, and whether it is due. members is the number of
+// members with claims by zone; seenFor is how long l has been the stored layout, as seen here.
 func (l *layout) next(members map[identity.Zone]int, seenFor time.Duration) (layout, bool) {
 	if l.Moving {
 		return layout{Zones: l.Next}, seenFor > layoutChangeDelay
@@ -107,8 +108,8 @@
 	return layout{Zones: l.Zones, Moving: true, Next: wanted}, true
 }
 
-// zonesWithShards returns the zones that should hold shards, sorted, from the number of members
-// with claims by zone.
+// zonesWithShards returns the zones that should have shards, in order of name. members is the
+// number of members with claims by zone; inForce are the zones that have shards now.
 func zonesWithShards(members map[identity.Zone]int, inForce []identity.Zone) []identity.Zone {
 	total := 0
 	for _, count := range members {
--- a/internal/members/layout_test.go
+++ b/internal/members/layout_test.go
@@ -45,9 +45,9 @@
 		}
 	})
 
-	// A shard that moves has no owner for layoutChangeDelay, so few should move. When a fourth zone
-	// is added, up to two of four moves are unavoidable: one shard moves to the new zone, and the
-	// zone that held it may take over another one.
+	// A shard that moves has no owner for layoutChangeDelay, so few shards should move. Up to two
+	// of four are unavoidable when a fourth zone is added: one moves to the new zone, and the zone
+	// that loses it may take over another one.
 	It("move few shards when a zone is added", func() {
 		moved := 0
 		for key := range keyCount {
@@ -85,8 +85,8 @@
 	})
 })
 
-// startZonedFleet bootstraps a system whose machines are in the zones given by the first letters of
-// their names.
+// startZonedFleet starts a daemon on each machine and runs them until the bootstrap is over. The
+// first letter of a machine's name is its zone.
 func startZonedFleet(env *testEnv, machines ...string) []*daemon {
 	var fleet []*daemon
 	for _, machine := range machines {
--- a/internal/members/lease.go
+++ b/internal/members/lease.go
@@ -23,52 +23,53 @@
 
 // Timing of leases.
 const (
-	// renewalIntervalPerMember times the number of members is the renewal interval, unless
-	// ShortestRenewal is longer. So a large fleet makes 20 renewals a second in total, of the 300
-	// commits a second that one store partition takes.
+	// renewalIntervalPerMember is multiplied by the number of members to get the renewal interval,
+	// unless ShortestRenewal is longer. So a large fleet makes 20 renewals a second in total, of
+	// the 300 commits a second that one store partition takes.
 	renewalIntervalPerMember = 50 * time.Millisecond
-	// renewalsPerTerm is the number of consecutive renewals that may fail before a lease expires.
+	// renewalsPerTerm is the term of a lease in renewal intervals.
 	renewalsPerTerm = 4
 	// commitTimeout bounds each commit and each attempt to register.
 	commitTimeout = 2 * time.Second
 	// leaseReadTimeout bounds one check of the leases of other members.
 	leaseReadTimeout = 2 * time.Second
 	// maxRegistrationDelay is the interval over which daemons that start together spread their
-	// registrations. One store partition takes 300 of them a second. The delay is also at most the
-	// shortest renewal interval divided by registrationDelayDivisor.
+	// registrations, since one store partition takes 300 of them a second. For a short renewal
+	// interval it is reduced to ShortestRenewal divided by registrationDelayDivisor.
 	maxRegistrationDelay     = time.Second
 	registrationDelayDivisor = 10
 	// registrationRetryDelay is the delay before a failed registration is retried.
 	registrationRetryDelay = 250 * time.Millisecond
-	// renewalJitterDivisor bounds the jitter of renewals: the interval divided by it.
+	// renewalJitterDivisor gives the maximum jitter: the renewal interval divided by it.
 	renewalJitterDivisor = 8
-	// deadRetention is how long a dead member stays listed. A member may lend for maxLenderListAge
-	// after the store last confirmed its list, which may have been up to a minute old by then, and
-	// its programs may return for programReuseWindow after that.
+	// deadRetention is how long a dead member stays listed. A member may lend until
+	// maxLenderListAge after the store last confirmed its list. That list may already have been a
+	// minute old. Its programs may return for programReuseWindow after that.
 	deadRetention = programReuseWindow + 2*maxLenderListAge
 )
 
-// Lease maintains this daemon's lease, and ends the expired leases of others. It is safe for
-// concurrent use.
+// Lease maintains this daemon's lease. It also ends expired leases of other members, releases
+// claims, updates the layout and removes dead members. It is safe for concurrent use.
 type Lease struct {
 	List  *List
 	Store *state.Client
-	// FirstStart reports whether this process was told that the system is started for the first
-	// time.
+	// FirstStart reports whether this process was told that the system is being started for the
+	// first time.
 	FirstStart bool
 	// ShortestRenewal is the minimum renewal interval; it applies to small fleets.
 	ShortestRenewal time.Duration
 	Log             *zap.Logger
-	// Revision is the configuration revision in force here; each renewal writes it to the lease.
+	// Revision is the configuration revision in force at this daemon. Each renewal writes it to the
+	// lease.
 	Revision atomic.Uint64
 
 	mutex         sync.Mutex // guards the fields below
-	registered    bool
-	version       state.Version // of this daemon's row in LeaseTable
-	claimZone     identity.Zone // as written in this daemon's row in Table
-	leaving       bool          // set by Leave
-	superseded    bool          // a later process of this machine has registered
-	finished      bool          // set by End
+	isRegistered  bool
+	version       state.Version // of this daemon's row in LeaseTable, as last written by this process
+	claimZone     identity.Zone // ClaimZone of this daemon's row in Table
+	isLeaving     bool          // set by Leave
+	isSuperseded  bool          // a later process of this machine has registered
+	hasEnded      bool          // set by End
 	watchedLeases watchedLeases
 }
 
@@ -88,8 +89,8 @@
 // founder.
 var removedKey = state.Key{Table: "members-removed", Partition: partition, Name: "any"}
 
-// partition is the store partition of all tables of this package, since they are committed
-// together. It is separate from the rows that operators write.
+// partition is the store partition that holds all tables of this package, because their rows are
+// committed together. It is separate from the rows that operators write.
 const partition = "members"
 
 // renewal returns the renewal interval.
@@ -107,27 +108,28 @@
 			wait = registrationRetryDelay
 		}
 		wait -= time.Duration(rand.Int64N(int64(wait)/renewalJitterDivisor + 1))
-		if untilOwner, waiting := l.List.untilFounderOwns(); waiting {
+		if untilOwner, pending := l.List.untilFounderOwns(); pending {
 			wait = min(wait, untilOwner+time.Duration(rand.Int64N(int64(spread)+1)))
 		}
 		pause.For(ctx, wait)
 	}
 }
 
-// Step registers this daemon or renews its lease, and then checks the leases of others. It reports
-// whether this daemon is registered.
+// Step registers this daemon or renews its lease, and then checks the other members. It reports
+// whether this daemon is registered; once this process has ended or was superseded, it does nothing
+// and returns true.
 func (l *Lease) Step(ctx context.Context) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.superseded || l.finished {
+	if l.isSuperseded || l.hasEnded {
 		return true
 	}
 	if err := l.registerOrRenew(ctx); err != nil {
-		l.watchedLeases.reset() // other members may not have reached the store either
+		l.watchedLeases.reset() // the cause may have kept other members from renewing, too
 		if ctx.Err() == nil {
-			l.Log.Warn("members: lease not registered or renewed.", zap.Bool("registered", l.registered), zap.String("error", err.Error()))
+			l.Log.Warn("members: lease not registered or renewed.", zap.Bool("registered", l.isRegistered), zap.String("error", err.Error()))
 		}
-		return l.registered
+		return l.isRegistered
 	}
 	l.endBootstrap(ctx)
 	l.checkOthers(ctx)
@@ -135,18 +137,18 @@
 }
 
 func (l *Lease) registerOrRenew(parent context.Context) error {
-	if !l.registered {
+	if !l.isRegistered {
 		return l.register(parent)
 	}
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	err := l.renew(ctx)
-	if !errors.Is(err, errLeaseEnded) {
+	if !errors.Is(err, errLeaseLost) {
 		return err
 	}
-	l.registered = false
+	l.isRegistered = false
 	l.List.localStatus.endMembership()
-	l.Log.Warn("members: lease was ended by another daemon.", zap.Uint64("version", uint64(l.version)))
+	l.Log.Warn("members: lease was removed or overwritten; registering again.", zap.Uint64("version", uint64(l.version)))
 	return l.register(parent)
 }
 
@@ -154,23 +156,23 @@
 func (l *Lease) register(parent context.Context) error {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
-	registration := registration{lease: l, memberKey: keyOf(Table, l.List.self.Process.Machine), newcomer: true}
-	if err := l.Store.Repeat(ctx, func() error { return registration.try(ctx) }); err != nil {
+	attempt := registration{lease: l, memberKey: keyOf(Table, l.List.self.Process.Machine), isNewcomer: true}
+	if err := l.Store.Repeat(ctx, func() error { return attempt.try(ctx) }); err != nil {
 		return err
 	}
-	l.registered = true
-	l.List.noteRegistered(registration.newcomer && l.FirstStart)
-	l.claimZone = registration.claimZone
-	l.List.noteStanding(registration.standing, l.claimZone)
-	l.Log.Info("members: registered.", zap.Uint64("version", uint64(l.version)), zap.Bool("newcomer", registration.newcomer),
-		zap.Uint8("standing", uint8(registration.standing)))
+	l.isRegistered = true
+	l.List.recordRegistration(attempt.isNewcomer && l.FirstStart)
+	l.claimZone = attempt.claimZone
+	l.List.recordStanding(attempt.standing, l.claimZone)
+	l.Log.Info("members: registered.", zap.Uint64("version", uint64(l.version)), zap.Bool("newcomer", attempt.isNewcomer),
+		zap.Uint8("standing", uint8(attempt.standing)))
 	return nil
 }
 
-var errLeaseEnded = errors.New("lease was ended by another daemon")
+var errLeaseLost = errors.New("lease was removed or overwritten")
 
-// renew writes this daemon's lease if it still exists in the store. It returns errLeaseEnded if it
-// doesn't.
+// renew writes this daemon's lease, on condition that the stored lease is still its own. It returns
+// errLeaseLost if the lease was removed or overwritten.
 func (l *Lease) renew(ctx context.Context) error {
 	value, err := l.encodeLease()
 	if err != nil {
@@ -195,7 +197,7 @@
 	if err == nil {
 		l.version = version
 		if advances {
-			l.List.noteStanding(standing, l.claimZone)
+			l.List.recordStanding(standing, l.claimZone)
 			l.Log.Info("members: standing changed.", zap.Uint8("standing", uint8(standing)), zap.Uint64("version", uint64(version)))
 		}
 		return nil
@@ -206,7 +208,7 @@
 	}
 	found, exists := conflict.Find(key)
 	if !exists {
-		return errLeaseEnded
+		return errLeaseLost
 	}
 	lease, err := decodeLease(found)
 	if err != nil {
@@ -214,12 +216,12 @@
 	}
 	switch own := l.List.self.Process.Incarnation; {
 	case lease.Incarnation > own:
-		l.superseded = true
+		l.isSuperseded = true
 		l.List.localStatus.endMembership()
 		l.Log.Error("members: a later process runs on this machine.", zap.Uint64("incarnation", uint64(lease.Incarnation)))
 		return nil
 	case lease.Incarnation < own:
-		return errLeaseEnded // a delayed registration of a former process overwrote the lease
+		return errLeaseLost // a delayed registration of a former process overwrote the lease
 	}
 	l.version = found.Version // an earlier renewal was committed, but its answer was lost
 	return nil
@@ -229,7 +231,7 @@
 func (l *Lease) member(standing Standing) Member {
 	member := l.List.self
 	member.Standing, member.ClaimZone = standing, l.claimZone
-	if l.leaving {
+	if l.isLeaving {
 		member.State = StateLeaving
 	}
 	return member
@@ -250,33 +252,34 @@
 func (l *Lease) Leave(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.leaving = true
+	l.isLeaving = true
 	l.List.markLeaving()
 	return l.writeState(ctx, StateLeaving, state.Commit{})
 }
 
-// End writes that this process has ended, so that others needn't wait for its lease to expire.
+// End writes that this process has ended, so that others don't have to wait for its lease to
+// expire.
 func (l *Lease) End(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.finished = true
+	l.hasEnded = true
 	l.List.localStatus.endMembership()
 	leaseKey := keyOf(LeaseTable, l.List.self.Process.Machine)
 	return l.writeState(ctx, StateDead, state.Commit{Removals: []state.Key{leaseKey}})
 }
 
 // writeState commits this daemon's new state together with the given commit, on condition that its
-// lease is unchanged. It does nothing if this process isn't registered or a later one is. The
-// caller holds the lock.
+// lease is unchanged. It does nothing if this process isn't registered or if a later process of
+// this machine is. The caller holds the lock.
 func (l *Lease) writeState(parent context.Context, next State, commit state.Commit) error {
-	if !l.registered || l.superseded {
+	if !l.isRegistered || l.isSuperseded {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	standing := l.List.standing()
 	if next == StateDead && standing == StandingKeeps {
-		standing = StandingEnded // a finished process owns no shards any more
+		standing = StandingEnded // an ended process owns no shards any more
 	}
 	member := l.member(standing)
 	member.State = next
--- a/internal/members/lease_test.go
+++ b/internal/members/lease_test.go
@@ -28,7 +28,7 @@
 		return daemons
 	}
 
-	It("keeps all daemons that renew it alive in every list", func() {
+	It("shows all daemons that renew it as alive in every list", func() {
 		daemons := fleetOf(5)
 		env.run(10*term, daemons...)
 		for _, each := range daemons {
@@ -51,13 +51,13 @@
 
 	It("expires for a suspended daemon, which registers again on resuming and ends no other lease", func() {
 		daemons := fleetOf(4)
-		frozen, awake := daemons[1], daemons[2:]
-		env.run(3*term, awake...)
-		Expect(awake[0].stateOf("m01")).To(Equal(StateDead))
-		Expect(frozen.step()).To(BeTrue())
-		env.run(2*testRenewal, append(awake, frozen)...)
-		Expect(awake[0].stateOf("m01")).To(Equal(StateAlive))
-		Expect(frozen.stateOf("m02")).To(Equal(StateAlive))
+		suspended, running := daemons[1], daemons[2:]
+		env.run(3*term, running...)
+		Expect(running[0].stateOf("m01")).To(Equal(StateDead))
+		Expect(suspended.step()).To(BeTrue())
+		env.run(2*testRenewal, append(running, suspended)...)
+		Expect(running[0].stateOf("m01")).To(Equal(StateAlive))
+		Expect(suspended.stateOf("m02")).To(Equal(StateAlive))
 	})
 
 	It("expires for daemons cut off from the store, which register again after the cut", func() {
@@ -141,7 +141,7 @@
 		}
 		env.store.Misbehave(nil)
 		Expect(first.step()).To(BeTrue())
-		Expect(first.lease.registered).To(BeTrue())
+		Expect(first.lease.isRegistered).To(BeTrue())
 	})
 
 	It("leaves no dead members in the list after a fleet was replaced many times", func() {
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -6,60 +6,60 @@
 )
 
 // At most one daemon may lend to a program (see package budget), and it stays the same one for as
-// long as the program may return: the daemon with the highest score for the program, once it has
-// had that score for long enough.
+// long as the program may return. It is the daemon with the highest score for the program, once it
+// has been a member for programReuseWindow.
 //
 // Guarantee: no two processes lend to the same program within programReuseWindow of each other. The
-// highest score passes to another process in the following cases; a process restarted under its
+// highest score passes to another process in the following cases. A process restarted under its
 // machine's name counts as another process.
-//   - A daemon joins. It lends only programReuseWindow after its row was committed. Lists without
-//     that row are used for at most maxLenderListAge, which is far shorter.
+//   - A daemon joins. It lends only programReuseWindow after its row was committed. Other daemons
+//     stop lending by lists without that row after maxLenderListAge, which is far shorter.
 //   - A daemon ends. Its row stays for deadRetention, marked dead, and its score still counts. It
 //     lends for the last time at most maxLenderListAge after the store last confirmed a list in
 //     which it was alive. A daemon that learns that it was marked dead stops lending; it lends
 //     again only after it has registered again and waited like a daemon that joins.
 //   - The system starts for the first time. Its founders lend early, since there were no programs
 //     before and no row was ever removed (removedKey). Each founder's row was committed on
-//     condition that the bootstrap was not over (bootstrapKey), and nobody lends by a list that
+//     condition that the bootstrap was not over (bootstrapKey), and no daemon lends by a list that
 //     doesn't show the end of the bootstrap. A list that shows it has the rows of all founders.
 const (
-	// founderRegistrationWindow is the time after its own start within which a founder must have
-	// registered.
+	// founderRegistrationWindow is the time, from its own start, within which a process must
+	// register to be a founder.
 	founderRegistrationWindow = 3500 * time.Millisecond
 	// maxFounderStartSkew is the expected maximum difference between the start times of the
 	// founders. A process that starts later than this plus founderRegistrationWindow after the
 	// first one joins as a newcomer: it lends and owns shards later, which is safe.
 	maxFounderStartSkew = time.Second
 	// maxLenderListAge is how long a list may be used for lending after the store last confirmed
-	// it.
+	// the list.
 	maxLenderListAge = time.Minute
 	// programReuseWindow is longer than maxLenderListAge and longer than the time within which a
 	// program may return.
 	programReuseWindow = 10 * time.Minute
 )
 
-// localStatus holds what this process knows of its own membership, which decides whether it may
-// lend and own shards. Its fields are atomic, since lookups take no lock. Times are nanoseconds
-// since startedAt by the monotonic clock.
+// localStatus describes this process's own membership, which decides whether the process may lend
+// and own shards. All fields except startedAt are atomic, since lookups take no lock. Times are
+// nanoseconds since startedAt by the monotonic clock.
 type localStatus struct {
-	startedAt     time.Time
-	registeredAt  atomic.Int64 // when its row was acknowledged; 0: not registered
-	lastHeard     atomic.Int64 // when the store last confirmed the list; 0: never
-	isFounder     atomic.Bool
-	bootstrapped  atomic.Bool   // the list shows the end of the bootstrap
-	standing      atomic.Uint32 // the acknowledged Standing of this process's row
-	standingSince atomic.Int64  // when that standing was acknowledged
-	// exclusiveSince is the time since which no other process can have owned the shards that this
-	// process may own. It is valid while standing is StandingKeeps.
+	startedAt      time.Time
+	registeredAt   atomic.Int64 // when this process's registration was acknowledged; 0: not registered
+	lastHeard      atomic.Int64 // when the store last confirmed the list; 0: never
+	isFounder      atomic.Bool
+	isBootstrapped atomic.Bool   // the list has shown the end of the bootstrap
+	standing       atomic.Uint32 // Standing in this process's row; before registration StandingJoined, or as inherited
+	standingSince  atomic.Int64  // when standing was set; 0: never
+	// exclusiveSince is a time since which no other process can have owned the shards that this
+	// process may own. It is used while standing is StandingKeeps.
 	exclusiveSince atomic.Int64
-	// inheritedAt is when this process took over the shards of its machine's former process before
-	// registering (see inheritShards); 0: it didn't.
+	// inheritedAt is when this process took over the shards of its machine's former process without
+	// being registered (see inheritShards); 0: it didn't, or it has registered since.
 	inheritedAt atomic.Int64
-	// hasOwned reports whether this process has owned a shard. If so, a new set of owners can't be
-	// backdated to its start.
+	// hasOwned reports whether Keeps has returned true. From then on, currentOwnersSince no longer
+	// returns the start of this process.
 	hasOwned atomic.Bool
-	// staleUntil is when the store last confirmed the list after it had become too old for shard
-	// owners; 0: never.
+	// staleUntil is when the store last confirmed the list after more than maxOwnerListAge without
+	// a confirmation; 0: never.
 	staleUntil atomic.Int64
 }
 
@@ -75,10 +75,10 @@
 
 // MayLend reports whether this process is the only one that may lend to the program.
 func (l *List) MayLend(program string) bool {
-	return l.localStatus.mayLend(l.now()) && l.isFirstAmongAll(program)
+	return l.localStatus.mayLend(l.now()) && l.hasHighestScoreOfAll(program)
 }
 
-// endMembership records that this process no longer has a valid registration.
+// endMembership records that this process isn't registered any more.
 func (s *localStatus) endMembership() {
 	s.isFounder.Store(false)
 	s.registeredAt.Store(0)
@@ -88,16 +88,16 @@
 func (s *localStatus) mayLend(now time.Time) bool {
 	elapsed := s.elapsed(now)
 	heard, registered := s.lastHeard.Load(), s.registeredAt.Load()
-	if heard == 0 || registered == 0 || elapsed-heard > int64(maxLenderListAge) || !s.bootstrapped.Load() {
+	if heard == 0 || registered == 0 || elapsed-heard > int64(maxLenderListAge) || !s.isBootstrapped.Load() {
 		return false
 	}
 	return s.isFounder.Load() || elapsed-registered > int64(programReuseWindow)
 }
 
-// noteRegistered records that this process's row is stored. founder reports that this is the first
-// start of the system and that no process of this machine existed before.
-func (l *List) noteRegistered(founder bool) {
+// recordRegistration records that this process has registered. isFounder reports that the system is
+// being started for the first time and that no process of this machine existed before.
+func (l *List) recordRegistration(isFounder bool) {
 	elapsed := l.localStatus.elapsed(l.now())
-	l.localStatus.isFounder.Store(founder && elapsed < int64(founderRegistrationWindow))
+	l.localStatus.isFounder.Store(isFounder && elapsed < int64(founderRegistrationWindow))
 	l.localStatus.registeredAt.Store(elapsed)
 }
--- a/internal/members/lender_play_test.go
+++ b/internal/members/lender_play_test.go
@@ -11,31 +11,31 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// TestOneLender simulates machines that start within a second, register late, renew and read the
-// list now and then, are suspended, cut off from the store, killed, shut down, restarted or join
-// later. It checks that only one process lends to a program within the time in which the program
-// may return.
+// TestOneLender simulates machines that start within a second or join later, register late, renew
+// and read the list now and then, are suspended, cut off from the store, killed, shut down and
+// restarted. Only one process may lend to a program within the time in which the program may
+// return.
 func TestOneLender(t *testing.T) {
 	rapid.Check(t, checkOneLender)
 }
 
 const programReturnTime = time.Minute
 
-// lenderSimulation holds the latest process of each machine, and former processes that still run
-// although they were replaced.
+// lenderSimulation holds the latest process of each machine, and the replaced processes that still
+// run.
 type lenderSimulation struct {
 	*testEnv
 	daemons  []*daemon
-	delays   map[*daemon]time.Duration // until the first registration, after the start
+	delays   map[*daemon]time.Duration // from the start to the first registration
 	replaced []*daemon
 	lastLent lastLoans
-	// zoneCount is the number of zones; a single zone has no name.
+	// zoneCount is the number of zones. If there is only one, its name is empty.
 	zoneCount int
 }
 
 func newLenderSimulation(t *rapid.T) *lenderSimulation { return newZonedLenderSimulation(t, 1) }
 
-// newZonedLenderSimulation starts a simulation in the given number of zones.
+// newZonedLenderSimulation returns a simulation with the given number of zones.
 func newZonedLenderSimulation(t *rapid.T, zones int) *lenderSimulation {
 	simulation := &lenderSimulation{testEnv: newTestEnv(), delays: map[*daemon]time.Duration{}, lastLent: lastLoans{}, zoneCount: zones}
 	const maxMachines = 7
@@ -59,7 +59,7 @@
 	simulation := newLenderSimulation(t)
 	for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
 		simulation.advanceClock(t, step)
-		simulation.registerDue()
+		simulation.registerDueDaemons()
 		simulation.runAction(t, step)
 		simulation.checkLenders(t)
 	}
@@ -70,8 +70,8 @@
 	s.now = s.now.Add(rapid.SampledFrom(pauses).Draw(t, fmt.Sprint("pause ", step)))
 }
 
-// registerDue registers the daemons whose registration delay is over.
-func (s *lenderSimulation) registerDue() {
+// registerDueDaemons registers the daemons whose registration delay is over.
+func (s *lenderSimulation) registerDueDaemons() {
 	for late, delay := range s.delays {
 		if s.now.Sub(late.list.localStatus.startedAt) >= delay {
 			registerOnce(late)
@@ -84,12 +84,12 @@
 	machine := rapid.IntRange(0, len(s.daemons)-1).Draw(t, fmt.Sprint("machine ", step))
 	chosen := s.daemons[machine]
 	switch rapid.IntRange(0, 11).Draw(t, fmt.Sprint("action ", step)) {
-	case 0: // killed, or assumed to be killed, and restarted
+	case 0: // the process is killed, or only assumed to be killed, and restarted
 		delete(s.delays, chosen)
 		restarted := s.startDaemon(fmt.Sprint("m", machine), rapid.Bool().Draw(t, "told that it is the first start"))
 		registerOnce(restarted)
 		s.daemons[machine] = restarted
-		if rapid.Bool().Draw(t, "the former runs on") {
+		if rapid.Bool().Draw(t, "the former process still runs") {
 			s.replaced = append(s.replaced, chosen)
 		}
 	default:
@@ -136,7 +136,7 @@
 	}
 }
 
-// lastLoans holds when each process last was allowed to lend to each program.
+// lastLoans holds the time when each process was last allowed to lend to each program.
 type lastLoans map[string]map[*List]time.Time
 
 func (l lastLoans) check(t *rapid.T, program string, list *List, now time.Time) {
--- a/internal/members/lender_test.go
+++ b/internal/members/lender_test.go
@@ -54,7 +54,7 @@
 		late, err := env.store.Read(ctx, state.Range{Table: Table, Partition: partition})
 		Expect(err).NotTo(HaveOccurred())
 		marker := slices.IndexFunc(late.Rows, func(row state.Row) bool { return row.Key == bootstrapKey })
-		first.list.Replace(append(read.Rows, late.Rows[marker]), read.Version) // two pages, as of two times
+		first.list.Replace(append(read.Rows, late.Rows[marker]), read.Version) // two pages that were read at different times
 		first.list.Heard()
 		Expect(first.list.MayLend("p")).To(BeFalse(), "a page of this reading is older than the end of the bootstrap")
 		first.list.Change(change.Rows)
@@ -90,8 +90,8 @@
 	})
 
 	// Guards against two processes lending to one program. A machine failed to write its row at its
-	// first start, was restarted, was told again that the system is started for the first time, and
-	// registered as a founder, while another founder already lent by a list that it had read
+	// first start. It was restarted, told again that the system was being started for the first
+	// time, and registered as a founder. Another founder already lent by a list that it had read
 	// before.
 	It("are one where a machine that has no row yet is told of the system's first start once more", func() {
 		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
@@ -163,7 +163,7 @@
 	})
 })
 
-// registerOnce runs one step of the lease without reading the list.
+// registerOnce runs one step of the lease without reading the list afterwards.
 func registerOnce(d *daemon) {
 	ctx, cancel := d.storeContext()
 	defer cancel()
--- a/internal/members/list.go
+++ b/internal/members/list.go
@@ -15,8 +15,8 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// List is the list of all members. It is safe for concurrent use; readers of the current snapshot
-// take no lock.
+// List is the list of all members. It is safe for concurrent use; lookups read the current snapshot
+// without a lock.
 type List struct {
 	self    Member
 	now     func() time.Time
@@ -34,7 +34,7 @@
 	zones        map[identity.Zone]*zoneHealth
 	records      map[identity.Machine]*memberRecord
 	version      uint64
-	read         bool
+	loaded       bool
 	storedLayout storedLayout
 	subscribers  []chan struct{}
 
@@ -44,10 +44,10 @@
 // memberRecord holds what is known about the latest process of a machine.
 type memberRecord struct {
 	member     Member
-	rowVersion state.Version // of the member's row; zero: not read yet
+	rowVersion state.Version // of the member's row; zero in this daemon's own record
 	nameHash   uint64        // hash of the machine name, for rendezvous scores
-	diedAt     time.Time     // when this daemon first saw it dead
-	// suspicion is shared by all records of the same process.
+	diedAt     time.Time     // when this daemon first saw the member dead; zero: it is alive
+	// suspicion is shared by successive records of the same process.
 	suspicion *suspicion
 	zone      *zoneHealth // health of the member's zone
 }
@@ -60,7 +60,7 @@
 		records: map[identity.Machine]*memberRecord{}, zones: map[identity.Zone]*zoneHealth{},
 	}
 	list.records[self.Process.Machine] = list.newRecord(self, 0)
-	list.localStatus.standing.Store(uint32(StandingJoined)) // until it has registered
+	list.localStatus.standing.Store(uint32(StandingJoined)) // until a row is registered or inherited
 	list.publish()
 	return list
 }
@@ -90,8 +90,8 @@
 	return subscriber
 }
 
-// Watch returns the options for watch.Run to follow the member table. wait is how long the feed may
-// be silent.
+// Watch returns the options with which watch.Run follows the member table. wait is how long a feed
+// call may wait for a change.
 func (l *List) Watch(store state.Store, wait time.Duration) watch.Options {
 	return watch.Options{
 		Store: store, Table: Table, Partition: partition, Wait: wait, Pause: changeBatchInterval, Log: l.log, OnHeard: l.Heard,
@@ -115,9 +115,9 @@
 			delete(l.records, machine)
 		}
 	}
-	l.read = true
+	l.loaded = true
 	l.applyRows(rows)
-	l.noteBootstrapped(rows, version)
+	l.recordBootstrapEnd(rows, version)
 }
 
 // Change implements watch.Follower.
@@ -125,7 +125,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.applyRows(rows)
-	l.noteBootstrapped(rows, math.MaxUint64) // the feed delivers each change after all earlier ones
+	l.recordBootstrapEnd(rows, math.MaxUint64) // the feed delivers each change after all earlier ones
 }
 
 // applyRows applies the rows and publishes a new snapshot. The caller holds the lock.
@@ -170,7 +170,7 @@
 func (l *List) applyLayoutRow(row state.Row) {
 	decoded, err := decodeLayout(row.Value)
 	if err != nil {
-		l.log.Error("members: cannot decode the layout; no shard has an owner.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
+		l.log.Error("members: cannot decode the layout; this daemon treats all shards as having no owner.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
 	}
 	if row.Version != l.storedLayout.version {
 		l.storedLayout = storedLayout{layout: decoded, version: row.Version, firstSeen: l.now(), isUnreadable: err != nil}
@@ -178,7 +178,7 @@
 }
 
 // applyOwnRow applies this daemon's own row. If the row was removed, is dead or belongs to a later
-// process, this process may no longer lend or own shards until its lease registers it again.
+// process, this process must not lend or own shards until its lease registers it again.
 func (l *List) applyOwnRow(row state.Row) {
 	if row.Removed {
 		l.localStatus.endMembership()
@@ -221,12 +221,12 @@
 	slices.SortFunc(records, func(a, b *memberRecord) int {
 		return cmp.Compare(a.member.Process.Machine, b.member.Process.Machine)
 	})
-	view := &View{Version: l.version, Read: l.read, Members: make([]Member, 0, len(records))}
+	view := &View{Version: l.version, Read: l.loaded, Members: make([]Member, 0, len(records))}
 	for _, rec := range records {
 		view.Members = append(view.Members, rec.member)
 	}
 	next := newSnapshot(view, records, l.self.Process, l.standing(), l.storedLayout)
-	next.owners.since = l.currentSetSince()
+	next.owners.since = l.currentOwnersSince()
 	if previous := l.current.Load(); previous != nil && previous.view.Read { // an earlier snapshot holds only this daemon
 		next.owners = next.owners.continueFrom(previous.owners, next.owners.since)
 	}
@@ -248,7 +248,7 @@
 	}
 }
 
-// Trust ends the suspicion of a member that answered.
+// Trust ends the suspicion of a member that answered, and records the answer for its zone.
 func (l *List) Trust(member Member) {
 	if rec := l.findLiving(member.Process); rec != nil {
 		rec.suspicion.until.Store(0)
@@ -268,13 +268,13 @@
 	return living[at]
 }
 
-// isAvoided reports whether lookups skip the member at the given time (nanoseconds since the
-// epoch), because it is suspected or its zone is silent.
+// isAvoided reports whether lookups skip the member at the given time, in nanoseconds since the
+// epoch. They skip suspected members and members of silent zones.
 func (r *memberRecord) isAvoided(now int64) bool {
-	return r.zone.silent.Load() || now < r.suspicion.until.Load() && r.suspicion.from.Load() > r.zone.backAt.Load()
+	return r.zone.isSilent.Load() || now < r.suspicion.until.Load() && r.suspicion.from.Load() > r.zone.backAt.Load()
 }
 
-// member returns the latest known process of a machine, and whether there is one.
+// member returns the latest known process of a machine, and whether one is known.
 func (l *List) member(machine identity.Machine) (Member, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -28,8 +28,8 @@
 const (
 	StateAlive   State = "alive"
 	StateLeaving State = "leaving" // planned shutdown in progress: accepts no new work
-	// StateDead members stay listed for deadRetention, because the programs that a dead member may
-	// have lent to must not pass to another member at once (see lender.go).
+	// StateDead members stay listed for deadRetention. Until then the programs that a dead member
+	// may have lent to don't pass to another member (see lender.go).
 	StateDead State = "dead"
 )
 
@@ -37,13 +37,13 @@
 type Member struct {
 	Process       identity.Process
 	CallerAddress string // address for callers, "ip:port"; empty: unknown
-	// Capacity is the machine's processor capacity in cores; 0: unknown. Work that one daemon does
-	// for many goes to the larger machines.
+	// Capacity is the machine's processor capacity in cores; 0: unknown. Load aggregators are
+	// chosen among the machines with the highest capacity (see package load).
 	Capacity float64
 	State    State
 	Standing Standing
-	// ClaimZone is the zone in which shards are assigned to the member; empty: its own zone. A
-	// machine that moved to another zone owns shards of its former zone until its claims are
+	// ClaimZone is the zone in which shards are assigned to the member; empty: its own zone. If a
+	// machine moves to another zone, it owns shards of the former zone until its claims are
 	// released.
 	ClaimZone identity.Zone
 }
@@ -64,14 +64,14 @@
 	Members []Member
 }
 
-// Directory is the read access to the list that other packages need; *List implements it.
+// Directory provides read access to the list for other packages. *List implements it.
 type Directory interface {
 	// View returns the current snapshot, never nil. It takes no lock.
 	View() *View
 	// Self returns this process.
 	Self() identity.Process
-	// Subscribe returns a channel that receives a signal after changes; several changes may be
-	// reported by one signal.
+	// Subscribe returns a channel that receives a signal after a change. One signal may stand for
+	// several changes.
 	Subscribe() <-chan struct{}
 }
 
--- a/internal/members/metrics.go
+++ b/internal/members/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics is a collector that counts the members when metrics are scraped.
+// metrics is a prometheus.Collector that reads the list at each scrape.
 type metrics struct {
 	list    *List
 	members *prometheus.Desc
@@ -40,7 +40,7 @@
 	}
 	for zone, living := range m.list.current.Load().otherZones {
 		silent := 0.0
-		if living[0].zone.silent.Load() {
+		if living[0].zone.isSilent.Load() {
 			silent = 1
 		}
 		output <- prometheus.MustNewConstMetric(m.silent, prometheus.GaugeValue, silent, string(zone))
--- a/internal/members/prober.go
+++ b/internal/members/prober.go
@@ -30,17 +30,17 @@
 func (Service) Ping(_ PingRequest, _ *PingReply) error { return nil }
 
 const (
-	// probeInterval is the interval at which zones are checked for due probes. With maxQuiet and
-	// two rounds of probes, one that finds the first miss and one that confirms it, a cut is
-	// detected within 0.9 s, even without requests.
+	// probeInterval is the interval at which zones are checked for due probes. A cut is detected
+	// within 0.9 s even without requests: after maxQuiet, one round of probes finds the first miss,
+	// and a second round confirms it.
 	probeInterval = 100 * time.Millisecond
-	// probeTimeout bounds a probe. Members usually answer within some milliseconds.
+	// probeTimeout bounds a probe.
 	probeTimeout = 200 * time.Millisecond
 )
 
-// Prober probes members of other zones: several of a suspected zone at once, and one at a time of a
-// silent or quiet zone. The load doesn't grow with the fleet: each daemon makes about three small
-// calls a second for each other zone, and fewer if its requests bring answers.
+// Prober probes members of other zones: several members at once in a suspected zone, and a single
+// member in a silent or quiet zone. The load doesn't grow with the fleet: each daemon makes about
+// three small calls a second for each other zone, or fewer if its requests bring answers.
 type Prober struct {
 	List   *List
 	Caller peer.Caller
@@ -61,7 +61,7 @@
 	}
 }
 
-// probe lists the members of a zone to call at once.
+// probe is a set of members of one zone to call at the same time.
 type probe struct {
 	zone    identity.Zone
 	members []Member
@@ -89,12 +89,13 @@
 	return due
 }
 
-// pickTargets returns the members to probe. They start at an index that depends on this daemon's
-// name, so that the daemons together probe all members evenly. In a zone that isn't suspected it
-// rotates over few members, whose connections stay open; otherwise over all.
+// pickTargets returns the members of a zone to probe. The first one depends on this daemon's name,
+// so that the daemons together probe all members evenly. If the zone isn't suspected, the choice
+// rotates among a few members, to which connections stay open; otherwise it rotates among all
+// members.
 func (p *Prober) pickTargets(living []*memberRecord, count int) []Member {
 	candidates := len(living)
-	if health := living[0].zone; !health.suspected.Load() {
+	if health := living[0].zone; !health.isSuspected.Load() {
 		candidates = min(minMissesForSilence, candidates)
 	}
 	first := hashOf(string(p.List.self.Process.Machine)) % uint64(len(living))
@@ -113,9 +114,9 @@
 	for _, member := range due.members {
 		calls.Go(func() {
 			err := p.Caller.Call(ctx, member.Process.Address, peer.Control, methodPing, PingRequest{}, &PingReply{})
-			var answered rpc.ServerError // from a version without this method; still an answer
+			var serverErr rpc.ServerError // the member runs a version without this method; this is an answer, too
 			switch {
-			case err == nil || errors.As(err, &answered):
+			case err == nil || errors.As(err, &serverErr):
 				p.List.Answered(member)
 			case parent.Err() == nil:
 				p.List.Missed(member)
--- a/internal/members/registration.go
+++ b/internal/members/registration.go
@@ -10,21 +10,22 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// registration writes the rows of a process that registers. Its initial standing depends on the row
-// of the machine's former process, so each attempt is conditional on the version of that row.
+// registration writes the rows of a process that registers. The process's initial standing depends
+// on the row that the machine's former process left, so each attempt is conditional on the version
+// of that row.
 type registration struct {
 	lease       *Lease
 	memberKey   state.Key
-	seenVersion state.Version // of the row at memberKey; zero: no row is expected
-	existing    *Member       // decoded row at memberKey, if there is one
-	newcomer    bool          // no row of this machine is expected, and none was ever removed
+	seenVersion state.Version // of the row found at memberKey; zero: none
+	existing    *Member       // decoded row found at memberKey; nil: none
+	isNewcomer  bool          // first attempt, or no row of this machine was found and none of any machine was ever removed
 	standing    Standing
-	// claimZone is the zone of the machine's existing claims; empty: none, or this process's own
-	// zone.
+	// claimZone is the zone of the claims that the machine already has; empty: it has none, or they
+	// are in this process's own zone.
 	claimZone identity.Zone
 }
 
-// try commits the rows; on a conflict it tries once more with the row that was found.
+// try commits the rows. After a conflict it tries once more, with the row that the conflict showed.
 func (r *registration) try(ctx context.Context) error {
 	err := r.commit(ctx)
 	var conflict *state.ConflictError
@@ -51,7 +52,7 @@
 }
 
 func (r *registration) buildCommit() (state.Commit, error) {
-	r.standing = initialStanding(r.existing, r.lease.List.self, r.newcomer && r.lease.FirstStart)
+	r.standing = initialStanding(r.existing, r.lease.List.self, r.isNewcomer && r.lease.FirstStart)
 	r.claimZone = ""
 	if r.existing != nil && r.standing.hasClaims() && r.existing.claimZone() != r.lease.List.self.Process.Zone {
 		r.claimZone = r.existing.claimZone()
@@ -72,10 +73,10 @@
 		Conditions: []state.Condition{{Key: r.memberKey, Version: r.seenVersion}},
 		Puts:       []state.Put{{Key: r.memberKey, Value: value}, {Key: leaseKey, Value: lease}},
 	}
-	if r.newcomer {
+	if r.isNewcomer {
 		commit.Conditions = append(commit.Conditions, state.Condition{Key: removedKey})
 	}
-	if r.newcomer && r.lease.FirstStart {
+	if r.isNewcomer && r.lease.FirstStart {
 		commit.Conditions = append(commit.Conditions, state.Condition{Key: bootstrapKey})
 	}
 	return commit, nil
@@ -86,7 +87,7 @@
 func (r *registration) applyConflict(conflict *state.ConflictError) (done bool, err error) {
 	row, exists := conflict.Find(r.memberKey)
 	if !exists {
-		r.newcomer, r.seenVersion, r.existing = false, 0, nil // a member row was removed before, or the bootstrap is over
+		r.isNewcomer, r.seenVersion, r.existing = false, 0, nil // a member row was removed before, or the bootstrap is over
 		return false, nil
 	}
 	found, err := decode(row.Key.Name, row.Value)
@@ -97,6 +98,6 @@
 		r.lease.version, r.standing, r.claimZone = row.Version, found.Standing, found.ClaimZone
 		return true, nil
 	}
-	r.newcomer, r.seenVersion, r.existing = false, row.Version, &found
+	r.isNewcomer, r.seenVersion, r.existing = false, row.Version, &found
 	return false, nil
 }
--- a/internal/members/release.go
+++ b/internal/members/release.go
@@ -9,8 +9,8 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// releaseClaims releases the claims of ended members, so that their shards are assigned to others.
-// Each row is handled by the living member with the highest score for it.
+// releaseClaims releases the claims of members that ended, so that their shards are assigned to
+// others. For each ended member, the living member with the highest score for its name does it.
 func (l *Lease) releaseClaims(parent context.Context, now time.Time) {
 	for _, rec := range l.List.current.Load().dead {
 		wait := deadReleaseDelay
--- a/internal/members/silence.go
+++ b/internal/members/silence.go
@@ -11,40 +11,40 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// A daemon detects once that another zone is cut off, instead of by a timeout of each request: if
-// several members of the zone fail to answer without any answer from the zone in between, the zone
-// is silent, and lookups skip all its members until one answers. A zone wrongly taken for silent
-// costs a detour until the next probe; no guarantee depends on it.
+// Without detection, each request would wait for a timeout at members of a zone that is cut off. A
+// zone becomes silent if several of its members fail to answer and no member answers in between.
+// Lookups skip all members of a silent zone until one answers. If a zone is wrongly taken for
+// silent, requests take a detour until the next probe; no guarantee depends on it.
 const (
 	// minMissesForSilence is the number of members without an answer that make a zone silent; one
 	// or two may fail by themselves.
 	minMissesForSilence = 3
-	// lateMissWindow is how long after a silent zone's first answer misses are ignored, since they
-	// come from calls made before that answer. It is longer than the longest timeout of a call
-	// whose miss is recorded (400 ms, for a budget's holder).
+	// lateMissWindow is how long misses are ignored after a silent zone answers again, since they
+	// come from earlier calls. It is longer than the longest timeout of a call whose miss is
+	// recorded (400 ms, for a budget's holder).
 	lateMissWindow = 500 * time.Millisecond
-	// maxQuiet is the time without an answer after which a zone is probed, so that a cut is noticed
-	// even without requests.
+	// maxQuiet is the time without an answer after which a zone is probed, so that a cut is
+	// detected even without requests.
 	maxQuiet = 300 * time.Millisecond
 )
 
-// zoneHealth records whether the members of another zone answer. It is safe for concurrent use;
-// reading silent takes no lock. Times are nanoseconds since the epoch.
+// zoneHealth records whether the members of another zone answer. It is safe for concurrent use; the
+// atomic fields are read without the lock. Times are nanoseconds since the epoch.
 type zoneHealth struct {
-	silent     atomic.Bool
-	suspected  atomic.Bool  // a member missed since the last answer
-	answeredAt atomic.Int64 // the last answer
-	backAt     atomic.Int64 // the first answer after the last silence; earlier suspicions of members are void
+	isSilent    atomic.Bool
+	isSuspected atomic.Bool  // a member gave no answer since the last answer
+	answeredAt  atomic.Int64 // when the last answer came
+	backAt      atomic.Int64 // when the last silence ended; earlier suspicions of members are void
 
 	mutex       sync.Mutex
-	missed      []uint64 // name hashes of the members that missed since the last answer, without duplicates
-	silentSince int64    // start of the silence
+	missed      []uint64 // name hashes of the members that gave no answer since the last answer, without duplicates
+	silentSince int64    // when the last silence began
 }
 
 // recordMiss records that the member with this name hash gave no answer. living is the number of
 // living members of its zone. It reports whether the zone became silent by this miss.
 func (h *zoneHealth) recordMiss(member uint64, living int, now int64) (becameSilent bool) {
-	if h.silent.Load() || now-h.backAt.Load() < int64(lateMissWindow) {
+	if h.isSilent.Load() || now-h.backAt.Load() < int64(lateMissWindow) {
 		return false
 	}
 	h.mutex.Lock()
@@ -52,41 +52,41 @@
 	if !slices.Contains(h.missed, member) {
 		h.missed = append(h.missed, member)
 	}
-	h.suspected.Store(true)
-	if len(h.missed) < min(minMissesForSilence, living) || h.silent.Load() {
+	h.isSuspected.Store(true)
+	if len(h.missed) < min(minMissesForSilence, living) || h.isSilent.Load() {
 		return false
 	}
 	h.silentSince = now
-	h.silent.Store(true)
+	h.isSilent.Store(true)
 	return true
 }
 
-// recordAnswer records an answer from a member. If that ends a silence, isBack is true and
-// silentFor is its length.
+// recordAnswer records an answer from a member. isBack reports whether it ended a silence;
+// silentFor is the length of that silence.
 func (h *zoneHealth) recordAnswer(now int64) (silentFor time.Duration, isBack bool) {
 	h.answeredAt.Store(now)
-	if !h.suspected.Load() {
+	if !h.isSuspected.Load() {
 		return 0, false
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.missed = h.missed[:0]
-	h.suspected.Store(false)
-	if !h.silent.Load() {
+	h.isSuspected.Store(false)
+	if !h.isSilent.Load() {
 		return 0, false
 	}
 	h.backAt.Store(now)
-	h.silent.Store(false)
+	h.isSilent.Store(false)
 	return time.Duration(now - h.silentSince), true
 }
 
 // probeCount returns the number of members of the zone to probe now: one if the zone is silent or
-// quiet, minMissesForSilence if it is suspected, otherwise none.
+// quiet, minMissesForSilence if it is suspected, and none otherwise.
 func (h *zoneHealth) probeCount(now int64) int {
 	switch {
-	case h.silent.Load():
+	case h.isSilent.Load():
 		return 1
-	case h.suspected.Load():
+	case h.isSuspected.Load():
 		return minMissesForSilence
 	case now-h.answeredAt.Load() > int64(maxQuiet):
 		return 1
@@ -147,15 +147,15 @@
 	l.OnZoneBack(addresses, silentFor)
 }
 
-// Silent reports whether the member's zone is silent, in which case requests should not wait for
-// the member.
+// Silent reports whether the member's zone is silent. Requests should not wait for members of a
+// silent zone.
 func (l *List) Silent(member Member) bool {
 	rec := l.findInOtherZone(member)
-	return rec != nil && rec.zone.silent.Load()
+	return rec != nil && rec.zone.isSilent.Load()
 }
 
 // findInOtherZone returns the record of a living member in another zone. It returns nil if there is
-// none or if WatchZones is off.
+// none or if WatchZones is false.
 func (l *List) findInOtherZone(member Member) *memberRecord {
 	if !l.WatchZones || member.Process.Zone == l.self.Process.Zone {
 		return nil
--- a/internal/members/silence_test.go
+++ b/internal/members/silence_test.go
@@ -26,7 +26,7 @@
 		Expect(zone.recordMiss(2, 28, now)).To(BeFalse())
 		Expect(zone.recordMiss(3, 28, now)).To(BeTrue())
 		Expect(zone.recordMiss(4, 28, now)).To(BeFalse(), "it is reported once")
-		Expect(zone.silent.Load()).To(BeTrue())
+		Expect(zone.isSilent.Load()).To(BeTrue())
 	})
 
 	It("does not become silent if members answer in between, however many miss", func() {
@@ -56,7 +56,7 @@
 		for member := range uint64(10) {
 			Expect(zone.recordMiss(member, 28, now+int64(time.Second+lateMissWindow)-1)).To(BeFalse())
 		}
-		Expect(zone.silent.Load()).To(BeFalse())
+		Expect(zone.isSilent.Load()).To(BeFalse())
 		later := now + int64(time.Second+lateMissWindow)
 		zone.recordMiss(1, 28, later)
 		zone.recordMiss(2, 28, later)
@@ -76,8 +76,8 @@
 	})
 })
 
-// Guards against requests that each wait for up to three holders behind a network cut. One zone of
-// three is cut off for 6 s, while each of 84 daemons has four requests a second.
+// Guards against requests that wait for up to three holders behind a network cut. One of three
+// zones is cut off for 6 s. Each of 84 daemons gets four requests a second.
 var _ = Describe("A zone that is cut off", func() {
 	for kind, name := range []string{cutSilent: "silently", cutRefused: "with refusals", cutOneWay: "one way"} {
 		It(name+" makes a request wait at most once for each zone behind the cut, and not at all after the first second", func() {
@@ -143,7 +143,7 @@
 			}
 			return zones
 		}
-		simulation.now = simulation.now.Add(2 * time.Hour) // the members' own suspicions are over
+		simulation.now = simulation.now.Add(2 * time.Hour) // the members' own suspicions have ended
 		Expect(homesOf("key")).To(HaveEach(identity.Zone("a")))
 		for number := range 50 {
 			for _, other := range list.Others(fmt.Sprint(number), math.MaxInt32) {
--- a/internal/members/watching.go
+++ b/internal/members/watching.go
@@ -13,9 +13,9 @@
 )
 
 // Each daemon checks the leases of the successorsWatched members that follow it in the order of
-// names, wrapping around at the end. It reads further leases only if all leases read so far have
-// been unchanged for longer than a renewal interval. A renewal is recognized by the row's version,
-// so only times of the checking daemon's own clock are compared.
+// names; the last names are followed by the first ones. It reads further leases only if all leases
+// read so far have been unchanged for longer than a renewal interval. A renewal changes the row's
+// version, so a daemon compares only times of its own clock.
 const (
 	successorsWatched = 4
 	// furtherLeasesPerRead is the number of leases in each further read, and maxLeaseReads bounds
@@ -23,18 +23,19 @@
 	// die at the same moment.
 	furtherLeasesPerRead = 100
 	maxLeaseReads        = 6
-	// maxRenewalsBetweenChecks bounds the time between two checks, in renewal intervals. After a
-	// longer pause the observations are discarded, since this process may have been suspended.
+	// maxRenewalsBetweenChecks is the longest time between two checks, in renewal intervals, after
+	// which earlier observations still count. After a longer pause they are discarded, because this
+	// process may have been suspended.
 	maxRenewalsBetweenChecks = 3
 )
 
-// watchedLeases holds the leases that a daemon checks.
+// watchedLeases holds the leases that this daemon checks.
 type watchedLeases struct {
 	seen      map[string]watchedLease
 	lastCheck time.Time
 }
 
-// watchedLease is one lease as last observed.
+// watchedLease is a lease as this daemon last observed it.
 type watchedLease struct {
 	version state.Version
 	since   time.Time // when this daemon first saw the version
@@ -42,8 +43,8 @@
 
 func (w *watchedLeases) reset() { w.seen = nil }
 
-// unchangedFor records the row's version and returns how long it has been unchanged, as observed
-// here.
+// unchangedFor records the row's version and returns how long this daemon has observed that
+// version.
 func (w *watchedLeases) unchangedFor(row state.Row, now time.Time) time.Duration {
 	if w.seen == nil {
 		w.seen = map[string]watchedLease{}
@@ -56,7 +57,8 @@
 	return now.Sub(known.since)
 }
 
-// checkOthers ends expired leases, releases claims, updates the layout and removes dead members.
+// checkOthers ends expired leases, releases the claims of ended members, updates the layout and
+// removes dead members.
 func (l *Lease) checkOthers(ctx context.Context) {
 	now := l.List.now()
 	if now.Sub(l.watchedLeases.lastCheck) > maxRenewalsBetweenChecks*l.renewal() {
@@ -110,8 +112,8 @@
 	return nil
 }
 
-// checkLease ends the lease if it has expired. It reports whether the lease has been unchanged for
-// longer than a renewal interval, or can't be decoded.
+// checkLease ends the lease if it has expired. It returns true if the lease has been unchanged for
+// longer than a renewal interval or can't be decoded.
 func (l *Lease) checkLease(ctx context.Context, row state.Row, now time.Time) bool {
 	lease, err := decodeLease(row)
 	if err != nil {
@@ -125,8 +127,8 @@
 	return unchanged > lease.Term/renewalsPerTerm
 }
 
-// expireLease removes an expired lease and marks its holder dead, unless the lease was renewed
-// meanwhile.
+// expireLease removes an expired lease and marks its holder dead, unless the lease was renewed in
+// the meantime.
 func (l *Lease) expireLease(parent context.Context, row state.Row, lease leaseRow, unchanged time.Duration) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
@@ -145,7 +147,7 @@
 		}
 		commit.Puts = []state.Put{{Key: keyOf(Table, machine), Value: value}}
 	} else if found {
-		return // the list is older or newer than the lease
+		return // the list shows an earlier or a later process than the lease
 	}
 	_, err := l.Store.Commit(ctx, commit)
 	fields := []zap.Field{
@@ -159,8 +161,8 @@
 	l.Log.Warn("members: lease ended.", fields...)
 }
 
-// removeDead removes the rows of members that have been dead for deadRetention. Each row is handled
-// by the living member with the highest score for it.
+// removeDead removes the rows of members that have been dead for deadRetention. For each dead
+// member, the living member with the highest score for its name does it.
 func (l *Lease) removeDead(parent context.Context, now time.Time) {
 	for _, rec := range l.List.current.Load().dead {
 		machine := string(rec.member.Process.Machine)
--- a/internal/members/zones_play_test.go
+++ b/internal/members/zones_play_test.go
@@ -18,22 +18,22 @@
 const (
 	cutSilent  cutKind = iota // no answer until the caller's timeout
 	cutRefused                // an immediate error
-	cutOneWay                 // calls into the cut zone get no answer; calls out of it succeed
+	cutOneWay                 // calls into cutOffZone get no answer; calls out of it succeed
 )
 
-// zoneSimulation simulates 84 daemons in three zones, of which cutOffZone can be cut off. Each
-// daemon gets a request every requestInterval, and asks the holders of its program in turn until
-// one answers, as package budget does.
+// zoneSimulation simulates 84 daemons in three zones. It can cut off cutOffZone. Each daemon gets a
+// request every requestInterval. A request asks the holders of its program in turn until one
+// answers, as package budget does.
 type zoneSimulation struct {
 	now      time.Time
 	kind     cutKind
 	isCutOff bool
 	lists    []*List
-	events   map[time.Time][]func() // by time, a multiple of clockStep
+	events   map[time.Time][]func() // by due time, a multiple of clockStep
 	requests []requestResult
 }
 
-// requestResult is the number of calls of a request that got no answer.
+// requestResult is the number of calls without an answer that a request made.
 type requestResult struct {
 	at       time.Time
 	zone     identity.Zone
@@ -87,8 +87,8 @@
 	}
 }
 
-// simulateCall reports whether a call is answered, and after which time a call without an answer
-// fails.
+// simulateCall reports whether a call is answered. A call without an answer fails after the
+// returned time.
 func (s *zoneSimulation) simulateCall(from, to identity.Zone, wait time.Duration) (answered bool, after time.Duration) {
 	crossesCut := s.isCutOff && (from == cutOffZone) != (to == cutOffZone)
 	switch {
@@ -108,14 +108,14 @@
 	request.askFrom(0)
 }
 
-// simulatedRequest is one request that asks the holders of its program.
+// simulatedRequest is a request in progress, which asks the holders of its program.
 type simulatedRequest struct {
 	simulation *zoneSimulation
 	list       *List
 	homes      Homes
 	startedAt  time.Time
 	timeouts   int
-	// unanswered holds the zones in which a holder gave no answer.
+	// unanswered holds the zones of holders that gave no answer.
 	unanswered []identity.Zone
 }
 
@@ -166,8 +166,9 @@
 	}
 }
 
-// maxTimeouts returns the highest number of unanswered calls of any request that began in [from,
-// to) in the given zones, or in all zones if none are given.
+// maxTimeouts returns the highest number of unanswered calls of a request. It considers the
+// requests that began at from or later and before to, in the given zones or in all zones if none
+// are given.
 func (s *zoneSimulation) maxTimeouts(from, to time.Time, zones ...identity.Zone) int {
 	highest := 0
 	for _, each := range s.requests {
@@ -181,7 +182,7 @@
 func (s *zoneSimulation) countSilentZones() (count int) {
 	for _, list := range s.lists {
 		for _, living := range list.current.Load().otherZones {
-			if living[0].zone.silent.Load() {
+			if living[0].zone.isSilent.Load() {
 				count++
 			}
 		}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,8 +1,8 @@
-// Package watch follows a table of the store: it reads the table once, then receives its changes
-// from the feed, and reads the table again if the feed's history was lost.
+// Package watch follows a table of the store: it reads the table once, then receives changes from
+// the feed, and reads the table again if the feed's history is lost.
 //
-// The versions passed to the follower never decrease. A reading that is older than what the
-// follower already has is discarded.
+// The versions passed to the follower never decrease. A reading older than the follower's state is
+// discarded.
 package watch
 
 import (
@@ -17,9 +17,10 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Follower receives the contents of a table. Calls come from one goroutine.
+// Follower receives the contents of a table. Run calls its methods from one goroutine.
 type Follower interface {
-	// Replace replaces all rows by a complete reading, which is as of the version.
+	// Replace replaces all rows by those of a complete reading. version is the version as of which
+	// the reading is complete.
 	Replace(rows []state.Row, version state.Version)
 	// Change applies changed and removed rows, in the order of the changes.
 	Change(rows []state.Row)
@@ -37,7 +38,8 @@
 	// Due, if set, returns the time within which the next answer is needed; it shortens Wait. Zero
 	// or less: no need before Wait.
 	Due func() time.Duration
-	// Pause is the minimum time between two batches of changes; it makes the batches larger.
+	// Pause is the minimum time between two batches of changes. A longer pause makes batches
+	// larger.
 	Pause time.Duration
 	// OnHeard, if set, is called after each answer of the store, once the follower has applied it.
 	OnHeard func()
@@ -54,7 +56,7 @@
 	Options
 	follower Follower
 	version  state.Version
-	hasRead  bool // a reading was applied since the start or since the history was lost
+	hasRead  bool // the table was read since the start or since the history was lost
 }
 
 // Run follows the table until the context ends. It retries with growing delays.
@@ -108,8 +110,8 @@
 	return w.Wait
 }
 
-// readAll reads the table page by page. Each page is consistent as of its own version; the feed
-// continues from the oldest of them.
+// readAll reads the table page by page. Each page is consistent as of its own version. The feed
+// continues from the oldest page.
 func (w *watcher) readAll(ctx context.Context) error {
 	var rows []state.Row
 	oldest := state.Version(0)
