--- a/internal/members/claims.go
+++ b/internal/members/claims.go
@@ -10,7 +10,7 @@
 )
 
 // snapshot is a View with the indexes that lookups need. It is built once for each change of the
-// list, so that a lookup needs one pass over the members and no sorting or allocation.
+// list, so that Homes needs one pass over the members and no sorting or allocation.
 type snapshot struct {
 	view       *View
 	living     []*memberRecord                   // living members of all zones, by machine name
@@ -21,7 +21,7 @@
 	otherZones map[identity.Zone][]*memberRecord // living members of other zones, by zone
 	own        *memberRecord                     // this daemon's record
 	owners     ownerSet
-	self       identity.Process // this process
+	self       identity.Process
 }
 
 func newSnapshot(view *View, records []*memberRecord, self identity.Process, ownStanding Standing, stored storedLayout) *snapshot {
@@ -66,13 +66,13 @@
 	return built
 }
 
-// maxHomes bounds the homes of a key in a region. The first home holds the key; the others replace
-// it in order while it doesn't answer. If all of them fail before this daemon notices, this daemon
-// handles the key itself.
+// maxHomes is the maximum number of homes of a key in a region or zone. The first home holds the
+// key; the others replace it in order while it doesn't answer. If no home answers, the daemon that
+// looked them up handles the key itself.
 const maxHomes = 3
 
-// Homes are the available members of a region with the highest scores for a key, in descending
-// order of score. Homes is a value, so that a lookup allocates nothing.
+// Homes are the available members of a region or zone with the highest scores for a key, in
+// descending order of score. Homes is a value, so that a lookup allocates nothing.
 type Homes struct {
 	found  [maxHomes]*memberRecord
 	scores [maxHomes]uint64
@@ -85,7 +85,7 @@
 // At returns the home at the given position; position 0 has the highest score.
 func (h *Homes) At(order int) Member { return h.found[order].member }
 
-// insert adds the member if its score is among the maxHomes highest.
+// insert adds the member if its score is among the maxHomes highest inserted so far.
 func (h *Homes) insert(candidate *memberRecord, memberScore uint64) {
 	index := h.count
 	for index > 0 && h.scores[index-1] < memberScore {
@@ -102,7 +102,7 @@
 
 // Homes returns the members of this daemon's region with the highest scores for the key (rendezvous
 // hashing). Suspected members and members of silent zones are left out, except this daemon itself.
-// Apart from that, all daemons of the region get the same homes.
+// Apart from that, all daemons of the region that have the same list get the same homes.
 func (l *List) Homes(key string) Homes {
 	current := l.current.Load()
 	return l.topHomes(current, current.byRegion[0], hashOf(key))
@@ -163,14 +163,15 @@
 }
 
 // Sweeps reports whether this daemon has the highest score for the key among the living members of
-// all zones. Callers use it to let a single daemon do a task.
+// all zones. Callers use it to select one daemon for a task. It may be true at several daemons, or
+// at none, while their lists differ.
 func (l *List) Sweeps(key string) bool {
 	current := l.current.Load()
 	return hasHighestScore(current.living, current.own, hashOf(key))
 }
 
-// hasHighestScoreOfAll reports whether this daemon has the highest score for the key among the living
-// and the dead members of all zones.
+// hasHighestScoreOfAll reports whether this daemon has the highest score for the key among the
+// living and the dead members of all zones.
 func (l *List) hasHighestScoreOfAll(key string) bool {
 	current := l.current.Load()
 	keyHash := hashOf(key)
--- a/internal/members/fleet_world_test.go
+++ b/internal/members/fleet_world_test.go
@@ -27,7 +27,7 @@
 	store   *memorystore.Store
 	now     time.Time
 	started int
-	zones   map[string]identity.Zone // by machine; other machines are in the zone with the empty name
+	zones   map[string]identity.Zone // zone of each machine; unlisted machines are in the zone with the empty name
 }
 
 func newTestEnv() *testEnv {
@@ -110,8 +110,8 @@
 	return member.State
 }
 
-// run advances the clock by duration. All daemons step every testRenewal, and read the list at the
-// end.
+// run advances the clock by duration. The given daemons step every testRenewal, and read the list
+// at the end.
 func (e *testEnv) run(duration time.Duration, daemons ...*daemon) {
 	for end := e.now.Add(duration); e.now.Before(end); e.now = e.now.Add(testRenewal) {
 		for _, each := range daemons {
--- a/internal/members/founding.go
+++ b/internal/members/founding.go
@@ -14,23 +14,23 @@
 // machine is told that the system is being started for the first time. A daemon whose list doesn't
 // show the row doesn't lend, and doesn't become a shard owner by settling.
 //
-// Any registered member writes the row after a renewal, if its list doesn't show the row and
-// founderRegistrationWindow plus maxFounderStartSkew have passed since the member's start. The
-// first such commit succeeds. While the store can't be reached, the row isn't written and no daemon
-// lends. The row is in Table, so a daemon that sees it has seen each row written before it. No
-// machine has this name.
+// Any member writes the row after a registration or renewal, if the store has confirmed its list,
+// the list doesn't show the row, and founderRegistrationWindow plus maxFounderStartSkew have passed
+// since the member's start. The first such commit succeeds. While the store can't be reached, the
+// row isn't written and no daemon lends. The row is in Table, so a daemon that sees it has seen
+// each row written before it. No machine has this name.
 var bootstrapKey = state.Key{Table: Table, Partition: partition, Name: "/founded"}
 
-// recordBootstrapEnd records the end of the bootstrap if rows holds bootstrapKey with a version of
-// at most completeAt, the version as of which the list is complete. A reading of several pages is
-// complete only as of the oldest page. The caller publishes the list first, so that a goroutine
+// recordBootstrapEnd records the end of the bootstrap if rows contains bootstrapKey with a version
+// of at most completeAt, the version as of which the list is complete. A reading of several pages
+// is complete only as of the oldest page. The caller publishes the list first, so that a goroutine
 // that sees isBootstrapped also sees all founders in the snapshot.
 func (l *List) recordBootstrapEnd(rows []state.Row, completeAt state.Version) {
 	hasMarker := slices.ContainsFunc(rows, func(row state.Row) bool {
 		return row.Key.Name == bootstrapKey.Name && row.Version <= completeAt
 	})
 	if hasMarker && !l.localStatus.isBootstrapped.Swap(true) {
-		l.log.Info("members: the founding is over.")
+		l.log.Info("members: bootstrap is over.")
 	}
 }
 
@@ -45,9 +45,9 @@
 	return !l.localStatus.isBootstrapped.Load() && l.localStatus.lastHeard.Load() != 0 && l.untilBootstrapEnd() <= 0
 }
 
-// firstLayout returns the layout that takes effect at the end of the bootstrap. It is empty if
-// members own shards already, in a system that had no layouts: they remain one group until a change
-// is announced.
+// firstLayout returns the layout that takes effect at the end of the bootstrap. It is empty if the
+// list has members that may own shards already, as in a system that predates layouts. All members
+// then remain one group until a change is announced.
 func (l *List) firstLayout() layout {
 	current := l.current.Load()
 	for _, rec := range current.owners.records {
@@ -61,7 +61,7 @@
 // storedLayout is the layout as last read from the store.
 type storedLayout struct {
 	layout
-	version   state.Version // zero: the store has none yet
+	version   state.Version // zero: none was read yet
 	firstSeen time.Time     // when this daemon first saw the version
 	// isUnreadable reports that the layout can't be decoded, for example because another version of
 	// this program wrote it. This process then treats all shards as having no owner.
@@ -69,7 +69,7 @@
 }
 
 // nextLayout returns the stored layout, the layout that should follow it, and whether the change is
-// due.
+// due. No change is due if no layout was read yet or the stored one can't be decoded.
 func (l *List) nextLayout(now time.Time) (stored storedLayout, next layout, due bool) {
 	current := l.current.Load()
 	stored = current.owners.layout
@@ -80,7 +80,7 @@
 	return stored, next, due
 }
 
-// countByZone returns the number of members with claims by the zone of their claims.
+// countByZone returns, for each zone, the number of members whose claims are in it.
 func (s ownerSet) countByZone() map[identity.Zone]int {
 	counts := map[identity.Zone]int{}
 	for _, rec := range s.records {
--- a/internal/members/keeper.go
+++ b/internal/members/keeper.go
@@ -15,16 +15,18 @@
 // owner knows since when no other process has owned the shard. Shards move to another zone by an
 // announced change of the layout (layout.go). Within a zone they move in two cases.
 //   - A member joins. It has no claims until it is settling, and owns no shards until
-//     settlingDuration is over. The former owners stop when they see that it is settling, or
-//     maxOwnerListAge after the store last confirmed their list; both are sooner.
-//   - A member ends. It has claims until its row says that they are released; that commit is
-//     conditional on the row being unchanged. The claims of a member that was killed or cut off are
-//     released only when the member must have stopped using its list. A member that shuts down as
-//     planned stops owning shards before it writes so.
+//     settlingDuration is over (a founder: until the bootstrap is over). The former owners stop
+//     when they see that it is settling, or maxOwnerListAge after the store last confirmed their
+//     list; both happen before settlingDuration is over.
+//   - A member ends. It has claims until its row says that they are released; the commit that
+//     releases them is conditional on the row being unchanged. The claims of a member that was
+//     killed or cut off are released only when the member must have stopped using its list. A
+//     member that shuts down as planned stops owning shards before it writes that it has ended.
 //
-// A process that is restarted at its machine's former address owns the machine's shards at once,
-// unless their claims were released. The former process can't be running, since it used the same
-// address.
+// A process that is restarted at its machine's former address takes over the standing of the former
+// process, unless the machine's claims were released. If the former process could own shards, the
+// new one can own them as soon as it has registered, or earlier (see inheritShards). The former
+// process can't be running, since it used the same address.
 const (
 	// maxOwnerListAge is how long a shard owner may use its list after the store last confirmed the
 	// list. It is long enough to bridge outages of the store.
@@ -32,12 +34,12 @@
 	// maxListDelay is the maximum age of the list's contents at the time when the store confirms
 	// the list.
 	maxListDelay = time.Minute
-	// settlingDuration is the longest time for which another member may use a list without this
-	// member.
+	// settlingDuration is the longest time for which another member may use a list that doesn't
+	// show this member's claims.
 	settlingDuration = maxOwnerListAge + maxListDelay
-	// joinDelay is how long a member that joined has no claims. When it gets claims, the shards
-	// that pass to it have no owner for settlingDuration, so a machine that joins for a short time
-	// should get none.
+	// joinDelay is the minimum time for which a member that joined has no claims. When it gets
+	// claims, the shards that pass to it have no owner for settlingDuration, so a machine that
+	// joins for a short time should get none.
 	joinDelay = 10 * time.Minute
 	// joinDelaySpread is the interval over which members that joined together start to settle, so
 	// that not all shards that move are without an owner at the same time.
@@ -46,8 +48,8 @@
 	// restarted without losing its claims.
 	endedReleaseDelay = 20 * time.Second
 	// maxInheritedTime is how long a process may own its machine's shards without having
-	// registered. The former process may have shut down since the list was read. Its claims are
-	// then released endedReleaseDelay after the shutdown.
+	// registered. The list may not show yet that the former process shut down as planned. In that
+	// case the claims are released endedReleaseDelay after the shutdown.
 	maxInheritedTime = endedReleaseDelay / 2
 	// deadReleaseDelay is the time after which a member that was marked dead must have stopped
 	// using its list.
@@ -80,13 +82,13 @@
 	return owner.member, true
 }
 
-// Keeps reports whether this process owns a shard of the key, and returns the time since which no
-// other process has owned the shard.
+// Keeps reports whether this process owns the given shard of the key, and returns the time since
+// which no other process has owned the shard.
 func (l *List) Keeps(key string, shardNumber int) (since time.Time, owns bool) {
 	if !l.mayOwnShards() {
 		return time.Time{}, false
 	}
-	// loaded after the check by mayOwnShards, so not older than the list that was checked
+	// Loaded after mayOwnShards has checked the list, so the snapshot isn't older than that list.
 	current, wanted := l.current.Load(), shard{hashOf(key), shardNumber}
 	if current.owners.ownerOf(wanted) != current.own {
 		return time.Time{}, false
@@ -101,8 +103,9 @@
 	return since, true
 }
 
-// mayOwnFrom returns the time from which this process may own shards by its standing, in
-// nanoseconds since its start.
+// mayOwnFrom returns the time before which another process may have owned the shards that this
+// process may own, in nanoseconds since the start of this process. Changes of the list during the
+// membership of this process are not included (see ownerSet.since).
 func (l *List) mayOwnFrom() int64 {
 	switch {
 	case l.standing() == StandingKeeps:
@@ -134,9 +137,10 @@
 }
 
 // inheritShards lets this process own the shards of its machine's former process as soon as it has
-// read that process's row, even before it has registered. This is safe: if the row isn't marked
-// dead, the claims are released deadReleaseDelay later at the earliest, and this process stops
-// using its list sooner. The caller holds the lock.
+// read that process's row, even before it has registered. The row must have the same address and
+// StandingKeeps, and must not be marked dead. This is safe: if the row is marked dead later, the
+// claims are released deadReleaseDelay after that, and this process stops using its list sooner.
+// maxInheritedTime covers the earlier release after a planned shutdown. The caller holds the lock.
 func (l *List) inheritShards(former Member) {
 	canInherit := former.State != StateDead && former.Standing == StandingKeeps && former.Process.Address == l.self.Process.Address
 	if !canInherit || former.Process.Incarnation >= l.self.Process.Incarnation || l.localStatus.registeredAt.Load() != 0 || l.localStatus.inheritedAt.Load() != 0 {
@@ -164,7 +168,7 @@
 	case l.standing() == StandingSettling:
 		exclusiveSince = l.mayOwnFrom()
 	case !l.localStatus.hasOwned.Load() || l.standing() == StandingKeeps:
-		exclusiveSince = l.localStatus.exclusiveSince.Load() // zero at first, since the former process ended before this one started
+		exclusiveSince = l.localStatus.exclusiveSince.Load() // initially 0, the start of this process; the former process ended before it
 	}
 	l.localStatus.exclusiveSince.Store(exclusiveSince)
 	l.localStatus.standingSince.Store(now)
@@ -177,8 +181,9 @@
 // currentOwnersSince returns a time since which no other process can have owned the shards that the
 // current ownerSet assigns to this process. It is the start of this process if the process has
 // owned no shard yet and started less than endedReleaseDelay ago; otherwise it is now. The start is
-// safe: the former process of the machine ended before it, and other owners stop at least
-// endedReleaseDelay before a release of claims or a change of the layout takes effect.
+// safe: the former process of the machine ended before it (if not, mayOwnFrom returns a later
+// time), and other owners stop at least endedReleaseDelay before a release of claims or a change of
+// the layout takes effect.
 func (l *List) currentOwnersSince() time.Time {
 	now := l.now()
 	if earliest := now.Add(-endedReleaseDelay); !l.localStatus.hasOwned.Load() && l.localStatus.startedAt.After(earliest) {
@@ -187,8 +192,8 @@
 	return now
 }
 
-// standing returns this process's standing: that of its row, or before registration StandingJoined
-// or the inherited one.
+// standing returns the standing in this process's row. Before the process has registered, it
+// returns StandingJoined or the inherited standing.
 func (l *List) standing() Standing {
 	return Standing(l.localStatus.standing.Load()) //nolint:gosec // was a Standing
 }
@@ -216,8 +221,8 @@
 	return max(l.untilBootstrapEnd(), founderRecheckInterval), true
 }
 
-// founderRecheckInterval is the minimum wait of a founder until it checks again whether the list
-// shows the end of the bootstrap.
+// founderRecheckInterval is the minimum wait that untilFounderOwns returns, so that a founder
+// doesn't renew without pause until its list shows the end of the bootstrap.
 const founderRecheckInterval = 200 * time.Millisecond
 
 func (l *List) isJoinDelayOver() bool {
@@ -226,8 +231,9 @@
 	return l.localStatus.elapsed(l.now())-l.localStatus.standingSince.Load() > wait
 }
 
-// initialStanding returns the standing with which this process registers. existing is the row of
-// its machine's former process, or nil if there is none.
+// initialStanding returns the standing with which this process registers. existing is the row that
+// the machine already has, or nil if it has none. The row is that of another process of the
+// machine, or this process's own row if it was marked dead.
 func initialStanding(existing *Member, self Member, firstStart bool) Standing {
 	switch {
 	case existing == nil && firstStart:
--- a/internal/members/keeper_set.go
+++ b/internal/members/keeper_set.go
@@ -25,9 +25,9 @@
 // expected while a quota refills.
 const maxPreviousSets = 8
 
-// continueFrom returns s as the successor of the previous set, where since is the time of the
-// change. If neither the layout nor the machines have changed, s takes over the time and the chain
-// of the previous set instead.
+// continueFrom returns s with the given time since and with previous as its previous set. If
+// neither the layout nor the machines have changed, the result has the time and the chain of
+// previous sets of previous instead.
 func (s ownerSet) continueFrom(previous ownerSet, since time.Time) ownerSet {
 	if s.layout.version == previous.layout.version && s.hasSameMachines(previous) {
 		s.since, s.previous = previous.since, previous.previous
@@ -46,9 +46,10 @@
 	return s
 }
 
-// ownedSince returns the time since which the machine has owned the shard without interruption.
-// Between two sets that this process saw, no other member can have owned it, because a new member
-// settles for longer than any list may be used.
+// ownedSince returns the time since which the machine has owned the shard without interruption. The
+// caller has checked that s assigns the shard to the machine. Between two sets that this process
+// saw, no other member can have owned the shard, because a new member settles for longer than any
+// list may be used.
 func (s ownerSet) ownedSince(wanted shard, machine identity.Machine) time.Time {
 	since := s.since
 	for earlier := s.previous; earlier != nil; earlier = earlier.previous {
@@ -61,9 +62,9 @@
 }
 
 // hasSameMachines reports whether both sets hold the same machines in the same order. It needn't
-// compare the zones of the claims. These change only joinDelay after a release of the claims.
-// Before that, this process either saw a set without the machine, or its list became too old to
-// use.
+// compare the zones of the claims: a machine gets claims in another zone only after its claims were
+// released, at least joinDelay later. By then, this process has seen a set without the machine, or
+// its list has become too old to use.
 func (s ownerSet) hasSameMachines(other ownerSet) bool {
 	if len(s.records) != len(other.records) {
 		return false
@@ -76,8 +77,8 @@
 	return true
 }
 
-// ownerOf returns the owner of a shard. It is nil if the shard is moving to another zone or if no
-// member of its zone has claims.
+// ownerOf returns the owner of a shard. It is nil if the shard is moving to another zone, if no
+// member has claims in its zone, or if the layout can't be decoded.
 func (s ownerSet) ownerOf(wanted shard) *memberRecord {
 	if cached, isCached := s.cache.Load(wanted); isCached {
 		return cached.(*memberRecord)
--- a/internal/members/keeper_test.go
+++ b/internal/members/keeper_test.go
@@ -41,7 +41,7 @@
 		return ""
 	}
 
-	It("are found among the founders soon after the start, the same by every daemon", func() {
+	It("are founders soon after the start, and every daemon finds the same owner", func() {
 		fleet := bootstrapFleet("m0", "m1", "m2")
 		key := ownedKey(fleet[0])
 		for _, each := range fleet {
--- a/internal/members/laying.go
+++ b/internal/members/laying.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// updateLayout writes the next layout if one is due. The living member with the highest score for
-// the layout's row does it.
+// updateLayout writes the next layout if one is due and this daemon has the highest score for the
+// layout's row among the living members.
 func (l *Lease) updateLayout(parent context.Context, now time.Time) {
 	stored, next, due := l.List.nextLayout(now)
 	if due && l.List.Sweeps(bootstrapKey.Name) {
@@ -25,8 +25,8 @@
 	}
 }
 
-// writeLayout writes a layout, on condition that the stored layout has the version storedVersion;
-// zero: none is stored.
+// writeLayout writes a layout, on condition that the stored layout has the version storedVersion. A
+// storedVersion of zero means that no layout is stored.
 func (l *Lease) writeLayout(parent context.Context, next layout, storedVersion state.Version) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
--- a/internal/members/layout.go
+++ b/internal/members/layout.go
@@ -18,9 +18,9 @@
 // then, each list that daemons still use shows the announcement. The stored layout and the one
 // before it never give a shard two different owners.
 //
-// Because each zone owns some of a key's shards, a zone that is cut off still reaches its own share
-// of them, and the other zones reach theirs. The cost is that shards that move have no owner for
-// layoutChangeDelay when a zone is added or removed.
+// Because a key's shards are spread over the zones, a zone that is cut off still reaches those
+// assigned to it, and the other zones still reach theirs. The cost is that shards that move have no
+// owner for at least layoutChangeDelay when a zone is added or removed.
 type layout struct {
 	Zones  []identity.Zone `cbor:"z,omitempty"` // in force; empty: all members form one group
 	Moving bool            `cbor:"m,omitempty"` // a change to Next is announced
@@ -31,7 +31,7 @@
 	// layoutChangeDelay is the time between the announcement of a change and the commit that puts
 	// it in force. After settlingDuration, no daemon uses a list without the announcement. The
 	// additional endedReleaseDelay allows currentOwnersSince to return the start time of a process
-	// that started within it.
+	// that started less than endedReleaseDelay ago.
 	layoutChangeDelay = settlingDuration + endedReleaseDelay
 	// minZoneSizeDivisor determines the minimum size of a zone that receives shards: the mean
 	// number of members with claims per zone, divided by minZoneSizeDivisor. It prevents a few
@@ -64,10 +64,10 @@
 	return current, !l.Moving || assignZone(l.Next, wanted) == current
 }
 
-// assignZone returns the zone to which a shard is assigned. The shards of a key choose zones in
-// order: each takes the zone with the highest score for it among those not yet chosen. Once all
-// zones are chosen, all are available again. So each zone has a shard if there are enough of them,
-// and few shards move to a new zone.
+// assignZone returns the zone to which a shard is assigned, or the group of all members if zones is
+// empty. The shards of a key choose zones in order: each takes the zone with the highest score for
+// it among those not yet chosen. Once all zones are chosen, all are available again. So each zone
+// has a shard if the key has enough shards, and few shards move when a zone is added.
 func assignZone(zones []identity.Zone, wanted shard) zoneGroup {
 	if len(zones) == 0 {
 		return zoneGroup{isEveryZone: true}
@@ -95,8 +95,9 @@
 	return best
 }
 
-// next returns the layout that should follow l, and whether it is due. members is the number of
-// members with claims by zone; seenFor is how long l has been the stored layout, as seen here.
+// next returns the layout that should follow l, and whether it is due. members holds the number of
+// members with claims in each zone; seenFor is how long this daemon has seen l as the stored
+// layout.
 func (l *layout) next(members map[identity.Zone]int, seenFor time.Duration) (layout, bool) {
 	if l.Moving {
 		return layout{Zones: l.Next}, seenFor > layoutChangeDelay
@@ -108,8 +109,8 @@
 	return layout{Zones: l.Zones, Moving: true, Next: wanted}, true
 }
 
-// zonesWithShards returns the zones that should have shards, in order of name. members is the
-// number of members with claims by zone; inForce are the zones that have shards now.
+// zonesWithShards returns the zones that should have shards, in order of name. members holds the
+// number of members with claims in each zone; inForce are the zones that have shards now.
 func zonesWithShards(members map[identity.Zone]int, inForce []identity.Zone) []identity.Zone {
 	total := 0
 	for _, count := range members {
--- a/internal/members/layout_test.go
+++ b/internal/members/layout_test.go
@@ -118,7 +118,7 @@
 		return owned
 	}
 
-	It("are in every zone after the bootstrap, the same by every daemon", func() {
+	It("are in every zone after the bootstrap, and every daemon finds the same owners", func() {
 		fleet := startZonedFleet(env, "a1", "a2", "b1", "b2", "c1", "c2")
 		for number := range 50 {
 			key := fmt.Sprint("tenant ", number)
--- a/internal/members/lease.go
+++ b/internal/members/lease.go
@@ -17,15 +17,15 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// LeaseTable is the store table with one row per living member, keyed by machine name. It isn't
-// followed: each daemon reads only the few rows that it checks.
+// LeaseTable is the store table with one row per member that isn't marked dead, keyed by machine
+// name. Daemons don't follow it; each reads the few rows that it checks.
 const LeaseTable = "member-leases"
 
 // Timing of leases.
 const (
 	// renewalIntervalPerMember is multiplied by the number of members to get the renewal interval,
-	// unless ShortestRenewal is longer. So a large fleet makes 20 renewals a second in total, of
-	// the 300 commits a second that one store partition takes.
+	// unless ShortestRenewal is longer. So a large fleet makes about 20 renewals a second in
+	// total, of the 300 commits a second that one store partition takes.
 	renewalIntervalPerMember = 50 * time.Millisecond
 	// renewalsPerTerm is the term of a lease in renewal intervals.
 	renewalsPerTerm = 4
@@ -40,11 +40,13 @@
 	registrationDelayDivisor = 10
 	// registrationRetryDelay is the delay before a failed registration is retried.
 	registrationRetryDelay = 250 * time.Millisecond
-	// renewalJitterDivisor gives the maximum jitter: the renewal interval divided by it.
+	// renewalJitterDivisor determines the jitter: each wait of Run is shortened by a random time of
+	// up to the wait divided by renewalJitterDivisor.
 	renewalJitterDivisor = 8
 	// deadRetention is how long a dead member stays listed. A member may lend until
-	// maxLenderListAge after the store last confirmed its list. That list may already have been a
-	// minute old. Its programs may return for programReuseWindow after that.
+	// maxLenderListAge after the store last confirmed its list. The second maxLenderListAge allows
+	// for the age of the list's contents at that confirmation (up to maxListDelay). The member's
+	// programs may return for programReuseWindow after that.
 	deadRetention = programReuseWindow + 2*maxLenderListAge
 )
 
@@ -59,8 +61,8 @@
 	// ShortestRenewal is the minimum renewal interval; it applies to small fleets.
 	ShortestRenewal time.Duration
 	Log             *zap.Logger
-	// Revision is the configuration revision in force at this daemon. Each renewal writes it to the
-	// lease.
+	// Revision is the configuration revision in force at this daemon. Each registration and renewal
+	// writes it to the lease.
 	Revision atomic.Uint64
 
 	mutex         sync.Mutex // guards the fields below
@@ -84,17 +86,16 @@
 	return state.Key{Table: table, Partition: partition, Name: string(machine)}
 }
 
-// removedKey is written when a dead member's row is removed. Once it exists, the absence of a row
-// no longer proves that no process of that name existed before, so no new process counts as a
-// founder.
+// removedKey is a row that is written when a dead member's row is removed. Once it exists, the
+// absence of a machine's row no longer proves that no process of the machine existed before, so no
+// new process counts as a founder.
 var removedKey = state.Key{Table: "members-removed", Partition: partition, Name: "any"}
 
 // partition is the store partition that holds all tables of this package, because their rows are
 // committed together. It is separate from the rows that operators write.
 const partition = "members"
 
-// renewal returns the renewal interval.
-func (l *Lease) renewal() time.Duration {
+func (l *Lease) renewalInterval() time.Duration {
 	return max(l.ShortestRenewal, time.Duration(l.List.Count())*renewalIntervalPerMember)
 }
 
@@ -103,7 +104,7 @@
 	spread := min(maxRegistrationDelay, l.ShortestRenewal/registrationDelayDivisor)
 	pause.For(ctx, time.Duration(rand.Int64N(int64(spread)+1)))
 	for ctx.Err() == nil {
-		wait := l.renewal() // also after a failed renewal: a term spans several intervals
+		wait := l.renewalInterval() // also after a failed renewal: a term spans several intervals
 		if !l.Step(ctx) {
 			wait = registrationRetryDelay
 		}
@@ -115,9 +116,9 @@
 	}
 }
 
-// Step registers this daemon or renews its lease, and then checks the other members. It reports
-// whether this daemon is registered; once this process has ended or was superseded, it does nothing
-// and returns true.
+// Step registers this daemon or renews its lease and, if that succeeds, checks the other members.
+// It reports whether this daemon is registered; once this process has ended or was superseded, it
+// does nothing and returns true.
 func (l *Lease) Step(ctx context.Context) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -152,7 +153,7 @@
 	return l.register(parent)
 }
 
-// register writes this daemon's rows, replacing those of a former process of this machine.
+// register writes this daemon's rows, replacing any rows that the machine already has.
 func (l *Lease) register(parent context.Context) error {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
@@ -171,8 +172,9 @@
 
 var errLeaseLost = errors.New("lease was removed or overwritten")
 
-// renew writes this daemon's lease, on condition that the stored lease is still its own. It returns
-// errLeaseLost if the lease was removed or overwritten.
+// renew renews this daemon's lease, and writes the next standing if it differs from the current
+// one. It returns errLeaseLost if the lease was removed or was overwritten by a former process. If
+// a later process has written the lease, renew sets isSuperseded and returns nil.
 func (l *Lease) renew(ctx context.Context) error {
 	value, err := l.encodeLease()
 	if err != nil {
@@ -227,7 +229,7 @@
 	return nil
 }
 
-// member returns this daemon as its row describes it, with the given standing.
+// member returns the Member to write to this daemon's row, with the given standing.
 func (l *Lease) member(standing Standing) Member {
 	member := l.List.self
 	member.Standing, member.ClaimZone = standing, l.claimZone
@@ -238,7 +240,7 @@
 }
 
 func (l *Lease) encodeLease() ([]byte, error) {
-	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: renewalsPerTerm * l.renewal(), Revision: l.Revision.Load()}
+	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: renewalsPerTerm * l.renewalInterval(), Revision: l.Revision.Load()}
 	value, err := cbor.Marshal(row)
 	return value, eris.Wrap(err, "encode lease")
 }
@@ -248,7 +250,7 @@
 	return lease, eris.Wrapf(cbor.Unmarshal(row.Value, &lease), "decode lease of %s", row.Key.Name)
 }
 
-// Leave writes that this daemon is leaving, so that others give it no new work.
+// Leave writes that this daemon is leaving, so that other daemons give it no new work.
 func (l *Lease) Leave(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -257,8 +259,8 @@
 	return l.writeState(ctx, StateLeaving, state.Commit{})
 }
 
-// End writes that this process has ended, so that others don't have to wait for its lease to
-// expire.
+// End writes that this process has ended, so that other daemons don't have to wait until its lease
+// expires.
 func (l *Lease) End(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -270,7 +272,7 @@
 
 // writeState commits this daemon's new state together with the given commit, on condition that its
 // lease is unchanged. It does nothing if this process isn't registered or if a later process of
-// this machine is. The caller holds the lock.
+// this machine has registered. The caller holds the lock.
 func (l *Lease) writeState(parent context.Context, next State, commit state.Commit) error {
 	if !l.isRegistered || l.isSuperseded {
 		return nil
--- a/internal/members/lease_test.go
+++ b/internal/members/lease_test.go
@@ -169,7 +169,7 @@
 		before := env.store.Calls("feed")
 		for number := range fleet {
 			env.startDaemon(fmt.Sprint("m", number), false).lease.Step(ctx)
-			time.Sleep(time.Millisecond) // the store commits one after the other
+			time.Sleep(time.Millisecond) // like a store that commits one registration after the other
 		}
 		Eventually(listener.list.Count).Should(Equal(fleet + 1))
 		Expect(env.store.Calls("feed") - before).To(BeNumerically("<", fleet/4))
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -49,17 +49,18 @@
 	isBootstrapped atomic.Bool   // the list has shown the end of the bootstrap
 	standing       atomic.Uint32 // Standing in this process's row; before registration StandingJoined, or as inherited
 	standingSince  atomic.Int64  // when standing was set; 0: never
-	// exclusiveSince is a time since which no other process can have owned the shards that this
-	// process may own. It is used while standing is StandingKeeps.
+	// exclusiveSince is the result of mayOwnFrom while standing is StandingKeeps.
 	exclusiveSince atomic.Int64
 	// inheritedAt is when this process took over the shards of its machine's former process without
-	// being registered (see inheritShards); 0: it didn't, or it has registered since.
+	// being registered (see inheritShards); 0: it didn't, or it has registered or lost its
+	// membership since.
 	inheritedAt atomic.Int64
 	// hasOwned reports whether Keeps has returned true. From then on, currentOwnersSince no longer
 	// returns the start of this process.
 	hasOwned atomic.Bool
-	// staleUntil is when the store last confirmed the list after more than maxOwnerListAge without
-	// a confirmation; 0: never.
+	// staleUntil is the time of the latest confirmation of the list that came more than
+	// maxOwnerListAge after the confirmation before it or, if it was the first, after startedAt; 0:
+	// there was none.
 	staleUntil atomic.Int64
 }
 
@@ -78,7 +79,8 @@
 	return l.localStatus.mayLend(l.now()) && l.hasHighestScoreOfAll(program)
 }
 
-// endMembership records that this process isn't registered any more.
+// endMembership records that this process is no longer registered and no longer owns inherited
+// shards.
 func (s *localStatus) endMembership() {
 	s.isFounder.Store(false)
 	s.registeredAt.Store(0)
@@ -94,10 +96,11 @@
 	return s.isFounder.Load() || elapsed-registered > int64(programReuseWindow)
 }
 
-// recordRegistration records that this process has registered. isFounder reports that the system is
-// being started for the first time and that no process of this machine existed before.
-func (l *List) recordRegistration(isFounder bool) {
+// recordRegistration records that this process has registered. mayBeFounder reports that the system
+// is being started for the first time and that no process of this machine existed before. The
+// process is a founder if this holds and founderRegistrationWindow isn't over yet.
+func (l *List) recordRegistration(mayBeFounder bool) {
 	elapsed := l.localStatus.elapsed(l.now())
-	l.localStatus.isFounder.Store(isFounder && elapsed < int64(founderRegistrationWindow))
+	l.localStatus.isFounder.Store(mayBeFounder && elapsed < int64(founderRegistrationWindow))
 	l.localStatus.registeredAt.Store(elapsed)
 }
--- a/internal/members/lender_play_test.go
+++ b/internal/members/lender_play_test.go
@@ -13,8 +13,7 @@
 
 // TestOneLender simulates machines that start within a second or join later, register late, renew
 // and read the list now and then, are suspended, cut off from the store, killed, shut down and
-// restarted. Only one process may lend to a program within the time in which the program may
-// return.
+// restarted. Only one process may lend to a program within programReturnTime.
 func TestOneLender(t *testing.T) {
 	rapid.Check(t, checkOneLender)
 }
@@ -26,7 +25,7 @@
 type lenderSimulation struct {
 	*testEnv
 	daemons  []*daemon
-	delays   map[*daemon]time.Duration // from the start to the first registration
+	delays   map[*daemon]time.Duration // of daemons that haven't registered yet: time from start to registration
 	replaced []*daemon
 	lastLent lastLoans
 	// zoneCount is the number of zones. If there is only one, its name is empty.
--- a/internal/members/list.go
+++ b/internal/members/list.go
@@ -46,7 +46,7 @@
 	member     Member
 	rowVersion state.Version // of the member's row; zero in this daemon's own record
 	nameHash   uint64        // hash of the machine name, for rendezvous scores
-	diedAt     time.Time     // when this daemon first saw the member dead; zero: it is alive
+	diedAt     time.Time     // when this daemon first saw this process dead; zero: never
 	// suspicion is shared by successive records of the same process.
 	suspicion *suspicion
 	zone      *zoneHealth // health of the member's zone
@@ -60,7 +60,7 @@
 		records: map[identity.Machine]*memberRecord{}, zones: map[identity.Zone]*zoneHealth{},
 	}
 	list.records[self.Process.Machine] = list.newRecord(self, 0)
-	list.localStatus.standing.Store(uint32(StandingJoined)) // until a row is registered or inherited
+	list.localStatus.standing.Store(uint32(StandingJoined)) // until this process registers or inherits shards
 	list.publish()
 	return list
 }
@@ -177,8 +177,9 @@
 	}
 }
 
-// applyOwnRow applies this daemon's own row. If the row was removed, is dead or belongs to a later
-// process, this process must not lend or own shards until its lease registers it again.
+// applyOwnRow applies the row of this daemon's machine. If the row was removed, is marked dead or
+// belongs to a later process, this process must not lend or own shards until its lease registers it
+// again.
 func (l *List) applyOwnRow(row state.Row) {
 	if row.Removed {
 		l.localStatus.endMembership()
@@ -227,7 +228,7 @@
 	}
 	next := newSnapshot(view, records, l.self.Process, l.standing(), l.storedLayout)
 	next.owners.since = l.currentOwnersSince()
-	if previous := l.current.Load(); previous != nil && previous.view.Read { // an earlier snapshot holds only this daemon
+	if previous := l.current.Load(); previous != nil && previous.view.Read { // before the first reading, a snapshot holds only this daemon
 		next.owners = next.owners.continueFrom(previous.owners, next.owners.since)
 	}
 	l.current.Store(next)
@@ -269,7 +270,8 @@
 }
 
 // isAvoided reports whether lookups skip the member at the given time, in nanoseconds since the
-// epoch. They skip suspected members and members of silent zones.
+// epoch. They skip suspected members and members of silent zones. The end of a zone's silence also
+// ends earlier suspicions of its members.
 func (r *memberRecord) isAvoided(now int64) bool {
 	return r.zone.isSilent.Load() || now < r.suspicion.until.Load() && r.suspicion.from.Load() > r.zone.backAt.Load()
 }
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -1,14 +1,15 @@
 // Package members maintains the list of all daemons. Each daemon registers a row and renews a lease
 // in the transactional store, and follows the rows of all members. A daemon whose lease expires is
-// marked dead by another daemon that checks it.
+// marked dead by another daemon that checks the lease.
 //
 // The list is eventually consistent: it may name daemons that have ended and lack new ones. Callers
 // that need certainty must ask the store. Only List.MayLend and List.Keeps give stronger
 // guarantees; lender.go and keeper.go describe them.
 //
 // Each daemon renews its own lease and reads the leases of a few others. The interval between
-// renewals grows with the number of members, so all daemons together call the store at a constant
-// rate. Member rows change only when a daemon joins, leaves or dies.
+// renewals grows with the number of members, so the total rate of renewals doesn't grow with a
+// large fleet. Member rows change only when a daemon joins, leaves or dies, or its standing
+// changes.
 package members
 
 import (
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -169,7 +169,7 @@
 	})
 })
 
-// BenchmarkHomes measures a lookup by the number of members.
+// BenchmarkHomes measures Homes for several numbers of members.
 func BenchmarkHomes(b *testing.B) {
 	for _, fleet := range []int{12, 66, 295, 390} {
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
--- a/internal/members/prober.go
+++ b/internal/members/prober.go
@@ -40,7 +40,8 @@
 
 // Prober probes members of other zones: several members at once in a suspected zone, and a single
 // member in a silent or quiet zone. The load doesn't grow with the fleet: each daemon makes about
-// three small calls a second for each other zone, or fewer if its requests bring answers.
+// three small calls a second for each other zone that answers, or fewer if its requests bring
+// answers.
 type Prober struct {
 	List   *List
 	Caller peer.Caller
@@ -114,7 +115,7 @@
 	for _, member := range due.members {
 		calls.Go(func() {
 			err := p.Caller.Call(ctx, member.Process.Address, peer.Control, methodPing, PingRequest{}, &PingReply{})
-			var serverErr rpc.ServerError // the member runs a version without this method; this is an answer, too
+			var serverErr rpc.ServerError // returned by the member, for example if its version lacks this method; counts as an answer
 			switch {
 			case err == nil || errors.As(err, &serverErr):
 				p.List.Answered(member)
--- a/internal/members/registration.go
+++ b/internal/members/registration.go
@@ -11,15 +11,17 @@
 )
 
 // registration writes the rows of a process that registers. The process's initial standing depends
-// on the row that the machine's former process left, so each attempt is conditional on the version
-// of that row.
+// on the row that the machine already has, if any, so each attempt is conditional on the version of
+// that row.
 type registration struct {
 	lease       *Lease
 	memberKey   state.Key
-	seenVersion state.Version // of the row found at memberKey; zero: none
-	existing    *Member       // decoded row found at memberKey; nil: none
-	isNewcomer  bool          // first attempt, or no row of this machine was found and none of any machine was ever removed
-	standing    Standing
+	seenVersion state.Version // of the row found at memberKey; zero: none was found
+	existing    *Member       // decoded row found at memberKey; nil: none was found
+	// isNewcomer is true until a conflict shows that this machine already had a row, that a row of
+	// any machine was removed before, or that the bootstrap is over.
+	isNewcomer bool
+	standing   Standing
 	// claimZone is the zone of the claims that the machine already has; empty: it has none, or they
 	// are in this process's own zone.
 	claimZone identity.Zone
@@ -83,7 +85,7 @@
 }
 
 // applyConflict prepares the next attempt from the rows of the conflict. done reports that an
-// earlier attempt had written the row, but its answer was lost.
+// earlier attempt had written the row, but the store's answer was lost.
 func (r *registration) applyConflict(conflict *state.ConflictError) (done bool, err error) {
 	row, exists := conflict.Find(r.memberKey)
 	if !exists {
--- a/internal/members/release.go
+++ b/internal/members/release.go
@@ -9,8 +9,10 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// releaseClaims releases the claims of members that ended, so that their shards are assigned to
-// others. For each ended member, the living member with the highest score for its name does it.
+// releaseClaims releases the claims of members that this daemon first saw dead more than
+// deadReleaseDelay ago (endedReleaseDelay after a planned shutdown), so that their shards are
+// assigned to other members. It handles the dead members for whose names this daemon has the
+// highest score among the living members.
 func (l *Lease) releaseClaims(parent context.Context, now time.Time) {
 	for _, rec := range l.List.current.Load().dead {
 		wait := deadReleaseDelay
--- a/internal/members/silence.go
+++ b/internal/members/silence.go
@@ -14,13 +14,14 @@
 // Without detection, each request would wait for a timeout at members of a zone that is cut off. A
 // zone becomes silent if several of its members fail to answer and no member answers in between.
 // Lookups skip all members of a silent zone until one answers. If a zone is wrongly taken for
-// silent, requests take a detour until the next probe; no guarantee depends on it.
+// silent, requests go to other members until the next probe is answered; no guarantee depends on
+// it.
 const (
-	// minMissesForSilence is the number of members without an answer that make a zone silent; one
-	// or two may fail by themselves.
+	// minMissesForSilence is the number of members without an answer that make a zone silent, since
+	// one or two may fail by themselves. A zone with fewer members is silent if none answers.
 	minMissesForSilence = 3
 	// lateMissWindow is how long misses are ignored after a silent zone answers again, since they
-	// come from earlier calls. It is longer than the longest timeout of a call whose miss is
+	// may come from earlier calls. It is longer than the longest timeout of a call whose miss is
 	// recorded (400 ms, for a budget's holder).
 	lateMissWindow = 500 * time.Millisecond
 	// maxQuiet is the time without an answer after which a zone is probed, so that a cut is
@@ -112,7 +113,8 @@
 	return health
 }
 
-// Missed records that a member did not answer a call in time.
+// Missed records that a member did not answer a call in time. It has no effect for members of this
+// daemon's zone, or if WatchZones is false.
 func (l *List) Missed(member Member) {
 	rec := l.findInOtherZone(member)
 	if rec == nil {
@@ -124,7 +126,8 @@
 	}
 }
 
-// Answered records that a member answered a call.
+// Answered records that a member answered a call. It has no effect for members of this daemon's
+// zone, or if WatchZones is false.
 func (l *List) Answered(member Member) {
 	rec := l.findInOtherZone(member)
 	if rec == nil {
--- a/internal/members/watching.go
+++ b/internal/members/watching.go
@@ -23,9 +23,9 @@
 	// die at the same moment.
 	furtherLeasesPerRead = 100
 	maxLeaseReads        = 6
-	// maxRenewalsBetweenChecks is the longest time between two checks, in renewal intervals, after
-	// which earlier observations still count. After a longer pause they are discarded, because this
-	// process may have been suspended.
+	// maxRenewalsBetweenChecks is the longest time between two checks, in renewal intervals, for
+	// which the observations of the first check remain valid. After a longer pause they are
+	// discarded, because this process may have been suspended.
 	maxRenewalsBetweenChecks = 3
 )
 
@@ -61,7 +61,7 @@
 // removes dead members.
 func (l *Lease) checkOthers(ctx context.Context) {
 	now := l.List.now()
-	if now.Sub(l.watchedLeases.lastCheck) > maxRenewalsBetweenChecks*l.renewal() {
+	if now.Sub(l.watchedLeases.lastCheck) > maxRenewalsBetweenChecks*l.renewalInterval() {
 		l.watchedLeases.reset()
 	}
 	l.watchedLeases.lastCheck = now
@@ -128,7 +128,8 @@
 }
 
 // expireLease removes an expired lease and marks its holder dead, unless the lease was renewed in
-// the meantime.
+// the meantime. It does nothing if the list shows another process of the holder's machine, and only
+// removes the lease if the list shows none.
 func (l *Lease) expireLease(parent context.Context, row state.Row, lease leaseRow, unchanged time.Duration) {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
@@ -161,8 +162,9 @@
 	l.Log.Warn("members: lease ended.", fields...)
 }
 
-// removeDead removes the rows of members that have been dead for deadRetention. For each dead
-// member, the living member with the highest score for its name does it.
+// removeDead removes the rows of members that this daemon first saw dead more than deadRetention
+// ago. It handles the dead members for whose names this daemon has the highest score among the
+// living members.
 func (l *Lease) removeDead(parent context.Context, now time.Time) {
 	for _, rec := range l.List.current.Load().dead {
 		machine := string(rec.member.Process.Machine)
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -35,13 +35,14 @@
 	// Wait is the longest time that a feed call may wait for a change before the store is called
 	// again. It bounds how long a dead connection goes unnoticed.
 	Wait time.Duration
-	// Due, if set, returns the time within which the next answer is needed; it shortens Wait. Zero
-	// or less: no need before Wait.
+	// Due, if set, returns the time within which the next answer is needed, which limits the wait
+	// of the next feed call if it is shorter than Wait. If Due returns zero or less, Wait applies.
 	Due func() time.Duration
 	// Pause is the minimum time between two batches of changes. A longer pause makes batches
 	// larger.
 	Pause time.Duration
-	// OnHeard, if set, is called after each answer of the store, once the follower has applied it.
+	// OnHeard, if set, is called after each feed answer and each complete reading, once the
+	// follower has applied it. It isn't called after a stale reading, which is discarded.
 	OnHeard func()
 	Log     *zap.Logger
 }
@@ -59,7 +60,7 @@
 	hasRead  bool // the table was read since the start or since the history was lost
 }
 
-// Run follows the table until the context ends. It retries with growing delays.
+// Run follows the table until the context ends. It retries failed calls with growing delays.
 func Run(ctx context.Context, options Options, follower Follower) {
 	if options.OnHeard == nil {
 		options.OnHeard = func() {}
@@ -111,7 +112,7 @@
 }
 
 // readAll reads the table page by page. Each page is consistent as of its own version. The feed
-// continues from the oldest page.
+// continues from the lowest of these versions.
 func (w *watcher) readAll(ctx context.Context) error {
 	var rows []state.Row
 	oldest := state.Version(0)
