--- a/internal/state/availability.go
+++ b/internal/state/availability.go
@@ -6,106 +6,111 @@
 	"time"
 )
 
-// Availability is what this process believes about the store: whether it
-// answers at all, and which partitions do not. It is safe for concurrent use.
+// Availability tracks whether the store answers, and which of its partitions do not. A call
+// counts as answered unless NoVerdict is true for its error. An Availability is safe for
+// concurrent use.
 type Availability struct {
 	now      func() time.Time
 	onChange func(available bool, lasted time.Duration)
-	// onRestored is told before those who wait for the store go on.
+	// onRestored is called when the store answers again, before the callers blocked in Wait
+	// continue.
 	onRestored func()
 
-	mutex     sync.Mutex
-	failing   map[string]bool // partitions that failed since the last answered call
-	gates     *gates
-	downSince time.Time
-	restored  chan struct{} // closed when the store answers again; nil while it does
+	mutex             sync.Mutex
+	failingPartitions map[string]bool // partitions that failed since the last answered call
+	breakers          *breakers
+	downSince         time.Time
+	restoredSignal    chan struct{} // closed when the store answers again; nil while the store is available
 }
 
 const (
-	// failuresUntilDown is how many partitions fail without any answered call
-	// in between before the whole store is believed to be down.
-	failuresUntilDown = 3
-	// silenceOfOutage is how long no call was answered in an outage of the
-	// whole store; in one of a part others are answered all the while.
-	silenceOfOutage = 200 * time.Millisecond
+	// minFailingPartitions is how many different partitions have to fail without an answered
+	// call in between before the store counts as down.
+	minFailingPartitions = 3
+	// minUnansweredTime is for how long no call may have been answered before the store counts
+	// as down. While only some partitions are down, calls to the others are still answered.
+	minUnansweredTime = 200 * time.Millisecond
 )
 
-// NewAvailability starts with an available store. onChange hears each change
-// with how long the former state lasted, if that was an outage.
+// NewAvailability returns an Availability that considers the store available. onChange is
+// called on every change, with the duration of the outage if the store became available again
+// and with 0 if it went down. onChange runs with a lock held and must not call methods of the
+// Availability.
 func NewAvailability(now func() time.Time, onChange func(available bool, lasted time.Duration)) *Availability {
-	return &Availability{now: now, onChange: onChange, onRestored: func() {}, failing: map[string]bool{}, gates: newGates(now)}
+	return &Availability{now: now, onChange: onChange, onRestored: func() {}, failingPartitions: map[string]bool{}, breakers: newBreakers(now)}
 }
 
-// Succeeded notes an answered call.
+// Succeeded records that a call to the partition was answered.
 func (a *Availability) Succeeded(partition string) {
-	a.gates.succeeded(partition)
+	a.breakers.recordSuccess(partition)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	clear(a.failing)
-	if a.restored == nil {
+	clear(a.failingPartitions)
+	if a.restoredSignal == nil {
 		return
 	}
 	a.onRestored()
-	close(a.restored)
-	a.restored = nil
-	a.gates.restored()
+	close(a.restoredSignal)
+	a.restoredSignal = nil
+	a.breakers.recordRestored()
 	a.onChange(true, a.now().Sub(a.downSince))
 }
 
-// Failed notes a call without a verdict. It tells whether the store is
-// believed to be down from now on.
+// Failed records that a call to the partition was not answered. It returns true if the store
+// counts as down since this call.
 func (a *Availability) Failed(partition string) (wentDown bool) {
-	a.gates.failed(partition)
+	a.breakers.recordFailure(partition)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.failing[partition] = true
-	if len(a.failing) < failuresUntilDown || a.restored != nil || a.gates.answeredWithin(silenceOfOutage) {
+	a.failingPartitions[partition] = true
+	if len(a.failingPartitions) < minFailingPartitions || a.restoredSignal != nil || a.breakers.isAnsweredWithin(minUnansweredTime) {
 		return false
 	}
-	a.restored = make(chan struct{})
+	a.restoredSignal = make(chan struct{})
 	a.downSince = a.now()
 	a.onChange(false, 0)
 	return true
 }
 
-// Answered is when a call was last answered; zero: never.
-func (a *Availability) Answered() time.Time { return a.gates.answered() }
+// Answered returns the time of the last answered call, or the zero time if there was none.
+func (a *Availability) Answered() time.Time { return a.breakers.lastAnswerTime() }
 
-// Available tells whether the store is believed to answer.
+// Available reports whether the store is considered available.
 func (a *Availability) Available() bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.restored == nil
+	return a.restoredSignal == nil
 }
 
-// PaceTries sets how far apart this process tries partitions that failed.
-// It is to be called before the first use.
-func (a *Availability) PaceTries(distance func() time.Duration) { a.gates.distance = distance }
+// PaceTries sets a function that returns the interval between two calls of this process to
+// failed partitions. It must be called before any other method.
+func (a *Availability) PaceTries(interval func() time.Duration) { a.breakers.interval = interval }
 
-// Enter waits while other calls find out whether a partition that failed
-// answers again. It returns ErrNotDone if the context ends first.
+// Enter returns nil as soon as a call to the partition may be sent. If the partition failed,
+// that is once it answers again or when this call is chosen to test it. Enter returns
+// ErrNotDone if ctx ends first.
 func (a *Availability) Enter(ctx context.Context, partition string) error {
-	return a.gates.enter(ctx, partition)
+	return a.breakers.enter(ctx, partition)
 }
 
-// Prefer orders partitions: those that failed and have not answered since
-// come last.
+// Prefer returns the partitions with those last that failed and have not answered since. The
+// order is kept otherwise.
 func (a *Availability) Prefer(partitions []string) []string {
-	var sound, suspected []string
+	var healthy, suspected []string
 	for _, partition := range partitions {
-		if a.gates.isClosed(partition) {
+		if a.breakers.isOpen(partition) {
 			suspected = append(suspected, partition)
 			continue
 		}
-		sound = append(sound, partition)
+		healthy = append(healthy, partition)
 	}
-	return append(sound, suspected...)
+	return append(healthy, suspected...)
 }
 
-// Wait blocks until the store is believed to answer, or the context ends.
+// Wait blocks until the store is considered available. It returns ctx.Err() if ctx ends first.
 func (a *Availability) Wait(ctx context.Context) error {
 	a.mutex.Lock()
-	restored := a.restored
+	restored := a.restoredSignal
 	a.mutex.Unlock()
 	if restored == nil {
 		return nil
--- a/internal/state/class.go
+++ b/internal/state/class.go
@@ -2,23 +2,23 @@
 
 import "errors"
 
-// Class tells what a call is for. Where the store's rate or room is short, calls of
-// the more important classes go first.
+// Class is the purpose of a call. When the store's rate limit or space is short, calls of more
+// important classes go first.
 type Class uint8
 
-// The classes, in the order of their importance; the zero class is ClassOther.
+// The classes, from the most to the least important, after the zero value ClassOther.
 const (
-	ClassOther       Class = iota // not told; ranks with ClassRead
-	ClassLease                    // a lease, a member's row, the confirmation of a configuration
-	ClassTurn                     // the end of a turn: an answer waits for it
-	ClassReservation              // what a turn may generate: a request waits for it
-	ClassRead                     // a reading that a request waits for
-	ClassFollow                   // a feed or a reading that follows a table
-	ClassSettlement               // giving back what was reserved
-	ClassSweep                    // removing what is over
+	ClassOther       Class = iota // unspecified; as important as ClassRead
+	ClassLease                    // writes leases and member rows, or confirms a configuration
+	ClassTurn                     // saves or loads a turn of a conversation while a client waits for its answer
+	ClassReservation              // reserves the budget that a turn may use; a request waits for it
+	ClassRead                     // any other read that a request waits for
+	ClassFollow                   // a feed, or a read that follows the changes of a table
+	ClassSettlement               // returns the unused part of a reservation
+	ClassSweep                    // removes expired rows
 )
 
-// String names the class in metrics.
+// String returns the name of the class that metrics use as a label.
 func (c Class) String() string {
 	switch c {
 	case ClassLease:
@@ -40,21 +40,21 @@
 	}
 }
 
-// Refusals of a store that is there.
+// Errors of a store that answered but refused the call.
 var (
-	// ErrFull says that the store has no room: nothing was written, and nothing can be
-	// until something was removed.
-	ErrFull = errors.New("the store has no room")
-	// ErrThrottled says that the call was not made, or was refused, since all calls
-	// together exceed the store's rate. It is an ErrNotDone as well.
+	// ErrFull means that the store has no space left. Nothing was written, and rows have to be
+	// removed before the store accepts more.
+	ErrFull = errors.New("the store is full")
+	// ErrThrottled means that the call exceeded the store's rate limit: the store refused it,
+	// or the limiter did not send it. It wraps ErrNotDone.
 	ErrThrottled error = throttledError{}
 )
 
-// throttledError is an ErrNotDone with a cause of its own.
+// throttledError has its own message and still matches ErrNotDone in errors.Is.
 type throttledError struct{}
 
 // Error implements error.
-func (throttledError) Error() string { return "the store's rate is used up" }
+func (throttledError) Error() string { return "the store's rate limit is exceeded" }
 
-// Unwrap makes it an ErrNotDone.
+// Unwrap returns ErrNotDone.
 func (throttledError) Unwrap() error { return ErrNotDone }
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -11,53 +11,59 @@
 	"github.com/thymeloft/thymeloft/internal/pause"
 )
 
-// Client is a store as the product uses it: each call is hedged, over two ways
-// to the store if there are two, what its end tells of the store is noted, and
-// while the store is down one probe asks whether it answers again. A commit may be sent more than once: callers keep
-// each commit idempotent by its keys and conditions.
+// Client is a Store for use by the rest of the daemon. It hedges commits and reads, over two
+// routes to the store if an alternative is given, limits their rate, and tracks whether the
+// store is available and has space. While the store is down, a single background probe checks
+// whether it answers again.
+//
+// A commit may be sent more than once, so callers make each commit idempotent through its keys
+// and conditions. A Client is safe for concurrent use.
 type Client struct {
 	direct       Store
-	alternative  Store // another way; nil: none
-	directHealth wayHealth
+	alternative  Store // a second route to the same store, or nil
+	directHealth routeHealth
 	availability *Availability
 	room         *Room
 	limiter      *Limiter
-	groups       groups
+	batcher      commitBatcher
 	metrics      *clientMetrics
 	hedger       hedger
 	probe        Range
 	onFailure    func(Failure)
 }
 
-// Failure is a call that got no verdict.
+// Failure describes a call that ended with ErrNotDone or ErrUnknown.
 type Failure struct {
-	Call string // commit, read or feed
-	Key  Key    // the first of the call
+	Call string // "commit", "read" or "feed"
+	Key  Key    // first key of the call
 	Took time.Duration
 	Err  error
 }
 
-// ClientOptions are the parameters of a Client.
+// ClientOptions configures a Client.
 type ClientOptions struct {
 	Store Store
-	// Alternative is another way to the same store; nil: none.
+	// Alternative is a second route to the same store. Nil means that there is none.
 	Alternative  Store
 	Availability *Availability
-	// Room is what is believed of the store's room; nil: the client's own.
+	// Room tracks whether the store has space. Nil gives the client a Room of its own.
 	Room *Room
-	// Limiter keeps the calls under the store's rate; nil: one that goes by refusals alone.
+	// Limiter limits the rate of the calls. Nil means a limiter without declared rates, which
+	// lowers its rate only when calls are throttled.
 	Limiter *Limiter
-	// Probe is read while the store is down.
+	// Probe is the range that the client reads to find out whether a store that is down answers
+	// again.
 	Probe Range
-	// OnFailure, if given, hears each call without a verdict.
+	// OnFailure, if not nil, is called for calls that were sent and ended with ErrNotDone or
+	// ErrUnknown. A throttled call is reported only if it contained several commits.
 	OnFailure func(Failure)
-	// NotHedged makes one try of each call.
+	// NotHedged disables hedging: each call is sent once.
 	NotHedged bool
 }
 
-// NewClient wraps a store.
+// NewClient returns a client of the store in options.
 func NewClient(options ClientOptions) *Client {
-	made := &Client{
+	client := &Client{
 		direct:       options.Store,
 		alternative:  options.Alternative,
 		availability: options.Availability,
@@ -67,49 +73,49 @@
 		probe:        options.Probe,
 		onFailure:    options.OnFailure,
 	}
-	made.hedger.off = options.NotHedged
-	if made.room == nil {
-		made.room = NewRoom(RoomOptions{})
+	client.hedger.disabled = options.NotHedged
+	if client.room == nil {
+		client.room = NewRoom(RoomOptions{})
 	}
-	if made.limiter == nil {
-		made.limiter = NewLimiter(LimiterOptions{})
+	if client.limiter == nil {
+		client.limiter = NewLimiter(LimiterOptions{})
 	}
-	made.groups = groups{
-		slots: slots{
-			free:  func() bool { return made.limiter.spare(CallCommit) },
-			enter: func(ctx context.Context, class Class) error { return made.enter(ctx, CallCommit, class) },
+	client.batcher = commitBatcher{
+		slots: rateSlots{
+			free: func() bool { return client.limiter.takeSpareSlot(CallCommit) },
+			wait: func(ctx context.Context, class Class) error { return client.waitForRate(ctx, CallCommit, class) },
 		},
-		send: made.send, now: time.Now,
+		send: client.send, now: time.Now,
 	}
-	if made.availability != nil {
-		made.availability.onRestored = made.limiter.restart
+	if client.availability != nil {
+		client.availability.onRestored = client.limiter.restart
 	}
-	if made.onFailure == nil {
-		made.onFailure = func(Failure) {}
+	if client.onFailure == nil {
+		client.onFailure = func(Failure) {}
 	}
-	return made
+	return client
 }
 
 const (
-	firstRetry   = 30 * time.Millisecond
-	longestRetry = 250 * time.Millisecond
-	probePause   = 100 * time.Millisecond
-	probeWait    = 300 * time.Millisecond
+	initialRetryDelay = 30 * time.Millisecond
+	maxRetryDelay     = 250 * time.Millisecond
+	probeInterval     = 100 * time.Millisecond
+	probeTimeout      = 300 * time.Millisecond
 )
 
-// Commit implements Store. While the store is full, a commit of ClassTurn is sent at least
-// once, and again as room is looked for until its context ends. Reservations, settlements,
-// sweeps and what follows a table are refused unless it is their turn to probe (Room.admit);
-// the rest is sent.
+// Commit implements Store. While the store is full, commits are handled by class: ClassTurn is
+// sent at once and then again whenever Room lets it probe, until ctx ends. ClassReservation,
+// ClassSettlement, ClassSweep and ClassFollow fail with ErrFull unless Room lets them probe.
+// All others, and commits without puts, are sent.
 func (c *Client) Commit(ctx context.Context, commit Commit) (Version, error) {
-	version, err := c.commitWhenRoom(ctx, commit)
-	c.metrics.ended(commit.Class, err)
+	version, err := c.commitRetryingWhenFull(ctx, commit)
+	c.metrics.recordCall(commit.Class, err)
 	return version, err
 }
 
-func (c *Client) commitWhenRoom(ctx context.Context, commit Commit) (Version, error) {
+func (c *Client) commitRetryingWhenFull(ctx context.Context, commit Commit) (Version, error) {
 	if ctx.Err() != nil {
-		return 0, eris.Wrapf(ErrNotDone, "commit not begun: %v", ctx.Err())
+		return 0, eris.Wrapf(ErrNotDone, "commit not sent: %v", ctx.Err())
 	}
 	for tried := false; ; tried = true {
 		if err := c.room.admit(ctx, commit, tried); err != nil {
@@ -117,157 +123,161 @@
 		}
 		sent := c.room.options.Now()
 		version, err := c.commit(ctx, commit)
-		c.room.note(commit, sent, err)
+		c.room.recordResult(commit, sent, err)
 		if !errors.Is(err, ErrFull) || commit.Class != ClassTurn || ctx.Err() != nil {
 			return version, err
 		}
 	}
 }
 
-// commit sends a commit that there may be room for.
+// commit sends a commit that Room admitted.
 func (c *Client) commit(ctx context.Context, commit Commit) (Version, error) {
 	if err := c.availability.Enter(ctx, commit.firstKey().Partition); err != nil {
 		return 0, err
 	}
-	return c.groups.commit(ctx, commit)
+	return c.batcher.commit(ctx, commit)
 }
 
-// send makes the call of so many commits.
-func (c *Client) send(ctx context.Context, commit Commit, together int) (Version, error) {
+// send sends one call to the store that contains commitCount commits.
+func (c *Client) send(ctx context.Context, commit Commit, commitCount int) (Version, error) {
 	start := time.Now()
-	version, err := hedge(ctx, &c.hedger, c.further(CallCommit), func(ctx context.Context, try int) (Version, error) {
-		way, done := c.way(try, CallCommit)
-		version, err := way.Commit(ctx, commit)
+	version, err := hedge(ctx, &c.hedger, c.retryConditionsFor(CallCommit), func(ctx context.Context, try int) (Version, error) {
+		route, done := c.chooseRoute(try, CallCommit)
+		version, err := route.Commit(ctx, commit)
 		done(ctx, err)
 		return version, err
 	})
-	ended := Failure{Call: "commit", Key: commit.firstKey(), Took: time.Since(start), Err: err}
-	c.metrics.together.Observe(float64(together))
-	if together > 1 && NoVerdict(err) {
-		c.onFailure(ended) // any of its partitions may be the one that does not answer
+	failure := Failure{Call: "commit", Key: commit.firstKey(), Took: time.Since(start), Err: err}
+	c.metrics.commitsPerCall.Observe(float64(commitCount))
+	if commitCount > 1 && NoVerdict(err) {
+		c.onFailure(failure) // any of the partitions may have failed, so none is recorded as failed
 		return version, err
 	}
-	c.note(ctx, ended)
+	c.recordOutcome(ctx, failure)
 	return version, err
 }
 
-// enter waits for a slot within the store's rate.
-func (c *Client) enter(ctx context.Context, kind CallKind, class Class) error {
+// waitForRate waits until the rate limit allows a call of the class, and records the wait.
+func (c *Client) waitForRate(ctx context.Context, kind CallKind, class Class) error {
 	start := time.Now()
-	err := c.limiter.enter(ctx, kind, class)
-	c.metrics.waited(class, time.Since(start))
+	err := c.limiter.waitForSlot(ctx, kind, class)
+	c.metrics.recordWait(class, time.Since(start))
 	return err
 }
 
-// further tells when a call may be tried again beside its first try.
-func (c *Client) further(kind CallKind) furtherTries {
-	return furtherTries{atOnce: c.directDoubtful, spare: func() bool { return c.limiter.spare(kind) }}
+// retryConditionsFor returns the conditions for hedging a call of the kind.
+func (c *Client) retryConditionsFor(kind CallKind) retryConditions {
+	return retryConditions{shouldRetryAtOnce: c.isDirectDoubtful, takeSpareSlot: func() bool { return c.limiter.takeSpareSlot(kind) }}
 }
 
 // Read implements Store.
 func (c *Client) Read(ctx context.Context, selected Range) (Page, error) {
 	page, err := c.read(ctx, selected)
-	c.metrics.ended(selected.Class, err)
+	c.metrics.recordCall(selected.Class, err)
 	return page, err
 }
 
 func (c *Client) read(ctx context.Context, selected Range) (Page, error) {
 	if ctx.Err() != nil {
-		return Page{}, eris.Wrapf(ErrNotDone, "read not begun: %v", ctx.Err())
+		return Page{}, eris.Wrapf(ErrNotDone, "read not sent: %v", ctx.Err())
 	}
 	if err := c.availability.Enter(ctx, selected.Partition); err != nil {
 		return Page{}, err
 	}
-	if err := c.enter(ctx, CallRead, selected.Class); err != nil {
+	if err := c.waitForRate(ctx, CallRead, selected.Class); err != nil {
 		return Page{}, err
 	}
 	start := time.Now()
-	page, err := hedge(ctx, &c.hedger, c.further(CallRead), func(ctx context.Context, try int) (Page, error) {
-		way, done := c.way(try, CallRead)
-		page, err := way.Read(ctx, selected)
+	page, err := hedge(ctx, &c.hedger, c.retryConditionsFor(CallRead), func(ctx context.Context, try int) (Page, error) {
+		route, done := c.chooseRoute(try, CallRead)
+		page, err := route.Read(ctx, selected)
 		done(ctx, err)
 		return page, err
 	})
 	key := Key{Table: selected.Table, Partition: selected.Partition, Name: selected.From}
-	c.note(ctx, Failure{Call: "read", Key: key, Took: time.Since(start), Err: err})
+	c.recordOutcome(ctx, Failure{Call: "read", Key: key, Took: time.Since(start), Err: err})
 	return page, err
 }
 
-// Feed implements Store; it is not hedged, since it waits for changes.
+// Feed implements Store. It is not hedged, since it normally waits for changes.
 func (c *Client) Feed(ctx context.Context, table string, after Version, wait time.Duration) (Change, error) {
-	if err := c.enter(ctx, CallFeed, ClassFollow); err != nil {
-		c.metrics.ended(ClassFollow, err)
+	if err := c.waitForRate(ctx, CallFeed, ClassFollow); err != nil {
+		c.metrics.recordCall(ClassFollow, err)
 		return Change{}, err
 	}
 	start := time.Now()
-	way, done := c.way(0, CallFeed)
-	change, err := way.Feed(ctx, table, after, wait)
+	route, done := c.chooseRoute(0, CallFeed)
+	change, err := route.Feed(ctx, table, after, wait)
 	done(ctx, err)
-	c.metrics.ended(ClassFollow, err)
-	c.note(ctx, Failure{Call: "feed", Key: Key{Table: table}, Took: time.Since(start), Err: err})
+	c.metrics.recordCall(ClassFollow, err)
+	c.recordOutcome(ctx, Failure{Call: "feed", Key: Key{Table: table}, Took: time.Since(start), Err: err})
 	return change, err
 }
 
-// Available tells whether the store is believed to answer.
+// Available reports whether the store is considered available.
 func (c *Client) Available() bool { return c.availability.Available() }
 
-// Prefer orders partitions: those that failed a moment ago come last.
+// Prefer returns the partitions with those last that failed and have not answered since.
 func (c *Client) Prefer(partitions []string) []string { return c.availability.Prefer(partitions) }
 
-// Repeat calls until the store gives a verdict or the context ends. While the
-// store is down it waits until somebody's call was answered.
+// Repeat calls the function until its error is neither ErrNotDone nor ErrUnknown, or ctx ends,
+// and returns the last error. Between attempts it waits with exponential backoff, or while the
+// store is down until it is available again.
 func (c *Client) Repeat(ctx context.Context, call func() error) error {
-	schedule := pause.Growing(firstRetry, longestRetry)
+	schedule := pause.Growing(initialRetryDelay, maxRetryDelay)
 	for {
 		err := call()
-		if !NoVerdict(err) || ctx.Err() != nil || !c.pauseAfter(ctx, schedule) {
+		if !NoVerdict(err) || ctx.Err() != nil || !c.waitAfter(ctx, schedule) {
 			return err
 		}
 	}
 }
 
-func (c *Client) pauseAfter(ctx context.Context, schedule *backoff.ExponentialBackOff) bool {
+// waitAfter waits before the next attempt. It returns false if ctx ended first.
+func (c *Client) waitAfter(ctx context.Context, schedule *backoff.ExponentialBackOff) bool {
 	if !c.availability.Available() {
 		return c.availability.Wait(ctx) == nil
 	}
 	return pause.For(ctx, schedule.NextBackOff())
 }
 
-func (c *Client) note(ctx context.Context, about Failure) {
-	if errors.Is(about.Err, ErrThrottled) {
-		return // the store is there, and says nothing of the partition
+// recordOutcome updates the availability after a call, and starts the probe if the store went
+// down.
+func (c *Client) recordOutcome(ctx context.Context, failure Failure) {
+	if errors.Is(failure.Err, ErrThrottled) {
+		return // a throttled call says nothing about the partition
 	}
-	if !NoVerdict(about.Err) {
-		c.availability.Succeeded(about.Key.Partition)
+	if !NoVerdict(failure.Err) {
+		c.availability.Succeeded(failure.Key.Partition)
 		return
 	}
-	c.onFailure(about)
-	if ctx.Err() == nil && c.availability.Failed(about.Key.Partition) {
+	c.onFailure(failure)
+	if ctx.Err() == nil && c.availability.Failed(failure.Key.Partition) {
 		go c.probeUntilAnswered()
 	}
 }
 
-// probeUntilAnswered asks until the store is believed to answer.
+// probeUntilAnswered reads the probe range repeatedly until the store is considered available.
 func (c *Client) probeUntilAnswered() {
 	for try := 0; !c.availability.Available(); try++ {
-		ctx, cancel := context.WithTimeout(context.Background(), probeWait)
-		way, done := c.way(try, CallRead)
-		_, err := way.Read(ctx, c.probe)
+		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+		route, done := c.chooseRoute(try, CallRead)
+		_, err := route.Read(ctx, c.probe)
 		done(ctx, err)
 		cancel()
 		if !NoVerdict(err) {
 			c.availability.Succeeded(c.probe.Partition)
 			return
 		}
-		pause.For(context.Background(), probePause)
+		pause.For(context.Background(), probeInterval)
 	}
 }
 
-// Room is what is believed of the store's room.
+// Room returns the tracker of the store's free space.
 func (c *Client) Room() *Room { return c.room }
 
-// NoVerdict tells whether a call ended without the store's verdict, so that
-// it may be repeated.
+// NoVerdict reports whether err is ErrNotDone or ErrUnknown: the call failed and may be
+// repeated. It is false for nil, conflicts and ErrFull.
 func NoVerdict(err error) bool {
 	return errors.Is(err, ErrNotDone) || errors.Is(err, ErrUnknown)
 }
--- a/internal/state/gate.go
+++ b/internal/state/gate.go
@@ -9,57 +9,57 @@
 	"github.com/rotisserie/eris"
 )
 
-// gates hold calls back from partitions that failed and have not answered
-// since. Of the calls that wait for any of them, this process lets one through
-// at a time, at distances that do not hang on how many partitions failed; so
-// an outage of a part of the store is not met by a storm of calls that spends
-// the rate of the other part. Once one of them answers, the others are tried
-// in quick succession.
-type gates struct {
+// breakers are the circuit breakers of the partitions. A breaker opens when a call to its
+// partition fails, and closes when a call to it is answered. Calls to partitions with open
+// breakers wait; this process lets one of them through at a time, at an interval that does not
+// depend on how many partitions failed. An outage of some partitions therefore does not use up
+// the rate limit that the others need. Once one of the failed partitions answers, the others
+// are tried in quick succession.
+type breakers struct {
 	now      func() time.Time
-	distance func() time.Duration // between two tries of this process
-
-	mutex        sync.Mutex
-	closed       map[string]*gate // by partition; those that are open are left out
-	nextTry      time.Time
-	recovering   time.Time     // until when tries follow each other quickly
-	stirred      chan struct{} // closed and replaced when tries may come earlier than told
-	lastAnswered time.Time
+	interval func() time.Duration // between two calls to failed partitions
+
+	mutex           sync.Mutex
+	open            map[string]*breaker // open breakers by partition
+	nextAttempt     time.Time
+	recoveringUntil time.Time     // until then, calls to failed partitions follow each other quickly
+	wake            chan struct{} // closed and replaced to make waiting calls check again
+	lastAnswer      time.Time
 }
 
-// gate is a partition that failed.
-type gate struct {
-	failures int       // tries in a row without a verdict
-	retryAt  time.Time // when the next call is let through at the earliest
+// breaker is the state of a partition that failed.
+type breaker struct {
+	failures int       // consecutive unanswered calls
+	retryAt  time.Time // earliest time of the next call
 }
 
 const (
-	firstGatePause   = 40 * time.Millisecond
-	longestGatePause = 400 * time.Millisecond
-	defaultDistance  = 60 * time.Millisecond
-	recoveryDistance = 4 * time.Millisecond
-	recoveryTime     = 300 * time.Millisecond
+	initialBreakerDelay     = 40 * time.Millisecond
+	maxBreakerDelay         = 400 * time.Millisecond
+	defaultAttemptInterval  = 60 * time.Millisecond
+	recoveryAttemptInterval = 4 * time.Millisecond
+	recoveryDuration        = 300 * time.Millisecond
 )
 
-func newGates(now func() time.Time) *gates {
-	return &gates{
-		now: now, distance: func() time.Duration { return defaultDistance },
-		closed: map[string]*gate{}, stirred: make(chan struct{}),
+func newBreakers(now func() time.Time) *breakers {
+	return &breakers{
+		now: now, interval: func() time.Duration { return defaultAttemptInterval },
+		open: map[string]*breaker{}, wake: make(chan struct{}),
 	}
 }
 
-// enter waits until a call to the partition may be made. It returns ErrNotDone
-// if the context ends first.
-func (g *gates) enter(ctx context.Context, partition string) error {
+// enter waits until a call to the partition may be sent. It returns ErrNotDone if ctx ends
+// first.
+func (b *breakers) enter(ctx context.Context, partition string) error {
 	for {
-		wait, stirred := g.tryEnter(partition)
+		wait, wake := b.admit(partition)
 		if wait <= 0 {
 			return nil
 		}
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
-		case <-stirred:
+		case <-wake:
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -69,110 +69,114 @@
 	}
 }
 
-// tryEnter tells how long to wait; zero lets the call through.
-func (g *gates) tryEnter(partition string) (time.Duration, <-chan struct{}) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	shut, found := g.closed[partition]
+// admit returns 0 if a call to the partition may be sent now. Otherwise it returns how long to
+// wait at most and a channel that is closed when the caller should check earlier.
+func (b *breakers) admit(partition string) (time.Duration, <-chan struct{}) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	partitionBreaker, found := b.open[partition]
 	if !found {
 		return 0, nil
 	}
-	now := g.now()
-	earliest := shut.retryAt
-	if g.nextTry.After(earliest) {
-		earliest = g.nextTry
+	now := b.now()
+	earliest := partitionBreaker.retryAt
+	if b.nextAttempt.After(earliest) {
+		earliest = b.nextAttempt
 	}
 	if wait := earliest.Sub(now); wait > 0 {
-		return wait, g.stirred
+		return wait, b.wake
 	}
-	g.nextTry = now.Add(g.pauseBetween(now))
-	shut.retryAt = now.Add(gatePause(shut.failures))
+	b.nextAttempt = now.Add(b.attemptInterval(now))
+	partitionBreaker.retryAt = now.Add(breakerDelay(partitionBreaker.failures))
 	return 0, nil
 }
 
-func (g *gates) pauseBetween(now time.Time) time.Duration {
-	if now.Before(g.recovering) {
-		return recoveryDistance
+// attemptInterval returns the time until the next call to any failed partition.
+func (b *breakers) attemptInterval(now time.Time) time.Duration {
+	if now.Before(b.recoveringUntil) {
+		return recoveryAttemptInterval
 	}
-	return jittered(g.distance())
+	return withJitter(b.interval())
 }
 
-// succeeded opens the partition's gate.
-func (g *gates) succeeded(partition string) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.lastAnswered = g.now()
-	if _, found := g.closed[partition]; found {
-		delete(g.closed, partition)
-		g.recover()
+// recordSuccess closes the partition's breaker.
+func (b *breakers) recordSuccess(partition string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.lastAnswer = b.now()
+	if _, found := b.open[partition]; found {
+		delete(b.open, partition)
+		b.startRecovery()
 	}
 }
 
-// recover lets the other partitions be tried in quick succession.
-func (g *gates) recover() {
-	now := g.now()
-	g.recovering = now.Add(recoveryTime)
-	g.nextTry = now
-	for _, other := range g.closed {
+// startRecovery lets calls to all failed partitions follow each other quickly. The caller holds
+// the mutex.
+func (b *breakers) startRecovery() {
+	now := b.now()
+	b.recoveringUntil = now.Add(recoveryDuration)
+	b.nextAttempt = now
+	for _, other := range b.open {
 		other.retryAt = now
 	}
-	close(g.stirred)
-	g.stirred = make(chan struct{})
+	close(b.wake)
+	b.wake = make(chan struct{})
 }
 
-// failed closes the partition's gate, or keeps it closed for longer.
-func (g *gates) failed(partition string) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	shut, found := g.closed[partition]
+// recordFailure opens the partition's breaker, or delays its next call further.
+func (b *breakers) recordFailure(partition string) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	partitionBreaker, found := b.open[partition]
 	if !found {
-		shut = &gate{}
-		g.closed[partition] = shut
+		partitionBreaker = &breaker{}
+		b.open[partition] = partitionBreaker
 	}
-	now := g.now()
+	now := b.now()
 	if found {
-		g.recovering = now // it is not over
+		b.recoveringUntil = now // another failed call ends the recovery
 	}
-	shut.failures++
-	shut.retryAt = now.Add(gatePause(shut.failures))
+	partitionBreaker.failures++
+	partitionBreaker.retryAt = now.Add(breakerDelay(partitionBreaker.failures))
 }
 
-// restored is told when the whole store answers again.
-func (g *gates) restored() {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.recover()
+// recordRestored starts the recovery after the whole store was down.
+func (b *breakers) recordRestored() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.startRecovery()
 }
 
-// isClosed tells whether the partition failed and has not answered since.
-func (g *gates) isClosed(partition string) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	_, found := g.closed[partition]
+// isOpen reports whether the partition failed and has not answered since.
+func (b *breakers) isOpen(partition string) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	_, found := b.open[partition]
 	return found
 }
 
-// answeredWithin tells whether any call was answered in that time.
-func (g *gates) answeredWithin(span time.Duration) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.now().Sub(g.lastAnswered) < span
+// isAnsweredWithin reports whether any call was answered within the last span.
+func (b *breakers) isAnsweredWithin(span time.Duration) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.now().Sub(b.lastAnswer) < span
 }
 
-// answered is when a call was last answered.
-func (g *gates) answered() time.Time {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return g.lastAnswered
+// lastAnswerTime returns when a call was last answered, or the zero time.
+func (b *breakers) lastAnswerTime() time.Time {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.lastAnswer
 }
 
-// gatePause grows with the failures.
-func gatePause(failures int) time.Duration {
-	const mostDoublings = 8
-	return jittered(min(firstGatePause<<min(max(failures-1, 0), mostDoublings), longestGatePause))
+// breakerDelay returns the delay after a number of consecutive failures: it doubles with each
+// failure up to maxBreakerDelay, and is shortened by jitter.
+func breakerDelay(failures int) time.Duration {
+	const maxDoublings = 8
+	return withJitter(min(initialBreakerDelay<<min(max(failures-1, 0), maxDoublings), maxBreakerDelay))
 }
 
-// jittered takes up to a half away.
-func jittered(pause time.Duration) time.Duration {
+// withJitter returns a random duration between half of pause and pause.
+func withJitter(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause/2+1)
 }
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -9,205 +9,212 @@
 	"github.com/rotisserie/eris"
 )
 
-// groups put commits together that wait for the store's rate at the same time: the ends
-// of turns, which carry no condition. Where a slot is free each is committed alone. They
-// save calls when calls are short: in a pulse of three times what the store takes a tenth
-// more of what is offered is served.
+// commitBatcher combines commits that wait for the rate limit at the same time into one call to
+// the store. It batches only commits of ClassTurn without conditions, and only while no rate
+// slot is free; all others are sent one by one.
 //
-// Guarantee: each commit gets the verdict of the call that it was part of. One whose
-// group had no verdict is unknown. A group that the store refused for what one of its
-// commits may be to blame for is committed one by one.
-type groups struct {
-	slots slots
+// Each commit gets the result of the call that contained it. If a batch ends with ErrUnknown,
+// so does each of its commits. If the store refused a batch and a single commit may be the
+// cause, the commits are sent again one by one.
+type commitBatcher struct {
+	slots rateSlots
 	send  func(ctx context.Context, commit Commit, together int) (Version, error)
 	now   func() time.Time
 
-	mutex    sync.Mutex
-	waiting  []*grouped // those that no call took along yet
-	offUntil time.Time
+	mutex       sync.Mutex
+	pending     []*pendingCommit // commits that are not in a call yet
+	pausedUntil time.Time
 }
 
-// slots are the store's rate.
-type slots struct {
-	free  func() bool // takes one that nobody waits for
-	enter func(ctx context.Context, class Class) error
+// rateSlots gives access to the rate limit for commits.
+type rateSlots struct {
+	free func() bool                                  // takes a slot if one is free and no call waits for it
+	wait func(ctx context.Context, class Class) error // waits for a slot
 }
 
-// grouped is a commit that waits.
-type grouped struct {
-	commit  Commit
-	verdict chan groupVerdict // buffered
+// pendingCommit is a commit that waits for a rate slot.
+type pendingCommit struct {
+	commit Commit
+	result chan batchResult // has a buffer of one
 }
 
-// groupVerdict is how a group ended.
-type groupVerdict struct {
+// batchResult is the result of a batch.
+type batchResult struct {
 	version Version
 	err     error
-	split   bool // each is to be committed alone
+	split   bool // the commits have to be sent one by one
 }
 
 const (
-	// mostGroupRows and mostGroupBytes keep a group below what one commit of the store may
-	// hold: 100 rows, and 1 MB of text in which a value takes four thirds of its bytes.
-	mostGroupRows  = 100
-	mostGroupBytes = 600 << 10
-	// groupsOff is how long commits go alone after a group without a verdict: a partition
-	// that does not answer must not hold up those of others.
-	groupsOff = time.Second
-	// groupPatience bounds a group's call, whose commits have times of their own: three
-	// tries of a second.
-	groupPatience = 3 * time.Second
+	// maxBatchRows and maxBatchBytes keep a batch below the limits of one commit, which are 100
+	// rows and 1 MB of text. Values are base64-encoded, which adds a third.
+	maxBatchRows  = 100
+	maxBatchBytes = 600 << 10
+	// batchingPause is how long commits are sent one by one after a batch ended with
+	// ErrUnknown, so that one unresponsive partition does not delay commits to others.
+	batchingPause = time.Second
+	// batchTimeout limits the call of a batch. It does not depend on the contexts of the
+	// commits in it, and leaves time for three tries of one second.
+	batchTimeout = 3 * time.Second
 )
 
-// commit waits for a slot and sends the commit, together with those that wait by then; or
-// it is sent along with another.
-func (g *groups) commit(ctx context.Context, commit Commit) (Version, error) {
-	if g.slots.free() {
-		return g.send(ctx, commit, 1)
+// commit sends the commit, alone or in a batch, and returns its result. It returns ErrUnknown
+// if ctx ends after the commit was put into a batch.
+func (b *commitBatcher) commit(ctx context.Context, commit Commit) (Version, error) {
+	if b.slots.free() {
+		return b.send(ctx, commit, 1)
 	}
-	if !g.mayJoin(commit) {
-		return g.alone(ctx, commit)
+	if !b.isBatchable(commit) {
+		return b.commitAlone(ctx, commit)
 	}
-	own := g.join(commit)
-	entering, stop := context.WithCancel(ctx)
+	own := b.enqueue(commit)
+	waitCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	entered := make(chan error, 1)
-	go func() { entered <- g.slots.enter(entering, commit.Class) }()
+	waitResult := make(chan error, 1)
+	go func() { waitResult <- b.slots.wait(waitCtx, commit.Class) }()
 	select {
-	case verdict := <-own.verdict:
-		return g.take(ctx, commit, verdict)
-	case err := <-entered:
+	case result := <-own.result:
+		return b.resolve(ctx, commit, result)
+	case err := <-waitResult:
 		switch {
-		case err != nil && g.leave(own):
+		case err != nil && b.dequeue(own):
 			return 0, err
 		case err == nil:
-			g.lead(own)
+			b.sendBatch(own)
 		}
 	}
 	select {
-	case verdict := <-own.verdict:
-		return g.take(ctx, commit, verdict)
+	case result := <-own.result:
+		return b.resolve(ctx, commit, result)
 	case <-ctx.Done():
-		return 0, eris.Wrapf(ErrUnknown, "commit in a group: %v", ctx.Err())
+		return 0, eris.Wrapf(ErrUnknown, "commit in a batch: %v", ctx.Err())
 	}
 }
 
-func (g *groups) mayJoin(commit Commit) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	return commit.Class == ClassTurn && len(commit.Conditions) == 0 && !g.now().Before(g.offUntil)
+// isBatchable reports whether the commit may be sent in a batch now.
+func (b *commitBatcher) isBatchable(commit Commit) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return commit.Class == ClassTurn && len(commit.Conditions) == 0 && !b.now().Before(b.pausedUntil)
 }
 
-func (g *groups) alone(ctx context.Context, commit Commit) (Version, error) {
-	if err := g.slots.enter(ctx, commit.Class); err != nil {
+// commitAlone waits for a rate slot and sends the commit in a call of its own.
+func (b *commitBatcher) commitAlone(ctx context.Context, commit Commit) (Version, error) {
+	if err := b.slots.wait(ctx, commit.Class); err != nil {
 		return 0, err
 	}
-	return g.send(ctx, commit, 1)
+	return b.send(ctx, commit, 1)
 }
 
-// take returns the group's verdict, or commits alone what the group could not.
-func (g *groups) take(ctx context.Context, commit Commit, verdict groupVerdict) (Version, error) {
-	if verdict.split {
-		return g.alone(ctx, commit)
+// resolve returns the result of the batch, or sends the commit alone if the batch was split.
+func (b *commitBatcher) resolve(ctx context.Context, commit Commit, result batchResult) (Version, error) {
+	if result.split {
+		return b.commitAlone(ctx, commit)
 	}
-	return verdict.version, verdict.err
+	return result.version, result.err
 }
 
-func (g *groups) join(commit Commit) *grouped {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	made := &grouped{commit: commit, verdict: make(chan groupVerdict, 1)}
-	g.waiting = append(g.waiting, made)
-	return made
+// enqueue adds the commit to the pending ones.
+func (b *commitBatcher) enqueue(commit Commit) *pendingCommit {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	queued := &pendingCommit{commit: commit, result: make(chan batchResult, 1)}
+	b.pending = append(b.pending, queued)
+	return queued
 }
 
-// leave takes a commit out; false: a call has taken it along.
-func (g *groups) leave(own *grouped) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	for index, each := range g.waiting {
+// dequeue removes a pending commit. It returns false if the commit is in a call already.
+func (b *commitBatcher) dequeue(own *pendingCommit) bool {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	for index, each := range b.pending {
 		if each == own {
-			g.waiting = append(g.waiting[:index], g.waiting[index+1:]...)
+			b.pending = append(b.pending[:index], b.pending[index+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// lead sends the commit of one that has a slot with those that fit, unless another call
-// has taken it along. The call goes on when the caller of one of them leaves.
-func (g *groups) lead(own *grouped) {
-	if !g.leave(own) {
+// sendBatch sends a commit that got a rate slot, together with the pending commits that fit,
+// unless the commit is in another call already. The call continues if the context of one of the
+// commits ends.
+func (b *commitBatcher) sendBatch(own *pendingCommit) {
+	if !b.dequeue(own) {
 		return
 	}
-	together, whole := g.gather(own)
+	batch, combined := b.collectBatch(own)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), groupPatience)
+		ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 		defer cancel()
-		version, err := g.send(ctx, whole, len(together))
-		verdict := groupVerdict{version: version, err: err, split: len(together) > 1 && mayBeOneToBlame(err)}
-		if len(together) > 1 && errors.Is(err, ErrUnknown) {
-			g.pause()
+		version, err := b.send(ctx, combined, len(batch))
+		result := batchResult{version: version, err: err, split: len(batch) > 1 && isCausedByOneCommit(err)}
+		if len(batch) > 1 && errors.Is(err, ErrUnknown) {
+			b.pauseBatching()
 		}
-		for _, each := range together {
-			each.verdict <- verdict
+		for _, each := range batch {
+			each.result <- result
 		}
 	}()
 }
 
-// mayBeOneToBlame tells whether nothing was done, for a reason that some of a group's
-// commits may not have: a partition that does not answer, or a group that is too large.
-func mayBeOneToBlame(err error) bool {
+// isCausedByOneCommit reports whether the error of a batch means that nothing was applied and
+// that a single commit may be the cause: its partition does not answer, or the batch is too
+// large.
+func isCausedByOneCommit(err error) bool {
 	return err != nil && !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrFull) && !errors.Is(err, ErrThrottled)
 }
 
-func (g *groups) pause() {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	g.offUntil = g.now().Add(groupsOff)
+// pauseBatching stops batching for batchingPause.
+func (b *commitBatcher) pauseBatching() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	b.pausedUntil = b.now().Add(batchingPause)
 }
 
-// gather takes those out of the waiting ones that fit into one commit with the first.
-func (g *groups) gather(first *grouped) ([]*grouped, Commit) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	together, whole := []*grouped{first}, Commit{Class: ClassTurn}
+// collectBatch removes the pending commits that fit into one commit with the first. It returns
+// the batch and the combined commit.
+func (b *commitBatcher) collectBatch(first *pendingCommit) ([]*pendingCommit, Commit) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	batch, combined := []*pendingCommit{first}, Commit{Class: ClassTurn}
 	keys := map[Key]bool{}
-	whole.add(first.commit, keys)
-	var left []*grouped
-	for _, each := range g.waiting {
-		if !whole.fits(each.commit, keys) {
-			left = append(left, each)
+	combined.add(first.commit, keys)
+	var remaining []*pendingCommit
+	for _, each := range b.pending {
+		if !combined.fits(each.commit, keys) {
+			remaining = append(remaining, each)
 			continue
 		}
-		whole.add(each.commit, keys)
-		together = append(together, each)
+		combined.add(each.commit, keys)
+		batch = append(batch, each)
 	}
-	g.waiting = left
-	return together, whole
+	b.pending = remaining
+	return batch, combined
 }
 
-// fits tells whether another commit has room beside this one and writes no row of it.
+// fits reports whether the other commit can be added to this one, which writes the given keys,
+// within the batch limits and without writing a row twice.
 func (c Commit) fits(other Commit, keys map[Key]bool) bool {
-	for _, key := range other.written() {
+	for _, key := range other.writtenKeys() {
 		if keys[key] {
 			return false
 		}
 	}
-	return len(keys)+len(other.written()) <= mostGroupRows && c.bytes()+other.bytes() <= mostGroupBytes
+	return len(keys)+len(other.writtenKeys()) <= maxBatchRows && c.valueBytes()+other.valueBytes() <= maxBatchBytes
 }
 
-// add takes the rows of another commit in, and notes their keys.
+// add adds the puts and removals of the other commit, and its keys to the set of written keys.
 func (c *Commit) add(other Commit, keys map[Key]bool) {
 	c.Puts = append(c.Puts, other.Puts...)
 	c.Removals = append(c.Removals, other.Removals...)
-	for _, key := range other.written() {
+	for _, key := range other.writtenKeys() {
 		keys[key] = true
 	}
 }
 
-// written are the keys that the commit changes.
-func (c Commit) written() []Key {
+// writtenKeys returns the keys of the rows that the commit puts or removes.
+func (c Commit) writtenKeys() []Key {
 	keys := make([]Key, 0, len(c.Puts)+len(c.Removals))
 	for _, put := range c.Puts {
 		keys = append(keys, put.Key)
--- a/internal/state/group_test.go
+++ b/internal/state/group_test.go
@@ -11,11 +11,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load: turns end faster than the store's rate lets them be recorded one by one.
-var _ = Describe("ends of turns that wait for the store's rate", func() {
-	var tested *groups
+// Turns end faster than the rate limit allows to record them one by one.
+var _ = Describe("turn commits that wait for the rate limit", func() {
+	var batcher *commitBatcher
 	var free bool
-	var slot chan struct{} // each value is one slot
+	var availableSlots chan struct{} // each value is one rate slot
 	var mutex sync.Mutex
 	var sent []Commit
 	var answer func(commit Commit) (Version, error)
@@ -24,49 +24,50 @@
 	turn := func(number int) Commit {
 		return Commit{Class: ClassTurn, Puts: []Put{{Key: Key{Table: "t", Partition: strconv.Itoa(number), Name: "n"}, Value: []byte("v")}}}
 	}
-	type ending struct {
+	type result struct {
 		version Version
 		err     error
 	}
-	begin := func(ctx context.Context, commit Commit) chan ending {
-		ended := make(chan ending, 1)
+	begin := func(ctx context.Context, commit Commit) chan result {
+		results := make(chan result, 1)
 		go func() {
-			version, err := tested.commit(ctx, commit)
-			ended <- ending{version, err}
+			version, err := batcher.commit(ctx, commit)
+			results <- result{version, err}
 		}()
-		return ended
+		return results
 	}
-	waiting := func() int {
-		tested.mutex.Lock()
-		defer tested.mutex.Unlock()
-		return len(tested.waiting)
+	pendingCount := func() int {
+		batcher.mutex.Lock()
+		defer batcher.mutex.Unlock()
+		return len(batcher.pending)
 	}
 	calls := func() []Commit {
 		mutex.Lock()
 		defer mutex.Unlock()
 		return append([]Commit{}, sent...)
 	}
-	// beginTogether has so many wait at once.
-	beginTogether := func(ctx context.Context, count int) []chan ending {
-		var ended []chan ending
+	// beginMany starts that many commits, each in a partition of its own, and returns when all
+	// wait for a slot.
+	beginMany := func(ctx context.Context, count int) []chan result {
+		var results []chan result
 		for number := range count {
-			ended = append(ended, begin(ctx, turn(number)))
+			results = append(results, begin(ctx, turn(number)))
 		}
-		Eventually(waiting).Should(Equal(count))
-		return ended
+		Eventually(pendingCount).Should(Equal(count))
+		return results
 	}
 
 	BeforeEach(func() {
 		free, sent, now = false, nil, time.Unix(1000, 0)
-		slot = make(chan struct{}, 1000)
+		availableSlots = make(chan struct{}, 1000)
 		answer = func(Commit) (Version, error) { return 7, nil }
-		here := slot
-		tested = &groups{
-			slots: slots{
+		currentSlots := availableSlots
+		batcher = &commitBatcher{
+			slots: rateSlots{
 				free: func() bool { return free },
-				enter: func(ctx context.Context, _ Class) error {
+				wait: func(ctx context.Context, _ Class) error {
 					select {
-					case <-here:
+					case <-currentSlots:
 						return nil
 					case <-ctx.Done():
 						return ErrThrottled
@@ -83,42 +84,42 @@
 		}
 	})
 
-	It("go alone while slots are free", func(ctx SpecContext) {
+	It("are sent one by one while slots are free", func(ctx SpecContext) {
 		free = true
 		for number := range 3 {
-			Expect(tested.commit(ctx, turn(number))).To(BeEquivalentTo(7))
+			Expect(batcher.commit(ctx, turn(number))).To(BeEquivalentTo(7))
 		}
 		Expect(calls()).To(HaveLen(3))
 	})
 
-	It("go in one call, and each gets its verdict", func(ctx SpecContext) {
-		ended := beginTogether(ctx, 20)
-		slot <- struct{}{}
-		for _, each := range ended {
-			Eventually(each).Should(Receive(Equal(ending{version: 7})))
+	It("are sent in one call, and each gets its result", func(ctx SpecContext) {
+		results := beginMany(ctx, 20)
+		availableSlots <- struct{}{}
+		for _, each := range results {
+			Eventually(each).Should(Receive(Equal(result{version: 7})))
 		}
 		Expect(calls()).To(HaveLen(1))
 		Expect(calls()[0].Puts).To(HaveLen(20))
 	})
 
-	DescribeTable("share a verdict that is for all",
+	DescribeTable("all get an error that concerns the whole batch",
 		func(ctx SpecContext, verdict error) {
 			answer = func(Commit) (Version, error) { return 0, verdict }
-			ended := beginTogether(ctx, 5)
-			slot <- struct{}{}
-			for _, each := range ended {
-				var got ending
+			results := beginMany(ctx, 5)
+			availableSlots <- struct{}{}
+			for _, each := range results {
+				var got result
 				Eventually(each).Should(Receive(&got))
 				Expect(got.err).To(MatchError(verdict))
 			}
 			Expect(calls()).To(HaveLen(1))
 		},
 		Entry("unknown", ErrUnknown),
-		Entry("no room", ErrFull),
-		Entry("no rate", ErrThrottled),
+		Entry("store full", ErrFull),
+		Entry("rate limit", ErrThrottled),
 	)
 
-	DescribeTable("are split when one of them may be to blame",
+	DescribeTable("are sent one by one after an error that one of them may have caused",
 		func(ctx SpecContext, refusal error) {
 			answer = func(commit Commit) (Version, error) {
 				for _, put := range commit.Puts {
@@ -128,17 +129,17 @@
 				}
 				return 9, nil
 			}
-			ended := beginTogether(ctx, 5)
-			slot <- struct{}{}
-			Eventually(waiting).Should(BeZero())
-			close(slot) // from now on there is always one
-			for number, each := range ended {
-				var got ending
+			results := beginMany(ctx, 5)
+			availableSlots <- struct{}{}
+			Eventually(pendingCount).Should(BeZero())
+			close(availableSlots) // from now on a slot is always free
+			for number, each := range results {
+				var got result
 				Eventually(each).Should(Receive(&got))
 				if number == 3 {
 					Expect(got.err).To(MatchError(refusal))
 				} else {
-					Expect(got).To(Equal(ending{version: 9}))
+					Expect(got).To(Equal(result{version: 9}))
 				}
 			}
 		},
@@ -146,55 +147,55 @@
 		Entry("too large", errors.New("status 413")),
 	)
 
-	It("go alone for a second after a group had no verdict", func(ctx SpecContext) {
+	It("are sent one by one for a second after the result of a batch is unknown", func(ctx SpecContext) {
 		answer = func(Commit) (Version, error) { return 0, ErrUnknown }
-		ended := beginTogether(ctx, 2)
-		slot <- struct{}{}
-		for _, each := range ended {
+		results := beginMany(ctx, 2)
+		availableSlots <- struct{}{}
+		for _, each := range results {
 			Eventually(each).Should(Receive())
 		}
 		before := len(calls())
 		answer = func(Commit) (Version, error) { return 8, nil }
 		first, second := begin(ctx, turn(1)), begin(ctx, turn(2))
-		slot <- struct{}{}
-		slot <- struct{}{}
-		Eventually(first).Should(Receive(Equal(ending{version: 8})))
-		Eventually(second).Should(Receive(Equal(ending{version: 8})))
+		availableSlots <- struct{}{}
+		availableSlots <- struct{}{}
+		Eventually(first).Should(Receive(Equal(result{version: 8})))
+		Eventually(second).Should(Receive(Equal(result{version: 8})))
 		Expect(calls()).To(HaveLen(before + 2))
-		Expect(tested.mayJoin(turn(1))).To(BeFalse())
-		now = now.Add(groupsOff)
-		Expect(tested.mayJoin(turn(1))).To(BeTrue())
+		Expect(batcher.isBatchable(turn(1))).To(BeFalse())
+		now = now.Add(batchingPause)
+		Expect(batcher.isBatchable(turn(1))).To(BeTrue())
 	})
 
-	It("are not sent when their caller leaves before, and are unknown when it leaves after", func(ctx SpecContext) {
+	It("are not sent if canceled before the batch, and have an unknown result if canceled after", func(ctx SpecContext) {
 		leaving, leave := context.WithCancel(ctx)
 		gone := begin(leaving, turn(1))
-		Eventually(waiting).Should(Equal(1))
+		Eventually(pendingCount).Should(Equal(1))
 		leave()
-		var got ending
+		var got result
 		Eventually(gone).Should(Receive(&got))
 		Expect(got.err).To(MatchError(ErrNotDone))
-		Expect(waiting()).To(BeZero())
+		Expect(pendingCount()).To(BeZero())
 		Expect(calls()).To(BeEmpty())
 
 		release := make(chan struct{})
 		answer = func(Commit) (Version, error) { <-release; return 7, nil }
 		staying := begin(ctx, turn(1))
-		Eventually(waiting).Should(Equal(1))
+		Eventually(pendingCount).Should(Equal(1))
 		leaving, leave = context.WithCancel(ctx)
 		gone = begin(leaving, turn(2))
-		Eventually(waiting).Should(Equal(2))
-		slot <- struct{}{}
-		Eventually(waiting).Should(BeZero())
+		Eventually(pendingCount).Should(Equal(2))
+		availableSlots <- struct{}{}
+		Eventually(pendingCount).Should(BeZero())
 		leave()
 		Eventually(gone).Should(Receive(&got))
 		Expect(got.err).To(MatchError(ErrUnknown))
 		close(release)
-		Eventually(staying).Should(Receive(Equal(ending{version: 7})))
+		Eventually(staying).Should(Receive(Equal(result{version: 7})))
 		Expect(calls()).To(HaveLen(1))
 	})
 
-	It("keep to what one commit may hold", func(ctx SpecContext) {
+	It("do not exceed the limits of one commit", func(ctx SpecContext) {
 		const rowsEach = 30
 		wide := func(number int) Commit {
 			made := Commit{Class: ClassTurn}
@@ -204,45 +205,45 @@
 			return made
 		}
 		large := turn(100)
-		large.Puts[0].Value = make([]byte, mostGroupBytes)
+		large.Puts[0].Value = make([]byte, maxBatchBytes)
 		wanted := []Commit{wide(1), wide(2), wide(3), wide(4), wide(5), large}
-		var ended []chan ending
+		var results []chan result
 		for _, each := range wanted {
-			ended = append(ended, begin(ctx, each))
+			results = append(results, begin(ctx, each))
 		}
-		Eventually(waiting).Should(Equal(len(wanted)))
-		slot <- struct{}{}
-		Eventually(waiting).Should(BeNumerically("<", len(wanted)))
-		close(slot) // from now on there is always one
-		for _, each := range ended {
-			Eventually(each).Should(Receive(Equal(ending{version: 7})))
+		Eventually(pendingCount).Should(Equal(len(wanted)))
+		availableSlots <- struct{}{}
+		Eventually(pendingCount).Should(BeNumerically("<", len(wanted)))
+		close(availableSlots) // from now on a slot is always free
+		for _, each := range results {
+			Eventually(each).Should(Receive(Equal(result{version: 7})))
 		}
 		for _, call := range calls() {
-			Expect(len(call.written())).To(BeNumerically("<=", mostGroupRows))
-			Expect(call.bytes()).To(BeNumerically("<=", mostGroupBytes))
+			Expect(len(call.writtenKeys())).To(BeNumerically("<=", maxBatchRows))
+			Expect(call.valueBytes()).To(BeNumerically("<=", maxBatchBytes))
 		}
 	})
 
-	It("of the same row go in two calls", func(ctx SpecContext) {
+	It("to the same row are sent in separate calls", func(ctx SpecContext) {
 		first := begin(ctx, turn(1))
-		Eventually(waiting).Should(Equal(1))
+		Eventually(pendingCount).Should(Equal(1))
 		again := begin(ctx, turn(1))
-		Eventually(waiting).Should(Equal(2))
-		slot <- struct{}{}
-		Eventually(waiting).Should(Equal(1))
-		slot <- struct{}{}
-		Eventually(first).Should(Receive(Equal(ending{version: 7})))
-		Eventually(again).Should(Receive(Equal(ending{version: 7})))
+		Eventually(pendingCount).Should(Equal(2))
+		availableSlots <- struct{}{}
+		Eventually(pendingCount).Should(Equal(1))
+		availableSlots <- struct{}{}
+		Eventually(first).Should(Receive(Equal(result{version: 7})))
+		Eventually(again).Should(Receive(Equal(result{version: 7})))
 		Expect(calls()).To(HaveLen(2))
 	})
 
-	It("alone are put together, without conditions", func() {
+	It("without conditions are the only commits that are batched", func() {
 		conditional := turn(1)
 		conditional.Conditions = []Condition{{Key: conditional.Puts[0].Key}}
-		Expect(tested.mayJoin(conditional)).To(BeFalse())
+		Expect(batcher.isBatchable(conditional)).To(BeFalse())
 		settlement := turn(1)
 		settlement.Class = ClassSettlement
-		Expect(tested.mayJoin(settlement)).To(BeFalse())
-		Expect(tested.mayJoin(turn(1))).To(BeTrue())
+		Expect(batcher.isBatchable(settlement)).To(BeFalse())
+		Expect(batcher.isBatchable(turn(1))).To(BeTrue())
 	})
 })
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -6,63 +6,66 @@
 	"time"
 )
 
-// hedger sends a call again when its answer takes much longer than answers
-// usually do, without giving the earlier one up: an answer may be lost though
-// the call was done, and calls are idempotent by their keys and conditions.
+// hedger sends a call again if its answer takes much longer than usual, while the earlier try
+// continues. The answer to a try may be lost although the store executed it; repeating it is
+// safe because calls are idempotent. A hedger is safe for concurrent use.
 type hedger struct {
-	typical atomic.Int64 // nanoseconds, weighted mean of answered calls
-	budget  retryBudget
-	off     bool // one try of each call
+	meanLatency atomic.Int64 // nanoseconds; exponentially weighted mean of the latencies of answered calls, 0: none yet
+	budget      retryBudget
+	disabled    bool // each call is sent once
 }
 
 const (
-	typicalWeight   = 4 // a new value counts as one part in so many
-	firstTypical    = 8 * time.Millisecond
-	hedgeFactor     = 5 // times the typical answer until the next try
-	shortestHedge   = 40 * time.Millisecond
-	longestHedge    = 600 * time.Millisecond
-	mostHedgedTries = 3
-	neverHedged     = time.Hour // longer than any call takes
+	meanLatencyWeight  = 4 // a new latency has a weight of 1/meanLatencyWeight in the mean
+	initialMeanLatency = 8 * time.Millisecond
+	hedgeDelayFactor   = 5 // mean latencies until the second try
+	minHedgeDelay      = 40 * time.Millisecond
+	maxHedgeDelay      = 600 * time.Millisecond
+	maxHedgeTries      = 3
+	disabledHedgeDelay = time.Hour // longer than any call takes
 )
 
+// observe adds the latency of an answered call to the mean.
 func (h *hedger) observe(took time.Duration) {
-	old := h.typical.Load()
+	old := h.meanLatency.Load()
 	if old == 0 {
-		old = int64(firstTypical)
+		old = int64(initialMeanLatency)
 	}
-	h.typical.Store(old + (int64(took)-old)/typicalWeight)
+	h.meanLatency.Store(old + (int64(took)-old)/meanLatencyWeight)
 }
 
+// delay returns how long to wait for an answer before the second try.
 func (h *hedger) delay() time.Duration {
-	if h.off {
-		return neverHedged
+	if h.disabled {
+		return disabledHedgeDelay
 	}
-	typical := time.Duration(h.typical.Load())
-	if typical == 0 {
-		typical = firstTypical
+	mean := time.Duration(h.meanLatency.Load())
+	if mean == 0 {
+		mean = initialMeanLatency
 	}
-	return min(max(hedgeFactor*typical, shortestHedge), longestHedge)
+	return min(max(hedgeDelayFactor*mean, minHedgeDelay), maxHedgeDelay)
 }
 
-// outcome is the end of one try.
+// outcome is the result of one try.
 type outcome[T any] struct {
 	result T
 	err    error
 	took   time.Duration
 }
 
-// furtherTries tells when a further try of a call may be made.
-type furtherTries struct {
-	atOnce func() bool // after a failed one
-	spare  func() bool // the store's rate has a slot that nobody waits for
+// retryConditions decides whether a further try of a call may be sent.
+type retryConditions struct {
+	shouldRetryAtOnce func() bool // whether to retry right after a try failed
+	takeSpareSlot     func() bool // takes a rate slot if one is free and no call waits for it
 }
 
-// hedge returns the first verdict of up to three tries, or the error of the
-// last one to end.
-func hedge[T any](ctx context.Context, h *hedger, further furtherTries, call func(ctx context.Context, try int) (T, error)) (T, error) {
+// hedge calls the function up to maxHedgeTries times, concurrently if an answer takes long. It
+// returns the first result whose error is neither ErrNotDone nor ErrUnknown. If there is none,
+// it returns the error of the try that ended last.
+func hedge[T any](ctx context.Context, h *hedger, retry retryConditions, call func(ctx context.Context, try int) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	outcomes := make(chan outcome[T], mostHedgedTries)
+	outcomes := make(chan outcome[T], maxHedgeTries)
 	launched, pending := 0, 0
 	launch := func() {
 		try := launched
@@ -77,7 +80,7 @@
 	delay := h.delay()
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
-	h.budget.call()
+	h.budget.recordCall()
 	launch()
 	for {
 		select {
@@ -87,17 +90,17 @@
 				h.observe(ended.took)
 				return ended.result, ended.err
 			}
-			if launched < mostHedgedTries && ctx.Err() == nil && further.atOnce() && h.budget.take() && further.spare() {
+			if launched < maxHedgeTries && ctx.Err() == nil && retry.shouldRetryAtOnce() && h.budget.take() && retry.takeSpareSlot() {
 				launch()
 			}
 			if pending == 0 {
 				return ended.result, ended.err
 			}
 		case <-timer.C:
-			if launched == mostHedgedTries {
+			if launched == maxHedgeTries {
 				continue
 			}
-			if h.budget.take() && further.spare() {
+			if h.budget.take() && retry.takeSpareSlot() {
 				launch()
 			}
 			delay *= 2
--- a/internal/state/lane.go
+++ b/internal/state/lane.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// lane is the line of one process's calls of one kind, writing or reading, for the
-// store's rate. More important classes go first. A call that can't be made within its
-// time is refused at once. Time is an input; it is not safe for concurrent use.
-type lane struct {
-	pace    *pace
-	waiting [ranks][]*ticket
-	granted int // while others waited
+// callQueue holds the calls of one kind, writes or reads, that wait for this process's rate
+// limit. Calls of more important classes go first. A call that would miss its deadline is
+// refused as soon as that is known. The caller passes the current time to each method. A
+// callQueue is not safe for concurrent use.
+type callQueue struct {
+	bucket  *adaptiveBucket
+	waiting [rankCount][]*waiter // by rank, each in order of arrival
+	grants  int                  // grants since the queue was last empty
 }
 
-// ticket is a call that waits.
-type ticket struct {
+// waiter is a call that waits for a slot.
+type waiter struct {
 	class    Class
 	deadline time.Time
-	// tell hears once whether the call may be made; it must not block.
-	tell func(granted bool)
+	// notify is called once with whether the call may be sent, unless the waiter is removed
+	// before. It must not block.
+	notify func(granted bool)
 }
 
 const (
-	ranks = 7 // of the classes
-	// leastServed is of how many calls one goes to the least important class that waits,
-	// so that none starves: a twentieth of the rate removes what takes up room.
-	leastServed = 20
-	// mostHeld is how long a call waits for the rate at most, however much time it has:
-	// it bounds the memory and the backlog that is left when an overload ends, which the
-	// usual load of two thirds of the rate lets drain within two seconds.
-	mostHeld = time.Second
-	// timeOfCall is kept of a call's time for the call itself.
-	timeOfCall = 20 * time.Millisecond
+	rankCount = 7 // number of ranks of classes
+	// grantsPerLeastImportant makes one in this many grants go to the least important class
+	// that waits, so that no class starves and removals can free space.
+	grantsPerLeastImportant = 20
+	// maxQueueWait is the longest time that a call waits in the queue, even if its deadline is
+	// later. It bounds the memory of the queue and the backlog at the end of an overload.
+	maxQueueWait = time.Second
+	// minCallTime is the part of the time until a call's deadline that is reserved for the call
+	// itself.
+	minCallTime = 20 * time.Millisecond
 )
 
-// rank orders classes by importance; zero is the most important.
+// rank returns the position of the class in the order of importance; 0 is the most important.
 func (c Class) rank() int {
 	if c == ClassOther {
 		c = ClassRead
@@ -43,77 +45,78 @@
 	return int(c - ClassLease)
 }
 
-// arrive takes a call into the line; it is told at once if it may be made, or cannot be
-// made in time. A zero deadline is no deadline.
-func (l *lane) arrive(now time.Time, arrived *ticket) {
-	held := now.Add(mostHeld)
-	if arrived.deadline.IsZero() || held.Before(arrived.deadline) {
-		arrived.deadline = held
+// enqueue adds a call. The call is notified before enqueue returns if it may be sent now or
+// would miss its deadline. A zero deadline means none.
+func (q *callQueue) enqueue(now time.Time, arrived *waiter) {
+	latest := now.Add(maxQueueWait)
+	if arrived.deadline.IsZero() || latest.Before(arrived.deadline) {
+		arrived.deadline = latest
 	} else {
-		arrived.deadline = arrived.deadline.Add(-timeOfCall)
+		arrived.deadline = arrived.deadline.Add(-minCallTime)
 	}
 	rank := arrived.class.rank()
-	l.waiting[rank] = append(l.waiting[rank], arrived)
-	if l.advance(now) > 0 {
-		l.refuseLate(now)
+	q.waiting[rank] = append(q.waiting[rank], arrived)
+	if q.grantDue(now) > 0 {
+		q.refuseLate(now)
 	}
 }
 
-// advance tells those whose turn it is, and how long until the next one's; zero: none waits.
-func (l *lane) advance(now time.Time) time.Duration {
-	l.pace.advance(now)
+// grantDue notifies the calls that may be sent now. It returns the time until the next call may
+// be sent, or 0 if no call waits.
+func (q *callQueue) grantDue(now time.Time) time.Duration {
+	q.bucket.advance(now)
 	for {
-		rank, found := l.next()
+		rank, found := q.nextRank()
 		if !found {
-			l.granted = 0
+			q.grants = 0
 			return 0
 		}
-		if !l.pace.take() {
-			return l.pace.wait(1)
+		if !q.bucket.take() {
+			return q.bucket.waitTime(1)
 		}
-		first := l.waiting[rank][0]
-		l.waiting[rank] = slices.Delete(l.waiting[rank], 0, 1)
-		l.granted++
-		first.tell(true)
+		first := q.waiting[rank][0]
+		q.waiting[rank] = slices.Delete(q.waiting[rank], 0, 1)
+		q.grants++
+		first.notify(true)
 	}
 }
 
-// next is the rank whose turn it is.
-func (l *lane) next() (rank int, found bool) {
-	least := -1
-	most := -1
-	for rank := range l.waiting {
-		if len(l.waiting[rank]) == 0 {
+// nextRank returns the rank from which the next call is granted, and whether any call waits.
+func (q *callQueue) nextRank() (rank int, found bool) {
+	leastImportant := -1
+	mostImportant := -1
+	for rank := range q.waiting {
+		if len(q.waiting[rank]) == 0 {
 			continue
 		}
-		if most < 0 {
-			most = rank
+		if mostImportant < 0 {
+			mostImportant = rank
 		}
-		least = rank
+		leastImportant = rank
 	}
-	if l.granted%leastServed == leastServed-1 {
-		return least, least >= 0
+	if q.grants%grantsPerLeastImportant == grantsPerLeastImportant-1 {
+		return leastImportant, leastImportant >= 0
 	}
-	return most, most >= 0
+	return mostImportant, mostImportant >= 0
 }
 
-// refuseLate refuses those who can't be served in time if nobody comes before them.
-func (l *lane) refuseLate(now time.Time) {
-	before := 0
-	for rank, line := range l.waiting {
-		l.waiting[rank] = slices.DeleteFunc(line, func(waiting *ticket) bool {
-			if now.Add(l.pace.wait(before + 1)).After(waiting.deadline) {
-				waiting.tell(false)
+// refuseLate refuses the calls that would miss their deadlines even if no other call arrives.
+func (q *callQueue) refuseLate(now time.Time) {
+	ahead := 0
+	for rank, waiters := range q.waiting {
+		q.waiting[rank] = slices.DeleteFunc(waiters, func(waiting *waiter) bool {
+			if now.Add(q.bucket.waitTime(ahead + 1)).After(waiting.deadline) {
+				waiting.notify(false)
 				return true
 			}
-			before++
+			ahead++
 			return false
 		})
 	}
 }
 
-// leave takes a call out of the line whose caller has given up.
-func (l *lane) leave(gone *ticket) {
+// remove removes a call whose caller stopped waiting.
+func (q *callQueue) remove(gone *waiter) {
 	rank := gone.class.rank()
-	l.waiting[rank] = slices.DeleteFunc(l.waiting[rank], func(waiting *ticket) bool { return waiting == gone })
+	q.waiting[rank] = slices.DeleteFunc(q.waiting[rank], func(waiting *waiter) bool { return waiting == gone })
 }
--- a/internal/state/limiter.go
+++ b/internal/state/limiter.go
@@ -9,42 +9,44 @@
 	"github.com/rotisserie/eris"
 )
 
-// Rates are what the store takes of all processes together, in calls a second; zero:
-// unknown.
+// Rates are the store's rate limits for all processes together, in calls per second. Zero means
+// that the limit is not known.
 type Rates struct {
 	Writes float64
 	Reads  float64
 }
 
-// Limiter keeps the calls of all processes together under what the store takes, without
-// a word among them: each adapts its rate to its own refusals, and an equal part of what
-// the store takes is always its own. It is safe for concurrent use.
+// Limiter keeps the calls of all processes together below the store's rate limits, without
+// communication between the processes. Each process adapts its rate to its own throttled calls,
+// and always has its equal share of the limit. A Limiter is safe for concurrent use.
 type Limiter struct {
 	options LimiterOptions
-	writes  *queue
-	reads   *queue
+	writes  *kindLimiter
+	reads   *kindLimiter
 }
 
-// LimiterOptions are the parameters of a Limiter.
+// LimiterOptions configures a Limiter.
 type LimiterOptions struct {
 	Rates Rates
-	// Members is how many processes there are, as this one knows; nil or at most 1: not
-	// known yet.
+	// Members returns the number of processes that share the limits, as far as this process
+	// knows. If it is nil or returns at most 1, a large fleet is assumed.
 	Members func() int
 	Now     func() time.Time
-	// OnLowered hears that the rate of calls of a kind was lowered to so many a second.
+	// OnLowered is called after the rate of a kind of call was lowered, with the new rate in
+	// calls per second.
 	OnLowered func(kind CallKind, allowed float64)
 }
 
-// unknownMembers are assumed while nobody else is known: a fleet whose daemons all start
-// at once must not begin with the whole rate each. It is the size of large fleets.
-const unknownMembers = 400
+// assumedMembers is the number of processes assumed while no other is known, so that a fleet
+// whose daemons all start at once does not begin with the full rate each. It is the size of
+// large fleets.
+const assumedMembers = 400
 
-// shareGiven is which part of the rate the floors of all processes take together. The
-// rest is for those that a process does not know of yet.
-const shareGiven = 0.9
+// guaranteedShare is the part of the store's limit that the minimum rates of all processes add
+// up to. The rest is a reserve for processes that others do not know of yet.
+const guaranteedShare = 0.9
 
-// NewLimiter makes a limiter.
+// NewLimiter returns a limiter. All of its options are optional.
 func NewLimiter(options LimiterOptions) *Limiter {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -55,158 +57,164 @@
 	if options.OnLowered == nil {
 		options.OnLowered = func(CallKind, float64) {}
 	}
-	made := &Limiter{options: options}
-	made.writes = made.queue(CallCommit, options.Rates.Writes)
-	made.reads = made.queue(CallRead, options.Rates.Reads)
-	return made
+	limiter := &Limiter{options: options}
+	limiter.writes = limiter.newKindLimiter(CallCommit, options.Rates.Writes)
+	limiter.reads = limiter.newKindLimiter(CallRead, options.Rates.Reads)
+	return limiter
 }
 
-// queue is a lane and the timer that serves it.
-type queue struct {
-	kind     CallKind
-	declared float64
-	mutex    sync.Mutex
-	lane     lane
-	timer    *time.Timer
+// kindLimiter limits writes or reads: a queue and the timer that grants its calls. The mutex
+// guards the queue and the timer.
+type kindLimiter struct {
+	kind         CallKind
+	declaredRate float64 // limit for all processes in calls per second; 0: not known
+	mutex        sync.Mutex
+	queue        callQueue
+	timer        *time.Timer
 }
 
-func (l *Limiter) queue(kind CallKind, declared float64) *queue {
-	made := &queue{kind: kind, declared: declared}
-	made.lane.pace = paceOf(kind, declared, l.options.Members(), l.options.Now())
-	return made
+// newKindLimiter returns a limiter for writes or reads with the declared rate.
+func (l *Limiter) newKindLimiter(kind CallKind, declaredRate float64) *kindLimiter {
+	limiter := &kindLimiter{kind: kind, declaredRate: declaredRate}
+	limiter.queue.bucket = newBucketFor(kind, declaredRate, l.options.Members(), l.options.Now())
+	return limiter
 }
 
-// What a process sends at once when it starts. It registers with one writing call, and
-// reads the configuration, the engines, the members and the leases.
+// Calls that a process may send at once when it starts: a write to register itself, and the
+// first reads of its tables.
 const (
-	writesAtOnce = 1
-	readsAtOnce  = 3
+	initialWriteBurst = 1
+	initialReadBurst  = 3
 )
 
-// paceOf starts at the floor where a rate is declared, and unbounded where none is: there
-// is nothing to go by until a call is refused.
-func paceOf(kind CallKind, declared float64, members int, now time.Time) *pace {
-	if declared <= 0 {
-		return newPace(unknownFloor, unknownBound, unknownBound, leastSave, now)
+// newBucketFor returns the bucket of one process for writes or reads. It starts at the
+// guaranteed rate if the store's limit is declared, and else at undeclaredMaxRate, until the
+// first call is throttled.
+func newBucketFor(kind CallKind, declaredRate float64, members int, now time.Time) *adaptiveBucket {
+	if declaredRate <= 0 {
+		return newAdaptiveBucket(undeclaredMinRate, undeclaredMaxRate, undeclaredMaxRate, minBurst, now)
 	}
-	floor := floorOf(declared, members)
+	minRate := guaranteedRate(declaredRate, members)
 	if kind == CallCommit {
-		return newPace(floor, declared, floor, writesAtOnce, now)
+		return newAdaptiveBucket(minRate, declaredRate, minRate, initialWriteBurst, now)
 	}
-	return newPace(floor, declared, floor, readsAtOnce, now)
+	return newAdaptiveBucket(minRate, declaredRate, minRate, initialReadBurst, now)
 }
 
-// floorOf is the part of a declared rate that is always a process's own.
-func floorOf(declared float64, members int) float64 {
-	if declared <= 0 {
-		return unknownFloor
+// guaranteedRate returns the part of a declared rate that each process may always use, in calls
+// per second.
+func guaranteedRate(declaredRate float64, members int) float64 {
+	if declaredRate <= 0 {
+		return undeclaredMinRate
 	}
 	if members <= 1 {
-		members = unknownMembers
+		members = assumedMembers
 	}
-	return shareGiven * declared / float64(members)
+	return guaranteedShare * declaredRate / float64(members)
 }
 
-// of is the queue for a kind of call. A feed is a reading call.
-func (l *Limiter) of(kind CallKind) *queue {
+// forKind returns the limiter for a kind of call. Feeds count as reads.
+func (l *Limiter) forKind(kind CallKind) *kindLimiter {
 	if kind == CallCommit {
 		return l.writes
 	}
 	return l.reads
 }
 
-// Allowed is how many calls of a kind this process may send a second now.
+// Allowed returns how many calls of the kind this process may send per second now.
 func (l *Limiter) Allowed(kind CallKind) float64 {
-	chosen := l.of(kind)
-	chosen.mutex.Lock()
-	defer chosen.mutex.Unlock()
-	return chosen.lane.pace.allowed
+	limiter := l.forKind(kind)
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	return limiter.queue.bucket.rate
 }
 
-// enter waits for a slot. It returns ErrThrottled at once if there is none in time.
-func (l *Limiter) enter(ctx context.Context, kind CallKind, class Class) error {
-	chosen := l.of(kind)
+// waitForSlot waits until a call may be sent. It returns ErrThrottled as soon as the call is
+// sure to miss the deadline of ctx or to wait longer than maxQueueWait, and also if ctx ends.
+func (l *Limiter) waitForSlot(ctx context.Context, kind CallKind, class Class) error {
+	limiter := l.forKind(kind)
 	verdict := make(chan bool, 1)
 	deadline, _ := ctx.Deadline()
-	waiting := &ticket{class: class, deadline: deadline, tell: func(granted bool) { verdict <- granted }}
-	chosen.mutex.Lock()
-	l.knowMembers(chosen)
-	chosen.lane.arrive(l.options.Now(), waiting)
-	l.serve(chosen)
-	chosen.mutex.Unlock()
+	waiting := &waiter{class: class, deadline: deadline, notify: func(granted bool) { verdict <- granted }}
+	limiter.mutex.Lock()
+	l.updateMinRate(limiter)
+	limiter.queue.enqueue(l.options.Now(), waiting)
+	l.grantDue(limiter)
+	limiter.mutex.Unlock()
 	select {
 	case granted := <-verdict:
 		if !granted {
-			return eris.Wrapf(ErrThrottled, "%s not begun: no slot in time", kind)
+			return eris.Wrapf(ErrThrottled, "%s not sent: no rate-limit slot in time", kind)
 		}
 		return nil
 	case <-ctx.Done():
-		chosen.mutex.Lock()
-		defer chosen.mutex.Unlock()
-		chosen.lane.leave(waiting)
-		return eris.Wrapf(ErrThrottled, "%s not begun: %v", kind, ctx.Err())
+		limiter.mutex.Lock()
+		defer limiter.mutex.Unlock()
+		limiter.queue.remove(waiting)
+		return eris.Wrapf(ErrThrottled, "%s not sent: %v", kind, ctx.Err())
 	}
 }
 
-// serve tells those whose turn it is, and comes again at the next one's; the queue's mutex
-// is held.
-func (l *Limiter) serve(chosen *queue) {
-	if chosen.timer != nil {
-		chosen.timer.Stop()
-		chosen.timer = nil
+// grantDue grants the calls that are due, and sets the timer for the next one. The caller holds
+// the limiter's mutex.
+func (l *Limiter) grantDue(limiter *kindLimiter) {
+	if limiter.timer != nil {
+		limiter.timer.Stop()
+		limiter.timer = nil
 	}
-	next := chosen.lane.advance(l.options.Now())
+	next := limiter.queue.grantDue(l.options.Now())
 	if next <= 0 {
 		return
 	}
-	chosen.timer = time.AfterFunc(next, func() {
-		chosen.mutex.Lock()
-		defer chosen.mutex.Unlock()
-		l.serve(chosen)
+	limiter.timer = time.AfterFunc(next, func() {
+		limiter.mutex.Lock()
+		defer limiter.mutex.Unlock()
+		l.grantDue(limiter)
 	})
 }
 
-// spare takes a slot if one is free now and nobody waits: further tries of a call take
-// no other's place.
-func (l *Limiter) spare(kind CallKind) bool {
-	chosen := l.of(kind)
-	chosen.mutex.Lock()
-	defer chosen.mutex.Unlock()
-	l.knowMembers(chosen)
-	if chosen.lane.advance(l.options.Now()) > 0 {
+// takeSpareSlot takes a slot if one is free now and no call waits for it.
+func (l *Limiter) takeSpareSlot(kind CallKind) bool {
+	limiter := l.forKind(kind)
+	limiter.mutex.Lock()
+	defer limiter.mutex.Unlock()
+	l.updateMinRate(limiter)
+	if limiter.queue.grantDue(l.options.Now()) > 0 {
 		return false
 	}
-	return chosen.lane.pace.take()
+	return limiter.queue.bucket.take()
 }
 
-// knowMembers takes over how many processes share the rate; the queue's mutex is held.
-func (l *Limiter) knowMembers(chosen *queue) {
-	chosen.lane.pace.floor = floorOf(chosen.declared, l.options.Members())
+// updateMinRate adapts the minimum rate to the current number of processes. The caller holds
+// the limiter's mutex.
+func (l *Limiter) updateMinRate(limiter *kindLimiter) {
+	limiter.queue.bucket.minRate = guaranteedRate(limiter.declaredRate, l.options.Members())
 }
 
-// ended takes the end of a call in.
-func (l *Limiter) ended(kind CallKind, err error) {
+// recordResult lowers the rate if the store throttled the call.
+func (l *Limiter) recordResult(kind CallKind, err error) {
 	if !errors.Is(err, ErrThrottled) {
 		return
 	}
-	chosen := l.of(kind)
-	chosen.mutex.Lock()
-	lowered := chosen.lane.pace.refused(l.options.Now())
-	allowed := chosen.lane.pace.allowed
-	chosen.mutex.Unlock()
+	limiter := l.forKind(kind)
+	limiter.mutex.Lock()
+	lowered := limiter.queue.bucket.recordRefusal(l.options.Now())
+	allowed := limiter.queue.bucket.rate
+	limiter.mutex.Unlock()
 	if lowered {
-		l.options.OnLowered(chosen.kind, allowed)
+		l.options.OnLowered(limiter.kind, allowed)
 	}
 }
 
-// restart begins at the floors again: the store was away, and all processes go on at once.
+// restart lowers the declared rates to their minimum after the store was down, since all
+// processes resume their calls at once.
 func (l *Limiter) restart() {
-	for _, chosen := range []*queue{l.writes, l.reads} {
-		if chosen.declared <= 0 {
-			continue // its floor is not the store's
+	for _, limiter := range []*kindLimiter{l.writes, l.reads} {
+		if limiter.declaredRate <= 0 {
+			continue // the minimum is not a share of the store's limit
 		}
-		chosen.mutex.Lock()
-		chosen.lane.pace.restart(l.options.Now())
-		chosen.mutex.Unlock()
+		limiter.mutex.Lock()
+		limiter.queue.bucket.restart(l.options.Now())
+		limiter.mutex.Unlock()
 	}
 }
--- a/internal/state/limiter_test.go
+++ b/internal/state/limiter_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-var _ = Describe("a client whose calls the store refuses for its rate", func() {
+var _ = Describe("a client whose calls the store throttles", func() {
 	var memory *memorystore.Store
 	var availability *state.Availability
 	var client *state.Client
@@ -25,7 +25,7 @@
 	}
 
 	BeforeEach(func() {
-		now := time.Unix(1000, 0) // time stands still
+		now := time.Unix(1000, 0) // constant: the limiter's clock does not advance
 		memory = memorystore.New()
 		lowered = make(chan state.CallKind, 64)
 		availability = state.NewAvailability(time.Now, func(bool, time.Duration) {})
@@ -38,7 +38,7 @@
 		})
 	})
 
-	It("lowers its rate, blames no partition, and refuses at once what has no slot in time", func(ctx SpecContext) {
+	It("lowers its rate, marks no partition as failed, and refuses at once a call without a slot in time", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Throttled))
 		Expect(commit(ctx, state.ClassTurn)).To(MatchError(state.ErrThrottled))
 		Expect(lowered).To(Receive(Equal(state.CallCommit)))
@@ -47,7 +47,8 @@
 		short, cancel := context.WithTimeout(ctx, time.Hour)
 		defer cancel()
 		before := memory.Calls("commit")
-		// At nine calls a second, of which time lets none go, nine are in time.
+		// The limiter allows nine calls per second and its clock does not advance, so nine of
+		// these calls are in time for their slots and keep waiting.
 		waiting, leave := context.WithCancel(ctx)
 		ended := make(chan error, 12)
 		for range 12 {
@@ -57,7 +58,7 @@
 			soon, cancel := context.WithTimeout(short, time.Second)
 			defer cancel()
 			return commit(soon, state.ClassSweep)
-		}).Should(MatchError(ContainSubstring("no slot in time")))
+		}).Should(MatchError(ContainSubstring("no rate-limit slot in time")))
 		Expect(memory.Calls("commit")).To(Equal(before))
 		leave()
 		for range 12 {
@@ -65,7 +66,7 @@
 		}
 	})
 
-	It("reads on while its writing calls are refused", func(ctx SpecContext) {
+	It("keeps its read rate while its writes are throttled", func(ctx SpecContext) {
 		memory.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" {
 				return memorystore.Throttled
--- a/internal/state/limits_model_store_test.go
+++ b/internal/state/limits_model_store_test.go
@@ -2,59 +2,62 @@
 
 import "time"
 
-// mayWrite asks the daemon's view of the store's room. Without limits there is none.
-func (m *model) mayWrite(call *modelCall) bool {
+// maySendWrite reports whether the daemon's Room lets it send a write. It schedules another try
+// of a turn commit that has to wait. Without limits every write may be sent.
+func (m *model) maySendWrite(call *modelCall) bool {
 	room := call.daemon.room
-	if _, full := room.FullSince(); !full || m.way == wayNone || call.class == ClassLease {
+	if _, full := room.FullSince(); !full || m.strategy == strategyNone || call.class == ClassLease {
 		return true
 	}
 	if call.class == ClassTurn && call.tries == 0 || room.Probe() {
 		return true
 	}
 	if call.class == ClassTurn {
-		m.after(modelTick, func() { m.try(call) })
+		m.schedule(modelTick, func() { m.try(call) })
 	}
 	return false
 }
 
-// again tries a call once more after the pause of state.Client.Repeat.
-func (m *model) again(call *modelCall) {
+// retry schedules another try of the call, and of the calls batched with it, after the delay of
+// state.Client.Repeat.
+func (m *model) retry(call *modelCall) {
 	call.tries++
-	for _, each := range call.along {
-		m.again(each)
+	for _, each := range call.batched {
+		m.retry(each)
 	}
-	call.along = nil
-	if m.way == wayRetryBudget && !call.daemon.budget.take() {
+	call.batched = nil
+	if m.strategy == strategyRetryBudget && !call.daemon.budget.take() {
 		return
 	}
-	wait := min(firstRetry<<min(call.tries, 3), longestRetry)
-	m.after(wait/2+time.Duration(m.random.Int64N(int64(wait))), func() { m.try(call) })
+	wait := min(initialRetryDelay<<min(call.tries, 3), maxRetryDelay)
+	m.schedule(wait/2+time.Duration(m.random.Int64N(int64(wait))), func() { m.try(call) })
 }
 
-// send is one call on the wire.
+// send sends a call to the store and schedules its result.
 func (m *model) send(call *modelCall) {
-	m.all++
-	sent, outside := m.now, !m.inCause()
-	if outside {
-		m.calls++
+	m.totalCalls++
+	sent, isOutsideFault := m.now, !m.isFaultActive()
+	if isOutsideFault {
+		m.callsOutsideFault++
 	}
 	switch {
-	case m.inCause() && m.fault.silent:
-		m.after(modelSilence, func() { m.unanswered(call) })
-	case !m.takes(call):
-		if outside {
-			m.throttled++
+	case m.isFaultActive() && m.fault.silent:
+		m.schedule(modelCallTimeout, func() { m.recordTimeout(call) })
+	case !m.acceptCall(call):
+		if isOutsideFault {
+			m.throttledOutsideFault++
 		}
-		m.after(modelAnswer, func() { m.refusedForRate(call) })
-	case m.inCause() && m.fault.full && call.kind == CallCommit:
-		m.after(modelAnswer, func() { m.refusedForRoom(call) })
+		m.schedule(modelAnswerTime, func() { m.recordThrottled(call) })
+	case m.isFaultActive() && m.fault.full && call.kind == CallCommit:
+		m.schedule(modelAnswerTime, func() { m.recordFull(call) })
 	default:
-		m.after(modelAnswer+max(m.parts[call.part]-m.now, 0), func() { m.answered(call, sent) })
+		m.schedule(modelAnswerTime+max(m.partitionBusyUntil[call.partition]-m.now, 0), func() { m.recordAnswer(call, sent) })
 	}
 }
 
-// takes tells whether the store's rates let it take the call.
-func (m *model) takes(call *modelCall) bool {
+// acceptCall reports whether the store's rate limits allow the call, and counts it against
+// them.
+func (m *model) acceptCall(call *modelCall) bool {
 	if m.tokens[call.kind] < 1 {
 		return false
 	}
@@ -62,25 +65,27 @@
 	if call.kind != CallCommit {
 		return true
 	}
-	if m.parts[call.part]-m.now > modelPartWait {
+	if m.partitionBusyUntil[call.partition]-m.now > modelMaxPartitionWait {
 		return false
 	}
-	taken := time.Second / modelPartRate
-	if len(call.along) > 0 {
-		taken *= 2 // over several partitions
+	busyTime := time.Second / modelPartitionRate
+	if len(call.batched) > 0 {
+		busyTime *= 2 // a commit in several partitions costs twice as much
 	}
-	m.parts[call.part] = max(m.parts[call.part], m.now) + taken
+	m.partitionBusyUntil[call.partition] = max(m.partitionBusyUntil[call.partition], m.now) + busyTime
 	return true
 }
 
-func (m *model) answered(call *modelCall, sent time.Duration) {
+// recordAnswer counts the call, and the calls batched with it, as served if they are within
+// their deadlines.
+func (m *model) recordAnswer(call *modelCall, sent time.Duration) {
 	if call.kind == CallCommit {
-		call.daemon.room.written(100, time.Unix(1000, 0).Add(sent))
+		call.daemon.room.recordWrite(100, time.Unix(1000, 0).Add(sent))
 	}
-	for _, each := range call.along {
-		m.answered(each, sent)
+	for _, each := range call.batched {
+		m.recordAnswer(each, sent)
 	}
-	call.along = nil
+	call.batched = nil
 	if call.done || m.now > call.deadline {
 		return
 	}
@@ -88,51 +93,54 @@
 	m.served[int(call.arrived/time.Second)]++
 }
 
-func (m *model) refusedForRate(call *modelCall) {
-	line := call.daemon.reads
+// recordThrottled lowers the daemon's rate and retries the call.
+func (m *model) recordThrottled(call *modelCall) {
+	queue := call.daemon.reads
 	if call.kind == CallCommit {
-		line = call.daemon.writes
+		queue = call.daemon.writes
 	}
-	line.pace.refused(m.time())
-	m.again(call)
+	queue.bucket.recordRefusal(m.currentTime())
+	m.retry(call)
 }
 
-// refusedForRoom is, without limits, an error like others, and is tried again.
-func (m *model) refusedForRoom(call *modelCall) {
-	if m.way == wayNone {
-		m.again(call)
+// recordFull handles a write that the store refused because it is full. Without limits it is
+// retried like any other failed call.
+func (m *model) recordFull(call *modelCall) {
+	if m.strategy == strategyNone {
+		m.retry(call)
 		return
 	}
 	call.tries++
-	for _, each := range call.along {
+	for _, each := range call.batched {
 		each.tries++
 		m.try(each)
 	}
-	call.along = nil
-	call.daemon.room.refused(100)
+	call.batched = nil
+	call.daemon.room.recordRefusal(100)
 	if call.class == ClassTurn {
 		m.try(call)
 	}
 }
 
-// unanswered has the daemon believe that the store is down, and probe it.
-func (m *model) unanswered(call *modelCall) {
-	if !call.daemon.down {
-		call.daemon.down = true
+// recordTimeout makes the daemon consider the store down and probe it.
+func (m *model) recordTimeout(call *modelCall) {
+	if !call.daemon.believesDown {
+		call.daemon.believesDown = true
 		m.probe(call.daemon)
 	}
-	m.again(call)
+	m.retry(call)
 }
 
+// probe schedules probes until one succeeds, and then resumes the daemon's waiting calls.
 func (m *model) probe(daemon *modelDaemon) {
-	m.after(probePause, func() {
-		if m.inCause() && m.fault.silent {
+	m.schedule(probeInterval, func() {
+		if m.isFaultActive() && m.fault.silent {
 			m.probe(daemon)
 			return
 		}
-		daemon.down = false
-		daemon.writes.pace.restart(m.time())
-		daemon.reads.pace.restart(m.time())
+		daemon.believesDown = false
+		daemon.writes.bucket.restart(m.currentTime())
+		daemon.reads.bucket.restart(m.currentTime())
 		waiting := daemon.waiting
 		daemon.waiting = nil
 		for _, call := range waiting {
--- a/internal/state/limits_model_test.go
+++ b/internal/state/limits_model_test.go
@@ -7,56 +7,57 @@
 	"time"
 )
 
-// The model: daemons with the limits of this package, or without them, call one store in
-// simulated time. It is the load of a large site: of all daemons 1,500 writing and 6,000
-// reading calls a second are taken; in calm three fifths and three tenths are offered.
-
+// The model simulates daemons that call one store, with or without the limits of this package,
+// in simulated time. The load is that of a large site: the store accepts 1,500 writes and 6,000
+// reads per second from all daemons. The normal load is three fifths of the writes and three
+// tenths of the reads.
 const (
-	modelTick    = 5 * time.Millisecond
-	modelAnswer  = 10 * time.Millisecond // until the store answers
-	modelSilence = time.Second           // after which a call is given up
-	modelWrites  = 1500.0
-	modelReads   = 6000.0
-	// modelDepth is the time for which the store lets its rate be saved up.
-	modelDepth      = 250 * time.Millisecond
-	modelPartitions = 256
-	modelPartRate   = 300
-	modelPartWait   = time.Second // waiting in a partition beyond it is refused
+	modelTick        = 5 * time.Millisecond
+	modelAnswerTime  = 10 * time.Millisecond // time until the store answers
+	modelCallTimeout = time.Second           // time after which an unanswered call fails
+	modelWriteRate   = 1500.0                // writes per second of all daemons
+	modelReadRate    = 6000.0                // reads per second of all daemons
+	// modelBurstTime is the time for which the store's unused rate accumulates.
+	modelBurstTime        = 250 * time.Millisecond
+	modelPartitions       = 256
+	modelPartitionRate    = 300         // commits per second in one partition
+	modelMaxPartitionWait = time.Second // commits that would wait longer for their partition are refused
 )
 
-// modelWay is how daemons keep to the store's rate.
-type modelWay string
+// modelStrategy is the way in which daemons limit their calls.
+type modelStrategy string
 
 const (
-	wayNone        modelWay = "no limiter"
-	wayFixed       modelWay = "equal parts"
-	wayAdapts      modelWay = "adapts, no floor"
-	wayAdaptsFloor modelWay = "adapts, with a floor"
-	wayGroups      modelWay = "adapts, with a floor and groups"
-	wayRetryBudget modelWay = "retry budget alone"
+	strategyNone            modelStrategy = "no limiter"
+	strategyFixed           modelStrategy = "equal parts"
+	strategyAdaptive        modelStrategy = "adapts, no floor"
+	strategyAdaptiveMinRate modelStrategy = "adapts, with a floor"
+	strategyBatching        modelStrategy = "adapts, with a floor and groups"
+	strategyRetryBudget     modelStrategy = "retry budget alone"
 )
 
-// modelCall is what a daemon wants of the store.
+// modelCall is a call that a daemon makes.
 type modelCall struct {
-	class    Class
-	kind     CallKind
-	part     int
-	arrived  time.Duration
-	deadline time.Duration
-	tries    int
-	done     bool
-	daemon   *modelDaemon
-	along    []*modelCall // ends of turns that go in the same call
+	class     Class
+	kind      CallKind
+	partition int
+	arrived   time.Duration
+	deadline  time.Duration
+	tries     int
+	done      bool
+	daemon    *modelDaemon
+	batched   []*modelCall // turn commits that are sent in the same call
 }
 
-// modelClass is a part of the offered load.
+// modelClass describes the calls of one class in the load.
 type modelClass struct {
-	class    Class
-	kind     CallKind
-	share    float64 // of the calls of its kind
-	patience time.Duration
+	class   Class
+	kind    CallKind
+	share   float64 // part of the calls of its kind
+	timeout time.Duration
 }
 
+// modelClasses are the calls of all daemons together.
 var modelClasses = []modelClass{
 	{ClassLease, CallCommit, 0.03, 2 * time.Second},
 	{ClassTurn, CallCommit, 0.45, 1750 * time.Millisecond},
@@ -67,24 +68,25 @@
 	{ClassFollow, CallRead, 0.2, 2 * time.Second},
 }
 
-// modelDaemon is one daemon's limits.
+// modelDaemon is a daemon with its limits.
 type modelDaemon struct {
-	weight  float64 // of its load; 1 on average
-	writes  *lane
-	reads   *lane
-	room    *Room
-	budget  retryBudget
-	down    bool // believed so
-	turns   map[*ticket]*modelCall
-	waiting []*modelCall
+	weight       float64 // load relative to the average daemon
+	writes       *callQueue
+	reads        *callQueue
+	room         *Room
+	budget       retryBudget
+	believesDown bool // the daemon considers the store down
+	pendingTurns map[*waiter]*modelCall
+	waiting      []*modelCall
 }
 
-// modelEvent is something due.
+// modelEvent is a function to run at a simulated time.
 type modelEvent struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
+// modelEvents implements heap.Interface, ordered by time.
 type modelEvents []modelEvent
 
 func (m modelEvents) Len() int           { return len(m) }
@@ -97,97 +99,102 @@
 	return last
 }
 
-// modelFault is a cause and its time.
+// modelFault is a disturbance and the time that it lasts.
 type modelFault struct {
-	from, to time.Duration
-	pulse    float64 // times the usual load
-	full     bool
-	silent   bool
-	started  bool // all daemons start at from, with calls that each makes at its start
+	from, to     time.Duration
+	loadFactor   float64 // load during the fault, as a multiple of the normal load; 0: no load spike
+	full         bool    // the store refuses all writes because it is full
+	silent       bool    // the store does not answer
+	isFleetStart bool    // all daemons start at the time from and make their first calls
 }
 
-// model is one run.
+// model is the state of one simulation.
 type model struct {
-	way     modelWay
-	fault   modelFault
-	load    float64 // of the usual
-	random  *rand.Rand
-	now     time.Duration
-	events  modelEvents
-	daemons []*modelDaemon
-	tokens  map[CallKind]float64
-	parts   [modelPartitions]time.Duration // busy until
+	strategy           modelStrategy
+	fault              modelFault
+	normalLoadFactor   float64 // load outside the fault, as a multiple of the normal load
+	random             *rand.Rand
+	now                time.Duration
+	events             modelEvents
+	daemons            []*modelDaemon
+	tokens             map[CallKind]float64           // calls that the store accepts now
+	partitionBusyUntil [modelPartitions]time.Duration // time at which each partition has finished its commits
 
-	offered, served  map[int]int // by the second of arrival
-	calls, throttled int         // outside the cause
-	all              int
+	offered, served                          map[int]int // number of calls by the second in which they arrived
+	callsOutsideFault, throttledOutsideFault int         // number of calls while the fault is not active
+	totalCalls                               int
 }
 
-func newModel(way modelWay, daemons int, load float64, fault modelFault) *model {
-	made := &model{
-		way: way, fault: fault, load: load, random: rand.New(rand.NewPCG(7, uint64(daemons))),
-		tokens:  map[CallKind]float64{CallCommit: modelWrites * modelDepth.Seconds(), CallRead: modelReads * modelDepth.Seconds()},
+// newModel returns a simulation with that many daemons.
+func newModel(strategy modelStrategy, daemons int, normalLoadFactor float64, fault modelFault) *model {
+	created := &model{
+		strategy: strategy, fault: fault, normalLoadFactor: normalLoadFactor, random: rand.New(rand.NewPCG(7, uint64(daemons))),
+		tokens:  map[CallKind]float64{CallCommit: modelWriteRate * modelBurstTime.Seconds(), CallRead: modelReadRate * modelBurstTime.Seconds()},
 		offered: map[int]int{}, served: map[int]int{},
 	}
 	for number := range daemons {
-		// Every fourth daemon has two and a half times the load of each of the others.
+		// Every fourth daemon has 2.5 times the load of each of the others.
 		weight := 1 / 1.375
 		if number%4 == 0 {
 			weight = 2.5 / 1.375
 		}
-		made.daemons = append(made.daemons, made.daemon(weight, daemons))
+		created.daemons = append(created.daemons, created.newDaemon(weight, daemons))
 	}
-	return made
+	return created
 }
 
-func (m *model) time() time.Time { return time.Unix(1000, 0).Add(m.now) }
+// currentTime returns the simulated time.
+func (m *model) currentTime() time.Time { return time.Unix(1000, 0).Add(m.now) }
 
-func (m *model) daemon(weight float64, daemons int) *modelDaemon {
-	made := &modelDaemon{weight: weight, room: NewRoom(RoomOptions{Now: m.time}), turns: map[*ticket]*modelCall{}}
-	// A daemon that has just started knows of nobody.
-	made.writes = &lane{pace: m.pace(CallCommit, modelWrites, daemons)}
-	made.reads = &lane{pace: m.pace(CallRead, modelReads, daemons)}
-	return made
+// newDaemon returns a daemon with the limits of the model's strategy.
+func (m *model) newDaemon(weight float64, daemons int) *modelDaemon {
+	daemon := &modelDaemon{weight: weight, room: NewRoom(RoomOptions{Now: m.currentTime}), pendingTurns: map[*waiter]*modelCall{}}
+	// The buckets start at the rate of a daemon that knows no other daemons yet.
+	daemon.writes = &callQueue{bucket: m.newBucket(CallCommit, modelWriteRate, daemons)}
+	daemon.reads = &callQueue{bucket: m.newBucket(CallRead, modelReadRate, daemons)}
+	return daemon
 }
 
-func (m *model) pace(kind CallKind, declared float64, daemons int) *pace {
-	made := paceOf(kind, declared, 0, m.time())
-	made.floor = floorOf(declared, daemons)
-	switch m.way {
-	case wayFixed:
-		made.bound = made.floor
-	case wayAdapts:
-		made.floor = 1
+// newBucket returns a token bucket with the bounds of the model's strategy.
+func (m *model) newBucket(kind CallKind, declaredRate float64, daemons int) *adaptiveBucket {
+	bucket := newBucketFor(kind, declaredRate, 0, m.currentTime())
+	bucket.minRate = guaranteedRate(declaredRate, daemons)
+	switch m.strategy {
+	case strategyFixed:
+		bucket.maxRate = bucket.minRate
+	case strategyAdaptive:
+		bucket.minRate = 1
 	}
-	return made
+	return bucket
 }
 
-func (m *model) after(span time.Duration, do func()) {
-	heap.Push(&m.events, modelEvent{m.now + span, do})
+// schedule runs a function after a delay of simulated time.
+func (m *model) schedule(delay time.Duration, run func()) {
+	heap.Push(&m.events, modelEvent{m.now + delay, run})
 }
 
-// run lets the time pass.
+// run simulates in steps of modelTick until the given time.
 func (m *model) run(until time.Duration) {
-	if m.fault.started {
-		m.after(m.fault.from, m.start)
+	if m.fault.isFleetStart {
+		m.schedule(m.fault.from, m.startFleet)
 	}
 	for ; m.now < until; m.now += modelTick {
-		for kind, rate := range map[CallKind]float64{CallCommit: modelWrites, CallRead: modelReads} {
-			m.tokens[kind] = min(m.tokens[kind]+rate*modelTick.Seconds(), rate*modelDepth.Seconds())
+		for kind, rate := range map[CallKind]float64{CallCommit: modelWriteRate, CallRead: modelReadRate} {
+			m.tokens[kind] = min(m.tokens[kind]+rate*modelTick.Seconds(), rate*modelBurstTime.Seconds())
 		}
 		for len(m.events) > 0 && m.events[0].at <= m.now {
-			heap.Pop(&m.events).(modelEvent).do()
+			heap.Pop(&m.events).(modelEvent).run()
 		}
 		for _, daemon := range m.daemons {
-			m.offer(daemon)
-			daemon.writes.advance(m.time())
-			daemon.reads.advance(m.time())
+			m.offerLoad(daemon)
+			daemon.writes.grantDue(m.currentTime())
+			daemon.reads.grantDue(m.currentTime())
 		}
 	}
 }
 
-// start makes each daemon call as it does when it starts.
-func (m *model) start() {
+// startFleet makes the calls that each daemon makes when it starts.
+func (m *model) startFleet() {
 	const writesAtStart, readsAtStart = 3, 12
 	for _, daemon := range m.daemons {
 		for range writesAtStart {
@@ -199,27 +206,29 @@
 	}
 }
 
-func (m *model) inCause() bool { return m.now >= m.fault.from && m.now < m.fault.to }
+// isFaultActive reports whether the fault disturbs the store or the load now.
+func (m *model) isFaultActive() bool { return m.now >= m.fault.from && m.now < m.fault.to }
 
-// offer makes the load of one tick.
-func (m *model) offer(daemon *modelDaemon) {
-	const usualWrites, usualReads = 0.6 * modelWrites, 0.3 * modelReads
-	times := m.load
-	if m.fault.pulse > 0 && m.inCause() {
-		times = m.fault.pulse
+// offerLoad begins the daemon's calls of one step.
+func (m *model) offerLoad(daemon *modelDaemon) {
+	const normalWriteRate, normalReadRate = 0.6 * modelWriteRate, 0.3 * modelReadRate
+	loadFactor := m.normalLoadFactor
+	if m.fault.loadFactor > 0 && m.isFaultActive() {
+		loadFactor = m.fault.loadFactor
 	}
 	for _, class := range modelClasses {
-		usual := usualWrites
+		normalRate := normalWriteRate
 		if class.kind == CallRead {
-			usual = usualReads
+			normalRate = normalReadRate
 		}
-		mean := times * usual * class.share * daemon.weight / float64(len(m.daemons)) * modelTick.Seconds()
+		mean := loadFactor * normalRate * class.share * daemon.weight / float64(len(m.daemons)) * modelTick.Seconds()
 		for range m.poisson(mean) {
-			m.begin(&modelCall{class: class.class, kind: class.kind, deadline: m.now + class.patience}, daemon)
+			m.begin(&modelCall{class: class.class, kind: class.kind, deadline: m.now + class.timeout}, daemon)
 		}
 	}
 }
 
+// poisson returns a random number with a Poisson distribution.
 func (m *model) poisson(mean float64) int {
 	count, product, limit := 0, m.random.Float64(), math.Exp(-mean)
 	for product > limit {
@@ -229,64 +238,66 @@
 	return count
 }
 
+// begin starts a new call of the daemon in a random partition.
 func (m *model) begin(call *modelCall, daemon *modelDaemon) {
-	call.daemon, call.arrived, call.part = daemon, m.now, m.random.IntN(modelPartitions)
+	call.daemon, call.arrived, call.partition = daemon, m.now, m.random.IntN(modelPartitions)
 	m.offered[int(m.now/time.Second)]++
-	daemon.budget.call()
+	daemon.budget.recordCall()
 	m.try(call)
 }
 
-// try sends a call as soon as its daemon's limits let it.
+// try sends a call as soon as the limits of its daemon allow it.
 func (m *model) try(call *modelCall) {
 	daemon := call.daemon
 	switch {
 	case m.now >= call.deadline:
 		return
-	case daemon.down:
+	case daemon.believesDown:
 		daemon.waiting = append(daemon.waiting, call)
 		return
-	case call.kind == CallCommit && !m.mayWrite(call):
+	case call.kind == CallCommit && !m.maySendWrite(call):
 		return
-	case m.way == wayNone || m.way == wayRetryBudget:
+	case m.strategy == strategyNone || m.strategy == strategyRetryBudget:
 		m.send(call)
 		return
 	}
-	line := daemon.reads
+	queue := daemon.reads
 	if call.kind == CallCommit {
-		line = daemon.writes
+		queue = daemon.writes
 	}
-	waits := &ticket{class: call.class, deadline: time.Unix(1000, 0).Add(call.deadline)}
-	waits.tell = func(granted bool) {
-		delete(daemon.turns, waits)
+	pending := &waiter{class: call.class, deadline: time.Unix(1000, 0).Add(call.deadline)}
+	pending.notify = func(granted bool) {
+		delete(daemon.pendingTurns, pending)
 		if !granted {
-			m.again(call)
+			m.retry(call)
 			return
 		}
-		if m.way == wayGroups && call.class == ClassTurn {
-			m.takeAlong(call)
+		if m.strategy == strategyBatching && call.class == ClassTurn {
+			m.batchPendingTurns(call)
 		}
 		m.send(call)
 	}
 	if call.class == ClassTurn {
-		daemon.turns[waits] = call
+		daemon.pendingTurns[pending] = call
 	}
-	line.arrive(m.time(), waits)
+	queue.enqueue(m.currentTime(), pending)
 }
 
-// takeAlong has the ends of turns that wait at the daemon go in the same call.
-func (m *model) takeAlong(call *modelCall) {
-	line := call.daemon.writes
+// batchPendingTurns moves the turn commits that wait at the daemon into the call.
+func (m *model) batchPendingTurns(call *modelCall) {
+	queue := call.daemon.writes
 	rank := ClassTurn.rank()
-	waiting := line.waiting[rank]
-	count := min(len(waiting), mostGroupRows-1)
+	waiting := queue.waiting[rank]
+	count := min(len(waiting), maxBatchRows-1)
 	for _, each := range waiting[:count] {
-		call.along = append(call.along, call.daemon.turns[each])
-		delete(call.daemon.turns, each)
+		call.batched = append(call.batched, call.daemon.pendingTurns[each])
+		delete(call.daemon.pendingTurns, each)
 	}
-	line.waiting[rank] = waiting[count:]
+	queue.waiting[rank] = waiting[count:]
 }
 
-// goodput is the share of what was offered in the seconds that was served in its time.
+// goodput returns the part of the calls begun between two times that were answered before their
+// deadlines.
 func (m *model) goodput(from, to time.Duration) float64 {
 	offered, served := 0, 0
 	for second := int(from / time.Second); second < int(to/time.Second); second++ {
@@ -296,5 +307,7 @@
 	return float64(served) / float64(offered)
 }
 
-// refusals is the share of the calls outside the cause that were refused for the rate.
-func (m *model) refusals() float64 { return float64(m.throttled) / float64(m.calls) }
+// throttledShare returns the part of the calls outside the fault that were throttled.
+func (m *model) throttledShare() float64 {
+	return float64(m.throttledOutsideFault) / float64(m.callsOutsideFault)
+}
--- a/internal/state/limits_test.go
+++ b/internal/state/limits_test.go
@@ -8,139 +8,138 @@
 	. "github.com/onsi/gomega"
 )
 
-// The load: all daemons of a site together call the store more often than it takes: in a
-// pulse, after it was full or silent, and when all start at once. On a day that did so,
-// 27,000 of 134,353 calls were refused for the rate, each followed by the next.
-var _ = Describe("calls of all daemons together", func() {
+// All daemons of a site together call the store more often than its rate limit allows: in a
+// load spike, after the store was full or unresponsive, and when all daemons start at once.
+var _ = Describe("store calls of all daemons together", func() {
 	const (
-		recovery     = 2 * time.Second // after the cause ended
-		watched      = 3 * time.Second // from then on
-		leastServed  = 0.95            // of what was offered
-		mostRefused  = 0.02            // of the calls outside the cause
-		usual        = 1.0
-		tenth        = 0.1
-		pulseOfUsual = 5 // three times the 1,500 writing calls that are taken; usual are 900
+		recovery     = 2 * time.Second // time after the end of the fault that is not measured
+		observed     = 3 * time.Second // length of the measured period after the recovery
+		minServed    = 0.95            // part of the offered calls
+		maxThrottled = 0.02            // part of the calls outside the fault
+		normalLoad   = 1.0
+		tenthOfLoad  = 0.1
+		spikeFactor  = 5 // the normal 900 writes per second become three times the accepted 1,500
 	)
-	pulse := modelFault{from: 3 * time.Second, to: 8 * time.Second, pulse: pulseOfUsual}
+	spike := modelFault{from: 3 * time.Second, to: 8 * time.Second, loadFactor: spikeFactor}
 	full := modelFault{from: 3 * time.Second, to: 8 * time.Second, full: true}
 	silent := modelFault{from: 3 * time.Second, to: 10 * time.Second, silent: true}
-	started := modelFault{started: true}
+	fleetStart := modelFault{isFleetStart: true}
 
-	ran := func(way modelWay, daemons int, load float64, fault modelFault) *model {
-		run := newModel(way, daemons, load, fault)
-		run.run(fault.to + recovery + watched + 2*time.Second)
+	runModel := func(strategy modelStrategy, daemons int, load float64, fault modelFault) *model {
+		run := newModel(strategy, daemons, load, fault)
+		run.run(fault.to + recovery + observed + 2*time.Second)
 		from := fault.to + recovery
-		AddReportEntry(fmt.Sprintf("%s: goodput %.3f, in the cause %.3f, refused for the rate %.4f, %d calls",
-			way, run.goodput(from, from+watched), run.goodput(fault.from, fault.to), run.refusals(), run.all), ReportEntryVisibilityFailureOrVerbose)
+		AddReportEntry(fmt.Sprintf("%s: goodput %.3f, during the fault %.3f, throttled %.4f, %d calls",
+			strategy, run.goodput(from, from+observed), run.goodput(fault.from, fault.to), run.throttledShare(), run.totalCalls), ReportEntryVisibilityFailureOrVerbose)
 		return run
 	}
 
-	DescribeTable("are served again within two seconds, and hardly refused for the rate",
+	DescribeTable("recover within two seconds and are rarely throttled",
 		func(daemons int, load float64, fault modelFault) {
-			run := ran(wayGroups, daemons, load, fault)
-			Expect(run.goodput(fault.to+recovery, fault.to+recovery+watched)).To(BeNumerically(">=", leastServed))
-			Expect(run.refusals()).To(BeNumerically("<", mostRefused))
+			run := runModel(strategyBatching, daemons, load, fault)
+			Expect(run.goodput(fault.to+recovery, fault.to+recovery+observed)).To(BeNumerically(">=", minServed))
+			Expect(run.throttledShare()).To(BeNumerically("<", maxThrottled))
 		},
-		Entry("after a pulse, 84 daemons", 84, usual, pulse),
-		Entry("after a pulse, 390 daemons", 390, usual, pulse),
-		Entry("after a full store, 84 daemons", 84, usual, full),
-		Entry("after a full store, 390 daemons", 390, usual, full),
-		Entry("after a silent store, 84 daemons", 84, usual, silent),
-		Entry("after a silent store, 390 daemons", 390, usual, silent),
-		Entry("when all start at once, 84 daemons", 84, tenth, started),
-		Entry("when all start at once, 390 daemons", 390, tenth, started),
+		Entry("after a load spike, 84 daemons", 84, normalLoad, spike),
+		Entry("after a load spike, 390 daemons", 390, normalLoad, spike),
+		Entry("after a full store, 84 daemons", 84, normalLoad, full),
+		Entry("after a full store, 390 daemons", 390, normalLoad, full),
+		Entry("after an unresponsive store, 84 daemons", 84, normalLoad, silent),
+		Entry("after an unresponsive store, 390 daemons", 390, normalLoad, silent),
+		Entry("when all daemons start at once, 84 daemons", 84, tenthOfLoad, fleetStart),
+		Entry("when all daemons start at once, 390 daemons", 390, tenthOfLoad, fleetStart),
 	)
 
-	DescribeTable("end more turns in a pulse where those that wait go in one call",
+	DescribeTable("save more turns during a load spike if waiting turn commits are batched",
 		func(daemons int) {
-			together, each := ran(wayGroups, daemons, usual, pulse), ran(wayAdaptsFloor, daemons, usual, pulse)
-			Expect(together.goodput(pulse.from, pulse.to)).To(BeNumerically(">", 1.05*each.goodput(pulse.from, pulse.to)))
+			batched, separate := runModel(strategyBatching, daemons, normalLoad, spike), runModel(strategyAdaptiveMinRate, daemons, normalLoad, spike)
+			Expect(batched.goodput(spike.from, spike.to)).To(BeNumerically(">", 1.05*separate.goodput(spike.from, spike.to)))
 		},
 		Entry("84 daemons", 84),
 		Entry("390 daemons", 390),
 	)
 
-	DescribeTable("are refused for the rate without the limits",
+	DescribeTable("are often throttled without the limits",
 		func(daemons int, load float64, fault modelFault) {
-			Expect(ran(wayNone, daemons, load, fault).refusals()).To(BeNumerically(">", mostRefused))
+			Expect(runModel(strategyNone, daemons, load, fault).throttledShare()).To(BeNumerically(">", maxThrottled))
 		},
-		Entry("after a pulse, 84 daemons", 84, usual, pulse),
-		Entry("after a pulse, 390 daemons", 390, usual, pulse),
-		Entry("after a full store, 84 daemons", 84, usual, full),
-		Entry("after a silent store, 84 daemons", 84, usual, silent),
-		Entry("when all start at once, 390 daemons", 390, tenth, started),
+		Entry("after a load spike, 84 daemons", 84, normalLoad, spike),
+		Entry("after a load spike, 390 daemons", 390, normalLoad, spike),
+		Entry("after a full store, 84 daemons", 84, normalLoad, full),
+		Entry("after an unresponsive store, 84 daemons", 84, normalLoad, silent),
+		Entry("when all daemons start at once, 390 daemons", 390, tenthOfLoad, fleetStart),
 	)
 })
 
-var _ = Describe("a line for the store's rate", func() {
-	var line *lane
+var _ = Describe("the queue for the rate limit", func() {
+	var queue *callQueue
 	var now time.Time
 	var granted []Class
 	var refused []Class
 
-	// arrive lets a call come that has so much time.
-	arrive := func(class Class, patience time.Duration) *ticket {
-		made := &ticket{class: class, deadline: now.Add(patience), tell: func(may bool) {
-			if may {
+	// enqueue adds a call with a deadline after the timeout.
+	enqueue := func(class Class, timeout time.Duration) *waiter {
+		call := &waiter{class: class, deadline: now.Add(timeout), notify: func(ok bool) {
+			if ok {
 				granted = append(granted, class)
 			} else {
 				refused = append(refused, class)
 			}
 		}}
-		line.arrive(now, made)
-		return made
+		queue.enqueue(now, call)
+		return call
 	}
-	pass := func(span time.Duration) {
+	advance := func(span time.Duration) {
 		now = now.Add(span)
-		line.advance(now)
+		queue.grantDue(now)
 	}
 
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		granted, refused = nil, nil
-		const tenASecond = 10
-		line = &lane{pace: newPace(tenASecond, tenASecond, tenASecond, 0, now)}
+		const ratePerSecond = 10
+		queue = &callQueue{bucket: newAdaptiveBucket(ratePerSecond, ratePerSecond, ratePerSecond, 0, now)}
 	})
 
-	It("lets the more important classes go first, and those of one class in order", func() {
+	It("grants calls of more important classes first, and calls of one class in order", func() {
 		order := []Class{ClassSweep, ClassSettlement, ClassFollow, ClassOther, ClassRead, ClassReservation, ClassTurn, ClassLease}
 		for _, class := range order {
-			arrive(class, time.Second)
+			enqueue(class, time.Second)
 		}
 		Expect(granted).To(BeEmpty())
 		for range order {
-			pass(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 		}
 		Expect(granted).To(Equal([]Class{ClassLease, ClassTurn, ClassReservation, ClassOther, ClassRead, ClassFollow, ClassSettlement, ClassSweep}))
 		Expect(refused).To(BeEmpty())
 	})
 
-	It("refuses at once what can't be made in its time, the least important first", func() {
-		arrive(ClassSweep, 250*time.Millisecond)
+	It("refuses at once calls that would miss their deadlines, the least important first", func() {
+		enqueue(ClassSweep, 250*time.Millisecond)
 		Expect(refused).To(BeEmpty())
-		arrive(ClassTurn, 250*time.Millisecond)
+		enqueue(ClassTurn, 250*time.Millisecond)
 		Expect(refused).To(BeEmpty())
-		arrive(ClassTurn, 250*time.Millisecond)
-		Expect(refused).To(Equal([]Class{ClassSweep}), "two turns go before it")
-		arrive(ClassRead, 250*time.Millisecond)
+		enqueue(ClassTurn, 250*time.Millisecond)
+		Expect(refused).To(Equal([]Class{ClassSweep}), "two turn commits are ahead of it")
+		enqueue(ClassRead, 250*time.Millisecond)
 		Expect(refused).To(Equal([]Class{ClassSweep, ClassRead}))
 	})
 
-	It("holds no call for longer than a second, however much time it has", func() {
+	It("holds no call for longer than a second, even if its deadline is later", func() {
 		for range 11 {
-			arrive(ClassTurn, time.Hour)
+			enqueue(ClassTurn, time.Hour)
 		}
 		Expect(refused).To(HaveLen(1))
 	})
 
-	It("leaves one call of twenty to the least important", func() {
-		arrive(ClassSweep, time.Second)
+	It("grants one call in twenty to the least important class", func() {
+		enqueue(ClassSweep, time.Second)
 		for range 5 {
-			arrive(ClassTurn, time.Second)
+			enqueue(ClassTurn, time.Second)
 		}
 		for range 20 {
-			line.pace.tokens = 1 // as many turns come as are served
-			arrive(ClassTurn, time.Second)
+			queue.bucket.tokens = 1 // turn commits arrive as fast as they are granted
+			enqueue(ClassTurn, time.Second)
 		}
 		Expect(granted).To(HaveLen(20))
 		Expect(granted[19]).To(Equal(ClassSweep))
@@ -148,10 +147,10 @@
 		Expect(refused).To(BeEmpty())
 	})
 
-	It("does not serve one whose caller has left", func() {
-		gone := arrive(ClassTurn, time.Second)
-		line.leave(gone)
-		pass(time.Second)
+	It("does not grant a removed call", func() {
+		canceled := enqueue(ClassTurn, time.Second)
+		queue.remove(canceled)
+		advance(time.Second)
 		Expect(granted).To(BeEmpty())
 	})
 })
--- a/internal/state/metrics.go
+++ b/internal/state/metrics.go
@@ -8,39 +8,41 @@
 	"github.com/rotisserie/eris"
 )
 
-// clientMetrics show how calls fare at the limits of the store.
+// clientMetrics are the metrics of a Client's calls.
 type clientMetrics struct {
 	calls *prometheus.CounterVec
 	waits *prometheus.HistogramVec
-	// together is how many commits one call held.
-	together prometheus.Histogram
+	// commitsPerCall is the number of commits that one call combined.
+	commitsPerCall prometheus.Histogram
 }
 
 func newClientMetrics() *clientMetrics {
 	return &clientMetrics{
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "thymeloft_store_class_calls_total", Help: "Calls of the store by what they are for and how they ended.",
+			Name: "thymeloft_store_class_calls_total", Help: "Store calls by class and result.",
 		}, []string{"class", "result"}),
 		waits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "thymeloft_store_rate_wait_seconds",
-			Help:    "Time that calls waited for the store's rate, by what they are for.",
+			Help:    "Time that store calls waited for the rate limit, by class.",
 			Buckets: []float64{0.001, 0.01, 0.03, 0.1, 0.3, 1},
 		}, []string{"class"}),
-		together: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "thymeloft_store_commits_per_call", Help: "Commits that one writing call held.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
+		commitsPerCall: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: "thymeloft_store_commits_per_call", Help: "Commits that were combined in one write call.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
 		}),
 	}
 }
 
-func (m *clientMetrics) ended(class Class, err error) {
+// recordCall counts a call by class and result.
+func (m *clientMetrics) recordCall(class Class, err error) {
 	m.calls.WithLabelValues(class.String(), resultOf(err)).Inc()
 }
 
-func (m *clientMetrics) waited(class Class, span time.Duration) {
+// recordWait records how long a call waited for the rate limit.
+func (m *clientMetrics) recordWait(class Class, span time.Duration) {
 	m.waits.WithLabelValues(class.String()).Observe(span.Seconds())
 }
 
-// resultOf names the end of a call.
+// resultOf returns the label of a call's result.
 func resultOf(err error) string {
 	var conflict *ConflictError
 	switch {
@@ -61,22 +63,22 @@
 	}
 }
 
-// Measure shows the calls by class, what they wait for the rate, the rate that is allowed
-// now, and for how long the store has been full.
+// Measure registers the client's metrics: calls and rate-limit waits by class, commits per
+// call, the rates that are allowed now, and how long the store has been full.
 func (c *Client) Measure(registerer prometheus.Registerer) error {
 	full := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "thymeloft_store_full_seconds", Help: "For how long the store has been full; 0: it has room.",
+		Name: "thymeloft_store_full_seconds", Help: "Time since the store became full; 0 if it is not full.",
 	}, func() float64 { return c.room.FullFor().Seconds() })
-	collectors := []prometheus.Collector{c.metrics.calls, c.metrics.waits, c.metrics.together, full}
+	collectors := []prometheus.Collector{c.metrics.calls, c.metrics.waits, c.metrics.commitsPerCall, full}
 	for kind, name := range map[CallKind]string{CallCommit: "writing", CallRead: "reading"} {
 		collectors = append(collectors, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-			Name: "thymeloft_store_allowed_calls_per_second", Help: "Calls that this daemon may send a second now.",
+			Name: "thymeloft_store_allowed_calls_per_second", Help: "Store calls per second that this daemon may send now.",
 			ConstLabels: prometheus.Labels{"kind": name},
 		}, func() float64 { return c.limiter.Allowed(kind) }))
 	}
 	for _, collector := range collectors {
 		if err := registerer.Register(collector); err != nil {
-			return eris.Wrap(err, "register metrics of the store's limits")
+			return eris.Wrap(err, "register store metrics")
 		}
 	}
 	return nil
--- a/internal/state/observation.go
+++ b/internal/state/observation.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// CallKind names what a call of the store does.
+// CallKind is the operation of a store call.
 type CallKind string
 
-// The kinds of calls.
+// The operations of a store.
 const (
 	CallCommit CallKind = "commit"
 	CallRead   CallKind = "read"
 	CallFeed   CallKind = "feed"
 )
 
-// CallResult is how one call on the wire ended, for metrics.
+// CallResult describes one finished request to the store, for metrics.
 type CallResult struct {
 	Kind   CallKind
-	Table  string // the first that the call names
-	Status int    // of the store's answer; 0: none came
+	Table  string // first table that the call names
+	Status int    // status code of the store's answer; 0: there was no answer
 	Took   time.Duration
 }
 
-// Table is the first table that the commit names.
+// Table returns the table of the commit's first put, else of its first condition, else of its
+// first removal.
 func (c Commit) Table() string { return c.firstKey().Table }
--- a/internal/state/pace.go
+++ b/internal/state/pace.go
@@ -5,117 +5,119 @@
 	"time"
 )
 
-// pace is how many calls of one kind this process sends a second: additive increase while
-// none is refused for the rate, multiplicative leftAfterRefusal when one is, never below a floor.
-// It is a token bucket whose rate adapts. Time is an input; it is not safe for concurrent use.
-type pace struct {
-	floor float64 // calls a second that are always allowed
-	bound float64 // calls a second that are never exceeded
+// adaptiveBucket is a token bucket that limits the calls of one kind of this process. Its rate
+// grows while no call is throttled and is multiplied by rateDecreaseFactor when one is, always
+// between minRate and maxRate. The caller passes the current time to each method that needs it.
+// An adaptiveBucket is not safe for concurrent use.
+type adaptiveBucket struct {
+	minRate float64 // calls per second
+	maxRate float64 // calls per second
 
-	allowed float64 // calls a second
-	tokens  float64 // calls that may be sent at once; below zero: after a refusal
-	recent  float64 // calls a second that were sent lately
-	now     time.Time
-	lowered time.Time // when the rate was last lowered
+	rate      float64   // calls per second
+	tokens    float64   // calls that may be sent at once
+	sentRate  float64   // calls per second sent recently
+	now       time.Time // time of the last advance
+	loweredAt time.Time // when the rate was last lowered; zero: not since the start or the last restart
 }
 
 const (
-	// leftAfterRefusal is the part of the rate that a refusal leaves: with all daemons at it,
-	// four refusals in a row take three times what the store bears back to below it.
-	leftAfterRefusal = 0.7
-	// refusalsTogether is in which time refusals count as one: they answer calls that were
-	// sent at the rate before.
-	refusalsTogether = 200 * time.Millisecond
-	// increaseFloors is how many floors a second are added while the rate was lowered a
-	// moment ago. In the model of a pulse one of them leaves 2.1 to 2.9 percent of the calls
-	// after it refused, this 0.7 to 1.0.
-	increaseFloors = 0.2
-	// calmAfter is after how long without a refusal the rate doubles each doubling: what
-	// lowered it is over.
-	calmAfter = 3 * time.Second
-	// doubling bounds what 390 daemons send together when all start at once: 0.9 percent of
-	// their calls are refused in the model, with half of it 3.9.
-	doubling = time.Second
-	// burstTime is for how long calls may be saved up: as many come together when a
-	// process is scheduled late.
-	burstTime = 50 * time.Millisecond
-	// leastSave is how many calls may be saved up at any rate: those that one request
-	// makes one after another.
-	leastSave = 4
-	// recentTime is over which the rate of calls sent is measured.
-	recentTime = 500 * time.Millisecond
-	// unknownFloor is allowed where no rate is declared: what a daemon needs to keep its
-	// lease and follow its tables.
-	unknownFloor = 5
-	// unknownBound is what one process sends at most where no rate is declared; it is more
-	// than one needs.
-	unknownBound = 10000
+	// rateDecreaseFactor is the part of the rate that is left after a throttled call. Four
+	// decreases reduce three times the allowed load to less than the allowed one.
+	rateDecreaseFactor = 0.7
+	// refusalMergeWindow is the time in which several throttled calls lower the rate once,
+	// since they were sent at the same rate.
+	refusalMergeWindow = 200 * time.Millisecond
+	// rateIncreasePerSecond is how many times minRate is added to the rate per second during
+	// doublingDelay after a decrease.
+	rateIncreasePerSecond = 0.2
+	// doublingDelay is how long after a decrease the rate begins to double every doublingTime.
+	doublingDelay = 3 * time.Second
+	// doublingTime is long enough that daemons which all start at once exceed the store's limit
+	// only a little before the first throttled calls lower their rates.
+	doublingTime = time.Second
+	// burstDuration is the time for which unused tokens accumulate. It makes up for a process
+	// that the operating system schedules late.
+	burstDuration = 50 * time.Millisecond
+	// minBurst is the number of unused tokens that accumulate even at a low rate: as many calls
+	// as one request makes in sequence.
+	minBurst = 4
+	// sentRateWindow is the time constant of the exponential average of sentRate.
+	sentRateWindow = 500 * time.Millisecond
+	// undeclaredMinRate is the minimum in calls per second if the store's limit is not
+	// declared. It lets a daemon keep its lease and follow its tables.
+	undeclaredMinRate = 5
+	// undeclaredMaxRate is the maximum in calls per second if the store's limit is not
+	// declared. It is more than one process needs.
+	undeclaredMaxRate = 10000
 )
 
-// newPace starts at the rate given, in calls a second, of which so many may be sent at once.
-func newPace(floor, bound, start, atOnce float64, now time.Time) *pace {
-	return &pace{floor: floor, bound: max(bound, floor), allowed: start, tokens: atOnce, now: now}
+// newAdaptiveBucket returns a bucket with the given rates in calls per second. initialTokens
+// calls may be sent at once.
+func newAdaptiveBucket(minRate, maxRate, initialRate, initialTokens float64, now time.Time) *adaptiveBucket {
+	return &adaptiveBucket{minRate: minRate, maxRate: max(maxRate, minRate), rate: initialRate, tokens: initialTokens, now: now}
 }
 
-// advance lets time pass.
-func (p *pace) advance(now time.Time) {
-	span := now.Sub(p.now).Seconds()
+// advance adds the tokens for the time since the last call of advance, and raises the rate.
+func (b *adaptiveBucket) advance(now time.Time) {
+	span := now.Sub(b.now).Seconds()
 	if span <= 0 {
 		return
 	}
-	p.now = now
-	p.tokens = min(p.tokens+p.allowed*span, p.mostTokens())
-	p.recent *= math.Exp(-span / recentTime.Seconds())
-	p.grow(span)
+	b.now = now
+	b.tokens = min(b.tokens+b.rate*span, b.maxTokens())
+	b.sentRate *= math.Exp(-span / sentRateWindow.Seconds())
+	b.raiseRate(span)
 }
 
-func (p *pace) mostTokens() float64 { return max(p.allowed*burstTime.Seconds(), leastSave) }
+// maxTokens returns the number of tokens that the bucket can hold.
+func (b *adaptiveBucket) maxTokens() float64 { return max(b.rate*burstDuration.Seconds(), minBurst) }
 
-func (p *pace) grow(span float64) {
-	if p.lowered.IsZero() || p.now.Sub(p.lowered) > calmAfter {
-		p.allowed *= math.Exp2(span / doubling.Seconds())
+// raiseRate raises the rate for that many seconds without a throttled call.
+func (b *adaptiveBucket) raiseRate(seconds float64) {
+	if b.loweredAt.IsZero() || b.now.Sub(b.loweredAt) > doublingDelay {
+		b.rate *= math.Exp2(seconds / doublingTime.Seconds())
 	} else {
-		p.allowed += increaseFloors * p.floor * span
+		b.rate += rateIncreasePerSecond * b.minRate * seconds
 	}
-	p.allowed = min(max(p.allowed, p.floor), p.bound)
+	b.rate = min(max(b.rate, b.minRate), b.maxRate)
 }
 
-// take tells whether a call may be sent now, and counts it.
-func (p *pace) take() bool {
-	if p.tokens < 1 {
+// take takes a token for a call. It returns false if there is none.
+func (b *adaptiveBucket) take() bool {
+	if b.tokens < 1 {
 		return false
 	}
-	p.tokens--
-	p.recent += 1 / recentTime.Seconds()
+	b.tokens--
+	b.sentRate += 1 / sentRateWindow.Seconds()
 	return true
 }
 
-// wait is how long until so many calls more may have been sent.
-func (p *pace) wait(calls int) time.Duration {
-	missing := float64(calls) - p.tokens
+// waitTime returns how long it takes at the current rate until that many tokens are available.
+func (b *adaptiveBucket) waitTime(calls int) time.Duration {
+	missing := float64(calls) - b.tokens
 	if missing <= 0 {
 		return 0
 	}
-	return time.Duration(math.Ceil(missing / p.allowed * float64(time.Second)))
+	return time.Duration(math.Ceil(missing / b.rate * float64(time.Second)))
 }
 
-// restart begins at the floor again: what others send is not known.
-func (p *pace) restart(now time.Time) {
-	p.advance(now)
-	p.allowed = p.floor
-	p.tokens = min(p.tokens, 1)
-	p.lowered = time.Time{}
+// restart lowers the rate to the minimum and keeps at most one token.
+func (b *adaptiveBucket) restart(now time.Time) {
+	b.advance(now)
+	b.rate = b.minRate
+	b.tokens = min(b.tokens, 1)
+	b.loweredAt = time.Time{}
 }
 
-// refused notes that a call was refused for the rate. It tells whether the rate was
-// lowered. The next call is sent no sooner than at its next slot.
-func (p *pace) refused(now time.Time) bool {
-	p.advance(now)
-	p.tokens = min(p.tokens, 0)
-	if !p.lowered.IsZero() && now.Sub(p.lowered) < refusalsTogether {
+// recordRefusal records that the store throttled a call, and returns whether that lowered the
+// rate. It removes all tokens, so that the next call waits for a new one.
+func (b *adaptiveBucket) recordRefusal(now time.Time) bool {
+	b.advance(now)
+	b.tokens = min(b.tokens, 0)
+	if !b.loweredAt.IsZero() && now.Sub(b.loweredAt) < refusalMergeWindow {
 		return false
 	}
-	p.lowered = now
-	p.allowed = max(leftAfterRefusal*min(p.allowed, p.recent), p.floor)
+	b.loweredAt = now
+	b.rate = max(rateDecreaseFactor*min(b.rate, b.sentRate), b.minRate)
 	return true
 }
--- a/internal/state/retrybudget.go
+++ b/internal/state/retrybudget.go
@@ -2,32 +2,33 @@
 
 import "sync"
 
-// retryBudget bounds the further tries of calls to a share of the first ones,
-// so that a store that does not answer is not sent several times as many.
+// retryBudget limits retries and hedged calls to a share of the first tries, so that an
+// unresponsive store does not get a multiple of its usual load. It is safe for concurrent use.
+// The zero value has maxRetryTokens tokens.
 type retryBudget struct {
 	mutex  sync.Mutex
 	tokens float64
-	begun  bool
+	filled bool
 }
 
 const (
-	retryTokensPerCall = 0.3 // further tries for each call
-	mostRetryTokens    = 12  // that may be saved up
+	retryTokensPerCall = 0.3 // tokens that each first try adds; a further try costs one
+	maxRetryTokens     = 12  // limit of the tokens that accumulate
 )
 
-// call notes a first try.
-func (b *retryBudget) call() {
+// recordCall adds the tokens for a first try.
+func (b *retryBudget) recordCall() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.begin()
-	b.tokens = min(b.tokens+retryTokensPerCall, mostRetryTokens)
+	b.fillOnce()
+	b.tokens = min(b.tokens+retryTokensPerCall, maxRetryTokens)
 }
 
-// take tells whether a further try may be made, and counts it.
+// take takes a token for a further try. It returns false if there is none.
 func (b *retryBudget) take() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.begin()
+	b.fillOnce()
 	if b.tokens < 1 {
 		return false
 	}
@@ -35,9 +36,10 @@
 	return true
 }
 
-func (b *retryBudget) begin() {
-	if !b.begun {
-		b.begun = true
-		b.tokens = mostRetryTokens
+// fillOnce fills the budget on its first use. The caller holds the mutex.
+func (b *retryBudget) fillOnce() {
+	if !b.filled {
+		b.filled = true
+		b.tokens = maxRetryTokens
 	}
 }
--- a/internal/state/room.go
+++ b/internal/state/room.go
@@ -10,46 +10,45 @@
 	"github.com/rotisserie/eris"
 )
 
-// Room is what this process believes about the store's room: whether it is full, since
-// when, and who may find out that there is room again. It is safe for concurrent use;
+// Room tracks whether the store is full. While it is, commits that can wait are held back, so
+// that they do not use up the rate limit. One of them at a time is let through, at growing
+// intervals, to probe whether there is space again. A Room is safe for concurrent use;
 // FullSince takes no lock.
-//
-// It keeps a full store from being called by all that wait for it: of the calls that may
-// wait, one goes out at a time, at growing distances.
 type Room struct {
 	options RoomOptions
 
-	fullSince atomic.Int64 // unix nanoseconds; 0: there is room
+	fullSince atomic.Int64 // Unix time in nanoseconds; 0: the store is not full
 
-	mutex       sync.Mutex
-	refusals    int // in a row
-	lastRefused time.Time
-	smallest    int // bytes of the smallest write that was refused since it is full
-	nextProbe   time.Time
-	changed     chan struct{} // closed and replaced when a probe may come earlier than told
+	mutex               sync.Mutex
+	consecutiveRefusals int // refused commits since the store last had space or rows were removed
+	lastRefused         time.Time
+	smallestRefused     int // value bytes of the smallest commit refused since the store became full
+	nextProbe           time.Time
+	wake                chan struct{} // closed and replaced to make waiting commits check again
 }
 
-// RoomOptions are the parameters of a Room.
+// RoomOptions configures a Room. All of its fields are optional.
 type RoomOptions struct {
 	Now func() time.Time
-	// OnChange hears when the store becomes full, and when it has room again with how
-	// long it was full.
+	// OnChange is called when the store becomes full, and when it has space again, then with
+	// the time for which it was full. It runs with a lock held.
 	OnChange func(full bool, lasted time.Duration)
-	// OnRefused hears of each write that had no room, so that room is made. It must not block.
+	// OnRefused is called for each commit that the store refused because it is full, so that
+	// expired rows can be removed. It must not block.
 	OnRefused func()
 }
 
 const (
-	// A probe costs one of the store's calls; at the longest pause those of 400 daemons
-	// take a seventh of the 1,500 writes a second that a large store gives.
-	firstRoomProbe   = 100 * time.Millisecond
-	longestRoomProbe = 2 * time.Second
-	// refusalForgotten is after which a smaller write than the refused ones also shows
-	// that there is room, as nobody tried a larger one: twice the time between two probes.
-	refusalForgotten = 2 * longestRoomProbe
+	// The maximum keeps the probes of 400 daemons below a seventh of the 1,500 writes per
+	// second that a large store accepts.
+	initialRoomProbeInterval = 100 * time.Millisecond
+	maxRoomProbeInterval     = 2 * time.Second
+	// refusalRetention is how long after the last refusal even a write smaller than the refused
+	// ones proves that there is space, since no larger one was tried in that time.
+	refusalRetention = 2 * maxRoomProbeInterval
 )
 
-// NewRoom makes a Room of a store that is believed to have room.
+// NewRoom returns a Room that considers the store not full.
 func NewRoom(options RoomOptions) *Room {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -60,16 +59,16 @@
 	if options.OnRefused == nil {
 		options.OnRefused = func() {}
 	}
-	return &Room{options: options, changed: make(chan struct{})}
+	return &Room{options: options, wake: make(chan struct{})}
 }
 
-// FullSince tells since when the store is believed to be full; false: it has room.
+// FullSince returns when the store became full. The second result is false if it is not full.
 func (r *Room) FullSince() (time.Time, bool) {
 	since := r.fullSince.Load()
 	return time.Unix(0, since), since != 0
 }
 
-// FullFor is how long the store has been full; zero: it has room.
+// FullFor returns how long the store has been full, or 0 if it is not.
 func (r *Room) FullFor() time.Duration {
 	since, full := r.FullSince()
 	if !full {
@@ -78,19 +77,21 @@
 	return r.options.Now().Sub(since)
 }
 
-// Probe tells whether the caller may try to write: the store has room, or it is the one
-// that finds out. The next one may after a pause, whatever becomes of this one.
+// Probe reports whether the caller may send a write: the store is not full, or the next probe
+// is due and the caller takes it. The probe after that becomes due after an interval, whether
+// or not the caller sends its write.
 func (r *Room) Probe() bool {
 	if _, full := r.FullSince(); !full {
 		return true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.untilProbe() <= 0
+	return r.takeProbe() <= 0
 }
 
-// untilProbe is how long to wait for the next probe; zero takes it. The mutex is held.
-func (r *Room) untilProbe() time.Duration {
+// takeProbe returns 0 if a write may be sent, which takes the next probe if the store is full.
+// Otherwise it returns the time until the next probe is due. The caller holds the mutex.
+func (r *Room) takeProbe() time.Duration {
 	if r.fullSince.Load() == 0 {
 		return 0
 	}
@@ -98,18 +99,19 @@
 	if wait := r.nextProbe.Sub(now); wait > 0 {
 		return wait
 	}
-	r.nextProbe = now.Add(roomPause(r.refusals))
+	r.nextProbe = now.Add(roomProbeInterval(r.consecutiveRefusals))
 	return 0
 }
 
-// roomPause grows with the refusals in a row.
-func roomPause(refusals int) time.Duration {
-	const mostDoublings = 8
-	return jittered(min(firstRoomProbe<<min(refusals, mostDoublings), longestRoomProbe))
+// roomProbeInterval returns the interval after a number of consecutive refusals: it doubles
+// with each refusal up to maxRoomProbeInterval, and is shortened by jitter.
+func roomProbeInterval(refusals int) time.Duration {
+	const maxDoublings = 8
+	return withJitter(min(initialRoomProbeInterval<<min(refusals, maxDoublings), maxRoomProbeInterval))
 }
 
-// admit returns nil if the commit may be sent, or ErrFull. The end of a turn is sent at
-// once the first time; after that it waits for its turn to probe.
+// admit returns nil if the commit may be sent, or ErrFull. A commit of ClassTurn that was sent
+// before waits for its turn to probe.
 func (r *Room) admit(ctx context.Context, commit Commit, tried bool) error {
 	if _, full := r.FullSince(); !full || len(commit.Puts) == 0 {
 		return nil
@@ -119,25 +121,24 @@
 		return nil
 	case ClassTurn:
 		if tried {
-			return r.wait(ctx)
+			return r.waitForProbe(ctx)
 		}
 		return nil
 	case ClassReservation, ClassSettlement, ClassSweep, ClassFollow:
-		// Each reservation tried once cost a daemon 108 refused calls in five seconds, in
-		// which the ends of turns found no slot.
+		// Even one try per reservation would take the rate slots that turn commits need.
 		if !r.Probe() {
-			return eris.Wrap(ErrFull, "commit not begun")
+			return eris.Wrap(ErrFull, "commit not sent")
 		}
 	}
 	return nil
 }
 
-// wait blocks until there is room or the caller may probe; it returns ErrFull when the
-// context ends first.
-func (r *Room) wait(ctx context.Context) error {
+// waitForProbe blocks until the store has space or the caller may probe. It returns ErrFull if
+// ctx ends first.
+func (r *Room) waitForProbe(ctx context.Context) error {
 	for {
 		r.mutex.Lock()
-		wait, changed := r.untilProbe(), r.changed
+		wait, wake := r.takeProbe(), r.wake
 		r.mutex.Unlock()
 		if wait <= 0 {
 			return nil
@@ -145,50 +146,53 @@
 		timer := time.NewTimer(wait)
 		select {
 		case <-timer.C:
-		case <-changed:
+		case <-wake:
 		case <-ctx.Done():
 		}
 		timer.Stop()
 		if ctx.Err() != nil {
-			return eris.Wrapf(ErrFull, "waited for room: %v", ctx.Err())
+			return eris.Wrapf(ErrFull, "wait for space: %v", ctx.Err())
 		}
 	}
 }
 
-// note takes the end of a commit in that was sent at the given time.
-func (r *Room) note(commit Commit, sent time.Time, err error) {
+// recordResult records the result of a commit that was sent at the given time.
+func (r *Room) recordResult(commit Commit, sent time.Time, err error) {
 	switch {
 	case errors.Is(err, ErrFull):
-		r.refused(commit.bytes())
+		r.recordRefusal(commit.valueBytes())
 	case err != nil:
 	case len(commit.Puts) > 0:
-		r.written(commit.bytes(), sent)
+		r.recordWrite(commit.valueBytes(), sent)
 	case len(commit.Removals) > 0:
-		r.freed()
+		r.recordRemoval()
 	}
 }
 
-func (r *Room) refused(bytes int) {
+// recordRefusal records that the store refused a commit with that many value bytes because it
+// is full.
+func (r *Room) recordRefusal(bytes int) {
 	defer r.options.OnRefused()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
 	r.lastRefused = now
-	r.nextProbe = now.Add(roomPause(r.refusals))
-	r.refusals++
+	r.nextProbe = now.Add(roomProbeInterval(r.consecutiveRefusals))
+	r.consecutiveRefusals++
 	if r.fullSince.Load() != 0 {
-		r.smallest = min(r.smallest, bytes)
+		r.smallestRefused = min(r.smallestRefused, bytes)
 		return
 	}
-	r.smallest = bytes
+	r.smallestRefused = bytes
 	r.fullSince.Store(now.UnixNano())
 	r.options.OnChange(true, 0)
 }
 
-// written reopens, if the write shows that there is room: it was sent after the last
-// refusal, and is as large as what was refused. A small row that is written over its
-// former value succeeds in a full store too.
-func (r *Room) written(bytes int, sent time.Time) {
+// recordWrite records a successful commit with puts. The store counts as no longer full if the
+// commit was sent after the last refusal and is at least as large as the smallest refused one,
+// or refusalRetention has passed. A smaller commit proves less: a full store still accepts a
+// small row that replaces its former value.
+func (r *Room) recordWrite(bytes int, sent time.Time) {
 	since, full := r.FullSince()
 	if !full {
 		return
@@ -196,35 +200,36 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
-	enough := bytes >= r.smallest || now.Sub(r.lastRefused) >= refusalForgotten
-	if !enough || !sent.After(r.lastRefused) || r.fullSince.Load() == 0 {
+	largeEnough := bytes >= r.smallestRefused || now.Sub(r.lastRefused) >= refusalRetention
+	if !largeEnough || !sent.After(r.lastRefused) || r.fullSince.Load() == 0 {
 		return
 	}
-	r.refusals = 0
+	r.consecutiveRefusals = 0
 	r.fullSince.Store(0)
-	r.stir()
+	r.wakeWaiters()
 	r.options.OnChange(false, now.Sub(since))
 }
 
-// freed lets the next probe come at once: something was removed.
-func (r *Room) freed() {
+// recordRemoval makes the next probe due at once, since a removal may have freed space.
+func (r *Room) recordRemoval() {
 	if _, full := r.FullSince(); !full {
 		return
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.refusals = 0
+	r.consecutiveRefusals = 0
 	r.nextProbe = r.options.Now()
-	r.stir()
+	r.wakeWaiters()
 }
 
-func (r *Room) stir() {
-	close(r.changed)
-	r.changed = make(chan struct{})
+// wakeWaiters makes the waiting commits check again. The caller holds the mutex.
+func (r *Room) wakeWaiters() {
+	close(r.wake)
+	r.wake = make(chan struct{})
 }
 
-// bytes is what the commit's values hold.
-func (c Commit) bytes() int {
+// valueBytes returns the total size of the commit's values in bytes.
+func (c Commit) valueBytes() int {
 	sum := 0
 	for _, put := range c.Puts {
 		sum += len(put.Value)
--- a/internal/state/room_test.go
+++ b/internal/state/room_test.go
@@ -12,10 +12,9 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// The load: a store that has taken all bytes that it keeps answers each write with "no
-// room", while as many turns end and programs begin as before. Taken for silence, such a
-// store was sent 152,931 calls in a day of 80 s, 33,000 of which its rate refused.
-var _ = Describe("a store without room", func() {
+// A full store refuses every write while turns continue to end and programs to start. If that
+// were handled like an unresponsive store, retries would exceed the rate limit.
+var _ = Describe("a full store", func() {
 	var memory *memorystore.Store
 	var clock atomic.Int64
 	var room *state.Room
@@ -25,7 +24,7 @@
 	var refusals atomic.Int64
 
 	now := func() time.Time { return time.Unix(1000, clock.Load()) }
-	pass := func(span time.Duration) { clock.Add(int64(span)) }
+	advance := func(span time.Duration) { clock.Add(int64(span)) }
 	commit := func(ctx context.Context, class state.Class) error {
 		wanted := putIn("p")
 		wanted.Class = class
@@ -51,7 +50,7 @@
 		})
 	})
 
-	It("is told from a silent one: nothing is tried again, and no partition or way is blamed", func(ctx SpecContext) {
+	It("is not treated as unresponsive: no call is repeated, and no partition or route counts as failed", func(ctx SpecContext) {
 		err := client.Repeat(ctx, func() error { return commit(ctx, state.ClassReservation) })
 		Expect(err).To(MatchError(state.ErrFull))
 		Expect(state.NoVerdict(err)).To(BeFalse())
@@ -60,15 +59,15 @@
 		Expect(client.DirectUsable()).To(BeTrue())
 		Expect(availability.Available()).To(BeTrue())
 		Expect(changes).To(Receive(BeTrue()))
-		Expect(refusals.Load()).To(BeEquivalentTo(1), "who makes room is told")
+		Expect(refusals.Load()).To(BeEquivalentTo(1), "OnRefused was called")
 	})
 
-	It("is probed by one at a time, at growing distances", func(ctx SpecContext) {
+	It("is probed by one call at a time, at growing intervals", func(ctx SpecContext) {
 		Expect(commit(ctx, state.ClassReservation)).To(MatchError(state.ErrFull))
 		const step, span, writers = 10 * time.Millisecond, 10 * time.Second, 50
 		probes := 0
 		for passed := time.Duration(0); passed < span; passed += step {
-			pass(step)
+			advance(step)
 			for range writers {
 				if room.Probe() {
 					probes++
@@ -76,12 +75,13 @@
 				}
 			}
 		}
-		// Pauses of 0.1, 0.2, 0.4, 0.8, 1.6 and then 2 s, of which up to a half is taken away.
+		// The intervals are 0.1, 0.2, 0.4, 0.8, 1.6 and then 2 s, each shortened by up to a
+		// half.
 		Expect(probes).To(BeNumerically(">=", 8))
 		Expect(probes).To(BeNumerically("<=", 16))
 	})
 
-	It("lets leases and confirmations pass, and refuses what can wait", func(ctx SpecContext) {
+	It("is sent lease commits and commits without puts, but no commits that can wait", func(ctx SpecContext) {
 		Expect(commit(ctx, state.ClassReservation)).To(MatchError(state.ErrFull))
 		before := memory.Calls("commit")
 		for _, class := range []state.Class{state.ClassReservation, state.ClassSettlement, state.ClassSweep} {
@@ -94,15 +94,15 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("takes the end of a turn as soon as there is room", func(ctx SpecContext) {
+	It("is sent a waiting turn commit again as soon as it has space", func(ctx SpecContext) {
 		Expect(commit(ctx, state.ClassReservation)).To(MatchError(state.ErrFull))
 		before := memory.Calls("commit")
 		ended := make(chan error, 1)
 		go func() { ended <- commit(ctx, state.ClassTurn) }()
-		Eventually(func() int { return memory.Calls("commit") }).Should(Equal(before+1), "it is tried at once")
+		Eventually(func() int { return memory.Calls("commit") }).Should(Equal(before+1), "the first try is sent at once")
 		Eventually(refusals.Load).Should(BeEquivalentTo(2))
 		Expect(ended).NotTo(Receive())
-		pass(time.Millisecond)
+		advance(time.Millisecond)
 		memory.Misbehave(nil)
 		_, err := client.Commit(ctx, state.Commit{Class: state.ClassSweep, Removals: []state.Key{keyIn("old")}})
 		Expect(err).NotTo(HaveOccurred())
@@ -113,7 +113,7 @@
 		Expect(changes).To(Receive(BeFalse()))
 	})
 
-	It("is tried once for a turn whose caller's time is nearly over", func(ctx SpecContext) {
+	It("is sent a turn commit once if its deadline is near", func(ctx SpecContext) {
 		Expect(commit(ctx, state.ClassReservation)).To(MatchError(state.ErrFull))
 		before := memory.Calls("commit")
 		short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
@@ -122,13 +122,13 @@
 		Expect(memory.Calls("commit")).To(Equal(before + 1))
 	})
 
-	It("has no room because a small row could be written over", func(ctx SpecContext) {
+	It("still counts as full after a small row was overwritten", func(ctx SpecContext) {
 		large := putIn("p")
 		large.Puts[0].Value = make([]byte, 1000)
 		_, err := client.Commit(ctx, large)
 		Expect(err).To(MatchError(state.ErrFull))
 		memory.Misbehave(nil)
-		pass(time.Second)
+		advance(time.Second)
 		Expect(commit(ctx, state.ClassLease)).To(Succeed())
 		_, full := room.FullSince()
 		Expect(full).To(BeTrue())
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,12 +1,13 @@
-// Package state is the port of the transactional store in which everything
-// that must outlast a process lies. The product decides what is written under
-// which condition; an adapter of the platform's store implements Store.
+// Package state defines the interface to the transactional store that holds all data which must
+// outlive a process. Callers decide what is written under which conditions; an adapter of the
+// platform's store implements Store. Client adds retries, rate limiting and failure detection
+// to a Store.
 //
-// Guarantees that an implementation gives: a commit that was acknowledged is
-// never lost, commits are atomic, and a condition compares with the newest
-// state. A commit that ended with ErrUnknown may have been done, or may still
-// be done later while its conditions hold; so callers make every commit
-// idempotent by its keys and conditions.
+// A Store guarantees that an acknowledged commit is never lost, that a commit is applied
+// completely or not at all, and that conditions are checked against the latest committed rows.
+// A commit that ended with ErrUnknown may have been applied, or may still be applied later if
+// its conditions hold then. Callers therefore make every commit idempotent through its keys and
+// conditions.
 package state
 
 import (
@@ -17,37 +18,40 @@
 	"time"
 )
 
-// Version orders all commits of a store. Zero means "the row does not exist".
+// Version is the position of a commit in the order of all commits of a store. Zero means that a
+// row does not exist.
 type Version uint64
 
-// Key names a row. Rows of one partition are committed more cheaply together.
+// Key identifies a row. A commit whose rows are all in one partition costs the store less than
+// one that spans several partitions.
 type Key struct {
 	Table     string
 	Partition string
 	Name      string
 }
 
-// Row is a value and the commit that wrote it.
+// Row is a stored value together with the version of the commit that wrote it.
 type Row struct {
 	Key     Key
 	Value   []byte
 	Version Version
-	Removed bool // only in a Feed
+	Removed bool // the row was deleted; set only in the result of Feed
 }
 
-// Condition demands that a row has this version when a commit is done.
+// Condition requires that, when the commit is applied, the row has exactly this version.
+// Version 0 requires that the row does not exist.
 type Condition struct {
 	Key     Key
 	Version Version
 }
 
-// Put writes a value.
+// Put creates or replaces a row.
 type Put struct {
 	Key   Key
 	Value []byte
 }
 
-// Commit is done whole or not at all.
+// Commit is a set of changes that the store applies completely or not at all.
 type Commit struct {
 	Class      Class
 	Conditions []Condition
@@ -55,7 +59,8 @@
 	Removals   []Key
 }
 
-// firstKey names a commit in logs.
+// firstKey returns the key that identifies the commit in logs and metrics: the first put, else
+// the first condition, else the first removal.
 func (c Commit) firstKey() Key {
 	switch {
 	case len(c.Puts) > 0:
@@ -69,61 +74,63 @@
 	}
 }
 
-// Change is a part of a feed: what changed after a version, in order.
+// Change is one result of a feed: the rows that changed after a version, in commit order.
 type Change struct {
 	Rows    []Row
-	Version Version // go on from here
+	Version Version // pass it to the next call of Feed
 }
 
-// Page is the state of several rows as of one moment.
+// Page is the result of a read. All its rows are from the same snapshot of the store.
 type Page struct {
 	Rows    []Row
-	More    bool
-	Version Version // the newest of the store at that moment
+	More    bool    // the range has further rows
+	Version Version // newest version of the store in this snapshot
 }
 
-// Range selects rows of one partition, by rising names.
+// Range selects rows of one partition in ascending order of their names.
 type Range struct {
 	Class     Class
 	Table     string
 	Partition string
-	From      string // included
-	To        string // left out; empty: no end
-	Limit     int    // 0: as many as the store gives
+	From      string // inclusive
+	To        string // exclusive; empty: no upper bound
+	Limit     int    // maximum number of rows; 0: as many as the store returns in one page
 }
 
-// Store is the transactional store.
+// Store is a transactional store. Implementations are safe for concurrent use.
 type Store interface {
-	// Commit returns the version of the commit, or *ConflictError, ErrNotDone or ErrUnknown.
+	// Commit applies the commit and returns its version. The error is or wraps *ConflictError,
+	// ErrNotDone, ErrUnknown, ErrFull or ErrThrottled.
 	Commit(ctx context.Context, commit Commit) (Version, error)
-	// Read returns rows as of one moment.
+	// Read returns the selected rows from one snapshot.
 	Read(ctx context.Context, selected Range) (Page, error)
-	// Feed waits at most so long for a change of the table after the version.
-	// It returns ErrHistoryLost when the store no longer knows what changed.
+	// Feed waits up to the given time for a change of the table after the version. It returns
+	// ErrHistoryLost if the store no longer knows what changed since then.
 	Feed(ctx context.Context, table string, after Version, wait time.Duration) (Change, error)
 }
 
-// Errors of a store. Each is wrapped with the step and the peer.
+// Errors of a store. Implementations wrap them with the operation that failed.
 var (
-	// ErrNotDone says that certainly nothing was or will be done.
-	ErrNotDone = errors.New("the store did nothing")
-	// ErrUnknown says that the commit may have been done or may be done later.
+	// ErrNotDone means that the call had no effect and will have none.
+	ErrNotDone = errors.New("the store did not execute the call")
+	// ErrUnknown means that the commit may have been applied, or may still be applied later.
 	ErrUnknown = errors.New("the store did not answer")
-	// ErrHistoryLost says that a feed must start again from a read.
-	ErrHistoryLost = errors.New("the store's history is gone")
+	// ErrHistoryLost means that a feed has to start again from a read.
+	ErrHistoryLost = errors.New("the store no longer has the requested history")
 )
 
-// ConflictError tells that a condition did not hold; nothing was done.
+// ConflictError reports that a condition of a commit did not hold. Nothing was applied.
 type ConflictError struct {
-	Rows []Row // the rows of the conditions as they are; absent ones are left out
+	Rows []Row // current rows of the commit's conditions, without those that do not exist
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("conflict: a condition does not hold (%d rows differ or exist)", len(e.Rows))
+	return fmt.Sprintf("conflict: a condition does not hold (%d rows of the conditions exist)", len(e.Rows))
 }
 
-// Find returns the row of the key as the conflict showed it.
+// Find returns the row with the key as it was when the commit was refused, and whether the row
+// existed.
 func (e *ConflictError) Find(key Key) (Row, bool) {
 	for _, row := range e.Rows {
 		if row.Key == key {
@@ -133,12 +140,12 @@
 	return Row{}, false
 }
 
-// Single selects exactly one row.
+// Single returns a range that selects only the row with the key.
 func Single(key Key) Range {
 	return Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + "\x00", Limit: 1}
 }
 
-// Partitions names so many partitions: the hexadecimal numbers from 0.
+// Partitions returns the names of count partitions: the hexadecimal numbers from 0 to count-1.
 func Partitions(count int) []string {
 	names := make([]string, 0, count)
 	for number := range count {
--- a/internal/state/state_suite_test.go
+++ b/internal/state/state_suite_test.go
@@ -19,20 +19,22 @@
 	RunSpecs(t, "state")
 }
 
+// keyIn returns a key in the partition.
 func keyIn(partition string) state.Key {
 	return state.Key{Table: "t", Partition: partition, Name: "n"}
 }
 
+// putIn returns a commit that puts one row in the partition.
 func putIn(partition string) state.Commit {
 	return state.Commit{Puts: []state.Put{{Key: keyIn(partition), Value: []byte("v")}}}
 }
 
-// always is a script with one fault.
+// always returns a script that gives every call the fault.
 func always(fault memorystore.Fault) memorystore.Script {
 	return func(memorystore.Call) memorystore.Fault { return fault }
 }
 
-// first is a script with a fault for the first call.
+// first returns a script that gives the first call the fault, and none to later calls.
 func first(fault memorystore.Fault) memorystore.Script {
 	var calls atomic.Int64
 	return func(memorystore.Call) memorystore.Fault {
@@ -66,14 +68,14 @@
 		return err
 	}
 
-	It("sends a call again when its answer takes long, and takes the first verdict", func(ctx SpecContext) {
+	It("hedges a slow call and returns the first answer", func(ctx SpecContext) {
 		memory.Misbehave(first(memorystore.Silent))
 		Expect(commit(ctx, "p")).To(Succeed())
 		Expect(memory.Calls("commit")).To(Equal(2))
 		Expect(failures).To(BeEmpty())
 	})
 
-	It("repeats a call without a verdict, and not a conflict", func(ctx SpecContext) {
+	It("repeats a call after a retryable error, but not after a conflict", func(ctx SpecContext) {
 		memory.Misbehave(first(memorystore.Lost))
 		Expect(client.Repeat(ctx, func() error { return commit(ctx, "p") })).To(Succeed())
 		Expect(memory.Calls("commit")).To(Equal(2))
@@ -86,7 +88,7 @@
 		Expect(memory.Calls("commit")).To(Equal(3))
 	})
 
-	It("tells which call failed", func(ctx SpecContext) {
+	It("reports the operation and the key of a failed call", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Refused))
 		Expect(commit(ctx, "p")).To(MatchError(state.ErrNotDone))
 		var failure state.Failure
@@ -95,7 +97,7 @@
 		Expect(failure.Key).To(Equal(keyIn("p")))
 	})
 
-	It("does not believe the store down for one partition, but tries that last", func(ctx SpecContext) {
+	It("stays available when one partition fails, and prefers the others", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Refused))
 		for range 5 {
 			Expect(commit(ctx, "p")).To(MatchError(state.ErrNotDone))
@@ -107,7 +109,7 @@
 		Expect(client.Prefer([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
 	})
 
-	It("believes it down after several partitions, probes, and lets waiting calls go on", func(ctx SpecContext) {
+	It("becomes unavailable after three partitions fail, probes the store, and resumes waiting calls", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Refused))
 		for _, partition := range []string{"p", "q", "r"} {
 			Expect(commit(ctx, partition)).To(MatchError(state.ErrNotDone))
@@ -124,7 +126,7 @@
 		Eventually(changes).Should(Receive(BeTrue()))
 	})
 
-	It("ends with the context, and does not count that against the store", func(ctx SpecContext) {
+	It("returns when the context ends, without counting it as a failure of the store", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Silent))
 		for _, partition := range []string{"p", "q", "r"} {
 			short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
@@ -134,7 +136,7 @@
 		Expect(availability.Available()).To(BeTrue())
 	})
 
-	It("begins nothing, and logs nothing, once the context has ended", func(ctx SpecContext) {
+	It("sends no call and reports no failure once the context has ended", func(ctx SpecContext) {
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
 		Expect(commit(ended, "p")).To(MatchError(state.ErrNotDone))
@@ -145,7 +147,7 @@
 	})
 })
 
-// hangingStore counts tries and never answers.
+// hangingStore counts commits and never answers them. Its other methods are not implemented.
 type hangingStore struct {
 	state.Store
 	tries atomic.Int64
--- a/internal/state/way.go
+++ b/internal/state/way.go
@@ -7,104 +7,112 @@
 	"time"
 )
 
-// wayHealth is what this process believes of its own way to the store.
-type wayHealth struct {
+// routeHealth tracks how well this process reaches the store directly. It is safe for
+// concurrent use.
+type routeHealth struct {
 	mutex    sync.Mutex
-	failures int
-	badUntil time.Time
-	// throttledSince is when the first was refused for the rate since a call was answered.
-	throttledSince time.Time
-	throttled      int // in a row
+	failures int       // consecutive calls that ended with ErrNotDone or ErrUnknown
+	badUntil time.Time // until then, other routes are tried first
+	// firstThrottled is when the first of the consecutive throttled calls ended.
+	firstThrottled time.Time
+	throttled      int // consecutive throttled calls
 }
 
 const (
-	// failuresUntilDoubt is how many tries in a row get no verdict before
-	// another way is tried at once.
-	failuresUntilDoubt = 2
-	// failuresUntilBad is how many before another way is tried first.
-	failuresUntilBad = 4
-	// badFor is how long it is tried first.
-	badFor = time.Second
-	// turnedAwayAfter is how long all calls are refused for the rate before this is taken
-	// for the way's fault, not for the load's: the calls of all daemons together are
-	// answered in part, so that one in a row of many would be.
-	turnedAwayAfter = 500 * time.Millisecond
+	// minDoubtfulFailures is the number of consecutive failures after which a failed call is
+	// retried over another route at once.
+	minDoubtfulFailures = 2
+	// minBadFailures is the number of consecutive failures after which calls try another route
+	// first.
+	minBadFailures = 4
+	// badRouteDuration is how long calls try another route first.
+	badRouteDuration = time.Second
+	// minThrottledTime is how long every call has to be throttled before throttling counts as a
+	// failure of the route. In an overload by all daemons the store still answers some of the
+	// calls.
+	minThrottledTime = 500 * time.Millisecond
 )
 
-func (w *wayHealth) note(err error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if errors.Is(err, ErrThrottled) && !w.turnedAway() {
+// record records the result of a call over the direct route.
+func (h *routeHealth) record(err error) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if errors.Is(err, ErrThrottled) && !h.recordThrottled() {
 		return
 	}
 	if !NoVerdict(err) {
-		w.failures, w.throttled = 0, 0
-		w.badUntil = time.Time{}
+		h.failures, h.throttled = 0, 0
+		h.badUntil = time.Time{}
 		return
 	}
-	w.failures++
-	if w.failures >= failuresUntilBad {
-		w.badUntil = time.Now().Add(badFor)
+	h.failures++
+	if h.failures >= minBadFailures {
+		h.badUntil = time.Now().Add(badRouteDuration)
 	}
 }
 
-// turnedAway counts a call that was refused for the rate; it tells whether all were for
-// so long that the way is at fault.
-func (w *wayHealth) turnedAway() bool {
-	if w.throttled == 0 {
-		w.throttledSince = time.Now()
+// recordThrottled counts a throttled call. It returns whether calls were throttled for so long
+// that the route counts as failing. The caller holds the mutex.
+func (h *routeHealth) recordThrottled() bool {
+	if h.throttled == 0 {
+		h.firstThrottled = time.Now()
 	}
-	w.throttled++
-	return w.throttled >= failuresUntilBad && time.Since(w.throttledSince) >= turnedAwayAfter
+	h.throttled++
+	return h.throttled >= minBadFailures && time.Since(h.firstThrottled) >= minThrottledTime
 }
 
-func (w *wayHealth) doubtful() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.failures >= failuresUntilDoubt
+// isDoubtful reports whether failed calls should be retried over another route at once.
+func (h *routeHealth) isDoubtful() bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return h.failures >= minDoubtfulFailures
 }
 
-func (w *wayHealth) bad() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return time.Now().Before(w.badUntil)
+// isBad reports whether calls should try another route first.
+func (h *routeHealth) isBad() bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return time.Now().Before(h.badUntil)
 }
 
-// avoid tells whether a call should try another way first. Of the calls that
-// come after a bad way's time, one alone tries it again.
-func (w *wayHealth) avoid() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if time.Now().Before(w.badUntil) {
+// shouldAvoid reports whether a call should try another route first. When badRouteDuration is
+// over, it returns false to one call, which tests the direct route, and extends the time for
+// the others.
+func (h *routeHealth) shouldAvoid() bool {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if time.Now().Before(h.badUntil) {
 		return true
 	}
-	if w.failures >= failuresUntilBad {
-		w.badUntil = time.Now().Add(badFor)
+	if h.failures >= minBadFailures {
+		h.badUntil = time.Now().Add(badRouteDuration)
 	}
 	return false
 }
 
-// DirectUsable tells whether this process itself reaches the store.
-func (c *Client) DirectUsable() bool { return !c.directHealth.bad() }
+// DirectUsable reports whether this process reaches the store directly.
+func (c *Client) DirectUsable() bool { return !c.directHealth.isBad() }
 
-func (c *Client) directDoubtful() bool { return c.alternative != nil && c.directHealth.doubtful() }
+// isDirectDoubtful reports whether there is another route and the direct one fails often.
+func (c *Client) isDirectDoubtful() bool { return c.alternative != nil && c.directHealth.isDoubtful() }
 
-// way chooses the way of a try, and what notes its end: the own one and the
-// other in turn, the own one first unless it is bad. Calls that others relay count against
-// this process's rate, since it is the one that can send fewer.
-func (c *Client) way(try int, kind CallKind) (Store, func(ctx context.Context, err error)) {
-	avoided := c.directHealth.bad
+// chooseRoute returns the route of a try, and a function to call with the context and the error
+// of the try. Even tries, from 0, use the direct route and odd ones the alternative, or the
+// reverse while the direct route is bad. Throttled calls lower this process's rate on both
+// routes, since only this process can send fewer calls.
+func (c *Client) chooseRoute(try int, kind CallKind) (Store, func(ctx context.Context, err error)) {
+	isAvoided := c.directHealth.isBad
 	if try == 0 {
-		avoided = c.directHealth.avoid
+		isAvoided = c.directHealth.shouldAvoid
 	}
-	if c.alternative != nil && (try%2 == 1) != avoided() {
-		return c.alternative, func(_ context.Context, err error) { c.limiter.ended(kind, err) }
+	if c.alternative != nil && (try%2 == 1) != isAvoided() {
+		return c.alternative, func(_ context.Context, err error) { c.limiter.recordResult(kind, err) }
 	}
 	return c.direct, func(ctx context.Context, err error) {
-		c.limiter.ended(kind, err)
+		c.limiter.recordResult(kind, err)
 		if NoVerdict(err) && ctx.Err() == context.Canceled {
-			return // given up by us, since another try had a verdict
+			return // hedge canceled the try, since another one was answered
 		}
-		c.directHealth.note(err)
+		c.directHealth.record(err)
 	}
 }
--- a/internal/state/way_test.go
+++ b/internal/state/way_test.go
@@ -7,26 +7,27 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestWayIsNotBlamedForTheRate has the store refuse many calls in a row for the rate of
-// all, which no other way would mend, and then all calls for half a second, which another
-// way may: the store turns this machine away.
-func TestWayIsNotBlamedForTheRate(t *testing.T) {
+// TestRouteHealthIgnoresShortThrottling checks that a route stays good when many calls in a row
+// are throttled, which another route would not change. Only when all calls are throttled for
+// half a second does the route count as bad, since the store may be refusing this machine
+// alone.
+func TestRouteHealthIgnoresShortThrottling(t *testing.T) {
 	g := NewWithT(t)
-	var own wayHealth
-	const refusals = 10 * failuresUntilBad
+	var health routeHealth
+	const refusals = 10 * minBadFailures
 	for range refusals {
-		own.note(ErrThrottled)
-		own.throttledSince = time.Now()
+		health.record(ErrThrottled)
+		health.firstThrottled = time.Now()
 	}
-	g.Expect(own.bad()).To(BeFalse())
-	g.Expect(own.doubtful()).To(BeFalse())
-	own.throttledSince = time.Now().Add(-turnedAwayAfter)
-	for range failuresUntilBad {
-		own.note(ErrThrottled)
+	g.Expect(health.isBad()).To(BeFalse())
+	g.Expect(health.isDoubtful()).To(BeFalse())
+	health.firstThrottled = time.Now().Add(-minThrottledTime)
+	for range minBadFailures {
+		health.record(ErrThrottled)
 	}
-	g.Expect(own.bad()).To(BeTrue())
-	own.note(nil)
-	g.Expect(own.bad()).To(BeFalse())
-	own.note(ErrThrottled)
-	g.Expect(own.bad()).To(BeFalse())
+	g.Expect(health.isBad()).To(BeTrue())
+	health.record(nil)
+	g.Expect(health.isBad()).To(BeFalse())
+	health.record(ErrThrottled)
+	g.Expect(health.isBad()).To(BeFalse())
 }
