--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -1,6 +1,6 @@
-// Package storerelay lets a daemon reach the store through another one, when
-// the store refuses, throttles or cannot be reached by this machine alone.
-// Each relayed call is one try; what is certain of it is told truthfully.
+// Package storerelay lets a daemon call the store through another daemon, for use when the
+// store refuses, throttles or cannot be reached from this machine alone. Each relayed call is
+// sent once, and its error is the one that the other daemon got from the store.
 package storerelay
 
 import (
@@ -18,20 +18,21 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// ServiceName is the name under which other daemons are asked.
+// ServiceName is the net/rpc name of the service.
 const ServiceName = "Store"
 
-// Methods of the service.
+// RPC methods of the service.
 const (
 	methodCommit = ServiceName + ".Commit"
 	methodRead   = ServiceName + ".Read"
 	methodFeed   = ServiceName + ".Feed"
 )
 
-// Ending is how a relayed call ended.
+// Ending is the outcome of a relayed call. It stands for the error, which net/rpc cannot
+// transfer.
 type Ending uint8
 
-// The endings.
+// The outcomes, one for each error of the store that callers distinguish.
 const (
 	endingDone Ending = iota + 1
 	endingConflict
@@ -42,57 +43,58 @@
 	endingThrottled
 )
 
-// CommitReply answers a relayed commit.
+// CommitReply is the reply to a relayed commit.
 type CommitReply struct {
 	Ending  Ending
 	Version state.Version
-	Rows    []state.Row // of a conflict
+	Rows    []state.Row // rows of a state.ConflictError
 	Detail  string
 }
 
-// ReadReply answers a relayed read.
+// ReadReply is the reply to a relayed read.
 type ReadReply struct {
 	Ending Ending
 	Page   state.Page
 	Detail string
 }
 
-// FeedRequest asks for changes.
+// FeedRequest contains the arguments of a relayed Feed.
 type FeedRequest struct {
 	Table string
 	After state.Version
 	Wait  time.Duration
 }
 
-// FeedReply answers a relayed feed.
+// FeedReply is the reply to a relayed Feed.
 type FeedReply struct {
 	Ending Ending
 	Change state.Change
 	Detail string
 }
 
-// callPatience bounds one relayed call, besides what a feed waits.
-const callPatience = 900 * time.Millisecond
+// callTimeout is the timeout of one relayed call. A feed gets its wait time in addition.
+const callTimeout = 900 * time.Millisecond
 
-// Service answers other daemons with this daemon's own way to the store.
+// Service executes store calls for other daemons over this daemon's direct route to the store.
+// It is safe for concurrent use.
 type Service struct {
 	direct state.Store
 	usable func() bool
 }
 
-// NewService makes the service. usable tells whether this daemon itself
-// reaches the store directly.
+// NewService returns a Service that sends calls to direct. usable reports whether this daemon
+// reaches the store directly; while it returns false, all calls are refused.
 func NewService(direct state.Store, usable func() bool) *Service {
 	return &Service{direct: direct, usable: usable}
 }
 
-// Commit is called by other daemons.
+// Commit serves a relayed commit. It never returns an error: the outcome is in the reply.
 func (s *Service) Commit(commit state.Commit, reply *CommitReply) error {
 	if !s.usable() {
-		reply.Ending, reply.Detail = endingNotDone, noWay
+		reply.Ending, reply.Detail = endingNotDone, storeUnreachableDetail
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	version, err := s.direct.Commit(ctx, commit)
 	reply.Version = version
@@ -104,13 +106,13 @@
 	return nil
 }
 
-// Read is called by other daemons.
+// Read serves a relayed read. It never returns an error: the outcome is in the reply.
 func (s *Service) Read(selected state.Range, reply *ReadReply) error {
 	if !s.usable() {
-		reply.Ending, reply.Detail = endingNotDone, noWay
+		reply.Ending, reply.Detail = endingNotDone, storeUnreachableDetail
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	page, err := s.direct.Read(ctx, selected)
 	reply.Page = page
@@ -118,13 +120,13 @@
 	return nil
 }
 
-// Feed is called by other daemons.
+// Feed serves a relayed feed. It never returns an error: the outcome is in the reply.
 func (s *Service) Feed(request FeedRequest, reply *FeedReply) error {
 	if !s.usable() {
-		reply.Ending, reply.Detail = endingNotDone, noWay
+		reply.Ending, reply.Detail = endingNotDone, storeUnreachableDetail
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), request.Wait+callPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), request.Wait+callTimeout)
 	defer cancel()
 	change, err := s.direct.Feed(ctx, request.Table, request.After, request.Wait)
 	reply.Change = change
@@ -132,8 +134,10 @@
 	return nil
 }
 
-const noWay = "this daemon does not reach the store either"
+// storeUnreachableDetail is the detail of a reply to a call that was not sent to the store.
+const storeUnreachableDetail = "this daemon cannot reach the store either"
 
+// endingOf returns the outcome and the message for an error of the store.
 func endingOf(err error) (Ending, string) {
 	var conflict *state.ConflictError
 	switch {
@@ -154,7 +158,8 @@
 	}
 }
 
-// errorOf is the error that the caller's own way would have given.
+// errorOf returns the error for an outcome. It matches, with errors.Is or errors.As, the error
+// that the other daemon got from the store.
 func errorOf(ending Ending, detail string, rows []state.Row) error {
 	switch ending {
 	case endingDone:
@@ -174,27 +179,28 @@
 	}
 }
 
-// Relay implements state.Store through other daemons.
+// Relay implements state.Store by calling other daemons. It is safe for concurrent use.
 type Relay struct {
 	list   *members.List
 	caller peer.Caller
 	seeds  []string
 }
 
-// NewRelay makes the calling side. The seeds are addresses of daemons, some of which
-// may be gone: a daemon that was started while the store turns its machine away knows
-// nobody else yet, and reads through them who there is.
+// NewRelay returns a Relay that calls the daemons in list. If every other daemon in it is
+// suspected, or there is none, the Relay calls one of the seeds, which are addresses of daemons
+// that may be gone. This lets a daemon that cannot reach the store when it starts read the list
+// of members.
 func NewRelay(list *members.List, caller peer.Caller, seeds []string) *Relay {
 	return &Relay{list: list, caller: caller, seeds: seeds}
 }
 
-// suspectWait is how long a daemon that did not relay is not asked again.
-const suspectWait = time.Second
+// suspectDuration is how long a daemon that failed to answer is not called again.
+const suspectDuration = time.Second
 
 // Commit implements state.Store.
 func (r *Relay) Commit(ctx context.Context, commit state.Commit) (state.Version, error) {
 	var reply CommitReply
-	if err := r.call(ctx, methodCommit, callPatience, commit, &reply); err != nil {
+	if err := r.call(ctx, methodCommit, callTimeout, commit, &reply); err != nil {
 		return 0, err
 	}
 	return reply.Version, errorOf(reply.Ending, reply.Detail, reply.Rows)
@@ -203,7 +209,7 @@
 // Read implements state.Store.
 func (r *Relay) Read(ctx context.Context, selected state.Range) (state.Page, error) {
 	var reply ReadReply
-	if err := r.call(ctx, methodRead, callPatience, selected, &reply); err != nil {
+	if err := r.call(ctx, methodRead, callTimeout, selected, &reply); err != nil {
 		return state.Page{}, err
 	}
 	return reply.Page, errorOf(reply.Ending, reply.Detail, nil)
@@ -213,26 +219,28 @@
 func (r *Relay) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.Change, error) {
 	var reply FeedReply
 	request := FeedRequest{Table: table, After: after, Wait: wait}
-	if err := r.call(ctx, methodFeed, wait+callPatience, request, &reply); err != nil {
+	if err := r.call(ctx, methodFeed, wait+callTimeout, request, &reply); err != nil {
 		return state.Change{}, err
 	}
 	return reply.Change, errorOf(reply.Ending, reply.Detail, nil)
 }
 
-// call asks one other daemon; which one differs from call to call.
-func (r *Relay) call(ctx context.Context, method string, patience time.Duration, request, reply any) error {
-	address, failed := r.choose(method)
+// call sends the request to one other daemon, which differs from call to call. It returns
+// ErrNotDone if the request was not sent, and ErrUnknown if it may have been sent but got no
+// reply.
+func (r *Relay) call(ctx context.Context, method string, timeout time.Duration, request, reply any) error {
+	address, reportFailure := r.chooseDaemon(method)
 	if address == "" {
 		return eris.Wrap(state.ErrNotDone, "no other daemon is known")
 	}
-	limited, cancel := context.WithTimeout(ctx, patience)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err := r.caller.Call(limited, address, peer.Data, method, request, reply)
+	err := r.caller.Call(callCtx, address, peer.Data, method, request, reply)
 	if err == nil {
 		return nil
 	}
 	if ctx.Err() == nil {
-		failed()
+		reportFailure()
 	}
 	if errors.Is(err, peer.ErrNotSent) {
 		return eris.Wrapf(state.ErrNotDone, "relay: %v", err)
@@ -240,18 +248,19 @@
 	return eris.Wrapf(state.ErrUnknown, "relay: %v", err)
 }
 
-// choose picks another daemon, or a seed while none is known; failed is to be called
-// if it does not answer. The address is empty if there is nobody to ask.
-func (r *Relay) choose(method string) (address string, failed func()) {
+// chooseDaemon returns the address of another daemon, or of a seed if no other daemon is known.
+// The caller calls reportFailure if the daemon does not answer. The address is empty if there
+// is no daemon to call.
+func (r *Relay) chooseDaemon(method string) (address string, reportFailure func()) {
 	others := r.list.Others(method+strconv.FormatInt(time.Now().UnixNano(), 10), 1)
 	if len(others) > 0 {
-		return others[0].Process.Address, func() { r.list.Suspect(others[0], suspectWait) }
+		return others[0].Process.Address, func() { r.list.Suspect(others[0], suspectDuration) }
 	}
-	nothing := func() {}
+	noop := func() {}
 	self := r.list.Self().Address
-	usable := slices.DeleteFunc(slices.Clone(r.seeds), func(seed string) bool { return seed == self })
-	if len(usable) == 0 {
-		return "", nothing
+	candidates := slices.DeleteFunc(slices.Clone(r.seeds), func(seed string) bool { return seed == self })
+	if len(candidates) == 0 {
+		return "", noop
 	}
-	return usable[rand.IntN(len(usable))], nothing
+	return candidates[rand.IntN(len(candidates))], noop
 }
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -24,18 +24,18 @@
 	RunSpecs(t, "storerelay")
 }
 
-// unreachable is a store that this machine alone is cut from.
-type unreachable struct{}
+// unreachableStore is a store that this machine cannot reach.
+type unreachableStore struct{}
 
-func (unreachable) Commit(context.Context, state.Commit) (state.Version, error) {
+func (unreachableStore) Commit(context.Context, state.Commit) (state.Version, error) {
 	return 0, state.ErrUnknown
 }
 
-func (unreachable) Read(context.Context, state.Range) (state.Page, error) {
+func (unreachableStore) Read(context.Context, state.Range) (state.Page, error) {
 	return state.Page{}, state.ErrUnknown
 }
 
-func (unreachable) Feed(context.Context, string, state.Version, time.Duration) (state.Change, error) {
+func (unreachableStore) Feed(context.Context, string, state.Version, time.Duration) (state.Change, error) {
 	return state.Change{}, state.ErrUnknown
 }
 
@@ -43,7 +43,7 @@
 	var memory *memorystore.Store
 	var usable bool
 	var relay *storerelay.Relay
-	var seeded func(seeds ...string) *storerelay.Relay
+	var newSeededRelay func(seeds ...string) *storerelay.Relay
 	var seed string
 	key := state.Key{Table: "t", Partition: "p", Name: "n"}
 	put := state.Commit{Puts: []state.Put{{Key: key, Value: []byte("v")}}, Conditions: []state.Condition{{Key: key}}}
@@ -60,23 +60,23 @@
 		other := members.NewList(members.Member{Process: identity.Process{Machine: "other", Zone: "z", Address: server.Address()}}, time.Now, zap.NewNop())
 		Expect(acquaintance.Make(list, other)).To(Succeed())
 		relay = storerelay.NewRelay(list, pool, nil)
-		seeded = func(seeds ...string) *storerelay.Relay {
-			nobody := members.NewList(members.Member{Process: identity.Process{Machine: "new", Zone: "z", Address: "127.0.0.1:1"}}, time.Now, zap.NewNop())
-			return storerelay.NewRelay(nobody, pool, seeds)
+		newSeededRelay = func(seeds ...string) *storerelay.Relay {
+			emptyList := members.NewList(members.Member{Process: identity.Process{Machine: "new", Zone: "z", Address: "127.0.0.1:1"}}, time.Now, zap.NewNop())
+			return storerelay.NewRelay(emptyList, pool, seeds)
 		}
 		seed = server.Address()
 	})
 
-	It("asks seeds while nobody else is known, never itself", func(ctx SpecContext) {
-		_, err := seeded().Commit(ctx, put)
+	It("calls seeds while no other daemon is known, but never itself", func(ctx SpecContext) {
+		_, err := newSeededRelay().Commit(ctx, put)
 		Expect(err).To(MatchError(ContainSubstring("no other daemon is known")))
-		_, err = seeded("127.0.0.1:1").Commit(ctx, put)
+		_, err = newSeededRelay("127.0.0.1:1").Commit(ctx, put)
 		Expect(err).To(MatchError(ContainSubstring("no other daemon is known")))
-		_, err = seeded("127.0.0.1:1", seed).Commit(ctx, put)
+		_, err = newSeededRelay("127.0.0.1:1", seed).Commit(ctx, put)
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("tells of a full store and of a used up rate as the store did", func(ctx SpecContext) {
+	It("returns ErrFull and ErrThrottled as the store did", func(ctx SpecContext) {
 		memory.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Full })
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrFull))
@@ -87,7 +87,7 @@
 		Expect(err).To(MatchError(state.ErrNotDone))
 	})
 
-	It("commits, shows conflicts, reads and follows through another daemon", func(ctx SpecContext) {
+	It("commits, reports conflicts, reads and follows changes through another daemon", func(ctx SpecContext) {
 		version, err := relay.Commit(ctx, put)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = relay.Commit(ctx, put)
@@ -105,7 +105,7 @@
 		Expect(err).To(MatchError(state.ErrHistoryLost))
 	})
 
-	DescribeTable("tells what is certain", func(ctx SpecContext, fault memorystore.Fault, expected error) {
+	DescribeTable("returns the error that the other daemon got", func(ctx SpecContext, fault memorystore.Fault, expected error) {
 		memory.Misbehave(func(memorystore.Call) memorystore.Fault { return fault })
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(expected))
@@ -114,16 +114,16 @@
 		Entry("answer lost", memorystore.Lost, state.ErrUnknown),
 	)
 
-	It("refuses where the other daemon does not reach the store either", func(ctx SpecContext) {
+	It("returns ErrNotDone if the other daemon cannot reach the store either", func(ctx SpecContext) {
 		usable = false
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrNotDone))
 		Expect(memory.Calls("commit")).To(BeZero())
 	})
 
-	It("serves a daemon whose machine alone is cut from the store", func(ctx SpecContext) {
+	It("serves a daemon that cannot reach the store directly", func(ctx SpecContext) {
 		availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-		client := state.NewClient(state.ClientOptions{Store: unreachable{}, Alternative: relay, Availability: availability})
+		client := state.NewClient(state.ClientOptions{Store: unreachableStore{}, Alternative: relay, Availability: availability})
 		for number := range 8 {
 			commit := state.Commit{Puts: []state.Put{{Key: key, Value: []byte{byte(number)}}}}
 			Expect(client.Repeat(ctx, func() error {
