--- a/internal/writebehind/conn.go
+++ b/internal/writebehind/conn.go
@@ -1,10 +1,11 @@
-// Package writebehind makes writing to a connection independent of how fast the other
-// side reads: what the kernel does not take at once is kept, counted, and written behind.
+// Package writebehind decouples writes to a connection from the speed of the peer that reads
+// from it. Bytes that the kernel does not accept at once are buffered, counted in a memory
+// account, and written in the background.
 //
-// Guarantee: bytes reach the other side in order and once, or the connection is reset with
-// ErrSlow; what is kept is counted in the account before it is allocated. A Write waits only
-// while the account has no room, and at most for Options.Pause. While the other side keeps
-// up, a Write is one call of the kernel, without a copy or a goroutine.
+// The peer receives all bytes in order and exactly once, or the connection is reset. Buffers
+// are counted in the account before they are allocated. Write blocks only while the account has
+// no space, and at most for Options.Pause. While the peer keeps up, Write is one system call
+// and needs no copy and no goroutine.
 package writebehind
 
 import (
@@ -20,54 +21,55 @@
 	"github.com/thymeloft/thymeloft/internal/memory"
 )
 
-// ErrSlow says that the other side did not read, and was cut off for it.
-var ErrSlow = errors.New("the reader takes nothing")
+// ErrSlow means that the connection was reset because the peer read too slowly.
+var ErrSlow = errors.New("the peer does not read")
 
-// blockBytes is the unit in which bytes are kept: a few events of a stream, or half of what
-// a relay reads at once.
+// blockBytes is the size of the blocks in which bytes are buffered. It holds a few events of a
+// stream, or half of what a relay reads at once.
 const blockBytes = 4 << 10
 
-// Conn is a connection whose writes are kept for a slow reader. One goroutine writes to it,
-// another one may read; everything else is safe for concurrent use.
+// Conn is a connection that buffers writes for a slow peer. Only one goroutine may write and
+// only one may read at a time. All other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
 	group *Group
 	raw   syscall.RawConn
-	// try is attempt as the raw connection calls it; made once, so that a Write allocates nothing.
-	try    func(descriptor uintptr) bool
-	tried  []byte
-	taken  int
-	refuse error
-
-	mutex   sync.Mutex
-	changed sync.Cond // with each block that was written, and each end
-	owner   memory.Owner
-	holding *memory.Holding // of the blocks; nil: none are kept
-	blocks  [][]byte
-	behind  bool // a goroutine writes blocks
-	failure error
-	closing bool // once all is written
-	halved  bool // closed for writing, once all is written
+	// tryWriteFunc is the method value of tryWrite, stored so that a Write does not allocate.
+	// tryContent is its argument; tryCount and tryErr are its results.
+	tryWriteFunc func(descriptor uintptr) bool
+	tryContent   []byte
+	tryCount     int
+	tryErr       error
+
+	mutex               sync.Mutex
+	changed             sync.Cond // signalled after each block, and when writing ends or fails
+	owner               memory.Owner
+	holding             *memory.Holding // counts the blocks; nil while nothing is buffered
+	blocks              [][]byte        // buffered bytes that no goroutine is writing yet
+	draining            bool            // a goroutine writes the blocks
+	failure             error           // returned by all further writes
+	closeRequested      bool            // Close was called while draining
+	closeWriteRequested bool            // CloseWrite was called
 }
 
-// attempt lets the kernel take what it takes without waiting.
-func (c *Conn) attempt(descriptor uintptr) bool {
+// tryWrite writes as many bytes as the kernel accepts without blocking.
+func (c *Conn) tryWrite(descriptor uintptr) bool {
 	for {
-		count, err := syscall.Write(int(descriptor), c.tried)
+		count, err := syscall.Write(int(descriptor), c.tryContent)
 		switch {
 		case err == syscall.EINTR:
 			continue
 		case err == syscall.EAGAIN:
 		case err != nil:
-			c.refuse = os.NewSyscallError("write", err)
+			c.tryErr = os.NewSyscallError("write", err)
 		default:
-			c.taken = count
+			c.tryCount = count
 		}
 		return true
 	}
 }
 
-// Write implements net.Conn. After an error nothing more is written.
+// Write implements net.Conn. After an error, all further writes fail.
 func (c *Conn) Write(content []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -75,56 +77,58 @@
 		return 0, c.failure
 	}
 	written := 0
-	if !c.behind {
-		count, err := c.pass(content)
+	if !c.draining {
+		count, err := c.writeNow(content)
 		if err != nil || count == len(content) {
 			return count, err
 		}
 		written = count
 	}
-	kept, err := c.keep(content[written:])
-	return written + kept, err
+	buffered, err := c.buffer(content[written:])
+	return written + buffered, err
 }
 
-// pass hands the kernel what it takes at once.
-func (c *Conn) pass(content []byte) (int, error) {
-	c.tried, c.taken, c.refuse = content, 0, nil
-	err := c.raw.Write(c.try)
-	c.tried = nil
+// writeNow writes as many bytes as the kernel accepts without blocking, and returns their
+// number.
+func (c *Conn) writeNow(content []byte) (int, error) {
+	c.tryContent, c.tryCount, c.tryErr = content, 0, nil
+	err := c.raw.Write(c.tryWriteFunc)
+	c.tryContent = nil
 	if err == nil {
-		err = c.refuse
+		err = c.tryErr
 	}
-	return c.taken, err
+	return c.tryCount, err
 }
 
-// keep copies bytes into blocks; without room it waits, within Options.Pause in all.
-func (c *Conn) keep(content []byte) (int, error) {
-	kept := 0
-	var until time.Time // when waiting is over
-	for kept < len(content) {
+// buffer copies the bytes into blocks. If there is no space, it waits for at most Options.Pause
+// in all.
+func (c *Conn) buffer(content []byte) (int, error) {
+	buffered := 0
+	var deadline time.Time // end of the wait; zero: not waiting yet
+	for buffered < len(content) {
 		if c.failure != nil {
-			return kept, c.failure
+			return buffered, c.failure
 		}
-		if c.room() {
-			kept += c.fill(content[kept:])
-			c.begin()
+		if c.ensureSpace() {
+			buffered += c.appendToBlock(content[buffered:])
+			c.startDraining()
 			continue
 		}
-		if until.IsZero() {
-			until = time.Now().Add(c.group.options.Pause)
-			c.group.paused.Add(1)
+		if deadline.IsZero() {
+			deadline = time.Now().Add(c.group.options.Pause)
+			c.group.pausedWrites.Add(1)
 		}
-		if !c.behind {
-			count, err := c.passWaiting(content[kept:], until)
-			return kept + count, err
+		if !c.draining {
+			count, err := c.writeUnbuffered(content[buffered:], deadline)
+			return buffered + count, err
 		}
-		c.awaitBlock(until)
+		c.waitForBlock(deadline)
 	}
-	return kept, nil
+	return buffered, nil
 }
 
-// fill copies what fits into the last block.
-func (c *Conn) fill(content []byte) int {
+// appendToBlock copies as many bytes as fit into the last block, and returns their number.
+func (c *Conn) appendToBlock(content []byte) int {
 	last := len(c.blocks) - 1
 	block := c.blocks[last]
 	count := min(cap(block)-len(block), len(content))
@@ -132,8 +136,9 @@
 	return count
 }
 
-// room tells whether the last block has room, or makes one if the account has.
-func (c *Conn) room() bool {
+// ensureSpace reports whether the last block has space. If it does not, ensureSpace adds a
+// block, provided that the account has space for one.
+func (c *Conn) ensureSpace() bool {
 	last := len(c.blocks) - 1
 	if last >= 0 && len(c.blocks[last]) < cap(c.blocks[last]) {
 		return true
@@ -148,13 +153,14 @@
 	return true
 }
 
-// passWaiting writes without keeping anything: there is no room for a single block.
-func (c *Conn) passWaiting(content []byte, until time.Time) (int, error) {
+// writeUnbuffered writes directly to the connection and blocks until the deadline at most. It
+// is used when there is no space for a single block.
+func (c *Conn) writeUnbuffered(content []byte, deadline time.Time) (int, error) {
 	c.mutex.Unlock()
-	count, err := c.writeUntil(content, until)
+	count, err := c.writeUntil(content, deadline)
 	c.mutex.Lock()
 	if err == nil {
-		_ = c.SetWriteDeadline(time.Time{}) // a closed connection says so at the next write
+		_ = c.SetWriteDeadline(time.Time{}) // an error would also be returned by the next write
 		return count, nil
 	}
 	if c.failure == nil {
@@ -163,48 +169,53 @@
 	return count, c.failure
 }
 
-func (c *Conn) writeUntil(content []byte, until time.Time) (int, error) {
-	if err := c.SetWriteDeadline(until); err != nil {
+// writeUntil writes the content. It returns ErrSlow if the peer did not accept all of it before
+// the deadline.
+func (c *Conn) writeUntil(content []byte, deadline time.Time) (int, error) {
+	if err := c.SetWriteDeadline(deadline); err != nil {
 		return 0, err
 	}
 	count, err := c.Conn.Write(content)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = eris.Wrap(ErrSlow, "there is no room to keep its answer")
+		err = eris.Wrap(ErrSlow, "no space to buffer the data")
 	}
 	return count, err
 }
 
-// awaitBlock waits until a block was written, or cuts the reader off when it has waited long enough.
-func (c *Conn) awaitBlock(until time.Time) {
-	timer := time.AfterFunc(time.Until(until), func() {
+// waitForBlock waits until a block was written or the connection failed. It fails the
+// connection with ErrSlow if the deadline passes first.
+func (c *Conn) waitForBlock(deadline time.Time) {
+	timer := time.AfterFunc(time.Until(deadline), func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		c.changed.Broadcast()
 	})
 	defer timer.Stop()
 	c.changed.Wait()
-	if c.failure == nil && !time.Now().Before(until) {
-		c.fail(eris.Wrap(ErrSlow, "there is no room to keep more of its answer"))
+	if c.failure == nil && !time.Now().Before(deadline) {
+		c.fail(eris.Wrap(ErrSlow, "no space to buffer more data"))
 	}
 }
 
-// CloseWrite ends writing once all is written.
+// CloseWrite closes the connection for writing after all buffered bytes are written. It does
+// not wait for that.
 func (c *Conn) CloseWrite() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.halved = true
-	if !c.behind {
-		c.halve()
+	c.closeWriteRequested = true
+	if !c.draining {
+		c.closeWriteNow()
 	}
 	return nil
 }
 
-// Close closes the connection once all is written; nothing is read from now on.
+// Close closes the connection after all buffered bytes are written. It does not wait for that.
+// Reads fail from now on.
 func (c *Conn) Close() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.behind && c.failure == nil {
-		c.closing = true
+	if c.draining && c.failure == nil {
+		c.closeRequested = true
 		return c.SetReadDeadline(time.Now())
 	}
 	if c.failure == nil {
@@ -213,7 +224,8 @@
 	return c.Conn.Close()
 }
 
-// Own tells for whom bytes are kept from now on. A nil Conn keeps none.
+// Own sets the owner for which buffered bytes are counted. It takes effect when nothing is
+// buffered. Own does nothing if the Conn is nil.
 func (c *Conn) Own(owner memory.Owner) {
 	if c == nil {
 		return
@@ -223,7 +235,8 @@
 	c.owner = owner
 }
 
-// Slow tells whether the other side was cut off because it did not read.
+// Slow reports whether the connection was reset because the peer read too slowly. It is false
+// for a nil Conn.
 func (c *Conn) Slow() bool {
 	if c == nil {
 		return false
--- a/internal/writebehind/conn_test.go
+++ b/internal/writebehind/conn_test.go
@@ -23,14 +23,15 @@
 	RunSpecs(t, "writebehind")
 }
 
-// Buffers of the kernel that a test fills soon; a window that is smaller still opens by timers.
+// Sizes of the kernel's socket buffers, small enough to be filled quickly. With a smaller
+// receive window, TCP would reopen it only by timers, which is slow.
 const (
-	sentBuffer     = 16 << 10
-	receivedBuffer = 64 << 10
+	writeBufferBytes = 16 << 10 // of the writing side
+	readBufferBytes  = 64 << 10 // of the reading side
 )
 
-// connected gives both ends of a connection with small buffers.
-func connected() (near, far *net.TCPConn, err error) {
+// connectedPair returns both ends of a TCP connection with small socket buffers.
+func connectedPair() (near, far *net.TCPConn, err error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
@@ -45,40 +46,43 @@
 		return nil, nil, err
 	}
 	near, far = accepted.(*net.TCPConn), dialled.(*net.TCPConn)
-	return near, far, errors.Join(near.SetWriteBuffer(sentBuffer), far.SetReadBuffer(receivedBuffer))
+	return near, far, errors.Join(near.SetWriteBuffer(writeBufferBytes), far.SetReadBuffer(readBufferBytes))
 }
 
-// forever stands for a bound that a test does not reach.
+// forever is a timeout that no test reaches.
 const forever = time.Hour
 
-func kept(limit int64, silence, pause time.Duration) (*Conn, *net.TCPConn, *Group) {
+// newTestConn returns a Conn whose account has the limit, its TCP peer, and its group. At the
+// end of the test it closes both and checks that all memory was returned.
+func newTestConn(limit int64, silence, pause time.Duration) (*Conn, *net.TCPConn, *Group) {
 	GinkgoHelper()
-	near, far, err := connected()
+	near, far, err := connectedPair()
 	Expect(err).NotTo(HaveOccurred())
 	group := NewGroup(Options{Account: memory.NewAccount(limit), Silence: silence, Pause: pause})
-	made := group.Wrap(near).(*Conn)
+	conn := group.Wrap(near).(*Conn)
 	DeferCleanup(func() {
 		_ = far.Close()
 		_ = near.Close()
-		Eventually(group.behind.Load).Should(BeZero())
+		Eventually(group.drainingConns.Load).Should(BeZero())
 		Expect(group.options.Account.Held()).To(BeZero())
 	})
-	return made, far, group
+	return conn, far, group
 }
 
-// content is no repetition of itself, so that an order that is lost shows.
-func content(size int) []byte {
+// randomContent returns pseudo-random bytes, so that a wrong order is detected.
+func randomContent(size int) []byte {
 	random := rand.NewChaCha8([32]byte{1})
-	made := make([]byte, size)
-	_, _ = random.Read(made)
-	return made
+	content := make([]byte, size)
+	_, _ = random.Read(content)
+	return content
 }
 
-// The property: whatever is written in whatever pieces reaches a reader that reads now and then, in
-// order and whole, the end as well; what is kept never exceeds the bound.
+// TestBytesArriveInOrder writes random content in pieces of random sizes to a peer that reads
+// it. All bytes and the end of the stream arrive, in order, and the buffered bytes never exceed
+// the limit of the account.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		near, far, err := connected()
+		near, far, err := connectedPair()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +90,7 @@
 		account := memory.NewAccount(limit)
 		group := NewGroup(Options{Account: account, Silence: forever, Pause: forever})
 		conn := group.Wrap(near).(*Conn)
-		sent := content(rapid.IntRange(0, 1<<20).Draw(t, "size"))
+		sent := randomContent(rapid.IntRange(0, 1<<20).Draw(t, "size"))
 		pieces := rapid.SliceOfN(rapid.IntRange(1, 1<<16), 1, 20).Draw(t, "pieces")
 		failed := make(chan error, 1)
 		go func() { failed <- writeInPieces(conn, sent, pieces) }()
@@ -116,6 +120,7 @@
 	})
 }
 
+// writeInPieces writes the content in pieces whose sizes repeat, and closes the connection.
 func writeInPieces(conn *Conn, sent []byte, pieces []int) error {
 	for number := 0; len(sent) > 0; number++ {
 		size := min(pieces[number%len(pieces)], len(sent))
@@ -127,11 +132,11 @@
 	return conn.Close()
 }
 
-var _ = Describe("a connection whose reader is slow", func() {
+var _ = Describe("a connection whose peer reads slowly", func() {
 	const limit = 1 << 20
-	// fill writes pieces until one fails.
+	// fill writes pieces until a write fails, and returns the error.
 	fill := func(conn *Conn) error {
-		piece := content(8 << 10)
+		piece := randomContent(8 << 10)
 		for {
 			if _, err := conn.Write(piece); err != nil {
 				return err
@@ -139,40 +144,40 @@
 		}
 	}
 
-	It("takes writes at once while there is room, and keeps no more than half of it for one", func() {
-		conn, _, group := kept(limit, forever, forever)
+	It("accepts writes without waiting until almost half of the limit is buffered for one owner", func() {
+		conn, _, group := newTestConn(limit, forever, forever)
 		conn.Own("one")
 		written := 0
 		for group.options.Account.Held() < limit/2-2*blockBytes {
-			count, err := conn.Write(content(blockBytes))
+			count, err := conn.Write(randomContent(blockBytes))
 			Expect(err).NotTo(HaveOccurred())
 			written += count
 		}
 		Expect(written).To(BeNumerically(">=", limit/2-2*blockBytes))
-		Expect(group.paused.Load()).To(BeZero())
+		Expect(group.pausedWrites.Load()).To(BeZero())
 	})
 
-	It("cuts a reader that takes nothing, with its reason, and gives all back", func() {
+	It("is reset with ErrSlow if its peer reads nothing, and returns its memory", func() {
 		const soon = 50 * time.Millisecond
-		conn, far, group := kept(limit, soon, forever)
+		conn, far, group := newTestConn(limit, soon, forever)
 		Expect(fill(conn)).To(MatchError(ErrSlow))
 		Expect(conn.Slow()).To(BeTrue())
-		Expect(group.cut.Load()).To(BeEquivalentTo(1))
+		Expect(group.slowConns.Load()).To(BeEquivalentTo(1))
 		Eventually(group.options.Account.Held).Should(BeZero())
 		_, err := io.Copy(io.Discard, far)
-		Expect(err).To(HaveOccurred(), "what arrives is no whole answer")
+		Expect(err).To(HaveOccurred(), "the peer must see that the data is incomplete")
 	})
 
-	It("holds up its writer for no longer than it may where there is no room", func() {
+	It("delays a write by at most Options.Pause if there is no buffer space", func() {
 		const soon = 50 * time.Millisecond
-		conn, _, group := kept(8*blockBytes, forever, soon)
+		conn, _, group := newTestConn(8*blockBytes, forever, soon)
 		Expect(fill(conn)).To(MatchError(ErrSlow))
-		Expect(group.paused.Load()).To(BeNumerically(">=", 1))
+		Expect(group.pausedWrites.Load()).To(BeNumerically(">=", 1))
 	})
 
-	It("is written without being kept where there is no room for a block", func() {
-		conn, far, group := kept(blockBytes, forever, forever)
-		sent := content(1 << 20)
+	It("is written without buffering if there is no space for a block", func() {
+		conn, far, group := newTestConn(blockBytes, forever, forever)
+		sent := randomContent(1 << 20)
 		go func() { _, _ = conn.Write(sent) }()
 		received := make([]byte, len(sent))
 		_, err := io.ReadFull(far, received)
@@ -181,12 +186,12 @@
 		Expect(group.options.Account.Held()).To(BeZero())
 	})
 
-	It("is closed once all is written, for writing too", func() {
-		conn, far, group := kept(limit, forever, forever)
-		sent := content(limit / 4)
+	It("is closed, also for writing only, after all buffered bytes are written", func() {
+		conn, far, group := newTestConn(limit, forever, forever)
+		sent := randomContent(limit / 4)
 		_, err := conn.Write(sent)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(group.behind.Load()).To(BeEquivalentTo(1))
+		Expect(group.drainingConns.Load()).To(BeEquivalentTo(1))
 		Expect(conn.CloseWrite()).To(Succeed())
 		Expect(conn.Close()).To(Succeed())
 		received, err := io.ReadAll(far)
@@ -194,9 +199,9 @@
 		Expect(received).To(Equal(sent))
 	})
 
-	It("reads nothing more once it is closed", func() {
-		conn, _, _ := kept(limit, forever, forever)
-		_, err := conn.Write(content(limit / 4))
+	It("cannot be read after Close", func() {
+		conn, _, _ := newTestConn(limit, forever, forever)
+		_, err := conn.Write(randomContent(limit / 4))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(conn.Close()).To(Succeed())
 		_, err = conn.Read(make([]byte, 1))
@@ -204,10 +209,10 @@
 	})
 })
 
-var _ = Describe("a connection whose reader keeps up", func() {
-	It("is written without a copy, an allocation or a goroutine", func() {
-		conn, far, group := kept(1<<20, forever, forever)
-		chunk, buffer := content(1000), make([]byte, 1000)
+var _ = Describe("a connection whose peer keeps up", func() {
+	It("is written without buffering and without allocations", func() {
+		conn, far, group := newTestConn(1<<20, forever, forever)
+		chunk, buffer := randomContent(1000), make([]byte, 1000)
 		allocations := testing.AllocsPerRun(200, func() {
 			_, _ = conn.Write(chunk)
 			_, _ = io.ReadFull(far, buffer)
@@ -217,8 +222,8 @@
 	})
 })
 
-var _ = It("is not wrapped where nothing is bounded", func() {
-	near, far, err := connected()
+var _ = It("Wrap returns the connection itself if there is no memory limit", func() {
+	near, far, err := connectedPair()
 	Expect(err).NotTo(HaveOccurred())
 	defer near.Close()
 	defer far.Close()
@@ -227,11 +232,11 @@
 	Expect(NewGroup(Options{Account: memory.NewAccount(0)}).Wrap(near)).To(BeIdenticalTo(near))
 })
 
-// BenchmarkWrite is a chunk of a relay to a reader that keeps up, with and without what keeps.
+// BenchmarkWrite measures a write to a peer that keeps up, with and without the Conn wrapper.
 func BenchmarkWrite(b *testing.B) {
 	for name, wrapped := range map[string]bool{"plain": false, "kept": true} {
 		b.Run(name, func(b *testing.B) {
-			near, far, err := connected()
+			near, far, err := connectedPair()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -239,7 +244,7 @@
 			if wrapped {
 				conn = NewGroup(Options{Account: memory.NewAccount(1 << 20), Silence: forever, Pause: forever}).Wrap(near)
 			}
-			chunk, buffer := content(1000), make([]byte, 1000)
+			chunk, buffer := randomContent(1000), make([]byte, 1000)
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := conn.Write(chunk); err != nil {
--- a/internal/writebehind/drain.go
+++ b/internal/writebehind/drain.go
@@ -11,31 +11,33 @@
 	"github.com/thymeloft/thymeloft/internal/memory"
 )
 
-// begin starts writing behind, unless it is under way.
-func (c *Conn) begin() {
-	if c.behind {
+// startDraining starts the goroutine that writes the blocks, unless it runs already. The caller
+// holds the mutex.
+func (c *Conn) startDraining() {
+	if c.draining {
 		return
 	}
-	c.behind = true
-	c.group.behind.Add(1)
+	c.draining = true
+	c.group.drainingConns.Add(1)
 	go c.drain()
 }
 
-// drain writes blocks until there are none.
+// drain writes blocks until none are left.
 func (c *Conn) drain() {
-	defer c.group.behind.Add(-1)
+	defer c.group.drainingConns.Add(-1)
 	for {
-		block, more := c.next()
+		block, more := c.nextBlock()
 		if !more {
 			return
 		}
-		err := c.push(block)
-		c.wrote(err)
+		err := c.writeBlock(block)
+		c.finishBlock(err)
 	}
 }
 
-// next takes the first block; after the last one it ends what waited for it.
-func (c *Conn) next() ([]byte, bool) {
+// nextBlock removes and returns the first block. If none is left or the connection failed, it
+// ends the draining, completes a requested close, and returns false.
+func (c *Conn) nextBlock() ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failure == nil && len(c.blocks) > 0 {
@@ -43,19 +45,20 @@
 		c.blocks = c.blocks[1:]
 		return block, true
 	}
-	c.behind = false
+	c.draining = false
 	c.release()
 	if c.failure == nil {
-		_ = c.SetWriteDeadline(time.Time{}) // a closed connection says so at the next write
-		c.end()
+		_ = c.SetWriteDeadline(time.Time{}) // an error would also be returned by the next write
+		c.finishClose()
 	}
 	c.changed.Broadcast()
 	return nil, false
 }
 
-// push writes a block, as long as the other side takes some of it in Options.Silence: one that has
-// stopped is found after that time at least, and twice that time at most.
-func (c *Conn) push(block []byte) error {
+// writeBlock writes the block. It returns ErrSlow if the peer accepts no bytes for
+// Options.Silence. Since a write that makes some progress restarts the time, a peer that
+// stopped reading is detected after up to twice Options.Silence.
+func (c *Conn) writeBlock(block []byte) error {
 	for len(block) > 0 {
 		if err := c.SetWriteDeadline(time.Now().Add(c.group.options.Silence)); err != nil {
 			return err
@@ -66,7 +69,7 @@
 			if count > 0 {
 				continue
 			}
-			return eris.Wrapf(ErrSlow, "nothing for %s", c.group.options.Silence)
+			return eris.Wrapf(ErrSlow, "no bytes accepted for %s", c.group.options.Silence)
 		}
 		if err != nil {
 			return err
@@ -75,8 +78,9 @@
 	return nil
 }
 
-// wrote notes the end of a block.
-func (c *Conn) wrote(err error) {
+// finishBlock releases the memory of a written block, and fails the connection if the write
+// failed.
+func (c *Conn) finishBlock(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.holding.Shrink(memory.Answer, blockBytes)
@@ -86,39 +90,43 @@
 	c.changed.Broadcast()
 }
 
-// fail ends the connection with a reset: what the kernel keeps for it is freed as well.
+// fail closes the connection with a reset, which also frees the kernel's send buffer. The
+// caller holds the mutex.
 func (c *Conn) fail(err error) {
 	c.failure = err
 	c.blocks = nil
 	c.release()
 	if errors.Is(err, ErrSlow) {
-		c.group.slow(c.RemoteAddr(), err)
+		c.group.recordSlow(c.RemoteAddr(), err)
 	}
-	if plain, is := c.Conn.(*net.TCPConn); is {
-		_ = plain.SetLinger(0) // fails only when it is closed already
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 	_ = c.Conn.Close()
 	c.changed.Broadcast()
 }
 
+// release returns the memory of all blocks to the account. The caller holds the mutex.
 func (c *Conn) release() {
 	c.holding.Close()
 	c.holding = nil
 }
 
-// end closes what was asked to be closed while something was behind.
-func (c *Conn) end() {
-	if c.halved {
-		c.halve()
+// finishClose completes a CloseWrite or Close that was requested while bytes were buffered. The
+// caller holds the mutex.
+func (c *Conn) finishClose() {
+	if c.closeWriteRequested {
+		c.closeWriteNow()
 	}
-	if c.closing {
+	if c.closeRequested {
 		c.failure = net.ErrClosed
 		_ = c.Conn.Close()
 	}
 }
 
-func (c *Conn) halve() {
-	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
-		_ = half.CloseWrite() // fails only when it is closed already
+// closeWriteNow closes the connection for writing, if it supports that.
+func (c *Conn) closeWriteNow() {
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = closer.CloseWrite() // fails only if the connection is closed already
 	}
 }
--- a/internal/writebehind/group.go
+++ b/internal/writebehind/group.go
@@ -15,108 +15,115 @@
 	"github.com/thymeloft/thymeloft/internal/pause"
 )
 
-// Options are what a Group is made of.
+// Options configures a Group.
 type Options struct {
-	// Account has what is kept; without a limit nothing is kept.
+	// Account counts the buffered bytes. If it is nil or has no limit, connections are not
+	// buffered.
 	Account *memory.Account
-	// Silence is how long a reader may take nothing while something is kept for it.
+	// Silence is how long the peer may accept no bytes while some are buffered for it, before
+	// its connection is reset.
 	Silence time.Duration
-	// Pause is how long a Write waits for room at most; meanwhile an engine waits as well.
+	// Pause is the longest time for which a Write waits for buffer space. During that time the
+	// engine that produces the data has to wait too.
 	Pause time.Duration
-	Log   *zap.Logger
+	Log   *zap.Logger // may be nil
 }
 
-// The usual bounds.
+// Default values for Options.
 const (
-	// UsualSilence outlasts a lost segment's repetitions (0.2, 0.4, 0.8 s), and is below
-	// what callers give an answer: who takes nothing for so long reads no answer in time.
+	// UsualSilence is the default for Options.Silence. It is longer than three retransmissions
+	// of a lost TCP segment (after 0.2, 0.4 and 0.8 s) and shorter than the time that clients
+	// allow for an answer.
 	UsualSilence = 2500 * time.Millisecond
-	// UsualPause is below the seconds after which engines cut an answer that stays unread.
+	// UsualPause is the default for Options.Pause. It is shorter than the time after which
+	// engines cancel an answer that is not read.
 	UsualPause = 1500 * time.Millisecond
 )
 
-// Group are the connections of one listener.
+// Group is the set of connections of one listener. It is safe for concurrent use. A nil Group
+// buffers nothing.
 type Group struct {
-	options Options
-	behind  atomic.Int64 // connections for which something is kept
-	paused  atomic.Int64
-	cut     atomic.Int64
-	logged  atomic.Int64 // when a line was written last, unix nanoseconds
+	options       Options
+	drainingConns atomic.Int64 // connections with buffered bytes
+	pausedWrites  atomic.Int64 // writes that waited for buffer space, in total
+	slowConns     atomic.Int64 // connections reset with ErrSlow, in total
+	lastLogged    atomic.Int64 // Unix time in nanoseconds of the last log line about a slow peer
 }
 
-// NewGroup makes a group without connections.
+// NewGroup returns a Group without connections.
 func NewGroup(options Options) *Group { return &Group{options: options} }
 
-// Wrap makes writes to a connection independent of its reader. A connection that can't be
-// written without waiting, and any where the account has no limit, is returned as it is.
+// Wrap returns a *Conn for the connection. It returns the connection itself if the account has
+// no limit, or if the connection does not support non-blocking writes.
 func (g *Group) Wrap(connection net.Conn) net.Conn {
 	if g == nil || g.options.Account == nil || g.options.Account.Limit() == 0 {
 		return connection
 	}
-	able, is := connection.(syscall.Conn)
-	if !is {
+	syscallConn, ok := connection.(syscall.Conn)
+	if !ok {
 		return connection
 	}
-	raw, err := able.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
-		return connection // it is closed; its next use says so
+		return connection // it is closed, as its next use will report
 	}
-	made := &Conn{Conn: connection, group: g, raw: raw, owner: memory.Owner(connection.RemoteAddr().String())}
-	made.changed.L = &made.mutex
-	made.try = made.attempt
-	return made
+	conn := &Conn{Conn: connection, group: g, raw: raw, owner: memory.Owner(connection.RemoteAddr().String())}
+	conn.changed.L = &conn.mutex
+	conn.tryWriteFunc = conn.tryWrite
+	return conn
 }
 
-// Flush waits until nothing is kept, or the context ends.
+// Flush waits until no bytes are buffered, or ctx ends.
 func (g *Group) Flush(ctx context.Context) {
-	const recheck = 20 * time.Millisecond
-	for g != nil && g.behind.Load() > 0 && pause.For(ctx, recheck) {
+	const pollInterval = 20 * time.Millisecond
+	for g != nil && g.drainingConns.Load() > 0 && pause.For(ctx, pollInterval) {
 		continue
 	}
 }
 
-// slow counts a reader that was cut off, and tells of it once a second at most.
-func (g *Group) slow(address net.Addr, cause error) {
-	const between = time.Second
-	total := g.cut.Add(1)
-	now, last := time.Now().UnixNano(), g.logged.Load()
-	if g.options.Log == nil || now-last < int64(between) || !g.logged.CompareAndSwap(last, now) {
+// recordSlow counts a connection that was reset because of a slow peer, and logs it at most
+// once per second.
+func (g *Group) recordSlow(address net.Addr, cause error) {
+	const logInterval = time.Second
+	total := g.slowConns.Add(1)
+	now, last := time.Now().UnixNano(), g.lastLogged.Load()
+	if g.options.Log == nil || now-last < int64(logInterval) || !g.lastLogged.CompareAndSwap(last, now) {
 		return
 	}
-	g.options.Log.Warn("answer: a caller does not read; it is cut off.", zap.Stringer("caller", address),
+	g.options.Log.Warn("answer: connection reset because the client does not read.", zap.Stringer("caller", address),
 		zap.String("cause", cause.Error()), zap.Int64("soFar", total), zap.Int64("held", g.options.Account.Held()))
 }
 
-// Measure shows readers that are slow.
+// Measure registers metrics of slow connections.
 func (g *Group) Measure(registerer prometheus.Registerer) error {
-	shown := []prometheus.Collector{
+	collectors := []prometheus.Collector{
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-			Name: "thymeloft_callers_behind", Help: "Callers' connections for which bytes of answers are kept.",
-		}, func() float64 { return float64(g.behind.Load()) }),
+			Name: "thymeloft_callers_behind", Help: "Client connections with buffered bytes of answers.",
+		}, func() float64 { return float64(g.drainingConns.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: "thymeloft_callers_paused_total", Help: "Writes to callers that waited for room, and an engine with them.",
-		}, func() float64 { return float64(g.paused.Load()) }),
+			Name: "thymeloft_callers_paused_total", Help: "Writes to clients that waited for buffer space and delayed an engine.",
+		}, func() float64 { return float64(g.pausedWrites.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: "thymeloft_callers_slow_total", Help: "Callers cut off because they did not read.",
-		}, func() float64 { return float64(g.cut.Load()) }),
+			Name: "thymeloft_callers_slow_total", Help: "Client connections reset because the client did not read.",
+		}, func() float64 { return float64(g.slowConns.Load()) }),
 	}
-	for _, collector := range shown {
+	for _, collector := range collectors {
 		if err := registerer.Register(collector); err != nil {
-			return eris.Wrap(err, "register metrics of slow callers")
+			return eris.Wrap(err, "register metrics of slow clients")
 		}
 	}
 	return nil
 }
 
-// contextKey is where a request's connection lies in its context.
+// contextKey is the context key of a request's Conn.
 type contextKey struct{}
 
-// WithConn makes the connection of a request known to who serves it.
+// WithConn returns a context that carries the Conn of a request.
 func WithConn(ctx context.Context, connection *Conn) context.Context {
 	return context.WithValue(ctx, contextKey{}, connection)
 }
 
-// From is the connection of a request; nil: nothing is kept for it.
+// From returns the Conn that the context carries, or nil if there is none.
 func From(ctx context.Context) *Conn {
 	connection, _ := ctx.Value(contextKey{}).(*Conn)
 	return connection
