--- a/internal/rowset/rowset.go
+++ b/internal/rowset/rowset.go
@@ -1,9 +1,8 @@
-// Package rowset keeps values that are larger than a row of the store: a value is
-// cut into rows of one partition, which are written with one commit and read with
-// one reading. Each row tells when it may be removed, so that a sweep needs to know
-// nothing of the value.
+// Package rowset stores values that are larger than one row of the store. It splits a value
+// into rows of one partition, which are written by one commit and read by one read. Each row
+// contains its expiry time, so that expired rows can be removed without decoding the value.
 //
-// Guarantee: Join returns exactly the value that was cut, or a typed error.
+// Join returns exactly the value that was passed to Cut, or one of the errors of this package.
 package rowset
 
 import (
@@ -20,64 +19,68 @@
 
 // Errors of Join and Cut.
 var (
-	// ErrAbsent says that the first row is not there.
-	ErrAbsent = errors.New("there is no such value")
-	// ErrTorn says that rows of the value are missing or do not belong together.
-	ErrTorn = errors.New("the value's rows are not whole")
-	// ErrFormat says that a row was written by another writer, or in a format that
-	// this version does not know.
-	ErrFormat = errors.New("the row's format is not known")
-	// ErrTooLarge says that one commit does not hold the value.
-	ErrTooLarge = errors.New("one commit does not hold the value")
+	// ErrAbsent means that the first row of the value does not exist.
+	ErrAbsent = errors.New("the value does not exist")
+	// ErrTorn means that rows of the value are missing or belong to another value.
+	ErrTorn = errors.New("rows of the value are missing or do not match")
+	// ErrFormat means that a row cannot be decoded: another program wrote it, or it has a
+	// format that this version does not know.
+	ErrFormat = errors.New("the row has an unknown format")
+	// ErrTooLarge means that the value does not fit into one commit.
+	ErrTooLarge = errors.New("the value does not fit into one commit")
 )
 
 const (
-	format = 2 // the former one had no envelope
-	// envelopeBytes bounds what a row needs besides its part of the value.
-	envelopeBytes  = 24
-	mostRows       = 11 // a commit holds 1 MB of base64 text; rows of 64 KiB are usual
-	separator      = "/"
-	afterSeparator = "0" // the byte after the separator: the end of a value's rows
-	// Partitions is how many partitions values are spread over: the store commits
-	// within one partition in turn.
+	formatVersion = 2 // version 1 had no envelope
+	// maxEnvelopeBytes is the largest size of a row without its part of the value.
+	maxEnvelopeBytes = 24
+	maxRows          = 11 // per value: 11 rows of 64 KiB, encoded as base64, fit into a commit of 1 MB
+	separator        = "/"
+	rangeEndSuffix   = "0" // the character after the separator; ends the range of a value's rows
+	// Partitions is the number of partitions over which values are spread. The store executes
+	// commits of different partitions in parallel, but those of one partition one after
+	// another.
 	Partitions = 256
-	// places is how many partitions a value may lie in: a part of them may be down
-	// while the others serve. It lies in the first that took it.
-	places = 5
+	// partitionsPerValue is the number of partitions in which a value may be stored. A value is
+	// stored in the first of them that accepts it, so that it can be written while others are
+	// down.
+	partitionsPerValue = 5
 )
 
-// envelope is one row.
+// envelope is the content of one row, encoded as a CBOR array.
 type envelope struct {
 	_       struct{} `cbor:",toarray"`
 	Format  uint8
-	Expires int64 // unix seconds from which the row may be removed
-	Number  uint16
-	Count   uint16 // of the value's rows
-	Part    []byte
+	Expires int64  // Unix time in seconds from which the row may be removed
+	Number  uint16 // position of the row in the value, from 0
+	Count   uint16 // number of rows of the value
+	Part    []byte // part of the value
 }
 
-// Value is a value as it was read.
+// Value is a value that Join read.
 type Value struct {
 	Bytes   []byte
-	Expires int64 // unix seconds from which it may be removed
-	Rows    int
+	Expires int64 // Unix time in seconds from which the value may be removed
+	Rows    int   // number of rows that hold the value
 }
 
-// Capacity is how many bytes one commit holds.
-func Capacity(rowBytes int) int { return mostRows * (rowBytes - envelopeBytes) }
+// Capacity returns the largest size of a value in bytes, if rows have at most rowBytes bytes.
+func Capacity(rowBytes int) int { return maxRows * (rowBytes - maxEnvelopeBytes) }
 
-// Cut cuts a value into rows NAME, NAME/1, NAME/2 and so on, or returns ErrTooLarge.
+// Cut splits a value into rows of at most rowBytes bytes, named NAME, NAME/1, NAME/2 and so on.
+// expires is the Unix time in seconds from which the rows may be removed. Cut returns
+// ErrTooLarge if the value does not fit into one commit.
 func Cut(key state.Key, value []byte, expires int64, rowBytes int) ([]state.Put, error) {
 	if len(value) > Capacity(rowBytes) {
-		return nil, eris.Wrapf(ErrTooLarge, "cut %d bytes into rows", len(value))
+		return nil, eris.Wrapf(ErrTooLarge, "split %d bytes into rows", len(value))
 	}
-	parts := slices.Collect(slices.Chunk(value, rowBytes-envelopeBytes))
+	parts := slices.Collect(slices.Chunk(value, rowBytes-maxEnvelopeBytes))
 	if len(parts) == 0 {
 		parts = [][]byte{nil}
 	}
 	puts := make([]state.Put, 0, len(parts))
 	for number, part := range parts {
-		row, err := cbor.Marshal(envelope{Format: format, Expires: expires, Number: uint16(number), Count: uint16(len(parts)), Part: part})
+		row, err := cbor.Marshal(envelope{Format: formatVersion, Expires: expires, Number: uint16(number), Count: uint16(len(parts)), Part: part})
 		if err != nil {
 			return nil, eris.Wrap(err, "encode row")
 		}
@@ -86,6 +89,7 @@
 	return puts, nil
 }
 
+// rowKey returns the key of the row with the number, where key is that of row 0.
 func rowKey(key state.Key, number int) state.Key {
 	if number > 0 {
 		key.Name += separator + strconv.Itoa(number)
@@ -93,12 +97,12 @@
 	return key
 }
 
-// Range selects the rows of a value.
+// Range returns a range that contains all rows of the value with the key.
 func Range(key state.Key) state.Range {
-	return state.Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + afterSeparator}
+	return state.Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + rangeEndSuffix}
 }
 
-// Join returns the value of that name among rows.
+// Join returns the value with the name from the rows, which may contain others.
 func Join(name string, rows []state.Row) (Value, error) {
 	byName := make(map[string]state.Row, len(rows))
 	for _, row := range rows {
@@ -108,7 +112,7 @@
 	if !found {
 		return Value{}, ErrAbsent
 	}
-	head, err := open(first)
+	head, err := decodeRow(first)
 	if err != nil {
 		return Value{}, err
 	}
@@ -118,7 +122,7 @@
 		if !found {
 			return Value{}, eris.Wrapf(ErrTorn, "row %d of %d is missing", number, head.Count)
 		}
-		next, err := open(row)
+		next, err := decodeRow(row)
 		if err != nil {
 			return Value{}, err
 		}
@@ -130,31 +134,33 @@
 	return value, nil
 }
 
-func open(row state.Row) (envelope, error) {
-	var opened envelope
-	if err := cbor.Unmarshal(row.Value, &opened); err != nil {
+// decodeRow decodes the envelope of a row. It returns ErrFormat if that fails.
+func decodeRow(row state.Row) (envelope, error) {
+	var decoded envelope
+	if err := cbor.Unmarshal(row.Value, &decoded); err != nil {
 		return envelope{}, eris.Wrapf(ErrFormat, "row %s: %v", row.Key.Name, err)
 	}
-	if opened.Format != format || opened.Count == 0 {
-		return envelope{}, eris.Wrapf(ErrFormat, "row %s: format %d", row.Key.Name, opened.Format)
+	if decoded.Format != formatVersion || decoded.Count == 0 {
+		return envelope{}, eris.Wrapf(ErrFormat, "row %s: format %d", row.Key.Name, decoded.Format)
 	}
-	return opened, nil
+	return decoded, nil
 }
 
-// Expires tells from which unix second a row may be removed; false: it is no row of
-// this package.
+// Expires returns the Unix time in seconds from which a row may be removed. The second result
+// is false if the row was not written by this package.
 func Expires(row state.Row) (int64, bool) {
-	opened, err := open(row)
-	return opened.Expires, err == nil
+	decoded, err := decodeRow(row)
+	return decoded.Expires, err == nil
 }
 
-// PlacesOf names the partitions in which a value may lie, the likely one first.
+// PlacesOf returns the names of the partitions in which the value with the name may be stored,
+// the most likely one first.
 func PlacesOf(name string) []string {
 	hash := xxhash.Sum64String(name)
 	home, step := hash%Partitions, 2*(hash>>32%(Partitions/2))+1
-	chosen := make([]string, 0, places)
-	for number := range uint64(places) {
-		chosen = append(chosen, strconv.FormatUint((home+number*step)%Partitions, 16))
+	partitions := make([]string, 0, partitionsPerValue)
+	for number := range uint64(partitionsPerValue) {
+		partitions = append(partitions, strconv.FormatUint((home+number*step)%Partitions, 16))
 	}
-	return chosen
+	return partitions
 }
--- a/internal/rowset/rowset_test.go
+++ b/internal/rowset/rowset_test.go
@@ -11,6 +11,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
+// rowsOf returns the rows that a commit of the puts writes.
 func rowsOf(puts []state.Put) []state.Row {
 	rows := make([]state.Row, 0, len(puts))
 	for _, put := range puts {
@@ -19,9 +20,9 @@
 	return rows
 }
 
-// A value is joined whole, or not at all, whichever of its rows is missing, cut short or
-// of another value; and no row is larger than the store takes.
-func TestAValueIsJoinedWholeOrNotAtAll(t *testing.T) {
+// TestJoinReturnsWholeValueOrError splits random values. Join returns the same value from all
+// rows, and an error if one row is missing or truncated. No row is larger than allowed.
+func TestJoinReturnsWholeValueOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rowBytes := rapid.IntRange(40, 300).Draw(t, "row bytes")
 		value := rapid.SliceOfN(rapid.Byte(), 0, rowset.Capacity(rowBytes)).Draw(t, "value")
@@ -36,7 +37,7 @@
 				t.Fatalf("a row of %d bytes, more than %d", len(row.Value), rowBytes)
 			}
 			if expires, ours := rowset.Expires(row); !ours || expires != 1<<40 {
-				t.Fatalf("row %s does not tell when it is over", row.Key.Name)
+				t.Fatalf("row %s has a wrong expiry time", row.Key.Name)
 			}
 		}
 		joined, err := rowset.Join("name", rows)
@@ -50,12 +51,12 @@
 			rows[damaged].Value = rows[damaged].Value[:len(rows[damaged].Value)-1]
 		}
 		if _, err := rowset.Join("name", rows); err == nil {
-			t.Fatal("joined though a row is not whole")
+			t.Fatal("Join succeeded with a missing or truncated row")
 		}
 	})
 }
 
-func TestRowsOfTwoValuesAreNotJoined(t *testing.T) {
+func TestJoinRejectsRowsOfDifferentValues(t *testing.T) {
 	key := state.Key{Table: "t", Partition: "1", Name: "name"}
 	older, err := rowset.Cut(key, bytes.Repeat([]byte("o"), 200), 1000, 100)
 	if err != nil {
@@ -67,14 +68,14 @@
 	}
 	rows := rowsOf(append(newer[:1], older[1:]...))
 	if _, err := rowset.Join("name", rows); !errors.Is(err, rowset.ErrTorn) {
-		t.Fatalf("joined rows of two values: %v", err)
+		t.Fatalf("Join of rows of two values: %v", err)
 	}
 	if _, err := rowset.Join("another", rows); !errors.Is(err, rowset.ErrAbsent) {
-		t.Fatalf("a value that is not there: %v", err)
+		t.Fatalf("Join of a value that does not exist: %v", err)
 	}
 }
 
-func TestAValueOverACommitIsRefused(t *testing.T) {
+func TestCutRejectsValueLargerThanOneCommit(t *testing.T) {
 	const rowBytes = 100
 	if _, err := rowset.Cut(state.Key{}, make([]byte, rowset.Capacity(rowBytes)+1), 1, rowBytes); !errors.Is(err, rowset.ErrTooLarge) {
 		t.Fatalf("cut: %v", err)
