--- a/internal/state/availability.go
+++ b/internal/state/availability.go
@@ -27,8 +27,8 @@
 	// minFailingPartitions is how many different partitions have to fail without an answered
 	// call in between before the store counts as down.
 	minFailingPartitions = 3
-	// minUnansweredTime is for how long no call may have been answered before the store counts
-	// as down. While only some partitions are down, calls to the others are still answered.
+	// minUnansweredTime is the time without any answered call that is needed before the store
+	// counts as down. If only some partitions are down, calls to the others are still answered.
 	minUnansweredTime = 200 * time.Millisecond
 )
 
@@ -57,7 +57,7 @@
 }
 
 // Failed records that a call to the partition was not answered. It returns true if the store
-// counts as down since this call.
+// was considered available before and is considered down now.
 func (a *Availability) Failed(partition string) (wentDown bool) {
 	a.breakers.recordFailure(partition)
 	a.mutex.Lock()
@@ -86,15 +86,15 @@
 // failed partitions. It must be called before any other method.
 func (a *Availability) PaceTries(interval func() time.Duration) { a.breakers.interval = interval }
 
-// Enter returns nil as soon as a call to the partition may be sent. If the partition failed,
-// that is once it answers again or when this call is chosen to test it. Enter returns
+// Enter waits until a call to the partition may be sent. If the partition failed, Enter waits
+// until the partition answers again, or until this call may be sent to test it. It returns
 // ErrNotDone if ctx ends first.
 func (a *Availability) Enter(ctx context.Context, partition string) error {
 	return a.breakers.enter(ctx, partition)
 }
 
-// Prefer returns the partitions with those last that failed and have not answered since. The
-// order is kept otherwise.
+// Prefer returns the partitions in the same order, except that those which failed and have not
+// answered since are moved to the end.
 func (a *Availability) Prefer(partitions []string) []string {
 	var healthy, suspected []string
 	for _, partition := range partitions {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -57,7 +57,7 @@
 	// OnFailure, if not nil, is called for calls that were sent and ended with ErrNotDone or
 	// ErrUnknown. A throttled call is reported only if it contained several commits.
 	OnFailure func(Failure)
-	// NotHedged disables hedging: each call is sent once.
+	// NotHedged disables further tries of a call while its first try is unanswered.
 	NotHedged bool
 }
 
@@ -217,7 +217,8 @@
 // Available reports whether the store is considered available.
 func (c *Client) Available() bool { return c.availability.Available() }
 
-// Prefer returns the partitions with those last that failed and have not answered since.
+// Prefer returns the partitions in the same order, except that those which failed and have not
+// answered since are moved to the end.
 func (c *Client) Prefer(partitions []string) []string { return c.availability.Prefer(partitions) }
 
 // Repeat calls the function until its error is neither ErrNotDone nor ErrUnknown, or ctx ends,
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -193,8 +193,8 @@
 	return batch, combined
 }
 
-// fits reports whether the other commit can be added to this one, which writes the given keys,
-// within the batch limits and without writing a row twice.
+// fits reports whether the other commit can be added to c without exceeding the batch limits or
+// writing a row twice. keys contains the keys of the rows that c writes.
 func (c Commit) fits(other Commit, keys map[Key]bool) bool {
 	for _, key := range other.writtenKeys() {
 		if keys[key] {
@@ -204,7 +204,7 @@
 	return len(keys)+len(other.writtenKeys()) <= maxBatchRows && c.valueBytes()+other.valueBytes() <= maxBatchBytes
 }
 
-// add adds the puts and removals of the other commit, and its keys to the set of written keys.
+// add adds the puts and removals of the other commit to c, and their keys to keys.
 func (c *Commit) add(other Commit, keys map[Key]bool) {
 	c.Puts = append(c.Puts, other.Puts...)
 	c.Removals = append(c.Removals, other.Removals...)
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -12,13 +12,13 @@
 type hedger struct {
 	meanLatency atomic.Int64 // nanoseconds; exponentially weighted mean of the latencies of answered calls, 0: none yet
 	budget      retryBudget
-	disabled    bool // each call is sent once
+	disabled    bool // no further try is sent while a try is unanswered
 }
 
 const (
 	meanLatencyWeight  = 4 // a new latency has a weight of 1/meanLatencyWeight in the mean
 	initialMeanLatency = 8 * time.Millisecond
-	hedgeDelayFactor   = 5 // mean latencies until the second try
+	hedgeDelayFactor   = 5 // the second try is sent after this many mean latencies
 	minHedgeDelay      = 40 * time.Millisecond
 	maxHedgeDelay      = 600 * time.Millisecond
 	maxHedgeTries      = 3
--- a/internal/state/pace.go
+++ b/internal/state/pace.go
@@ -24,7 +24,7 @@
 	// rateDecreaseFactor is the part of the rate that is left after a throttled call. Four
 	// decreases reduce three times the allowed load to less than the allowed one.
 	rateDecreaseFactor = 0.7
-	// refusalMergeWindow is the time in which several throttled calls lower the rate once,
+	// refusalMergeWindow is the time in which several throttled calls lower the rate only once,
 	// since they were sent at the same rate.
 	refusalMergeWindow = 200 * time.Millisecond
 	// rateIncreasePerSecond is how many times minRate is added to the rate per second during
--- a/internal/state/room.go
+++ b/internal/state/room.go
@@ -43,8 +43,8 @@
 	// second that a large store accepts.
 	initialRoomProbeInterval = 100 * time.Millisecond
 	maxRoomProbeInterval     = 2 * time.Second
-	// refusalRetention is how long after the last refusal even a write smaller than the refused
-	// ones proves that there is space, since no larger one was tried in that time.
+	// refusalRetention is the time without a refusal after which a successful write of any size
+	// proves that the store has space.
 	refusalRetention = 2 * maxRoomProbeInterval
 )
 
@@ -125,7 +125,7 @@
 		}
 		return nil
 	case ClassReservation, ClassSettlement, ClassSweep, ClassFollow:
-		// Even one try per reservation would take the rate slots that turn commits need.
+		// Even one try per reservation would use up the rate limit that turn commits need.
 		if !r.Probe() {
 			return eris.Wrap(ErrFull, "commit not sent")
 		}
