--- a/internal/rowset/rowset.go
+++ b/internal/rowset/rowset.go
@@ -32,7 +32,8 @@
 
 const (
 	formatVersion = 2 // version 1 had no envelope
-	// maxEnvelopeBytes is the largest size of a row without its part of the value.
+	// maxEnvelopeBytes is the largest size of a row in bytes, not counting its part of the
+	// value.
 	maxEnvelopeBytes = 24
 	maxRows          = 11 // per value: 11 rows of 64 KiB, encoded as base64, fit into a commit of 1 MB
 	separator        = "/"
@@ -64,7 +65,8 @@
 	Rows    int   // number of rows that hold the value
 }
 
-// Capacity returns the largest size of a value in bytes, if rows have at most rowBytes bytes.
+// Capacity returns the size in bytes of the largest value that fits into one commit, if a row
+// holds at most rowBytes bytes.
 func Capacity(rowBytes int) int { return maxRows * (rowBytes - maxEnvelopeBytes) }
 
 // Cut splits a value into rows of at most rowBytes bytes, named NAME, NAME/1, NAME/2 and so on.
@@ -102,7 +104,7 @@
 	return state.Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + rangeEndSuffix}
 }
 
-// Join returns the value with the name from the rows, which may contain others.
+// Join returns the value with the name. rows may also contain rows of other values.
 func Join(name string, rows []state.Row) (Value, error) {
 	byName := make(map[string]state.Row, len(rows))
 	for _, row := range rows {
--- a/internal/rowset/rowset_test.go
+++ b/internal/rowset/rowset_test.go
@@ -37,7 +37,7 @@
 				t.Fatalf("a row of %d bytes, more than %d", len(row.Value), rowBytes)
 			}
 			if expires, ours := rowset.Expires(row); !ours || expires != 1<<40 {
-				t.Fatalf("row %s has a wrong expiry time", row.Key.Name)
+				t.Fatalf("Expires of row %s is wrong or unknown", row.Key.Name)
 			}
 		}
 		joined, err := rowset.Join("name", rows)
@@ -68,10 +68,10 @@
 	}
 	rows := rowsOf(append(newer[:1], older[1:]...))
 	if _, err := rowset.Join("name", rows); !errors.Is(err, rowset.ErrTorn) {
-		t.Fatalf("Join of rows of two values: %v", err)
+		t.Fatalf("Join of rows of two values returned %v, want ErrTorn", err)
 	}
 	if _, err := rowset.Join("another", rows); !errors.Is(err, rowset.ErrAbsent) {
-		t.Fatalf("Join of a value that does not exist: %v", err)
+		t.Fatalf("Join of a value that does not exist returned %v, want ErrAbsent", err)
 	}
 }
 
--- a/internal/state/availability.go
+++ b/internal/state/availability.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	// minFailingPartitions is how many different partitions have to fail without an answered
-	// call in between before the store counts as down.
+	// minFailingPartitions is the number of different partitions that have to fail, without an
+	// answered call in between, before the store counts as down.
 	minFailingPartitions = 3
 	// minUnansweredTime is the time without any answered call that is needed before the store
 	// counts as down. If only some partitions are down, calls to the others are still answered.
@@ -63,7 +63,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.failingPartitions[partition] = true
-	if len(a.failingPartitions) < minFailingPartitions || a.restoredSignal != nil || a.breakers.isAnsweredWithin(minUnansweredTime) {
+	if len(a.failingPartitions) < minFailingPartitions || a.restoredSignal != nil || a.breakers.answeredWithin(minUnansweredTime) {
 		return false
 	}
 	a.restoredSignal = make(chan struct{})
--- a/internal/state/class.go
+++ b/internal/state/class.go
@@ -2,8 +2,8 @@
 
 import "errors"
 
-// Class is the purpose of a call. When the store's rate limit or space is short, calls of more
-// important classes go first.
+// Class is the purpose of a call. When the rate limit or the space of the store is short, calls
+// of more important classes go first.
 type Class uint8
 
 // The classes, from the most to the least important, after the zero value ClassOther.
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -32,7 +32,7 @@
 	onFailure    func(Failure)
 }
 
-// Failure describes a call that ended with ErrNotDone or ErrUnknown.
+// Failure describes a call for whose error NoVerdict is true.
 type Failure struct {
 	Call string // "commit", "read" or "feed"
 	Key  Key    // first key of the call
@@ -43,21 +43,22 @@
 // ClientOptions configures a Client.
 type ClientOptions struct {
 	Store Store
-	// Alternative is a second route to the same store. Nil means that there is none.
+	// Alternative is a second route to the same store. It is nil if there is none.
 	Alternative  Store
 	Availability *Availability
-	// Room tracks whether the store has space. Nil gives the client a Room of its own.
+	// Room tracks whether the store has space. If Room is nil, the client creates its own.
 	Room *Room
-	// Limiter limits the rate of the calls. Nil means a limiter without declared rates, which
-	// lowers its rate only when calls are throttled.
+	// Limiter limits the rate of the calls. If Limiter is nil, the client creates one without
+	// declared rates, which lowers its rate only after throttled calls.
 	Limiter *Limiter
 	// Probe is the range that the client reads to find out whether a store that is down answers
 	// again.
 	Probe Range
-	// OnFailure, if not nil, is called for calls that were sent and ended with ErrNotDone or
-	// ErrUnknown. A throttled call is reported only if it contained several commits.
+	// OnFailure, if not nil, is called for calls that were sent and ended with an error for
+	// which NoVerdict is true. A throttled call is reported only if it contained several
+	// commits.
 	OnFailure func(Failure)
-	// NotHedged disables further tries of a call while its first try is unanswered.
+	// NotHedged disables further attempts of a call while its first attempt is unanswered.
 	NotHedged bool
 }
 
@@ -103,10 +104,10 @@
 	probeTimeout      = 300 * time.Millisecond
 )
 
-// Commit implements Store. While the store is full, commits are handled by class: ClassTurn is
-// sent at once and then again whenever Room lets it probe, until ctx ends. ClassReservation,
-// ClassSettlement, ClassSweep and ClassFollow fail with ErrFull unless Room lets them probe.
-// All others, and commits without puts, are sent.
+// Commit implements Store. While the store is full, it handles commits by class. A commit of
+// ClassTurn is sent at once, and again each time Room lets it probe, until it succeeds or ctx
+// ends. A commit of ClassReservation, ClassSettlement, ClassSweep or ClassFollow fails with
+// ErrFull unless Room lets it probe. All other commits, and commits without puts, are sent.
 func (c *Client) Commit(ctx context.Context, commit Commit) (Version, error) {
 	version, err := c.commitRetryingWhenFull(ctx, commit)
 	c.metrics.recordCall(commit.Class, err)
@@ -117,8 +118,8 @@
 	if ctx.Err() != nil {
 		return 0, eris.Wrapf(ErrNotDone, "commit not sent: %v", ctx.Err())
 	}
-	for tried := false; ; tried = true {
-		if err := c.room.admit(ctx, commit, tried); err != nil {
+	for isRetry := false; ; isRetry = true {
+		if err := c.room.admit(ctx, commit, isRetry); err != nil {
 			return 0, err
 		}
 		sent := c.room.options.Now()
@@ -130,7 +131,8 @@
 	}
 }
 
-// commit sends a commit that Room admitted.
+// commit waits until the partition may be called, and then for the rate limit, and sends the
+// commit.
 func (c *Client) commit(ctx context.Context, commit Commit) (Version, error) {
 	if err := c.availability.Enter(ctx, commit.firstKey().Partition); err != nil {
 		return 0, err
@@ -138,13 +140,13 @@
 	return c.batcher.commit(ctx, commit)
 }
 
-// send sends one call to the store that contains commitCount commits.
+// send sends the commit, which combines commitCount commits, in one hedged call.
 func (c *Client) send(ctx context.Context, commit Commit, commitCount int) (Version, error) {
 	start := time.Now()
-	version, err := hedge(ctx, &c.hedger, c.retryConditionsFor(CallCommit), func(ctx context.Context, try int) (Version, error) {
-		route, done := c.chooseRoute(try, CallCommit)
+	version, err := hedge(ctx, &c.hedger, c.retryConditionsFor(CallCommit), func(ctx context.Context, attempt int) (Version, error) {
+		route, report := c.chooseRoute(attempt, CallCommit)
 		version, err := route.Commit(ctx, commit)
-		done(ctx, err)
+		report(ctx, err)
 		return version, err
 	})
 	failure := Failure{Call: "commit", Key: commit.firstKey(), Took: time.Since(start), Err: err}
@@ -167,7 +169,7 @@
 
 // retryConditionsFor returns the conditions for hedging a call of the kind.
 func (c *Client) retryConditionsFor(kind CallKind) retryConditions {
-	return retryConditions{shouldRetryAtOnce: c.isDirectDoubtful, takeSpareSlot: func() bool { return c.limiter.takeSpareSlot(kind) }}
+	return retryConditions{shouldRetryAtOnce: c.isDirectDegraded, takeSpareSlot: func() bool { return c.limiter.takeSpareSlot(kind) }}
 }
 
 // Read implements Store.
@@ -188,10 +190,10 @@
 		return Page{}, err
 	}
 	start := time.Now()
-	page, err := hedge(ctx, &c.hedger, c.retryConditionsFor(CallRead), func(ctx context.Context, try int) (Page, error) {
-		route, done := c.chooseRoute(try, CallRead)
+	page, err := hedge(ctx, &c.hedger, c.retryConditionsFor(CallRead), func(ctx context.Context, attempt int) (Page, error) {
+		route, report := c.chooseRoute(attempt, CallRead)
 		page, err := route.Read(ctx, selected)
-		done(ctx, err)
+		report(ctx, err)
 		return page, err
 	})
 	key := Key{Table: selected.Table, Partition: selected.Partition, Name: selected.From}
@@ -206,9 +208,9 @@
 		return Change{}, err
 	}
 	start := time.Now()
-	route, done := c.chooseRoute(0, CallFeed)
+	route, report := c.chooseRoute(0, CallFeed)
 	change, err := route.Feed(ctx, table, after, wait)
-	done(ctx, err)
+	report(ctx, err)
 	c.metrics.recordCall(ClassFollow, err)
 	c.recordOutcome(ctx, Failure{Call: "feed", Key: Key{Table: table}, Took: time.Since(start), Err: err})
 	return change, err
@@ -221,9 +223,9 @@
 // answered since are moved to the end.
 func (c *Client) Prefer(partitions []string) []string { return c.availability.Prefer(partitions) }
 
-// Repeat calls the function until its error is neither ErrNotDone nor ErrUnknown, or ctx ends,
-// and returns the last error. Between attempts it waits with exponential backoff, or while the
-// store is down until it is available again.
+// Repeat calls the function until ctx ends or NoVerdict is false for its error, and returns the
+// last error. Between the calls Repeat backs off exponentially. While the store is down, Repeat
+// waits until the store is available again.
 func (c *Client) Repeat(ctx context.Context, call func() error) error {
 	schedule := pause.Growing(initialRetryDelay, maxRetryDelay)
 	for {
@@ -234,7 +236,8 @@
 	}
 }
 
-// waitAfter waits before the next attempt. It returns false if ctx ended first.
+// waitAfter waits before the next call of Repeat's function. It returns false if ctx ended
+// first.
 func (c *Client) waitAfter(ctx context.Context, schedule *backoff.ExponentialBackOff) bool {
 	if !c.availability.Available() {
 		return c.availability.Wait(ctx) == nil
@@ -260,11 +263,11 @@
 
 // probeUntilAnswered reads the probe range repeatedly until the store is considered available.
 func (c *Client) probeUntilAnswered() {
-	for try := 0; !c.availability.Available(); try++ {
+	for attempt := 0; !c.availability.Available(); attempt++ {
 		ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
-		route, done := c.chooseRoute(try, CallRead)
+		route, report := c.chooseRoute(attempt, CallRead)
 		_, err := route.Read(ctx, c.probe)
-		done(ctx, err)
+		report(ctx, err)
 		cancel()
 		if !NoVerdict(err) {
 			c.availability.Succeeded(c.probe.Partition)
@@ -277,8 +280,9 @@
 // Room returns the tracker of the store's free space.
 func (c *Client) Room() *Room { return c.room }
 
-// NoVerdict reports whether err is ErrNotDone or ErrUnknown: the call failed and may be
-// repeated. It is false for nil, conflicts and ErrFull.
+// NoVerdict reports whether err is ErrNotDone, which includes ErrThrottled, or ErrUnknown. Such
+// a call may be repeated, since calls are idempotent. NoVerdict returns false for nil and for
+// all other errors.
 func NoVerdict(err error) bool {
 	return errors.Is(err, ErrNotDone) || errors.Is(err, ErrUnknown)
 }
--- a/internal/state/gate.go
+++ b/internal/state/gate.go
@@ -10,11 +10,11 @@
 )
 
 // breakers are the circuit breakers of the partitions. A breaker opens when a call to its
-// partition fails, and closes when a call to it is answered. Calls to partitions with open
-// breakers wait; this process lets one of them through at a time, at an interval that does not
-// depend on how many partitions failed. An outage of some partitions therefore does not use up
-// the rate limit that the others need. Once one of the failed partitions answers, the others
-// are tried in quick succession.
+// partition fails, and closes when a call to its partition is answered. Calls to partitions
+// with open breakers wait. This process lets one of them through at a time, at an interval that
+// does not depend on how many partitions failed. An outage of some partitions therefore does
+// not use up the rate limit that the other partitions need. Once one of the failed partitions
+// answers, the others are tried in quick succession.
 type breakers struct {
 	now      func() time.Time
 	interval func() time.Duration // between two calls to failed partitions
@@ -69,8 +69,9 @@
 	}
 }
 
-// admit returns 0 if a call to the partition may be sent now. Otherwise it returns how long to
-// wait at most and a channel that is closed when the caller should check earlier.
+// admit returns 0 if a call to the partition may be sent now. If the partition failed, the call
+// then counts as its next attempt. Otherwise admit returns the longest time to wait, and a
+// channel that is closed when the caller should call admit earlier.
 func (b *breakers) admit(partition string) (time.Duration, <-chan struct{}) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -91,7 +92,8 @@
 	return 0, nil
 }
 
-// attemptInterval returns the time until the next call to any failed partition.
+// attemptInterval returns the time between two calls to failed partitions, whichever partitions
+// these are.
 func (b *breakers) attemptInterval(now time.Time) time.Duration {
 	if now.Before(b.recoveringUntil) {
 		return recoveryAttemptInterval
@@ -123,7 +125,8 @@
 	b.wake = make(chan struct{})
 }
 
-// recordFailure opens the partition's breaker, or delays its next call further.
+// recordFailure opens the partition's breaker. If the breaker is open already, recordFailure
+// delays the next call to the partition further.
 func (b *breakers) recordFailure(partition string) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -155,8 +158,8 @@
 	return found
 }
 
-// isAnsweredWithin reports whether any call was answered within the last span.
-func (b *breakers) isAnsweredWithin(span time.Duration) bool {
+// answeredWithin reports whether any call was answered within the given time before now.
+func (b *breakers) answeredWithin(span time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.now().Sub(b.lastAnswer) < span
--- a/internal/state/gate_test.go
+++ b/internal/state/gate_test.go
@@ -108,10 +108,10 @@
 				done <- struct{}{}
 			}()
 		}
-		// The retry budget holds 12 tokens at the start, which is its limit, so the first tries
-		// add none.
-		Eventually(hanging.tries.Load).Should(BeNumerically(">=", calls+12))
-		Consistently(hanging.tries.Load, "300ms").Should(BeNumerically("<=", calls+12+calls*3/10))
+		// The retry budget holds 12 tokens at the start, which is its limit, so the first
+		// attempts add none.
+		Eventually(hanging.attempts.Load).Should(BeNumerically(">=", calls+12))
+		Consistently(hanging.attempts.Load, "300ms").Should(BeNumerically("<=", calls+12+calls*3/10))
 		cancel()
 		for range calls {
 			Eventually(done).Should(Receive())
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -11,11 +11,11 @@
 
 // commitBatcher combines commits that wait for the rate limit at the same time into one call to
 // the store. It batches only commits of ClassTurn without conditions, and only while no rate
-// slot is free; all others are sent one by one.
+// slot is free. All other commits are sent one by one.
 //
 // Each commit gets the result of the call that contained it. If a batch ends with ErrUnknown,
-// so does each of its commits. If the store refused a batch and a single commit may be the
-// cause, the commits are sent again one by one.
+// all of its commits do. If the store refused a batch and a single commit may be the cause, the
+// commits are sent again one by one.
 type commitBatcher struct {
 	slots rateSlots
 	send  func(ctx context.Context, commit Commit, together int) (Version, error)
@@ -47,14 +47,14 @@
 
 const (
 	// maxBatchRows and maxBatchBytes keep a batch below the limits of one commit, which are 100
-	// rows and 1 MB of text. Values are base64-encoded, which adds a third.
+	// rows and 1 MB of encoded request. The encoding, base64, makes values a third larger.
 	maxBatchRows  = 100
 	maxBatchBytes = 600 << 10
-	// batchingPause is how long commits are sent one by one after a batch ended with
-	// ErrUnknown, so that one unresponsive partition does not delay commits to others.
+	// batchingPause is the time after a batch with an unknown result in which commits are sent
+	// one by one, so that an unresponsive partition does not delay commits to other partitions.
 	batchingPause = time.Second
-	// batchTimeout limits the call of a batch. It does not depend on the contexts of the
-	// commits in it, and leaves time for three tries of one second.
+	// batchTimeout is the timeout of a batch's call. It replaces the deadlines of the single
+	// commits, and leaves time for three attempts of one second.
 	batchTimeout = 3 * time.Second
 )
 
@@ -67,24 +67,24 @@
 	if !b.isBatchable(commit) {
 		return b.commitAlone(ctx, commit)
 	}
-	own := b.enqueue(commit)
+	pending := b.enqueue(commit)
 	waitCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	waitResult := make(chan error, 1)
 	go func() { waitResult <- b.slots.wait(waitCtx, commit.Class) }()
 	select {
-	case result := <-own.result:
+	case result := <-pending.result:
 		return b.resolve(ctx, commit, result)
 	case err := <-waitResult:
 		switch {
-		case err != nil && b.dequeue(own):
+		case err != nil && b.dequeue(pending):
 			return 0, err
 		case err == nil:
-			b.sendBatch(own)
+			b.sendBatch(pending)
 		}
 	}
 	select {
-	case result := <-own.result:
+	case result := <-pending.result:
 		return b.resolve(ctx, commit, result)
 	case <-ctx.Done():
 		return 0, eris.Wrapf(ErrUnknown, "commit in a batch: %v", ctx.Err())
@@ -124,11 +124,11 @@
 }
 
 // dequeue removes a pending commit. It returns false if the commit is in a call already.
-func (b *commitBatcher) dequeue(own *pendingCommit) bool {
+func (b *commitBatcher) dequeue(pending *pendingCommit) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for index, each := range b.pending {
-		if each == own {
+	for index, other := range b.pending {
+		if other == pending {
 			b.pending = append(b.pending[:index], b.pending[index+1:]...)
 			return true
 		}
@@ -136,14 +136,14 @@
 	return false
 }
 
-// sendBatch sends a commit that got a rate slot, together with the pending commits that fit,
-// unless the commit is in another call already. The call continues if the context of one of the
-// commits ends.
-func (b *commitBatcher) sendBatch(own *pendingCommit) {
-	if !b.dequeue(own) {
+// sendBatch sends the first commit, which got a rate slot, together with the pending commits
+// that fit. It does nothing if the first commit is in another call already. The call continues
+// if the context of one of the commits ends.
+func (b *commitBatcher) sendBatch(first *pendingCommit) {
+	if !b.dequeue(first) {
 		return
 	}
-	batch, combined := b.collectBatch(own)
+	batch, combined := b.collectBatch(first)
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), batchTimeout)
 		defer cancel()
@@ -152,15 +152,15 @@
 		if len(batch) > 1 && errors.Is(err, ErrUnknown) {
 			b.pauseBatching()
 		}
-		for _, each := range batch {
-			each.result <- result
+		for _, pending := range batch {
+			pending.result <- result
 		}
 	}()
 }
 
 // isCausedByOneCommit reports whether the error of a batch means that nothing was applied and
-// that a single commit may be the cause: its partition does not answer, or the batch is too
-// large.
+// that a single commit may be the cause. The partition of that commit may not answer, or the
+// batch may be too large.
 func isCausedByOneCommit(err error) bool {
 	return err != nil && !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrFull) && !errors.Is(err, ErrThrottled)
 }
@@ -181,13 +181,13 @@
 	keys := map[Key]bool{}
 	combined.add(first.commit, keys)
 	var remaining []*pendingCommit
-	for _, each := range b.pending {
-		if !combined.fits(each.commit, keys) {
-			remaining = append(remaining, each)
+	for _, pending := range b.pending {
+		if !combined.fits(pending.commit, keys) {
+			remaining = append(remaining, pending)
 			continue
 		}
-		combined.add(each.commit, keys)
-		batch = append(batch, each)
+		combined.add(pending.commit, keys)
+		batch = append(batch, pending)
 	}
 	b.pending = remaining
 	return batch, combined
--- a/internal/state/group_test.go
+++ b/internal/state/group_test.go
@@ -46,8 +46,8 @@
 		defer mutex.Unlock()
 		return append([]Commit{}, sent...)
 	}
-	// beginMany starts that many commits, each in a partition of its own, and returns when all
-	// wait for a slot.
+	// beginMany starts count commits, each in a partition of its own, and returns when all of
+	// them wait for a slot.
 	beginMany := func(ctx context.Context, count int) []chan result {
 		var results []chan result
 		for number := range count {
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// hedger sends a call again if its answer takes much longer than usual, while the earlier try
-// continues. The answer to a try may be lost although the store executed it; repeating it is
-// safe because calls are idempotent. A hedger is safe for concurrent use.
+// hedger sends a call again if its answer takes much longer than usual, while the earlier
+// attempt continues. The answer to an attempt may be lost although the store executed the call.
+// Repeating the call is safe because calls are idempotent. A hedger is safe for concurrent use.
 type hedger struct {
-	meanLatency atomic.Int64 // nanoseconds; exponentially weighted mean of the latencies of answered calls, 0: none yet
+	meanLatency atomic.Int64 // exponentially weighted mean of the latencies of answered calls, in nanoseconds; 0 before the first
 	budget      retryBudget
-	disabled    bool // no further try is sent while a try is unanswered
+	disabled    bool // no further attempt is sent while an attempt is unanswered
 }
 
 const (
-	meanLatencyWeight  = 4 // a new latency has a weight of 1/meanLatencyWeight in the mean
+	meanLatencyWeight  = 4 // a new latency counts as 1/meanLatencyWeight of the new mean
 	initialMeanLatency = 8 * time.Millisecond
-	hedgeDelayFactor   = 5 // the second try is sent after this many mean latencies
+	hedgeDelayFactor   = 5 // the second attempt is sent after this many mean latencies
 	minHedgeDelay      = 40 * time.Millisecond
 	maxHedgeDelay      = 600 * time.Millisecond
-	maxHedgeTries      = 3
+	maxHedgeAttempts   = 3
 	disabledHedgeDelay = time.Hour // longer than any call takes
 )
 
@@ -34,7 +34,7 @@
 	h.meanLatency.Store(old + (int64(took)-old)/meanLatencyWeight)
 }
 
-// delay returns how long to wait for an answer before the second try.
+// delay returns the time after which an unanswered call is attempted again.
 func (h *hedger) delay() time.Duration {
 	if h.disabled {
 		return disabledHedgeDelay
@@ -46,34 +46,34 @@
 	return min(max(hedgeDelayFactor*mean, minHedgeDelay), maxHedgeDelay)
 }
 
-// outcome is the result of one try.
+// outcome is the result of one attempt.
 type outcome[T any] struct {
 	result T
 	err    error
 	took   time.Duration
 }
 
-// retryConditions decides whether a further try of a call may be sent.
+// retryConditions decides whether a further attempt of a call may be sent.
 type retryConditions struct {
-	shouldRetryAtOnce func() bool // whether to retry right after a try failed
+	shouldRetryAtOnce func() bool // reports whether to send the next attempt right after a failed one
 	takeSpareSlot     func() bool // takes a rate slot if one is free and no call waits for it
 }
 
-// hedge calls the function up to maxHedgeTries times, concurrently if an answer takes long. It
-// returns the first result whose error is neither ErrNotDone nor ErrUnknown. If there is none,
-// it returns the error of the try that ended last.
-func hedge[T any](ctx context.Context, h *hedger, retry retryConditions, call func(ctx context.Context, try int) (T, error)) (T, error) {
+// hedge calls the function up to maxHedgeAttempts times, and concurrently if an answer takes
+// long. It returns the first result for whose error NoVerdict is false. If there is none, it
+// returns the error of the attempt that ended last.
+func hedge[T any](ctx context.Context, h *hedger, retry retryConditions, call func(ctx context.Context, attempt int) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	outcomes := make(chan outcome[T], maxHedgeTries)
+	outcomes := make(chan outcome[T], maxHedgeAttempts)
 	launched, pending := 0, 0
 	launch := func() {
-		try := launched
+		attempt := launched
 		launched++
 		pending++
 		go func() {
 			start := time.Now()
-			result, err := call(ctx, try)
+			result, err := call(ctx, attempt)
 			outcomes <- outcome[T]{result, err, time.Since(start)}
 		}()
 	}
@@ -84,20 +84,20 @@
 	launch()
 	for {
 		select {
-		case ended := <-outcomes:
+		case finished := <-outcomes:
 			pending--
-			if !NoVerdict(ended.err) {
-				h.observe(ended.took)
-				return ended.result, ended.err
+			if !NoVerdict(finished.err) {
+				h.observe(finished.took)
+				return finished.result, finished.err
 			}
-			if launched < maxHedgeTries && ctx.Err() == nil && retry.shouldRetryAtOnce() && h.budget.take() && retry.takeSpareSlot() {
+			if launched < maxHedgeAttempts && ctx.Err() == nil && retry.shouldRetryAtOnce() && h.budget.take() && retry.takeSpareSlot() {
 				launch()
 			}
 			if pending == 0 {
-				return ended.result, ended.err
+				return finished.result, finished.err
 			}
 		case <-timer.C:
-			if launched == maxHedgeTries {
+			if launched == maxHedgeAttempts {
 				continue
 			}
 			if h.budget.take() && retry.takeSpareSlot() {
--- a/internal/state/lane.go
+++ b/internal/state/lane.go
@@ -7,7 +7,7 @@
 
 // callQueue holds the calls of one kind, writes or reads, that wait for this process's rate
 // limit. Calls of more important classes go first. A call that would miss its deadline is
-// refused as soon as that is known. The caller passes the current time to each method. A
+// refused as soon as that is known. Methods that depend on the time take it as an argument. A
 // callQueue is not safe for concurrent use.
 type callQueue struct {
 	bucket  *adaptiveBucket
@@ -19,21 +19,20 @@
 type waiter struct {
 	class    Class
 	deadline time.Time
-	// notify is called once with whether the call may be sent, unless the waiter is removed
-	// before. It must not block.
+	// notify tells the caller whether the call may be sent. It is called once, unless the
+	// waiter is removed before, and must not block.
 	notify func(granted bool)
 }
 
 const (
-	rankCount = 7 // number of ranks of classes
-	// grantsPerLeastImportant makes one in this many grants go to the least important class
-	// that waits, so that no class starves and removals can free space.
+	rankCount = 7 // number of different ranks
+	// grantsPerLeastImportant is the number of grants of which one goes to the least important
+	// class that waits. This keeps every class from starving, so that removals can free space.
 	grantsPerLeastImportant = 20
 	// maxQueueWait is the longest time that a call waits in the queue, even if its deadline is
 	// later. It bounds the memory of the queue and the backlog at the end of an overload.
 	maxQueueWait = time.Second
-	// minCallTime is the part of the time until a call's deadline that is reserved for the call
-	// itself.
+	// minCallTime is subtracted from a call's deadline to leave time for the call itself.
 	minCallTime = 20 * time.Millisecond
 )
 
@@ -45,17 +44,17 @@
 	return int(c - ClassLease)
 }
 
-// enqueue adds a call. The call is notified before enqueue returns if it may be sent now or
-// would miss its deadline. A zero deadline means none.
-func (q *callQueue) enqueue(now time.Time, arrived *waiter) {
+// enqueue adds a call. If the call may be sent now, or is sure to miss its deadline, it is
+// notified before enqueue returns. A zero deadline means that there is none.
+func (q *callQueue) enqueue(now time.Time, w *waiter) {
 	latest := now.Add(maxQueueWait)
-	if arrived.deadline.IsZero() || latest.Before(arrived.deadline) {
-		arrived.deadline = latest
+	if w.deadline.IsZero() || latest.Before(w.deadline) {
+		w.deadline = latest
 	} else {
-		arrived.deadline = arrived.deadline.Add(-minCallTime)
+		w.deadline = w.deadline.Add(-minCallTime)
 	}
-	rank := arrived.class.rank()
-	q.waiting[rank] = append(q.waiting[rank], arrived)
+	rank := w.class.rank()
+	q.waiting[rank] = append(q.waiting[rank], w)
 	if q.grantDue(now) > 0 {
 		q.refuseLate(now)
 	}
@@ -100,13 +99,13 @@
 	return mostImportant, mostImportant >= 0
 }
 
-// refuseLate refuses the calls that would miss their deadlines even if no other call arrives.
+// refuseLate refuses the calls that would miss their deadlines even if no more calls arrived.
 func (q *callQueue) refuseLate(now time.Time) {
 	ahead := 0
 	for rank, waiters := range q.waiting {
-		q.waiting[rank] = slices.DeleteFunc(waiters, func(waiting *waiter) bool {
-			if now.Add(q.bucket.waitTime(ahead + 1)).After(waiting.deadline) {
-				waiting.notify(false)
+		q.waiting[rank] = slices.DeleteFunc(waiters, func(w *waiter) bool {
+			if now.Add(q.bucket.waitTime(ahead + 1)).After(w.deadline) {
+				w.notify(false)
 				return true
 			}
 			ahead++
@@ -115,8 +114,8 @@
 	}
 }
 
-// remove removes a call whose caller stopped waiting.
-func (q *callQueue) remove(gone *waiter) {
-	rank := gone.class.rank()
-	q.waiting[rank] = slices.DeleteFunc(q.waiting[rank], func(waiting *waiter) bool { return waiting == gone })
+// remove removes a call that no longer waits, because its caller gave up.
+func (q *callQueue) remove(w *waiter) {
+	rank := w.class.rank()
+	q.waiting[rank] = slices.DeleteFunc(q.waiting[rank], func(other *waiter) bool { return other == w })
 }
--- a/internal/state/limiter.go
+++ b/internal/state/limiter.go
@@ -17,8 +17,9 @@
 }
 
 // Limiter keeps the calls of all processes together below the store's rate limits, without
-// communication between the processes. Each process adapts its rate to its own throttled calls,
-// and always has its equal share of the limit. A Limiter is safe for concurrent use.
+// communication between the processes. Each process lowers its rate when its own calls are
+// throttled, but may always use an equal share of the limits. A Limiter is safe for concurrent
+// use.
 type Limiter struct {
 	options LimiterOptions
 	writes  *kindLimiter
@@ -29,21 +30,21 @@
 type LimiterOptions struct {
 	Rates Rates
 	// Members returns the number of processes that share the limits, as far as this process
-	// knows. If it is nil or returns at most 1, a large fleet is assumed.
+	// knows. If Members is nil or returns at most 1, the limiter assumes a large fleet.
 	Members func() int
 	Now     func() time.Time
-	// OnLowered is called after the rate of a kind of call was lowered, with the new rate in
-	// calls per second.
+	// OnLowered is called after the rate for a kind of call was lowered. allowed is the new
+	// rate in calls per second.
 	OnLowered func(kind CallKind, allowed float64)
 }
 
-// assumedMembers is the number of processes assumed while no other is known, so that a fleet
-// whose daemons all start at once does not begin with the full rate each. It is the size of
-// large fleets.
+// assumedMembers is the number of processes assumed while no other process is known. It is the
+// size of a large fleet, so that daemons which all start at once do not begin with the full
+// rate each.
 const assumedMembers = 400
 
 // guaranteedShare is the part of the store's limit that the minimum rates of all processes add
-// up to. The rest is a reserve for processes that others do not know of yet.
+// up to. The rest is a reserve for processes that some of the others do not know yet.
 const guaranteedShare = 0.9
 
 // NewLimiter returns a limiter. All of its options are optional.
@@ -80,16 +81,15 @@
 	return limiter
 }
 
-// Calls that a process may send at once when it starts: a write to register itself, and the
-// first reads of its tables.
+// The numbers of calls that a process may send at once when it starts: one write to register
+// itself, and the first reads of its tables.
 const (
 	initialWriteBurst = 1
 	initialReadBurst  = 3
 )
 
-// newBucketFor returns the bucket of one process for writes or reads. It starts at the
-// guaranteed rate if the store's limit is declared, and else at undeclaredMaxRate, until the
-// first call is throttled.
+// newBucketFor returns the bucket of one process for writes or reads. If the store's limit is
+// declared, the bucket starts at the guaranteed rate. Otherwise it starts at undeclaredMaxRate.
 func newBucketFor(kind CallKind, declaredRate float64, members int, now time.Time) *adaptiveBucket {
 	if declaredRate <= 0 {
 		return newAdaptiveBucket(undeclaredMinRate, undeclaredMaxRate, undeclaredMaxRate, minBurst, now)
@@ -133,16 +133,16 @@
 // sure to miss the deadline of ctx or to wait longer than maxQueueWait, and also if ctx ends.
 func (l *Limiter) waitForSlot(ctx context.Context, kind CallKind, class Class) error {
 	limiter := l.forKind(kind)
-	verdict := make(chan bool, 1)
+	result := make(chan bool, 1)
 	deadline, _ := ctx.Deadline()
-	waiting := &waiter{class: class, deadline: deadline, notify: func(granted bool) { verdict <- granted }}
+	w := &waiter{class: class, deadline: deadline, notify: func(granted bool) { result <- granted }}
 	limiter.mutex.Lock()
 	l.updateMinRate(limiter)
-	limiter.queue.enqueue(l.options.Now(), waiting)
+	limiter.queue.enqueue(l.options.Now(), w)
 	l.grantDue(limiter)
 	limiter.mutex.Unlock()
 	select {
-	case granted := <-verdict:
+	case granted := <-result:
 		if !granted {
 			return eris.Wrapf(ErrThrottled, "%s not sent: no rate-limit slot in time", kind)
 		}
@@ -150,7 +150,7 @@
 	case <-ctx.Done():
 		limiter.mutex.Lock()
 		defer limiter.mutex.Unlock()
-		limiter.queue.remove(waiting)
+		limiter.queue.remove(w)
 		return eris.Wrapf(ErrThrottled, "%s not sent: %v", kind, ctx.Err())
 	}
 }
@@ -173,7 +173,7 @@
 	})
 }
 
-// takeSpareSlot takes a slot if one is free now and no call waits for it.
+// takeSpareSlot takes a slot and returns true if one is free now and no call waits for it.
 func (l *Limiter) takeSpareSlot(kind CallKind) bool {
 	limiter := l.forKind(kind)
 	limiter.mutex.Lock()
@@ -198,7 +198,7 @@
 	}
 	limiter := l.forKind(kind)
 	limiter.mutex.Lock()
-	lowered := limiter.queue.bucket.recordRefusal(l.options.Now())
+	lowered := limiter.queue.bucket.recordThrottled(l.options.Now())
 	allowed := limiter.queue.bucket.rate
 	limiter.mutex.Unlock()
 	if lowered {
@@ -206,12 +206,12 @@
 	}
 }
 
-// restart lowers the declared rates to their minimum after the store was down, since all
-// processes resume their calls at once.
+// restart lowers the current rates to their minimum after the store was down, since all
+// processes resume their calls at once. Rates of kinds without a declared limit do not change.
 func (l *Limiter) restart() {
 	for _, limiter := range []*kindLimiter{l.writes, l.reads} {
 		if limiter.declaredRate <= 0 {
-			continue // the minimum is not a share of the store's limit
+			continue // without a declared limit, the minimum is not this process's share
 		}
 		limiter.mutex.Lock()
 		limiter.queue.bucket.restart(l.options.Now())
--- a/internal/state/limits_model_store_test.go
+++ b/internal/state/limits_model_store_test.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// maySendWrite reports whether the daemon's Room lets it send a write. It schedules another try
-// of a turn commit that has to wait. Without limits every write may be sent.
+// maySendWrite returns whether the daemon's Room lets it send a write, and may take a probe for
+// it. It schedules another attempt of a turn commit that has to wait. Without limits every
+// write may be sent.
 func (m *model) maySendWrite(call *modelCall) bool {
 	room := call.daemon.room
 	if _, full := room.FullSince(); !full || m.strategy == strategyNone || call.class == ClassLease {
 		return true
 	}
-	if call.class == ClassTurn && call.tries == 0 || room.Probe() {
+	if call.class == ClassTurn && call.attempts == 0 || room.Probe() {
 		return true
 	}
 	if call.class == ClassTurn {
-		m.schedule(modelTick, func() { m.try(call) })
+		m.schedule(modelTick, func() { m.attempt(call) })
 	}
 	return false
 }
 
-// retry schedules another try of the call, and of the calls batched with it, after the delay of
-// state.Client.Repeat.
+// retry schedules another attempt of the call, and of the calls batched with it, after the
+// delay of Client.Repeat.
 func (m *model) retry(call *modelCall) {
-	call.tries++
+	call.attempts++
 	for _, each := range call.batched {
 		m.retry(each)
 	}
@@ -29,8 +30,8 @@
 	if m.strategy == strategyRetryBudget && !call.daemon.budget.take() {
 		return
 	}
-	wait := min(initialRetryDelay<<min(call.tries, 3), maxRetryDelay)
-	m.schedule(wait/2+time.Duration(m.random.Int64N(int64(wait))), func() { m.try(call) })
+	wait := min(initialRetryDelay<<min(call.attempts, 3), maxRetryDelay)
+	m.schedule(wait/2+time.Duration(m.random.Int64N(int64(wait))), func() { m.attempt(call) })
 }
 
 // send sends a call to the store and schedules its result.
@@ -55,8 +56,8 @@
 	}
 }
 
-// acceptCall reports whether the store's rate limits allow the call, and counts it against
-// them.
+// acceptCall counts the call against the store's rate limits. It returns false if the call
+// exceeds them.
 func (m *model) acceptCall(call *modelCall) bool {
 	if m.tokens[call.kind] < 1 {
 		return false
@@ -99,7 +100,7 @@
 	if call.kind == CallCommit {
 		queue = call.daemon.writes
 	}
-	queue.bucket.recordRefusal(m.currentTime())
+	queue.bucket.recordThrottled(m.currentTime())
 	m.retry(call)
 }
 
@@ -110,15 +111,15 @@
 		m.retry(call)
 		return
 	}
-	call.tries++
+	call.attempts++
 	for _, each := range call.batched {
-		each.tries++
-		m.try(each)
+		each.attempts++
+		m.attempt(each)
 	}
 	call.batched = nil
 	call.daemon.room.recordRefusal(100)
 	if call.class == ClassTurn {
-		m.try(call)
+		m.attempt(call)
 	}
 }
 
@@ -131,7 +132,8 @@
 	m.retry(call)
 }
 
-// probe schedules probes until one succeeds, and then resumes the daemon's waiting calls.
+// probe schedules probes of the store until one succeeds, and then resumes the daemon's waiting
+// calls.
 func (m *model) probe(daemon *modelDaemon) {
 	m.schedule(probeInterval, func() {
 		if m.isFaultActive() && m.fault.silent {
@@ -144,7 +146,7 @@
 		waiting := daemon.waiting
 		daemon.waiting = nil
 		for _, call := range waiting {
-			m.try(call)
+			m.attempt(call)
 		}
 	})
 }
--- a/internal/state/limits_model_test.go
+++ b/internal/state/limits_model_test.go
@@ -43,7 +43,7 @@
 	partition int
 	arrived   time.Duration
 	deadline  time.Duration
-	tries     int
+	attempts  int
 	done      bool
 	daemon    *modelDaemon
 	batched   []*modelCall // turn commits that are sent in the same call
@@ -125,7 +125,7 @@
 	totalCalls                               int
 }
 
-// newModel returns a simulation with that many daemons.
+// newModel returns a simulation with the given number of daemons.
 func newModel(strategy modelStrategy, daemons int, normalLoadFactor float64, fault modelFault) *model {
 	created := &model{
 		strategy: strategy, fault: fault, normalLoadFactor: normalLoadFactor, random: rand.New(rand.NewPCG(7, uint64(daemons))),
@@ -243,11 +243,11 @@
 	call.daemon, call.arrived, call.partition = daemon, m.now, m.random.IntN(modelPartitions)
 	m.offered[int(m.now/time.Second)]++
 	daemon.budget.recordCall()
-	m.try(call)
+	m.attempt(call)
 }
 
-// try sends a call as soon as the limits of its daemon allow it.
-func (m *model) try(call *modelCall) {
+// attempt sends a call as soon as the limits of its daemon allow it.
+func (m *model) attempt(call *modelCall) {
 	daemon := call.daemon
 	switch {
 	case m.now >= call.deadline:
@@ -265,9 +265,9 @@
 	if call.kind == CallCommit {
 		queue = daemon.writes
 	}
-	pending := &waiter{class: call.class, deadline: time.Unix(1000, 0).Add(call.deadline)}
-	pending.notify = func(granted bool) {
-		delete(daemon.pendingTurns, pending)
+	w := &waiter{class: call.class, deadline: time.Unix(1000, 0).Add(call.deadline)}
+	w.notify = func(granted bool) {
+		delete(daemon.pendingTurns, w)
 		if !granted {
 			m.retry(call)
 			return
@@ -278,22 +278,22 @@
 		m.send(call)
 	}
 	if call.class == ClassTurn {
-		daemon.pendingTurns[pending] = call
+		daemon.pendingTurns[w] = call
 	}
-	queue.enqueue(m.currentTime(), pending)
+	queue.enqueue(m.currentTime(), w)
 }
 
 // batchPendingTurns moves the turn commits that wait at the daemon into the call.
 func (m *model) batchPendingTurns(call *modelCall) {
 	queue := call.daemon.writes
 	rank := ClassTurn.rank()
-	waiting := queue.waiting[rank]
-	count := min(len(waiting), maxBatchRows-1)
-	for _, each := range waiting[:count] {
-		call.batched = append(call.batched, call.daemon.pendingTurns[each])
-		delete(call.daemon.pendingTurns, each)
+	pendingTurns := queue.waiting[rank]
+	count := min(len(pendingTurns), maxBatchRows-1)
+	for _, pending := range pendingTurns[:count] {
+		call.batched = append(call.batched, call.daemon.pendingTurns[pending])
+		delete(call.daemon.pendingTurns, pending)
 	}
-	queue.waiting[rank] = waiting[count:]
+	queue.waiting[rank] = pendingTurns[count:]
 }
 
 // goodput returns the part of the calls begun between two times that were answered before their
--- a/internal/state/limits_test.go
+++ b/internal/state/limits_test.go
@@ -120,7 +120,7 @@
 		enqueue(ClassTurn, 250*time.Millisecond)
 		Expect(refused).To(BeEmpty())
 		enqueue(ClassTurn, 250*time.Millisecond)
-		Expect(refused).To(Equal([]Class{ClassSweep}), "two turn commits are ahead of it")
+		Expect(refused).To(Equal([]Class{ClassSweep}), "it must be refused, since two turn commits are ahead of it")
 		enqueue(ClassRead, 250*time.Millisecond)
 		Expect(refused).To(Equal([]Class{ClassSweep, ClassRead}))
 	})
--- a/internal/state/pace.go
+++ b/internal/state/pace.go
@@ -6,9 +6,9 @@
 )
 
 // adaptiveBucket is a token bucket that limits the calls of one kind of this process. Its rate
-// grows while no call is throttled and is multiplied by rateDecreaseFactor when one is, always
-// between minRate and maxRate. The caller passes the current time to each method that needs it.
-// An adaptiveBucket is not safe for concurrent use.
+// grows while no call is throttled, is multiplied by rateDecreaseFactor after a throttled call,
+// and stays between minRate and maxRate. Methods that depend on the time take it as an
+// argument. An adaptiveBucket is not safe for concurrent use.
 type adaptiveBucket struct {
 	minRate float64 // calls per second
 	maxRate float64 // calls per second
@@ -22,31 +22,33 @@
 
 const (
 	// rateDecreaseFactor is the part of the rate that is left after a throttled call. Four
-	// decreases reduce three times the allowed load to less than the allowed one.
+	// decreases bring a load of three times the store's limit below the limit.
 	rateDecreaseFactor = 0.7
-	// refusalMergeWindow is the time in which several throttled calls lower the rate only once,
-	// since they were sent at the same rate.
-	refusalMergeWindow = 200 * time.Millisecond
-	// rateIncreasePerSecond is how many times minRate is added to the rate per second during
-	// doublingDelay after a decrease.
+	// throttleMergeWindow is the time in which several throttled calls lower the rate only
+	// once. They were sent at the same rate.
+	throttleMergeWindow = 200 * time.Millisecond
+	// rateIncreasePerSecond is the linear growth of the rate per second, as a fraction of
+	// minRate, until doublingDelay has passed since a decrease.
 	rateIncreasePerSecond = 0.2
-	// doublingDelay is how long after a decrease the rate begins to double every doublingTime.
+	// doublingDelay is the time after a decrease from which the rate doubles every
+	// doublingTime.
 	doublingDelay = 3 * time.Second
-	// doublingTime is long enough that daemons which all start at once exceed the store's limit
-	// only a little before the first throttled calls lower their rates.
+	// doublingTime is the time in which the rate doubles. It is long enough that daemons which
+	// all start at once exceed the store's limit only a little before throttled calls lower
+	// their rates.
 	doublingTime = time.Second
 	// burstDuration is the time for which unused tokens accumulate. It makes up for a process
 	// that the operating system schedules late.
 	burstDuration = 50 * time.Millisecond
-	// minBurst is the number of unused tokens that accumulate even at a low rate: as many calls
-	// as one request makes in sequence.
+	// minBurst is the number of tokens that can accumulate even at a low rate. It is as many as
+	// one request needs for its calls, which it makes one after another.
 	minBurst = 4
 	// sentRateWindow is the time constant of the exponential average of sentRate.
 	sentRateWindow = 500 * time.Millisecond
-	// undeclaredMinRate is the minimum in calls per second if the store's limit is not
-	// declared. It lets a daemon keep its lease and follow its tables.
+	// undeclaredMinRate is the minimum rate in calls per second if the store's limit is not
+	// declared. It is enough for a daemon to keep its lease and follow its tables.
 	undeclaredMinRate = 5
-	// undeclaredMaxRate is the maximum in calls per second if the store's limit is not
+	// undeclaredMaxRate is the maximum rate in calls per second if the store's limit is not
 	// declared. It is more than one process needs.
 	undeclaredMaxRate = 10000
 )
@@ -72,7 +74,7 @@
 // maxTokens returns the number of tokens that the bucket can hold.
 func (b *adaptiveBucket) maxTokens() float64 { return max(b.rate*burstDuration.Seconds(), minBurst) }
 
-// raiseRate raises the rate for that many seconds without a throttled call.
+// raiseRate raises the rate for the given time in seconds, in which no call was throttled.
 func (b *adaptiveBucket) raiseRate(seconds float64) {
 	if b.loweredAt.IsZero() || b.now.Sub(b.loweredAt) > doublingDelay {
 		b.rate *= math.Exp2(seconds / doublingTime.Seconds())
@@ -92,9 +94,10 @@
 	return true
 }
 
-// waitTime returns how long it takes at the current rate until that many tokens are available.
-func (b *adaptiveBucket) waitTime(calls int) time.Duration {
-	missing := float64(calls) - b.tokens
+// waitTime returns the time until the bucket has the given number of tokens, at the current
+// rate.
+func (b *adaptiveBucket) waitTime(tokens int) time.Duration {
+	missing := float64(tokens) - b.tokens
 	if missing <= 0 {
 		return 0
 	}
@@ -109,12 +112,13 @@
 	b.loweredAt = time.Time{}
 }
 
-// recordRefusal records that the store throttled a call, and returns whether that lowered the
-// rate. It removes all tokens, so that the next call waits for a new one.
-func (b *adaptiveBucket) recordRefusal(now time.Time) bool {
+// recordThrottled removes all tokens after the store throttled a call, so that the next call
+// waits for a new one. It lowers the rate, unless the rate was lowered within
+// throttleMergeWindow before, and returns whether it did.
+func (b *adaptiveBucket) recordThrottled(now time.Time) bool {
 	b.advance(now)
 	b.tokens = min(b.tokens, 0)
-	if !b.loweredAt.IsZero() && now.Sub(b.loweredAt) < refusalMergeWindow {
+	if !b.loweredAt.IsZero() && now.Sub(b.loweredAt) < throttleMergeWindow {
 		return false
 	}
 	b.loweredAt = now
--- a/internal/state/pace_test.go
+++ b/internal/state/pace_test.go
@@ -29,7 +29,7 @@
 				took = true
 			}
 			if refused && took {
-				bucket.recordRefusal(now)
+				bucket.recordThrottled(now)
 			}
 			g.Expect(bucket.rate).To(BeNumerically(">=", minRate))
 			g.Expect(bucket.rate).To(BeNumerically("<=", maxRate))
@@ -57,7 +57,7 @@
 		for bucket.take() {
 			sent++
 			if sent%10 == 0 {
-				bucket.recordRefusal(now)
+				bucket.recordThrottled(now)
 			}
 		}
 	}
@@ -71,9 +71,9 @@
 	now := time.Unix(1000, 0)
 	bucket := newAdaptiveBucket(10, 1000, 1000, 40, now)
 	g.Expect(bucket.take()).To(BeTrue())
-	g.Expect(bucket.recordRefusal(now)).To(BeTrue())
+	g.Expect(bucket.recordThrottled(now)).To(BeTrue())
 	g.Expect(bucket.take()).To(BeFalse())
-	g.Expect(bucket.recordRefusal(now)).To(BeFalse(), "several throttled calls in a short time lower the rate once")
+	g.Expect(bucket.recordThrottled(now)).To(BeFalse(), "throttled calls in a short time must lower the rate only once")
 	now = now.Add(bucket.waitTime(1))
 	bucket.advance(now)
 	g.Expect(bucket.take()).To(BeTrue())
--- a/internal/state/retrybudget.go
+++ b/internal/state/retrybudget.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// retryBudget limits retries and hedged calls to a share of the first tries, so that an
+// retryBudget limits the further attempts of calls to a share of the first attempts, so that an
 // unresponsive store does not get a multiple of its usual load. It is safe for concurrent use.
-// The zero value has maxRetryTokens tokens.
+// The zero value starts with maxRetryTokens tokens.
 type retryBudget struct {
 	mutex  sync.Mutex
 	tokens float64
@@ -12,11 +12,11 @@
 }
 
 const (
-	retryTokensPerCall = 0.3 // tokens that each first try adds; a further try costs one
-	maxRetryTokens     = 12  // limit of the tokens that accumulate
+	retryTokensPerCall = 0.3 // tokens that each first attempt adds; a further attempt costs one
+	maxRetryTokens     = 12  // limit of the number of tokens
 )
 
-// recordCall adds the tokens for a first try.
+// recordCall adds the tokens for a first attempt.
 func (b *retryBudget) recordCall() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -24,7 +24,7 @@
 	b.tokens = min(b.tokens+retryTokensPerCall, maxRetryTokens)
 }
 
-// take takes a token for a further try. It returns false if there is none.
+// take takes a token for a further attempt. It returns false if there is none.
 func (b *retryBudget) take() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/state/room.go
+++ b/internal/state/room.go
@@ -39,10 +39,10 @@
 }
 
 const (
-	// The maximum keeps the probes of 400 daemons below a seventh of the 1,500 writes per
-	// second that a large store accepts.
 	initialRoomProbeInterval = 100 * time.Millisecond
-	maxRoomProbeInterval     = 2 * time.Second
+	// maxRoomProbeInterval keeps the probes of 400 daemons at 200 to 400 per second, a small
+	// part of the 1,500 writes per second that a large store accepts.
+	maxRoomProbeInterval = 2 * time.Second
 	// refusalRetention is the time without a refusal after which a successful write of any size
 	// proves that the store has space.
 	refusalRetention = 2 * maxRoomProbeInterval
@@ -77,9 +77,9 @@
 	return r.options.Now().Sub(since)
 }
 
-// Probe reports whether the caller may send a write: the store is not full, or the next probe
-// is due and the caller takes it. The probe after that becomes due after an interval, whether
-// or not the caller sends its write.
+// Probe returns true if the store is not full. While the store is full, Probe returns true to
+// one caller per probe interval. That caller may then send a write. The next interval starts
+// even if it does not.
 func (r *Room) Probe() bool {
 	if _, full := r.FullSince(); !full {
 		return true
@@ -89,8 +89,9 @@
 	return r.takeProbe() <= 0
 }
 
-// takeProbe returns 0 if a write may be sent, which takes the next probe if the store is full.
-// Otherwise it returns the time until the next probe is due. The caller holds the mutex.
+// takeProbe returns 0 if the store is not full. While the store is full, takeProbe takes the
+// next probe and returns 0 if that probe is due, and otherwise returns the time until it is
+// due. The caller holds the mutex.
 func (r *Room) takeProbe() time.Duration {
 	if r.fullSince.Load() == 0 {
 		return 0
@@ -110,9 +111,9 @@
 	return withJitter(min(initialRoomProbeInterval<<min(refusals, maxDoublings), maxRoomProbeInterval))
 }
 
-// admit returns nil if the commit may be sent, or ErrFull. A commit of ClassTurn that was sent
-// before waits for its turn to probe.
-func (r *Room) admit(ctx context.Context, commit Commit, tried bool) error {
+// admit returns nil if the commit may be sent, and ErrFull otherwise. isRetry tells that a
+// commit of ClassTurn was sent before; it then waits for a probe.
+func (r *Room) admit(ctx context.Context, commit Commit, isRetry bool) error {
 	if _, full := r.FullSince(); !full || len(commit.Puts) == 0 {
 		return nil
 	}
@@ -120,12 +121,12 @@
 	case ClassLease:
 		return nil
 	case ClassTurn:
-		if tried {
+		if isRetry {
 			return r.waitForProbe(ctx)
 		}
 		return nil
 	case ClassReservation, ClassSettlement, ClassSweep, ClassFollow:
-		// Even one try per reservation would use up the rate limit that turn commits need.
+		// Even one attempt per reservation would use up the rate limit that turn commits need.
 		if !r.Probe() {
 			return eris.Wrap(ErrFull, "commit not sent")
 		}
@@ -133,8 +134,8 @@
 	return nil
 }
 
-// waitForProbe blocks until the store has space or the caller may probe. It returns ErrFull if
-// ctx ends first.
+// waitForProbe waits until the store has space or a probe is due, and takes that probe. It
+// returns ErrFull if ctx ends first.
 func (r *Room) waitForProbe(ctx context.Context) error {
 	for {
 		r.mutex.Lock()
@@ -169,8 +170,8 @@
 	}
 }
 
-// recordRefusal records that the store refused a commit with that many value bytes because it
-// is full.
+// recordRefusal records that the store was full and refused a commit whose values have the
+// given size.
 func (r *Room) recordRefusal(bytes int) {
 	defer r.options.OnRefused()
 	r.mutex.Lock()
--- a/internal/state/room_test.go
+++ b/internal/state/room_test.go
@@ -59,7 +59,7 @@
 		Expect(client.DirectUsable()).To(BeTrue())
 		Expect(availability.Available()).To(BeTrue())
 		Expect(changes).To(Receive(BeTrue()))
-		Expect(refusals.Load()).To(BeEquivalentTo(1), "OnRefused was called")
+		Expect(refusals.Load()).To(BeEquivalentTo(1), "OnRefused must be called once")
 	})
 
 	It("is probed by one call at a time, at growing intervals", func(ctx SpecContext) {
@@ -99,7 +99,7 @@
 		before := memory.Calls("commit")
 		ended := make(chan error, 1)
 		go func() { ended <- commit(ctx, state.ClassTurn) }()
-		Eventually(func() int { return memory.Calls("commit") }).Should(Equal(before+1), "the first try is sent at once")
+		Eventually(func() int { return memory.Calls("commit") }).Should(Equal(before+1), "the first attempt must be sent at once")
 		Eventually(refusals.Load).Should(BeEquivalentTo(2))
 		Expect(ended).NotTo(Receive())
 		advance(time.Millisecond)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -22,8 +22,8 @@
 // row does not exist.
 type Version uint64
 
-// Key identifies a row. A commit whose rows are all in one partition costs the store less than
-// one that spans several partitions.
+// Key identifies a row. A commit to rows of one partition costs the store less than a commit to
+// rows of several partitions.
 type Key struct {
 	Table     string
 	Partition string
@@ -99,13 +99,14 @@
 
 // Store is a transactional store. Implementations are safe for concurrent use.
 type Store interface {
-	// Commit applies the commit and returns its version. The error is or wraps *ConflictError,
+	// Commit applies the commit and returns its version. An error matches *ConflictError,
 	// ErrNotDone, ErrUnknown, ErrFull or ErrThrottled.
 	Commit(ctx context.Context, commit Commit) (Version, error)
 	// Read returns the selected rows from one snapshot.
 	Read(ctx context.Context, selected Range) (Page, error)
-	// Feed waits up to the given time for a change of the table after the version. It returns
-	// ErrHistoryLost if the store no longer knows what changed since then.
+	// Feed waits for a change of the table after the given version, and returns an empty Change
+	// if there was none in the given time. It returns ErrHistoryLost if the store no longer
+	// knows what changed since that version.
 	Feed(ctx context.Context, table string, after Version, wait time.Duration) (Change, error)
 }
 
@@ -119,18 +120,18 @@
 	ErrHistoryLost = errors.New("the store no longer has the requested history")
 )
 
-// ConflictError reports that a condition of a commit did not hold. Nothing was applied.
+// ConflictError means that a condition of a commit did not hold. Nothing was applied.
 type ConflictError struct {
-	Rows []Row // current rows of the commit's conditions, without those that do not exist
+	Rows []Row // rows of the commit's conditions when it was refused, without those that did not exist
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("conflict: a condition does not hold (%d rows of the conditions exist)", len(e.Rows))
+	return fmt.Sprintf("conflict: a condition of the commit does not hold; %d of the rows in its conditions exist", len(e.Rows))
 }
 
-// Find returns the row with the key as it was when the commit was refused, and whether the row
-// existed.
+// Find returns the row with the key as it was when the commit was refused. The second result is
+// false if the row did not exist or no condition of the commit named it.
 func (e *ConflictError) Find(key Key) (Row, bool) {
 	for _, row := range e.Rows {
 		if row.Key == key {
--- a/internal/state/state_suite_test.go
+++ b/internal/state/state_suite_test.go
@@ -150,11 +150,11 @@
 // hangingStore counts commits and never answers them. Its other methods are not implemented.
 type hangingStore struct {
 	state.Store
-	tries atomic.Int64
+	attempts atomic.Int64
 }
 
 func (h *hangingStore) Commit(ctx context.Context, _ state.Commit) (state.Version, error) {
-	h.tries.Add(1)
+	h.attempts.Add(1)
 	<-ctx.Done()
 	return 0, state.ErrUnknown
 }
--- a/internal/state/way.go
+++ b/internal/state/way.go
@@ -10,26 +10,26 @@
 // routeHealth tracks how well this process reaches the store directly. It is safe for
 // concurrent use.
 type routeHealth struct {
-	mutex    sync.Mutex
-	failures int       // consecutive calls that ended with ErrNotDone or ErrUnknown
-	badUntil time.Time // until then, other routes are tried first
+	mutex          sync.Mutex
+	failures       int       // consecutive calls for whose error NoVerdict was true
+	unhealthyUntil time.Time // until then, calls attempt other routes first
 	// firstThrottled is when the first of the consecutive throttled calls ended.
 	firstThrottled time.Time
 	throttled      int // consecutive throttled calls
 }
 
 const (
-	// minDoubtfulFailures is the number of consecutive failures after which a failed call is
-	// retried over another route at once.
-	minDoubtfulFailures = 2
-	// minBadFailures is the number of consecutive failures after which calls try another route
-	// first.
-	minBadFailures = 4
-	// badRouteDuration is how long calls try another route first.
-	badRouteDuration = time.Second
-	// minThrottledTime is how long every call has to be throttled before throttling counts as a
-	// failure of the route. In an overload by all daemons the store still answers some of the
-	// calls.
+	// minDegradedFailures is the number of consecutive failures after which a failed call is
+	// attempted at once over another route.
+	minDegradedFailures = 2
+	// minUnhealthyFailures is the number of consecutive failures after which calls attempt
+	// another route first.
+	minUnhealthyFailures = 4
+	// unhealthyDuration is the time in which calls attempt another route first.
+	unhealthyDuration = time.Second
+	// minThrottledTime is the time in which every call has to be throttled before that counts
+	// as a failure of the route. If all daemons together exceed the rate limit, the store still
+	// answers some of the calls.
 	minThrottledTime = 500 * time.Millisecond
 )
 
@@ -42,76 +42,78 @@
 	}
 	if !NoVerdict(err) {
 		h.failures, h.throttled = 0, 0
-		h.badUntil = time.Time{}
+		h.unhealthyUntil = time.Time{}
 		return
 	}
 	h.failures++
-	if h.failures >= minBadFailures {
-		h.badUntil = time.Now().Add(badRouteDuration)
+	if h.failures >= minUnhealthyFailures {
+		h.unhealthyUntil = time.Now().Add(unhealthyDuration)
 	}
 }
 
-// recordThrottled counts a throttled call. It returns whether calls were throttled for so long
-// that the route counts as failing. The caller holds the mutex.
+// recordThrottled counts a throttled call. It returns true if calls have been throttled for so
+// long that this counts as a failure of the route. The caller holds the mutex.
 func (h *routeHealth) recordThrottled() bool {
 	if h.throttled == 0 {
 		h.firstThrottled = time.Now()
 	}
 	h.throttled++
-	return h.throttled >= minBadFailures && time.Since(h.firstThrottled) >= minThrottledTime
+	return h.throttled >= minUnhealthyFailures && time.Since(h.firstThrottled) >= minThrottledTime
 }
 
-// isDoubtful reports whether failed calls should be retried over another route at once.
-func (h *routeHealth) isDoubtful() bool {
+// isDegraded reports whether a failed call should be attempted at once over another route.
+func (h *routeHealth) isDegraded() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return h.failures >= minDoubtfulFailures
+	return h.failures >= minDegradedFailures
 }
 
-// isBad reports whether calls should try another route first.
-func (h *routeHealth) isBad() bool {
+// isUnhealthy reports whether calls should attempt another route first.
+func (h *routeHealth) isUnhealthy() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return time.Now().Before(h.badUntil)
+	return time.Now().Before(h.unhealthyUntil)
 }
 
-// shouldAvoid reports whether a call should try another route first. When badRouteDuration is
-// over, it returns false to one call, which tests the direct route, and extends the time for
-// the others.
+// shouldAvoid returns whether a call should attempt another route first. After
+// unhealthyDuration it returns false to one call, which tests the direct route, and starts
+// another unhealthyDuration for the other calls.
 func (h *routeHealth) shouldAvoid() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if time.Now().Before(h.badUntil) {
+	if time.Now().Before(h.unhealthyUntil) {
 		return true
 	}
-	if h.failures >= minBadFailures {
-		h.badUntil = time.Now().Add(badRouteDuration)
+	if h.failures >= minUnhealthyFailures {
+		h.unhealthyUntil = time.Now().Add(unhealthyDuration)
 	}
 	return false
 }
 
-// DirectUsable reports whether this process reaches the store directly.
-func (c *Client) DirectUsable() bool { return !c.directHealth.isBad() }
+// DirectUsable reports whether this process can reach the store directly. It returns false
+// while the direct route is unhealthy.
+func (c *Client) DirectUsable() bool { return !c.directHealth.isUnhealthy() }
 
-// isDirectDoubtful reports whether there is another route and the direct one fails often.
-func (c *Client) isDirectDoubtful() bool { return c.alternative != nil && c.directHealth.isDoubtful() }
+// isDirectDegraded reports whether there is an alternative route and the direct route is
+// degraded.
+func (c *Client) isDirectDegraded() bool { return c.alternative != nil && c.directHealth.isDegraded() }
 
-// chooseRoute returns the route of a try, and a function to call with the context and the error
-// of the try. Even tries, from 0, use the direct route and odd ones the alternative, or the
-// reverse while the direct route is bad. Throttled calls lower this process's rate on both
-// routes, since only this process can send fewer calls.
-func (c *Client) chooseRoute(try int, kind CallKind) (Store, func(ctx context.Context, err error)) {
-	isAvoided := c.directHealth.isBad
-	if try == 0 {
+// chooseRoute returns the route of an attempt, and a function that must be called with the
+// context and the error of the attempt. Even attempts, counted from 0, use the direct route and
+// odd ones the alternative, or the reverse while the direct route is unhealthy. A throttled
+// call lowers this process's rate whichever route it took.
+func (c *Client) chooseRoute(attempt int, kind CallKind) (Store, func(ctx context.Context, err error)) {
+	isAvoided := c.directHealth.isUnhealthy
+	if attempt == 0 {
 		isAvoided = c.directHealth.shouldAvoid
 	}
-	if c.alternative != nil && (try%2 == 1) != isAvoided() {
+	if c.alternative != nil && (attempt%2 == 1) != isAvoided() {
 		return c.alternative, func(_ context.Context, err error) { c.limiter.recordResult(kind, err) }
 	}
 	return c.direct, func(ctx context.Context, err error) {
 		c.limiter.recordResult(kind, err)
 		if NoVerdict(err) && ctx.Err() == context.Canceled {
-			return // hedge canceled the try, since another one was answered
+			return // hedge canceled the attempt, since another one was answered
 		}
 		c.directHealth.record(err)
 	}
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -34,13 +34,13 @@
 
 // The outcomes, one for each error of the store that callers distinguish.
 const (
-	endingDone Ending = iota + 1
-	endingConflict
-	endingNotDone
-	endingUnknown
-	endingHistoryLost
-	endingFull
-	endingThrottled
+	outcomeDone Ending = iota + 1
+	outcomeConflict
+	outcomeNotDone
+	outcomeUnknown
+	outcomeHistoryLost
+	outcomeFull
+	outcomeThrottled
 )
 
 // CommitReply is the reply to a relayed commit.
@@ -91,14 +91,14 @@
 // Commit serves a relayed commit. It never returns an error: the outcome is in the reply.
 func (s *Service) Commit(commit state.Commit, reply *CommitReply) error {
 	if !s.usable() {
-		reply.Ending, reply.Detail = endingNotDone, storeUnreachableDetail
+		reply.Ending, reply.Detail = outcomeNotDone, storeUnreachableDetail
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	version, err := s.direct.Commit(ctx, commit)
 	reply.Version = version
-	reply.Ending, reply.Detail = endingOf(err)
+	reply.Ending, reply.Detail = outcomeOf(err)
 	var conflict *state.ConflictError
 	if errors.As(err, &conflict) {
 		reply.Rows = conflict.Rows
@@ -109,70 +109,70 @@
 // Read serves a relayed read. It never returns an error: the outcome is in the reply.
 func (s *Service) Read(selected state.Range, reply *ReadReply) error {
 	if !s.usable() {
-		reply.Ending, reply.Detail = endingNotDone, storeUnreachableDetail
+		reply.Ending, reply.Detail = outcomeNotDone, storeUnreachableDetail
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	page, err := s.direct.Read(ctx, selected)
 	reply.Page = page
-	reply.Ending, reply.Detail = endingOf(err)
+	reply.Ending, reply.Detail = outcomeOf(err)
 	return nil
 }
 
 // Feed serves a relayed feed. It never returns an error: the outcome is in the reply.
 func (s *Service) Feed(request FeedRequest, reply *FeedReply) error {
 	if !s.usable() {
-		reply.Ending, reply.Detail = endingNotDone, storeUnreachableDetail
+		reply.Ending, reply.Detail = outcomeNotDone, storeUnreachableDetail
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), request.Wait+callTimeout)
 	defer cancel()
 	change, err := s.direct.Feed(ctx, request.Table, request.After, request.Wait)
 	reply.Change = change
-	reply.Ending, reply.Detail = endingOf(err)
+	reply.Ending, reply.Detail = outcomeOf(err)
 	return nil
 }
 
 // storeUnreachableDetail is the detail of a reply to a call that was not sent to the store.
-const storeUnreachableDetail = "this daemon cannot reach the store either"
+const storeUnreachableDetail = "the relaying daemon cannot reach the store either"
 
-// endingOf returns the outcome and the message for an error of the store.
-func endingOf(err error) (Ending, string) {
+// outcomeOf returns the outcome that stands for an error of the store, and the error's message.
+func outcomeOf(err error) (Ending, string) {
 	var conflict *state.ConflictError
 	switch {
 	case err == nil:
-		return endingDone, ""
+		return outcomeDone, ""
 	case errors.As(err, &conflict):
-		return endingConflict, ""
+		return outcomeConflict, ""
 	case errors.Is(err, state.ErrFull):
-		return endingFull, err.Error()
+		return outcomeFull, err.Error()
 	case errors.Is(err, state.ErrThrottled):
-		return endingThrottled, err.Error()
+		return outcomeThrottled, err.Error()
 	case errors.Is(err, state.ErrNotDone):
-		return endingNotDone, err.Error()
+		return outcomeNotDone, err.Error()
 	case errors.Is(err, state.ErrHistoryLost):
-		return endingHistoryLost, err.Error()
+		return outcomeHistoryLost, err.Error()
 	default:
-		return endingUnknown, err.Error()
+		return outcomeUnknown, err.Error()
 	}
 }
 
 // errorOf returns the error for an outcome. It matches, with errors.Is or errors.As, the error
 // that the other daemon got from the store.
-func errorOf(ending Ending, detail string, rows []state.Row) error {
-	switch ending {
-	case endingDone:
+func errorOf(outcome Ending, detail string, rows []state.Row) error {
+	switch outcome {
+	case outcomeDone:
 		return nil
-	case endingConflict:
+	case outcomeConflict:
 		return &state.ConflictError{Rows: rows}
-	case endingNotDone:
+	case outcomeNotDone:
 		return eris.Wrap(state.ErrNotDone, detail)
-	case endingFull:
+	case outcomeFull:
 		return eris.Wrap(state.ErrFull, detail)
-	case endingThrottled:
+	case outcomeThrottled:
 		return eris.Wrap(state.ErrThrottled, detail)
-	case endingHistoryLost:
+	case outcomeHistoryLost:
 		return eris.Wrap(state.ErrHistoryLost, detail)
 	default:
 		return eris.Wrap(state.ErrUnknown, detail)
@@ -194,7 +194,7 @@
 	return &Relay{list: list, caller: caller, seeds: seeds}
 }
 
-// suspectDuration is how long a daemon that failed to answer is not called again.
+// suspectDuration is the time in which a daemon that failed to answer is not called again.
 const suspectDuration = time.Second
 
 // Commit implements state.Store.
--- a/internal/writebehind/conn.go
+++ b/internal/writebehind/conn.go
@@ -22,14 +22,14 @@
 )
 
 // ErrSlow means that the connection was reset because the peer read too slowly.
-var ErrSlow = errors.New("the peer does not read")
+var ErrSlow = errors.New("the peer reads too slowly")
 
 // blockBytes is the size of the blocks in which bytes are buffered. It holds a few events of a
 // stream, or half of what a relay reads at once.
 const blockBytes = 4 << 10
 
-// Conn is a connection that buffers writes for a slow peer. Only one goroutine may write and
-// only one may read at a time. All other methods are safe for concurrent use.
+// Conn is a connection that buffers writes for a slow peer. At most one goroutine may write and
+// one may read at the same time. All other methods are safe for concurrent use.
 type Conn struct {
 	net.Conn
 	group *Group
@@ -100,8 +100,8 @@
 	return c.tryCount, err
 }
 
-// buffer copies the bytes into blocks. If there is no space, it waits for at most Options.Pause
-// in all.
+// buffer copies the bytes into blocks, and waits for at most Options.Pause in total if the
+// account has no space.
 func (c *Conn) buffer(content []byte) (int, error) {
 	buffered := 0
 	var deadline time.Time // end of the wait; zero: not waiting yet
@@ -136,8 +136,8 @@
 	return count
 }
 
-// ensureSpace reports whether the last block has space. If it does not, ensureSpace adds a
-// block, provided that the account has space for one.
+// ensureSpace adds a block if the last one is full. It returns false if the account has no
+// space for a block.
 func (c *Conn) ensureSpace() bool {
 	last := len(c.blocks) - 1
 	if last >= 0 && len(c.blocks[last]) < cap(c.blocks[last]) {
@@ -153,8 +153,8 @@
 	return true
 }
 
-// writeUnbuffered writes directly to the connection and blocks until the deadline at most. It
-// is used when there is no space for a single block.
+// writeUnbuffered writes directly to the connection, and blocks at most until the deadline. It
+// is used when the account has no space for even one block.
 func (c *Conn) writeUnbuffered(content []byte, deadline time.Time) (int, error) {
 	c.mutex.Unlock()
 	count, err := c.writeUntil(content, deadline)
@@ -182,8 +182,8 @@
 	return count, err
 }
 
-// waitForBlock waits until a block was written or the connection failed. It fails the
-// connection with ErrSlow if the deadline passes first.
+// waitForBlock waits until a block is written or the connection fails. If neither happens
+// before the deadline, it fails the connection with ErrSlow.
 func (c *Conn) waitForBlock(deadline time.Time) {
 	timer := time.AfterFunc(time.Until(deadline), func() {
 		c.mutex.Lock()
@@ -224,8 +224,8 @@
 	return c.Conn.Close()
 }
 
-// Own sets the owner for which buffered bytes are counted. It takes effect when nothing is
-// buffered. Own does nothing if the Conn is nil.
+// Own sets the owner for which buffered bytes are counted. The new owner takes effect once
+// nothing is buffered. Own does nothing if the Conn is nil.
 func (c *Conn) Own(owner memory.Owner) {
 	if c == nil {
 		return
@@ -235,8 +235,8 @@
 	c.owner = owner
 }
 
-// Slow reports whether the connection was reset because the peer read too slowly. It is false
-// for a nil Conn.
+// Slow reports whether the connection was reset because the peer read too slowly. It returns
+// false for a nil Conn.
 func (c *Conn) Slow() bool {
 	if c == nil {
 		return false
--- a/internal/writebehind/conn_test.go
+++ b/internal/writebehind/conn_test.go
@@ -23,11 +23,11 @@
 	RunSpecs(t, "writebehind")
 }
 
-// Sizes of the kernel's socket buffers, small enough to be filled quickly. With a smaller
-// receive window, TCP would reopen it only by timers, which is slow.
+// Sizes of the kernel's socket buffers in bytes. They are small, so that a test fills them
+// quickly, but not smaller: TCP would then reopen the receive window only after a timer.
 const (
-	writeBufferBytes = 16 << 10 // of the writing side
-	readBufferBytes  = 64 << 10 // of the reading side
+	writeBufferBytes = 16 << 10 // at the writing end
+	readBufferBytes  = 64 << 10 // at the reading end
 )
 
 // connectedPair returns both ends of a TCP connection with small socket buffers.
@@ -78,8 +78,8 @@
 }
 
 // TestBytesArriveInOrder writes random content in pieces of random sizes to a peer that reads
-// it. All bytes and the end of the stream arrive, in order, and the buffered bytes never exceed
-// the limit of the account.
+// it. All bytes and the end of the stream arrive, in order. The buffered bytes never exceed the
+// limit of the account.
 func TestBytesArriveInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		near, far, err := connectedPair()
@@ -144,7 +144,7 @@
 		}
 	}
 
-	It("accepts writes without waiting until almost half of the limit is buffered for one owner", func() {
+	It("does not delay writes while less than almost half of the limit is buffered for one owner", func() {
 		conn, _, group := newTestConn(limit, forever, forever)
 		conn.Own("one")
 		written := 0
--- a/internal/writebehind/drain.go
+++ b/internal/writebehind/drain.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// nextBlock removes and returns the first block. If none is left or the connection failed, it
-// ends the draining, completes a requested close, and returns false.
+// nextBlock removes and returns the first block. If there is none, or the connection failed,
+// nextBlock ends the draining and returns false. It then also completes a Close or CloseWrite
+// that was requested.
 func (c *Conn) nextBlock() ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -56,8 +57,8 @@
 }
 
 // writeBlock writes the block. It returns ErrSlow if the peer accepts no bytes for
-// Options.Silence. Since a write that makes some progress restarts the time, a peer that
-// stopped reading is detected after up to twice Options.Silence.
+// Options.Silence. Each write that makes some progress restarts that time, so a peer that stops
+// reading is detected after at most twice Options.Silence.
 func (c *Conn) writeBlock(block []byte) error {
 	for len(block) > 0 {
 		if err := c.SetWriteDeadline(time.Now().Add(c.group.options.Silence)); err != nil {
@@ -78,8 +79,8 @@
 	return nil
 }
 
-// finishBlock releases the memory of a written block, and fails the connection if the write
-// failed.
+// finishBlock gives the memory of a written block back to the account, and fails the connection
+// if the write failed.
 func (c *Conn) finishBlock(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -90,8 +91,8 @@
 	c.changed.Broadcast()
 }
 
-// fail closes the connection with a reset, which also frees the kernel's send buffer. The
-// caller holds the mutex.
+// fail closes the connection with a reset, which also frees the kernel's send buffer. All
+// further writes return err. The caller holds the mutex.
 func (c *Conn) fail(err error) {
 	c.failure = err
 	c.blocks = nil
@@ -106,7 +107,7 @@
 	c.changed.Broadcast()
 }
 
-// release returns the memory of all blocks to the account. The caller holds the mutex.
+// release gives the memory of all blocks back to the account. The caller holds the mutex.
 func (c *Conn) release() {
 	c.holding.Close()
 	c.holding = nil
--- a/internal/writebehind/group.go
+++ b/internal/writebehind/group.go
@@ -20,8 +20,8 @@
 	// Account counts the buffered bytes. If it is nil or has no limit, connections are not
 	// buffered.
 	Account *memory.Account
-	// Silence is how long the peer may accept no bytes while some are buffered for it, before
-	// its connection is reset.
+	// Silence is the time after which a connection is reset if bytes are buffered for its peer
+	// and the peer accepts none.
 	Silence time.Duration
 	// Pause is the longest time for which a Write waits for buffer space. During that time the
 	// engine that produces the data has to wait too.
@@ -53,8 +53,8 @@
 // NewGroup returns a Group without connections.
 func NewGroup(options Options) *Group { return &Group{options: options} }
 
-// Wrap returns a *Conn for the connection. It returns the connection itself if the account has
-// no limit, or if the connection does not support non-blocking writes.
+// Wrap returns a *Conn that wraps the connection. It returns the connection itself if the
+// account has no limit, or if the connection does not support non-blocking writes.
 func (g *Group) Wrap(connection net.Conn) net.Conn {
 	if g == nil || g.options.Account == nil || g.options.Account.Limit() == 0 {
 		return connection
@@ -90,7 +90,7 @@
 	if g.options.Log == nil || now-last < int64(logInterval) || !g.lastLogged.CompareAndSwap(last, now) {
 		return
 	}
-	g.options.Log.Warn("answer: connection reset because the client does not read.", zap.Stringer("caller", address),
+	g.options.Log.Warn("answer: connection reset because the client reads too slowly.", zap.Stringer("caller", address),
 		zap.String("cause", cause.Error()), zap.Int64("soFar", total), zap.Int64("held", g.options.Account.Held()))
 }
 
@@ -101,10 +101,10 @@
 			Name: "thymeloft_callers_behind", Help: "Client connections with buffered bytes of answers.",
 		}, func() float64 { return float64(g.drainingConns.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: "thymeloft_callers_paused_total", Help: "Writes to clients that waited for buffer space and delayed an engine.",
+			Name: "thymeloft_callers_paused_total", Help: "Client writes delayed because no buffer space was free.",
 		}, func() float64 { return float64(g.pausedWrites.Load()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: "thymeloft_callers_slow_total", Help: "Client connections reset because the client did not read.",
+			Name: "thymeloft_callers_slow_total", Help: "Client connections reset because the client read too slowly.",
 		}, func() float64 { return float64(g.slowConns.Load()) }),
 	}
 	for _, collector := range collectors {
