--- a/internal/rowset/rowset.go
+++ b/internal/rowset/rowset.go
@@ -35,7 +35,7 @@
 	// maxEnvelopeBytes is the largest size of a row in bytes, not counting its part of the
 	// value.
 	maxEnvelopeBytes = 24
-	maxRows          = 11 // per value: 11 rows of 64 KiB, encoded as base64, fit into a commit of 1 MB
+	maxRows          = 11 // rows of one value; 11 rows of 64 KiB, encoded as base64, fit into a commit of 1 MB
 	separator        = "/"
 	rangeEndSuffix   = "0" // the character after the separator; ends the range of a value's rows
 	// Partitions is the number of partitions over which values are spread. The store executes
@@ -43,8 +43,8 @@
 	// another.
 	Partitions = 256
 	// partitionsPerValue is the number of partitions in which a value may be stored. A value is
-	// stored in the first of them that accepts it, so that it can be written while others are
-	// down.
+	// stored in the first of them that accepts it, so that it can be written even if some of
+	// them are down.
 	partitionsPerValue = 5
 )
 
--- a/internal/state/availability.go
+++ b/internal/state/availability.go
@@ -28,7 +28,8 @@
 	// answered call in between, before the store counts as down.
 	minFailingPartitions = 3
 	// minUnansweredTime is the time without any answered call that is needed before the store
-	// counts as down. If only some partitions are down, calls to the others are still answered.
+	// counts as down. It keeps an outage of some partitions, during which calls to the others
+	// are still answered, from counting as an outage of the store.
 	minUnansweredTime = 200 * time.Millisecond
 )
 
--- a/internal/state/class.go
+++ b/internal/state/class.go
@@ -10,7 +10,7 @@
 const (
 	ClassOther       Class = iota // unspecified; as important as ClassRead
 	ClassLease                    // writes leases and member rows, or confirms a configuration
-	ClassTurn                     // saves or loads a turn of a conversation while a client waits for its answer
+	ClassTurn                     // saves or loads a turn of a conversation; a client waits for the answer
 	ClassReservation              // reserves the budget that a turn may use; a request waits for it
 	ClassRead                     // any other read that a request waits for
 	ClassFollow                   // a feed, or a read that follows the changes of a table
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -11,10 +11,10 @@
 	"github.com/thymeloft/thymeloft/internal/pause"
 )
 
-// Client is a Store for use by the rest of the daemon. It hedges commits and reads, over two
-// routes to the store if an alternative is given, limits their rate, and tracks whether the
-// store is available and has space. While the store is down, a single background probe checks
-// whether it answers again.
+// Client is a Store for use by the rest of the daemon. It limits the rate of all calls, and
+// hedges commits and reads. If an alternative route to the store is given, it uses both routes.
+// It tracks whether the store is available and whether it has space. While the store is down,
+// one background probe checks whether the store answers again.
 //
 // A commit may be sent more than once, so callers make each commit idempotent through its keys
 // and conditions. A Client is safe for concurrent use.
@@ -105,15 +105,18 @@
 )
 
 // Commit implements Store. While the store is full, it handles commits by class. A commit of
-// ClassTurn is sent at once, and again each time Room lets it probe, until it succeeds or ctx
-// ends. A commit of ClassReservation, ClassSettlement, ClassSweep or ClassFollow fails with
-// ErrFull unless Room lets it probe. All other commits, and commits without puts, are sent.
+// ClassTurn is sent at once. While it fails with ErrFull, it is sent again each time Room lets
+// it probe, until ctx ends. A commit of ClassReservation, ClassSettlement, ClassSweep or
+// ClassFollow fails with ErrFull unless Room lets it probe. All other commits, and commits
+// without puts, are sent.
 func (c *Client) Commit(ctx context.Context, commit Commit) (Version, error) {
 	version, err := c.commitRetryingWhenFull(ctx, commit)
 	c.metrics.recordCall(commit.Class, err)
 	return version, err
 }
 
+// commitRetryingWhenFull sends a commit that Room admits. It sends a commit of ClassTurn again
+// while the store is full.
 func (c *Client) commitRetryingWhenFull(ctx context.Context, commit Commit) (Version, error) {
 	if ctx.Err() != nil {
 		return 0, eris.Wrapf(ErrNotDone, "commit not sent: %v", ctx.Err())
--- a/internal/state/gate_test.go
+++ b/internal/state/gate_test.go
@@ -24,7 +24,7 @@
 	name := func(number int) string { return strconv.Itoa(number) }
 
 	// countAdmitted tries to enter all partitions in each step until the given time, and
-	// returns how many calls were let through without waiting. Each of them fails.
+	// returns how many calls were let through without waiting. All these calls fail.
 	countAdmitted := func(until time.Time) int {
 		count := 0
 		for ; now.Before(until); now = now.Add(step) {
@@ -53,9 +53,9 @@
 	It("are let through one at a time, at an interval that does not depend on how many failed", func() {
 		const interval = 100 * time.Millisecond
 		availability.PaceTries(func() time.Duration { return interval })
-		tries := countAdmitted(now.Add(span))
-		Expect(tries).To(BeNumerically(">=", int(span/interval)))
-		Expect(tries).To(BeNumerically("<=", int(2*span/interval)+1), "jitter shortens an interval by up to a half")
+		admitted := countAdmitted(now.Add(span))
+		Expect(admitted).To(BeNumerically(">=", int(span/interval)))
+		Expect(admitted).To(BeNumerically("<=", int(2*span/interval)+1), "jitter shortens an interval by up to a half")
 	})
 
 	It("do not delay calls to other partitions", func() {
--- a/internal/state/group.go
+++ b/internal/state/group.go
@@ -18,7 +18,7 @@
 // commits are sent again one by one.
 type commitBatcher struct {
 	slots rateSlots
-	send  func(ctx context.Context, commit Commit, together int) (Version, error)
+	send  func(ctx context.Context, commit Commit, commitCount int) (Version, error)
 	now   func() time.Time
 
 	mutex       sync.Mutex
--- a/internal/state/limits_model_store_test.go
+++ b/internal/state/limits_model_store_test.go
@@ -23,8 +23,8 @@
 // delay of Client.Repeat.
 func (m *model) retry(call *modelCall) {
 	call.attempts++
-	for _, each := range call.batched {
-		m.retry(each)
+	for _, batchedCall := range call.batched {
+		m.retry(batchedCall)
 	}
 	call.batched = nil
 	if m.strategy == strategyRetryBudget && !call.daemon.budget.take() {
@@ -83,8 +83,8 @@
 	if call.kind == CallCommit {
 		call.daemon.room.recordWrite(100, time.Unix(1000, 0).Add(sent))
 	}
-	for _, each := range call.batched {
-		m.recordAnswer(each, sent)
+	for _, batchedCall := range call.batched {
+		m.recordAnswer(batchedCall, sent)
 	}
 	call.batched = nil
 	if call.done || m.now > call.deadline {
@@ -112,9 +112,9 @@
 		return
 	}
 	call.attempts++
-	for _, each := range call.batched {
-		each.attempts++
-		m.attempt(each)
+	for _, batchedCall := range call.batched {
+		batchedCall.attempts++
+		m.attempt(batchedCall)
 	}
 	call.batched = nil
 	call.daemon.room.recordRefusal(100)
--- a/internal/state/limits_model_test.go
+++ b/internal/state/limits_model_test.go
@@ -29,10 +29,10 @@
 
 const (
 	strategyNone            modelStrategy = "no limiter"
-	strategyFixed           modelStrategy = "equal parts"
-	strategyAdaptive        modelStrategy = "adapts, no floor"
-	strategyAdaptiveMinRate modelStrategy = "adapts, with a floor"
-	strategyBatching        modelStrategy = "adapts, with a floor and groups"
+	strategyFixed           modelStrategy = "equal shares"
+	strategyAdaptive        modelStrategy = "adaptive, no minimum rate"
+	strategyAdaptiveMinRate modelStrategy = "adaptive, with a minimum rate"
+	strategyBatching        modelStrategy = "adaptive, with a minimum rate and batches"
 	strategyRetryBudget     modelStrategy = "retry budget alone"
 )
 
@@ -105,7 +105,7 @@
 	loadFactor   float64 // load during the fault, as a multiple of the normal load; 0: no load spike
 	full         bool    // the store refuses all writes because it is full
 	silent       bool    // the store does not answer
-	isFleetStart bool    // all daemons start at the time from and make their first calls
+	isFleetStart bool    // all daemons start when the fault begins, and make their first calls
 }
 
 // model is the state of one simulation.
@@ -120,7 +120,7 @@
 	tokens             map[CallKind]float64           // calls that the store accepts now
 	partitionBusyUntil [modelPartitions]time.Duration // time at which each partition has finished its commits
 
-	offered, served                          map[int]int // number of calls by the second in which they arrived
+	offered, served                          map[int]int // calls offered and served, by the second in which they arrived
 	callsOutsideFault, throttledOutsideFault int         // number of calls while the fault is not active
 	totalCalls                               int
 }
--- a/internal/state/metrics.go
+++ b/internal/state/metrics.go
@@ -12,7 +12,7 @@
 type clientMetrics struct {
 	calls *prometheus.CounterVec
 	waits *prometheus.HistogramVec
-	// commitsPerCall is the number of commits that one call combined.
+	// commitsPerCall is the number of commits in one call.
 	commitsPerCall prometheus.Histogram
 }
 
--- a/internal/state/pace.go
+++ b/internal/state/pace.go
@@ -15,7 +15,7 @@
 
 	rate      float64   // calls per second
 	tokens    float64   // calls that may be sent at once
-	sentRate  float64   // calls per second sent recently
+	sentRate  float64   // calls per second that were sent recently
 	now       time.Time // time of the last advance
 	loweredAt time.Time // when the rate was last lowered; zero: not since the start or the last restart
 }
--- a/internal/state/pace_test.go
+++ b/internal/state/pace_test.go
@@ -20,7 +20,7 @@
 		now := time.Unix(1000, 0)
 		bucket := newAdaptiveBucket(minRate, maxRate, minRate, 1, now)
 		sent, span := 0, time.Duration(0)
-		for _, refused := range rapid.SliceOfN(rapid.Bool(), 100, 1000).Draw(t, "refused") {
+		for _, throttled := range rapid.SliceOfN(rapid.Bool(), 100, 1000).Draw(t, "refused") {
 			now, span = now.Add(step), span+step
 			bucket.advance(now)
 			took := false
@@ -28,7 +28,7 @@
 				sent++
 				took = true
 			}
-			if refused && took {
+			if throttled && took {
 				bucket.recordThrottled(now)
 			}
 			g.Expect(bucket.rate).To(BeNumerically(">=", minRate))
@@ -43,9 +43,9 @@
 	})
 }
 
-// TestAdaptiveBucketSendsMinRateDespiteRefusals throttles one call in ten. The bucket still
+// TestAdaptiveBucketSendsMinRateDespiteThrottling throttles one call in ten. The bucket still
 // allows its minimum rate.
-func TestAdaptiveBucketSendsMinRateDespiteRefusals(t *testing.T) {
+func TestAdaptiveBucketSendsMinRateDespiteThrottling(t *testing.T) {
 	g := NewWithT(t)
 	const minRate, seconds = 20.0, 10
 	now := time.Unix(1000, 0)
@@ -64,9 +64,9 @@
 	g.Expect(sent).To(BeNumerically(">=", minRate*seconds*0.9))
 }
 
-// TestAdaptiveBucketDelaysCallAfterRefusal checks that no call is sent right after a throttled
+// TestAdaptiveBucketDelaysCallAfterThrottledCall checks that no call is sent right after a throttled
 // one.
-func TestAdaptiveBucketDelaysCallAfterRefusal(t *testing.T) {
+func TestAdaptiveBucketDelaysCallAfterThrottledCall(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	bucket := newAdaptiveBucket(10, 1000, 1000, 40, now)
--- a/internal/state/room.go
+++ b/internal/state/room.go
@@ -10,10 +10,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Room tracks whether the store is full. While it is, commits that can wait are held back, so
-// that they do not use up the rate limit. One of them at a time is let through, at growing
-// intervals, to probe whether there is space again. A Room is safe for concurrent use;
-// FullSince takes no lock.
+// Room tracks whether the store is full. While the store is full, Room holds back commits that
+// can wait, so that they do not use up the rate limit. It lets one of them at a time through,
+// at growing intervals, to probe whether the store has space again. A Room is safe for
+// concurrent use. FullSince takes no lock.
 type Room struct {
 	options RoomOptions
 
@@ -30,8 +30,9 @@
 // RoomOptions configures a Room. All of its fields are optional.
 type RoomOptions struct {
 	Now func() time.Time
-	// OnChange is called when the store becomes full, and when it has space again, then with
-	// the time for which it was full. It runs with a lock held.
+	// OnChange is called when the store becomes full and when it has space again. lasted is the
+	// time for which the store was full, or 0 if it became full. OnChange runs with the Room's
+	// lock held.
 	OnChange func(full bool, lasted time.Duration)
 	// OnRefused is called for each commit that the store refused because it is full, so that
 	// expired rows can be removed. It must not block.
@@ -78,8 +79,8 @@
 }
 
 // Probe returns true if the store is not full. While the store is full, Probe returns true to
-// one caller per probe interval. That caller may then send a write. The next interval starts
-// even if it does not.
+// one caller per probe interval. That caller may send a write. The next interval starts even if
+// the caller sends none.
 func (r *Room) Probe() bool {
 	if _, full := r.FullSince(); !full {
 		return true
@@ -111,8 +112,8 @@
 	return withJitter(min(initialRoomProbeInterval<<min(refusals, maxDoublings), maxRoomProbeInterval))
 }
 
-// admit returns nil if the commit may be sent, and ErrFull otherwise. isRetry tells that a
-// commit of ClassTurn was sent before; it then waits for a probe.
+// admit returns nil if the commit may be sent, and ErrFull otherwise. isRetry means that the
+// commit was sent before. A retry of a commit of ClassTurn waits for a probe.
 func (r *Room) admit(ctx context.Context, commit Commit, isRetry bool) error {
 	if _, full := r.FullSince(); !full || len(commit.Puts) == 0 {
 		return nil
@@ -189,10 +190,11 @@
 	r.options.OnChange(true, 0)
 }
 
-// recordWrite records a successful commit with puts. The store counts as no longer full if the
-// commit was sent after the last refusal and is at least as large as the smallest refused one,
-// or refusalRetention has passed. A smaller commit proves less: a full store still accepts a
-// small row that replaces its former value.
+// recordWrite records a successful commit with puts that was sent at the given time. The store
+// no longer counts as full if the commit was sent after the last refusal, and either its values
+// are at least as large as those of the smallest refused commit, or refusalRetention has passed
+// since the last refusal. A smaller commit proves less: a full store still accepts a small row
+// that replaces its former value.
 func (r *Room) recordWrite(bytes int, sent time.Time) {
 	since, full := r.FullSince()
 	if !full {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -104,9 +104,9 @@
 	Commit(ctx context.Context, commit Commit) (Version, error)
 	// Read returns the selected rows from one snapshot.
 	Read(ctx context.Context, selected Range) (Page, error)
-	// Feed waits for a change of the table after the given version, and returns an empty Change
-	// if there was none in the given time. It returns ErrHistoryLost if the store no longer
-	// knows what changed since that version.
+	// Feed waits for a change of the table after the given version. If there is none in the
+	// given time, Feed returns a Change without rows. It returns ErrHistoryLost if the store no
+	// longer knows what changed since that version.
 	Feed(ctx context.Context, table string, after Version, wait time.Duration) (Change, error)
 }
 
@@ -122,7 +122,7 @@
 
 // ConflictError means that a condition of a commit did not hold. Nothing was applied.
 type ConflictError struct {
-	Rows []Row // rows of the commit's conditions when it was refused, without those that did not exist
+	Rows []Row // rows of the commit's conditions when the commit was refused, without those that did not exist
 }
 
 // Error implements error.
--- a/internal/state/way.go
+++ b/internal/state/way.go
@@ -100,8 +100,8 @@
 
 // chooseRoute returns the route of an attempt, and a function that must be called with the
 // context and the error of the attempt. Even attempts, counted from 0, use the direct route and
-// odd ones the alternative, or the reverse while the direct route is unhealthy. A throttled
-// call lowers this process's rate whichever route it took.
+// odd ones the alternative, if there is one. While the direct route is unhealthy, it is the
+// reverse. A throttled call lowers this process's rate whichever route it took.
 func (c *Client) chooseRoute(attempt int, kind CallKind) (Store, func(ctx context.Context, err error)) {
 	isAvoided := c.directHealth.isUnhealthy
 	if attempt == 0 {
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -1,6 +1,7 @@
-// Package storerelay lets a daemon call the store through another daemon, for use when the
-// store refuses, throttles or cannot be reached from this machine alone. Each relayed call is
-// sent once, and its error is the one that the other daemon got from the store.
+// Package storerelay lets a daemon call the store through another daemon. It is for the case
+// that only this machine cannot reach the store, or that the store refuses or throttles only
+// this machine's calls. Each relayed call is sent once. Its error is the one that the other
+// daemon got from the store.
 package storerelay
 
 import (
@@ -83,7 +84,7 @@
 }
 
 // NewService returns a Service that sends calls to direct. usable reports whether this daemon
-// reaches the store directly; while it returns false, all calls are refused.
+// reaches the store directly. While usable returns false, the Service refuses all calls.
 func NewService(direct state.Store, usable func() bool) *Service {
 	return &Service{direct: direct, usable: usable}
 }
@@ -186,10 +187,10 @@
 	seeds  []string
 }
 
-// NewRelay returns a Relay that calls the daemons in list. If every other daemon in it is
+// NewRelay returns a Relay that calls the daemons in list. If every other daemon in the list is
 // suspected, or there is none, the Relay calls one of the seeds, which are addresses of daemons
-// that may be gone. This lets a daemon that cannot reach the store when it starts read the list
-// of members.
+// that may be gone. This lets a daemon read the list of members even if it cannot reach the
+// store when it starts.
 func NewRelay(list *members.List, caller peer.Caller, seeds []string) *Relay {
 	return &Relay{list: list, caller: caller, seeds: seeds}
 }
--- a/internal/writebehind/conn.go
+++ b/internal/writebehind/conn.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// Write implements net.Conn. After an error, all further writes fail.
+// Write implements net.Conn. It waits for buffer space for at most Options.Pause.
 func (c *Conn) Write(content []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -136,8 +136,8 @@
 	return count
 }
 
-// ensureSpace adds a block if the last one is full. It returns false if the account has no
-// space for a block.
+// ensureSpace adds a block if there is none with free space. It returns false if the account
+// has no space for a block.
 func (c *Conn) ensureSpace() bool {
 	last := len(c.blocks) - 1
 	if last >= 0 && len(c.blocks[last]) < cap(c.blocks[last]) {
--- a/internal/writebehind/conn_test.go
+++ b/internal/writebehind/conn_test.go
@@ -52,8 +52,9 @@
 // forever is a timeout that no test reaches.
 const forever = time.Hour
 
-// newTestConn returns a Conn whose account has the limit, its TCP peer, and its group. At the
-// end of the test it closes both and checks that all memory was returned.
+// newTestConn returns a Conn whose account has the given limit, the TCP connection of its peer,
+// and its group. A cleanup function closes both connections after the test and checks that all
+// memory was given back to the account.
 func newTestConn(limit int64, silence, pause time.Duration) (*Conn, *net.TCPConn, *Group) {
 	GinkgoHelper()
 	near, far, err := connectedPair()
--- a/internal/writebehind/drain.go
+++ b/internal/writebehind/drain.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// nextBlock removes and returns the first block. If there is none, or the connection failed,
-// nextBlock ends the draining and returns false. It then also completes a Close or CloseWrite
-// that was requested.
+// nextBlock removes and returns the first block. If there is none, nextBlock ends the draining,
+// completes a Close or CloseWrite that was requested meanwhile, and returns false. If the
+// connection failed, nextBlock only ends the draining and returns false.
 func (c *Conn) nextBlock() ([]byte, bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/writebehind/group.go
+++ b/internal/writebehind/group.go
@@ -21,7 +21,7 @@
 	// buffered.
 	Account *memory.Account
 	// Silence is the time after which a connection is reset if bytes are buffered for its peer
-	// and the peer accepts none.
+	// and the peer accepts none. The reset may come up to the same time later.
 	Silence time.Duration
 	// Pause is the longest time for which a Write waits for buffer space. During that time the
 	// engine that produces the data has to wait too.
@@ -81,8 +81,8 @@
 	}
 }
 
-// recordSlow counts a connection that was reset because of a slow peer, and logs it at most
-// once per second.
+// recordSlow counts a connection that was reset because of a slow peer. It logs a warning at
+// most once per second.
 func (g *Group) recordSlow(address net.Addr, cause error) {
 	const logInterval = time.Second
 	total := g.slowConns.Add(1)
