--- a/internal/state/group_test.go
+++ b/internal/state/group_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// Turns end faster than the rate limit allows to record them one by one.
+// Turns end faster than the rate limit allows them to be recorded one by one.
 var _ = Describe("turn commits that wait for the rate limit", func() {
 	var batcher *commitBatcher
 	var free bool
--- a/internal/state/limits_model_store_test.go
+++ b/internal/state/limits_model_store_test.go
@@ -20,7 +20,8 @@
 }
 
 // retry schedules another attempt of the call, and of the calls batched with it, after the
-// delay of Client.Repeat.
+// delay of Client.Repeat. With strategyRetryBudget, it drops the call if the budget has no
+// token.
 func (m *model) retry(call *modelCall) {
 	call.attempts++
 	for _, batchedCall := range call.batched {
@@ -123,7 +124,7 @@
 	}
 }
 
-// recordTimeout makes the daemon consider the store down and probe it.
+// recordTimeout makes the daemon consider the store down and probe it, and retries the call.
 func (m *model) recordTimeout(call *modelCall) {
 	if !call.daemon.believesDown {
 		call.daemon.believesDown = true
--- a/internal/state/limits_test.go
+++ b/internal/state/limits_test.go
@@ -77,7 +77,7 @@
 	var granted []Class
 	var refused []Class
 
-	// enqueue adds a call with a deadline after the timeout.
+	// enqueue adds a call whose deadline is the given time from now.
 	enqueue := func(class Class, timeout time.Duration) *waiter {
 		call := &waiter{class: class, deadline: now.Add(timeout), notify: func(ok bool) {
 			if ok {
--- a/internal/state/pace_test.go
+++ b/internal/state/pace_test.go
@@ -64,8 +64,8 @@
 	g.Expect(sent).To(BeNumerically(">=", minRate*seconds*0.9))
 }
 
-// TestAdaptiveBucketDelaysCallAfterThrottledCall checks that no call is sent right after a throttled
-// one.
+// TestAdaptiveBucketDelaysCallAfterThrottledCall checks that no call is sent right after a
+// throttled one.
 func TestAdaptiveBucketDelaysCallAfterThrottledCall(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
--- a/internal/state/room_test.go
+++ b/internal/state/room_test.go
@@ -12,8 +12,9 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// A full store refuses every write while turns continue to end and programs to start. If that
-// were handled like an unresponsive store, retries would exceed the rate limit.
+// While the store is full, it refuses every write, but turns still end and programs still
+// start. If its refusals were handled like the silence of an unresponsive store, retries would
+// exceed the rate limit.
 var _ = Describe("a full store", func() {
 	var memory *memorystore.Store
 	var clock atomic.Int64
