--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,22 +8,24 @@
 	"github.com/thymeloft/thymeloft/internal/admission"
 )
 
-// admittedTurn is what admission was told of a request; its zero value: nothing.
+// admittedTurn is a turn that admission control counts as running. The zero value means that
+// the request was not reported to admission control.
 type admittedTurn struct {
-	request *admission.Request
-	first   bool // of its program, as far as is known
-	since   time.Time
+	request   *admission.Request
+	isFirst   bool // whether it is the first known turn of its program
+	startedAt time.Time
 }
 
-// admitProgram asks whether the program of a first turn may begin, and counts the turn of one
-// that has begun. It returns *Refusal. It comes after the reservation of the budget, whose
-// holder knows of turns that came through other daemons.
+// admitProgram asks admission control whether the program of a first turn may start, and
+// reports the turn of a program that has already started. The error is a *Refusal if the
+// program may not start. It must run after reserveBudget, since the reservation tells
+// whether earlier turns of the program ran through other daemons.
 func (e *execution) admitProgram() error {
 	if e.gateway.Admission == nil || e.call.Program == "" || !e.service.Model {
 		return nil
 	}
-	turn := admittedTurn{request: e.admissionRequest(), first: !e.goesOn(), since: time.Now()}
-	if !turn.first {
+	turn := admittedTurn{request: e.admissionRequest(), isFirst: !e.hasProgramStarted(), startedAt: time.Now()}
+	if !turn.isFirst {
 		e.gateway.Admission.Continue(turn.request)
 		e.admitted = turn
 		return nil
@@ -31,16 +33,16 @@
 	err := e.gateway.Admission.Begin(turn.request)
 	var refused *admission.RefusedError
 	if errors.As(err, &refused) {
-		e.gateway.begun.forget(e.scoped(e.call.Program)) // its quota's place is given back
-		return notRun(ReasonOverload, refused.After, err)
+		e.gateway.recentPrograms.remove(e.tenantScoped(e.call.Program)) // no engine ran the request, so its quota permit is returned too
+		return notRunRefusal(ReasonOverload, refused.After, err)
 	}
 	e.admitted = turn
 	return err
 }
 
-// goesOn tells whether the turn's program has begun: it names an earlier turn, or the holder
-// of its budget knows what the program generated or where it was read.
-func (e *execution) goesOn() bool {
+// hasProgramStarted reports whether an earlier turn of the program is known: either the call
+// names it, or the budget reservation reports generated tokens or an engine for the program.
+func (e *execution) hasProgramStarted() bool {
 	if e.call.Previous != "" {
 		return true
 	}
@@ -51,10 +53,11 @@
 	return engine != "" || e.reservation.Attained() > 0
 }
 
+// admissionRequest returns the description of the request for admission control.
 func (e *execution) admissionRequest() *admission.Request {
 	request := &admission.Request{
-		Service: e.service.Name, Route: e.route.Name, Program: e.scoped(e.call.Program), Priority: e.route.Priority,
-		Everywhere: e.everywhere, TimeLeft: e.call.ProgramDeadline, Room: e.room(), Random: rand.Float64(),
+		Service: e.service.Name, Route: e.route.Name, Program: e.tenantScoped(e.call.Program), Priority: e.route.Priority,
+		Everywhere: e.sharedParts, TimeLeft: e.call.ProgramDeadline, Room: e.engineRoom(), Random: rand.Float64(),
 	}
 	for _, part := range e.call.Prefix {
 		request.Prompt = append(request.Prompt, admission.PromptPart{Name: part.Name, Tokens: part.Tokens})
@@ -68,8 +71,9 @@
 	return request
 }
 
-// room is what the engines of the service hold that may get work.
-func (e *execution) room() admission.Room {
+// engineRoom returns how many engines of the service accept work, and the tokens that each
+// of them can hold. Engines that are draining or gone are not counted.
+func (e *execution) engineRoom() admission.Room {
 	room := admission.Room{MemoryTokens: e.service.MemoryTokens, SharedTokens: e.gateway.Fleet.Sharing.Tokens()}
 	for _, instance := range e.gateway.Fleet.Of(e.service.Name) {
 		if _, leaving := instance.Leaving(); !leaving {
@@ -79,26 +83,29 @@
 	return room
 }
 
-// noteFirstByte tells how long a turn of a program under way waited for its engine.
-func (e *execution) noteFirstByte() {
-	if e.admitted.request != nil && !e.admitted.first {
-		e.gateway.Admission.Answered(e.service.Name, time.Since(e.admitted.since))
+// reportFirstByte reports the time from admission to the first byte of the answer to admission
+// control, for turns of programs that had already started.
+func (e *execution) reportFirstByte() {
+	if e.admitted.request != nil && !e.admitted.isFirst {
+		e.gateway.Admission.Answered(e.service.Name, time.Since(e.admitted.startedAt))
 	}
 }
 
-// generatedCost is what a generated token costs an engine, in tokens read: it takes a slot for
-// a step, in which an engine with full slots reads some tens.
-const generatedCost = 10
+// generatedTokenCost is the cost of a generated token, in prompt tokens. A generated token
+// occupies one slot for one batch step, in which a fully used engine reads some tens of
+// prompt tokens.
+const generatedTokenCost = 10
 
-// leaveProgram counts the turn out.
-func (e *execution) leaveProgram() {
+// leaveAdmission tells admission control that the turn has ended, with its cost in tokens. A
+// first turn that no engine started is withdrawn, as if its program had never started.
+func (e *execution) leaveAdmission() {
 	if e.admitted.request == nil {
 		return
 	}
-	generated := e.events.begun() * e.service.TokensPerEvent
-	if e.admitted.first && e.runs == 0 && generated == 0 {
+	generated := e.events.countWithPartial() * e.service.TokensPerEvent
+	if e.admitted.isFirst && e.runs == 0 && generated == 0 {
 		e.gateway.Admission.Drop(e.admitted.request)
 		return
 	}
-	e.gateway.Admission.Leave(e.admitted.request, int64(e.believed.missing+generatedCost*generated))
+	e.gateway.Admission.Leave(e.admitted.request, int64(e.placement.missingTokens+generatedTokenCost*generated))
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -16,15 +16,15 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// drawnOn is a reservation whose holder knows what the program did through other daemons.
-type drawnOn struct {
+// startedReservation is a budget reservation that reports earlier work of the program.
+type startedReservation struct {
 	budget.Settler
 	attained int64
 	engine   string
 }
 
-func (d drawnOn) Attained() int64       { return d.attained }
-func (d drawnOn) ReadAt() (string, int) { return d.engine, 1 }
+func (d startedReservation) Attained() int64       { return d.attained }
+func (d startedReservation) ReadAt() (string, int) { return d.engine, 1 }
 
 var _ = Describe("admitProgram", func() {
 	var current *execution
@@ -36,49 +36,49 @@
 			Members: func() int { return 1 }, Services: func() []string { return []string{"llm"} }, Now: time.Now, Log: zap.NewNop(),
 		})
 		current = &execution{
-			gateway: &Gateway{Options: Options{Fleet: fleet, Admission: controller}, begun: newBegunPrograms()},
+			gateway: &Gateway{Options: Options{Fleet: fleet, Admission: controller}, recentPrograms: newRecentPrograms()},
 			service: &routetable.Service{Name: "llm", Model: true, MemoryTokens: 1000},
 			route:   &routetable.Route{Name: "chat", Priority: 1},
 			call:    Call{Program: "p", Prefix: []backend.PromptPart{{Name: "all", Tokens: 5000}}},
 		}
 	})
 
-	It("refuses a first turn for which there is no room, with when to come back", func() {
+	It("refuses a first turn when the engines have no room, and says when to retry", func() {
 		var refusal *Refusal
-		current.gateway.begun.note("p")
+		current.gateway.recentPrograms.add("p")
 		Expect(errors.As(current.admitProgram(), &refusal)).To(BeTrue())
 		Expect(refusal.Reason).To(Equal(ReasonOverload))
 		Expect(refusal.Status).To(Equal(503))
 		Expect(refusal.After).To(BeNumerically(">", 0))
-		Expect(current.leaveProgram).NotTo(Panic())
-		Expect(current.gateway.begun.has("p")).To(BeFalse())
+		Expect(current.leaveAdmission).NotTo(Panic())
+		Expect(current.gateway.recentPrograms.has("p")).To(BeFalse())
 	})
 
-	DescribeTable("lets go on what has begun, also through other daemons", func(begun func()) {
-		begun()
+	DescribeTable("admits a turn of a started program, and requests that need no admission", func(prepare func()) {
+		prepare()
 		Expect(current.admitProgram()).To(Succeed())
 	},
-		Entry("it names a turn", func() { current.call.Previous = "t" }),
-		Entry("its program generated something", func() { current.reservation = drawnOn{attained: 1} }),
-		Entry("its program was read at an engine", func() { current.reservation = drawnOn{engine: "e1"} }),
-		Entry("it belongs to no program", func() { current.call.Program = "" }),
-		Entry("it is a tool's call", func() { current.service.Model = false }),
-		Entry("admission is switched off", func() { current.gateway.Admission = nil }),
+		Entry("the call names an earlier turn", func() { current.call.Previous = "t" }),
+		Entry("the program generated tokens through another daemon", func() { current.reservation = startedReservation{attained: 1} }),
+		Entry("an engine read the program's prompt for another daemon", func() { current.reservation = startedReservation{engine: "e1"} }),
+		Entry("the call belongs to no program", func() { current.call.Program = "" }),
+		Entry("the service is not a model", func() { current.service.Model = false }),
+		Entry("admission control is disabled", func() { current.gateway.Admission = nil }),
 	)
 
-	It("knows the engines that may get work, and goes by the tenant's priority before the route's", func() {
-		Expect(current.room()).To(Equal(admission.Room{Engines: 1, MemoryTokens: 1000}))
+	It("counts only engines that accept work, and prefers the tenant's priority to the route's", func() {
+		Expect(current.engineRoom()).To(Equal(admission.Room{Engines: 1, MemoryTokens: 1000}))
 		Expect(current.admissionRequest().Priority).To(Equal(1))
-		first := 0
-		current.tenant = &tenant.Tenant{Name: identity.Tenant("t"), Priority: &first}
+		highest := 0
+		current.tenant = &tenant.Tenant{Name: identity.Tenant("t"), Priority: &highest}
 		Expect(current.admissionRequest().Priority).To(Equal(0))
 		Expect(current.admissionRequest().Tenant).To(Equal("t"))
 	})
 
-	It("takes back a program that no engine began to run", func() {
+	It("withdraws a program that no engine started", func() {
 		current.call.Prefix[0].Tokens = 900
 		Expect(current.admitProgram()).To(Succeed())
-		current.leaveProgram()
+		current.leaveAdmission()
 		current.call.Program = "q"
 		Expect(current.admitProgram()).To(Succeed())
 	})
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -14,35 +14,39 @@
 	"github.com/thymeloft/thymeloft/internal/routetable"
 )
 
-// Bounds of the search for an instance.
+// Limits of the search for an instance.
 const (
-	mostOffers    = 4 // instances that a request is offered to in one search
-	engineRecheck = 40 * time.Millisecond
-	// Pauses until full instances are asked again.
-	firstRoomPause   = 20 * time.Millisecond
-	longestRoomPause = 100 * time.Millisecond
+	maxOffersPerSearch = 4 // instances that one search sends the request to
+	// instancePollInterval is the pause between two attempts while a service has no
+	// instance or the quota keepers cannot be reached.
+	instancePollInterval = 40 * time.Millisecond
+	// Bounds of the growing pause between two searches while all instances are full.
+	minFullRetryPause = 20 * time.Millisecond
+	maxFullRetryPause = 100 * time.Millisecond
 )
 
-// ready is an answer whose first bytes arrived.
-type ready struct {
+// startedReply is an instance's answer whose first bytes have been read. It must be closed.
+type startedReply struct {
 	*backend.Reply
-	first []byte // bytes of the body read so far
-	whole bool   // the body ends with them
-	end   func() // counts the request out at the instance
+	firstBytes []byte // the part of the body that was read
+	isComplete bool   // whether firstBytes is the whole body
+	release    func() // ends the request at the instance and cancels its context
 }
 
-// close ends the attempt; an answer not read to its end takes its connection along.
-func (r *ready) close() {
+// close closes the body and ends the request at the instance. If the body was not read to
+// its end, the connection to the instance is closed as well.
+func (r *startedReply) close() {
 	_ = r.Body.Close()
-	r.end()
+	r.release()
 }
 
-// obtain finds an instance that begins to answer the request. When all that are
-// fit refuse it for want of room, it asks them again for a part of its time.
-func (e *execution) obtain(ctx context.Context) (*ready, error) {
-	schedule := pause.Growing(firstRoomPause, longestRoomPause)
+// obtainReply returns the answer of the first instance that starts to answer the request.
+// While all suitable instances refuse it because they are full, it repeats the search with
+// growing pauses, for at most storePatience after the request's arrival.
+func (e *execution) obtainReply(ctx context.Context) (*startedReply, error) {
+	schedule := pause.Growing(minFullRetryPause, maxFullRetryPause)
 	for {
-		reply, err := e.search(ctx)
+		reply, err := e.searchInstance(ctx)
 		if err == nil || reasonOf(err) != ReasonEnginesFull {
 			return reply, err
 		}
@@ -50,51 +54,55 @@
 		if time.Since(e.arrived)+wait > e.storePatience() || !pause.For(ctx, wait) {
 			return nil, err
 		}
-		e.searches++
+		e.repeatedSearches++
 	}
 }
 
-// search offers the request to one instance after the other.
-func (e *execution) search(ctx context.Context) (*ready, error) {
+// searchInstance sends the request to one instance after another until one starts to answer.
+// The error is a *Refusal or a *CutError.
+func (e *execution) searchInstance(ctx context.Context) (*startedReply, error) {
 	var excluded []string
 	offers := 0
 	var last error
 	for {
-		instance, err := e.place(ctx, excluded, last)
+		instance, err := e.chooseInstance(ctx, excluded, last)
 		if err != nil {
 			return nil, err
 		}
 		e.tries++
 		offers++
 		excluded = append(excluded, instance.ID)
-		reply, err := e.offer(ctx, instance)
+		reply, err := e.sendTo(ctx, instance)
 		if err == nil {
 			return reply, nil
 		}
 		if ctx.Err() != nil {
-			return nil, e.ended(err)
+			return nil, e.endedError(err)
 		}
-		if !e.mayOfferAgain(err, offers) || !e.takeForNextRun(err) {
-			return nil, e.exhausted(err)
+		if !e.mayRetry(err, offers) || !e.takeQuotaForRetry(err) {
+			return nil, e.exhaustedError(err)
 		}
-		e.gateway.Log.Info("request: offered again.",
+		e.gateway.Log.Info("request: retrying at another instance.",
 			zap.String("request", e.call.ID), zap.String("engine", instance.ID), zap.Int("tries", e.tries), zap.String("cause", err.Error()))
 		last = err
 	}
 }
 
-// placement is what an instance was believed to be when it was chosen.
+// placement is the state of an instance as this daemon knew it when it chose the instance.
 type placement struct {
-	load    int // requests under way there, of all daemons
-	missing int // tokens of the prompt that it had to read
-	slots   int // requests that it works on at a time
+	load          int // requests in progress at the instance, from all daemons
+	missingTokens int // prompt tokens that the instance had not read before
+	slots         int // requests that the instance processes at the same time
 }
 
-// place chooses an instance; it waits while there is none at all.
-func (e *execution) place(ctx context.Context, excluded []string, last error) (*backend.Instance, error) {
+// chooseInstance returns the best instance whose ID is not in excluded. last is the error of
+// the previous attempt in this search, or nil. If no instance is available, chooseInstance
+// polls for one until storePatience is over if last is nil, and otherwise returns at once. The
+// error is a *Refusal or a *CutError.
+func (e *execution) chooseInstance(ctx context.Context, excluded []string, last error) (*backend.Instance, error) {
 	request := &backend.Request{
 		Prefix:         e.call.Prefix,
-		Everywhere:     e.everywhere,
+		Everywhere:     e.sharedParts,
 		Zone:           e.gateway.Zone,
 		Slots:          e.service.Slots,
 		Excluded:       excluded,
@@ -106,27 +114,28 @@
 		request.Affinity = e.affinity()
 	}
 	for {
-		if e.remaining() < marginToRun {
-			return nil, e.ended(eris.New("no time left to run"))
+		if e.remaining() < minTimeToSend {
+			return nil, e.endedError(eris.New("no time left to run"))
 		}
 		request.Now = time.Now()
-		if chosen := backend.Choose(e.gateway.Fleet.Of(e.service.Name), request); chosen != nil {
-			e.believed = placement{load: chosen.Load(request.Now), missing: backend.Missing(chosen, request), slots: backend.Slots(chosen, request)}
-			return chosen, nil
+		if instance := backend.Choose(e.gateway.Fleet.Of(e.service.Name), request); instance != nil {
+			e.placement = placement{load: instance.Load(request.Now), missingTokens: backend.Missing(instance, request), slots: backend.Slots(instance, request)}
+			return instance, nil
 		}
 		if last != nil {
-			return nil, e.exhausted(last)
+			return nil, e.exhaustedError(last)
 		}
-		if time.Since(e.arrived) > e.storePatience() || !pause.For(ctx, engineRecheck) {
-			return nil, notRun(ReasonNoEngine, comeBackStore, eris.Errorf("no instance of %s", e.service.Name))
+		if time.Since(e.arrived) > e.storePatience() || !pause.For(ctx, instancePollInterval) {
+			return nil, notRunRefusal(ReasonNoEngine, storeRetryAfter, eris.Errorf("no instance of %s", e.service.Name))
 		}
 	}
 }
 
-// affinity names what requests share their prefixes by.
+// affinity returns the key by which requests with a common prefix go to the same instances:
+// the program, or else the first prompt part, or else the request's own ID.
 func (e *execution) affinity() string {
 	if e.call.Program != "" {
-		return e.scoped(e.call.Program)
+		return e.tenantScoped(e.call.Program)
 	}
 	if len(e.call.Prefix) > 0 {
 		return e.call.Prefix[0].Name
@@ -134,57 +143,60 @@
 	return e.call.ID
 }
 
-// rejectedError says that an instance promised not to run the request.
+// rejectedError means that the instance promised not to run the request.
 type rejectedError struct{ status int }
 
 // Error implements error.
 func (r *rejectedError) Error() string { return http.StatusText(r.status) + ", not run" }
 
-// offer sends the request to one instance.
-func (e *execution) offer(ctx context.Context, instance *backend.Instance) (*ready, error) {
+// sendTo sends the request to the instance once and waits for the first bytes of its answer.
+// Failures count against the instance, except those that noteFailure ignores.
+func (e *execution) sendTo(ctx context.Context, instance *backend.Instance) (*startedReply, error) {
 	attempt, cancel := e.attemptContext(ctx)
-	end := instance.Begin()
-	finish := func() { end(); cancel() }
+	endRequest := instance.Begin()
+	release := func() { endRequest(); cancel() }
 	sent := time.Now()
 	e.instance = instance
-	reply, err := instance.Exchange(attempt, e.outgoing(instance))
+	reply, err := instance.Exchange(attempt, e.outgoingRequest(instance))
 	if err != nil {
-		finish()
+		release()
 		e.noteFailure(instance, err, time.Since(sent))
 		return nil, err
 	}
-	answered, err := e.examine(instance, reply)
+	started, err := e.examine(instance, reply)
 	if err != nil {
 		_ = reply.Body.Close()
-		finish()
+		release()
 		instance.Observe(backend.Outcome{Failed: true}, time.Now())
 		return nil, err
 	}
-	e.firstByte = time.Since(sent)
-	e.began = time.Now()
+	e.timeToFirstByte = time.Since(sent)
+	e.firstByteAt = time.Now()
 	instance.Succeeded()
 	instance.Remember(e.call.Prefix)
-	answered.end = finish
-	return answered, nil
+	started.release = release
+	return started, nil
 }
 
-// attemptContext bounds an attempt that may be repeated elsewhere, so that an
-// instance that is silent leaves time for another.
+// attemptContext returns the context of one attempt. If the request may run again at another
+// instance, the context ends after a part of the remaining time, so that a silent instance
+// leaves enough time for the next attempt.
 func (e *execution) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	left := e.route.MaxAttempts - e.runs
-	if e.route.Repeat != routetable.Any || left <= 1 {
+	attemptsLeft := e.route.MaxAttempts - e.runs
+	if e.route.Repeat != routetable.Any || attemptsLeft <= 1 {
 		return context.WithCancel(ctx)
 	}
 	const targetsPerAttempt = 2
-	bound := max(e.remaining()/time.Duration(left), targetsPerAttempt*e.route.Target)
-	return context.WithTimeout(ctx, bound)
+	timeout := max(e.remaining()/time.Duration(attemptsLeft), targetsPerAttempt*e.route.Target)
+	return context.WithTimeout(ctx, timeout)
 }
 
-// outgoing is the request as the instance gets it.
-func (e *execution) outgoing(instance *backend.Instance) *backend.Outgoing {
+// outgoingRequest returns the request for the instance: the caller's headers, those that the
+// gateway adds, and a body that consists of the recorded history and the caller's input.
+func (e *execution) outgoingRequest(instance *backend.Instance) *backend.Outgoing {
 	header := e.request.Header.Clone()
 	dropConnectionHeaders(header)
-	e.gateway.Wire.Forward(header, e.forwarded(instance))
+	e.gateway.Wire.Forward(header, e.forwardedFor(instance))
 	outgoing := &backend.Outgoing{
 		Method: e.request.Method,
 		Target: e.request.RequestURI,
@@ -201,27 +213,29 @@
 	return outgoing
 }
 
-// forwarded is what the instance is told besides the caller's own headers.
-func (e *execution) forwarded(instance *backend.Instance) Forwarded {
-	told := Forwarded{Instance: instance.ID, Remaining: e.remaining(), KeysDemanded: e.table.Tenants.Demanded()}
+// forwardedFor returns what the gateway tells the instance in addition to the caller's headers.
+func (e *execution) forwardedFor(instance *backend.Instance) Forwarded {
+	result := Forwarded{Instance: instance.ID, Remaining: e.remaining(), KeysDemanded: e.table.Tenants.Demanded()}
 	if e.tenant != nil {
-		told.Tenant, told.Priority = e.tenant.Name, e.tenant.Priority
+		result.Tenant, result.Priority = e.tenant.Name, e.tenant.Priority
 	}
-	return told
+	return result
 }
 
-// silenceFails is how long an instance may be silent before a caller that
-// leaves is held against it.
-const silenceFails = 500 * time.Millisecond
+// minSilenceForFailure is the shortest time without an answer after which a caller that
+// disconnects counts as a failure of the instance.
+const minSilenceForFailure = 500 * time.Millisecond
 
-// noteFailure counts an attempt without an answer. A caller that left at once
-// says nothing of the instance.
+// noteFailure counts an attempt that failed with err after the given wait: in e.runs if the
+// instance may have run the request, and as a failure of the instance, which may eject it. If
+// the caller has disconnected, the failure cannot eject the instance, and it is not counted
+// at all if the wait was shorter than minSilenceForFailure.
 func (e *execution) noteFailure(instance *backend.Instance, err error, waited time.Duration) {
 	var lost *backend.LostError
 	if errors.As(err, &lost) {
 		e.runs++
 	}
-	if e.request.Context().Err() != nil && waited < silenceFails {
+	if e.request.Context().Err() != nil && waited < minSilenceForFailure {
 		return
 	}
 	instance.Observe(backend.Outcome{Failed: true}, time.Now())
@@ -234,10 +248,11 @@
 	}
 }
 
-// mayOfferAgain tells whether the error proves that nothing ran, or the
-// request may be repeated, and the bounds allow it.
-func (e *execution) mayOfferAgain(err error, offers int) bool {
-	if offers >= mostOffers {
+// mayRetry reports whether the search may send the request to another instance. err is the
+// error of the last attempt and offers the number of attempts in this search. If the instance
+// may have run the request, the route must allow another run and have attempts left.
+func (e *execution) mayRetry(err error, offers int) bool {
+	if offers >= maxOffersPerSearch {
 		return false
 	}
 	var lost *backend.LostError
@@ -248,32 +263,33 @@
 	return repeatable && e.runs < e.route.MaxAttempts
 }
 
-// exhausted is the final answer after the last attempt.
-func (e *execution) exhausted(err error) error {
+// exhaustedError returns the *Refusal for a request whose last attempt failed with err.
+func (e *execution) exhaustedError(err error) error {
 	var rejected *rejectedError
 	var notSent *backend.NotSentError
 	switch {
 	case e.runs > 0:
-		return unknown(ReasonLost, err)
+		return unknownOutcomeRefusal(ReasonLost, err)
 	case errors.As(err, &rejected):
-		return notRun(ReasonEnginesFull, comeBackSoon, err)
+		return notRunRefusal(ReasonEnginesFull, shortRetryAfter, err)
 	case errors.As(err, &notSent):
-		return notRun(ReasonUnreachable, comeBackSoon, err)
+		return notRunRefusal(ReasonUnreachable, shortRetryAfter, err)
 	default:
-		return unknown(ReasonLost, err)
+		return unknownOutcomeRefusal(ReasonLost, err)
 	}
 }
 
-// ended is the final answer when the time is over or the caller left.
-func (e *execution) ended(err error) error {
+// endedError returns the final error when the deadline has passed (*Refusal) or the caller
+// has disconnected (*CutError).
+func (e *execution) endedError(err error) error {
 	if e.request.Context().Err() != nil {
 		return &CutError{Reason: ReasonCallerLeft, Err: err}
 	}
 	if e.runs == 0 {
 		var lost *backend.LostError
 		if !errors.As(err, &lost) {
-			return notRun(ReasonDeadline, 0, err)
+			return notRunRefusal(ReasonDeadline, 0, err)
 		}
 	}
-	return unknown(ReasonDeadline, err)
+	return unknownOutcomeRefusal(ReasonDeadline, err)
 }
--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -8,9 +8,10 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// authenticate finds whose request it is. A key that this daemon does not know may
-// have been added since it last heard the configuration; the caller then may come
-// back, or reach another daemon, where 401 would be final.
+// authenticate sets the tenant by the caller's key. It returns nil if no key is required, and
+// otherwise a *Refusal if the key is missing or unknown. If the configuration is too old to be
+// sure that the key does not exist, the refusal has status 503, which callers retry, instead
+// of 401, which is final.
 func (e *execution) authenticate() error {
 	if !e.table.Tenants.Demanded() {
 		return nil
@@ -25,28 +26,30 @@
 		return nil
 	}
 	if e.call.Key == nil {
-		return unauthenticated("one key is needed")
+		return unauthenticatedRefusal("exactly one key is required")
 	}
 	if age, _ := e.gateway.Ages(); age > e.gateway.KeysBelieved {
-		return notRun(ReasonUnsureKey, comeBackStore, eris.Errorf("the key is not known, and the configuration was last heard %s ago", age))
+		return notRunRefusal(ReasonUnsureKey, storeRetryAfter, eris.Errorf("unknown key, and the configuration was last updated %s ago", age))
 	}
-	return unauthenticated("the key is not known")
+	return unauthenticatedRefusal("unknown key")
 }
 
-func unauthenticated(cause string) error {
+// unauthenticatedRefusal returns a refusal with status 401.
+func unauthenticatedRefusal(cause string) error {
 	return &Refusal{Status: http.StatusUnauthorized, Reason: ReasonUnknownKey, Err: eris.New(cause)}
 }
 
-// owner names the tenant whose request it is; "": nobody's.
-func (e *execution) owner() string {
+// tenantName returns the name of the request's tenant, or "" if it has none.
+func (e *execution) tenantName() string {
 	if e.tenant == nil {
 		return ""
 	}
 	return string(e.tenant.Name)
 }
 
-// scoped makes a name that a caller chose the tenant's own.
-func (e *execution) scoped(name string) string {
+// tenantScoped returns a name chosen by the caller, qualified by its tenant, so that equal
+// names of different tenants do not clash.
+func (e *execution) tenantScoped(name string) string {
 	if e.tenant == nil {
 		return name
 	}
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -1,7 +1,8 @@
-// Package gateway serves the requests of callers at the engines of a route:
-// it admits a request, reserves the budget of its program, places and sends
-// it, relays the answer as it comes, and records turns before their end is
-// told. The names of the wire belong to an adapter that implements Wire.
+// Package gateway is the HTTP handler that forwards callers' requests to the engines of a
+// route. It authenticates a request, checks quota, budget and admission, chooses an engine,
+// sends the request, and relays the answer as it arrives. On routes that record turns, the
+// end of the answer is relayed only after the turn has been saved. Header names are left to
+// the implementation of Wire.
 package gateway
 
 import (
@@ -14,54 +15,55 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Call is what a caller says of its request.
+// Call holds what the headers of a request say.
 type Call struct {
-	ID              string         // one per attempt of the caller
-	Key             *tenant.Digest // of the caller's key; nil: none that can be read
-	Program         string         // empty: no program
-	Previous        string         // the turn that this one goes on from
-	ResumeFrom      string         // the last event that the caller has of a stream
-	Deadline        time.Duration
-	ProgramDeadline time.Duration
-	Budget          int64 // tokens of the whole program; 0: none
+	ID              string         // identifies one attempt of the caller
+	Key             *tenant.Digest // digest of the caller's key; nil if there is no readable key
+	Program         string         // identifier of the program; empty if there is none
+	Previous        string         // identifier of the turn that this one continues; empty if it starts a conversation
+	ResumeFrom      string         // ID of the last stream event that the caller received
+	Deadline        time.Duration  // time left for the request; 0: not given
+	ProgramDeadline time.Duration  // time left for the program; 0: not given
+	Budget          int64          // tokens that the whole program may generate; 0: unlimited
 	PromptTokens    int64
-	MostTokens      int64 // most that this turn generates
+	MostTokens      int64 // upper limit of the tokens that this turn generates
 	Prefix          []backend.PromptPart
 }
 
-// Forwarded is what the system tells an instance besides the caller's headers.
+// Forwarded holds what the gateway tells an instance in addition to the caller's headers.
 type Forwarded struct {
-	Instance  string
-	Remaining time.Duration // time left for the answer
-	// Tenant is whose request it is; "": nobody's.
+	Instance  string        // ID of the instance
+	Remaining time.Duration // time left for the whole answer
+	// Tenant is the request's tenant; empty if it has none.
 	Tenant identity.Tenant
-	// Priority is the tenant's; nil: the tenant has none.
+	// Priority is the tenant's priority; nil if it has none.
 	Priority *int
-	// KeysDemanded tells that callers show keys, which are not the engine's to see.
+	// KeysDemanded reports that callers authenticate by keys, which must not reach engines.
 	KeysDemanded bool
 }
 
-// Answer is what an instance says of its answer.
+// Answer holds what the headers of an instance's answer say.
 type Answer struct {
-	ID     string // of the request that it answers
-	Signed bool   // the instance's signature is there
-	NotRun bool   // the instance promises that it did not and will not run the request
-	Moved  bool   // another instance has the address
+	ID     string // ID of the request that is answered
+	Signed bool   // whether the header that marks an answer as the instance's own is present
+	NotRun bool   // whether the instance promises that the request did not run and never will
+	Moved  bool   // whether a different instance answered at the address
 }
 
 // Wire translates the headers of callers and instances.
 type Wire interface {
-	// Call reads the headers of a caller, or returns *MalformedError.
+	// Call parses a caller's headers. The error is a *MalformedError.
 	Call(header http.Header) (Call, error)
-	// Forward writes the headers that the system sets itself.
+	// Forward sets the headers that the gateway adds to a request for an instance.
 	Forward(header http.Header, forwarded Forwarded)
-	// Answer reads the headers of an instance.
+	// Answer parses the status and headers of an instance's answer.
 	Answer(status int, header http.Header) Answer
-	// Refuse writes the headers of the system's own answer.
+	// Refuse sets the headers of a refusal. after is the time after which the caller should
+	// retry; 0 means no advice.
 	Refuse(header http.Header, requestID string, after time.Duration)
 }
 
-// MalformedError names a header that cannot be read.
+// MalformedError reports a header whose value cannot be parsed.
 type MalformedError struct {
 	Field string
 	Value string
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -2,40 +2,41 @@
 
 import "bytes"
 
-// eventReader follows an event stream that is relayed: it counts events and
-// collects their data, each followed by a line feed.
+// eventReader parses a server-sent event stream while it is relayed. It counts the events
+// that have data and, if collect is set, keeps their data. It is not safe for concurrent use.
 type eventReader struct {
-	collect bool
-	line    []byte
-	data    []byte // of the event under way
-	started bool   // the event under way has data
-	count   int
-	output  []byte
+	collect bool   // whether to keep the data of events
+	line    []byte // current line so far, without its end
+	data    []byte // data of the current event
+	hasData bool   // whether the current event has a data field
+	count   int    // complete events that have data
+	output  []byte // data of the complete events, each followed by a line feed
 }
 
 var dataField = []byte("data:")
 
-// write takes the next bytes of the stream in.
+// write parses the next bytes of the stream.
 func (e *eventReader) write(chunk []byte) {
 	for len(chunk) > 0 {
 		end := bytes.IndexByte(chunk, '\n')
 		if end < 0 {
-			e.take(chunk)
+			e.appendToLine(chunk)
 			return
 		}
-		e.take(chunk[:end])
+		e.appendToLine(chunk[:end])
 		e.endLine()
 		chunk = chunk[end+1:]
 	}
 }
 
-// take adds to the line; where no data is collected, only what tells its kind.
-func (e *eventReader) take(piece []byte) {
-	const kind = 8 // more than the name of a field of data, and than the end of an empty line
+// appendToLine appends to the current line. If data is not collected, it keeps only the first
+// few bytes, which suffice to recognize a data field or an empty line.
+func (e *eventReader) appendToLine(chunk []byte) {
+	const maxPrefixBytes = 8 // enough to tell a "data:" field, an empty line and all other lines apart
 	if !e.collect {
-		piece = piece[:min(len(piece), max(kind-len(e.line), 0))]
+		chunk = chunk[:min(len(chunk), max(maxPrefixBytes-len(e.line), 0))]
 	}
-	e.line = append(e.line, piece...)
+	e.line = append(e.line, chunk...)
 }
 
 func (e *eventReader) endLine() {
@@ -50,16 +51,16 @@
 		return
 	}
 	if e.collect {
-		if e.started {
+		if e.hasData {
 			e.data = append(e.data, '\n')
 		}
 		e.data = append(e.data, bytes.TrimPrefix(value, []byte(" "))...)
 	}
-	e.started = true
+	e.hasData = true
 }
 
 func (e *eventReader) endEvent() {
-	if !e.started {
+	if !e.hasData {
 		return
 	}
 	e.count++
@@ -68,19 +69,19 @@
 		e.output = append(e.output, '\n')
 	}
 	e.data = e.data[:0]
-	e.started = false
+	e.hasData = false
 }
 
-// partial tells whether an event was begun and not ended.
-func (e *eventReader) partial() bool { return e.started || len(e.line) > 0 }
+// isPartial reports whether the stream so far ends within an event.
+func (e *eventReader) isPartial() bool { return e.hasData || len(e.line) > 0 }
 
-// begun counts events, also one that was begun.
-func (e *eventReader) begun() int {
-	if e.partial() {
+// countWithPartial returns the number of events, including an incomplete last one.
+func (e *eventReader) countWithPartial() int {
+	if e.isPartial() {
 		return e.count + 1
 	}
 	return e.count
 }
 
-// size is how many bytes it keeps.
-func (e *eventReader) size() int64 { return int64(len(e.line) + len(e.data) + len(e.output)) }
+// bufferedBytes returns how many bytes the reader holds.
+func (e *eventReader) bufferedBytes() int64 { return int64(len(e.line) + len(e.data) + len(e.output)) }
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -16,7 +16,7 @@
 var _ = Describe("eventReader", func() {
 	const stream = "id: 1\ndata: one\n\nid: 2\r\ndata:two\r\n\r\n: comment\n\nid: 3\ndata: a\ndata: b\n\n"
 
-	It("counts events and collects their data, however the bytes come", func() {
+	It("counts events and collects their data, whatever the size of the chunks", func() {
 		for size := 1; size < len(stream); size++ {
 			reader := eventReader{collect: true}
 			for rest := stream; rest != ""; {
@@ -24,29 +24,29 @@
 				reader.write([]byte(piece))
 				rest = rest[len(piece):]
 			}
-			Expect(string(reader.output)).To(Equal("one\ntwo\na\nb\n"), "pieces of %d", size)
+			Expect(string(reader.output)).To(Equal("one\ntwo\na\nb\n"), "chunks of %d bytes", size)
 			Expect(reader.count).To(Equal(3))
-			Expect(reader.partial()).To(BeFalse())
+			Expect(reader.isPartial()).To(BeFalse())
 		}
 	})
 
-	It("counts events without keeping them, however long their lines are", func() {
+	It("counts events with long lines without keeping their data", func() {
 		reader := eventReader{}
 		long := strings.Repeat("x", 1<<16)
 		for range 3 {
 			reader.write([]byte("data: " + long))
-			Expect(reader.size()).To(BeNumerically("<", 16))
+			Expect(reader.bufferedBytes()).To(BeNumerically("<", 16))
 			reader.write([]byte(long + "\r\n\r\n"))
-			Expect(reader.size()).To(BeNumerically("<", 16))
+			Expect(reader.bufferedBytes()).To(BeNumerically("<", 16))
 		}
 		Expect(reader.count).To(Equal(3))
-		Expect(reader.partial()).To(BeFalse())
+		Expect(reader.isPartial()).To(BeFalse())
 	})
 
-	It("counts an event that was begun", func() {
+	It("includes an incomplete event in countWithPartial", func() {
 		reader := eventReader{}
 		reader.write([]byte("id: 1\ndata: one\n\nid: 2\nda"))
-		Expect(reader.partial()).To(BeTrue())
-		Expect(reader.begun()).To(Equal(2))
+		Expect(reader.isPartial()).To(BeTrue())
+		Expect(reader.countWithPartial()).To(Equal(2))
 	})
 })
--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -11,52 +11,54 @@
 	"github.com/thymeloft/thymeloft/internal/routetable"
 )
 
-// Bounds of what is read of an answer before its head is passed on.
+// Limits of what is read of an answer before its status and headers are relayed.
 const (
-	// mostBuffered is how much of a plain answer is read, so that one that
-	// breaks off can still be repeated.
-	mostBuffered = 64 << 10
-	firstRead    = 4 << 10
+	// maxBufferedBytes is the most that is buffered of an answer that is not a stream. A request
+	// whose answer breaks off within these bytes can still be repeated.
+	maxBufferedBytes = 64 << 10
+	// firstReadBytes is the size of the buffer for the first bytes of a stream.
+	firstReadBytes = 4 << 10
 )
 
-// examine reads the first bytes of an answer and tells whether it is one that
-// may be passed on.
-func (e *execution) examine(instance *backend.Instance, reply *backend.Reply) (*ready, error) {
+// examine checks whether the answer may be relayed and reads its first bytes. The error is a
+// *rejectedError if the instance promised not to run the request, and otherwise a
+// *backend.LostError.
+func (e *execution) examine(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
 	answer := e.gateway.Wire.Answer(reply.Status, reply.Header)
 	if answer.NotRun {
 		if answer.Moved {
 			e.gateway.Fleet.Displace(instance)
 		}
-		_, _ = io.CopyN(io.Discard, reply.Body, mostBuffered) // the verdict stands; the rest only lets the connection be used again
+		_, _ = io.CopyN(io.Discard, reply.Body, maxBufferedBytes) // drains the body so that the connection can be reused; errors do not matter
 		return nil, &rejectedError{status: reply.Status}
 	}
 	e.runs++
-	if err := e.refuseToPass(answer, reply); err != nil {
+	if err := e.checkAnswer(answer, reply); err != nil {
 		return nil, &backend.LostError{Peer: instance.Address, Step: "examine answer", Err: err}
 	}
 	if e.route.Streaming && reply.Status == http.StatusOK {
-		return readFirst(instance, reply)
+		return readFirstBytes(instance, reply)
 	}
-	return e.readWhole(instance, reply)
+	return e.readPlainAnswer(instance, reply)
 }
 
-// refuseToPass tells why an answer must not reach the caller, or nil.
-func (e *execution) refuseToPass(answer Answer, reply *backend.Reply) error {
+// checkAnswer returns an error if the answer must not reach the caller.
+func (e *execution) checkAnswer(answer Answer, reply *backend.Reply) error {
 	switch {
 	case !answer.Signed || reply.Header.Get("Content-Encoding") != "":
-		return eris.New("the answer is not the instance's own")
+		return eris.New("the answer is unsigned or encoded, so it is not the instance's own")
 	case reply.Status >= http.StatusInternalServerError && e.route.Repeat == routetable.Any && e.runs < e.route.MaxAttempts:
-		return eris.Errorf("the instance failed with %d", reply.Status)
-	case e.route.Repeat == routetable.Once && promisesNotRun(reply.Status):
-		return eris.Errorf("the instance ran the request and answered %d", reply.Status)
+		return eris.Errorf("the instance failed with status %d", reply.Status)
+	case e.route.Repeat == routetable.Once && isNotRunStatus(reply.Status):
+		return eris.Errorf("the instance may have run the request, and answered with status %d, which promises otherwise", reply.Status)
 	default:
 		return nil
 	}
 }
 
-// promisesNotRun tells whether callers take the status for a promise that the
-// request has not run and never will.
-func promisesNotRun(status int) bool {
+// isNotRunStatus reports whether callers understand the status as a promise that the request
+// did not run and never will.
+func isNotRunStatus(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -65,9 +67,10 @@
 	}
 }
 
-// readFirst waits for the first bytes of a stream.
-func readFirst(instance *backend.Instance, reply *backend.Reply) (*ready, error) {
-	buffer := make([]byte, firstRead)
+// readFirstBytes waits for the first bytes of a stream and returns them with the answer. The
+// error is a *backend.LostError.
+func readFirstBytes(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
+	buffer := make([]byte, firstReadBytes)
 	count, err := reply.Body.Read(buffer)
 	for count == 0 && err == nil {
 		count, err = reply.Body.Read(buffer)
@@ -75,23 +78,25 @@
 	if err != nil && err != io.EOF {
 		return nil, &backend.LostError{Peer: instance.Address, Step: "read first event", Err: err}
 	}
-	return &ready{Reply: reply, first: buffer[:count], whole: err == io.EOF}, nil
+	return &startedReply{Reply: reply, firstBytes: buffer[:count], isComplete: err == io.EOF}, nil
 }
 
-// readWhole reads a plain answer up to a bound. Where there is no room for it, less is read: the
-// answer is passed on all the same, and is only not repeated if it breaks off.
-func (e *execution) readWhole(instance *backend.Instance, reply *backend.Reply) (*ready, error) {
-	const end = 1 // read beyond the length, so that the end is seen
-	bound := int64(mostBuffered)
+// readPlainAnswer reads the beginning of an answer that is not a stream: maxBufferedBytes at
+// most, or firstReadBytes if the memory account has no room for more. The rest is relayed
+// later; if the answer breaks off there, the request cannot be repeated. The error is a
+// *backend.LostError.
+func (e *execution) readPlainAnswer(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
+	const extraByte = 1 // beyond the announced length, to see the end of the body
+	limit := int64(maxBufferedBytes)
 	if reply.Length >= 0 {
-		bound = min(bound, reply.Length+end)
+		limit = min(limit, reply.Length+extraByte)
 	}
-	if e.holding.Grow(memory.Answer, bound) != nil {
-		bound = min(bound, firstRead)
+	if e.holding.Grow(memory.Answer, limit) != nil {
+		limit = min(limit, firstReadBytes)
 	}
-	content, err := io.ReadAll(io.LimitReader(reply.Body, bound))
+	content, err := io.ReadAll(io.LimitReader(reply.Body, limit))
 	if err != nil {
 		return nil, &backend.LostError{Peer: instance.Address, Step: "read answer", Err: err}
 	}
-	return &ready{Reply: reply, first: content, whole: int64(len(content)) < bound}, nil
+	return &startedReply{Reply: reply, firstBytes: content, isComplete: int64(len(content)) < limit}, nil
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -19,107 +19,115 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// execution is one request's way through the gateway.
+// execution is the state of one request while the gateway serves it. It is used by one
+// goroutine only.
 type execution struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
 	request *http.Request
 	arrived time.Time
 
-	table       *routetable.Table
-	route       *routetable.Route
-	service     *routetable.Service
-	tenant      *tenant.Tenant // nil: nobody's, where no key is needed
-	call        Call
-	input       []byte
-	history     *turn.Turn      // that the request goes on from; nil: none
-	holding     *memory.Holding // of what is held for this request
-	outputHeld  int64           // bytes of output for which, and for whose copies (copiesToSave), room was taken
-	taken       *quota.Taken    // place in the tenant's quota; nil: no limit
-	reservation budget.Settler
-	everywhere  int // parts of the prompt that every engine keeps
-	admitted    admittedTurn
+	table          *routetable.Table
+	route          *routetable.Route
+	service        *routetable.Service
+	tenant         *tenant.Tenant // nil if the request belongs to no tenant
+	call           Call
+	input          []byte
+	history        *turn.Turn      // the turn that the request continues; nil if none
+	holding        *memory.Holding // memory accounted for this request
+	reservedOutput int64           // bytes of output for which memory is reserved, together with that of their copies
+	quotaPermit    *quota.Taken    // permit from the tenant's quota; nil if there is no limit
+	reservation    budget.Settler  // tokens reserved from the program's budget; nil if none
+	sharedParts    int             // leading prompt parts that every engine is assumed to have in its prefix cache
+	admitted       admittedTurn
 
-	instance  *backend.Instance
-	believed  placement // of the instance, when it was chosen
-	tries     int       // instances that the request was offered to
-	searches  int       // further searches, after all had refused for want of room
-	runs      int       // those that may have begun to run it
-	firstByte time.Duration
-	began     time.Time     // when the first byte arrived
-	waited    time.Duration // for the store
-	headSent  bool
-	status    int
-	events    eventReader
+	instance         *backend.Instance // the instance that was tried last
+	placement        placement         // state of the instance when it was chosen
+	tries            int               // attempts to send the request, in all searches
+	repeatedSearches int               // searches after the first, made because all instances were full
+	runs             int               // attempts in which the instance may have run the request
+	timeToFirstByte  time.Duration     // from sending the request to the first byte of its answer
+	firstByteAt      time.Time         // when the first byte of the answer arrived
+	storeWait        time.Duration     // time spent in prepare, mostly waiting for the store; 0 if it took 1 ms or less
+	headSent         bool              // whether status and headers were written to the caller
+	status           int               // status written to the caller
+	events           eventReader       // events relayed to the caller
 }
 
-// When callers are asked to come back.
 const (
-	comeBackSoon  = 100 * time.Millisecond
-	comeBackStore = 400 * time.Millisecond
-	// marginToRun is the least time left for which a request is still sent.
-	marginToRun = 30 * time.Millisecond
-	// heldShare is the part of its time that a request waits at most.
-	heldShare = 0.45
-	// cutOffPatience is how long a request waits for daemons of its own zone while this one is
-	// cut off: several answers of another daemon, a tenth of what callers give a first event.
-	cutOffPatience = 200 * time.Millisecond
-	// marginToTell is kept so that a final answer arrives within a caller's patience.
-	marginToTell = 250 * time.Millisecond
+	// shortRetryAfter is the delay after which callers should retry if the reason for the refusal
+	// may soon pass, such as full engines.
+	shortRetryAfter = 100 * time.Millisecond
+	// storeRetryAfter is the delay after which callers should retry if the store, the
+	// configuration or an engine is unavailable.
+	storeRetryAfter = 400 * time.Millisecond
+	// minTimeToSend is the shortest remaining time with which a request is still sent.
+	minTimeToSend = 30 * time.Millisecond
+	// maxStoreWaitShare is the largest part of a request's time limit that it may spend waiting
+	// before it is sent.
+	maxStoreWaitShare = 0.45
+	// maxCutOffWait bounds how long a request waits for daemons of its own zone while this
+	// daemon is cut off from the store and the other zones. It is several times the response
+	// time of a daemon, and short compared with how long callers wait for a first event.
+	maxCutOffWait = 200 * time.Millisecond
+	// answerMargin is subtracted from waits so that the final answer still reaches the caller
+	// before the caller gives up.
+	answerMargin = 250 * time.Millisecond
 )
 
-// serve runs the steps; each returns *Refusal or *CutError when it fails.
+// serve runs all steps of the request. The error is a *Refusal or a *CutError.
 func (e *execution) serve() error {
-	defer e.giveBack()
-	defer e.letGo()
+	defer e.returnQuota()
+	defer e.closeHolding()
 	if err := e.admit(); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithDeadline(e.request.Context(), e.arrived.Add(e.allowed()))
+	ctx, cancel := context.WithDeadline(e.request.Context(), e.arrived.Add(e.timeLimit()))
 	defer cancel()
 	if err := e.prepare(ctx); err != nil {
 		return err
 	}
 	if e.reservation != nil {
-		defer e.settle()
+		defer e.settleBudget()
 	}
 	if err := e.admitProgram(); err != nil {
 		return err
 	}
-	defer e.leaveProgram()
-	reply, err := e.obtain(ctx)
+	defer e.leaveAdmission()
+	reply, err := e.obtainReply(ctx)
 	if err != nil {
 		return err
 	}
-	e.noteFirstByte()
+	e.reportFirstByte()
 	defer reply.close()
 	return e.relay(ctx, reply)
 }
 
-// admit finds the route and reads the request.
+// admit reads the headers, finds the route, authenticates the caller, takes a permit from the
+// quota, and reads the body. The error is a *Refusal or a *CutError.
 func (e *execution) admit() error {
 	var err error
 	e.call, err = e.gateway.Wire.Call(e.request.Header)
 	e.table = e.gateway.Routes.Current()
 	if e.table == nil {
-		return notRun(ReasonNoConfiguration, comeBackStore, eris.New("no configuration was read yet"))
+		return notRunRefusal(ReasonNoConfiguration, storeRetryAfter, eris.New("no configuration has been loaded yet"))
 	}
 	route, found := e.table.Find(e.request.Host, e.request.URL.Path)
 	if !found {
-		return &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute, Err: eris.New("no route for host and path")}
+		return &Refusal{Status: http.StatusNotFound, Reason: ReasonNoRoute, Err: eris.New("no route matches the host and path")}
 	}
 	e.route = route
-	if denied := e.authenticate(); denied != nil {
-		return denied
+	if authErr := e.authenticate(); authErr != nil {
+		return authErr
 	}
 	if err != nil {
 		return &Refusal{Status: http.StatusBadRequest, Reason: ReasonMalformed, Err: err}
 	}
-	if err := e.hold(); err != nil {
+	if err := e.openHolding(); err != nil {
 		return err
 	}
 	e.service = e.table.Service(route.NextService())
-	e.everywhere = e.gateway.Fleet.Sharing.Note(e.scoped(e.call.Program), e.call.Prefix, e.service.MemoryTokens)
+	e.sharedParts = e.gateway.Fleet.Sharing.Note(e.tenantScoped(e.call.Program), e.call.Prefix, e.service.MemoryTokens)
 	e.events.collect = route.Recorded
 	if err := e.takeQuota(); err != nil {
 		return err
@@ -127,8 +135,9 @@
 	return e.readInput()
 }
 
-// allowed is how long the request may take from its arrival.
-func (e *execution) allowed() time.Duration {
+// timeLimit returns how long the request may take from its arrival: the shorter of the route's
+// timeout and the caller's deadline, or an hour if there is neither.
+func (e *execution) timeLimit() time.Duration {
 	allowed := e.route.Timeout
 	if e.call.Deadline > 0 && (allowed <= 0 || e.call.Deadline < allowed) {
 		allowed = e.call.Deadline
@@ -140,95 +149,104 @@
 	return allowed
 }
 
-func (e *execution) remaining() time.Duration { return e.allowed() - time.Since(e.arrived) }
+// remaining returns how much of the time limit is left; it is negative after the deadline.
+func (e *execution) remaining() time.Duration { return e.timeLimit() - time.Since(e.arrived) }
 
-// prepare gets what the turn needs of the store before it may run: a reservation of
-// its program's budget, and its history. Who holds the budget hears of all turns of the
-// program, and tells which daemon has the one before.
+// prepare does what must be done before a turn is sent. It reserves tokens from the program's
+// budget, loads the history and reserves memory; for a turn that is to be recorded it first
+// waits until the store is available. The budget comes before the history because the
+// reservation tells which daemon has the previous turn in memory. The error is a *Refusal or
+// a *CutError.
 func (e *execution) prepare(ctx context.Context) error {
-	wait, cancel := context.WithTimeout(ctx, e.storePatience())
+	waitCtx, cancel := context.WithTimeout(ctx, e.storePatience())
 	defer cancel()
 	if e.route.Recorded {
-		// It can't be served here once this daemon is cut off: in another zone it can.
+		// Stops waiting when this daemon is cut off, so that the caller can retry in another zone.
 		stop := context.AfterFunc(e.gateway.Reach.Connected(), cancel)
 		defer stop()
 	}
 	start := time.Now()
 	defer func() {
 		if waited := time.Since(start); waited > time.Millisecond {
-			e.waited = waited
+			e.storeWait = waited
 		}
 	}()
-	if e.beginsWithoutRoom() {
-		return e.unprepared(ctx, eris.Wrap(state.ErrFull, "begin a program"))
+	if e.isNewProgramWithoutRoom() {
+		return e.preparationError(ctx, eris.Wrap(state.ErrFull, "start a program"))
 	}
 	if e.route.Recorded {
-		// A turn that cannot be recorded is not begun.
-		if err := e.gateway.Availability.Wait(wait); err != nil {
-			return e.unprepared(ctx, eris.Wrap(err, "wait for the store"))
+		// A turn that could not be recorded afterwards must not run.
+		if err := e.gateway.Availability.Wait(waitCtx); err != nil {
+			return e.preparationError(ctx, eris.Wrap(err, "wait for the store"))
 		}
 	}
-	if err := e.reserve(wait); err != nil {
-		return e.unprepared(ctx, err)
+	if err := e.reserveBudget(waitCtx); err != nil {
+		return e.preparationError(ctx, err)
 	}
-	if err := e.loadHistory(wait); err != nil {
-		e.returnReservation()
-		return e.unprepared(ctx, err)
+	if err := e.loadHistory(waitCtx); err != nil {
+		e.cancelReservation()
+		return e.preparationError(ctx, err)
 	}
-	if err := e.holdTurn(); err != nil {
-		e.returnReservation()
+	if err := e.reserveTurnMemory(); err != nil {
+		e.cancelReservation()
 		return err
 	}
 	return nil
 }
 
-// returnReservation gives back what was reserved for a turn that does not run.
-func (e *execution) returnReservation() {
+// cancelReservation returns all reserved tokens to the budget, for a turn that will not run.
+func (e *execution) cancelReservation() {
 	if e.reservation != nil {
 		e.reservation.Settle(0)
 	}
 }
 
-// storePatience is how long a request may wait for the store before it runs:
-// less than half of its time, so that a caller that is refused has time to
-// come back.
+// storePatience returns how long the request may wait for the store, an engine or its quota
+// before it is sent. This is less than half of the time limit, so that a refused caller has
+// time to retry, and on streaming routes less than the route's patience.
 func (e *execution) storePatience() time.Duration {
-	patience := min(e.remaining()-marginToTell, time.Duration(heldShare*float64(e.allowed())))
+	patience := min(e.remaining()-answerMargin, time.Duration(maxStoreWaitShare*float64(e.timeLimit())))
 	if e.route.Streaming && e.route.Patience > 0 {
-		patience = min(patience, e.route.Patience-marginToTell)
+		patience = min(patience, e.route.Patience-answerMargin)
 	}
 	if e.gateway.Reach.CutOff() {
-		patience = min(patience, cutOffPatience)
+		patience = min(patience, maxCutOffWait)
 	}
 	return max(patience, 0)
 }
 
-// beginsWithoutRoom tells whether a program would begin that the store has no room for:
-// what room there is belongs to those under way. One at a time begins, to find out.
-func (e *execution) beginsWithoutRoom() bool {
+// isNewProgramWithoutRoom reports whether the request would start a recorded conversation
+// although the store is full. A full store accepts only turns of conversations that have
+// started, except for an occasional request that is let through to find out whether there
+// is room again.
+func (e *execution) isNewProgramWithoutRoom() bool {
 	return e.route.Recorded && e.call.Previous == "" && !e.gateway.Room.Probe()
 }
 
+// loadHistory loads the turn that the request continues, if there is one, and first asks the
+// daemon that is said to have it in memory.
 func (e *execution) loadHistory(ctx context.Context) error {
 	if !e.route.Recorded || e.call.Previous == "" {
 		return nil
 	}
-	keptAt := ""
+	address := ""
 	if e.reservation != nil {
-		keptAt = e.reservation.KeptAt()
+		address = e.reservation.KeptAt()
 	}
-	history, err := e.gateway.Turns.Load(ctx, e.scoped(e.call.Previous), keptAt)
+	history, err := e.gateway.Turns.Load(ctx, e.tenantScoped(e.call.Previous), address)
 	e.history = history
 	return err
 }
 
-func (e *execution) reserve(ctx context.Context) error {
+// reserveBudget reserves the largest number of tokens that the turn may generate, if the caller
+// gave a program, its budget and that number. It then calls rememberReader.
+func (e *execution) reserveBudget(ctx context.Context) error {
 	if e.call.Program == "" || e.call.Budget <= 0 || e.call.MostTokens <= 0 {
 		return nil
 	}
 	reservation, err := e.gateway.Budgets.Reserve(ctx, budget.ReserveRequest{
-		Reservation: e.scoped(e.call.ID), Program: e.scoped(e.call.Program), Total: e.call.Budget, Most: e.call.MostTokens, Parts: partNames(e.call.Prefix),
-		Previous: e.scoped(e.call.Previous),
+		Reservation: e.tenantScoped(e.call.ID), Program: e.tenantScoped(e.call.Program), Total: e.call.Budget, Most: e.call.MostTokens, Parts: partNames(e.call.Prefix),
+		Previous: e.tenantScoped(e.call.Previous),
 	})
 	if err != nil {
 		return err
@@ -238,20 +256,21 @@
 	return nil
 }
 
-// rememberReader takes over which engine read the prompt's parts, as the holder of
-// the budget knows: earlier turns may have come through other daemons.
+// rememberReader notes for placement which engine has already read the beginning of the
+// prompt. The reservation tells it, since earlier turns may have come through other daemons.
 func (e *execution) rememberReader() {
-	engine, read := e.reservation.ReadAt()
-	if engine == "" || e.gateway.Off.Has(mechanism.Trails) || read > len(e.call.Prefix) {
+	engine, readParts := e.reservation.ReadAt()
+	if engine == "" || e.gateway.Off.Has(mechanism.Trails) || readParts > len(e.call.Prefix) {
 		return
 	}
 	for _, instance := range e.gateway.Fleet.Of(e.service.Name) {
 		if instance.ID == engine {
-			instance.Remember(e.call.Prefix[:read])
+			instance.Remember(e.call.Prefix[:readParts])
 		}
 	}
 }
 
+// partNames returns the names of the prompt parts in their order.
 func partNames(parts []backend.PromptPart) []string {
 	names := make([]string, len(parts))
 	for index, part := range parts {
@@ -260,34 +279,36 @@
 	return names
 }
 
-// settle gives back what the turn did not generate.
-func (e *execution) settle() {
-	if e.instance != nil && e.events.begun() > 0 {
+// settleBudget charges the program's budget for the tokens that the turn generated, and
+// returns the rest of the reservation.
+func (e *execution) settleBudget() {
+	if e.instance != nil && e.events.countWithPartial() > 0 {
 		e.reservation.RanAt(e.instance.ID)
 	}
-	e.reservation.Settle(int64(e.events.begun() * e.service.TokensPerEvent))
+	e.reservation.Settle(int64(e.events.countWithPartial() * e.service.TokensPerEvent))
 }
 
-// unprepared turns an error before the request was sent into a final answer.
-func (e *execution) unprepared(ctx context.Context, err error) error {
+// preparationError returns the *Refusal or *CutError for an error that occurred before the
+// request was sent.
+func (e *execution) preparationError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(err, turn.ErrNotFound):
 		return &Refusal{Status: http.StatusNotFound, Reason: ReasonUnknownTurn, Err: err}
 	case errors.Is(err, turn.ErrUnsure):
-		return notRun(ReasonUnsureTurn, comeBackStore, err)
-	case e.gateway.Reach.CutOff(): // also where a wait that was given up reads as a spent budget
-		return notRun(ReasonCutOff, e.gateway.Reach.Back(), err)
+		return notRunRefusal(ReasonUnsureTurn, storeRetryAfter, err)
+	case e.gateway.Reach.CutOff(): // precedes ErrSpent, since an aborted wait can look like a spent budget
+		return notRunRefusal(ReasonCutOff, e.gateway.Reach.Back(), err)
 	case errors.Is(err, budget.ErrSpent):
 		return &Refusal{Status: http.StatusPaymentRequired, Reason: ReasonBudget, Err: err}
 	case e.request.Context().Err() != nil:
 		return &CutError{Reason: ReasonCallerLeft, Err: err}
 	case errors.Is(err, state.ErrFull):
-		return notRun(ReasonStoreFull, comeBackFull(e.gateway.Room.FullFor()), err)
+		return notRunRefusal(ReasonStoreFull, fullStoreRetryAfter(e.gateway.Room.FullFor()), err)
 	case ctx.Err() != nil:
-		return notRun(ReasonDeadline, 0, err)
+		return notRunRefusal(ReasonDeadline, 0, err)
 	case errors.Is(err, state.ErrThrottled):
-		return notRun(ReasonStoreRate, comeBackRate(), err)
+		return notRunRefusal(ReasonStoreRate, storeRateRetryAfter(), err)
 	default:
-		return notRun(ReasonStore, comeBackStore, err)
+		return notRunRefusal(ReasonStore, storeRetryAfter, err)
 	}
 }
--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -18,25 +18,25 @@
 )
 
 var _ = Describe("storePatience", func() {
-	DescribeTable("leaves a refused caller time to come back, and ends before a reader of a stream leaves",
-		func(deadline time.Duration, streaming bool, longest time.Duration) {
+	DescribeTable("leaves a refused caller time to retry, and ends before the reader of a stream gives up",
+		func(deadline time.Duration, streaming bool, maxWait time.Duration) {
 			waiting := &execution{
 				gateway: &Gateway{},
 				arrived: time.Now(),
 				call:    Call{Deadline: deadline},
 				route:   &routetable.Route{Timeout: time.Hour, Streaming: streaming, Patience: 2 * time.Second},
 			}
-			Expect(waiting.storePatience()).To(BeNumerically("<=", longest))
-			Expect(waiting.storePatience()).To(BeNumerically(">", longest/2))
+			Expect(waiting.storePatience()).To(BeNumerically("<=", maxWait))
+			Expect(waiting.storePatience()).To(BeNumerically(">", maxWait/2))
 		},
 		Entry("the first attempt at a stream", 4*time.Second, true, 1750*time.Millisecond),
 		Entry("a later attempt with less time", 2*time.Second, true, 900*time.Millisecond),
-		Entry("a plain request", 4*time.Second, false, 1800*time.Millisecond),
+		Entry("a request without a stream", 4*time.Second, false, 1800*time.Millisecond),
 	)
 })
 
 var _ = Describe("a request at a daemon that is cut off", func() {
-	// cutOff is a gateway that hears neither other zones nor its store.
+	// cutOff returns a gateway that reaches neither the other zones nor the store.
 	cutOff := func(ctx context.Context) *Gateway {
 		GinkgoHelper()
 		silent := time.Now().Add(-time.Hour)
@@ -58,7 +58,7 @@
 		return &Gateway{Options: Options{Reach: monitor, Availability: availability, Room: room}}
 	}
 
-	It("is refused at once where its turn would have to be kept, with a time to come back", func(ctx SpecContext) {
+	It("is refused at once if its turn must be recorded, and says when to retry", func(ctx SpecContext) {
 		waiting := &execution{
 			gateway: cutOff(ctx),
 			request: httptest.NewRequestWithContext(ctx, "POST", "/", nil),
@@ -72,8 +72,8 @@
 		Expect(refusal.After).To(BeNumerically(">", 0))
 	})
 
-	It("waits no longer for the daemons of its zone than their answers take", func(ctx SpecContext) {
+	It("waits at most maxCutOffWait for the daemons of its zone", func(ctx SpecContext) {
 		waiting := &execution{gateway: cutOff(ctx), arrived: time.Now(), route: &routetable.Route{Timeout: time.Hour}}
-		Expect(waiting.storePatience()).To(Equal(cutOffPatience))
+		Expect(waiting.storePatience()).To(Equal(maxCutOffWait))
 	})
 })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -23,56 +23,60 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// Options are what a Gateway is made of.
+// Options are the dependencies and settings of a Gateway.
 type Options struct {
-	Zone    string
+	Zone    string // zone of this daemon
 	Wire    Wire
 	Routes  *routetable.Holder
 	Fleet   *backend.Fleet
 	Turns   *turn.Records
 	Budgets Budgets
 	Quotas  *quota.Limiter
-	// Admission bounds the programs under way; nil: nothing does.
+	// Admission limits the number of programs that run at the same time; nil means no limit.
 	Admission    *admission.Controller
 	Availability *state.Availability
-	// Memory counts what is held for callers; nil: nothing is counted or bounded.
+	// Memory accounts for the bytes held for callers; nil means neither counting nor limits.
 	Memory *memory.Account
-	// Reach tells whether this daemon is cut off; nil: it never is.
+	// Reach reports whether this daemon is cut off from the store and the other zones; nil
+	// means that it never is.
 	Reach *reach.Monitor
-	// Room tells whether the store is full.
+	// Room reports whether the store is full.
 	Room    *state.Room
 	Log     *zap.Logger
 	Metrics *Metrics
-	// InstanceGrace is how long an instance whose entry is gone may still be used.
+	// InstanceGrace is how long an instance may still be used after it was removed from the
+	// registry, if there is no other.
 	InstanceGrace time.Duration
-	// Off is what an experiment goes without.
+	// Off lists mechanisms that are disabled for an experiment.
 	Off mechanism.Off
-	// KeysBelieved is how old the configuration may be for a key that it lacks to be
-	// called unknown; beyond, it may have been added since.
+	// KeysBelieved is the greatest age of the configuration at which a key that is not in it
+	// counts as unknown. With an older configuration the key may have been added since.
 	KeysBelieved time.Duration
-	// Ages tells how long ago the store was heard about configuration and instances.
+	// Ages returns how long ago the configuration and the list of instances were last
+	// confirmed by the store.
 	Ages func() (configuration, instances time.Duration)
 }
 
-// Budgets reserves what a turn may generate from its program's budget.
+// Budgets reserves tokens for a turn from the budget of its program.
 type Budgets interface {
-	// Reserve returns budget.ErrSpent if the budget holds no further turn.
+	// Reserve returns budget.ErrSpent if the budget is too small for another turn.
 	Reserve(ctx context.Context, request budget.ReserveRequest) (budget.Settler, error)
 }
 
-// Gateway is the handler of callers' requests.
+// Gateway is the HTTP handler for callers' requests. It is safe for concurrent use.
 type Gateway struct {
 	Options
-	begun *begunPrograms
-	order uint64 // of preference among instances (backend.Request.Order)
+	recentPrograms *recentPrograms
+	order          uint64 // order of preference among instances, random for each process; see backend.Request.Order
 }
 
-// New makes a gateway.
+// New returns a gateway with the given options.
 func New(options Options) *Gateway {
-	return &Gateway{Options: options, begun: newBegunPrograms(), order: rand.Uint64()}
+	return &Gateway{Options: options, recentPrograms: newRecentPrograms(), order: rand.Uint64()}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. If an answer cannot be completed, it panics with
+// http.ErrAbortHandler, so that the server closes the caller's connection.
 func (g *Gateway) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	current := &execution{
 		gateway: g,
@@ -80,9 +84,9 @@
 		request: request,
 		arrived: time.Now(),
 	}
-	g.Metrics.underWay.Inc()
+	g.Metrics.inFlight.Inc()
 	err := current.serve()
-	g.Metrics.underWay.Dec()
+	g.Metrics.inFlight.Dec()
 	current.report(err)
 	var refusal *Refusal
 	if errors.As(err, &refusal) && !current.headSent {
@@ -94,7 +98,7 @@
 	}
 }
 
-// refuse writes the system's own answer.
+// refuse writes a refusal to the caller: its status, its headers, and its reason as JSON.
 func (g *Gateway) refuse(current *execution, refusal *Refusal) {
 	header := current.writer.Header()
 	g.Wire.Refuse(header, current.call.ID, refusal.After)
@@ -112,10 +116,10 @@
 	}
 }
 
-// contextEnded says why the context of a request is over.
-func contextEnded(ctx context.Context) Reason {
+// contextEndReason returns why the context of a request ended.
+func contextEndReason(ctx context.Context) Reason {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ReasonDeadline
 	}
-	return callerEnded(ctx)
+	return callerEndReason(ctx)
 }
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -7,73 +7,82 @@
 	"github.com/thymeloft/thymeloft/internal/writebehind"
 )
 
-// What a request takes beside its body, in bytes.
+// Memory that a request takes in addition to its body.
 const (
-	// perRequest are the buffers and stacks of a request under way: those of both connections
-	// (16 KB), headers (4 KB), stacks (8 KB), the buffer of the relay (8 KB).
-	perRequest = 36 << 10
-	// copiesToSave is how often what a turn adds lies in memory while it is saved: joined,
-	// encoded, as rows of text (four thirds), and as the message that carries them (four thirds).
-	copiesToSave = 5
-	// outputStep is by how much the counted output of a turn grows: a usual turn takes one step.
-	outputStep = 4 << 10
+	// requestOverheadBytes is the memory for the buffers of both connections (16 KiB), headers
+	// (4 KiB), stacks (8 KiB) and the relay buffer (8 KiB) of a request in progress.
+	requestOverheadBytes = 36 << 10
+	// copiesWhileSaving is how many copies of a turn's input and output are in memory while the
+	// turn is saved: joined, encoded, as base64 rows (4/3 of the size), and in the message that
+	// carries the rows (4/3), rounded up.
+	copiesWhileSaving = 5
+	// outputStepBytes is the smallest amount by which the reserved output of a turn grows; a
+	// typical turn needs a single step.
+	outputStepBytes = 4 << 10
 )
 
-// hold begins to count what is held for the request, for its tenant or else its connection:
-// an address may stand for all callers behind a balancer.
-func (e *execution) hold() error {
+// openHolding starts the memory accounting of the request and reserves requestOverheadBytes. The
+// memory counts for the tenant, or for the caller's connection if there is no tenant. It does
+// not count for the IP address, since all callers behind a load balancer may share one. The
+// error is a *Refusal.
+func (e *execution) openHolding() error {
 	owner := memory.Owner(e.request.RemoteAddr)
 	if e.tenant != nil {
 		owner = memory.Owner(e.tenant.Name)
 	}
 	e.holding = e.gateway.Memory.Open(owner)
 	writebehind.From(e.request.Context()).Own(owner)
-	if err := e.holding.Grow(memory.Request, perRequest); err != nil {
-		return noRoom(err)
+	if err := e.holding.Grow(memory.Request, requestOverheadBytes); err != nil {
+		return memoryRefusal(err)
 	}
 	return nil
 }
 
-// letGo gives back all that was held for the request.
-func (e *execution) letGo() { e.holding.Close() }
+// closeHolding releases all memory accounted for the request.
+func (e *execution) closeHolding() { e.holding.Close() }
 
-// holdTurn counts the history of a turn, and what saving the turn will take, before it runs: a
-// turn that is whole is never lost for want of the room to save it.
-func (e *execution) holdTurn() error {
+// reserveTurnMemory reserves memory for the history of a turn and for saving the turn, before
+// it runs, so that a complete turn is never lost because there is no memory to save it. The
+// error is a *Refusal.
+func (e *execution) reserveTurnMemory() error {
 	history := int64(e.history.Length())
 	if err := e.holding.Grow(memory.History, history); err != nil {
-		return noRoom(err)
+		return memoryRefusal(err)
 	}
 	if !e.route.Recorded {
 		return nil
 	}
-	if err := e.holding.Grow(memory.UnsavedTurn, copiesToSave*int64(len(e.input))); err != nil {
-		return noRoom(err)
+	if err := e.holding.Grow(memory.UnsavedTurn, copiesWhileSaving*int64(len(e.input))); err != nil {
+		return memoryRefusal(err)
 	}
-	if err := e.holdOutput(outputStep); err != nil {
-		return noRoom(err)
+	if err := e.reserveOutputMemory(outputStepBytes); err != nil {
+		return memoryRefusal(err)
 	}
 	return nil
 }
 
-// holdOutput counts the output of a turn that is to be saved, of so many bytes, a step ahead.
-func (e *execution) holdOutput(bytes int64) error {
-	if !e.route.Recorded || bytes <= e.outputHeld {
+// reserveOutputMemory makes sure that memory is reserved for the given total size of the output
+// of a turn that is to be recorded, including the copies made while saving. It reserves at
+// least outputStepBytes at a time. The error is a *memory.ExceededError.
+func (e *execution) reserveOutputMemory(bytes int64) error {
+	if !e.route.Recorded || bytes <= e.reservedOutput {
 		return nil
 	}
-	further := max(bytes-e.outputHeld, outputStep)
-	if err := e.holding.Grow(memory.UnsavedTurn, (1+copiesToSave)*further); err != nil {
+	added := max(bytes-e.reservedOutput, outputStepBytes)
+	if err := e.holding.Grow(memory.UnsavedTurn, (1+copiesWhileSaving)*added); err != nil {
 		return err
 	}
-	e.outputHeld += further
+	e.reservedOutput += added
 	return nil
 }
 
-// noRoom refuses a request for which nothing was sent.
-func noRoom(err error) *Refusal { return notRun(ReasonMemory, comeBackSoon, err) }
+// memoryRefusal returns the refusal of a request for which there is no memory and of which
+// nothing was sent to an engine.
+func memoryRefusal(err error) *Refusal { return notRunRefusal(ReasonMemory, shortRetryAfter, err) }
 
-// callerEnded says why nothing more can be written to the caller.
-func callerEnded(ctx context.Context) Reason {
+// callerEndReason returns why nothing more can be written to the caller: it read too slowly
+// or it disconnected.
+func callerEndReason(ctx context.Context) Reason {
 	if writebehind.From(ctx).Slow() {
 		return ReasonCallerSlow
 	}
--- a/internal/gateway/input.go
+++ b/internal/gateway/input.go
@@ -12,12 +12,14 @@
 	"github.com/thymeloft/thymeloft/internal/memory"
 )
 
-// firstInputBuffer is what a body is given at first: most bodies fit, and a caller that
-// sends slowly has no more held for it than twice what it has sent.
-const firstInputBuffer = 16 << 10
+// initialInputBufferBytes is the initial size of the buffer for a body, unless the announced
+// length is smaller. Most bodies fit. Larger buffers are allocated only as data arrives.
+const initialInputBufferBytes = 16 << 10
 
-// readInput reads the whole body: it is sent on only when it is complete. What it takes is
-// counted before it is allocated; a body whose length finds no room is refused unread.
+// readInput reads the whole body into memory, since a request is sent to an engine only when
+// it is complete. The buffer is accounted for before it is allocated. A body whose announced
+// length exceeds the available memory is refused unread. The error is a *Refusal or a
+// *CutError.
 func (e *execution) readInput() error {
 	if e.request.ContentLength == 0 {
 		return nil
@@ -25,36 +27,38 @@
 	body := e.request.Body
 	if limit := int64(e.table.Limits.BodyBytes); limit > 0 {
 		if e.request.ContentLength > limit {
-			return &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: ReasonTooLarge, Err: eris.New("body over the limit")}
+			return &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: ReasonTooLarge, Err: eris.New("the body exceeds the size limit")}
 		}
 		body = http.MaxBytesReader(e.writer, body, limit)
 	}
 	if !e.holding.Fits(e.request.ContentLength) {
-		return noRoom(eris.Errorf("no room for a body of %d bytes", e.request.ContentLength))
+		return memoryRefusal(eris.Errorf("no memory for a body of %d bytes", e.request.ContentLength))
 	}
 	control := http.NewResponseController(e.writer)
-	// Not every connection has a deadline (those of tests have none): then only the body's bounds hold.
-	bounded := control.SetReadDeadline(e.arrived.Add(e.allowed())) == nil
-	input, err := readCounted(body, e.request.ContentLength, e.holding)
+	// Some connections, such as those of tests, support no deadline; only the size limit applies then.
+	bounded := control.SetReadDeadline(e.arrived.Add(e.timeLimit())) == nil
+	input, err := readWithAccounting(body, e.request.ContentLength, e.holding)
 	if err != nil {
-		return unreadInput(err)
+		return inputError(err)
 	}
 	if bounded {
 		if err := control.SetReadDeadline(time.Time{}); err != nil {
-			return &CutError{Reason: ReasonCallerLeft, Err: eris.Wrap(err, "read on after the request")}
+			return &CutError{Reason: ReasonCallerLeft, Err: eris.Wrap(err, "clear the read deadline")}
 		}
 	}
 	e.input = input
 	return nil
 }
 
-// readCounted reads to the end into a buffer that grows, each time counted first. The length is
-// what the caller announced; -1: nothing.
-func readCounted(body io.Reader, length int64, holding *memory.Holding) ([]byte, error) {
-	const spare = 1 // so that the end of a body of the announced length is read without growing
-	size := int64(firstInputBuffer)
+// readWithAccounting reads body to its end into a growing buffer, each size of which is accounted
+// for in holding before it is allocated. length is the announced length, or -1 if it is
+// unknown. On success the holding accounts for the capacity of the returned buffer. The
+// error is that of body or a *memory.ExceededError.
+func readWithAccounting(body io.Reader, length int64, holding *memory.Holding) ([]byte, error) {
+	const extraByte = 1 // beyond the announced length, to see the end of the body without growing the buffer
+	size := int64(initialInputBufferBytes)
 	if length >= 0 {
-		size = min(size, length+spare)
+		size = min(size, length+extraByte)
 	}
 	if err := holding.Grow(memory.Request, size); err != nil {
 		return nil, err
@@ -72,28 +76,29 @@
 		if len(buffer) < cap(buffer) {
 			continue
 		}
-		former := int64(cap(buffer))
-		size = 2 * former
+		oldSize := int64(cap(buffer))
+		size = 2 * oldSize
 		if length >= 0 {
-			size = min(size, length+spare)
+			size = min(size, length+extraByte)
 		}
 		if err := holding.Grow(memory.Request, size); err != nil {
 			return nil, err
 		}
 		buffer = append(make([]byte, 0, size), buffer...)
-		holding.Shrink(memory.Request, former)
+		holding.Shrink(memory.Request, oldSize)
 	}
 }
 
-// unreadInput turns an error of reading a body into a final answer: nothing was sent on.
-func unreadInput(err error) error {
+// inputError returns the *Refusal or *CutError for an error of reading the body. Nothing was
+// sent to an engine.
+func inputError(err error) error {
 	var tooLarge *http.MaxBytesError
 	var exceeded *memory.ExceededError
 	switch {
 	case errors.As(err, &tooLarge):
 		return &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: ReasonTooLarge, Err: err}
 	case errors.As(err, &exceeded):
-		return noRoom(err)
+		return memoryRefusal(err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &Refusal{Status: http.StatusRequestTimeout, Reason: ReasonBodySlow, Err: eris.Wrap(err, "read request")}
 	default:
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -7,19 +7,21 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics counts requests by outcome and times their steps.
+// Metrics holds the gateway's metrics: requests in progress, finished requests by status and
+// reason, their duration, and the time to record turns.
 type Metrics struct {
-	underWay prometheus.Gauge
+	inFlight prometheus.Gauge
 	requests *prometheus.CounterVec
 	duration *prometheus.HistogramVec
 	record   *prometheus.HistogramVec
 }
 
-// NewMetrics registers the metrics of a gateway.
+// NewMetrics creates the gateway's metrics and registers them. It panics if one of them is
+// registered already.
 func NewMetrics(registry prometheus.Registerer) *Metrics {
 	buckets := []float64{0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 4, 8}
 	metrics := &Metrics{
-		underWay: prometheus.NewGauge(prometheus.GaugeOpts{
+		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "thymeloft_requests_under_way", Help: "Requests that are being served.",
 		}),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -32,16 +34,19 @@
 			Name: "thymeloft_record_seconds", Help: "Time to record a turn.", Buckets: buckets,
 		}, []string{"result"}),
 	}
-	registry.MustRegister(metrics.underWay, metrics.requests, metrics.duration, metrics.record)
+	registry.MustRegister(metrics.inFlight, metrics.requests, metrics.duration, metrics.record)
 	return metrics
 }
 
-func (m *Metrics) ended(_ string, status int, reason Reason, took time.Duration) {
+// observeRequest counts a finished request and its duration, by status and reason. The route name
+// is ignored.
+func (m *Metrics) observeRequest(_ string, status int, reason Reason, took time.Duration) {
 	m.requests.WithLabelValues(strconv.Itoa(status), string(reason)).Inc()
 	m.duration.WithLabelValues(string(reason)).Observe(took.Seconds())
 }
 
-func (m *Metrics) recorded(took time.Duration, err error) {
+// observeRecord notes how long it took to record a turn, and whether it failed.
+func (m *Metrics) observeRecord(took time.Duration, err error) {
 	result := "done"
 	if err != nil {
 		result = "failed"
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -13,19 +13,19 @@
 var _ = Describe("outcome", func() {
 	current := func() *execution {
 		return &execution{
-			firstByte: 30 * time.Millisecond, began: time.Now().Add(-time.Second), events: eventReader{count: 5},
-			believed: placement{load: 3, slots: 8},
+			timeToFirstByte: 30 * time.Millisecond, firstByteAt: time.Now().Add(-time.Second), events: eventReader{count: 5},
+			placement: placement{load: 3, slots: 8},
 		}
 	}
 
-	It("shows what the engine made, and how full it was believed to be", func() {
-		outcome := current().outcome(&ready{Reply: &backend.Reply{Status: http.StatusOK}})
+	It("reports the engine's speed, and how full it was believed to be", func() {
+		outcome := current().outcome(&startedReply{Reply: &backend.Reply{Status: http.StatusOK}})
 		Expect(outcome.PerEvent).To(BeNumerically(">=", 250*time.Millisecond))
 		outcome.PerEvent = 0
 		Expect(outcome).To(Equal(backend.Outcome{FirstByte: 30 * time.Millisecond, Further: 4, Load: 3, Slots: 8}))
 	})
 
-	It("shows no speed by an answer that is an error: it comes without the work", func() {
-		Expect(current().outcome(&ready{Reply: &backend.Reply{Status: http.StatusInternalServerError}})).To(Equal(backend.Outcome{}))
+	It("reports no speed for an error, which takes the engine no work", func() {
+		Expect(current().outcome(&startedReply{Reply: &backend.Reply{Status: http.StatusInternalServerError}})).To(Equal(backend.Outcome{}))
 	})
 })
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -14,31 +14,33 @@
 	"github.com/thymeloft/thymeloft/internal/quota"
 )
 
-// takeQuota takes the request's place in its tenant's quota, before its body is read.
+// takeQuota takes a permit from the tenant's quota, before the body is read, and notes the
+// program as admitted. The error is a *Refusal or a *CutError.
 func (e *execution) takeQuota() error {
 	if e.tenant == nil {
 		return nil
 	}
-	taken, err := e.takePlace(e.belongsToWorkUnderWay())
-	e.taken = taken
+	taken, err := e.takePermit(e.isProgramUnderWay())
+	e.quotaPermit = taken
 	if err == nil && e.call.Program != "" {
-		e.gateway.begun.note(e.scoped(e.call.Program))
+		e.gateway.recentPrograms.add(e.tenantScoped(e.call.Program))
 	}
 	return err
 }
 
-// keepersPatience is how long a request waits for a keeper of its quota to be reached: one
-// that was killed is started again, and has read who keeps what, within half a second.
-const keepersPatience = 500 * time.Millisecond
+// maxKeeperWait is how long a request waits until a daemon that keeps a part of its tenant's
+// quota can be reached. A daemon that was killed is restarted and ready within that time.
+const maxKeeperWait = 500 * time.Millisecond
 
-// takePlace takes one place, or returns *Refusal or *CutError.
-func (e *execution) takePlace(underWay bool) (*quota.Taken, error) {
-	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, UnderWay: underWay}
-	ctx, cancel := context.WithTimeout(e.request.Context(), min(keepersPatience, e.storePatience()))
+// takePermit takes one permit from the tenant's quota and retries for up to maxKeeperWait while
+// no keeper of the quota can be reached. The error is a *Refusal or a *CutError.
+func (e *execution) takePermit(isProgramUnderWay bool) (*quota.Taken, error) {
+	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, UnderWay: isProgramUnderWay}
+	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxKeeperWait, e.storePatience()))
 	defer cancel()
 	taken, err := e.gateway.Quotas.Take(e.request.Context(), request)
 	var unreached *quota.UnreachedError
-	for errors.As(err, &unreached) && pause.For(ctx, engineRecheck) {
+	for errors.As(err, &unreached) && pause.For(ctx, instancePollInterval) {
 		taken, err = e.gateway.Quotas.Take(e.request.Context(), request)
 	}
 	var exceeded *quota.ExceededError
@@ -49,59 +51,60 @@
 		return nil, &CutError{Reason: ReasonCallerLeft, Err: err}
 	}
 	if err != nil {
-		return nil, notRun(ReasonQuotaUnknown, comeBackSoon, err)
+		return nil, notRunRefusal(ReasonQuotaUnknown, shortRetryAfter, err)
 	}
 	return taken, nil
 }
 
-// takeForNextRun takes a place for a further run where the engine before may have run the request:
-// what engines run is what a quota bounds.
-func (e *execution) takeForNextRun(err error) bool {
+// takeQuotaForRetry takes another permit if the engine tried last may have run the request,
+// since a quota limits what engines run. It reports whether the request may be sent again.
+func (e *execution) takeQuotaForRetry(err error) bool {
 	var lost *backend.LostError
-	if e.taken == nil || !errors.As(err, &lost) {
+	if e.quotaPermit == nil || !errors.As(err, &lost) {
 		return true
 	}
-	const underWay = true
-	if _, refused := e.takePlace(underWay); refused != nil {
-		e.gateway.Log.Info("request: not offered again.", zap.String("request", e.call.ID), zap.String("cause", refused.Error()))
+	const isProgramUnderWay = true
+	if _, refused := e.takePermit(isProgramUnderWay); refused != nil {
+		e.gateway.Log.Info("request: not retried, since no quota permit was given.", zap.String("request", e.call.ID), zap.String("cause", refused.Error()))
 		return false
 	}
 	return true
 }
 
-// giveBack returns the place of a request that no engine began to run.
-func (e *execution) giveBack() {
+// returnQuota returns the permit to the quota if no engine may have run the request.
+func (e *execution) returnQuota() {
 	if e.runs == 0 {
-		e.taken.Return()
+		e.quotaPermit.Return()
 	}
 }
 
-// belongsToWorkUnderWay tells whether refusing the request loses what its program did
-// before: it goes on from a turn, calls a tool, or its program was seen here.
-func (e *execution) belongsToWorkUnderWay() bool {
+// isProgramUnderWay reports whether the request belongs to a program that has already done
+// work, which a refusal would waste: it continues a turn, calls a service that is not a
+// model, or its program recently had a request admitted here.
+func (e *execution) isProgramUnderWay() bool {
 	if e.call.Program == "" {
 		return false
 	}
-	return e.call.Previous != "" || !e.service.Model || e.gateway.begun.has(e.scoped(e.call.Program))
+	return e.call.Previous != "" || !e.service.Model || e.gateway.recentPrograms.has(e.tenantScoped(e.call.Program))
 }
 
-// begunPrograms remembers which programs had a request admitted here lately.
-type begunPrograms struct {
+// recentPrograms remembers the programs that recently had a request admitted by this daemon. It
+// is safe for concurrent use.
+type recentPrograms struct {
 	seen *expirable.LRU[string, struct{}]
 }
 
-// How many programs are remembered, and for how long: the programs of a daemon's
-// callers within a minute, at the target size (letter 1: 22,000 requests a second at
-// 390 daemons, a dozen requests a program).
+// Limits of recentPrograms. They cover the programs of a daemon within a minute at the target
+// load: 22,000 requests a second, 390 daemons, 12 requests for each program.
 const (
-	begunKept    = 4096
-	begunKeptFor = time.Minute
+	maxRecentPrograms = 4096
+	recentProgramTTL  = time.Minute
 )
 
-func newBegunPrograms() *begunPrograms {
-	return &begunPrograms{seen: expirable.NewLRU[string, struct{}](begunKept, nil, begunKeptFor)}
+func newRecentPrograms() *recentPrograms {
+	return &recentPrograms{seen: expirable.NewLRU[string, struct{}](maxRecentPrograms, nil, recentProgramTTL)}
 }
 
-func (b *begunPrograms) note(program string)     { b.seen.Add(program, struct{}{}) }
-func (b *begunPrograms) forget(program string)   { b.seen.Remove(program) }
-func (b *begunPrograms) has(program string) bool { return b.seen.Contains(program) }
+func (b *recentPrograms) add(program string)      { b.seen.Add(program, struct{}{}) }
+func (b *recentPrograms) remove(program string)   { b.seen.Remove(program) }
+func (b *recentPrograms) has(program string) bool { return b.seen.Contains(program) }
--- a/internal/gateway/reader_test.go
+++ b/internal/gateway/reader_test.go
@@ -11,19 +11,19 @@
 	"github.com/thymeloft/thymeloft/internal/routetable"
 )
 
-// heldAt is a reservation whose holder knows where the prompt was read.
-type heldAt struct {
+// prefixReservation is a budget reservation that reports which engine has read the prompt.
+type prefixReservation struct {
 	budget.Settler
 	engine string
 	read   int
 }
 
-func (h heldAt) ReadAt() (string, int) { return h.engine, h.read }
+func (h prefixReservation) ReadAt() (string, int) { return h.engine, h.read }
 
 var _ = Describe("rememberReader", func() {
 	parts := []backend.PromptPart{{Name: "shared", Tokens: 12000}, {Name: "one", Tokens: 2000}, {Name: "two", Tokens: 900}}
 
-	DescribeTable("leads a turn to the engine that read its prompt for another daemon", func(engine string) {
+	DescribeTable("makes placement choose the engine that has read the prompt for another daemon", func(engine string) {
 		fleet := backend.NewFleet(time.Now)
 		for _, id := range []string{"e1", "e2", "e3"} {
 			fleet.Apply(backend.Declaration{ID: id, Service: "llm", Address: id + ":1", Slots: 24, Version: 1})
@@ -32,19 +32,19 @@
 			gateway:     &Gateway{Options: Options{Fleet: fleet}},
 			service:     &routetable.Service{Name: "llm", Model: true},
 			call:        Call{Program: "p", Prefix: parts},
-			reservation: heldAt{engine: engine, read: 2},
+			reservation: prefixReservation{engine: engine, read: 2},
 		}
 		current.rememberReader()
 		chosen := backend.Choose(fleet.Of("llm"), &backend.Request{Affinity: "p", Prefix: parts, Now: time.Now()})
 		Expect(chosen.ID).To(Equal(engine))
 	}, Entry("the first", "e1"), Entry("the second", "e2"), Entry("the third", "e3"))
 
-	It("passes over what it does not know", func() {
+	It("ignores an engine that is not in the fleet and more parts than the prompt has", func() {
 		current := &execution{
 			gateway:     &Gateway{Options: Options{Fleet: backend.NewFleet(time.Now)}},
 			service:     &routetable.Service{Name: "llm"},
 			call:        Call{Prefix: parts},
-			reservation: heldAt{engine: "gone", read: 9},
+			reservation: prefixReservation{engine: "gone", read: 9},
 		}
 		Expect(current.rememberReader).NotTo(Panic())
 	})
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Reason names why the system itself ended a request; it stands in logs,
-// metrics and the body of the answer.
+// Reason is the machine-readable reason why the gateway refused or cut a request. It appears in
+// logs, in metrics, and for a refusal in the body of the answer.
 type Reason string
 
-// The reasons.
+// Reasons for refusing or cutting a request; ReasonNone means that it was answered.
 const (
 	ReasonNone            Reason = ""
 	ReasonNoConfiguration Reason = "no-configuration"
@@ -44,12 +44,12 @@
 	ReasonBroken          Reason = "stream-broken"
 )
 
-// Refusal is the system's own final answer to a request.
+// Refusal is the gateway's own final answer to a request, given instead of an engine's answer.
 type Refusal struct {
-	Status int
+	Status int // HTTP status
 	Reason Reason
-	After  time.Duration // when to come back; 0: no advice
-	Err    error
+	After  time.Duration // time after which the caller should retry; 0: no advice
+	Err    error         // cause
 }
 
 // Error implements error.
@@ -58,8 +58,8 @@
 // Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Err }
 
-// CutError says that an answer under way cannot be ended truthfully, so the
-// connection of the caller is to be closed.
+// CutError means that the answer cannot be completed. The caller's connection must be closed
+// without a proper end of the answer, so that the caller notices.
 type CutError struct {
 	Reason Reason
 	Err    error
@@ -71,13 +71,15 @@
 // Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Err }
 
-// notRun promises that the request has not run and never will.
-func notRun(reason Reason, after time.Duration, err error) *Refusal {
+// notRunRefusal returns a refusal with status 503, which promises that the request did not run
+// and never will.
+func notRunRefusal(reason Reason, after time.Duration, err error) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, After: after, Err: err}
 }
 
-// unknown promises nothing.
-func unknown(reason Reason, err error) *Refusal {
+// unknownOutcomeRefusal returns a refusal that leaves open whether the request ran: with status
+// 504 after the deadline, and 502 otherwise.
+func unknownOutcomeRefusal(reason Reason, err error) *Refusal {
 	status := http.StatusBadGateway
 	if reason == ReasonDeadline {
 		status = http.StatusGatewayTimeout
@@ -85,7 +87,7 @@
 	return &Refusal{Status: status, Reason: reason, Err: err}
 }
 
-// reasonOf finds the reason inside an error.
+// reasonOf returns the reason of a *Refusal or *CutError in the chain of err, or ReasonNone.
 func reasonOf(err error) Reason {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
@@ -98,20 +100,21 @@
 	return ReasonNone
 }
 
-// Bounds of when callers come back to a full store. Room comes in seconds, as rows are
-// removed; the longer it takes, the fewer of the callers that were refused ask a second.
+// Bounds of the base of fullStoreRetryAfter. Expired rows are removed from a full store within
+// seconds. The longer that takes, the less often refused callers should retry.
 const (
-	leastComeBackFull = 500 * time.Millisecond
-	mostComeBackFull  = 4 * time.Second
+	minFullStoreRetryAfter = 500 * time.Millisecond
+	maxFullStoreRetryAfter = 4 * time.Second
 )
 
-// comeBackFull has callers come back after about as long as the store has been full, at random
-// from half of that to one and a half, so that they do not come back together.
-func comeBackFull(fullFor time.Duration) time.Duration {
-	base := min(max(fullFor, leastComeBackFull), mostComeBackFull)
+// fullStoreRetryAfter returns the delay after which a caller should retry if the store has been
+// full for the given time: that time, limited by the bounds above, times a random factor from
+// 0.5 to 1.5, so that callers do not retry all at once.
+func fullStoreRetryAfter(fullFor time.Duration) time.Duration {
+	base := min(max(fullFor, minFullStoreRetryAfter), maxFullStoreRetryAfter)
 	return base/2 + rand.N(base)
 }
 
-// comeBackRate spreads the callers that are refused since the store's rate is used up
-// around the usual time.
-func comeBackRate() time.Duration { return comeBackStore/2 + rand.N(comeBackStore) }
+// storeRateRetryAfter returns the delay after which a caller should retry if the store's rate
+// limit is used up: storeRetryAfter times a random factor from 0.5 to 1.5.
+func storeRateRetryAfter() time.Duration { return storeRetryAfter/2 + rand.N(storeRetryAfter) }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -15,69 +15,74 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-const relayBuffer = 8 << 10
+// relayBufferBytes is the size of the buffer through which an answer is relayed.
+const relayBufferBytes = 8 << 10
 
-// relay passes the answer on as it comes.
-func (e *execution) relay(ctx context.Context, reply *ready) error {
-	e.passHead(reply)
-	if err := e.passBody(ctx, reply); err != nil {
+// relay writes the answer to the caller as it arrives, and records the turn before the end of
+// a stream that is to be recorded. The error is a *CutError.
+func (e *execution) relay(ctx context.Context, reply *startedReply) error {
+	e.writeHead(reply)
+	if err := e.writeBody(ctx, reply); err != nil {
 		return err
 	}
 	e.instance.Observe(e.outcome(reply), time.Now())
 	if !e.isStream(reply) {
 		return nil
 	}
-	if e.events.partial() {
+	if e.events.isPartial() {
 		return &CutError{Reason: ReasonBroken, Err: eris.New("the stream ended within an event")}
 	}
 	if e.route.Recorded {
-		return e.record(ctx)
+		return e.recordTurn(ctx)
 	}
 	return nil
 }
 
-func (e *execution) passBody(ctx context.Context, reply *ready) error {
-	if err := e.pass(reply.first); err != nil || reply.whole {
+// writeBody writes the body of the answer to the caller.
+func (e *execution) writeBody(ctx context.Context, reply *startedReply) error {
+	if err := e.writeChunk(reply.firstBytes); err != nil || reply.isComplete {
 		return err
 	}
-	return e.passRest(ctx, reply)
+	return e.relayRest(ctx, reply)
 }
 
-// outcome is what the answer showed of the instance. An answer that is an error shows
-// nothing of its speed: it comes without the work.
-func (e *execution) outcome(reply *ready) backend.Outcome {
+// outcome returns what a complete answer shows of the instance's speed. An error status shows
+// nothing, since the instance did not do the work.
+func (e *execution) outcome(reply *startedReply) backend.Outcome {
 	if reply.Status/100 != http.StatusOK/100 {
 		return backend.Outcome{}
 	}
 	return backend.Outcome{
-		FirstByte: e.firstByte, PerEvent: e.perEvent(), Further: max(e.events.count-1, 0), Load: e.believed.load, Slots: e.believed.slots,
+		FirstByte: e.timeToFirstByte, PerEvent: e.meanEventInterval(), Further: max(e.events.count-1, 0), Load: e.placement.load, Slots: e.placement.slots,
 	}
 }
 
-// perEvent is the mean time between events; zero when there were too few.
-func (e *execution) perEvent() time.Duration {
-	const fewest = 3
-	if e.events.count < fewest {
+// meanEventInterval returns the mean time between the events of the answer, or 0 if it had
+// fewer than three.
+func (e *execution) meanEventInterval() time.Duration {
+	const minEvents = 3
+	if e.events.count < minEvents {
 		return 0
 	}
-	return time.Since(e.began) / time.Duration(e.events.count-1)
+	return time.Since(e.firstByteAt) / time.Duration(e.events.count-1)
 }
 
-func (e *execution) isStream(reply *ready) bool {
+// isStream reports whether the answer is an event stream.
+func (e *execution) isStream(reply *startedReply) bool {
 	return e.route.Streaming && reply.Status == http.StatusOK
 }
 
-// passHead passes status and headers on. The length of a recorded turn is
-// left out: its end is told only once it is recorded.
-func (e *execution) passHead(reply *ready) {
+// writeHead writes the status and headers of the answer to the caller. A stream has no
+// Content-Length: otherwise the caller could see its end before the turn is recorded.
+func (e *execution) writeHead(reply *startedReply) {
 	header := e.writer.Header()
 	for name, values := range reply.Header {
 		header[name] = slices.Clone(values)
 	}
 	dropConnectionHeaders(header)
 	if !e.isStream(reply) {
-		if reply.whole {
-			header.Set("Content-Length", strconv.Itoa(len(reply.first)))
+		if reply.isComplete {
+			header.Set("Content-Length", strconv.Itoa(len(reply.firstBytes)))
 		} else if reply.Length >= 0 {
 			header.Set("Content-Length", strconv.FormatInt(reply.Length, 10))
 		}
@@ -90,34 +95,36 @@
 	e.writer.WriteHeader(reply.Status)
 }
 
-// pass writes bytes to the caller at once.
-func (e *execution) pass(chunk []byte) error {
+// writeChunk writes bytes of the body to the caller; on streaming routes it also counts their
+// events and flushes them. The error is a *CutError.
+func (e *execution) writeChunk(chunk []byte) error {
 	if len(chunk) == 0 {
 		return nil
 	}
 	if e.route.Streaming {
-		if err := e.holdOutput(e.events.size() + int64(len(chunk))); err != nil {
+		if err := e.reserveOutputMemory(e.events.bufferedBytes() + int64(len(chunk))); err != nil {
 			return &CutError{Reason: ReasonMemory, Err: err}
 		}
 		e.events.write(chunk)
 	}
 	if _, err := e.writer.Write(chunk); err != nil {
-		return &CutError{Reason: callerEnded(e.request.Context()), Err: eris.Wrap(err, "write to caller")}
+		return &CutError{Reason: callerEndReason(e.request.Context()), Err: eris.Wrap(err, "write to caller")}
 	}
 	if !e.route.Streaming {
 		return nil
 	}
 	if err := http.NewResponseController(e.writer).Flush(); err != nil {
-		return &CutError{Reason: callerEnded(e.request.Context()), Err: eris.Wrap(err, "flush to caller")}
+		return &CutError{Reason: callerEndReason(e.request.Context()), Err: eris.Wrap(err, "flush to caller")}
 	}
 	return nil
 }
 
-func (e *execution) passRest(ctx context.Context, reply *ready) error {
-	buffer := make([]byte, relayBuffer)
+// relayRest relays the body from where startedReply.firstBytes ends. The error is a *CutError.
+func (e *execution) relayRest(ctx context.Context, reply *startedReply) error {
+	buffer := make([]byte, relayBufferBytes)
 	for {
 		count, err := reply.Body.Read(buffer)
-		if passErr := e.pass(buffer[:count]); passErr != nil {
+		if passErr := e.writeChunk(buffer[:count]); passErr != nil {
 			return passErr
 		}
 		if errors.Is(err, io.EOF) {
@@ -127,7 +134,7 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			return &CutError{Reason: contextEnded(ctx), Err: err}
+			return &CutError{Reason: contextEndReason(ctx), Err: err}
 		}
 		e.instance.Failed(time.Now())
 		e.instance.Observe(backend.Outcome{Failed: true}, time.Now())
@@ -135,20 +142,21 @@
 	}
 }
 
-// record commits the turn; only then may its end be told. When the store does
-// not answer in time, the stream is cut and the caller sends the turn again.
-func (e *execution) record(ctx context.Context) error {
-	patience, cancel := context.WithTimeout(ctx, max(e.route.Patience-marginToTell, marginToTell))
+// recordTurn saves the turn. It must succeed before the end of the stream is sent. If the store
+// does not answer in time, it returns a *CutError, and the caller is expected to repeat the
+// turn.
+func (e *execution) recordTurn(ctx context.Context) error {
+	recordCtx, cancel := context.WithTimeout(ctx, max(e.route.Patience-answerMargin, answerMargin))
 	defer cancel()
 	start := time.Now()
-	added := turn.Addition{Previous: e.history, Owner: e.owner(), Engine: e.instance.ID, Input: e.input, Output: e.events.output}
-	err := e.gateway.Turns.Save(patience, e.scoped(e.call.ID), added, e.route.Retention)
-	e.gateway.Metrics.recorded(time.Since(start), err)
+	addition := turn.Addition{Previous: e.history, Owner: e.tenantName(), Engine: e.instance.ID, Input: e.input, Output: e.events.output}
+	err := e.gateway.Turns.Save(recordCtx, e.tenantScoped(e.call.ID), addition, e.route.Retention)
+	e.gateway.Metrics.observeRecord(time.Since(start), err)
 	if err != nil {
 		return &CutError{Reason: ReasonNotRecorded, Err: err}
 	}
 	if e.reservation != nil {
-		e.reservation.Recorded(e.scoped(e.call.ID))
+		e.reservation.Recorded(e.tenantScoped(e.call.ID))
 	}
 	return nil
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -7,22 +7,22 @@
 	"go.uber.org/zap"
 )
 
-// report writes the one line that tells a request's outcome, and counts it.
+// report logs the outcome of the request in one line and updates the metrics.
 func (e *execution) report(err error) {
 	took := time.Since(e.arrived)
-	reason, status := reasonOf(err), e.told(err)
-	e.gateway.Metrics.ended(e.routeName(), status, reason, took)
+	reason, status := reasonOf(err), e.callerStatus(err)
+	e.gateway.Metrics.observeRequest(e.routeName(), status, reason, took)
 	fields := []zap.Field{
 		zap.String("request", e.call.ID),
 		zap.String("route", e.routeName()),
 		zap.Int("status", status),
 		zap.Duration("took", took),
 	}
-	fields = e.addProgram(fields)
-	fields = e.addQuota(fields)
-	fields = e.addEngine(fields)
-	fields = e.addConfiguration(fields)
-	fields = e.addCourse(fields)
+	fields = e.addProgramFields(fields)
+	fields = e.addQuotaFields(fields)
+	fields = e.addEngineFields(fields)
+	fields = e.addConfigurationFields(fields)
+	fields = e.addProgressFields(fields)
 	if err == nil {
 		e.gateway.Log.Info("request: answered.", fields...)
 		return
@@ -31,8 +31,8 @@
 	e.gateway.Log.Warn("request: failed.", fields...)
 }
 
-// told is the status that the caller got.
-func (e *execution) told(err error) int {
+// callerStatus returns the HTTP status that the caller got; 0 if it got none.
+func (e *execution) callerStatus(err error) int {
 	var refusal *Refusal
 	if errors.As(err, &refusal) && !e.headSent {
 		return refusal.Status
@@ -40,6 +40,7 @@
 	return e.status
 }
 
+// routeName returns the name of the route, or "" if none was found.
 func (e *execution) routeName() string {
 	if e.route == nil {
 		return ""
@@ -47,8 +48,8 @@
 	return e.route.Name
 }
 
-// addProgram tells whose request it is, and what the caller said of its program.
-func (e *execution) addProgram(fields []zap.Field) []zap.Field {
+// addProgramFields adds the tenant and what the caller said of its program.
+func (e *execution) addProgramFields(fields []zap.Field) []zap.Field {
 	if e.tenant != nil {
 		fields = append(fields, zap.String("tenant", string(e.tenant.Name)))
 	}
@@ -64,30 +65,30 @@
 	return fields
 }
 
-// addQuota tells who gave the request its place in its tenant's quota, and how many were
-// left there; a refusal says it in its cause.
-func (e *execution) addQuota(fields []zap.Field) []zap.Field {
-	if e.taken == nil {
+// addQuotaFields adds which machine gave the request its permit from the tenant's quota, and how
+// many permits were left there. The cause of a refusal tells the same.
+func (e *execution) addQuotaFields(fields []zap.Field) []zap.Field {
+	if e.quotaPermit == nil {
 		return fields
 	}
-	return append(fields, zap.String("quotaKeeper", e.taken.Keeper), zap.Float64("quotaLeft", e.taken.Level),
-		zap.Int("quotaAsked", e.taken.Asked), zap.Duration("quotaTook", e.taken.Took))
+	return append(fields, zap.String("quotaKeeper", e.quotaPermit.Keeper), zap.Float64("quotaLeft", e.quotaPermit.Level),
+		zap.Int("quotaAsked", e.quotaPermit.Asked), zap.Duration("quotaTook", e.quotaPermit.Took))
 }
 
-// addEngine tells which engine was chosen last, and what was believed of it.
-func (e *execution) addEngine(fields []zap.Field) []zap.Field {
+// addEngineFields adds the engine that was tried last and its known state at that time.
+func (e *execution) addEngineFields(fields []zap.Field) []zap.Field {
 	if e.instance != nil {
-		fields = append(fields, zap.String("engine", e.instance.ID), zap.Duration("firstByte", e.firstByte), zap.Int("engineLoad", e.believed.load))
+		fields = append(fields, zap.String("engine", e.instance.ID), zap.Duration("firstByte", e.timeToFirstByte), zap.Int("engineLoad", e.placement.load))
 	}
-	if e.believed.missing > 0 {
-		fields = append(fields, zap.Int("toRead", e.believed.missing))
+	if e.placement.missingTokens > 0 {
+		fields = append(fields, zap.Int("toRead", e.placement.missingTokens))
 	}
 	return fields
 }
 
-// addConfiguration tells which configuration decided, and how old it and the picture
-// of engines were.
-func (e *execution) addConfiguration(fields []zap.Field) []zap.Field {
+// addConfigurationFields adds the revision of the configuration that was used, and the ages of
+// the configuration and of the list of engines.
+func (e *execution) addConfigurationFields(fields []zap.Field) []zap.Field {
 	if e.table == nil {
 		return fields
 	}
@@ -96,8 +97,9 @@
 		zap.Duration("configurationAge", configurationAge), zap.Duration("enginesAge", instancesAge))
 }
 
-// addCourse tells what happened on the way; what did not happen is left out.
-func (e *execution) addCourse(fields []zap.Field) []zap.Field {
+// addProgressFields adds what happened while the request was served, and leaves out what did
+// not happen.
+func (e *execution) addProgressFields(fields []zap.Field) []zap.Field {
 	if e.events.count > 0 {
 		fields = append(fields, zap.Int("events", e.events.count))
 	}
@@ -110,11 +112,11 @@
 	if e.reservation != nil {
 		fields = append(fields, zap.Int64("attained", e.reservation.Attained()))
 	}
-	if e.searches > 0 {
-		fields = append(fields, zap.Int("searches", e.searches))
+	if e.repeatedSearches > 0 {
+		fields = append(fields, zap.Int("searches", e.repeatedSearches))
 	}
-	if e.waited > 0 {
-		fields = append(fields, zap.Duration("storeWait", e.waited))
+	if e.storeWait > 0 {
+		fields = append(fields, zap.Duration("storeWait", e.storeWait))
 	}
 	return fields
 }
