--- a/internal/turn/beginnings.go
+++ b/internal/turn/beginnings.go
@@ -9,107 +9,112 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Sizes in bytes.
+// Sizes in bytes, unless a comment says otherwise.
 const (
-	// firstBytes are those by which inputs are found that may begin alike.
-	firstBytes = 1 << 10
-	// sharedStep is what a common beginning is rounded down to, so that all daemons,
-	// which compare other inputs, find the same piece though a few bytes behind the
-	// common ones happen to agree. On average half a step is kept by each turn.
-	sharedStep = 256
-	// smallestShared is the least that is kept apart: a piece costs a daemon one
-	// commit and sometimes one reading, and below this a conversation saves less than
-	// the names in its rows take.
-	smallestShared = 2 << 10
-	mostCompared   = 64 << 10 // of an input
-	// Bounds of the inputs that are remembered.
-	mostBeginnings     = 256 // different first bytes
-	mostAlike          = 6   // inputs with the same first bytes
-	mostBeginningBytes = 3 << 20
+	// prefixKeyBytes is the length of the prefix by whose hash inputs are looked up.
+	prefixKeyBytes = 1 << 10
+	// prefixStepBytes is the unit to which the length of a common prefix is rounded down.
+	// Daemons compare different inputs, and some of these agree by chance in a few more bytes.
+	// Rounding makes all daemons find the same piece. On average it leaves half a unit of
+	// shared bytes in the rows of each turn.
+	prefixStepBytes = 256
+	// minSharedBytes is the shortest prefix that is stored as a piece. A piece costs each daemon
+	// one commit and sometimes one read, and a shorter piece would save less space than the
+	// identifiers in the rows of a conversation take.
+	minSharedBytes = 2 << 10
+	// maxComparedBytes is how much of an input, from its beginning, is compared and remembered.
+	maxComparedBytes = 64 << 10
+	// Limits of the inputs in the index.
+	maxPrefixKeys   = 256     // number of different prefix hashes
+	maxInputsPerKey = 6       // number of inputs with the same prefix hash
+	maxIndexBytes   = 3 << 20 // all inputs together
 )
 
-// beginnings notices, by content alone, that first inputs begin with the same bytes.
-// Where they do, all that they have in common is kept once instead of with each program
-// (BenchmarkBytesKept: 2,300 bytes in place of 14,500 for a first turn of which 12,600
-// bytes are common). Where callers share nothing, it costs a hash of the first bytes.
-// It is safe for concurrent use.
-type beginnings struct {
-	mutex sync.Mutex
-	known *simplelru.LRU[uint64, []*beginning]
-	bytes int
+// prefixIndex remembers recent first inputs of conversations and finds prefixes that several of
+// them share, so that a shared prefix can be stored once as a piece instead of once for each
+// conversation. It compares contents only; callers declare nothing. An input that shares
+// nothing costs a hash of its first prefixKeyBytes. It is safe for concurrent use.
+type prefixIndex struct {
+	mutex      sync.Mutex
+	inputs     *simplelru.LRU[uint64, []*knownInput]
+	totalBytes int // bytes of all inputs
 }
 
-// beginning is the beginning of a first input.
-type beginning struct {
-	input  []byte
-	shared int // bytes in common with another input; 0: none was found yet
+// knownInput is the beginning of a first input, maxComparedBytes at most.
+type knownInput struct {
+	input       []byte
+	sharedBytes int // longest prefix found in common with another input; 0 if none was found
 }
 
-func newBeginnings() *beginnings {
-	made := &beginnings{}
-	known, err := simplelru.NewLRU(mostBeginnings, func(_ uint64, gone []*beginning) { made.bytes -= sizeOf(gone) })
+func newPrefixIndex() *prefixIndex {
+	index := &prefixIndex{}
+	inputs, err := simplelru.NewLRU(maxPrefixKeys, func(_ uint64, gone []*knownInput) { index.totalBytes -= inputBytes(gone) })
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // happens only for a size below one
 	}
-	made.known = known
-	return made
+	index.inputs = inputs
+	return index
 }
 
-func sizeOf(alike []*beginning) int {
+// inputBytes returns the total size of the inputs.
+func inputBytes(inputs []*knownInput) int {
 	size := 0
-	for _, each := range alike {
+	for _, each := range inputs {
 		size += len(each.input)
 	}
 	return size
 }
 
-// shared returns how many bytes at an input's beginning other inputs begin with too;
-// 0: too few. An input of which more than a quarter is new is remembered.
-func (b *beginnings) shared(input []byte) int {
-	if len(input) < smallestShared {
+// sharedLength returns how many bytes at the beginning of input are shared with other inputs, or
+// 0 if these are fewer than minSharedBytes. It adds the input to the index if the input is not
+// there yet and more than a quarter of the compared bytes is new.
+func (b *prefixIndex) sharedLength(input []byte) int {
+	if len(input) < minSharedBytes {
 		return 0
 	}
-	compared := input[:min(len(input), mostCompared)]
-	key := xxhash.Sum64(input[:firstBytes])
+	prefix := input[:min(len(input), maxComparedBytes)]
+	key := xxhash.Sum64(input[:prefixKeyBytes])
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	alike, _ := b.known.Get(key)
-	length, again := longestCommon(alike, compared)
-	if !again && length < len(compared)*3/4 {
-		b.remember(key, alike, compared)
+	sameKey, _ := b.inputs.Get(key)
+	length, isKnown := longestSharedPrefix(sameKey, prefix)
+	if !isKnown && length < len(prefix)*3/4 {
+		b.add(key, sameKey, prefix)
 	}
 	return length
 }
 
-// longestCommon returns the rounded length of the longest beginning in common with one
-// of the inputs. A whole input that came before, as a program that begins anew sends
-// it, says nothing of what other programs have in common with it: of that, what was
-// found before counts, if anything was.
-func longestCommon(alike []*beginning, input []byte) (length int, again bool) {
-	longest, same := 0, 0
-	for _, other := range alike {
-		common := commonSteps(other.input, input)
-		if common < smallestShared {
+// longestSharedPrefix returns the length of the longest prefix that input has in common with one
+// of the known inputs, rounded down to whole steps, and whether input equals one of them. An
+// equal input usually comes from a program that was started again, so it does not show what
+// different programs share. For an equal input, the longest prefix that it was found to share
+// with other inputs counts. Its whole length counts only if there is no such prefix.
+func longestSharedPrefix(sameKey []*knownInput, input []byte) (length int, isKnown bool) {
+	longest, equalLength := 0, 0
+	for _, other := range sameKey {
+		common := commonPrefixLength(other.input, input)
+		if common < minSharedBytes {
 			continue
 		}
 		if bytes.Equal(other.input, input) {
-			same = common
-			longest = max(longest, other.shared)
+			equalLength = common
+			longest = max(longest, other.sharedBytes)
 			continue
 		}
-		other.shared = max(other.shared, common)
+		other.sharedBytes = max(other.sharedBytes, common)
 		longest = max(longest, common)
 	}
 	if longest == 0 {
-		longest = same
+		longest = equalLength
 	}
-	return longest, same > 0
+	return longest, equalLength > 0
 }
 
-// commonSteps returns the length of the common beginning, in whole steps.
-func commonSteps(a, b []byte) int {
+// commonPrefixLength returns the length of the common prefix of a and b, rounded down to a
+// multiple of prefixStepBytes.
+func commonPrefixLength(a, b []byte) int {
 	length := 0
-	for end := sharedStep; end <= min(len(a), len(b)); end += sharedStep {
+	for end := prefixStepBytes; end <= min(len(a), len(b)); end += prefixStepBytes {
 		if !bytes.Equal(a[length:end], b[length:end]) {
 			break
 		}
@@ -118,13 +123,14 @@
 	return length
 }
 
-// remember keeps an input; the oldest of those alike gives way.
-func (b *beginnings) remember(key uint64, alike []*beginning, input []byte) {
-	kept := append(slices.Clone(alike), &beginning{input: slices.Clone(input)})
-	kept = kept[max(0, len(kept)-mostAlike):]
-	b.bytes += sizeOf(kept) - sizeOf(alike)
-	b.known.Add(key, kept)
-	for b.bytes > mostBeginningBytes && b.known.Len() > 1 {
-		b.known.RemoveOldest()
+// add adds a copy of input to the inputs with the same key. Beyond the limits it drops the
+// oldest input with the same key and the least recently used keys.
+func (b *prefixIndex) add(key uint64, sameKey []*knownInput, input []byte) {
+	kept := append(slices.Clone(sameKey), &knownInput{input: slices.Clone(input)})
+	kept = kept[max(0, len(kept)-maxInputsPerKey):]
+	b.totalBytes += inputBytes(kept) - inputBytes(sameKey)
+	b.inputs.Add(key, kept)
+	for b.totalBytes > maxIndexBytes && b.inputs.Len() > 1 {
+		b.inputs.RemoveOldest()
 	}
 }
--- a/internal/turn/beginnings_test.go
+++ b/internal/turn/beginnings_test.go
@@ -8,56 +8,58 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("The beginnings of first inputs", func() {
-	// parts are what prompts are made of: of one program, of a class of programs, of all.
-	of := func(kind string, size int) string {
+var _ = Describe("Common prefixes of first inputs", func() {
+	// textOf returns a text of the given size in bytes, different for each kind. Inputs are
+	// concatenations of a text that all programs share, one that a class of programs shares, and
+	// one of a single program.
+	textOf := func(kind string, size int) string {
 		return strings.Repeat(kind+" says something. ", size)[:size]
 	}
 	input := func(parts ...string) []byte { return []byte(strings.Join(parts, "")) }
-	all, class, other := of("all", 3000), of("class", 9000), of("other", 9000)
+	all, class, other := textOf("all", 3000), textOf("class", 9000), textOf("other", 9000)
 
-	var known *beginnings
+	var index *prefixIndex
 
-	BeforeEach(func() { known = newBeginnings() })
+	BeforeEach(func() { index = newPrefixIndex() })
 
-	It("are shared by what comes second, up to a step before they differ", func() {
-		Expect(known.shared(input(all, class, "one "+of("one", 1000)))).To(BeZero())
-		Expect(known.shared(input(all, class, "two "+of("two", 1000)))).To(Equal(12000 / sharedStep * sharedStep))
+	It("are found from the second input on, rounded down to whole steps", func() {
+		Expect(index.sharedLength(input(all, class, "one "+textOf("one", 1000)))).To(BeZero())
+		Expect(index.sharedLength(input(all, class, "two "+textOf("two", 1000)))).To(Equal(12000 / prefixStepBytes * prefixStepBytes))
 	})
 
-	It("are found for each class of programs, also where all begin alike", func() {
+	It("are found for each class of programs, although all programs share a shorter prefix", func() {
 		for number := range 4 {
-			known.shared(input(all, class, fmt.Sprint("c", number), of("c", 1000)))
-			known.shared(input(all, other, fmt.Sprint("o", number), of("o", 1000)))
+			index.sharedLength(input(all, class, fmt.Sprint("c", number), textOf("c", 1000)))
+			index.sharedLength(input(all, other, fmt.Sprint("o", number), textOf("o", 1000)))
 		}
-		Expect(known.shared(input(all, class, "last"))).To(Equal(12000 / sharedStep * sharedStep))
-		Expect(known.shared(input(all, other, "last"))).To(Equal(12000 / sharedStep * sharedStep))
-		Expect(known.shared(input(all, of("third", 9000)))).To(Equal(3000 / sharedStep * sharedStep))
+		Expect(index.sharedLength(input(all, class, "last"))).To(Equal(12000 / prefixStepBytes * prefixStepBytes))
+		Expect(index.sharedLength(input(all, other, "last"))).To(Equal(12000 / prefixStepBytes * prefixStepBytes))
+		Expect(index.sharedLength(input(all, textOf("third", 9000)))).To(Equal(3000 / prefixStepBytes * prefixStepBytes))
 	})
 
-	It("are those of other programs where the same input comes again", func() {
-		known.shared(input(all, class, "one", of("one", 1000)))
-		known.shared(input(all, class, "two", of("two", 1000)))
-		Expect(known.shared(input(all, class, "one", of("one", 1000)))).To(Equal(12000 / sharedStep * sharedStep))
+	It("are those shared with other programs when the same input comes again", func() {
+		index.sharedLength(input(all, class, "one", textOf("one", 1000)))
+		index.sharedLength(input(all, class, "two", textOf("two", 1000)))
+		Expect(index.sharedLength(input(all, class, "one", textOf("one", 1000)))).To(Equal(12000 / prefixStepBytes * prefixStepBytes))
 	})
 
-	It("are not worth a piece where they are short", func() {
-		known.shared(input(all[:1500], "one"))
-		Expect(known.shared(input(all[:1500], "two"))).To(BeZero())
-		Expect(known.shared(input("x"))).To(BeZero())
+	It("are not reported if they are too short to be stored as a piece", func() {
+		index.sharedLength(input(all[:1500], "one"))
+		Expect(index.sharedLength(input(all[:1500], "two"))).To(BeZero())
+		Expect(index.sharedLength(input("x"))).To(BeZero())
 	})
 
-	It("are remembered in bounded memory", func() {
+	It("are found with bounded memory", func() {
 		for number := range 2000 {
-			known.shared(input(of(fmt.Sprint(number), 14000)))
+			index.sharedLength(input(textOf(fmt.Sprint(number), 14000)))
 		}
-		Expect(known.bytes).To(BeNumerically("<=", mostBeginningBytes))
-		Expect(known.known.Len()).To(BeNumerically("<=", mostBeginnings))
+		Expect(index.totalBytes).To(BeNumerically("<=", maxIndexBytes))
+		Expect(index.inputs.Len()).To(BeNumerically("<=", maxPrefixKeys))
 		for number := range 2000 {
-			known.shared(input(all, of(fmt.Sprint(number), 60000)))
+			index.sharedLength(input(all, textOf(fmt.Sprint(number), 60000)))
 		}
-		held, _ := known.known.Peek(known.known.Keys()[known.known.Len()-1])
-		Expect(len(held)).To(BeNumerically("<=", mostAlike))
-		Expect(known.bytes).To(BeNumerically("<=", mostBeginningBytes))
+		held, _ := index.inputs.Peek(index.inputs.Keys()[index.inputs.Len()-1])
+		Expect(len(held)).To(BeNumerically("<=", maxInputsPerKey))
+		Expect(index.totalBytes).To(BeNumerically("<=", maxIndexBytes))
 	})
 })
--- a/internal/turn/benchmark_test.go
+++ b/internal/turn/benchmark_test.go
@@ -14,14 +14,15 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// The turns of programs that are measured: a short one, two usual ones, a long one.
-var measuredTurns = []int{1, 4, 11, 22}
+// benchmarkTurns are the numbers of turns of the measured programs: a short one, two typical ones
+// and a long one.
+var benchmarkTurns = []int{1, 4, 11, 22}
 
-// BenchmarkBytesKept tells the bytes that the store holds for a program, where a hundred
-// programs begin alike.
+// BenchmarkBytesKept measures how many bytes the store holds for each of 100 programs whose first
+// inputs share a prefix.
 func BenchmarkBytesKept(b *testing.B) {
 	const programs = 100
-	for _, turns := range measuredTurns {
+	for _, turns := range benchmarkTurns {
 		b.Run(fmt.Sprint(turns, "-turns"), func(b *testing.B) {
 			RegisterTestingT(b)
 			bytes := 0
@@ -29,9 +30,9 @@
 				store := memorystore.New()
 				random := rand.New(rand.NewPCG(1, 2))
 				common := randomText(random, commonBytes)
-				daemons := []*turn.Records{turn.NewRecords(usualOptions(store))}
+				daemons := []*turn.Records{turn.NewRecords(typicalOptions(store))}
 				for number := range programs {
-					program(context.Background(), daemons, random, fmt.Sprint("p", number), common, turns)
+					saveProgram(context.Background(), daemons, random, fmt.Sprint("p", number), common, turns)
 				}
 				bytes = store.Bytes()
 			}
@@ -40,34 +41,34 @@
 	}
 }
 
-// slowStore answers each reading after the time that a sound store takes.
+// slowStore delays each read by latency, the response time of a healthy store.
 type slowStore struct {
 	*memorystore.Store
-	answer time.Duration
+	latency time.Duration
 }
 
 func (s slowStore) Read(ctx context.Context, selected state.Range) (state.Page, error) {
-	time.Sleep(s.answer)
+	time.Sleep(s.latency)
 	return s.Store.Read(ctx, selected)
 }
 
-// BenchmarkChainRead tells how long a daemon takes to read a whole conversation that
-// others served, where a reading takes 4 ms.
+// BenchmarkChainRead measures how long a daemon takes to load a whole conversation that other
+// daemons served, if each read of the store takes 4 ms.
 func BenchmarkChainRead(b *testing.B) {
-	const answer = 4 * time.Millisecond
-	for _, turns := range measuredTurns {
+	const latency = 4 * time.Millisecond
+	for _, turns := range benchmarkTurns {
 		b.Run(fmt.Sprint(turns, "-turns"), func(b *testing.B) {
 			RegisterTestingT(b)
 			store := memorystore.New()
 			random := rand.New(rand.NewPCG(1, 2))
 			common := randomText(random, commonBytes)
-			writer := []*turn.Records{turn.NewRecords(usualOptions(store))}
+			writer := []*turn.Records{turn.NewRecords(typicalOptions(store))}
 			for _, name := range []string{"first", "p"} {
-				program(context.Background(), writer, random, name, common, turns)
+				saveProgram(context.Background(), writer, random, name, common, turns)
 			}
 			readings := store.Calls("read")
 			for b.Loop() {
-				reader := turn.NewRecords(usualOptions(slowStore{store, answer}))
+				reader := turn.NewRecords(typicalOptions(slowStore{store, latency}))
 				_, err := reader.Load(context.Background(), fmt.Sprint("p-", turns-1), "")
 				Expect(err).NotTo(HaveOccurred())
 			}
--- a/internal/turn/broken.go
+++ b/internal/turn/broken.go
@@ -5,23 +5,24 @@
 	"fmt"
 )
 
-// Causes of a BrokenError, besides those of packages rowset and piece.
+// Causes of a BrokenError. Others are errors of the packages rowset and piece.
 var (
-	// ErrGap says that a turn that the conversation goes on from is not there.
-	ErrGap = errors.New("a turn before it is not there")
-	// ErrLoop says that a turn is named as one before itself.
-	ErrLoop = errors.New("a turn comes before itself")
-	// ErrForeign says that a turn before it belongs to another tenant.
-	ErrForeign = errors.New("a turn before it is another tenant's")
-	// ErrChanged says that the bytes are not those that were recorded.
+	// ErrGap means that an earlier turn is missing, or that the rows of the conversation name
+	// different earlier turns.
+	ErrGap = errors.New("an earlier turn is missing")
+	// ErrLoop means that a turn is named as its own ancestor.
+	ErrLoop = errors.New("a turn is its own ancestor")
+	// ErrForeign means that an earlier turn belongs to another tenant.
+	ErrForeign = errors.New("an earlier turn belongs to another tenant")
+	// ErrChanged means that the bytes of a turn do not match the recorded digest.
 	ErrChanged = errors.New("the bytes differ from what was recorded")
 )
 
-// BrokenError says that a conversation that was recorded cannot be put together. It is
-// ErrUnsure: the turn exists, and what it holds is not certain.
+// BrokenError means that a recorded conversation cannot be reassembled. errors.Is reports it as
+// ErrUnsure, since the turn exists but its history is not certain.
 type BrokenError struct {
-	Turn  string // that was asked for
-	At    string // the turn whose rows show it
+	Turn  string // identifier of the turn that was to be loaded
+	At    string // identifier of the turn whose rows show the fault
 	Cause error
 }
 
@@ -33,5 +34,5 @@
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Cause }
 
-// Is makes it ErrUnsure.
+// Is makes errors.Is report the error as ErrUnsure.
 func (e *BrokenError) Is(target error) bool { return target == ErrUnsure }
--- a/internal/turn/broken_test.go
+++ b/internal/turn/broken_test.go
@@ -20,7 +20,7 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// body is what a turn's rows hold, as any writer may write it.
+// body has the format of a turn's rows, with parts of any content.
 type body struct {
 	Owner     string           `cbor:"o,omitempty"`
 	Ancestors []string         `cbor:"a,omitempty"`
@@ -28,17 +28,17 @@
 	Digest    []byte           `cbor:"d"`
 }
 
-var _ = Describe("A conversation whose rows are not as they were recorded", func() {
+var _ = Describe("A conversation whose rows were changed after they were recorded", func() {
 	var store *memorystore.Store
 
-	// Three turns of one tenant; the first begins with what another conversation shares.
+	// Saves three turns of one tenant, of which the first shares a prefix with another conversation.
 	BeforeEach(func(ctx SpecContext) {
 		store = memorystore.New()
-		options := usualOptions(store)
+		options := typicalOptions(store)
 		options.RowBytes = 2000
 		records := turn.NewRecords(options)
 		common := string(make([]byte, 4000))
-		Expect(records.Save(ctx, "other", text(common+"other"), time.Minute)).To(Succeed())
+		Expect(records.Save(ctx, "other", firstTurn(common+"other"), time.Minute)).To(Succeed())
 		var previous *turn.Turn
 		for _, name := range []string{"a", "b", "c"} {
 			added := turn.Addition{Previous: previous, Owner: "tenant", Input: []byte(name)}
@@ -53,7 +53,7 @@
 		Expect(historyOf(previous)).To(Equal(common + "firstbc"))
 	})
 
-	// write replaces a turn's rows.
+	// write replaces the rows of a turn.
 	write := func(name string, content body) {
 		GinkgoHelper()
 		value, err := cbor.Marshal(content)
@@ -64,6 +64,8 @@
 			store.Write(put)
 		}
 	}
+	// pieceKey returns the key of a row of the shared piece: the first row if suffix is empty, or
+	// else the row whose name ends with suffix.
 	pieceKey := func(ctx context.Context, suffix string) state.Key {
 		GinkgoHelper()
 		for _, partition := range state.Partitions(rowset.Partitions) {
@@ -79,7 +81,7 @@
 		return state.Key{}
 	}
 
-	DescribeTable("is in doubt, never wrong and never absent", func(ctx SpecContext, damage func(ctx SpecContext), at string, cause error) {
+	DescribeTable("is reported as unsure, never as absent and never with wrong content", func(ctx SpecContext, damage func(ctx SpecContext), at string, cause error) {
 		damage(ctx)
 		_, err := newRecords(store).Load(ctx, "c", "")
 		Expect(err).To(MatchError(turn.ErrUnsure))
@@ -89,33 +91,33 @@
 		Expect(errors.As(err, &broken)).To(BeTrue())
 		Expect(broken.At).To(Equal(at))
 	},
-		Entry("a turn before it is gone", func(SpecContext) { store.Remove(keyOf("b")) }, "b", turn.ErrGap),
-		Entry("the first turn is gone", func(SpecContext) { store.Remove(keyOf("a")) }, "a", turn.ErrGap),
-		Entry("a turn names one before it as following itself", func(SpecContext) {
+		Entry("an earlier turn is missing", func(SpecContext) { store.Remove(keyOf("b")) }, "b", turn.ErrGap),
+		Entry("the first turn is missing", func(SpecContext) { store.Remove(keyOf("a")) }, "a", turn.ErrGap),
+		Entry("an earlier turn names a later one as its ancestor", func(SpecContext) {
 			write("a", body{Owner: "tenant", Ancestors: []string{"c"}})
 		}, "c", turn.ErrLoop),
-		Entry("a turn names another one than those after it do", func(SpecContext) {
+		Entry("an earlier turn names a different ancestor than the later ones do", func(SpecContext) {
 			write("b", body{Owner: "tenant", Ancestors: []string{"other"}, Digest: make([]byte, 32)})
 		}, "b", turn.ErrGap),
-		Entry("a turn before it is another tenant's", func(SpecContext) {
+		Entry("an earlier turn belongs to another tenant", func(SpecContext) {
 			write("b", body{Owner: "stranger", Ancestors: []string{"a"}, Digest: make([]byte, 32)})
 		}, "b", turn.ErrForeign),
-		Entry("a turn before it holds other bytes", func(SpecContext) {
+		Entry("an earlier turn holds other bytes", func(SpecContext) {
 			write("a", body{Owner: "tenant", Parts: []map[string]any{{"b": []byte("changed")}}, Digest: make([]byte, 32)})
 		}, "a", turn.ErrChanged),
-		Entry("a row before it is in a newer format", func(SpecContext) {
+		Entry("a row of an earlier turn is in a newer format", func(SpecContext) {
 			value, err := cbor.Marshal([]any{9, time.Now().Add(time.Hour).Unix(), 0, 1, []byte("?")})
 			Expect(err).NotTo(HaveOccurred())
 			store.Write(state.Put{Key: keyOf("b"), Value: value})
 		}, "b", rowset.ErrFormat),
-		Entry("a row before it is another writer's", func(SpecContext) {
+		Entry("a row of an earlier turn is in an unknown format", func(SpecContext) {
 			store.Write(state.Put{Key: keyOf("b"), Value: []byte("no row of ours")})
 		}, "b", rowset.ErrFormat),
-		Entry("its own row is another writer's", func(SpecContext) {
+		Entry("its own row is in an unknown format", func(SpecContext) {
 			store.Write(state.Put{Key: keyOf("c"), Value: []byte("no row of ours")})
 		}, "c", rowset.ErrFormat),
-		Entry("a shared piece is gone", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "")) }, "a", piece.ErrMissing),
-		Entry("a shared piece is torn", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "/1")) }, "a", rowset.ErrTorn),
+		Entry("a shared piece is missing", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "")) }, "a", piece.ErrMissing),
+		Entry("a row of a shared piece is missing", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "/1")) }, "a", rowset.ErrTorn),
 		Entry("a shared piece holds other bytes", func(ctx SpecContext) {
 			key := pieceKey(ctx, "")
 			puts, err := rowset.Cut(key, []byte("changed"), time.Now().Add(time.Hour).Unix(), 2000)
@@ -124,7 +126,7 @@
 		}, "a", piece.ErrDiffers),
 	)
 
-	It("is waited for where a place of a turn before it does not answer at once", func(ctx SpecContext) {
+	It("is loaded after retries if the partition of an earlier turn does not answer at first", func(ctx SpecContext) {
 		refused := 0
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "read" && call.Partition == rowset.PlacesOf("b")[0] && refused < 4 {
@@ -139,17 +141,17 @@
 		Expect(refused).To(Equal(4))
 	})
 
-	It("is had from a daemon that has it in memory", func(ctx SpecContext) {
+	It("is loaded from a daemon that has it in memory", func(ctx SpecContext) {
 		first := newRecords(store)
 		_, err := first.Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
 		store.Remove(keyOf("b"))
-		loaded, err := newRecordsBeside(store, serve(first)).Load(ctx, "c", "")
+		loaded, err := newRecordsWithPeer(store, serve(first)).Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(HaveSuffix("firstbc"))
 	})
 
-	It("is whole where one of its places holds a torn copy and another one a sound one", func(ctx SpecContext) {
+	It("is loaded from the second partition of a turn if the row in the first is broken", func(ctx SpecContext) {
 		page, err := store.Read(ctx, rowset.Range(keyOf("b")))
 		Expect(err).NotTo(HaveOccurred())
 		moved := keyOf("b")
@@ -162,7 +164,7 @@
 	})
 })
 
-// silentCaller counts calls that are not answered.
+// silentCaller is a peer.Caller that counts calls and answers none of them.
 type silentCaller struct {
 	peer.Caller
 	calls int
@@ -174,31 +176,31 @@
 	return ctx.Err()
 }
 
-// teller tells the same of every turn.
-type teller struct{ reply turn.ChainReply }
+// fixedChainService answers every request with the same reply.
+type fixedChainService struct{ reply turn.ChainReply }
 
-// Chain is called by other daemons.
-func (t *teller) Chain(_ turn.ChainRequest, reply *turn.ChainReply) error {
+// Chain returns the fixed reply.
+func (t *fixedChainService) Chain(_ turn.ChainRequest, reply *turn.ChainReply) error {
 	*reply = t.reply
 	return nil
 }
 
-var _ = Describe("A turn that a daemon is said to have in memory", func() {
+var _ = Describe("A turn that another daemon may have in memory", func() {
 	var store *memorystore.Store
 	var first *turn.Records
 
 	BeforeEach(func(ctx SpecContext) {
 		store = memorystore.New()
 		first = newRecords(store)
-		Expect(first.Save(ctx, "a", text("A"), time.Minute)).To(Succeed())
+		Expect(first.Save(ctx, "a", firstTurn("A"), time.Minute)).To(Succeed())
 		previous, err := first.Load(ctx, "a", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.Save(ctx, "b", turn.Addition{Previous: previous, Input: []byte("B"), Engine: "e"}, time.Minute)).To(Succeed())
 	})
 
-	It("is asked for there, and the store is not read", func(ctx SpecContext) {
+	It("is loaded from that daemon without reading the store", func(ctx SpecContext) {
 		address := serve(first)
-		second := newRecordsBeside(store, address)
+		second := newRecordsWithPeer(store, address)
 		loaded, err := second.Load(ctx, "b", address)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("AB"))
@@ -210,7 +212,7 @@
 		Expect(historyOf(afterwards)).To(Equal("ABC"))
 	})
 
-	It("is not asked for by each request at a daemon that does not answer", func(ctx SpecContext) {
+	It("is not requested again from a daemon that has just failed to answer", func(ctx SpecContext) {
 		caller := &silentCaller{}
 		options := optionsOf(store)
 		list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
@@ -223,7 +225,7 @@
 		Expect(caller.calls).To(Equal(1))
 	})
 
-	It("is read from the store where what is told is not that turn", func(ctx SpecContext) {
+	It("is read from the store if the daemon's reply is not that turn", func(ctx SpecContext) {
 		var told turn.ChainReply
 		Expect(turn.NewService(first).Chain(turn.ChainRequest{Identifier: "b"}, &told)).To(Succeed())
 		changed := turn.ChainReply{Turns: append([]turn.ToldTurn(nil), told.Turns...)}
@@ -232,16 +234,16 @@
 			server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(server.Close)
-			Expect(server.Register(turn.ServiceName, &teller{lie})).To(Succeed())
-			loaded, err := newRecordsBeside(store, server.Address()).Load(ctx, "b", server.Address())
+			Expect(server.Register(turn.ServiceName, &fixedChainService{lie})).To(Succeed())
+			loaded, err := newRecordsWithPeer(store, server.Address()).Load(ctx, "b", server.Address())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(historyOf(loaded)).To(Equal("AB"))
 		}
 	})
 
-	It("is read from the store where that daemon has it no more, or does not answer", func(ctx SpecContext) {
+	It("is read from the store if that daemon no longer has it or does not answer", func(ctx SpecContext) {
 		for _, address := range []string{serve(newRecords(store)), "127.0.0.1:1"} {
-			loaded, err := newRecordsBeside(store, address).Load(ctx, "b", address)
+			loaded, err := newRecordsWithPeer(store, address).Load(ctx, "b", address)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(historyOf(loaded)).To(Equal("AB"))
 		}
--- a/internal/turn/cache.go
+++ b/internal/turn/cache.go
@@ -7,106 +7,112 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cache holds recent turns. A turn in it keeps its ancestors in memory, whether they
-// are in it themselves or not; each is counted once, however many turns go on from it.
-// It is safe for concurrent use.
+// cache holds recently used turns. An entry also keeps the ancestors of its turn in memory, even
+// if they have no entry of their own. The bytes of each turn are counted once, even if several
+// turns continue it. It is safe for concurrent use.
 type cache struct {
-	keep      time.Duration
-	mostBytes int
-	now       func() time.Time
+	maxIdle  time.Duration // entries are dropped when they have not been used for longer
+	maxBytes int           // limit of bytes
+	now      func() time.Time
 
-	mutex  sync.Mutex
-	recent *simplelru.LRU[string, *cached]
-	held   map[*Turn]int // how many cached turns and held followers a turn has
-	bytes  int           // of all held turns
+	mutex      sync.Mutex
+	recent     *simplelru.LRU[string, *cacheEntry]
+	references map[*Turn]int // for each turn in memory, the entries and later turns that refer to it
+	bytes      int           // size of all turns in references
 }
 
-type cached struct {
-	turn *Turn
-	used time.Time
+// cacheEntry is a turn with the time of its last use.
+type cacheEntry struct {
+	turn     *Turn
+	lastUsed time.Time
 }
 
 func newCache(options Options) *cache {
-	made := &cache{keep: options.CacheFor, mostBytes: options.CacheBytes, now: options.Now, held: map[*Turn]int{}}
-	recent, err := simplelru.NewLRU(max(options.CacheEntries, 1), func(_ string, gone *cached) { made.release(gone.turn) })
+	created := &cache{maxIdle: options.CacheFor, maxBytes: options.CacheBytes, now: options.Now, references: map[*Turn]int{}}
+	recent, err := simplelru.NewLRU(max(options.CacheEntries, 1), func(_ string, gone *cacheEntry) { created.release(gone.turn) })
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // happens only for a size below one
 	}
-	made.recent = recent
-	return made
+	created.recent = recent
+	return created
 }
 
-// get returns a turn, which is used then; nil: it is not in memory.
+// get returns a turn and marks it as used, or returns nil if it has no entry.
 func (c *cache) get(identifier string) *Turn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.dropOld()
+	c.dropExpired()
 	found, known := c.recent.Get(identifier)
 	if !known {
 		return nil
 	}
-	found.used = c.now()
+	found.lastUsed = c.now()
 	return found.turn
 }
 
-// peek returns a turn without using it.
+// peek returns a turn without marking it as used, or nil if it has no current entry.
 func (c *cache) peek(identifier string) *Turn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	found, known := c.recent.Peek(identifier)
-	if !known || c.now().Sub(found.used) > c.keep {
+	if !known || c.now().Sub(found.lastUsed) > c.maxIdle {
 		return nil
 	}
 	return found.turn
 }
 
-// add holds a turn, and gives up those that were not used for the longest time.
+// add adds an entry for the turn and drops the least recently used entries beyond the limits.
 func (c *cache) add(turn *Turn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.recent.Remove(turn.identifier)
 	c.retain(turn)
-	c.recent.Add(turn.identifier, &cached{turn: turn, used: c.now()})
-	c.dropOld()
-	for c.bytes > c.mostBytes && c.recent.Len() > 0 {
+	c.recent.Add(turn.identifier, &cacheEntry{turn: turn, lastUsed: c.now()})
+	c.dropExpired()
+	for c.bytes > c.maxBytes && c.recent.Len() > 0 {
 		c.recent.RemoveOldest()
 	}
 }
 
-// size is how many bytes are held.
+// size returns the size in bytes of all turns in memory.
 func (c *cache) size() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.bytes
 }
 
-func (c *cache) dropOld() {
+// dropExpired drops the entries that have not been used for longer than maxIdle. The caller
+// holds mutex.
+func (c *cache) dropExpired() {
 	for {
-		_, oldest, some := c.recent.GetOldest()
-		if !some || c.now().Sub(oldest.used) <= c.keep {
+		_, oldest, hasEntries := c.recent.GetOldest()
+		if !hasEntries || c.now().Sub(oldest.lastUsed) <= c.maxIdle {
 			return
 		}
 		c.recent.RemoveOldest()
 	}
 }
 
+// retain adds a reference to the turn. If it is the first one, the turn is counted and its
+// previous turn is retained in the same way.
 func (c *cache) retain(turn *Turn) {
 	for each := turn; each != nil; each = each.previous {
-		c.held[each]++
-		if c.held[each] > 1 {
+		c.references[each]++
+		if c.references[each] > 1 {
 			return
 		}
 		c.bytes += each.addedBytes()
 	}
 }
 
+// release undoes one retain. It is called for each entry that leaves the cache.
 func (c *cache) release(turn *Turn) {
 	for each := turn; each != nil; each = each.previous {
-		c.held[each]--
-		if c.held[each] > 0 {
+		c.references[each]--
+		if c.references[each] > 0 {
 			return
 		}
-		delete(c.held, each)
+		delete(c.references, each)
 		c.bytes -= each.addedBytes()
 	}
 }
--- a/internal/turn/conversation.go
+++ b/internal/turn/conversation.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// digest is that of a conversation up to the end of a turn: of the digest up to the
-// turn before it and of what the turn adds.
+// digest identifies the content of a conversation up to the end of a turn. It is the SHA-256 sum
+// of the previous turn's digest, if there is one, followed by the bytes that the turn adds.
 type digest [sha256.Size]byte
 
-// segment is a part of what a turn adds. Its bytes are not to be changed.
+// segment is a part of what a turn adds. Its bytes must not be modified.
 type segment struct {
 	bytes  []byte
-	shared bool // with other conversations, as a piece
+	shared bool // whether the bytes are a piece that other conversations share
 }
 
-// Turn is a finished turn with the conversation up to its end. What came before is
-// shared with the turns before it, not copied. A Turn does not change.
+// Turn is a finished turn together with the conversation up to its end. It refers to the earlier
+// turns instead of copying them. A Turn is immutable and safe for concurrent use.
 type Turn struct {
 	identifier string
-	owner      string // whose turn it is; "": nobody's
-	engine     string
-	previous   *Turn // nil: the conversation begins with what this turn holds
-	added      []segment
+	owner      string    // name of the tenant; empty if there is none
+	engine     string    // ID of the instance that ran the turn
+	previous   *Turn     // the turn before it; nil if the segments begin the conversation
+	added      []segment // what the turn adds, in order
 	digest     digest
-	length     int   // of the conversation, in bytes
-	until      int64 // unix seconds: a row or piece that it lies in may be removed from then on
+	length     int   // bytes of the whole conversation
+	expiry     int64 // Unix time in seconds from which on a row or piece of the conversation may be removed
 }
 
-// Engine is the instance that ran the turn; a hint where its prefix lies.
+// Engine returns the ID of the instance that ran the turn, which probably still has the
+// conversation in its prefix cache.
 func (t *Turn) Engine() string { return t.engine }
 
-// Length is how many bytes the conversation has.
+// Length returns the size of the whole conversation in bytes; 0 for a nil Turn.
 func (t *Turn) Length() int {
 	if t == nil {
 		return 0
@@ -39,8 +40,8 @@
 	return t.length
 }
 
-// Segments returns the bytes of the conversation in order. They are shared and not
-// to be changed. A nil Turn has none.
+// Segments returns the bytes of the whole conversation in order. They are shared and must not be
+// modified. For a nil Turn it returns nil.
 func (t *Turn) Segments() [][]byte {
 	var segments [][]byte
 	for _, each := range t.chain() {
@@ -51,7 +52,7 @@
 	return segments
 }
 
-// chain returns the turns of the conversation, the oldest first.
+// chain returns the turn and all earlier turns, the oldest first; nil for a nil Turn.
 func (t *Turn) chain() []*Turn {
 	var chain []*Turn
 	for each := t; each != nil; each = each.previous {
@@ -61,27 +62,29 @@
 	return chain
 }
 
-// mostAncestors bounds the names in a turn's row. Chains of up to so many turns are
-// read in two steps, the turn and then all of its ancestors at once; each further step
-// reads so many more. A name takes some 25 bytes of a turn's 3,000.
-const mostAncestors = 32
+// maxAncestors is the largest number of ancestors that a turn's rows name. A turn with up to so
+// many ancestors is loaded in two steps: first its own rows, then those of all ancestors at
+// once. Each further step reads up to maxAncestors more.
+const maxAncestors = 32
 
-// ancestorsAfter names the turn and those before it, the nearest first.
-func ancestorsAfter(previous *Turn) []string {
+// ancestorNames returns the identifiers of previous and the turns before it, the nearest first
+// and maxAncestors at most.
+func ancestorNames(previous *Turn) []string {
 	var names []string
-	for each := previous; each != nil && len(names) < mostAncestors; each = each.previous {
+	for each := previous; each != nil && len(names) < maxAncestors; each = each.previous {
 		names = append(names, each.identifier)
 	}
 	return names
 }
 
-// complete makes a turn of what it adds to the one before it.
+// complete sets the digest and the length of t, and limits its expiry to that of the previous
+// turn. It returns t.
 func (t *Turn) complete() *Turn {
 	hash := sha256.New()
 	t.length = t.previous.Length()
 	if t.previous != nil {
 		hash.Write(t.previous.digest[:])
-		t.until = min(t.until, t.previous.until)
+		t.expiry = min(t.expiry, t.previous.expiry)
 	}
 	for _, part := range t.added {
 		hash.Write(part.bytes)
@@ -91,10 +94,11 @@
 	return t
 }
 
-// addedBytes is the memory that a turn takes itself; pieces are counted elsewhere.
+// addedBytes returns the approximate memory of the turn without earlier turns and without shared
+// pieces, which the piece cache accounts for.
 func (t *Turn) addedBytes() int {
-	const fixed = 256
-	bytes := fixed
+	const overheadBytes = 256
+	bytes := overheadBytes
 	for _, part := range t.added {
 		if !part.shared {
 			bytes += len(part.bytes)
--- a/internal/turn/conversation_test.go
+++ b/internal/turn/conversation_test.go
@@ -16,25 +16,25 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// The sizes of a usual program in bytes: first inputs of 14 KB, of which 12.6 KB are
-// those of many programs, and 3 KB with each turn.
+// Sizes of a typical program in bytes: the first input of 14,000 bytes starts with 12,600 bytes
+// that many programs share, and each later turn adds 3,000 bytes.
 const (
-	commonBytes   = 12600
-	firstOwnBytes = 1400
-	turnBytes     = 3000
-	usualRowBytes = 64 << 10
+	commonBytes     = 12600
+	firstOwnBytes   = 1400
+	turnBytes       = 3000
+	typicalRowBytes = 64 << 10
 )
 
-// usualOptions are those of a daemon in service.
-func usualOptions(store state.Store) turn.Options {
+// typicalOptions returns options like those of a daemon in production.
+func typicalOptions(store state.Store) turn.Options {
 	options := optionsOf(store)
-	options.RowBytes = usualRowBytes
+	options.RowBytes = typicalRowBytes
 	options.CacheEntries = 2048
 	options.CacheBytes = 12 << 20
 	return options
 }
 
-// randomText is a text of so many bytes that is like no other.
+// randomText returns random text of the given size in bytes.
 func randomText(random *rand.Rand, size int) []byte {
 	const letters = "abcdefghijklmnopqrstuvwxyz 0123456789"
 	content := make([]byte, size)
@@ -44,9 +44,9 @@
 	return content
 }
 
-// program runs the turns of one program, each at the next of the daemons, and returns
-// the conversation.
-func program(ctx context.Context, daemons []*turn.Records, random *rand.Rand, name string, common []byte, turns int) string {
+// saveProgram saves the given number of turns of one program, using the daemons in rotation, and
+// returns the whole conversation.
+func saveProgram(ctx context.Context, daemons []*turn.Records, random *rand.Rand, name string, common []byte, turns int) string {
 	GinkgoHelper()
 	history := ""
 	var previous *turn.Turn
@@ -67,42 +67,41 @@
 	return history
 }
 
-var _ = Describe("The bytes kept of conversations", func() {
-	// A store that holds 400 MB was full after some 3,000 programs whose turns each held
-	// the whole conversation: a program of 11 turns took 350 KB. The bounds are what the
-	// turns add and a tenth: names of earlier turns, digests, rows' envelopes.
-	It("grow with what turns add, and hold once what programs share", func(ctx SpecContext) {
+var _ = Describe("Conversations in the store", func() {
+	// Guards against turns that store the whole conversation again. The limit is the size of what
+	// the turns add, plus a tenth for the names of earlier turns, digests and row headers.
+	It("take as many bytes as their turns add, and hold shared prefixes once", func(ctx SpecContext) {
 		store := memorystore.New()
-		daemons := []*turn.Records{turn.NewRecords(usualOptions(store)), turn.NewRecords(usualOptions(store))}
+		daemons := []*turn.Records{turn.NewRecords(typicalOptions(store)), turn.NewRecords(typicalOptions(store))}
 		random := rand.New(rand.NewPCG(1, 2))
 		common := randomText(random, commonBytes)
 		const programs, turns = 100, 11
 		for number := range programs {
-			program(ctx, daemons, random, fmt.Sprint("p", number), common, turns)
+			saveProgram(ctx, daemons, random, fmt.Sprint("p", number), common, turns)
 		}
 		own := firstOwnBytes + (turns-1)*turnBytes + 500
-		held := commonBytes * 2 // the piece, and what the first program holds itself
+		held := commonBytes * 2 // the piece, and the first program's own copy of the prefix
 		Expect(store.Bytes()).To(BeNumerically("<", (programs*own+held)*11/10))
 	})
 
-	It("hold the whole conversation of a turn that another daemon goes on from", func(ctx SpecContext) {
+	It("are loaded whole by another daemon, whatever their number of turns", func(ctx SpecContext) {
 		store := memorystore.New()
 		random := rand.New(rand.NewPCG(1, 2))
 		common := randomText(random, commonBytes)
 		for number, turns := range []int{1, 2, 11, 33, 34, 70} {
-			daemons := []*turn.Records{turn.NewRecords(usualOptions(store)), turn.NewRecords(usualOptions(store)), turn.NewRecords(usualOptions(store))}
+			daemons := []*turn.Records{turn.NewRecords(typicalOptions(store)), turn.NewRecords(typicalOptions(store)), turn.NewRecords(typicalOptions(store))}
 			name := fmt.Sprint("p", number)
-			history := program(ctx, daemons, random, name, common, turns)
-			loaded, err := turn.NewRecords(usualOptions(store)).Load(ctx, fmt.Sprint(name, "-", turns-1), "")
+			history := saveProgram(ctx, daemons, random, name, common, turns)
+			loaded, err := turn.NewRecords(typicalOptions(store)).Load(ctx, fmt.Sprint(name, "-", turns-1), "")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(historyOf(loaded) == history).To(BeTrue(), "%d turns", turns)
 			Expect(loaded.Length()).To(Equal(len(history)))
 		}
 	})
 
-	It("do not grow with the length of a long conversation", func(ctx SpecContext) {
+	It("take the same number of bytes for each turn, however long they are", func(ctx SpecContext) {
 		store := memorystore.New()
-		records := turn.NewRecords(usualOptions(store))
+		records := turn.NewRecords(typicalOptions(store))
 		var previous *turn.Turn
 		var sizes []int
 		for number := range 200 {
@@ -117,12 +116,12 @@
 		Expect(sizes[199]).To(Equal(sizes[40]))
 	})
 
-	It("are read in two steps for a chain of a usual length", func(ctx SpecContext) {
+	It("are loaded with one read for each turn", func(ctx SpecContext) {
 		store := memorystore.New()
-		writer := turn.NewRecords(usualOptions(store))
-		program(ctx, []*turn.Records{writer}, rand.New(rand.NewPCG(1, 2)), "p", nil, 22)
+		writer := turn.NewRecords(typicalOptions(store))
+		saveProgram(ctx, []*turn.Records{writer}, rand.New(rand.NewPCG(1, 2)), "p", nil, 22)
 		before := store.Calls("read")
-		_, err := turn.NewRecords(usualOptions(store)).Load(ctx, "p-21", "")
+		_, err := turn.NewRecords(typicalOptions(store)).Load(ctx, "p-21", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(store.Calls("read") - before).To(Equal(22))
 	})
@@ -134,16 +133,17 @@
 
 	BeforeEach(func() { store, now = memorystore.New(), time.Unix(1000000, 0) })
 
-	// daemon makes records whose clock is the spec's.
-	daemon := func() *turn.Records {
-		options := usualOptions(store)
+	// newDaemon returns the Records of a new daemon whose clock shows the variable now.
+	newDaemon := func() *turn.Records {
+		options := typicalOptions(store)
 		options.Now = func() time.Time { return now }
 		return turn.NewRecords(options)
 	}
-	// save goes on from a turn at a daemon of its own; "": from none.
+	// save saves a turn at a new daemon. It continues the turn previous, or starts a conversation
+	// if previous is empty.
 	save := func(ctx context.Context, previous, identifier, content string) {
 		GinkgoHelper()
-		records := daemon()
+		records := newDaemon()
 		added := turn.Addition{Input: []byte(content)}
 		if previous != "" {
 			var err error
@@ -152,12 +152,14 @@
 		}
 		Expect(records.Save(ctx, identifier, added, time.Minute)).To(Succeed())
 	}
+	// load returns the whole conversation as a new daemon loads it.
 	load := func(ctx context.Context, identifier string) string {
 		GinkgoHelper()
-		loaded, err := daemon().Load(ctx, identifier, "")
+		loaded, err := newDaemon().Load(ctx, identifier, "")
 		Expect(err).NotTo(HaveOccurred())
 		return historyOf(loaded)
 	}
+	// sweep removes the expired rows of turns and returns their number.
 	sweep := func(ctx context.Context) (removed int) {
 		GinkgoHelper()
 		sweep := turn.Leftovers(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, nil)
@@ -169,6 +171,7 @@
 		return removed
 	}
 
+	// sweepPieces removes the expired rows of pieces.
 	sweepPieces := func(ctx context.Context) {
 		GinkgoHelper()
 		sweep := piece.Leftovers(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, nil)
@@ -187,9 +190,9 @@
 		Expect(load(ctx, "c")).To(Equal("AC"))
 	})
 
-	It("is whole when the turns that it goes on from are removed before it", func(ctx SpecContext) {
+	It("stays whole when earlier turns are removed before it", func(ctx SpecContext) {
 		save(ctx, "", "a", "A")
-		for number := range 8 { // a turn each 50 s of a minute's retention
+		for number := range 8 { // a turn every 50 s, with a retention of one minute
 			now = now.Add(50 * time.Second)
 			save(ctx, strings.Repeat("a", number+1), strings.Repeat("a", number+2), "B")
 			sweep(ctx)
@@ -199,19 +202,19 @@
 		Expect(load(ctx, "aaaaaaaaa")).To(Equal("ABBBBBBBB"))
 	})
 
-	DescribeTable("is whole until the end of what was promised when a piece that it shares is over before", func(ctx SpecContext, cached bool) {
+	DescribeTable("stays whole until its retention and margin are over although its shared piece expires earlier", func(ctx SpecContext, cached bool) {
 		common := strings.Repeat("common ", 1000)
 		save(ctx, "", "other", common+"other")
-		shared := daemon()
-		Expect(shared.Save(ctx, "first", text(common+"first"), time.Minute)).To(Succeed())
-		Expect(shared.Save(ctx, "second", text(common+"second"), time.Minute)).To(Succeed())
+		shared := newDaemon()
+		Expect(shared.Save(ctx, "first", firstTurn(common+"first"), time.Minute)).To(Succeed())
+		Expect(shared.Save(ctx, "second", firstTurn(common+"second"), time.Minute)).To(Succeed())
 		const promised = time.Minute + 30*time.Second
-		const pieceLasts = 2 * (2*time.Minute + 30*time.Second) // twice what a turn's rows last
-		now = now.Add(pieceLasts - promised)                    // the last moment at which a turn may refer to the piece
-		Expect(shared.Save(ctx, "a", text(common+"a"), time.Minute)).To(Succeed())
+		const pieceLifetime = 2 * (2*time.Minute + 30*time.Second) // twice the lifetime of a turn's rows
+		now = now.Add(pieceLifetime - promised)                    // the last moment at which a turn can refer to the piece
+		Expect(shared.Save(ctx, "a", firstTurn(common+"a"), time.Minute)).To(Succeed())
 		reader := shared
 		if !cached {
-			reader = daemon()
+			reader = newDaemon()
 		}
 		now = now.Add(50 * time.Second)
 		previous, err := reader.Load(ctx, "a", "")
@@ -222,12 +225,12 @@
 		sweepPieces(ctx)
 		Expect(load(ctx, "b")).To(Equal(common + "aB"))
 	},
-		Entry("at the daemon that had it in memory", true),
-		Entry("at a daemon that read it", false),
+		Entry("continued by the daemon that has it in memory", true),
+		Entry("continued by a daemon that reads it from the store", false),
 	)
 
-	It("goes on from a turn of the former format", func(ctx SpecContext) {
-		writeFormer(store, "a", "A", now.Add(time.Minute))
+	It("continues a turn in the legacy format", func(ctx SpecContext) {
+		writeLegacyTurn(store, "a", "A", now.Add(time.Minute))
 		Expect(load(ctx, "a")).To(Equal("A"))
 		save(ctx, "a", "b", "B")
 		now = now.Add(time.Minute + time.Second)
@@ -235,22 +238,22 @@
 		Expect(load(ctx, "b")).To(Equal("AB"))
 	})
 
-	It("is in memory once, however many turns go on from it", func(ctx SpecContext) {
-		records := daemon()
-		Expect(records.Save(ctx, "a", text(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
+	It("is in memory once, however many turns continue it", func(ctx SpecContext) {
+		records := newDaemon()
+		Expect(records.Save(ctx, "a", firstTurn(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
 		previous, err := records.Load(ctx, "a", "")
 		Expect(err).NotTo(HaveOccurred())
-		for number := range 200 { // copies would take 200 MB, and the cache has 12
+		for number := range 200 { // copies would take 200 MiB, and the cache is limited to 12 MiB
 			Expect(records.Save(ctx, fmt.Sprint("b", number), turn.Addition{Previous: previous, Input: []byte("y")}, time.Minute)).To(Succeed())
 		}
 		Expect(records.Cached("a")).To(BeTrue())
 		Expect(records.Cached("b0")).To(BeTrue())
 	})
 
-	It("is given up in memory when turns add more than is kept there", func(ctx SpecContext) {
-		records := daemon()
+	It("is dropped from memory when newer turns exceed the limit of the cache", func(ctx SpecContext) {
+		records := newDaemon()
 		for number := range 30 {
-			Expect(records.Save(ctx, fmt.Sprint("a", number), text(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
+			Expect(records.Save(ctx, fmt.Sprint("a", number), firstTurn(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
 			Expect(records.CachedBytes()).To(BeNumerically("<=", 12<<20))
 		}
 		Expect(records.Cached("a0")).To(BeFalse())
--- a/internal/turn/export_test.go
+++ b/internal/turn/export_test.go
@@ -1,4 +1,4 @@
 package turn
 
-// CachedBytes is how many bytes of turns are in memory.
+// CachedBytes returns how many bytes of turns are in memory.
 func (r *Records) CachedBytes() int { return r.cache.size() }
--- a/internal/turn/main_test.go
+++ b/internal/turn/main_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestMain fixes the seed of the property tests, unless one is given.
+// TestMain sets the seed of the property tests to 1, unless RAPID_SEED gives another one.
 func TestMain(m *testing.M) {
 	if os.Getenv("RAPID_SEED") == "" {
 		if err := flag.Set("rapid.seed", "1"); err != nil {
--- a/internal/turn/metrics.go
+++ b/internal/turn/metrics.go
@@ -7,45 +7,46 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics show what is kept and read.
+// metrics are the metrics of Records.
 type metrics struct {
-	keptBytes  prometheus.Gauge
-	pieceBytes prometheus.Counter
-	reads      *prometheus.CounterVec
-	readings   prometheus.Histogram
-	rebases    prometheus.Counter
-	broken     prometheus.Counter
+	keptBytes  prometheus.Gauge       // bytes of rows that this daemon wrote and has not removed
+	pieceBytes prometheus.Counter     // bytes of pieces written
+	reads      *prometheus.CounterVec // turns loaded, by where they were loaded from
+	readings   prometheus.Histogram   // store reads for one load
+	rebases    prometheus.Counter     // turns saved with their whole conversation
+	broken     prometheus.Counter     // loads that ended with a BrokenError
 }
 
 func newMetrics() *metrics {
 	return &metrics{
 		keptBytes: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "thymeloft_turn_kept_bytes", Help: "Bytes of turns that this daemon wrote and has not removed itself; those left to the sweep stay counted.",
+			Name: "thymeloft_turn_kept_bytes", Help: "Bytes of turns that this daemon wrote and has not removed itself; rows that the sweep removes stay counted.",
 		}),
 		pieceBytes: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "thymeloft_turn_piece_bytes_total", Help: "Bytes of pieces that this daemon wrote.",
 		}),
 		reads: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "thymeloft_turn_reads_total", Help: "Turns that were gone on from, by where they were read.",
+			Name: "thymeloft_turn_reads_total", Help: "Turns that were loaded to be continued, by where they were read.",
 		}, []string{"from"}),
 		readings: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "thymeloft_turn_readings", Help: "Readings of the store for one conversation.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
+			Name: "thymeloft_turn_readings", Help: "Store reads for loading one conversation.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
 		}),
 		rebases: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "thymeloft_turn_rebases_total", Help: "Turns whose rows hold the whole conversation, since the turns before them are over first.",
+			Name: "thymeloft_turn_rebases_total", Help: "Turns whose rows hold the whole conversation, since earlier turns expire too soon to be referred to.",
 		}),
 		broken: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "thymeloft_turn_broken_total", Help: "Conversations that were recorded and could not be put together.",
+			Name: "thymeloft_turn_broken_total", Help: "Recorded conversations that could not be reassembled.",
 		}),
 	}
 }
 
+// read counts a loaded turn by where it was loaded from.
 func (m *metrics) read(from string) { m.reads.WithLabelValues(from).Inc() }
 
-// Measure shows what this daemon keeps and reads of turns.
+// Measure registers the metrics of the Records. It must be called at most once for a registerer.
 func (r *Records) Measure(registerer prometheus.Registerer) error {
 	cached := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
-		Name: "thymeloft_turn_cached_bytes", Help: "Bytes of turns in memory, besides shared pieces.",
+		Name: "thymeloft_turn_cached_bytes", Help: "Bytes of turns in memory, without shared pieces.",
 	}, func() float64 { return float64(r.cache.size()) })
 	shared := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_turn_cached_piece_bytes", Help: "Bytes of shared pieces in memory.",
--- a/internal/turn/metrics_test.go
+++ b/internal/turn/metrics_test.go
@@ -13,8 +13,8 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-var _ = Describe("The metrics of turns", func() {
-	It("tell the bytes that are kept, until they are removed", func(ctx SpecContext) {
+var _ = Describe("Metrics of turns", func() {
+	It("count the bytes of saved turns until these are removed", func(ctx SpecContext) {
 		store, now := memorystore.New(), time.Unix(1000000, 0)
 		clock := func() time.Time { return now }
 		options := optionsOf(store)
@@ -36,7 +36,7 @@
 			return 0
 		}
 		for _, name := range []string{"a", "b"} {
-			Expect(records.Save(ctx, name, text("content"), time.Minute)).To(Succeed())
+			Expect(records.Save(ctx, name, firstTurn("content"), time.Minute)).To(Succeed())
 		}
 		Expect(kept()).To(BeNumerically(">", 0))
 		Expect(kept()).To(BeNumerically("<=", store.Bytes()))
--- a/internal/turn/others.go
+++ b/internal/turn/others.go
@@ -12,53 +12,57 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// ServiceName is the name under which other daemons are asked for turns that
-// they keep in memory.
+// ServiceName is the RPC service by which daemons ask each other for turns in memory. It is
+// registered with the value that NewService returns.
 const ServiceName = "Turns"
 
+// methodChain is the RPC method that Service.Chain serves.
 const methodChain = ServiceName + ".Chain"
 
-// ChainRequest asks for a turn.
+// ChainRequest asks for the conversation up to the turn with the given identifier.
 type ChainRequest struct{ Identifier string }
 
-// ChainReply holds the conversation up to a turn, if the daemon keeps it in memory.
-type ChainReply struct{ Turns []ToldTurn } // the oldest first; empty: it does not
+// ChainReply holds the turns of a conversation, the oldest first and the requested one last. It
+// is empty if the daemon does not have the turn in memory.
+type ChainReply struct{ Turns []ToldTurn }
 
-// ToldTurn is a turn on its way between daemons.
+// ToldTurn is a turn in a ChainReply.
 type ToldTurn struct {
 	Identifier string
 	Owner      string
 	Engine     string
 	Parts      []ToldPart
-	Digest     [32]byte // of the conversation up to its end
-	Until      int64    // unix seconds: what it lies in may be removed from then on
+	Digest     [32]byte // SHA-256 digest of the conversation up to the turn's end
+	Until      int64    // Unix time in seconds from which on a row or piece of the conversation may be removed
 }
 
-// ToldPart is bytes of a turn.
+// ToldPart is a part of the bytes that a turn adds.
 type ToldPart struct {
 	Bytes  []byte
-	Shared bool // with other conversations
+	Shared bool // whether the bytes are a piece that other conversations share
 }
 
-// Service answers other daemons.
+// Service serves RPCs of other daemons that ask for turns in memory.
 type Service struct{ records *Records }
 
-// NewService makes the answering side.
+// NewService returns the RPC service for the turns that records has in memory.
 func NewService(records *Records) *Service { return &Service{records: records} }
 
-// mostTold bounds the bytes of an answer: a quarter of what one message between daemons
-// may hold, and less than the store takes to send as much.
-const mostTold = 1 << 20
+// maxReplyBytes is the size of the largest conversation that a reply carries. It is a quarter of
+// the size limit of messages between daemons, and takes less time to send than to read from
+// the store.
+const maxReplyBytes = 1 << 20
 
-// Chain is called by other daemons. What is in memory was acknowledged by the
-// store, so it is as true as a reading.
+// Chain answers with the conversation up to the requested turn. The reply stays empty if the turn
+// is not in memory or the conversation is longer than maxReplyBytes. A cached turn is as
+// reliable as one read from the store, since only turns that the store acknowledged are cached.
 func (s *Service) Chain(request ChainRequest, reply *ChainReply) error {
 	known := s.records.cache.peek(request.Identifier)
-	if known == nil || known.length > mostTold {
+	if known == nil || known.length > maxReplyBytes {
 		return nil
 	}
 	for _, each := range known.chain() {
-		told := ToldTurn{Identifier: each.identifier, Owner: each.owner, Engine: each.engine, Digest: each.digest, Until: each.until}
+		told := ToldTurn{Identifier: each.identifier, Owner: each.owner, Engine: each.engine, Digest: each.digest, Until: each.expiry}
 		for _, part := range each.added {
 			told.Parts = append(told.Parts, ToldPart{Bytes: part.bytes, Shared: part.shared})
 		}
@@ -67,11 +71,13 @@
 	return nil
 }
 
-// restore makes a turn of what another daemon told; nil: it has not the turn.
+// restore makes a turn of another daemon's reply, and shares memory with turns and pieces that
+// are cached. It returns nil if the reply is empty, and a *BrokenError if the reply does not
+// match its digests or ends with another turn.
 func (r *Records) restore(identifier string, reply ChainReply) (*Turn, error) {
-	var made *Turn
+	var restored *Turn
 	for _, told := range reply.Turns {
-		next := &Turn{identifier: told.Identifier, owner: told.Owner, engine: told.Engine, previous: made, until: told.Until}
+		next := &Turn{identifier: told.Identifier, owner: told.Owner, engine: told.Engine, previous: restored, expiry: told.Until}
 		for _, part := range told.Parts {
 			bytes := part.Bytes
 			if part.Shared {
@@ -82,88 +88,92 @@
 		if next.complete().digest != told.Digest {
 			return nil, &BrokenError{Turn: identifier, At: told.Identifier, Cause: ErrChanged}
 		}
-		made = next
+		restored = next
 		if known := r.cache.peek(told.Identifier); known != nil && known.digest == next.digest {
-			made = known // shared in memory
+			restored = known // uses the turn that is already in memory
 		}
 	}
-	if made != nil && made.identifier != identifier {
-		return nil, &BrokenError{Turn: identifier, At: made.identifier, Cause: ErrGap}
+	if restored != nil && restored.identifier != identifier {
+		return nil, &BrokenError{Turn: identifier, At: restored.identifier, Cause: ErrGap}
 	}
-	return made, nil
+	return restored, nil
 }
 
-// Others asks other daemons for turns that they keep in memory. It is safe for
-// concurrent use.
+// Others asks other daemons for turns that they have in memory. It is safe for concurrent use.
+// The exported fields are required and must not be changed after the first use.
 type Others struct {
-	List   *members.List
-	Caller peer.Caller
+	List   *members.List // the known daemons
+	Caller peer.Caller   // makes the calls
 	Log    *zap.Logger
 
-	mutex  sync.Mutex
-	silent map[string]time.Time // until when a daemon that did not answer is not asked by name
+	mutex        sync.Mutex
+	skippedUntil map[string]time.Time // by address: when a daemon that did not answer may be asked by ask again
 }
 
 const (
-	// mostAsked bounds how many daemons are asked at once.
-	mostAsked = 24
-	askWait   = 150 * time.Millisecond
-	// askOneWait is several times what a daemon in reach takes to tell a turn; the
-	// store is read after it.
-	askOneWait = 100 * time.Millisecond
-	// silentFor is how long a daemon that did not answer is passed over: behind a cut, one
-	// request a second waits for it, not each.
-	silentFor = time.Second
-	// mostSilent bounds the daemons that are passed over, at far more than there are.
-	mostSilent = 4096
+	// maxAskedDaemons is the largest number of daemons that a search asks at once.
+	maxAskedDaemons = 24
+	// searchTimeout bounds the wait for the answers of a search.
+	searchTimeout = 150 * time.Millisecond
+	// askTimeout bounds the wait for a single daemon's answer, after which the store is read. A
+	// daemon that can be reached answers several times faster.
+	askTimeout = 100 * time.Millisecond
+	// skipSilentFor is how long ask skips a daemon that did not answer, so that during a network
+	// failure only about one request a second waits for that daemon.
+	skipSilentFor = time.Second
+	// maxSilentDaemons limits the size of skippedUntil, which is cleared when it is full. It is
+	// far larger than the number of daemons.
+	maxSilentDaemons = 4096
 )
 
-// restorer makes a turn of an answer.
-type restorer func(identifier string, reply ChainReply) (*Turn, error)
+// restoreFunc makes a turn of a reply, as Records.restore does.
+type restoreFunc func(identifier string, reply ChainReply) (*Turn, error)
 
-// ask asks one daemon. It returns nil if the daemon has not the turn, or did not answer
-// a moment ago.
-func (o *Others) ask(ctx context.Context, address, identifier string, restored restorer) (*Turn, error) {
+// ask asks one daemon for a turn. It returns nil and no error if the daemon does not have the
+// turn, is this daemon, or is skipped because it recently did not answer.
+func (o *Others) ask(ctx context.Context, address, identifier string, restore restoreFunc) (*Turn, error) {
 	if address == o.List.Self().Address || o.isSilent(address) {
 		return nil, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, askOneWait)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var reply ChainReply
 	if err := o.Caller.Call(ctx, address, peer.Data, methodChain, ChainRequest{Identifier: identifier}, &reply); err != nil {
 		o.noteSilent(address)
 		return nil, eris.Wrap(err, "ask for a turn")
 	}
-	return restored(identifier, reply)
+	return restore(identifier, reply)
 }
 
+// isSilent reports whether the daemon is to be skipped because it recently did not answer.
 func (o *Others) isSilent(address string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return time.Now().Before(o.silent[address])
+	return time.Now().Before(o.skippedUntil[address])
 }
 
+// noteSilent notes that the daemon did not answer just now.
 func (o *Others) noteSilent(address string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if o.silent == nil || len(o.silent) >= mostSilent {
-		o.silent = map[string]time.Time{}
+	if o.skippedUntil == nil || len(o.skippedUntil) >= maxSilentDaemons {
+		o.skippedUntil = map[string]time.Time{}
 	}
-	o.silent[address] = time.Now().Add(silentFor)
+	o.skippedUntil[address] = time.Now().Add(skipSilentFor)
 }
 
-// answer is what came of asking one daemon.
+// answer is the result of a call to one daemon.
 type answer struct {
 	reply ChainReply
 	err   error
 }
 
-// search asks the daemons of this zone, and some of other zones. It returns nil if
-// none told the turn in time.
-func (o *Others) search(ctx context.Context, identifier string, restored restorer) *Turn {
-	ctx, cancel := context.WithTimeout(ctx, askWait)
+// search asks up to maxAskedDaemons daemons for a turn at the same time, those of this zone
+// first. It returns the first turn received, or nil if there is none within searchTimeout.
+func (o *Others) search(ctx context.Context, identifier string, restore restoreFunc) *Turn {
+	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
-	asked := o.List.Others(identifier, mostAsked)
+	asked := o.List.Others(identifier, maxAskedDaemons)
 	answers := make(chan answer, len(asked))
 	for _, member := range asked {
 		go func() {
@@ -172,27 +182,28 @@
 			answers <- received
 		}()
 	}
-	silent := 0
-	var failure error // the last one: most are alike
+	failed := 0
+	var failure error // only the last one is logged, since most are alike
 	for range asked {
 		received := <-answers
-		told, err := restored(identifier, received.reply)
+		told, err := restore(identifier, received.reply)
 		if told != nil {
 			return told
 		}
 		if received.err != nil || err != nil {
-			silent, failure = silent+1, eris.Wrapf(firstOf(received.err, err), "ask for a turn")
+			failed, failure = failed+1, eris.Wrapf(firstError(received.err, err), "ask for a turn")
 		}
 	}
 	if failure != nil {
-		o.Log.Info("turn: others did not all answer.", zap.String("turn", identifier), zap.Int("asked", len(asked)), zap.Int("silent", silent), zap.String("cause", failure.Error()))
+		o.Log.Info("turn: no daemon returned it, and some calls failed.", zap.String("turn", identifier), zap.Int("asked", len(asked)), zap.Int("silent", failed), zap.String("cause", failure.Error()))
 	}
 	return nil
 }
 
-func firstOf(one, other error) error {
-	if one != nil {
-		return one
+// firstError returns first, or second if first is nil.
+func firstError(first, second error) error {
+	if first != nil {
+		return first
 	}
-	return other
+	return second
 }
--- a/internal/turn/plan.go
+++ b/internal/turn/plan.go
@@ -7,57 +7,60 @@
 
 // Addition is what a turn adds to a conversation.
 type Addition struct {
-	Previous *Turn  // the turn that it goes on from; nil: it begins a conversation
-	Owner    string // whose turn it is; "": nobody's
-	Engine   string // the instance that ran it
-	Input    []byte
-	Output   []byte
+	Previous *Turn  // the turn that this one continues; nil if it starts a conversation
+	Owner    string // name of the tenant; empty if there is none
+	Engine   string // ID of the instance that ran the turn
+	Input    []byte // what the caller sent in this turn
+	Output   []byte // what the engine generated, which follows the input
 }
 
-// plan is what the rows of a turn are to hold.
+// plan describes what the rows of a turn will hold.
 type plan struct {
-	previous *Turn // that the rows refer to; nil: they hold the whole conversation
-	segments []segment
-	rebased  bool // the turn before it is not kept for long enough to be referred to
+	previous  *Turn // the turn that the rows refer to; nil if they hold the whole conversation
+	segments  []segment
+	isRebased bool // whether the whole conversation is stored because the previous turn expires too soon
 }
 
-// planOf decides what the rows of a turn hold that is promised until then. shared is
-// how many bytes at the beginning of its input are kept apart.
-func planOf(added Addition, shared int, promised int64) plan {
+// newPlan decides what the rows of a turn hold. shared is the number of bytes at the beginning of
+// the input of a first turn that are stored as a piece. promised is the Unix time in seconds
+// until which the turn must be available. If the previous turn expires before that, the rows
+// hold the whole conversation instead of a reference to it.
+func newPlan(added Addition, shared int, promised int64) plan {
 	own := bytes.Join([][]byte{added.Input[shared:], added.Output}, nil)
 	switch {
 	case added.Previous == nil && shared > 0:
 		return plan{segments: []segment{{bytes: added.Input[:shared], shared: true}, {bytes: own}}}
 	case added.Previous == nil:
 		return plan{segments: []segment{{bytes: own}}}
-	case added.Previous.until >= promised:
+	case added.Previous.expiry >= promised:
 		return plan{previous: added.Previous, segments: []segment{{bytes: own}}}
 	default:
-		return plan{segments: rebase(added.Previous, own), rebased: true}
+		return plan{segments: rebase(added.Previous, own), isRebased: true}
 	}
 }
 
-// rebase joins a whole conversation and what is added to it, besides shared pieces.
+// rebase returns the segments of the whole conversation up to previous, followed by own. Adjacent
+// segments are joined, except shared ones, which stay pieces.
 func rebase(previous *Turn, own []byte) []segment {
 	var joined []segment
-	var run [][]byte
-	endRun := func() {
-		if len(run) > 0 {
-			joined = append(joined, segment{bytes: slices.Concat(run...)})
+	var unshared [][]byte
+	endUnshared := func() {
+		if len(unshared) > 0 {
+			joined = append(joined, segment{bytes: slices.Concat(unshared...)})
 		}
-		run = nil
+		unshared = nil
 	}
 	for _, each := range previous.chain() {
 		for _, part := range each.added {
 			if part.shared {
-				endRun()
+				endUnshared()
 				joined = append(joined, part)
 				continue
 			}
-			run = append(run, part.bytes)
+			unshared = append(unshared, part.bytes)
 		}
 	}
-	run = append(run, own)
-	endRun()
+	unshared = append(unshared, own)
+	endUnshared()
 	return joined
 }
--- a/internal/turn/foreign_test.go
+++ b/internal/turn/rows_test.go
@@ -11,13 +11,13 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// keyOf is the most likely place of a turn.
+// keyOf returns the key of a turn's first row in its most likely partition.
 func keyOf(identifier string) state.Key {
 	return state.Key{Table: "turns", Partition: rowset.PlacesOf(identifier)[0], Name: identifier}
 }
 
-// writeFormer writes a turn as earlier versions did: the whole history in one row.
-func writeFormer(store *memorystore.Store, identifier, history string, expires time.Time) {
+// writeLegacyTurn writes a turn in the legacy format, with the whole history in one row.
+func writeLegacyTurn(store *memorystore.Store, identifier, history string, expires time.Time) {
 	value, err := cbor.Marshal(map[string]any{"h": []byte(history), "e": "e", "x": expires.Unix()})
 	Expect(err).NotTo(HaveOccurred())
 	store.Write(state.Put{Key: keyOf(identifier), Value: value})
--- a/internal/turn/save.go
+++ b/internal/turn/save.go
@@ -17,48 +17,49 @@
 )
 
 const (
-	// sharePatience bounds the wait for a shared piece to be kept, several times what
-	// a sound store takes: beyond it the turn holds the bytes itself, and its end is
-	// not held up by a partition that is down.
-	sharePatience = 200 * time.Millisecond
-	// spilledAtOnce is how many pieces of a large turn are written at a time.
-	spilledAtOnce = 4
+	// sharedPieceTimeout bounds the time for storing the shared pieces of a turn, so that a
+	// partition that is down does not delay the end of the turn. After it the turn's rows hold
+	// the bytes. A healthy store answers several times faster.
+	sharedPieceTimeout = 200 * time.Millisecond
+	// maxConcurrentSpills is how many pieces of a large turn are written at the same time.
+	maxConcurrentSpills = 4
 )
 
-// Save commits a turn in one of its places, to be kept for so long. It may be
-// called again with the same turn after any error: each commit writes all rows of the turn anew.
-func (r *Records) Save(ctx context.Context, identifier string, added Addition, keep time.Duration) error {
-	until := timesOf(r.options.Now(), keep)
+// Save stores a turn under the identifier, so that it can be loaded for at least retainFor. After
+// any error it may be called again with the same turn, since each call writes all rows of the
+// turn. The error is ErrTooLarge or an error of the store or of the context.
+func (r *Records) Save(ctx context.Context, identifier string, added Addition, retainFor time.Duration) error {
+	expiry := newExpiryTimes(r.options.Now(), retainFor)
 	shared := 0
 	if added.Previous == nil {
-		shared = r.beginnings.shared(added.Input)
+		shared = r.prefixes.sharedLength(added.Input)
 	}
-	planned := planOf(added, shared, until.promised)
+	planned := newPlan(added, shared, expiry.promised)
 	turn := &Turn{
 		identifier: identifier, owner: added.Owner, engine: added.Engine,
-		previous: planned.previous, added: planned.segments, until: until.expires,
+		previous: planned.previous, added: planned.segments, expiry: expiry.expires,
 	}
-	parts := r.partsOf(ctx, turn, until)
-	value, err := r.encode(ctx, turn.complete(), parts, until)
+	parts := r.storeParts(ctx, turn, expiry)
+	value, err := r.encode(ctx, turn.complete(), parts, expiry)
 	if err != nil {
 		return err
 	}
-	writing := written{identifier: identifier, value: value, expires: until.expires, lasts: rowsLast(keep)}
-	if err := r.options.Store.Repeat(ctx, func() error { return r.place(ctx, writing) }); err != nil {
+	pending := pendingRows{identifier: identifier, value: value, expires: expiry.expires, lifetime: rowLifetime(retainFor)}
+	if err := r.options.Store.Repeat(ctx, func() error { return r.writeRows(ctx, pending) }); err != nil {
 		return err
 	}
-	if planned.rebased {
+	if planned.isRebased {
 		r.metrics.rebases.Inc()
-		r.options.Log.Info("turn: holds its whole conversation, since the turns before it are over first.", zap.String("turn", identifier), zap.Int("bytes", turn.length))
+		r.options.Log.Info("turn: its rows hold the whole conversation, since earlier turns expire too soon.", zap.String("turn", identifier), zap.Int("bytes", turn.length))
 	}
-	r.remember(turn)
+	r.addToCache(turn)
 	return nil
 }
 
-// partsOf has the store keep what the turn shares, and lists what its rows hold. What
-// cannot be kept apart soon is held by the rows.
-func (r *Records) partsOf(ctx context.Context, turn *Turn, until times) []part {
-	soon, cancel := context.WithTimeout(ctx, sharePatience)
+// storeParts stores the shared segments of the turn as pieces and returns the parts for its rows.
+// If a piece cannot be stored within sharedPieceTimeout, its part holds the bytes instead.
+func (r *Records) storeParts(ctx context.Context, turn *Turn, expiry expiryTimes) []part {
+	shortCtx, cancel := context.WithTimeout(ctx, sharedPieceTimeout)
 	defer cancel()
 	parts := make([]part, 0, len(turn.added))
 	for index := range turn.added {
@@ -67,26 +68,27 @@
 			parts = append(parts, part{Bytes: each.bytes})
 			continue
 		}
-		stored, err := r.pieces.Ensure(soon, each.bytes, until.promised, until.shared)
+		stored, err := r.pieces.Ensure(shortCtx, each.bytes, expiry.promised, expiry.shared)
 		if err != nil {
-			r.options.Log.Info("turn: holds a shared piece itself.", zap.String("turn", turn.identifier), zap.Int("bytes", len(each.bytes)), zap.String("cause", err.Error()))
+			r.options.Log.Info("turn: a shared piece was not stored, so the turn's rows hold its bytes.", zap.String("turn", turn.identifier), zap.Int("bytes", len(each.bytes)), zap.String("cause", err.Error()))
 			*each = segment{bytes: append([]byte(nil), each.bytes...)}
 			parts = append(parts, part{Bytes: each.bytes})
 			continue
 		}
 		r.metrics.pieceBytes.Add(float64(stored.Written))
 		each.bytes = stored.Content
-		turn.until = min(turn.until, stored.Expires)
-		parts = append(parts, referTo(piece.ReferenceOf(stored.Content)))
+		turn.expiry = min(turn.expiry, stored.Expires)
+		parts = append(parts, referencePart(piece.ReferenceOf(stored.Content)))
 	}
 	return parts
 }
 
-// encode makes the value of a turn's rows. What one commit does not hold is kept as
-// pieces first; if the turn is never committed, the pieces go when their time is over.
-func (r *Records) encode(ctx context.Context, turn *Turn, parts []part, until times) ([]byte, error) {
+// encode returns the encoded body of the turn's rows. If it does not fit one commit, encode first
+// stores the bytes of all parts as pieces; if the turn is then never committed, these pieces
+// are removed when they expire. The error is ErrTooLarge or an error of the store.
+func (r *Records) encode(ctx context.Context, turn *Turn, parts []part, expiry expiryTimes) ([]byte, error) {
 	capacity := rowset.Capacity(r.options.RowBytes)
-	encoded := body{Engine: turn.engine, Owner: turn.owner, Ancestors: ancestorsAfter(turn.previous), Parts: parts, Digest: turn.digest}
+	encoded := body{Engine: turn.engine, Owner: turn.owner, Ancestors: ancestorNames(turn.previous), Parts: parts, Digest: turn.digest}
 	value, err := cbor.Marshal(encoded)
 	if err != nil || len(value) <= capacity {
 		return value, eris.Wrap(err, "encode turn")
@@ -100,10 +102,11 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "encode turn")
 	}
-	return value, r.keepAll(ctx, contents, until.expires)
+	return value, r.storePieces(ctx, contents, expiry.expires)
 }
 
-// spill replaces the bytes of all parts by references to pieces, and lists the pieces.
+// spill replaces the bytes of all parts by references to pieces of at most capacity bytes, and
+// returns the contents of these pieces.
 func spill(parts []part, capacity int) (spilled []part, contents [][]byte) {
 	for _, each := range parts {
 		if _, names := each.reference(); names {
@@ -111,7 +114,7 @@
 			continue
 		}
 		for content := range slices.Chunk(each.Bytes, capacity) {
-			reference := referTo(piece.ReferenceOf(content))
+			reference := referencePart(piece.ReferenceOf(content))
 			reference.Spilled = true
 			spilled = append(spilled, reference)
 			contents = append(contents, content)
@@ -120,10 +123,11 @@
 	return spilled, contents
 }
 
-// keepAll has the store keep pieces for as long as the turn's rows.
-func (r *Records) keepAll(ctx context.Context, contents [][]byte, expires int64) error {
+// storePieces stores pieces until expires, the Unix time in seconds at which the turn's rows
+// expire.
+func (r *Records) storePieces(ctx context.Context, contents [][]byte, expires int64) error {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(spilledAtOnce)
+	group.SetLimit(maxConcurrentSpills)
 	for _, content := range contents {
 		group.Go(func() error {
 			stored, err := r.pieces.Ensure(ctx, content, expires, expires)
@@ -134,25 +138,25 @@
 	return eris.Wrap(group.Wait(), "keep a part of a large turn")
 }
 
-// written is a turn's rows before they are placed.
-type written struct {
+// pendingRows is the encoded content of a turn's rows before they are written.
+type pendingRows struct {
 	identifier string
 	value      []byte
-	expires    int64
-	lasts      time.Duration // until then
+	expires    int64         // Unix time in seconds
+	lifetime   time.Duration // remaining time until expires
 }
 
-// place tries the turn's places until one takes it.
-func (r *Records) place(ctx context.Context, writing written) error {
+// writeRows commits the rows in the first of the turn's possible partitions that gives an answer.
+func (r *Records) writeRows(ctx context.Context, pending pendingRows) error {
 	var last error
-	for _, partition := range r.options.Store.Prefer(rowset.PlacesOf(writing.identifier)) {
-		key := state.Key{Table: table, Partition: partition, Name: writing.identifier}
-		puts, err := rowset.Cut(key, writing.value, writing.expires, r.options.RowBytes)
+	for _, partition := range r.options.Store.Prefer(rowset.PlacesOf(pending.identifier)) {
+		key := state.Key{Table: table, Partition: partition, Name: pending.identifier}
+		puts, err := rowset.Cut(key, pending.value, pending.expires, r.options.RowBytes)
 		if err != nil {
 			return eris.Wrap(err, "save turn")
 		}
 		_, last = r.options.Store.Commit(ctx, state.Commit{Class: state.ClassTurn, Puts: puts})
-		r.removeLater(writing, puts, last == nil)
+		r.scheduleRemoval(pending, puts, last == nil)
 		if !state.NoVerdict(last) {
 			break
 		}
@@ -160,10 +164,10 @@
 	return eris.Wrap(last, "save turn")
 }
 
-// removeLater has rows removed when their time is over, also those of a commit without
-// an answer: it may be done all the same.
-func (r *Records) removeLater(writing written, puts []state.Put, acknowledged bool) {
-	bytes := float64(len(writing.value))
+// scheduleRemoval schedules the removal of the rows when they expire. This includes rows whose
+// commit was not acknowledged, since the store may have written them nevertheless.
+func (r *Records) scheduleRemoval(pending pendingRows, puts []state.Put, acknowledged bool) {
+	bytes := float64(len(pending.value))
 	if acknowledged {
 		r.metrics.keptBytes.Add(bytes)
 	}
@@ -177,13 +181,13 @@
 	if acknowledged {
 		batch.Removed = func() { r.metrics.keptBytes.Sub(bytes) }
 	}
-	r.options.Removal.AddBatch(writing.lasts, batch)
+	r.options.Removal.AddBatch(pending.lifetime, batch)
 }
 
-// remember caches turns that are small enough to be worth it.
-func (r *Records) remember(turn *Turn) {
-	const largestShare = 4 // of the cache
-	if turn.addedBytes() <= r.options.CacheBytes/largestShare {
+// addToCache caches a turn, unless it would take more than a quarter of the cache.
+func (r *Records) addToCache(turn *Turn) {
+	const minTurnsInCache = 4
+	if turn.addedBytes() <= r.options.CacheBytes/minTurnsInCache {
 		r.cache.add(turn)
 	}
 }
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -1,17 +1,17 @@
-// Package turn keeps the turns of conversations whose history the system
-// holds: each turn that was answered whole, found by its identifier alone. A turn
-// may be gone on from by several others.
+// Package turn stores the turns of conversations. A turn is an input with the output that an
+// engine generated for it. It is stored under its identifier once the output is complete, and
+// any number of later turns may continue it.
 //
-// A turn's rows hold what the turn adds and name the turns before it, so that the
-// bytes kept of a conversation grow with what is said in it. What many first inputs
-// begin with is kept once, as a piece (package piece). A turn refers only to rows and
-// pieces that are kept at least as long as the turn itself is promised; where that
-// cannot be had, its own rows hold the bytes. So rows are removed by their own time
-// alone, and nothing is counted.
+// The rows of a turn hold only what the turn adds, and the identifiers of the turns before it,
+// so the size of a conversation in the store grows with its content. A prefix that many first
+// inputs share is stored once, as a piece (see package piece). A turn refers only to rows and
+// pieces that exist for at least as long as the turn must be available; if there are none, its
+// own rows hold the bytes. Rows can therefore be removed when they expire, without counting
+// references.
 //
-// Guarantee: a turn whose Save returned nil is found by Load at every process,
-// byte for byte, until its retention is over, whatever processes are lost; where that
-// cannot be told for certain, Load returns ErrUnsure.
+// Guarantee: until its retention is over, any process can Load a turn whose Save returned nil,
+// byte for byte, even if other processes have been lost. If Load cannot tell for certain
+// whether the turn exists or what it holds, it returns ErrUnsure.
 package turn
 
 import (
@@ -28,43 +28,45 @@
 
 // Errors of Load and Save.
 var (
-	// ErrNotFound says that there is no such turn.
+	// ErrNotFound means that there is certainly no such turn.
 	ErrNotFound = errors.New("no such turn")
-	// ErrUnsure says that it could not be told for certain whether the turn exists, or what it holds.
-	ErrUnsure = errors.New("it is not certain whether the turn exists or what it holds")
-	// ErrTooLarge says that not even the names of a turn's pieces fit one commit.
-	ErrTooLarge = errors.New("the history is too large to be kept")
+	// ErrUnsure means that the turn may exist, but Load could not find it or verify its content.
+	ErrUnsure = errors.New("it is uncertain whether the turn exists or what it holds")
+	// ErrTooLarge means that the turn is too large even if it is split into pieces, since the
+	// references to them do not fit one commit.
+	ErrTooLarge = errors.New("the turn is too large to be stored")
 )
 
+// table is the store's table for turns.
 const table = "turns"
 
-// Options of a Records.
+// Options are the dependencies and limits of a Records.
 type Options struct {
 	Store        *state.Client
-	RowBytes     int           // most bytes of a value
-	CacheEntries int           // recent turns kept in memory
-	CacheBytes   int           // bytes that they add, at most
-	CacheFor     time.Duration // how long after their last use
-	PieceBytes   int           // bytes of shared pieces kept in memory, at most
-	Now          func() time.Time
-	Log          *zap.Logger // nil: nothing is logged
-	// Others is asked for a turn by name of a daemon, and while a place where the turn
-	// may lie is not answered for; nil: nobody is.
+	RowBytes     int              // maximum size of a row's value in bytes
+	CacheEntries int              // maximum number of cached turns, without ancestors that only they keep in memory
+	CacheBytes   int              // maximum bytes of cached turns and their ancestors
+	CacheFor     time.Duration    // how long an unused turn stays cached
+	PieceBytes   int              // maximum bytes of shared pieces in memory
+	Now          func() time.Time // current time
+	Log          *zap.Logger      // nil means that nothing is logged
+	// Others asks other daemons for a turn in memory: the daemon that the caller of Load names,
+	// and several others if the store gives no certain answer. If nil, no daemon is asked.
 	Others *Others
-	// Removal takes the rows of turns that were saved; nil: they stay.
+	// Removal removes rows that Save wrote when they expire; nil leaves them to the sweep.
 	Removal *retention.Queue
 }
 
 // Records loads and saves turns. It is safe for concurrent use.
 type Records struct {
-	options    Options
-	pieces     *piece.Pieces
-	cache      *cache
-	beginnings *beginnings
-	metrics    *metrics
+	options  Options
+	pieces   *piece.Pieces
+	cache    *cache
+	prefixes *prefixIndex
+	metrics  *metrics
 }
 
-// NewRecords makes the repository.
+// NewRecords returns a Records with empty caches.
 func NewRecords(options Options) *Records {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -74,63 +76,67 @@
 		pieces: piece.New(piece.Options{
 			Store: options.Store, RowBytes: options.RowBytes, CacheBytes: options.PieceBytes,
 		}),
-		cache:      newCache(options),
-		beginnings: newBeginnings(),
-		metrics:    newMetrics(),
+		cache:    newCache(options),
+		prefixes: newPrefixIndex(),
+		metrics:  newMetrics(),
 	}
 }
 
-// Cached tells whether Load needs no store.
+// Cached reports whether the turn is in memory, so that Load does not need the store.
 func (r *Records) Cached(identifier string) bool { return r.cache.peek(identifier) != nil }
 
-// expiryMargin is how much longer than asked for a turn is kept. It covers, several
-// times, that clocks of machines step by some seconds, that a record is tried for some
-// seconds after its time was set, and that a caller who asks at the last moment is
-// refused a few times first. Each second of it takes as much room in the store as all
+// expiryMargin is how much longer than its retention a turn is available. It covers, several
+// times over, clock steps of some seconds, the seconds for which a save
+// is retried after its expiry was computed, and the retries of a caller that continues the
+// turn at the last moment. Each second of margin takes as much space in the store as all
 // daemons write in a second.
 const expiryMargin = 30 * time.Second
 
-// times are until when what a turn writes is kept, in unix seconds.
-type times struct {
-	promised int64 // the turn is found until then
-	expires  int64 // its rows may be removed from then on
-	shared   int64 // pieces that others may refer to may be removed from then on
+// expiryTimes holds the expiry of what Save writes for a turn, as Unix times in seconds.
+type expiryTimes struct {
+	promised int64 // until then the turn must be available
+	expires  int64 // from then on its rows may be removed
+	shared   int64 // from then on its shared pieces may be removed
 }
 
-// rowsLast is how long a turn's rows are kept.
-func rowsLast(keep time.Duration) time.Duration { return 2*keep + expiryMargin }
-
-// timesOf gives rows twice the time asked for, and one margin: a turn that goes on from this
-// one until keep is over can still refer to it (within the margin after that it is written whole), and a
-// conversation is written anew once in that time at most. Shared pieces last twice as long as rows, so that each is
-// written anew only after half of its time.
-func timesOf(now time.Time, keep time.Duration) times {
-	lasts := rowsLast(keep)
-	return times{
-		promised: now.Add(keep + expiryMargin).Unix(),
-		expires:  now.Add(lasts).Unix(),
-		shared:   now.Add(2 * lasts).Unix(),
+// rowLifetime returns how long the rows of a turn with the given retention stay in the store.
+func rowLifetime(retainFor time.Duration) time.Duration { return 2*retainFor + expiryMargin }
+
+// newExpiryTimes returns the expiry times of a turn saved now and retained for retainFor. Rows last
+// twice as long as the retention, plus a margin. A turn that continues this one within the
+// retention can therefore refer to its rows. A turn that continues it within the margin after
+// that is stored with the whole conversation, which happens at most once in each retention.
+// Shared pieces last twice as long as rows, so that a piece in use is written again only after
+// half of its lifetime.
+func newExpiryTimes(now time.Time, retainFor time.Duration) expiryTimes {
+	lifetime := rowLifetime(retainFor)
+	return expiryTimes{
+		promised: now.Add(retainFor + expiryMargin).Unix(),
+		expires:  now.Add(lifetime).Unix(),
+		shared:   now.Add(2 * lifetime).Unix(),
 	}
 }
 
-// Leftovers sweeps turns that lost daemons left behind. mine tells which
-// partitions this daemon sweeps.
-func Leftovers(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
+// Leftovers returns a sweep that removes expired rows of turns. Daemons remove the rows that they
+// wrote themselves, so the sweep mostly finds rows of daemons that were lost. isMine reports whether this daemon sweeps a partition.
+func Leftovers(store *state.Client, isMine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: mine, Log: log, Every: sweepEvery,
-		Over: func(row state.Row) bool { return isOver(row, now()) },
+		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: isMine, Log: log, Every: sweepInterval,
+		Over: func(row state.Row) bool { return isExpired(row, now()) },
 	}
 }
 
-// sweepEvery is how long a pass over all turns takes, all daemons together: what lost
-// daemons left takes room for as long. A pass without anything to remove is one
-// reading for each partition, less than one a second.
-const sweepEvery = 10 * time.Minute
-
-func isOver(row state.Row, now time.Time) bool {
-	expires, ours := rowset.Expires(row)
-	if !ours {
-		expires, ours = formerExpiry(row)
+// sweepInterval is the time in which all daemons together sweep all partitions once. Expired rows
+// of lost daemons stay in the store for up to this long. If there is nothing to remove, a
+// sweep reads each partition once, which is less than one read a second.
+const sweepInterval = 10 * time.Minute
+
+// isExpired reports whether row belongs to a turn, in the current or the legacy format, that has
+// expired. Rows of an unknown format never count as expired.
+func isExpired(row state.Row, now time.Time) bool {
+	expires, isTurnRow := rowset.Expires(row)
+	if !isTurnRow {
+		expires, isTurnRow = legacyExpiry(row)
 	}
-	return ours && now.Unix() > expires
+	return isTurnRow && now.Unix() > expires
 }
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -37,8 +37,8 @@
 
 func newRecords(store state.Store) *turn.Records { return turn.NewRecords(optionsOf(store)) }
 
-// newRecordsBeside makes the records of a daemon that knows another one.
-func newRecordsBeside(store state.Store, other string) *turn.Records {
+// newRecordsWithPeer returns the Records of a daemon that knows another daemon by its address.
+func newRecordsWithPeer(store state.Store, other string) *turn.Records {
 	list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
 	row, err := acquaintance.RowOf(members.Member{Process: identity.Process{Machine: "other", Zone: "z", Address: other}, State: members.StateAlive})
 	Expect(err).NotTo(HaveOccurred())
@@ -50,7 +50,8 @@
 	return turn.NewRecords(options)
 }
 
-// serve lets other daemons ask for what records have in memory.
+// serve starts a server at which other daemons can ask for turns that records has in memory, and
+// returns its address.
 func serve(records *turn.Records) (address string) {
 	server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 	Expect(err).NotTo(HaveOccurred())
@@ -59,10 +60,10 @@
 	return server.Address()
 }
 
-// text is a turn that begins a conversation.
-func text(content string) turn.Addition { return turn.Addition{Input: []byte(content)} }
+// firstTurn returns a turn that starts a conversation.
+func firstTurn(content string) turn.Addition { return turn.Addition{Input: []byte(content)} }
 
-// historyOf is the whole conversation up to a turn.
+// historyOf returns the whole conversation up to a turn.
 func historyOf(of *turn.Turn) string { return string(bytes.Join(of.Segments(), nil)) }
 
 var _ = Describe("Records", func() {
@@ -70,7 +71,7 @@
 
 	BeforeEach(func() { store = memorystore.New() })
 
-	DescribeTable("keeps what a turn adds, of any size that a commit holds, for every process", func(ctx SpecContext, size int) {
+	DescribeTable("saves a turn that fits one commit with one commit, and loads it in another process with one read", func(ctx SpecContext, size int) {
 		added := turn.Addition{Input: bytes.Repeat([]byte("abc"), size/3), Output: []byte("out"), Engine: "e"}
 		Expect(newRecords(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
 		loaded, err := newRecords(store).Load(ctx, "t1", "")
@@ -84,7 +85,7 @@
 		Entry("as many rows as allowed", 1860),
 	)
 
-	DescribeTable("keeps what a turn adds in several commits where one does not hold it", func(ctx SpecContext, size int) {
+	DescribeTable("saves a turn that does not fit one commit in several commits", func(ctx SpecContext, size int) {
 		added := turn.Addition{Input: bytes.Repeat([]byte("abc"), size/3), Output: []byte("out"), Engine: "e"}
 		Expect(newRecords(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
 		loaded, err := newRecords(store).Load(ctx, "t1", "")
@@ -95,48 +96,48 @@
 		Entry("ten commits", 20000),
 	)
 
-	It("keeps turns apart whose identifiers begin alike", func(ctx SpecContext) {
-		Expect(newRecords(store).Save(ctx, "t1", text("long enough for one row"), time.Minute)).To(Succeed())
-		Expect(newRecords(store).Save(ctx, "t10", text("another"), time.Minute)).To(Succeed())
+	It("distinguishes turns whose identifiers share a prefix", func(ctx SpecContext) {
+		Expect(newRecords(store).Save(ctx, "t1", firstTurn("long enough for one row"), time.Minute)).To(Succeed())
+		Expect(newRecords(store).Save(ctx, "t10", firstTurn("another"), time.Minute)).To(Succeed())
 		loaded, err := newRecords(store).Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("long enough for one row"))
 	})
 
-	It("needs no call for a turn that ended here", func(ctx SpecContext) {
+	It("loads a turn that was saved by the same process without reading the store", func(ctx SpecContext) {
 		records := newRecords(store)
-		Expect(records.Save(ctx, "t1", text("x"), time.Minute)).To(Succeed())
+		Expect(records.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		Expect(records.Cached("t1")).To(BeTrue())
 		_, err := records.Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(store.Calls("read")).To(BeZero())
 	})
 
-	It("is written as a call that an answer waits for", func(ctx SpecContext) {
+	It("writes rows and pieces with the class of calls that an answer waits for", func(ctx SpecContext) {
 		var classes []state.Class
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			classes = append(classes, call.Commit.Class)
 			return memorystore.None
 		})
-		added := text(string(make([]byte, 3000))) // the turn's rows, and pieces
+		added := firstTurn(string(make([]byte, 3000))) // the turn's rows, and pieces
 		Expect(newRecords(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
 		Expect(len(classes)).To(BeNumerically(">", 1))
 		Expect(classes).To(HaveEach(state.ClassTurn))
 	})
 
-	It("says that there is no such turn when a condition proves it", func(ctx SpecContext) {
+	It("returns ErrNotFound if a condition proves that there is no such turn", func(ctx SpecContext) {
 		_, err := newRecords(store).Load(ctx, "t1", "")
 		Expect(err).To(MatchError(turn.ErrNotFound))
 	})
 
-	It("is not sure when a reading is behind", func(ctx SpecContext) {
-		Expect(newRecords(store).Save(ctx, "t1", text("x"), time.Minute)).To(Succeed())
+	It("returns ErrUnsure if a read of the store is stale", func(ctx SpecContext) {
+		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		store.AnswerReadings(&state.Page{})
 		_, err := newRecords(store).Load(ctx, "t1", "")
 		Expect(err).To(MatchError(turn.ErrUnsure))
 	})
 
-	It("does not take a store without an answer for an absent turn", func(ctx SpecContext) {
+	It("does not report a turn as absent if the store does not answer", func(ctx SpecContext) {
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" {
 				return memorystore.Refused
@@ -161,17 +162,17 @@
 			}
 			return memorystore.None
 		})
-		Expect(newRecords(store).Save(ctx, "t1", text("x"), time.Minute)).To(Succeed())
+		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		Expect(store.Calls("commit")).To(Equal(5))
 		loaded, err := newRecords(store).Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("x"))
 	})
 
-	It("is found at another daemon that keeps it while its partition is down", func(ctx SpecContext) {
+	It("loads a turn from a daemon that has it in memory while the store is down", func(ctx SpecContext) {
 		first := newRecords(store)
-		Expect(first.Save(ctx, "t1", text("x"), time.Minute)).To(Succeed())
-		second := newRecordsBeside(store, serve(first))
+		Expect(first.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
+		second := newRecordsWithPeer(store, serve(first))
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
 		loaded, err := second.Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -179,21 +180,21 @@
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		_, err = second.Load(short, "t2", "")
-		Expect(err).To(MatchError(state.ErrNotDone), "that no daemon keeps a turn proves nothing")
+		Expect(err).To(MatchError(state.ErrNotDone), "a turn that no daemon has in memory may still exist")
 	})
 
-	It("may be saved again after a lost answer", func(ctx SpecContext) {
+	It("saves a turn again after the answer of a commit was lost", func(ctx SpecContext) {
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Lost })
 		records := newRecords(store)
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
-		Expect(records.Save(short, "t1", text("x"), time.Minute)).To(MatchError(state.ErrUnknown))
+		Expect(records.Save(short, "t1", firstTurn("x"), time.Minute)).To(MatchError(state.ErrUnknown))
 		store.Misbehave(nil)
-		Expect(records.Save(ctx, "t1", text("x"), time.Minute)).To(Succeed())
+		Expect(records.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 	})
 
-	It("is swept once its time is over, and not before", func(ctx SpecContext) {
-		Expect(newRecords(store).Save(ctx, "t1", text("x"), time.Minute)).To(Succeed())
+	It("lets the sweep remove a turn after its expiry, and not before", func(ctx SpecContext) {
+		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		now := time.Now()
 		sweep := turn.Leftovers(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, zap.NewNop())
 		all := func() (removed int) {
@@ -211,8 +212,8 @@
 		Expect(err).To(MatchError(turn.ErrNotFound))
 	})
 
-	It("refuses what is so large that one commit does not hold the names of its pieces", func(ctx SpecContext) {
-		err := newRecords(store).Save(ctx, "t1", text(string(make([]byte, 1000*rowBytes))), time.Minute)
+	It("refuses a turn so large that the references to its pieces do not fit one commit", func(ctx SpecContext) {
+		err := newRecords(store).Save(ctx, "t1", firstTurn(string(make([]byte, 1000*rowBytes))), time.Minute)
 		Expect(err).To(MatchError(turn.ErrTooLarge))
 	})
 })
