--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,8 +8,8 @@
 	"github.com/thymeloft/thymeloft/internal/admission"
 )
 
-// admittedTurn is a turn that admission control counts as running. The zero value means that
-// the request was not reported to admission control.
+// admittedTurn is a turn that admission control counts as running. The zero value stands for a
+// request that was not reported to admission control.
 type admittedTurn struct {
 	request   *admission.Request
 	isFirst   bool // whether it is the first known turn of its program
@@ -18,8 +18,8 @@
 
 // admitProgram asks admission control whether the program of a first turn may start, and
 // reports the turn of a program that has already started. The error is a *Refusal if the
-// program may not start. It must run after reserveBudget, since the reservation tells
-// whether earlier turns of the program ran through other daemons.
+// program may not start. admitProgram must run after reserveBudget, since the reservation
+// shows whether earlier turns of the program ran through other daemons.
 func (e *execution) admitProgram() error {
 	if e.gateway.Admission == nil || e.call.Program == "" || !e.service.Model {
 		return nil
@@ -33,15 +33,16 @@
 	err := e.gateway.Admission.Begin(turn.request)
 	var refused *admission.RefusedError
 	if errors.As(err, &refused) {
-		e.gateway.recentPrograms.remove(e.tenantScoped(e.call.Program)) // no engine ran the request, so its quota permit is returned too
+		e.gateway.recentPrograms.remove(e.tenantScoped(e.call.Program)) // its quota permit is returned too, by returnQuota
 		return notRunRefusal(ReasonOverload, refused.After, err)
 	}
 	e.admitted = turn
 	return err
 }
 
-// hasProgramStarted reports whether an earlier turn of the program is known: either the call
-// names it, or the budget reservation reports generated tokens or an engine for the program.
+// hasProgramStarted reports whether the program had an earlier turn. This is known if the call
+// names the previous turn, or if the budget reservation reports tokens that the program has
+// generated or an engine that has read its prompt.
 func (e *execution) hasProgramStarted() bool {
 	if e.call.Previous != "" {
 		return true
@@ -53,7 +54,7 @@
 	return engine != "" || e.reservation.Attained() > 0
 }
 
-// admissionRequest returns the description of the request for admission control.
+// admissionRequest returns what admission control needs to know of the request.
 func (e *execution) admissionRequest() *admission.Request {
 	request := &admission.Request{
 		Service: e.service.Name, Route: e.route.Name, Program: e.tenantScoped(e.call.Program), Priority: e.route.Priority,
@@ -71,8 +72,8 @@
 	return request
 }
 
-// engineRoom returns how many engines of the service accept work, and the tokens that each
-// of them can hold. Engines that are draining or gone are not counted.
+// engineRoom returns the number of engines of the service that accept work and the number of
+// tokens that each of them can hold. Engines that are draining or gone are not counted.
 func (e *execution) engineRoom() admission.Room {
 	room := admission.Room{MemoryTokens: e.service.MemoryTokens, SharedTokens: e.gateway.Fleet.Sharing.Tokens()}
 	for _, instance := range e.gateway.Fleet.Of(e.service.Name) {
@@ -83,21 +84,21 @@
 	return room
 }
 
-// reportFirstByte reports the time from admission to the first byte of the answer to admission
-// control, for turns of programs that had already started.
+// reportFirstByte informs admission control how long a turn of a program that had already started
+// took from its admission to the first byte of the answer. It ignores first turns.
 func (e *execution) reportFirstByte() {
 	if e.admitted.request != nil && !e.admitted.isFirst {
 		e.gateway.Admission.Answered(e.service.Name, time.Since(e.admitted.startedAt))
 	}
 }
 
-// generatedTokenCost is the cost of a generated token, in prompt tokens. A generated token
-// occupies one slot for one batch step, in which a fully used engine reads some tens of
-// prompt tokens.
+// generatedTokenCost is how many prompt tokens an engine could have read for the cost of one
+// generated token. A generated token occupies one slot of the engine for one batch step.
 const generatedTokenCost = 10
 
-// leaveAdmission tells admission control that the turn has ended, with its cost in tokens. A
-// first turn that no engine started is withdrawn, as if its program had never started.
+// leaveAdmission informs admission control that the turn has ended and what it cost, in prompt
+// tokens. If the turn is the first of its program and no engine started it, the program is
+// withdrawn as if it had never started.
 func (e *execution) leaveAdmission() {
 	if e.admitted.request == nil {
 		return
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -23,8 +23,8 @@
 	engine   string
 }
 
-func (d startedReservation) Attained() int64       { return d.attained }
-func (d startedReservation) ReadAt() (string, int) { return d.engine, 1 }
+func (r startedReservation) Attained() int64       { return r.attained }
+func (r startedReservation) ReadAt() (string, int) { return r.engine, 1 }
 
 var _ = Describe("admitProgram", func() {
 	var current *execution
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,9 +16,9 @@
 
 // Limits of the search for an instance.
 const (
-	maxOffersPerSearch = 4 // instances that one search sends the request to
-	// instancePollInterval is the pause between two attempts while a service has no
-	// instance or the quota keepers cannot be reached.
+	maxAttemptsPerSearch = 4 // number of instances to which one search sends the request
+	// instancePollInterval is the pause before another look for an instance while a service has
+	// none, and before another request for a quota permit while no quota keeper can be reached.
 	instancePollInterval = 40 * time.Millisecond
 	// Bounds of the growing pause between two searches while all instances are full.
 	minFullRetryPause = 20 * time.Millisecond
@@ -28,21 +28,23 @@
 // startedReply is an instance's answer whose first bytes have been read. It must be closed.
 type startedReply struct {
 	*backend.Reply
-	firstBytes []byte // the part of the body that was read
+	firstBytes []byte // the bytes of the body that have been read
 	isComplete bool   // whether firstBytes is the whole body
-	release    func() // ends the request at the instance and cancels its context
+	release    func() // cancels the request's context and no longer counts the request at the instance
 }
 
-// close closes the body and ends the request at the instance. If the body was not read to
-// its end, the connection to the instance is closed as well.
+// close closes the body and releases the request. If the body was not read to its end, the
+// connection to the instance is closed as well.
 func (r *startedReply) close() {
 	_ = r.Body.Close()
 	r.release()
 }
 
-// obtainReply returns the answer of the first instance that starts to answer the request.
-// While all suitable instances refuse it because they are full, it repeats the search with
-// growing pauses, for at most storePatience after the request's arrival.
+// obtainReply returns the answer of the first instance that starts to answer the request. The
+// error is a *Refusal or a *CutError.
+//
+// While all available instances refuse the request because they are full, the search is repeated
+// with growing pauses, until storePatience has passed since the request's arrival.
 func (e *execution) obtainReply(ctx context.Context) (*startedReply, error) {
 	schedule := pause.Growing(minFullRetryPause, maxFullRetryPause)
 	for {
@@ -62,7 +64,7 @@
 // The error is a *Refusal or a *CutError.
 func (e *execution) searchInstance(ctx context.Context) (*startedReply, error) {
 	var excluded []string
-	offers := 0
+	attempts := 0
 	var last error
 	for {
 		instance, err := e.chooseInstance(ctx, excluded, last)
@@ -70,7 +72,7 @@
 			return nil, err
 		}
 		e.tries++
-		offers++
+		attempts++
 		excluded = append(excluded, instance.ID)
 		reply, err := e.sendTo(ctx, instance)
 		if err == nil {
@@ -79,7 +81,7 @@
 		if ctx.Err() != nil {
 			return nil, e.endedError(err)
 		}
-		if !e.mayRetry(err, offers) || !e.takeQuotaForRetry(err) {
+		if !e.mayRetry(err, attempts) || !e.takeQuotaForRetry(err) {
 			return nil, e.exhaustedError(err)
 		}
 		e.gateway.Log.Info("request: retrying at another instance.",
@@ -91,13 +93,13 @@
 // placement is the state of an instance as this daemon knew it when it chose the instance.
 type placement struct {
 	load          int // requests in progress at the instance, from all daemons
-	missingTokens int // prompt tokens that the instance had not read before
+	missingTokens int // prompt tokens that are not in the instance's prefix cache
 	slots         int // requests that the instance processes at the same time
 }
 
 // chooseInstance returns the best instance whose ID is not in excluded. last is the error of
 // the previous attempt in this search, or nil. If no instance is available, chooseInstance
-// polls for one until storePatience is over if last is nil, and otherwise returns at once. The
+// polls for one until storePatience is over if last is nil, and otherwise fails at once. The
 // error is a *Refusal or a *CutError.
 func (e *execution) chooseInstance(ctx context.Context, excluded []string, last error) (*backend.Instance, error) {
 	request := &backend.Request{
@@ -131,8 +133,9 @@
 	}
 }
 
-// affinity returns the key by which requests with a common prefix go to the same instances:
-// the program, or else the first prompt part, or else the request's own ID.
+// affinity returns a key that is equal for requests likely to share a prompt prefix, so that they
+// go to the same instances. The key is the program, or else the name of the first prompt
+// part, or else the ID of the request.
 func (e *execution) affinity() string {
 	if e.call.Program != "" {
 		return e.tenantScoped(e.call.Program)
@@ -149,15 +152,15 @@
 // Error implements error.
 func (r *rejectedError) Error() string { return http.StatusText(r.status) + ", not run" }
 
-// sendTo sends the request to the instance once and waits for the first bytes of its answer.
-// Failures count against the instance, except those that noteFailure ignores.
+// sendTo sends the request to the instance once and waits for the first bytes of the answer.
+// Failures are counted as failures of the instance, except as noteFailure describes.
 func (e *execution) sendTo(ctx context.Context, instance *backend.Instance) (*startedReply, error) {
-	attempt, cancel := e.attemptContext(ctx)
+	attemptCtx, cancel := e.attemptContext(ctx)
 	endRequest := instance.Begin()
 	release := func() { endRequest(); cancel() }
 	sent := time.Now()
 	e.instance = instance
-	reply, err := instance.Exchange(attempt, e.outgoingRequest(instance))
+	reply, err := instance.Exchange(attemptCtx, e.outgoingRequest(instance))
 	if err != nil {
 		release()
 		e.noteFailure(instance, err, time.Since(sent))
@@ -191,8 +194,9 @@
 	return context.WithTimeout(ctx, timeout)
 }
 
-// outgoingRequest returns the request for the instance: the caller's headers, those that the
-// gateway adds, and a body that consists of the recorded history and the caller's input.
+// outgoingRequest returns the request to send to the instance. It has the caller's headers and
+// those that the gateway adds. Its body is the recorded history followed by the caller's
+// input.
 func (e *execution) outgoingRequest(instance *backend.Instance) *backend.Outgoing {
 	header := e.request.Header.Clone()
 	dropConnectionHeaders(header)
@@ -213,7 +217,7 @@
 	return outgoing
 }
 
-// forwardedFor returns what the gateway tells the instance in addition to the caller's headers.
+// forwardedFor returns the values of the headers that the gateway adds for the instance.
 func (e *execution) forwardedFor(instance *backend.Instance) Forwarded {
 	result := Forwarded{Instance: instance.ID, Remaining: e.remaining(), KeysDemanded: e.table.Tenants.Demanded()}
 	if e.tenant != nil {
@@ -226,10 +230,11 @@
 // disconnects counts as a failure of the instance.
 const minSilenceForFailure = 500 * time.Millisecond
 
-// noteFailure counts an attempt that failed with err after the given wait: in e.runs if the
-// instance may have run the request, and as a failure of the instance, which may eject it. If
-// the caller has disconnected, the failure cannot eject the instance, and it is not counted
-// at all if the wait was shorter than minSilenceForFailure.
+// noteFailure handles an attempt that failed with err after the time waited. It increments e.runs
+// if the instance may have run the request. It also counts a failure of the instance, which
+// may eject the instance from selection for a while. If the caller has disconnected, the
+// instance is not ejected, and a failure is counted only if waited is at least
+// minSilenceForFailure.
 func (e *execution) noteFailure(instance *backend.Instance, err error, waited time.Duration) {
 	var lost *backend.LostError
 	if errors.As(err, &lost) {
@@ -249,10 +254,10 @@
 }
 
 // mayRetry reports whether the search may send the request to another instance. err is the
-// error of the last attempt and offers the number of attempts in this search. If the instance
+// error of the last attempt, and attempts is the number of attempts in this search. If the instance
 // may have run the request, the route must allow another run and have attempts left.
-func (e *execution) mayRetry(err error, offers int) bool {
-	if offers >= maxOffersPerSearch {
+func (e *execution) mayRetry(err error, attempts int) bool {
+	if attempts >= maxAttemptsPerSearch {
 		return false
 	}
 	var lost *backend.LostError
@@ -279,8 +284,9 @@
 	}
 }
 
-// endedError returns the final error when the deadline has passed (*Refusal) or the caller
-// has disconnected (*CutError).
+// endedError returns the final error of a request that ran out of time or whose caller has
+// disconnected. The result is a *CutError if the caller has disconnected, and otherwise a
+// *Refusal.
 func (e *execution) endedError(err error) error {
 	if e.request.Context().Err() != nil {
 		return &CutError{Reason: ReasonCallerLeft, Err: err}
--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -8,10 +8,11 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// authenticate sets the tenant by the caller's key. It returns nil if no key is required, and
-// otherwise a *Refusal if the key is missing or unknown. If the configuration is too old to be
-// sure that the key does not exist, the refusal has status 503, which callers retry, instead
-// of 401, which is final.
+// authenticate sets the tenant from the caller's key. If no tenants are configured, it does nothing.
+// A public route also accepts requests whose key is missing or unknown. On other routes the
+// error is a *Refusal with status 401 if the key is missing or unknown. If the configuration is
+// too old to be sure that a key is unknown, the status is 503 instead, so that the caller
+// retries.
 func (e *execution) authenticate() error {
 	if !e.table.Tenants.Demanded() {
 		return nil
@@ -29,7 +30,7 @@
 		return unauthenticatedRefusal("exactly one key is required")
 	}
 	if age, _ := e.gateway.Ages(); age > e.gateway.KeysBelieved {
-		return notRunRefusal(ReasonUnsureKey, storeRetryAfter, eris.Errorf("unknown key, and the configuration was last updated %s ago", age))
+		return notRunRefusal(ReasonUnsureKey, storeRetryAfter, eris.Errorf("unknown key, but the configuration was last confirmed %s ago", age))
 	}
 	return unauthenticatedRefusal("unknown key")
 }
@@ -47,8 +48,8 @@
 	return string(e.tenant.Name)
 }
 
-// tenantScoped returns a name chosen by the caller, qualified by its tenant, so that equal
-// names of different tenants do not clash.
+// tenantScoped qualifies a name that the caller chose with the caller's tenant, so that tenants can
+// choose the same name. Without a tenant it returns the name unchanged.
 func (e *execution) tenantScoped(name string) string {
 	if e.tenant == nil {
 		return name
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -1,8 +1,8 @@
 // Package gateway is the HTTP handler that forwards callers' requests to the engines of a
 // route. It authenticates a request, checks quota, budget and admission, chooses an engine,
 // sends the request, and relays the answer as it arrives. On routes that record turns, the
-// end of the answer is relayed only after the turn has been saved. Header names are left to
-// the implementation of Wire.
+// caller sees the end of the answer only after the turn has been saved. The names and formats
+// of headers are defined by the implementation of Wire.
 package gateway
 
 import (
@@ -15,22 +15,22 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Call holds what the headers of a request say.
+// Call holds the values of the headers of a caller's request.
 type Call struct {
-	ID              string         // identifies one attempt of the caller
-	Key             *tenant.Digest // digest of the caller's key; nil if there is no readable key
-	Program         string         // identifier of the program; empty if there is none
-	Previous        string         // identifier of the turn that this one continues; empty if it starts a conversation
-	ResumeFrom      string         // ID of the last stream event that the caller received
-	Deadline        time.Duration  // time left for the request; 0: not given
-	ProgramDeadline time.Duration  // time left for the program; 0: not given
-	Budget          int64          // tokens that the whole program may generate; 0: unlimited
-	PromptTokens    int64
-	MostTokens      int64 // upper limit of the tokens that this turn generates
-	Prefix          []backend.PromptPart
+	ID              string               // unique for each attempt of the caller
+	Key             *tenant.Digest       // digest of the caller's key; nil if there is no readable key
+	Program         string               // identifier of the program; empty if there is none
+	Previous        string               // identifier of the turn that this one continues; empty if it starts a conversation
+	ResumeFrom      string               // ID of the last stream event that the caller received
+	Deadline        time.Duration        // time left for the request; 0: not given
+	ProgramDeadline time.Duration        // time left for the program; 0: not given
+	Budget          int64                // tokens that the whole program may generate; 0: unlimited
+	PromptTokens    int64                // length of the prompt in tokens
+	MostTokens      int64                // maximum number of tokens that this turn may generate; 0: not given
+	Prefix          []backend.PromptPart // parts of the prompt, in order, for finding cached prefixes
 }
 
-// Forwarded holds what the gateway tells an instance in addition to the caller's headers.
+// Forwarded holds the values of the headers that the gateway adds to a request for an instance.
 type Forwarded struct {
 	Instance  string        // ID of the instance
 	Remaining time.Duration // time left for the whole answer
@@ -38,19 +38,20 @@
 	Tenant identity.Tenant
 	// Priority is the tenant's priority; nil if it has none.
 	Priority *int
-	// KeysDemanded reports that callers authenticate by keys, which must not reach engines.
+	// KeysDemanded is set if callers authenticate with keys. The headers that carry keys must then
+	// be removed, since engines must not see them.
 	KeysDemanded bool
 }
 
-// Answer holds what the headers of an instance's answer say.
+// Answer holds the values of the headers of an instance's answer.
 type Answer struct {
 	ID     string // ID of the request that is answered
-	Signed bool   // whether the header that marks an answer as the instance's own is present
+	Signed bool   // whether the instance's signature header is present
 	NotRun bool   // whether the instance promises that the request did not run and never will
-	Moved  bool   // whether a different instance answered at the address
+	Moved  bool   // whether another instance now has the address
 }
 
-// Wire translates the headers of callers and instances.
+// Wire reads and writes the headers of requests and answers.
 type Wire interface {
 	// Call parses a caller's headers. The error is a *MalformedError.
 	Call(header http.Header) (Call, error)
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -15,7 +15,7 @@
 
 var dataField = []byte("data:")
 
-// write parses the next bytes of the stream.
+// write parses the next bytes of the stream, which may begin and end anywhere.
 func (e *eventReader) write(chunk []byte) {
 	for len(chunk) > 0 {
 		end := bytes.IndexByte(chunk, '\n')
@@ -29,10 +29,10 @@
 	}
 }
 
-// appendToLine appends to the current line. If data is not collected, it keeps only the first
-// few bytes, which suffice to recognize a data field or an empty line.
+// appendToLine appends bytes to the current line. If data is not collected, it keeps only the
+// beginning of the line, which is enough to recognize a data field or an empty line.
 func (e *eventReader) appendToLine(chunk []byte) {
-	const maxPrefixBytes = 8 // enough to tell a "data:" field, an empty line and all other lines apart
+	const maxPrefixBytes = 8 // longer than "data:" and than the carriage return of an empty line
 	if !e.collect {
 		chunk = chunk[:min(len(chunk), max(maxPrefixBytes-len(e.line), 0))]
 	}
--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -29,7 +29,7 @@
 		if answer.Moved {
 			e.gateway.Fleet.Displace(instance)
 		}
-		_, _ = io.CopyN(io.Discard, reply.Body, maxBufferedBytes) // drains the body so that the connection can be reused; errors do not matter
+		_, _ = io.CopyN(io.Discard, reply.Body, maxBufferedBytes) // drains the body so that the connection can be reused
 		return nil, &rejectedError{status: reply.Status}
 	}
 	e.runs++
@@ -42,7 +42,7 @@
 	return e.readPlainAnswer(instance, reply)
 }
 
-// checkAnswer returns an error if the answer must not reach the caller.
+// checkAnswer returns an error if the answer must not be relayed to the caller.
 func (e *execution) checkAnswer(answer Answer, reply *backend.Reply) error {
 	switch {
 	case !answer.Signed || reply.Header.Get("Content-Encoding") != "":
@@ -50,7 +50,7 @@
 	case reply.Status >= http.StatusInternalServerError && e.route.Repeat == routetable.Any && e.runs < e.route.MaxAttempts:
 		return eris.Errorf("the instance failed with status %d", reply.Status)
 	case e.route.Repeat == routetable.Once && isNotRunStatus(reply.Status):
-		return eris.Errorf("the instance may have run the request, and answered with status %d, which promises otherwise", reply.Status)
+		return eris.Errorf("status %d would mean that the request did not run, but the instance did not promise that", reply.Status)
 	default:
 		return nil
 	}
@@ -81,10 +81,10 @@
 	return &startedReply{Reply: reply, firstBytes: buffer[:count], isComplete: err == io.EOF}, nil
 }
 
-// readPlainAnswer reads the beginning of an answer that is not a stream: maxBufferedBytes at
-// most, or firstReadBytes if the memory account has no room for more. The rest is relayed
-// later; if the answer breaks off there, the request cannot be repeated. The error is a
-// *backend.LostError.
+// readPlainAnswer reads the beginning of an answer that is not a stream. It reads at most
+// maxBufferedBytes, or firstReadBytes if the memory account has no room for more. If the
+// answer breaks off later, while the rest is relayed, the request cannot be repeated. The
+// error is a *backend.LostError.
 func (e *execution) readPlainAnswer(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
 	const extraByte = 1 // beyond the announced length, to see the end of the body
 	limit := int64(maxBufferedBytes)
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -35,16 +35,16 @@
 	input          []byte
 	history        *turn.Turn      // the turn that the request continues; nil if none
 	holding        *memory.Holding // memory accounted for this request
-	reservedOutput int64           // bytes of output for which memory is reserved, together with that of their copies
+	reservedOutput int64           // bytes of output for which memory has been reserved, not counting copiesWhileSaving
 	quotaPermit    *quota.Taken    // permit from the tenant's quota; nil if there is no limit
 	reservation    budget.Settler  // tokens reserved from the program's budget; nil if none
-	sharedParts    int             // leading prompt parts that every engine is assumed to have in its prefix cache
+	sharedParts    int             // number of leading prompt parts assumed to be in the prefix cache of every engine
 	admitted       admittedTurn
 
 	instance         *backend.Instance // the instance that was tried last
 	placement        placement         // state of the instance when it was chosen
 	tries            int               // attempts to send the request, in all searches
-	repeatedSearches int               // searches after the first, made because all instances were full
+	repeatedSearches int               // searches after the first one; each was needed because all instances were full
 	runs             int               // attempts in which the instance may have run the request
 	timeToFirstByte  time.Duration     // from sending the request to the first byte of its answer
 	firstByteAt      time.Time         // when the first byte of the answer arrived
@@ -155,13 +155,13 @@
 // prepare does what must be done before a turn is sent. It reserves tokens from the program's
 // budget, loads the history and reserves memory; for a turn that is to be recorded it first
 // waits until the store is available. The budget comes before the history because the
-// reservation tells which daemon has the previous turn in memory. The error is a *Refusal or
-// a *CutError.
+// reservation names the daemon that has the previous turn in memory. The error is a *Refusal
+// or a *CutError.
 func (e *execution) prepare(ctx context.Context) error {
 	waitCtx, cancel := context.WithTimeout(ctx, e.storePatience())
 	defer cancel()
 	if e.route.Recorded {
-		// Stops waiting when this daemon is cut off, so that the caller can retry in another zone.
+		// Stops waiting if this daemon gets cut off, so that the caller can retry in another zone.
 		stop := context.AfterFunc(e.gateway.Reach.Connected(), cancel)
 		defer stop()
 	}
@@ -215,16 +215,16 @@
 	return max(patience, 0)
 }
 
-// isNewProgramWithoutRoom reports whether the request would start a recorded conversation
-// although the store is full. A full store accepts only turns of conversations that have
-// started, except for an occasional request that is let through to find out whether there
-// is room again.
+// isNewProgramWithoutRoom reports whether the request must be refused because it would start a
+// recorded conversation while the store is full. The remaining space is left to conversations
+// that have started. From time to time one request is let through nevertheless, to find out
+// whether there is space again.
 func (e *execution) isNewProgramWithoutRoom() bool {
 	return e.route.Recorded && e.call.Previous == "" && !e.gateway.Room.Probe()
 }
 
-// loadHistory loads the turn that the request continues, if there is one, and first asks the
-// daemon that is said to have it in memory.
+// loadHistory loads the turn that the request continues, if there is one. Turns.Load first asks the
+// daemon that has recorded this turn, if the budget reservation names one.
 func (e *execution) loadHistory(ctx context.Context) error {
 	if !e.route.Recorded || e.call.Previous == "" {
 		return nil
@@ -238,8 +238,8 @@
 	return err
 }
 
-// reserveBudget reserves the largest number of tokens that the turn may generate, if the caller
-// gave a program, its budget and that number. It then calls rememberReader.
+// reserveBudget reserves Call.MostTokens from the budget of the program. It does nothing if the
+// caller did not give the program, its budget or MostTokens.
 func (e *execution) reserveBudget(ctx context.Context) error {
 	if e.call.Program == "" || e.call.Budget <= 0 || e.call.MostTokens <= 0 {
 		return nil
@@ -256,8 +256,9 @@
 	return nil
 }
 
-// rememberReader notes for placement which engine has already read the beginning of the
-// prompt. The reservation tells it, since earlier turns may have come through other daemons.
+// rememberReader takes the engine that has already read the beginning of the prompt from the
+// budget reservation, and notes it for placement. This daemon may not know the engine itself,
+// since earlier turns may have come through other daemons.
 func (e *execution) rememberReader() {
 	engine, readParts := e.reservation.ReadAt()
 	if engine == "" || e.gateway.Off.Has(mechanism.Trails) || readParts > len(e.call.Prefix) {
@@ -296,7 +297,7 @@
 		return &Refusal{Status: http.StatusNotFound, Reason: ReasonUnknownTurn, Err: err}
 	case errors.Is(err, turn.ErrUnsure):
 		return notRunRefusal(ReasonUnsureTurn, storeRetryAfter, err)
-	case e.gateway.Reach.CutOff(): // precedes ErrSpent, since an aborted wait can look like a spent budget
+	case e.gateway.Reach.CutOff(): // before ErrSpent, which an aborted wait may return as well
 		return notRunRefusal(ReasonCutOff, e.gateway.Reach.Back(), err)
 	case errors.Is(err, budget.ErrSpent):
 		return &Refusal{Status: http.StatusPaymentRequired, Reason: ReasonBudget, Err: err}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,13 +44,13 @@
 	Room    *state.Room
 	Log     *zap.Logger
 	Metrics *Metrics
-	// InstanceGrace is how long an instance may still be used after it was removed from the
-	// registry, if there is no other.
+	// InstanceGrace is how long an instance may still be used after its registry entry is gone.
+	// It is used only if no other instance is available.
 	InstanceGrace time.Duration
 	// Off lists mechanisms that are disabled for an experiment.
 	Off mechanism.Off
-	// KeysBelieved is the greatest age of the configuration at which a key that is not in it
-	// counts as unknown. With an older configuration the key may have been added since.
+	// KeysBelieved is the maximum age of the configuration for rejecting an unknown key with
+	// status 401. If the configuration is older, the key may have been added since.
 	KeysBelieved time.Duration
 	// Ages returns how long ago the configuration and the list of instances were last
 	// confirmed by the store.
@@ -59,7 +59,7 @@
 
 // Budgets reserves tokens for a turn from the budget of its program.
 type Budgets interface {
-	// Reserve returns budget.ErrSpent if the budget is too small for another turn.
+	// Reserve reserves tokens for a turn. It returns budget.ErrSpent if the budget has none left.
 	Reserve(ctx context.Context, request budget.ReserveRequest) (budget.Settler, error)
 }
 
@@ -67,7 +67,7 @@
 type Gateway struct {
 	Options
 	recentPrograms *recentPrograms
-	order          uint64 // order of preference among instances, random for each process; see backend.Request.Order
+	order          uint64 // random for each process; see backend.Request.Order
 }
 
 // New returns a gateway with the given options.
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -16,15 +16,15 @@
 	// turn is saved: joined, encoded, as base64 rows (4/3 of the size), and in the message that
 	// carries the rows (4/3), rounded up.
 	copiesWhileSaving = 5
-	// outputStepBytes is the smallest amount by which the reserved output of a turn grows; a
-	// typical turn needs a single step.
+	// outputStepBytes is the minimum size of output for which memory is reserved at a time. A
+	// typical turn needs a single reservation.
 	outputStepBytes = 4 << 10
 )
 
 // openHolding starts the memory accounting of the request and reserves requestOverheadBytes. The
-// memory counts for the tenant, or for the caller's connection if there is no tenant. It does
-// not count for the IP address, since all callers behind a load balancer may share one. The
-// error is a *Refusal.
+// memory is accounted to the tenant, or to the caller's connection if there is no tenant. It is
+// not accounted to the caller's IP address, which all callers behind a load balancer may share.
+// The error is a *Refusal.
 func (e *execution) openHolding() error {
 	owner := memory.Owner(e.request.RemoteAddr)
 	if e.tenant != nil {
@@ -61,9 +61,10 @@
 	return nil
 }
 
-// reserveOutputMemory makes sure that memory is reserved for the given total size of the output
-// of a turn that is to be recorded, including the copies made while saving. It reserves at
-// least outputStepBytes at a time. The error is a *memory.ExceededError.
+// reserveOutputMemory ensures that memory is reserved for an output of the given total size in
+// bytes and for the copies made while it is saved. Each further reservation covers at least
+// outputStepBytes of output. It does nothing if the turn is not to be recorded. The error is a
+// *memory.ExceededError.
 func (e *execution) reserveOutputMemory(bytes int64) error {
 	if !e.route.Recorded || bytes <= e.reservedOutput {
 		return nil
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// memoryRefusal returns the refusal of a request for which there is no memory and of which
-// nothing was sent to an engine.
+// memoryRefusal returns a refusal for lack of memory. It must be used only before anything was sent
+// to an engine, since the refusal promises that the request did not run.
 func memoryRefusal(err error) *Refusal { return notRunRefusal(ReasonMemory, shortRetryAfter, err) }
 
 // callerEndReason returns why nothing more can be written to the caller: it read too slowly
--- a/internal/gateway/input.go
+++ b/internal/gateway/input.go
@@ -50,10 +50,10 @@
 	return nil
 }
 
-// readWithAccounting reads body to its end into a growing buffer, each size of which is accounted
-// for in holding before it is allocated. length is the announced length, or -1 if it is
-// unknown. On success the holding accounts for the capacity of the returned buffer. The
-// error is that of body or a *memory.ExceededError.
+// readWithAccounting reads body to its end into a growing buffer. Each buffer is added to holding
+// before it is allocated, and the previous one is subtracted after its content was copied.
+// length is the announced length, or -1 if it is unknown. The error is an error of body or a
+// *memory.ExceededError.
 func readWithAccounting(body io.Reader, length int64, holding *memory.Holding) ([]byte, error) {
 	const extraByte = 1 // beyond the announced length, to see the end of the body without growing the buffer
 	size := int64(initialInputBufferBytes)
--- a/internal/gateway/input_test.go
+++ b/internal/gateway/input_test.go
@@ -23,8 +23,8 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// accountedBody reads at most maxRead bytes at a time from a body, and notes the most bytes that
-// the account held at the start of any read.
+// accountedBody is a body that returns at most maxRead bytes at a time. maxHeld is the largest
+// number of bytes that the account held at the start of a read.
 type accountedBody struct {
 	io.Reader
 	account *memory.Account
@@ -32,9 +32,9 @@
 	maxRead int
 }
 
-func (w *accountedBody) Read(buffer []byte) (int, error) {
-	w.maxHeld = max(w.maxHeld, w.account.Held())
-	return w.Reader.Read(buffer[:min(w.maxRead, len(buffer))])
+func (b *accountedBody) Read(buffer []byte) (int, error) {
+	b.maxHeld = max(b.maxHeld, b.account.Held())
+	return b.Reader.Read(buffer[:min(b.maxRead, len(buffer))])
 }
 
 var _ = Describe("a body", func() {
@@ -60,7 +60,7 @@
 		Entry("that arrives byte by byte", 40_000, int64(40_000), 1),
 	)
 
-	It("that arrives slowly takes little of the memory that it announced", func() {
+	It("that stops early takes only the initial buffer, not its announced length", func() {
 		account := memory.NewAccount(1 << 30)
 		const announced, sent = 4 << 20, 1000
 		stopped := errors.New("stopped")
@@ -101,10 +101,10 @@
 	})
 })
 
-var _ = Describe("a turn that is kept", func() {
+var _ = Describe("a recorded turn", func() {
 	const limit = 1 << 20
-	// newTurn returns a request with the given bytes of input that continues a conversation with
-	// the given bytes of history, and the account for its memory.
+	// newTurn returns a request that continues a conversation, and the account for its memory. The
+	// sizes of history and input are in bytes.
 	newTurn := func(ctx context.Context, history, input int) (*execution, *memory.Account) {
 		GinkgoHelper()
 		store := state.NewClient(state.ClientOptions{Store: memorystore.New(), Availability: state.NewAvailability(time.Now, func(bool, time.Duration) {})})
@@ -132,7 +132,7 @@
 		Expect(refusal.Reason).To(Equal(ReasonMemory))
 	})
 
-	It("is cut with the reason memory before its output exceeds the limit", func(ctx SpecContext) {
+	It("is cut short with ReasonMemory before its output exceeds the memory limit", func(ctx SpecContext) {
 		current, account := newTurn(ctx, 0, 0)
 		Expect(current.reserveTurnMemory()).To(Succeed())
 		chunk := []byte("data: " + strings.Repeat("x", 8000) + "\n\n")
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -38,8 +38,7 @@
 	return metrics
 }
 
-// observeRequest counts a finished request and its duration, by status and reason. The route name
-// is ignored.
+// observeRequest counts a finished request by status and reason, and notes its duration by reason.
 func (m *Metrics) observeRequest(_ string, status int, reason Reason, took time.Duration) {
 	m.requests.WithLabelValues(strconv.Itoa(status), string(reason)).Inc()
 	m.duration.WithLabelValues(string(reason)).Observe(took.Seconds())
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -25,7 +25,7 @@
 		Expect(outcome).To(Equal(backend.Outcome{FirstByte: 30 * time.Millisecond, Further: 4, Load: 3, Slots: 8}))
 	})
 
-	It("reports no speed for an error, which takes the engine no work", func() {
+	It("reports no speed for an error answer, since the engine did not do the work", func() {
 		Expect(current().outcome(&startedReply{Reply: &backend.Reply{Status: http.StatusInternalServerError}})).To(Equal(backend.Outcome{}))
 	})
 })
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -28,8 +28,8 @@
 	return err
 }
 
-// maxKeeperWait is how long a request waits until a daemon that keeps a part of its tenant's
-// quota can be reached. A daemon that was killed is restarted and ready within that time.
+// maxKeeperWait is how long a request waits for a quota keeper, that is, a daemon that manages a
+// part of the tenant's quota. A keeper that was killed is restarted and ready within that time.
 const maxKeeperWait = 500 * time.Millisecond
 
 // takePermit takes one permit from the tenant's quota and retries for up to maxKeeperWait while
@@ -71,16 +71,16 @@
 	return true
 }
 
-// returnQuota returns the permit to the quota if no engine may have run the request.
+// returnQuota returns the permit to the quota if it is certain that no engine ran the request.
 func (e *execution) returnQuota() {
 	if e.runs == 0 {
 		e.quotaPermit.Return()
 	}
 }
 
-// isProgramUnderWay reports whether the request belongs to a program that has already done
-// work, which a refusal would waste: it continues a turn, calls a service that is not a
-// model, or its program recently had a request admitted here.
+// isProgramUnderWay reports whether the request's program has already done work, which a refusal
+// would waste. It is true for a request of a program if the request continues a turn, if its
+// service is not a model, or if this daemon recently admitted a request of the program.
 func (e *execution) isProgramUnderWay() bool {
 	if e.call.Program == "" {
 		return false
@@ -105,6 +105,6 @@
 	return &recentPrograms{seen: expirable.NewLRU[string, struct{}](maxRecentPrograms, nil, recentProgramTTL)}
 }
 
-func (b *recentPrograms) add(program string)      { b.seen.Add(program, struct{}{}) }
-func (b *recentPrograms) remove(program string)   { b.seen.Remove(program) }
-func (b *recentPrograms) has(program string) bool { return b.seen.Contains(program) }
+func (p *recentPrograms) add(program string)      { p.seen.Add(program, struct{}{}) }
+func (p *recentPrograms) remove(program string)   { p.seen.Remove(program) }
+func (p *recentPrograms) has(program string) bool { return p.seen.Contains(program) }
--- a/internal/gateway/reader_test.go
+++ b/internal/gateway/reader_test.go
@@ -18,7 +18,7 @@
 	read   int
 }
 
-func (h prefixReservation) ReadAt() (string, int) { return h.engine, h.read }
+func (r prefixReservation) ReadAt() (string, int) { return r.engine, r.read }
 
 var _ = Describe("rememberReader", func() {
 	parts := []backend.PromptPart{{Name: "shared", Tokens: 12000}, {Name: "one", Tokens: 2000}, {Name: "two", Tokens: 900}}
@@ -39,7 +39,7 @@
 		Expect(chosen.ID).To(Equal(engine))
 	}, Entry("the first", "e1"), Entry("the second", "e2"), Entry("the third", "e3"))
 
-	It("ignores an engine that is not in the fleet and more parts than the prompt has", func() {
+	It("ignores an unknown engine and a part count that exceeds the prompt's", func() {
 		current := &execution{
 			gateway:     &Gateway{Options: Options{Fleet: backend.NewFleet(time.Now)}},
 			service:     &routetable.Service{Name: "llm"},
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -58,15 +58,15 @@
 // Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Err }
 
-// CutError means that the answer cannot be completed. The caller's connection must be closed
-// without a proper end of the answer, so that the caller notices.
+// CutError means that the answer cannot be completed. The caller's connection must be closed before
+// the end of the answer, so that the caller does not take the answer for complete.
 type CutError struct {
 	Reason Reason
 	Err    error
 }
 
 // Error implements error.
-func (e *CutError) Error() string { return fmt.Sprintf("cut (%s): %v", e.Reason, e.Err) }
+func (e *CutError) Error() string { return fmt.Sprintf("answer cut short (%s): %v", e.Reason, e.Err) }
 
 // Unwrap returns the cause.
 func (e *CutError) Unwrap() error { return e.Err }
@@ -100,16 +100,18 @@
 	return ReasonNone
 }
 
-// Bounds of the base of fullStoreRetryAfter. Expired rows are removed from a full store within
-// seconds. The longer that takes, the less often refused callers should retry.
+// Limits of the delay that fullStoreRetryAfter randomizes. A full store usually has space again
+// within seconds, when expired rows are removed. The longer it stays full, the less often
+// callers should retry.
 const (
 	minFullStoreRetryAfter = 500 * time.Millisecond
 	maxFullStoreRetryAfter = 4 * time.Second
 )
 
 // fullStoreRetryAfter returns the delay after which a caller should retry if the store has been
-// full for the given time: that time, limited by the bounds above, times a random factor from
-// 0.5 to 1.5, so that callers do not retry all at once.
+// full for the given time. The delay is that time, but at least minFullStoreRetryAfter and at most
+// maxFullStoreRetryAfter, multiplied by a random factor from 0.5 to 1.5. The factor keeps
+// callers from retrying all at once.
 func fullStoreRetryAfter(fullFor time.Duration) time.Duration {
 	base := min(max(fullFor, minFullStoreRetryAfter), maxFullStoreRetryAfter)
 	return base/2 + rand.N(base)
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -18,8 +18,9 @@
 // relayBufferBytes is the size of the buffer through which an answer is relayed.
 const relayBufferBytes = 8 << 10
 
-// relay writes the answer to the caller as it arrives, and records the turn before the end of
-// a stream that is to be recorded. The error is a *CutError.
+// relay writes the answer to the caller as it arrives. On a route that records turns, it saves the
+// turn before it returns, and so before the caller sees the end of the stream. The error is a
+// *CutError.
 func (e *execution) relay(ctx context.Context, reply *startedReply) error {
 	e.writeHead(reply)
 	if err := e.writeBody(ctx, reply); err != nil {
@@ -46,8 +47,8 @@
 	return e.relayRest(ctx, reply)
 }
 
-// outcome returns what a complete answer shows of the instance's speed. An error status shows
-// nothing, since the instance did not do the work.
+// outcome returns the speed of the instance that a complete answer shows, and the load at which it
+// was measured. For an error status it is empty, since the instance did not do the work.
 func (e *execution) outcome(reply *startedReply) backend.Outcome {
 	if reply.Status/100 != http.StatusOK/100 {
 		return backend.Outcome{}
@@ -72,8 +73,8 @@
 	return e.route.Streaming && reply.Status == http.StatusOK
 }
 
-// writeHead writes the status and headers of the answer to the caller. A stream has no
-// Content-Length: otherwise the caller could see its end before the turn is recorded.
+// writeHead writes the status and headers of the answer to the caller. It omits the Content-Length
+// of a stream, by which the caller could notice the end before the turn is recorded.
 func (e *execution) writeHead(reply *startedReply) {
 	header := e.writer.Header()
 	for name, values := range reply.Header {
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -48,7 +48,7 @@
 	return e.route.Name
 }
 
-// addProgramFields adds the tenant and what the caller said of its program.
+// addProgramFields adds the tenant and the caller's headers about its program.
 func (e *execution) addProgramFields(fields []zap.Field) []zap.Field {
 	if e.tenant != nil {
 		fields = append(fields, zap.String("tenant", string(e.tenant.Name)))
@@ -65,8 +65,8 @@
 	return fields
 }
 
-// addQuotaFields adds which machine gave the request its permit from the tenant's quota, and how
-// many permits were left there. The cause of a refusal tells the same.
+// addQuotaFields adds the machine that granted the quota permit and the number of permits left
+// there. For a refused request, the error contains the same.
 func (e *execution) addQuotaFields(fields []zap.Field) []zap.Field {
 	if e.quotaPermit == nil {
 		return fields
--- a/internal/turn/beginnings.go
+++ b/internal/turn/beginnings.go
@@ -9,9 +9,10 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Sizes in bytes, unless a comment says otherwise.
+// Limits of prefixIndex, in bytes unless a comment gives another unit.
 const (
-	// prefixKeyBytes is the length of the prefix by whose hash inputs are looked up.
+	// prefixKeyBytes is how many bytes at the beginning of an input are hashed. Inputs are looked
+	// up by this hash.
 	prefixKeyBytes = 1 << 10
 	// prefixStepBytes is the unit to which the length of a common prefix is rounded down.
 	// Daemons compare different inputs, and some of these agree by chance in a few more bytes.
@@ -25,30 +26,31 @@
 	// maxComparedBytes is how much of an input, from its beginning, is compared and remembered.
 	maxComparedBytes = 64 << 10
 	// Limits of the inputs in the index.
-	maxPrefixKeys   = 256     // number of different prefix hashes
-	maxInputsPerKey = 6       // number of inputs with the same prefix hash
+	maxPrefixKeys   = 256     // number of different hashes
+	maxInputsPerKey = 6       // number of inputs with the same hash
 	maxIndexBytes   = 3 << 20 // all inputs together
 )
 
 // prefixIndex remembers recent first inputs of conversations and finds prefixes that several of
 // them share, so that a shared prefix can be stored once as a piece instead of once for each
-// conversation. It compares contents only; callers declare nothing. An input that shares
-// nothing costs a hash of its first prefixKeyBytes. It is safe for concurrent use.
+// conversation. It compares contents, so callers need not mark shared prefixes. An input that
+// shares nothing costs a hash of its first prefixKeyBytes bytes. A prefixIndex is safe for
+// concurrent use.
 type prefixIndex struct {
 	mutex      sync.Mutex
 	inputs     *simplelru.LRU[uint64, []*knownInput]
 	totalBytes int // bytes of all inputs
 }
 
-// knownInput is the beginning of a first input, maxComparedBytes at most.
+// knownInput holds the first maxComparedBytes of an input, or all of a shorter one.
 type knownInput struct {
 	input       []byte
-	sharedBytes int // longest prefix found in common with another input; 0 if none was found
+	sharedBytes int // length of the longest prefix found in common with another input; 0 if none was found
 }
 
 func newPrefixIndex() *prefixIndex {
 	index := &prefixIndex{}
-	inputs, err := simplelru.NewLRU(maxPrefixKeys, func(_ uint64, gone []*knownInput) { index.totalBytes -= inputBytes(gone) })
+	inputs, err := simplelru.NewLRU(maxPrefixKeys, func(_ uint64, evicted []*knownInput) { index.totalBytes -= inputBytes(evicted) })
 	if err != nil {
 		panic(err) // happens only for a size below one
 	}
@@ -66,29 +68,29 @@
 }
 
 // sharedLength returns how many bytes at the beginning of input are shared with other inputs, or
-// 0 if these are fewer than minSharedBytes. It adds the input to the index if the input is not
-// there yet and more than a quarter of the compared bytes is new.
-func (b *prefixIndex) sharedLength(input []byte) int {
+// 0 if these are fewer than minSharedBytes. It adds the input to the index if no equal input is
+// there and if more than a quarter of the compared bytes is not shared.
+func (p *prefixIndex) sharedLength(input []byte) int {
 	if len(input) < minSharedBytes {
 		return 0
 	}
 	prefix := input[:min(len(input), maxComparedBytes)]
 	key := xxhash.Sum64(input[:prefixKeyBytes])
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	sameKey, _ := b.inputs.Get(key)
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	sameKey, _ := p.inputs.Get(key)
 	length, isKnown := longestSharedPrefix(sameKey, prefix)
 	if !isKnown && length < len(prefix)*3/4 {
-		b.add(key, sameKey, prefix)
+		p.add(key, sameKey, prefix)
 	}
 	return length
 }
 
 // longestSharedPrefix returns the length of the longest prefix that input has in common with one
-// of the known inputs, rounded down to whole steps, and whether input equals one of them. An
-// equal input usually comes from a program that was started again, so it does not show what
-// different programs share. For an equal input, the longest prefix that it was found to share
-// with other inputs counts. Its whole length counts only if there is no such prefix.
+// of the known inputs, rounded down to a multiple of prefixStepBytes, and whether input equals
+// one of them. An equal input usually comes from a program that was started again. It does not
+// show what different programs share, so its own length counts only if no shorter prefix is
+// known to be shared.
 func longestSharedPrefix(sameKey []*knownInput, input []byte) (length int, isKnown bool) {
 	longest, equalLength := 0, 0
 	for _, other := range sameKey {
@@ -123,14 +125,14 @@
 	return length
 }
 
-// add adds a copy of input to the inputs with the same key. Beyond the limits it drops the
-// oldest input with the same key and the least recently used keys.
-func (b *prefixIndex) add(key uint64, sameKey []*knownInput, input []byte) {
-	kept := append(slices.Clone(sameKey), &knownInput{input: slices.Clone(input)})
-	kept = kept[max(0, len(kept)-maxInputsPerKey):]
-	b.totalBytes += inputBytes(kept) - inputBytes(sameKey)
-	b.inputs.Add(key, kept)
-	for b.totalBytes > maxIndexBytes && b.inputs.Len() > 1 {
-		b.inputs.RemoveOldest()
+// add adds a copy of input to sameKey, the inputs in the index under key. If limits are exceeded, it
+// drops the oldest input with this key, and then all inputs of the least recently used keys.
+func (p *prefixIndex) add(key uint64, sameKey []*knownInput, input []byte) {
+	inputs := append(slices.Clone(sameKey), &knownInput{input: slices.Clone(input)})
+	inputs = inputs[max(0, len(inputs)-maxInputsPerKey):]
+	p.totalBytes += inputBytes(inputs) - inputBytes(sameKey)
+	p.inputs.Add(key, inputs)
+	for p.totalBytes > maxIndexBytes && p.inputs.Len() > 1 {
+		p.inputs.RemoveOldest()
 	}
 }
--- a/internal/turn/beginnings_test.go
+++ b/internal/turn/beginnings_test.go
@@ -37,19 +37,19 @@
 		Expect(index.sharedLength(input(all, textOf("third", 9000)))).To(Equal(3000 / prefixStepBytes * prefixStepBytes))
 	})
 
-	It("are those shared with other programs when the same input comes again", func() {
+	It("are still those shared with other programs when an input is repeated", func() {
 		index.sharedLength(input(all, class, "one", textOf("one", 1000)))
 		index.sharedLength(input(all, class, "two", textOf("two", 1000)))
 		Expect(index.sharedLength(input(all, class, "one", textOf("one", 1000)))).To(Equal(12000 / prefixStepBytes * prefixStepBytes))
 	})
 
-	It("are not reported if they are too short to be stored as a piece", func() {
+	It("are not reported if they are shorter than minSharedBytes", func() {
 		index.sharedLength(input(all[:1500], "one"))
 		Expect(index.sharedLength(input(all[:1500], "two"))).To(BeZero())
 		Expect(index.sharedLength(input("x"))).To(BeZero())
 	})
 
-	It("are found with bounded memory", func() {
+	It("are found with a bounded index", func() {
 		for number := range 2000 {
 			index.sharedLength(input(textOf(fmt.Sprint(number), 14000)))
 		}
--- a/internal/turn/benchmark_test.go
+++ b/internal/turn/benchmark_test.go
@@ -14,7 +14,7 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// benchmarkTurns are the numbers of turns of the measured programs: a short one, two typical ones
+// benchmarkTurns holds the number of turns of each measured program: a short one, two typical ones
 // and a long one.
 var benchmarkTurns = []int{1, 4, 11, 22}
 
--- a/internal/turn/broken.go
+++ b/internal/turn/broken.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// Causes of a BrokenError. Others are errors of the packages rowset and piece.
+// Causes of a BrokenError. An error of package rowset or piece may be the cause as well.
 var (
-	// ErrGap means that an earlier turn is missing, or that the rows of the conversation name
-	// different earlier turns.
+	// ErrGap means that an earlier turn is missing, or that a turn is not the one that another
+	// turn or a request names.
 	ErrGap = errors.New("an earlier turn is missing")
 	// ErrLoop means that a turn is named as its own ancestor.
 	ErrLoop = errors.New("a turn is its own ancestor")
@@ -18,10 +18,10 @@
 	ErrChanged = errors.New("the bytes differ from what was recorded")
 )
 
-// BrokenError means that a recorded conversation cannot be reassembled. errors.Is reports it as
-// ErrUnsure, since the turn exists but its history is not certain.
+// BrokenError means that a recorded conversation cannot be reassembled. It matches ErrUnsure in
+// errors.Is, since the turn exists but its content is uncertain.
 type BrokenError struct {
-	Turn  string // identifier of the turn that was to be loaded
+	Turn  string // identifier of the requested turn
 	At    string // identifier of the turn whose rows show the fault
 	Cause error
 }
@@ -34,5 +34,5 @@
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Cause }
 
-// Is makes errors.Is report the error as ErrUnsure.
+// Is reports whether target is ErrUnsure.
 func (e *BrokenError) Is(target error) bool { return target == ErrUnsure }
--- a/internal/turn/broken_test.go
+++ b/internal/turn/broken_test.go
@@ -20,7 +20,7 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// body has the format of a turn's rows, with parts of any content.
+// body is encoded like the rows of a turn, but its parts can have any content.
 type body struct {
 	Owner     string           `cbor:"o,omitempty"`
 	Ancestors []string         `cbor:"a,omitempty"`
@@ -64,8 +64,8 @@
 			store.Write(put)
 		}
 	}
-	// pieceKey returns the key of a row of the shared piece: the first row if suffix is empty, or
-	// else the row whose name ends with suffix.
+	// pieceKey returns the key of a row of the shared piece. The name of the first row is a digest,
+	// and the names of further rows have a suffix such as "/1".
 	pieceKey := func(ctx context.Context, suffix string) state.Key {
 		GinkgoHelper()
 		for _, partition := range state.Partitions(rowset.Partitions) {
@@ -126,7 +126,7 @@
 		}, "a", piece.ErrDiffers),
 	)
 
-	It("is loaded after retries if the partition of an earlier turn does not answer at first", func(ctx SpecContext) {
+	It("is loaded after retries if the partition of an earlier turn refuses the first reads", func(ctx SpecContext) {
 		refused := 0
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "read" && call.Partition == rowset.PlacesOf("b")[0] && refused < 4 {
@@ -226,15 +226,15 @@
 	})
 
 	It("is read from the store if the daemon's reply is not that turn", func(ctx SpecContext) {
-		var told turn.ChainReply
-		Expect(turn.NewService(first).Chain(turn.ChainRequest{Identifier: "b"}, &told)).To(Succeed())
-		changed := turn.ChainReply{Turns: append([]turn.ToldTurn(nil), told.Turns...)}
+		var genuine turn.ChainReply
+		Expect(turn.NewService(first).Chain(turn.ChainRequest{Identifier: "b"}, &genuine)).To(Succeed())
+		changed := turn.ChainReply{Turns: append([]turn.ToldTurn(nil), genuine.Turns...)}
 		changed.Turns[1].Parts = []turn.ToldPart{{Bytes: []byte("changed")}}
-		for _, lie := range []turn.ChainReply{changed, {Turns: told.Turns[:1]}} {
+		for _, falseReply := range []turn.ChainReply{changed, {Turns: genuine.Turns[:1]}} {
 			server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(server.Close)
-			Expect(server.Register(turn.ServiceName, &fixedChainService{lie})).To(Succeed())
+			Expect(server.Register(turn.ServiceName, &fixedChainService{falseReply})).To(Succeed())
 			loaded, err := newRecordsWithPeer(store, server.Address()).Load(ctx, "b", server.Address())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(historyOf(loaded)).To(Equal("AB"))
--- a/internal/turn/cache.go
+++ b/internal/turn/cache.go
@@ -11,13 +11,13 @@
 // if they have no entry of their own. The bytes of each turn are counted once, even if several
 // turns continue it. It is safe for concurrent use.
 type cache struct {
-	maxIdle  time.Duration // entries are dropped when they have not been used for longer
-	maxBytes int           // limit of bytes
+	maxIdle  time.Duration // an entry is dropped after it has not been used for this long
+	maxBytes int           // maximum of bytes
 	now      func() time.Time
 
 	mutex      sync.Mutex
 	recent     *simplelru.LRU[string, *cacheEntry]
-	references map[*Turn]int // for each turn in memory, the entries and later turns that refer to it
+	references map[*Turn]int // number of entries and later turns that refer to each turn in memory
 	bytes      int           // size of all turns in references
 }
 
@@ -29,7 +29,7 @@
 
 func newCache(options Options) *cache {
 	created := &cache{maxIdle: options.CacheFor, maxBytes: options.CacheBytes, now: options.Now, references: map[*Turn]int{}}
-	recent, err := simplelru.NewLRU(max(options.CacheEntries, 1), func(_ string, gone *cacheEntry) { created.release(gone.turn) })
+	recent, err := simplelru.NewLRU(max(options.CacheEntries, 1), func(_ string, evicted *cacheEntry) { created.release(evicted.turn) })
 	if err != nil {
 		panic(err) // happens only for a size below one
 	}
@@ -41,7 +41,7 @@
 func (c *cache) get(identifier string) *Turn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.dropExpired()
+	c.dropIdle()
 	found, known := c.recent.Get(identifier)
 	if !known {
 		return nil
@@ -50,7 +50,8 @@
 	return found.turn
 }
 
-// peek returns a turn without marking it as used, or nil if it has no current entry.
+// peek returns a turn without marking it as used. It returns nil if the turn has no entry, or only
+// one that has not been used for longer than maxIdle.
 func (c *cache) peek(identifier string) *Turn {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -61,14 +62,15 @@
 	return found.turn
 }
 
-// add adds an entry for the turn and drops the least recently used entries beyond the limits.
+// add adds an entry for the turn, and drops the least recently used entries until all limits are
+// kept.
 func (c *cache) add(turn *Turn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.recent.Remove(turn.identifier)
 	c.retain(turn)
 	c.recent.Add(turn.identifier, &cacheEntry{turn: turn, lastUsed: c.now()})
-	c.dropExpired()
+	c.dropIdle()
 	for c.bytes > c.maxBytes && c.recent.Len() > 0 {
 		c.recent.RemoveOldest()
 	}
@@ -81,9 +83,9 @@
 	return c.bytes
 }
 
-// dropExpired drops the entries that have not been used for longer than maxIdle. The caller
+// dropIdle drops the entries that have not been used for longer than maxIdle. The caller
 // holds mutex.
-func (c *cache) dropExpired() {
+func (c *cache) dropIdle() {
 	for {
 		_, oldest, hasEntries := c.recent.GetOldest()
 		if !hasEntries || c.now().Sub(oldest.lastUsed) <= c.maxIdle {
@@ -93,8 +95,8 @@
 	}
 }
 
-// retain adds a reference to the turn. If it is the first one, the turn is counted and its
-// previous turn is retained in the same way.
+// retain adds a reference to the turn. The first reference to a turn adds its size to bytes and
+// retains the previous turn. The caller holds mutex.
 func (c *cache) retain(turn *Turn) {
 	for each := turn; each != nil; each = each.previous {
 		c.references[each]++
@@ -105,7 +107,7 @@
 	}
 }
 
-// release undoes one retain. It is called for each entry that leaves the cache.
+// release removes a reference that retain added. The caller holds mutex.
 func (c *cache) release(turn *Turn) {
 	for each := turn; each != nil; each = each.previous {
 		c.references[each]--
--- a/internal/turn/conversation.go
+++ b/internal/turn/conversation.go
@@ -25,10 +25,10 @@
 	added      []segment // what the turn adds, in order
 	digest     digest
 	length     int   // bytes of the whole conversation
-	expiry     int64 // Unix time in seconds from which on a row or piece of the conversation may be removed
+	expiry     int64 // Unix time in seconds after which a row or piece of the conversation may be removed
 }
 
-// Engine returns the ID of the instance that ran the turn, which probably still has the
+// Engine returns the ID of the instance that ran the turn. That instance probably still has the
 // conversation in its prefix cache.
 func (t *Turn) Engine() string { return t.engine }
 
@@ -45,8 +45,8 @@
 func (t *Turn) Segments() [][]byte {
 	var segments [][]byte
 	for _, each := range t.chain() {
-		for _, part := range each.added {
-			segments = append(segments, part.bytes)
+		for _, seg := range each.added {
+			segments = append(segments, seg.bytes)
 		}
 	}
 	return segments
@@ -62,13 +62,13 @@
 	return chain
 }
 
-// maxAncestors is the largest number of ancestors that a turn's rows name. A turn with up to so
-// many ancestors is loaded in two steps: first its own rows, then those of all ancestors at
-// once. Each further step reads up to maxAncestors more.
+// maxAncestors is the maximum number of ancestors that a turn's rows name. A turn with at most
+// maxAncestors ancestors is loaded in two steps: first its own rows, and then the rows of all
+// ancestors at the same time. Each further step reads up to maxAncestors more turns.
 const maxAncestors = 32
 
-// ancestorNames returns the identifiers of previous and the turns before it, the nearest first
-// and maxAncestors at most.
+// ancestorNames returns the identifiers of at most maxAncestors turns: previous and the turns
+// before it, the nearest first.
 func ancestorNames(previous *Turn) []string {
 	var names []string
 	for each := previous; each != nil && len(names) < maxAncestors; each = each.previous {
@@ -77,8 +77,8 @@
 	return names
 }
 
-// complete sets the digest and the length of t, and limits its expiry to that of the previous
-// turn. It returns t.
+// complete computes the digest and the length of t from its previous turn and its segments, and
+// reduces its expiry to that of the previous turn if that is earlier. It returns t.
 func (t *Turn) complete() *Turn {
 	hash := sha256.New()
 	t.length = t.previous.Length()
@@ -86,22 +86,22 @@
 		hash.Write(t.previous.digest[:])
 		t.expiry = min(t.expiry, t.previous.expiry)
 	}
-	for _, part := range t.added {
-		hash.Write(part.bytes)
-		t.length += len(part.bytes)
+	for _, seg := range t.added {
+		hash.Write(seg.bytes)
+		t.length += len(seg.bytes)
 	}
 	hash.Sum(t.digest[:0])
 	return t
 }
 
-// addedBytes returns the approximate memory of the turn without earlier turns and without shared
-// pieces, which the piece cache accounts for.
+// addedBytes returns approximately how many bytes of memory the turn itself takes. Earlier turns
+// and shared pieces are not included.
 func (t *Turn) addedBytes() int {
 	const overheadBytes = 256
 	bytes := overheadBytes
-	for _, part := range t.added {
-		if !part.shared {
-			bytes += len(part.bytes)
+	for _, seg := range t.added {
+		if !seg.shared {
+			bytes += len(seg.bytes)
 		}
 	}
 	return bytes
--- a/internal/turn/conversation_test.go
+++ b/internal/turn/conversation_test.go
@@ -68,8 +68,8 @@
 }
 
 var _ = Describe("Conversations in the store", func() {
-	// Guards against turns that store the whole conversation again. The limit is the size of what
-	// the turns add, plus a tenth for the names of earlier turns, digests and row headers.
+	// Guards against storing the whole conversation with each turn. The limit is the size of what
+	// the turns add, plus 10 % for identifiers of earlier turns, digests and row headers.
 	It("take as many bytes as their turns add, and hold shared prefixes once", func(ctx SpecContext) {
 		store := memorystore.New()
 		daemons := []*turn.Records{turn.NewRecords(typicalOptions(store)), turn.NewRecords(typicalOptions(store))}
@@ -84,7 +84,7 @@
 		Expect(store.Bytes()).To(BeNumerically("<", (programs*own+held)*11/10))
 	})
 
-	It("are loaded whole by another daemon, whatever their number of turns", func(ctx SpecContext) {
+	It("are loaded whole by another daemon, whatever the number of turns", func(ctx SpecContext) {
 		store := memorystore.New()
 		random := rand.New(rand.NewPCG(1, 2))
 		common := randomText(random, commonBytes)
@@ -99,7 +99,7 @@
 		}
 	})
 
-	It("take the same number of bytes for each turn, however long they are", func(ctx SpecContext) {
+	It("take a constant number of bytes for each turn beyond maxAncestors turns", func(ctx SpecContext) {
 		store := memorystore.New()
 		records := turn.NewRecords(typicalOptions(store))
 		var previous *turn.Turn
@@ -210,7 +210,7 @@
 		Expect(shared.Save(ctx, "second", firstTurn(common+"second"), time.Minute)).To(Succeed())
 		const promised = time.Minute + 30*time.Second
 		const pieceLifetime = 2 * (2*time.Minute + 30*time.Second) // twice the lifetime of a turn's rows
-		now = now.Add(pieceLifetime - promised)                    // the last moment at which a turn can refer to the piece
+		now = now.Add(pieceLifetime - promised)                    // the last time at which a turn can refer to the piece
 		Expect(shared.Save(ctx, "a", firstTurn(common+"a"), time.Minute)).To(Succeed())
 		reader := shared
 		if !cached {
--- a/internal/turn/load.go
+++ b/internal/turn/load.go
@@ -19,19 +19,18 @@
 )
 
 // Load returns the turn with the given identifier, whichever process saved it. It looks into the
-// cache, then asks the daemon at the address keptAt, which may have the turn in memory, and
-// then reads the store. If keptAt is empty, no daemon is asked first. The error is
-// ErrNotFound, ErrUnsure (a *BrokenError if the rows show why), or an error of the store or of
-// the context.
+// cache, then asks the daemon at the address keptAt, and then reads the store. keptAt is the
+// daemon expected to have the turn in memory, or empty if none is known. The error is
+// ErrNotFound, ErrUnsure, a *BrokenError, or an error of the store or of the context.
 func (r *Records) Load(ctx context.Context, identifier, keptAt string) (*Turn, error) {
 	if known := r.cache.get(identifier); known != nil {
 		r.metrics.read(fromMemory)
 		return known, nil
 	}
-	if told := r.askDaemon(ctx, keptAt, identifier); told != nil {
+	if received := r.askDaemon(ctx, keptAt, identifier); received != nil {
 		r.metrics.read(fromOtherDaemon)
-		r.addToCache(told)
-		return told, nil
+		r.addToCache(received)
+		return received, nil
 	}
 	read, err := r.loadFromStore(ctx, identifier)
 	if err != nil {
@@ -41,8 +40,8 @@
 	return read, nil
 }
 
-// loadFromStore loads the turn from the store or from other daemons, and repeats this until the
-// store gives an answer or the context ends.
+// loadFromStore loads the turn from the store, or from other daemons if the store gives no certain
+// answer. It retries while the store does not answer, until the context ends.
 func (r *Records) loadFromStore(ctx context.Context, identifier string) (*Turn, error) {
 	current := &chainReader{records: r, identifier: identifier, rows: map[string]row{}}
 	var read *Turn
@@ -58,61 +57,62 @@
 	}
 	if err == nil && !current.isFromOther {
 		r.metrics.read(fromStore)
-		r.metrics.readings.Observe(float64(current.reads.Load()))
+		r.metrics.readsPerLoad.Observe(float64(current.reads.Load()))
 	}
 	return read, err
 }
 
-// load makes one attempt to load the turn. If the most likely partition of the turn failed
-// recently, it asks the other daemons before it reads the store. Otherwise it asks them
-// afterwards, if the store did not answer or the turn is unsure.
-func (l *chainReader) load(ctx context.Context) (*Turn, error) {
-	places := rowset.PlacesOf(l.identifier)
-	isFirstPlaceDown := l.records.options.Store.Prefer(places)[0] != places[0]
-	if isFirstPlaceDown {
-		if told := l.askOthers(ctx); told != nil {
-			return told, nil
+// load makes one attempt to load the turn. It reads the store, and then asks other daemons if the
+// store did not answer or its answer is ErrUnsure. If the turn's most likely partition failed
+// recently, load asks the other daemons first and reads the store only if none has the turn.
+func (r *chainReader) load(ctx context.Context) (*Turn, error) {
+	partitions := rowset.PlacesOf(r.identifier)
+	isFirstPartitionDown := r.records.options.Store.Prefer(partitions)[0] != partitions[0]
+	if isFirstPartitionDown {
+		if received := r.askOthers(ctx); received != nil {
+			return received, nil
 		}
 	}
-	read, err := l.readChain(ctx)
-	if !isFirstPlaceDown && (state.NoVerdict(err) || errors.Is(err, ErrUnsure)) {
-		if told := l.askOthers(ctx); told != nil {
-			return told, nil
+	read, err := r.readChain(ctx)
+	if !isFirstPartitionDown && (state.NoVerdict(err) || errors.Is(err, ErrUnsure)) {
+		if received := r.askOthers(ctx); received != nil {
+			return received, nil
 		}
 	}
 	return read, err
 }
 
 // askOthers returns the turn if another daemon has it in memory, and nil otherwise.
-func (l *chainReader) askOthers(ctx context.Context) *Turn {
-	if l.records.options.Others == nil {
+func (r *chainReader) askOthers(ctx context.Context) *Turn {
+	if r.records.options.Others == nil {
 		return nil
 	}
-	told := l.records.options.Others.search(ctx, l.identifier, l.records.restore)
-	if told != nil {
-		l.isFromOther = true
-		l.records.metrics.read(fromOtherDaemon)
+	received := r.records.options.Others.search(ctx, r.identifier, r.records.restore)
+	if received != nil {
+		r.isFromOther = true
+		r.records.metrics.read(fromOtherDaemon)
 	}
-	return told
+	return received
 }
 
-// askDaemon asks the daemon at the address keptAt for a turn. It returns nil if there is no
-// address, or if the daemon does not have the turn or does not answer.
+// askDaemon asks the daemon at the address keptAt for a turn. It returns nil if keptAt is empty, or
+// if the daemon does not have the turn or does not answer.
 func (r *Records) askDaemon(ctx context.Context, keptAt, identifier string) *Turn {
 	if r.options.Others == nil || keptAt == "" {
 		return nil
 	}
-	told, err := r.options.Others.ask(ctx, keptAt, identifier, r.restore)
+	received, err := r.options.Others.ask(ctx, keptAt, identifier, r.restore)
 	if err != nil {
-		r.options.Log.Info("turn: the daemon that has it in memory did not return it.", zap.String("turn", identifier), zap.String("daemon", keptAt), zap.String("cause", err.Error()))
+		r.options.Log.Info("turn: the daemon expected to have it in memory did not return it.", zap.String("turn", identifier), zap.String("daemon", keptAt), zap.String("cause", err.Error()))
 		return nil
 	}
-	return told
+	return received
 }
 
-// confirmAbsence checks by the conditions of a commit whether the turn is absent, since reads may
-// be stale and conditions are not. It returns ErrNotFound if none of the partitions in which
-// the turn may lie has it, ErrUnsure if one has it, and otherwise the error of the store.
+// confirmAbsence checks whether the turn is absent, after reads have not found it. Reads may be
+// stale, so it makes a commit with the condition that none of the turn's possible partitions
+// holds it. It returns ErrNotFound if the condition is true, ErrUnsure if it is false, and
+// otherwise the error of the store.
 func (r *Records) confirmAbsence(ctx context.Context, identifier string) error {
 	var absent []state.Condition
 	for _, partition := range rowset.PlacesOf(identifier) {
--- a/internal/turn/metrics.go
+++ b/internal/turn/metrics.go
@@ -9,12 +9,12 @@
 
 // metrics are the metrics of Records.
 type metrics struct {
-	keptBytes  prometheus.Gauge       // bytes of rows that this daemon wrote and has not removed
-	pieceBytes prometheus.Counter     // bytes of pieces written
-	reads      *prometheus.CounterVec // turns loaded, by where they were loaded from
-	readings   prometheus.Histogram   // store reads for one load
-	rebases    prometheus.Counter     // turns saved with their whole conversation
-	broken     prometheus.Counter     // loads that ended with a BrokenError
+	keptBytes    prometheus.Gauge       // bytes of turns that this daemon wrote and has not removed
+	pieceBytes   prometheus.Counter     // bytes of pieces written
+	reads        *prometheus.CounterVec // turns loaded, by where they were loaded from
+	readsPerLoad prometheus.Histogram   // store reads of turns' rows for each load
+	rebases      prometheus.Counter     // turns saved with their whole conversation
+	broken       prometheus.Counter     // loads that ended with a BrokenError
 }
 
 func newMetrics() *metrics {
@@ -28,8 +28,8 @@
 		reads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "thymeloft_turn_reads_total", Help: "Turns that were loaded to be continued, by where they were read.",
 		}, []string{"from"}),
-		readings: prometheus.NewHistogram(prometheus.HistogramOpts{
-			Name: "thymeloft_turn_readings", Help: "Store reads for loading one conversation.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
+		readsPerLoad: prometheus.NewHistogram(prometheus.HistogramOpts{
+			Name: "thymeloft_turn_readings", Help: "Store reads of the rows of turns for loading one conversation.", Buckets: []float64{1, 2, 4, 8, 16, 32, 64},
 		}),
 		rebases: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "thymeloft_turn_rebases_total", Help: "Turns whose rows hold the whole conversation, since earlier turns expire too soon to be referred to.",
@@ -43,7 +43,7 @@
 // read counts a loaded turn by where it was loaded from.
 func (m *metrics) read(from string) { m.reads.WithLabelValues(from).Inc() }
 
-// Measure registers the metrics of the Records. It must be called at most once for a registerer.
+// Measure registers the metrics of the Records. It fails if some are registered already.
 func (r *Records) Measure(registerer prometheus.Registerer) error {
 	cached := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_turn_cached_bytes", Help: "Bytes of turns in memory, without shared pieces.",
@@ -51,9 +51,9 @@
 	shared := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_turn_cached_piece_bytes", Help: "Bytes of shared pieces in memory.",
 	}, func() float64 { return float64(r.pieces.Bytes()) })
-	own := r.metrics
+	m := r.metrics
 	var failures []error
-	for _, each := range []prometheus.Collector{own.keptBytes, own.pieceBytes, own.reads, own.readings, own.rebases, own.broken, cached, shared} {
+	for _, each := range []prometheus.Collector{m.keptBytes, m.pieceBytes, m.reads, m.readsPerLoad, m.rebases, m.broken, cached, shared} {
 		failures = append(failures, registerer.Register(each))
 	}
 	return eris.Wrap(errors.Join(failures...), "register metrics of turns")
--- a/internal/turn/metrics_test.go
+++ b/internal/turn/metrics_test.go
@@ -23,7 +23,7 @@
 		records := turn.NewRecords(options)
 		registry := prometheus.NewRegistry()
 		Expect(records.Measure(registry)).To(Succeed())
-		kept := func() float64 {
+		keptBytes := func() float64 {
 			GinkgoHelper()
 			families, err := registry.Gather()
 			Expect(err).NotTo(HaveOccurred())
@@ -38,13 +38,13 @@
 		for _, name := range []string{"a", "b"} {
 			Expect(records.Save(ctx, name, firstTurn("content"), time.Minute)).To(Succeed())
 		}
-		Expect(kept()).To(BeNumerically(">", 0))
-		Expect(kept()).To(BeNumerically("<=", store.Bytes()))
+		Expect(keptBytes()).To(BeNumerically(">", 0))
+		Expect(keptBytes()).To(BeNumerically("<=", store.Bytes()))
 		Expect(options.Removal.RemoveDue(ctx)).To(Succeed())
-		Expect(kept()).To(BeNumerically(">", 0))
+		Expect(keptBytes()).To(BeNumerically(">", 0))
 		now = now.Add(3 * time.Minute)
 		Expect(options.Removal.RemoveDue(ctx)).To(Succeed())
-		Expect(kept()).To(BeZero())
+		Expect(keptBytes()).To(BeZero())
 		Expect(store.Bytes()).To(BeZero())
 	})
 })
--- a/internal/turn/others.go
+++ b/internal/turn/others.go
@@ -12,8 +12,8 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// ServiceName is the RPC service by which daemons ask each other for turns in memory. It is
-// registered with the value that NewService returns.
+// ServiceName is the name under which a Service must be registered with the RPC server, so that
+// other daemons can ask this daemon for turns that it has in memory.
 const ServiceName = "Turns"
 
 // methodChain is the RPC method that Service.Chain serves.
@@ -33,7 +33,7 @@
 	Engine     string
 	Parts      []ToldPart
 	Digest     [32]byte // SHA-256 digest of the conversation up to the turn's end
-	Until      int64    // Unix time in seconds from which on a row or piece of the conversation may be removed
+	Until      int64    // Unix time in seconds after which a row or piece of the conversation may be removed
 }
 
 // ToldPart is a part of the bytes that a turn adds.
@@ -42,18 +42,18 @@
 	Shared bool // whether the bytes are a piece that other conversations share
 }
 
-// Service serves RPCs of other daemons that ask for turns in memory.
+// Service is the RPC service that returns turns in memory to other daemons.
 type Service struct{ records *Records }
 
 // NewService returns the RPC service for the turns that records has in memory.
 func NewService(records *Records) *Service { return &Service{records: records} }
 
-// maxReplyBytes is the size of the largest conversation that a reply carries. It is a quarter of
-// the size limit of messages between daemons, and takes less time to send than to read from
-// the store.
+// maxReplyBytes is the maximum size of a conversation in a reply. It is a quarter of the size limit
+// of messages between daemons. Sending a reply of this size takes less time than reading the
+// conversation from the store.
 const maxReplyBytes = 1 << 20
 
-// Chain answers with the conversation up to the requested turn. The reply stays empty if the turn
+// Chain sets reply to the conversation up to the requested turn. The reply stays empty if the turn
 // is not in memory or the conversation is longer than maxReplyBytes. A cached turn is as
 // reliable as one read from the store, since only turns that the store acknowledged are cached.
 func (s *Service) Chain(request ChainRequest, reply *ChainReply) error {
@@ -62,34 +62,34 @@
 		return nil
 	}
 	for _, each := range known.chain() {
-		told := ToldTurn{Identifier: each.identifier, Owner: each.owner, Engine: each.engine, Digest: each.digest, Until: each.expiry}
-		for _, part := range each.added {
-			told.Parts = append(told.Parts, ToldPart{Bytes: part.bytes, Shared: part.shared})
+		sent := ToldTurn{Identifier: each.identifier, Owner: each.owner, Engine: each.engine, Digest: each.digest, Until: each.expiry}
+		for _, seg := range each.added {
+			sent.Parts = append(sent.Parts, ToldPart{Bytes: seg.bytes, Shared: seg.shared})
 		}
-		reply.Turns = append(reply.Turns, told)
+		reply.Turns = append(reply.Turns, sent)
 	}
 	return nil
 }
 
-// restore makes a turn of another daemon's reply, and shares memory with turns and pieces that
-// are cached. It returns nil if the reply is empty, and a *BrokenError if the reply does not
-// match its digests or ends with another turn.
+// restore builds the turn with the given identifier from another daemon's reply. It reuses cached
+// turns and pieces with the same content. It returns nil if the reply is empty, and a
+// *BrokenError if the reply does not match its digests or ends with another turn.
 func (r *Records) restore(identifier string, reply ChainReply) (*Turn, error) {
 	var restored *Turn
-	for _, told := range reply.Turns {
-		next := &Turn{identifier: told.Identifier, owner: told.Owner, engine: told.Engine, previous: restored, expiry: told.Until}
-		for _, part := range told.Parts {
+	for _, received := range reply.Turns {
+		next := &Turn{identifier: received.Identifier, owner: received.Owner, engine: received.Engine, previous: restored, expiry: received.Until}
+		for _, part := range received.Parts {
 			bytes := part.Bytes
 			if part.Shared {
 				bytes = r.pieces.Share(bytes)
 			}
 			next.added = append(next.added, segment{bytes: bytes, shared: part.Shared})
 		}
-		if next.complete().digest != told.Digest {
-			return nil, &BrokenError{Turn: identifier, At: told.Identifier, Cause: ErrChanged}
+		if next.complete().digest != received.Digest {
+			return nil, &BrokenError{Turn: identifier, At: received.Identifier, Cause: ErrChanged}
 		}
 		restored = next
-		if known := r.cache.peek(told.Identifier); known != nil && known.digest == next.digest {
+		if known := r.cache.peek(received.Identifier); known != nil && known.digest == next.digest {
 			restored = known // uses the turn that is already in memory
 		}
 	}
@@ -107,7 +107,7 @@
 	Log    *zap.Logger
 
 	mutex        sync.Mutex
-	skippedUntil map[string]time.Time // by address: when a daemon that did not answer may be asked by ask again
+	skippedUntil map[string]time.Time // time until which ask skips a daemon, by the daemon's address
 }
 
 const (
@@ -115,22 +115,22 @@
 	maxAskedDaemons = 24
 	// searchTimeout bounds the wait for the answers of a search.
 	searchTimeout = 150 * time.Millisecond
-	// askTimeout bounds the wait for a single daemon's answer, after which the store is read. A
+	// askTimeout bounds the wait of ask for one daemon's answer. After it the store is read. A
 	// daemon that can be reached answers several times faster.
 	askTimeout = 100 * time.Millisecond
 	// skipSilentFor is how long ask skips a daemon that did not answer, so that during a network
 	// failure only about one request a second waits for that daemon.
 	skipSilentFor = time.Second
-	// maxSilentDaemons limits the size of skippedUntil, which is cleared when it is full. It is
-	// far larger than the number of daemons.
+	// maxSilentDaemons is the maximum size of skippedUntil, which is cleared when it is full. The
+	// limit is far larger than the number of daemons.
 	maxSilentDaemons = 4096
 )
 
-// restoreFunc makes a turn of a reply, as Records.restore does.
+// restoreFunc builds the turn with the given identifier from a reply; see Records.restore.
 type restoreFunc func(identifier string, reply ChainReply) (*Turn, error)
 
-// ask asks one daemon for a turn. It returns nil and no error if the daemon does not have the
-// turn, is this daemon, or is skipped because it recently did not answer.
+// ask asks the daemon at the address for a turn. It returns nil and no error if that daemon does
+// not have the turn, is this daemon, or is skipped because it recently did not answer.
 func (o *Others) ask(ctx context.Context, address, identifier string, restore restoreFunc) (*Turn, error) {
 	if address == o.List.Self().Address || o.isSilent(address) {
 		return nil, nil
@@ -145,7 +145,7 @@
 	return restore(identifier, reply)
 }
 
-// isSilent reports whether the daemon is to be skipped because it recently did not answer.
+// isSilent reports whether ask must skip the daemon because it recently did not answer.
 func (o *Others) isSilent(address string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -168,8 +168,9 @@
 	err   error
 }
 
-// search asks up to maxAskedDaemons daemons for a turn at the same time, those of this zone
-// first. It returns the first turn received, or nil if there is none within searchTimeout.
+// search asks up to maxAskedDaemons daemons for a turn at the same time, and prefers daemons of
+// this zone. It returns the first turn received, or nil if none is received within
+// searchTimeout.
 func (o *Others) search(ctx context.Context, identifier string, restore restoreFunc) *Turn {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
@@ -186,9 +187,9 @@
 	var failure error // only the last one is logged, since most are alike
 	for range asked {
 		received := <-answers
-		told, err := restore(identifier, received.reply)
-		if told != nil {
-			return told
+		found, err := restore(identifier, received.reply)
+		if found != nil {
+			return found
 		}
 		if received.err != nil || err != nil {
 			failed, failure = failed+1, eris.Wrapf(firstError(received.err, err), "ask for a turn")
--- a/internal/turn/plan.go
+++ b/internal/turn/plan.go
@@ -10,8 +10,8 @@
 	Previous *Turn  // the turn that this one continues; nil if it starts a conversation
 	Owner    string // name of the tenant; empty if there is none
 	Engine   string // ID of the instance that ran the turn
-	Input    []byte // what the caller sent in this turn
-	Output   []byte // what the engine generated, which follows the input
+	Input    []byte // bytes that the caller sent
+	Output   []byte // bytes that the engine generated
 }
 
 // plan describes what the rows of a turn will hold.
@@ -39,8 +39,8 @@
 	}
 }
 
-// rebase returns the segments of the whole conversation up to previous, followed by own. Adjacent
-// segments are joined, except shared ones, which stay pieces.
+// rebase returns segments with the whole conversation up to previous, followed by own. It joins
+// adjacent segments, except for shared ones, which remain separate pieces.
 func rebase(previous *Turn, own []byte) []segment {
 	var joined []segment
 	var unshared [][]byte
@@ -51,13 +51,13 @@
 		unshared = nil
 	}
 	for _, each := range previous.chain() {
-		for _, part := range each.added {
-			if part.shared {
+		for _, seg := range each.added {
+			if seg.shared {
 				endUnshared()
-				joined = append(joined, part)
+				joined = append(joined, seg)
 				continue
 			}
-			unshared = append(unshared, part.bytes)
+			unshared = append(unshared, seg.bytes)
 		}
 	}
 	unshared = append(unshared, own)
--- a/internal/turn/model_test.go
+++ b/internal/turn/play_test.go
@@ -32,14 +32,14 @@
 	isSaved bool      // whether Save returned nil
 }
 
-// modelDaemon is the state that a daemon has in memory.
+// modelDaemon is the in-memory state of a daemon.
 type modelDaemon struct {
 	records *turn.Records
 	removal *retention.Queue
 }
 
-// storeModel is the state of the property test: daemons that share one store, and the expected
-// content of all turns.
+// storeModel is the state of the property test. It consists of daemons that share one store, and
+// of the expected content of all turns.
 type storeModel struct {
 	t            *rapid.T
 	random       *rand.Rand
@@ -67,145 +67,145 @@
 	return model
 }
 
-func (p *storeModel) clock() time.Time { return p.now }
+func (m *storeModel) clock() time.Time { return m.now }
 
-func (p *storeModel) client() *state.Client {
+func (m *storeModel) client() *state.Client {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	return state.NewClient(state.ClientOptions{Store: p.store, Availability: availability, NotHedged: true})
+	return state.NewClient(state.ClientOptions{Store: m.store, Availability: availability, NotHedged: true})
 }
 
 // newDaemon returns a daemon with empty memory.
-func (p *storeModel) newDaemon() modelDaemon {
-	client := p.client()
-	removal := retention.NewQueue(client, p.clock, zap.NewNop())
+func (m *storeModel) newDaemon() modelDaemon {
+	client := m.client()
+	removal := retention.NewQueue(client, m.clock, zap.NewNop())
 	return modelDaemon{removal: removal, records: turn.NewRecords(turn.Options{
-		Store: client, RowBytes: modelRowBytes, CacheEntries: 5, CacheBytes: 20000, PieceBytes: 30000, CacheFor: time.Hour, Now: p.clock, Removal: removal,
+		Store: client, RowBytes: modelRowBytes, CacheEntries: 5, CacheBytes: 20000, PieceBytes: 30000, CacheFor: time.Hour, Now: m.clock, Removal: removal,
 	})}
 }
 
-// context returns the context of a call, which has a timeout while partitions fail.
-func (p *storeModel) context() (context.Context, context.CancelFunc) {
-	if p.hasFaults {
+// context returns the context for a call. It has a timeout while partitions fail.
+func (m *storeModel) context() (context.Context, context.CancelFunc) {
+	if m.hasFaults {
 		return context.WithTimeout(context.Background(), modelTimeout)
 	}
 	return context.WithCancel(context.Background())
 }
 
-func (p *storeModel) randomDaemon() modelDaemon {
-	return p.daemons[rapid.IntRange(0, len(p.daemons)-1).Draw(p.t, "daemon")]
+func (m *storeModel) randomDaemon() modelDaemon {
+	return m.daemons[rapid.IntRange(0, len(m.daemons)-1).Draw(m.t, "daemon")]
 }
 
 // retainedTurn draws a saved turn whose retention is not over, usually the newest one. It returns
 // false if there is none.
-func (p *storeModel) retainedTurn() (string, bool) {
-	var kept []string
-	for _, name := range p.names {
-		if p.turns[name].isSaved && !p.now.After(p.turns[name].savedAt.Add(modelRetention)) {
-			kept = append(kept, name)
+func (m *storeModel) retainedTurn() (string, bool) {
+	var retained []string
+	for _, name := range m.names {
+		if m.turns[name].isSaved && !m.now.After(m.turns[name].savedAt.Add(modelRetention)) {
+			retained = append(retained, name)
 		}
 	}
-	if len(kept) == 0 {
+	if len(retained) == 0 {
 		return "", false
 	}
-	if rapid.IntRange(0, 3).Draw(p.t, "newest") > 0 {
-		return kept[len(kept)-1], true // so that conversations become long
+	if rapid.IntRange(0, 3).Draw(m.t, "newest") > 0 {
+		return retained[len(retained)-1], true // so that conversations become long
 	}
-	return rapid.SampledFrom(kept).Draw(p.t, "turn"), true
+	return rapid.SampledFrom(retained).Draw(m.t, "turn"), true
 }
 
 // Save saves a turn that starts a conversation or continues a retained turn.
-func (p *storeModel) Save(t *rapid.T) {
-	ctx, cancel := p.context()
+func (m *storeModel) Save(t *rapid.T) {
+	ctx, cancel := m.context()
 	defer cancel()
-	records := p.randomDaemon().records
-	added := turn.Addition{Input: randomText(p.random, rapid.IntRange(1, 3000).Draw(t, "input")), Output: randomText(p.random, rapid.IntRange(0, 6000).Draw(t, "output"))}
-	previous, some := p.retainedTurn()
+	records := m.randomDaemon().records
+	added := turn.Addition{Input: randomText(m.random, rapid.IntRange(1, 3000).Draw(t, "input")), Output: randomText(m.random, rapid.IntRange(0, 6000).Draw(t, "output"))}
+	previous, found := m.retainedTurn()
 	history := ""
-	if some && rapid.IntRange(0, 4).Draw(t, "begin") > 0 {
+	if found && rapid.IntRange(0, 4).Draw(t, "begin") > 0 {
 		loaded, err := records.Load(ctx, previous, "")
-		if !p.checkLoaded(previous, loaded, err) {
+		if !m.checkLoaded(previous, loaded, err) {
 			return
 		}
-		added.Previous, history = loaded, p.turns[previous].history
+		added.Previous, history = loaded, m.turns[previous].history
 	} else {
-		common := p.commonInputs[rapid.IntRange(0, len(p.commonInputs)-1).Draw(t, "common")]
+		common := m.commonInputs[rapid.IntRange(0, len(m.commonInputs)-1).Draw(t, "common")]
 		added.Input = append(append([]byte(nil), common...), added.Input...)
 	}
-	name := fmt.Sprint("t", len(p.names))
+	name := fmt.Sprint("t", len(m.names))
 	err := records.Save(ctx, name, added, modelRetention)
-	p.names = append(p.names, name)
-	p.turns[name] = modelTurn{history: history + string(added.Input) + string(added.Output), savedAt: p.now, isSaved: err == nil}
-	if err != nil && !p.hasFaults {
+	m.names = append(m.names, name)
+	m.turns[name] = modelTurn{history: history + string(added.Input) + string(added.Output), savedAt: m.now, isSaved: err == nil}
+	if err != nil && !m.hasFaults {
 		t.Fatalf("save %s: %v", name, err)
 	}
 }
 
 // checkLoaded reports whether a turn was loaded. It fails the test if the content is wrong, if the
 // error is ErrNotFound, or if there is any error while all partitions answer.
-func (p *storeModel) checkLoaded(name string, loaded *turn.Turn, err error) bool {
+func (m *storeModel) checkLoaded(name string, loaded *turn.Turn, err error) bool {
 	switch {
-	case err == nil && historyOf(loaded) == p.turns[name].history:
+	case err == nil && historyOf(loaded) == m.turns[name].history:
 		return true
 	case err == nil:
-		p.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Length())
+		m.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Length())
 	case errors.Is(err, turn.ErrNotFound):
-		p.t.Fatalf("turn %s: not found", name)
-	case !p.hasFaults:
-		p.t.Fatalf("turn %s: %v while the whole store answers", name, err)
+		m.t.Fatalf("turn %s: not found", name)
+	case !m.hasFaults:
+		m.t.Fatalf("turn %s: %v while the whole store answers", name, err)
 	}
 	return false
 }
 
 // Load loads a turn at a daemon that was just started.
-func (p *storeModel) Load(t *rapid.T) {
-	name, some := p.retainedTurn()
-	if !some {
-		t.Skip("nothing is kept")
+func (m *storeModel) Load(t *rapid.T) {
+	name, found := m.retainedTurn()
+	if !found {
+		t.Skip("no retained turn")
 	}
-	ctx, cancel := p.context()
+	ctx, cancel := m.context()
 	defer cancel()
-	loaded, err := p.newDaemon().records.Load(ctx, name, "")
-	p.checkLoaded(name, loaded, err)
+	loaded, err := m.newDaemon().records.Load(ctx, name, "")
+	m.checkLoaded(name, loaded, err)
 }
 
-// RestartDaemon replaces a daemon by one with empty memory. Rows that the former daemon was to
-// remove are left to the sweep.
-func (p *storeModel) RestartDaemon(t *rapid.T) {
-	p.daemons[rapid.IntRange(0, len(p.daemons)-1).Draw(t, "lost")] = p.newDaemon()
+// RestartDaemon replaces a daemon by a new one with empty memory. The new daemon does not know which
+// rows the old one had to remove, so they are left to the sweep.
+func (m *storeModel) RestartDaemon(t *rapid.T) {
+	m.daemons[rapid.IntRange(0, len(m.daemons)-1).Draw(t, "lost")] = m.newDaemon()
 }
 
 // AdvanceClock advances the clock by 20 to 59 seconds.
-func (p *storeModel) AdvanceClock(t *rapid.T) {
-	p.now = p.now.Add(time.Duration(rapid.IntRange(20, 59).Draw(t, "seconds")) * time.Second)
+func (m *storeModel) AdvanceClock(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(20, 59).Draw(t, "seconds")) * time.Second)
 }
 
 // RemoveExpired lets all daemons remove their expired rows, and then sweeps all partitions.
-func (p *storeModel) RemoveExpired(t *rapid.T) {
-	ctx, cancel := p.context()
+func (m *storeModel) RemoveExpired(t *rapid.T) {
+	ctx, cancel := m.context()
 	defer cancel()
-	for _, each := range p.daemons {
-		if err := each.removal.RemoveDue(ctx); err != nil && !p.hasFaults {
+	for _, each := range m.daemons {
+		if err := each.removal.RemoveDue(ctx); err != nil && !m.hasFaults {
 			t.Fatalf("remove: %v", err)
 		}
 	}
 	all := func(string) bool { return true }
-	client := p.client()
-	for _, sweep := range []*retention.Sweep{turn.Leftovers(client, all, p.clock, zap.NewNop()), piece.Leftovers(client, all, p.clock, zap.NewNop())} {
+	client := m.client()
+	for _, sweep := range []*retention.Sweep{turn.Leftovers(client, all, m.clock, zap.NewNop()), piece.Leftovers(client, all, m.clock, zap.NewNop())} {
 		for _, partition := range sweep.Partitions {
-			if _, err := sweep.Partition(ctx, partition); err != nil && !p.hasFaults {
+			if _, err := sweep.Partition(ctx, partition); err != nil && !m.hasFaults {
 				t.Fatalf("sweep: %v", err)
 			}
 		}
 	}
 }
 
-// InjectFaults makes a third of the partitions refuse all calls, or lose the answers of commits
-// and refuse all other calls.
-func (p *storeModel) InjectFaults(t *rapid.T) {
-	p.hasFaults = true
+// InjectFaults makes a third of the partitions fail. They refuse all calls, or they execute commits
+// without an answer and refuse all other calls.
+func (m *storeModel) InjectFaults(t *rapid.T) {
+	m.hasFaults = true
 	lost := rapid.Bool().Draw(t, "lost")
 	rest := rapid.IntRange(0, 2).Draw(t, "third")
-	p.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+	m.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 		partition := call.Partition
 		for _, put := range call.Commit.Puts {
 			partition = put.Key.Partition
@@ -220,13 +220,13 @@
 	})
 }
 
-// EndFaults ends all faults and replaces the daemons, since the old ones may avoid partitions that
-// failed.
-func (p *storeModel) EndFaults(*rapid.T) {
-	p.hasFaults = false
-	p.store.Misbehave(nil)
-	for index := range p.daemons {
-		p.daemons[index] = p.newDaemon()
+// EndFaults ends all faults. It also restarts the daemons, since they may still avoid partitions
+// that failed before.
+func (m *storeModel) EndFaults(*rapid.T) {
+	m.hasFaults = false
+	m.store.Misbehave(nil)
+	for index := range m.daemons {
+		m.daemons[index] = m.newDaemon()
 	}
 }
 
@@ -235,22 +235,22 @@
 // byte for byte. While partitions fail, Load may return an error instead, but not ErrNotFound.
 func TestEachKeptTurnReadsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		played := newStoreModel(t)
+		model := newStoreModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"save": played.Save, "save again": played.Save, "save once more": played.Save,
-			"load": played.Load, "lose": played.RestartDaemon, "pass": played.AdvanceClock, "remove": played.RemoveExpired,
-			"pass and go on": func(t *rapid.T) { played.AdvanceClock(t); played.Save(t); played.RemoveExpired(t) },
-			"pass, go on":    func(t *rapid.T) { played.AdvanceClock(t); played.Save(t) },
-			"break":          played.InjectFaults, "mend": played.EndFaults,
+			"save": model.Save, "save again": model.Save, "save once more": model.Save,
+			"load": model.Load, "lose": model.RestartDaemon, "pass": model.AdvanceClock, "remove": model.RemoveExpired,
+			"pass and go on": func(t *rapid.T) { model.AdvanceClock(t); model.Save(t); model.RemoveExpired(t) },
+			"pass, go on":    func(t *rapid.T) { model.AdvanceClock(t); model.Save(t) },
+			"break":          model.InjectFaults, "mend": model.EndFaults,
 		})
-		played.EndFaults(t)
-		for _, name := range played.names {
-			known := played.turns[name]
-			if !known.isSaved || played.now.After(known.savedAt.Add(modelRetention)) {
+		model.EndFaults(t)
+		for _, name := range model.names {
+			known := model.turns[name]
+			if !known.isSaved || model.now.After(known.savedAt.Add(modelRetention)) {
 				continue
 			}
-			loaded, err := played.newDaemon().records.Load(context.Background(), name, "")
-			played.checkLoaded(name, loaded, err)
+			loaded, err := model.newDaemon().records.Load(context.Background(), name, "")
+			model.checkLoaded(name, loaded, err)
 		}
 	})
 }
--- a/internal/turn/reading.go
+++ b/internal/turn/reading.go
@@ -23,89 +23,89 @@
 // attempt if an attempt fails.
 type chainReader struct {
 	records     *Records
-	identifier  string       // the turn to load
+	identifier  string       // of the requested turn
 	reads       atomic.Int64 // store reads of turns' rows so far
-	isFromOther bool         // whether another daemon returned the turn in the end
+	isFromOther bool         // whether the turn came from another daemon
 
 	mutex sync.Mutex
 	rows  map[string]row // by identifier of the turn
 }
 
 // readChain loads the turn in steps. It first reads the rows of the turn itself. Each further step
-// reads the rows of all ancestors that the rows of the oldest turn read so far name. It stops
-// at the start of the conversation or at an ancestor that is in memory.
-func (l *chainReader) readChain(ctx context.Context) (*Turn, error) {
-	last, err := l.readOwnRow(ctx)
+// reads the rows of all ancestors named by the oldest turn read so far. It stops at the start
+// of the conversation or at an ancestor that is in memory.
+func (r *chainReader) readChain(ctx context.Context) (*Turn, error) {
+	last, err := r.readOwnRow(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if last.legacy != nil {
-		return l.fromLegacyRow(last), nil
+		return r.fromLegacyRow(last), nil
 	}
-	order := []string{l.identifier}
+	order := []string{r.identifier}
 	var known *Turn // the nearest ancestor in memory; nil if none was found
 	for known == nil && len(last.Ancestors) > 0 {
 		var wanted []string
-		wanted, known = l.untilCached(last.Ancestors)
+		wanted, known = r.untilCached(last.Ancestors)
 		for _, name := range wanted {
 			if slices.Contains(order, name) {
-				return nil, l.brokenError(name, ErrLoop)
+				return nil, r.brokenError(name, ErrLoop)
 			}
 			order = append(order, name)
 		}
-		if err := l.readRows(ctx, wanted); err != nil {
+		if err := r.readRows(ctx, wanted); err != nil {
 			return nil, err
 		}
-		last = l.rows[order[len(order)-1]]
+		last = r.rows[order[len(order)-1]]
 	}
-	return l.assemble(ctx, order, known)
+	return r.assemble(ctx, order, known)
 }
 
-// readOwnRow reads the rows of the turn itself. If there are none, it returns the error of
+// readOwnRow reads the rows of the requested turn. If it finds none, it returns the error of
 // confirmAbsence.
-func (l *chainReader) readOwnRow(ctx context.Context) (row, error) {
-	found, err := l.findRow(ctx, l.identifier)
+func (r *chainReader) readOwnRow(ctx context.Context) (row, error) {
+	found, err := r.findRow(ctx, r.identifier)
 	if errors.Is(err, ErrNotFound) {
-		return row{}, l.records.confirmAbsence(ctx, l.identifier)
+		return row{}, r.records.confirmAbsence(ctx, r.identifier)
 	}
 	return found, err
 }
 
-// fromLegacyRow makes a turn of a row in the legacy format, which holds the whole history. Its
-// expiry is set so that no other turn's rows refer to it.
-func (l *chainReader) fromLegacyRow(found row) *Turn {
+// fromLegacyRow builds the turn from a row in the legacy format, which holds the whole history. The
+// turn's expiry is 0, so that the rows of other turns do not refer to it.
+func (r *chainReader) fromLegacyRow(found row) *Turn {
 	const notReferredTo = 0
 	restored := &Turn{
-		identifier: l.identifier, engine: found.legacy.Engine, expiry: notReferredTo,
+		identifier: r.identifier, engine: found.legacy.Engine, expiry: notReferredTo,
 		added: []segment{{bytes: found.legacy.History}},
 	}
 	return restored.complete()
 }
 
-// untilCached returns the names before the first one that is in memory, and that turn. If none is
-// in memory, it returns all names and nil.
-func (l *chainReader) untilCached(names []string) ([]string, *Turn) {
+// untilCached finds the first of the names whose turn is in memory. It returns the names before
+// that one, and the turn. If no turn is in memory, it returns all names and nil.
+func (r *chainReader) untilCached(names []string) ([]string, *Turn) {
 	for index, name := range names {
-		if known := l.records.cache.peek(name); known != nil {
+		if known := r.records.cache.peek(name); known != nil {
 			return names[:index], known
 		}
 	}
 	return names, nil
 }
 
-// readRows reads the rows of the ancestors with the given names into l.rows. It returns a
+// readRows reads the rows of the ancestors with the given names into r.rows. It returns a
 // *BrokenError if one of them is missing or in the legacy format.
-func (l *chainReader) readRows(ctx context.Context, names []string) error {
+func (r *chainReader) readRows(ctx context.Context, names []string) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxConcurrentReads)
 	for _, name := range names {
 		group.Go(func() error {
-			found, err := l.findRow(ctx, name)
+			found, err := r.findRow(ctx, name)
 			switch {
 			case errors.Is(err, ErrNotFound):
-				return l.brokenError(name, ErrGap)
+				return r.brokenError(name, ErrGap)
 			case err == nil && found.legacy != nil:
-				return l.brokenError(name, rowset.ErrFormat)
+				return r.brokenError(name, rowset.ErrFormat)
 			default:
 				return err
 			}
@@ -117,26 +117,26 @@
 // findRow reads the rows of a turn from the first of its possible partitions that has them whole.
 // If none has, it returns the error of a partition that did not answer, or else a *BrokenError
 // for one with broken rows, or else ErrNotFound.
-func (l *chainReader) findRow(ctx context.Context, name string) (row, error) {
-	l.mutex.Lock()
-	known, found := l.rows[name]
-	l.mutex.Unlock()
+func (r *chainReader) findRow(ctx context.Context, name string) (row, error) {
+	r.mutex.Lock()
+	known, found := r.rows[name]
+	r.mutex.Unlock()
 	if found {
 		return known, nil
 	}
 	var unanswered, broken error
-	for _, partition := range l.records.options.Store.Prefer(rowset.PlacesOf(name)) {
-		read, err := l.readPlace(ctx, name, partition)
+	for _, partition := range r.records.options.Store.Prefer(rowset.PlacesOf(name)) {
+		read, err := r.readPartition(ctx, name, partition)
 		switch {
 		case err == nil:
-			l.mutex.Lock()
-			l.rows[name] = read
-			l.mutex.Unlock()
+			r.mutex.Lock()
+			r.rows[name] = read
+			r.mutex.Unlock()
 			return read, nil
 		case state.NoVerdict(err):
 			unanswered = err
 		case errors.Is(err, rowset.ErrTorn) || errors.Is(err, rowset.ErrFormat):
-			broken = l.brokenError(name, err)
+			broken = r.brokenError(name, err)
 		case !errors.Is(err, ErrNotFound):
 			return row{}, err
 		}
@@ -150,54 +150,55 @@
 	return row{}, ErrNotFound
 }
 
-// readPlace reads the rows of a turn from one partition.
-func (l *chainReader) readPlace(ctx context.Context, name, partition string) (row, error) {
-	l.reads.Add(1)
+// readPartition reads the rows of a turn from one partition.
+func (r *chainReader) readPartition(ctx context.Context, name, partition string) (row, error) {
+	r.reads.Add(1)
 	selected := rowset.Range(state.Key{Table: table, Partition: partition, Name: name})
 	selected.Class = state.ClassTurn
-	page, err := l.records.options.Store.Read(ctx, selected)
+	page, err := r.records.options.Store.Read(ctx, selected)
 	if err != nil {
 		return row{}, eris.Wrap(err, "read turn")
 	}
 	return decodeRow(name, page.Rows)
 }
 
-// brokenError returns a *BrokenError for the turn to load and the faulty turn at.
-func (l *chainReader) brokenError(at string, cause error) error {
-	return &BrokenError{Turn: l.identifier, At: at, Cause: cause}
+// brokenError returns a *BrokenError of the requested turn. at is the identifier of the faulty turn.
+func (r *chainReader) brokenError(at string, cause error) error {
+	return &BrokenError{Turn: r.identifier, At: at, Cause: cause}
 }
 
-// assemble makes the turn to load from the rows of the turns in order, the newest first. The
-// oldest of these continues known, or starts the conversation if known is nil.
-func (l *chainReader) assemble(ctx context.Context, order []string, known *Turn) (*Turn, error) {
-	pieces, err := l.loadPieces(ctx, order)
+// assemble builds the requested turn from rows that have been read. order holds the names of the
+// turns, the newest first. The oldest of them continues known, or starts the conversation if
+// known is nil.
+func (r *chainReader) assemble(ctx context.Context, order []string, known *Turn) (*Turn, error) {
+	pieces, err := r.loadPieces(ctx, order)
 	if err != nil {
 		return nil, err
 	}
 	built := known
 	for _, name := range slices.Backward(order) {
-		if built, err = l.buildTurn(built, name, pieces); err != nil {
+		if built, err = r.buildTurn(built, name, pieces); err != nil {
 			return nil, err
 		}
 	}
 	return built, nil
 }
 
-// buildTurn makes the turn with the given name from its rows. It continues previous, or starts the
-// conversation if previous is nil. Owner, ancestors and digest are checked; a mismatch is a
-// *BrokenError.
-func (l *chainReader) buildTurn(previous *Turn, name string, pieces map[piece.Reference]piece.Stored) (*Turn, error) {
-	own := l.rows[name]
-	if own.Owner != l.rows[l.identifier].Owner || previous != nil && previous.owner != own.Owner {
-		return nil, l.brokenError(name, ErrForeign)
+// buildTurn builds the turn with the given name from its rows and pieces. The turn continues
+// previous, or starts the conversation if previous is nil. If its owner, ancestors or digest
+// do not fit, the error is a *BrokenError.
+func (r *chainReader) buildTurn(previous *Turn, name string, pieces map[piece.Reference]piece.Stored) (*Turn, error) {
+	own := r.rows[name]
+	if own.Owner != r.rows[r.identifier].Owner || previous != nil && previous.owner != own.Owner {
+		return nil, r.brokenError(name, ErrForeign)
 	}
 	if !isNearestAncestor(own.Ancestors, previous) {
-		return nil, l.brokenError(name, ErrGap)
+		return nil, r.brokenError(name, ErrGap)
 	}
 	built := &Turn{identifier: name, owner: own.Owner, engine: own.Engine, previous: previous, expiry: own.expires}
 	for _, each := range own.Parts {
-		reference, names := each.reference()
-		if !names {
+		reference, isReference := each.reference()
+		if !isReference {
 			built.added = append(built.added, segment{bytes: each.Bytes})
 			continue
 		}
@@ -206,13 +207,13 @@
 		built.added = append(built.added, segment{bytes: stored.Content, shared: !each.Spilled})
 	}
 	if built.complete().digest != own.Digest {
-		return nil, l.brokenError(name, ErrChanged)
+		return nil, r.brokenError(name, ErrChanged)
 	}
 	return built, nil
 }
 
-// isNearestAncestor reports whether previous is the first of the ancestors, or whether there are
-// none if previous is nil.
+// isNearestAncestor reports whether previous is the first of the ancestors. If previous is nil, it
+// reports whether there are no ancestors.
 func isNearestAncestor(ancestors []string, previous *Turn) bool {
 	if previous == nil {
 		return len(ancestors) == 0
@@ -220,12 +221,12 @@
 	return len(ancestors) > 0 && ancestors[0] == previous.identifier
 }
 
-// loadPieces loads all pieces that the rows of the turns in order refer to.
-func (l *chainReader) loadPieces(ctx context.Context, order []string) (map[piece.Reference]piece.Stored, error) {
+// loadPieces loads all pieces to which the rows of the named turns refer.
+func (r *chainReader) loadPieces(ctx context.Context, order []string) (map[piece.Reference]piece.Stored, error) {
 	namedBy := map[piece.Reference]string{}
 	for _, name := range order {
-		for _, each := range l.rows[name].Parts {
-			if reference, names := each.reference(); names {
+		for _, each := range r.rows[name].Parts {
+			if reference, isReference := each.reference(); isReference {
 				namedBy[reference] = name
 			}
 		}
@@ -235,13 +236,13 @@
 	group.SetLimit(maxConcurrentReads)
 	for reference, name := range namedBy {
 		group.Go(func() error {
-			stored, err := l.records.pieces.Load(ctx, reference)
+			stored, err := r.records.pieces.Load(ctx, reference)
 			if err != nil && !state.NoVerdict(err) && ctx.Err() == nil {
-				return l.brokenError(name, err)
+				return r.brokenError(name, err)
 			}
-			l.mutex.Lock()
+			r.mutex.Lock()
 			loaded[reference] = stored
-			l.mutex.Unlock()
+			r.mutex.Unlock()
 			return err
 		})
 	}
--- a/internal/turn/rows.go
+++ b/internal/turn/rows.go
@@ -24,9 +24,9 @@
 type part struct {
 	Bytes  []byte `cbor:"b,omitempty"`
 	Piece  []byte `cbor:"d,omitempty"` // digest of the piece; empty if Bytes is the content
-	Length int    `cbor:"l,omitempty"` // bytes of the piece
-	// Spilled reports that the piece belongs to this turn alone and is a piece only because the
-	// turn is too large for its rows.
+	Length int    `cbor:"l,omitempty"` // size of the piece in bytes
+	// Spilled is set if the piece is not shared, and exists only because the turn is too large
+	// for its rows.
 	Spilled bool `cbor:"s,omitempty"`
 }
 
@@ -35,7 +35,7 @@
 	return part{Piece: reference.Digest[:], Length: reference.Length}
 }
 
-// reference returns the piece that the part refers to, and whether it refers to one.
+// reference returns a reference to the part's piece. It reports false if the part holds bytes.
 func (p part) reference() (reference piece.Reference, isReference bool) {
 	if len(p.Piece) != len(reference.Digest) {
 		return reference, false
@@ -46,8 +46,8 @@
 // row is the decoded content of all rows of a turn.
 type row struct {
 	body
-	expires int64       // Unix time in seconds from which on the rows may be removed
-	legacy  *legacyTurn // the turn if it is in the legacy format, and nil otherwise
+	expires int64       // Unix time in seconds after which the rows may be removed
+	legacy  *legacyTurn // content in the legacy format; nil if body holds the content
 }
 
 // decodeRow decodes the rows of a turn, in the current or the legacy format. The error is
@@ -58,8 +58,8 @@
 	case eris.Is(err, rowset.ErrAbsent):
 		return row{}, ErrNotFound
 	case eris.Is(err, rowset.ErrFormat):
-		if known, is := decodeLegacy(identifier, rows); is {
-			return row{legacy: &known, expires: known.Expires}, nil
+		if legacyValue, isLegacy := decodeLegacy(identifier, rows); isLegacy {
+			return row{legacy: &legacyValue, expires: legacyValue.Expires}, nil
 		}
 		return row{}, err
 	case err != nil:
@@ -72,15 +72,16 @@
 	return decoded, nil
 }
 
-// legacyTurn is the format of earlier versions, in which the rows hold the whole history.
+// legacyTurn is the content of a turn's rows in the format of earlier versions. It includes the
+// whole history.
 type legacyTurn struct {
 	History []byte `cbor:"h"`
 	Engine  string `cbor:"e"`
 	Expires int64  `cbor:"x"`
 }
 
-// decodeLegacy joins the rows of a turn in the legacy format and decodes them. It reports whether
-// the rows are in that format.
+// decodeLegacy joins the rows of a turn and decodes them in the legacy format. It reports whether
+// they are in that format.
 func decodeLegacy(identifier string, rows []state.Row) (legacyTurn, bool) {
 	parts := make(map[string][]byte, len(rows))
 	for _, each := range rows {
@@ -94,13 +95,13 @@
 		}
 		value = append(value, next...)
 	}
-	var known legacyTurn
-	err := cbor.Unmarshal(value, &known)
-	return known, err == nil && known.Expires > 0
+	var decoded legacyTurn
+	err := cbor.Unmarshal(value, &decoded)
+	return decoded, err == nil && decoded.Expires > 0
 }
 
 // legacyExpiry returns the Unix time in seconds at which a turn in the legacy format expires. It
-// recognizes only turns that consist of a single row, and reports whether stored is one.
+// reports false if stored is not the only row of such a turn.
 func legacyExpiry(stored state.Row) (int64, bool) {
 	legacy, isLegacy := decodeLegacy(stored.Key.Name, []state.Row{stored})
 	return legacy.Expires, isLegacy
--- a/internal/turn/save.go
+++ b/internal/turn/save.go
@@ -18,16 +18,16 @@
 
 const (
 	// sharedPieceTimeout bounds the time for storing the shared pieces of a turn, so that a
-	// partition that is down does not delay the end of the turn. After it the turn's rows hold
-	// the bytes. A healthy store answers several times faster.
+	// partition that is down does not delay the end of the turn. If it passes, the turn's own
+	// rows hold the bytes. A healthy store answers several times faster.
 	sharedPieceTimeout = 200 * time.Millisecond
 	// maxConcurrentSpills is how many pieces of a large turn are written at the same time.
 	maxConcurrentSpills = 4
 )
 
-// Save stores a turn under the identifier, so that it can be loaded for at least retainFor. After
-// any error it may be called again with the same turn, since each call writes all rows of the
-// turn. The error is ErrTooLarge or an error of the store or of the context.
+// Save stores a turn under the identifier and retains it for at least retainFor. If it fails, it may
+// be called again with the same turn, since each call writes all rows of the turn. The error
+// is ErrTooLarge or an error of the store or of the context.
 func (r *Records) Save(ctx context.Context, identifier string, added Addition, retainFor time.Duration) error {
 	expiry := newExpiryTimes(r.options.Now(), retainFor)
 	shared := 0
@@ -83,9 +83,10 @@
 	return parts
 }
 
-// encode returns the encoded body of the turn's rows. If it does not fit one commit, encode first
-// stores the bytes of all parts as pieces; if the turn is then never committed, these pieces
-// are removed when they expire. The error is ErrTooLarge or an error of the store.
+// encode returns the encoded body of the turn's rows. If the body does not fit one commit, encode
+// stores the bytes of all parts as pieces and returns a body that refers to them. If the turn
+// is never committed, these pieces are removed when they expire. The error is ErrTooLarge or
+// an error of the store.
 func (r *Records) encode(ctx context.Context, turn *Turn, parts []part, expiry expiryTimes) ([]byte, error) {
 	capacity := rowset.Capacity(r.options.RowBytes)
 	encoded := body{Engine: turn.engine, Owner: turn.owner, Ancestors: ancestorNames(turn.previous), Parts: parts, Digest: turn.digest}
@@ -105,11 +106,11 @@
 	return value, r.storePieces(ctx, contents, expiry.expires)
 }
 
-// spill replaces the bytes of all parts by references to pieces of at most capacity bytes, and
-// returns the contents of these pieces.
+// spill replaces parts that hold bytes by references to pieces of at most capacity bytes. It returns
+// the resulting parts and the contents of the new pieces.
 func spill(parts []part, capacity int) (spilled []part, contents [][]byte) {
 	for _, each := range parts {
-		if _, names := each.reference(); names {
+		if _, isReference := each.reference(); isReference {
 			spilled = append(spilled, each)
 			continue
 		}
@@ -123,8 +124,8 @@
 	return spilled, contents
 }
 
-// storePieces stores pieces until expires, the Unix time in seconds at which the turn's rows
-// expire.
+// storePieces stores a piece for each of the contents. expires is the expiry of the turn's rows, a
+// Unix time in seconds, at which the pieces expire as well.
 func (r *Records) storePieces(ctx context.Context, contents [][]byte, expires int64) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxConcurrentSpills)
@@ -135,7 +136,7 @@
 			return err
 		})
 	}
-	return eris.Wrap(group.Wait(), "keep a part of a large turn")
+	return eris.Wrap(group.Wait(), "store a piece of a large turn")
 }
 
 // pendingRows is the encoded content of a turn's rows before they are written.
@@ -146,7 +147,8 @@
 	lifetime   time.Duration // remaining time until expires
 }
 
-// writeRows commits the rows in the first of the turn's possible partitions that gives an answer.
+// writeRows commits the rows to one of the turn's possible partitions. It tries the next partition
+// only if one does not answer.
 func (r *Records) writeRows(ctx context.Context, pending pendingRows) error {
 	var last error
 	for _, partition := range r.options.Store.Prefer(rowset.PlacesOf(pending.identifier)) {
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -2,12 +2,12 @@
 // engine generated for it. It is stored under its identifier once the output is complete, and
 // any number of later turns may continue it.
 //
-// The rows of a turn hold only what the turn adds, and the identifiers of the turns before it,
-// so the size of a conversation in the store grows with its content. A prefix that many first
-// inputs share is stored once, as a piece (see package piece). A turn refers only to rows and
-// pieces that exist for at least as long as the turn must be available; if there are none, its
-// own rows hold the bytes. Rows can therefore be removed when they expire, without counting
-// references.
+// The rows of a turn hold only what the turn adds and the identifiers of the turns before it, so
+// the size of a conversation in the store is proportional to its length. A prefix that many
+// first inputs share is stored once, as a piece (see package piece). A turn refers only to rows
+// and pieces that exist for at least as long as the turn must be available. If the earlier rows
+// or the piece expire too soon, the turn's own rows hold the bytes. Rows can therefore be
+// removed when they expire, without counting references.
 //
 // Guarantee: until its retention is over, any process can Load a turn whose Save returned nil,
 // byte for byte, even if other processes have been lost. If Load cannot tell for certain
@@ -28,12 +28,12 @@
 
 // Errors of Load and Save.
 var (
-	// ErrNotFound means that there is certainly no such turn.
+	// ErrNotFound means that the turn does not exist, which the store has confirmed.
 	ErrNotFound = errors.New("no such turn")
-	// ErrUnsure means that the turn may exist, but Load could not find it or verify its content.
+	// ErrUnsure means that it is uncertain whether the turn exists or what it holds.
 	ErrUnsure = errors.New("it is uncertain whether the turn exists or what it holds")
-	// ErrTooLarge means that the turn is too large even if it is split into pieces, since the
-	// references to them do not fit one commit.
+	// ErrTooLarge means that the turn cannot be stored even as pieces, since the references to
+	// these pieces do not fit one commit.
 	ErrTooLarge = errors.New("the turn is too large to be stored")
 )
 
@@ -86,26 +86,28 @@
 func (r *Records) Cached(identifier string) bool { return r.cache.peek(identifier) != nil }
 
 // expiryMargin is how much longer than its retention a turn is available. It covers, several
-// times over, clock steps of some seconds, the seconds for which a save
-// is retried after its expiry was computed, and the retries of a caller that continues the
-// turn at the last moment. Each second of margin takes as much space in the store as all
-// daemons write in a second.
+// times over, clock steps of some seconds, the time for which a save is retried after its expiry
+// was computed, and the retries of a caller that continues the turn at the last moment. Each
+// second of margin takes as much space in the store as all daemons write in a second.
 const expiryMargin = 30 * time.Second
 
 // expiryTimes holds the expiry of what Save writes for a turn, as Unix times in seconds.
 type expiryTimes struct {
-	promised int64 // until then the turn must be available
-	expires  int64 // from then on its rows may be removed
-	shared   int64 // from then on its shared pieces may be removed
+	promised int64 // until then Load must find the turn
+	expires  int64 // after that the turn's rows may be removed
+	shared   int64 // after that the turn's shared pieces may be removed
 }
 
 // rowLifetime returns how long the rows of a turn with the given retention stay in the store.
 func rowLifetime(retainFor time.Duration) time.Duration { return 2*retainFor + expiryMargin }
 
-// newExpiryTimes returns the expiry times of a turn saved now and retained for retainFor. Rows last
-// twice as long as the retention, plus a margin. A turn that continues this one within the
-// retention can therefore refer to its rows. A turn that continues it within the margin after
-// that is stored with the whole conversation, which happens at most once in each retention.
+// newExpiryTimes returns the expiry times of a turn saved now and retained for retainFor.
+//
+// Rows last for twice the retention plus expiryMargin. If the rows of a turn hold the whole
+// conversation, all turns that continue the conversation within one retention can refer to
+// them. A conversation is therefore stored whole at most once in each retention. A turn that
+// continues another one only after its retention, within the margin, is always stored whole.
+//
 // Shared pieces last twice as long as rows, so that a piece in use is written again only after
 // half of its lifetime.
 func newExpiryTimes(now time.Time, retainFor time.Duration) expiryTimes {
@@ -118,7 +120,8 @@
 }
 
 // Leftovers returns a sweep that removes expired rows of turns. Daemons remove the rows that they
-// wrote themselves, so the sweep mostly finds rows of daemons that were lost. isMine reports whether this daemon sweeps a partition.
+// wrote themselves, so the sweep mostly finds rows of daemons that were lost. isMine reports
+// whether this daemon sweeps a partition.
 func Leftovers(store *state.Client, isMine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
 		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: isMine, Log: log, Every: sweepInterval,
@@ -131,8 +134,8 @@
 // sweep reads each partition once, which is less than one read a second.
 const sweepInterval = 10 * time.Minute
 
-// isExpired reports whether row belongs to a turn, in the current or the legacy format, that has
-// expired. Rows of an unknown format never count as expired.
+// isExpired reports whether the row belongs to a turn that has expired. A row that is in neither
+// the current nor the legacy format does not count as expired.
 func isExpired(row state.Row, now time.Time) bool {
 	expires, isTurnRow := rowset.Expires(row)
 	if !isTurnRow {
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -113,7 +113,7 @@
 		Expect(store.Calls("read")).To(BeZero())
 	})
 
-	It("writes rows and pieces with the class of calls that an answer waits for", func(ctx SpecContext) {
+	It("writes rows and pieces with ClassTurn, the class of calls that an answer waits for", func(ctx SpecContext) {
 		var classes []state.Class
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			classes = append(classes, call.Commit.Class)
