--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -61,7 +61,7 @@
 	// storeRetryAfter is the delay after which callers should retry if the store, the
 	// configuration or an engine is unavailable.
 	storeRetryAfter = 400 * time.Millisecond
-	// minTimeToSend is the shortest remaining time with which a request is still sent.
+	// minTimeToSend is the least time that must be left for a request to be sent.
 	minTimeToSend = 30 * time.Millisecond
 	// maxStoreWaitShare is the largest part of a request's time limit that it may spend waiting
 	// before it is sent.
@@ -203,7 +203,8 @@
 
 // storePatience returns how long the request may wait for the store, an engine or its quota
 // before it is sent. This is less than half of the time limit, so that a refused caller has
-// time to retry, and on streaming routes less than the route's patience.
+// time to retry, and on streaming routes less than the route's patience. While this daemon is
+// cut off, it is at most maxCutOffWait.
 func (e *execution) storePatience() time.Duration {
 	patience := min(e.remaining()-answerMargin, time.Duration(maxStoreWaitShare*float64(e.timeLimit())))
 	if e.route.Streaming && e.route.Patience > 0 {
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeBody writes the body of the answer to the caller.
+// writeBody writes the body of the answer to the caller. The error is a *CutError.
 func (e *execution) writeBody(ctx context.Context, reply *startedReply) error {
 	if err := e.writeChunk(reply.firstBytes); err != nil || reply.isComplete {
 		return err
--- a/internal/turn/beginnings.go
+++ b/internal/turn/beginnings.go
@@ -45,7 +45,7 @@
 // knownInput holds the first maxComparedBytes of an input, or all of a shorter one.
 type knownInput struct {
 	input       []byte
-	sharedBytes int // length of the longest prefix found in common with another input; 0 if none was found
+	sharedBytes int // length of the longest prefix that a later input had in common with it; 0 if there was none
 }
 
 func newPrefixIndex() *prefixIndex {
--- a/internal/turn/broken_test.go
+++ b/internal/turn/broken_test.go
@@ -180,8 +180,8 @@
 type fixedChainService struct{ reply turn.ChainReply }
 
 // Chain returns the fixed reply.
-func (t *fixedChainService) Chain(_ turn.ChainRequest, reply *turn.ChainReply) error {
-	*reply = t.reply
+func (s *fixedChainService) Chain(_ turn.ChainRequest, reply *turn.ChainReply) error {
+	*reply = s.reply
 	return nil
 }
 
--- a/internal/turn/load.go
+++ b/internal/turn/load.go
@@ -11,7 +11,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Values of the metric label that tells where a turn was loaded from.
+// Values of the metric label that says where a turn was loaded from.
 const (
 	fromMemory      = "memory"
 	fromOtherDaemon = "another daemon"
@@ -95,8 +95,8 @@
 	return received
 }
 
-// askDaemon asks the daemon at the address keptAt for a turn. It returns nil if keptAt is empty, or
-// if the daemon does not have the turn or does not answer.
+// askDaemon asks the daemon at the address keptAt for a turn. It returns nil if keptAt is empty or
+// if the daemon does not return the turn.
 func (r *Records) askDaemon(ctx context.Context, keptAt, identifier string) *Turn {
 	if r.options.Others == nil || keptAt == "" {
 		return nil
--- a/internal/turn/save.go
+++ b/internal/turn/save.go
@@ -144,7 +144,7 @@
 	identifier string
 	value      []byte
 	expires    int64         // Unix time in seconds
-	lifetime   time.Duration // remaining time until expires
+	lifetime   time.Duration // time from the start of Save until expires
 }
 
 // writeRows commits the rows to one of the turn's possible partitions. It tries the next partition
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -93,9 +93,9 @@
 
 // expiryTimes holds the expiry of what Save writes for a turn, as Unix times in seconds.
 type expiryTimes struct {
-	promised int64 // until then Load must find the turn
-	expires  int64 // after that the turn's rows may be removed
-	shared   int64 // after that the turn's shared pieces may be removed
+	promised int64 // until that time Load must find the turn
+	expires  int64 // after that time the turn's rows may be removed
+	shared   int64 // after that time the turn's shared pieces may be removed
 }
 
 // rowLifetime returns how long the rows of a turn with the given retention stay in the store.
