--- a/internal/turn/metrics_test.go
+++ b/internal/turn/metrics_test.go
@@ -13,8 +13,8 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-var _ = Describe("The metrics of turns", func() {
-	It("tell the bytes that are kept, until they are removed", func(ctx SpecContext) {
+var _ = Describe("Metrics of turns", func() {
+	It("count the bytes of saved turns until these are removed", func(ctx SpecContext) {
 		store, now := memorystore.New(), time.Unix(1000000, 0)
 		clock := func() time.Time { return now }
 		options := optionsOf(store)
@@ -23,7 +23,7 @@
 		records := turn.NewRecords(options)
 		registry := prometheus.NewRegistry()
 		Expect(records.Measure(registry)).To(Succeed())
-		kept := func() float64 {
+		keptBytes := func() float64 {
 			GinkgoHelper()
 			families, err := registry.Gather()
 			Expect(err).NotTo(HaveOccurred())
@@ -36,15 +36,15 @@
 			return 0
 		}
 		for _, name := range []string{"a", "b"} {
-			Expect(records.Save(ctx, name, text("content"), time.Minute)).To(Succeed())
+			Expect(records.Save(ctx, name, firstTurn("content"), time.Minute)).To(Succeed())
 		}
-		Expect(kept()).To(BeNumerically(">", 0))
-		Expect(kept()).To(BeNumerically("<=", store.Bytes()))
+		Expect(keptBytes()).To(BeNumerically(">", 0))
+		Expect(keptBytes()).To(BeNumerically("<=", store.Bytes()))
 		Expect(options.Removal.RemoveDue(ctx)).To(Succeed())
-		Expect(kept()).To(BeNumerically(">", 0))
+		Expect(keptBytes()).To(BeNumerically(">", 0))
 		now = now.Add(3 * time.Minute)
 		Expect(options.Removal.RemoveDue(ctx)).To(Succeed())
-		Expect(kept()).To(BeZero())
+		Expect(keptBytes()).To(BeZero())
 		Expect(store.Bytes()).To(BeZero())
 	})
 })
--- a/internal/turn/play_test.go
+++ b/internal/turn/play_test.go
@@ -18,189 +18,194 @@
 	"github.com/thymeloft/thymeloft/internal/turn"
 )
 
-// Of the play. Rows are small, so that some turns need several commits.
+// Settings of the model. Rows are so small that some turns need several commits.
 const (
-	playRowBytes = 600
-	playKeep     = time.Minute
-	playPatience = 20 * time.Millisecond // with partitions that are down
+	modelRowBytes  = 600
+	modelRetention = time.Minute
+	modelTimeout   = 20 * time.Millisecond // of each call while faults are injected
 )
 
-// playedTurn is what the play knows of a turn.
-type playedTurn struct {
+// modelTurn is the expected content of a turn.
+type modelTurn struct {
 	history string
-	saved   time.Time
-	certain bool // Save returned nil
+	savedAt time.Time // when Save was called
+	isSaved bool      // whether Save returned nil
 }
 
-// playedDaemon is one daemon's memory.
-type playedDaemon struct {
+// modelDaemon is the in-memory state of a daemon.
+type modelDaemon struct {
 	records *turn.Records
 	removal *retention.Queue
 }
 
-// play is daemons that come and go on one store.
-type play struct {
-	t       *rapid.T
-	random  *rand.Rand
-	store   *memorystore.Store
-	now     time.Time
-	daemons []playedDaemon
-	names   []string
-	turns   map[string]playedTurn
-	commons [][]byte
-	down    bool
+// storeModel is the state of the property test. It consists of daemons that share one store, and
+// of the expected content of all turns.
+type storeModel struct {
+	t            *rapid.T
+	random       *rand.Rand
+	store        *memorystore.Store
+	now          time.Time
+	daemons      []modelDaemon
+	names        []string // identifiers of all turns, the oldest first
+	turns        map[string]modelTurn
+	commonInputs [][]byte // prefixes of first inputs
+	hasFaults    bool     // whether some partitions fail
 }
 
-func newPlay(t *rapid.T) *play {
-	made := &play{
+func newStoreModel(t *rapid.T) *storeModel {
+	model := &storeModel{
 		t: t, random: rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
-		store: memorystore.New(), now: time.Unix(1000000, 0), turns: map[string]playedTurn{},
+		store: memorystore.New(), now: time.Unix(1000000, 0), turns: map[string]modelTurn{},
 	}
-	first := randomText(made.random, 2500)
-	for _, rest := range []int{0, 1000, 4000} { // all begin alike
-		made.commons = append(made.commons, append(append([]byte(nil), first...), randomText(made.random, rest)...))
+	first := randomText(model.random, 2500)
+	for _, rest := range []int{0, 1000, 4000} { // all start with the same bytes
+		model.commonInputs = append(model.commonInputs, append(append([]byte(nil), first...), randomText(model.random, rest)...))
 	}
 	for range 3 {
-		made.daemons = append(made.daemons, made.daemon())
+		model.daemons = append(model.daemons, model.newDaemon())
 	}
-	return made
+	return model
 }
 
-func (p *play) clock() time.Time { return p.now }
+func (m *storeModel) clock() time.Time { return m.now }
 
-func (p *play) client() *state.Client {
+func (m *storeModel) client() *state.Client {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	return state.NewClient(state.ClientOptions{Store: p.store, Availability: availability, NotHedged: true})
+	return state.NewClient(state.ClientOptions{Store: m.store, Availability: availability, NotHedged: true})
 }
 
-func (p *play) daemon() playedDaemon {
-	client := p.client()
-	removal := retention.NewQueue(client, p.clock, zap.NewNop())
-	return playedDaemon{removal: removal, records: turn.NewRecords(turn.Options{
-		Store: client, RowBytes: playRowBytes, CacheEntries: 5, CacheBytes: 20000, PieceBytes: 30000, CacheFor: time.Hour, Now: p.clock, Removal: removal,
+// newDaemon returns a daemon with empty memory.
+func (m *storeModel) newDaemon() modelDaemon {
+	client := m.client()
+	removal := retention.NewQueue(client, m.clock, zap.NewNop())
+	return modelDaemon{removal: removal, records: turn.NewRecords(turn.Options{
+		Store: client, RowBytes: modelRowBytes, CacheEntries: 5, CacheBytes: 20000, PieceBytes: 30000, CacheFor: time.Hour, Now: m.clock, Removal: removal,
 	})}
 }
 
-// context bounds a call where not all partitions answer.
-func (p *play) context() (context.Context, context.CancelFunc) {
-	if p.down {
-		return context.WithTimeout(context.Background(), playPatience)
+// context returns the context for a call. It has a timeout while partitions fail.
+func (m *storeModel) context() (context.Context, context.CancelFunc) {
+	if m.hasFaults {
+		return context.WithTimeout(context.Background(), modelTimeout)
 	}
 	return context.WithCancel(context.Background())
 }
 
-func (p *play) any() playedDaemon {
-	return p.daemons[rapid.IntRange(0, len(p.daemons)-1).Draw(p.t, "daemon")]
+func (m *storeModel) randomDaemon() modelDaemon {
+	return m.daemons[rapid.IntRange(0, len(m.daemons)-1).Draw(m.t, "daemon")]
 }
 
-// kept draws a turn whose retention is not over; false: there is none.
-func (p *play) kept() (string, bool) {
-	var kept []string
-	for _, name := range p.names {
-		if p.turns[name].certain && !p.now.After(p.turns[name].saved.Add(playKeep)) {
-			kept = append(kept, name)
+// retainedTurn draws a saved turn whose retention is not over, usually the newest one. It returns
+// false if there is none.
+func (m *storeModel) retainedTurn() (string, bool) {
+	var retained []string
+	for _, name := range m.names {
+		if m.turns[name].isSaved && !m.now.After(m.turns[name].savedAt.Add(modelRetention)) {
+			retained = append(retained, name)
 		}
 	}
-	if len(kept) == 0 {
+	if len(retained) == 0 {
 		return "", false
 	}
-	if rapid.IntRange(0, 3).Draw(p.t, "newest") > 0 {
-		return kept[len(kept)-1], true // conversations that last
+	if rapid.IntRange(0, 3).Draw(m.t, "newest") > 0 {
+		return retained[len(retained)-1], true // so that conversations become long
 	}
-	return rapid.SampledFrom(kept).Draw(p.t, "turn"), true
+	return rapid.SampledFrom(retained).Draw(m.t, "turn"), true
 }
 
-// Save begins a conversation, or goes on from a turn.
-func (p *play) Save(t *rapid.T) {
-	ctx, cancel := p.context()
+// Save saves a turn that starts a conversation or continues a retained turn.
+func (m *storeModel) Save(t *rapid.T) {
+	ctx, cancel := m.context()
 	defer cancel()
-	records := p.any().records
-	added := turn.Addition{Input: randomText(p.random, rapid.IntRange(1, 3000).Draw(t, "input")), Output: randomText(p.random, rapid.IntRange(0, 6000).Draw(t, "output"))}
-	previous, some := p.kept()
+	records := m.randomDaemon().records
+	added := turn.Addition{Input: randomText(m.random, rapid.IntRange(1, 3000).Draw(t, "input")), Output: randomText(m.random, rapid.IntRange(0, 6000).Draw(t, "output"))}
+	previous, found := m.retainedTurn()
 	history := ""
-	if some && rapid.IntRange(0, 4).Draw(t, "begin") > 0 {
+	if found && rapid.IntRange(0, 4).Draw(t, "begin") > 0 {
 		loaded, err := records.Load(ctx, previous, "")
-		if !p.judge(previous, loaded, err) {
+		if !m.checkLoaded(previous, loaded, err) {
 			return
 		}
-		added.Previous, history = loaded, p.turns[previous].history
+		added.Previous, history = loaded, m.turns[previous].history
 	} else {
-		common := p.commons[rapid.IntRange(0, len(p.commons)-1).Draw(t, "common")]
+		common := m.commonInputs[rapid.IntRange(0, len(m.commonInputs)-1).Draw(t, "common")]
 		added.Input = append(append([]byte(nil), common...), added.Input...)
 	}
-	name := fmt.Sprint("t", len(p.names))
-	err := records.Save(ctx, name, added, playKeep)
-	p.names = append(p.names, name)
-	p.turns[name] = playedTurn{history: history + string(added.Input) + string(added.Output), saved: p.now, certain: err == nil}
-	if err != nil && !p.down {
+	name := fmt.Sprint("t", len(m.names))
+	err := records.Save(ctx, name, added, modelRetention)
+	m.names = append(m.names, name)
+	m.turns[name] = modelTurn{history: history + string(added.Input) + string(added.Output), savedAt: m.now, isSaved: err == nil}
+	if err != nil && !m.hasFaults {
 		t.Fatalf("save %s: %v", name, err)
 	}
 }
 
-// judge tells whether a turn was had; anything but its bytes or doubt is a failure,
-// and so is doubt while all partitions answer.
-func (p *play) judge(name string, loaded *turn.Turn, err error) bool {
+// checkLoaded reports whether a turn was loaded. It fails the test if the content is wrong, if the
+// error is ErrNotFound, or if there is any error while all partitions answer.
+func (m *storeModel) checkLoaded(name string, loaded *turn.Turn, err error) bool {
 	switch {
-	case err == nil && historyOf(loaded) == p.turns[name].history:
+	case err == nil && historyOf(loaded) == m.turns[name].history:
 		return true
 	case err == nil:
-		p.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Length())
+		m.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Length())
 	case errors.Is(err, turn.ErrNotFound):
-		p.t.Fatalf("turn %s: not found", name)
-	case !p.down:
-		p.t.Fatalf("turn %s: %v while the whole store answers", name, err)
+		m.t.Fatalf("turn %s: not found", name)
+	case !m.hasFaults:
+		m.t.Fatalf("turn %s: %v while the whole store answers", name, err)
 	}
 	return false
 }
 
-// Load reads a turn at a daemon that was just started.
-func (p *play) Load(t *rapid.T) {
-	name, some := p.kept()
-	if !some {
-		t.Skip("nothing is kept")
+// Load loads a turn at a daemon that was just started.
+func (m *storeModel) Load(t *rapid.T) {
+	name, found := m.retainedTurn()
+	if !found {
+		t.Skip("no retained turn")
 	}
-	ctx, cancel := p.context()
+	ctx, cancel := m.context()
 	defer cancel()
-	loaded, err := p.daemon().records.Load(ctx, name, "")
-	p.judge(name, loaded, err)
+	loaded, err := m.newDaemon().records.Load(ctx, name, "")
+	m.checkLoaded(name, loaded, err)
 }
 
-// Lose replaces a daemon; what it was to remove is left to the sweep.
-func (p *play) Lose(t *rapid.T) {
-	p.daemons[rapid.IntRange(0, len(p.daemons)-1).Draw(t, "lost")] = p.daemon()
+// RestartDaemon replaces a daemon by a new one with empty memory. The new daemon does not know which
+// rows the old one had to remove, so they are left to the sweep.
+func (m *storeModel) RestartDaemon(t *rapid.T) {
+	m.daemons[rapid.IntRange(0, len(m.daemons)-1).Draw(t, "lost")] = m.newDaemon()
 }
 
-// Pass lets time pass.
-func (p *play) Pass(t *rapid.T) {
-	p.now = p.now.Add(time.Duration(rapid.IntRange(20, 59).Draw(t, "seconds")) * time.Second)
+// AdvanceClock advances the clock by 20 to 59 seconds.
+func (m *storeModel) AdvanceClock(t *rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(20, 59).Draw(t, "seconds")) * time.Second)
 }
 
-// Remove lets all daemons remove what is over, and sweeps.
-func (p *play) Remove(t *rapid.T) {
-	ctx, cancel := p.context()
+// RemoveExpired lets all daemons remove their expired rows, and then sweeps all partitions.
+func (m *storeModel) RemoveExpired(t *rapid.T) {
+	ctx, cancel := m.context()
 	defer cancel()
-	for _, each := range p.daemons {
-		if err := each.removal.RemoveDue(ctx); err != nil && !p.down {
+	for _, each := range m.daemons {
+		if err := each.removal.RemoveDue(ctx); err != nil && !m.hasFaults {
 			t.Fatalf("remove: %v", err)
 		}
 	}
 	all := func(string) bool { return true }
-	client := p.client()
-	for _, sweep := range []*retention.Sweep{turn.Leftovers(client, all, p.clock, zap.NewNop()), piece.Leftovers(client, all, p.clock, zap.NewNop())} {
+	client := m.client()
+	for _, sweep := range []*retention.Sweep{turn.Leftovers(client, all, m.clock, zap.NewNop()), piece.Leftovers(client, all, m.clock, zap.NewNop())} {
 		for _, partition := range sweep.Partitions {
-			if _, err := sweep.Partition(ctx, partition); err != nil && !p.down {
+			if _, err := sweep.Partition(ctx, partition); err != nil && !m.hasFaults {
 				t.Fatalf("sweep: %v", err)
 			}
 		}
 	}
 }
 
-// Break takes a third of the partitions down, or has a part of the answers lost.
-func (p *play) Break(t *rapid.T) {
-	p.down = true
+// InjectFaults makes a third of the partitions fail. They refuse all calls, or they execute commits
+// without an answer and refuse all other calls.
+func (m *storeModel) InjectFaults(t *rapid.T) {
+	m.hasFaults = true
 	lost := rapid.Bool().Draw(t, "lost")
 	rest := rapid.IntRange(0, 2).Draw(t, "third")
-	p.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+	m.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
 		partition := call.Partition
 		for _, put := range call.Commit.Puts {
 			partition = put.Key.Partition
@@ -215,36 +220,37 @@
 	})
 }
 
-// Mend ends all faults; daemons try all partitions again.
-func (p *play) Mend(*rapid.T) {
-	p.down = false
-	p.store.Misbehave(nil)
-	for index := range p.daemons {
-		p.daemons[index] = p.daemon()
+// EndFaults ends all faults. It also restarts the daemons, since they may still avoid partitions
+// that failed before.
+func (m *storeModel) EndFaults(*rapid.T) {
+	m.hasFaults = false
+	m.store.Misbehave(nil)
+	for index := range m.daemons {
+		m.daemons[index] = m.newDaemon()
 	}
 }
 
-// Whatever the order of saves, branches, losses of daemons, removals and partitions that
-// are down, a turn whose Save returned nil reads back byte for byte until its retention
-// is over, or is in doubt while partitions are down; never wrong, never not found.
+// TestEachKeptTurnReadsBack checks random sequences of saves, branches, lost daemons, removals and
+// failing partitions. Until its retention is over, a turn whose Save returned nil must be loaded
+// byte for byte. While partitions fail, Load may return an error instead, but not ErrNotFound.
 func TestEachKeptTurnReadsBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		played := newPlay(t)
+		model := newStoreModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"save": played.Save, "save again": played.Save, "save once more": played.Save,
-			"load": played.Load, "lose": played.Lose, "pass": played.Pass, "remove": played.Remove,
-			"pass and go on": func(t *rapid.T) { played.Pass(t); played.Save(t); played.Remove(t) },
-			"pass, go on":    func(t *rapid.T) { played.Pass(t); played.Save(t) },
-			"break":          played.Break, "mend": played.Mend,
+			"save": model.Save, "save again": model.Save, "save once more": model.Save,
+			"load": model.Load, "lose": model.RestartDaemon, "pass": model.AdvanceClock, "remove": model.RemoveExpired,
+			"pass and go on": func(t *rapid.T) { model.AdvanceClock(t); model.Save(t); model.RemoveExpired(t) },
+			"pass, go on":    func(t *rapid.T) { model.AdvanceClock(t); model.Save(t) },
+			"break":          model.InjectFaults, "mend": model.EndFaults,
 		})
-		played.Mend(t)
-		for _, name := range played.names {
-			known := played.turns[name]
-			if !known.certain || played.now.After(known.saved.Add(playKeep)) {
+		model.EndFaults(t)
+		for _, name := range model.names {
+			known := model.turns[name]
+			if !known.isSaved || model.now.After(known.savedAt.Add(modelRetention)) {
 				continue
 			}
-			loaded, err := played.daemon().records.Load(context.Background(), name, "")
-			played.judge(name, loaded, err)
+			loaded, err := model.newDaemon().records.Load(context.Background(), name, "")
+			model.checkLoaded(name, loaded, err)
 		}
 	})
 }
