--- a/internal/engine/benchmark_test.go
+++ b/internal/engine/benchmark_test.go
@@ -12,8 +12,9 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// newHollow makes a service with so many engines that have reported.
-func newHollow(b *testing.B, engines int) *Service {
+// newBenchmarkService returns a service that is not running, with the given number of engines,
+// each of which has reported once.
+func newBenchmarkService(b *testing.B, engines int) *Service {
 	b.Helper()
 	document := configuration.Document{Models: []configuration.Model{{Name: "model", Version: "v1"}}}
 	pool := configuration.Pool{Name: "pool", Model: "model"}
@@ -25,22 +26,24 @@
 	document.Pools = []configuration.Pool{pool}
 	source := &fakeSource{}
 	source.set(document)
-	members := newNetwork()
-	daemon := fakeDaemon{network: members, self: process("daemon-a")}
+	members := newMemoryNetwork()
+	daemon := fakeDaemon{memoryNetwork: members, self: process("daemon-a")}
 	service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon})
 	if err != nil {
 		b.Fatal(err)
 	}
-	service.fleet.Store(service.nextTable(&document))
+	service.fleet.Store(service.buildTable(&document))
 	service.wanted.Store(newWantedPools(source.Current(), 1))
-	for _, member := range service.fleet.Load().units {
-		digest := busyDigest(member.declared.Name, 1)
-		member.accept(digest, checkOf(&digest), time.Now())
+	for _, tracked := range service.fleet.Load().engines {
+		digest := sampleDigest(tracked.declared.Name, 1)
+		tracked.accept(digest, staticChecksum(&digest), time.Now())
 	}
 	return service
 }
 
-func busyDigest(name string, sequence uint64) Digest {
+// sampleDigest returns a digest with pseudo-random load that depends on the name and the
+// sequence number only.
+func sampleDigest(name string, sequence uint64) Digest {
 	random := rand.New(rand.NewPCG(nameHash(name), sequence))
 	return Digest{
 		Engine: name, Fence: 7<<fenceShift | 12345, Sequence: 3600 + sequence, Model: "model", Version: "v1", Adapters: []string{"invoices", "debtors"},
@@ -52,7 +55,7 @@
 func BenchmarkRebuild(b *testing.B) {
 	for _, engines := range []int{10, 100, 680, 3400} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			service := newHollow(b, engines)
+			service := newBenchmarkService(b, engines)
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -65,7 +68,7 @@
 func BenchmarkAssess(b *testing.B) {
 	for _, engines := range []int{10, 680, 3400} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
-			service := newHollow(b, engines)
+			service := newBenchmarkService(b, engines)
 			b.ReportAllocs()
 			for b.Loop() {
 				service.assessAll(time.Now())
@@ -74,14 +77,14 @@
 	}
 }
 
-// BenchmarkDigest weighs a busy engine's digest on the wire.
+// BenchmarkDigest reports the encoded size of a busy engine's digest in bytes.
 func BenchmarkDigest(b *testing.B) {
 	for _, full := range []bool{true, false} {
 		b.Run(fmt.Sprintf("full=%t", full), func(b *testing.B) {
 			var size, count int
 			for b.Loop() {
-				digest := busyDigest("engine-0001", uint64(count))
-				size += len(appendRecord(nil, &digest, checkOf(&digest), full))
+				digest := sampleDigest("engine-0001", uint64(count))
+				size += len(appendRecord(nil, &digest, staticChecksum(&digest), full))
 				count++
 			}
 			b.ReportMetric(float64(size)/float64(count), "bytes/digest")
@@ -90,24 +93,24 @@
 }
 
 func BenchmarkReceive(b *testing.B) {
-	service := newHollow(b, 680)
+	service := newBenchmarkService(b, 680)
 	batches := make([]DigestBatch, 100)
 	for index := range batches {
-		for _, member := range service.fleet.Load().units {
-			digest := busyDigest(member.declared.Name, uint64(index+2))
-			batches[index].Payload = appendRecord(batches[index].Payload, &digest, member.report.Load().check, false)
+		for _, tracked := range service.fleet.Load().engines {
+			digest := sampleDigest(tracked.declared.Name, uint64(index+2))
+			batches[index].Payload = appendRecord(batches[index].Payload, &digest, tracked.report.Load().checksum, false)
 		}
 	}
-	fresh := make([]*report, 0, len(service.fleet.Load().units))
-	for _, member := range service.fleet.Load().units {
-		fresh = append(fresh, member.report.Load())
+	fresh := make([]*report, 0, len(service.fleet.Load().engines))
+	for _, tracked := range service.fleet.Load().engines {
+		fresh = append(fresh, tracked.report.Load())
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for index := range b.N {
 		if index%len(batches) == 0 {
-			for place, member := range service.fleet.Load().units {
-				member.report.Store(fresh[place])
+			for place, tracked := range service.fleet.Load().engines {
+				tracked.report.Store(fresh[place])
 			}
 		}
 		if err := service.spread.receive(&batches[index%len(batches)]); err != nil {
@@ -116,41 +119,42 @@
 	}
 }
 
-// weighingCaller counts what one daemon sends, as gob carries it.
-type weighingCaller struct {
+// countingCaller counts the calls and the bytes that one daemon sends, including an estimate of
+// the RPC overhead.
+type countingCaller struct {
 	calls, bytes *int
 }
 
-func (w weighingCaller) Call(_ context.Context, _ string, _ peer.Class, _ string, arguments, _ any) error {
+func (w countingCaller) Call(_ context.Context, _ string, _ peer.Class, _ string, arguments, _ any) error {
 	batch := arguments.(*DigestBatch)
 	*w.calls++
-	*w.bytes += len(batch.Payload) + len(batch.Sender) + callOverhead
+	*w.bytes += len(batch.Payload) + len(batch.Sender) + callOverheadBytes
 	return nil
 }
 
-// BenchmarkSpread weighs what a daemon of a region of 78 sends in a second
-// for 680 engines whose figures all change noticeably, at worst.
+// BenchmarkSpread reports the calls and bytes that one daemon sends each second in a region of
+// 78 daemons and 680 engines when every digest changes significantly every second (worst case).
 func BenchmarkSpread(b *testing.B) {
 	const daemons, engines = 78, 680
 	var calls, bytes int
-	service := newHollow(b, engines)
-	service.options.Caller = weighingCaller{calls: &calls, bytes: &bytes}
+	service := newBenchmarkService(b, engines)
+	service.options.Caller = countingCaller{calls: &calls, bytes: &bytes}
 	processes := []identity.Process{service.self}
 	for index := range daemons - 1 {
 		processes = append(processes, process(fmt.Sprintf("daemon-%03d", index)))
 	}
-	service.spread.follow(newMesh(service.self, processes))
+	service.spread.setMesh(newMesh(service.self, processes))
 	now := time.Now()
 	for index := range b.N {
-		for place, member := range service.fleet.Load().units {
-			digest := busyDigest(member.declared.Name, uint64(index+2))
+		for place, tracked := range service.fleet.Load().engines {
+			digest := sampleDigest(tracked.declared.Name, uint64(index+2))
 			digest.Running = index % 2 * digest.MaxRunning
-			member.accept(digest, member.report.Load().check, now)
+			tracked.accept(digest, tracked.report.Load().checksum, now)
 			switch column := place % daemons; {
 			case column == 0:
-				service.spread.publish(member)
+				service.spread.publish(tracked)
 			case column < len(service.spread.mesh.row)+1:
-				service.spread.passOn[member] = false
+				service.spread.relay[tracked] = false
 			}
 		}
 		now = now.Add(time.Second)
@@ -162,14 +166,14 @@
 }
 
 func BenchmarkShowPrefixes(b *testing.B) {
-	service := newHollow(b, 680)
-	for hash := range uint64(mostPrefixes) {
-		for number := range mostHolders {
+	service := newBenchmarkService(b, 680)
+	for hash := range uint64(maxPrefixes) {
+		for number := range maxHoldersPerPrefix {
 			service.Served(fmt.Sprintf("engine-%04d", (int(hash)*7+number)%680), []PrefixRun{{Hash: hash, Tokens: 4000}})
 		}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		service.prefixes.show(service.fleet.Load(), time.Now())
+		service.prefixes.holdersByHash(service.fleet.Load(), time.Now())
 	}
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -15,19 +15,20 @@
 )
 
 const (
-	maxReplyBytes         = 8 << 20
-	idleConnectionTimeout = 30 * time.Second
-	connectionsPerEngine  = 4
+	maxReplyBytes           = 8 << 20
+	idleConnectionTimeout   = 30 * time.Second
+	maxConnectionsPerEngine = 4
 )
 
-// errStaleFence means that another supervisor has a higher fencing token.
+// errStaleFence means that the engine refused an order because it has seen a higher fencing
+// token from another supervisor.
 var errStaleFence = errors.New("the engine has seen a higher fencing token")
 
 func newHTTPClient(settings Settings) *http.Client {
 	return &http.Client{
 		Timeout: settings.PollTimeout,
 		Transport: &http.Transport{
-			MaxConnsPerHost:     connectionsPerEngine,
+			MaxConnsPerHost:     maxConnectionsPerEngine,
 			MaxIdleConnsPerHost: 1,
 			IdleConnTimeout:     idleConnectionTimeout,
 			DisableCompression:  true,
@@ -36,8 +37,8 @@
 	}
 }
 
-// client calls the administration of one engine. Every call is bounded by
-// timeout; errors name the step and the engine.
+// client calls the administration API of one engine. Every call is limited to timeout; errors
+// name the path and the engine. It is safe for concurrent use.
 type client struct {
 	http    *http.Client
 	name    string
@@ -45,36 +46,39 @@
 	timeout time.Duration
 }
 
-func (c *client) state(ctx context.Context) (enginev1.EngineState, error) {
+func (c *client) getState(ctx context.Context) (enginev1.EngineState, error) {
 	var state enginev1.EngineState
-	err := c.exchange(ctx, http.MethodGet, enginev1.PathState, nil, &state)
+	err := c.do(ctx, http.MethodGet, enginev1.PathState, nil, &state)
 	return state, err
 }
 
-// order sends a fenced order; errStaleFence comes with the engine's state.
-func (c *client) order(ctx context.Context, order enginev1.Order) (enginev1.EngineState, error) {
+// sendOrder sends an order with its fencing token and returns the engine's state after it. If
+// the engine refuses the order with errStaleFence, the state is returned along with the error.
+func (c *client) sendOrder(ctx context.Context, order enginev1.Order) (enginev1.EngineState, error) {
 	var state enginev1.EngineState
-	err := c.exchange(ctx, http.MethodPost, enginev1.PathOrders, order, &state)
+	err := c.do(ctx, http.MethodPost, enginev1.PathOrders, order, &state)
 	return state, err
 }
 
-func (c *client) held(ctx context.Context) (enginev1.HeldList, error) {
+func (c *client) listHeld(ctx context.Context) (enginev1.HeldList, error) {
 	var list enginev1.HeldList
-	err := c.exchange(ctx, http.MethodGet, enginev1.PathHeld, nil, &list)
+	err := c.do(ctx, http.MethodGet, enginev1.PathHeld, nil, &list)
 	return list, err
 }
 
 func (c *client) release(ctx context.Context, programs []string) error {
-	return c.exchange(ctx, http.MethodPost, enginev1.PathRelease, enginev1.ReleaseRequest{Programs: programs}, nil)
+	return c.do(ctx, http.MethodPost, enginev1.PathRelease, enginev1.ReleaseRequest{Programs: programs}, nil)
 }
 
+// hold asks the engine to keep the program's prefix in its cache for the duration of the lease.
 func (c *client) hold(ctx context.Context, program string, lease time.Duration) error {
 	request := enginev1.HoldRequest{Program: program, LeaseMS: lease.Milliseconds()}
-	return c.exchange(ctx, http.MethodPost, enginev1.PathHold, request, nil)
+	return c.do(ctx, http.MethodPost, enginev1.PathHold, request, nil)
 }
 
-// exchange sends the body, if any, and decodes the reply into target, if any.
-func (c *client) exchange(ctx context.Context, method, path string, body, target any) error {
+// do sends body as JSON unless it is nil, and decodes the reply into target unless that is nil.
+// The reply is read up to maxReplyBytes.
+func (c *client) do(ctx context.Context, method, path string, body, target any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	request, err := c.newRequest(ctx, method, path, body)
@@ -109,12 +113,14 @@
 	return request, nil
 }
 
-const maxErrorText = 200
+const maxErrorBodyBytes = 200
 
+// decode returns an error for every status but 200. For a stale order (409) it decodes the
+// engine's state before it returns errStaleFence.
 func (c *client) decode(status int, path string, data []byte, target any) error {
 	stale := status == http.StatusConflict && path == enginev1.PathOrders
 	if status != http.StatusOK && !stale {
-		return eris.Errorf("%s at engine %s: status %d: %.*s", path, c.name, status, maxErrorText, data)
+		return eris.Errorf("%s at engine %s: status %d: %.*s", path, c.name, status, maxErrorBodyBytes, data)
 	}
 	if target != nil {
 		if err := json.Unmarshal(data, target); err != nil {
--- a/internal/engine/fakes_test.go
+++ b/internal/engine/fakes_test.go
@@ -20,16 +20,16 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// fakeEngine answers the administration of an engine.
+// fakeEngine is an HTTP server with the administration API of an engine.
 type fakeEngine struct {
 	*httptest.Server
-	mutex    sync.Mutex
-	state    enginev1.EngineState
-	orders   []enginev1.Order
-	held     map[string]bool
-	failing  int // releases that fail before one succeeds
-	claims   int
-	outdated int // orders refused
+	mutex           sync.Mutex
+	state           enginev1.EngineState
+	orders          []enginev1.Order
+	held            map[string]bool
+	releaseFailures int // number of further release requests to fail
+	claims          int
+	refusedOrders   int // orders refused because of a lower fencing token
 }
 
 func newFakeEngine(name, model, version string) *fakeEngine {
@@ -54,7 +54,8 @@
 	}
 }
 
-// edit changes the engine's state.
+// edit runs change while it holds the lock, so that change may read and set the engine's
+// fields.
 func (f *fakeEngine) edit(change func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -70,7 +71,7 @@
 	var order enginev1.Order
 	_ = json.NewDecoder(request.Body).Decode(&order)
 	if order.Fence < f.state.Fence {
-		f.outdated++
+		f.refusedOrders++
 		writer.WriteHeader(http.StatusConflict)
 	} else {
 		f.state.Fence = order.Fence
@@ -101,8 +102,8 @@
 }
 
 func (f *fakeEngine) postRelease(writer http.ResponseWriter, request *http.Request) {
-	if f.failing > 0 {
-		f.failing--
+	if f.releaseFailures > 0 {
+		f.releaseFailures--
 		writer.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -113,13 +114,13 @@
 	}
 }
 
-func (f *fakeEngine) holds() int {
+func (f *fakeEngine) heldCount() int {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return len(f.held)
 }
 
-// fakeSource is a configuration that tests replace.
+// fakeSource is a configuration source whose document tests replace with set.
 type fakeSource struct {
 	mutex   sync.Mutex
 	current *configuration.Snapshot
@@ -144,32 +145,33 @@
 func (f *fakeSource) Confirmed() bool            { return true }
 func (f *fakeSource) Subscribe() <-chan struct{} { return nil }
 
-// network is the daemons of a test, called in memory.
-type network struct {
+// memoryNetwork connects the daemons of a test by direct method calls. All of them see the same
+// membership view.
+type memoryNetwork struct {
 	mutex     sync.Mutex
 	receivers map[string]*Receiver
 	view      *members.View
-	cut       string // address of a daemon that the others do not reach, nor it them
+	isolated  string // address of the daemon that cannot exchange calls with the others; empty: none
 }
 
-func newNetwork() *network {
-	return &network{receivers: map[string]*Receiver{}, view: &members.View{}}
+func newMemoryNetwork() *memoryNetwork {
+	return &memoryNetwork{receivers: map[string]*Receiver{}, view: &members.View{}}
 }
 
 type fakeDaemon struct {
-	*network
+	*memoryNetwork
 	self identity.Process
 }
 
-var errCut = errors.New("peer is not there")
+var errUnreachable = errors.New("peer is unreachable")
 
 func (n fakeDaemon) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
 	n.mutex.Lock()
 	receiver := n.receivers[address]
-	isCut := n.cut != "" && (n.cut == address) != (n.cut == n.self.Address)
+	isUnreachable := n.isolated != "" && (n.isolated == address) != (n.isolated == n.self.Address)
 	n.mutex.Unlock()
-	if receiver == nil || isCut {
-		return errCut
+	if receiver == nil || isUnreachable {
+		return errUnreachable
 	}
 	if method == methodFetch {
 		return receiver.Fetch(arguments.(*FetchArguments), reply.(*DigestBatch))
@@ -193,15 +195,16 @@
 func (n fakeDaemon) Self() identity.Process     { return n.self }
 func (n fakeDaemon) Subscribe() <-chan struct{} { return nil }
 
-// cutOff cuts a daemon off from the others, and connects the one cut before.
-func (n *network) cutOff(address string) {
+// isolate blocks calls between the daemon at the address and all others, and ends any earlier
+// isolation. An empty address isolates no daemon.
+func (n *memoryNetwork) isolate(address string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = address
+	n.isolated = address
 }
 
-// setMembers replaces the view by the alive daemons.
-func (n *network) setMembers(processes ...identity.Process) {
+// setMembers replaces the membership view by one in which exactly these processes are alive.
+func (n *memoryNetwork) setMembers(processes ...identity.Process) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	next := &members.View{Version: n.view.Version + 1}
@@ -226,18 +229,18 @@
 	return identity.Process{Machine: identity.Machine(name), Incarnation: 1, Address: name, Zone: "zone-a", Region: "region"}
 }
 
-// quick are settings for tests.
-func quick() Settings {
+// testSettings returns settings with short intervals.
+func testSettings() Settings {
 	return Settings{
 		PollInterval: 20 * time.Millisecond, SpreadInterval: 20 * time.Millisecond, RefreshInterval: 100 * time.Millisecond,
 		MachineInterval: 20 * time.Millisecond, ReconcileInterval: 30 * time.Millisecond, DigestTooOld: 2 * time.Second,
 	}
 }
 
-// start runs a service until the returned function is called.
-func start(members *network, source configuration.Source, name string, change func(*Options)) (*Service, func()) {
-	daemon := fakeDaemon{network: members, self: process(name)}
-	options := Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon, Settings: quick()}
+// startService runs a service until the returned function is called, or until the spec ends.
+func startService(members *memoryNetwork, source configuration.Source, name string, change func(*Options)) (*Service, func()) {
+	daemon := fakeDaemon{memoryNetwork: members, self: process(name)}
+	options := Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon, Settings: testSettings()}
 	if change != nil {
 		change(&options)
 	}
@@ -257,17 +260,20 @@
 	return service, stop
 }
 
+// document declares the engines in one pool that wants the version of "model".
 func document(version string, engines ...*fakeEngine) configuration.Document {
-	written := configuration.Document{Models: []configuration.Model{{Name: "model", Version: version}}}
+	declared := configuration.Document{Models: []configuration.Model{{Name: "model", Version: version}}}
 	pool := configuration.Pool{Name: "pool", Model: "model"}
 	for _, fake := range engines {
-		written.Engines = append(written.Engines, configuration.Engine{Name: fake.state.Name, Address: fake.URL, Zone: "zone-a"})
+		declared.Engines = append(declared.Engines, configuration.Engine{Name: fake.state.Name, Address: fake.URL, Zone: "zone-a"})
 		pool.Engines = append(pool.Engines, fake.state.Name)
 	}
-	written.Pools = append(written.Pools, pool)
-	return written
+	declared.Pools = append(declared.Pools, pool)
+	return declared
 }
 
+// accepting returns a function that lists the names of the engines that accept work in the
+// current snapshot.
 func accepting(service *Service) func() []string {
 	return func() []string {
 		names := []string{}
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -1,7 +1,9 @@
-// Package engine supervises model engines: one supervising daemon for each,
-// chosen by rendezvous hash, with a fencing token that only grows. It reads
-// load, brings engines to the declared model and role, and sees to it that
-// memory held for ended programs is released.
+// Package engine supervises model engines. Each engine has one supervising daemon, chosen by
+// rendezvous hashing, which sends its orders with a fencing token that only grows. The
+// supervisor polls the engine's load, brings the engine to the declared model and role, and
+// releases memory that the engine still holds for ended programs. Supervisors exchange digests
+// of their engines' states with the other daemons of the region; every daemon builds the
+// scheduler's snapshot from them.
 package engine
 
 import (
@@ -11,44 +13,47 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// Fleet is what request paths use; *Service implements it.
+// Fleet is the interface that request handling uses. *Service implements it.
 type Fleet interface {
-	// Snapshot returns the current picture for the scheduler; never nil.
+	// Snapshot returns the current snapshot of the region's engines. It is never nil.
 	Snapshot() *scheduling.Snapshot
-	// Placed corrects the lagging load for a placement that was just made;
-	// the returned function is called when the attempt ends; elapsed is zero
-	// when it was not sent.
+	// Placed counts a request that was just placed at the engine until the engine's reports
+	// include it. The returned function must be called when the attempt ends; elapsed is zero
+	// if the request was never sent.
 	Placed(engineID string, promptTokens int64) (done func(failed bool, elapsed time.Duration))
-	// Ended hands over programs that ended: their engine memory is released
-	// until confirmed.
+	// Ended reports programs that ended. The named engines are asked to release the programs'
+	// memory until they confirm it.
 	Ended(programs []identity.Program, engines []string)
-	// Hold asks the engine to keep the program's prefix for the time; best effort.
+	// Hold asks the engine to keep the program's prefix for the duration of the lease. It does
+	// not wait, and the request may be lost.
 	Hold(engineID string, program identity.Program, lease time.Duration)
 }
 
-// Announcer tells of new snapshots; *Service implements it.
+// Announcer signals new snapshots. *Service implements it.
 type Announcer interface {
-	// Changed gets a value after a new snapshot; several may be told as one.
+	// Changed returns a channel that receives a value after a new snapshot is stored. Several
+	// changes may be merged into one value.
 	Changed() <-chan struct{}
 }
 
-// Digest is the short state of one engine that supervisors spread in a region.
+// Digest is a summary of one engine's state that its supervisor sends to the daemons of the
+// region.
 type Digest struct {
 	Engine        string
-	Fence         uint64
-	Sequence      uint64 // grows with each report of this supervisor
+	Fence         uint64 // fencing token that the supervisor has claimed
+	Sequence      uint64 // grows with each report of the same supervisor
 	Model         string
 	Version       string
 	Adapters      []string
-	Running       int
-	Waiting       int
-	WaitingTokens int64
-	CacheUsed     int64
-	CacheTokens   int64
-	PrefillPerSec float64
-	DecodePerSec  float64
-	MaxRunning    int
-	Serving       bool
-	Role          string
-	Loading       bool // an order is under way
+	Running       int     // sequences being generated
+	Waiting       int     // queued sequences
+	WaitingTokens int64   // prompt tokens of the queued sequences
+	CacheUsed     int64   // tokens in the prefix cache
+	CacheTokens   int64   // capacity of the prefix cache in tokens
+	PrefillPerSec float64 // prompt tokens per second
+	DecodePerSec  float64 // generated tokens per second and sequence
+	MaxRunning    int     // maximum sequences that run at once
+	Serving       bool    // the role is RoleServe and no order is being executed
+	Role          string  // one of the Role constants
+	Loading       bool    // the engine is executing an order
 }
--- a/internal/engine/follow.go
+++ b/internal/engine/follow.go
@@ -14,15 +14,15 @@
 	"github.com/thymeloft/thymeloft/internal/members"
 )
 
-// followFleet keeps the table of units and the supervisors in step with
-// configuration and the list of members.
-func (s *Service) followFleet(ctx context.Context) {
+// watchFleet updates the engine table and the supervisors when the configuration or the
+// membership changes, and checks both every PollInterval.
+func (s *Service) watchFleet(ctx context.Context) {
 	configured := s.options.Configuration.Subscribe()
 	listed := s.options.Directory.Subscribe()
 	ticker := time.NewTicker(s.settings.PollInterval)
 	defer ticker.Stop()
 	for {
-		s.look(ctx)
+		s.syncIfChanged(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -33,110 +33,116 @@
 	}
 }
 
-// followed is what the table and the supervisors were last brought in step with.
-type followed struct {
-	revision *configuration.Snapshot
-	version  uint64 // of the view of the members
-	daemons  []identity.Process
-	table    *table
-	heard    []identity.Process // daemons less those that are silent
+// syncedState is the input that the engine table and the supervisors were last updated from.
+type syncedState struct {
+	revision   *configuration.Snapshot
+	version    uint64 // version of the membership view
+	daemons    []identity.Process
+	table      *engineTable
+	responsive []identity.Process // daemons without those whose digests stopped arriving
 }
 
-// look takes over what changed. Many views differ in members of other regions,
-// which concern no engine.
-func (s *Service) look(ctx context.Context) {
+// syncIfChanged applies a new configuration and a change of the region's daemons, and then
+// updates the supervisors. A membership view that differs only in other regions does not
+// rebuild the engine table.
+func (s *Service) syncIfChanged(ctx context.Context) {
 	current := s.options.Configuration.Current()
 	view := s.options.Directory.View()
-	if current != s.followed.revision || view.Version != s.followed.version {
-		moved := s.learnRegions(view)
-		living := supervisors(view, s.self)
-		if current != s.followed.revision || moved || !slices.Equal(living, s.followed.daemons) {
-			s.adopt(current, living)
+	if current != s.synced.revision || view.Version != s.synced.version {
+		regionsChanged := s.updateRegions(view)
+		eligible := eligibleDaemons(view, s.self)
+		if current != s.synced.revision || regionsChanged || !slices.Equal(eligible, s.synced.daemons) {
+			s.applyConfiguration(current, eligible)
 		}
-		s.askUnheard(ctx)
-		s.followed.revision, s.followed.version, s.followed.daemons = current, view.Version, living
+		s.fetchUnreported(ctx)
+		s.synced.revision, s.synced.version, s.synced.daemons = current, view.Version, eligible
 	}
-	s.share(ctx)
+	s.syncSupervisors(ctx)
 }
 
-// share brings the supervisors in step with the fleet and with who is heard.
-func (s *Service) share(ctx context.Context) {
+// syncSupervisors reassigns the supervisors if the engine table or the set of responsive
+// daemons changed.
+func (s *Service) syncSupervisors(ctx context.Context) {
 	current := s.fleet.Load()
-	heard := s.passOver(s.followed.daemons, current.units, time.Now())
-	if current == s.followed.table && slices.Equal(heard, s.followed.heard) {
+	responsive := s.responsiveDaemons(s.synced.daemons, current.engines, time.Now())
+	if current == s.synced.table && slices.Equal(responsive, s.synced.responsive) {
 		return
 	}
-	if passedOver := len(s.followed.daemons) - len(heard); passedOver > 0 {
-		s.logger.Warn("engine: supervisors are not heard and passed over.",
-			zap.Int("passedOver", passedOver), zap.Int("heard", len(heard)), zap.Duration("silence", s.settings.silence()))
+	if passedOver := len(s.synced.daemons) - len(responsive); passedOver > 0 {
+		s.logger.Warn("engine: no recent digests from some supervisors; reassigning their engines.",
+			zap.Int("passedOver", passedOver), zap.Int("heard", len(responsive)), zap.Duration("silence", s.settings.maxSilence()))
 	}
-	s.followed.table, s.followed.heard = current, heard
-	s.supervise(ctx, current, heard)
+	s.synced.table, s.synced.responsive = current, responsive
+	s.assignSupervisors(ctx, current, responsive)
 }
 
-// learnRegions notes the zones' regions, and says whether any is new.
-func (s *Service) learnRegions(view *members.View) bool {
-	moved := false
+// updateRegions records the region of each member's zone and returns true if any zone is new or
+// moved to another region.
+func (s *Service) updateRegions(view *members.View) bool {
+	changed := false
 	learn := func(process identity.Process) {
 		region, known := s.regions[process.Zone]
-		moved = moved || !known || region != process.Region
+		changed = changed || !known || region != process.Region
 		s.regions[process.Zone] = process.Region
 	}
 	for _, member := range view.Members {
 		learn(member.Process)
 	}
 	learn(s.self)
-	return moved
+	return changed
 }
 
-// adopt takes over a revision of the configuration and the region's daemons.
-func (s *Service) adopt(current *configuration.Snapshot, daemons []identity.Process) {
-	next := s.nextTable(&current.Document)
+// applyConfiguration replaces the engine table and the wanted state of the pools, and tells the
+// spreader and the departure set about the region's eligible daemons.
+func (s *Service) applyConfiguration(current *configuration.Snapshot, daemons []identity.Process) {
+	next := s.buildTable(&current.Document)
 	s.fleet.Store(next)
 	s.wanted.Store(newWantedPools(current, s.settings.ParallelLoads))
-	s.daemons.Store(int64(max(1, len(daemons))))
-	s.spread.follow(newMesh(s.self, daemons))
-	s.leaving.follow(daemons)
-	s.touch()
+	s.daemonCount.Store(int64(max(1, len(daemons))))
+	s.spread.setMesh(newMesh(s.self, daemons))
+	s.departures.setReaders(daemons)
+	s.requestRebuild()
 }
 
-// askUnheard asks others when engines are declared that nothing was heard of.
-func (s *Service) askUnheard(ctx context.Context) {
-	unheard := func(member *unit) bool { return member.report.Load() == nil }
-	if slices.ContainsFunc(s.fleet.Load().units, unheard) {
-		s.spread.ask(ctx)
+// fetchUnreported fetches digests from other daemons if any engine of the region has no report
+// yet.
+func (s *Service) fetchUnreported(ctx context.Context) {
+	unreported := func(tracked *trackedEngine) bool { return tracked.report.Load() == nil }
+	if slices.ContainsFunc(s.fleet.Load().engines, unreported) {
+		s.spread.fetchFromPeers(ctx)
 	}
 }
 
-// nextTable keeps the units whose declaration stayed the same.
-func (s *Service) nextTable(document *configuration.Document) *table {
+// buildTable returns the engine table for the document. Engines whose declaration did not
+// change keep their tracked state.
+func (s *Service) buildTable(document *configuration.Document) *engineTable {
 	former := s.fleet.Load()
-	next := &table{byName: map[string]*unit{}, byHash: map[uint64]*unit{}}
+	next := &engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}}
 	for _, declared := range document.Engines {
 		kept, found := former.byName[declared.Name]
 		if !found || kept.declared != declared {
-			kept = s.newUnit(declared)
+			kept = s.newTrackedEngine(declared)
 		}
 		next.byName[declared.Name] = kept
 		region, known := s.regions[declared.Zone]
 		if !known || region == s.self.Region {
-			next.units = append(next.units, kept)
+			next.engines = append(next.engines, kept)
 			next.byHash[nameHash(declared.Name)] = kept
 		}
 	}
-	slices.SortFunc(next.units, func(a, b *unit) int { return cmp.Compare(a.declared.Name, b.declared.Name) })
-	next.index = make(map[string]int, len(next.units))
-	for index, member := range next.units {
-		next.index[member.declared.Name] = index
+	slices.SortFunc(next.engines, func(a, b *trackedEngine) int { return cmp.Compare(a.declared.Name, b.declared.Name) })
+	next.index = make(map[string]int, len(next.engines))
+	for index, tracked := range next.engines {
+		next.index[tracked.declared.Name] = index
 	}
 	return next
 }
 
-func (s *Service) newUnit(declared configuration.Engine) *unit {
-	return &unit{
-		declared: declared,
-		place:    hostPort(declared.Address),
-		since:    time.Now(),
+func (s *Service) newTrackedEngine(declared configuration.Engine) *trackedEngine {
+	return &trackedEngine{
+		declared:   declared,
+		endpoint:   hostPort(declared.Address),
+		declaredAt: time.Now(),
 		client: client{
 			http: s.options.HTTP, name: declared.Name, address: declared.Address, timeout: s.settings.PollTimeout,
 		},
@@ -145,19 +151,19 @@
 	}
 }
 
-// supervise starts and stops supervisors so that this daemon supervises
-// exactly the engines that fall to it.
-func (s *Service) supervise(ctx context.Context, next *table, daemons []identity.Process) {
-	wanted := map[string]*unit{}
+// assignSupervisors starts and stops supervisors so that this daemon supervises exactly the
+// engines that the rendezvous hash assigns to it among the given daemons.
+func (s *Service) assignSupervisors(ctx context.Context, next *engineTable, daemons []identity.Process) {
+	wanted := map[string]*trackedEngine{}
 	candidates := newCandidates(daemons)
-	for _, candidate := range next.units {
+	for _, candidate := range next.engines {
 		process, found := candidates.owner(candidate.declared.Name)
 		if found && process == s.self {
 			wanted[candidate.declared.Name] = candidate
 		}
 	}
 	for name, current := range maps.Clone(s.supervisors) {
-		if wanted[name] != current.unit {
+		if wanted[name] != current.engine {
 			current.stop()
 			delete(s.supervisors, name)
 		}
@@ -170,10 +176,11 @@
 	s.metrics.owned.Set(float64(len(wanted)))
 }
 
-// startSupervisor runs a supervisor until its engine falls to another daemon.
-func (s *Service) startSupervisor(ctx context.Context, candidate *unit) {
+// startSupervisor starts supervising the engine. The supervisor runs until its stop function in
+// s.supervisors is called or the context ends.
+func (s *Service) startSupervisor(ctx context.Context, candidate *trackedEngine) {
 	ctx, stop := context.WithCancel(ctx)
-	s.supervisors[candidate.declared.Name] = supervision{unit: candidate, stop: stop}
+	s.supervisors[candidate.declared.Name] = supervision{engine: candidate, stop: stop}
 	supervisor := newSupervisor(s, candidate)
 	s.running.Go(func() { supervisor.run(ctx) })
 }
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -8,44 +8,44 @@
 	"github.com/looplab/fsm"
 )
 
-// States of an engine's health, as seen by this daemon's own requests.
+// States of an engine's health, as seen by the requests of this daemon.
 const (
-	healthy    = "healthy"    // takes work
-	ejected    = "ejected"    // takes none for a time
-	probing    = "probing"    // takes one trial request
-	recovering = "recovering" // takes work up to a share of its batch that grows
+	healthy    = "healthy"    // accepts work
+	ejected    = "ejected"    // accepts no work until probeAt
+	probing    = "probing"    // accepts one trial request
+	recovering = "recovering" // accepts a growing share of its batch size (slow start)
 )
 
 const (
 	eventEject  = "eject"
 	eventProbe  = "probe"
 	eventPass   = "pass"
-	eventReturn = "return" // its report came back after an outage
+	eventReturn = "return" // fresh reports arrived again after an outage
 	eventSettle = "settle"
 )
 
 const (
-	rateKept       = 0.9  // of the error rate, for each request that ends
-	rateKeptIdle   = 0.98 // of the error rate, for each assessment without a request
-	meanKept       = 0.9  // of the mean time, for each request that succeeds
-	leastSamples   = 10   // requests before a rate or a mean ejects
-	mostDoublings  = 6
-	wholeShare     = 1.0
-	jitterOfHealth = 0.3 // of the time of ejection
+	errorRateDecay     = 0.9  // weight of the previous error rate after each ended request
+	idleErrorRateDecay = 0.98 // factor of the error rate for each assessment in which no request ended
+	meanTimeDecay      = 0.9  // weight of the previous mean time when new successes are averaged in
+	minSamples         = 10   // ended requests before the error rate or the mean time may eject an engine
+	maxDoublings       = 6
+	fullShare          = 1.0
+	ejectionJitter     = 0.3 // at most this share of the ejection time is added at random
 )
 
-// health decides whether an engine gets work. It belongs to the goroutine
-// that rebuilds snapshots.
+// health decides whether an engine gets work from this daemon. It is guarded by
+// Service.rebuilding.
 type health struct {
-	machine   *fsm.FSM
-	state     string // of the machine, for readers that can't wait for its lock
-	errorRate float64
-	meanTime  time.Duration
-	samples   int64
-	until     time.Time // ejected: when to probe
-	since     time.Time // recovering: when it returned
-	ejections int       // without a settled return between
-	wasStale  bool
+	machine         *fsm.FSM
+	state           string // current state of machine, readable without its lock
+	errorRate       float64
+	meanTime        time.Duration
+	samples         int64
+	probeAt         time.Time // end of the ejection
+	recoveringSince time.Time // start of the current recovery
+	ejections       int       // consecutive ejections; a completed recovery resets it
+	wasStale        bool
 }
 
 func newHealth() health {
@@ -58,7 +58,8 @@
 	}, nil)}
 }
 
-// fire steps the machine; false: its state does not know the event.
+// fire sends an event to the state machine. It returns false if the event is not allowed in the
+// current state.
 func (h *health) fire(event string) bool {
 	err := h.machine.Event(context.Background(), event)
 	h.state = h.machine.Current()
@@ -66,129 +67,140 @@
 	return err == nil || errors.As(err, &same)
 }
 
-// assessment is what health is judged by, at one moment.
+// assessment is the input of one health assessment.
 type assessment struct {
-	now      time.Time
-	window   window
-	stale    bool
-	median   time.Duration // mean time of engines of its kind; zero: too few
-	mayEject bool          // the share of ejected engines allows one more
-	jitter   float64       // 0 to 1
-	settings *Settings
+	now        time.Time
+	results    results
+	stale      bool
+	medianTime time.Duration // median of the mean times in the engine's peer group; zero: too few peers
+	mayEject   bool          // ejecting one more engine stays within EjectShare
+	jitter     float64       // random number from 0 to 1
+	settings   *Settings
 }
 
-// assess steps the machine and returns true if it ejected the engine.
+// assess updates the statistics and the state, and returns true if it ejected the engine.
 func (h *health) assess(a assessment) bool {
-	h.measure(a.window)
-	h.followReport(a)
+	h.updateStatistics(a.results)
+	h.recoverAfterOutage(a)
 	switch h.state {
 	case ejected:
-		if !a.now.Before(h.until) {
+		if !a.now.Before(h.probeAt) {
 			h.fire(eventProbe)
 		}
 	case probing:
-		return h.judgeProbe(a)
+		return h.evaluateProbe(a)
 	case recovering:
-		if a.now.Sub(h.since) >= a.settings.SlowStart {
+		if a.now.Sub(h.recoveringSince) >= a.settings.SlowStart {
 			h.ejections = 0
 			h.fire(eventSettle)
 		}
-		return h.judge(a)
+		return h.ejectIfFaulty(a)
 	case healthy:
-		return h.judge(a)
+		return h.ejectIfFaulty(a)
 	}
 	return false
 }
 
-func (h *health) measure(w window) {
-	if w.ended == 0 {
-		h.errorRate *= rateKeptIdle
+func (h *health) updateStatistics(r results) {
+	if r.ended == 0 {
+		h.errorRate *= idleErrorRateDecay
 		return
 	}
-	share := float64(w.failed) / float64(w.ended)
-	for range min(w.ended, leastSamples) {
-		h.errorRate = rateKept*h.errorRate + (1-rateKept)*share
+	share := float64(r.failed) / float64(r.ended)
+	for range min(r.ended, minSamples) {
+		h.errorRate = errorRateDecay*h.errorRate + (1-errorRateDecay)*share
 	}
-	h.samples += w.ended
-	if w.succeeded == 0 {
+	h.samples += r.ended
+	if r.succeeded == 0 {
 		return
 	}
-	mean := w.elapsed / time.Duration(w.succeeded)
+	mean := r.elapsed / time.Duration(r.succeeded)
 	if h.meanTime == 0 {
 		h.meanTime = mean
 		return
 	}
-	h.meanTime = time.Duration(meanKept*float64(h.meanTime) + (1-meanKept)*float64(mean))
+	h.meanTime = time.Duration(meanTimeDecay*float64(h.meanTime) + (1-meanTimeDecay)*float64(mean))
 }
 
-// followReport lets an engine that was out of sight return slowly.
-func (h *health) followReport(a assessment) {
+// recoverAfterOutage starts a recovery when the engine's reports become fresh after they were
+// stale or missing.
+func (h *health) recoverAfterOutage(a assessment) {
 	if h.wasStale && !a.stale && h.fire(eventReturn) {
-		h.since = a.now
+		h.recoveringSince = a.now
 	}
 	h.wasStale = a.stale
 }
 
-func (h *health) judge(a assessment) bool {
-	if !a.mayEject || !h.bad(a) {
+// ejectIfFaulty ejects a faulty engine if another ejection is allowed, and returns true if it
+// did.
+func (h *health) ejectIfFaulty(a assessment) bool {
+	if !a.mayEject || !h.isFaulty(a) {
 		return false
 	}
 	h.eject(a)
 	return true
 }
 
-func (h *health) bad(a assessment) bool {
-	if a.window.inARow >= int64(a.settings.EjectAfterFailures) {
+// isFaulty returns true if the engine failed too often in a row, or if enough samples show too
+// high an error rate or a mean time far above the median of its peers.
+func (h *health) isFaulty(a assessment) bool {
+	if a.results.consecutiveFailures >= int64(a.settings.EjectAfterFailures) {
 		return true
 	}
-	if h.samples < leastSamples {
+	if h.samples < minSamples {
 		return false
 	}
-	slow := a.median > 0 && float64(h.meanTime) > a.settings.EjectSlowFactor*float64(a.median)
+	slow := a.medianTime > 0 && float64(h.meanTime) > a.settings.EjectSlowFactor*float64(a.medianTime)
 	return h.errorRate >= a.settings.EjectErrorRate || slow
 }
 
-func (h *health) judgeProbe(a assessment) bool {
+// evaluateProbe starts a recovery if the trial request succeeded and ejects the engine again if
+// it failed. It returns true if it ejected the engine.
+func (h *health) evaluateProbe(a assessment) bool {
 	switch {
-	case a.window.ended == 0:
+	case a.results.ended == 0:
 		return false
-	case a.window.failed > 0:
+	case a.results.failed > 0:
 		h.eject(a)
 		return true
 	default:
 		h.fire(eventPass)
-		h.since = a.now
+		h.recoveringSince = a.now
 		return false
 	}
 }
 
+// eject ejects the engine for EjectFor, doubled for each consecutive ejection up to
+// EjectAtMost, plus jitter. It also discards the samples and the mean time.
 func (h *health) eject(a assessment) {
-	wait := a.settings.EjectFor << min(h.ejections, mostDoublings)
+	wait := a.settings.EjectFor << min(h.ejections, maxDoublings)
 	wait = min(wait, a.settings.EjectAtMost)
-	wait += time.Duration(a.jitter * jitterOfHealth * float64(wait))
+	wait += time.Duration(a.jitter * ejectionJitter * float64(wait))
 	h.ejections++
-	h.until = a.now.Add(wait)
+	h.probeAt = a.now.Add(wait)
 	h.samples = 0
 	h.meanTime = 0
 	h.fire(eventEject)
 }
 
-// accepting says whether the engine takes work beyond a trial.
-func (h *health) accepting() bool {
+// isAccepting returns true if the engine accepts regular work and not just a trial request.
+func (h *health) isAccepting() bool {
 	return h.state == healthy || h.state == recovering
 }
 
-func (h *health) probing() bool { return h.state == probing }
+// isProbing returns true if the engine accepts one trial request.
+func (h *health) isProbing() bool { return h.state == probing }
 
-func (h *health) ejected() bool {
+// isEjected returns true if the engine accepts no regular work.
+func (h *health) isEjected() bool {
 	return h.state == ejected || h.state == probing
 }
 
-// share of the engine's batch that it takes now: it grows after a return, so
-// that no herd meets an engine that just came back.
-func (h *health) share(now time.Time, slowStart time.Duration) float64 {
+// batchShare returns the share of its batch size, from 0 to 1, that the engine may use. During
+// a recovery it grows linearly over slowStart, so that a returning engine is not flooded.
+func (h *health) batchShare(now time.Time, slowStart time.Duration) float64 {
 	if h.state != recovering {
-		return wholeShare
+		return fullShare
 	}
-	return min(wholeShare, float64(now.Sub(h.since))/float64(slowStart))
+	return min(fullShare, float64(now.Sub(h.recoveringSince))/float64(slowStart))
 }
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -5,101 +5,106 @@
 	"time"
 )
 
-// load counts this daemon's own placements at an engine that its lagging
-// report does not show yet, and what became of them. The request path only
-// adds to atomics; the loop of the service folds them.
+// placementCounts counts the requests that this daemon placed at an engine and that the
+// engine's reports do not include yet, and the results of finished requests. It is safe for
+// concurrent use.
 //
-// Placements are kept in two generations, each as long as the time between
-// two reports: a report shows what was true some time ago, so a placement
-// counts until the second report after it.
-type load struct {
-	generation atomic.Uint64
-	count      [2]atomic.Int64
-	tokens     [2]atomic.Int64
-	departed   atomic.Int64 // of placements that reports had shown, since the last report
+// Reports lag behind the engine's state. A placement is therefore counted until the second
+// report after it: the counters have two slots, one for placements since the latest report and
+// one for those between the two latest reports.
+type placementCounts struct {
+	generation       atomic.Uint64
+	count            [2]atomic.Int64
+	tokens           [2]atomic.Int64
+	endedSinceReport atomic.Int64 // placements already included in the latest report that ended after it
 
-	ended     atomic.Int64 // since the last fold
-	failed    atomic.Int64
-	inARow    atomic.Int64 // failures without a success between
-	succeeded atomic.Int64
-	elapsed   atomic.Int64 // nanoseconds of the successes
-	underWay  atomic.Int64
+	ended               atomic.Int64 // requests since the last takeResults, as are failed, succeeded and elapsed
+	failed              atomic.Int64
+	consecutiveFailures atomic.Int64 // failures since the last success
+	succeeded           atomic.Int64
+	elapsed             atomic.Int64 // total nanoseconds of the successful requests
+	inFlight            atomic.Int64
 }
 
-// placed notes a placement; done must be called once at its end.
-func (l *load) placed(promptTokens int64) (done func(failed bool, elapsed time.Duration)) {
+// add counts a placement with its prompt tokens. done must be called when the attempt ends;
+// calls after the first have no effect. elapsed is zero if the request was never sent.
+func (l *placementCounts) add(promptTokens int64) (done func(failed bool, elapsed time.Duration)) {
 	generation := l.generation.Load()
 	slot := generation % 2
 	l.count[slot].Add(1)
 	l.tokens[slot].Add(promptTokens)
-	l.underWay.Add(1)
+	l.inFlight.Add(1)
 	var called atomic.Bool
 	return func(failed bool, elapsed time.Duration) {
 		if called.Swap(true) {
 			return
 		}
-		l.underWay.Add(-1)
-		if l.generation.Load()-generation <= 1 { // Else the slot counts later ones.
+		l.inFlight.Add(-1)
+		if l.generation.Load()-generation <= 1 { // otherwise the slot already counts later placements
 			l.count[slot].Add(-1)
 			l.tokens[slot].Add(-promptTokens)
 		} else {
-			l.departed.Add(1)
+			l.endedSinceReport.Add(1)
 		}
-		l.note(failed, elapsed)
+		l.recordResult(failed, elapsed)
 	}
 }
 
-// note counts an end. One that took no time was withdrawn before it was sent,
-// and says nothing about the engine.
-func (l *load) note(failed bool, elapsed time.Duration) {
+// recordResult counts the result of a request. A request with no elapsed time was never sent
+// and is ignored.
+func (l *placementCounts) recordResult(failed bool, elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
 	l.ended.Add(1)
 	if failed {
 		l.failed.Add(1)
-		l.inARow.Add(1)
+		l.consecutiveFailures.Add(1)
 		return
 	}
-	l.inARow.Store(0)
+	l.consecutiveFailures.Store(0)
 	l.succeeded.Add(1)
 	l.elapsed.Add(int64(elapsed))
 }
 
-// reported is called with each new report: the older generation is dropped.
-func (l *load) reported() {
+// advanceGeneration is called with each new report. It clears the older slot, which becomes the
+// slot for new placements.
+func (l *placementCounts) advanceGeneration() {
 	next := (l.generation.Load() + 1) % 2
 	l.count[next].Store(0)
 	l.tokens[next].Store(0)
-	l.departed.Store(0)
+	l.endedSinceReport.Store(0)
 	l.generation.Add(1)
 }
 
-// since gives the placements that the report may not show yet.
-func (l *load) since() (count int, tokens int64) {
+// unreported returns the number of placements that the latest report may not include yet, and
+// their prompt tokens.
+func (l *placementCounts) unreported() (count int, tokens int64) {
 	placements := max(l.count[0].Load(), 0) + max(l.count[1].Load(), 0)
 	prompt := max(l.tokens[0].Load(), 0) + max(l.tokens[1].Load(), 0)
 	return int(placements), prompt
 }
 
-// window is what ended since the last fold.
-type window struct {
-	ended     int64
-	failed    int64
-	inARow    int64
-	succeeded int64
-	elapsed   time.Duration
+// results summarizes the requests that ended since the last takeResults.
+type results struct {
+	ended               int64
+	failed              int64
+	consecutiveFailures int64
+	succeeded           int64
+	elapsed             time.Duration
 }
 
-func (l *load) fold() window {
+// takeResults returns the results since its last call and resets them, except for the count of
+// consecutive failures. If no request ended, only that count is set.
+func (l *placementCounts) takeResults() results {
 	if l.ended.Load() == 0 {
-		return window{inARow: l.inARow.Load()}
+		return results{consecutiveFailures: l.consecutiveFailures.Load()}
 	}
-	return window{
-		ended:     l.ended.Swap(0),
-		failed:    l.failed.Swap(0),
-		inARow:    l.inARow.Load(),
-		succeeded: l.succeeded.Swap(0),
-		elapsed:   time.Duration(l.elapsed.Swap(0)),
+	return results{
+		ended:               l.ended.Swap(0),
+		failed:              l.failed.Swap(0),
+		consecutiveFailures: l.consecutiveFailures.Load(),
+		succeeded:           l.succeeded.Swap(0),
+		elapsed:             time.Duration(l.elapsed.Swap(0)),
 	}
 }
--- a/internal/engine/machines.go
+++ b/internal/engine/machines.go
@@ -17,104 +17,113 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// readersOfList is the number of daemons of a region that read the machine
-// list; the others hear of it from them.
-const readersOfList = 2
+// machineListReaders is the number of daemons of a region that read the machine list. The other
+// daemons receive the result from them.
+const machineListReaders = 2
 
-const keyOfList = "machine list"
+// machineListKey is the rendezvous key that selects the readers; all daemons of a region must
+// use the same one.
+const machineListKey = "machine list"
 
-// Departures is what one reader found in the machine list.
+// Departures lists the leaving machines that one reader found in the machine list. It is sent
+// to the other daemons of the region.
 type Departures struct {
 	Reader   identity.Machine
-	Sequence uint64   // grows with each change; the reader's clock in nanoseconds
-	Names    []string // names and addresses of machines that leave
+	Sequence uint64   // reader's wall clock in Unix nanoseconds when it published the list; the highest is the latest
+	Names    []string // names and "host:port" addresses of leaving machines, sorted
 }
 
-// departures joins what the readers found.
-type departures struct {
-	mutex    sync.Mutex
-	byReader map[identity.Machine]Departures
-	readers  []identity.Machine
-	current  atomic.Pointer[map[string]bool]
+// departureSet combines the lists of all readers. It is safe for concurrent use.
+type departureSet struct {
+	mutex        sync.Mutex
+	byReader     map[identity.Machine]Departures
+	readers      []identity.Machine
+	leavingNames atomic.Pointer[map[string]bool]
 }
 
-func newDepartures() *departures {
-	d := &departures{byReader: map[identity.Machine]Departures{}}
-	d.current.Store(&map[string]bool{})
+func newDepartureSet() *departureSet {
+	d := &departureSet{byReader: map[identity.Machine]Departures{}}
+	d.leavingNames.Store(&map[string]bool{})
 	return d
 }
 
-// follow chooses the readers among the region's daemons.
-func (d *departures) follow(daemons []identity.Process) {
+// setReaders selects the readers of the machine list among the region's daemons.
+func (d *departureSet) setReaders(daemons []identity.Process) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.readers = d.readers[:0]
-	for _, reader := range rendezvous(keyOfList, daemons, readersOfList) {
+	for _, reader := range rendezvous(machineListKey, daemons, machineListReaders) {
 		d.readers = append(d.readers, reader.Machine)
 	}
 }
 
-func (d *departures) reads(machine identity.Machine) bool {
+// isReader returns true if the daemon on the machine has to read the machine list.
+func (d *departureSet) isReader(machine identity.Machine) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return slices.Contains(d.readers, machine)
 }
 
-// take adopts a reader's finding if it is news; a machine leaves if any
-// present reader says so.
-func (d *departures) take(news Departures) bool {
+// merge stores a reader's list and returns true if it is newer than the known one. A machine is
+// leaving if any reader lists it. Lists of former readers are dropped once a current reader has
+// reported.
+func (d *departureSet) merge(update Departures) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if known, found := d.byReader[news.Reader]; found && known.Sequence >= news.Sequence {
+	if known, found := d.byReader[update.Reader]; found && known.Sequence >= update.Sequence {
 		return false
 	}
-	d.byReader[news.Reader] = news
-	heard := slices.ContainsFunc(d.readers, func(reader identity.Machine) bool { _, found := d.byReader[reader]; return found })
-	joined := map[string]bool{}
+	d.byReader[update.Reader] = update
+	currentReaderReported := slices.ContainsFunc(d.readers, func(reader identity.Machine) bool { _, found := d.byReader[reader]; return found })
+	leavingNames := map[string]bool{}
 	for reader, found := range d.byReader {
-		if heard && !slices.Contains(d.readers, reader) {
+		if currentReaderReported && !slices.Contains(d.readers, reader) {
 			delete(d.byReader, reader)
 			continue
 		}
 		for _, name := range found.Names {
-			joined[name] = true
+			leavingNames[name] = true
 		}
 	}
-	d.current.Store(&joined)
+	d.leavingNames.Store(&leavingNames)
 	return true
 }
 
-// contains says whether the back end leaves: by its name, its place
-// ("host:port") or the machine of its place.
-func (d *departures) contains(name, place string) bool {
-	leaving := *d.current.Load()
+// contains returns true if a reader listed the back end as leaving, by its name, its endpoint
+// ("host:port") or the host of its endpoint.
+func (d *departureSet) contains(name, endpoint string) bool {
+	leaving := *d.leavingNames.Load()
 	if len(leaving) == 0 {
 		return false
 	}
-	return leaving[name] || leaving[place] || leaving[hostOf(place)]
+	return leaving[name] || leaving[endpoint] || leaving[hostOf(endpoint)]
 }
 
-// Leaving says whether the machine list has the back end at the address (an
-// engine, service or tool) as leaving: it must get no new work.
-func (s *Service) Leaving(address string) bool { return s.leaving.contains(address, hostPort(address)) }
+// Leaving returns true if the machine list names the back end at the address (an engine,
+// service or tool) as leaving. Such a back end must get no new work.
+func (s *Service) Leaving(address string) bool {
+	return s.departures.contains(address, hostPort(address))
+}
 
-// machineLoop reads the machine list while that falls to this daemon.
-func (s *Service) machineLoop(ctx context.Context) {
+// machineListLoop reads the machine list every MachineInterval while this daemon is one of the
+// readers. It publishes the leaving machines when they change and at least every
+// RefreshInterval.
+func (s *Service) machineListLoop(ctx context.Context) {
 	if s.options.Machines == nil {
 		return
 	}
 	var last []string
-	var told time.Time
+	var publishedAt time.Time
 	for {
-		if s.leaving.reads(s.self.Machine) {
-			names, err := s.readLeaving(ctx)
+		if s.departures.isReader(s.self.Machine) {
+			names, err := s.listLeaving(ctx)
 			changed := !slices.Equal(names, last)
 			switch {
 			case err != nil:
-				s.logger.Debug("engine: machine list was not read.", zap.Error(err))
-			case changed || time.Since(told) >= s.settings.RefreshInterval:
-				last, told = names, time.Now()
-				s.tellDepartures(names, told)
+				s.logger.Debug("engine: reading the machine list failed.", zap.Error(err))
+			case changed || time.Since(publishedAt) >= s.settings.RefreshInterval:
+				last, publishedAt = names, time.Now()
+				s.publishDepartures(names, publishedAt)
 			}
 		}
 		interval := float64(s.settings.MachineInterval)
@@ -124,15 +133,18 @@
 	}
 }
 
-func (s *Service) tellDepartures(names []string, now time.Time) {
-	news := Departures{Reader: s.self.Machine, Sequence: uint64(now.UnixNano()), Names: names}
-	if s.leaving.take(news) {
-		s.touch()
+// publishDepartures merges this daemon's own list and passes it to the spreader.
+func (s *Service) publishDepartures(names []string, now time.Time) {
+	update := Departures{Reader: s.self.Machine, Sequence: uint64(now.UnixNano()), Names: names}
+	if s.departures.merge(update) {
+		s.requestRebuild()
 	}
-	s.spread.publishDepartures(news)
+	s.spread.publishDepartures(update)
 }
 
-func (s *Service) readLeaving(ctx context.Context) ([]string, error) {
+// listLeaving returns the sorted names and "host:port" addresses of the machines that the
+// machine list marks as leaving, without machines that run a daemon.
+func (s *Service) listLeaving(ctx context.Context) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.settings.PollTimeout)
 	defer cancel()
 	listed, err := s.options.Machines.List(ctx)
@@ -153,7 +165,8 @@
 	return slices.Compact(names), nil
 }
 
-// hostPort strips the scheme and path of an address.
+// hostPort returns the "host:port" part of a URL, or the address unchanged if it is not a URL
+// with a host.
 func hostPort(address string) string {
 	parsed, err := url.Parse(address)
 	if err != nil || parsed.Host == "" {
@@ -162,10 +175,12 @@
 	return parsed.Host
 }
 
-func hostOf(place string) string {
-	host, _, err := net.SplitHostPort(place)
+// hostOf returns the host of a "host:port" endpoint, or the endpoint unchanged if it has no
+// port.
+func hostOf(endpoint string) string {
+	host, _, err := net.SplitHostPort(endpoint)
 	if err != nil {
-		return place
+		return endpoint
 	}
 	return host
 }
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -12,34 +12,36 @@
 )
 
 const (
-	releaseBatch        = 256
-	releaseTick         = 250 * time.Millisecond
+	maxReleaseBatch     = 256
+	releaseInterval     = 250 * time.Millisecond
 	releaseRetryInitial = 200 * time.Millisecond
-	releaseRetryMaximum = 10 * time.Second
-	// triesAfterRemoval bounds the retries at an engine that is not declared any more.
-	triesAfterRemoval = 10
+	releaseRetryMax     = 10 * time.Second
+	// maxAttemptsAfterRemoval is the number of consecutive failures after which the queued
+	// releases of an engine that is no longer declared are dropped.
+	maxAttemptsAfterRemoval = 10
 )
 
-// releaseQueue holds the programs whose memory an engine has not confirmed as
-// released. It is bounded: what does not fit is left to reconciliation.
+// releaseQueue holds the programs whose memory the engine has not yet confirmed as released. It
+// holds at most limit programs; the rest is left to reconciliation. It is safe for concurrent
+// use.
 type releaseQueue struct {
-	mutex    sync.Mutex
-	limit    int
-	waiting  map[identity.Program]struct{}
-	pauses   *backoff.ExponentialBackOff
-	next     time.Time
-	failures int
-	busy     bool
+	mutex        sync.Mutex
+	limit        int
+	waiting      map[identity.Program]struct{}
+	retryBackoff *backoff.ExponentialBackOff
+	nextAttempt  time.Time
+	failures     int
+	sending      bool
 }
 
 func newReleaseQueue(limit int) *releaseQueue {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = releaseRetryInitial
-	pauses.MaxInterval = releaseRetryMaximum
-	return &releaseQueue{limit: limit, waiting: map[identity.Program]struct{}{}, pauses: pauses}
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval = releaseRetryInitial
+	retryBackoff.MaxInterval = releaseRetryMax
+	return &releaseQueue{limit: limit, waiting: map[identity.Program]struct{}{}, retryBackoff: retryBackoff}
 }
 
-// add queues programs and returns how many were new and how many did not fit.
+// add queues programs. It returns how many were not queued before and how many did not fit.
 func (q *releaseQueue) add(programs []identity.Program) (added, overflowed int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -57,17 +59,18 @@
 	return added, overflowed
 }
 
-// take returns a batch that is due; confirm or fail must follow.
-func (q *releaseQueue) take(now time.Time) []string {
+// nextBatch returns up to maxReleaseBatch programs to release now, or nil if none are due or a
+// batch is being sent. After a batch the caller must call confirm or scheduleRetry.
+func (q *releaseQueue) nextBatch(now time.Time) []string {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if q.busy || len(q.waiting) == 0 || now.Before(q.next) {
+	if q.sending || len(q.waiting) == 0 || now.Before(q.nextAttempt) {
 		return nil
 	}
-	q.busy = true
-	batch := make([]string, 0, min(len(q.waiting), releaseBatch))
+	q.sending = true
+	batch := make([]string, 0, min(len(q.waiting), maxReleaseBatch))
 	for program := range q.waiting {
-		if len(batch) == releaseBatch {
+		if len(batch) == maxReleaseBatch {
 			break
 		}
 		batch = append(batch, string(program))
@@ -75,28 +78,31 @@
 	return batch
 }
 
+// confirm removes a released batch from the queue and resets the retry delay.
 func (q *releaseQueue) confirm(batch []string) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, program := range batch {
 		delete(q.waiting, identity.Program(program))
 	}
-	q.busy = false
+	q.sending = false
 	q.failures = 0
-	q.next = time.Time{}
-	q.pauses.Reset()
+	q.nextAttempt = time.Time{}
+	q.retryBackoff.Reset()
 }
 
-// fail sets the next try and returns the number of failures in a row.
-func (q *releaseQueue) fail(now time.Time) int {
+// scheduleRetry keeps the batch in the queue until the next attempt, and returns the number of
+// consecutive failures.
+func (q *releaseQueue) scheduleRetry(now time.Time) int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.busy = false
+	q.sending = false
 	q.failures++
-	q.next = now.Add(q.pauses.NextBackOff())
+	q.nextAttempt = now.Add(q.retryBackoff.NextBackOff())
 	return q.failures
 }
 
+// drop empties the queue and returns the number of dropped programs.
 func (q *releaseQueue) drop() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -111,151 +117,158 @@
 	return len(q.waiting)
 }
 
-// pendingUnits are the units with releases that wait, also those whose
-// declaration was changed or removed meanwhile.
-type pendingUnits struct {
-	mutex sync.Mutex
-	units map[*unit]struct{}
+// pendingReleases is the set of engines with queued releases. It includes engines whose
+// declaration was changed or removed after their releases were queued.
+type pendingReleases struct {
+	mutex   sync.Mutex
+	engines map[*trackedEngine]struct{}
 }
 
-func (p *pendingUnits) add(member *unit) {
+func (p *pendingReleases) add(tracked *trackedEngine) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.units[member] = struct{}{}
+	p.engines[tracked] = struct{}{}
 }
 
-// due returns all, after forgetting those whose queue is empty.
-func (p *pendingUnits) due() (members []*unit, programs int) {
+// nonEmpty removes the engines with an empty queue and returns the others, with the total
+// number of queued programs.
+func (p *pendingReleases) nonEmpty() (engines []*trackedEngine, programs int) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for member := range p.units {
-		length := member.releases.length()
+	for tracked := range p.engines {
+		length := tracked.releases.length()
 		if length == 0 {
-			delete(p.units, member)
+			delete(p.engines, tracked)
 			continue
 		}
 		programs += length
-		members = append(members, member)
+		engines = append(engines, tracked)
 	}
-	return members, programs
+	return engines, programs
 }
 
-// Ended implements Fleet. Engines that are not declared are passed over.
+// Ended implements Fleet. Engines that are not declared are ignored.
 func (s *Service) Ended(programs []identity.Program, engines []string) {
 	fleet := s.fleet.Load()
 	for _, name := range engines {
-		if member, found := fleet.byName[name]; found {
-			s.queueReleases(member, programs)
+		if tracked, found := fleet.byName[name]; found {
+			s.queueReleases(tracked, programs)
 		}
 	}
 }
 
-func (s *Service) queueReleases(member *unit, programs []identity.Program) {
-	_, overflowed := member.releases.add(programs)
+// queueReleases queues the programs at the engine, logs those that do not fit, and wakes
+// releaseLoop.
+func (s *Service) queueReleases(tracked *trackedEngine, programs []identity.Program) {
+	_, overflowed := tracked.releases.add(programs)
 	if overflowed > 0 {
 		s.metrics.overflowed.Add(float64(overflowed))
-		s.logger.Warn("engine: queue of releases is full; reconciliation will catch the rest.",
-			zap.String("engine", member.declared.Name), zap.Int("programs", overflowed))
+		s.logger.Warn("engine: release queue is full; reconciliation will release the rest.",
+			zap.String("engine", tracked.declared.Name), zap.Int("programs", overflowed))
 	}
-	s.pending.add(member)
-	signal(s.wake)
+	s.pendingReleases.add(tracked)
+	notify(s.releaseWake)
 }
 
-// releaseLoop sends releases until they are confirmed.
+// releaseLoop sends the queued releases of all engines until they are confirmed.
 func (s *Service) releaseLoop(ctx context.Context) {
-	ticker := time.NewTicker(releaseTick)
+	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.wake:
+		case <-s.releaseWake:
 		}
-		members, programs := s.pending.due()
+		engines, programs := s.pendingReleases.nonEmpty()
 		s.metrics.pending.Set(float64(programs))
-		for _, member := range members {
-			batch := member.releases.take(time.Now())
+		for _, tracked := range engines {
+			batch := tracked.releases.nextBatch(time.Now())
 			if len(batch) > 0 {
-				s.running.Go(func() { s.sendReleases(ctx, member, batch) })
+				s.running.Go(func() { s.sendReleases(ctx, tracked, batch) })
 			}
 		}
 	}
 }
 
-func (s *Service) sendReleases(ctx context.Context, member *unit, batch []string) {
+// sendReleases sends one batch to the engine. If the engine is no longer declared, or was
+// declared anew, it drops the whole queue after maxAttemptsAfterRemoval consecutive failures.
+func (s *Service) sendReleases(ctx context.Context, tracked *trackedEngine, batch []string) {
 	if s.calls.Acquire(ctx, 1) != nil {
-		member.releases.fail(time.Now())
+		tracked.releases.scheduleRetry(time.Now())
 		return
 	}
-	err := member.client.release(ctx, batch)
+	err := tracked.client.release(ctx, batch)
 	s.calls.Release(1)
 	if err == nil {
-		member.releases.confirm(batch)
+		tracked.releases.confirm(batch)
 		s.metrics.released.Add(float64(len(batch)))
-		signal(s.wake)
+		notify(s.releaseWake)
 		return
 	}
-	failures := member.releases.fail(time.Now())
+	failures := tracked.releases.scheduleRetry(time.Now())
 	if failures == 1 {
-		s.logger.Warn("engine: release was not confirmed; it will be sent again.", zap.Error(err))
+		s.logger.Warn("engine: release was not confirmed; retrying.", zap.Error(err))
 	}
-	if failures >= triesAfterRemoval && s.fleet.Load().byName[member.declared.Name] != member {
-		dropped := member.releases.drop()
-		s.logger.Warn("engine: gave up releases at an engine that is not declared any more.",
-			zap.String("engine", member.declared.Name), zap.Int("programs", dropped))
+	if failures >= maxAttemptsAfterRemoval && s.fleet.Load().byName[tracked.declared.Name] != tracked {
+		dropped := tracked.releases.drop()
+		s.logger.Warn("engine: dropped the pending releases of an engine that is no longer declared.",
+			zap.String("engine", tracked.declared.Name), zap.Int("programs", dropped))
 	}
 }
 
-// heldLease asks for a program's prefix to be kept.
-type heldLease struct {
-	member  *unit
+// holdRequest asks an engine to keep a program's prefix for the duration of the lease.
+type holdRequest struct {
+	engine  *trackedEngine
 	program identity.Program
 	lease   time.Duration
 }
 
-// Hold implements Fleet; when too many wait, it is dropped.
+// Hold implements Fleet. The request is dropped if the engine is not declared, the lease is not
+// positive or the queue of requests is full.
 func (s *Service) Hold(engineID string, program identity.Program, lease time.Duration) {
-	member, found := s.fleet.Load().byName[engineID]
+	engine, found := s.fleet.Load().byName[engineID]
 	if !found || lease <= 0 {
 		return
 	}
 	select {
-	case s.holds <- heldLease{member: member, program: program, lease: lease}:
+	case s.holdRequests <- holdRequest{engine: engine, program: program, lease: lease}:
 	default:
 	}
 }
 
+// holdLoop sends the queued hold requests. A failed request is not retried.
 func (s *Service) holdLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case wanted := <-s.holds:
+		case wanted := <-s.holdRequests:
 			if s.calls.Acquire(ctx, 1) != nil {
 				return
 			}
 			s.running.Go(func() {
 				defer s.calls.Release(1)
-				if err := wanted.member.client.hold(ctx, string(wanted.program), wanted.lease); err != nil {
-					s.logger.Debug("engine: lease of a prefix was not taken.", zap.Error(err))
+				if err := wanted.engine.client.hold(ctx, string(wanted.program), wanted.lease); err != nil {
+					s.logger.Debug("engine: holding a prefix failed.", zap.Error(err))
 				}
 			})
 		}
 	}
 }
 
-// reconcile lists what the engine holds, when it is due, and releases what
-// belongs to programs that ended or that nobody knows.
-func (s *supervisor) reconcile(ctx context.Context) {
+// reconcileHeld lists the programs that the engine holds memory for, at most once per
+// ReconcileInterval, and queues the release of those that ended or are unknown.
+func (s *supervisor) reconcileHeld(ctx context.Context) {
 	ask := s.service.options.EndedOrUnknown
-	if ask == nil || time.Now().Before(s.nextList) {
+	if ask == nil || time.Now().Before(s.nextReconcile) {
 		return
 	}
-	s.nextList = time.Now().Add(s.service.settings.ReconcileInterval)
-	list, err := s.unit.client.held(ctx)
+	s.nextReconcile = time.Now().Add(s.service.settings.ReconcileInterval)
+	list, err := s.engine.client.listHeld(ctx)
 	if err != nil {
-		s.logger.Warn("engine: held memory was not listed.", zap.Error(err))
+		s.logger.Warn("engine: listing held memory failed.", zap.Error(err))
 		return
 	}
 	programs := make([]identity.Program, len(list.Held))
@@ -274,12 +287,12 @@
 	defer cancel()
 	ended, err := s.service.options.EndedOrUnknown(ctx, programs)
 	if err != nil {
-		s.logger.Debug("engine: can't tell which programs ended.", zap.Error(err))
+		s.logger.Debug("engine: looking up ended programs failed.", zap.Error(err))
 		return
 	}
 	if len(ended) == 0 {
 		return
 	}
 	s.service.metrics.reconciled.Add(float64(len(ended)))
-	s.service.queueReleases(s.unit, ended)
+	s.service.queueReleases(s.engine, ended)
 }
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -28,18 +28,18 @@
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
 	m := &metrics{
-		polls:        counters("polls_total", "Reads of engines' states by result.", "result"),
-		orders:       counters("orders_total", "Orders to engines by kind and result.", "kind", "result"),
-		ejections:    counter("ejections_total", "Engines ejected because they failed or were slow."),
-		released:     counter("released_programs_total", "Programs whose memory an engine confirmed as released."),
-		reconciled:   counter("reconciled_programs_total", "Programs found held by an engine after their end."),
-		overflowed:   counter("releases_overflowed_total", "Releases left to reconciliation because a queue was full."),
-		pending:      gauge("releases_pending", "Releases that no engine has confirmed yet."),
-		owned:        gauge("supervised", "Engines supervised by this daemon."),
-		accepting:    gauge("accepting", "Engines that get new work from this daemon."),
-		digestsSent:  counter("digests_sent_total", "Digests sent to other daemons."),
-		digestBytes:  counters("digest_bytes_total", "Bytes of digests by direction.", "direction"),
-		digestErrors: counter("digest_errors_total", "Batches of digests that could not be sent or read."),
+		polls:        newCounterVec("polls_total", "Reads of engines' states by result.", "result"),
+		orders:       newCounterVec("orders_total", "Orders to engines by kind and result.", "kind", "result"),
+		ejections:    newCounter("ejections_total", "Engines ejected because they failed or were slow."),
+		released:     newCounter("released_programs_total", "Programs whose memory an engine confirmed as released."),
+		reconciled:   newCounter("reconciled_programs_total", "Programs found held by an engine after their end."),
+		overflowed:   newCounter("releases_overflowed_total", "Releases left to reconciliation because a queue was full."),
+		pending:      newGauge("releases_pending", "Releases that no engine has confirmed yet."),
+		owned:        newGauge("supervised", "Engines supervised by this daemon."),
+		accepting:    newGauge("accepting", "Engines that get new work from this daemon."),
+		digestsSent:  newCounter("digests_sent_total", "Digests sent to other daemons."),
+		digestBytes:  newCounterVec("digest_bytes_total", "Bytes of digests by direction.", "direction"),
+		digestErrors: newCounter("digest_errors_total", "Batches of digests that could not be sent or read."),
 		rebuild: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: "thymeloft", Subsystem: "engine", Name: "snapshot_rebuild_seconds",
 			Help: "Time to rebuild the scheduler's snapshot.", Buckets: prometheus.ExponentialBuckets(1e-6, 4, 10),
@@ -52,18 +52,18 @@
 	return m
 }
 
-func options(name, help string) prometheus.Opts {
+func metricOpts(name, help string) prometheus.Opts {
 	return prometheus.Opts{Namespace: "thymeloft", Subsystem: "engine", Name: name, Help: help}
 }
 
-func counter(name, help string) prometheus.Counter {
-	return prometheus.NewCounter(prometheus.CounterOpts(options(name, help)))
+func newCounter(name, help string) prometheus.Counter {
+	return prometheus.NewCounter(prometheus.CounterOpts(metricOpts(name, help)))
 }
 
-func counters(name, help string, labels ...string) *prometheus.CounterVec {
-	return prometheus.NewCounterVec(prometheus.CounterOpts(options(name, help)), labels)
+func newCounterVec(name, help string, labels ...string) *prometheus.CounterVec {
+	return prometheus.NewCounterVec(prometheus.CounterOpts(metricOpts(name, help)), labels)
 }
 
-func gauge(name, help string) prometheus.Gauge {
-	return prometheus.NewGauge(prometheus.GaugeOpts(options(name, help)))
+func newGauge(name, help string) prometheus.Gauge {
+	return prometheus.NewGauge(prometheus.GaugeOpts(metricOpts(name, help)))
 }
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -16,76 +16,76 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// Options of a Service. Durations and counts that are zero take the default
-// given with each field.
+// Options configures a Service. Configuration, Directory, Caller and Registrar are required.
 type Options struct {
 	Self          identity.Process
 	Configuration configuration.Source
 	Directory     members.Directory
 	Caller        peer.Caller
 	Registrar     peer.Registrar
-	Machines      platform.Machines // nil: no machine list
-	Weights       platform.Weights  // nil: loads are not limited by size
-	// EndedOrUnknown returns those of the programs that ended or that
-	// nobody knows; an error says that it can't be told now. nil: nothing
-	// is reconciled.
+	Machines      platform.Machines // nil: no back end counts as leaving
+	Weights       platform.Weights  // nil: loads are not limited by their size
+	// EndedOrUnknown returns those of the given programs that have ended or are unknown. It
+	// returns an error if that cannot be determined now. nil: memory that engines hold is not
+	// reconciled.
 	EndedOrUnknown func(ctx context.Context, programs []identity.Program) ([]identity.Program, error)
-	HTTP           *http.Client // nil: one of its own
+	HTTP           *http.Client // nil: a client with PollTimeout is created
 	Logger         *zap.Logger
-	Registerer     prometheus.Registerer // nil: metrics are kept but not exposed
+	Registerer     prometheus.Registerer // nil: metrics are counted but not registered
 	Settings       Settings
 }
 
-// Settings are the times and bounds of supervision.
+// Settings contains the intervals and limits of supervision. A value of zero or less is
+// replaced by the default given with the field, except for WeightBytesPerSecond.
 type Settings struct {
-	PollInterval         time.Duration // between reads of an engine's state, jittered; 1 s
-	PollTimeout          time.Duration // of one call to an engine's administration; 2 s
-	PollConcurrency      int           // calls to engines at once; 32
-	SpreadInterval       time.Duration // between digests to the region's daemons; 1 s
-	SpreadBytesPerSecond float64       // to all daemons; digests wait and merge when there is more; 8192
-	RefreshInterval      time.Duration // after which an unchanged digest is spread again; 3 s
-	DigestTooOld         time.Duration // age from which an engine gets no new work; 8 s
-	RebuildInterval      time.Duration // least time between two snapshots; 50 ms
-	MachineInterval      time.Duration // between reads of the machine list, jittered; 2 s
-	ReconcileInterval    time.Duration // between lists of held memory, for each engine; 15 s
-	ReconcileBatch       int           // programs asked about at once; 256
-	ReleaseQueue         int           // programs that wait for a release, for each engine; 4096
-	EjectAfterFailures   int           // failures in a row that eject an engine; 5
-	EjectErrorRate       float64       // share of failures that ejects; 0.5
-	EjectSlowFactor      float64       // slower than so many times its kind's median; 4
-	EjectFor             time.Duration // first time of ejection, doubled each time, jittered; 5 s
-	EjectAtMost          time.Duration // longest time of ejection; 60 s
-	EjectShare           float64       // of a model's engines at most are ejected; 0.5
-	SlowStart            time.Duration // in which a returned engine gets up to its whole batch; 10 s
-	ParallelLoads        int           // engines of a pool without service that load at once; 4
-	KeepPrefix           time.Duration // after its last use, a shared prefix counts as held; 2 min
-	DrainBound           time.Duration // wait for running requests before an order that stops service; 60 s
-	WeightBytesPerSecond float64       // of the weight store for all daemons of the region; 0: not limited
+	PollInterval         time.Duration // time between polls of an engine's state, jittered by 10 % either way; default 1 s
+	PollTimeout          time.Duration // timeout of one call to an engine or another daemon; default 2 s
+	PollConcurrency      int           // maximum concurrent calls to engines; default 32
+	SpreadInterval       time.Duration // time between batches of digests to the region's daemons; default 1 s
+	SpreadBytesPerSecond float64       // rate limit of digests to all daemons together; digests over the limit are delayed, and newer ones replace them; default 8192
+	RefreshInterval      time.Duration // time after which an unchanged digest is sent again; default 3 s
+	DigestTooOld         time.Duration // age of a digest beyond which its engine gets no new work; default 8 s
+	RebuildInterval      time.Duration // minimum time between two rebuilds of the snapshot; default 50 ms
+	MachineInterval      time.Duration // time between reads of the machine list, jittered by 10 % either way; default 2 s
+	ReconcileInterval    time.Duration // time between listings of the memory that an engine holds; default 15 s
+	ReconcileBatch       int           // maximum programs in one call of EndedOrUnknown; default 256
+	ReleaseQueue         int           // maximum programs queued for release, per engine; default 4096
+	EjectAfterFailures   int           // consecutive failures that eject an engine; default 5
+	EjectErrorRate       float64       // share of failed requests that ejects an engine, 0 to 1; default 0.5
+	EjectSlowFactor      float64       // an engine is ejected if its mean request time is more than this many times its peers' median; default 4
+	EjectFor             time.Duration // duration of the first ejection, doubled for each consecutive one, jittered; default 5 s
+	EjectAtMost          time.Duration // maximum duration of an ejection before jitter; default 60 s
+	EjectShare           float64       // maximum share of ejected engines among those of the same model and hardware, 0 to 1; default 0.5
+	SlowStart            time.Duration // time over which a recovering engine's share of its batch size grows to 1; default 10 s
+	ParallelLoads        int           // maximum engines of a pool that execute orders at once; default 4
+	KeepPrefix           time.Duration // time since its last use for which an engine is assumed to hold a shared prefix; default 2 min
+	DrainBound           time.Duration // maximum wait for running requests before an order that interrupts service; default 60 s
+	WeightBytesPerSecond float64       // rate limit of the weight store, shared by the daemons of the region; 0: unlimited
 }
 
 const (
-	defaultPollInterval       = time.Second
-	defaultPollTimeout        = 2 * time.Second
-	defaultPollConcurrency    = 32
-	defaultSpreadInterval     = time.Second
-	defaultSpreadBytes        = 8192.0
-	defaultRefreshInterval    = 3 * time.Second
-	defaultDigestTooOld       = 8 * time.Second
-	defaultRebuildInterval    = 50 * time.Millisecond
-	defaultMachineInterval    = 2 * time.Second
-	defaultReconcileInterval  = 15 * time.Second
-	defaultReconcileBatch     = 256
-	defaultReleaseQueue       = 4096
-	defaultEjectAfterFailures = 5
-	defaultEjectErrorRate     = 0.5
-	defaultEjectSlowFactor    = 4.0
-	defaultEjectFor           = 5 * time.Second
-	defaultEjectAtMost        = time.Minute
-	defaultEjectShare         = 0.5
-	defaultSlowStart          = 10 * time.Second
-	defaultParallelLoads      = 4
-	defaultKeepPrefix         = 2 * time.Minute
-	defaultDrainBound         = time.Minute
+	defaultPollInterval         = time.Second
+	defaultPollTimeout          = 2 * time.Second
+	defaultPollConcurrency      = 32
+	defaultSpreadInterval       = time.Second
+	defaultSpreadBytesPerSecond = 8192.0
+	defaultRefreshInterval      = 3 * time.Second
+	defaultDigestTooOld         = 8 * time.Second
+	defaultRebuildInterval      = 50 * time.Millisecond
+	defaultMachineInterval      = 2 * time.Second
+	defaultReconcileInterval    = 15 * time.Second
+	defaultReconcileBatch       = 256
+	defaultReleaseQueue         = 4096
+	defaultEjectAfterFailures   = 5
+	defaultEjectErrorRate       = 0.5
+	defaultEjectSlowFactor      = 4.0
+	defaultEjectFor             = 5 * time.Second
+	defaultEjectAtMost          = time.Minute
+	defaultEjectShare           = 0.5
+	defaultSlowStart            = 10 * time.Second
+	defaultParallelLoads        = 4
+	defaultKeepPrefix           = 2 * time.Minute
+	defaultDrainBound           = time.Minute
 )
 
 func (s Settings) withDefaults() Settings {
@@ -93,7 +93,7 @@
 	setDefault(&s.PollTimeout, defaultPollTimeout)
 	setDefault(&s.PollConcurrency, defaultPollConcurrency)
 	setDefault(&s.SpreadInterval, defaultSpreadInterval)
-	setDefault(&s.SpreadBytesPerSecond, defaultSpreadBytes)
+	setDefault(&s.SpreadBytesPerSecond, defaultSpreadBytesPerSecond)
 	setDefault(&s.RefreshInterval, defaultRefreshInterval)
 	setDefault(&s.DigestTooOld, defaultDigestTooOld)
 	setDefault(&s.RebuildInterval, defaultRebuildInterval)
@@ -120,7 +120,7 @@
 	}
 }
 
-var errMissingOption = errors.New("configuration, directory, caller and registrar are needed")
+var errMissingOption = errors.New("configuration, directory, caller and registrar are required")
 
 func (o Options) withDefaults() (Options, error) {
 	if o.Configuration == nil || o.Directory == nil || o.Caller == nil || o.Registrar == nil {
--- a/internal/engine/ownership.go
+++ b/internal/engine/ownership.go
@@ -12,8 +12,8 @@
 	"github.com/thymeloft/thymeloft/internal/members"
 )
 
-// rendezvous returns the count processes with the highest weight for the key,
-// best first: when a process comes or goes, only its own keys move.
+// rendezvous returns the count processes with the highest weights for the key, highest first.
+// When a process joins or leaves, only the results that include it change.
 func rendezvous(key string, processes []identity.Process, count int) []identity.Process {
 	type weighted struct {
 		process identity.Process
@@ -33,8 +33,9 @@
 	return best
 }
 
-// prefixOf is the part of a weight's hash that does not depend on the key.
-func prefixOf(process identity.Process) xxhash.Digest {
+// hashPrefix returns the hash state of a weight before the key is written, so that it can be
+// reused for many keys.
+func hashPrefix(process identity.Process) xxhash.Digest {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(string(process.Machine))
@@ -44,16 +45,17 @@
 	return digest
 }
 
+// weightOf returns the rendezvous weight of the process for the key.
 func weightOf(key string, process identity.Process) uint64 {
-	digest := prefixOf(process)
+	digest := hashPrefix(process)
 	_, _ = digest.WriteString(key)
 	return digest.Sum64()
 }
 
-// candidate is a process that engines may fall to.
+// candidate is a process to which engines may be assigned.
 type candidate struct {
 	process identity.Process
-	prefix  xxhash.Digest
+	prefix  xxhash.Digest // hashPrefix of the process
 }
 
 type candidates []candidate
@@ -61,21 +63,21 @@
 func newCandidates(processes []identity.Process) candidates {
 	list := make(candidates, len(processes))
 	for index, process := range processes {
-		list[index] = candidate{process: process, prefix: prefixOf(process)}
+		list[index] = candidate{process: process, prefix: hashPrefix(process)}
 	}
 	return list
 }
 
-// owner is the process that supervises the engine; false: there is none.
+// owner returns the process that supervises the engine, or false if there are no candidates.
 func (c candidates) owner(engine string) (identity.Process, bool) {
 	var best *candidate
-	var most uint64
+	var highest uint64
 	for index := range c {
 		digest := c[index].prefix
 		_, _ = digest.WriteString(engine)
 		weight := digest.Sum64()
-		if best == nil || weight > most || (weight == most && c[index].process.Machine < best.process.Machine) {
-			best, most = &c[index], weight
+		if best == nil || weight > highest || (weight == highest && c[index].process.Machine < best.process.Machine) {
+			best, highest = &c[index], weight
 		}
 	}
 	if best == nil {
@@ -84,60 +86,63 @@
 	return best.process, true
 }
 
-// supervisors are the daemons of the region that may supervise: those whose
-// lease stands, so that a lost packet moves nothing, and that do not leave. This
-// daemon counts even before others see it.
-func supervisors(view *members.View, self identity.Process) []identity.Process {
-	found := []identity.Process{self}
+// eligibleDaemons returns the daemons of the region that may supervise engines: those that are
+// members in state alive. A member stays alive while it renews its lease, so a lost packet does
+// not reassign engines. This daemon is included even if it is not listed yet.
+func eligibleDaemons(view *members.View, self identity.Process) []identity.Process {
+	eligible := []identity.Process{self}
 	for _, member := range view.Members {
 		usable := member.State == members.StateAlive
 		switch {
 		case member.Process == self && !usable:
-			found = slices.DeleteFunc(found, func(p identity.Process) bool { return p == self })
+			eligible = slices.DeleteFunc(eligible, func(p identity.Process) bool { return p == self })
 		case member.Process != self && usable && member.Process.Region == self.Region:
-			found = append(found, member.Process)
+			eligible = append(eligible, member.Process)
 		}
 	}
-	return found
+	return eligible
 }
 
 const (
-	// fenceShift leaves the low bits of a fencing token to the process, so
-	// that two daemons that read the same token never claim the same one.
+	// fenceShift is the number of low bits of a fencing token that identify the process, so
+	// that two daemons that read the same token do not claim the same next one.
 	fenceShift = 20
 	fenceMask  = 1<<fenceShift - 1
 )
 
-// nextFence is above every token seen, and the process's own.
+// nextFence returns a fencing token that is higher than every token seen and whose low bits
+// identify the process.
 func nextFence(seen uint64, self identity.Process) uint64 {
 	return (seen>>fenceShift+1)<<fenceShift | weightOf("fence", self)&fenceMask
 }
 
-// mesh says to whom digests go. Few daemons send to each other directly. Many
-// stand in a grid: each sends its own digests along its row and column, and
-// passes those of its row on along its column, so that every daemon gets each
-// digest about once in two steps and sends to about 2*sqrt(n) others.
+// mesh lists the daemons to which this daemon sends digests. Up to maxDirectDaemons daemons
+// send to each other directly, as one row. More daemons are arranged in a grid: each sends its
+// own digests along its row and its column, and relays the digests received along its row to
+// its column. Thus every daemon receives each digest about once, within two steps, and sends to
+// about 2*sqrt(n) others.
 type mesh struct {
 	row    []identity.Process
 	column []identity.Process
 }
 
-// directUpTo is the number of daemons that send to each other directly.
-const directUpTo = 12
+// maxDirectDaemons is the maximum number of daemons that send digests to each other directly.
+const maxDirectDaemons = 12
 
 func newMesh(self identity.Process, processes []identity.Process) mesh {
 	sorted := slices.Clone(processes)
 	slices.SortFunc(sorted, func(a, b identity.Process) int { return cmp.Compare(a.Machine, b.Machine) })
 	place := slices.IndexFunc(sorted, func(p identity.Process) bool { return p == self })
 	width := len(sorted)
-	if len(sorted) > directUpTo {
+	if len(sorted) > maxDirectDaemons {
 		width = int(math.Ceil(math.Sqrt(float64(len(sorted)))))
 	}
 	var m mesh
 	if place < 0 {
 		return m
 	}
-	// Those left over share cells, so that no cell of the grid is empty.
+	// Daemons that do not fill another row share the cells of the first ones, so that no cell
+	// is empty.
 	cells := width * (len(sorted) / width)
 	selfRow, selfColumn := place%cells/width, place%cells%width
 	for index, process := range sorted {
--- a/internal/engine/picture.go
+++ b/internal/engine/picture.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// rebuildAtOnceUpTo is the number of engines up to which a placement is
-	// shown at once; a rebuild then takes a few microseconds.
-	rebuildAtOnceUpTo = 64
-	assessInterval    = 500 * time.Millisecond
-	leastPeers        = 3 // engines of a kind before one counts as slow
+	// maxImmediateRebuildEngines is the largest fleet in which every placement rebuilds the
+	// snapshot immediately; such a rebuild takes a few microseconds.
+	maxImmediateRebuildEngines = 64
+	assessInterval             = 500 * time.Millisecond
+	minPeers                   = 3 // minimum engines with enough samples in a peer group to compare their mean times
 )
 
-// rebuildLoop rebuilds the snapshot on change, and assesses health regularly.
+// rebuildLoop rebuilds the snapshot on request, at most once per RebuildInterval, and assesses
+// health every assessInterval.
 func (s *Service) rebuildLoop(ctx context.Context) {
 	ticker := time.NewTicker(assessInterval)
 	defer ticker.Stop()
@@ -29,7 +30,7 @@
 			return
 		case <-ticker.C:
 			s.assessAll(time.Now())
-		case <-s.dirty:
+		case <-s.rebuildRequests:
 			s.rebuilding.Lock()
 			s.rebuild(time.Now())
 			s.rebuilding.Unlock()
@@ -40,28 +41,29 @@
 	}
 }
 
-// assessAll judges the health of all engines, plans anew and rebuilds.
+// assessAll assesses the health of all engines, plans the orders of all pools and rebuilds the
+// snapshot.
 func (s *Service) assessAll(now time.Time) {
 	s.rebuilding.Lock()
 	defer s.rebuilding.Unlock()
 	fleet := s.fleet.Load()
-	kinds := s.kindsOf(fleet, now)
-	for _, member := range fleet.units {
-		kind := kinds[s.kindOf(member)]
+	groups := s.peerGroups(fleet, now)
+	for _, tracked := range fleet.engines {
+		group := groups[s.peerGroupOf(tracked)]
 		judged := assessment{
-			now:      now,
-			window:   member.load.fold(),
-			stale:    !s.fresh(member, now),
-			median:   kind.median,
-			mayEject: float64(kind.ejected+1) <= s.settings.EjectShare*float64(kind.count),
-			jitter:   s.random.Float64(),
-			settings: s.settings,
+			now:        now,
+			results:    tracked.placements.takeResults(),
+			stale:      !s.isFresh(tracked, now),
+			medianTime: group.medianTime,
+			mayEject:   float64(group.ejected+1) <= s.settings.EjectShare*float64(group.count),
+			jitter:     s.random.Float64(),
+			settings:   s.settings,
 		}
-		if member.health.assess(judged) {
-			kind.ejected++
+		if tracked.health.assess(judged) {
+			group.ejected++
 			s.metrics.ejections.Inc()
-			s.logger.Warn("engine: ejected an engine that fails or is slow.",
-				zap.String("engine", member.declared.Name), zap.Float64("error_rate", member.health.errorRate))
+			s.logger.Warn("engine: ejected a failing or slow engine.",
+				zap.String("engine", tracked.declared.Name), zap.Float64("error_rate", tracked.health.errorRate))
 		}
 	}
 	planned := s.plan(now)
@@ -69,90 +71,98 @@
 	s.rebuild(now)
 }
 
-// kindKey groups engines that may be compared: same model, same hardware.
-type kindKey struct{ model, generation string }
+// peerGroupKey identifies engines of the same model and hardware generation, whose times are
+// comparable.
+type peerGroupKey struct{ model, generation string }
 
-type kind struct {
-	count   int
-	ejected int
-	times   []time.Duration
-	median  time.Duration
+// peerGroup summarizes the engines with the same peerGroupKey.
+type peerGroup struct {
+	count      int
+	ejected    int
+	meanTimes  []time.Duration
+	medianTime time.Duration
 }
 
-func (s *Service) kindOf(member *unit) kindKey {
-	key := kindKey{generation: member.declared.Generation}
-	if wanted := s.wanted.Load().byEngine[member.declared.Name]; wanted != nil {
+// peerGroupOf returns the engine's peer group by the model that its pool wants.
+func (s *Service) peerGroupOf(tracked *trackedEngine) peerGroupKey {
+	key := peerGroupKey{generation: tracked.declared.Generation}
+	if wanted := s.wanted.Load().byEngine[tracked.declared.Name]; wanted != nil {
 		key.model = wanted.Model
 	}
 	return key
 }
 
-func (s *Service) kindsOf(fleet *table, now time.Time) map[kindKey]*kind {
-	kinds := map[kindKey]*kind{}
-	for _, member := range fleet.units {
-		key := s.kindOf(member)
-		if kinds[key] == nil {
-			kinds[key] = &kind{}
+// peerGroups returns the peer groups of all engines. A median time is set only for groups with
+// at least minPeers measured engines.
+func (s *Service) peerGroups(fleet *engineTable, now time.Time) map[peerGroupKey]*peerGroup {
+	groups := map[peerGroupKey]*peerGroup{}
+	for _, tracked := range fleet.engines {
+		key := s.peerGroupOf(tracked)
+		if groups[key] == nil {
+			groups[key] = &peerGroup{}
 		}
-		group := kinds[key]
-		if s.fresh(member, now) {
+		group := groups[key]
+		if s.isFresh(tracked, now) {
 			group.count++
 		}
-		if member.health.ejected() {
+		if tracked.health.isEjected() {
 			group.ejected++
 		}
-		if member.health.samples >= leastSamples {
-			group.times = append(group.times, member.health.meanTime)
+		if tracked.health.samples >= minSamples {
+			group.meanTimes = append(group.meanTimes, tracked.health.meanTime)
 		}
 	}
-	for _, group := range kinds {
-		if len(group.times) >= leastPeers {
-			slices.Sort(group.times)
-			group.median = group.times[len(group.times)/2]
+	for _, group := range groups {
+		if len(group.meanTimes) >= minPeers {
+			slices.Sort(group.meanTimes)
+			group.medianTime = group.meanTimes[len(group.meanTimes)/2]
 		}
 	}
-	return kinds
+	return groups
 }
 
-func (s *Service) fresh(member *unit, now time.Time) bool {
-	latest := member.report.Load()
+// isFresh returns true if the engine's latest report is not older than DigestTooOld.
+func (s *Service) isFresh(tracked *trackedEngine, now time.Time) bool {
+	latest := tracked.report.Load()
 	return latest != nil && now.Sub(latest.received) <= s.settings.DigestTooOld
 }
 
-// rebuild stores a new snapshot; the caller holds rebuilding.
+// rebuild builds and stores a new snapshot and signals the change. The caller must hold
+// s.rebuilding.
 func (s *Service) rebuild(now time.Time) {
 	started := time.Now()
 	fleet := s.fleet.Load()
 	wanted := s.wanted.Load()
 	planned := *s.plans.Load()
-	engines := make([]scheduling.Engine, len(fleet.units))
+	engines := make([]scheduling.Engine, len(fleet.engines))
 	accepting := 0
-	for index, member := range fleet.units {
-		engines[index] = s.depict(member, wanted, planned, now)
+	for index, tracked := range fleet.engines {
+		engines[index] = s.schedulerView(tracked, wanted, planned, now)
 		if engines[index].Accepting {
 			accepting++
 		}
 	}
-	s.snapshot.Store(s.snapshot.Load().Refresh(engines, s.showShared(fleet, now)))
-	signal(s.changed)
+	s.snapshot.Store(s.snapshot.Load().Refresh(engines, s.sharedPrefixHolders(fleet, now)))
+	notify(s.snapshotChanged)
 	s.metrics.accepting.Set(float64(accepting))
 	s.metrics.rebuild.Observe(time.Since(started).Seconds())
 }
 
-// depict makes the scheduler's view of an engine.
-func (s *Service) depict(member *unit, wanted *wantedPools, planned map[string]Order, now time.Time) scheduling.Engine {
+// schedulerView returns the engine as the scheduler sees it.
+func (s *Service) schedulerView(tracked *trackedEngine, wanted *wantedPools, planned map[string]Order, now time.Time) scheduling.Engine {
 	engine := scheduling.Engine{
-		ID:         member.declared.Name,
-		Address:    member.declared.Address,
-		Zone:       member.declared.Zone,
-		Generation: member.declared.Generation,
-		ErrorRate:  member.health.errorRate,
+		ID:         tracked.declared.Name,
+		Address:    tracked.declared.Address,
+		Zone:       tracked.declared.Zone,
+		Generation: tracked.declared.Generation,
+		ErrorRate:  tracked.health.errorRate,
 	}
-	latest := member.report.Load()
+	latest := tracked.report.Load()
 	if latest == nil {
-		// Nothing was heard yet: calls may wait for it, but none goes there.
-		pool := wanted.byEngine[member.declared.Name]
-		if pool != nil && now.Sub(member.since) <= s.settings.DigestTooOld {
+		// Before its first report the engine is listed with its declared model, so that
+		// requests may wait for it, but it accepts none.
+		pool := wanted.byEngine[tracked.declared.Name]
+		if pool != nil && now.Sub(tracked.declaredAt) <= s.settings.DigestTooOld {
 			engine.Model, engine.Version, engine.Adapters = pool.Model, pool.Version, pool.Adapters
 		}
 		return engine
@@ -163,39 +173,40 @@
 	engine.Adapters = digest.Adapters
 	engine.PrefillPerSec = digest.PrefillPerSec
 	engine.DecodePerSec = digest.DecodePerSec
-	engine.MaxRunning = max(1, int(float64(digest.MaxRunning)*member.health.share(now, s.settings.SlowStart)))
-	engine.Running = max(0, digest.Running-int(member.load.departed.Load()))
+	engine.MaxRunning = max(1, int(float64(digest.MaxRunning)*tracked.health.batchShare(now, s.settings.SlowStart)))
+	engine.Running = max(0, digest.Running-int(tracked.placements.endedSinceReport.Load()))
 	engine.Waiting = digest.Waiting
 	engine.WaitingTokens = digest.WaitingTokens
 	engine.CacheTokens = digest.CacheTokens
 	engine.CacheUsed = digest.CacheUsed
-	engine.PlacedSince, engine.PlacedTokens = member.load.since()
+	engine.PlacedSince, engine.PlacedTokens = tracked.placements.unreported()
 	engine.ReportAge = now.Sub(latest.received)
-	usable := s.usable(member, digest, wanted, planned) && engine.ReportAge <= s.settings.DigestTooOld
-	engine.Accepting = usable && member.health.accepting()
-	engine.Probing = usable && member.health.probing()
+	usable := s.isUsable(tracked, digest, wanted, planned) && engine.ReportAge <= s.settings.DigestTooOld
+	engine.Accepting = usable && tracked.health.isAccepting()
+	engine.Probing = usable && tracked.health.isProbing()
 	return engine
 }
 
-// AwaitsReport says whether this daemon, which has just started or learnt of
-// an engine of the model, has yet to hear of it: a call that finds no engine
-// should then wait rather than be refused.
+// AwaitsReport returns true if the snapshot lists an engine of the model that has not reported
+// yet, which it shows with MaxRunning 0. This happens just after this daemon started or the
+// engine was declared. A request for which no engine accepts work should then wait instead of
+// being refused.
 func AwaitsReport(snapshot *scheduling.Snapshot, model string) bool {
 	return slices.ContainsFunc(snapshot.ByModel[model], func(index int) bool {
 		return snapshot.Engines[index].MaxRunning == 0
 	})
 }
 
-// usable says whether the engine may take work of its pool's model now. One
-// that serves an earlier version goes on until its own turn to change comes:
-// a roll-out would else stop the pool.
-func (s *Service) usable(member *unit, digest *Digest, wanted *wantedPools, planned map[string]Order) bool {
-	pool := wanted.byEngine[member.declared.Name]
+// isUsable returns true if the engine may accept work for the model that its pool wants. An
+// engine with an earlier version of the model remains usable until its order is planned, so
+// that a roll-out does not stop the whole pool.
+func (s *Service) isUsable(tracked *trackedEngine, digest *Digest, wanted *wantedPools, planned map[string]Order) bool {
+	pool := wanted.byEngine[tracked.declared.Name]
 	if pool == nil || pool.Model != digest.Model || !digest.Serving || digest.Loading {
 		return false
 	}
-	if planned[member.declared.Name].Drain {
+	if planned[tracked.declared.Name].Drain {
 		return false
 	}
-	return !s.blocked(member, wanted)
+	return !s.isBlocked(tracked, wanted)
 }
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -7,58 +7,60 @@
 	enginev1 "github.com/thymeloft/thymeloft/api/engine/v1"
 )
 
-// Wanted is the declared state of a pool.
+// Wanted is the desired state of a pool's engines.
 type Wanted struct {
 	Pool           string
 	Model          string
 	Version        string
 	Adapters       []string
 	Role           string
-	MaxUnavailable int // engines out of service at once because of changes; at least 1
-	ParallelLoads  int // engines that load at once; at least 1
+	MaxUnavailable int // maximum engines out of service during changes; less than 1 counts as 1
+	ParallelLoads  int // maximum engines that execute orders at once; less than 1 counts as 1
 }
 
-// Observed is an engine of a pool as seen when planning.
+// Observed is the state of a pool's engine that Plan works from.
 type Observed struct {
 	Digest  Digest
-	Known   bool // its digest is fresh
-	Blocked bool // drained by an operator or leaving: gets no orders
+	Known   bool // the digest is fresh
+	Blocked bool // drained by an operator or leaving; such an engine gets no orders
 }
 
-// Order is a planned step for one engine; the fence is filled in when it is sent.
+// Order is the next order for one engine. Its fencing token is set when it is sent.
 type Order struct {
 	Engine string
 	Order  enginev1.Order
-	// Drain says that the engine serves now: it gets no new work, and the
-	// order waits till its requests have ended.
+	// Drain means that the engine is in service: it must get no new work, and the order is sent
+	// after its requests have ended.
 	Drain bool
 }
 
-// Plan gives the orders that may be under way now to bring a pool to the
-// wanted state. It is pure and depends on the set of engines only, so every
-// daemon of a region that sees the same digests plans the same: the
-// supervisors of the engines need no further agreement, and all daemons know
-// which engine drains. Engines that serve are changed only while fewer than
-// MaxUnavailable are out of service; engines out of service are changed
-// without that bound, since no capacity is lost by it.
+// Plan returns the orders that may be in progress now to bring a pool's engines to the wanted
+// state. An engine in service gets an order that interrupts its service only while fewer than
+// MaxUnavailable engines are out of service. That limit does not apply to engines that are out
+// of service already, nor to orders that only change adapters. At most ParallelLoads engines
+// execute an order at once.
+//
+// Plan has no side effects, and its result does not depend on the order of engines. Daemons of
+// a region that have the same digests therefore make the same plan without further agreement,
+// and every daemon knows which engines drain.
 func Plan(wanted Wanted, engines []Observed) []Order {
 	sorted := engines
 	if !slices.IsSortedFunc(sorted, compareObserved) {
 		sorted = slices.Clone(engines)
 		slices.SortFunc(sorted, compareObserved)
 	}
-	out, loading := countOut(&wanted, sorted)
+	out, loading := countOutOfService(&wanted, sorted)
 	var orders []Order
 	for index := range sorted {
 		engine := &sorted[index]
-		order, needed := wanted.step(&engine.Digest)
+		order, needed := wanted.nextOrder(&engine.Digest)
 		if !needed || !engine.Known || engine.Blocked || engine.Digest.Loading {
 			continue
 		}
 		if loading >= max(1, wanted.ParallelLoads) {
 			break
 		}
-		disrupts := wanted.inService(engine) && !onlyAdapters(&wanted, &engine.Digest)
+		disrupts := wanted.isInService(engine) && !onlyAdaptersDiffer(&wanted, &engine.Digest)
 		if disrupts && out >= max(1, wanted.MaxUnavailable) {
 			continue
 		}
@@ -73,9 +75,11 @@
 
 func compareObserved(a, b Observed) int { return cmp.Compare(a.Digest.Engine, b.Digest.Engine) }
 
-func countOut(wanted *Wanted, engines []Observed) (out, loading int) {
+// countOutOfService returns the number of engines that are out of service, and the number of
+// engines that are executing an order.
+func countOutOfService(wanted *Wanted, engines []Observed) (out, loading int) {
 	for index := range engines {
-		if !wanted.inService(&engines[index]) {
+		if !wanted.isInService(&engines[index]) {
 			out++
 		}
 		if engines[index].Known && engines[index].Digest.Loading {
@@ -85,45 +89,49 @@
 	return out, loading
 }
 
-// inService says whether the engine does the pool's work, perhaps with an
-// earlier version.
-func (w *Wanted) inService(engine *Observed) bool {
+// isInService returns true if the engine serves the pool's model in the wanted role, in any
+// version.
+func (w *Wanted) isInService(engine *Observed) bool {
 	digest := &engine.Digest
 	return engine.Known && !engine.Blocked && !digest.Loading &&
-		digest.Model == w.Model && digest.Role == w.role()
+		digest.Model == w.Model && digest.Role == w.effectiveRole()
 }
 
-func (w *Wanted) role() string {
+// effectiveRole returns the wanted role, which is RoleServe by default.
+func (w *Wanted) effectiveRole() string {
 	if w.Role == "" {
 		return RoleServe
 	}
 	return w.Role
 }
 
-// step gives the order that brings the engine nearer; false: none is needed.
-// What is loaded comes before the role.
-func (w *Wanted) step(digest *Digest) (enginev1.Order, bool) {
-	if digest.Model != w.Model || digest.Version != w.Version || !sameSet(digest.Adapters, w.Adapters) {
+// nextOrder returns the next order that the engine needs, or false if it is in the wanted
+// state. A wrong model, version or adapter set is changed before the role.
+func (w *Wanted) nextOrder(digest *Digest) (enginev1.Order, bool) {
+	if digest.Model != w.Model || digest.Version != w.Version || !sameElements(digest.Adapters, w.Adapters) {
 		return enginev1.Order{Kind: OrderLoad, Model: w.Model, Version: w.Version, Adapters: w.Adapters}, true
 	}
-	if digest.Role != w.role() {
-		return enginev1.Order{Kind: OrderRole, Role: w.role()}, true
+	if digest.Role != w.effectiveRole() {
+		return enginev1.Order{Kind: OrderRole, Role: w.effectiveRole()}, true
 	}
 	return enginev1.Order{}, false
 }
 
-// Kinds of orders, from api/engine/v1.
+// Kinds of orders, as in enginev1.Order.
 const (
 	OrderClaim = "claim"
 	OrderLoad  = "load"
 	OrderRole  = "role"
 )
 
-func onlyAdapters(wanted *Wanted, digest *Digest) bool {
-	return digest.Model == wanted.Model && digest.Version == wanted.Version && digest.Role == wanted.role()
+// onlyAdaptersDiffer returns true if the model, version and role are as wanted, so that an
+// order only changes the adapters.
+func onlyAdaptersDiffer(wanted *Wanted, digest *Digest) bool {
+	return digest.Model == wanted.Model && digest.Version == wanted.Version && digest.Role == wanted.effectiveRole()
 }
 
-func sameSet(first, second []string) bool {
+// sameElements compares two lists as sets; they must not contain duplicates.
+func sameElements(first, second []string) bool {
 	if len(first) != len(second) {
 		return false
 	}
--- a/internal/engine/pools.go
+++ b/internal/engine/pools.go
@@ -10,12 +10,12 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// wantedPools is what a revision of the configuration wants of engines.
+// wantedPools is the desired state of all engines by one revision of the configuration.
 type wantedPools struct {
-	pools    []*Wanted
-	members  [][]string // engines of each pool
-	byEngine map[string]*Wanted
-	drained  map[string]bool
+	pools       []*Wanted
+	engineNames [][]string // sorted engine names of the pool with the same index
+	byEngine    map[string]*Wanted
+	drained     map[string]bool
 }
 
 func newWantedPools(current *configuration.Snapshot, parallelLoads int) *wantedPools {
@@ -28,14 +28,14 @@
 		pool := &current.Document.Pools[index]
 		model := models[pool.Model]
 		if model == nil {
-			continue // The configuration refuses this; nothing is wanted of such a pool.
+			continue // the configuration does not allow such a pool
 		}
 		added := &Wanted{
 			Pool: pool.Name, Model: model.Name, Version: model.Version, Adapters: model.Adapters,
 			Role: pool.Role, MaxUnavailable: pool.MaxUnavailable, ParallelLoads: parallelLoads,
 		}
 		wanted.pools = append(wanted.pools, added)
-		wanted.members = append(wanted.members, slices.Sorted(slices.Values(pool.Engines)))
+		wanted.engineNames = append(wanted.engineNames, slices.Sorted(slices.Values(pool.Engines)))
 		for _, name := range pool.Engines {
 			wanted.byEngine[name] = added
 		}
@@ -46,16 +46,16 @@
 	return wanted
 }
 
-// plan gives the orders of all pools, by engine.
+// plan returns the planned orders of all pools by engine name.
 func (s *Service) plan(now time.Time) map[string]Order {
 	wanted := s.wanted.Load()
 	fleet := s.fleet.Load()
 	planned := map[string]Order{}
 	for index, pool := range wanted.pools {
-		observed := make([]Observed, 0, len(wanted.members[index]))
-		for _, name := range wanted.members[index] {
-			if member, found := fleet.byName[name]; found && wanted.byEngine[name] == pool {
-				observed = append(observed, s.observe(member, wanted, now))
+		observed := make([]Observed, 0, len(wanted.engineNames[index]))
+		for _, name := range wanted.engineNames[index] {
+			if tracked, found := fleet.byName[name]; found && wanted.byEngine[name] == pool {
+				observed = append(observed, s.observe(tracked, wanted, now))
 			}
 		}
 		for _, order := range Plan(*pool, observed) {
@@ -65,43 +65,47 @@
 	return planned
 }
 
-func (s *Service) observe(member *unit, wanted *wantedPools, now time.Time) Observed {
-	observed := Observed{Digest: Digest{Engine: member.declared.Name}, Blocked: s.blocked(member, wanted)}
-	if latest := member.report.Load(); latest != nil {
+// observe returns the engine's state as input for Plan.
+func (s *Service) observe(tracked *trackedEngine, wanted *wantedPools, now time.Time) Observed {
+	observed := Observed{Digest: Digest{Engine: tracked.declared.Name}, Blocked: s.isBlocked(tracked, wanted)}
+	if latest := tracked.report.Load(); latest != nil {
 		observed.Digest = latest.digest
 		observed.Known = now.Sub(latest.received) <= s.settings.DigestTooOld
 	}
 	return observed
 }
 
-// blocked says that the engine is drained by an operator or leaves.
-func (s *Service) blocked(member *unit, wanted *wantedPools) bool {
-	if len(wanted.drained) > 0 && (wanted.drained[member.declared.Name] || wanted.drained[member.place] || wanted.drained[hostOf(member.place)]) {
+// isBlocked returns true if an operator drains the engine, by its name, endpoint or host, or if
+// the machine list marks it as leaving.
+func (s *Service) isBlocked(tracked *trackedEngine, wanted *wantedPools) bool {
+	if len(wanted.drained) > 0 && (wanted.drained[tracked.declared.Name] || wanted.drained[tracked.endpoint] || wanted.drained[hostOf(tracked.endpoint)]) {
 		return true
 	}
-	return s.leaving.contains(member.declared.Name, member.place)
+	return s.departures.contains(tracked.declared.Name, tracked.endpoint)
 }
 
-// weightGate keeps this daemon's loads within its share of the weight
-// store's rate. The zero value is open.
-type weightGate struct {
-	mutex sync.Mutex
-	until time.Time
+// weightLimiter limits the rate at which engines supervised by this daemon load weights. The
+// zero value allows the first load immediately. It is safe for concurrent use.
+type weightLimiter struct {
+	mutex       sync.Mutex
+	nextAllowed time.Time
 }
 
-// pass returns true if a load of so many bytes may start now, and books it.
-func (g *weightGate) pass(now time.Time, size int64, bytesPerSecond float64) bool {
+// allow returns true if a load of size bytes may start now. The next load is then refused until
+// these bytes have been transferred at the given rate.
+func (g *weightLimiter) allow(now time.Time, size int64, bytesPerSecond float64) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if now.Before(g.until) {
+	if now.Before(g.nextAllowed) {
 		return false
 	}
-	g.until = now.Add(time.Duration(float64(size) / bytesPerSecond * float64(time.Second)))
+	g.nextAllowed = now.Add(time.Duration(float64(size) / bytesPerSecond * float64(time.Second)))
 	return true
 }
 
-// mayLoad asks the weight store for the size and the gate for its turn. An
-// error says that the weights can't be loaded now.
+// mayLoad returns true if this daemon's share of the weight store's rate allows the load now.
+// It returns an error if the weight store does not know the size of the weights or cannot be
+// reached.
 func (s *Service) mayLoad(ctx context.Context, weights platform.Weights, model, version string) (bool, error) {
 	if weights == nil {
 		return true, nil
@@ -115,6 +119,6 @@
 	if s.settings.WeightBytesPerSecond <= 0 {
 		return true, nil
 	}
-	share := s.settings.WeightBytesPerSecond / float64(s.daemons.Load())
-	return s.gate.pass(time.Now(), size, share), nil
+	share := s.settings.WeightBytesPerSecond / float64(s.daemonCount.Load())
+	return s.weightLimiter.allow(time.Now(), size, share), nil
 }
--- a/internal/engine/prefixes.go
+++ b/internal/engine/prefixes.go
@@ -9,108 +9,111 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// PrefixRun is a beginning of a prompt that other programs may share.
+// PrefixRun is the beginning of a prompt that other programs may share.
 type PrefixRun struct {
-	Hash   uint64 // of the model, the adapter and the text
-	Tokens int64  // estimate
+	Hash   uint64 // hash of the model, the adapter and the text
+	Tokens int64  // estimated
 }
 
-// PrefixLearner takes notes of what engines hold; *Service implements it.
+// PrefixLearner records which prefixes the engines hold. *Service implements it.
 type PrefixLearner interface {
-	// Served tells that the engine just served a prompt with these beginnings,
-	// so that it holds them. The snapshot shows it within about a second.
+	// Served records that the engine just served a prompt with these prefixes and so holds them
+	// in its cache. The snapshot includes them within about a second.
 	Served(engineID string, runs []PrefixRun)
 }
 
 const (
-	mostPrefixes = 512 // hot prefixes known to a daemon
-	mostHolders  = 4   // engines known to hold one prefix
-	leastTokens  = 256 // a shorter beginning is not worth a note
+	maxPrefixes         = 512 // prefixes known to a daemon; the least recently used is dropped
+	maxHoldersPerPrefix = 4   // engines recorded for one prefix
+	minPrefixTokens     = 256 // shorter prefixes are not recorded
 )
 
-// prefixes is a daemon's own sketch of hot shared prefixes: it learns from the
-// calls that this daemon placed, forgets what was not used for a while, and
-// needs no index of the fleet. It is a hint: an engine may have evicted.
-type prefixes struct {
-	mutex sync.Mutex
-	known *lru.Cache[uint64, []holder]
-	keep  time.Duration
+// prefixIndex records which engines hold frequently shared prefixes, from the requests that
+// this daemon placed. It forgets prefixes that were not used for the keep duration. It is only
+// a hint, since an engine may have evicted a prefix. It is safe for concurrent use.
+type prefixIndex struct {
+	mutex   sync.Mutex
+	holders *lru.Cache[uint64, []holder]
+	keep    time.Duration
 }
 
+// holder is an engine that holds a prefix.
 type holder struct {
 	engine string
 	tokens int64
 	used   time.Time
 }
 
-func newPrefixes(keep time.Duration) *prefixes {
-	known, _ := lru.New[uint64, []holder](mostPrefixes) // fails for sizes below one only
-	return &prefixes{known: known, keep: keep}
+func newPrefixIndex(keep time.Duration) *prefixIndex {
+	holders, _ := lru.New[uint64, []holder](maxPrefixes) // the only error is for a size below one
+	return &prefixIndex{holders: holders, keep: keep}
 }
 
-// note puts the engine first among the holders of each run.
-func (p *prefixes) note(engine string, runs []PrefixRun, now time.Time) {
+// record makes the engine the most recent holder of each prefix that has at least
+// minPrefixTokens tokens.
+func (p *prefixIndex) record(engine string, runs []PrefixRun, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, run := range runs {
-		if run.Tokens < leastTokens {
+		if run.Tokens < minPrefixTokens {
 			continue
 		}
-		before, _ := p.known.Get(run.Hash)
-		after := make([]holder, 1, mostHolders)
-		after[0] = holder{engine: engine, tokens: run.Tokens, used: now}
-		for _, other := range before {
-			if other.engine != engine && len(after) < mostHolders {
-				after = append(after, other)
+		previous, _ := p.holders.Get(run.Hash)
+		updated := make([]holder, 1, maxHoldersPerPrefix)
+		updated[0] = holder{engine: engine, tokens: run.Tokens, used: now}
+		for _, other := range previous {
+			if other.engine != engine && len(updated) < maxHoldersPerPrefix {
+				updated = append(updated, other)
 			}
 		}
-		p.known.Add(run.Hash, after)
+		p.holders.Add(run.Hash, updated)
 	}
 }
 
-// show gives the holders by their index in the snapshot, and forgets old ones.
-func (p *prefixes) show(fleet *table, now time.Time) map[uint64][]scheduling.PrefixHolder {
+// holdersByHash returns the holders of each prefix, with engines given by their index in the
+// table. It removes prefixes without a recent holder.
+func (p *prefixIndex) holdersByHash(fleet *engineTable, now time.Time) map[uint64][]scheduling.PrefixHolder {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	shown := make(map[uint64][]scheduling.PrefixHolder, p.known.Len())
-	for _, hash := range p.known.Keys() {
-		holders, _ := p.known.Peek(hash)
-		present := make([]scheduling.PrefixHolder, 0, len(holders))
-		for _, known := range holders {
+	holders := make(map[uint64][]scheduling.PrefixHolder, p.holders.Len())
+	for _, hash := range p.holders.Keys() {
+		recorded, _ := p.holders.Peek(hash)
+		present := make([]scheduling.PrefixHolder, 0, len(recorded))
+		for _, known := range recorded {
 			index, found := fleet.index[known.engine]
 			if found && now.Sub(known.used) <= p.keep {
 				present = append(present, scheduling.PrefixHolder{Engine: index, Tokens: known.tokens})
 			}
 		}
 		if len(present) == 0 {
-			p.known.Remove(hash)
+			p.holders.Remove(hash)
 			continue
 		}
-		shown[hash] = present
+		holders[hash] = present
 	}
-	return shown
+	return holders
 }
 
 // Served implements PrefixLearner.
 func (s *Service) Served(engineID string, runs []PrefixRun) {
-	s.prefixes.note(engineID, runs, time.Now())
+	s.prefixes.record(engineID, runs, time.Now())
 }
 
-// sharedPrefixes is what the snapshot shows; its indexes hold for one table.
-type sharedPrefixes struct {
-	fleet   *table
-	at      time.Time
-	holders map[uint64][]scheduling.PrefixHolder
+// cachedHolders is the result of holdersByHash for one engine table.
+type cachedHolders struct {
+	fleet      *engineTable
+	computedAt time.Time
+	holders    map[uint64][]scheduling.PrefixHolder
 }
 
-// prefixInterval is the time after which the sketch is shown anew.
-const prefixInterval = time.Second
+// prefixRefreshInterval is the time after which the holders in the snapshot are computed again.
+const prefixRefreshInterval = time.Second
 
-// showShared gives what the snapshot shows of shared prefixes; the caller
-// holds rebuilding.
-func (s *Service) showShared(fleet *table, now time.Time) map[uint64][]scheduling.PrefixHolder {
-	if s.shared.fleet != fleet || now.Sub(s.shared.at) >= prefixInterval {
-		s.shared = sharedPrefixes{fleet: fleet, at: now, holders: s.prefixes.show(fleet, now)}
+// sharedPrefixHolders returns the prefix holders for the snapshot, computed at most once per
+// prefixRefreshInterval unless the engine table changes. The caller must hold s.rebuilding.
+func (s *Service) sharedPrefixHolders(fleet *engineTable, now time.Time) map[uint64][]scheduling.PrefixHolder {
+	if s.cachedHolders.fleet != fleet || now.Sub(s.cachedHolders.computedAt) >= prefixRefreshInterval {
+		s.cachedHolders = cachedHolders{fleet: fleet, computedAt: now, holders: s.prefixes.holdersByHash(fleet, now)}
 	}
-	return s.shared.holders
+	return s.cachedHolders.holders
 }
--- a/internal/engine/properties_test.go
+++ b/internal/engine/properties_test.go
@@ -33,39 +33,42 @@
 	}
 }
 
-// A digest that was passed on looks to the next daemon as to the first.
-func TestRecordsSurviveBeingPassedOn(t *testing.T) {
+// A relayed digest must decode to the same values as the original, and a short record must not
+// be completed with the static fields of another version.
+func TestRelayedRecordsKeepTheirValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		original := drawDigest(t, "engine-1")
 		first := decodeOne(t, encode(&original, true), nil)
-		if !sameOnWire(&original, first) || first.Fence != original.Fence {
+		if !equalOnWire(&original, first) || first.Fence != original.Fence {
 			t.Fatalf("sent %+v, got %+v", original, *first)
 		}
 		later := *first
 		later.Sequence++
 		later.Running++
 		second := decodeOne(t, encode(&later, false), reported(first))
-		if !sameOnWire(&later, second) || second.Sequence != later.Sequence {
+		if !equalOnWire(&later, second) || second.Sequence != later.Sequence {
 			t.Fatalf("sent %+v, got %+v", later, *second)
 		}
 		later.Version += "x"
 		records, _ := decodeRecords(encode(&later, false))
 		if records[0].complete("engine-1", reported(first)) {
-			t.Fatal("a short record was completed by another version's digest")
+			t.Fatal("a short record was completed with the static fields of another version")
 		}
 	})
 }
 
 func encode(digest *Digest, full bool) []byte {
-	return appendRecord(nil, digest, checkOf(digest), full)
+	return appendRecord(nil, digest, staticChecksum(digest), full)
 }
 
-func reported(digest *Digest) *report { return &report{digest: *digest, check: checkOf(digest)} }
+func reported(digest *Digest) *report {
+	return &report{digest: *digest, checksum: staticChecksum(digest)}
+}
 
-// sameOnWire compares digests down to what records resolve.
-func sameOnWire(a, b *Digest) bool {
-	return a.Running == b.Running && a.Waiting == b.Waiting && waitingUnits(a) == waitingUnits(b) &&
-		cacheShare(a) == cacheShare(b) && a.Serving == b.Serving && a.Loading == b.Loading && checkOf(a) == checkOf(b)
+// equalOnWire compares digests with the precision of their encoding.
+func equalOnWire(a, b *Digest) bool {
+	return a.Running == b.Running && a.Waiting == b.Waiting && waitingTokenUnits(a) == waitingTokenUnits(b) &&
+		encodedCacheUse(a) == encodedCacheUse(b) && a.Serving == b.Serving && a.Loading == b.Loading && staticChecksum(a) == staticChecksum(b)
 }
 
 func decodeOne(t *rapid.T, data []byte, known *report) *Digest {
@@ -74,7 +77,7 @@
 		t.Fatalf("decoded %d records: %v", len(records), err)
 	}
 	if !records[0].complete("engine-1", known) {
-		t.Fatal("record does not fit the known digest")
+		t.Fatal("record does not match the known digest")
 	}
 	return &records[0].Digest
 }
@@ -86,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		records, err := decodeRecords(data)
 		if err != nil && records != nil {
-			t.Fatal("records beside an error")
+			t.Fatal("records were returned along with an error")
 		}
 		for index := range records {
 			records[index].complete("engine-1", reported(&sample))
@@ -94,7 +97,8 @@
 	})
 }
 
-// Every daemon gets every other's digests in two steps, and sends to few.
+// Every daemon must receive the digests of every other one within two steps, and send to a
+// limited number of daemons.
 func TestMeshReachesAll(t *testing.T) {
 	for _, size := range []int{1, 2, 3, 12, 13, 14, 17, 20, 31, 78, 90, 211, 390} {
 		processes := make([]identity.Process, size)
@@ -116,15 +120,15 @@
 			if len(reached) != size {
 				t.Fatalf("of %d daemons, %s reaches %d", size, source.Machine, len(reached))
 			}
-			if most := 3 * directUpTo; len(own.row)+len(own.column) > most+size/directUpTo {
+			if maxTargets := 3 * maxDirectDaemons; len(own.row)+len(own.column) > maxTargets+size/maxDirectDaemons {
 				t.Fatalf("of %d daemons, %s sends to %d", size, source.Machine, len(own.row)+len(own.column))
 			}
 		}
 	}
 }
 
-// However engines fail, load and are drained, orders take no more engines out
-// of service than allowed, and bring all that answer to the wanted state.
+// Whatever engines do, orders must not put more engines out of service than allowed, and must
+// bring all reachable engines to the wanted state.
 func TestPlanKeepsCapacityAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wanted := Wanted{Model: "model", Version: "v2", MaxUnavailable: rapid.IntRange(0, 3).Draw(t, "unavailable"), ParallelLoads: rapid.IntRange(1, 3).Draw(t, "loads")}
@@ -139,26 +143,26 @@
 			index := rapid.IntRange(0, len(engines)-1).Draw(t, "index")
 			engines[index].Known = rapid.Bool().Draw(t, "known")
 			engines[index].Blocked = rapid.Bool().Draw(t, "blocked")
-			obey(t, &wanted, engines)
+			applyOrders(t, &wanted, engines)
 		}
 		for index := range engines {
 			engines[index].Known, engines[index].Blocked = true, false
 		}
 		for range 4 * len(engines) {
-			obey(t, &wanted, engines)
-			finish(engines)
+			applyOrders(t, &wanted, engines)
+			finishLoads(engines)
 		}
 		for _, engine := range engines {
-			if order, needed := wanted.step(&engine.Digest); needed || engine.Digest.Loading {
+			if order, needed := wanted.nextOrder(&engine.Digest); needed || engine.Digest.Loading {
 				t.Fatalf("engine %s still needs %+v", engine.Digest.Engine, order)
 			}
 		}
 	})
 }
 
-// obey carries out the planned orders, after checking them.
-func obey(t *rapid.T, wanted *Wanted, engines []Observed) {
-	out, _ := countOut(wanted, engines)
+// applyOrders checks the planned orders and applies them to the engines.
+func applyOrders(t *rapid.T, wanted *Wanted, engines []Observed) {
+	out, _ := countOutOfService(wanted, engines)
 	orders := Plan(*wanted, engines)
 	drains := 0
 	for _, order := range orders {
@@ -167,13 +171,13 @@
 		}
 	}
 	if drains > 0 && out+drains > max(1, wanted.MaxUnavailable) {
-		t.Fatalf("%d engines are out of service and %d more drain", out, drains)
+		t.Fatalf("%d engines are out of service and %d more are to be drained", out, drains)
 	}
 	for _, order := range orders {
 		for index := range engines {
 			if digest := &engines[index].Digest; digest.Engine == order.Engine {
 				if !engines[index].Known || engines[index].Blocked || digest.Loading {
-					t.Fatalf("order for an engine that takes none: %+v", engines[index])
+					t.Fatalf("order for an engine that is unknown, blocked or loading: %+v", engines[index])
 				}
 				if order.Order.Kind == OrderRole {
 					digest.Role = order.Order.Role
@@ -186,52 +190,53 @@
 	}
 }
 
-func finish(engines []Observed) {
+// finishLoads completes the load in progress at every engine.
+func finishLoads(engines []Observed) {
 	for index := range engines {
 		engines[index].Digest.Loading = false
 	}
 }
 
-// An engine that fails is ejected, gets one trial, and returns slowly.
+// A failing engine must be ejected, probed with one request, and slowly returned to service.
 func TestHealthEjectsProbesAndReturns(t *testing.T) {
 	settings := Settings{}.withDefaults()
 	now := time.Unix(1_700_000_000, 0)
-	judged := newHealth()
-	step := func(w window) bool {
-		return judged.assess(assessment{now: now, window: w, mayEject: true, settings: &settings})
+	engine := newHealth()
+	step := func(w results) bool {
+		return engine.assess(assessment{now: now, results: w, mayEject: true, settings: &settings})
 	}
 	expectState := func(want string) {
 		t.Helper()
-		if judged.state != want {
-			t.Fatalf("state is %s, want %s", judged.state, want)
+		if engine.state != want {
+			t.Fatalf("state is %s, want %s", engine.state, want)
 		}
 	}
-	if !step(window{ended: 5, failed: 5, inARow: 5}) || judged.accepting() {
+	if !step(results{ended: 5, failed: 5, consecutiveFailures: 5}) || engine.isAccepting() {
 		t.Fatal("five failures in a row did not eject")
 	}
 	now = now.Add(settings.EjectFor)
-	step(window{})
+	step(results{})
 	expectState(probing)
-	if !step(window{ended: 1, failed: 1, inARow: 6}) {
-		t.Fatal("a failed trial did not eject again")
+	if !step(results{ended: 1, failed: 1, consecutiveFailures: 6}) {
+		t.Fatal("a failed probe did not eject again")
 	}
 	now = now.Add(settings.EjectFor)
-	step(window{})
-	expectState(ejected) // The second time is twice as long.
+	step(results{})
+	expectState(ejected) // the second ejection lasts twice as long
 	now = now.Add(settings.EjectFor)
-	step(window{})
-	step(window{ended: 1, succeeded: 1, elapsed: time.Second})
+	step(results{})
+	step(results{ended: 1, succeeded: 1, elapsed: time.Second})
 	expectState(recovering)
 	now = now.Add(settings.SlowStart / 4)
-	if share := judged.share(now, settings.SlowStart); share < 0.2 || share > 0.3 {
-		t.Fatalf("takes %.2f of its batch after a quarter of the slow start", share)
+	if share := engine.batchShare(now, settings.SlowStart); share < 0.2 || share > 0.3 {
+		t.Fatalf("share of the batch size is %.2f after a quarter of the slow start", share)
 	}
 	now = now.Add(settings.SlowStart)
-	step(window{})
+	step(results{})
 	expectState(healthy)
 
 	slow := newHealth()
-	if !slow.assess(assessment{now: now, window: window{ended: 20, succeeded: 20, elapsed: 200 * time.Second}, median: time.Second, mayEject: true, settings: &settings}) {
-		t.Fatal("an engine ten times slower than its kind was not ejected")
+	if !slow.assess(assessment{now: now, results: results{ended: 20, succeeded: 20, elapsed: 200 * time.Second}, medianTime: time.Second, mayEject: true, settings: &settings}) {
+		t.Fatal("an engine with 10 times the median time of its peers was not ejected")
 	}
 }
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -17,38 +17,38 @@
 	methodDigests = rpcName + ".Digests"
 	methodFetch   = rpcName + ".Fetch"
 
-	maxBatchBytes = 4 << 20
-	maxFetches    = 4 // at once, after a change of members
-	askedAtOnce   = 2 // when engines were not heard of yet
+	maxBatchBytes  = 4 << 20
+	maxFetches     = 4 // maximum daemons to fetch from in one tick
+	startupFetches = 2 // daemons to fetch from when an engine has no report yet
 )
 
-// DigestBatch carries digests from one daemon of a region to another.
+// DigestBatch carries digests and departures from one daemon to another.
 type DigestBatch struct {
-	Sender     string // peer address: whom to ask for what a short record left out
-	Relay      bool   // the receiver passes it on along its column
+	Sender     string // peer address from which the receiver may fetch full records
+	Relay      bool   // the receiver passes the content on along its column
 	Payload    []byte
 	Departures []Departures
 }
 
-// DigestReply confirms a batch.
+// DigestReply acknowledges a batch.
 type DigestReply struct{}
 
-// FetchArguments asks for all digests that a daemon knows.
+// FetchArguments requests all digests that a daemon knows.
 type FetchArguments struct{}
 
-// ask fetches from some daemons at once: after a start, or when engines were
-// declared, this daemon may lead programs before the next digests come.
-func (s *spreader) ask(ctx context.Context) {
+// fetchFromPeers fetches all digests from a few randomly chosen daemons, so that this daemon
+// does not have to wait for the next batches after a start or when engines are declared.
+func (s *spreader) fetchFromPeers(ctx context.Context) {
 	s.mutex.Lock()
 	others := slices.Concat(s.mesh.row, s.mesh.column)
 	s.mutex.Unlock()
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	for _, process := range others[:min(len(others), askedAtOnce)] {
+	for _, process := range others[:min(len(others), startupFetches)] {
 		s.service.running.Go(func() { s.fetchFrom(ctx, process.Address) })
 	}
 }
 
-// fetchFrom asks a daemon for all that it knows, whole.
+// fetchFrom fetches all digests of the daemon at the address as full records.
 func (s *spreader) fetchFrom(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, s.service.settings.PollTimeout)
 	defer cancel()
@@ -59,11 +59,12 @@
 	}
 	if err != nil {
 		s.service.metrics.digestErrors.Inc()
-		s.service.logger.Debug("engine: digests were not fetched.", zap.Error(err))
+		s.service.logger.Debug("engine: fetching digests failed.", zap.Error(err))
 	}
 }
 
-// receive takes what is newer than known.
+// receive accepts the digests and departures of a batch that are newer than the known ones. It
+// returns errMalformedBatch, and accepts nothing, if the batch is too large or malformed.
 func (s *spreader) receive(batch *DigestBatch) error {
 	if len(batch.Payload) > maxBatchBytes {
 		return eris.Wrapf(errMalformedBatch, "%d bytes", len(batch.Payload))
@@ -79,59 +80,62 @@
 	defer s.mutex.Unlock()
 	urgent := len(batch.Departures) > 0
 	for index := range records {
-		urgent = s.receiveOne(fleet, &records[index], batch, now) || urgent
+		urgent = s.receiveRecord(fleet, &records[index], batch, now) || urgent
 	}
-	for _, news := range batch.Departures {
-		if s.service.leaving.take(news) && batch.Relay {
-			s.departures[news.Reader] = news
+	for _, update := range batch.Departures {
+		if s.service.departures.merge(update) && batch.Relay {
+			s.relayedDepartures[update.Reader] = update
 		}
 	}
-	s.service.reported(urgent)
+	s.service.digestsReceived(urgent)
 	return nil
 }
 
-// receiveOne says whether it was the first that is heard of the engine.
-func (s *spreader) receiveOne(fleet *table, read *record, batch *DigestBatch, now time.Time) bool {
-	member, declared := fleet.byHash[read.Hash]
+// receiveRecord accepts one record and returns true if it is the first report of its engine. A
+// short record that cannot be completed causes a fetch from the sender. The caller must hold
+// s.mutex.
+func (s *spreader) receiveRecord(fleet *engineTable, read *record, batch *DigestBatch, now time.Time) bool {
+	tracked, declared := fleet.byHash[read.Hash]
 	if !declared {
-		return false // The configuration here is older or newer than the sender's.
+		return false // the sender's configuration is older or newer
 	}
-	former := member.report.Load()
-	if !read.complete(member.declared.Name, former) {
-		s.fetch[batch.Sender] = true
+	former := tracked.report.Load()
+	if !read.complete(tracked.declared.Name, former) {
+		s.pendingFetches[batch.Sender] = true
 		return false
 	}
-	s.service.hearing.note(read.Digest.Fence, now)
-	accepted := member.accept(read.Digest, read.Check, now)
+	s.service.digestTimes.record(read.Digest.Fence, now)
+	accepted := tracked.accept(read.Digest, read.Checksum, now)
 	if accepted && batch.Relay {
-		s.passOn[member] = s.passOn[member] || read.Full
+		s.relay[tracked] = s.relay[tracked] || read.Full
 	}
 	return accepted && former == nil
 }
 
-// all gives every fresh digest, whole.
-func (s *spreader) all(now time.Time) DigestBatch {
+// freshDigests returns full records of all digests received within the last refresh and spread
+// intervals.
+func (s *spreader) freshDigests(now time.Time) DigestBatch {
 	batch := DigestBatch{Sender: s.service.self.Address}
 	freshFor := s.service.settings.RefreshInterval + s.service.settings.SpreadInterval
-	for _, member := range s.service.fleet.Load().units {
-		latest := member.report.Load()
+	for _, tracked := range s.service.fleet.Load().engines {
+		latest := tracked.report.Load()
 		if latest != nil && now.Sub(latest.received) <= freshFor {
-			batch.Payload = appendRecord(batch.Payload, &latest.digest, latest.check, true)
+			batch.Payload = appendRecord(batch.Payload, &latest.digest, latest.checksum, true)
 		}
 	}
 	return batch
 }
 
-// Receiver answers the calls of other daemons, by net/rpc's rules.
+// Receiver serves the RPCs of other daemons with net/rpc.
 type Receiver struct{ service *Service }
 
-// Digests takes a batch; a malformed one is refused whole.
+// Digests accepts a batch, or returns an error and accepts nothing if it is malformed.
 func (r *Receiver) Digests(batch *DigestBatch, _ *DigestReply) error {
 	return r.service.spread.receive(batch)
 }
 
-// Fetch gives all digests that are fresh here.
+// Fetch returns all fresh digests known to this daemon.
 func (r *Receiver) Fetch(_ *FetchArguments, reply *DigestBatch) error {
-	*reply = r.service.spread.all(time.Now())
+	*reply = r.service.spread.freshDigests(time.Now())
 	return nil
 }
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -16,47 +16,47 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// Service supervises the engines that fall to this daemon and keeps the
-// picture of all engines of its region. Safe for concurrent use.
+// Service supervises the engines assigned to this daemon and maintains the snapshot of all
+// engines of its region. It is safe for concurrent use.
 type Service struct {
 	options  Options
 	settings *Settings
 	self     identity.Process
 	logger   *zap.Logger
 	metrics  *metrics
-	calls    *semaphore.Weighted // calls to engines at once
-
-	snapshot atomic.Pointer[scheduling.Snapshot]
-	fleet    atomic.Pointer[table]
-	leaving  *departures
-	plans    atomic.Pointer[map[string]Order]
-	wanted   atomic.Pointer[wantedPools]
-	daemons  atomic.Int64 // that supervise in the region
-	gate     weightGate
-	dirty    chan struct{}
-	changed  chan struct{}
-	wake     chan struct{} // releases wait
-	pending  pendingUnits
-	hearing  hearing
-	holds    chan heldLease
-
-	rebuilding sync.Mutex
-	random     *rand.Rand     // guarded by rebuilding
-	shared     sharedPrefixes // guarded by rebuilding
-	prefixes   *prefixes
-
-	// The rest belongs to the goroutine of followFleet.
-	regions     map[identity.Zone]identity.Region // only grows
+	calls    *semaphore.Weighted // limits concurrent calls to engines to PollConcurrency
+
+	snapshot        atomic.Pointer[scheduling.Snapshot]
+	fleet           atomic.Pointer[engineTable]
+	departures      *departureSet
+	plans           atomic.Pointer[map[string]Order]
+	wanted          atomic.Pointer[wantedPools]
+	daemonCount     atomic.Int64 // eligible to supervise in the region; at least 1
+	weightLimiter   weightLimiter
+	rebuildRequests chan struct{}
+	snapshotChanged chan struct{}
+	releaseWake     chan struct{} // wakes releaseLoop
+	pendingReleases pendingReleases
+	digestTimes     digestTimes
+	holdRequests    chan holdRequest
+
+	rebuilding    sync.Mutex
+	random        *rand.Rand    // guarded by rebuilding
+	cachedHolders cachedHolders // guarded by rebuilding
+	prefixes      *prefixIndex
+
+	// The fields regions, supervisors and synced are used only by the goroutine of watchFleet.
+	regions     map[identity.Zone]identity.Region // entries are never removed
 	supervisors map[string]supervision
-	followed    followed
+	synced      syncedState
 	running     sync.WaitGroup
 	spread      *spreader
 }
 
-// supervision is an engine that this daemon supervises.
+// supervision is a running supervisor. Calling stop ends it.
 type supervision struct {
-	unit *unit
-	stop context.CancelFunc
+	engine *trackedEngine
+	stop   context.CancelFunc
 }
 
 var (
@@ -65,50 +65,51 @@
 	_ Announcer     = (*Service)(nil)
 )
 
-const holdQueue = 256
+const holdQueueSize = 256
 
-// New makes a service and registers its calls with the registrar. It does
-// nothing before Run; Snapshot is empty until then.
+// New returns a service and registers its RPC receiver with the registrar. Supervision starts
+// with Run; until then the snapshot is empty.
 func New(options Options) (*Service, error) {
 	options, err := options.withDefaults()
 	if err != nil {
 		return nil, eris.Wrap(err, "engine: check options")
 	}
 	s := &Service{
-		options:     options,
-		settings:    &options.Settings,
-		self:        options.Self,
-		logger:      options.Logger.Named("engine"),
-		metrics:     newMetrics(options.Registerer),
-		calls:       semaphore.NewWeighted(int64(options.Settings.PollConcurrency)),
-		leaving:     newDepartures(),
-		dirty:       make(chan struct{}, 1),
-		changed:     make(chan struct{}, 1),
-		wake:        make(chan struct{}, 1),
-		pending:     pendingUnits{units: map[*unit]struct{}{}},
-		holds:       make(chan heldLease, holdQueue),
-		random:      rand.New(rand.NewPCG(uint64(options.Self.Incarnation), weightOf("jitter", options.Self))),
-		prefixes:    newPrefixes(options.Settings.KeepPrefix),
-		regions:     map[identity.Zone]identity.Region{},
-		supervisors: map[string]supervision{},
+		options:         options,
+		settings:        &options.Settings,
+		self:            options.Self,
+		logger:          options.Logger.Named("engine"),
+		metrics:         newMetrics(options.Registerer),
+		calls:           semaphore.NewWeighted(int64(options.Settings.PollConcurrency)),
+		departures:      newDepartureSet(),
+		rebuildRequests: make(chan struct{}, 1),
+		snapshotChanged: make(chan struct{}, 1),
+		releaseWake:     make(chan struct{}, 1),
+		pendingReleases: pendingReleases{engines: map[*trackedEngine]struct{}{}},
+		holdRequests:    make(chan holdRequest, holdQueueSize),
+		random:          rand.New(rand.NewPCG(uint64(options.Self.Incarnation), weightOf("jitter", options.Self))),
+		prefixes:        newPrefixIndex(options.Settings.KeepPrefix),
+		regions:         map[identity.Zone]identity.Region{},
+		supervisors:     map[string]supervision{},
 	}
-	s.fleet.Store(&table{byName: map[string]*unit{}, byHash: map[uint64]*unit{}})
+	s.fleet.Store(&engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}})
 	s.plans.Store(&map[string]Order{})
 	s.wanted.Store(&wantedPools{})
-	s.daemons.Store(1)
+	s.daemonCount.Store(1)
 	s.snapshot.Store(scheduling.Build(nil, nil))
 	s.spread = newSpreader(s)
 	if err := options.Registrar.Register(rpcName, &Receiver{service: s}); err != nil {
-		return nil, eris.Wrap(err, "engine: register calls")
+		return nil, eris.Wrap(err, "engine: register the RPC receiver")
 	}
 	return s, nil
 }
 
-// Run supervises until the context ends, and returns after all its work has.
+// Run supervises engines until the context ends, and returns after all its goroutines have
+// ended.
 func (s *Service) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, loop := range []func(context.Context){
-		s.followFleet, s.rebuildLoop, s.spread.loop, s.releaseLoop, s.holdLoop, s.machineLoop,
+		s.watchFleet, s.rebuildLoop, s.spread.loop, s.releaseLoop, s.holdLoop, s.machineListLoop,
 	} {
 		group.Go(func() error {
 			loop(ctx)
@@ -123,47 +124,49 @@
 // Snapshot implements Fleet.
 func (s *Service) Snapshot() *scheduling.Snapshot { return s.snapshot.Load() }
 
-// Changed implements Announcer, for one listener.
-func (s *Service) Changed() <-chan struct{} { return s.changed }
+// Changed implements Announcer. The channel is shared, so only one listener receives each
+// value.
+func (s *Service) Changed() <-chan struct{} { return s.snapshotChanged }
 
-// Placed implements Fleet.
+// Placed implements Fleet. A placement at an engine that is not declared is ignored.
 func (s *Service) Placed(engineID string, promptTokens int64) func(bool, time.Duration) {
 	placedAt, found := s.fleet.Load().byName[engineID]
 	if !found {
 		return func(bool, time.Duration) {}
 	}
-	done := placedAt.load.placed(promptTokens)
-	s.show()
+	done := placedAt.placements.add(promptTokens)
+	s.showPlacement()
 	return func(failed bool, elapsed time.Duration) {
 		done(failed, elapsed)
-		s.touch()
+		s.requestRebuild()
 	}
 }
 
-// show brings a placement into the snapshot: at once in a small fleet, else
-// within RebuildInterval.
-func (s *Service) show() {
-	if len(s.fleet.Load().units) > rebuildAtOnceUpTo || !s.rebuilding.TryLock() {
-		s.touch()
+// showPlacement updates the snapshot after a placement: immediately in a fleet of at most
+// maxImmediateRebuildEngines engines, otherwise with the next requested rebuild.
+func (s *Service) showPlacement() {
+	if len(s.fleet.Load().engines) > maxImmediateRebuildEngines || !s.rebuilding.TryLock() {
+		s.requestRebuild()
 		return
 	}
 	defer s.rebuilding.Unlock()
 	s.rebuild(time.Now())
 }
 
-// touch asks for a new snapshot.
-func (s *Service) touch() { signal(s.dirty) }
+// requestRebuild asks rebuildLoop for a new snapshot.
+func (s *Service) requestRebuild() { notify(s.rebuildRequests) }
 
-// reported brings digests into the snapshot: at once when something urgent is
-// among them or the fleet is small, else with the next assessment, since they
-// are a second old or more as they come.
-func (s *Service) reported(urgent bool) {
-	if urgent || len(s.fleet.Load().units) <= rebuildAtOnceUpTo {
-		s.touch()
+// digestsReceived updates the snapshot after new digests. In a large fleet a rebuild is
+// requested only if a digest is urgent; other digests, which are already about a second old,
+// wait for the next assessment.
+func (s *Service) digestsReceived(urgent bool) {
+	if urgent || len(s.fleet.Load().engines) <= maxImmediateRebuildEngines {
+		s.requestRebuild()
 	}
 }
 
-func signal(channel chan struct{}) {
+// notify sends a value unless one is already waiting in the channel.
+func notify(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
--- a/internal/engine/service_test.go
+++ b/internal/engine/service_test.go
@@ -17,18 +17,18 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-const patience = 10 * time.Second
+const eventuallyTimeout = 10 * time.Second
 
 var _ = Describe("the service", func() {
 	var (
-		members *network
+		members *memoryNetwork
 		source  *fakeSource
 		first   *fakeEngine
 		second  *fakeEngine
 	)
 
 	BeforeEach(func() {
-		members = newNetwork()
+		members = newMemoryNetwork()
 		members.setMembers(process("daemon-a"))
 		source = &fakeSource{}
 		first = newFakeEngine("engine-1", "model", "v1")
@@ -36,58 +36,58 @@
 		source.set(document("v1", first, second))
 	})
 
-	It("shows engines that serve, and none that is drained, leaving or of another model", func() {
+	It("accepts work for serving engines, but not for drained or leaving ones", func() {
 		machines := &fakeMachines{}
-		service, _ := start(members, source, "daemon-a", func(o *Options) { o.Machines = machines })
-		Eventually(accepting(service), patience).Should(Equal([]string{"engine-1", "engine-2"}))
+		service, _ := startService(members, source, "daemon-a", func(o *Options) { o.Machines = machines })
+		Eventually(accepting(service), eventuallyTimeout).Should(Equal([]string{"engine-1", "engine-2"}))
 		Expect(service.Snapshot().ByModel["model"]).To(HaveLen(2))
 
 		machines.mutex.Lock()
 		machines.leaving = []platform.ListedMachine{{Name: "other", Kind: platform.MachineEngine, Address: first.Listener.Addr().String(), State: platform.MachineLeaving}}
 		machines.mutex.Unlock()
-		Eventually(accepting(service), patience).Should(Equal([]string{"engine-2"}))
+		Eventually(accepting(service), eventuallyTimeout).Should(Equal([]string{"engine-2"}))
 		Expect(service.Leaving(first.URL)).To(BeTrue())
 
 		drained := document("v1", first, second)
 		drained.Drains = []string{"engine-2"}
 		source.set(drained)
-		Eventually(accepting(service), patience).Should(BeEmpty())
+		Eventually(accepting(service), eventuallyTimeout).Should(BeEmpty())
 	})
 
-	It("counts its own placements until reports can show them", func() {
-		service, _ := start(members, source, "daemon-a", nil)
-		Eventually(accepting(service), patience).Should(HaveLen(2))
+	It("counts its own placements until the engine's reports include them", func() {
+		service, _ := startService(members, source, "daemon-a", nil)
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		done := service.Placed("engine-1", 500)
 		done(false, time.Millisecond)
-		done(false, time.Millisecond) // A second call changes nothing.
-		Eventually(func() int { return service.Snapshot().Engines[0].PlacedSince }, patience).Should(BeZero())
+		done(false, time.Millisecond) // a second call has no effect
+		Eventually(func() int { return service.Snapshot().Engines[0].PlacedSince }, eventuallyTimeout).Should(BeZero())
 		service.Placed("engine-that-is-not-there", 1)(true, 0)
 	})
 
-	It("shows which engines hold a shared prefix, by their place in the snapshot", func() {
-		service, _ := start(members, source, "daemon-a", nil)
-		Eventually(accepting(service), patience).Should(HaveLen(2))
+	It("lists the holders of a shared prefix by their index in the snapshot", func() {
+		service, _ := startService(members, source, "daemon-a", nil)
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		for _, engine := range []string{"engine-1", "engine-2", "engine-unknown"} {
-			service.Served(engine, []PrefixRun{{Hash: 7, Tokens: 900}, {Hash: 8, Tokens: leastTokens - 1}})
+			service.Served(engine, []PrefixRun{{Hash: 7, Tokens: 900}, {Hash: 8, Tokens: minPrefixTokens - 1}})
 		}
-		Eventually(func() any { return service.Snapshot().SharedPrefixes }, patience).Should(Equal(
+		Eventually(func() any { return service.Snapshot().SharedPrefixes }, eventuallyTimeout).Should(Equal(
 			map[uint64][]scheduling.PrefixHolder{7: {{Engine: 1, Tokens: 900}, {Engine: 0, Tokens: 900}}}))
 		source.set(document("v1", second))
-		Eventually(func() any { return service.Snapshot().SharedPrefixes[7] }, patience).Should(Equal(
+		Eventually(func() any { return service.Snapshot().SharedPrefixes[7] }, eventuallyTimeout).Should(Equal(
 			[]scheduling.PrefixHolder{{Engine: 0, Tokens: 900}}))
 	})
 
-	It("brings engines to a new version, one at a time, with its own fence", func() {
-		service, _ := start(members, source, "daemon-a", nil)
-		Eventually(accepting(service), patience).Should(HaveLen(2))
+	It("rolls a new version out to every engine with one order each", func() {
+		service, _ := startService(members, source, "daemon-a", nil)
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		source.set(document("v2", first, second))
-		Eventually(func() []string { return []string{versionOf(first), versionOf(second)} }, patience).Should(HaveEach("v2"))
-		Eventually(accepting(service), patience).Should(HaveLen(2))
+		Eventually(func() []string { return []string{versionOf(first), versionOf(second)} }, eventuallyTimeout).Should(HaveEach("v2"))
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		first.edit(func() { Expect(first.orders).To(HaveLen(1)) })
 	})
 
-	It("keeps capacity while engines that report late take their time to load", func() {
-		written := configuration.Document{
+	It("takes one engine out of service at a time when loads are slow and reports lag", func() {
+		declared := configuration.Document{
 			Models: []configuration.Model{{Name: "model", Version: "v1"}},
 			Pools:  []configuration.Pool{{Name: "pool", Model: "model"}},
 		}
@@ -98,122 +98,122 @@
 			DeferCleanup(engine.Close)
 			server := httptest.NewServer(engine)
 			DeferCleanup(server.Close)
-			written.Engines = append(written.Engines, configuration.Engine{Name: name, Address: server.URL, Zone: "zone-a"})
-			written.Pools[0].Engines = append(written.Pools[0].Engines, name)
+			declared.Engines = append(declared.Engines, configuration.Engine{Name: name, Address: server.URL, Zone: "zone-a"})
+			declared.Pools[0].Engines = append(declared.Pools[0].Engines, name)
 		}
-		source.set(written)
-		service, _ := start(members, source, "daemon-a", nil)
-		Eventually(accepting(service), patience).Should(HaveLen(3))
-		next := written
+		source.set(declared)
+		service, _ := startService(members, source, "daemon-a", nil)
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(3))
+		next := declared
 		next.Models = []configuration.Model{{Name: "model", Version: "v2"}}
 		source.set(next)
-		least := 3
+		fewest := 3
 		Eventually(func() []string {
-			least = min(least, len(accepting(service)()))
+			fewest = min(fewest, len(accepting(service)()))
 			var versions []string
 			for _, engine := range service.Snapshot().Engines {
 				versions = append(versions, engine.Version)
 			}
 			return versions
-		}, patience).Should(HaveEach("v2"))
-		Expect(least).To(Equal(2))
-		Eventually(accepting(service), patience).Should(HaveLen(3))
+		}, eventuallyTimeout).Should(HaveEach("v2"))
+		Expect(fewest).To(Equal(2))
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(3))
 	})
 
-	It("shares engines among daemons, and takes over with a higher fence", func() {
+	It("distributes engines among daemons and takes over with a higher fencing token", func() {
 		both := []identity.Process{process("daemon-a"), process("daemon-b")}
 		members.setMembers(both...)
-		falling := newFakeEngine(nameOwnedBy("daemon-b", both), "model", "v1")
-		source.set(document("v1", first, falling))
-		one, _ := start(members, source, "daemon-a", nil)
-		two, stop := start(members, source, "daemon-b", nil)
+		reassigned := newFakeEngine(nameOwnedBy("daemon-b", both), "model", "v1")
+		source.set(document("v1", first, reassigned))
+		one, _ := startService(members, source, "daemon-a", nil)
+		two, stop := startService(members, source, "daemon-b", nil)
 		for _, service := range []*Service{one, two} {
-			Eventually(accepting(service), patience).Should(HaveLen(2))
+			Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		}
-		before := fenceOf(falling)
-		falling.edit(func() { Expect(falling.claims).To(Equal(1)) })
+		before := fenceOf(reassigned)
+		reassigned.edit(func() { Expect(reassigned.claims).To(Equal(1)) })
 		stop()
 		members.setMembers(process("daemon-a"))
-		Eventually(func() uint64 { return fenceOf(falling) }, patience).Should(BeNumerically(">", before))
+		Eventually(func() uint64 { return fenceOf(reassigned) }, eventuallyTimeout).Should(BeNumerically(">", before))
 		Consistently(accepting(one), 100*time.Millisecond).Should(HaveLen(2))
 	})
 
 	It("takes over the engines of a daemon whose lease stands but which is cut off, until it is heard again", func() {
 		both := []identity.Process{process("daemon-a"), process("daemon-b")}
 		members.setMembers(both...)
-		falling := newFakeEngine(nameOwnedBy("daemon-b", both), "model", "v1")
-		staying := newFakeEngine(nameOwnedBy("daemon-a", both), "model", "v1")
-		source.set(document("v1", staying, falling))
+		reassigned := newFakeEngine(nameOwnedBy("daemon-b", both), "model", "v1")
+		retained := newFakeEngine(nameOwnedBy("daemon-a", both), "model", "v1")
+		source.set(document("v1", retained, reassigned))
 		registry := prometheus.NewRegistry()
-		one, _ := start(members, source, "daemon-a", func(o *Options) { o.Registerer = registry })
-		two, _ := start(members, source, "daemon-b", nil)
+		one, _ := startService(members, source, "daemon-a", func(o *Options) { o.Registerer = registry })
+		two, _ := startService(members, source, "daemon-b", nil)
 		for _, service := range []*Service{one, two} {
-			Eventually(accepting(service), patience).Should(HaveLen(2))
+			Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		}
-		claimant := func() uint64 { return fenceOf(falling) & fenceMask }
+		claimant := func() uint64 { return fenceOf(reassigned) & fenceMask }
 		Expect(claimant()).To(Equal(weightOf("fence", both[1]) & fenceMask))
-		owned := func() float64 { return gaugeOf(registry, ownedMetric) }
+		owned := func() float64 { return gaugeOf(registry, supervisedMetric) }
 		Expect(owned()).To(BeEquivalentTo(1))
-		members.cutOff("daemon-b")
-		Eventually(claimant, patience).Should(Equal(weightOf("fence", both[0]) & fenceMask))
+		members.isolate("daemon-b")
+		Eventually(claimant, eventuallyTimeout).Should(Equal(weightOf("fence", both[0]) & fenceMask))
 		Expect(owned()).To(BeEquivalentTo(2))
-		members.cutOff("")
-		Eventually(owned, patience).Should(BeEquivalentTo(1))
-		Eventually(accepting(one), patience).Should(HaveLen(2))
+		members.isolate("")
+		Eventually(owned, eventuallyTimeout).Should(BeEquivalentTo(1))
+		Eventually(accepting(one), eventuallyTimeout).Should(HaveLen(2))
 	})
 
-	It("knows at its start what other daemons know, and lets calls wait until then", func() {
+	It("fetches digests from other daemons at its start and announces engines without a report", func() {
 		members.setMembers(process("daemon-a"), process("daemon-b"))
-		one, _ := start(members, source, "daemon-a", nil)
-		Eventually(accepting(one), patience).ShouldNot(BeEmpty())
+		one, _ := startService(members, source, "daemon-a", nil)
+		Eventually(accepting(one), eventuallyTimeout).ShouldNot(BeEmpty())
 		known := accepting(one)()
-		late, _ := start(members, source, "daemon-b", func(o *Options) {
+		late, _ := startService(members, source, "daemon-b", func(o *Options) {
 			o.Settings.SpreadInterval, o.Settings.PollInterval = time.Hour, time.Hour
 		})
-		Eventually(accepting(late), patience).Should(ContainElements(known))
+		Eventually(accepting(late), eventuallyTimeout).Should(ContainElements(known))
 
-		blind := newFakeEngine("engine-3", "model", "v1")
-		blind.Close()
-		source.set(document("v1", first, blind))
-		Eventually(func() bool { return AwaitsReport(one.Snapshot(), "model") }, patience).Should(BeTrue())
+		unreported := newFakeEngine("engine-3", "model", "v1")
+		unreported.Close()
+		source.set(document("v1", first, unreported))
+		Eventually(func() bool { return AwaitsReport(one.Snapshot(), "model") }, eventuallyTimeout).Should(BeTrue())
 		Expect(accepting(one)()).NotTo(ContainElement("engine-3"))
-		Eventually(func() bool { return AwaitsReport(one.Snapshot(), "model") }, patience).Should(BeFalse())
+		Eventually(func() bool { return AwaitsReport(one.Snapshot(), "model") }, eventuallyTimeout).Should(BeFalse())
 	})
 
-	It("claims an engine again after it restarted and forgot its fence", func() {
-		service, _ := start(members, source, "daemon-a", nil)
-		Eventually(accepting(service), patience).Should(HaveLen(2))
+	It("claims an engine again after a restart that lost its fencing token", func() {
+		service, _ := startService(members, source, "daemon-a", nil)
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		before := fenceOf(first)
 		first.edit(func() { first.state.Incarnation, first.state.Fence = 2, 0 })
-		Eventually(func() uint64 { return fenceOf(first) }, patience).Should(BeNumerically(">", before))
+		Eventually(func() uint64 { return fenceOf(first) }, eventuallyTimeout).Should(BeNumerically(">", before))
 		Expect(accepting(service)()).To(HaveLen(2))
 	})
 
-	It("takes over a view of the members only when the region's daemons changed", func(ctx SpecContext) {
-		daemon := fakeDaemon{network: members, self: process("daemon-a")}
+	It("rebuilds the engine table only when the region's daemons changed", func(ctx SpecContext) {
+		daemon := fakeDaemon{memoryNetwork: members, self: process("daemon-a")}
 		members.setMembers(daemon.self, process("daemon-b"))
 		service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon})
 		Expect(err).NotTo(HaveOccurred())
-		looking, stop := context.WithCancel(ctx)
+		syncContext, stop := context.WithCancel(ctx)
 		defer service.running.Wait()
 		defer stop()
-		service.look(looking)
-		taken := service.fleet.Load()
-		members.setMembers(daemon.self, process("daemon-b")) // as when only news differ
-		service.look(looking)
-		Expect(service.fleet.Load()).To(BeIdenticalTo(taken))
+		service.syncIfChanged(syncContext)
+		synced := service.fleet.Load()
+		members.setMembers(daemon.self, process("daemon-b")) // a new version of the view with the same daemons
+		service.syncIfChanged(syncContext)
+		Expect(service.fleet.Load()).To(BeIdenticalTo(synced))
 		members.setMembers(daemon.self)
-		service.look(looking)
-		Expect(service.fleet.Load()).NotTo(BeIdenticalTo(taken))
-		Expect(service.supervisors).To(HaveLen(2), "all engines fall to the daemon that is left")
+		service.syncIfChanged(syncContext)
+		Expect(service.fleet.Load()).NotTo(BeIdenticalTo(synced))
+		Expect(service.supervisors).To(HaveLen(2), "the remaining daemon supervises all engines")
 	})
 
-	It("releases memory of ended programs until confirmed, and finds what was missed", func() {
+	It("retries releases until confirmed and finds missed ones by reconciliation", func() {
 		first.edit(func() {
 			first.held["ended"], first.held["missed"], first.held["live"] = true, true, true
-			first.failing = 2
+			first.releaseFailures = 2
 		})
-		service, _ := start(members, source, "daemon-a", func(o *Options) {
+		service, _ := startService(members, source, "daemon-a", func(o *Options) {
 			o.EndedOrUnknown = func(_ context.Context, asked []identity.Program) ([]identity.Program, error) {
 				var ended []identity.Program
 				for _, program := range asked {
@@ -224,9 +224,9 @@
 				return ended, nil
 			}
 		})
-		Eventually(accepting(service), patience).Should(HaveLen(2))
+		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		service.Ended([]identity.Program{"ended"}, []string{"engine-1", "engine-unknown"})
-		Eventually(first.holds, patience).Should(Equal(1))
+		Eventually(first.heldCount, eventuallyTimeout).Should(Equal(1))
 		first.edit(func() { Expect(first.held).To(HaveKey("live")) })
 	})
 })
@@ -237,10 +237,10 @@
 	return fake.state.Version
 }
 
-// ownedMetric counts the engines that a daemon supervises.
-const ownedMetric = "thymeloft_engine_supervised"
+// supervisedMetric is the gauge of the engines that a daemon supervises.
+const supervisedMetric = "thymeloft_engine_supervised"
 
-// gaugeOf reads a gauge without labels.
+// gaugeOf returns the value of a gauge without labels.
 func gaugeOf(registry *prometheus.Registry, name string) float64 {
 	families, err := registry.Gather()
 	Expect(err).NotTo(HaveOccurred())
@@ -259,6 +259,7 @@
 	return fake.state.Fence
 }
 
+// nameOwnedBy returns an engine name that the rendezvous hash assigns to the machine.
 func nameOwnedBy(machine identity.Machine, processes []identity.Process) string {
 	for number := 2; ; number++ {
 		name := fmt.Sprintf("engine-%d", number)
--- a/internal/engine/silence.go
+++ b/internal/engine/silence.go
@@ -8,80 +8,82 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// A daemon whose lease stands may still be cut off from this one, if both sides of
-// the cut reach the store. What it says of its engines is not heard then, and those
-// that call them here would be refused. So a daemon that supervises engines and of
-// which nothing is heard for long is passed over: its engines fall to the next by
-// claim, besides itself. Two supervisors of an engine take its fence from each other,
-// so that each order is one supervisor's; who is heard again gets its engines back.
+// A daemon may keep its lease and still be cut off from this daemon, if both can reach the
+// store. This daemon then receives no digests of the engines that the other one supervises, and
+// would refuse requests for them. Therefore a daemon that supervises engines but whose digests
+// stop arriving is ignored when engines are assigned, and another daemon claims its engines.
+// Two daemons may then supervise an engine. Each claims it again with a higher fencing token,
+// and the engine refuses orders with a lower one. When digests arrive again, the engines return
+// to the first daemon.
 
-// hearing knows when each supervisor's digests were last received, directly or passed
-// on. It is safe for concurrent use.
-type hearing struct {
-	mutex sync.Mutex
-	heard map[uint64]time.Time // by the part of a fence that names the process
+// digestTimes records when the digests of each supervisor were last received, directly or
+// through a relay. It is safe for concurrent use.
+type digestTimes struct {
+	mutex     sync.Mutex
+	byProcess map[uint64]time.Time // key: low bits of the fencing token, which identify the process
 }
 
-// note takes in a digest's fence.
-func (h *hearing) note(fence uint64, now time.Time) {
+// record notes that a digest with this fencing token was received.
+func (h *digestTimes) record(fence uint64, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if h.heard == nil {
-		h.heard = map[uint64]time.Time{}
+	if h.byProcess == nil {
+		h.byProcess = map[uint64]time.Time{}
 	}
-	h.heard[fence&fenceMask] = now
+	h.byProcess[fence&fenceMask] = now
 }
 
-// begin counts a process that just became a supervisor as heard, and forgets those
-// that are none any more.
-func (h *hearing) begin(supervisors []identity.Process, now time.Time) {
+// setSupervisors replaces the set of known supervisors. For a new supervisor the time is set to
+// now, as if a digest had just been received.
+func (h *digestTimes) setSupervisors(supervisors []identity.Process, now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	next := make(map[uint64]time.Time, len(supervisors))
 	for _, process := range supervisors {
 		name := weightOf("fence", process) & fenceMask
 		next[name] = now
-		if former, known := h.heard[name]; known {
+		if former, known := h.byProcess[name]; known {
 			next[name] = former
 		}
 	}
-	h.heard = next
+	h.byProcess = next
 }
 
-// silent lists the supervisors of which nothing was received since the moment.
-func (h *hearing) silent(supervisors []identity.Process, since time.Time) []identity.Process {
+// silentSince returns the supervisors whose last digest was received before the given time.
+func (h *digestTimes) silentSince(supervisors []identity.Process, since time.Time) []identity.Process {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	var found []identity.Process
 	for _, process := range supervisors {
-		if h.heard[weightOf("fence", process)&fenceMask].Before(since) {
+		if h.byProcess[weightOf("fence", process)&fenceMask].Before(since) {
 			found = append(found, process)
 		}
 	}
 	return found
 }
 
-// passOver gives the daemons without those that are silent though engines fall to
-// them. This daemon itself is never silent.
-func (s *Service) passOver(daemons []identity.Process, units []*unit, now time.Time) []identity.Process {
+// responsiveDaemons returns the daemons without those that should supervise engines but of which
+// no digest was received for maxSilence. This daemon itself is never removed.
+func (s *Service) responsiveDaemons(daemons []identity.Process, engines []*trackedEngine, now time.Time) []identity.Process {
 	owners := newCandidates(daemons)
-	var others []identity.Process
-	for _, each := range units {
+	var supervising []identity.Process
+	for _, each := range engines {
 		process, found := owners.owner(each.declared.Name)
-		if found && process != s.self && !slices.Contains(others, process) {
-			others = append(others, process)
+		if found && process != s.self && !slices.Contains(supervising, process) {
+			supervising = append(supervising, process)
 		}
 	}
-	s.hearing.begin(others, now)
-	silent := s.hearing.silent(others, now.Add(-s.settings.silence()))
+	s.digestTimes.setSupervisors(supervising, now)
+	silent := s.digestTimes.silentSince(supervising, now.Add(-s.settings.maxSilence()))
 	return slices.DeleteFunc(slices.Clone(daemons), func(process identity.Process) bool {
 		return slices.Contains(silent, process)
 	})
 }
 
-// silence is how long nothing may be heard of a supervisor: an unchanged digest is
-// spread again within a refresh and a spread; one more may be lost.
-func (s *Settings) silence() time.Duration {
+// maxSilence is the time without digests after which a supervisor counts as unresponsive. An
+// unchanged digest is sent again after at most RefreshInterval and one SpreadInterval; the
+// second SpreadInterval is a margin.
+func (s *Settings) maxSilence() time.Duration {
 	const spreads = 2
 	return s.RefreshInterval + spreads*s.SpreadInterval
 }
--- a/internal/engine/spread.go
+++ b/internal/engine/spread.go
@@ -14,63 +14,67 @@
 )
 
 const (
-	fullInterval = 30 * time.Second
-
-	// callOverhead is about what net/rpc adds to a batch and its reply: two
+	// fullRecordInterval is the time after which a digest is sent as a full record even if its
+	// static fields did not change.
+	fullRecordInterval = 30 * time.Second
+	// callOverheadBytes estimates the bytes that net/rpc adds to a batch and its reply: two
 	// headers with the method's name, lengths and the empty reply.
-	callOverhead = 90
+	callOverheadBytes = 90
 )
 
-// sentDigest is what was last told of an engine supervised here.
+// sentDigest is the last report of a supervised engine that was sent to other daemons.
 type sentDigest struct {
-	report *report
-	at     time.Time
-	fullAt time.Time
+	report     *report
+	sentAt     time.Time
+	fullSentAt time.Time
 }
 
-// spreader exchanges digests with the region's daemons. A lost batch is made
-// good by the next refresh, since every digest is told again regularly.
+// spreader exchanges digests with the other daemons of the region. Batches are not retried:
+// every digest is sent again after RefreshInterval.
 type spreader struct {
 	service *Service
 
-	mutex      sync.Mutex
-	mesh       mesh
-	own        map[*unit]bool // published since the last tick
-	sent       map[*unit]sentDigest
-	passOn     map[*unit]bool // came along the row; true: whole
-	departures map[identity.Machine]Departures
-	ownNews    *Departures
-	fetch      map[string]bool
-	busy       map[string]bool // a batch to this address is under way
-	quietUntil time.Time       // digests wait, so that SpreadBytesPerSecond is kept
+	mutex             sync.Mutex
+	mesh              mesh
+	updated           map[*trackedEngine]bool // supervised engines with a new digest since the last tick
+	sent              map[*trackedEngine]sentDigest
+	relay             map[*trackedEngine]bool // engines whose digest was received along the row; true: as a full record
+	relayedDepartures map[identity.Machine]Departures
+	ownDepartures     *Departures
+	pendingFetches    map[string]bool // addresses to fetch full records from
+	sending           map[string]bool // addresses to which a batch is being sent
+	nextSendAt        time.Time       // earliest time for more digests, from SpreadBytesPerSecond
 }
 
 func newSpreader(service *Service) *spreader {
 	return &spreader{
-		service: service, own: map[*unit]bool{}, sent: map[*unit]sentDigest{}, passOn: map[*unit]bool{},
-		departures: map[identity.Machine]Departures{}, fetch: map[string]bool{}, busy: map[string]bool{},
+		service: service, updated: map[*trackedEngine]bool{}, sent: map[*trackedEngine]sentDigest{}, relay: map[*trackedEngine]bool{},
+		relayedDepartures: map[identity.Machine]Departures{}, pendingFetches: map[string]bool{}, sending: map[string]bool{},
 	}
 }
 
-func (s *spreader) follow(next mesh) {
+// setMesh replaces the receivers of digests and forgets what was sent about engines that are no
+// longer tracked.
+func (s *spreader) setMesh(next mesh) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.mesh = next
 	fleet := s.service.fleet.Load()
-	maps.DeleteFunc(s.sent, func(member *unit, _ sentDigest) bool { return fleet.byName[member.declared.Name] != member })
+	maps.DeleteFunc(s.sent, func(tracked *trackedEngine, _ sentDigest) bool { return fleet.byName[tracked.declared.Name] != tracked })
 }
 
-// publish notes that an engine supervised here has a new digest.
-func (s *spreader) publish(member *unit) {
+// publish marks an engine supervised by this daemon as having a new digest.
+func (s *spreader) publish(tracked *trackedEngine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.own[member] = true
+	s.updated[tracked] = true
 }
 
-func (s *spreader) publishDepartures(news Departures) {
+// publishDepartures sends this daemon's list of leaving machines with the next tick.
+func (s *spreader) publishDepartures(update Departures) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.ownNews = &news
+	s.ownDepartures = &update
 }
 
 func (s *spreader) loop(ctx context.Context) {
@@ -86,24 +90,25 @@
 	}
 }
 
-// tick sends what is new: own digests along the row and the column, the row's
-// along the column only. While more was sent than is allowed, digests wait
-// and the latest replaces earlier ones; what leaves is told at once.
+// tick sends this daemon's new digests along the row and the column, and the digests received
+// along the row to the column. After a tick, digests are held back until the sent bytes fit
+// SpreadBytesPerSecond; meanwhile newer digests replace older ones. Departures are not held
+// back. It also starts the pending fetches.
 func (s *spreader) tick(ctx context.Context, now time.Time) {
 	s.mutex.Lock()
 	row, column := s.departureBatches()
-	if !now.Before(s.quietUntil) {
-		s.addOwn(&row, now)
+	if !now.Before(s.nextSendAt) {
+		s.appendOwn(&row, now)
 		column.Payload = slices.Clone(row.Payload)
-		s.addPassedOn(&column)
+		s.appendRelayed(&column)
 	}
 	targets := s.mesh
-	sent := len(targets.row)*(len(row.Payload)+callOverhead) + len(targets.column)*(len(column.Payload)+callOverhead)
+	sent := len(targets.row)*(len(row.Payload)+callOverheadBytes) + len(targets.column)*(len(column.Payload)+callOverheadBytes)
 	if len(column.Payload) > 0 {
-		s.quietUntil = now.Add(time.Duration(float64(sent) / s.service.settings.SpreadBytesPerSecond * float64(time.Second)))
+		s.nextSendAt = now.Add(time.Duration(float64(sent) / s.service.settings.SpreadBytesPerSecond * float64(time.Second)))
 	}
-	asked := slices.Collect(maps.Keys(s.fetch))
-	clear(s.fetch)
+	fetches := slices.Collect(maps.Keys(s.pendingFetches))
+	clear(s.pendingFetches)
 	s.mutex.Unlock()
 	for _, process := range targets.row {
 		s.send(ctx, process.Address, row)
@@ -111,97 +116,100 @@
 	for _, process := range targets.column {
 		s.send(ctx, process.Address, column)
 	}
-	for _, address := range asked[:min(len(asked), maxFetches)] {
+	for _, address := range fetches[:min(len(fetches), maxFetches)] {
 		s.service.running.Go(func() { s.fetchFrom(ctx, address) })
 	}
 }
 
-// addOwn adds the digests of engines supervised here that are worth telling.
-func (s *spreader) addOwn(batch *DigestBatch, now time.Time) {
-	for member := range s.own {
-		latest := member.report.Load()
-		last, told := s.sent[member]
-		if told && !worthTelling(latest, last.report) && now.Sub(last.at) < s.service.settings.RefreshInterval {
+// appendOwn adds the digests of supervised engines that changed significantly since they were
+// last sent, or that were last sent at least RefreshInterval ago.
+func (s *spreader) appendOwn(batch *DigestBatch, now time.Time) {
+	for tracked := range s.updated {
+		current := tracked.report.Load()
+		lastSent, sentBefore := s.sent[tracked]
+		if sentBefore && !isSignificantChange(current, lastSent.report) && now.Sub(lastSent.sentAt) < s.service.settings.RefreshInterval {
 			continue
 		}
-		full := !told || latest.check != last.report.check || now.Sub(last.fullAt) >= fullInterval
-		batch.Payload = appendRecord(batch.Payload, &latest.digest, latest.check, full)
+		full := !sentBefore || current.checksum != lastSent.report.checksum || now.Sub(lastSent.fullSentAt) >= fullRecordInterval
+		batch.Payload = appendRecord(batch.Payload, &current.digest, current.checksum, full)
 		s.service.metrics.digestsSent.Inc()
-		last.report, last.at = latest, now
+		lastSent.report, lastSent.sentAt = current, now
 		if full {
-			last.fullAt = now
+			lastSent.fullSentAt = now
 		}
-		s.sent[member] = last
+		s.sent[tracked] = lastSent
 	}
-	clear(s.own)
+	clear(s.updated)
 }
 
-// addPassedOn adds what came along the row.
-func (s *spreader) addPassedOn(batch *DigestBatch) {
-	for member, full := range s.passOn {
-		latest := member.report.Load()
-		batch.Payload = appendRecord(batch.Payload, &latest.digest, latest.check, full)
+// appendRelayed adds the digests received along the row.
+func (s *spreader) appendRelayed(batch *DigestBatch) {
+	for tracked, full := range s.relay {
+		latest := tracked.report.Load()
+		batch.Payload = appendRecord(batch.Payload, &latest.digest, latest.checksum, full)
 	}
-	clear(s.passOn)
+	clear(s.relay)
 }
 
-// departureBatches begins the batches of a tick with what leaves.
+// departureBatches returns the row and column batches with the departures to send and without
+// digests.
 func (s *spreader) departureBatches() (row, column DigestBatch) {
 	row = DigestBatch{Sender: s.service.self.Address, Relay: true}
 	column = DigestBatch{Sender: s.service.self.Address}
-	if s.ownNews != nil {
-		row.Departures = []Departures{*s.ownNews}
-		column.Departures = []Departures{*s.ownNews}
-		s.ownNews = nil
+	if s.ownDepartures != nil {
+		row.Departures = []Departures{*s.ownDepartures}
+		column.Departures = []Departures{*s.ownDepartures}
+		s.ownDepartures = nil
 	}
-	for _, news := range s.departures {
-		column.Departures = append(column.Departures, news)
+	for _, update := range s.relayedDepartures {
+		column.Departures = append(column.Departures, update)
 	}
-	clear(s.departures)
+	clear(s.relayedDepartures)
 	return row, column
 }
 
 const (
-	noticeableShare = 0.1 // of what the engine batches, or of its waiting tokens
-	noticeableCache = 13  // steps of cacheSteps: a twentieth
+	minChangeShare    = 0.1 // share of MaxRunning, or of the waiting tokens last sent
+	minCacheUseChange = 13  // in units of 1/cacheUseSteps; about a twentieth of the cache
 )
 
-// worthTelling says whether a decision could come out otherwise by the later
-// report. Smaller changes go with the next refresh.
-func worthTelling(later, told *report) bool {
-	now, then := &later.digest, &told.digest
-	if later.check != told.check || now.Serving != then.Serving || now.Loading != then.Loading {
+// isSignificantChange returns true if the current report differs enough from the one last sent
+// to change a scheduling decision.
+func isSignificantChange(current, sent *report) bool {
+	after, before := &current.digest, &sent.digest
+	if current.checksum != sent.checksum || after.Serving != before.Serving || after.Loading != before.Loading {
 		return true
 	}
-	if (now.Waiting == 0) != (then.Waiting == 0) {
+	if (after.Waiting == 0) != (before.Waiting == 0) {
 		return true
 	}
-	sequences := max(1, int(noticeableShare*float64(now.MaxRunning)))
-	tokens := max(tokenUnit, int64(noticeableShare*float64(then.WaitingTokens)))
-	return distance(now.Running, then.Running) >= sequences ||
-		distance(now.Waiting, then.Waiting) >= sequences ||
-		distance(now.WaitingTokens, then.WaitingTokens) >= tokens ||
-		distance(int(cacheShare(now)), int(cacheShare(then))) >= noticeableCache
+	sequences := max(1, int(minChangeShare*float64(after.MaxRunning)))
+	tokens := max(waitingTokenUnit, int64(minChangeShare*float64(before.WaitingTokens)))
+	return absDifference(after.Running, before.Running) >= sequences ||
+		absDifference(after.Waiting, before.Waiting) >= sequences ||
+		absDifference(after.WaitingTokens, before.WaitingTokens) >= tokens ||
+		absDifference(int(encodedCacheUse(after)), int(encodedCacheUse(before))) >= minCacheUseChange
 }
 
-func distance[T int | int64](a, b T) T { return max(a-b, b-a) }
+func absDifference[T int | int64](a, b T) T { return max(a-b, b-a) }
 
-// send hands over a batch, unless it is empty or one is still under way.
+// send starts sending a batch to the address, unless the batch is empty or the previous one is
+// still being sent.
 func (s *spreader) send(ctx context.Context, address string, batch DigestBatch) {
 	if len(batch.Payload) == 0 && len(batch.Departures) == 0 {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.busy[address] {
+	if s.sending[address] {
 		return
 	}
-	s.busy[address] = true
+	s.sending[address] = true
 	s.service.running.Go(func() {
 		s.call(ctx, address, batch)
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		delete(s.busy, address)
+		delete(s.sending, address)
 	})
 }
 
@@ -212,7 +220,7 @@
 	err := s.service.options.Caller.Call(ctx, address, peer.Control, methodDigests, &batch, &reply)
 	if err != nil {
 		s.service.metrics.digestErrors.Inc()
-		s.service.logger.Debug("engine: digests were not sent.", zap.Error(err))
+		s.service.logger.Debug("engine: sending digests failed.", zap.Error(err))
 		return
 	}
 	s.service.metrics.digestBytes.WithLabelValues(labelSent).Add(float64(len(batch.Payload)))
--- a/internal/engine/supervisor.go
+++ b/internal/engine/supervisor.go
@@ -16,44 +16,45 @@
 
 const (
 	pollJitter = 0.2
-	// settleSpreads is the number of spreads of digests that a drain lasts at
-	// least, so that all daemons know of it before the engine is changed.
-	settleSpreads = 3
+	// minDrainSpreads is the minimum duration of a drain in units of SpreadInterval, so that
+	// all daemons stop sending work before the engine is changed.
+	minDrainSpreads = 3
 )
 
-// supervisor looks after one engine while it falls to this daemon.
+// supervisor polls one engine and sends it orders while the engine is assigned to this daemon.
+// It is used by a single goroutine.
 type supervisor struct {
-	service     *Service
-	unit        *unit
-	logger      *zap.Logger
-	fence       uint64 // claimed; zero: none
-	incarnation uint64 // of the engine when it was claimed
-	asOf        int64  // the engine's own clock at its latest direct answer to an order
-	sequence    uint64
-	drainSince  time.Time
-	nextList    time.Time // of held memory
+	service       *Service
+	engine        *trackedEngine
+	logger        *zap.Logger
+	fence         uint64 // fencing token that was claimed; zero: none
+	incarnation   uint64 // the engine's incarnation when it was claimed
+	latestUnixMS  int64  // engine's clock in its latest reply to an order; states from before it are ignored
+	sequence      uint64
+	drainStarted  time.Time
+	nextReconcile time.Time // when held memory is listed next
 }
 
-func newSupervisor(service *Service, supervised *unit) *supervisor {
+func newSupervisor(service *Service, supervised *trackedEngine) *supervisor {
 	interval := service.settings.ReconcileInterval
 	return &supervisor{
-		service:  service,
-		unit:     supervised,
-		logger:   service.logger.With(zap.String("engine", supervised.declared.Name)),
-		nextList: time.Now().Add(time.Duration(rand.Float64() * float64(interval))),
+		service:       service,
+		engine:        supervised,
+		logger:        service.logger.With(zap.String("engine", supervised.declared.Name)),
+		nextReconcile: time.Now().Add(time.Duration(rand.Float64() * float64(interval))),
 	}
 }
 
-// run polls until the context ends. Reads, orders and lists follow each other,
-// so that a slow engine has one call under way at most.
+// run polls the engine until the context ends. A supervisor makes one call at a time, so a slow
+// engine has at most one call from it in progress.
 func (s *supervisor) run(ctx context.Context) {
 	failures := 0
 	for {
-		err := s.step(ctx)
+		err := s.poll(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		failures = s.note(err, failures)
+		failures = s.recordPoll(err, failures)
 		interval := float64(s.service.settings.PollInterval)
 		if !pause.For(ctx, time.Duration(interval*(1-pollJitter/2+pollJitter*rand.Float64()))) {
 			return
@@ -61,76 +62,80 @@
 	}
 }
 
-// note counts a step, and logs when an engine gets out of sight or back.
-func (s *supervisor) note(err error, failures int) int {
+// recordPoll counts a poll by result and returns the number of consecutive failures. It logs
+// the first failure and the first success after it.
+func (s *supervisor) recordPoll(err error, failures int) int {
 	if err == nil {
 		s.service.metrics.polls.WithLabelValues(labelOK).Inc()
 		if failures > 0 {
-			s.logger.Info("engine: engine answers again.", zap.Int("failures", failures))
+			s.logger.Info("engine: polling the engine succeeded again.", zap.Int("failures", failures))
 		}
 		return 0
 	}
 	s.service.metrics.polls.WithLabelValues(labelFailed).Inc()
 	if failures == 0 {
-		s.logger.Warn("engine: engine does not answer.", zap.Error(err))
+		s.logger.Warn("engine: polling the engine failed.", zap.Error(err))
 	}
 	return failures + 1
 }
 
-func (s *supervisor) step(ctx context.Context) error {
+// poll reads the engine's state, claims the engine if necessary, publishes the digest, sends a
+// planned order and reconciles held memory.
+func (s *supervisor) poll(ctx context.Context) error {
 	if err := s.service.calls.Acquire(ctx, 1); err != nil {
-		return eris.Wrap(err, "wait for a call")
+		return eris.Wrap(err, "wait for a call slot")
 	}
 	defer s.service.calls.Release(1)
-	state, err := s.unit.client.state(ctx)
+	state, err := s.engine.client.getState(ctx)
 	if err != nil {
 		return err
 	}
-	if s.mustClaim(&state) {
+	if s.needsClaim(&state) {
 		if state, err = s.claim(ctx, &state); err != nil {
 			return err
 		}
 	}
-	if state.AsOfUnixMS >= s.asOf {
+	if state.AsOfUnixMS >= s.latestUnixMS {
 		s.publish(&state)
 	}
-	s.bringAbout(ctx)
-	s.reconcile(ctx)
+	s.applyPlannedOrder(ctx)
+	s.reconcileHeld(ctx)
 	return nil
 }
 
-// mustClaim is so at first, after the engine restarted, and after another
-// daemon claimed it (while views of the members differ).
-func (s *supervisor) mustClaim(state *enginev1.EngineState) bool {
+// needsClaim returns true if this supervisor has no fencing token yet, the engine has
+// restarted, or another daemon has claimed it, as may happen while membership views differ.
+func (s *supervisor) needsClaim(state *enginev1.EngineState) bool {
 	return s.fence == 0 || state.Incarnation != s.incarnation || state.Fence > s.fence
 }
 
-// claim raises the engine's fence above all that this daemon knows of.
+// claim raises the engine's fencing token above every token that this daemon knows of.
 func (s *supervisor) claim(ctx context.Context, state *enginev1.EngineState) (enginev1.EngineState, error) {
 	seen := max(state.Fence, s.fence)
-	if known := s.unit.report.Load(); known != nil {
+	if known := s.engine.report.Load(); known != nil {
 		seen = max(seen, known.digest.Fence)
 	}
 	claimed := nextFence(seen, s.service.self)
-	reply, err := s.order(ctx, enginev1.Order{Kind: OrderClaim, Fence: claimed})
+	reply, err := s.sendOrder(ctx, enginev1.Order{Kind: OrderClaim, Fence: claimed})
 	if err != nil {
 		return reply, err
 	}
 	s.fence = claimed
 	s.incarnation = reply.Incarnation
-	s.asOf = reply.AsOfUnixMS
-	s.logger.Info("engine: claimed engine.", zap.Uint64("fence", claimed))
+	s.latestUnixMS = reply.AsOfUnixMS
+	s.logger.Info("engine: claimed the engine.", zap.Uint64("fence", claimed))
 	return reply, nil
 }
 
-// order sends an order and counts it.
-func (s *supervisor) order(ctx context.Context, order enginev1.Order) (enginev1.EngineState, error) {
-	reply, err := s.unit.client.order(ctx, order)
+// sendOrder sends an order and counts it by kind and result. After a stale fencing token the
+// next poll claims the engine again.
+func (s *supervisor) sendOrder(ctx context.Context, order enginev1.Order) (enginev1.EngineState, error) {
+	reply, err := s.engine.client.sendOrder(ctx, order)
 	result := labelOK
 	switch {
 	case errors.Is(err, errStaleFence):
 		result = labelStale
-		s.fence = 0 // Read and claim again, if the engine still falls to this daemon.
+		s.fence = 0 // the next poll claims the engine again, unless another daemon supervises it by then
 	case err != nil:
 		result = labelFailed
 	}
@@ -138,85 +143,86 @@
 	return reply, err
 }
 
-// publish makes the digest known here and hands it to the spreader.
+// publish stores the state as the engine's latest digest and passes it to the spreader.
 func (s *supervisor) publish(state *enginev1.EngineState) {
 	s.sequence++
-	digest := digestOf(s.unit.declared.Name, state, s.sequence)
+	digest := digestOf(s.engine.declared.Name, state, s.sequence)
 	digest.Fence = s.fence
-	first := s.unit.report.Load() == nil
-	if s.unit.accept(digest, checkOf(&digest), time.Now()) {
-		s.service.spread.publish(s.unit)
-		s.service.reported(first)
+	first := s.engine.report.Load() == nil
+	if s.engine.accept(digest, staticChecksum(&digest), time.Now()) {
+		s.service.spread.publish(s.engine)
+		s.service.digestsReceived(first)
 	}
 }
 
-// bringAbout sends the order that is planned for the engine, once it drained.
-func (s *supervisor) bringAbout(ctx context.Context) {
+// applyPlannedOrder sends the order that is planned for the engine, if it is still needed,
+// after a drain if the plan asks for one.
+func (s *supervisor) applyPlannedOrder(ctx context.Context) {
 	if !s.service.options.Configuration.Confirmed() {
-		return // What is declared here may be out of force.
+		return // this configuration may be outdated
 	}
-	planned, found := (*s.service.plans.Load())[s.unit.declared.Name]
-	if !found || !s.stillNeeded(&planned.Order) {
-		s.drainSince = time.Time{}
+	planned, found := (*s.service.plans.Load())[s.engine.declared.Name]
+	if !found || !s.isStillNeeded(&planned.Order) {
+		s.drainStarted = time.Time{}
 		return
 	}
-	if planned.Drain && !s.drained(time.Now()) {
+	if planned.Drain && !s.drain(time.Now()) {
 		return
 	}
 	if planned.Order.Kind == OrderLoad && !s.mayLoad(ctx, &planned.Order) {
 		return
 	}
 	planned.Order.Fence = s.fence
-	reply, err := s.order(ctx, planned.Order)
+	reply, err := s.sendOrder(ctx, planned.Order)
 	if err != nil {
-		s.logger.Warn("engine: order was not taken.", zap.String("kind", planned.Order.Kind), zap.Error(err))
+		s.logger.Warn("engine: order failed.", zap.String("kind", planned.Order.Kind), zap.Error(err))
 		return
 	}
-	s.logger.Info("engine: order was taken.", zap.String("kind", planned.Order.Kind),
+	s.logger.Info("engine: order was accepted.", zap.String("kind", planned.Order.Kind),
 		zap.String("model", planned.Order.Model), zap.String("version", planned.Order.Version))
-	s.asOf = max(s.asOf, reply.AsOfUnixMS)
-	s.drainSince = time.Time{}
+	s.latestUnixMS = max(s.latestUnixMS, reply.AsOfUnixMS)
+	s.drainStarted = time.Time{}
 	s.publish(&reply)
 }
 
-// stillNeeded checks a plan, which may be older than the engine's latest
-// digest, against that digest.
-func (s *supervisor) stillNeeded(planned *enginev1.Order) bool {
-	pool := s.service.wanted.Load().byEngine[s.unit.declared.Name]
-	latest := s.unit.report.Load()
+// isStillNeeded returns true if the engine's latest digest still requires the planned order;
+// the plan may be older than the digest.
+func (s *supervisor) isStillNeeded(planned *enginev1.Order) bool {
+	pool := s.service.wanted.Load().byEngine[s.engine.declared.Name]
+	latest := s.engine.report.Load()
 	if pool == nil || latest == nil || latest.digest.Loading {
 		return false
 	}
-	needed, some := pool.step(&latest.digest)
+	needed, some := pool.nextOrder(&latest.digest)
 	return some && reflect.DeepEqual(&needed, planned)
 }
 
-// drained waits until all daemons stopped sending work and what runs has
-// ended, or the bound passed.
-func (s *supervisor) drained(now time.Time) bool {
-	if s.drainSince.IsZero() {
-		s.drainSince = now
-		s.logger.Info("engine: drains engine before an order.")
+// drain starts a drain or continues it, and returns true when it has ended: all daemons had
+// time to stop sending work, and either no requests are left or DrainBound has passed.
+func (s *supervisor) drain(now time.Time) bool {
+	if s.drainStarted.IsZero() {
+		s.drainStarted = now
+		s.logger.Info("engine: draining the engine before an order.")
 	}
-	waited := now.Sub(s.drainSince)
-	if waited < settleSpreads*s.service.settings.SpreadInterval {
+	waited := now.Sub(s.drainStarted)
+	if waited < minDrainSpreads*s.service.settings.SpreadInterval {
 		return false
 	}
-	latest := s.unit.report.Load()
+	latest := s.engine.report.Load()
 	idle := latest != nil && latest.digest.Running+latest.digest.Waiting == 0
 	return idle || waited >= s.service.settings.DrainBound
 }
 
-// mayLoad is false while the weight store can't give the model now. Adapters
-// of a version that is loaded need no turn.
+// mayLoad returns true if the engine may load the order's model now. If the model and version
+// are already loaded, so that only adapters change, the weight store is not asked.
 func (s *supervisor) mayLoad(ctx context.Context, order *enginev1.Order) bool {
-	latest := s.unit.report.Load()
+	latest := s.engine.report.Load()
 	if latest != nil && latest.digest.Model == order.Model && latest.digest.Version == order.Version {
 		return true
 	}
 	allowed, err := s.service.mayLoad(ctx, s.service.options.Weights, order.Model, order.Version)
 	if err != nil {
-		s.logger.Warn("engine: weights can't be loaded now.",
+		s.logger.Warn("engine: looking up the weights failed; the load is postponed.",
 			zap.String("model", order.Model), zap.String("version", order.Version), zap.Error(err))
 	}
 	return allowed && err == nil
--- a/internal/engine/unit.go
+++ b/internal/engine/unit.go
@@ -8,44 +8,46 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// unit is a declared engine as this daemon knows it. A change of its
-// declaration makes a new unit.
-type unit struct {
-	declared configuration.Engine
-	place    string // "host:port" of its address
-	since    time.Time
-	client   client
-	load     load
-	health   health
-	report   atomic.Pointer[report]
-	releases *releaseQueue
+// trackedEngine is a declared engine with the state that this daemon keeps for it. When the
+// declaration changes, a new trackedEngine replaces it.
+type trackedEngine struct {
+	declared   configuration.Engine
+	endpoint   string // "host:port" of the declared address
+	declaredAt time.Time
+	client     client
+	placements placementCounts
+	health     health
+	report     atomic.Pointer[report]
+	releases   *releaseQueue
 }
 
-// report is the latest digest and when it came.
+// report is the latest digest of an engine.
 type report struct {
 	digest   Digest
-	check    uint16 // checkOf(digest)
+	checksum uint16 // staticChecksum of the digest
 	received time.Time
 }
 
-// table is the immutable set of declared engines of the region.
-type table struct {
-	units  []*unit // ordered by name
-	byName map[string]*unit
-	index  map[string]int // in units
-	byHash map[uint64]*unit
+// engineTable is an immutable table of declared engines. engines, index and byHash contain the
+// engines of this region and of zones whose region is unknown.
+type engineTable struct {
+	engines []*trackedEngine          // sorted by name
+	byName  map[string]*trackedEngine // engines of all regions
+	index   map[string]int            // position in engines by name
+	byHash  map[uint64]*trackedEngine // key: nameHash of the name
 }
 
-// accept takes a digest if it is newer than the known one. A higher fence
-// goes before any sequence: it is a later supervisor's.
-func (u *unit) accept(digest Digest, check uint16, received time.Time) bool {
+// accept stores the digest and returns true if it is newer than the known one. A higher fencing
+// token is newer than any sequence number, since it belongs to a later supervisor. It is safe
+// for concurrent use.
+func (u *trackedEngine) accept(digest Digest, checksum uint16, received time.Time) bool {
 	for {
 		known := u.report.Load()
 		if known != nil && !newer(&digest, &known.digest) {
 			return false
 		}
-		if u.report.CompareAndSwap(known, &report{digest: digest, check: check, received: received}) {
-			u.load.reported()
+		if u.report.CompareAndSwap(known, &report{digest: digest, checksum: checksum, received: received}) {
+			u.placements.advanceGeneration()
 			return true
 		}
 	}
@@ -58,7 +60,7 @@
 	return digest.Sequence > known.Sequence
 }
 
-// digestOf makes the digest of a state that the engine reported.
+// digestOf returns the digest of a state that the engine reported.
 func digestOf(name string, state *enginev1.EngineState, sequence uint64) Digest {
 	return Digest{
 		Engine:        name,
@@ -81,7 +83,7 @@
 	}
 }
 
-// Roles of an engine.
+// Roles of an engine, as in enginev1.Order.
 const (
 	RoleServe   = "serve"
 	RolePrefill = "prefill"
