--- a/internal/shards/follower.go
+++ b/internal/shards/follower.go
@@ -9,16 +9,18 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// follower takes the rows of tableLeaders in.
-type follower struct{ node *Node }
+// leaderWatcher applies the rows of the leaders table to the node's map.
+type leaderWatcher struct{ node *Node }
 
 // Replace implements watch.Follower.
-func (f follower) Replace(rows []state.Row, _ state.Version) { f.node.learn(rows) }
+func (f leaderWatcher) Replace(rows []state.Row, _ state.Version) { f.node.applyLeaderRows(rows) }
 
 // Change implements watch.Follower.
-func (f follower) Change(rows []state.Row) { f.node.learn(rows) }
+func (f leaderWatcher) Change(rows []state.Row) { f.node.applyLeaderRows(rows) }
 
-func (n *Node) learn(rows []state.Row) {
+// applyLeaderRows replaces the node's map by one with the changed rows and ends replicas that
+// were superseded.
+func (n *Node) applyLeaderRows(rows []state.Row) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	next := &Map{Leaders: map[identity.Shard]Leader{}}
@@ -26,35 +28,37 @@
 		next = &Map{Shards: former.Shards, Leaders: maps.Clone(former.Leaders)}
 	}
 	for _, row := range rows {
-		next.take(row)
+		next.applyRow(row)
 	}
 	n.current.Store(next)
-	n.endSuperseded(next)
+	n.endSupersededReplicas(next)
 }
 
-// endSuperseded ends leaderships that others took over: one that was paused
-// would else learn of it only by its next commit. The caller holds the mutex.
-func (n *Node) endSuperseded(known *Map) {
+// endSupersededReplicas ends the replicas of shards that another daemon leads with a higher
+// term. Otherwise a leader that was paused would notice only when it commits next. The caller
+// must hold n.mutex.
+func (n *Node) endSupersededReplicas(known *Map) {
 	for shard, leading := range n.replicas {
 		if known.Leaders[shard].Term > leading.term {
-			leading.end()
+			leading.markSuperseded()
 		}
 	}
 }
 
-// take reads one row; terms never fall.
-func (m *Map) take(row state.Row) {
-	if row.Key.Name == nameCount {
-		_ = cbor.Unmarshal(row.Value, &m.Shards) // a count that cannot be read leaves none
+// applyRow applies one row of the leaders table. Removed or unreadable rows, and rows with a
+// lower term than the known one, are ignored.
+func (m *Map) applyRow(row state.Row) {
+	if row.Key.Name == countRowName {
+		_ = cbor.Unmarshal(row.Value, &m.Shards) // an unreadable count is ignored
 		return
 	}
 	var number uint32
 	for _, digit := range row.Key.Name {
 		number = number*10 + uint32(digit-'0')
 	}
-	var read leaderRow
-	if row.Removed || cbor.Unmarshal(row.Value, &read) != nil || read.Term < m.Leaders[identity.Shard(number)].Term {
+	var decoded leaderRow
+	if row.Removed || cbor.Unmarshal(row.Value, &decoded) != nil || decoded.Term < m.Leaders[identity.Shard(number)].Term {
 		return
 	}
-	m.Leaders[identity.Shard(number)] = Leader{Process: read.Leader, Term: read.Term, Former: read.Former}
+	m.Leaders[identity.Shard(number)] = Leader{Process: decoded.Leader, Term: decoded.Term, Former: decoded.Former}
 }
--- a/internal/shards/leading.go
+++ b/internal/shards/leading.go
@@ -14,22 +14,22 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// reconcile takes up shards that should be led here, and gives away one that
-// should be led elsewhere.
+// reconcile starts acquiring the shards that this daemon should lead, and hands over at most
+// one shard that another daemon should lead.
 func (n *Node) reconcile(ctx context.Context) {
 	current := n.Current()
 	if current == nil || n.retired.Load() {
 		return
 	}
-	picture := n.picture()
+	view := n.placementView()
 	for number := range current.Shards {
 		shard := identity.Shard(number + 1)
-		if picture.shouldTake(shard, current.Leaders[shard]) {
-			n.take(ctx, shard, current.Leaders[shard].Term)
+		if view.shouldTake(shard, current.Leaders[shard]) {
+			n.startAcquiring(ctx, shard, current.Leaders[shard].Term)
 		}
 	}
-	if shard, found := n.balance.next(picture, current, n.led(), n.options.Idle); found {
-		n.running.Go(func() {
+	if shard, found := n.balancer.nextHandOver(view, current, n.ledShards(), n.options.Idle); found {
+		n.goroutines.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, acquireTimeout)
 			defer cancel()
 			if err := n.HandOver(limited, shard); err == nil {
@@ -39,50 +39,52 @@
 	}
 }
 
-// picture is what is known of the daemons at this moment.
-func (n *Node) picture() *picture {
-	made := newPicture(n.options.Self, n.options.Directory.View(), n.balance.uptime(), n.options.Expect)
-	if n.reach == nil {
-		return made
-	}
-	return made.without(n.reach.unreachable())
+// placementView returns a placement from the current membership and the leaders that cannot be
+// reached.
+func (n *Node) placementView() *placement {
+	current := newPlacement(n.options.Self, n.options.Directory.View(), n.balancer.uptime(), n.options.Expect)
+	if n.prober == nil {
+		return current
+	}
+	return current.markUnreachable(n.prober.unreachable())
 }
 
-// nextFor lists the leaders that this daemon would follow, those that cannot be
-// reached among them, and the daemons that may confirm that one is cut off.
-func (n *Node) nextFor() (leaders, witnesses []identity.Process) {
+// probeTargets returns the leaders to probe and the daemons that may confirm that a leader is
+// cut off. The leaders are those that this daemon would succeed, and those that count as
+// unreachable now.
+func (n *Node) probeTargets() (leaders, witnesses []identity.Process) {
 	current := n.Current()
 	if current == nil {
 		return nil, nil
 	}
-	seen := n.picture()
-	leaders = n.reach.unreachable()
+	view := n.placementView()
+	leaders = n.prober.unreachable()
 	for number := range current.Shards {
 		shard := identity.Shard(number + 1)
 		leader := current.Leaders[shard].Process
 		if leader.Machine == "" || leader == n.options.Self || slices.Contains(leaders, leader) {
 			continue
 		}
-		if seen.next(shard, leader) {
+		if view.isNext(shard, leader) {
 			leaders = append(leaders, leader)
 		}
 	}
-	return leaders, seen.alive
+	return leaders, view.alive
 }
 
-// take leads the shard, unless this daemon does already. known is the term
-// that the decision was made on.
-func (n *Node) take(ctx context.Context, shard identity.Shard, known Term) {
+// startAcquiring acquires the shard in a new goroutine, unless this daemon already leads or
+// acquires it. known is the term on which the decision was based.
+func (n *Node) startAcquiring(ctx context.Context, shard identity.Shard, known Term) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.acquiring[shard] || n.replicas[shard] != nil {
 		return
 	}
 	n.acquiring[shard] = true
-	n.running.Go(func() {
+	n.goroutines.Go(func() {
 		err := n.acquire(ctx, shard, known)
 		if err != nil && ctx.Err() == nil {
-			n.log.Info("shards: not taken.", zap.Uint32("shard", uint32(shard)), zap.String("cause", err.Error()))
+			n.log.Info("shards: acquiring the shard failed.", zap.Uint32("shard", uint32(shard)), zap.String("cause", err.Error()))
 		}
 		n.mutex.Lock()
 		defer n.mutex.Unlock()
@@ -90,110 +92,111 @@
 	})
 }
 
-// acquire reads the shard and writes this daemon into its head. From then on
-// no other daemon commits to its log, and what was read is the whole.
+// acquire reads the shard and makes this daemon its leader by a commit to the head row. After
+// that commit no other daemon can append to the log, so the rows read are complete. It fails if
+// the shard has a higher term than known.
 func (n *Node) acquire(parent context.Context, shard identity.Shard, known Term) error {
 	ctx, cancel := context.WithTimeout(parent, acquireTimeout)
 	defer cancel()
-	found, err := n.load(ctx, shard)
+	stored, err := n.load(ctx, shard)
 	if err != nil {
 		return err
 	}
-	if found.head.Term > known {
-		return eris.Errorf("%s leads with term %d, known was %d", found.head.Leader, found.head.Term, known)
+	if stored.head.Term > known {
+		return eris.Errorf("%s leads with term %d, expected term %d", stored.head.Leader, stored.head.Term, known)
 	}
-	next := found.head
+	next := stored.head
 	next.Leader = n.options.Self
 	next.Term++
 	next.Nonce = rand.Uint64()
 	row := leaderRow{Leader: next.Leader, Term: next.Term}
-	version, err := n.swap(ctx, shard, found.version, found.head, next, []state.Put{{Key: leaderKey(shard), Value: encode(row)}})
+	version, err := n.commitHead(ctx, shard, stored.version, stored.head, next, []state.Put{{Key: leaderKey(shard), Value: encode(row)}})
 	if err != nil {
 		return err
 	}
-	made := &replica{
+	acquired := &replica{
 		node: n, shard: shard, machine: n.options.NewMachine(shard), term: next.Term, head: next, version: version,
-		proposals: make(chan *proposal, queued), release: make(chan chan error), ended: make(chan struct{}),
+		proposals: make(chan *proposal, proposalQueueSize), handOverRequests: make(chan chan error), ended: make(chan struct{}),
 	}
-	made.over, made.end = context.WithCancel(parent)
-	if err := made.replay(found); err != nil {
+	acquired.superseded, acquired.markSuperseded = context.WithCancel(parent)
+	if err := acquired.replay(stored); err != nil {
 		return err
 	}
-	n.began(parent, made)
+	n.startReplica(parent, acquired)
 	return nil
 }
 
-// replay brings the state machine up to the log's end.
-func (r *replica) replay(found *loaded) error {
-	if found.head.Snapshot > 0 {
-		if err := r.machine.Restore(found.state); err != nil {
+// replay restores the last snapshot and applies the log batches after it to the state machine.
+func (r *replica) replay(stored *storedShard) error {
+	if stored.head.Snapshot > 0 {
+		if err := r.machine.Restore(stored.state); err != nil {
 			return eris.Wrapf(err, "restore shard %d", r.shard)
 		}
-		r.stateLen = len(found.state)
+		r.snapshotBytes = len(stored.state)
 	}
-	index := found.head.Snapshot
-	for _, batch := range found.batches {
+	index := stored.head.Snapshot
+	for _, batch := range stored.batches {
 		index++
 		for _, command := range batch {
-			_ = r.machine.Apply(index, command) // its proposer was told, or never will be
+			_ = r.machine.Apply(index, command) // no proposer waits for this result
 			r.logBytes += len(command)
 		}
 	}
-	r.last.Store(index)
+	r.lastIndex.Store(index)
 	return nil
 }
 
-// began makes the leadership known and starts its loop.
-func (n *Node) began(ctx context.Context, made *replica) {
+// startReplica registers the replica, announces the leadership and starts the replica's loop.
+func (n *Node) startReplica(ctx context.Context, started *replica) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.replicas[made.shard] = made
+	n.replicas[started.shard] = started
 	n.metrics.takeovers.Inc()
-	n.log.Info("shards: leads.", zap.Uint32("shard", uint32(made.shard)), zap.Uint64("term", uint64(made.term)), zap.Uint64("index", made.head.Last))
-	n.changes <- LeaderChange{Shard: made.shard, Term: made.term, Leading: true}
-	n.running.Go(func() { made.run(ctx) })
+	n.log.Info("shards: became leader.", zap.Uint32("shard", uint32(started.shard)), zap.Uint64("term", uint64(started.term)), zap.Uint64("index", started.head.Last))
+	n.changes <- LeaderChange{Shard: started.shard, Term: started.term, Leading: true}
+	n.goroutines.Go(func() { started.run(ctx) })
 }
 
-// ceased makes the end of a leadership known. Whoever waits learns that what
-// was not taken will never be.
-func (n *Node) ceased(r *replica) {
+// endReplica removes the replica and announces the end of the leadership. Proposers whose
+// command was not yet taken get ErrNotLeader.
+func (n *Node) endReplica(r *replica) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	if n.replicas[r.shard] == r {
 		delete(n.replicas, r.shard)
 	}
 	close(r.ended)
-	r.end()
-	n.log.Info("shards: leads no more.", zap.Uint32("shard", uint32(r.shard)), zap.Uint64("term", uint64(r.term)))
+	r.markSuperseded()
+	n.log.Info("shards: no longer leader.", zap.Uint32("shard", uint32(r.shard)), zap.Uint64("term", uint64(r.term)))
 	n.changes <- LeaderChange{Shard: r.shard, Term: r.term}
 }
 
-// load reads the shard until its rows fit together.
-func (n *Node) load(ctx context.Context, shard identity.Shard) (*loaded, error) {
+// load reads the rows of the shard, repeatedly until they are consistent with each other.
+func (n *Node) load(ctx context.Context, shard identity.Shard) (*storedShard, error) {
 	for {
-		rows, err := n.read(ctx, shard)
+		rows, err := n.readRows(ctx, shard)
 		if err != nil {
 			return nil, err
 		}
-		found, err := assemble(rows)
-		if !errors.Is(err, errBehind) {
-			return found, err
+		stored, err := assemble(rows)
+		if !errors.Is(err, errInconsistentRows) {
+			return stored, err
 		}
-		if !pause.For(ctx, readPause) {
+		if !pause.For(ctx, readRetryDelay) {
 			return nil, err
 		}
 	}
 }
 
-// read gives all rows of the shard, page by page.
-func (n *Node) read(ctx context.Context, shard identity.Shard) ([]state.Row, error) {
+// readRows returns all rows of the shard, in one or more reads.
+func (n *Node) readRows(ctx context.Context, shard identity.Shard) ([]state.Row, error) {
 	var rows []state.Row
 	from := ""
 	for {
 		var page state.Page
 		err := n.options.Store.Repeat(ctx, func() error {
 			var err error
-			page, err = n.options.Store.Read(ctx, state.Range{Table: tableShards, Partition: partitionOf(shard), From: from})
+			page, err = n.options.Store.Read(ctx, state.Range{Table: tableShards, Partition: partitionName(shard), From: from})
 			return err
 		})
 		if err != nil {
--- a/internal/shards/metrics.go
+++ b/internal/shards/metrics.go
@@ -7,16 +7,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics are what a node counts.
+// metrics contains the metrics of a node.
 type metrics struct {
-	commits   *prometheus.HistogramVec
-	takeovers prometheus.Counter
-	handOvers prometheus.Counter
+	commitSeconds *prometheus.HistogramVec
+	takeovers     prometheus.Counter
+	handOvers     prometheus.Counter
 }
 
 func newMetrics(registry prometheus.Registerer, node *Node) (*metrics, error) {
-	made := &metrics{
-		commits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+	m := &metrics{
+		commitSeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "thymeloft_shards_commit_seconds", Help: "Time from a proposal to its decision, by result.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 14),
 		}, []string{"result"}),
@@ -28,23 +28,23 @@
 		}),
 	}
 	if registry == nil {
-		return made, nil
+		return m, nil
 	}
 	led := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_shards_led", Help: "Shards that this daemon leads.",
-	}, func() float64 { return float64(len(node.led())) })
-	for _, collector := range []prometheus.Collector{made.commits, made.takeovers, made.handOvers, led} {
+	}, func() float64 { return float64(len(node.ledShards())) })
+	for _, collector := range []prometheus.Collector{m.commitSeconds, m.takeovers, m.handOvers, led} {
 		if err := registry.Register(collector); err != nil {
-			return nil, eris.Wrap(err, "register the metrics of shards")
+			return nil, eris.Wrap(err, "register metrics")
 		}
 	}
-	return made, nil
+	return m, nil
 }
 
-func (m *metrics) committed(took time.Duration, err error) {
+func (m *metrics) observeCommit(took time.Duration, err error) {
 	result := "committed"
 	if err != nil {
 		result = "failed"
 	}
-	m.commits.WithLabelValues(result).Observe(took.Seconds())
+	m.commitSeconds.WithLabelValues(result).Observe(took.Seconds())
 }
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -19,48 +19,48 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// Options of a Node.
+// Options configures a Node. Store, Directory, NewMachine and RowBytes are required.
 type Options struct {
 	Self      identity.Process
 	Store     *state.Client
 	Directory members.Directory
-	// Caller and Registrar are for probes of leaders; nil: none are made.
+	// Caller and Registrar are used to probe leaders. If either is nil, leaders are not probed.
 	Caller    peer.Caller
 	Registrar peer.Registrar
-	// NewMachine makes the state of a shard that this daemon is about to lead.
+	// NewMachine returns an empty state machine for a shard that this daemon is about to lead.
 	NewMachine func(identity.Shard) StateMachine
-	// Idle tells whether nothing of the shard is under way here, so that it
-	// may be handed over for balance. nil: it never is.
+	// Idle returns true if this daemon has no work in progress for the shard, so that the shard
+	// may be handed over to balance the load. nil: no shard is handed over for balance.
 	Idle     func(identity.Shard) bool
-	Shards   uint32 // counts only at the first start
-	Expect   int    // daemons that must be alive before the first shards are led
-	RowBytes int    // most bytes of a value
-	// SnapshotAfter is how many bytes of log, beside the state's own size, are
-	// kept before a snapshot replaces them; 0: the default.
+	Shards   uint32 // number of shards; ignored if the store already has a number
+	Expect   int    // daemons that must be alive before shards get their first leaders
+	RowBytes int    // maximum size of a row's value in bytes
+	// SnapshotAfter is the size of the log in bytes, in addition to the size of the last
+	// snapshot, at which the next snapshot is written. 0: 1 MiB.
 	SnapshotAfter int
 	Log           *zap.Logger
-	Registry      prometheus.Registerer // may be nil
-	Reconcile     time.Duration         // between two looks at who should lead; 0: the default
+	Registry      prometheus.Registerer // nil: metrics are counted but not registered
+	Reconcile     time.Duration         // interval at which leaderships are reconciled; 0: 200 ms
 }
 
 const (
-	defaultReconcile = 200 * time.Millisecond
-	followWait       = 2 * time.Second
-	acquireTimeout   = 20 * time.Second
-	changesBuffered  = 4096
+	defaultReconcileInterval = 200 * time.Millisecond
+	watchWait                = 2 * time.Second
+	acquireTimeout           = 20 * time.Second
+	changesBuffer            = 4096
 )
 
-// Node is a daemon's part in leading the shards. It is safe for concurrent use.
+// Node leads the shards that are assigned to this daemon. It is safe for concurrent use.
 type Node struct {
-	options Options
-	log     *zap.Logger
-	metrics *metrics
-	changes chan LeaderChange
-	current atomic.Pointer[Map]
-	balance *balance
-	reach   *reach      // nil: leaders are not probed
-	retired atomic.Bool // takes no shards any more
-	running sync.WaitGroup
+	options    Options
+	log        *zap.Logger
+	metrics    *metrics
+	changes    chan LeaderChange
+	current    atomic.Pointer[Map]
+	balancer   *balancer
+	prober     *prober     // nil: leaders are not probed
+	retired    atomic.Bool // no more shards are acquired
+	goroutines sync.WaitGroup
 
 	mutex     sync.Mutex
 	replicas  map[identity.Shard]*replica
@@ -72,10 +72,11 @@
 	_ Source = (*Node)(nil)
 )
 
-// NewNode makes a node that leads nothing before Run.
+// NewNode returns a node that leads no shards until Run is called. If Caller and Registrar are
+// set, it registers the RPC receiver for probes.
 func NewNode(options Options) (*Node, error) {
 	if options.Store == nil || options.Directory == nil || options.NewMachine == nil || options.RowBytes <= 0 {
-		return nil, eris.New("shards: store, directory, machines and the size of rows are needed")
+		return nil, eris.New("shards: store, directory, NewMachine and RowBytes are required")
 	}
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -87,34 +88,35 @@
 		options.SnapshotAfter = defaultSnapshotAfter
 	}
 	if options.Reconcile <= 0 {
-		options.Reconcile = defaultReconcile
+		options.Reconcile = defaultReconcileInterval
 	}
-	made := &Node{
-		options: options, log: options.Log.Named("shards"), changes: make(chan LeaderChange, changesBuffered),
-		balance: newBalance(time.Now), replicas: map[identity.Shard]*replica{}, acquiring: map[identity.Shard]bool{},
+	node := &Node{
+		options: options, log: options.Log.Named("shards"), changes: make(chan LeaderChange, changesBuffer),
+		balancer: newBalancer(time.Now), replicas: map[identity.Shard]*replica{}, acquiring: map[identity.Shard]bool{},
 	}
 	if options.Caller != nil && options.Registrar != nil {
-		made.reach = newReach(options.Self, options.Caller, made.log)
-		if err := options.Registrar.Register(ReachService, &ReachAnswers{reach: made.reach}); err != nil {
-			return nil, eris.Wrap(err, "serve probes of leaders")
+		node.prober = newProber(options.Self, options.Caller, node.log)
+		if err := options.Registrar.Register(ReachService, &ReachAnswers{prober: node.prober}); err != nil {
+			return nil, eris.Wrap(err, "register the RPC receiver for probes")
 		}
 	}
 	var err error
-	made.metrics, err = newMetrics(options.Registry, made)
-	return made, err
+	node.metrics, err = newMetrics(options.Registry, node)
+	return node, err
 }
 
-// Run follows who leads, and leads what is this daemon's, until the context ends.
+// Run watches the leaders of all shards, and acquires and leads the shards of this daemon, until
+// the context ends. It always returns nil.
 func (n *Node) Run(ctx context.Context) error {
-	defer n.running.Wait()
-	if err := n.declareCount(ctx); err != nil {
+	defer n.goroutines.Wait()
+	if err := n.writeShardCount(ctx); err != nil {
 		return nil //nolint:nilerr // the context ended first
 	}
-	n.running.Go(func() {
-		watch.Run(ctx, watch.Options{Store: n.options.Store, Table: tableLeaders, Wait: followWait, Log: n.log}, follower{n})
+	n.goroutines.Go(func() {
+		watch.Run(ctx, watch.Options{Store: n.options.Store, Table: tableLeaders, Wait: watchWait, Log: n.log}, leaderWatcher{n})
 	})
-	if n.reach != nil {
-		n.running.Go(func() { n.reach.run(ctx, n.nextFor) })
+	if n.prober != nil {
+		n.goroutines.Go(func() { n.prober.run(ctx, n.probeTargets) })
 	}
 	ticker := time.NewTicker(n.options.Reconcile)
 	defer ticker.Stop()
@@ -128,9 +130,10 @@
 	}
 }
 
-// declareCount writes the number of shards, unless it is written already.
-func (n *Node) declareCount(ctx context.Context) error {
-	key := state.Key{Table: tableLeaders, Name: nameCount}
+// writeShardCount writes the number of shards unless the store has one. It returns an error
+// only if the context ends.
+func (n *Node) writeShardCount(ctx context.Context) error {
+	key := state.Key{Table: tableLeaders, Name: countRowName}
 	commit := state.Commit{Conditions: []state.Condition{{Key: key}}, Puts: []state.Put{{Key: key, Value: encode(n.options.Shards)}}}
 	for {
 		err := n.options.Store.Repeat(ctx, func() error {
@@ -138,7 +141,7 @@
 			return err
 		})
 		if !state.NoVerdict(err) {
-			return nil // written by us, or by another before
+			return nil // written now, or present already
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -146,7 +149,7 @@
 	}
 }
 
-// Current is part of Source: nil until the number of shards is known.
+// Current implements Source. It returns nil until the number of shards is known.
 func (n *Node) Current() *Map {
 	current := n.current.Load()
 	if current == nil || current.Shards == 0 {
@@ -155,16 +158,17 @@
 	return current
 }
 
-// Changes is part of Groups.
+// Changes implements Groups.
 func (n *Node) Changes() <-chan LeaderChange { return n.changes }
 
+// replica returns this daemon's replica of the shard, or nil if it does not lead the shard.
 func (n *Node) replica(shard identity.Shard) *replica {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return n.replicas[shard]
 }
 
-// Propose is part of Groups.
+// Propose implements Groups.
 func (n *Node) Propose(ctx context.Context, shard identity.Shard, command []byte) (any, error) {
 	leading := n.replica(shard)
 	if leading == nil {
@@ -172,11 +176,11 @@
 	}
 	start := time.Now()
 	value, err := leading.propose(ctx, command)
-	n.metrics.committed(time.Since(start), err)
+	n.metrics.observeCommit(time.Since(start), err)
 	return value, err
 }
 
-// ConfirmLeadership is part of Groups.
+// ConfirmLeadership implements Groups.
 func (n *Node) ConfirmLeadership(ctx context.Context, shard identity.Shard) error {
 	leading := n.replica(shard)
 	if leading == nil {
@@ -186,7 +190,7 @@
 	return err
 }
 
-// Leader is part of Groups.
+// Leader implements Groups.
 func (n *Node) Leader(shard identity.Shard) (identity.Process, bool) {
 	if n.replica(shard) != nil {
 		return n.options.Self, true
@@ -199,7 +203,7 @@
 	return found, found.Machine != "" && found != n.options.Self
 }
 
-// HandOver is part of Groups.
+// HandOver implements Groups.
 func (n *Node) HandOver(ctx context.Context, shard identity.Shard) error {
 	leading := n.replica(shard)
 	if leading == nil {
@@ -207,7 +211,7 @@
 	}
 	answer := make(chan error, 1)
 	select {
-	case leading.release <- answer:
+	case leading.handOverRequests <- answer:
 	case <-leading.ended:
 		return ErrNotLeader
 	case <-ctx.Done():
@@ -221,10 +225,12 @@
 	}
 }
 
-// Retire lets this daemon take no shard any more, for a planned stop.
+// Retire stops the node from acquiring shards, in preparation for a planned stop. Shards that it
+// leads are kept until they are handed over.
 func (n *Node) Retire() { n.retired.Store(true) }
 
-// Left counts the shards that still count on this process.
+// Left returns the number of shards that this process leads, plus those that it has given up
+// and that no other daemon leads yet.
 func (n *Node) Left() int {
 	left := 0
 	current := n.Current()
@@ -239,7 +245,7 @@
 	return left
 }
 
-// Status is part of Groups.
+// Status implements Groups.
 func (n *Node) Status() []Status {
 	current := n.Current()
 	if current == nil {
@@ -251,7 +257,7 @@
 		leader := current.Leaders[shard]
 		known := Status{Shard: shard, Leader: leader.Process, Term: leader.Term}
 		if leading := n.replica(shard); leading != nil {
-			known.Leading, known.Leader, known.Committed = true, n.options.Self, leading.last.Load()
+			known.Leading, known.Leader, known.Committed = true, n.options.Self, leading.lastIndex.Load()
 			known.Term = max(known.Term, leading.term)
 		}
 		all = append(all, known)
@@ -259,8 +265,8 @@
 	return all
 }
 
-// led lists the shards led here.
-func (n *Node) led() []identity.Shard {
+// ledShards returns the shards that this daemon leads, in no particular order.
+func (n *Node) ledShards() []identity.Shard {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return slices.Collect(maps.Keys(n.replicas))
--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -11,114 +11,117 @@
 	"github.com/thymeloft/thymeloft/internal/members"
 )
 
-// settleTime is how long a daemon must have run, and have read the list of
-// members, before it takes a process that is not listed for lost: one that is
-// starting has not registered yet.
-const settleTime = 4 * time.Second
-
-// picture is what decides who should lead: pure values of one moment.
-type picture struct {
-	self    identity.Process
-	alive   []identity.Process
-	present map[identity.Machine]members.Member
-	settled bool
-	enough  bool               // daemons for a first start
-	cutOff  []identity.Process // whose leases stand, but who cannot be reached
+// minUptime is the time for which a daemon must have run before it treats a process that is not
+// in the membership as lost. Until then the process may be starting and not registered yet.
+const minUptime = 4 * time.Second
+
+// placement decides which daemon should lead a shard, from what was known at one moment. Its
+// methods make no calls and return the same result for the same values.
+type placement struct {
+	self          identity.Process
+	alive         []identity.Process
+	members       map[identity.Machine]members.Member
+	mayAssumeLost bool               // a process that is not in the membership counts as lost
+	enoughDaemons bool               // as many daemons are alive as the first start requires
+	unreachable   []identity.Process // processes that keep their lease but cannot be reached
 }
 
-func newPicture(self identity.Process, view *members.View, uptime time.Duration, expect int) *picture {
-	made := &picture{self: self, present: map[identity.Machine]members.Member{}, settled: uptime >= settleTime && view.Read}
+func newPlacement(self identity.Process, view *members.View, uptime time.Duration, expect int) *placement {
+	p := &placement{self: self, members: map[identity.Machine]members.Member{}, mayAssumeLost: uptime >= minUptime && view.Read}
 	for _, member := range view.Members {
-		made.present[member.Process.Machine] = member
+		p.members[member.Process.Machine] = member
 		if member.State == members.StateAlive {
-			made.alive = append(made.alive, member.Process)
+			p.alive = append(p.alive, member.Process)
 		}
 	}
-	made.enough = len(made.alive) >= expect
-	return made
+	p.enoughDaemons = len(p.alive) >= expect
+	return p
 }
 
-// without takes processes that cannot be reached for lost.
-func (p *picture) without(cutOff []identity.Process) *picture {
-	p.cutOff = cutOff
+// markUnreachable treats the processes as lost and no longer as alive. It changes p and returns
+// it.
+func (p *placement) markUnreachable(cutOff []identity.Process) *placement {
+	p.unreachable = cutOff
 	p.alive = slices.DeleteFunc(p.alive, func(process identity.Process) bool { return slices.Contains(cutOff, process) })
 	return p
 }
 
-// next tells whether this daemon would lead the shard if its leader were lost.
-func (p *picture) next(shard identity.Shard, leader identity.Process) bool {
+// isNext returns true if this daemon would lead the shard if the leader were lost.
+func (p *placement) isNext(shard identity.Shard, leader identity.Process) bool {
 	return p.preferred(shard, leader) == p.self
 }
 
-// shouldTake tells whether this daemon should become the shard's leader now.
-func (p *picture) shouldTake(shard identity.Shard, leader Leader) bool {
+// shouldTake returns true if this daemon should become the shard's leader now.
+func (p *placement) shouldTake(shard identity.Shard, leader Leader) bool {
 	switch {
 	case leader.Process == p.self:
-		return true // written by an acquisition whose answer this process did not hear
-	case leader.Process.Machine != "" && !p.lost(leader.Process):
+		return true // this process won the leadership but did not receive the answer of the store
+	case leader.Process.Machine != "" && !p.isLost(leader.Process):
 		return false
-	case leader.Term == 0 && !p.enough:
-		return false // the first start waits for all
+	case leader.Term == 0 && !p.enoughDaemons:
+		return false // the first start waits until enough daemons are alive
 	}
 	return p.preferred(shard, leader.Former) == p.self
 }
 
-// lost tells whether the process is certainly not leading, as far as can be
-// seen; that it is wrong does no harm, since the store decides.
-func (p *picture) lost(process identity.Process) bool {
-	member, listed := p.present[process.Machine]
+// isLost returns true if the process appears to have ended or cannot be reached. A wrong answer
+// does no harm, since the store allows only one leader to commit.
+func (p *placement) isLost(process identity.Process) bool {
+	member, listed := p.members[process.Machine]
 	switch {
 	case !listed:
-		return p.settled
+		return p.mayAssumeLost
 	case member.Process.Incarnation != process.Incarnation:
 		return member.Process.Incarnation > process.Incarnation
 	default:
-		return member.State == members.StateDead || slices.Contains(p.cutOff, process)
+		return member.State == members.StateDead || slices.Contains(p.unreachable, process)
 	}
 }
 
-// preferred is the living daemon with the first claim on the shard, but not
-// the one that gave it up (rendezvous hashing).
-func (p *picture) preferred(shard identity.Shard, former identity.Process) identity.Process {
+// preferred returns the alive daemon with the highest rendezvous weight for the shard. The
+// process that gave up the shard is excluded if any other daemon is alive.
+func (p *placement) preferred(shard identity.Shard, former identity.Process) identity.Process {
 	var best identity.Process
-	var bestClaim uint64
+	var highest uint64
 	for _, process := range p.alive {
 		if process == former && len(p.alive) > 1 {
 			continue
 		}
-		if claimed := claim(process, shard); best.Machine == "" || claimed > bestClaim {
-			best, bestClaim = process, claimed
+		if weight := shardWeight(process, shard); best.Machine == "" || weight > highest {
+			best, highest = process, weight
 		}
 	}
 	return best
 }
 
-// claim hangs on the machine, so that one that comes back gets its shards back.
-func claim(process identity.Process, shard identity.Shard) uint64 {
+// shardWeight returns the rendezvous weight of the process for the shard. It depends on the
+// machine but not on the incarnation, so that a restarted daemon gets the same shards again.
+func shardWeight(process identity.Process, shard identity.Shard) uint64 {
 	return xxhash.Sum64String(strconv.FormatUint(uint64(shard), 10) + "/" + string(process.Machine))
 }
 
-// balance decides when a shard is given away though its leader is well.
-type balance struct {
-	now     func() time.Time
-	started time.Time
-	last    time.Time // when a shard was last given away
+// balancer selects shards that a healthy leader hands over for balance, one at a time.
+type balancer struct {
+	now          func() time.Time
+	started      time.Time
+	lastHandOver time.Time // time of the last selection
 }
 
-func newBalance(now func() time.Time) *balance {
-	return &balance{now: now, started: now(), last: now()}
+func newBalancer(now func() time.Time) *balancer {
+	return &balancer{now: now, started: now(), lastHandOver: now()}
 }
 
-func (b *balance) uptime() time.Duration { return b.now().Sub(b.started) }
+func (b *balancer) uptime() time.Duration { return b.now().Sub(b.started) }
 
-// balancePause is the time between two shards that are given away.
-const balancePause = 3 * time.Second
+// balanceInterval is the minimum time between two hand-overs for balance.
+const balanceInterval = 3 * time.Second
 
-// next names a shard that another daemon leads better: this one leads more
-// than its share, and nothing of the shard is under way here.
-func (b *balance) next(picture *picture, current *Map, led []identity.Shard, idle func(identity.Shard) bool) (identity.Shard, bool) {
-	daemons := len(picture.alive)
-	if daemons < 2 || b.now().Sub(b.last) < balancePause {
+// nextHandOver returns a shard to hand over, or false if there is none now. It returns one only
+// if this daemon leads more than an equal share of the shards, another daemon is preferred for
+// the shard and idle returns true for it.
+func (b *balancer) nextHandOver(view *placement, current *Map, led []identity.Shard, idle func(identity.Shard) bool) (identity.Shard, bool) {
+	daemons := len(view.alive)
+	if daemons < 2 || b.now().Sub(b.lastHandOver) < balanceInterval {
 		return 0, false
 	}
 	share := (int(current.Shards) + daemons - 1) / daemons
@@ -127,8 +130,8 @@
 	}
 	slices.Sort(led)
 	for _, shard := range led {
-		if picture.preferred(shard, identity.Process{}) != picture.self && idle(shard) {
-			b.last = b.now()
+		if view.preferred(shard, identity.Process{}) != view.self && idle(shard) {
+			b.lastHandOver = b.now()
 			return shard, true
 		}
 	}
--- a/internal/shards/reach.go
+++ b/internal/shards/reach.go
@@ -15,17 +15,17 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// A leader whose lease stands may still be cut off from the daemons that callers
-// reach, if both sides of the cut reach the store. So the daemon that would lead a
-// shard next probes its leader. One that does not answer counts as lost once another
-// daemon, asked each time, does not reach it either. A daemon that is cut off alone
-// finds nobody to confirm it, and takes nothing.
+// A leader may keep its lease and still be cut off from the daemons that serve requests, if all
+// of them can reach the store. Therefore the daemon that would lead a shard next probes the
+// shard's leader. If the leader does not answer, another daemon is asked to probe it too. The
+// leader counts as lost after several consecutive failures that were confirmed in this way. A
+// daemon that is cut off alone finds no other daemon to confirm a failure, and therefore takes
+// over nothing.
 //
-// Guarantee: none; the store decides who leads.
-//
-// Cost: a daemon probes the leaders of the shards that it is next for, some two.
+// Probes are only a hint; the store decides who leads. A daemon probes only the leaders that it
+// would succeed, typically about two.
 
-// ReachService is the name under which daemons probe each other.
+// ReachService is the name of the RPC service for probes.
 const ReachService = "ShardReach"
 
 const (
@@ -34,85 +34,90 @@
 )
 
 const (
-	// probeInterval is the time between two probes of a leader.
+	// probeInterval is the time between two probes of the same leader.
 	probeInterval = 500 * time.Millisecond
-	// pingWait is how long a leader may take to answer, some hundred times what
-	// zones next to each other need.
-	pingWait = 200 * time.Millisecond
-	// askWait is how long another daemon may take to try it.
-	askWait = 2 * pingWait
-	// confirmations in a row make a leader count as lost: two seconds, as long as a
-	// lease lasts after its last renewal.
-	confirmations = 3
+	// pingTimeout is the time that a leader has to answer a probe, about a hundred times the
+	// round trip between neighboring zones.
+	pingTimeout = 200 * time.Millisecond
+	// askTimeout is the time that another daemon has to probe the leader and answer.
+	askTimeout = 2 * pingTimeout
+	// minConfirmedFailures is the number of consecutive confirmed failures after which a leader
+	// counts as lost. So many probes take about two seconds, as long as a lease lasts after its
+	// last renewal.
+	minConfirmedFailures = 3
 )
 
-// PingRequest asks a process whether it runs.
+// PingRequest asks a process whether it is running.
 type PingRequest struct{}
 
-// PingReply tells which process answered.
+// PingReply identifies the process that answered.
 type PingReply struct{ Incarnation identity.Incarnation }
 
-// AskRequest asks a daemon to ping another one.
+// AskRequest asks a daemon to ping another process.
 type AskRequest struct{ Process identity.Process }
 
-// AskReply tells whether it answered.
+// AskReply reports whether the process answered the ping.
 type AskReply struct{ Reached bool }
 
-// reach knows which leaders cannot be reached. It is safe for concurrent use.
-type reach struct {
+// prober probes leaders and records which ones cannot be reached. It is safe for concurrent
+// use.
+type prober struct {
 	self   identity.Process
 	caller peer.Caller
 	log    *zap.Logger
 
-	mutex  sync.Mutex
-	failed map[identity.Process]int // confirmed failures in a row
+	mutex    sync.Mutex
+	failures map[identity.Process]int // consecutive confirmed failures
 }
 
-func newReach(self identity.Process, caller peer.Caller, log *zap.Logger) *reach {
-	return &reach{self: self, caller: caller, log: log, failed: map[identity.Process]int{}}
+func newProber(self identity.Process, caller peer.Caller, log *zap.Logger) *prober {
+	return &prober{self: self, caller: caller, log: log, failures: map[identity.Process]int{}}
 }
 
-// ReachAnswers is what other daemons call.
-type ReachAnswers struct{ reach *reach }
+// ReachAnswers serves the RPCs for probes with net/rpc.
+type ReachAnswers struct{ prober *prober }
 
-// Ping is called by other daemons.
+// Ping returns the incarnation of this process.
 func (a *ReachAnswers) Ping(_ PingRequest, reply *PingReply) error {
-	reply.Incarnation = a.reach.self.Incarnation
+	reply.Incarnation = a.prober.self.Incarnation
 	return nil
 }
 
-// Ask is called by other daemons.
+// Ask pings the requested process and reports whether it answered.
 func (a *ReachAnswers) Ask(request AskRequest, reply *AskReply) error {
-	reply.Reached = a.reach.ping(context.Background(), request.Process) == nil
+	reply.Reached = a.prober.ping(context.Background(), request.Process) == nil
 	return nil
 }
 
-// run probes until the context ends.
-func (r *reach) run(ctx context.Context, look func() (leaders, witnesses []identity.Process)) {
+// run probes the leaders that targets returns, every probeInterval, until the context ends.
+// targets also returns the daemons that may confirm a failure.
+func (r *prober) run(ctx context.Context, targets func() (leaders, witnesses []identity.Process)) {
 	for pause.For(ctx, probeInterval) {
-		leaders, witnesses := look()
+		leaders, witnesses := targets()
 		r.probeAll(ctx, leaders, witnesses)
 	}
 }
 
-// probeAll probes the leaders, and forgets all others.
-func (r *reach) probeAll(ctx context.Context, leaders, witnesses []identity.Process) {
+// probeAll probes the leaders concurrently, records the results, and discards the failures of
+// all other processes.
+func (r *prober) probeAll(ctx context.Context, leaders, witnesses []identity.Process) {
 	r.mutex.Lock()
-	for process := range r.failed {
+	for process := range r.failures {
 		if !slices.Contains(leaders, process) {
-			delete(r.failed, process)
+			delete(r.failures, process)
 		}
 	}
 	r.mutex.Unlock()
 	var probing sync.WaitGroup
 	for _, leader := range leaders {
-		probing.Go(func() { r.note(leader, r.cutOff(ctx, leader, witnesses)) })
+		probing.Go(func() { r.recordProbe(leader, r.isCutOff(ctx, leader, witnesses)) })
 	}
 	probing.Wait()
 }
 
-// cutOff tells whether neither this daemon nor a witness reaches the leader.
-func (r *reach) cutOff(ctx context.Context, leader identity.Process, witnesses []identity.Process) bool {
+// isCutOff returns true if this daemon does not reach the leader and a randomly chosen witness
+// reports that it does not reach the leader either. Without such a report it returns false.
+func (r *prober) isCutOff(ctx context.Context, leader identity.Process, witnesses []identity.Process) bool {
 	if r.ping(ctx, leader) == nil {
 		return false
 	}
@@ -122,7 +127,7 @@
 	if len(others) == 0 {
 		return false
 	}
-	limited, cancel := context.WithTimeout(ctx, askWait)
+	limited, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var reply AskReply
 	witness := others[rand.IntN(len(others))]
@@ -130,43 +135,47 @@
 	return err == nil && !reply.Reached
 }
 
-func (r *reach) ping(parent context.Context, process identity.Process) error {
-	ctx, cancel := context.WithTimeout(parent, pingWait)
+// ping returns nil if the process answers within pingTimeout. An answer of another incarnation
+// is an error.
+func (r *prober) ping(parent context.Context, process identity.Process) error {
+	ctx, cancel := context.WithTimeout(parent, pingTimeout)
 	defer cancel()
 	var reply PingReply
 	if err := r.caller.Call(ctx, process.Address, peer.Control, methodPing, PingRequest{}, &reply); err != nil {
 		return eris.Wrapf(err, "ping %s", process)
 	}
 	if reply.Incarnation != process.Incarnation {
-		return eris.Errorf("ping %s: another process answered, %d", process, reply.Incarnation)
+		return eris.Errorf("ping %s: answered by another incarnation, %d", process, reply.Incarnation)
 	}
 	return nil
 }
 
-func (r *reach) note(leader identity.Process, cutOff bool) {
+// recordProbe counts a confirmed failure, or resets the count.
+func (r *prober) recordProbe(leader identity.Process, cutOff bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	before := r.failed[leader]
+	previous := r.failures[leader]
 	if !cutOff {
-		delete(r.failed, leader)
-		if before >= confirmations {
-			r.log.Info("shards: leader is reached again.", zap.Stringer("leader", leader))
+		delete(r.failures, leader)
+		if previous >= minConfirmedFailures {
+			r.log.Info("shards: leader can be reached again.", zap.Stringer("leader", leader))
 		}
 		return
 	}
-	r.failed[leader] = before + 1
-	if before+1 == confirmations {
-		r.log.Warn("shards: leader is cut off, as another daemon confirms.", zap.Stringer("leader", leader), zap.Int("probes", before+1))
+	r.failures[leader] = previous + 1
+	if previous+1 == minConfirmedFailures {
+		r.log.Warn("shards: leader is cut off, confirmed by another daemon.", zap.Stringer("leader", leader), zap.Int("probes", previous+1))
 	}
 }
 
-// unreachable lists the leaders that count as lost.
-func (r *reach) unreachable() []identity.Process {
+// unreachable returns the leaders with at least minConfirmedFailures consecutive confirmed
+// failures.
+func (r *prober) unreachable() []identity.Process {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var found []identity.Process
-	for process, failures := range r.failed {
-		if failures >= confirmations {
+	for process, failures := range r.failures {
+		if failures >= minConfirmedFailures {
 			found = append(found, process)
 		}
 	}
--- a/internal/shards/reach_test.go
+++ b/internal/shards/reach_test.go
@@ -14,22 +14,23 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// wires connect daemons of a test in memory, but for those that are cut off.
-type wires struct {
-	answers map[string]*ReachAnswers // by address
-	cut     []string                 // machines that reach nobody else and are reached by nobody
+// memoryNetwork connects the daemons of a test by direct method calls, except for isolated
+// ones.
+type memoryNetwork struct {
+	services map[string]*ReachAnswers // key: address
+	isolated []string                 // machines that cannot exchange calls with any other machine
 }
 
-// end is one daemon's end of the wires.
-type end struct {
-	wires *wires
-	self  identity.Process
+// memoryCaller makes the calls of one daemon.
+type memoryCaller struct {
+	network *memoryNetwork
+	self    identity.Process
 }
 
 // Call implements peer.Caller.
-func (e end) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
-	answers := e.wires.answers[address]
-	if answers == nil || slices.Contains(e.wires.cut, string(e.self.Machine)) || slices.Contains(e.wires.cut, string(answers.reach.self.Machine)) {
+func (e memoryCaller) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
+	answers := e.network.services[address]
+	if answers == nil || slices.Contains(e.network.isolated, string(e.self.Machine)) || slices.Contains(e.network.isolated, string(answers.prober.self.Machine)) {
 		return errors.New("cut")
 	}
 	if method == methodPing {
@@ -38,56 +39,56 @@
 	return answers.Ask(arguments.(AskRequest), reply.(*AskReply))
 }
 
-var _ = Describe("a leader that cannot be reached", func() {
+var _ = Describe("an unreachable leader", func() {
 	a, b, c := processOf("a", 1), processOf("b", 1), processOf("c", 1)
 	all := []identity.Process{a, b, c}
-	var connected *wires
-	var reaches map[identity.Process]*reach
+	var network *memoryNetwork
+	var probers map[identity.Process]*prober
 
 	BeforeEach(func() {
-		connected = &wires{answers: map[string]*ReachAnswers{}}
-		reaches = map[identity.Process]*reach{}
+		network = &memoryNetwork{services: map[string]*ReachAnswers{}}
+		probers = map[identity.Process]*prober{}
 		for _, process := range all {
-			reaches[process] = newReach(process, end{connected, process}, zap.NewNop())
-			connected.answers[process.Address] = &ReachAnswers{reach: reaches[process]}
+			probers[process] = newProber(process, memoryCaller{network, process}, zap.NewNop())
+			network.services[process.Address] = &ReachAnswers{prober: probers[process]}
 		}
 	})
 
 	probe := func(ctx context.Context, from, leader identity.Process, times int) []identity.Process {
 		for range times {
-			reaches[from].probeAll(ctx, []identity.Process{leader}, all)
+			probers[from].probeAll(ctx, []identity.Process{leader}, all)
 		}
-		return reaches[from].unreachable()
+		return probers[from].unreachable()
 	}
 
-	It("counts as lost when another daemon confirms it some times in a row", func(ctx SpecContext) {
-		connected.cut = []string{"a"}
-		Expect(probe(ctx, b, a, confirmations-1)).To(BeEmpty())
+	It("counts as lost after another daemon confirmed it several times in a row", func(ctx SpecContext) {
+		network.isolated = []string{"a"}
+		Expect(probe(ctx, b, a, minConfirmedFailures-1)).To(BeEmpty())
 		Expect(probe(ctx, b, a, 1)).To(ConsistOf(a))
 	})
 
-	It("counts as lost to nobody who is cut off alone", func(ctx SpecContext) {
-		connected.cut = []string{"b"}
-		Expect(probe(ctx, b, a, 2*confirmations)).To(BeEmpty())
+	It("does not count as lost for a daemon that is cut off alone", func(ctx SpecContext) {
+		network.isolated = []string{"b"}
+		Expect(probe(ctx, b, a, 2*minConfirmedFailures)).To(BeEmpty())
 	})
 
-	It("counts no more once it answers, or leads nothing that this daemon is next for", func(ctx SpecContext) {
-		connected.cut = []string{"a"}
-		Expect(probe(ctx, b, a, confirmations)).To(ConsistOf(a))
-		connected.cut = nil
+	It("no longer counts as lost after it answers or is not probed any more", func(ctx SpecContext) {
+		network.isolated = []string{"a"}
+		Expect(probe(ctx, b, a, minConfirmedFailures)).To(ConsistOf(a))
+		network.isolated = nil
 		Expect(probe(ctx, b, a, 1)).To(BeEmpty())
-		connected.cut = []string{"a"}
-		Expect(probe(ctx, b, a, confirmations)).To(ConsistOf(a))
-		reaches[b].probeAll(ctx, nil, all)
-		Expect(reaches[b].unreachable()).To(BeEmpty())
+		network.isolated = []string{"a"}
+		Expect(probe(ctx, b, a, minConfirmedFailures)).To(ConsistOf(a))
+		probers[b].probeAll(ctx, nil, all)
+		Expect(probers[b].unreachable()).To(BeEmpty())
 	})
 
-	It("is another one once a later process answers", func(ctx SpecContext) {
-		reaches[a].self = processOf("a", 2)
-		Expect(probe(ctx, b, a, confirmations)).To(ConsistOf(a), "the witness finds the later one, too")
+	It("counts as lost when a later incarnation answers", func(ctx SpecContext) {
+		probers[a].self = processOf("a", 2)
+		Expect(probe(ctx, b, a, minConfirmedFailures)).To(ConsistOf(a), "the witness reaches the later incarnation, too")
 	})
 
-	It("gives its shards to the next daemon, and gets none", func() {
+	It("loses its shards to exactly one other daemon and gets no new ones", func() {
 		view := &members.View{Read: true}
 		for _, process := range all {
 			view.Members = append(view.Members, members.Member{Process: process, State: members.StateAlive})
@@ -95,10 +96,10 @@
 		for shard := identity.Shard(1); shard <= 16; shard++ {
 			taken := 0
 			for _, self := range []identity.Process{b, c} {
-				seen := newPicture(self, view, settleTime, 1)
+				seen := newPlacement(self, view, minUptime, 1)
 				Expect(seen.shouldTake(shard, Leader{Process: a, Term: 1})).To(BeFalse())
-				next := seen.next(shard, a)
-				if seen.without([]identity.Process{a}).shouldTake(shard, Leader{Process: a, Term: 1}) {
+				next := seen.isNext(shard, a)
+				if seen.markUnreachable([]identity.Process{a}).shouldTake(shard, Leader{Process: a, Term: 1}) {
 					Expect(next).To(BeTrue())
 					taken++
 				}
--- a/internal/shards/replica.go
+++ b/internal/shards/replica.go
@@ -12,118 +12,123 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Bounds of one batch: a commit of the store holds 1 MB of base64 text and
-// 100 entries, among them the head.
+// The limits of a batch follow from those of the store: a commit holds at most 1 MB of base64
+// text and 100 entries, including the head.
 const (
-	mostBatchBytes       = 640 << 10
-	mostBatchRows        = 90
-	mostTogether         = 64 // commands
-	queued               = 256
-	readPause            = 50 * time.Millisecond
+	maxBatchBytes        = 640 << 10
+	maxBatchRows         = 90
+	maxBatchCommands     = 64
+	proposalQueueSize    = 256
+	readRetryDelay       = 50 * time.Millisecond
 	defaultSnapshotAfter = 1 << 20
-	mostLogBatches       = 2048
+	maxLogBatches        = 2048
 )
 
-// proposal is one command, or a barrier if it has none.
+// proposal is a proposed command, or a request for a read barrier if command is nil.
 type proposal struct {
 	command []byte
-	taken   atomic.Bool // by the loop, or given up by the proposer
-	result  chan decision
+	claimed atomic.Bool // set when the loop takes the proposal or the proposer gives up, whichever is first
+	result  chan outcome
 }
 
-// decision is what became of a proposal.
-type decision struct {
+// outcome is the result of a proposal.
+type outcome struct {
 	value any
 	err   error
 }
 
-// replica is this daemon's leadership of one shard.
+// replica is this daemon's leadership of one shard. While run is running, only its goroutine
+// uses machine, head, version, logBytes and snapshotBytes.
 type replica struct {
-	node     *Node
-	shard    identity.Shard
-	machine  StateMachine
-	term     Term
-	head     head
-	version  state.Version
-	logBytes int
-	stateLen int
-	last     atomic.Uint64
-
-	proposals chan *proposal
-	release   chan chan error // a request to hand over
-	ended     chan struct{}   // closed when this daemon leads the shard no more
-	over      context.Context //nolint:containedctx // ends when another daemon is known to lead
-	end       context.CancelFunc
+	node          *Node
+	shard         identity.Shard
+	machine       StateMachine
+	term          Term
+	head          head
+	version       state.Version
+	logBytes      int
+	snapshotBytes int
+	lastIndex     atomic.Uint64
+
+	proposals        chan *proposal
+	handOverRequests chan chan error // the result is sent to the received channel
+	ended            chan struct{}   // closed when this daemon no longer leads the shard
+	superseded       context.Context //nolint:containedctx // ends when another daemon is known to lead
+	markSuperseded   context.CancelFunc
 }
 
-// propose hands the command to the loop and waits for its decision.
+// propose passes the command to the loop and waits for its result. A nil command only confirms
+// the leadership. The error is ErrNotLeader if the command was not taken and never will be, and
+// ErrUncertain if it may or may not be committed.
 func (r *replica) propose(ctx context.Context, command []byte) (any, error) {
-	made := &proposal{command: command, result: make(chan decision, 1)}
+	pending := &proposal{command: command, result: make(chan outcome, 1)}
 	select {
-	case r.proposals <- made:
+	case r.proposals <- pending:
 	case <-r.ended:
 		return nil, ErrNotLeader
 	case <-ctx.Done():
 		return nil, eris.Wrapf(ErrNotLeader, "the command was not taken: %v", ctx.Err())
 	}
 	select {
-	case decided := <-made.result:
-		return decided.value, decided.err
+	case result := <-pending.result:
+		return result.value, result.err
 	case <-r.ended:
-		return made.afterEnd()
+		return pending.resultAfterEnd()
 	case <-ctx.Done():
-		if made.taken.CompareAndSwap(false, true) {
+		if pending.claimed.CompareAndSwap(false, true) {
 			return nil, eris.Wrapf(ErrNotLeader, "the command was not taken: %v", ctx.Err())
 		}
 		return nil, eris.Wrapf(ErrUncertain, "%v", ctx.Err())
 	}
 }
 
-// afterEnd is for a proposal whose leader ended: a decision may have come before.
-func (p *proposal) afterEnd() (any, error) {
-	if p.taken.CompareAndSwap(false, true) {
+// resultAfterEnd returns the result of a proposal after the leadership has ended: ErrNotLeader
+// if the loop had not taken the command, else the result that the loop stored.
+func (p *proposal) resultAfterEnd() (any, error) {
+	if p.claimed.CompareAndSwap(false, true) {
 		return nil, ErrNotLeader
 	}
-	decided := <-p.result // whoever took it decides
-	return decided.value, decided.err
+	result := <-p.result // the loop took the proposal, so it sends a result
+	return result.value, result.err
 }
 
-// run commits proposals until another daemon leads, this one hands over, or
-// the context ends.
+// run commits proposals until another daemon leads the shard, this daemon hands it over, a
+// commit fails or the context ends.
 func (r *replica) run(ctx context.Context) {
-	defer r.node.ceased(r)
+	defer r.node.endReplica(r)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.over.Done():
+		case <-r.superseded.Done():
 			return
-		case answer := <-r.release:
-			answer <- r.giveUp(ctx)
+		case answer := <-r.handOverRequests:
+			answer <- r.resign(ctx)
 			return
 		case first := <-r.proposals:
-			if !r.decide(ctx, r.gather(first)) {
+			if !r.commitBatch(ctx, r.collectBatch(first)) {
 				return
 			}
 		}
-		if r.snapshotIsDue() && !r.snapshot(ctx) {
+		if r.needsSnapshot() && !r.writeSnapshot(ctx) {
 			return
 		}
 	}
 }
 
-// gather takes what else waits, as far as one commit holds it.
-func (r *replica) gather(first *proposal) []*proposal {
+// collectBatch returns the first proposal and others that are already waiting. It stops when
+// the batch has maxBatchCommands commands or at least half of maxBatchBytes.
+func (r *replica) collectBatch(first *proposal) []*proposal {
 	var batch []*proposal
 	size := 0
 	take := func(next *proposal) {
-		if next.taken.CompareAndSwap(false, true) {
+		if next.claimed.CompareAndSwap(false, true) {
 			batch = append(batch, next)
 			size += len(next.command)
 		}
 	}
 	take(first)
-	for len(batch) < mostTogether && size < mostBatchBytes/2 {
+	for len(batch) < maxBatchCommands && size < maxBatchBytes/2 {
 		select {
 		case next := <-r.proposals:
 			take(next)
@@ -134,33 +139,34 @@
 	return batch
 }
 
-// decide commits a batch, applies it and tells the proposers. It returns false
-// when this daemon does not lead any more.
-func (r *replica) decide(ctx context.Context, batch []*proposal) bool {
-	batch = r.refuseOversized(batch)
+// commitBatch commits a batch, applies it to the state machine and sends the results to the
+// proposers. It returns false if this daemon no longer leads the shard or cannot confirm that
+// it does.
+func (r *replica) commitBatch(ctx context.Context, batch []*proposal) bool {
+	batch = r.rejectOversized(batch)
 	if len(batch) == 0 {
 		return true
 	}
-	err := r.commit(ctx, commandsOf(batch))
+	err := r.appendLog(ctx, commandsIn(batch))
 	if err != nil {
-		r.node.log.Info("shards: a batch was not committed.", zap.Uint32("shard", uint32(r.shard)), zap.Int("commands", len(batch)), zap.String("cause", err.Error()))
+		r.node.log.Info("shards: committing a batch failed.", zap.Uint32("shard", uint32(r.shard)), zap.Int("commands", len(batch)), zap.String("cause", err.Error()))
 		for _, each := range batch {
-			each.result <- decision{err: err}
+			each.result <- outcome{err: err}
 		}
 		return false
 	}
 	for _, each := range batch {
-		decided := decision{}
+		result := outcome{}
 		if each.command != nil {
-			decided.value = r.machine.Apply(r.head.Last, each.command)
+			result.value = r.machine.Apply(r.head.Last, each.command)
 		}
-		each.result <- decided
+		each.result <- result
 	}
-	r.last.Store(r.head.Last)
+	r.lastIndex.Store(r.head.Last)
 	return true
 }
 
-func commandsOf(batch []*proposal) [][]byte {
+func commandsIn(batch []*proposal) [][]byte {
 	var commands [][]byte
 	for _, each := range batch {
 		if each.command != nil {
@@ -170,12 +176,13 @@
 	return commands
 }
 
-// refuseOversized answers commands that no commit holds.
-func (r *replica) refuseOversized(batch []*proposal) []*proposal {
+// rejectOversized sends ErrTooLarge to the proposers of commands that do not fit one commit,
+// and returns the other proposals. It reuses the slice.
+func (r *replica) rejectOversized(batch []*proposal) []*proposal {
 	kept := batch[:0]
 	for _, each := range batch {
-		if len(each.command) > mostBatchBytes || len(each.command)/r.node.options.RowBytes > mostBatchRows {
-			each.result <- decision{err: eris.Wrapf(ErrTooLarge, "%d bytes", len(each.command))}
+		if len(each.command) > maxBatchBytes || len(each.command)/r.node.options.RowBytes > maxBatchRows {
+			each.result <- outcome{err: eris.Wrapf(ErrTooLarge, "%d bytes", len(each.command))}
 			continue
 		}
 		kept = append(kept, each)
@@ -183,27 +190,28 @@
 	return kept
 }
 
-// commit writes the commands as the next batch of the log; without commands
-// it only proves that this daemon still leads.
-func (r *replica) commit(ctx context.Context, commands [][]byte) error {
+// appendLog commits the commands as the next batch of the log. Without commands it only
+// confirms that this daemon still leads the shard.
+func (r *replica) appendLog(ctx context.Context, commands [][]byte) error {
 	if len(commands) == 0 {
-		return r.swap(ctx, r.head, nil)
+		return r.commitHead(ctx, r.head, nil)
 	}
 	next := r.head
 	next.Last++
 	content := encode(commands)
-	puts := piecesOf(r.shard, logName(next.Last), content, r.node.options.RowBytes)
-	if err := r.swap(ctx, next, puts); err != nil {
+	puts := splitRows(r.shard, logRowName(next.Last), content, r.node.options.RowBytes)
+	if err := r.commitHead(ctx, next, puts); err != nil {
 		return err
 	}
 	r.logBytes += len(content)
 	return nil
 }
 
-// swap replaces the head, together with other rows, and repeats that until the
-// store gives a verdict. A head that is as before is only checked.
-func (r *replica) swap(ctx context.Context, next head, puts []state.Put) error {
-	version, err := r.node.swap(ctx, r.shard, r.version, r.head, next, puts)
+// commitHead commits the next head and the puts on condition that the stored head is unchanged,
+// and then stores next in r. If next equals the current head and there are no puts, it only
+// checks the condition.
+func (r *replica) commitHead(ctx context.Context, next head, puts []state.Put) error {
+	version, err := r.node.commitHead(ctx, r.shard, r.version, r.head, next, puts)
 	if err != nil {
 		return err
 	}
@@ -212,10 +220,11 @@
 	return nil
 }
 
-// giveUp writes that nobody leads the shard.
-func (r *replica) giveUp(ctx context.Context) error {
+// resign gives up the leadership: it commits a head without a leader and names this process as
+// the former leader.
+func (r *replica) resign(ctx context.Context) error {
 	next := r.head
 	next.Leader = identity.Process{}
 	row := leaderRow{Term: next.Term, Former: r.node.options.Self}
-	return r.swap(ctx, next, []state.Put{{Key: leaderKey(r.shard), Value: encode(row)}})
+	return r.commitHead(ctx, next, []state.Put{{Key: leaderKey(r.shard), Value: encode(row)}})
 }
--- a/internal/shards/shards.go
+++ b/internal/shards/shards.go
@@ -1,11 +1,11 @@
-// Package shards keeps the logs of program shards in the transactional store
-// and decides which daemon leads which shard.
+// Package shards stores the logs of program shards in the transactional store and decides which
+// daemon leads which shard.
 //
-// Each shard has a head row that names its leader, the leader's term and the
-// index of the last batch of its log. Every batch is committed together with
-// the next head, on condition of the former one. So the log has one order, a
-// leader that was replaced without its knowing commits nothing any more, and
-// what was committed outlasts the loss of all daemons.
+// Each shard has a head row with its leader, the leader's term and the index of the last batch
+// of its log. Every batch is committed together with a new head row, on condition that the
+// previous head row is unchanged. Therefore the log has a single order, a leader that was
+// replaced without noticing cannot commit, and committed commands survive the loss of all
+// daemons.
 package shards
 
 import (
@@ -15,81 +15,90 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Term counts the leaderships of a shard; it only grows.
+// Term numbers the leaderships of a shard. It only grows.
 type Term uint64
 
-// StateMachine is what the commands of a shard's log are applied to. All
-// methods are called by one goroutine at a time, in the order of the log.
+// StateMachine is the state to which the commands of a shard's log are applied. Its methods are
+// called by one goroutine at a time, in the order of the log.
 type StateMachine interface {
-	// Apply runs one committed command and returns its result, which only the
-	// proposer sees. Errors of the domain are part of the result.
+	// Apply applies a committed command and returns its result, which is passed to the proposer
+	// only. An error of the command itself is part of the result. index is the index of the log
+	// batch that contains the command.
 	Apply(index uint64, command []byte) any
-	// Snapshot encodes the whole state.
+	// Snapshot returns the encoded state.
 	Snapshot() ([]byte, error)
-	// Restore replaces the whole state by an encoded one.
+	// Restore replaces the state by one that Snapshot encoded.
 	Restore(snapshot []byte) error
 }
 
-// Errors of a proposal.
+// Errors of Propose.
 var (
-	// ErrNotLeader means that the command was not taken: it will not commit through this call.
+	// ErrNotLeader means that the command was not taken and will not be committed by this call.
 	ErrNotLeader = errors.New("not the leader of the shard")
-	// ErrUncertain means that leadership or the deadline was lost after the
-	// command was taken: it may or may not commit.
+	// ErrUncertain means that the leadership or the deadline was lost after the command was
+	// taken, so that it may or may not be committed.
 	ErrUncertain = errors.New("commitment uncertain")
-	// ErrTooLarge means that the command does not fit one commit of the store.
+	// ErrTooLarge means that the command does not fit one commit of the store. It is not
+	// committed.
 	ErrTooLarge = errors.New("the command is too large for one commit")
 )
 
-// LeaderChange tells that this daemon began or ceased to lead a shard.
+// LeaderChange reports that this daemon began or ceased to lead a shard.
 type LeaderChange struct {
 	Shard   identity.Shard
 	Term    Term
 	Leading bool
 }
 
-// Status is what this daemon knows of one shard.
+// Status is the state of one shard as known to this daemon.
 type Status struct {
 	Shard     identity.Shard
-	Leader    identity.Process // zero: none is known
+	Leader    identity.Process // zero: unknown, or nobody leads the shard
 	Term      Term
-	Leading   bool   // this daemon leads it
-	Committed uint64 // index of the last batch, if this daemon leads
+	Leading   bool   // this daemon leads the shard
+	Committed uint64 // index of the last committed log batch; 0 unless this daemon leads the shard
 }
 
-// Map is what is known of all shards; it is never changed.
+// Map lists the leaders of all shards. It must not be changed.
 type Map struct {
-	Shards  uint32 // program shards, numbered from 1; fixed at the first start
+	Shards  uint32 // number of program shards; they are numbered from 1, and the number is fixed at the first start
 	Leaders map[identity.Shard]Leader
 }
 
-// Leader is who leads a shard.
+// Leader describes the leadership of a shard.
 type Leader struct {
-	Process identity.Process // zero: the former leader gave it up
+	Process identity.Process // zero: nobody leads the shard
 	Term    Term
-	// Former gave the shard up as planned; zero while it is led.
+	// Former is the process that gave up the shard in a planned hand-over. It is zero while the
+	// shard has a leader.
 	Former identity.Process
 }
 
-// Source gives the map known at this daemon.
+// Source provides the current map of shards.
 type Source interface {
-	// Current returns nil until a map is known.
+	// Current returns the latest known map, or nil if none is known yet.
 	Current() *Map
 }
 
-// Groups is what the parts of a daemon use; *Node implements it.
+// Groups is the interface of the shards for the other parts of a daemon. *Node implements it.
 type Groups interface {
-	// Propose commits the command and returns the result of Apply. Leader only.
+	// Propose commits the command to the shard's log and returns the result of Apply. Only the
+	// leader can propose; the errors are ErrNotLeader, ErrUncertain and ErrTooLarge.
 	Propose(ctx context.Context, shard identity.Shard, command []byte) (any, error)
-	// Leader gives the last known leader, and whether there is one.
+	// Leader returns the last known leader, or false if none is known. While this daemon does
+	// not lead the shard, it never returns true for this daemon.
 	Leader(shard identity.Shard) (identity.Process, bool)
-	// ConfirmLeadership returns nil if this daemon still led the shard at some
-	// moment after the call began (a read barrier).
+	// ConfirmLeadership returns nil if this daemon led the shard at some moment after the call
+	// began, as a linearizable read requires.
 	ConfirmLeadership(ctx context.Context, shard identity.Shard) error
-	// HandOver gives the leadership of the shard up, for a planned stop.
+	// HandOver gives up the leadership of the shard, for a planned stop or to balance the
+	// number of shards per daemon. It returns ErrNotLeader if this daemon does not lead the
+	// shard.
 	HandOver(ctx context.Context, shard identity.Shard) error
-	// Status lists all shards.
+	// Status returns the status of every shard, or nil if the number of shards is not known
+	// yet.
 	Status() []Status
-	// Changes delivers this daemon's changes of leadership, in order.
+	// Changes returns a channel with the changes of this daemon's leaderships, in order. Its
+	// buffer is limited, so it must be read continuously.
 	Changes() <-chan LeaderChange
 }
--- a/internal/shards/snapshot.go
+++ b/internal/shards/snapshot.go
@@ -12,69 +12,73 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-func (r *replica) snapshotIsDue() bool {
-	return r.logBytes > r.node.options.SnapshotAfter+r.stateLen || r.head.Last-r.head.Snapshot > mostLogBatches
+// needsSnapshot returns true if the log since the last snapshot has become too large or has too
+// many batches.
+func (r *replica) needsSnapshot() bool {
+	return r.logBytes > r.node.options.SnapshotAfter+r.snapshotBytes || r.head.Last-r.head.Snapshot > maxLogBatches
 }
 
-// snapshot writes the state and removes what it replaces. The rows of the
-// state are written first, under a name of their own; only the head makes
-// them count.
-func (r *replica) snapshot(ctx context.Context) bool {
+// writeSnapshot stores the state and removes the rows that it replaces. The rows of the
+// snapshot get a new name prefix and are written first; they take effect when the head refers
+// to them. It returns false if the replica must end, because another daemon leads the shard or
+// the context has ended.
+func (r *replica) writeSnapshot(ctx context.Context) bool {
 	content, err := r.machine.Snapshot()
 	if err != nil {
-		r.node.log.Error("shards: no snapshot.", zap.Uint32("shard", uint32(r.shard)), zap.String("cause", err.Error()))
-		r.logBytes = 0 // tried again after as much more
+		r.node.log.Error("shards: encoding a snapshot failed.", zap.Uint32("shard", uint32(r.shard)), zap.String("cause", err.Error()))
+		r.logBytes = 0 // the next attempt follows after the same growth of the log
 		return true
 	}
 	next := r.head
 	next.Snapshot = r.head.Last
-	next.StateName = fmt.Sprintf("%s%016x-%016x/", prefixState, next.Snapshot, rand.Uint64())
-	puts := piecesOf(r.shard, next.StateName, content, r.node.options.RowBytes)
+	next.StateName = fmt.Sprintf("%s%016x-%016x/", stateRowPrefix, next.Snapshot, rand.Uint64())
+	puts := splitRows(r.shard, next.StateName, content, r.node.options.RowBytes)
 	next.StateRows = len(puts)
-	if err := r.node.putAll(ctx, puts); err != nil {
+	if err := r.node.writeRows(ctx, puts); err != nil {
 		return ctx.Err() == nil
 	}
-	if err := r.swap(ctx, next, nil); err != nil {
+	if err := r.commitHead(ctx, next, nil); err != nil {
 		return false
 	}
-	r.logBytes, r.stateLen = 0, len(content)
-	r.node.clean(ctx, r.shard, r.head)
+	r.logBytes, r.snapshotBytes = 0, len(content)
+	r.node.removeSupersededRows(ctx, r.shard, r.head)
 	return true
 }
 
-// putAll writes rows in as many commits as they take.
-func (n *Node) putAll(ctx context.Context, puts []state.Put) error {
+// writeRows writes the rows in as many commits as they need. The commits have no conditions.
+func (n *Node) writeRows(ctx context.Context, puts []state.Put) error {
 	for len(puts) > 0 {
 		count, size := 0, 0
-		for count < len(puts) && count < mostBatchRows && size+len(puts[count].Value) <= mostBatchBytes {
+		for count < len(puts) && count < maxBatchRows && size+len(puts[count].Value) <= maxBatchBytes {
 			size += len(puts[count].Value)
 			count++
 		}
-		together := puts[:max(count, 1)]
+		batch := puts[:max(count, 1)]
 		err := n.options.Store.Repeat(ctx, func() error {
-			_, err := n.options.Store.Commit(ctx, state.Commit{Puts: together})
+			_, err := n.options.Store.Commit(ctx, state.Commit{Puts: batch})
 			return err
 		})
 		if err != nil {
 			return eris.Wrap(err, "write a snapshot")
 		}
-		puts = puts[len(together):]
+		puts = puts[len(batch):]
 	}
 	return nil
 }
 
-// clean removes rows that no head needs. What stays is removed the next time.
-func (n *Node) clean(ctx context.Context, shard identity.Shard, current head) {
-	rows, err := n.read(ctx, shard)
+// removeSupersededRows removes the rows that the snapshot of the current head replaces. Rows
+// that remain after an error are removed after the next snapshot.
+func (n *Node) removeSupersededRows(ctx context.Context, shard identity.Shard, current head) {
+	rows, err := n.readRows(ctx, shard)
 	if err != nil {
 		return
 	}
-	keys := superseded(rows, current)
+	keys := supersededKeys(rows, current)
 	for len(keys) > 0 {
-		together := keys[:min(len(keys), mostBatchRows)]
-		if _, err := n.options.Store.Commit(ctx, state.Commit{Class: state.ClassSweep, Removals: together}); err != nil {
+		batch := keys[:min(len(keys), maxBatchRows)]
+		if _, err := n.options.Store.Commit(ctx, state.Commit{Class: state.ClassSweep, Removals: batch}); err != nil {
 			return
 		}
-		keys = keys[len(together):]
+		keys = keys[len(batch):]
 	}
 }
--- a/internal/shards/suite_test.go
+++ b/internal/shards/suite_test.go
@@ -25,21 +25,21 @@
 	RunSpecs(t, "shards")
 }
 
-// list is a state machine: the commands in their order. Its result is how many
-// there were before.
-type list struct {
+// listMachine is a state machine that stores the commands in order. Apply returns the number of
+// commands before the new one.
+type listMachine struct {
 	mutex    sync.Mutex
 	commands []string
 }
 
-func (l *list) Apply(_ uint64, command []byte) any {
+func (l *listMachine) Apply(_ uint64, command []byte) any {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.commands = append(l.commands, string(command))
 	return len(l.commands) - 1
 }
 
-func (l *list) Snapshot() ([]byte, error) {
+func (l *listMachine) Snapshot() ([]byte, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var buffer bytes.Buffer
@@ -47,33 +47,33 @@
 	return buffer.Bytes(), err
 }
 
-func (l *list) Restore(snapshot []byte) error {
+func (l *listMachine) Restore(snapshot []byte) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return gob.NewDecoder(bytes.NewReader(snapshot)).Decode(&l.commands)
 }
 
-func (l *list) all() []string {
+func (l *listMachine) allCommands() []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Clone(l.commands)
 }
 
-// directory is a membership that tests set.
-type directory struct {
+// fakeDirectory is a membership directory whose members are set by tests.
+type fakeDirectory struct {
 	members.Directory
 	mutex sync.Mutex
 	view  members.View
 }
 
-func (d *directory) View() *members.View {
+func (d *fakeDirectory) View() *members.View {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	copied := members.View{Read: true, Members: slices.Clone(d.view.Members)}
 	return &copied
 }
 
-func (d *directory) set(state members.State, process identity.Process) {
+func (d *fakeDirectory) set(state members.State, process identity.Process) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.view.Members = slices.DeleteFunc(d.view.Members, func(member members.Member) bool {
@@ -82,15 +82,15 @@
 	d.view.Members = append(d.view.Members, members.Member{Process: process, State: state})
 }
 
-// fellow is one daemon under test.
-type fellow struct {
+// testDaemon is a running node with its state machines.
+type testDaemon struct {
 	node     *Node
 	self     identity.Process
 	store    *memorystore.Store
 	stop     context.CancelFunc
 	ended    chan error
 	mutex    sync.Mutex
-	machines map[identity.Shard]*list
+	machines map[identity.Shard]*listMachine
 }
 
 const testRowBytes = 64
@@ -99,11 +99,12 @@
 	return identity.Process{Machine: identity.Machine(name), Incarnation: identity.Incarnation(incarnation), Address: name + ":1"}
 }
 
-// join starts a daemon.
-func join(store *memorystore.Store, known *directory, self identity.Process, shardCount uint32, expect int) *fellow {
+// startDaemon adds the daemon to the directory as alive and runs its node until kill is called
+// or the spec ends.
+func startDaemon(store *memorystore.Store, known *fakeDirectory, self identity.Process, shardCount uint32, expect int) *testDaemon {
 	GinkgoHelper()
 	known.set(members.StateAlive, self)
-	made := &fellow{self: self, store: store, ended: make(chan error, 1), machines: map[identity.Shard]*list{}}
+	made := &testDaemon{self: self, store: store, ended: make(chan error, 1), machines: map[identity.Shard]*listMachine{}}
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	var err error
 	made.node, err = NewNode(Options{
@@ -112,7 +113,7 @@
 		NewMachine: func(shard identity.Shard) StateMachine {
 			made.mutex.Lock()
 			defer made.mutex.Unlock()
-			made.machines[shard] = &list{}
+			made.machines[shard] = &listMachine{}
 			return made.machines[shard]
 		},
 	})
@@ -129,26 +130,26 @@
 			}
 		}
 	}()
-	DeferCleanup(made.leave)
+	DeferCleanup(made.kill)
 	return made
 }
 
-// leave ends the daemon as a kill does: nothing is handed over.
-func (f *fellow) leave() {
+// kill stops the daemon without handing over its shards. It may be called repeatedly.
+func (f *testDaemon) kill() {
 	f.stop()
 	Eventually(f.ended).Should(Receive())
 	f.ended <- nil
 }
 
-func (f *fellow) leads(shard identity.Shard) bool { return f.node.replica(shard) != nil }
+func (f *testDaemon) leads(shard identity.Shard) bool { return f.node.replica(shard) != nil }
 
-func (f *fellow) machine(shard identity.Shard) *list {
+func (f *testDaemon) machine(shard identity.Shard) *listMachine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.machines[shard]
 }
 
-func (f *fellow) propose(ctx context.Context, shard identity.Shard, format string, arguments ...any) error {
+func (f *testDaemon) propose(ctx context.Context, shard identity.Shard, format string, arguments ...any) error {
 	_, err := f.node.Propose(ctx, shard, []byte(fmt.Sprintf(format, arguments...)))
 	return err
 }
--- a/internal/shards/swap.go
+++ b/internal/shards/swap.go
@@ -13,46 +13,55 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// swap commits the next head on condition of the former one.
-func (n *Node) swap(ctx context.Context, shard identity.Shard, version state.Version, former, next head, puts []state.Put) (state.Version, error) {
+// commitHead commits the next head and the puts on condition that the head row still has the
+// given version, and returns the new version of the head row. It retries until the store
+// accepts or rejects the commit, or the context ends. If former equals next and there are no
+// puts, it writes nothing and only checks the condition.
+//
+// The error is ErrUncertain if the commit may have been accepted, and ErrNotLeader if it was
+// not.
+func (n *Node) commitHead(ctx context.Context, shard identity.Shard, version state.Version, former, next head, puts []state.Put) (state.Version, error) {
 	commit := state.Commit{Class: state.ClassTurn, Conditions: []state.Condition{{Key: headKey(shard), Version: version}}, Puts: puts}
-	onlyChecks := former == next && len(puts) == 0
-	if !onlyChecks {
+	checkOnly := former == next && len(puts) == 0
+	if !checkOnly {
 		next.Nonce = rand.Uint64()
 		commit.Puts = append([]state.Put{{Key: headKey(shard), Value: encode(next)}}, puts...)
 	}
 	var written state.Version
-	doubtful := false // a try may have been done
+	maybeCommitted := false // an attempt may have been committed
 	err := n.options.Store.Repeat(ctx, func() error {
 		var err error
 		written, err = n.options.Store.Commit(ctx, commit)
-		doubtful = doubtful || errors.Is(err, state.ErrUnknown)
+		maybeCommitted = maybeCommitted || errors.Is(err, state.ErrUnknown)
 		return err
 	})
 	var conflict *state.ConflictError
 	switch {
-	case err == nil && onlyChecks:
+	case err == nil && checkOnly:
 		return version, nil
 	case err == nil:
 		return written, nil
 	case errors.As(err, &conflict):
-		return n.afterConflict(shard, conflict, next, doubtful, onlyChecks)
-	case doubtful:
+		return n.resolveConflict(shard, conflict, next, maybeCommitted, checkOnly)
+	case maybeCommitted:
 		return 0, eris.Wrapf(ErrUncertain, "commit: %v", err)
 	default:
 		return 0, eris.Wrapf(ErrNotLeader, "commit: %v", err)
 	}
 }
 
-// afterConflict tells an earlier try of ours that was done from another leader.
-func (n *Node) afterConflict(shard identity.Shard, conflict *state.ConflictError, next head, doubtful, onlyChecks bool) (state.Version, error) {
+// resolveConflict returns the version of the head row if the conflict was caused by an earlier
+// attempt of the same commit, which it recognizes by the nonce. Otherwise another leader
+// changed the head, and the error is ErrUncertain if an earlier attempt may have been committed
+// before that, else ErrNotLeader.
+func (n *Node) resolveConflict(shard identity.Shard, conflict *state.ConflictError, next head, maybeCommitted, checkOnly bool) (state.Version, error) {
 	row, found := conflict.Find(headKey(shard))
 	var present head
-	if found && cbor.Unmarshal(row.Value, &present) == nil && !onlyChecks && present.Nonce == next.Nonce {
+	if found && cbor.Unmarshal(row.Value, &present) == nil && !checkOnly && present.Nonce == next.Nonce {
 		return row.Version, nil
 	}
 	text := fmt.Sprintf("%s leads with term %d", present.Leader, present.Term)
-	if doubtful && present.Last >= next.Last && !onlyChecks {
+	if maybeCommitted && present.Last >= next.Last && !checkOnly {
 		return 0, eris.Wrap(ErrUncertain, text)
 	}
 	return 0, eris.Wrap(ErrNotLeader, text)
