--- a/internal/engine/codec.go
+++ b/internal/engine/codec.go
@@ -63,7 +63,7 @@
 	buffer = binary.AppendUvarint(buffer, digest.Sequence)
 	buffer = binary.AppendUvarint(buffer, uint64(max(digest.Running, 0)))
 	buffer = binary.AppendUvarint(buffer, uint64(max(digest.Waiting, 0)))
-	buffer = binary.AppendUvarint(buffer, waitingTokenUnits(digest))
+	buffer = binary.AppendUvarint(buffer, encodedWaitingTokens(digest))
 	buffer = append(buffer, encodedCacheUse(digest))
 	if full {
 		buffer = appendStaticFields(buffer, digest)
@@ -71,9 +71,9 @@
 	return buffer
 }
 
-// waitingTokenUnits returns the waiting tokens in units of waitingTokenUnit, rounded up, so
+// encodedWaitingTokens returns the waiting tokens in units of waitingTokenUnit, rounded up, so
 // that a queue that is not empty is never encoded as empty.
-func waitingTokenUnits(digest *Digest) uint64 {
+func encodedWaitingTokens(digest *Digest) uint64 {
 	return uint64(max(digest.WaitingTokens, 0)+waitingTokenUnit-1) / waitingTokenUnit
 }
 
--- a/internal/engine/fakes_test.go
+++ b/internal/engine/fakes_test.go
@@ -27,7 +27,7 @@
 	state           enginev1.EngineState
 	orders          []enginev1.Order
 	held            map[string]bool
-	releaseFailures int // number of further release requests to fail
+	releaseFailures int // number of release requests that will still fail
 	claims          int
 	refusedOrders   int // orders refused because of a lower fencing token
 }
@@ -260,7 +260,8 @@
 	return service, stop
 }
 
-// document declares the engines in one pool that wants the version of "model".
+// document returns a configuration with the engines in one pool, whose model has the given
+// version.
 func document(version string, engines ...*fakeEngine) configuration.Document {
 	declared := configuration.Document{Models: []configuration.Model{{Name: "model", Version: version}}}
 	pool := configuration.Pool{Name: "pool", Model: "model"}
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	errorRateDecay     = 0.9  // weight of the previous error rate after each ended request
-	idleErrorRateDecay = 0.98 // factor of the error rate for each assessment in which no request ended
+	errorRateDecay     = 0.9  // weight of the previous error rate when a request ends
+	idleErrorRateDecay = 0.98 // factor applied to the error rate in an assessment in which no request ended
 	meanTimeDecay      = 0.9  // weight of the previous mean time when new successes are averaged in
 	minSamples         = 10   // ended requests before the error rate or the mean time may eject an engine
 	maxDoublings       = 6
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -14,16 +14,16 @@
 // one for those between the two latest reports.
 type placementCounts struct {
 	generation       atomic.Uint64
-	count            [2]atomic.Int64
-	tokens           [2]atomic.Int64
-	endedSinceReport atomic.Int64 // placements already included in the latest report that ended after it
+	count            [2]atomic.Int64 // placements, by generation modulo 2
+	tokens           [2]atomic.Int64 // prompt tokens of these placements
+	endedSinceReport atomic.Int64    // placements that the latest report includes but that have ended since
 
-	ended               atomic.Int64 // requests since the last takeResults, as are failed, succeeded and elapsed
-	failed              atomic.Int64
+	ended               atomic.Int64 // requests that ended since the last takeResults
+	failed              atomic.Int64 // requests that failed since the last takeResults
 	consecutiveFailures atomic.Int64 // failures since the last success
-	succeeded           atomic.Int64
+	succeeded           atomic.Int64 // requests that succeeded since the last takeResults
 	elapsed             atomic.Int64 // total nanoseconds of the successful requests
-	inFlight            atomic.Int64
+	inFlight            atomic.Int64 // placements that have not ended
 }
 
 // add counts a placement with its prompt tokens. done must be called when the attempt ends;
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// queueReleases queues the programs at the engine, logs those that do not fit, and wakes
-// releaseLoop.
+// queueReleases queues the release of the programs' memory at the engine, logs how many
+// programs do not fit, and wakes releaseLoop.
 func (s *Service) queueReleases(tracked *trackedEngine, programs []identity.Program) {
 	_, overflowed := tracked.releases.add(programs)
 	if overflowed > 0 {
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -23,7 +23,7 @@
 	Directory     members.Directory
 	Caller        peer.Caller
 	Registrar     peer.Registrar
-	Machines      platform.Machines // nil: no back end counts as leaving
+	Machines      platform.Machines // nil: this daemon does not read the machine list
 	Weights       platform.Weights  // nil: loads are not limited by their size
 	// EndedOrUnknown returns those of the given programs that have ended or are unknown. It
 	// returns an error if that cannot be determined now. nil: memory that engines hold is not
@@ -51,9 +51,9 @@
 	ReconcileBatch       int           // maximum programs in one call of EndedOrUnknown; default 256
 	ReleaseQueue         int           // maximum programs queued for release, per engine; default 4096
 	EjectAfterFailures   int           // consecutive failures that eject an engine; default 5
-	EjectErrorRate       float64       // share of failed requests that ejects an engine, 0 to 1; default 0.5
+	EjectErrorRate       float64       // weighted share of failed requests from which an engine is ejected, 0 to 1; default 0.5
 	EjectSlowFactor      float64       // an engine is ejected if its mean request time is more than this many times its peers' median; default 4
-	EjectFor             time.Duration // duration of the first ejection, doubled for each consecutive one, jittered; default 5 s
+	EjectFor             time.Duration // duration of the first ejection, doubled for each consecutive one, plus up to 30 % jitter; default 5 s
 	EjectAtMost          time.Duration // maximum duration of an ejection before jitter; default 60 s
 	EjectShare           float64       // maximum share of ejected engines among those of the same model and hardware, 0 to 1; default 0.5
 	SlowStart            time.Duration // time over which a recovering engine's share of its batch size grows to 1; default 10 s
--- a/internal/engine/ownership.go
+++ b/internal/engine/ownership.go
@@ -141,8 +141,8 @@
 	if place < 0 {
 		return m
 	}
-	// Daemons that do not fill another row share the cells of the first ones, so that no cell
-	// is empty.
+	// The last daemons, if they do not fill a row, share the cells of the first ones, so that
+	// no cell is empty.
 	cells := width * (len(sorted) / width)
 	selfRow, selfColumn := place%cells/width, place%cells%width
 	for index, process := range sorted {
--- a/internal/engine/picture.go
+++ b/internal/engine/picture.go
@@ -77,10 +77,10 @@
 
 // peerGroup summarizes the engines with the same peerGroupKey.
 type peerGroup struct {
-	count      int
+	count      int // engines with a fresh report
 	ejected    int
 	meanTimes  []time.Duration
-	medianTime time.Duration
+	medianTime time.Duration // zero: too few engines with enough samples
 }
 
 // peerGroupOf returns the engine's peer group by the model that its pool wants.
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -13,9 +13,9 @@
 	Model          string
 	Version        string
 	Adapters       []string
-	Role           string
-	MaxUnavailable int // maximum engines out of service during changes; less than 1 counts as 1
-	ParallelLoads  int // maximum engines that execute orders at once; less than 1 counts as 1
+	Role           string // empty: RoleServe
+	MaxUnavailable int    // maximum engines out of service during changes; less than 1 counts as 1
+	ParallelLoads  int    // maximum engines that execute orders at once; less than 1 counts as 1
 }
 
 // Observed is the state of a pool's engine that Plan works from.
@@ -106,7 +106,7 @@
 }
 
 // nextOrder returns the next order that the engine needs, or false if it is in the wanted
-// state. A wrong model, version or adapter set is changed before the role.
+// state. It corrects the model, the version and the adapters before the role.
 func (w *Wanted) nextOrder(digest *Digest) (enginev1.Order, bool) {
 	if digest.Model != w.Model || digest.Version != w.Version || !sameElements(digest.Adapters, w.Adapters) {
 		return enginev1.Order{Kind: OrderLoad, Model: w.Model, Version: w.Version, Adapters: w.Adapters}, true
--- a/internal/engine/pools.go
+++ b/internal/engine/pools.go
@@ -15,7 +15,7 @@
 	pools       []*Wanted
 	engineNames [][]string // sorted engine names of the pool with the same index
 	byEngine    map[string]*Wanted
-	drained     map[string]bool
+	drained     map[string]bool // names, endpoints and hosts that an operator drains
 }
 
 func newWantedPools(current *configuration.Snapshot, parallelLoads int) *wantedPools {
@@ -91,8 +91,8 @@
 	nextAllowed time.Time
 }
 
-// allow returns true if a load of size bytes may start now. The next load is then refused until
-// these bytes have been transferred at the given rate.
+// allow returns true if a load of size bytes may start now. After it returned true, it refuses
+// further loads for the time that the bytes take at the given rate.
 func (g *weightLimiter) allow(now time.Time, size int64, bytesPerSecond float64) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/engine/properties_test.go
+++ b/internal/engine/properties_test.go
@@ -67,7 +67,7 @@
 
 // equalOnWire compares digests with the precision of their encoding.
 func equalOnWire(a, b *Digest) bool {
-	return a.Running == b.Running && a.Waiting == b.Waiting && waitingTokenUnits(a) == waitingTokenUnits(b) &&
+	return a.Running == b.Running && a.Waiting == b.Waiting && encodedWaitingTokens(a) == encodedWaitingTokens(b) &&
 		encodedCacheUse(a) == encodedCacheUse(b) && a.Serving == b.Serving && a.Loading == b.Loading && staticChecksum(a) == staticChecksum(b)
 }
 
@@ -127,8 +127,8 @@
 	}
 }
 
-// Whatever engines do, orders must not put more engines out of service than allowed, and must
-// bring all reachable engines to the wanted state.
+// However engines fail, load and are drained, orders must not put more engines out of service
+// than allowed, and must bring all engines that answer to the wanted state.
 func TestPlanKeepsCapacityAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wanted := Wanted{Model: "model", Version: "v2", MaxUnavailable: rapid.IntRange(0, 3).Draw(t, "unavailable"), ParallelLoads: rapid.IntRange(1, 3).Draw(t, "loads")}
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -18,7 +18,7 @@
 	methodFetch   = rpcName + ".Fetch"
 
 	maxBatchBytes  = 4 << 20
-	maxFetches     = 4 // maximum daemons to fetch from in one tick
+	maxFetches     = 4 // maximum daemons to fetch from in one tick of the spreader
 	startupFetches = 2 // daemons to fetch from when an engine has no report yet
 )
 
@@ -26,7 +26,7 @@
 type DigestBatch struct {
 	Sender     string // peer address from which the receiver may fetch full records
 	Relay      bool   // the receiver passes the content on along its column
-	Payload    []byte
+	Payload    []byte // encoded digests
 	Departures []Departures
 }
 
--- a/internal/engine/spread.go
+++ b/internal/engine/spread.go
@@ -38,12 +38,12 @@
 	mesh              mesh
 	updated           map[*trackedEngine]bool // supervised engines with a new digest since the last tick
 	sent              map[*trackedEngine]sentDigest
-	relay             map[*trackedEngine]bool // engines whose digest was received along the row; true: as a full record
+	relay             map[*trackedEngine]bool // engines whose digest, received along the row, is to be sent along the column; true: as a full record
 	relayedDepartures map[identity.Machine]Departures
 	ownDepartures     *Departures
 	pendingFetches    map[string]bool // addresses to fetch full records from
 	sending           map[string]bool // addresses to which a batch is being sent
-	nextSendAt        time.Time       // earliest time for more digests, from SpreadBytesPerSecond
+	nextSendAt        time.Time       // digests are held back until this time to keep SpreadBytesPerSecond
 }
 
 func newSpreader(service *Service) *spreader {
@@ -53,8 +53,8 @@
 	}
 }
 
-// setMesh replaces the receivers of digests and forgets what was sent about engines that are no
-// longer tracked.
+// setMesh replaces the daemons to which digests are sent, and forgets the digests sent for
+// engines that are no longer tracked.
 func (s *spreader) setMesh(next mesh) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -151,8 +151,8 @@
 	clear(s.relay)
 }
 
-// departureBatches returns the row and column batches with the departures to send and without
-// digests.
+// departureBatches returns one batch for the row and one for the column, with the departures to
+// send and no digests yet.
 func (s *spreader) departureBatches() (row, column DigestBatch) {
 	row = DigestBatch{Sender: s.service.self.Address, Relay: true}
 	column = DigestBatch{Sender: s.service.self.Address}
--- a/internal/engine/unit.go
+++ b/internal/engine/unit.go
@@ -37,9 +37,9 @@
 	byHash  map[uint64]*trackedEngine // key: nameHash of the name
 }
 
-// accept stores the digest and returns true if it is newer than the known one. A higher fencing
-// token is newer than any sequence number, since it belongs to a later supervisor. It is safe
-// for concurrent use.
+// accept stores the digest and returns true if it is newer than the known one. A digest with a
+// higher fencing token is newer, since it comes from a later supervisor; of digests with the
+// same token, the one with the higher sequence number is newer. It is safe for concurrent use.
 func (u *trackedEngine) accept(digest Digest, checksum uint16, received time.Time) bool {
 	for {
 		known := u.report.Load()
--- a/internal/shards/follower.go
+++ b/internal/shards/follower.go
@@ -35,8 +35,8 @@
 }
 
 // endSupersededReplicas ends the replicas of shards that another daemon leads with a higher
-// term. Otherwise a leader that was paused would notice only when it commits next. The caller
-// must hold n.mutex.
+// term. Otherwise a leader that was paused would notice the loss only at its next commit. The
+// caller must hold n.mutex.
 func (n *Node) endSupersededReplicas(known *Map) {
 	for shard, leading := range n.replicas {
 		if known.Leaders[shard].Term > leading.term {
--- a/internal/shards/leading.go
+++ b/internal/shards/leading.go
@@ -50,7 +50,7 @@
 }
 
 // probeTargets returns the leaders to probe and the daemons that may confirm that a leader is
-// cut off. The leaders are those that this daemon would succeed, and those that count as
+// cut off. The leaders are those that this daemon would replace, and those that count as
 // unreachable now.
 func (n *Node) probeTargets() (leaders, witnesses []identity.Process) {
 	current := n.Current()
--- a/internal/shards/reach.go
+++ b/internal/shards/reach.go
@@ -23,7 +23,7 @@
 // over nothing.
 //
 // Probes are only a hint; the store decides who leads. A daemon probes only the leaders that it
-// would succeed, typically about two.
+// would replace, typically about two.
 
 // ReachService is the name of the RPC service for probes.
 const ReachService = "ShardReach"
--- a/internal/shards/rows.go
+++ b/internal/shards/rows.go
@@ -58,8 +58,8 @@
 // sort by index.
 func logRowName(index uint64) string { return fmt.Sprintf("%s%016x/", logRowPrefix, index) }
 
-// splitRows splits the content into puts of at most rowBytes bytes each. The row names are name
-// followed by the position as four hexadecimal digits.
+// splitRows splits the content into puts of at most rowBytes bytes each. The name of each row
+// is the given name followed by its position as four hexadecimal digits.
 func splitRows(shard identity.Shard, name string, content []byte, rowBytes int) []state.Put {
 	var puts []state.Put
 	for piece := range slices.Chunk(content, rowBytes) {
--- a/internal/shards/shards.go
+++ b/internal/shards/shards.go
@@ -83,7 +83,7 @@
 // Groups is the interface of the shards for the other parts of a daemon. *Node implements it.
 type Groups interface {
 	// Propose commits the command to the shard's log and returns the result of Apply. Only the
-	// leader can propose; the errors are ErrNotLeader, ErrUncertain and ErrTooLarge.
+	// leader can propose. The error wraps ErrNotLeader, ErrUncertain or ErrTooLarge.
 	Propose(ctx context.Context, shard identity.Shard, command []byte) (any, error)
 	// Leader returns the last known leader, or false if none is known. While this daemon does
 	// not lead the shard, it never returns true for this daemon.
