--- a/internal/engine/benchmark_test.go
+++ b/internal/engine/benchmark_test.go
@@ -26,15 +26,15 @@
 	document.Pools = []configuration.Pool{pool}
 	source := &fakeSource{}
 	source.set(document)
-	members := newMemoryNetwork()
-	daemon := fakeDaemon{memoryNetwork: members, self: process("daemon-a")}
+	network := newMemoryNetwork()
+	daemon := fakeDaemon{memoryNetwork: network, self: process("daemon-a")}
 	service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon})
 	if err != nil {
 		b.Fatal(err)
 	}
-	service.fleet.Store(service.buildTable(&document))
+	service.table.Store(service.buildTable(&document))
 	service.wanted.Store(newWantedPools(source.Current(), 1))
-	for _, tracked := range service.fleet.Load().engines {
+	for _, tracked := range service.table.Load().engines {
 		digest := sampleDigest(tracked.declared.Name, 1)
 		tracked.accept(digest, staticChecksum(&digest), time.Now())
 	}
@@ -96,24 +96,24 @@
 	service := newBenchmarkService(b, 680)
 	batches := make([]DigestBatch, 100)
 	for index := range batches {
-		for _, tracked := range service.fleet.Load().engines {
+		for _, tracked := range service.table.Load().engines {
 			digest := sampleDigest(tracked.declared.Name, uint64(index+2))
 			batches[index].Payload = appendRecord(batches[index].Payload, &digest, tracked.report.Load().checksum, false)
 		}
 	}
-	fresh := make([]*report, 0, len(service.fleet.Load().engines))
-	for _, tracked := range service.fleet.Load().engines {
+	fresh := make([]*report, 0, len(service.table.Load().engines))
+	for _, tracked := range service.table.Load().engines {
 		fresh = append(fresh, tracked.report.Load())
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for index := range b.N {
 		if index%len(batches) == 0 {
-			for place, tracked := range service.fleet.Load().engines {
-				tracked.report.Store(fresh[place])
+			for position, tracked := range service.table.Load().engines {
+				tracked.report.Store(fresh[position])
 			}
 		}
-		if err := service.spread.receive(&batches[index%len(batches)]); err != nil {
+		if err := service.exchange.receive(&batches[index%len(batches)]); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -125,10 +125,10 @@
 	calls, bytes *int
 }
 
-func (w countingCaller) Call(_ context.Context, _ string, _ peer.Class, _ string, arguments, _ any) error {
+func (c countingCaller) Call(_ context.Context, _ string, _ peer.Class, _ string, arguments, _ any) error {
 	batch := arguments.(*DigestBatch)
-	*w.calls++
-	*w.bytes += len(batch.Payload) + len(batch.Sender) + callOverheadBytes
+	*c.calls++
+	*c.bytes += len(batch.Payload) + len(batch.Sender) + callOverheadBytes
 	return nil
 }
 
@@ -143,22 +143,22 @@
 	for index := range daemons - 1 {
 		processes = append(processes, process(fmt.Sprintf("daemon-%03d", index)))
 	}
-	service.spread.setMesh(newMesh(service.self, processes))
+	service.exchange.setMesh(newMesh(service.self, processes))
 	now := time.Now()
 	for index := range b.N {
-		for place, tracked := range service.fleet.Load().engines {
+		for position, tracked := range service.table.Load().engines {
 			digest := sampleDigest(tracked.declared.Name, uint64(index+2))
 			digest.Running = index % 2 * digest.MaxRunning
 			tracked.accept(digest, tracked.report.Load().checksum, now)
-			switch column := place % daemons; {
+			switch column := position % daemons; {
 			case column == 0:
-				service.spread.publish(tracked)
-			case column < len(service.spread.mesh.row)+1:
-				service.spread.relay[tracked] = false
+				service.exchange.publish(tracked)
+			case column < len(service.exchange.mesh.row)+1:
+				service.exchange.relay[tracked] = false
 			}
 		}
 		now = now.Add(time.Second)
-		service.spread.tick(context.Background(), now)
+		service.exchange.tick(context.Background(), now)
 		service.running.Wait()
 	}
 	b.ReportMetric(float64(calls)/float64(b.N), "calls/s")
@@ -174,6 +174,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		service.prefixes.holdersByHash(service.fleet.Load(), time.Now())
+		service.prefixes.holdersByHash(service.table.Load(), time.Now())
 	}
 }
--- a/internal/engine/codec.go
+++ b/internal/engine/codec.go
@@ -120,8 +120,8 @@
 }
 
 // complete sets the engine's name and, in a short record, takes the static fields from the
-// known report. It returns false if the known report is nil or has other static fields, or if
-// the checksum of a full record is wrong.
+// known report. For a short record it returns false if the known report is nil or has other
+// static fields; for a full record, if the checksum is wrong.
 func (r *record) complete(name string, known *report) bool {
 	r.Digest.Engine = name
 	if r.Full && staticChecksum(&r.Digest) != r.Checksum {
@@ -234,7 +234,7 @@
 	}
 	value, size := binary.Uvarint(b.data)
 	if size <= 0 || value > limit {
-		b.err = eris.Wrap(errMalformedBatch, "integer out of range")
+		b.err = eris.Wrap(errMalformedBatch, "varint is truncated or out of range")
 		return 0
 	}
 	b.data = b.data[size:]
--- a/internal/engine/fakes_test.go
+++ b/internal/engine/fakes_test.go
@@ -158,6 +158,8 @@
 	return &memoryNetwork{receivers: map[string]*Receiver{}, view: &members.View{}}
 }
 
+// fakeDaemon is one daemon on the network, as peer.Caller, peer.Registrar and
+// members.Directory.
 type fakeDaemon struct {
 	*memoryNetwork
 	self identity.Process
@@ -165,11 +167,11 @@
 
 var errUnreachable = errors.New("peer is unreachable")
 
-func (n fakeDaemon) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
-	n.mutex.Lock()
-	receiver := n.receivers[address]
-	isUnreachable := n.isolated != "" && (n.isolated == address) != (n.isolated == n.self.Address)
-	n.mutex.Unlock()
+func (d fakeDaemon) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
+	d.mutex.Lock()
+	receiver := d.receivers[address]
+	isUnreachable := d.isolated != "" && (d.isolated == address) != (d.isolated == d.self.Address)
+	d.mutex.Unlock()
 	if receiver == nil || isUnreachable {
 		return errUnreachable
 	}
@@ -179,21 +181,21 @@
 	return receiver.Digests(arguments.(*DigestBatch), reply.(*DigestReply))
 }
 
-func (n fakeDaemon) Register(_ string, service any) error {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	n.receivers[n.self.Address] = service.(*Receiver)
+func (d fakeDaemon) Register(_ string, service any) error {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.receivers[d.self.Address] = service.(*Receiver)
 	return nil
 }
 
-func (n fakeDaemon) View() *members.View {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	return n.view
+func (d fakeDaemon) View() *members.View {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.view
 }
 
-func (n fakeDaemon) Self() identity.Process     { return n.self }
-func (n fakeDaemon) Subscribe() <-chan struct{} { return nil }
+func (d fakeDaemon) Self() identity.Process     { return d.self }
+func (d fakeDaemon) Subscribe() <-chan struct{} { return nil }
 
 // isolate blocks calls between the daemon at the address and all others, and ends any earlier
 // isolation. An empty address isolates no daemon.
@@ -238,8 +240,8 @@
 }
 
 // startService runs a service until the returned function is called, or until the spec ends.
-func startService(members *memoryNetwork, source configuration.Source, name string, change func(*Options)) (*Service, func()) {
-	daemon := fakeDaemon{memoryNetwork: members, self: process(name)}
+func startService(network *memoryNetwork, source configuration.Source, name string, change func(*Options)) (*Service, func()) {
+	daemon := fakeDaemon{memoryNetwork: network, self: process(name)}
 	options := Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon, Settings: testSettings()}
 	if change != nil {
 		change(&options)
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -40,7 +40,7 @@
 // region.
 type Digest struct {
 	Engine        string
-	Fence         uint64 // fencing token that the supervisor has claimed
+	Fence         uint64 // fencing token with which the supervisor claimed the engine
 	Sequence      uint64 // grows with each report of the same supervisor
 	Model         string
 	Version       string
--- a/internal/engine/follow.go
+++ b/internal/engine/follow.go
@@ -35,11 +35,11 @@
 
 // syncedState is the input that the engine table and the supervisors were last updated from.
 type syncedState struct {
-	revision   *configuration.Snapshot
-	version    uint64 // version of the membership view
-	daemons    []identity.Process
-	table      *engineTable
-	responsive []identity.Process // daemons without those whose digests stopped arriving
+	configuration *configuration.Snapshot
+	viewVersion   uint64 // version of the membership view
+	daemons       []identity.Process
+	table         *engineTable
+	responsive    []identity.Process // daemons except those whose digests stopped arriving
 }
 
 // syncIfChanged applies a new configuration and a change of the region's daemons, and then
@@ -48,14 +48,14 @@
 func (s *Service) syncIfChanged(ctx context.Context) {
 	current := s.options.Configuration.Current()
 	view := s.options.Directory.View()
-	if current != s.synced.revision || view.Version != s.synced.version {
+	if current != s.synced.configuration || view.Version != s.synced.viewVersion {
 		regionsChanged := s.updateRegions(view)
 		eligible := eligibleDaemons(view, s.self)
-		if current != s.synced.revision || regionsChanged || !slices.Equal(eligible, s.synced.daemons) {
+		if current != s.synced.configuration || regionsChanged || !slices.Equal(eligible, s.synced.daemons) {
 			s.applyConfiguration(current, eligible)
 		}
 		s.fetchUnreported(ctx)
-		s.synced.revision, s.synced.version, s.synced.daemons = current, view.Version, eligible
+		s.synced.configuration, s.synced.viewVersion, s.synced.daemons = current, view.Version, eligible
 	}
 	s.syncSupervisors(ctx)
 }
@@ -63,14 +63,14 @@
 // syncSupervisors reassigns the supervisors if the engine table or the set of responsive
 // daemons changed.
 func (s *Service) syncSupervisors(ctx context.Context) {
-	current := s.fleet.Load()
+	current := s.table.Load()
 	responsive := s.responsiveDaemons(s.synced.daemons, current.engines, time.Now())
 	if current == s.synced.table && slices.Equal(responsive, s.synced.responsive) {
 		return
 	}
-	if passedOver := len(s.synced.daemons) - len(responsive); passedOver > 0 {
+	if silent := len(s.synced.daemons) - len(responsive); silent > 0 {
 		s.logger.Warn("engine: no recent digests from some supervisors; reassigning their engines.",
-			zap.Int("passedOver", passedOver), zap.Int("heard", len(responsive)), zap.Duration("silence", s.settings.maxSilence()))
+			zap.Int("passedOver", silent), zap.Int("heard", len(responsive)), zap.Duration("silence", s.settings.maxSilence()))
 	}
 	s.synced.table, s.synced.responsive = current, responsive
 	s.assignSupervisors(ctx, current, responsive)
@@ -80,26 +80,26 @@
 // moved to another region.
 func (s *Service) updateRegions(view *members.View) bool {
 	changed := false
-	learn := func(process identity.Process) {
+	addRegion := func(process identity.Process) {
 		region, known := s.regions[process.Zone]
 		changed = changed || !known || region != process.Region
 		s.regions[process.Zone] = process.Region
 	}
 	for _, member := range view.Members {
-		learn(member.Process)
+		addRegion(member.Process)
 	}
-	learn(s.self)
+	addRegion(s.self)
 	return changed
 }
 
-// applyConfiguration replaces the engine table and the wanted state of the pools, and tells the
-// spreader and the departure set about the region's eligible daemons.
+// applyConfiguration replaces the engine table and the wanted state of the pools, and passes
+// the region's eligible daemons to the digest exchange and the departure set.
 func (s *Service) applyConfiguration(current *configuration.Snapshot, daemons []identity.Process) {
 	next := s.buildTable(&current.Document)
-	s.fleet.Store(next)
+	s.table.Store(next)
 	s.wanted.Store(newWantedPools(current, s.settings.ParallelLoads))
 	s.daemonCount.Store(int64(max(1, len(daemons))))
-	s.spread.setMesh(newMesh(s.self, daemons))
+	s.exchange.setMesh(newMesh(s.self, daemons))
 	s.departures.setReaders(daemons)
 	s.requestRebuild()
 }
@@ -108,18 +108,18 @@
 // yet.
 func (s *Service) fetchUnreported(ctx context.Context) {
 	unreported := func(tracked *trackedEngine) bool { return tracked.report.Load() == nil }
-	if slices.ContainsFunc(s.fleet.Load().engines, unreported) {
-		s.spread.fetchFromPeers(ctx)
+	if slices.ContainsFunc(s.table.Load().engines, unreported) {
+		s.exchange.fetchFromPeers(ctx)
 	}
 }
 
 // buildTable returns the engine table for the document. Engines whose declaration did not
 // change keep their tracked state.
 func (s *Service) buildTable(document *configuration.Document) *engineTable {
-	former := s.fleet.Load()
+	previous := s.table.Load()
 	next := &engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}}
 	for _, declared := range document.Engines {
-		kept, found := former.byName[declared.Name]
+		kept, found := previous.byName[declared.Name]
 		if !found || kept.declared != declared {
 			kept = s.newTrackedEngine(declared)
 		}
@@ -173,7 +173,7 @@
 			s.startSupervisor(ctx, candidate)
 		}
 	}
-	s.metrics.owned.Set(float64(len(wanted)))
+	s.metrics.supervised.Set(float64(len(wanted)))
 }
 
 // startSupervisor starts supervising the engine. The supervisor runs until its stop function in
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -8,7 +8,7 @@
 	"github.com/looplab/fsm"
 )
 
-// States of an engine's health, as seen by the requests of this daemon.
+// States of an engine's health, judged from the results of this daemon's requests.
 const (
 	healthy    = "healthy"    // accepts work
 	ejected    = "ejected"    // accepts no work until probeAt
@@ -20,27 +20,30 @@
 	eventEject  = "eject"
 	eventProbe  = "probe"
 	eventPass   = "pass"
-	eventReturn = "return" // fresh reports arrived again after an outage
+	eventReturn = "return" // reports became fresh after they were stale or missing
 	eventSettle = "settle"
 )
 
 const (
 	errorRateDecay     = 0.9  // weight of the previous error rate when a request ends
 	idleErrorRateDecay = 0.98 // factor applied to the error rate in an assessment in which no request ended
-	meanTimeDecay      = 0.9  // weight of the previous mean time when new successes are averaged in
-	minSamples         = 10   // ended requests before the error rate or the mean time may eject an engine
-	maxDoublings       = 6
-	fullShare          = 1.0
-	ejectionJitter     = 0.3 // at most this share of the ejection time is added at random
+	meanTimeDecay      = 0.9  // weight of the previous mean request time when new successes are averaged in
+	// minSamples is the number of ended requests needed before the error rate and the mean request
+	// time may eject an engine. It is also the maximum number of requests by which one assessment
+	// updates the error rate.
+	minSamples     = 10
+	maxDoublings   = 6
+	fullShare      = 1.0
+	ejectionJitter = 0.3 // at most this share of the ejection time is added at random
 )
 
 // health decides whether an engine gets work from this daemon. It is guarded by
 // Service.rebuilding.
 type health struct {
 	machine         *fsm.FSM
-	state           string // current state of machine, readable without its lock
+	state           string // current state of the FSM, readable without the FSM's lock
 	errorRate       float64
-	meanTime        time.Duration
+	meanTime        time.Duration // mean time of successful requests
 	samples         int64
 	probeAt         time.Time // end of the ejection
 	recoveringSince time.Time // start of the current recovery
@@ -72,7 +75,7 @@
 	now        time.Time
 	results    results
 	stale      bool
-	medianTime time.Duration // median of the mean times in the engine's peer group; zero: too few peers
+	medianTime time.Duration // median of the mean request times in the engine's peer group; zero: too few peers
 	mayEject   bool          // ejecting one more engine stays within EjectShare
 	jitter     float64       // random number from 0 to 1
 	settings   *Settings
@@ -123,7 +126,7 @@
 }
 
 // recoverAfterOutage starts a recovery when the engine's reports become fresh after they were
-// stale or missing.
+// stale or missing, unless the engine is ejected or being probed.
 func (h *health) recoverAfterOutage(a assessment) {
 	if h.wasStale && !a.stale && h.fire(eventReturn) {
 		h.recoveringSince = a.now
@@ -142,7 +145,7 @@
 }
 
 // isFaulty returns true if the engine failed too often in a row, or if enough samples show too
-// high an error rate or a mean time far above the median of its peers.
+// high an error rate or a mean request time far above the median of its peers.
 func (h *health) isFaulty(a assessment) bool {
 	if a.results.consecutiveFailures >= int64(a.settings.EjectAfterFailures) {
 		return true
@@ -155,7 +158,8 @@
 }
 
 // evaluateProbe starts a recovery if the trial request succeeded and ejects the engine again if
-// it failed. It returns true if it ejected the engine.
+// it failed. It does nothing until a request has ended. It returns true if it ejected the
+// engine.
 func (h *health) evaluateProbe(a assessment) bool {
 	switch {
 	case a.results.ended == 0:
@@ -171,7 +175,7 @@
 }
 
 // eject ejects the engine for EjectFor, doubled for each consecutive ejection up to
-// EjectAtMost, plus jitter. It also discards the samples and the mean time.
+// EjectAtMost, plus jitter. It also discards the samples and the mean request time.
 func (h *health) eject(a assessment) {
 	wait := a.settings.EjectFor << min(h.ejections, maxDoublings)
 	wait = min(wait, a.settings.EjectAtMost)
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -22,66 +22,66 @@
 	failed              atomic.Int64 // requests that failed since the last takeResults
 	consecutiveFailures atomic.Int64 // failures since the last success
 	succeeded           atomic.Int64 // requests that succeeded since the last takeResults
-	elapsed             atomic.Int64 // total nanoseconds of the successful requests
+	elapsed             atomic.Int64 // total duration of these successful requests in nanoseconds
 	inFlight            atomic.Int64 // placements that have not ended
 }
 
 // add counts a placement with its prompt tokens. done must be called when the attempt ends;
 // calls after the first have no effect. elapsed is zero if the request was never sent.
-func (l *placementCounts) add(promptTokens int64) (done func(failed bool, elapsed time.Duration)) {
-	generation := l.generation.Load()
+func (p *placementCounts) add(promptTokens int64) (done func(failed bool, elapsed time.Duration)) {
+	generation := p.generation.Load()
 	slot := generation % 2
-	l.count[slot].Add(1)
-	l.tokens[slot].Add(promptTokens)
-	l.inFlight.Add(1)
+	p.count[slot].Add(1)
+	p.tokens[slot].Add(promptTokens)
+	p.inFlight.Add(1)
 	var called atomic.Bool
 	return func(failed bool, elapsed time.Duration) {
 		if called.Swap(true) {
 			return
 		}
-		l.inFlight.Add(-1)
-		if l.generation.Load()-generation <= 1 { // otherwise the slot already counts later placements
-			l.count[slot].Add(-1)
-			l.tokens[slot].Add(-promptTokens)
+		p.inFlight.Add(-1)
+		if p.generation.Load()-generation <= 1 { // otherwise the slot already counts later placements
+			p.count[slot].Add(-1)
+			p.tokens[slot].Add(-promptTokens)
 		} else {
-			l.endedSinceReport.Add(1)
+			p.endedSinceReport.Add(1)
 		}
-		l.recordResult(failed, elapsed)
+		p.recordResult(failed, elapsed)
 	}
 }
 
 // recordResult counts the result of a request. A request with no elapsed time was never sent
 // and is ignored.
-func (l *placementCounts) recordResult(failed bool, elapsed time.Duration) {
+func (p *placementCounts) recordResult(failed bool, elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
-	l.ended.Add(1)
+	p.ended.Add(1)
 	if failed {
-		l.failed.Add(1)
-		l.consecutiveFailures.Add(1)
+		p.failed.Add(1)
+		p.consecutiveFailures.Add(1)
 		return
 	}
-	l.consecutiveFailures.Store(0)
-	l.succeeded.Add(1)
-	l.elapsed.Add(int64(elapsed))
+	p.consecutiveFailures.Store(0)
+	p.succeeded.Add(1)
+	p.elapsed.Add(int64(elapsed))
 }
 
 // advanceGeneration is called with each new report. It clears the older slot, which becomes the
 // slot for new placements.
-func (l *placementCounts) advanceGeneration() {
-	next := (l.generation.Load() + 1) % 2
-	l.count[next].Store(0)
-	l.tokens[next].Store(0)
-	l.endedSinceReport.Store(0)
-	l.generation.Add(1)
+func (p *placementCounts) advanceGeneration() {
+	next := (p.generation.Load() + 1) % 2
+	p.count[next].Store(0)
+	p.tokens[next].Store(0)
+	p.endedSinceReport.Store(0)
+	p.generation.Add(1)
 }
 
 // unreported returns the number of placements that the latest report may not include yet, and
 // their prompt tokens.
-func (l *placementCounts) unreported() (count int, tokens int64) {
-	placements := max(l.count[0].Load(), 0) + max(l.count[1].Load(), 0)
-	prompt := max(l.tokens[0].Load(), 0) + max(l.tokens[1].Load(), 0)
+func (p *placementCounts) unreported() (count int, tokens int64) {
+	placements := max(p.count[0].Load(), 0) + max(p.count[1].Load(), 0)
+	prompt := max(p.tokens[0].Load(), 0) + max(p.tokens[1].Load(), 0)
 	return int(placements), prompt
 }
 
@@ -96,15 +96,15 @@
 
 // takeResults returns the results since its last call and resets them, except for the count of
 // consecutive failures. If no request ended, only that count is set.
-func (l *placementCounts) takeResults() results {
-	if l.ended.Load() == 0 {
-		return results{consecutiveFailures: l.consecutiveFailures.Load()}
+func (p *placementCounts) takeResults() results {
+	if p.ended.Load() == 0 {
+		return results{consecutiveFailures: p.consecutiveFailures.Load()}
 	}
 	return results{
-		ended:               l.ended.Swap(0),
-		failed:              l.failed.Swap(0),
-		consecutiveFailures: l.consecutiveFailures.Load(),
-		succeeded:           l.succeeded.Swap(0),
-		elapsed:             time.Duration(l.elapsed.Swap(0)),
+		ended:               p.ended.Swap(0),
+		failed:              p.failed.Swap(0),
+		consecutiveFailures: p.consecutiveFailures.Load(),
+		succeeded:           p.succeeded.Swap(0),
+		elapsed:             time.Duration(p.elapsed.Swap(0)),
 	}
 }
--- a/internal/engine/machines.go
+++ b/internal/engine/machines.go
@@ -70,18 +70,18 @@
 func (d *departureSet) merge(update Departures) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if known, found := d.byReader[update.Reader]; found && known.Sequence >= update.Sequence {
+	if known, listed := d.byReader[update.Reader]; listed && known.Sequence >= update.Sequence {
 		return false
 	}
 	d.byReader[update.Reader] = update
-	currentReaderReported := slices.ContainsFunc(d.readers, func(reader identity.Machine) bool { _, found := d.byReader[reader]; return found })
+	currentReaderReported := slices.ContainsFunc(d.readers, func(reader identity.Machine) bool { _, listed := d.byReader[reader]; return listed })
 	leavingNames := map[string]bool{}
-	for reader, found := range d.byReader {
+	for reader, listed := range d.byReader {
 		if currentReaderReported && !slices.Contains(d.readers, reader) {
 			delete(d.byReader, reader)
 			continue
 		}
-		for _, name := range found.Names {
+		for _, name := range listed.Names {
 			leavingNames[name] = true
 		}
 	}
@@ -106,8 +106,8 @@
 }
 
 // machineListLoop reads the machine list every MachineInterval while this daemon is one of the
-// readers. It publishes the leaving machines when they change and at least every
-// RefreshInterval.
+// readers. It publishes the leaving machines when they change, and again when RefreshInterval
+// has passed.
 func (s *Service) machineListLoop(ctx context.Context) {
 	if s.options.Machines == nil {
 		return
@@ -133,13 +133,14 @@
 	}
 }
 
-// publishDepartures merges this daemon's own list and passes it to the spreader.
+// publishDepartures merges this daemon's own list of leaving machines and passes it to the
+// digest exchange.
 func (s *Service) publishDepartures(names []string, now time.Time) {
 	update := Departures{Reader: s.self.Machine, Sequence: uint64(now.UnixNano()), Names: names}
 	if s.departures.merge(update) {
 		s.requestRebuild()
 	}
-	s.spread.publishDepartures(update)
+	s.exchange.publishDepartures(update)
 }
 
 // listLeaving returns the sorted names and "host:port" addresses of the machines that the
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -41,7 +41,8 @@
 	return &releaseQueue{limit: limit, waiting: map[identity.Program]struct{}{}, retryBackoff: retryBackoff}
 }
 
-// add queues programs. It returns how many were not queued before and how many did not fit.
+// add queues programs. It returns how many it added, not counting those that were queued
+// already, and how many did not fit.
 func (q *releaseQueue) add(programs []identity.Program) (added, overflowed int) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -149,9 +150,9 @@
 
 // Ended implements Fleet. Engines that are not declared are ignored.
 func (s *Service) Ended(programs []identity.Program, engines []string) {
-	fleet := s.fleet.Load()
+	table := s.table.Load()
 	for _, name := range engines {
-		if tracked, found := fleet.byName[name]; found {
+		if tracked, found := table.byName[name]; found {
 			s.queueReleases(tracked, programs)
 		}
 	}
@@ -211,7 +212,7 @@
 	if failures == 1 {
 		s.logger.Warn("engine: release was not confirmed; retrying.", zap.Error(err))
 	}
-	if failures >= maxAttemptsAfterRemoval && s.fleet.Load().byName[tracked.declared.Name] != tracked {
+	if failures >= maxAttemptsAfterRemoval && s.table.Load().byName[tracked.declared.Name] != tracked {
 		dropped := tracked.releases.drop()
 		s.logger.Warn("engine: dropped the pending releases of an engine that is no longer declared.",
 			zap.String("engine", tracked.declared.Name), zap.Int("programs", dropped))
@@ -228,7 +229,7 @@
 // Hold implements Fleet. The request is dropped if the engine is not declared, the lease is not
 // positive or the queue of requests is full.
 func (s *Service) Hold(engineID string, program identity.Program, lease time.Duration) {
-	engine, found := s.fleet.Load().byName[engineID]
+	engine, found := s.table.Load().byName[engineID]
 	if !found || lease <= 0 {
 		return
 	}
@@ -244,14 +245,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case wanted := <-s.holdRequests:
+		case request := <-s.holdRequests:
 			if s.calls.Acquire(ctx, 1) != nil {
 				return
 			}
 			s.running.Go(func() {
 				defer s.calls.Release(1)
-				if err := wanted.engine.client.hold(ctx, string(wanted.program), wanted.lease); err != nil {
-					s.logger.Debug("engine: holding a prefix failed.", zap.Error(err))
+				if err := request.engine.client.hold(ctx, string(request.program), request.lease); err != nil {
+					s.logger.Debug("engine: asking the engine to hold a prefix failed.", zap.Error(err))
 				}
 			})
 		}
@@ -261,8 +262,8 @@
 // reconcileHeld lists the programs that the engine holds memory for, at most once per
 // ReconcileInterval, and queues the release of those that ended or are unknown.
 func (s *supervisor) reconcileHeld(ctx context.Context) {
-	ask := s.service.options.EndedOrUnknown
-	if ask == nil || time.Now().Before(s.nextReconcile) {
+	filter := s.service.options.EndedOrUnknown
+	if filter == nil || time.Now().Before(s.nextReconcile) {
 		return
 	}
 	s.nextReconcile = time.Now().Add(s.service.settings.ReconcileInterval)
--- a/internal/engine/metrics.go
+++ b/internal/engine/metrics.go
@@ -10,7 +10,7 @@
 	reconciled   prometheus.Counter
 	overflowed   prometheus.Counter
 	pending      prometheus.Gauge
-	owned        prometheus.Gauge
+	supervised   prometheus.Gauge
 	accepting    prometheus.Gauge
 	digestsSent  prometheus.Counter
 	digestBytes  *prometheus.CounterVec
@@ -35,7 +35,7 @@
 		reconciled:   newCounter("reconciled_programs_total", "Programs found held by an engine after their end."),
 		overflowed:   newCounter("releases_overflowed_total", "Releases left to reconciliation because a queue was full."),
 		pending:      newGauge("releases_pending", "Releases that no engine has confirmed yet."),
-		owned:        newGauge("supervised", "Engines supervised by this daemon."),
+		supervised:   newGauge("supervised", "Engines supervised by this daemon."),
 		accepting:    newGauge("accepting", "Engines that get new work from this daemon."),
 		digestsSent:  newCounter("digests_sent_total", "Digests sent to other daemons."),
 		digestBytes:  newCounterVec("digest_bytes_total", "Bytes of digests by direction.", "direction"),
@@ -47,7 +47,7 @@
 	}
 	if registerer != nil {
 		registerer.MustRegister(m.polls, m.orders, m.ejections, m.released, m.reconciled, m.overflowed, m.pending,
-			m.owned, m.accepting, m.digestsSent, m.digestBytes, m.digestErrors, m.rebuild)
+			m.supervised, m.accepting, m.digestsSent, m.digestBytes, m.digestErrors, m.rebuild)
 	}
 	return m
 }
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -40,7 +40,7 @@
 type Settings struct {
 	PollInterval         time.Duration // time between polls of an engine's state, jittered by 10 % either way; default 1 s
 	PollTimeout          time.Duration // timeout of one call to an engine or another daemon; default 2 s
-	PollConcurrency      int           // maximum concurrent calls to engines; default 32
+	PollConcurrency      int           // maximum number of concurrent calls to engines; default 32
 	SpreadInterval       time.Duration // time between batches of digests to the region's daemons; default 1 s
 	SpreadBytesPerSecond float64       // rate limit of digests to all daemons together; digests over the limit are delayed, and newer ones replace them; default 8192
 	RefreshInterval      time.Duration // time after which an unchanged digest is sent again; default 3 s
@@ -48,17 +48,17 @@
 	RebuildInterval      time.Duration // minimum time between two rebuilds of the snapshot; default 50 ms
 	MachineInterval      time.Duration // time between reads of the machine list, jittered by 10 % either way; default 2 s
 	ReconcileInterval    time.Duration // time between listings of the memory that an engine holds; default 15 s
-	ReconcileBatch       int           // maximum programs in one call of EndedOrUnknown; default 256
-	ReleaseQueue         int           // maximum programs queued for release, per engine; default 4096
-	EjectAfterFailures   int           // consecutive failures that eject an engine; default 5
-	EjectErrorRate       float64       // weighted share of failed requests from which an engine is ejected, 0 to 1; default 0.5
+	ReconcileBatch       int           // maximum number of programs in one call of EndedOrUnknown; default 256
+	ReleaseQueue         int           // maximum number of programs queued for release, per engine; default 4096
+	EjectAfterFailures   int           // number of consecutive failures from which an engine is ejected; default 5
+	EjectErrorRate       float64       // error rate, an exponentially weighted share from 0 to 1, from which an engine is ejected; default 0.5
 	EjectSlowFactor      float64       // an engine is ejected if its mean request time is more than this many times its peers' median; default 4
 	EjectFor             time.Duration // duration of the first ejection, doubled for each consecutive one, plus up to 30 % jitter; default 5 s
 	EjectAtMost          time.Duration // maximum duration of an ejection before jitter; default 60 s
 	EjectShare           float64       // maximum share of ejected engines among those of the same model and hardware, 0 to 1; default 0.5
 	SlowStart            time.Duration // time over which a recovering engine's share of its batch size grows to 1; default 10 s
-	ParallelLoads        int           // maximum engines of a pool that execute orders at once; default 4
-	KeepPrefix           time.Duration // time since its last use for which an engine is assumed to hold a shared prefix; default 2 min
+	ParallelLoads        int           // maximum number of engines of a pool that execute orders at once; default 4
+	KeepPrefix           time.Duration // time after the last use of a shared prefix during which the engine is assumed to hold it; default 2 min
 	DrainBound           time.Duration // maximum wait for running requests before an order that interrupts service; default 60 s
 	WeightBytesPerSecond float64       // rate limit of the weight store, shared by the daemons of the region; 0: unlimited
 }
@@ -83,7 +83,7 @@
 	defaultEjectAtMost          = time.Minute
 	defaultEjectShare           = 0.5
 	defaultSlowStart            = 10 * time.Second
-	defaultParallelLoads        = 4
+	defaultMaxParallelOrders    = 4
 	defaultKeepPrefix           = 2 * time.Minute
 	defaultDrainBound           = time.Minute
 )
@@ -108,7 +108,7 @@
 	setDefault(&s.EjectAtMost, defaultEjectAtMost)
 	setDefault(&s.EjectShare, defaultEjectShare)
 	setDefault(&s.SlowStart, defaultSlowStart)
-	setDefault(&s.ParallelLoads, defaultParallelLoads)
+	setDefault(&s.ParallelLoads, defaultMaxParallelOrders)
 	setDefault(&s.KeepPrefix, defaultKeepPrefix)
 	setDefault(&s.DrainBound, defaultDrainBound)
 	return s
--- a/internal/engine/ownership.go
+++ b/internal/engine/ownership.go
@@ -88,7 +88,7 @@
 
 // eligibleDaemons returns the daemons of the region that may supervise engines: those that are
 // members in state alive. A member stays alive while it renews its lease, so a lost packet does
-// not reassign engines. This daemon is included even if it is not listed yet.
+// not reassign engines. This daemon is included unless it is listed in another state.
 func eligibleDaemons(view *members.View, self identity.Process) []identity.Process {
 	eligible := []identity.Process{self}
 	for _, member := range view.Members {
@@ -105,7 +105,8 @@
 
 const (
 	// fenceShift is the number of low bits of a fencing token that identify the process, so
-	// that two daemons that read the same token do not claim the same next one.
+	// that two daemons that read the same token from an engine do not claim the engine with
+	// equal tokens.
 	fenceShift = 20
 	fenceMask  = 1<<fenceShift - 1
 )
@@ -132,23 +133,23 @@
 func newMesh(self identity.Process, processes []identity.Process) mesh {
 	sorted := slices.Clone(processes)
 	slices.SortFunc(sorted, func(a, b identity.Process) int { return cmp.Compare(a.Machine, b.Machine) })
-	place := slices.IndexFunc(sorted, func(p identity.Process) bool { return p == self })
+	selfIndex := slices.IndexFunc(sorted, func(p identity.Process) bool { return p == self })
 	width := len(sorted)
 	if len(sorted) > maxDirectDaemons {
 		width = int(math.Ceil(math.Sqrt(float64(len(sorted)))))
 	}
 	var m mesh
-	if place < 0 {
+	if selfIndex < 0 {
 		return m
 	}
 	// The last daemons, if they do not fill a row, share the cells of the first ones, so that
 	// no cell is empty.
 	cells := width * (len(sorted) / width)
-	selfRow, selfColumn := place%cells/width, place%cells%width
+	selfRow, selfColumn := selfIndex%cells/width, selfIndex%cells%width
 	for index, process := range sorted {
 		row, column := index%cells/width, index%cells%width
 		switch {
-		case index == place:
+		case index == selfIndex:
 		case row == selfRow:
 			m.row = append(m.row, process)
 		case column == selfColumn:
--- a/internal/engine/picture.go
+++ b/internal/engine/picture.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// maxImmediateRebuildEngines is the largest fleet in which every placement rebuilds the
-	// snapshot immediately; such a rebuild takes a few microseconds.
+	// maxImmediateRebuildEngines is the largest number of engines with which every placement
+	// rebuilds the snapshot immediately, since such a rebuild is cheap.
 	maxImmediateRebuildEngines = 64
 	assessInterval             = 500 * time.Millisecond
-	minPeers                   = 3 // minimum engines with enough samples in a peer group to compare their mean times
+	minPeers                   = 3 // number of engines with at least minSamples requests that a peer group needs for a median
 )
 
 // rebuildLoop rebuilds the snapshot on request, at most once per RebuildInterval, and assesses
@@ -46,11 +46,11 @@
 func (s *Service) assessAll(now time.Time) {
 	s.rebuilding.Lock()
 	defer s.rebuilding.Unlock()
-	fleet := s.fleet.Load()
-	groups := s.peerGroups(fleet, now)
-	for _, tracked := range fleet.engines {
+	table := s.table.Load()
+	groups := s.peerGroups(table, now)
+	for _, tracked := range table.engines {
 		group := groups[s.peerGroupOf(tracked)]
-		judged := assessment{
+		input := assessment{
 			now:        now,
 			results:    tracked.placements.takeResults(),
 			stale:      !s.isFresh(tracked, now),
@@ -59,7 +59,7 @@
 			jitter:     s.random.Float64(),
 			settings:   s.settings,
 		}
-		if tracked.health.assess(judged) {
+		if tracked.health.assess(input) {
 			group.ejected++
 			s.metrics.ejections.Inc()
 			s.logger.Warn("engine: ejected a failing or slow engine.",
@@ -71,16 +71,16 @@
 	s.rebuild(now)
 }
 
-// peerGroupKey identifies engines of the same model and hardware generation, whose times are
-// comparable.
+// peerGroupKey identifies engines of the same model and hardware generation, whose mean request
+// times are comparable.
 type peerGroupKey struct{ model, generation string }
 
 // peerGroup summarizes the engines with the same peerGroupKey.
 type peerGroup struct {
 	count      int // engines with a fresh report
 	ejected    int
-	meanTimes  []time.Duration
-	medianTime time.Duration // zero: too few engines with enough samples
+	meanTimes  []time.Duration // mean request times of the engines with at least minSamples requests
+	medianTime time.Duration   // median of meanTimes; zero: fewer than minPeers of them
 }
 
 // peerGroupOf returns the engine's peer group by the model that its pool wants.
@@ -92,11 +92,11 @@
 	return key
 }
 
-// peerGroups returns the peer groups of all engines. A median time is set only for groups with
-// at least minPeers measured engines.
-func (s *Service) peerGroups(fleet *engineTable, now time.Time) map[peerGroupKey]*peerGroup {
+// peerGroups returns the peer groups of all engines. The median time is set only for groups in
+// which at least minPeers engines have minSamples or more requests.
+func (s *Service) peerGroups(table *engineTable, now time.Time) map[peerGroupKey]*peerGroup {
 	groups := map[peerGroupKey]*peerGroup{}
-	for _, tracked := range fleet.engines {
+	for _, tracked := range table.engines {
 		key := s.peerGroupOf(tracked)
 		if groups[key] == nil {
 			groups[key] = &peerGroup{}
@@ -131,18 +131,18 @@
 // s.rebuilding.
 func (s *Service) rebuild(now time.Time) {
 	started := time.Now()
-	fleet := s.fleet.Load()
+	table := s.table.Load()
 	wanted := s.wanted.Load()
 	planned := *s.plans.Load()
-	engines := make([]scheduling.Engine, len(fleet.engines))
+	engines := make([]scheduling.Engine, len(table.engines))
 	accepting := 0
-	for index, tracked := range fleet.engines {
+	for index, tracked := range table.engines {
 		engines[index] = s.schedulerView(tracked, wanted, planned, now)
 		if engines[index].Accepting {
 			accepting++
 		}
 	}
-	s.snapshot.Store(s.snapshot.Load().Refresh(engines, s.sharedPrefixHolders(fleet, now)))
+	s.snapshot.Store(s.snapshot.Load().Refresh(engines, s.sharedPrefixHolders(table, now)))
 	notify(s.snapshotChanged)
 	s.metrics.accepting.Set(float64(accepting))
 	s.metrics.rebuild.Observe(time.Since(started).Seconds())
@@ -159,8 +159,8 @@
 	}
 	latest := tracked.report.Load()
 	if latest == nil {
-		// Before its first report the engine is listed with its declared model, so that
-		// requests may wait for it, but it accepts none.
+		// For DigestTooOld after its declaration, an engine without a report is listed with the
+		// model that its pool wants, so that requests may wait for it. It accepts no requests.
 		pool := wanted.byEngine[tracked.declared.Name]
 		if pool != nil && now.Sub(tracked.declaredAt) <= s.settings.DigestTooOld {
 			engine.Model, engine.Version, engine.Adapters = pool.Model, pool.Version, pool.Adapters
@@ -188,9 +188,9 @@
 }
 
 // AwaitsReport returns true if the snapshot lists an engine of the model that has not reported
-// yet, which it shows with MaxRunning 0. This happens just after this daemon started or the
-// engine was declared. A request for which no engine accepts work should then wait instead of
-// being refused.
+// yet, which it shows with MaxRunning 0. The snapshot lists such an engine for at most
+// DigestTooOld after this daemon learned of its declaration. A request for which no engine
+// accepts work should then wait instead of being refused.
 func AwaitsReport(snapshot *scheduling.Snapshot, model string) bool {
 	return slices.ContainsFunc(snapshot.ByModel[model], func(index int) bool {
 		return snapshot.Engines[index].MaxRunning == 0
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -14,8 +14,8 @@
 	Version        string
 	Adapters       []string
 	Role           string // empty: RoleServe
-	MaxUnavailable int    // maximum engines out of service during changes; less than 1 counts as 1
-	ParallelLoads  int    // maximum engines that execute orders at once; less than 1 counts as 1
+	MaxUnavailable int    // maximum number of engines out of service during changes; less than 1 counts as 1
+	ParallelLoads  int    // maximum number of engines that execute orders at once; less than 1 counts as 1
 }
 
 // Observed is the state of a pool's engine that Plan works from.
@@ -49,7 +49,7 @@
 		sorted = slices.Clone(engines)
 		slices.SortFunc(sorted, compareObserved)
 	}
-	out, loading := countOutOfService(&wanted, sorted)
+	outOfService, loading := countOutOfService(&wanted, sorted)
 	var orders []Order
 	for index := range sorted {
 		engine := &sorted[index]
@@ -61,11 +61,11 @@
 			break
 		}
 		disrupts := wanted.isInService(engine) && !onlyAdaptersDiffer(&wanted, &engine.Digest)
-		if disrupts && out >= max(1, wanted.MaxUnavailable) {
+		if disrupts && outOfService >= max(1, wanted.MaxUnavailable) {
 			continue
 		}
 		if disrupts {
-			out++
+			outOfService++
 		}
 		loading++
 		orders = append(orders, Order{Engine: engine.Digest.Engine, Order: order, Drain: disrupts})
@@ -77,16 +77,16 @@
 
 // countOutOfService returns the number of engines that are out of service, and the number of
 // engines that are executing an order.
-func countOutOfService(wanted *Wanted, engines []Observed) (out, loading int) {
+func countOutOfService(wanted *Wanted, engines []Observed) (outOfService, loading int) {
 	for index := range engines {
 		if !wanted.isInService(&engines[index]) {
-			out++
+			outOfService++
 		}
 		if engines[index].Known && engines[index].Digest.Loading {
 			loading++
 		}
 	}
-	return out, loading
+	return outOfService, loading
 }
 
 // isInService returns true if the engine serves the pool's model in the wanted role, in any
--- a/internal/engine/pools.go
+++ b/internal/engine/pools.go
@@ -18,7 +18,7 @@
 	drained     map[string]bool // names, endpoints and hosts that an operator drains
 }
 
-func newWantedPools(current *configuration.Snapshot, parallelLoads int) *wantedPools {
+func newWantedPools(current *configuration.Snapshot, maxParallelOrders int) *wantedPools {
 	wanted := &wantedPools{byEngine: map[string]*Wanted{}, drained: map[string]bool{}}
 	models := map[string]*configuration.Model{}
 	for index := range current.Document.Models {
@@ -32,7 +32,7 @@
 		}
 		added := &Wanted{
 			Pool: pool.Name, Model: model.Name, Version: model.Version, Adapters: model.Adapters,
-			Role: pool.Role, MaxUnavailable: pool.MaxUnavailable, ParallelLoads: parallelLoads,
+			Role: pool.Role, MaxUnavailable: pool.MaxUnavailable, ParallelLoads: maxParallelOrders,
 		}
 		wanted.pools = append(wanted.pools, added)
 		wanted.engineNames = append(wanted.engineNames, slices.Sorted(slices.Values(pool.Engines)))
@@ -49,12 +49,12 @@
 // plan returns the planned orders of all pools by engine name.
 func (s *Service) plan(now time.Time) map[string]Order {
 	wanted := s.wanted.Load()
-	fleet := s.fleet.Load()
+	table := s.table.Load()
 	planned := map[string]Order{}
 	for index, pool := range wanted.pools {
 		observed := make([]Observed, 0, len(wanted.engineNames[index]))
 		for _, name := range wanted.engineNames[index] {
-			if tracked, found := fleet.byName[name]; found && wanted.byEngine[name] == pool {
+			if tracked, found := table.byName[name]; found && wanted.byEngine[name] == pool {
 				observed = append(observed, s.observe(tracked, wanted, now))
 			}
 		}
@@ -93,13 +93,13 @@
 
 // allow returns true if a load of size bytes may start now. After it returned true, it refuses
 // further loads for the time that the bytes take at the given rate.
-func (g *weightLimiter) allow(now time.Time, size int64, bytesPerSecond float64) bool {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	if now.Before(g.nextAllowed) {
+func (w *weightLimiter) allow(now time.Time, size int64, bytesPerSecond float64) bool {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	if now.Before(w.nextAllowed) {
 		return false
 	}
-	g.nextAllowed = now.Add(time.Duration(float64(size) / bytesPerSecond * float64(time.Second)))
+	w.nextAllowed = now.Add(time.Duration(float64(size) / bytesPerSecond * float64(time.Second)))
 	return true
 }
 
--- a/internal/engine/prefixes.go
+++ b/internal/engine/prefixes.go
@@ -23,8 +23,8 @@
 }
 
 const (
-	maxPrefixes         = 512 // prefixes known to a daemon; the least recently used is dropped
-	maxHoldersPerPrefix = 4   // engines recorded for one prefix
+	maxPrefixes         = 512 // maximum number of prefixes known to a daemon; the least recently used one is dropped
+	maxHoldersPerPrefix = 4   // maximum number of engines recorded for one prefix
 	minPrefixTokens     = 256 // shorter prefixes are not recorded
 )
 
@@ -72,7 +72,7 @@
 
 // holdersByHash returns the holders of each prefix, with engines given by their index in the
 // table. It removes prefixes without a recent holder.
-func (p *prefixIndex) holdersByHash(fleet *engineTable, now time.Time) map[uint64][]scheduling.PrefixHolder {
+func (p *prefixIndex) holdersByHash(table *engineTable, now time.Time) map[uint64][]scheduling.PrefixHolder {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	holders := make(map[uint64][]scheduling.PrefixHolder, p.holders.Len())
@@ -80,7 +80,7 @@
 		recorded, _ := p.holders.Peek(hash)
 		present := make([]scheduling.PrefixHolder, 0, len(recorded))
 		for _, known := range recorded {
-			index, found := fleet.index[known.engine]
+			index, found := table.index[known.engine]
 			if found && now.Sub(known.used) <= p.keep {
 				present = append(present, scheduling.PrefixHolder{Engine: index, Tokens: known.tokens})
 			}
@@ -101,7 +101,7 @@
 
 // cachedHolders is the result of holdersByHash for one engine table.
 type cachedHolders struct {
-	fleet      *engineTable
+	table      *engineTable
 	computedAt time.Time
 	holders    map[uint64][]scheduling.PrefixHolder
 }
@@ -111,9 +111,9 @@
 
 // sharedPrefixHolders returns the prefix holders for the snapshot, computed at most once per
 // prefixRefreshInterval unless the engine table changes. The caller must hold s.rebuilding.
-func (s *Service) sharedPrefixHolders(fleet *engineTable, now time.Time) map[uint64][]scheduling.PrefixHolder {
-	if s.cachedHolders.fleet != fleet || now.Sub(s.cachedHolders.computedAt) >= prefixRefreshInterval {
-		s.cachedHolders = cachedHolders{fleet: fleet, computedAt: now, holders: s.prefixes.holdersByHash(fleet, now)}
+func (s *Service) sharedPrefixHolders(table *engineTable, now time.Time) map[uint64][]scheduling.PrefixHolder {
+	if s.cachedHolders.table != table || now.Sub(s.cachedHolders.computedAt) >= prefixRefreshInterval {
+		s.cachedHolders = cachedHolders{table: table, computedAt: now, holders: s.prefixes.holdersByHash(table, now)}
 	}
 	return s.cachedHolders.holders
 }
--- a/internal/engine/properties_test.go
+++ b/internal/engine/properties_test.go
@@ -162,7 +162,7 @@
 
 // applyOrders checks the planned orders and applies them to the engines.
 func applyOrders(t *rapid.T, wanted *Wanted, engines []Observed) {
-	out, _ := countOutOfService(wanted, engines)
+	outOfService, _ := countOutOfService(wanted, engines)
 	orders := Plan(*wanted, engines)
 	drains := 0
 	for _, order := range orders {
@@ -170,8 +170,8 @@
 			drains++
 		}
 	}
-	if drains > 0 && out+drains > max(1, wanted.MaxUnavailable) {
-		t.Fatalf("%d engines are out of service and %d more are to be drained", out, drains)
+	if drains > 0 && outOfService+drains > max(1, wanted.MaxUnavailable) {
+		t.Fatalf("%d engines are out of service and %d more are to be drained", outOfService, drains)
 	}
 	for _, order := range orders {
 		for index := range engines {
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -27,11 +27,11 @@
 	calls    *semaphore.Weighted // limits concurrent calls to engines to PollConcurrency
 
 	snapshot        atomic.Pointer[scheduling.Snapshot]
-	fleet           atomic.Pointer[engineTable]
+	table           atomic.Pointer[engineTable]
 	departures      *departureSet
 	plans           atomic.Pointer[map[string]Order]
 	wanted          atomic.Pointer[wantedPools]
-	daemonCount     atomic.Int64 // eligible to supervise in the region; at least 1
+	daemonCount     atomic.Int64 // daemons eligible to supervise engines in the region; at least 1
 	weightLimiter   weightLimiter
 	rebuildRequests chan struct{}
 	snapshotChanged chan struct{}
@@ -50,7 +50,7 @@
 	supervisors map[string]supervision
 	synced      syncedState
 	running     sync.WaitGroup
-	spread      *spreader
+	exchange    *digestExchange
 }
 
 // supervision is a running supervisor. Calling stop ends it.
@@ -92,12 +92,12 @@
 		regions:         map[identity.Zone]identity.Region{},
 		supervisors:     map[string]supervision{},
 	}
-	s.fleet.Store(&engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}})
+	s.table.Store(&engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}})
 	s.plans.Store(&map[string]Order{})
 	s.wanted.Store(&wantedPools{})
 	s.daemonCount.Store(1)
 	s.snapshot.Store(scheduling.Build(nil, nil))
-	s.spread = newSpreader(s)
+	s.exchange = newDigestExchange(s)
 	if err := options.Registrar.Register(rpcName, &Receiver{service: s}); err != nil {
 		return nil, eris.Wrap(err, "engine: register the RPC receiver")
 	}
@@ -109,7 +109,7 @@
 func (s *Service) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, loop := range []func(context.Context){
-		s.watchFleet, s.rebuildLoop, s.spread.loop, s.releaseLoop, s.holdLoop, s.machineListLoop,
+		s.watchFleet, s.rebuildLoop, s.exchange.loop, s.releaseLoop, s.holdLoop, s.machineListLoop,
 	} {
 		group.Go(func() error {
 			loop(ctx)
@@ -130,7 +130,7 @@
 
 // Placed implements Fleet. A placement at an engine that is not declared is ignored.
 func (s *Service) Placed(engineID string, promptTokens int64) func(bool, time.Duration) {
-	placedAt, found := s.fleet.Load().byName[engineID]
+	placedAt, found := s.table.Load().byName[engineID]
 	if !found {
 		return func(bool, time.Duration) {}
 	}
@@ -142,10 +142,11 @@
 	}
 }
 
-// showPlacement updates the snapshot after a placement: immediately in a fleet of at most
-// maxImmediateRebuildEngines engines, otherwise with the next requested rebuild.
+// showPlacement updates the snapshot after a placement: immediately if there are at most
+// maxImmediateRebuildEngines engines and no rebuild is running, otherwise with the next
+// requested rebuild.
 func (s *Service) showPlacement() {
-	if len(s.fleet.Load().engines) > maxImmediateRebuildEngines || !s.rebuilding.TryLock() {
+	if len(s.table.Load().engines) > maxImmediateRebuildEngines || !s.rebuilding.TryLock() {
 		s.requestRebuild()
 		return
 	}
@@ -160,7 +161,7 @@
 // requested only if a digest is urgent; other digests, which are already about a second old,
 // wait for the next assessment.
 func (s *Service) digestsReceived(urgent bool) {
-	if urgent || len(s.fleet.Load().engines) <= maxImmediateRebuildEngines {
+	if urgent || len(s.table.Load().engines) <= maxImmediateRebuildEngines {
 		s.requestRebuild()
 	}
 }
--- a/internal/engine/service_test.go
+++ b/internal/engine/service_test.go
@@ -21,15 +21,15 @@
 
 var _ = Describe("the service", func() {
 	var (
-		members *memoryNetwork
+		network *memoryNetwork
 		source  *fakeSource
 		first   *fakeEngine
 		second  *fakeEngine
 	)
 
 	BeforeEach(func() {
-		members = newMemoryNetwork()
-		members.setMembers(process("daemon-a"))
+		network = newMemoryNetwork()
+		network.setMembers(process("daemon-a"))
 		source = &fakeSource{}
 		first = newFakeEngine("engine-1", "model", "v1")
 		second = newFakeEngine("engine-2", "model", "v1")
@@ -38,7 +38,7 @@
 
 	It("accepts work for serving engines, but not for drained or leaving ones", func() {
 		machines := &fakeMachines{}
-		service, _ := startService(members, source, "daemon-a", func(o *Options) { o.Machines = machines })
+		service, _ := startService(network, source, "daemon-a", func(o *Options) { o.Machines = machines })
 		Eventually(accepting(service), eventuallyTimeout).Should(Equal([]string{"engine-1", "engine-2"}))
 		Expect(service.Snapshot().ByModel["model"]).To(HaveLen(2))
 
@@ -55,7 +55,7 @@
 	})
 
 	It("counts its own placements until the engine's reports include them", func() {
-		service, _ := startService(members, source, "daemon-a", nil)
+		service, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		done := service.Placed("engine-1", 500)
 		done(false, time.Millisecond)
@@ -65,7 +65,7 @@
 	})
 
 	It("lists the holders of a shared prefix by their index in the snapshot", func() {
-		service, _ := startService(members, source, "daemon-a", nil)
+		service, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		for _, engine := range []string{"engine-1", "engine-2", "engine-unknown"} {
 			service.Served(engine, []PrefixRun{{Hash: 7, Tokens: 900}, {Hash: 8, Tokens: minPrefixTokens - 1}})
@@ -77,8 +77,8 @@
 			[]scheduling.PrefixHolder{{Engine: 0, Tokens: 900}}))
 	})
 
-	It("rolls a new version out to every engine with one order each", func() {
-		service, _ := startService(members, source, "daemon-a", nil)
+	It("rolls a new version out to every engine", func() {
+		service, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		source.set(document("v2", first, second))
 		Eventually(func() []string { return []string{versionOf(first), versionOf(second)} }, eventuallyTimeout).Should(HaveEach("v2"))
@@ -102,7 +102,7 @@
 			declared.Pools[0].Engines = append(declared.Pools[0].Engines, name)
 		}
 		source.set(declared)
-		service, _ := startService(members, source, "daemon-a", nil)
+		service, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(3))
 		next := declared
 		next.Models = []configuration.Model{{Name: "model", Version: "v2"}}
@@ -122,31 +122,31 @@
 
 	It("distributes engines among daemons and takes over with a higher fencing token", func() {
 		both := []identity.Process{process("daemon-a"), process("daemon-b")}
-		members.setMembers(both...)
+		network.setMembers(both...)
 		reassigned := newFakeEngine(nameOwnedBy("daemon-b", both), "model", "v1")
 		source.set(document("v1", first, reassigned))
-		one, _ := startService(members, source, "daemon-a", nil)
-		two, stop := startService(members, source, "daemon-b", nil)
+		one, _ := startService(network, source, "daemon-a", nil)
+		two, stop := startService(network, source, "daemon-b", nil)
 		for _, service := range []*Service{one, two} {
 			Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		}
 		before := fenceOf(reassigned)
 		reassigned.edit(func() { Expect(reassigned.claims).To(Equal(1)) })
 		stop()
-		members.setMembers(process("daemon-a"))
+		network.setMembers(process("daemon-a"))
 		Eventually(func() uint64 { return fenceOf(reassigned) }, eventuallyTimeout).Should(BeNumerically(">", before))
 		Consistently(accepting(one), 100*time.Millisecond).Should(HaveLen(2))
 	})
 
 	It("takes over the engines of a daemon whose lease stands but which is cut off, until it is heard again", func() {
 		both := []identity.Process{process("daemon-a"), process("daemon-b")}
-		members.setMembers(both...)
+		network.setMembers(both...)
 		reassigned := newFakeEngine(nameOwnedBy("daemon-b", both), "model", "v1")
 		retained := newFakeEngine(nameOwnedBy("daemon-a", both), "model", "v1")
 		source.set(document("v1", retained, reassigned))
 		registry := prometheus.NewRegistry()
-		one, _ := startService(members, source, "daemon-a", func(o *Options) { o.Registerer = registry })
-		two, _ := startService(members, source, "daemon-b", nil)
+		one, _ := startService(network, source, "daemon-a", func(o *Options) { o.Registerer = registry })
+		two, _ := startService(network, source, "daemon-b", nil)
 		for _, service := range []*Service{one, two} {
 			Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		}
@@ -154,20 +154,20 @@
 		Expect(claimant()).To(Equal(weightOf("fence", both[1]) & fenceMask))
 		owned := func() float64 { return gaugeOf(registry, supervisedMetric) }
 		Expect(owned()).To(BeEquivalentTo(1))
-		members.isolate("daemon-b")
+		network.isolate("daemon-b")
 		Eventually(claimant, eventuallyTimeout).Should(Equal(weightOf("fence", both[0]) & fenceMask))
 		Expect(owned()).To(BeEquivalentTo(2))
-		members.isolate("")
+		network.isolate("")
 		Eventually(owned, eventuallyTimeout).Should(BeEquivalentTo(1))
 		Eventually(accepting(one), eventuallyTimeout).Should(HaveLen(2))
 	})
 
-	It("fetches digests from other daemons at its start and announces engines without a report", func() {
-		members.setMembers(process("daemon-a"), process("daemon-b"))
-		one, _ := startService(members, source, "daemon-a", nil)
+	It("fetches digests from other daemons at its start and tells whether a model has an engine without a report", func() {
+		network.setMembers(process("daemon-a"), process("daemon-b"))
+		one, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(one), eventuallyTimeout).ShouldNot(BeEmpty())
 		known := accepting(one)()
-		late, _ := startService(members, source, "daemon-b", func(o *Options) {
+		late, _ := startService(network, source, "daemon-b", func(o *Options) {
 			o.Settings.SpreadInterval, o.Settings.PollInterval = time.Hour, time.Hour
 		})
 		Eventually(accepting(late), eventuallyTimeout).Should(ContainElements(known))
@@ -181,7 +181,7 @@
 	})
 
 	It("claims an engine again after a restart that lost its fencing token", func() {
-		service, _ := startService(members, source, "daemon-a", nil)
+		service, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		before := fenceOf(first)
 		first.edit(func() { first.state.Incarnation, first.state.Fence = 2, 0 })
@@ -190,21 +190,21 @@
 	})
 
 	It("rebuilds the engine table only when the region's daemons changed", func(ctx SpecContext) {
-		daemon := fakeDaemon{memoryNetwork: members, self: process("daemon-a")}
-		members.setMembers(daemon.self, process("daemon-b"))
+		daemon := fakeDaemon{memoryNetwork: network, self: process("daemon-a")}
+		network.setMembers(daemon.self, process("daemon-b"))
 		service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon})
 		Expect(err).NotTo(HaveOccurred())
 		syncContext, stop := context.WithCancel(ctx)
 		defer service.running.Wait()
 		defer stop()
 		service.syncIfChanged(syncContext)
-		synced := service.fleet.Load()
-		members.setMembers(daemon.self, process("daemon-b")) // a new version of the view with the same daemons
+		synced := service.table.Load()
+		network.setMembers(daemon.self, process("daemon-b")) // a new version of the view with the same daemons
 		service.syncIfChanged(syncContext)
-		Expect(service.fleet.Load()).To(BeIdenticalTo(synced))
-		members.setMembers(daemon.self)
+		Expect(service.table.Load()).To(BeIdenticalTo(synced))
+		network.setMembers(daemon.self)
 		service.syncIfChanged(syncContext)
-		Expect(service.fleet.Load()).NotTo(BeIdenticalTo(synced))
+		Expect(service.table.Load()).NotTo(BeIdenticalTo(synced))
 		Expect(service.supervisors).To(HaveLen(2), "the remaining daemon supervises all engines")
 	})
 
@@ -213,7 +213,7 @@
 			first.held["ended"], first.held["missed"], first.held["live"] = true, true, true
 			first.releaseFailures = 2
 		})
-		service, _ := startService(members, source, "daemon-a", func(o *Options) {
+		service, _ := startService(network, source, "daemon-a", func(o *Options) {
 			o.EndedOrUnknown = func(_ context.Context, asked []identity.Program) ([]identity.Program, error) {
 				var ended []identity.Program
 				for _, program := range asked {
--- a/internal/engine/silence.go
+++ b/internal/engine/silence.go
@@ -20,46 +20,46 @@
 // through a relay. It is safe for concurrent use.
 type digestTimes struct {
 	mutex     sync.Mutex
-	byProcess map[uint64]time.Time // key: low bits of the fencing token, which identify the process
+	byProcess map[uint64]time.Time // key: the low bits of the fencing token, which identify the process
 }
 
 // record notes that a digest with this fencing token was received.
-func (h *digestTimes) record(fence uint64, now time.Time) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.byProcess == nil {
-		h.byProcess = map[uint64]time.Time{}
+func (d *digestTimes) record(fence uint64, now time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.byProcess == nil {
+		d.byProcess = map[uint64]time.Time{}
 	}
-	h.byProcess[fence&fenceMask] = now
+	d.byProcess[fence&fenceMask] = now
 }
 
-// setSupervisors replaces the set of known supervisors. For a new supervisor the time is set to
-// now, as if a digest had just been received.
-func (h *digestTimes) setSupervisors(supervisors []identity.Process, now time.Time) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
+// setSupervisors replaces the set of known supervisors. Known supervisors keep their times. For
+// a new one the time is set to now, as if a digest had just been received.
+func (d *digestTimes) setSupervisors(supervisors []identity.Process, now time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	next := make(map[uint64]time.Time, len(supervisors))
 	for _, process := range supervisors {
-		name := weightOf("fence", process) & fenceMask
-		next[name] = now
-		if former, known := h.byProcess[name]; known {
-			next[name] = former
+		id := weightOf("fence", process) & fenceMask
+		next[id] = now
+		if previous, known := d.byProcess[id]; known {
+			next[id] = previous
 		}
 	}
-	h.byProcess = next
+	d.byProcess = next
 }
 
 // silentSince returns the supervisors whose last digest was received before the given time.
-func (h *digestTimes) silentSince(supervisors []identity.Process, since time.Time) []identity.Process {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	var found []identity.Process
+func (d *digestTimes) silentSince(supervisors []identity.Process, since time.Time) []identity.Process {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	var silent []identity.Process
 	for _, process := range supervisors {
-		if h.byProcess[weightOf("fence", process)&fenceMask].Before(since) {
-			found = append(found, process)
+		if d.byProcess[weightOf("fence", process)&fenceMask].Before(since) {
+			silent = append(silent, process)
 		}
 	}
-	return found
+	return silent
 }
 
 // responsiveDaemons returns the daemons without those that should supervise engines but of which
@@ -84,6 +84,6 @@
 // unchanged digest is sent again after at most RefreshInterval and one SpreadInterval; the
 // second SpreadInterval is a margin.
 func (s *Settings) maxSilence() time.Duration {
-	const spreads = 2
-	return s.RefreshInterval + spreads*s.SpreadInterval
+	const intervals = 2
+	return s.RefreshInterval + intervals*s.SpreadInterval
 }
--- a/internal/engine/spread.go
+++ b/internal/engine/spread.go
@@ -29,9 +29,9 @@
 	fullSentAt time.Time
 }
 
-// spreader exchanges digests with the other daemons of the region. Batches are not retried:
+// digestExchange exchanges digests with the other daemons of the region. Batches are not retried:
 // every digest is sent again after RefreshInterval.
-type spreader struct {
+type digestExchange struct {
 	service *Service
 
 	mutex             sync.Mutex
@@ -46,8 +46,8 @@
 	nextSendAt        time.Time       // digests are held back until this time to keep SpreadBytesPerSecond
 }
 
-func newSpreader(service *Service) *spreader {
-	return &spreader{
+func newDigestExchange(service *Service) *digestExchange {
+	return &digestExchange{
 		service: service, updated: map[*trackedEngine]bool{}, sent: map[*trackedEngine]sentDigest{}, relay: map[*trackedEngine]bool{},
 		relayedDepartures: map[identity.Machine]Departures{}, pendingFetches: map[string]bool{}, sending: map[string]bool{},
 	}
@@ -55,37 +55,37 @@
 
 // setMesh replaces the daemons to which digests are sent, and forgets the digests sent for
 // engines that are no longer tracked.
-func (s *spreader) setMesh(next mesh) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.mesh = next
-	fleet := s.service.fleet.Load()
-	maps.DeleteFunc(s.sent, func(tracked *trackedEngine, _ sentDigest) bool { return fleet.byName[tracked.declared.Name] != tracked })
+func (e *digestExchange) setMesh(next mesh) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.mesh = next
+	table := e.service.table.Load()
+	maps.DeleteFunc(e.sent, func(tracked *trackedEngine, _ sentDigest) bool { return table.byName[tracked.declared.Name] != tracked })
 }
 
 // publish marks an engine supervised by this daemon as having a new digest.
-func (s *spreader) publish(tracked *trackedEngine) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.updated[tracked] = true
+func (e *digestExchange) publish(tracked *trackedEngine) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.updated[tracked] = true
 }
 
 // publishDepartures sends this daemon's list of leaving machines with the next tick.
-func (s *spreader) publishDepartures(update Departures) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.ownDepartures = &update
+func (e *digestExchange) publishDepartures(update Departures) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.ownDepartures = &update
 }
 
-func (s *spreader) loop(ctx context.Context) {
-	ticker := time.NewTicker(s.service.settings.SpreadInterval)
+func (e *digestExchange) loop(ctx context.Context) {
+	ticker := time.NewTicker(e.service.settings.SpreadInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			s.tick(ctx, time.Now())
+			e.tick(ctx, time.Now())
 		}
 	}
 }
@@ -94,83 +94,84 @@
 // along the row to the column. After a tick, digests are held back until the sent bytes fit
 // SpreadBytesPerSecond; meanwhile newer digests replace older ones. Departures are not held
 // back. It also starts the pending fetches.
-func (s *spreader) tick(ctx context.Context, now time.Time) {
-	s.mutex.Lock()
-	row, column := s.departureBatches()
-	if !now.Before(s.nextSendAt) {
-		s.appendOwn(&row, now)
+func (e *digestExchange) tick(ctx context.Context, now time.Time) {
+	e.mutex.Lock()
+	row, column := e.departureBatches()
+	if !now.Before(e.nextSendAt) {
+		e.appendOwn(&row, now)
 		column.Payload = slices.Clone(row.Payload)
-		s.appendRelayed(&column)
+		e.appendRelayed(&column)
 	}
-	targets := s.mesh
+	targets := e.mesh
 	sent := len(targets.row)*(len(row.Payload)+callOverheadBytes) + len(targets.column)*(len(column.Payload)+callOverheadBytes)
 	if len(column.Payload) > 0 {
-		s.nextSendAt = now.Add(time.Duration(float64(sent) / s.service.settings.SpreadBytesPerSecond * float64(time.Second)))
+		e.nextSendAt = now.Add(time.Duration(float64(sent) / e.service.settings.SpreadBytesPerSecond * float64(time.Second)))
 	}
-	fetches := slices.Collect(maps.Keys(s.pendingFetches))
-	clear(s.pendingFetches)
-	s.mutex.Unlock()
+	fetches := slices.Collect(maps.Keys(e.pendingFetches))
+	clear(e.pendingFetches)
+	e.mutex.Unlock()
 	for _, process := range targets.row {
-		s.send(ctx, process.Address, row)
+		e.send(ctx, process.Address, row)
 	}
 	for _, process := range targets.column {
-		s.send(ctx, process.Address, column)
+		e.send(ctx, process.Address, column)
 	}
 	for _, address := range fetches[:min(len(fetches), maxFetches)] {
-		s.service.running.Go(func() { s.fetchFrom(ctx, address) })
+		e.service.running.Go(func() { e.fetchFrom(ctx, address) })
 	}
 }
 
-// appendOwn adds the digests of supervised engines that changed significantly since they were
-// last sent, or that were last sent at least RefreshInterval ago.
-func (s *spreader) appendOwn(batch *DigestBatch, now time.Time) {
-	for tracked := range s.updated {
+// appendOwn adds the digests of supervised engines that have a new digest since the last tick.
+// It leaves out a digest that did not change significantly and was last sent less than
+// RefreshInterval ago.
+func (e *digestExchange) appendOwn(batch *DigestBatch, now time.Time) {
+	for tracked := range e.updated {
 		current := tracked.report.Load()
-		lastSent, sentBefore := s.sent[tracked]
-		if sentBefore && !isSignificantChange(current, lastSent.report) && now.Sub(lastSent.sentAt) < s.service.settings.RefreshInterval {
+		lastSent, sentBefore := e.sent[tracked]
+		if sentBefore && !isSignificantChange(current, lastSent.report) && now.Sub(lastSent.sentAt) < e.service.settings.RefreshInterval {
 			continue
 		}
 		full := !sentBefore || current.checksum != lastSent.report.checksum || now.Sub(lastSent.fullSentAt) >= fullRecordInterval
 		batch.Payload = appendRecord(batch.Payload, &current.digest, current.checksum, full)
-		s.service.metrics.digestsSent.Inc()
+		e.service.metrics.digestsSent.Inc()
 		lastSent.report, lastSent.sentAt = current, now
 		if full {
 			lastSent.fullSentAt = now
 		}
-		s.sent[tracked] = lastSent
+		e.sent[tracked] = lastSent
 	}
-	clear(s.updated)
+	clear(e.updated)
 }
 
 // appendRelayed adds the digests received along the row.
-func (s *spreader) appendRelayed(batch *DigestBatch) {
-	for tracked, full := range s.relay {
+func (e *digestExchange) appendRelayed(batch *DigestBatch) {
+	for tracked, full := range e.relay {
 		latest := tracked.report.Load()
 		batch.Payload = appendRecord(batch.Payload, &latest.digest, latest.checksum, full)
 	}
-	clear(s.relay)
+	clear(e.relay)
 }
 
 // departureBatches returns one batch for the row and one for the column, with the departures to
 // send and no digests yet.
-func (s *spreader) departureBatches() (row, column DigestBatch) {
-	row = DigestBatch{Sender: s.service.self.Address, Relay: true}
-	column = DigestBatch{Sender: s.service.self.Address}
-	if s.ownDepartures != nil {
-		row.Departures = []Departures{*s.ownDepartures}
-		column.Departures = []Departures{*s.ownDepartures}
-		s.ownDepartures = nil
-	}
-	for _, update := range s.relayedDepartures {
+func (e *digestExchange) departureBatches() (row, column DigestBatch) {
+	row = DigestBatch{Sender: e.service.self.Address, Relay: true}
+	column = DigestBatch{Sender: e.service.self.Address}
+	if e.ownDepartures != nil {
+		row.Departures = []Departures{*e.ownDepartures}
+		column.Departures = []Departures{*e.ownDepartures}
+		e.ownDepartures = nil
+	}
+	for _, update := range e.relayedDepartures {
 		column.Departures = append(column.Departures, update)
 	}
-	clear(s.relayedDepartures)
+	clear(e.relayedDepartures)
 	return row, column
 }
 
 const (
-	minChangeShare    = 0.1 // share of MaxRunning, or of the waiting tokens last sent
-	minCacheUseChange = 13  // in units of 1/cacheUseSteps; about a twentieth of the cache
+	minChangeShare    = 0.1 // significant change as a share of MaxRunning, or of the waiting tokens last sent
+	minCacheUseChange = 13  // significant change in units of 1/cacheUseSteps of the cache; about a twentieth
 )
 
 // isSignificantChange returns true if the current report differs enough from the one last sent
@@ -193,35 +194,35 @@
 
 func absDifference[T int | int64](a, b T) T { return max(a-b, b-a) }
 
-// send starts sending a batch to the address, unless the batch is empty or the previous one is
-// still being sent.
-func (s *spreader) send(ctx context.Context, address string, batch DigestBatch) {
+// send starts sending a batch to the address. It drops the batch if it is empty or the previous
+// one is still being sent.
+func (e *digestExchange) send(ctx context.Context, address string, batch DigestBatch) {
 	if len(batch.Payload) == 0 && len(batch.Departures) == 0 {
 		return
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if s.sending[address] {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if e.sending[address] {
 		return
 	}
-	s.sending[address] = true
-	s.service.running.Go(func() {
-		s.call(ctx, address, batch)
-		s.mutex.Lock()
-		defer s.mutex.Unlock()
-		delete(s.sending, address)
+	e.sending[address] = true
+	e.service.running.Go(func() {
+		e.call(ctx, address, batch)
+		e.mutex.Lock()
+		defer e.mutex.Unlock()
+		delete(e.sending, address)
 	})
 }
 
-func (s *spreader) call(ctx context.Context, address string, batch DigestBatch) {
-	ctx, cancel := context.WithTimeout(ctx, s.service.settings.PollTimeout)
+func (e *digestExchange) call(ctx context.Context, address string, batch DigestBatch) {
+	ctx, cancel := context.WithTimeout(ctx, e.service.settings.PollTimeout)
 	defer cancel()
 	var reply DigestReply
-	err := s.service.options.Caller.Call(ctx, address, peer.Control, methodDigests, &batch, &reply)
+	err := e.service.options.Caller.Call(ctx, address, peer.Control, methodDigests, &batch, &reply)
 	if err != nil {
-		s.service.metrics.digestErrors.Inc()
-		s.service.logger.Debug("engine: sending digests failed.", zap.Error(err))
+		e.service.metrics.digestErrors.Inc()
+		e.service.logger.Debug("engine: sending digests failed.", zap.Error(err))
 		return
 	}
-	s.service.metrics.digestBytes.WithLabelValues(labelSent).Add(float64(len(batch.Payload)))
+	e.service.metrics.digestBytes.WithLabelValues(labelSent).Add(float64(len(batch.Payload)))
 }
--- a/internal/engine/supervisor.go
+++ b/internal/engine/supervisor.go
@@ -16,9 +16,9 @@
 
 const (
 	pollJitter = 0.2
-	// minDrainSpreads is the minimum duration of a drain in units of SpreadInterval, so that
+	// minDrainIntervals is the minimum duration of a drain in units of SpreadInterval, so that
 	// all daemons stop sending work before the engine is changed.
-	minDrainSpreads = 3
+	minDrainIntervals = 3
 )
 
 // supervisor polls one engine and sends it orders while the engine is assigned to this daemon.
@@ -27,7 +27,7 @@
 	service       *Service
 	engine        *trackedEngine
 	logger        *zap.Logger
-	fence         uint64 // fencing token that was claimed; zero: none
+	fence         uint64 // fencing token of the last successful claim; zero: none
 	incarnation   uint64 // the engine's incarnation when it was claimed
 	latestUnixMS  int64  // engine's clock in its latest reply to an order; states from before it are ignored
 	sequence      uint64
@@ -143,23 +143,24 @@
 	return reply, err
 }
 
-// publish stores the state as the engine's latest digest and passes it to the spreader.
+// publish stores the state as the engine's latest digest and passes it to the digest exchange.
 func (s *supervisor) publish(state *enginev1.EngineState) {
 	s.sequence++
 	digest := digestOf(s.engine.declared.Name, state, s.sequence)
 	digest.Fence = s.fence
 	first := s.engine.report.Load() == nil
 	if s.engine.accept(digest, staticChecksum(&digest), time.Now()) {
-		s.service.spread.publish(s.engine)
+		s.service.exchange.publish(s.engine)
 		s.service.digestsReceived(first)
 	}
 }
 
-// applyPlannedOrder sends the order that is planned for the engine, if it is still needed,
-// after a drain if the plan asks for one.
+// applyPlannedOrder sends the order that is planned for the engine, if it is still needed and
+// the configuration is confirmed to be current. If the plan asks for a drain, it sends the
+// order after the drain.
 func (s *supervisor) applyPlannedOrder(ctx context.Context) {
 	if !s.service.options.Configuration.Confirmed() {
-		return // this configuration may be outdated
+		return // the configuration known to this daemon may be outdated
 	}
 	planned, found := (*s.service.plans.Load())[s.engine.declared.Name]
 	if !found || !s.isStillNeeded(&planned.Order) {
@@ -193,8 +194,8 @@
 	if pool == nil || latest == nil || latest.digest.Loading {
 		return false
 	}
-	needed, some := pool.nextOrder(&latest.digest)
-	return some && reflect.DeepEqual(&needed, planned)
+	next, needed := pool.nextOrder(&latest.digest)
+	return needed && reflect.DeepEqual(&next, planned)
 }
 
 // drain starts a drain or continues it, and returns true when it has ended: all daemons had
@@ -205,7 +206,7 @@
 		s.logger.Info("engine: draining the engine before an order.")
 	}
 	waited := now.Sub(s.drainStarted)
-	if waited < minDrainSpreads*s.service.settings.SpreadInterval {
+	if waited < minDrainIntervals*s.service.settings.SpreadInterval {
 		return false
 	}
 	latest := s.engine.report.Load()
--- a/internal/engine/unit.go
+++ b/internal/engine/unit.go
@@ -40,14 +40,14 @@
 // accept stores the digest and returns true if it is newer than the known one. A digest with a
 // higher fencing token is newer, since it comes from a later supervisor; of digests with the
 // same token, the one with the higher sequence number is newer. It is safe for concurrent use.
-func (u *trackedEngine) accept(digest Digest, checksum uint16, received time.Time) bool {
+func (t *trackedEngine) accept(digest Digest, checksum uint16, received time.Time) bool {
 	for {
-		known := u.report.Load()
+		known := t.report.Load()
 		if known != nil && !newer(&digest, &known.digest) {
 			return false
 		}
-		if u.report.CompareAndSwap(known, &report{digest: digest, checksum: checksum, received: received}) {
-			u.placements.advanceGeneration()
+		if t.report.CompareAndSwap(known, &report{digest: digest, checksum: checksum, received: received}) {
+			t.placements.advanceGeneration()
 			return true
 		}
 	}
--- a/internal/shards/follower.go
+++ b/internal/shards/follower.go
@@ -13,10 +13,10 @@
 type leaderWatcher struct{ node *Node }
 
 // Replace implements watch.Follower.
-func (f leaderWatcher) Replace(rows []state.Row, _ state.Version) { f.node.applyLeaderRows(rows) }
+func (w leaderWatcher) Replace(rows []state.Row, _ state.Version) { w.node.applyLeaderRows(rows) }
 
 // Change implements watch.Follower.
-func (f leaderWatcher) Change(rows []state.Row) { f.node.applyLeaderRows(rows) }
+func (w leaderWatcher) Change(rows []state.Row) { w.node.applyLeaderRows(rows) }
 
 // applyLeaderRows replaces the node's map by one with the changed rows and ends replicas that
 // were superseded.
@@ -24,8 +24,8 @@
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	next := &Map{Leaders: map[identity.Shard]Leader{}}
-	if former := n.current.Load(); former != nil {
-		next = &Map{Shards: former.Shards, Leaders: maps.Clone(former.Leaders)}
+	if previous := n.current.Load(); previous != nil {
+		next = &Map{Shards: previous.Shards, Leaders: maps.Clone(previous.Leaders)}
 	}
 	for _, row := range rows {
 		next.applyRow(row)
@@ -38,9 +38,9 @@
 // term. Otherwise a leader that was paused would notice the loss only at its next commit. The
 // caller must hold n.mutex.
 func (n *Node) endSupersededReplicas(known *Map) {
-	for shard, leading := range n.replicas {
-		if known.Leaders[shard].Term > leading.term {
-			leading.markSuperseded()
+	for shard, led := range n.replicas {
+		if known.Leaders[shard].Term > led.term {
+			led.markSuperseded()
 		}
 	}
 }
--- a/internal/shards/leading.go
+++ b/internal/shards/leading.go
@@ -15,20 +15,21 @@
 )
 
 // reconcile starts acquiring the shards that this daemon should lead, and hands over at most
-// one shard that another daemon should lead.
+// one shard that another daemon should lead. It does nothing after Retire, or while the number
+// of shards is not known.
 func (n *Node) reconcile(ctx context.Context) {
 	current := n.Current()
 	if current == nil || n.retired.Load() {
 		return
 	}
-	view := n.placementView()
+	seen := n.currentPlacement()
 	for number := range current.Shards {
 		shard := identity.Shard(number + 1)
-		if view.shouldTake(shard, current.Leaders[shard]) {
+		if seen.shouldTake(shard, current.Leaders[shard]) {
 			n.startAcquiring(ctx, shard, current.Leaders[shard].Term)
 		}
 	}
-	if shard, found := n.balancer.nextHandOver(view, current, n.ledShards(), n.options.Idle); found {
+	if shard, found := n.balancer.nextHandOver(seen, current, n.ledShards(), n.options.Idle); found {
 		n.goroutines.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, acquireTimeout)
 			defer cancel()
@@ -39,9 +40,9 @@
 	}
 }
 
-// placementView returns a placement from the current membership and the leaders that cannot be
+// currentPlacement returns a placement from the current membership and the leaders that cannot be
 // reached.
-func (n *Node) placementView() *placement {
+func (n *Node) currentPlacement() *placement {
 	current := newPlacement(n.options.Self, n.options.Directory.View(), n.balancer.uptime(), n.options.Expect)
 	if n.prober == nil {
 		return current
@@ -57,7 +58,7 @@
 	if current == nil {
 		return nil, nil
 	}
-	view := n.placementView()
+	seen := n.currentPlacement()
 	leaders = n.prober.unreachable()
 	for number := range current.Shards {
 		shard := identity.Shard(number + 1)
@@ -65,11 +66,11 @@
 		if leader.Machine == "" || leader == n.options.Self || slices.Contains(leaders, leader) {
 			continue
 		}
-		if view.isNext(shard, leader) {
+		if seen.isNext(shard, leader) {
 			leaders = append(leaders, leader)
 		}
 	}
-	return leaders, view.alive
+	return leaders, seen.alive
 }
 
 // startAcquiring acquires the shard in a new goroutine, unless this daemon already leads or
@@ -94,7 +95,7 @@
 
 // acquire reads the shard and makes this daemon its leader by a commit to the head row. After
 // that commit no other daemon can append to the log, so the rows read are complete. It fails if
-// the shard has a higher term than known.
+// the shard's term is higher than the given one.
 func (n *Node) acquire(parent context.Context, shard identity.Shard, known Term) error {
 	ctx, cancel := context.WithTimeout(parent, acquireTimeout)
 	defer cancel()
@@ -157,8 +158,8 @@
 	n.goroutines.Go(func() { started.run(ctx) })
 }
 
-// endReplica removes the replica and announces the end of the leadership. Proposers whose
-// command was not yet taken get ErrNotLeader.
+// endReplica removes the replica and announces the end of the leadership. Proposals that the
+// loop has not received get ErrNotLeader.
 func (n *Node) endReplica(r *replica) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -171,7 +172,8 @@
 	n.changes <- LeaderChange{Shard: r.shard, Term: r.term}
 }
 
-// load reads the rows of the shard, repeatedly until they are consistent with each other.
+// load reads the rows of the shard, repeatedly until they are consistent with each other or the
+// context ends.
 func (n *Node) load(ctx context.Context, shard identity.Shard) (*storedShard, error) {
 	for {
 		rows, err := n.readRows(ctx, shard)
--- a/internal/shards/metrics.go
+++ b/internal/shards/metrics.go
@@ -35,7 +35,7 @@
 	}, func() float64 { return float64(len(node.ledShards())) })
 	for _, collector := range []prometheus.Collector{m.commitSeconds, m.takeovers, m.handOvers, led} {
 		if err := registry.Register(collector); err != nil {
-			return nil, eris.Wrap(err, "register metrics")
+			return nil, eris.Wrap(err, "shards: register metrics")
 		}
 	}
 	return m, nil
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -97,7 +97,7 @@
 	if options.Caller != nil && options.Registrar != nil {
 		node.prober = newProber(options.Self, options.Caller, node.log)
 		if err := options.Registrar.Register(ReachService, &ReachAnswers{prober: node.prober}); err != nil {
-			return nil, eris.Wrap(err, "register the RPC receiver for probes")
+			return nil, eris.Wrap(err, "shards: register the RPC receiver for probes")
 		}
 	}
 	var err error
@@ -170,23 +170,23 @@
 
 // Propose implements Groups.
 func (n *Node) Propose(ctx context.Context, shard identity.Shard, command []byte) (any, error) {
-	leading := n.replica(shard)
-	if leading == nil {
+	led := n.replica(shard)
+	if led == nil {
 		return nil, ErrNotLeader
 	}
 	start := time.Now()
-	value, err := leading.propose(ctx, command)
+	value, err := led.propose(ctx, command)
 	n.metrics.observeCommit(time.Since(start), err)
 	return value, err
 }
 
 // ConfirmLeadership implements Groups.
 func (n *Node) ConfirmLeadership(ctx context.Context, shard identity.Shard) error {
-	leading := n.replica(shard)
-	if leading == nil {
+	led := n.replica(shard)
+	if led == nil {
 		return ErrNotLeader
 	}
-	_, err := leading.propose(ctx, nil)
+	_, err := led.propose(ctx, nil)
 	return err
 }
 
@@ -199,20 +199,20 @@
 	if current == nil {
 		return identity.Process{}, false
 	}
-	found := current.Leaders[shard].Process
-	return found, found.Machine != "" && found != n.options.Self
+	leader := current.Leaders[shard].Process
+	return leader, leader.Machine != "" && leader != n.options.Self
 }
 
 // HandOver implements Groups.
 func (n *Node) HandOver(ctx context.Context, shard identity.Shard) error {
-	leading := n.replica(shard)
-	if leading == nil {
+	led := n.replica(shard)
+	if led == nil {
 		return ErrNotLeader
 	}
 	answer := make(chan error, 1)
 	select {
-	case leading.handOverRequests <- answer:
-	case <-leading.ended:
+	case led.handOverRequests <- answer:
+	case <-led.ended:
 		return ErrNotLeader
 	case <-ctx.Done():
 		return eris.Wrapf(ctx.Err(), "hand shard %d over", shard)
@@ -256,9 +256,9 @@
 		shard := identity.Shard(number + 1)
 		leader := current.Leaders[shard]
 		known := Status{Shard: shard, Leader: leader.Process, Term: leader.Term}
-		if leading := n.replica(shard); leading != nil {
-			known.Leading, known.Leader, known.Committed = true, n.options.Self, leading.lastIndex.Load()
-			known.Term = max(known.Term, leading.term)
+		if led := n.replica(shard); led != nil {
+			known.Leading, known.Leader, known.Committed = true, n.options.Self, led.lastIndex.Load()
+			known.Term = max(known.Term, led.term)
 		}
 		all = append(all, known)
 	}
--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -79,7 +79,8 @@
 }
 
 // preferred returns the alive daemon with the highest rendezvous weight for the shard. The
-// process that gave up the shard is excluded if any other daemon is alive.
+// process that gave up the shard is excluded if any other daemon is alive. Without an alive
+// daemon the result is zero.
 func (p *placement) preferred(shard identity.Shard, former identity.Process) identity.Process {
 	var best identity.Process
 	var highest uint64
@@ -100,7 +101,8 @@
 	return xxhash.Sum64String(strconv.FormatUint(uint64(shard), 10) + "/" + string(process.Machine))
 }
 
-// balancer selects shards that a healthy leader hands over for balance, one at a time.
+// balancer selects shards that this daemon hands over for balance although it is healthy, one
+// at a time.
 type balancer struct {
 	now          func() time.Time
 	started      time.Time
@@ -119,8 +121,8 @@
 // nextHandOver returns a shard to hand over, or false if there is none now. It returns one only
 // if this daemon leads more than an equal share of the shards, another daemon is preferred for
 // the shard and idle returns true for it.
-func (b *balancer) nextHandOver(view *placement, current *Map, led []identity.Shard, idle func(identity.Shard) bool) (identity.Shard, bool) {
-	daemons := len(view.alive)
+func (b *balancer) nextHandOver(seen *placement, current *Map, led []identity.Shard, idle func(identity.Shard) bool) (identity.Shard, bool) {
+	daemons := len(seen.alive)
 	if daemons < 2 || b.now().Sub(b.lastHandOver) < balanceInterval {
 		return 0, false
 	}
@@ -130,7 +132,7 @@
 	}
 	slices.Sort(led)
 	for _, shard := range led {
-		if view.preferred(shard, identity.Process{}) != view.self && idle(shard) {
+		if seen.preferred(shard, identity.Process{}) != seen.self && idle(shard) {
 			b.lastHandOver = b.now()
 			return shard, true
 		}
--- a/internal/shards/reach.go
+++ b/internal/shards/reach.go
@@ -36,14 +36,14 @@
 const (
 	// probeInterval is the time between two probes of the same leader.
 	probeInterval = 500 * time.Millisecond
-	// pingTimeout is the time that a leader has to answer a probe, about a hundred times the
-	// round trip between neighboring zones.
+	// pingTimeout is the time that a leader has to answer a probe. It is far above the round
+	// trip between neighboring zones.
 	pingTimeout = 200 * time.Millisecond
 	// askTimeout is the time that another daemon has to probe the leader and answer.
 	askTimeout = 2 * pingTimeout
 	// minConfirmedFailures is the number of consecutive confirmed failures after which a leader
-	// counts as lost. So many probes take about two seconds, as long as a lease lasts after its
-	// last renewal.
+	// counts as lost. The probes take about two seconds, the time for which a lease lasts after
+	// its last renewal.
 	minConfirmedFailures = 3
 )
 
@@ -91,38 +91,38 @@
 
 // run probes the leaders that targets returns, every probeInterval, until the context ends.
 // targets also returns the daemons that may confirm a failure.
-func (r *prober) run(ctx context.Context, targets func() (leaders, witnesses []identity.Process)) {
+func (p *prober) run(ctx context.Context, targets func() (leaders, witnesses []identity.Process)) {
 	for pause.For(ctx, probeInterval) {
 		leaders, witnesses := targets()
-		r.probeAll(ctx, leaders, witnesses)
+		p.probeAll(ctx, leaders, witnesses)
 	}
 }
 
 // probeAll probes the leaders concurrently, records the results, and discards the failures of
 // all other processes.
-func (r *prober) probeAll(ctx context.Context, leaders, witnesses []identity.Process) {
-	r.mutex.Lock()
-	for process := range r.failures {
+func (p *prober) probeAll(ctx context.Context, leaders, witnesses []identity.Process) {
+	p.mutex.Lock()
+	for process := range p.failures {
 		if !slices.Contains(leaders, process) {
-			delete(r.failures, process)
+			delete(p.failures, process)
 		}
 	}
-	r.mutex.Unlock()
+	p.mutex.Unlock()
 	var probing sync.WaitGroup
 	for _, leader := range leaders {
-		probing.Go(func() { r.recordProbe(leader, r.isCutOff(ctx, leader, witnesses)) })
+		probing.Go(func() { p.recordProbe(leader, p.isCutOff(ctx, leader, witnesses)) })
 	}
 	probing.Wait()
 }
 
 // isCutOff returns true if this daemon does not reach the leader and a randomly chosen witness
 // reports that it does not reach the leader either. Without such a report it returns false.
-func (r *prober) isCutOff(ctx context.Context, leader identity.Process, witnesses []identity.Process) bool {
-	if r.ping(ctx, leader) == nil {
+func (p *prober) isCutOff(ctx context.Context, leader identity.Process, witnesses []identity.Process) bool {
+	if p.ping(ctx, leader) == nil {
 		return false
 	}
 	others := slices.DeleteFunc(slices.Clone(witnesses), func(process identity.Process) bool {
-		return process == leader || process == r.self
+		return process == leader || process == p.self
 	})
 	if len(others) == 0 {
 		return false
@@ -131,17 +131,17 @@
 	defer cancel()
 	var reply AskReply
 	witness := others[rand.IntN(len(others))]
-	err := r.caller.Call(limited, witness.Address, peer.Control, methodAsk, AskRequest{Process: leader}, &reply)
+	err := p.caller.Call(limited, witness.Address, peer.Control, methodAsk, AskRequest{Process: leader}, &reply)
 	return err == nil && !reply.Reached
 }
 
 // ping returns nil if the process answers within pingTimeout. An answer of another incarnation
 // is an error.
-func (r *prober) ping(parent context.Context, process identity.Process) error {
+func (p *prober) ping(parent context.Context, process identity.Process) error {
 	ctx, cancel := context.WithTimeout(parent, pingTimeout)
 	defer cancel()
 	var reply PingReply
-	if err := r.caller.Call(ctx, process.Address, peer.Control, methodPing, PingRequest{}, &reply); err != nil {
+	if err := p.caller.Call(ctx, process.Address, peer.Control, methodPing, PingRequest{}, &reply); err != nil {
 		return eris.Wrapf(err, "ping %s", process)
 	}
 	if reply.Incarnation != process.Incarnation {
@@ -151,33 +151,33 @@
 }
 
 // recordProbe counts a confirmed failure, or resets the count.
-func (r *prober) recordProbe(leader identity.Process, cutOff bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	previous := r.failures[leader]
+func (p *prober) recordProbe(leader identity.Process, cutOff bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	previous := p.failures[leader]
 	if !cutOff {
-		delete(r.failures, leader)
+		delete(p.failures, leader)
 		if previous >= minConfirmedFailures {
-			r.log.Info("shards: leader can be reached again.", zap.Stringer("leader", leader))
+			p.log.Info("shards: leader can be reached again.", zap.Stringer("leader", leader))
 		}
 		return
 	}
-	r.failures[leader] = previous + 1
+	p.failures[leader] = previous + 1
 	if previous+1 == minConfirmedFailures {
-		r.log.Warn("shards: leader is cut off, confirmed by another daemon.", zap.Stringer("leader", leader), zap.Int("probes", previous+1))
+		p.log.Warn("shards: leader is cut off, confirmed by another daemon.", zap.Stringer("leader", leader), zap.Int("probes", previous+1))
 	}
 }
 
 // unreachable returns the leaders with at least minConfirmedFailures consecutive confirmed
 // failures.
-func (r *prober) unreachable() []identity.Process {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	var found []identity.Process
-	for process, failures := range r.failures {
+func (p *prober) unreachable() []identity.Process {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	var lost []identity.Process
+	for process, failures := range p.failures {
 		if failures >= minConfirmedFailures {
-			found = append(found, process)
+			lost = append(lost, process)
 		}
 	}
-	return found
+	return lost
 }
--- a/internal/shards/reach_test.go
+++ b/internal/shards/reach_test.go
@@ -28,9 +28,9 @@
 }
 
 // Call implements peer.Caller.
-func (e memoryCaller) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
-	answers := e.network.services[address]
-	if answers == nil || slices.Contains(e.network.isolated, string(e.self.Machine)) || slices.Contains(e.network.isolated, string(answers.prober.self.Machine)) {
+func (c memoryCaller) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
+	answers := c.network.services[address]
+	if answers == nil || slices.Contains(c.network.isolated, string(c.self.Machine)) || slices.Contains(c.network.isolated, string(answers.prober.self.Machine)) {
 		return errors.New("cut")
 	}
 	if method == methodPing {
--- a/internal/shards/replica.go
+++ b/internal/shards/replica.go
@@ -27,7 +27,7 @@
 // proposal is a proposed command, or a request for a read barrier if command is nil.
 type proposal struct {
 	command []byte
-	claimed atomic.Bool // set when the loop takes the proposal or the proposer gives up, whichever is first
+	claimed atomic.Bool // set when the loop receives the proposal or the proposer gives up, whichever is first
 	result  chan outcome
 }
 
@@ -58,8 +58,8 @@
 }
 
 // propose passes the command to the loop and waits for its result. A nil command only confirms
-// the leadership. The error is ErrNotLeader if the command was not taken and never will be, and
-// ErrUncertain if it may or may not be committed.
+// the leadership. The error is ErrNotLeader if the command will not be committed, ErrUncertain
+// if it may or may not be committed, and ErrTooLarge if it does not fit one commit.
 func (r *replica) propose(ctx context.Context, command []byte) (any, error) {
 	pending := &proposal{command: command, result: make(chan outcome, 1)}
 	select {
@@ -67,7 +67,7 @@
 	case <-r.ended:
 		return nil, ErrNotLeader
 	case <-ctx.Done():
-		return nil, eris.Wrapf(ErrNotLeader, "the command was not taken: %v", ctx.Err())
+		return nil, eris.Wrapf(ErrNotLeader, "the command was not accepted: %v", ctx.Err())
 	}
 	select {
 	case result := <-pending.result:
@@ -76,19 +76,19 @@
 		return pending.resultAfterEnd()
 	case <-ctx.Done():
 		if pending.claimed.CompareAndSwap(false, true) {
-			return nil, eris.Wrapf(ErrNotLeader, "the command was not taken: %v", ctx.Err())
+			return nil, eris.Wrapf(ErrNotLeader, "the command was not accepted: %v", ctx.Err())
 		}
 		return nil, eris.Wrapf(ErrUncertain, "%v", ctx.Err())
 	}
 }
 
 // resultAfterEnd returns the result of a proposal after the leadership has ended: ErrNotLeader
-// if the loop had not taken the command, else the result that the loop stored.
+// if the loop had not received the proposal, else the result that the loop sent.
 func (p *proposal) resultAfterEnd() (any, error) {
 	if p.claimed.CompareAndSwap(false, true) {
 		return nil, ErrNotLeader
 	}
-	result := <-p.result // the loop took the proposal, so it sends a result
+	result := <-p.result // the loop received the proposal, so it sends a result
 	return result.value, result.err
 }
 
@@ -116,8 +116,9 @@
 	}
 }
 
-// collectBatch returns the first proposal and others that are already waiting. It stops when
-// the batch has maxBatchCommands commands or at least half of maxBatchBytes.
+// collectBatch returns the first proposal and others that are already waiting, without those
+// whose proposer gave up, so that the batch may be empty. It stops when the batch has
+// maxBatchCommands commands or at least half of maxBatchBytes.
 func (r *replica) collectBatch(first *proposal) []*proposal {
 	var batch []*proposal
 	size := 0
@@ -182,7 +183,7 @@
 	kept := batch[:0]
 	for _, each := range batch {
 		if len(each.command) > maxBatchBytes || len(each.command)/r.node.options.RowBytes > maxBatchRows {
-			each.result <- outcome{err: eris.Wrapf(ErrTooLarge, "%d bytes", len(each.command))}
+			each.result <- outcome{err: eris.Wrapf(ErrTooLarge, "command of %d bytes", len(each.command))}
 			continue
 		}
 		kept = append(kept, each)
--- a/internal/shards/shards.go
+++ b/internal/shards/shards.go
@@ -31,12 +31,13 @@
 	Restore(snapshot []byte) error
 }
 
-// Errors of Propose.
+// Errors of Propose, ConfirmLeadership and HandOver. Returned errors wrap them.
 var (
-	// ErrNotLeader means that the command was not taken and will not be committed by this call.
+	// ErrNotLeader means that this daemon does not lead the shard. A command passed to the call
+	// will not be committed by it.
 	ErrNotLeader = errors.New("not the leader of the shard")
-	// ErrUncertain means that the leadership or the deadline was lost after the command was
-	// taken, so that it may or may not be committed.
+	// ErrUncertain means that the leadership was lost or the deadline passed while the command
+	// was being committed, so that it may or may not be committed.
 	ErrUncertain = errors.New("commitment uncertain")
 	// ErrTooLarge means that the command does not fit one commit of the store. It is not
 	// committed.
--- a/internal/shards/shards_test.go
+++ b/internal/shards/shards_test.go
@@ -125,11 +125,11 @@
 		taken := make(chan error, 1)
 		go func() { taken <- alone.propose(short, 1, "taken") }()
 		Eventually(func() int { return store.Calls("commit") }).Should(BeNumerically(">", 2))
-		waiting, give := context.WithCancel(ctx)
+		waiting, cancelWaiting := context.WithCancel(ctx)
 		queued := make(chan error, 1)
 		go func() { queued <- alone.propose(waiting, 1, "waiting") }()
 		Eventually(func() int { return len(alone.node.replica(1).proposals) }).Should(Equal(1))
-		give()
+		cancelWaiting()
 		Eventually(queued).Should(Receive(MatchError(ErrNotLeader)))
 		Eventually(taken).Should(Receive(MatchError(ErrUncertain)))
 		store.Misbehave(nil)
@@ -176,19 +176,19 @@
 var logModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(current, input, output any) (bool, any) {
-		text, given := current.(string), output.(appendResult)
+		text, result := current.(string), output.(appendResult)
 		next := text + input.(string) + ";"
-		if given.unknown {
+		if result.unknown {
 			return true, next
 		}
-		return given.index == strings.Count(text, ";"), next
+		return result.index == strings.Count(text, ";"), next
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprint(input, output) },
 }
 
 var _ = Describe("leaders that fight for a shard on a store that misbehaves", func() {
 	// Uncertain commands are checked only if they are found in the log at the end.
-	DescribeTable("append in one order", func(ctx SpecContext, seed int) {
+	DescribeTable("append to the log in a single order", func(ctx SpecContext, seed int) {
 		store := memorystore.New()
 		machines := []string{"a", "b", "c"}
 		var daemons []*testDaemon
@@ -327,7 +327,7 @@
 		Expect(found).To(BeFalse(), "not right after the start")
 		now = now.Add(balanceInterval)
 		_, found = balancer.nextHandOver(current, known, led, func(identity.Shard) bool { return false })
-		Expect(found).To(BeFalse(), "not a shard that is not idle")
+		Expect(found).To(BeFalse(), "not a busy shard")
 		shard, found := balancer.nextHandOver(current, known, led, idle)
 		Expect(found).To(BeTrue())
 		Expect(current.preferred(shard, identity.Process{})).To(Equal(b))
--- a/internal/shards/suite_test.go
+++ b/internal/shards/suite_test.go
@@ -66,20 +66,20 @@
 	view  members.View
 }
 
-func (d *fakeDirectory) View() *members.View {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	copied := members.View{Read: true, Members: slices.Clone(d.view.Members)}
+func (f *fakeDirectory) View() *members.View {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	copied := members.View{Read: true, Members: slices.Clone(f.view.Members)}
 	return &copied
 }
 
-func (d *fakeDirectory) set(state members.State, process identity.Process) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.view.Members = slices.DeleteFunc(d.view.Members, func(member members.Member) bool {
+func (f *fakeDirectory) set(state members.State, process identity.Process) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.view.Members = slices.DeleteFunc(f.view.Members, func(member members.Member) bool {
 		return member.Process.Machine == process.Machine
 	})
-	d.view.Members = append(d.view.Members, members.Member{Process: process, State: state})
+	f.view.Members = append(f.view.Members, members.Member{Process: process, State: state})
 }
 
 // testDaemon is a running node with its state machines.
@@ -104,52 +104,52 @@
 func startDaemon(store *memorystore.Store, known *fakeDirectory, self identity.Process, shardCount uint32, expect int) *testDaemon {
 	GinkgoHelper()
 	known.set(members.StateAlive, self)
-	made := &testDaemon{self: self, store: store, ended: make(chan error, 1), machines: map[identity.Shard]*listMachine{}}
+	daemon := &testDaemon{self: self, store: store, ended: make(chan error, 1), machines: map[identity.Shard]*listMachine{}}
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	var err error
-	made.node, err = NewNode(Options{
+	daemon.node, err = NewNode(Options{
 		Self: self, Directory: known, Shards: shardCount, Expect: expect, RowBytes: testRowBytes, Reconcile: 2 * time.Millisecond, SnapshotAfter: 2000,
 		Store: state.NewClient(state.ClientOptions{Store: store, Availability: availability, Probe: state.Single(headKey(1))}),
 		NewMachine: func(shard identity.Shard) StateMachine {
-			made.mutex.Lock()
-			defer made.mutex.Unlock()
-			made.machines[shard] = &listMachine{}
-			return made.machines[shard]
+			daemon.mutex.Lock()
+			defer daemon.mutex.Unlock()
+			daemon.machines[shard] = &listMachine{}
+			return daemon.machines[shard]
 		},
 	})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
-	made.stop = cancel
-	go func() { made.ended <- made.node.Run(ctx) }()
+	daemon.stop = cancel
+	go func() { daemon.ended <- daemon.node.Run(ctx) }()
 	go func() {
 		for {
 			select {
-			case <-made.node.Changes():
+			case <-daemon.node.Changes():
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	DeferCleanup(made.kill)
-	return made
+	DeferCleanup(daemon.kill)
+	return daemon
 }
 
 // kill stops the daemon without handing over its shards. It may be called repeatedly.
-func (f *testDaemon) kill() {
-	f.stop()
-	Eventually(f.ended).Should(Receive())
-	f.ended <- nil
+func (d *testDaemon) kill() {
+	d.stop()
+	Eventually(d.ended).Should(Receive())
+	d.ended <- nil
 }
 
-func (f *testDaemon) leads(shard identity.Shard) bool { return f.node.replica(shard) != nil }
+func (d *testDaemon) leads(shard identity.Shard) bool { return d.node.replica(shard) != nil }
 
-func (f *testDaemon) machine(shard identity.Shard) *listMachine {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	return f.machines[shard]
+func (d *testDaemon) machine(shard identity.Shard) *listMachine {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.machines[shard]
 }
 
-func (f *testDaemon) propose(ctx context.Context, shard identity.Shard, format string, arguments ...any) error {
-	_, err := f.node.Propose(ctx, shard, []byte(fmt.Sprintf(format, arguments...)))
+func (d *testDaemon) propose(ctx context.Context, shard identity.Shard, format string, arguments ...any) error {
+	_, err := d.node.Propose(ctx, shard, []byte(fmt.Sprintf(format, arguments...)))
 	return err
 }
--- a/internal/shards/swap.go
+++ b/internal/shards/swap.go
@@ -52,8 +52,9 @@
 
 // resolveConflict returns the version of the head row if the conflict was caused by an earlier
 // attempt of the same commit, which it recognizes by the nonce. Otherwise another leader
-// changed the head, and the error is ErrUncertain if an earlier attempt may have been committed
-// before that, else ErrNotLeader.
+// changed the head. The error is then ErrUncertain if an attempt had no answer and the new
+// head's Last is at least next.Last, so that the attempt may have been committed before the
+// change, else ErrNotLeader.
 func (n *Node) resolveConflict(shard identity.Shard, conflict *state.ConflictError, next head, maybeCommitted, checkOnly bool) (state.Version, error) {
 	row, found := conflict.Find(headKey(shard))
 	var present head
