--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -93,7 +93,7 @@
 
 // receiveRecord accepts one record and returns true if it is the first report of its engine. A
 // record of an undeclared engine is ignored. A record that cannot be completed causes a fetch
-// from the sender. The caller must hold s.mutex.
+// from the sender. The caller must hold e.mutex.
 func (e *digestExchange) receiveRecord(table *engineTable, read *record, batch *DigestBatch, now time.Time) bool {
 	tracked, declared := table.byHash[read.Hash]
 	if !declared {
--- a/internal/engine/silence.go
+++ b/internal/engine/silence.go
@@ -11,10 +11,10 @@
 // A daemon may keep its lease and still be cut off from this daemon, if both can reach the
 // store. This daemon then receives no digests of the engines that the other one supervises, and
 // would refuse requests for them. Therefore a daemon that supervises engines but whose digests
-// stop arriving is ignored when engines are assigned, and another daemon claims its engines.
-// Two daemons may then supervise an engine. Each claims it again with a higher fencing token,
-// and the engine refuses orders with a lower one. When digests arrive again, the engines return
-// to the first daemon.
+// stop arriving here is ignored when engines are assigned, and another daemon claims its
+// engines. Two daemons may then supervise an engine. Each claims it again with a higher fencing
+// token, and the engine refuses orders with a lower one. When its digests arrive again, the
+// engines return to the daemon that was cut off.
 
 // digestTimes records when the digests of each supervisor were last received, directly or
 // through a relay. It is safe for concurrent use.
