--- a/internal/engine/codec.go
+++ b/internal/engine/codec.go
@@ -78,7 +78,7 @@
 }
 
 // encodedCacheUse returns the share of the cache in use, scaled to cacheUseSteps. Encoding a
-// decoded value gives the same result, so that relays do not change it.
+// decoded value gives the same byte again, so that relays do not change it.
 func encodedCacheUse(digest *Digest) byte {
 	if digest.CacheTokens <= 0 {
 		return 0
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -52,7 +52,7 @@
 	CacheTokens   int64   // capacity of the prefix cache in tokens
 	PrefillPerSec float64 // prompt tokens per second
 	DecodePerSec  float64 // generated tokens per second and sequence
-	MaxRunning    int     // maximum sequences that run at once
+	MaxRunning    int     // maximum number of sequences that run at once
 	Serving       bool    // the role is RoleServe and no order is being executed
 	Role          string  // one of the Role constants
 	Loading       bool    // the engine is executing an order
--- a/internal/engine/follow.go
+++ b/internal/engine/follow.go
@@ -155,11 +155,11 @@
 // engines that the rendezvous hash assigns to it among the given daemons.
 func (s *Service) assignSupervisors(ctx context.Context, next *engineTable, daemons []identity.Process) {
 	wanted := map[string]*trackedEngine{}
-	candidates := newCandidates(daemons)
-	for _, candidate := range next.engines {
-		process, found := candidates.owner(candidate.declared.Name)
+	owners := newCandidates(daemons)
+	for _, tracked := range next.engines {
+		process, found := owners.owner(tracked.declared.Name)
 		if found && process == s.self {
-			wanted[candidate.declared.Name] = candidate
+			wanted[tracked.declared.Name] = tracked
 		}
 	}
 	for name, current := range maps.Clone(s.supervisors) {
@@ -168,9 +168,9 @@
 			delete(s.supervisors, name)
 		}
 	}
-	for name, candidate := range wanted {
+	for name, tracked := range wanted {
 		if _, found := s.supervisors[name]; !found {
-			s.startSupervisor(ctx, candidate)
+			s.startSupervisor(ctx, tracked)
 		}
 	}
 	s.metrics.supervised.Set(float64(len(wanted)))
@@ -178,9 +178,9 @@
 
 // startSupervisor starts supervising the engine. The supervisor runs until its stop function in
 // s.supervisors is called or the context ends.
-func (s *Service) startSupervisor(ctx context.Context, candidate *trackedEngine) {
+func (s *Service) startSupervisor(ctx context.Context, tracked *trackedEngine) {
 	ctx, stop := context.WithCancel(ctx)
-	s.supervisors[candidate.declared.Name] = supervision{engine: candidate, stop: stop}
-	supervisor := newSupervisor(s, candidate)
+	s.supervisors[tracked.declared.Name] = supervision{engine: tracked, stop: stop}
+	supervisor := newSupervisor(s, tracked)
 	s.running.Go(func() { supervisor.run(ctx) })
 }
--- a/internal/engine/machines.go
+++ b/internal/engine/machines.go
@@ -64,9 +64,9 @@
 	return slices.Contains(d.readers, machine)
 }
 
-// merge stores a reader's list and returns true if the list is newer than the known one, else
-// it does nothing. A machine is leaving if any reader lists it. Lists of former readers are
-// dropped once a current reader has reported.
+// If the reader's list is newer than the known one, merge stores it and returns true. A machine
+// is leaving if any reader lists it. Lists of former readers are dropped once a current reader
+// has reported.
 func (d *departureSet) merge(update Departures) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/engine/prefixes.go
+++ b/internal/engine/prefixes.go
@@ -12,7 +12,7 @@
 // PrefixRun is the beginning of a prompt that other programs may share.
 type PrefixRun struct {
 	Hash   uint64 // hash of the model, the adapter and the text
-	Tokens int64  // estimated
+	Tokens int64  // estimated length in tokens
 }
 
 // PrefixLearner records which prefixes the engines hold. *Service implements it.
--- a/internal/shards/leading.go
+++ b/internal/shards/leading.go
@@ -104,7 +104,7 @@
 		return err
 	}
 	if stored.head.Term > known {
-		return eris.Errorf("%s leads with term %d, expected term %d", stored.head.Leader, stored.head.Term, known)
+		return eris.Errorf("leader %s has term %d, expected at most %d", stored.head.Leader, stored.head.Term, known)
 	}
 	next := stored.head
 	next.Leader = n.options.Self
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -35,8 +35,8 @@
 	Shards   uint32 // number of shards; ignored if the store already has a number
 	Expect   int    // daemons that must be alive before shards get their first leaders
 	RowBytes int    // maximum size of a row's value in bytes
-	// SnapshotAfter is the size of the log in bytes, in addition to the size of the last
-	// snapshot, at which the next snapshot is written. 0: 1 MiB.
+	// A snapshot is written when the log has grown by more than SnapshotAfter bytes plus the
+	// size of the last snapshot, or by more than 2048 batches. 0: 1 MiB.
 	SnapshotAfter int
 	Log           *zap.Logger
 	Registry      prometheus.Registerer // nil: metrics are counted but not registered
--- a/internal/shards/rows.go
+++ b/internal/shards/rows.go
@@ -141,8 +141,8 @@
 	return batch, nil
 }
 
-// supersededKeys returns the keys of the log and snapshot rows that the snapshot of the current
-// head replaces.
+// supersededKeys returns the keys of the log and snapshot rows that the snapshot in the head
+// replaces.
 func supersededKeys(rows []state.Row, current head) []state.Key {
 	var keys []state.Key
 	for _, row := range rows {
--- a/internal/shards/snapshot.go
+++ b/internal/shards/snapshot.go
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// removeSupersededRows removes the rows that the snapshot of the current head replaces. Rows
-// that remain after an error are removed after the next snapshot.
+// removeSupersededRows removes the rows that the snapshot in the head replaces. Rows that
+// remain after an error are removed after the next snapshot.
 func (n *Node) removeSupersededRows(ctx context.Context, shard identity.Shard, current head) {
 	rows, err := n.readRows(ctx, shard)
 	if err != nil {
--- a/internal/shards/swap.go
+++ b/internal/shards/swap.go
@@ -20,9 +20,9 @@
 //
 // The error is ErrUncertain if the commit may have been accepted, and ErrNotLeader if it was
 // not.
-func (n *Node) commitHead(ctx context.Context, shard identity.Shard, version state.Version, former, next head, puts []state.Put) (state.Version, error) {
+func (n *Node) commitHead(ctx context.Context, shard identity.Shard, version state.Version, previous, next head, puts []state.Put) (state.Version, error) {
 	commit := state.Commit{Class: state.ClassTurn, Conditions: []state.Condition{{Key: headKey(shard), Version: version}}, Puts: puts}
-	checkOnly := former == next && len(puts) == 0
+	checkOnly := previous == next && len(puts) == 0
 	if !checkOnly {
 		next.Nonce = rand.Uint64()
 		commit.Puts = append([]state.Put{{Key: headKey(shard), Value: encode(next)}}, puts...)
