--- a/internal/execution/admission.go
+++ b/internal/execution/admission.go
@@ -10,16 +10,16 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// rateWindow is the window in which a tenant's rate and burst hold here.
+// rateWindow is the period over which the limiter enforces a tenant's rate and burst.
 const rateWindow = time.Second
 
-// admission bounds the rate of each tenant's new work at this daemon, which
-// gets as large a part of the configured rate as it leads of the shards. Keys
-// spread over the shards evenly, so that the fleet's sum stays near the
-// configured rate; it is exact only while shards and keys are even. At least one
-// request in a window is admitted at each daemon.
+// admission limits the rate at which this daemon accepts new work of each
+// tenant. The limits are the tenant's configured rate and burst, multiplied by
+// the fraction of shards that this daemon leads; the burst is at least one
+// request. The limits of all daemons add up to about the configured rate.
+// admission is safe for concurrent use.
 type admission struct {
-	share   func() float64 // this daemon's part of the shards
+	share   func() float64 // fraction of all shards that this daemon leads, 0 to 1
 	limiter *quota.Limiter
 }
 
@@ -27,7 +27,8 @@
 	return &admission{share: share, limiter: quota.NewAlone(quota.Settings{Window: rateWindow}, time.Now)}
 }
 
-// admit takes one request of the tenant's, or says how long there will be none.
+// admit counts one request against the tenant's rate. If the rate is exceeded,
+// it returns false and how long the caller should wait before it retries.
 func (a *admission) admit(declared *configuration.Tenant) (time.Duration, bool) {
 	if declared.RequestsPerSecond <= 0 {
 		return 0, true
--- a/internal/execution/admission_test.go
+++ b/internal/execution/admission_test.go
@@ -10,7 +10,7 @@
 	"github.com/thymeloft/thymeloft/internal/quota"
 )
 
-func TestALeaderAllowsItsPartOfTheRate(t *testing.T) {
+func TestAdmissionLimitsRateToShardShare(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	share := 0.25
 	now := time.Unix(1000, 0)
@@ -30,7 +30,7 @@
 	}
 	expect.Expect(admitted()).To(gomega.Equal(10))
 	share = 1
-	expect.Expect(admitted()).To(gomega.Equal(30), "when it leads all shards, less what it took")
+	expect.Expect(admitted()).To(gomega.Equal(30), "the whole burst minus the requests already admitted")
 	now = now.Add(rateWindow + rateWindow/10)
-	expect.Expect(admitted()).To(gomega.Equal(40), "the steady rate filled it up again")
+	expect.Expect(admitted()).To(gomega.Equal(40), "the rate has refilled the whole burst")
 }
--- a/internal/execution/attempt.go
+++ b/internal/execution/attempt.go
@@ -12,12 +12,12 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// cancelGrace is left to the dispatcher after the deadline of an attempt, to
-// cancel at the back end and to report.
+// cancelGrace is how long the dispatcher may take, after an attempt's deadline
+// or its cancellation, to cancel at the back end and return its report.
 const cancelGrace = 10 * time.Second
 
-// attempt commits an attempt, sends it and acts on its end. It returns false
-// when the runner is done.
+// attempt commits an attempt to the log, sends it, and commits its result. It
+// returns true if the call needs another step, and false if the run is over.
 func (r *run) attempt(call *program.Call, head *program.Head, chosen *placement) bool {
 	committed, ok := r.commitDispatch(chosen)
 	if !ok {
@@ -26,26 +26,29 @@
 	}
 	r.stream.restart(committed.Number)
 	started := time.Now()
-	report, ended := r.send(r.order(call, head, chosen, committed.Number))
+	report, ended := r.send(r.newOrder(call, head, chosen, committed.Number))
 	if !ended {
 		chosen.done(false, 0)
 		return false
 	}
-	chosen.done(judge(&report, time.Since(started)))
-	return r.conclude(call, &committed, &report)
+	chosen.done(assessReport(&report, time.Since(started)))
+	return r.commitReport(call, &committed, &report)
 }
 
-// judge tells what an end says of the engine: an attempt that did not reach
-// it or that it refused is a failure too, one that was cancelled says nothing.
-func judge(report *dispatch.Report, elapsed time.Duration) (failed bool, counted time.Duration) {
+// assessReport returns what the fleet should record about the engine that was
+// tried. Every attempt without an answer counts as a failure, including those
+// that did not reach the engine or that it refused. For a cancelled attempt,
+// which says nothing about the engine, the results are false and zero.
+func assessReport(report *dispatch.Report, elapsed time.Duration) (failed bool, counted time.Duration) {
 	if report.Problem != nil && report.Problem.Kind == problem.KindCancelled {
 		return false, 0
 	}
 	return report.Ending != dispatch.EndingAnswered, elapsed
 }
 
-// commitDispatch puts the attempt into the log. Nothing may be sent unless it
-// returns true: the command committed while this daemon leads.
+// commitDispatch commits the attempt to the log and returns it with its number.
+// It returns true only if the command committed while this daemon was still the
+// leader; otherwise the attempt must not be sent.
 func (r *run) commitDispatch(chosen *placement) (program.Attempt, bool) {
 	attempt := program.Attempt{
 		Process:  r.lead.service.options.Self,
@@ -62,13 +65,13 @@
 		r.pause(r.backoff.NextBackOff())
 		return attempt, false
 	case err != nil:
-		r.withdraw(attempt.Nonce)
+		r.releaseUnsent(attempt.Nonce)
 		return attempt, false
 	case result.Problem != nil && result.Problem.Kind == problem.KindConflict:
-		r.giveUpUnsent(result.Call, result.Problem) // the log allows no further attempt
+		r.giveUpUnsent(result.Call, result.Problem) // the shard allows no further attempt
 		return attempt, false
 	case result.Problem != nil:
-		// The budget or the program's state changed since it was read.
+		// The budget or the program's state has changed since this run read it.
 		r.pause(r.backoff.NextBackOff())
 		return attempt, false
 	}
@@ -76,19 +79,21 @@
 	return attempt, r.lead.ctx.Err() == nil
 }
 
-// withdraw releases an attempt whose commitment is uncertain: it was not
-// sent, so that the proof is this runner's own. The release stands after the
-// dispatch in the log, or finds no such attempt. It names the nonce, not the
-// number that was expected: delayed past a change of leader, the release could
-// else take back an attempt that the successor sent.
-func (r *run) withdraw(nonce uint64) {
-	r.insist(program.Command{
+// releaseUnsent releases an attempt that was never sent because its dispatch
+// command may or may not have committed. If the dispatch did commit, the
+// release follows it in the log; if not, the release finds no such attempt. The
+// command identifies the attempt by its nonce and not by its expected number,
+// because the next leader may have sent another attempt under that number.
+func (r *run) releaseUnsent(nonce uint64) {
+	r.proposeUntilDecided(program.Command{
 		Kind: program.CommandRelease, Program: r.key.Program, Sequence: r.key.Sequence,
 		Attempt: program.Attempt{Nonce: nonce},
 	})
 }
 
-func (r *run) order(call *program.Call, head *program.Head, chosen *placement, number uint32) dispatch.Order {
+// newOrder returns the dispatch order for the call's attempt with the given
+// number.
+func (r *run) newOrder(call *program.Call, head *program.Head, chosen *placement, number uint32) dispatch.Order {
 	return dispatch.Order{
 		Program:  r.key.Program,
 		Tenant:   head.Tenant,
@@ -103,8 +108,9 @@
 	}
 }
 
-// send runs the attempt. When the leadership ends first it returns false and
-// leaves the attempt alone: cancelling it would take it from the next leader.
+// send dispatches the attempt and waits for its report. If the leadership ends
+// first, it returns false and does not cancel the attempt at the back end,
+// because the next leader looks it up there.
 func (r *run) send(order dispatch.Order) (dispatch.Report, bool) {
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(r.ctx))
 	reports := make(chan dispatch.Report, 1)
@@ -135,22 +141,22 @@
 		case <-overdue.C:
 			return dispatch.Report{
 				Ending:  dispatch.EndingUnknown,
-				Problem: problem.New(problem.KindOutcomeUnknown, "cancel attempt", "no end was reported").WithPeer(order.BackEnd),
+				Problem: problem.New(problem.KindOutcomeUnknown, "cancel attempt", "the dispatcher returned no report in time").WithPeer(order.BackEnd),
 			}, true
 		}
 	}
 }
 
-// conclude commits what the report proves. It returns true when the call is
-// to be tried again.
-func (r *run) conclude(call *program.Call, attempt *program.Attempt, report *dispatch.Report) bool {
+// commitReport commits the result of the attempt. It returns true if the call
+// needs another attempt, and false if the run is over.
+func (r *run) commitReport(call *program.Call, attempt *program.Attempt, report *dispatch.Report) bool {
 	switch report.Ending {
 	case dispatch.EndingAnswered:
-		r.answered(call, attempt, report.Answer)
+		r.commitAnswer(call, attempt, report.Answer)
 		return false
 	case dispatch.EndingNeverRan:
-		r.insist(r.about(attempt, program.CommandRelease))
-		return r.again(attempt.BackEnd, report.Retry)
+		r.proposeUntilDecided(r.attemptCommand(attempt, program.CommandRelease))
+		return r.backOffAndRetry(attempt.BackEnd, report.Retry)
 	}
 	spent := report.Generated
 	if report.Ending == dispatch.EndingUnknown {
@@ -160,31 +166,36 @@
 		r.giveUpAttempt(attempt, spent, report.Problem)
 		return false
 	}
-	settle := r.about(attempt, program.CommandSettle)
+	settle := r.attemptCommand(attempt, program.CommandSettle)
 	settle.Spent = spent
-	r.insist(settle)
-	return r.again(attempt.BackEnd, report.Retry)
+	r.proposeUntilDecided(settle)
+	return r.backOffAndRetry(attempt.BackEnd, report.Retry)
 }
 
-// about makes a command about an attempt. The nonce goes with the number, so
-// that a late command never meets another sender's attempt of that number.
-func (r *run) about(attempt *program.Attempt, kind program.CommandKind) program.Command {
+// attemptCommand returns a command of the given kind for an attempt. It carries
+// the attempt's nonce besides its number, so that a delayed command cannot apply
+// to an attempt that another leader committed under the same number.
+func (r *run) attemptCommand(attempt *program.Attempt, kind program.CommandKind) program.Command {
 	return program.Command{
 		Kind: kind, Program: r.key.Program, Sequence: r.key.Sequence,
 		Number: attempt.Number, Attempt: program.Attempt{Nonce: attempt.Nonce},
 	}
 }
 
-// again excludes the back end for this call and backs off.
-func (r *run) again(backEnd string, advice time.Duration) bool {
+// backOffAndRetry excludes the back end for the rest of this run and then waits
+// for the exponential backoff or, if it is longer, for the delay that the back
+// end advised, which is capped at maxBackoff. It returns false if the leadership
+// has ended.
+func (r *run) backOffAndRetry(backEnd string, advice time.Duration) bool {
 	r.excluded = append(r.excluded, backEnd)
 	r.lead.service.metrics.retries.Inc()
-	r.pause(max(r.backoff.NextBackOff(), min(advice, longestBackoff)))
+	r.pause(max(r.backoff.NextBackOff(), min(advice, maxBackoff)))
 	return r.lead.ctx.Err() == nil
 }
 
-// giveUpAttempt ends the call with its last attempt. Failed is said only if
-// the end of every attempt is known.
+// giveUpAttempt ends the call after its last attempt. spent is the number of
+// tokens that the attempt generated, or -1 if unknown. The outcome is "failed"
+// only if the end of every attempt is known, and "unknown" otherwise.
 func (r *run) giveUpAttempt(attempt *program.Attempt, spent int64, found *problem.Problem) {
 	final := problem.Problem{Kind: problem.KindBackEndFailed, Step: "send"}
 	if found != nil {
@@ -203,31 +214,32 @@
 	r.giveUp(attempt, spent, &final)
 }
 
-// answered commits the answer; followers see the end only afterwards.
-func (r *run) answered(call *program.Call, attempt *program.Attempt, answer *program.Answer) {
+// commitAnswer commits the answer, with its durations counted from acceptance.
+// Followers see the final state only after the commit.
+func (r *run) commitAnswer(call *program.Call, attempt *program.Attempt, answer *program.Answer) {
 	stored := *answer
 	sinceAcceptance := time.Since(call.AcceptedAt)
-	before := max(0, sinceAcceptance-stored.Elapsed)
-	stored.Elapsed += before
+	waited := max(0, sinceAcceptance-stored.Elapsed)
+	stored.Elapsed += waited
 	if stored.FirstToken > 0 {
-		stored.FirstToken += before
+		stored.FirstToken += waited
 	}
-	command := r.about(attempt, program.CommandAnswer)
+	command := r.attemptCommand(attempt, program.CommandAnswer)
 	command.Answer = &stored
-	result := r.insist(command)
+	result := r.proposeUntilDecided(command)
 	if result == nil {
 		return
 	}
-	if stands := result.Call; stands == nil || stands.Answer == nil || stands.Answer.Attempt != attempt.Number {
-		r.log("execution: an answer came too late.", result.Problem)
+	if current := result.Call; current == nil || current.Answer == nil || current.Answer.Attempt != attempt.Number {
+		r.log("execution: discarded a late answer.", result.Problem)
 		return
 	}
 	service := r.lead.service
 	service.metrics.calls.WithLabelValues(string(result.Call.State)).Inc()
 	service.metrics.latency.WithLabelValues(string(call.Spec.Target)).Observe(stored.Elapsed.Seconds())
 	if call.Spec.Target == program.TargetModel && stored.Engine != "" {
-		r.learnTrust(&stored)
-		r.hold(&stored)
-		r.noteServed(stored.Engine, call)
+		r.recordCacheHits(&stored)
+		r.holdPrefix(&stored)
+		r.recordServed(stored.Engine, call)
 	}
 }
--- a/internal/execution/daemon_test.go
+++ b/internal/execution/daemon_test.go
@@ -20,19 +20,20 @@
 	tenant identity.Tenant = "tenant"
 )
 
-// site is some daemons of one replica group, with one world of back ends.
-type site struct {
+// testCluster is a set of daemons of one replica group that share the same fake
+// back ends, engines and configuration.
+type testCluster struct {
 	log           *fakeLog
 	backEnd       *backEnd
 	fleet         *fakeFleet
 	policy        *fakePolicy
 	configuration *fakeConfiguration
 	limits        execution.Limits
-	shards        uint32 // of the map; one is led
+	shards        uint32 // number of shards in the shard map; the daemons replicate only one of them
 	daemons       []*daemon
 }
 
-// daemon is one of them.
+// daemon is one daemon of a testCluster.
 type daemon struct {
 	*execution.Service
 	groups  *fakeGroups
@@ -40,7 +41,8 @@
 	stop    func()
 }
 
-// waitingCalls reads the gauge of calls that wait for an engine.
+// waitingCalls returns the metric value for calls that wait for an engine, or -1
+// if the metric is missing.
 func (d *daemon) waitingCalls() float64 {
 	families, err := d.metrics.Gather()
 	Expect(err).NotTo(HaveOccurred())
@@ -52,8 +54,8 @@
 	return -1
 }
 
-func newSite() *site {
-	return &site{
+func newTestCluster() *testCluster {
+	return &testCluster{
 		log:           &fakeLog{},
 		backEnd:       &backEnd{executions: make(map[string]int)},
 		fleet:         newFakeFleet(),
@@ -63,7 +65,8 @@
 	}
 }
 
-func (s *site) start(name string) *daemon {
+// start starts a daemon that does not lead, and stops it when the spec ends.
+func (s *testCluster) start(name string) *daemon {
 	self := identity.Process{Machine: identity.Machine(name), Incarnation: 1, Address: name}
 	groups := s.log.join(self)
 	metrics := prometheus.NewRegistry()
@@ -89,8 +92,8 @@
 	return started
 }
 
-// leading gives the daemon that leads by the log.
-func (s *site) leading() *daemon {
+// leadingDaemon returns the daemon that is the leader according to the log.
+func (s *testCluster) leadingDaemon() *daemon {
 	leader, _ := s.daemons[0].groups.Leader(shard)
 	for _, candidate := range s.daemons {
 		if candidate.groups.self == leader {
@@ -100,8 +103,9 @@
 	return nil
 }
 
-// startLeader starts a daemon and waits until it serves.
-func (s *site) startLeader(name string) *daemon {
+// startLeader starts a daemon, makes it the leader and waits until it serves
+// requests.
+func (s *testCluster) startLeader(name string) *daemon {
 	started := s.start(name)
 	s.log.lead(started.groups)
 	started.awaitLeading()
@@ -142,7 +146,8 @@
 	return reply
 }
 
-// follow reads until the end and gives the content as pieced together.
+// follow reads a call until it is final or the request fails. It returns the
+// content assembled from all replies, and the last reply.
 func (d *daemon) follow(identifier identity.Program, sequence uint64) (string, execution.FollowReply) {
 	var content strings.Builder
 	arguments := execution.FollowArguments{Tenant: tenant, Program: identifier, Sequence: sequence, Wait: time.Second}
--- a/internal/execution/drain.go
+++ b/internal/execution/drain.go
@@ -14,23 +14,23 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// handOverTimeout bounds one hand-over: a shard that was not handed over in
-// this time is taken by another daemon once this one has ended.
+// handOverTimeout limits how long the hand-over of one shard may take. If it
+// takes longer, another daemon takes over the shard after this one has exited.
 const handOverTimeout = 5 * time.Second
 
-// Drain takes no new work and hands over each shard led here, once its calls
-// have ended. After Limits.DrainPatience, calls of models that may be repeated
-// go with their shard: the next leader resumes their streams at the engine,
-// so that one long answer does not hold up the other programs. It returns the
-// context's error if calls are still under way then.
+// Drain stops the service from accepting new work and hands over the leadership
+// of each shard once the shard's calls have ended. After Limits.DrainPatience,
+// repeatable model calls no longer delay the hand-over: the next leader resumes
+// their streams at the engine. Drain returns the context's error if the context
+// ends while calls that must finish here are still running.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.logger.Info("execution: draining.")
-	patience := time.Now().Add(s.limits.DrainPatience)
+	patienceEnd := time.Now().Add(s.limits.DrainPatience)
 	var groups errgroup.Group
 	for _, status := range s.options.Groups.Status() {
 		if status.Leading {
-			groups.Go(func() error { return s.drainGroup(ctx, status.Shard, patience) })
+			groups.Go(func() error { return s.drainShard(ctx, status.Shard, patienceEnd) })
 		}
 	}
 	err := groups.Wait()
@@ -38,10 +38,10 @@
 	return err
 }
 
-func (s *Service) drainGroup(ctx context.Context, number identity.Shard, patience time.Time) error {
-	ticker := time.NewTicker(runnerPoll)
+func (s *Service) drainShard(ctx context.Context, number identity.Shard, patienceEnd time.Time) error {
+	ticker := time.NewTicker(runnerPollInterval)
 	defer ticker.Stop()
-	for s.holdsUp(number, time.Now().After(patience)) {
+	for s.hasBlockingCall(number, time.Now().After(patienceEnd)) {
 		select {
 		case <-ctx.Done():
 			return eris.Wrapf(ctx.Err(), "drain shard %d", number)
@@ -52,39 +52,41 @@
 	defer cancel()
 	err := s.options.Groups.HandOver(ctx, number)
 	if errors.Is(err, shards.ErrNotLeader) {
-		return nil // Another leads it already.
+		return nil // another daemon already leads the shard
 	}
 	return eris.Wrapf(err, "hand over shard %d", number)
 }
 
-// holdsUp says whether a call has to end here before its group is handed over.
-func (s *Service) holdsUp(number identity.Shard, impatient bool) bool {
-	lead := (*s.leaders.Load())[number]
+// hasBlockingCall reports whether a call of the shard must end on this daemon
+// before the shard is handed over. With skipResumable set, repeatable model
+// calls do not count, because the next leader can resume them.
+func (s *Service) hasBlockingCall(number identity.Shard, skipResumable bool) bool {
+	lead := (*s.leaderships.Load())[number]
 	if lead == nil {
 		return false
 	}
-	for _, running := range lead.running() {
+	for _, running := range lead.allRuns() {
 		call, _, _ := running.call()
 		resumable := call.Spec.Target == program.TargetModel && !call.Spec.NotRepeatable
-		if !impatient || !resumable {
+		if !skipResumable || !resumable {
 			return true
 		}
 	}
 	return false
 }
 
-// callsUnderWay counts the runners.
-func (s *Service) callsUnderWay() int {
+// countRuns returns the number of calls that this daemon is running.
+func (s *Service) countRuns() int {
 	count := 0
-	for _, lead := range *s.leaders.Load() {
-		count += len(lead.running())
+	for _, lead := range *s.leaderships.Load() {
+		count += len(lead.allRuns())
 	}
 	return count
 }
 
-// Idle tells whether no call of the shard is under way here, so that it may be
-// handed over without anybody noticing.
+// Idle reports whether this daemon leads the shard and runs none of its calls,
+// so that a hand-over would not affect any caller.
 func (s *Service) Idle(number identity.Shard) bool {
-	lead := (*s.leaders.Load())[number]
-	return lead != nil && len(lead.running()) == 0
+	lead := (*s.leaderships.Load())[number]
+	return lead != nil && len(lead.allRuns()) == 0
 }
--- a/internal/execution/failover_test.go
+++ b/internal/execution/failover_test.go
@@ -17,14 +17,14 @@
 
 var _ = Describe("A change of leader", func() {
 	var (
-		place        *site
+		cluster      *testCluster
 		first, other *daemon
 		release      chan struct{}
 	)
 	BeforeEach(func() {
-		place = newSite()
-		first = place.startLeader("a")
-		other = place.start("b")
+		cluster = newTestCluster()
+		first = cluster.startLeader("a")
+		other = cluster.start("b")
 		release = make(chan struct{})
 		DeferCleanup(func() {
 			select {
@@ -35,10 +35,11 @@
 		})
 	})
 
-	// blockFirst executes the first order and holds its answer back; a lookup
-	// ends as told, or finds the answer.
+	// blockFirst makes the back end execute the first attempt but delay its
+	// answer until release is closed. Later attempts are answered at once, and
+	// lookups of attempts return the report of the given function.
 	blockFirst := func(lookup func(dispatch.Order, func(string)) dispatch.Report) {
-		release, backEnd := release, place.backEnd // an attempt may outlive its spec
+		release, backEnd := release, cluster.backEnd // copied, since an attempt may run longer than its spec
 		backEnd.setBehaviour(func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
 			switch {
 			case order.Resume:
@@ -46,45 +47,45 @@
 			case order.Number > 1:
 				return backEnd.answer(order, piece)
 			}
-			backEnd.executed(order)
+			backEnd.recordExecution(order)
 			piece("ans")
 			select {
 			case <-release:
 				return answered(order, "answer 1")
 			case <-ctx.Done():
-				return backEnd.stopped(ctx)
+				return backEnd.reportStopped(ctx)
 			}
 		})
 	}
 	submitAndMove := func(spec program.CallSpec) identity.Program {
 		identifier := first.create("key", program.Limits{TokenBudget: 1000}, "")
 		first.submit(identifier, spec)
-		Eventually(place.backEnd.sent).Should(HaveLen(1))
-		place.log.lead(other.groups)
+		Eventually(cluster.backEnd.sent).Should(HaveLen(1))
+		cluster.log.lead(other.groups)
 		other.awaitLeading()
 		return identifier
 	}
 	found := func(order dispatch.Order, _ func(string)) dispatch.Report { return answered(order, "answer 1") }
 	neverRan := func(dispatch.Order, func(string)) dispatch.Report { return ended(dispatch.EndingNeverRan, 0) }
 
-	It("finds the answer at the back end, sends nothing anew and cancels nothing", func() {
+	It("finds the answer at the back end without resending or cancelling the call", func() {
 		blockFirst(found)
 		identifier := submitAndMove(serviceCall(1))
 		_, reply := other.follow(identifier, 1)
 		Expect(reply.State).To(Equal(program.CallAnswered))
-		Expect(place.backEnd.count(identifier, 1)).To(Equal(1))
-		close(release) // the former leader's answer comes too late
+		Expect(cluster.backEnd.count(identifier, 1)).To(Equal(1))
+		close(release) // the former leader receives its answer too late
 		Eventually(func() any {
 			followed, _ := first.Follow(context.Background(), execution.FollowArguments{Tenant: tenant, Program: identifier, Sequence: 1})
 			return followed.Problem
 		}).Should(HaveField("Leader", "b"))
-		Expect(place.backEnd.cancellations()).To(BeZero())
-		Expect(place.log.count(program.CommandAnswer)).To(Equal(1))
-		Expect(place.log.count(program.CommandDispatch)).To(Equal(1))
+		Expect(cluster.backEnd.cancellations()).To(BeZero())
+		Expect(cluster.log.count(program.CommandAnswer)).To(Equal(1))
+		Expect(cluster.log.count(program.CommandDispatch)).To(Equal(1))
 	})
 
-	It("cancels nothing of many calls under way", func() {
-		backEnd := place.backEnd
+	It("cancels none of many running calls", func() {
+		backEnd := cluster.backEnd
 		backEnd.setBehaviour(func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
 			if order.Resume {
 				return ended(dispatch.EndingUnknown, -1)
@@ -96,24 +97,24 @@
 			identifier := first.create(strconv.Itoa(number), program.Limits{}, "")
 			first.submit(identifier, serviceCall(1))
 		}
-		Eventually(place.backEnd.sent).Should(HaveLen(calls))
-		place.log.lead(other.groups)
+		Eventually(cluster.backEnd.sent).Should(HaveLen(calls))
+		cluster.log.lead(other.groups)
 		other.awaitLeading()
-		Eventually(func() int { return place.log.count(program.CommandGiveUp) }).Should(Equal(calls))
+		Eventually(func() int { return cluster.log.count(program.CommandGiveUp) }).Should(Equal(calls))
 		Eventually(first.Drain).WithArguments(context.Background()).Should(Succeed())
-		Expect(place.backEnd.cancellations()).To(BeZero())
+		Expect(cluster.backEnd.cancellations()).To(BeZero())
 	})
 
-	It("never sends again, nor denies, a call not to be repeated that the back end does not know", func() {
+	It("never resends or denies a non-repeatable call that the back end does not know", func() {
 		blockFirst(neverRan)
 		identifier := submitAndMove(serviceCall(1))
 		_, reply := other.follow(identifier, 1)
 		Expect(reply.State).To(Equal(program.CallUnknown))
 		Expect(reply.Problem.Outcome).To(Equal(problem.OutcomeUnknown))
-		Expect(place.log.count(program.CommandDispatch)).To(Equal(1))
+		Expect(cluster.log.count(program.CommandDispatch)).To(Equal(1))
 	})
 
-	It("tries a repeatable call anew, with the lost reservation kept", func() {
+	It("retries a repeatable call and keeps the reservation of the lost attempt", func() {
 		blockFirst(neverRan)
 		identifier := submitAndMove(modelCall(1))
 		content, reply := other.follow(identifier, 1)
@@ -123,41 +124,41 @@
 		Expect(other.history(identifier).Spent).To(BeEquivalentTo(tokensOfAnswer))
 	})
 
-	It("takes up a call that was accepted and never dispatched", func() {
-		place.policyWaits()
+	It("runs a call that was accepted but never dispatched", func() {
+		cluster.makePolicyWait()
 		identifier := first.create("key", program.Limits{}, "")
 		first.submit(identifier, modelCall(1))
-		place.log.lead(other.groups)
+		cluster.log.lead(other.groups)
 		other.awaitLeading()
-		place.policy.decision.Store(nil)
+		cluster.policy.decision.Store(nil)
 		_, reply := other.follow(identifier, 1)
 		Expect(reply.State).To(Equal(program.CallAnswered))
-		Expect(place.backEnd.count(identifier, 1)).To(Equal(1))
+		Expect(cluster.backEnd.count(identifier, 1)).To(Equal(1))
 	})
 
-	It("lets a cut-off leader neither refuse as not-run nor read, since it may be behind", func() {
+	It("does not let a partitioned leader refuse calls as not run or serve reads, since it may be behind", func() {
 		identifier := first.create("key", program.Limits{}, "")
-		first.groups.setCutOff()
-		place.log.lead(other.groups)
+		first.groups.isolate()
+		cluster.log.lead(other.groups)
 		other.awaitLeading()
 		other.submit(identifier, serviceCall(1))
 		_, reply := other.follow(identifier, 1)
 		Expect(reply.State).To(Equal(program.CallAnswered))
 
-		place.configuration.unconfirmed.Store(true)
+		cluster.configuration.unconfirmed.Store(true)
 		refused := first.submit(identifier, serviceCall(2))
 		Expect(refused.Problem.Outcome).To(Equal(problem.OutcomeNone))
 		Expect(refused.Problem.Leader).To(Equal("b"))
 		Expect(first.history(identifier).Problem.Leader).To(Equal("b"))
 	})
 
-	It("lets a cut-off leader not hold followers of a call that goes on elsewhere", func() {
+	It("redirects followers of a partitioned leader to the new leader", func() {
 		blockFirst(found)
 		identifier := first.create("key", program.Limits{}, "")
 		first.submit(identifier, serviceCall(1))
-		Eventually(place.backEnd.sent).Should(HaveLen(1))
-		first.groups.setCutOff()
-		place.log.lead(other.groups)
+		Eventually(cluster.backEnd.sent).Should(HaveLen(1))
+		first.groups.isolate()
+		cluster.log.lead(other.groups)
 		followed, _ := first.Follow(context.Background(), execution.FollowArguments{
 			Tenant: tenant, Program: identifier, Sequence: 1, Offset: len("ans"), Wait: time.Millisecond,
 		})
--- a/internal/execution/fake_groups_test.go
+++ b/internal/execution/fake_groups_test.go
@@ -9,28 +9,28 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// fakeLog is one replica group in memory: what the leader proposes is applied
-// at every replica at once.
+// fakeLog is an in-memory replica group. Each command that the leader proposes is
+// applied to all replicas immediately.
 type fakeLog struct {
 	mutex    sync.Mutex
 	index    uint64
-	view     uint64
+	term     uint64
 	leader   identity.Process
 	replicas []*fakeGroups
 	commands []program.Command
-	// fault is asked before each command; it gives the error to return and
-	// whether the command is applied all the same.
+	// fault is called before each command. It returns the error that Propose is
+	// to return, and whether the command is applied despite the error.
 	fault func(program.Command) (err error, applied bool)
 }
 
-// fakeGroups is the part of the group at one daemon.
+// fakeGroups is the replica of the group on one daemon.
 type fakeGroups struct {
 	log        *fakeLog
 	self       identity.Process
 	machine    shards.StateMachine
 	changes    chan shards.LeaderChange
 	handedOver bool
-	cutOff     bool // believes to lead, and reaches nobody
+	isolated   bool // partitioned from the other replicas without noticing it
 }
 
 var _ shards.Groups = (*fakeGroups)(nil)
@@ -43,18 +43,19 @@
 	return joined
 }
 
-// lead makes the daemon the leader. The former one learns of it unless it is cut off.
+// lead makes the daemon the leader. The former leader is notified unless it is
+// isolated.
 func (l *fakeLog) lead(next *fakeGroups) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, replica := range l.replicas {
-		if replica.self == l.leader && !replica.cutOff {
-			replica.changes <- shards.LeaderChange{Shard: shard, Term: shards.Term(l.view)}
+		if replica.self == l.leader && !replica.isolated {
+			replica.changes <- shards.LeaderChange{Shard: shard, Term: shards.Term(l.term)}
 		}
 	}
-	l.view++
+	l.term++
 	l.leader = next.self
-	next.changes <- shards.LeaderChange{Shard: shard, Term: shards.Term(l.view), Leading: true}
+	next.changes <- shards.LeaderChange{Shard: shard, Term: shards.Term(l.term), Leading: true}
 }
 
 func (l *fakeLog) setFault(fault func(program.Command) (error, bool)) {
@@ -63,7 +64,7 @@
 	l.fault = fault
 }
 
-// count counts the committed commands of a kind.
+// count returns the number of committed commands of a kind.
 func (l *fakeLog) count(kind program.CommandKind) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -79,7 +80,7 @@
 func (g *fakeGroups) Propose(_ context.Context, _ identity.Shard, encoded []byte) (any, error) {
 	g.log.mutex.Lock()
 	defer g.log.mutex.Unlock()
-	if g.cutOff {
+	if g.isolated {
 		return nil, shards.ErrUncertain
 	}
 	if g.log.leader != g.self {
@@ -122,7 +123,7 @@
 func (g *fakeGroups) ConfirmLeadership(context.Context, identity.Shard) error {
 	g.log.mutex.Lock()
 	defer g.log.mutex.Unlock()
-	if g.cutOff || g.log.leader != g.self {
+	if g.isolated || g.log.leader != g.self {
 		return shards.ErrNotLeader
 	}
 	return nil
@@ -141,16 +142,16 @@
 	return g.handedOver
 }
 
-func (g *fakeGroups) setCutOff() {
+func (g *fakeGroups) isolate() {
 	g.log.mutex.Lock()
 	defer g.log.mutex.Unlock()
-	g.cutOff = true
+	g.isolated = true
 }
 
 func (g *fakeGroups) Status() []shards.Status {
 	g.log.mutex.Lock()
 	defer g.log.mutex.Unlock()
-	return []shards.Status{{Shard: shard, Term: shards.Term(g.log.view), Leading: g.log.leader == g.self, Leader: g.log.leader}}
+	return []shards.Status{{Shard: shard, Term: shards.Term(g.log.term), Leading: g.log.leader == g.self, Leader: g.log.leader}}
 }
 
 func (g *fakeGroups) Changes() <-chan shards.LeaderChange { return g.changes }
--- a/internal/execution/fakes_test.go
+++ b/internal/execution/fakes_test.go
@@ -18,14 +18,14 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// backEnd stands for all back ends behind the dispatchers of all daemons. It
-// counts executions by call, as an application service does.
+// backEnd is a fake dispatcher that stands for all back ends of all daemons. It
+// counts the executions of each call.
 type backEnd struct {
 	mutex      sync.Mutex
-	executions map[string]int // by "program/sequence"
+	executions map[string]int // number of executions by callKey
 	orders     []dispatch.Order
 	cancelled  int
-	// behave runs an attempt; nil answers at once.
+	// behave runs an attempt. If it is nil, attempts are answered at once.
 	behave func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report
 }
 
@@ -40,9 +40,10 @@
 	return b.answer(order, piece)
 }
 
-// answer executes the call and answers with "answer <sequence>", in two pieces.
+// answer executes the call, streams the answer "answer <sequence>" in two pieces,
+// and reports it.
 func (b *backEnd) answer(order dispatch.Order, piece func(string)) dispatch.Report {
-	b.executed(order)
+	b.recordExecution(order)
 	content := fmt.Sprintf("answer %d", order.Call.Sequence)
 	piece(content[:3])
 	piece(content[3:])
@@ -58,16 +59,16 @@
 const tokensOfAnswer = 10
 
 func ended(ending dispatch.Ending, generated int64) dispatch.Report {
-	return dispatch.Report{Ending: ending, Generated: generated, Problem: problem.New(problem.KindBackEndFailed, "test", "stated by the test")}
+	return dispatch.Report{Ending: ending, Generated: generated, Problem: problem.New(problem.KindBackEndFailed, "test", "reported by the test")}
 }
 
-func (b *backEnd) executed(order dispatch.Order) {
+func (b *backEnd) recordExecution(order dispatch.Order) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.executions[callName(order.Program, order.Call.Sequence)]++
+	b.executions[callKey(order.Program, order.Call.Sequence)]++
 }
 
-func callName(identifier identity.Program, sequence uint64) string {
+func callKey(identifier identity.Program, sequence uint64) string {
 	return fmt.Sprintf("%s/%d", identifier, sequence)
 }
 
@@ -77,17 +78,19 @@
 	b.behave = behave
 }
 
-// hang executes, and then never answers until it is cancelled.
+// hang executes the call, streams one piece and then blocks until the attempt is
+// cancelled.
 func (b *backEnd) hang(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
-	b.executed(order)
+	b.recordExecution(order)
 	piece("begun")
 	<-ctx.Done()
-	return b.stopped(ctx)
+	return b.reportStopped(ctx)
 }
 
-// stopped ends an attempt whose context ended; the count of cancellations
-// leaves out those that are left to the next leader.
-func (b *backEnd) stopped(ctx context.Context) dispatch.Report {
+// reportStopped returns the report of an attempt whose context has ended. It
+// counts the attempt as cancelled, unless the context ended because the daemon
+// lost the leadership.
+func (b *backEnd) reportStopped(ctx context.Context) dispatch.Report {
 	if errors.Is(context.Cause(ctx), dispatch.ErrLeadershipLost) {
 		return ended(dispatch.EndingUnknown, -1)
 	}
@@ -106,7 +109,7 @@
 func (b *backEnd) count(identifier identity.Program, sequence uint64) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.executions[callName(identifier, sequence)]
+	return b.executions[callKey(identifier, sequence)]
 }
 
 func (b *backEnd) sent() []dispatch.Order {
@@ -115,7 +118,7 @@
 	return slices.Clone(b.orders)
 }
 
-// fakeFleet has two engines.
+// fakeFleet is a fleet of two engines that records the ended programs.
 type fakeFleet struct {
 	mutex    sync.Mutex
 	ended    []identity.Program
@@ -151,10 +154,11 @@
 	return slices.Clone(f.ended)
 }
 
-// fakePolicy takes the first engine that is not excluded, or does as told.
+// fakePolicy returns the preset decision, if there is one. Otherwise it places
+// the call on the first engine that is not excluded, as long as slots allows it.
 type fakePolicy struct {
 	decision atomic.Pointer[scheduling.Decision]
-	slots    atomic.Int64 // 1: a call may run, -1: none may, 0: any number may
+	slots    atomic.Int64 // 1: one more call may run; -1: no call may run; 0: no limit
 }
 
 func (p *fakePolicy) Decide(snapshot *scheduling.Snapshot, request *scheduling.Request) scheduling.Decision {
@@ -175,7 +179,8 @@
 	return scheduling.Decision{Action: scheduling.ActionRefuse, Reason: scheduling.ReasonNoEngine, Retry: time.Second}
 }
 
-// fakeConfiguration has one tenant, one model, one service and one tool.
+// fakeConfiguration is a configuration with three tenants, one model and one
+// service, of which one address is drained.
 type fakeConfiguration struct {
 	unconfirmed atomic.Bool
 	snapshot    configuration.Snapshot
@@ -197,7 +202,7 @@
 func (c *fakeConfiguration) Confirmed() bool                  { return !c.unconfirmed.Load() }
 func (c *fakeConfiguration) Subscribe() <-chan struct{}       { return nil }
 
-// fakeMap has one shard, or as many as it is told.
+// fakeMap is a shard map with the given number of shards, or one if that is zero.
 type fakeMap struct{ shards uint32 }
 
 func (m fakeMap) Current() *shards.Map {
--- a/internal/execution/flow_test.go
+++ b/internal/execution/flow_test.go
@@ -12,17 +12,17 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-var _ = Describe("The flow of calls", func() {
+var _ = Describe("Calls of a program", func() {
 	var (
-		place  *site
-		leader *daemon
+		cluster *testCluster
+		leader  *daemon
 	)
 	BeforeEach(func() {
-		place = newSite()
-		leader = place.startLeader("a")
+		cluster = newTestCluster()
+		leader = cluster.startLeader("a")
 	})
 
-	It("answers calls in order, keeps the history and ends the program", func() {
+	It("are answered in order and kept in the history until the program ends", func() {
 		identifier := leader.create("key", program.Limits{TokenBudget: 1000}, "")
 		Expect(leader.create("key", program.Limits{TokenBudget: 1000}, "")).To(Equal(identifier))
 		for sequence := uint64(1); sequence <= 3; sequence++ {
@@ -36,24 +36,24 @@
 		Expect(history.Messages[5]).To(Equal(program.Message{Role: "assistant", Content: "answer 3"}))
 		Expect(history.Spent).To(BeEquivalentTo(3 * tokensOfAnswer))
 		Expect(history.Reserved).To(BeZero())
-		Expect(place.backEnd.sent()[2].History).To(Equal(history.Messages[:4]))
+		Expect(cluster.backEnd.sent()[2].History).To(Equal(history.Messages[:4]))
 
 		reply, err := leader.End(context.Background(), execution.EndArguments{Tenant: tenant, Program: identifier})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reply.Problem).To(BeNil())
-		Expect(place.fleet.endedPrograms()).To(Equal([]identity.Program{identifier}))
-		Expect(place.fleet.engines).To(Equal([]string{"engine-a"}))
+		Expect(cluster.fleet.endedPrograms()).To(Equal([]identity.Program{identifier}))
+		Expect(cluster.fleet.engines).To(Equal([]string{"engine-a"}))
 		Expect(leader.submit(identifier, modelCall(4)).Problem.Kind).To(Equal(problem.KindProgramEnded))
 	})
 
-	It("joins the same call, and refuses other content, other order and other tenants", func() {
+	It("join an identical call, and are refused with different content, out of order or by another tenant", func() {
 		identifier := leader.create("key", program.Limits{}, "")
 		Expect(leader.submit(identifier, modelCall(2)).Problem.Kind).To(Equal(problem.KindOutOfOrder))
 		Expect(leader.submit(identifier, modelCall(1)).Joined).To(BeFalse())
 		leader.follow(identifier, 1)
 		Expect(leader.submit(identifier, modelCall(1)).Joined).To(BeTrue())
 		Expect(leader.submit(identifier, serviceCall(1)).Problem.Kind).To(Equal(problem.KindConflict))
-		Expect(place.backEnd.count(identifier, 1)).To(Equal(1))
+		Expect(cluster.backEnd.count(identifier, 1)).To(Equal(1))
 		foreign, _ := leader.Submit(context.Background(), execution.SubmitArguments{Tenant: "slow", Program: identifier, Call: modelCall(2)})
 		Expect(foreign.Problem.Kind).To(Equal(problem.KindUnknownProgram))
 		followed, _ := leader.Follow(context.Background(), execution.FollowArguments{Tenant: "slow", Program: identifier, Sequence: 1})
--- a/internal/execution/follow.go
+++ b/internal/execution/follow.go
@@ -8,55 +8,60 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// Follow waits for news of a call. A final state needs no read barrier, since
-// it never changes; that a call is unknown does.
+// Follow waits until a call has new content or is final. It waits no longer than
+// the request asks for, and no longer than Limits.MaxFollow. It uses the read
+// barrier before it reports that a call is unknown or that nothing is new, but
+// not before it reports a final state, which never changes.
 func (s *Service) Follow(ctx context.Context, arguments FollowArguments) (FollowReply, error) {
 	return s.follow(ctx, arguments), nil
 }
 
 func (s *Service) follow(ctx context.Context, arguments FollowArguments) FollowReply {
-	lead, fault := s.ledProgram(arguments.Program, "follow")
+	lead, fault := s.leadershipOfProgram(arguments.Program, "follow")
 	if fault != nil {
 		return FollowReply{Problem: fault}
 	}
-	if !known(lead, arguments) {
-		if fault := s.confirm(ctx, lead); fault != nil {
+	if !isKnownCall(lead, arguments) {
+		if fault := s.confirmLeadership(ctx, lead); fault != nil {
 			return FollowReply{Problem: fault}
 		}
 	}
-	waiting, cancel := context.WithTimeout(ctx, min(max(0, arguments.Wait), s.limits.MaxFollow))
+	waitContext, cancel := context.WithTimeout(ctx, min(max(0, arguments.Wait), s.limits.MaxFollow))
 	defer cancel()
 	for {
-		reply, changed := lead.look(arguments)
+		reply, changed := lead.readUpdate(arguments)
 		if changed == nil {
 			return reply
 		}
 		select {
 		case <-changed:
-		case <-waiting.Done():
-			// A leader that is cut off unaware would else hold its followers for ever.
-			if fault := s.confirm(ctx, lead); fault != nil {
+		case <-waitContext.Done():
+			// Without this check, a partitioned leader that does not know that it
+			// lost the leadership would keep its followers waiting forever.
+			if fault := s.confirmLeadership(ctx, lead); fault != nil {
 				return FollowReply{Problem: fault}
 			}
-			return lead.lastLook(arguments)
+			return lead.readAfterWait(arguments)
 		case <-lead.ctx.Done():
 			return FollowReply{Problem: s.notLeader(lead.number, "follow")}
 		}
 	}
 }
 
-func known(lead *leadership, arguments FollowArguments) bool {
+func isKnownCall(lead *leadership, arguments FollowArguments) bool {
 	_, head, found := lead.shard.Call(arguments.Program, arguments.Sequence)
 	return found && head.Tenant == arguments.Tenant
 }
 
-// look gives news, or the channel that is closed when there may be some.
-func (l *leadership) look(arguments FollowArguments) (FollowReply, <-chan struct{}) {
+// readUpdate returns the reply if there is something new for the follower.
+// Otherwise it returns a channel that is closed when the follower should read
+// again; the channel is nil if and only if the reply is valid.
+func (l *leadership) readUpdate(arguments FollowArguments) (FollowReply, <-chan struct{}) {
 	key := program.CallKey{Program: arguments.Program, Sequence: arguments.Sequence}
-	var part part
-	running := l.run(key) // before the state: a runner leaves after the final state is committed
+	var update streamUpdate
+	running := l.run(key) // read before the state: a run is removed only after its final state is committed
 	if running != nil {
-		part = running.stream.read(arguments.Offset, arguments.Attempt)
+		update = running.stream.read(arguments.Offset, arguments.Attempt)
 	}
 	call, head, found := l.shard.Call(key.Program, key.Sequence)
 	switch {
@@ -66,18 +71,19 @@
 		return FollowReply{Problem: problem.New(problem.KindUnknownCall, "follow", "call %d is not in the log", key.Sequence)}, nil
 	case call.State.Final():
 		return finalReply(&call, arguments), nil
-	case part.news():
-		return FollowReply{Content: part.content, Restarted: part.restarted, Attempt: part.attempt, State: call.State}, nil
+	case update.hasContent():
+		return FollowReply{Content: update.content, Restarted: update.restarted, Attempt: update.attempt, State: call.State}, nil
 	case running == nil:
-		return FollowReply{}, soon()
+		return FollowReply{}, pollSoon()
 	}
-	return FollowReply{}, part.changed
+	return FollowReply{}, update.changed
 }
 
-// lastLook is the reply when the wait is over: a follower that does not name
-// the attempt of its content gets the content of a later one as a whole.
-func (l *leadership) lastLook(arguments FollowArguments) FollowReply {
-	reply, changed := l.look(arguments)
+// readAfterWait returns the reply to a follower whose wait is over. A follower
+// that did not name the attempt of its content gets the whole content of the
+// attempt in progress if that is not the first one.
+func (l *leadership) readAfterWait(arguments FollowArguments) FollowReply {
+	reply, changed := l.readUpdate(arguments)
 	if changed == nil {
 		return reply
 	}
@@ -85,16 +91,17 @@
 	call, _, _ := l.shard.Call(key.Program, key.Sequence)
 	reply = FollowReply{State: call.State, Attempt: arguments.Attempt}
 	if running := l.run(key); running != nil && arguments.Attempt == 0 {
-		part := running.stream.read(arguments.Offset, firstAttempt)
-		reply.Content, reply.Restarted, reply.Attempt = part.content, part.restarted, part.attempt
+		update := running.stream.read(arguments.Offset, firstAttemptNumber)
+		reply.Content, reply.Restarted, reply.Attempt = update.content, update.restarted, update.attempt
 	}
 	return reply
 }
 
-const firstAttempt = 1
+const firstAttemptNumber = 1 // attempts are numbered from 1
 
-// finalReply carries the end. Content goes on from the follower's offset only
-// if the answer is of the attempt that it read.
+// finalReply returns the reply for a call in its final state. The content starts
+// at the follower's offset only if the follower read the attempt that answered;
+// otherwise the reply carries the whole content and is marked as restarted.
 func finalReply(call *program.Call, arguments FollowArguments) FollowReply {
 	reply := FollowReply{Done: true, State: call.State, Answer: call.Answer, Problem: call.Problem}
 	if call.Answer == nil {
@@ -103,7 +110,7 @@
 	content := call.Answer.Content
 	reply.Attempt = call.Answer.Attempt
 	reply.Restarted = arguments.Offset > 0 &&
-		(max(firstAttempt, arguments.Attempt) != call.Answer.Attempt || arguments.Offset > len(content))
+		(max(firstAttemptNumber, arguments.Attempt) != call.Answer.Attempt || arguments.Offset > len(content))
 	reply.Content = content
 	if !reply.Restarted {
 		reply.Content = content[max(0, arguments.Offset):]
@@ -111,12 +118,14 @@
 	return reply
 }
 
-// runnerPoll is how soon a call without a runner is looked at again: its
-// runner is about to start or has just left.
-const runnerPoll = 20 * time.Millisecond
+// runnerPollInterval is the interval at which followers poll a call that has no
+// run, because its run is about to start or has just ended. Drain uses the same
+// interval to poll the calls that still run.
+const runnerPollInterval = 20 * time.Millisecond
 
-func soon() <-chan struct{} {
+// pollSoon returns a channel that is closed after runnerPollInterval.
+func pollSoon() <-chan struct{} {
 	changed := make(chan struct{})
-	time.AfterFunc(runnerPoll, func() { close(changed) })
+	time.AfterFunc(runnerPollInterval, func() { close(changed) })
 	return changed
 }
--- a/internal/execution/gate.go
+++ b/internal/execution/gate.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	classes = 3
-	// oldestEvery is how often the lowest class that waits goes first, so
-	// that no class waits for ever.
-	oldestEvery = 8
+	classCount = 3
+	// Every lowestFirstInterval-th freed slot goes to the lowest class that has
+	// waiting calls, so that no class starves.
+	lowestFirstInterval = 8
 )
 
-// classOf reads the declared class of a program.
+// classOf returns the scheduling class for a program's class name. An unknown
+// or empty name is the standard class.
 func classOf(name string) scheduling.Class {
 	switch name {
 	case "interactive":
@@ -26,51 +27,55 @@
 	return scheduling.ClassStandard
 }
 
-// gate bounds how many calls are under way, with a bounded queue for each class.
+// gate limits the number of calls that run at the same time. Calls beyond the
+// limit wait in one bounded queue per class. It is safe for concurrent use.
 type gate struct {
-	mutex  sync.Mutex
-	free   int
-	limit  int // of each queue
-	grants int
-	queues [classes]*list.List // of *ticket
+	mutex      sync.Mutex
+	freeSlots  int
+	queueLimit int // maximum length of each queue
+	grants     int
+	queues     [classCount]*list.List // of *ticket
 }
 
-// ticket is a place under way or in a queue.
+// ticket is a call's slot among the running calls or its place in a queue. The
+// gate's mutex guards granted and released.
 type ticket struct {
-	gate    *gate
-	class   scheduling.Class
-	ready   chan struct{} // closed when the call may run
-	granted bool
-	left    bool
-	element *list.Element
+	gate     *gate
+	class    scheduling.Class
+	ready    chan struct{} // closed when a slot is granted
+	granted  bool
+	released bool
+	element  *list.Element
 }
 
-func newGate(running, queued int) *gate {
-	created := &gate{free: running, limit: queued}
+func newGate(maxRunning, maxQueued int) *gate {
+	created := &gate{freeSlots: maxRunning, queueLimit: maxQueued}
 	for i := range created.queues {
 		created.queues[i] = list.New()
 	}
 	return created
 }
 
-// enter takes a place, or returns nil when the queue of the class is full.
-func (g *gate) enter(class scheduling.Class) *ticket { return g.take(class, false) }
+// acquire takes a slot or a place in the queue of the class. It returns nil if
+// the queue is full.
+func (g *gate) acquire(class scheduling.Class) *ticket { return g.takeTicket(class, false) }
 
-// enterAlways takes a place for a call that is in the log already; how many
-// there are is bounded by the programs of the shards led here.
-func (g *gate) enterAlways(class scheduling.Class) *ticket { return g.take(class, true) }
+// acquireUnbounded is like acquire but ignores the limit of the queue. It is for
+// calls that the log has already accepted; there is at most one for each program
+// of the shards that this daemon leads.
+func (g *gate) acquireUnbounded(class scheduling.Class) *ticket { return g.takeTicket(class, true) }
 
-func (g *gate) take(class scheduling.Class, always bool) *ticket {
+func (g *gate) takeTicket(class scheduling.Class, unbounded bool) *ticket {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	taken := &ticket{gate: g, class: class, ready: make(chan struct{})}
-	if g.free > 0 {
-		g.free--
+	if g.freeSlots > 0 {
+		g.freeSlots--
 		taken.grant()
 		return taken
 	}
 	queue := g.queues[class]
-	if queue.Len() >= g.limit && !always {
+	if queue.Len() >= g.queueLimit && !unbounded {
 		return nil
 	}
 	taken.element = queue.PushBack(taken)
@@ -82,7 +87,8 @@
 	close(t.ready)
 }
 
-// wait returns nil when the call may run, or the cause that ended the context.
+// wait blocks until the slot is granted. It returns the context's cause if the
+// context ends first.
 func (t *ticket) wait(ctx context.Context) error {
 	select {
 	case <-t.ready:
@@ -92,22 +98,23 @@
 	}
 }
 
-// leave gives the place back; more than once, or without a place, is harmless.
-func (t *ticket) leave() {
+// release returns the slot or leaves the queue. Calling it again, or on a nil
+// ticket, has no effect.
+func (t *ticket) release() {
 	if t == nil {
 		return
 	}
 	t.gate.mutex.Lock()
 	defer t.gate.mutex.Unlock()
-	if t.left {
+	if t.released {
 		return
 	}
-	t.left = true
+	t.released = true
 	if !t.granted {
 		t.gate.queues[t.class].Remove(t.element)
 		return
 	}
-	t.gate.free++
+	t.gate.freeSlots++
 	t.gate.grantNext()
 }
 
@@ -117,17 +124,17 @@
 		return
 	}
 	next, _ := queue.Remove(queue.Front()).(*ticket)
-	g.free--
+	g.freeSlots--
 	next.grant()
 }
 
 func (g *gate) nextQueue() *list.List {
 	g.grants++
-	fromLowest := g.grants%oldestEvery == 0
+	fromLowest := g.grants%lowestFirstInterval == 0
 	for i := range g.queues {
 		index := i
 		if fromLowest {
-			index = classes - 1 - i
+			index = classCount - 1 - i
 		}
 		if g.queues[index].Len() > 0 {
 			return g.queues[index]
@@ -136,8 +143,8 @@
 	return nil
 }
 
-// queued counts the calls that wait, for metrics.
-func (g *gate) queued() int {
+// countQueued returns the number of calls in all queues.
+func (g *gate) countQueued() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	count := 0
--- a/internal/execution/leadership.go
+++ b/internal/execution/leadership.go
@@ -18,51 +18,52 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// Causes for which runners stop.
+// Causes for which the contexts of runs are cancelled.
 var (
-	errNotLeading   = errors.New("leadership ended")
+	errNotLeading   = errors.New("the leadership ended")
 	errProgramEnded = errors.New("the program ended")
 )
 
-// leadership is the time during which this daemon leads one shard for one term.
+// leadership is the state of this daemon as the leader of one shard for one
+// term, with the calls that it runs.
 type leadership struct {
 	service *Service
 	number  identity.Shard
 	shard   *program.Shard
 	change  shards.LeaderChange
-	ctx     context.Context // ends with the leadership
+	ctx     context.Context // cancelled when the leadership ends
 	cancel  context.CancelCauseFunc
 
-	sweeping atomic.Bool
-	live     atomic.Pointer[map[string]int64] // tokens of live programs by model, as of the last sweep
+	sweeping   atomic.Bool
+	liveTokens atomic.Pointer[map[string]int64] // cached tokens of live programs by model, as of the last sweep
 
 	mutex sync.Mutex
 	runs  map[program.CallKey]*run
 }
 
-func (s *Service) changed(ctx context.Context, change shards.LeaderChange) {
+func (s *Service) handleLeaderChange(ctx context.Context, change shards.LeaderChange) {
 	if change.Leading {
-		s.begin(ctx, change)
+		s.startLeading(ctx, change)
 		return
 	}
-	s.cease(change)
+	s.stopLeading(change)
 }
 
-// begin starts a leadership. Requests are served once the calls that the
-// former leader left are known here.
-func (s *Service) begin(ctx context.Context, change shards.LeaderChange) {
+// startLeading starts a leadership, from which point requests for the shard are
+// served, and resumes the former leader's unfinished calls in the background.
+func (s *Service) startLeading(ctx context.Context, change shards.LeaderChange) {
 	s.mutex.Lock()
 	shard := s.shards[change.Shard]
 	s.mutex.Unlock()
 	if shard == nil {
-		s.logger.Warn("execution: leads a shard that is not of programs.", zap.Uint32("shard", uint32(change.Shard)))
+		s.logger.Warn("execution: leading a shard that has no program state machine.", zap.Uint32("shard", uint32(change.Shard)))
 		return
 	}
-	if former := (*s.leaders.Load())[change.Shard]; former != nil {
+	if former := (*s.leaderships.Load())[change.Shard]; former != nil {
 		if former.change == change {
 			return
 		}
-		former.stop() // replaced below, so that no request meets a gap
+		former.stop() // replaced below, so that requests always find a leadership
 	}
 	lead := &leadership{
 		service: s,
@@ -72,67 +73,70 @@
 		runs:    make(map[program.CallKey]*run),
 	}
 	lead.ctx, lead.cancel = context.WithCancelCause(ctx)
-	s.setLeader(change.Shard, lead)
-	s.logger.Info("execution: began to lead a shard.", zap.Uint32("shard", uint32(change.Shard)), zap.Uint64("term", uint64(change.Term)))
-	s.running.Go(lead.resume)
+	s.setLeadership(change.Shard, lead)
+	s.logger.Info("execution: started leading a shard.", zap.Uint32("shard", uint32(change.Shard)), zap.Uint64("term", uint64(change.Term)))
+	s.goroutines.Go(lead.resumeCalls)
 }
 
-// cease stops the runners. Nothing is cancelled at a back end: the next
-// leader looks the attempts up there.
-func (s *Service) cease(change shards.LeaderChange) {
-	lead := (*s.leaders.Load())[change.Shard]
+// stopLeading ends the leadership and stops its runs. It cancels no attempt at a
+// back end, because the next leader looks up the open attempts there.
+func (s *Service) stopLeading(change shards.LeaderChange) {
+	lead := (*s.leaderships.Load())[change.Shard]
 	if lead == nil {
 		return
 	}
 	lead.stop()
-	s.setLeader(change.Shard, nil)
-	s.logger.Info("execution: ceased to lead a shard.", zap.Uint32("shard", uint32(change.Shard)))
+	s.setLeadership(change.Shard, nil)
+	s.logger.Info("execution: stopped leading a shard.", zap.Uint32("shard", uint32(change.Shard)))
 }
 
-func (s *Service) ceaseAll() {
-	for _, lead := range *s.leaders.Load() {
-		s.cease(lead.change)
+func (s *Service) stopLeadingAll() {
+	for _, lead := range *s.leaderships.Load() {
+		s.stopLeading(lead.change)
 	}
-	s.running.Wait()
+	s.goroutines.Wait()
 }
 
-func (s *Service) setLeader(number identity.Shard, lead *leadership) {
+func (s *Service) setLeadership(number identity.Shard, lead *leadership) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	changed := maps.Clone(*s.leaders.Load())
+	changed := maps.Clone(*s.leaderships.Load())
 	if lead == nil {
 		delete(changed, number)
 	} else {
 		changed[number] = lead
 	}
-	s.leaders.Store(&changed)
+	s.leaderships.Store(&changed)
 }
 
-// stop ends the leadership; no runner starts afterwards.
+// stop ends the leadership. No run starts after it returns.
 func (l *leadership) stop() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.cancel(errNotLeading)
 }
 
-// resume takes up the calls that are not final and have no runner: those of a
-// former leader, and those whose acceptance committed late. What is not in
-// the shard here yet is found by a later sweep.
-func (l *leadership) resume() {
-	missing := slices.DeleteFunc(l.shard.UnderWay(), func(key program.CallKey) bool { return l.run(key) != nil })
-	if len(missing) == 0 || l.service.confirm(l.ctx, l) != nil {
+// resumeCalls starts a run for each call that is not final and has none, such as
+// the calls of a former leader and calls whose acceptance committed after the
+// request had timed out. Later sweeps find calls that this replica has not
+// applied yet.
+func (l *leadership) resumeCalls() {
+	pending := slices.DeleteFunc(l.shard.UnderWay(), func(key program.CallKey) bool { return l.run(key) != nil })
+	if len(pending) == 0 || l.service.confirmLeadership(l.ctx, l) != nil {
 		return
 	}
-	for _, key := range missing {
+	for _, key := range pending {
 		call, head, found := l.shard.Call(key.Program, key.Sequence)
 		if !found || call.State.Final() {
 			continue
 		}
-		l.start(key, l.service.gate.enterAlways(classOf(head.Class)))
+		l.startRun(key, l.service.gate.acquireUnbounded(classOf(head.Class)))
 	}
 }
 
-// propose commits a command of this shard.
+// propose commits a command to the shard's log, stamped with the current time,
+// and returns the result of applying it. After an error other than
+// shards.ErrNotLeader, the command may have committed or may still commit.
 func (l *leadership) propose(ctx context.Context, command program.Command) (*program.Result, error) {
 	command.Now = time.Now().UTC()
 	encoded, err := program.EncodeCommand(command)
@@ -149,11 +153,13 @@
 	if !ok {
 		return nil, eris.Errorf("propose %s to shard %d: unexpected result %T", command.Kind, l.number, applied)
 	}
-	l.programsEnded(result.Ended)
+	l.handleEndedPrograms(result.Ended)
 	return result, nil
 }
 
-// commit proposes for a request and turns an error into what the caller may know.
+// commit proposes a command on behalf of a request. It turns an error into a
+// problem for the caller, with an unknown outcome if the command may have
+// committed.
 func (l *leadership) commit(ctx context.Context, command program.Command) (*program.Result, *problem.Problem) {
 	result, err := l.propose(ctx, command)
 	if err == nil {
@@ -162,36 +168,37 @@
 	if errors.Is(err, shards.ErrNotLeader) {
 		return nil, l.service.notLeader(l.number, string(command.Kind))
 	}
-	return nil, problem.New(problem.KindUnavailable, string(command.Kind), "it may still be committed, repeat the same request: %v", err).
+	return nil, problem.New(problem.KindUnavailable, string(command.Kind), "the command may still commit; repeat the same request: %v", err).
 		WithOutcome(problem.OutcomeUnknown).
 		WithPeer(l.service.options.Self.String()).
 		WithRetryAfter(leaderRetry)
 }
 
-// confirm is the read barrier: afterwards the shard here holds all that was
-// committed before.
-func (s *Service) confirm(ctx context.Context, lead *leadership) *problem.Problem {
+// confirmLeadership is the read barrier. If it returns nil, the local replica of
+// the shard has applied every command that committed before the call.
+func (s *Service) confirmLeadership(ctx context.Context, lead *leadership) *problem.Problem {
 	ctx, cancel := context.WithTimeout(ctx, s.limits.ProposeTimeout)
 	defer cancel()
 	if err := s.options.Groups.ConfirmLeadership(ctx, lead.number); err != nil {
-		found := s.notLeader(lead.number, "confirm leadership")
-		found.Detail += ": " + err.Error()
-		return found
+		fault := s.notLeader(lead.number, "confirm leadership")
+		fault.Detail += ": " + err.Error()
+		return fault
 	}
 	return nil
 }
 
-// start runs a call, unless it is run already.
-func (l *leadership) start(key program.CallKey, place *ticket) {
+// startRun starts the run of a call, which then owns the slot. If the call
+// already has a run or the leadership has ended, it only releases the slot.
+func (l *leadership) startRun(key program.CallKey, slot *ticket) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.runs[key] != nil || l.ctx.Err() != nil {
-		place.leave()
+		slot.release()
 		return
 	}
-	started := newRun(l, key, place)
+	started := newRun(l, key, slot)
 	l.runs[key] = started
-	l.service.running.Go(started.execute)
+	l.service.goroutines.Go(started.execute)
 }
 
 func (l *leadership) run(key program.CallKey) *run {
@@ -200,22 +207,22 @@
 	return l.runs[key]
 }
 
-// running lists the runners.
-func (l *leadership) running() []*run {
+// allRuns returns the current runs, in no particular order.
+func (l *leadership) allRuns() []*run {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Collect(maps.Values(l.runs))
 }
 
-func (l *leadership) remove(key program.CallKey) {
+func (l *leadership) removeRun(key program.CallKey) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.runs, key)
 }
 
-// programsEnded cancels what ended programs have under way and has the
-// engines release what they hold for them.
-func (l *leadership) programsEnded(ended []identity.Program) {
+// handleEndedPrograms cancels the running calls of ended programs and tells the
+// fleet to release the engine memory held for these programs.
+func (l *leadership) handleEndedPrograms(ended []identity.Program) {
 	if len(ended) == 0 {
 		return
 	}
@@ -228,7 +235,7 @@
 		if len(view.Calls) == 0 {
 			continue
 		}
-		l.service.pauses.ended(view.Tenant)
+		l.service.pauseEstimator.recordEnd(view.Tenant)
 		key := program.CallKey{Program: identifier, Sequence: uint64(len(view.Calls))}
 		if running := l.run(key); running != nil {
 			running.cancel(errProgramEnded)
--- a/internal/execution/lease.go
+++ b/internal/execution/lease.go
@@ -10,58 +10,61 @@
 )
 
 const (
-	pauseSmoothing = 0.05
-	firstPause     = 3 * time.Second
-	firstGoingOn   = 0.9
+	pauseSmoothing     = 0.05
+	initialPause       = 3 * time.Second
+	initialReuseChance = 0.9
 )
 
-// pauses remembers how long programs of each tenant pause between an answer
-// and their next call of a model, and how often one comes at all. It starts
-// anew at each daemon: it moves leases only.
-type pauses struct {
+// pauseEstimator estimates for each tenant how long its programs pause between
+// an answer and the next model call, and the probability of a next call. The
+// estimates are local to the daemon and are used only to choose the length of
+// prefix leases. pauseEstimator is safe for concurrent use.
+type pauseEstimator struct {
 	mutex    sync.Mutex
 	byTenant map[identity.Tenant]scheduling.PauseEstimate
 }
 
-func newPauses() *pauses {
-	return &pauses{byTenant: make(map[identity.Tenant]scheduling.PauseEstimate)}
+func newPauseEstimator() *pauseEstimator {
+	return &pauseEstimator{byTenant: make(map[identity.Tenant]scheduling.PauseEstimate)}
 }
 
-// estimate gives what is known of the tenant's pauses.
-func (p *pauses) estimate(tenant identity.Tenant) scheduling.PauseEstimate {
+// estimate returns the current estimate for the tenant, or the initial one if
+// none of its pauses has been recorded.
+func (p *pauseEstimator) estimate(tenant identity.Tenant) scheduling.PauseEstimate {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.known(tenant)
+	return p.estimateLocked(tenant)
 }
 
-func (p *pauses) known(tenant identity.Tenant) scheduling.PauseEstimate {
+func (p *pauseEstimator) estimateLocked(tenant identity.Tenant) scheduling.PauseEstimate {
 	if known, found := p.byTenant[tenant]; found {
 		return known
 	}
-	return scheduling.PauseEstimate{Mean: firstPause, ReuseChance: firstGoingOn}
+	return scheduling.PauseEstimate{Mean: initialPause, ReuseChance: initialReuseChance}
 }
 
-// note tells of a pause that ended with a call.
-func (p *pauses) note(tenant identity.Tenant, pause time.Duration) {
+// recordPause records a pause that ended with another model call.
+func (p *pauseEstimator) recordPause(tenant identity.Tenant, pause time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.known(tenant)
+	known := p.estimateLocked(tenant)
 	known.Mean += time.Duration(pauseSmoothing * float64(max(pause, 0)-known.Mean))
 	known.ReuseChance += pauseSmoothing * (1 - known.ReuseChance)
 	p.byTenant[tenant] = known
 }
 
-// ended tells of a pause that ended with the program.
-func (p *pauses) ended(tenant identity.Tenant) {
+// recordEnd records a pause that ended with the end of the program.
+func (p *pauseEstimator) recordEnd(tenant identity.Tenant) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.known(tenant)
+	known := p.estimateLocked(tenant)
 	known.ReuseChance -= pauseSmoothing * known.ReuseChance
 	p.byTenant[tenant] = known
 }
 
-// hold asks the engine to keep the program's prefix for as long as it pays.
-func (r *run) hold(answer *program.Answer) {
+// holdPrefix asks the engine that answered to keep the program's prefix cached
+// for as long as a reuse is likely enough, up to Limits.HoldPrefix.
+func (r *run) holdPrefix(answer *program.Answer) {
 	service := r.lead.service
 	head, found := r.lead.shard.Head(r.key.Program)
 	if !found {
@@ -69,7 +72,7 @@
 	}
 	lease := scheduling.HoldLease(
 		answer.PromptTokens+answer.CompletionTokens,
-		service.pauses.estimate(head.Tenant),
+		service.pauseEstimator.estimate(head.Tenant),
 		scheduling.CachePrice{Pressure: cachePressure(service.options.Fleet.Snapshot(), answer.Engine)},
 		service.limits.HoldPrefix,
 	)
@@ -78,7 +81,8 @@
 	}
 }
 
-// cachePressure is the share of the engine's cache in use.
+// cachePressure returns the fraction of the engine's prefix cache that is in
+// use, or 0 if it is unknown.
 func cachePressure(snapshot *scheduling.Snapshot, engineID string) float64 {
 	index, found := snapshot.Find(engineID)
 	if !found || snapshot.Engines[index].CacheTokens <= 0 {
@@ -87,21 +91,23 @@
 	return float64(snapshot.Engines[index].CacheUsed) / float64(snapshot.Engines[index].CacheTokens)
 }
 
-// liveTokens sums up what live programs led here have in caches of the model.
+// liveTokens returns how many tokens the live programs led by this daemon have
+// in the prefix caches of the model's engines.
 func (s *Service) liveTokens(model string) int64 {
 	tokens := int64(0)
-	for _, lead := range *s.leaders.Load() {
-		if live := lead.live.Load(); live != nil {
+	for _, lead := range *s.leaderships.Load() {
+		if live := lead.liveTokens.Load(); live != nil {
 			tokens += (*live)[model]
 		}
 	}
 	return tokens
 }
 
-// share is this daemon's part of the fleet's shards; one if none are known.
-func (s *Service) share() float64 {
+// shardShare returns the fraction of all shards that this daemon leads. It
+// returns 1 if the shard map is unknown or this daemon leads no shard.
+func (s *Service) shardShare() float64 {
 	known := s.options.ShardMap.Current()
-	led := len(*s.leaders.Load())
+	led := len(*s.leaderships.Load())
 	if known == nil || known.Shards == 0 || led == 0 {
 		return 1
 	}
--- a/internal/execution/limits_test.go
+++ b/internal/execution/limits_test.go
@@ -15,17 +15,17 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// policyWaits lets all calls wait for an engine.
-func (s *site) policyWaits() {
+// makePolicyWait makes the scheduling policy queue all model calls.
+func (s *testCluster) makePolicyWait() {
 	s.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionWait, Retry: time.Millisecond})
 }
 
 var _ = Describe("Limits", func() {
-	It("refuses at once, as not-run and without a trace, when the queue is full", func() {
-		place := newSite()
-		place.limits.MaxRunning, place.limits.MaxQueued = 1, 1
-		leader := place.startLeader("a")
-		place.policyWaits()
+	It("refuses a call immediately, as not run and without storing it, when the queue is full", func() {
+		cluster := newTestCluster()
+		cluster.limits.MaxRunning, cluster.limits.MaxQueued = 1, 1
+		leader := cluster.startLeader("a")
+		cluster.makePolicyWait()
 		first := leader.create("1", program.Limits{}, "")
 		second := leader.create("2", program.Limits{}, "")
 		third := leader.create("3", program.Limits{}, "")
@@ -36,38 +36,38 @@
 		Expect(refused.Outcome).To(Equal(problem.OutcomeNotRun))
 		Expect(refused.RetryAfter).To(BeNumerically(">", 0))
 		Expect(leader.history(third).Calls).To(BeEmpty())
-		Expect(leader.submit(second, modelCall(1)).Joined).To(BeTrue(), "a repeat is never refused")
-		place.policy.decision.Store(nil)
+		Expect(leader.submit(second, modelCall(1)).Joined).To(BeTrue(), "a repeated submission is never refused")
+		cluster.policy.decision.Store(nil)
 		leader.follow(first, 1)
 		leader.follow(second, 1)
 		Expect(leader.submit(third, modelCall(1)).Problem).To(BeNil())
 	})
 
-	It("refuses new work by tenant's rate, unconfirmed configuration and unknown target", func() {
-		place := newSite()
-		leader := place.startLeader("a")
+	It("refuses new work over the tenant's rate, without a confirmed configuration or for an unknown target", func() {
+		cluster := newTestCluster()
+		leader := cluster.startLeader("a")
 		identifier := leader.create("key", program.Limits{}, "")
 		reply, _ := leader.Create(context.Background(), execution.CreateArguments{Tenant: "slow", CreationKey: "1"})
 		Expect(reply.Problem).To(BeNil())
 		reply, _ = leader.Create(context.Background(), execution.CreateArguments{Tenant: "slow", CreationKey: "2"})
 		Expect(reply.Problem.Kind).To(Equal(problem.KindRefused))
-		Expect(reply.Problem.Outcome).To(Equal(problem.OutcomeNone), "the key may have created it before")
+		Expect(reply.Problem.Outcome).To(Equal(problem.OutcomeNone), "an earlier request with the key may have created the program")
 		Expect(reply.Problem.RetryAfter).To(BeNumerically(">", 0))
 
 		unknown := modelCall(1)
 		unknown.Name = "other"
 		Expect(leader.submit(identifier, unknown).Problem.Kind).To(Equal(problem.KindUnknownTarget))
-		place.configuration.unconfirmed.Store(true)
+		cluster.configuration.unconfirmed.Store(true)
 		refused := leader.submit(identifier, modelCall(1)).Problem
 		Expect(refused.Kind).To(Equal(problem.KindUnavailable))
 		Expect(refused.Outcome).To(Equal(problem.OutcomeNotRun))
 		Expect(leader.history(identifier).Calls).To(BeEmpty())
 	})
 
-	It("bounds a tenant's open programs by the part of the shards that are led here", func() {
-		place := newSite()
-		place.shards = 2
-		leader := place.startLeader("a")
+	It("limits a tenant's open programs in proportion to the shards that the daemon leads", func() {
+		cluster := newTestCluster()
+		cluster.shards = 2
+		leader := cluster.startLeader("a")
 		small := func(key string) execution.CreateReply {
 			reply, err := leader.Create(context.Background(), execution.CreateArguments{Tenant: "small", CreationKey: key})
 			Expect(err).NotTo(HaveOccurred())
@@ -86,16 +86,16 @@
 		refused := small(keys[2]).Problem
 		Expect(refused.Kind).To(Equal(problem.KindRefused))
 		Expect(refused.RetryAfter).To(BeNumerically(">", 0))
-		Expect(small(keys[0]).Program).To(Equal(programs[0]), "a repeat finds its program")
+		Expect(small(keys[0]).Program).To(Equal(programs[0]), "a repeated request returns the existing program")
 		_, err := leader.End(context.Background(), execution.EndArguments{Tenant: "small", Program: programs[0]})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(small(keys[2]).Problem).To(BeNil())
 	})
 
-	It("ends idle programs and runaways, and forgets them after retention", func() {
-		place := newSite()
-		place.limits.Retention = 300 * time.Millisecond
-		leader := place.startLeader("a")
+	It("ends idle and looping programs, and deletes them after the retention time", func() {
+		cluster := newTestCluster()
+		cluster.limits.Retention = 300 * time.Millisecond
+		leader := cluster.startLeader("a")
 		idle := leader.create("idle", program.Limits{Idle: 50 * time.Millisecond}, "")
 		loop := leader.create("loop", program.Limits{MaxRepeats: 2}, "")
 		for sequence := uint64(1); sequence <= 2; sequence++ {
@@ -107,20 +107,20 @@
 		Expect(refused.Kind).To(Equal(problem.KindTurnLimit))
 		Expect(refused.Outcome).To(Equal(problem.OutcomeNotRun))
 		Expect(leader.history(loop).EndReason).To(Equal(program.EndLoop))
-		Eventually(place.fleet.endedPrograms).Should(ContainElements(idle, loop))
+		Eventually(cluster.fleet.endedPrograms).Should(ContainElements(idle, loop))
 		Eventually(func() any { return leader.history(idle).Problem }).Should(HaveField("Kind", problem.KindUnknownProgram))
 	})
 
-	It("drains: hands a group over with a resumable call, and not with one that runs at most once", func() {
-		place := newSite()
-		place.limits.DrainPatience = time.Millisecond
-		leader := place.startLeader("a")
-		place.backEnd.setBehaviour(place.backEnd.hang)
+	It("drain: a shard is handed over with a resumable call, but not with a non-repeatable one", func() {
+		cluster := newTestCluster()
+		cluster.limits.DrainPatience = time.Millisecond
+		leader := cluster.startLeader("a")
+		cluster.backEnd.setBehaviour(cluster.backEnd.hang)
 		funding := leader.create("funding", program.Limits{}, "")
 		talk := leader.create("talk", program.Limits{}, "")
 		leader.submit(funding, serviceCall(1))
 		leader.submit(talk, modelCall(1))
-		Eventually(place.backEnd.sent).Should(HaveLen(2))
+		Eventually(cluster.backEnd.sent).Should(HaveLen(2))
 		drained := make(chan error, 1)
 		go func() { drained <- leader.Drain(context.Background()) }()
 		Consistently(leader.groups.hasHandedOver, "100ms").Should(BeFalse())
@@ -131,10 +131,10 @@
 		Expect(leader.history(talk).Calls[0].State).To(Equal(program.CallDispatched))
 	})
 
-	It("drains: takes nothing new, waits for the calls under way, hands the group over", func() {
-		place := newSite()
-		leader := place.startLeader("a")
-		place.policyWaits()
+	It("drain: new work is refused, and the shard is handed over when its running calls have ended", func() {
+		cluster := newTestCluster()
+		leader := cluster.startLeader("a")
+		cluster.makePolicyWait()
 		identifier := leader.create("key", program.Limits{}, "")
 		leader.submit(identifier, modelCall(1))
 		drained := make(chan error, 1)
@@ -144,7 +144,7 @@
 			return reply.Problem
 		}).Should(HaveField("Kind", problem.KindUnavailable))
 		Expect(leader.groups.hasHandedOver()).To(BeFalse())
-		place.policy.decision.Store(nil)
+		cluster.policy.decision.Store(nil)
 		_, reply := leader.follow(identifier, 1)
 		Expect(reply.State).To(Equal(program.CallAnswered))
 		Eventually(drained).Should(Receive(BeNil()))
--- a/internal/execution/messages.go
+++ b/internal/execution/messages.go
@@ -1,7 +1,7 @@
-// Package execution runs the calls of programs at the leader of their shard:
-// it commits each step, asks the scheduler, hands attempts to dispatch and
-// lets callers follow the answer. After a change of leader it resumes what
-// the former one left under way.
+// Package execution runs the calls of programs on the daemon that leads their
+// shard. It commits each step to the shard's log, asks the scheduler for a
+// placement, sends attempts through package dispatch, and streams answers to
+// callers. After a leader change it resumes the former leader's unfinished calls.
 package execution
 
 import (
@@ -13,78 +13,86 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// CreateArguments asks for a new program.
+// CreateArguments are the arguments of Programs.Create. Repeating a request with
+// the same tenant, parent and creation key returns the program created first.
 type CreateArguments struct {
 	Tenant      identity.Tenant
 	CreationKey string
-	Parent      identity.Program // empty: a root program
+	Parent      identity.Program // empty for a root program
 	Class       string
 	Limits      program.Limits
 }
 
-// CreateReply names the program; Joined when the key had created it before.
+// CreateReply is the reply of Programs.Create. Joined is true if the program
+// already existed under the creation key.
 type CreateReply struct {
 	Program identity.Program
 	Joined  bool
 	Problem *problem.Problem
 }
 
-// SubmitArguments submits a call, or the same call again.
+// SubmitArguments are the arguments of Programs.Submit. Submitting the same call
+// again is safe: it joins the existing call.
 type SubmitArguments struct {
 	Tenant  identity.Tenant
 	Program identity.Program
 	Call    program.CallSpec
 }
 
-// SubmitReply tells that the call is in the log.
+// SubmitReply is the reply of Programs.Submit. A nil Problem means that the call
+// is committed to the log. Joined is true if it was already there before the
+// request.
 type SubmitReply struct {
 	Joined  bool
 	Problem *problem.Problem
 }
 
-// FollowArguments reads a call from an offset, waiting up to Wait for news.
+// FollowArguments are the arguments of Programs.Follow, which reads a call's
+// content from an offset and waits up to Wait if there is nothing new.
 type FollowArguments struct {
 	Tenant   identity.Tenant
 	Program  identity.Program
 	Sequence uint64
-	Offset   int    // bytes of streamed content that the caller has already
-	Attempt  uint32 // FollowReply.Attempt of the content that the caller has; zero: the first attempt's
+	Offset   int    // bytes of streamed content that the caller already has
+	Attempt  uint32 // FollowReply.Attempt of the content that the caller already has; 0 stands for the first attempt
 	Wait     time.Duration
 }
 
-// FollowReply is the next part of a call's answer. Content streamed before an
-// attempt was lost may change: then Restarted is set, Content starts at
-// offset 0 and the ingress must not splice it to what it passed on unless it
-// is equal so far.
+// FollowReply is the reply of Programs.Follow: the next part of a call's answer.
+// If another attempt replaces the one whose content the caller has, Restarted is
+// true and Content starts at offset 0 and replaces everything that the caller
+// has. A caller that has already forwarded content may go on only if Content
+// begins with it.
 type FollowReply struct {
-	Content   string // from Offset on
+	Content   string // starts at the requested Offset, or at 0 if Restarted
 	Restarted bool
-	Attempt   uint32 // the attempt that the content is of; hand it back with the next Offset
+	Attempt   uint32 // number of the attempt that produced Content; pass it with the next Offset
 	Done      bool
 	State     program.CallState
-	Answer    *program.Answer  // when answered
-	Problem   *problem.Problem // final without answer, or the follow itself failed (Done false)
+	Answer    *program.Answer  // set if the call was answered
+	Problem   *problem.Problem // with Done: why the call has no answer; otherwise: why this request failed
 }
 
-// EndArguments ends a program.
+// EndArguments are the arguments of Programs.End.
 type EndArguments struct {
-	Tenant  identity.Tenant // empty: an operator
+	Tenant  identity.Tenant // empty for an operator, who may end any tenant's program
 	Program identity.Program
 	Reason  program.EndReason
 }
 
-// EndReply tells the result.
+// EndReply is the reply of Programs.End. A nil Problem means that the program
+// has ended.
 type EndReply struct {
 	Problem *problem.Problem
 }
 
-// HistoryArguments reads a program.
+// HistoryArguments are the arguments of Programs.History.
 type HistoryArguments struct {
-	Tenant  identity.Tenant // empty: an operator
+	Tenant  identity.Tenant // empty for an operator, who may read any tenant's program
 	Program identity.Program
 }
 
-// HistoryReply is a program as committed.
+// HistoryReply is the reply of Programs.History: the committed state of a program.
 type HistoryReply struct {
 	Problem   *problem.Problem
 	Program   identity.Program
@@ -95,16 +103,16 @@
 	EndReason program.EndReason
 	Limits    program.Limits
 	CreatedAt time.Time
-	Spent     int64 // settled tokens
-	Reserved  int64
+	Spent     int64 // tokens, known cost of the program's own attempts
+	Reserved  int64 // tokens reserved by open attempts, attempts of unknown cost, and sub-agents
 	Calls     []program.Call
 	Messages  []program.Message
 }
 
-// Programs is the interface that ingress uses. The leader's implementation
-// (execution.Service) and the forwarding one (routing.Router) share it. The
-// returned errors are always *problem.Problem inside the reply; the error
-// result is for transport only and never says that a call did not run.
+// Programs is the interface through which callers use programs. Service
+// implements it on the leader of a shard, and routing.Router forwards requests
+// to the leader. Failures of a request are reported as the Problem in the reply.
+// A non-nil error is a transport error, after which a call may have run.
 type Programs interface {
 	Create(ctx context.Context, arguments CreateArguments) (CreateReply, error)
 	Submit(ctx context.Context, arguments SubmitArguments) (SubmitReply, error)
--- a/internal/execution/metrics.go
+++ b/internal/execution/metrics.go
@@ -5,13 +5,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics counts what the service does. Labels are small closed sets.
+// metrics holds the Prometheus collectors of the service. Every label has a
+// small fixed set of values.
 type metrics struct {
-	calls     *prometheus.CounterVec // by final state
-	latency   *prometheus.HistogramVec
-	refused   *prometheus.CounterVec
-	decisions *prometheus.CounterVec
-	resumed   *prometheus.CounterVec
+	calls     *prometheus.CounterVec   // by final state
+	latency   *prometheus.HistogramVec // seconds, by kind of target
+	refused   *prometheus.CounterVec   // by reason
+	decisions *prometheus.CounterVec   // by reason
+	resumed   *prometheus.CounterVec   // by ending of the attempt
 	retries   prometheus.Counter
 	ended     prometheus.Counter
 }
@@ -41,10 +42,10 @@
 	}
 	collectors := []prometheus.Collector{
 		created.calls, created.refused, created.decisions, created.resumed, created.retries, created.ended, created.latency,
-		gauge("calls_running", "Calls with a runner here.", func() float64 { return float64(service.callsUnderWay()) }),
-		gauge("calls_queued", "Calls that wait for their turn.", func() float64 { return float64(service.gate.queued()) }),
-		gauge("calls_waiting", "Calls that wait for an engine.", func() float64 { return float64(service.waiting.count()) }),
-		gauge("shards_led", "Shards of programs led here.", func() float64 { return float64(len(*service.leaders.Load())) }),
+		gauge("calls_running", "Calls with a runner here.", func() float64 { return float64(service.countRuns()) }),
+		gauge("calls_queued", "Calls that wait for their turn.", func() float64 { return float64(service.gate.countQueued()) }),
+		gauge("calls_waiting", "Calls that wait for an engine.", func() float64 { return float64(service.waitQueues.count()) }),
+		gauge("shards_led", "Shards of programs led here.", func() float64 { return float64(len(*service.leaderships.Load())) }),
 	}
 	for _, collector := range collectors {
 		if err := registerer.Register(collector); err != nil {
--- a/internal/execution/options.go
+++ b/internal/execution/options.go
@@ -15,48 +15,52 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// Options are what a Service needs. Logger, Registerer, Leaving and Limits may be left out.
+// Options configure a Service. Logger, Registerer, Leaving and Limits are
+// optional.
 type Options struct {
 	Self          identity.Process
 	Groups        shards.Groups
-	ShardMap      shards.Source // counts the shards, for creations
+	ShardMap      shards.Source // provides the number of shards
 	Dispatcher    dispatch.Dispatcher
 	Fleet         engine.Fleet
 	Policy        scheduling.Policy
 	Configuration configuration.Source
-	Leaving       func(address string) bool // whether the replica of a service or tool is about to leave
+	Leaving       func(address string) bool // reports whether the service or tool replica at the address is shutting down
 	Logger        *zap.Logger
 	Registerer    prometheus.Registerer
 	Limits        Limits
 }
 
-// Limits bound what the service does. A zero field takes the default.
+// Limits configure the limits and timeouts of a Service. A zero field takes its
+// value from DefaultLimits.
 type Limits struct {
-	MaxRunning       int           // calls under way at once
-	MaxQueued        int           // calls of one class that wait for their turn
-	MaxFollow        time.Duration // longest wait of one Follow
-	ProposeTimeout   time.Duration // one command
-	ModelTimeout     time.Duration // a call of a model without a deadline
-	ServiceTimeout   time.Duration // a call of a service or tool without a deadline
-	MaxWait          time.Duration // for a replica, a report of an engine or a confirmed configuration
-	MaxAttempts      int           // of one call that may have run; refusalsPerAttempt times as many in all
-	RetryShare       float64       // retries for each first attempt, on average; negative: none
-	RetriesPerSecond float64       // of all calls together, besides; negative: none
-	RetryBurst       int
-	SweepInterval    time.Duration
-	Retention        time.Duration // of ended programs
-	MaxEnded         int           // ended programs of one shard that are kept at most, the latest
-	LookupGrace      time.Duration // for finding out what became of an attempt whose deadline passed
-	DrainPatience    time.Duration // after which a planned stop hands resumable calls over
-	RetryAfter       time.Duration // advice to callers that are refused
-	WarmUp           time.Duration // after the start, in which reports of engines may be missing; zero: none
-	HoldPrefix       time.Duration // how long an engine is asked at most to keep a program's prefix between turns
+	MaxRunning       int           // calls that run at the same time
+	MaxQueued        int           // length of each queue: calls of one class that wait to run, or calls that wait for an engine
+	MaxFollow        time.Duration // longest wait of one Follow request
+	ProposeTimeout   time.Duration // timeout of one command or read barrier
+	ModelTimeout     time.Duration // timeout of a model call without a deadline
+	ServiceTimeout   time.Duration // timeout of a service or tool call without a deadline or a configured timeout
+	MaxWait          time.Duration // longest wait for a replica, an engine report or a confirmed configuration
+	MaxAttempts      int           // attempts per call that may have run; all attempts are limited to totalAttemptsFactor times as many
+	RetryShare       float64       // retries allowed per first attempt, on average; negative for none
+	RetriesPerSecond float64       // retries allowed in addition, for all calls together; negative for none
+	RetryBurst       int           // size of the retry budget, in retries
+	SweepInterval    time.Duration // interval between sweeps, which end expired programs and resume calls
+	Retention        time.Duration // how long ended programs are kept
+	MaxEnded         int           // ended programs kept per shard, the most recent ones
+	LookupGrace      time.Duration // minimum time allowed for the lookup of a former leader's attempt, even past the call's deadline
+	DrainPatience    time.Duration // time after which Drain hands over resumable calls instead of waiting for them
+	RetryAfter       time.Duration // retry delay given to refused callers
+	WarmUp           time.Duration // time after the start during which engine reports may still be missing; zero for none
+	HoldPrefix       time.Duration // longest lease for a program's prefix between turns
 }
 
-// refusalsPerAttempt bounds all attempts of a call, those that never ran included.
-const refusalsPerAttempt = 3
+// totalAttemptsFactor times Limits.MaxAttempts is the maximum number of attempts
+// per call, including those that never ran.
+const totalAttemptsFactor = 3
 
-// DefaultLimits suit a daemon with some thousand programs.
+// DefaultLimits are suitable for a daemon that leads a few thousand programs.
+// WarmUp is zero by default.
 var DefaultLimits = Limits{
 	MaxRunning:       4096,
 	MaxQueued:        4096,
@@ -78,7 +82,7 @@
 	HoldPrefix:       30 * time.Second,
 }
 
-func (o Options) check() error {
+func (o Options) validate() error {
 	missing := map[string]bool{
 		"Groups": o.Groups == nil, "ShardMap": o.ShardMap == nil, "Dispatcher": o.Dispatcher == nil,
 		"Fleet": o.Fleet == nil, "Policy": o.Policy == nil, "Configuration": o.Configuration == nil,
@@ -106,30 +110,31 @@
 }
 
 func (l Limits) withDefaults() Limits {
-	fill(&l.MaxRunning, DefaultLimits.MaxRunning)
-	fill(&l.MaxQueued, DefaultLimits.MaxQueued)
-	fill(&l.MaxFollow, DefaultLimits.MaxFollow)
-	fill(&l.ProposeTimeout, DefaultLimits.ProposeTimeout)
-	fill(&l.ModelTimeout, DefaultLimits.ModelTimeout)
-	fill(&l.ServiceTimeout, DefaultLimits.ServiceTimeout)
-	fill(&l.MaxWait, DefaultLimits.MaxWait)
-	fill(&l.MaxAttempts, DefaultLimits.MaxAttempts)
-	fill(&l.RetryShare, DefaultLimits.RetryShare)
-	fill(&l.RetriesPerSecond, DefaultLimits.RetriesPerSecond)
-	fill(&l.RetryBurst, DefaultLimits.RetryBurst)
-	fill(&l.SweepInterval, DefaultLimits.SweepInterval)
-	fill(&l.Retention, DefaultLimits.Retention)
-	fill(&l.MaxEnded, DefaultLimits.MaxEnded)
-	fill(&l.LookupGrace, DefaultLimits.LookupGrace)
-	fill(&l.DrainPatience, DefaultLimits.DrainPatience)
-	fill(&l.RetryAfter, DefaultLimits.RetryAfter)
-	fill(&l.HoldPrefix, DefaultLimits.HoldPrefix)
+	setDefault(&l.MaxRunning, DefaultLimits.MaxRunning)
+	setDefault(&l.MaxQueued, DefaultLimits.MaxQueued)
+	setDefault(&l.MaxFollow, DefaultLimits.MaxFollow)
+	setDefault(&l.ProposeTimeout, DefaultLimits.ProposeTimeout)
+	setDefault(&l.ModelTimeout, DefaultLimits.ModelTimeout)
+	setDefault(&l.ServiceTimeout, DefaultLimits.ServiceTimeout)
+	setDefault(&l.MaxWait, DefaultLimits.MaxWait)
+	setDefault(&l.MaxAttempts, DefaultLimits.MaxAttempts)
+	setDefault(&l.RetryShare, DefaultLimits.RetryShare)
+	setDefault(&l.RetriesPerSecond, DefaultLimits.RetriesPerSecond)
+	setDefault(&l.RetryBurst, DefaultLimits.RetryBurst)
+	setDefault(&l.SweepInterval, DefaultLimits.SweepInterval)
+	setDefault(&l.Retention, DefaultLimits.Retention)
+	setDefault(&l.MaxEnded, DefaultLimits.MaxEnded)
+	setDefault(&l.LookupGrace, DefaultLimits.LookupGrace)
+	setDefault(&l.DrainPatience, DefaultLimits.DrainPatience)
+	setDefault(&l.RetryAfter, DefaultLimits.RetryAfter)
+	setDefault(&l.HoldPrefix, DefaultLimits.HoldPrefix)
 	return l
 }
 
-func fill[T comparable](value *T, fallback T) {
+// setDefault sets *value to defaultValue if it is the zero value.
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = fallback
+		*value = defaultValue
 	}
 }
--- a/internal/execution/placement.go
+++ b/internal/execution/placement.go
@@ -13,21 +13,24 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// placement is where an attempt goes.
+// placement is the back end chosen for an attempt. done must be called once when
+// the attempt has ended, with a zero duration if it was not sent.
 type placement struct {
 	backEnd  string
 	address  string
-	reserved int64
+	reserved int64 // tokens
 	done     func(failed bool, elapsed time.Duration)
 }
 
-// bytesPerToken estimates the length of prompts; engines count exactly.
+// bytesPerToken is used to estimate the tokens of a prompt from its length.
 const bytesPerToken = 4
 
-// choose gives a back end, or how long to wait for one, or why the call is refused.
-func (r *run) choose(call *program.Call, head *program.Head) (*placement, time.Duration, *problem.Problem) {
+// chooseBackEnd returns a placement, or how long to wait before the next try, or
+// the problem for which the call is refused. All three are zero if the run was
+// cancelled while the call waited for an engine.
+func (r *run) chooseBackEnd(call *program.Call, head *program.Head) (*placement, time.Duration, *problem.Problem) {
 	if !r.lead.service.options.Configuration.Confirmed() {
-		return r.waitFor("confirmed configuration", 0) // a back end may have been drained meanwhile
+		return r.waitFor("confirmed configuration", 0) // a newer configuration may have drained a back end
 	}
 	if call.Spec.Target == program.TargetModel {
 		return r.chooseEngine(call, head)
@@ -39,14 +42,16 @@
 	service := r.lead.service
 	reserved := min(call.Spec.MaxTokens, head.Available())
 	if reserved <= 0 {
-		return nil, 0, problem.New(problem.KindBudgetExhausted, "reserve", "no tokens are left of %d", head.Limits.TokenBudget)
+		return nil, 0, problem.New(problem.KindBudgetExhausted, "reserve", "no tokens are left of the budget of %d", head.Limits.TokenBudget)
 	}
-	result := service.waiting.await(r.ctx, r.newWaiter(call, head, reserved))
+	result := service.waitQueues.await(r.ctx, r.newWaiter(call, head, reserved))
 	return result.chosen, 0, result.refused
 }
 
-// request tells the scheduler what is known of the call.
-func (r *run) request(call *program.Call, head *program.Head, reserved int64) *scheduling.Request {
+// newRequest builds the scheduler request for the call. It also records the
+// program's pause before the call and the prefix that the engine of the last
+// answer is expected to have cached.
+func (r *run) newRequest(call *program.Call, head *program.Head, reserved int64) *scheduling.Request {
 	request := &scheduling.Request{
 		Tenant:          head.Tenant,
 		Class:           classOf(head.Class),
@@ -60,15 +65,16 @@
 	}
 	attained := r.lead.shard.Attained(r.key.Program)
 	if !attained.At.IsZero() && len(call.Attempts) == 0 {
-		r.lead.service.pauses.note(head.Tenant, call.AcceptedAt.Sub(attained.At))
+		r.lead.service.pauseEstimator.recordPause(head.Tenant, call.AcceptedAt.Sub(attained.At))
 	}
 	request.Attained = attained.Service
 	if attained.Model == call.Spec.Name {
-		// The last answer's counts are exact up to here.
+		// The engine counted the tokens of the history exactly, so only those of
+		// the new messages are estimated.
 		request.HolderID = attained.Engine
-		r.expected = expectation{engine: attained.Engine, tokens: attained.Tokens}
-		believed := r.lead.service.trust.share(attained.Engine, time.Now())
-		request.HolderTokens = int64(believed * float64(attained.Tokens))
+		r.expectedPrefix = expectedPrefix{engine: attained.Engine, tokens: attained.Tokens}
+		trustedShare := r.lead.service.cacheTrust.share(attained.Engine, time.Now())
+		request.HolderTokens = int64(trustedShare * float64(attained.Tokens))
 		request.PromptTokens = attained.Tokens + estimateTokens(call.Spec.Messages)
 	}
 	return request
@@ -82,8 +88,8 @@
 	return int64(size / bytesPerToken)
 }
 
-// chooseReplica takes any replica of the service or tool that is not leaving,
-// rather one that did not fail this call.
+// chooseReplica picks a random replica of the service or tool that is neither
+// drained nor shutting down. It prefers replicas that have not failed this call.
 func (r *run) chooseReplica(call *program.Call) (*placement, time.Duration, *problem.Problem) {
 	service := r.lead.service
 	current := service.options.Configuration.Current()
@@ -91,28 +97,29 @@
 	if declared == nil {
 		return nil, 0, problem.New(problem.KindUnknownTarget, "place", "no %s named %q is configured", call.Spec.Target, call.Spec.Name)
 	}
-	var fit []string
+	var usable []string
 	for _, address := range declared.Addresses {
-		if !drained(current, declared.Name, address) && !service.options.Leaving(address) {
-			fit = append(fit, address)
+		if !isDrained(current, declared.Name, address) && !service.options.Leaving(address) {
+			usable = append(usable, address)
 		}
 	}
-	if len(fit) == 0 {
+	if len(usable) == 0 {
 		return r.waitFor("replica of "+declared.Name, 0)
 	}
-	untried := slices.DeleteFunc(slices.Clone(fit), func(address string) bool { return slices.Contains(r.excluded, address) })
+	untried := slices.DeleteFunc(slices.Clone(usable), func(address string) bool { return slices.Contains(r.excluded, address) })
 	if len(untried) > 0 {
-		fit = untried
+		usable = untried
 	}
 	return &placement{
 		backEnd: declared.Name,
-		address: fit[rand.IntN(len(fit))], //nolint:gosec // spreading load needs no secret
+		address: usable[rand.IntN(len(usable))], //nolint:gosec // spreading load needs no secret
 		done:    func(bool, time.Duration) {},
 	}, 0, nil
 }
 
-// drained says whether the service, the address or its machine is drained.
-func drained(current *configuration.Snapshot, service, address string) bool {
+// isDrained reports whether the service, the address or its machine is marked as
+// drained in the configuration.
+func isDrained(current *configuration.Snapshot, service, address string) bool {
 	if current.Drained[service] || current.Drained[address] {
 		return true
 	}
@@ -120,34 +127,40 @@
 	return err == nil && (current.Drained[parsed.Host] || current.Drained[parsed.Hostname()])
 }
 
-// waitFor backs off, or refuses once the call has waited for too long.
+// waitFor returns how long to wait before the next try: the advice, capped at
+// maxBackoff, or a backoff if the advice is 0. Once the call has waited for
+// longer than Limits.MaxWait, it returns a refusal instead, in which what names
+// the missing resource.
 func (r *run) waitFor(what string, advice time.Duration) (*placement, time.Duration, *problem.Problem) {
 	limits := &r.lead.service.limits
-	if r.waiting.IsZero() {
-		r.waiting = time.Now()
+	if r.waitingSince.IsZero() {
+		r.waitingSince = time.Now()
 	}
-	if time.Since(r.waiting) > limits.MaxWait {
-		return nil, 0, refusal("waited too long for a "+what, limits.RetryAfter)
+	if time.Since(r.waitingSince) > limits.MaxWait {
+		return nil, 0, newRefusal("timed out waiting for a "+what, limits.RetryAfter)
 	}
 	pause := r.backoff.NextBackOff()
 	if advice > 0 {
-		pause = min(advice, longestBackoff)
+		pause = min(advice, maxBackoff)
 	}
 	return nil, pause, nil
 }
 
-func refusal(detail string, wait time.Duration) *problem.Problem {
-	return problem.New(problem.KindRefused, "place", "%s", detail).WithRetryAfter(jittered(wait))
+// newRefusal returns a problem that tells the caller to retry after wait plus
+// jitter.
+func newRefusal(detail string, wait time.Duration) *problem.Problem {
+	return problem.New(problem.KindRefused, "place", "%s", detail).WithRetryAfter(addJitter(wait))
 }
 
-// jittered adds up to half, so that refused callers do not return together.
-func jittered(wait time.Duration) time.Duration {
+// addJitter returns wait plus a random duration of up to half of it, so that
+// refused callers do not all retry at the same time.
+func addJitter(wait time.Duration) time.Duration {
 	return wait + rand.N(wait/2+1) //nolint:gosec // spreading load needs no secret
 }
 
 func sortedKeys(set map[string]struct{}) []string { return slices.Sorted(maps.Keys(set)) }
 
-// collectEngines adds the engines that may hold memory for the call.
+// collectEngines adds to the set the engines that may hold memory for the call.
 func collectEngines(engines map[string]struct{}, call *program.Call) {
 	if call.Spec.Target != program.TargetModel {
 		return
--- a/internal/execution/prefix.go
+++ b/internal/execution/prefix.go
@@ -8,29 +8,30 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// mostPrefixRuns bounds how many beginnings of a prompt are looked at:
-// instructions and dossiers that programs share come first.
-const mostPrefixRuns = 4
+// maxPrefixRuns is the maximum number of prefixes computed per prompt. A few are
+// enough, because shared content such as instructions comes first in a prompt.
+const maxPrefixRuns = 4
 
-// prefixRuns gives the beginnings of the prompt that other programs may
-// share, the shortest first: one ends after each of its first messages.
+// prefixRuns returns the prefixes of the prompt that other programs may share,
+// shortest first. There is one for each of the first maxPrefixRuns messages,
+// which covers the prompt up to the end of that message.
 func prefixRuns(call *program.CallSpec, history []program.Message) []engine.PrefixRun {
 	digest := xxhash.New()
-	mix := func(text string) {
+	write := func(text string) {
 		_, _ = digest.WriteString(text)
 		_, _ = digest.Write([]byte{0})
 	}
-	mix(call.Name)
-	mix(call.Adapter)
+	write(call.Name)
+	write(call.Adapter)
 	var runs []engine.PrefixRun
 	var tokens int64
 	for _, messages := range [][]program.Message{history, call.Messages} {
 		for index := range messages {
-			if len(runs) == mostPrefixRuns {
+			if len(runs) == maxPrefixRuns {
 				return runs
 			}
-			mix(messages[index].Role)
-			mix(messages[index].Content)
+			write(messages[index].Role)
+			write(messages[index].Content)
 			tokens += estimateTokens(messages[index : index+1])
 			runs = append(runs, engine.PrefixRun{Hash: digest.Sum64(), Tokens: tokens})
 		}
@@ -38,7 +39,8 @@
 	return runs
 }
 
-// sharedPrefix is the longest beginning that some engine holds; zero: none.
+// sharedPrefix returns the hash of the longest of the prefixes that some engine
+// has cached, or 0 if there is none.
 func sharedPrefix(snapshot *scheduling.Snapshot, runs []engine.PrefixRun) uint64 {
 	for index := len(runs) - 1; index >= 0; index-- {
 		if len(snapshot.SharedPrefixes[runs[index].Hash]) > 0 {
@@ -48,8 +50,9 @@
 	return 0
 }
 
-// noteServed tells the fleet what the engine holds now.
-func (r *run) noteServed(engineID string, call *program.Call) {
+// recordServed tells the fleet that the engine now has the prefixes of the call's
+// prompt cached. It does nothing if the fleet does not track prefixes.
+func (r *run) recordServed(engineID string, call *program.Call) {
 	if learner, ok := r.lead.service.options.Fleet.(engine.PrefixLearner); ok {
 		learner.Served(engineID, prefixRuns(&call.Spec, r.history))
 	}
--- a/internal/execution/prefix_test.go
+++ b/internal/execution/prefix_test.go
@@ -9,7 +9,7 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-func TestProgramsFindTheLongestBeginningThatIsHeld(t *testing.T) {
+func TestSharedPrefixIsLongestCachedPrefix(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	instructions := program.Message{Role: "system", Content: "instructions"}
 	dossier := program.Message{Role: "user", Content: "dossier"}
--- a/internal/execution/programs.go
+++ b/internal/execution/programs.go
@@ -7,28 +7,29 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// tooManyPrograms refuses a new program of a tenant that has as many open
-// ones as this daemon may lead: its part of MaxPrograms by shards led, rounded
-// up. Sub-agents count as their root. The count is of committed programs;
-// creations at the same moment may pass it by as many as are under way, and
-// the fleet's sum may pass MaxPrograms by less than one for each daemon.
-func (s *Service) tooManyPrograms(lead *leadership, tenant *configuration.Tenant, arguments *CreateArguments) *problem.Problem {
+// checkProgramLimit refuses to create a root program if the tenant has reached
+// its limit of open programs on this daemon. The limit is the tenant's
+// MaxPrograms times the fraction of shards that this daemon leads, rounded up.
+// Sub-agents are not counted. Because only committed programs count, concurrent
+// creations can exceed the limit; because of the rounding, the whole fleet can
+// exceed MaxPrograms by less than one program per daemon.
+func (s *Service) checkProgramLimit(lead *leadership, tenant *configuration.Tenant, arguments *CreateArguments) *problem.Problem {
 	if tenant.MaxPrograms <= 0 || arguments.Parent != "" {
 		return nil
 	}
 	if lead.shard.Created(arguments.Tenant, arguments.Parent, arguments.CreationKey) {
-		return nil // a repeat finds its program
+		return nil // a repeated request returns the existing program
 	}
-	most := int(math.Ceil(float64(tenant.MaxPrograms) * s.share()))
+	maxOpen := int(math.Ceil(float64(tenant.MaxPrograms) * s.shardShare()))
 	open := 0
-	for _, led := range *s.leaders.Load() {
+	for _, led := range *s.leaderships.Load() {
 		open += led.shard.OpenPrograms(tenant.Name)
 	}
-	if open < most {
+	if open < maxOpen {
 		return nil
 	}
 	s.metrics.refused.WithLabelValues("max-programs").Inc()
-	return problem.New(problem.KindRefused, "create", "the tenant has %d open programs here, and %d are allowed in all", open, tenant.MaxPrograms).
+	return problem.New(problem.KindRefused, "create", "the tenant has %d open programs on this daemon; its limit for the whole fleet is %d", open, tenant.MaxPrograms).
 		WithPeer(s.options.Self.String()).
-		WithRetryAfter(jittered(s.limits.RetryAfter))
+		WithRetryAfter(addJitter(s.limits.RetryAfter))
 }
--- a/internal/execution/reconcile.go
+++ b/internal/execution/reconcile.go
@@ -9,29 +9,30 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// GoneArguments asks which programs of one shard have ended or are not known.
+// GoneArguments are the arguments of Service.Gone: programs of one shard.
 type GoneArguments struct {
 	Shard    identity.Shard
 	Programs []identity.Program
 }
 
-// GoneReply lists them.
+// GoneReply is the reply of Service.Gone: the programs that have ended or are
+// unknown.
 type GoneReply struct {
 	Programs []identity.Program
 	Problem  *problem.Problem
 }
 
-// Gone tells which of the programs have ended or are unknown to the shard led
-// here. It reads behind the read barrier: what an engine holds for any other
-// program must stay.
+// Gone returns which of the programs have ended or are unknown, so that engines
+// can release the memory held for them. It uses the read barrier, since memory
+// of any other program must be kept.
 func (s *Service) Gone(ctx context.Context, arguments GoneArguments) (GoneReply, error) {
 	return s.gone(ctx, arguments), nil
 }
 
 func (s *Service) gone(ctx context.Context, arguments GoneArguments) GoneReply {
-	lead, fault := s.led(arguments.Shard, "find ended programs")
+	lead, fault := s.leadershipOf(arguments.Shard, "find ended programs")
 	if fault == nil {
-		fault = s.confirm(ctx, lead)
+		fault = s.confirmLeadership(ctx, lead)
 	}
 	if fault != nil {
 		return GoneReply{Problem: fault}
--- a/internal/execution/requests.go
+++ b/internal/execution/requests.go
@@ -10,7 +10,8 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// Create makes a program on the shard of its creation key, or of its parent.
+// Create creates a program, on its parent's shard if it has a parent, and
+// otherwise on the shard that its tenant and creation key hash to.
 func (s *Service) Create(ctx context.Context, arguments CreateArguments) (CreateReply, error) {
 	return s.create(ctx, arguments), nil
 }
@@ -20,16 +21,16 @@
 	if fault != nil {
 		return CreateReply{Problem: fault}
 	}
-	lead, fault := s.led(number, "create")
+	lead, fault := s.leadershipOf(number, "create")
 	if fault != nil {
 		return CreateReply{Problem: fault}
 	}
-	tenant, fault := s.tenantFor(arguments.Tenant, "create")
+	tenant, fault := s.admitTenant(arguments.Tenant, "create")
 	if fault == nil {
-		fault = s.tooManyPrograms(lead, tenant, &arguments)
+		fault = s.checkProgramLimit(lead, tenant, &arguments)
 	}
 	if fault != nil {
-		fault.Outcome = problem.OutcomeNone // the key may have created the program before
+		fault.Outcome = problem.OutcomeNone // an earlier request with the same key may have created the program
 		return CreateReply{Problem: fault}
 	}
 	result, fault := lead.commit(ctx, program.Command{
@@ -38,8 +39,8 @@
 		Tenant:      arguments.Tenant,
 		CreationKey: arguments.CreationKey,
 		Parent:      arguments.Parent,
-		Class:       firstSet(arguments.Class, tenant.Class),
-		Limits:      limitsOf(arguments, tenant),
+		Class:       firstNonEmpty(arguments.Class, tenant.Class),
+		Limits:      resolveLimits(arguments, tenant),
 	})
 	if fault != nil {
 		return CreateReply{Problem: fault}
@@ -62,37 +63,40 @@
 	return identity.ShardOfCreation(arguments.Tenant, arguments.CreationKey, known.Shards), nil
 }
 
-// limitsOf fills in the tenant's defaults. A sub-agent's budget comes from its parent.
-func limitsOf(arguments CreateArguments, tenant *configuration.Tenant) program.Limits {
+// resolveLimits fills in the tenant's defaults for limits that the request does
+// not set. The token budget of a sub-agent is left alone, since it is taken from
+// its parent's budget.
+func resolveLimits(arguments CreateArguments, tenant *configuration.Tenant) program.Limits {
 	limits := arguments.Limits
 	if arguments.Parent == "" {
-		fill(&limits.TokenBudget, tenant.TokenBudget)
+		setDefault(&limits.TokenBudget, tenant.TokenBudget)
 	}
-	fill(&limits.MaxTurns, tenant.MaxTurns)
-	fill(&limits.Idle, tenant.Idle)
-	fill(&limits.Lifetime, tenant.Lifetime)
+	setDefault(&limits.MaxTurns, tenant.MaxTurns)
+	setDefault(&limits.Idle, tenant.Idle)
+	setDefault(&limits.Lifetime, tenant.Lifetime)
 	return limits
 }
 
-func firstSet(first, second string) string {
+func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
 	}
 	return second
 }
 
-// tenantFor admits new work of the tenant: not while draining, nor under a
-// configuration that is not confirmed.
-func (s *Service) tenantFor(name identity.Tenant, step string) (*configuration.Tenant, *problem.Problem) {
+// admitTenant returns the tenant's configuration if the tenant may submit new
+// work. It refuses while the daemon drains, while the configuration is not
+// confirmed, and while the tenant exceeds its request rate.
+func (s *Service) admitTenant(name identity.Tenant, step string) (*configuration.Tenant, *problem.Problem) {
 	refuse := func(kind problem.Kind, detail string, wait time.Duration) *problem.Problem {
 		s.metrics.refused.WithLabelValues(string(kind)).Inc()
 		return problem.New(kind, step, "%s", detail).
 			WithOutcome(problem.OutcomeNotRun).
 			WithPeer(s.options.Self.String()).
-			WithRetryAfter(jittered(wait))
+			WithRetryAfter(addJitter(wait))
 	}
 	if s.draining.Load() {
-		return nil, refuse(problem.KindUnavailable, "this daemon is about to stop", leaderRetry)
+		return nil, refuse(problem.KindUnavailable, "this daemon is shutting down", leaderRetry)
 	}
 	if !s.options.Configuration.Confirmed() {
 		return nil, refuse(problem.KindUnavailable, "the configuration is not confirmed", s.limits.RetryAfter)
@@ -100,33 +104,34 @@
 	current := s.options.Configuration.Current()
 	tenant := current.TenantByName[name]
 	if tenant == nil {
-		return nil, refuse(problem.KindUnavailable, "the tenant is not known here", s.limits.RetryAfter)
+		return nil, refuse(problem.KindUnavailable, "the tenant is unknown to this daemon", s.limits.RetryAfter)
 	}
 	if wait, admitted := s.admission.admit(tenant); !admitted {
-		return nil, refuse(problem.KindRefused, "the tenant's rate is exceeded", wait)
+		return nil, refuse(problem.KindRefused, "the tenant's request rate is exceeded", wait)
 	}
 	return tenant, nil
 }
 
-// Submit puts a call into the log and starts it, or joins the same call.
+// Submit commits a call to the log and starts it. If the same call is already in
+// the log, Submit joins it instead.
 func (s *Service) Submit(ctx context.Context, arguments SubmitArguments) (SubmitReply, error) {
 	return s.submit(ctx, arguments), nil
 }
 
 func (s *Service) submit(ctx context.Context, arguments SubmitArguments) SubmitReply {
-	lead, fault := s.ledProgram(arguments.Program, "submit")
+	lead, fault := s.leadershipOfProgram(arguments.Program, "submit")
 	if fault != nil {
 		return SubmitReply{Problem: fault}
 	}
 	spec := arguments.Call
 	if spec.Target == program.TargetModel {
-		fill(&spec.MaxTokens, DefaultMaxTokens)
+		setDefault(&spec.MaxTokens, DefaultMaxTokens)
 	}
 	key := program.CallKey{Program: arguments.Program, Sequence: spec.Sequence}
-	_, head, standing := lead.shard.Call(key.Program, key.Sequence)
-	var place *ticket
-	if !standing {
-		if place, fault = s.admit(ctx, lead, &head, arguments.Tenant, &spec); fault != nil {
+	_, head, exists := lead.shard.Call(key.Program, key.Sequence)
+	var slot *ticket
+	if !exists {
+		if slot, fault = s.admit(ctx, lead, &head, arguments.Tenant, &spec); fault != nil {
 			return SubmitReply{Problem: fault}
 		}
 	}
@@ -137,45 +142,46 @@
 		fault = result.Problem
 	}
 	if fault != nil || result.Call.State.Final() {
-		place.leave()
+		slot.release()
 		return SubmitReply{Joined: fault == nil, Problem: fault}
 	}
-	if place == nil {
-		place = s.gate.enterAlways(classOf(head.Class))
+	if slot == nil {
+		slot = s.gate.acquireUnbounded(classOf(head.Class))
 	}
-	lead.start(key, place)
+	lead.startRun(key, slot)
 	return SubmitReply{Joined: result.Joined}
 }
 
-// DefaultMaxTokens is the limit of a call of a model that states none.
+// DefaultMaxTokens is the token limit of a model call that does not set one.
 const DefaultMaxTokens = 4096
 
-// admit decides on a call that is not in the log here. That it did not run is
-// said only after the read barrier: a later leader may have accepted it.
+// admit returns a slot for a call that is not in the local replica of the log,
+// or the problem for which the call is refused. A refusal says that the call did
+// not run, so it needs the read barrier: a newer leader may have accepted it.
 func (s *Service) admit(ctx context.Context, lead *leadership, head *program.Head, tenant identity.Tenant, spec *program.CallSpec) (*ticket, *problem.Problem) {
-	fault := s.targetFault(spec)
+	fault := s.validateTarget(spec)
 	if fault == nil {
-		_, fault = s.tenantFor(tenant, "submit")
+		_, fault = s.admitTenant(tenant, "submit")
 	}
 	if fault == nil {
-		if place := s.gate.enter(classOf(head.Class)); place != nil {
-			return place, nil
+		if slot := s.gate.acquire(classOf(head.Class)); slot != nil {
+			return slot, nil
 		}
 		s.metrics.refused.WithLabelValues("queue-full").Inc()
-		fault = problem.New(problem.KindRefused, "submit", "too many calls wait").
-			WithOutcome(problem.OutcomeNotRun).WithPeer(s.options.Self.String()).WithRetryAfter(jittered(s.limits.RetryAfter))
+		fault = problem.New(problem.KindRefused, "submit", "too many calls are queued").
+			WithOutcome(problem.OutcomeNotRun).WithPeer(s.options.Self.String()).WithRetryAfter(addJitter(s.limits.RetryAfter))
 	}
-	if unconfirmed := s.confirm(ctx, lead); unconfirmed != nil {
+	if unconfirmed := s.confirmLeadership(ctx, lead); unconfirmed != nil {
 		return nil, unconfirmed
 	}
-	if _, _, standing := lead.shard.Call(head.ID, spec.Sequence); standing {
-		return s.gate.enterAlways(classOf(head.Class)), nil
+	if _, _, exists := lead.shard.Call(head.ID, spec.Sequence); exists {
+		return s.gate.acquireUnbounded(classOf(head.Class)), nil
 	}
 	return nil, fault
 }
 
-// targetFault refuses a target that is not configured.
-func (s *Service) targetFault(spec *program.CallSpec) *problem.Problem {
+// validateTarget returns a problem if the call's target is not configured.
+func (s *Service) validateTarget(spec *program.CallSpec) *problem.Problem {
 	current := s.options.Configuration.Current()
 	known := false
 	switch spec.Target {
@@ -192,18 +198,18 @@
 		WithOutcome(problem.OutcomeNotRun)
 }
 
-// End ends a program and its sub-agents, for good.
+// End permanently ends a program and its sub-agents. Ending it again succeeds.
 func (s *Service) End(ctx context.Context, arguments EndArguments) (EndReply, error) {
 	return s.end(ctx, arguments), nil
 }
 
 func (s *Service) end(ctx context.Context, arguments EndArguments) EndReply {
-	lead, fault := s.ledProgram(arguments.Program, "end")
+	lead, fault := s.leadershipOfProgram(arguments.Program, "end")
 	if fault != nil {
 		return EndReply{Problem: fault}
 	}
 	reason := arguments.Reason
-	fill(&reason, program.EndByCaller)
+	setDefault(&reason, program.EndByCaller)
 	result, fault := lead.commit(ctx, program.Command{
 		Kind: program.CommandEnd, Program: arguments.Program, Tenant: arguments.Tenant, Reason: reason,
 	})
@@ -213,15 +219,15 @@
 	return EndReply{Problem: result.Problem}
 }
 
-// History reads a program as committed, behind the read barrier.
+// History returns the committed state of a program. It uses the read barrier.
 func (s *Service) History(ctx context.Context, arguments HistoryArguments) (HistoryReply, error) {
 	return s.history(ctx, arguments), nil
 }
 
 func (s *Service) history(ctx context.Context, arguments HistoryArguments) HistoryReply {
-	lead, fault := s.ledProgram(arguments.Program, "history")
+	lead, fault := s.leadershipOfProgram(arguments.Program, "history")
 	if fault == nil {
-		fault = s.confirm(ctx, lead)
+		fault = s.confirmLeadership(ctx, lead)
 	}
 	if fault != nil {
 		return HistoryReply{Problem: fault}
--- a/internal/execution/resume.go
+++ b/internal/execution/resume.go
@@ -8,28 +8,29 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// lookUpAll finds out what became of the attempts that a former leader left
-// open, the latest first. It returns false when the call is decided.
-func (r *run) lookUpAll(call *program.Call, head *program.Head) bool {
+// lookUpOpenAttempts looks up the results of the attempts that a former leader
+// left open, latest first. It returns false if the run is over.
+func (r *run) lookUpOpenAttempts(call *program.Call, head *program.Head) bool {
 	for index := len(call.Attempts) - 1; index >= 0; index-- {
 		attempt := call.Attempts[index]
 		if attempt.Closed {
 			continue
 		}
-		if !r.lookUp(call, head, &attempt) {
+		if !r.lookUpAttempt(call, head, &attempt) {
 			return false
 		}
 	}
 	return true
 }
 
-// lookUp asks the back end. That it does not know the attempt proves nothing:
-// the former leader may be paused before it sends. So an attempt of a call
-// not to be repeated ends as unknown, and every other one keeps its
-// reservation while the call goes on.
-func (r *run) lookUp(call *program.Call, head *program.Head, attempt *program.Attempt) bool {
+// lookUpAttempt asks the back end for the result of an attempt and commits it.
+// If the back end does not know the attempt, its result is unknown, because the
+// former leader may be paused and still send it. A call that is not repeatable
+// then ends with an unknown outcome. Any other call goes on, and the attempt
+// keeps its token reservation. It returns false if the run is over.
+func (r *run) lookUpAttempt(call *program.Call, head *program.Head, attempt *program.Attempt) bool {
 	r.stream.restart(attempt.Number)
-	order := r.order(call, head, &placement{
+	order := r.newOrder(call, head, &placement{
 		backEnd: attempt.BackEnd, address: attempt.Address, reserved: attempt.Reserved,
 	}, attempt.Number)
 	order.Resume = true
@@ -40,16 +41,17 @@
 	if !ended {
 		return false
 	}
-	r.lead.service.metrics.resumed.WithLabelValues(endingNames[report.Ending]).Inc()
+	r.lead.service.metrics.resumed.WithLabelValues(endingLabels[report.Ending]).Inc()
 	if report.Ending == dispatch.EndingNeverRan {
 		report.Ending = dispatch.EndingUnknown
-		report.Problem = problem.New(problem.KindOutcomeUnknown, "look up attempt", "the back end does not know it, yet a former leader may still send it").
+		report.Problem = problem.New(problem.KindOutcomeUnknown, "look up attempt", "the back end does not know the attempt, but a former leader may still send it").
 			WithPeer(attempt.BackEnd)
 	}
-	return r.conclude(call, attempt, &report)
+	return r.commitReport(call, attempt, &report)
 }
 
-var endingNames = map[dispatch.Ending]string{
+// endingLabels maps endings to values of the metric label "ending".
+var endingLabels = map[dispatch.Ending]string{
 	dispatch.EndingAnswered: "answered",
 	dispatch.EndingNeverRan: "never-ran",
 	dispatch.EndingFailed:   "failed",
--- a/internal/execution/retries.go
+++ b/internal/execution/retries.go
@@ -7,31 +7,31 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// retries is the budget of retries of all calls here, so that an outage is
-// not multiplied by its retries.
-type retries struct {
+// retryBudget limits the retries of all calls on this daemon, so that retries do
+// not multiply the load during an outage. It is safe for concurrent use.
+type retryBudget struct {
 	started time.Time
 
 	mutex  sync.Mutex
 	budget scheduling.RetryBudget
 }
 
-func newRetries(limits *Limits) *retries {
-	return &retries{
+func newRetryBudget(limits *Limits) *retryBudget {
+	return &retryBudget{
 		started: time.Now(),
 		budget:  scheduling.NewRetryBudget(max(limits.RetryShare, 0), max(limits.RetriesPerSecond, 0), float64(limits.RetryBurst), 0),
 	}
 }
 
-// first counts a first attempt.
-func (r *retries) first() {
+// recordFirstAttempt adds Limits.RetryShare retries to the budget, up to its size.
+func (r *retryBudget) recordFirstAttempt() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.budget = r.budget.First(time.Since(r.started))
 }
 
-// allow takes one retry out of the budget.
-func (r *retries) allow() bool {
+// takeRetry takes one retry from the budget and reports whether there was one.
+func (r *retryBudget) takeRetry() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var allowed bool
--- a/internal/execution/run.go
+++ b/internal/execution/run.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	firstBackoff   = 20 * time.Millisecond
-	longestBackoff = time.Second
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
 var errDeadline = errors.New("the deadline passed")
 
-// run takes one call from acceptance to its final state, while this daemon
-// leads the shard. It commits each step before the step has an effect.
+// run executes one call until it is final or this daemon loses the leadership of
+// the shard. It commits each step to the log before the step takes effect.
 type run struct {
-	lead     *leadership
-	key      program.CallKey
-	place    *ticket
-	stream   *stream
-	ctx      context.Context // ends with the leadership, the program or the deadline
-	cancel   context.CancelCauseFunc
-	backoff  *backoff.ExponentialBackOff
-	excluded []string // back ends that failed this call
-	history  []program.Message
-	expected expectation
-	waiting  time.Time // since when no back end takes the call
-}
-
-func newRun(lead *leadership, key program.CallKey, place *ticket) *run {
-	created := &run{lead: lead, key: key, place: place, stream: newStream(), backoff: newBackoff()}
+	lead           *leadership
+	key            program.CallKey
+	slot           *ticket
+	stream         *stream
+	ctx            context.Context // cancelled when the leadership or the program ends, or at the deadline
+	cancel         context.CancelCauseFunc
+	backoff        *backoff.ExponentialBackOff
+	excluded       []string // back ends that failed this call
+	history        []program.Message
+	expectedPrefix expectedPrefix
+	waitingSince   time.Time // when the call began to wait for a back end; zero if it does not wait
+}
+
+func newRun(lead *leadership, key program.CallKey, slot *ticket) *run {
+	created := &run{lead: lead, key: key, slot: slot, stream: newStream(), backoff: newBackoff()}
 	created.ctx, created.cancel = context.WithCancelCause(lead.ctx)
 	return created
 }
 
 func newBackoff() *backoff.ExponentialBackOff {
-	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval = firstBackoff
-	pauses.MaxInterval = longestBackoff
-	return pauses
+	created := backoff.NewExponentialBackOff()
+	created.InitialInterval = initialBackoff
+	created.MaxInterval = maxBackoff
+	return created
 }
 
-// execute is the runner's goroutine.
+// execute is the body of the run's goroutine.
 func (r *run) execute() {
 	defer r.finish()
 	call, head, found := r.call()
@@ -61,14 +61,14 @@
 	if head.State != program.ProgramOpen && call.Spec.Target == program.TargetModel {
 		r.cancel(errProgramEnded)
 	}
-	if err := r.place.wait(r.ctx); err != nil && !call.Unreleased() {
-		r.stopped(&call)
+	if err := r.slot.wait(r.ctx); err != nil && !call.Unreleased() {
+		r.giveUpStopped(&call)
 		return
 	}
 	if call.Spec.Target == program.TargetModel {
 		r.history = r.lead.shard.Prompt(r.key.Program, r.key.Sequence)
 	}
-	if !r.lookUpAll(&call, &head) {
+	if !r.lookUpOpenAttempts(&call, &head) {
 		return
 	}
 	for r.step() {
@@ -77,16 +77,18 @@
 
 func (r *run) finish() {
 	r.cancel(nil)
-	r.place.leave()
-	r.lead.remove(r.key)
-	r.stream.wake()
+	r.slot.release()
+	r.lead.removeRun(r.key)
+	r.stream.notify()
 }
 
 func (r *run) call() (program.Call, program.Head, bool) {
 	return r.lead.shard.Call(r.key.Program, r.key.Sequence)
 }
 
-// deadline is the same at each leader: it counts from acceptance.
+// deadline returns the call's own deadline or, if it has none, its acceptance
+// time plus the timeout of its target. Because it counts from acceptance, a
+// leader change does not extend it.
 func (r *run) deadline(call *program.Call) time.Time {
 	if !call.Spec.Deadline.IsZero() {
 		return call.Spec.Deadline
@@ -102,8 +104,9 @@
 	return call.AcceptedAt.Add(limits.ServiceTimeout)
 }
 
-// armDeadline cancels the run at its deadline. Attempts of a former leader are
-// looked up even later, within the grace.
+// armDeadline starts a timer that cancels the run at the call's deadline. If a
+// former leader left attempts, the timer runs for at least Limits.LookupGrace, so
+// that they can be looked up.
 func (r *run) armDeadline(call *program.Call) (stop func()) {
 	left := time.Until(r.deadline(call))
 	if call.Unreleased() {
@@ -113,7 +116,8 @@
 	return func() { timer.Stop() }
 }
 
-// step places and sends one attempt. It returns false when the runner is done.
+// step places and sends one attempt, or waits if no back end is available yet.
+// It returns true if the call needs another step, and false if the run is over.
 func (r *run) step() bool {
 	call, head, found := r.call()
 	if !found || call.State.Final() || r.lead.ctx.Err() != nil {
@@ -123,19 +127,19 @@
 		r.cancel(errProgramEnded)
 	}
 	if r.ctx.Err() != nil {
-		r.stopped(&call)
+		r.giveUpStopped(&call)
 		return false
 	}
-	if r.lead.service.limits.exhausted(&call) {
+	if r.lead.service.limits.isExhausted(&call) {
 		r.giveUpAfterAttempts(&call)
 		return false
 	}
-	if len(call.Attempts) > 0 && !r.lead.service.retries.allow() {
+	if len(call.Attempts) > 0 && !r.lead.service.retryBudget.takeRetry() {
 		r.lead.service.metrics.refused.WithLabelValues("retry-budget").Inc()
 		r.giveUpAfterAttempts(&call)
 		return false
 	}
-	chosen, wait, fault := r.choose(&call, &head)
+	chosen, wait, fault := r.chooseBackEnd(&call, &head)
 	switch {
 	case fault != nil:
 		r.giveUpUnsent(&call, fault)
@@ -144,25 +148,26 @@
 		r.pause(wait)
 		return true
 	}
-	r.waiting = time.Time{}
+	r.waitingSince = time.Time{}
 	if len(call.Attempts) == 0 {
-		r.lead.service.retries.first()
+		r.lead.service.retryBudget.recordFirstAttempt()
 	}
 	return r.attempt(&call, &head, chosen)
 }
 
-// pause waits before the next step, or until the run stops.
+// pause blocks for the given time or until the run is cancelled.
 func (r *run) pause(wait time.Duration) { pause.For(r.ctx, wait) }
 
-// stopped gives the call up for the reason that ended the run. When the
-// leadership ended, the next leader decides instead.
-func (r *run) stopped(call *program.Call) {
+// giveUpStopped ends a call whose run was cancelled, with the cause as the
+// problem. If the leadership has ended, it leaves the call to the next leader.
+func (r *run) giveUpStopped(call *program.Call) {
 	if r.lead.ctx.Err() != nil {
 		return
 	}
 	r.giveUpUnsent(call, r.stopProblem())
 }
 
+// stopProblem returns the problem that describes why the run was cancelled.
 func (r *run) stopProblem() *problem.Problem {
 	cause := context.Cause(r.ctx)
 	kind := problem.KindCancelled
@@ -172,21 +177,23 @@
 	return problem.New(kind, "run", "%v", cause)
 }
 
-// exhausted says whether the call had its attempts. Those that certainly
-// never ran count apart: several back ends may each refuse at first.
-func (l *Limits) exhausted(call *program.Call) bool {
+// isExhausted reports whether the call has used up its attempts. Attempts that
+// are known not to have run have a higher limit, because several back ends may
+// refuse a call before one accepts it.
+func (l *Limits) isExhausted(call *program.Call) bool {
 	ran := 0
 	for _, attempt := range call.Attempts {
 		if !attempt.Released {
 			ran++
 		}
 	}
-	return ran >= l.MaxAttempts || len(call.Attempts) >= l.MaxAttempts*refusalsPerAttempt
+	return ran >= l.MaxAttempts || len(call.Attempts) >= l.MaxAttempts*totalAttemptsFactor
 }
 
-// giveUpAfterAttempts ends a call whose retries are used up.
+// giveUpAfterAttempts ends a call that has used up its attempts or for which the
+// retry budget has no retry left.
 func (r *run) giveUpAfterAttempts(call *program.Call) {
-	fault := problem.New(problem.KindBackEndFailed, "retry", "%d attempts ended without answer", len(call.Attempts))
+	fault := problem.New(problem.KindBackEndFailed, "retry", "%d attempts ended without an answer", len(call.Attempts))
 	if !call.Unreleased() {
 		fault.Kind = problem.KindRefused
 		fault.RetryAfter = r.lead.service.limits.RetryAfter
@@ -194,8 +201,9 @@
 	r.giveUpUnsent(call, fault)
 }
 
-// giveUpUnsent ends a call that has no open attempt, with the outcome that
-// its closed attempts allow.
+// giveUpUnsent ends a call for which no attempt is being sent. The outcome follows
+// from its attempts: "not run" if none can have run, "failed" if the end of each
+// is known, and "unknown" otherwise.
 func (r *run) giveUpUnsent(call *program.Call, fault *problem.Problem) {
 	final := *fault
 	switch {
@@ -209,32 +217,35 @@
 	r.giveUp(&program.Attempt{}, 0, &final)
 }
 
-// giveUp commits the end of the call without answer; the empty attempt is none.
+// giveUp commits the end of the call without an answer. A zero Attempt means that
+// the call ends without closing an attempt; otherwise spent is the number of
+// tokens that the attempt generated, or -1 if unknown.
 func (r *run) giveUp(attempt *program.Attempt, spent int64, fault *problem.Problem) {
-	command := r.about(attempt, program.CommandGiveUp)
+	command := r.attemptCommand(attempt, program.CommandGiveUp)
 	command.Spent = spent
 	command.Problem = fault
-	result := r.insist(command)
+	result := r.proposeUntilDecided(command)
 	if result == nil {
 		return
 	}
 	if result.Problem != nil {
-		r.log("execution: a call was not given up.", result.Problem)
+		r.log("execution: the shard rejected the end of a call.", result.Problem)
 		return
 	}
 	r.lead.service.metrics.calls.WithLabelValues(string(result.Call.State)).Inc()
 }
 
-// insist proposes until the command is decided, or returns nil when the
-// leadership ended. The shard takes each of these commands at most once.
-func (r *run) insist(command program.Command) *program.Result {
-	pauses := newBackoff()
+// proposeUntilDecided proposes the command until it commits, and returns the
+// result. It returns nil if the leadership ends first. Proposing it repeatedly is
+// safe, because the shard accepts each of these commands at most once.
+func (r *run) proposeUntilDecided(command program.Command) *program.Result {
+	retryBackoff := newBackoff()
 	for {
 		result, err := r.lead.propose(r.lead.ctx, command)
 		if err == nil {
 			return result
 		}
-		if !pause.For(r.lead.ctx, pauses.NextBackOff()) {
+		if !pause.For(r.lead.ctx, retryBackoff.NextBackOff()) {
 			return nil
 		}
 	}
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -15,52 +15,54 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// Service implements Programs for the shards that this daemon leads. Safe for
-// concurrent use.
+// Service implements Programs for the shards that this daemon leads. It is safe
+// for concurrent use.
 type Service struct {
-	options   Options
-	limits    Limits
-	logger    *zap.Logger
-	metrics   *metrics
-	gate      *gate
-	waiting   *waiting
-	admission *admission
-	retries   *retries
-	pauses    *pauses
-	trust     *trust
-	draining  atomic.Bool
-	started   time.Time
-	running   sync.WaitGroup // runners
+	options        Options
+	limits         Limits
+	logger         *zap.Logger
+	metrics        *metrics
+	gate           *gate
+	waitQueues     *waitQueues
+	admission      *admission
+	retryBudget    *retryBudget
+	pauseEstimator *pauseEstimator
+	cacheTrust     *cacheTrust
+	draining       atomic.Bool
+	started        time.Time
+	goroutines     sync.WaitGroup // background goroutines: runs, sweeps and the wait queues
 
-	mutex  sync.Mutex // guards shards, and writing of leaders
+	mutex  sync.Mutex // guards shards, and writes of leaderships
 	shards map[identity.Shard]*program.Shard
-	// leaders is read on each request: a new map replaces it on each change.
-	leaders atomic.Pointer[map[identity.Shard]*leadership]
+	// leaderships is read without a lock on each request. The map is never
+	// modified: each change stores a new copy.
+	leaderships atomic.Pointer[map[identity.Shard]*leadership]
 }
 
 var _ Programs = (*Service)(nil)
 
-// New makes the service; it leads nothing before Run.
+// New returns a service. It leads no shards until Run is called. New returns an
+// error if a required option is missing or a metric cannot be registered.
 func New(options Options) (*Service, error) {
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return nil, err
 	}
 	options = options.withDefaults()
 	limits := options.Limits
 	service := &Service{
-		options: options,
-		limits:  limits,
-		logger:  options.Logger.Named("execution"),
-		gate:    newGate(limits.MaxRunning, limits.MaxQueued),
-		started: time.Now(),
-		retries: newRetries(&limits),
-		pauses:  newPauses(),
-		trust:   newTrust(),
-		shards:  make(map[identity.Shard]*program.Shard),
+		options:        options,
+		limits:         limits,
+		logger:         options.Logger.Named("execution"),
+		gate:           newGate(limits.MaxRunning, limits.MaxQueued),
+		started:        time.Now(),
+		retryBudget:    newRetryBudget(&limits),
+		pauseEstimator: newPauseEstimator(),
+		cacheTrust:     newCacheTrust(),
+		shards:         make(map[identity.Shard]*program.Shard),
 	}
-	service.waiting = newWaiting(service)
-	service.admission = newAdmission(service.share)
-	service.leaders.Store(&map[identity.Shard]*leadership{})
+	service.waitQueues = newWaitQueues(service)
+	service.admission = newAdmission(service.shardShare)
+	service.leaderships.Store(&map[identity.Shard]*leadership{})
 	registered, err := newMetrics(options.Registerer, service)
 	if err != nil {
 		return nil, eris.Wrap(err, "register metrics of execution")
@@ -69,11 +71,13 @@
 	return service, nil
 }
 
-// warmingUp says whether this daemon may not have heard of all engines yet:
-// that none is known is then no reason to refuse.
-func (s *Service) warmingUp() bool { return time.Since(s.started) < s.limits.WarmUp }
+// isWarmingUp reports whether this daemon started so recently that it may not
+// have received the reports of all engines. Calls then wait for an engine rather
+// than being refused because none is known.
+func (s *Service) isWarmingUp() bool { return time.Since(s.started) < s.limits.WarmUp }
 
-// NewShard makes the state machine of a shard and keeps it for reads.
+// NewShard returns a new state machine for the shard. The service keeps it to
+// read the shard's programs.
 func (s *Service) NewShard(number identity.Shard) shards.StateMachine {
 	shard := program.NewShard(number)
 	s.mutex.Lock()
@@ -82,16 +86,17 @@
 	return shard
 }
 
-// Run follows changes of leadership and sweeps until the context ends. It
-// then stops all runners without cancelling anything at a back end.
+// Run handles leadership changes and sweeps the shards until the context ends.
+// It then stops all runs without cancelling their attempts at the back ends, so
+// that the next leaders can resume them, and returns nil.
 func (s *Service) Run(ctx context.Context) error {
 	ticker := time.NewTicker(s.limits.SweepInterval)
 	defer ticker.Stop()
-	defer s.ceaseAll()
-	s.running.Go(func() { s.waiting.run(ctx) })
+	defer s.stopLeadingAll()
+	s.goroutines.Go(func() { s.waitQueues.decideUntilDone(ctx) })
 	for _, status := range s.options.Groups.Status() {
 		if status.Leading {
-			s.begin(ctx, shards.LeaderChange{Shard: status.Shard, Term: status.Term, Leading: true})
+			s.startLeading(ctx, shards.LeaderChange{Shard: status.Shard, Term: status.Term, Leading: true})
 		}
 	}
 	for {
@@ -99,38 +104,40 @@
 		case <-ctx.Done():
 			return nil
 		case change := <-s.options.Groups.Changes():
-			s.changed(ctx, change)
+			s.handleLeaderChange(ctx, change)
 		case <-ticker.C:
 			s.sweepAll()
 		}
 	}
 }
 
-// led gives the leadership of a shard, or the problem that names the leader.
-func (s *Service) led(number identity.Shard, step string) (*leadership, *problem.Problem) {
-	if lead := (*s.leaders.Load())[number]; lead != nil {
+// leadershipOf returns this daemon's leadership of the shard, or a problem that
+// names the current leader if it is known.
+func (s *Service) leadershipOf(number identity.Shard, step string) (*leadership, *problem.Problem) {
+	if lead := (*s.leaderships.Load())[number]; lead != nil {
 		return lead, nil
 	}
 	return nil, s.notLeader(number, step)
 }
 
-func (s *Service) ledProgram(identifier identity.Program, step string) (*leadership, *problem.Problem) {
+func (s *Service) leadershipOfProgram(identifier identity.Program, step string) (*leadership, *problem.Problem) {
 	number, err := identifier.Shard()
 	if err != nil {
 		return nil, problem.New(problem.KindUnknownProgram, step, "%v", err)
 	}
-	return s.led(number, step)
+	return s.leadershipOf(number, step)
 }
 
-// leaderRetry is how soon a request may find the new leader.
+// leaderRetry is the retry delay given to callers while the leader of a shard may
+// be changing.
 const leaderRetry = 200 * time.Millisecond
 
 func (s *Service) notLeader(number identity.Shard, step string) *problem.Problem {
-	found := problem.New(problem.KindUnavailable, step, "this daemon does not lead shard %d", number).
+	fault := problem.New(problem.KindUnavailable, step, "this daemon does not lead shard %d", number).
 		WithPeer(s.options.Self.String()).
 		WithRetryAfter(leaderRetry)
 	if leader, known := s.options.Groups.Leader(number); known && leader != s.options.Self {
-		found.Leader = leader.Address
+		fault.Leader = leader.Address
 	}
-	return found
+	return fault
 }
--- a/internal/execution/storm_test.go
+++ b/internal/execution/storm_test.go
@@ -18,17 +18,18 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// world is what back ends really did, whatever the daemons believe.
-type world struct {
+// groundTruth simulates the back ends with random faults and records what they
+// really executed, independently of what the daemons know.
+type groundTruth struct {
 	mutex      sync.Mutex
 	random     *rand.Rand
-	executions map[string]int             // by call
-	attempts   map[string]int64           // tokens by attempt that ran
-	generated  map[identity.Program]int64 // tokens by program
+	executions map[string]int             // number of executions by callKey
+	attempts   map[string]int64           // generated tokens by attempt, for attempts that ran
+	generated  map[identity.Program]int64 // generated tokens by program
 }
 
-func newWorld(seed uint64) *world {
-	return &world{
+func newGroundTruth(seed uint64) *groundTruth {
+	return &groundTruth{
 		random:     rand.New(rand.NewPCG(seed, 0)),
 		executions: make(map[string]int),
 		attempts:   make(map[string]int64),
@@ -36,21 +37,22 @@
 	}
 }
 
-func (w *world) chance(percent int) bool {
+// chance returns true with the given probability.
+func (w *groundTruth) chance(percent int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.IntN(100) < percent
 }
 
-func (w *world) below(limit int) int {
+func (w *groundTruth) intBelow(limit int) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.random.IntN(limit)
 }
 
-// send is a sender that may be paused before the first byte leaves, longer
-// than its leadership lasts, and whose answers may be lost.
-func (w *world) send(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+// send simulates an attempt. It may pause before it executes the call, even
+// beyond the end of the daemon's leadership, and its answer may be lost.
+func (w *groundTruth) send(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
 	attempt := fmt.Sprintf("%s/%d/%d", order.Program, order.Call.Sequence, order.Number)
 	if order.Resume {
 		return w.lookUp(attempt, order)
@@ -58,11 +60,11 @@
 	if w.chance(10) {
 		return ended(dispatch.EndingNeverRan, 0)
 	}
-	time.Sleep(time.Duration(w.below(20)) * time.Millisecond)
+	time.Sleep(time.Duration(w.intBelow(20)) * time.Millisecond)
 	tokens := w.execute(attempt, order)
 	content := "answer of " + attempt
 	piece(content[:6])
-	time.Sleep(time.Duration(w.below(10)) * time.Millisecond)
+	time.Sleep(time.Duration(w.intBelow(10)) * time.Millisecond)
 	if w.chance(10) {
 		return ended(dispatch.EndingUnknown, -1)
 	}
@@ -72,20 +74,20 @@
 	return w.answered(attempt, order, tokens)
 }
 
-func (w *world) execute(attempt string, order dispatch.Order) int64 {
+func (w *groundTruth) execute(attempt string, order dispatch.Order) int64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	var tokens int64
 	if order.Limit > 0 {
 		tokens = 1 + w.random.Int64N(order.Limit)
 	}
-	w.executions[callName(order.Program, order.Call.Sequence)]++
+	w.executions[callKey(order.Program, order.Call.Sequence)]++
 	w.attempts[attempt] = tokens
 	w.generated[order.Program] += tokens
 	return tokens
 }
 
-func (w *world) lookUp(attempt string, order dispatch.Order) dispatch.Report {
+func (w *groundTruth) lookUp(attempt string, order dispatch.Order) dispatch.Report {
 	w.mutex.Lock()
 	tokens, ran := w.attempts[attempt]
 	w.mutex.Unlock()
@@ -95,28 +97,28 @@
 	return w.answered(attempt, order, tokens)
 }
 
-func (w *world) answered(attempt string, order dispatch.Order, tokens int64) dispatch.Report {
+func (w *groundTruth) answered(attempt string, order dispatch.Order, tokens int64) dispatch.Report {
 	report := answered(order, "answer of "+attempt)
 	report.Answer.CompletionTokens = tokens
 	return report
 }
 
-// caller runs one program's calls in order, asking any daemon, and repeats
-// what it got no final word on.
+// caller runs one program's calls in order. It sends each request to a random
+// daemon and repeats requests without a final result.
 type caller struct {
-	daemons []*daemon
-	world   *world
-	program identity.Program
+	daemons     []*daemon
+	groundTruth *groundTruth
+	program     identity.Program
 }
 
-func (c *caller) any() *daemon { return c.daemons[c.world.below(len(c.daemons))] }
+func (c *caller) anyDaemon() *daemon { return c.daemons[c.groundTruth.intBelow(len(c.daemons))] }
 
-// finish submits until the call is in the log, then follows to its end. It
-// returns nil when the call was refused as not-run without a trace.
+// finish submits the call until it is in the log, then follows it until it is
+// final and returns the last reply. It returns nil if the call was refused.
 func (c *caller) finish(spec program.CallSpec) *execution.FollowReply {
 	accepted := false
 	for {
-		asked := c.any()
+		asked := c.anyDaemon()
 		if !accepted {
 			reply := asked.submit(c.program, spec)
 			switch {
@@ -140,23 +142,24 @@
 	}
 }
 
-// specOf alternates calls of models with calls not to be repeated.
-func specOf(sequence uint64) program.CallSpec {
+// alternatingSpec returns a model call for odd sequence numbers and a
+// non-repeatable service call for even ones.
+func alternatingSpec(sequence uint64) program.CallSpec {
 	if sequence%2 == 0 {
 		return serviceCall(sequence)
 	}
 	return modelCall(sequence)
 }
 
-var _ = Describe("Failures at the same time", func() {
+var _ = Describe("Concurrent failures", func() {
 	const programs, calls, budget = 6, 8, 600
 
-	DescribeTable("leaders move, commits are uncertain, senders pause and answers are lost", func(seed uint64) {
-		place := newSite()
-		truth := newWorld(seed)
-		place.backEnd.setBehaviour(truth.send)
-		daemons := []*daemon{place.start("a"), place.start("b"), place.start("c")}
-		place.log.lead(daemons[0].groups)
+	DescribeTable("leave the log consistent with what the back ends executed", func(seed uint64) {
+		cluster := newTestCluster()
+		truth := newGroundTruth(seed)
+		cluster.backEnd.setBehaviour(truth.send)
+		daemons := []*daemon{cluster.start("a"), cluster.start("b"), cluster.start("c")}
+		cluster.log.lead(daemons[0].groups)
 		daemons[0].awaitLeading()
 
 		var identifiers, children []identity.Program
@@ -165,7 +168,7 @@
 			identifiers = append(identifiers, parent)
 			children = append(children, daemons[0].create("child", program.Limits{TokenBudget: budget / 3}, parent))
 		}
-		place.log.setFault(func(program.Command) (error, bool) {
+		cluster.log.setFault(func(program.Command) (error, bool) {
 			if truth.chance(5) {
 				return shards.ErrUncertain, truth.chance(50)
 			}
@@ -178,17 +181,17 @@
 				select {
 				case <-over:
 					return
-				case <-time.After(time.Duration(5+truth.below(40)) * time.Millisecond):
-					place.log.lead(daemons[truth.below(len(daemons))].groups)
+				case <-time.After(time.Duration(5+truth.intBelow(40)) * time.Millisecond):
+					cluster.log.lead(daemons[truth.intBelow(len(daemons))].groups)
 				}
 			}
 		})
 		for _, identifier := range append(append([]identity.Program{}, identifiers...), children...) {
 			callers.Go(func() {
 				defer GinkgoRecover()
-				asking := &caller{daemons: daemons, world: truth, program: identifier}
+				asking := &caller{daemons: daemons, groundTruth: truth, program: identifier}
 				for sequence := uint64(1); sequence <= calls; sequence++ {
-					checkOutcome(truth, identifier, sequence, asking.finish(specOf(sequence)))
+					checkOutcome(truth, identifier, sequence, asking.finish(alternatingSpec(sequence)))
 				}
 			})
 		}
@@ -196,8 +199,8 @@
 		close(over)
 		movers.Wait()
 		for number, parent := range identifiers {
-			checkProgram(place, truth, parent)
-			checkProgram(place, truth, children[number])
+			checkProgram(cluster, truth, parent)
+			checkProgram(cluster, truth, children[number])
 			Expect(truth.tokens(parent) + truth.tokens(children[number])).To(BeNumerically("<=", budget))
 			Expect(truth.tokens(children[number])).To(BeNumerically("<=", budget/3))
 		}
@@ -208,20 +211,22 @@
 	)
 })
 
-func (w *world) tokens(identifier identity.Program) int64 {
+func (w *groundTruth) tokens(identifier identity.Program) int64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.generated[identifier]
 }
 
-func (w *world) count(identifier identity.Program, sequence uint64) int {
+func (w *groundTruth) count(identifier identity.Program, sequence uint64) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.executions[callName(identifier, sequence)]
+	return w.executions[callKey(identifier, sequence)]
 }
 
-func checkOutcome(truth *world, identifier identity.Program, sequence uint64, reply *execution.FollowReply) {
-	if reply == nil { // refused: budget, or order after a refused call
+// checkOutcome checks that a refused call did not run, and that an answer belongs
+// to the call.
+func checkOutcome(truth *groundTruth, identifier identity.Program, sequence uint64, reply *execution.FollowReply) {
+	if reply == nil { // refused: no budget left, or out of order after a refused call
 		Expect(truth.count(identifier, sequence)).To(BeZero())
 		return
 	}
@@ -230,12 +235,12 @@
 	}
 }
 
-// checkProgram holds what the log says against what really ran, also by
-// senders that woke after their leadership.
-func checkProgram(place *site, truth *world, identifier identity.Program) {
+// checkProgram compares the program's history with what the back ends really
+// executed, including attempts sent after the sender's leadership had ended.
+func checkProgram(cluster *testCluster, truth *groundTruth, identifier identity.Program) {
 	var history execution.HistoryReply
 	Eventually(func() *problem.Problem {
-		history = place.leading().history(identifier)
+		history = cluster.leadingDaemon().history(identifier)
 		return history.Problem
 	}).Should(BeNil())
 	Expect(history.Spent + history.Reserved).To(BeNumerically("<=", history.Limits.TokenBudget))
@@ -248,7 +253,7 @@
 		}
 		switch call.State {
 		case program.CallNotRun:
-			Expect(executions).To(BeZero(), "call %d was said not to have run", i+1)
+			Expect(executions).To(BeZero(), "call %d was reported as not run", i+1)
 		case program.CallAnswered, program.CallFailed:
 			Expect(executions).To(BeNumerically(">=", 1))
 		}
--- a/internal/execution/stream.go
+++ b/internal/execution/stream.go
@@ -2,36 +2,38 @@
 
 import "sync"
 
-// stream holds what the attempt under way has sent so far, for followers.
+// stream buffers the content that the current attempt has produced so far, for
+// followers to read. It is safe for concurrent use.
 type stream struct {
 	mutex   sync.Mutex
-	attempt uint32
+	attempt uint32 // number of the current attempt
 	content []byte
-	changed chan struct{} // closed and replaced at each change
+	changed chan struct{} // closed and replaced on each change
 }
 
-// part is what a follower does not have yet.
-type part struct {
+// streamUpdate is the content that a follower does not have yet.
+type streamUpdate struct {
 	content   string
-	restarted bool
-	attempt   uint32
-	changed   <-chan struct{}
+	restarted bool            // content starts at offset 0 of another attempt
+	attempt   uint32          // number of the attempt that produced content
+	changed   <-chan struct{} // closed on the next change of the stream
 }
 
-func (p *part) news() bool { return p.content != "" || p.restarted }
+func (p *streamUpdate) hasContent() bool { return p.content != "" || p.restarted }
 
 func newStream() *stream { return &stream{changed: make(chan struct{})} }
 
-// restart begins the content of another attempt.
+// restart discards the content and makes attempt the current one.
 func (s *stream) restart(attempt uint32) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.attempt = attempt
 	s.content = nil
-	s.signal()
+	s.notifyLocked()
 }
 
-// add appends a piece, unless the attempt was replaced.
+// add appends a piece of content. It ignores pieces of any attempt other than
+// the current one.
 func (s *stream) add(attempt uint32, piece string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,38 +41,39 @@
 		return
 	}
 	s.content = append(s.content, piece...)
-	s.signal()
+	s.notifyLocked()
 }
 
-// wake lets followers look again.
-func (s *stream) wake() {
+// notify wakes all followers without changing the content.
+func (s *stream) notify() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.signal()
+	s.notifyLocked()
 }
 
-func (s *stream) signal() {
+func (s *stream) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// read gives the content after the offset in the follower's attempt. One that
-// has content of another attempt starts anew, once there is content; one that
-// names no attempt and is not known to be at the first gets nothing yet.
-func (s *stream) read(offset int, attempt uint32) part {
+// read returns the content after the offset for a follower that has content of
+// the given attempt. If the current attempt is another one, the follower gets its
+// whole content, marked as restarted, as soon as there is any. A follower that
+// names no attempt (0) gets more content only while the first attempt is current.
+func (s *stream) read(offset int, attempt uint32) streamUpdate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	found := part{attempt: s.attempt, changed: s.changed}
+	update := streamUpdate{attempt: s.attempt, changed: s.changed}
 	switch {
 	case offset <= 0:
-		found.content = string(s.content)
-	case attempt == s.attempt || (attempt == 0 && s.attempt == firstAttempt):
+		update.content = string(s.content)
+	case attempt == s.attempt || (attempt == 0 && s.attempt == firstAttemptNumber):
 		if offset < len(s.content) {
-			found.content = string(s.content[offset:])
+			update.content = string(s.content[offset:])
 		}
 	case attempt != 0 && len(s.content) > 0:
-		found.restarted = true
-		found.content = string(s.content)
+		update.restarted = true
+		update.content = string(s.content)
 	}
-	return found
+	return update
 }
--- a/internal/execution/sweep.go
+++ b/internal/execution/sweep.go
@@ -6,42 +6,46 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// liveFor is how long after its last activity a program's prefix still keeps
-// new programs from starting; it is well below the time that they may wait.
-const liveFor = 15 * time.Second
+// liveWindow is how long after its last activity a program without a running call
+// still counts as live. The cached tokens of live programs can delay the first
+// calls of new programs, so it must be much shorter than such a call may wait.
+const liveWindow = 15 * time.Second
 
-// sweepAll ends programs by the clock, forgets old ones and takes up calls
-// without a runner, on all shards led here.
+// sweepAll starts a sweep of each shard that this daemon leads, unless the
+// shard's last sweep is still running.
 func (s *Service) sweepAll() {
-	for _, lead := range *s.leaders.Load() {
+	for _, lead := range *s.leaderships.Load() {
 		if lead.sweeping.CompareAndSwap(false, true) {
-			s.running.Go(lead.sweep)
+			s.goroutines.Go(lead.sweep)
 		}
 	}
 }
 
+// sweep updates the count of live tokens, resumes calls without a run, cancels
+// calls of ended programs, ends expired programs, and deletes ended programs
+// whose retention is over.
 func (l *leadership) sweep() {
 	defer l.sweeping.Store(false)
-	tokens := l.shard.LiveTokens(time.Now().Add(-liveFor))
-	l.live.Store(&tokens)
-	l.resume()
+	tokens := l.shard.LiveTokens(time.Now().Add(-liveWindow))
+	l.liveTokens.Store(&tokens)
+	l.resumeCalls()
 	l.cancelEnded()
 	now := time.Now().UTC()
 	for _, expiry := range l.shard.Expired(now) {
-		if !l.proposeSwept(program.Command{Kind: program.CommandEnd, Program: expiry.Program, Reason: expiry.Reason}) {
+		if !l.proposeFromSweep(program.Command{Kind: program.CommandEnd, Program: expiry.Program, Reason: expiry.Reason}) {
 			return
 		}
 	}
 	limits := &l.service.limits
 	if before, found := l.shard.Forgettable(now.Add(-limits.Retention), limits.MaxEnded); found {
-		l.proposeSwept(program.Command{Kind: program.CommandForget, Before: before})
+		l.proposeFromSweep(program.Command{Kind: program.CommandForget, Before: before})
 	}
 }
 
-// cancelEnded cancels calls of programs that ended by a command whose result
-// was lost on the way.
+// cancelEnded cancels the running calls of ended programs. It covers programs
+// ended by a command whose result this daemon did not receive.
 func (l *leadership) cancelEnded() {
-	for _, running := range l.running() {
+	for _, running := range l.allRuns() {
 		_, head, found := running.call()
 		if found && head.State == program.ProgramEnded {
 			running.cancel(errProgramEnded)
@@ -49,8 +53,9 @@
 	}
 }
 
-// proposeSwept returns false when the rest has to wait for the next sweep.
-func (l *leadership) proposeSwept(command program.Command) bool {
+// proposeFromSweep proposes a command and reports whether it committed. After a
+// failure, the sweep leaves the remaining commands to the next one.
+func (l *leadership) proposeFromSweep(command program.Command) bool {
 	_, err := l.propose(l.ctx, command)
 	return err == nil
 }
--- a/internal/execution/trust.go
+++ b/internal/execution/trust.go
@@ -11,48 +11,54 @@
 )
 
 const (
-	trustedEngines = 4096 // whose trust is remembered
-	trustSmoothing = 0.25
-	trustHalfLife  = time.Minute // in which half of a distrust is forgotten
+	maxTrackedEngines = 4096        // the least recently used entries beyond this number are dropped
+	trustSmoothing    = 0.25        // weight of the latest answer in the moving average
+	trustHalfLife     = time.Minute // time in which a share halves its distance to 1 if no answer is recorded
 )
 
-// trust learns from the answers of each engine how much of the prefix that it
-// should hold was still cached there. What is said of holders is scaled by
-// it, so that an engine that evicts is not waited for. Distrust fades, since
-// an engine that gets no holders' calls could not mend it.
-type trust struct {
+// cacheTrust estimates for each engine the fraction of expected tokens that are
+// really in its prefix cache, from what its answers found cached. The scheduling
+// policy is given the expected tokens times this fraction, so that calls do not
+// wait for an engine that has probably evicted their prefix. A low fraction
+// recovers with time, because an engine that gets no such calls could not improve
+// it. cacheTrust is safe for concurrent use.
+type cacheTrust struct {
 	mutex    sync.Mutex
-	byEngine *lru.Cache[string, trusted]
+	byEngine *lru.Cache[string, trustEntry]
 }
 
-type trusted struct {
-	share float64 // of the expected tokens that were cached
-	at    time.Time
+type trustEntry struct {
+	share float64   // moving average of cached tokens over expected tokens, 0 to 1
+	at    time.Time // when share was last updated
 }
 
-func newTrust() *trust {
-	remembered, _ := lru.New[string, trusted](trustedEngines) // fails for sizes below one only
-	return &trust{byEngine: remembered}
+func newCacheTrust() *cacheTrust {
+	remembered, _ := lru.New[string, trustEntry](maxTrackedEngines) // fails only for sizes below 1
+	return &cacheTrust{byEngine: remembered}
 }
 
-// share is the part of an expected prefix that the engine is believed to hold.
-func (t *trust) share(engineID string, now time.Time) float64 {
+// share returns the fraction of an expected prefix, 0 to 1, that the engine
+// probably still has cached. It is 1 for an engine without recorded answers.
+func (t *cacheTrust) share(engineID string, now time.Time) float64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known, found := t.byEngine.Get(engineID)
 	if !found {
 		return 1
 	}
-	return known.fade(now)
+	return known.shareAt(now)
 }
 
-func (k trusted) fade(now time.Time) float64 {
+// shareAt returns the share with its recovery up to now.
+func (k trustEntry) shareAt(now time.Time) float64 {
 	halves := max(now.Sub(k.at), 0).Seconds() / trustHalfLife.Seconds()
 	return 1 - (1-k.share)*math.Exp2(-halves)
 }
 
-// learn takes what an answer found cached of what was expected.
-func (t *trust) learn(engineID string, expected, cached int64, now time.Time) {
+// record updates the engine's share after an answer. expected is the number of
+// tokens that should have been cached, and cached the number that were. It does
+// nothing if expected is not positive.
+func (t *cacheTrust) record(engineID string, expected, cached int64, now time.Time) {
 	if expected <= 0 {
 		return
 	}
@@ -60,21 +66,23 @@
 	defer t.mutex.Unlock()
 	share := 1.0
 	if known, found := t.byEngine.Get(engineID); found {
-		share = known.fade(now)
+		share = known.shareAt(now)
 	}
-	seen := min(float64(max(cached, 0))/float64(expected), 1)
-	t.byEngine.Add(engineID, trusted{share: share + trustSmoothing*(seen-share), at: now})
+	observed := min(float64(max(cached, 0))/float64(expected), 1)
+	t.byEngine.Add(engineID, trustEntry{share: share + trustSmoothing*(observed-share), at: now})
 }
 
-// expectation is what the program's last engine should hold of a prompt.
-type expectation struct {
-	engine string
+// expectedPrefix is the part of a prompt that the engine of the program's last
+// answer should have cached.
+type expectedPrefix struct {
+	engine string // engine identifier
 	tokens int64
 }
 
-// learnTrust compares an answer with what was expected of its engine.
-func (r *run) learnTrust(answer *program.Answer) {
-	if r.expected.engine == answer.Engine {
-		r.lead.service.trust.learn(answer.Engine, r.expected.tokens, answer.CachedTokens, time.Now())
+// recordCacheHits records how much of the expected prefix the engine had cached.
+// It does nothing if the answer comes from another engine than expected.
+func (r *run) recordCacheHits(answer *program.Answer) {
+	if r.expectedPrefix.engine == answer.Engine {
+		r.lead.service.cacheTrust.record(answer.Engine, r.expectedPrefix.tokens, answer.CachedTokens, time.Now())
 	}
 }
--- a/internal/execution/waiter.go
+++ b/internal/execution/waiter.go
@@ -10,67 +10,71 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// entryAttained moves first calls of programs back in their class as far as
-// any attained service does: finishing what has begun frees memory.
-const entryAttained = 4 * scheduling.ClassHeadStart
+// firstCallAttained is the attained service with which the first call of a
+// program is queued. It moves the call as far back in its class as attained
+// service can, because finishing started programs first frees engine memory.
+const firstCallAttained = 4 * scheduling.ClassHeadStart
 
-// unreportedRetry is the time till a call is decided again that waits for a
-// report of an engine or for the configuration to be confirmed.
-const unreportedRetry = 100 * time.Millisecond
+// missingReportRetry is the interval at which the placement of a call is retried
+// while an engine report is missing or the configuration is not confirmed.
+const missingReportRetry = 100 * time.Millisecond
 
-// waiter is a call that waits for an engine.
+// waiter is a model call that waits for an engine.
 type waiter struct {
-	service  *Service
-	key      lineKey
-	item     scheduling.QueueItem
-	request  *scheduling.Request
-	runs     []engine.PrefixRun
-	since    time.Time // from which its wait counts
-	entered  time.Time
-	deadline time.Time
-	outcome  chan outcome // takes one
+	service      *Service
+	key          queueKey
+	item         scheduling.QueueItem
+	request      *scheduling.Request
+	runs         []engine.PrefixRun
+	waitingSince time.Time // start of the waiting time that the scheduling policy takes into account
+	enteredAt    time.Time
+	deadline     time.Time
+	outcome      chan outcome // buffered; receives exactly one value
 }
 
 func (r *run) newWaiter(call *program.Call, head *program.Head, reserved int64) *waiter {
 	service := r.lead.service
 	now := time.Now()
 	created := &waiter{
-		service:  service,
-		request:  r.request(call, head, reserved),
-		runs:     prefixRuns(&call.Spec, r.history),
-		since:    call.AcceptedAt,
-		entered:  now,
-		deadline: r.deadline(call),
-		outcome:  make(chan outcome, 1),
+		service:      service,
+		request:      r.newRequest(call, head, reserved),
+		runs:         prefixRuns(&call.Spec, r.history),
+		waitingSince: call.AcceptedAt,
+		enteredAt:    now,
+		deadline:     r.deadline(call),
+		outcome:      make(chan outcome, 1),
 	}
 	if len(call.Attempts) > 0 {
-		created.since = now // what an attempt took was no wait
+		created.waitingSince = now // the time spent on earlier attempts is not waiting time
 	}
-	created.key = lineKey{adapter: call.Spec.Adapter, entry: created.request.Attained == 0, excluding: len(r.excluded) > 0}
+	created.key = queueKey{adapter: call.Spec.Adapter, firstCall: created.request.Attained == 0, hasExclusions: len(r.excluded) > 0}
 	created.item = scheduling.QueueItem{
 		Class:    created.request.Class,
 		Attained: created.request.Attained,
 		Enqueued: call.AcceptedAt.Sub(service.started),
 	}
-	if created.key.entry {
-		created.item.Attained = entryAttained
+	if created.key.firstCall {
+		created.item.Attained = firstCallAttained
 	}
 	return created
 }
 
-// refresh brings the request up to now.
+// refresh updates the parts of the request that depend on the time, the engines
+// or the queue. ahead is the number of queued calls ahead of this one.
 func (w *waiter) refresh(snapshot *scheduling.Snapshot, ahead int) {
-	w.request.Waited = time.Since(w.since)
+	w.request.Waited = time.Since(w.waitingSince)
 	w.request.DeadlineIn = time.Until(w.deadline)
 	w.request.QueuedAhead = ahead
 	w.request.Seed = rand.Uint64() //nolint:gosec // spreading load needs no secret
 	w.request.SharedPrefix = sharedPrefix(snapshot, w.runs)
 	w.request.LiveTokens = w.service.liveTokens(w.request.Model)
-	w.request.FleetShare = w.service.share()
+	w.request.FleetShare = w.service.shardShare()
 }
 
-// hopeless refuses a call at once whose turn would come too late.
-func (w *waiter) hopeless(ahead int) *problem.Problem {
+// refuseIfTooLate returns a problem if the policy refuses the call with the given
+// number of calls ahead of it, and nil if the call may be queued. It does not
+// refuse because no engine is known, since one may be reported while it waits.
+func (w *waiter) refuseIfTooLate(ahead int) *problem.Problem {
 	snapshot := w.service.options.Fleet.Snapshot()
 	w.refresh(snapshot, ahead)
 	decision := w.service.options.Policy.Decide(snapshot, w.request)
@@ -81,16 +85,18 @@
 	return w.refuse(&decision)
 }
 
-// decide places the call, refuses it, or says how long to wait at most.
+// decide returns the call's placement or refusal with a zero duration. If the
+// call has to wait, it returns the time after which to decide again at the latest.
 func (w *waiter) decide() (outcome, time.Duration) {
 	if !w.service.options.Configuration.Confirmed() {
-		return w.unreported("confirmed configuration") // an engine may have been drained meanwhile
+		return w.waitForReport("confirmed configuration") // a newer configuration may have drained an engine
 	}
 	snapshot := w.service.options.Fleet.Snapshot()
 	w.refresh(snapshot, 0)
 	decision := w.service.options.Policy.Decide(snapshot, w.request)
 	if decision.Reason == scheduling.ReasonNoEngine && len(w.request.Excluded) > 0 {
-		// Better one that failed this call than none: it may have recovered.
+		// An engine that failed this call may have recovered, so it is better
+		// than none.
 		anywhere := *w.request
 		anywhere.Excluded = nil
 		decision = w.service.options.Policy.Decide(snapshot, &anywhere)
@@ -102,14 +108,15 @@
 	case scheduling.ActionWait:
 		return outcome{}, max(decision.Retry, time.Millisecond)
 	}
-	mayCome := w.service.warmingUp() || engine.AwaitsReport(snapshot, w.request.Model)
-	if decision.Reason == scheduling.ReasonNoEngine && mayCome {
-		return w.unreported("report of an engine")
+	mayAppear := w.service.isWarmingUp() || engine.AwaitsReport(snapshot, w.request.Model)
+	if decision.Reason == scheduling.ReasonNoEngine && mayAppear {
+		return w.waitForReport("report from an engine")
 	}
 	return outcome{refused: w.refuse(&decision)}, 0
 }
 
-// place notes the placement; when it ends, a slot is free.
+// place returns the placement on the engine that the policy chose and counts it
+// in the fleet's load. When the attempt ends, waiting calls are decided again.
 func (w *waiter) place(snapshot *scheduling.Snapshot, decision *scheduling.Decision) *placement {
 	chosen := &snapshot.Engines[decision.Engine]
 	done := w.service.options.Fleet.Placed(chosen.ID, w.request.PromptTokens-decision.CachedTokens)
@@ -119,25 +126,28 @@
 		reserved: w.request.MaxOutputTokens,
 		done: func(failed bool, elapsed time.Duration) {
 			done(failed, elapsed)
-			w.service.waiting.rouse()
+			w.service.waitQueues.requestDecision()
 		},
 	}
 }
 
-func (w *waiter) unreported(what string) (outcome, time.Duration) {
+// waitForReport returns the time after which to decide again, or a refusal once
+// the call has waited for longer than Limits.MaxWait. what names the missing
+// information in the refusal.
+func (w *waiter) waitForReport(what string) (outcome, time.Duration) {
 	limits := &w.service.limits
-	if time.Since(w.entered) > limits.MaxWait {
-		return outcome{refused: refusal("waited too long for a "+what, limits.RetryAfter)}, 0
+	if time.Since(w.enteredAt) > limits.MaxWait {
+		return outcome{refused: newRefusal("timed out waiting for a "+what, limits.RetryAfter)}, 0
 	}
-	return outcome{}, unreportedRetry
+	return outcome{}, missingReportRetry
 }
 
 func (w *waiter) refuse(decision *scheduling.Decision) *problem.Problem {
-	detail := "no engine takes the call: " + string(decision.Reason)
-	// The policy has spread its advice already.
-	return refusal(detail, 0).WithRetryAfter(max(decision.Retry, w.service.limits.RetryAfter))
+	detail := "no engine accepts the call: " + string(decision.Reason)
+	// No jitter is added, because the policy has already added it to its advice.
+	return newRefusal(detail, 0).WithRetryAfter(max(decision.Retry, w.service.limits.RetryAfter))
 }
 
-func (w *waiter) displaced() *problem.Problem {
-	return refusal("too many calls wait for an engine", w.service.limits.RetryAfter)
+func (w *waiter) refuseDisplaced() *problem.Problem {
+	return newRefusal("too many calls are waiting for an engine", w.service.limits.RetryAfter)
 }
--- a/internal/execution/waiting.go
+++ b/internal/execution/waiting.go
@@ -10,43 +10,45 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// longestRetry bounds the time till the first waiting calls are decided again.
-const longestRetry = 250 * time.Millisecond
+// maxRetryInterval is the longest time between two decisions on waiting calls.
+const maxRetryInterval = 250 * time.Millisecond
 
-// waiting holds the calls of models that wait for an engine. One goroutine
-// decides the first of each line when a slot may be free: when an attempt
-// ended, when the picture of the engines changed, or when the scheduler said.
-type waiting struct {
+// waitQueues holds the model calls that wait for an engine. One goroutine tries to
+// place the first call of each queue whenever an engine may have room: when an
+// attempt has ended, when the fleet's snapshot has changed, and after the retry
+// time that the scheduling policy returned. It is safe for concurrent use.
+type waitQueues struct {
 	service *Service
 	wake    chan struct{}
 
 	mutex    sync.Mutex
-	models   map[string]*modelWaiting
+	models   map[string]*modelQueues
 	sequence uint64
 }
 
-func newWaiting(service *Service) *waiting {
-	return &waiting{service: service, wake: make(chan struct{}, 1), models: make(map[string]*modelWaiting)}
+func newWaitQueues(service *Service) *waitQueues {
+	return &waitQueues{service: service, wake: make(chan struct{}, 1), models: make(map[string]*modelQueues)}
 }
 
-// outcome is the end of a wait.
+// outcome is the result of a wait: a placement or the reason for a refusal. Both
+// fields are nil if the wait was cancelled.
 type outcome struct {
 	chosen  *placement
 	refused *problem.Problem
 }
 
-// await places the call in its turn. It returns no outcome when the context
-// ended first.
-func (w *waiting) await(ctx context.Context, entrant *waiter) outcome {
-	model := w.enter(entrant)
+// await blocks until the call is placed or refused. If the context ends first, it
+// returns the zero outcome.
+func (w *waitQueues) await(ctx context.Context, queued *waiter) outcome {
+	model := w.enqueue(queued)
 	select {
-	case result := <-entrant.outcome:
+	case result := <-queued.outcome:
 		return result
 	case <-ctx.Done():
 	}
-	model.leave(entrant)
+	model.dequeue(queued)
 	select {
-	case result := <-entrant.outcome: // it was placed meanwhile
+	case result := <-queued.outcome: // the call was decided before it left the queue
 		if result.chosen != nil {
 			result.chosen.done(false, 0)
 		}
@@ -55,42 +57,44 @@
 	return outcome{}
 }
 
-func (w *waiting) enter(entrant *waiter) *modelWaiting {
-	model := w.model(entrant)
-	if model.enter(entrant, w.service.limits.MaxQueued) {
-		w.rouse()
+func (w *waitQueues) enqueue(queued *waiter) *modelQueues {
+	model := w.assignModel(queued)
+	if model.enqueue(queued, w.service.limits.MaxQueued) {
+		w.requestDecision()
 	}
 	return model
 }
 
-// model finds the lines of the entrant's model, and numbers the entrant.
-func (w *waiting) model(entrant *waiter) *modelWaiting {
+// assignModel gives the call its sequence number in the order of arrival and
+// returns the queues of its model, which it creates if needed.
+func (w *waitQueues) assignModel(queued *waiter) *modelQueues {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.sequence++
-	entrant.item.Sequence = w.sequence
-	name := entrant.request.Model
+	queued.item.Sequence = w.sequence
+	name := queued.request.Model
 	if w.models[name] == nil {
-		w.models[name] = &modelWaiting{lines: make(map[lineKey]*scheduling.Queue[*waiter])}
+		w.models[name] = &modelQueues{queues: make(map[queueKey]*scheduling.Queue[*waiter])}
 	}
 	return w.models[name]
 }
 
-// rouse has the first calls decided again.
-func (w *waiting) rouse() {
+// requestDecision makes the goroutine decide on the first calls again. It does
+// not block.
+func (w *waitQueues) requestDecision() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run decides until the context ends.
-func (w *waiting) run(ctx context.Context) {
+// decideUntilDone decides on waiting calls until the context ends.
+func (w *waitQueues) decideUntilDone(ctx context.Context) {
 	var changed <-chan struct{}
 	if announcer, ok := w.service.options.Fleet.(engine.Announcer); ok {
 		changed = announcer.Changed()
 	}
-	timer := time.NewTimer(longestRetry)
+	timer := time.NewTimer(maxRetryInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -104,147 +108,152 @@
 	}
 }
 
-// decideAll decides what is first everywhere, and says when to do it again.
-func (w *waiting) decideAll() time.Duration {
-	retry := longestRetry
-	for _, model := range w.all() {
+// decideAll decides on the waiting calls of all models. It returns the time after
+// which to decide again, at most maxRetryInterval.
+func (w *waitQueues) decideAll() time.Duration {
+	retry := maxRetryInterval
+	for _, model := range w.allModels() {
 		retry = min(retry, model.decide())
 	}
 	return retry
 }
 
-func (w *waiting) all() []*modelWaiting {
+func (w *waitQueues) allModels() []*modelQueues {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	models := make([]*modelWaiting, 0, len(w.models))
+	models := make([]*modelQueues, 0, len(w.models))
 	for _, model := range w.models {
 		models = append(models, model)
 	}
 	return models
 }
 
-// count counts the waiting calls, for metrics.
-func (w *waiting) count() int {
+// count returns the number of waiting calls of all models.
+func (w *waitQueues) count() int {
 	count := 0
-	for _, model := range w.all() {
+	for _, model := range w.allModels() {
 		count += model.count()
 	}
 	return count
 }
 
-// lineKey tells the calls of a model apart that may have room where others
-// have none, so that they do not hold each other up.
-type lineKey struct {
-	adapter   string
-	entry     bool // the first call of its program, which may have to wait for memory
-	excluding bool // an engine failed the call
+// queueKey selects one of the queues of a model. Calls with different keys may be
+// placeable on different engines, so they must not block each other.
+type queueKey struct {
+	adapter       string
+	firstCall     bool // the program has not been served yet, so the call may have to wait for engine memory
+	hasExclusions bool // an engine has failed the call and is excluded
 }
 
-// modelWaiting holds the lines of one model.
-type modelWaiting struct {
-	mutex sync.Mutex
-	lines map[lineKey]*scheduling.Queue[*waiter]
+// modelQueues holds the queues of one model.
+type modelQueues struct {
+	mutex  sync.Mutex
+	queues map[queueKey]*scheduling.Queue[*waiter]
 }
 
-// enter refuses the entrant at once, places it, or lines it up; then it
-// returns true if it is the first of its line.
-func (m *modelWaiting) enter(entrant *waiter, limit int) bool {
+// enqueue refuses the call, places it at once, or queues it. The number of calls
+// in each queue is at most limit; a call that is displaced from a full queue is
+// refused. It returns true if the call was first in its queue and the queue is
+// still not empty, so that a decision has to be scheduled.
+func (m *modelQueues) enqueue(queued *waiter, limit int) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if ahead := m.ahead(entrant.item); ahead > 0 {
-		if refused := entrant.hopeless(ahead); refused != nil {
-			entrant.outcome <- outcome{refused: refused}
+	if ahead := m.countAhead(queued.item); ahead > 0 {
+		if refused := queued.refuseIfTooLate(ahead); refused != nil {
+			queued.outcome <- outcome{refused: refused}
 			return false
 		}
 	}
-	line := m.lines[entrant.key]
-	if line == nil {
-		line = scheduling.NewQueue[*waiter](limit)
-		m.lines[entrant.key] = line
+	queue := m.queues[queued.key]
+	if queue == nil {
+		queue = scheduling.NewQueue[*waiter](limit)
+		m.queues[queued.key] = queue
 	}
-	if displaced, full := line.Push(entrant.item, entrant); full {
-		displaced.outcome <- outcome{refused: displaced.displaced()}
+	if displaced, full := queue.Push(queued.item, queued); full {
+		displaced.outcome <- outcome{refused: displaced.refuseDisplaced()}
 	}
-	if _, first, _ := line.Peek(); first != entrant {
+	if _, first, _ := queue.Peek(); first != queued {
 		return false
 	}
 	m.decideLocked()
-	return m.lines[entrant.key] != nil
+	return m.queues[queued.key] != nil
 }
 
-func (m *modelWaiting) ahead(item scheduling.QueueItem) int {
+func (m *modelQueues) countAhead(item scheduling.QueueItem) int {
 	count := 0
-	for _, line := range m.lines {
-		count += line.Ahead(item)
+	for _, queue := range m.queues {
+		count += queue.Ahead(item)
 	}
 	return count
 }
 
-func (m *modelWaiting) leave(leaver *waiter) {
+func (m *modelQueues) dequeue(queued *waiter) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	line := m.lines[leaver.key]
-	if line == nil {
+	queue := m.queues[queued.key]
+	if queue == nil {
 		return
 	}
-	line.Remove(func(candidate *waiter) bool { return candidate == leaver })
-	m.dropEmpty(leaver.key)
+	queue.Remove(func(candidate *waiter) bool { return candidate == queued })
+	m.dropIfEmpty(queued.key)
 }
 
-func (m *modelWaiting) decide() time.Duration {
+func (m *modelQueues) decide() time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.decideLocked()
 }
 
-// decideLocked decides calls in their order until the first of each line has
-// to wait on, and says when to decide again.
-func (m *modelWaiting) decideLocked() time.Duration {
-	retry := longestRetry
-	blocked := make(map[lineKey]bool, len(m.lines))
+// decideLocked decides on calls in their order until the first call of each queue
+// has to wait. It returns the time after which to decide again, at most
+// maxRetryInterval. The caller must hold the mutex.
+func (m *modelQueues) decideLocked() time.Duration {
+	retry := maxRetryInterval
+	blocked := make(map[queueKey]bool, len(m.queues))
 	for {
-		first := m.first(blocked)
-		if first == nil {
+		next := m.firstUnblocked(blocked)
+		if next == nil {
 			return retry
 		}
-		result, wait := first.decide()
+		result, wait := next.decide()
 		if wait > 0 {
-			blocked[first.key] = true
+			blocked[next.key] = true
 			retry = min(retry, wait)
 			continue
 		}
-		m.lines[first.key].Pop()
-		m.dropEmpty(first.key)
-		first.outcome <- result
+		m.queues[next.key].Pop()
+		m.dropIfEmpty(next.key)
+		next.outcome <- result
 	}
 }
 
-// first finds the first call of all lines that are not blocked.
-func (m *modelWaiting) first(blocked map[lineKey]bool) *waiter {
+// firstUnblocked returns the first call in order among the queues that are not
+// blocked, or nil if there is none.
+func (m *modelQueues) firstUnblocked(blocked map[queueKey]bool) *waiter {
 	var best *waiter
-	for key, line := range m.lines {
+	for key, queue := range m.queues {
 		if blocked[key] {
 			continue
 		}
-		if _, candidate, found := line.Peek(); found && (best == nil || scheduling.Before(candidate.item, best.item)) {
+		if _, candidate, found := queue.Peek(); found && (best == nil || scheduling.Before(candidate.item, best.item)) {
 			best = candidate
 		}
 	}
 	return best
 }
 
-func (m *modelWaiting) dropEmpty(key lineKey) {
-	if m.lines[key].Len() == 0 {
-		delete(m.lines, key)
+func (m *modelQueues) dropIfEmpty(key queueKey) {
+	if m.queues[key].Len() == 0 {
+		delete(m.queues, key)
 	}
 }
 
-func (m *modelWaiting) count() int {
+func (m *modelQueues) count() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	count := 0
-	for _, line := range m.lines {
-		count += line.Len()
+	for _, queue := range m.queues {
+		count += queue.Len()
 	}
 	return count
 }
--- a/internal/execution/waiting_test.go
+++ b/internal/execution/waiting_test.go
@@ -22,8 +22,9 @@
 	return reply.Program
 }
 
-// oneSlot lets one call run at a time.
-func (s *site) oneSlot() {
+// runOneAtATime makes the policy place one call at a time: the next call is
+// placed after the last one has been answered.
+func (s *testCluster) runOneAtATime() {
 	s.backEnd.setBehaviour(func(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
 		report := s.backEnd.answer(order, piece)
 		s.policy.slots.Store(1)
@@ -34,13 +35,13 @@
 }
 
 var _ = Describe("Calls that wait for an engine", func() {
-	It("go by class, then those of started programs, then by arrival, also after a change of leader", func() {
-		place := newSite()
-		former, next := place.startLeader("a"), place.start("b")
+	It("are placed by class, then started programs first, then by arrival, even after a leader change", func() {
+		cluster := newTestCluster()
+		former, next := cluster.startLeader("a"), cluster.start("b")
 		started := former.createClass("started", "standard")
 		former.submit(started, modelCall(1))
 		former.follow(started, 1)
-		place.policyWaits()
+		cluster.makePolicyWait()
 		var expected []identity.Program
 		for _, class := range []string{"batch", "standard", "interactive"} {
 			var ofClass []identity.Program
@@ -52,27 +53,27 @@
 			expected = append(ofClass, expected...)
 		}
 		Expect(former.submit(started, modelCall(2)).Problem).To(BeNil())
-		expected = slices.Insert(expected, 3, started) // the last to come, the first of its class
+		expected = slices.Insert(expected, 3, started) // arrives last, but is placed first in its class
 
-		place.log.lead(next.groups)
+		cluster.log.lead(next.groups)
 		next.awaitLeading()
 		Eventually(next.waitingCalls).Should(BeEquivalentTo(len(expected)))
-		place.oneSlot()
+		cluster.runOneAtATime()
 		for _, identifier := range expected {
 			next.follow(identifier, uint64(len(next.history(identifier).Calls)))
 		}
 		var placed []identity.Program
-		for _, order := range place.backEnd.sent()[1:] {
+		for _, order := range cluster.backEnd.sent()[1:] {
 			placed = append(placed, order.Program)
 		}
 		Expect(placed).To(Equal(expected))
 	})
 
-	It("are refused at once when the line is full of better ones, and leave no trace when they end", func() {
-		place := newSite()
-		place.limits.MaxQueued = 2
-		leader := place.startLeader("a")
-		place.policyWaits()
+	It("are refused immediately if the queue is full of calls that go first, and leave the queue when their program ends", func() {
+		cluster := newTestCluster()
+		cluster.limits.MaxQueued = 2
+		leader := cluster.startLeader("a")
+		cluster.makePolicyWait()
 		batch := leader.createClass("batch", "batch")
 		leader.submit(batch, modelCall(1))
 		Eventually(leader.waitingCalls).Should(BeEquivalentTo(1))
@@ -86,16 +87,16 @@
 		_, err := leader.End(context.Background(), execution.EndArguments{Tenant: tenant, Program: leader.createClass("0", "interactive")})
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(leader.waitingCalls).Should(BeEquivalentTo(1))
-		Expect(place.backEnd.sent()).To(BeEmpty())
+		Expect(cluster.backEnd.sent()).To(BeEmpty())
 	})
 })
 
 var _ = Describe("Retries", func() {
-	It("are bounded by a share of first attempts, so that an outage is not multiplied", func() {
-		place := newSite()
-		place.limits.RetryBurst, place.limits.RetriesPerSecond, place.limits.RetryShare = 1, 1e-9, 1e-9
-		leader := place.startLeader("a")
-		place.backEnd.setBehaviour(func(context.Context, dispatch.Order, func(string)) dispatch.Report {
+	It("are limited to a share of the first attempts, so that an outage does not multiply the load", func() {
+		cluster := newTestCluster()
+		cluster.limits.RetryBurst, cluster.limits.RetriesPerSecond, cluster.limits.RetryShare = 1, 1e-9, 1e-9
+		leader := cluster.startLeader("a")
+		cluster.backEnd.setBehaviour(func(context.Context, dispatch.Order, func(string)) dispatch.Report {
 			return ended(dispatch.EndingNeverRan, 0)
 		})
 		for number := range 10 {
@@ -104,6 +105,6 @@
 			_, reply := leader.follow(identifier, 1)
 			Expect(reply.State).To(Equal(program.CallNotRun))
 		}
-		Expect(place.backEnd.sent()).To(HaveLen(11), "ten first attempts and one retry")
+		Expect(cluster.backEnd.sent()).To(HaveLen(11), "ten first attempts and one retry")
 	})
 })
