--- a/internal/execution/placement.go
+++ b/internal/execution/placement.go
@@ -26,8 +26,8 @@
 const bytesPerToken = 4
 
 // chooseBackEnd returns a placement, or how long to wait before the next try, or
-// the problem for which the call is refused. All three are zero if the run was
-// cancelled while the call waited for an engine.
+// a problem if the call is refused. All three are zero if the run was cancelled
+// while the call waited for an engine.
 func (r *run) chooseBackEnd(call *program.Call, head *program.Head) (*placement, time.Duration, *problem.Problem) {
 	if !r.lead.service.options.Configuration.Confirmed() {
 		return r.waitFor("confirmed configuration", 0) // a newer configuration may have drained a back end
--- a/internal/execution/requests.go
+++ b/internal/execution/requests.go
@@ -155,9 +155,9 @@
 // DefaultMaxTokens is the token limit of a model call that does not set one.
 const DefaultMaxTokens = 4096
 
-// admit returns a slot for a call that is not in the local replica of the log,
-// or the problem for which the call is refused. A refusal says that the call did
-// not run, so it needs the read barrier: a newer leader may have accepted it.
+// admit returns a slot for a call that is not in the local replica of the log, or
+// a problem if the call is refused. The problem says that the call did not run.
+// admit uses the read barrier first, since a newer leader may have accepted it.
 func (s *Service) admit(ctx context.Context, lead *leadership, head *program.Head, tenant identity.Tenant, spec *program.CallSpec) (*ticket, *problem.Problem) {
 	fault := s.validateTarget(spec)
 	if fault == nil {
--- a/internal/program/aggregate.go
+++ b/internal/program/aggregate.go
@@ -9,28 +9,29 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// Defaults of limits that neither the caller nor the tenant states.
+// Defaults for limits that neither the caller nor the tenant's configuration sets.
 const (
-	DefaultTokenBudget = 1_000_000
+	DefaultTokenBudget = 1_000_000 // tokens
 	DefaultMaxTurns    = 300
 	DefaultIdle        = 30 * time.Minute
 	DefaultLifetime    = 24 * time.Hour
 	DefaultMaxRepeats  = 16
 )
 
-// Bounds of a program that no setting lifts; they bound a replica's memory.
+// Fixed limits of a program. They limit the memory of a replica, so no setting
+// can raise them.
 const (
-	MaxTokenBudget  = 1 << 40 // tokens
-	MaxHistoryBytes = 16 << 20
-	MaxDepth        = 16 // sub-agents below a root program
-	MaxChildren     = 1024
-	MaxAttempts     = 32 // of one call
-	childShare      = 8  // a child without a stated budget gets this part of what its parent has left
-	callsPerTurn    = 4  // calls refused as not-run are no turns, yet they are stored
+	MaxTokenBudget     = 1 << 40  // tokens
+	MaxHistoryBytes    = 16 << 20 // content of all calls and answers of a program
+	MaxDepth           = 16       // levels of sub-agents below a root program
+	MaxChildren        = 1024     // direct sub-agents of a program
+	MaxAttempts        = 32       // attempts of one call
+	childBudgetDivisor = 8        // a child without its own budget gets 1/8 of the tokens its parent has left
+	maxCallsPerTurn    = 4        // calls stored per allowed turn; calls that did not run are not turns but are stored
 )
 
-// aggregate is one program. Values behind the pointers in Calls are never
-// changed in place, so that copies handed to readers stay valid.
+// aggregate is the state of one program. The calls that Calls points to are
+// never modified in place, so that readers can keep them without a lock.
 type aggregate struct {
 	ID              identity.Program   `cbor:"1,keyasint,omitzero"`
 	Tenant          identity.Tenant    `cbor:"2,keyasint,omitzero"`
@@ -44,28 +45,30 @@
 	EndedAt         time.Time          `cbor:"10,keyasint,omitzero"`
 	LastActive      time.Time          `cbor:"11,keyasint,omitzero"`
 	Calls           []*Call            `cbor:"12,keyasint,omitzero"`
-	Spent           int64              `cbor:"13,keyasint,omitzero"` // known cost of own attempts
-	Reserved        int64              `cbor:"14,keyasint,omitzero"` // own attempts that are open or unknown
+	Spent           int64              `cbor:"13,keyasint,omitzero"` // tokens: known cost of this program's own attempts
+	Reserved        int64              `cbor:"14,keyasint,omitzero"` // tokens: reservations of own attempts whose cost is not known
 	Children        []identity.Program `cbor:"15,keyasint,omitzero"` // in order of creation
-	ChildrenCharged int64              `cbor:"16,keyasint,omitzero"` // what children hold of this budget
-	Charged         int64              `cbor:"17,keyasint,omitzero"` // what this program holds of its parent's budget
+	ChildrenCharged int64              `cbor:"16,keyasint,omitzero"` // tokens: part of this program's budget that its children hold or have used
+	Charged         int64              `cbor:"17,keyasint,omitzero"` // tokens: part of the parent's budget that this program holds or has used
 	Depth           int                `cbor:"18,keyasint,omitzero"`
 	ContentBytes    int                `cbor:"19,keyasint,omitzero"`
 }
 
-func (a *aggregate) open() bool { return a.State == ProgramOpen }
+func (a *aggregate) isOpen() bool { return a.State == ProgramOpen }
 
-// available is what may still be reserved. It is negative only if a back end
-// generated more than its limit.
-func (a *aggregate) available() int64 {
-	return a.Limits.TokenBudget - a.committed()
+// availableTokens returns how many tokens can still be reserved. It is negative
+// only if a back end generated more tokens than its attempt had reserved.
+func (a *aggregate) availableTokens() int64 {
+	return a.Limits.TokenBudget - a.committedTokens()
 }
 
-// committed is what is spent, or may have been spent, by attempts and children.
-func (a *aggregate) committed() int64 { return a.Spent + a.Reserved + a.ChildrenCharged }
+// committedTokens returns how many tokens of the budget are spent, reserved by
+// attempts, or charged for children.
+func (a *aggregate) committedTokens() int64 { return a.Spent + a.Reserved + a.ChildrenCharged }
 
-// underWay gives the call that is not final, if there is one.
-func (a *aggregate) underWay() *Call {
+// activeCall returns the call that is not final, or nil if there is none. Only
+// the last call of a program can be active.
+func (a *aggregate) activeCall() *Call {
 	if len(a.Calls) == 0 {
 		return nil
 	}
@@ -76,6 +79,7 @@
 	return last
 }
 
+// call returns the call with the sequence number, or nil if there is none.
 func (a *aggregate) call(sequence uint64) *Call {
 	if sequence == 0 || sequence > uint64(len(a.Calls)) {
 		return nil
@@ -83,8 +87,8 @@
 	return a.Calls[sequence-1]
 }
 
-// turns counts the calls that ran, may have run or are under way.
-func (a *aggregate) turns() uint64 {
+// countTurns returns the number of calls, without those that did not run.
+func (a *aggregate) countTurns() uint64 {
 	var count uint64
 	for _, call := range a.Calls {
 		if call.State != CallNotRun {
@@ -94,14 +98,15 @@
 	return count
 }
 
-// repeats counts the identical calls directly before this one.
-func (a *aggregate) repeats(spec *CallSpec) uint64 {
+// countRepeats returns how many of the program's latest consecutive calls are the
+// same request as spec. Calls that did not run are skipped.
+func (a *aggregate) countRepeats(spec *CallSpec) uint64 {
 	var count uint64
 	for _, call := range slices.Backward(a.Calls) {
 		if call.State == CallNotRun {
 			continue
 		}
-		if !sameRequest(&call.Spec, spec) {
+		if !isSameRequest(&call.Spec, spec) {
 			break
 		}
 		count++
@@ -109,25 +114,26 @@
 	return count
 }
 
-// replace stores a changed copy of a call.
-func (a *aggregate) replace(call *Call) { a.Calls[call.Spec.Sequence-1] = call }
+// replaceCall replaces the call that has the same sequence number.
+func (a *aggregate) replaceCall(call *Call) { a.Calls[call.Spec.Sequence-1] = call }
 
-// setAttempt stores an attempt in the call, which must be a copy that nobody
-// else reads, and moves the totals of the budget.
+// setAttempt adds or replaces an attempt of the call and updates the program's
+// budget totals. The call must be a copy that no reader shares.
 func (a *aggregate) setAttempt(call *Call, attempt Attempt) {
 	attempts := slices.Clone(call.Attempts)
 	if index := int(attempt.Number) - 1; index < len(attempts) {
-		a.count(&attempts[index], -1)
+		a.addToTotals(&attempts[index], -1)
 		attempts[index] = attempt
 	} else {
 		attempts = append(attempts, attempt)
 	}
-	a.count(&attempt, 1)
+	a.addToTotals(&attempt, 1)
 	call.Attempts = attempts
 }
 
-// count adds what an attempt costs to the totals, or takes it away.
-func (a *aggregate) count(attempt *Attempt, sign int64) {
+// addToTotals adds the cost or the reservation of an attempt to the budget totals
+// if sign is 1, and subtracts it if sign is -1. A released attempt costs nothing.
+func (a *aggregate) addToTotals(attempt *Attempt, sign int64) {
 	switch {
 	case attempt.Released:
 	case attempt.Known:
@@ -137,17 +143,18 @@
 	}
 }
 
-// move takes the call through its lifecycle.
-func (c *Call) move(occurred event) *problem.Problem {
-	following, ok := callLifecycle.next(c.State, occurred)
+// transition changes the call's state for an event. It returns a problem, and
+// changes nothing, if the state does not allow the event.
+func (c *Call) transition(trigger event) *problem.Problem {
+	nextState, ok := callLifecycle.next(c.State, trigger)
 	if !ok {
-		return problem.New(problem.KindConflict, string(occurred), "the call is %s", c.State)
+		return problem.New(problem.KindConflict, string(trigger), "the call is %s", c.State)
 	}
-	c.State = following
+	c.State = nextState
 	return nil
 }
 
-// attempt finds an attempt by its number.
+// attempt returns the attempt with the number, and whether there is one.
 func (c *Call) attempt(number uint32) (Attempt, bool) {
 	if number == 0 || int(number) > len(c.Attempts) {
 		return Attempt{}, false
@@ -155,17 +162,19 @@
 	return c.Attempts[number-1], true
 }
 
-// named finds the attempt that a command names. A number alone would do in one
-// unbroken log; with the nonce, a late command of a sender whose attempt is
-// not in the log any more never meets another attempt of that number.
-func (c *Call) named(command *Command) (Attempt, bool) {
+// findAttempt returns the attempt that a command is about, and whether there is
+// one. The attempt must match the command's number and, if the command has one,
+// its nonce. The nonce prevents a delayed command from applying to an attempt that
+// another sender committed under the same number.
+func (c *Call) findAttempt(command *Command) (Attempt, bool) {
 	attempt, ok := c.attempt(command.Number)
 	nonce := command.Attempt.Nonce
 	return attempt, ok && (nonce == 0 || attempt.Nonce == nonce)
 }
 
-// numberOf finds an attempt by its nonce; 0: there is none.
-func (c *Call) numberOf(nonce uint64) uint32 {
+// attemptNumber returns the number of the attempt with the nonce, or 0 if there
+// is none.
+func (c *Call) attemptNumber(nonce uint64) uint32 {
 	for i := range c.Attempts {
 		if nonce != 0 && c.Attempts[i].Nonce == nonce {
 			return c.Attempts[i].Number
@@ -174,27 +183,30 @@
 	return 0
 }
 
-// Unreleased says whether any attempt ran, or may have run or run yet.
+// Unreleased reports whether any attempt has not been released, which means that
+// the call may have run or may still run.
 func (c *Call) Unreleased() bool {
 	return slices.ContainsFunc(c.Attempts, func(attempt Attempt) bool { return !attempt.Released })
 }
 
-// Uncertain says whether the end of any attempt, the excepted one aside, is
-// not known: then the call may not be said to have failed.
+// Uncertain reports whether the end of any attempt is not known, ignoring the
+// attempt with the number except. Such a call must not be reported as failed.
 func (c *Call) Uncertain(except uint32) bool {
 	return slices.ContainsFunc(c.Attempts, func(attempt Attempt) bool {
 		return attempt.Number != except && !attempt.Released && !attempt.Known
 	})
 }
 
-// sameCall says whether a submission repeats an accepted one. Deadlines may
-// differ, since callers state them relative to their clock: the first counts.
-func sameCall(first, second *CallSpec) bool {
-	return first.Sequence == second.Sequence && sameRequest(first, second)
+// isSameCall reports whether a submission repeats an accepted call. The deadlines
+// may differ, since callers compute them from their own clocks; the deadline of
+// the first submission stays in force.
+func isSameCall(first, second *CallSpec) bool {
+	return first.Sequence == second.Sequence && isSameRequest(first, second)
 }
 
-// sameRequest compares what is asked for.
-func sameRequest(first, second *CallSpec) bool {
+// isSameRequest reports whether two calls are equal except for their sequence
+// numbers and deadlines.
+func isSameRequest(first, second *CallSpec) bool {
 	return first.Target == second.Target &&
 		first.Name == second.Name &&
 		first.Adapter == second.Adapter &&
@@ -205,7 +217,7 @@
 		slices.Equal(first.Messages, second.Messages)
 }
 
-// contentBytes is the size of what the caller sent.
+// contentBytes returns the size of the call's payload and messages in bytes.
 func (s *CallSpec) contentBytes() int {
 	size := len(s.Payload)
 	for _, message := range s.Messages {
@@ -214,8 +226,8 @@
 	return size
 }
 
-// fault tells what is wrong with the shape of a call, or gives nil.
-func (s *CallSpec) fault() *problem.Problem {
+// validate returns a problem if a field of the call is missing or invalid.
+func (s *CallSpec) validate() *problem.Problem {
 	malformed := func(detail string) *problem.Problem {
 		return problem.New(problem.KindMalformed, "accept", "%s", detail).WithOutcome(problem.OutcomeNotRun)
 	}
@@ -225,11 +237,11 @@
 	case s.Target == TargetService || s.Target == TargetTool:
 		return nil
 	case s.Target != TargetModel:
-		return malformed("the kind of target is unknown")
+		return malformed("the call's kind of target is unknown")
 	case len(s.Messages) == 0:
-		return malformed("a call of a model needs messages")
+		return malformed("a model call needs messages")
 	case s.MaxTokens <= 0:
-		return malformed("a call of a model needs a positive token limit")
+		return malformed("a model call needs a positive token limit")
 	}
 	return nil
 }
--- a/internal/program/benchmark_test.go
+++ b/internal/program/benchmark_test.go
@@ -33,8 +33,8 @@
 	return map[string]program.Command{"accept": accept, "dispatch": dispatch, "answer": answer}
 }
 
-// BenchmarkCommandEncodings gives the bytes of one command in the encodings
-// that were weighed.
+// BenchmarkCommandEncodings compares the time and the encoded size of commands in
+// CBOR, JSON and gob.
 func BenchmarkCommandEncodings(b *testing.B) {
 	encodings := map[string]func(program.Command) ([]byte, error){
 		"cbor": program.EncodeCommand,
@@ -62,7 +62,8 @@
 	}
 }
 
-// BenchmarkApply gives the time of one whole call: accept, dispatch, answer.
+// BenchmarkApply measures the time to encode and apply the three commands of a
+// call: accept, dispatch and answer.
 func BenchmarkApply(b *testing.B) {
 	shard := program.NewShard(1)
 	turns := 0
@@ -75,8 +76,8 @@
 	}
 }
 
-// BenchmarkProgramMemory gives the bytes that one program costs a replica,
-// and the size of its part in the shard's snapshot.
+// BenchmarkProgramMemory measures how many bytes a program takes in the memory of
+// a replica and in the snapshot of its shard.
 func BenchmarkProgramMemory(b *testing.B) {
 	for _, turns := range []int{0, 10, 300} {
 		b.Run(fmt.Sprintf("%d turns", turns), func(b *testing.B) {
@@ -91,7 +92,7 @@
 	}
 }
 
-const turnBytes = 400 // of the question, and of the answer
+const turnBytes = 400 // size of each question and of each answer
 
 func measureProgram(b *testing.B, turns int) (held, snapshot float64) {
 	const programs = 200
@@ -113,7 +114,7 @@
 
 func heapBytes() uint64 {
 	runtime.GC()
-	runtime.GC() // the second frees what pools held
+	runtime.GC() // the second collection frees the contents of sync.Pools
 	var statistics runtime.MemStats
 	runtime.ReadMemStats(&statistics)
 	return statistics.HeapAlloc
@@ -136,7 +137,8 @@
 	})
 }
 
-// applyTurn runs one call with as many bytes of question as of answer.
+// applyTurn applies the commands of one call whose question and answer have
+// contentBytes bytes each.
 func applyTurn(shard *program.Shard, identifier identity.Program, sequence uint64, contentBytes int) {
 	samples := sampleCommands()
 	accept, dispatch, answer := samples["accept"], samples["dispatch"], samples["answer"]
--- a/internal/program/call.go
+++ b/internal/program/call.go
@@ -1,7 +1,7 @@
-// Package program holds the aggregate of a program: its ordered calls, its
-// history, its budget and its end. A shard of programs is a deterministic
-// state machine: commands carry time and identifiers as inputs, so that every
-// replica applies them alike.
+// Package program implements the replicated state of programs. A program is a
+// sequence of calls with a shared history and token budget. A shard of programs
+// is a deterministic state machine: commands carry the time and new identifiers,
+// so that all replicas reach the same state.
 package program
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// TargetKind is what a call is sent to.
+// TargetKind is the kind of back end that a call is sent to.
 type TargetKind string
 
 // The kinds of targets.
 const (
 	TargetModel   TargetKind = "model"
-	TargetService TargetKind = "service" // application service
+	TargetService TargetKind = "service" // an application service
 	TargetTool    TargetKind = "tool"
 )
 
@@ -27,68 +27,69 @@
 	Content string `cbor:"2,keyasint,omitzero"`
 }
 
-// Limits bound a program. Zero means the tenant's default.
+// Limits are the limits of a program. A zero field takes the tenant's default or,
+// if the tenant has none, the default of this package.
 type Limits struct {
-	TokenBudget int64         `cbor:"1,keyasint,omitzero"` // generated tokens of the program and its children together
-	MaxTurns    uint64        `cbor:"2,keyasint,omitzero"`
-	Idle        time.Duration `cbor:"3,keyasint,omitzero"` // without a call under way
-	Lifetime    time.Duration `cbor:"4,keyasint,omitzero"`
-	MaxRepeats  uint64        `cbor:"5,keyasint,omitzero"` // identical consecutive calls; one more ends the program
+	TokenBudget int64         `cbor:"1,keyasint,omitzero"` // maximum tokens generated for the program and its children together
+	MaxTurns    uint64        `cbor:"2,keyasint,omitzero"` // maximum number of calls, without those that did not run
+	Idle        time.Duration `cbor:"3,keyasint,omitzero"` // maximum time without a running call or other activity
+	Lifetime    time.Duration `cbor:"4,keyasint,omitzero"` // maximum time since creation
+	MaxRepeats  uint64        `cbor:"5,keyasint,omitzero"` // maximum number of identical consecutive calls; one more ends the program
 }
 
-// CallSpec is what a caller asks for. It never changes once accepted.
+// CallSpec is a call as the caller submitted it. It is immutable once accepted.
 type CallSpec struct {
-	Sequence      uint64     `cbor:"1,keyasint,omitzero"` // from 1, without gaps
+	Sequence      uint64     `cbor:"1,keyasint,omitzero"` // position in the program, from 1 without gaps
 	Target        TargetKind `cbor:"2,keyasint,omitzero"`
-	Name          string     `cbor:"3,keyasint,omitzero"`  // of the model, service or tool
+	Name          string     `cbor:"3,keyasint,omitzero"`  // name of the model, service or tool
 	Adapter       string     `cbor:"4,keyasint,omitzero"`  // models only
-	Messages      []Message  `cbor:"5,keyasint,omitzero"`  // models only: what this turn adds to the history
-	Operation     string     `cbor:"6,keyasint,omitzero"`  // services and tools
-	Payload       []byte     `cbor:"7,keyasint,omitzero"`  // services and tools
-	MaxTokens     int64      `cbor:"8,keyasint,omitzero"`  // models: the most that may be generated
-	NotRepeatable bool       `cbor:"9,keyasint,omitzero"`  // runs at most once
-	Deadline      time.Time  `cbor:"10,keyasint,omitzero"` // zero: none
+	Messages      []Message  `cbor:"5,keyasint,omitzero"`  // models only: messages that this turn adds to the history
+	Operation     string     `cbor:"6,keyasint,omitzero"`  // services and tools only
+	Payload       []byte     `cbor:"7,keyasint,omitzero"`  // services and tools only
+	MaxTokens     int64      `cbor:"8,keyasint,omitzero"`  // models only: maximum number of generated tokens
+	NotRepeatable bool       `cbor:"9,keyasint,omitzero"`  // the call must run at most once
+	Deadline      time.Time  `cbor:"10,keyasint,omitzero"` // zero for none
 }
 
-// CallState is the lifecycle of a call.
+// CallState is the state of a call in its lifecycle.
 type CallState string
 
 // The states of a call; the last four are final.
 const (
-	CallAccepted   CallState = "accepted"   // in the log, not sent
-	CallDispatched CallState = "dispatched" // an attempt may have been sent
-	CallAnswered   CallState = "answered"
-	CallNotRun     CallState = "not-run"
-	CallFailed     CallState = "failed"
-	CallUnknown    CallState = "outcome-unknown"
+	CallAccepted   CallState = "accepted"        // committed to the log, but no attempt can have run
+	CallDispatched CallState = "dispatched"      // an attempt may have been sent
+	CallAnswered   CallState = "answered"        // the answer is stored
+	CallNotRun     CallState = "not-run"         // the call certainly did not run
+	CallFailed     CallState = "failed"          // all attempts ended without an answer
+	CallUnknown    CallState = "outcome-unknown" // an attempt may have run
 )
 
 // Answer is the result of a call that ran.
 type Answer struct {
-	Content          string        `cbor:"1,keyasint,omitzero"` // models: the assistant's text
-	Payload          []byte        `cbor:"2,keyasint,omitzero"` // services and tools
-	FinishReason     string        `cbor:"3,keyasint,omitzero"` // "stop", "length", ...
+	Content          string        `cbor:"1,keyasint,omitzero"` // models only: text of the assistant
+	Payload          []byte        `cbor:"2,keyasint,omitzero"` // services and tools only
+	FinishReason     string        `cbor:"3,keyasint,omitzero"` // such as "stop" or "length"
 	PromptTokens     int64         `cbor:"4,keyasint,omitzero"`
-	CachedTokens     int64         `cbor:"5,keyasint,omitzero"`
-	CompletionTokens int64         `cbor:"6,keyasint,omitzero"` // what was really generated; settles the reservation
+	CachedTokens     int64         `cbor:"5,keyasint,omitzero"` // prompt tokens that the engine found in its cache
+	CompletionTokens int64         `cbor:"6,keyasint,omitzero"` // tokens generated, which are charged to the budget
 	Engine           string        `cbor:"7,keyasint,omitzero"`
-	FirstToken       time.Duration `cbor:"8,keyasint,omitzero"`  // since acceptance
-	Elapsed          time.Duration `cbor:"9,keyasint,omitzero"`  // since acceptance
-	Attempt          uint32        `cbor:"10,keyasint,omitzero"` // the attempt that answered
+	FirstToken       time.Duration `cbor:"8,keyasint,omitzero"`  // time from acceptance to the first token
+	Elapsed          time.Duration `cbor:"9,keyasint,omitzero"`  // time from acceptance to the end of the answer
+	Attempt          uint32        `cbor:"10,keyasint,omitzero"` // number of the attempt that answered
 }
 
-// Attempt is one try at a back end.
+// Attempt is one attempt to run a call on a back end.
 type Attempt struct {
-	Number   uint32           `cbor:"1,keyasint,omitzero"`
-	Process  identity.Process `cbor:"2,keyasint,omitzero"` // who sends it
+	Number   uint32           `cbor:"1,keyasint,omitzero"` // position among the call's attempts, from 1
+	Process  identity.Process `cbor:"2,keyasint,omitzero"` // daemon that sends the attempt
 	BackEnd  string           `cbor:"3,keyasint,omitzero"` // engine identifier or service name
 	Address  string           `cbor:"4,keyasint,omitzero"`
-	Reserved int64            `cbor:"5,keyasint,omitzero"`  // tokens
-	Closed   bool             `cbor:"6,keyasint,omitzero"`  // settled, released unsent, or unknown for good
-	Released bool             `cbor:"7,keyasint,omitzero"`  // proven never run; costs nothing
-	Known    bool             `cbor:"8,keyasint,omitzero"`  // ended with a known cost; otherwise a closed attempt keeps its whole reservation
-	Spent    int64            `cbor:"9,keyasint,omitzero"`  // tokens, when Known
-	Nonce    uint64           `cbor:"10,keyasint,omitzero"` // random; names the attempt while its number is not known, and tells it from another with its number
+	Reserved int64            `cbor:"5,keyasint,omitzero"`  // reserved tokens
+	Closed   bool             `cbor:"6,keyasint,omitzero"`  // no result is awaited any more: the attempt has ended or was released, or the call is final
+	Released bool             `cbor:"7,keyasint,omitzero"`  // proven not to have run; costs nothing
+	Known    bool             `cbor:"8,keyasint,omitzero"`  // ended with a known cost; without it, an attempt that was not released costs its whole reservation
+	Spent    int64            `cbor:"9,keyasint,omitzero"`  // tokens spent, if Known
+	Nonce    uint64           `cbor:"10,keyasint,omitzero"` // random number that identifies the attempt if its number is unknown or ambiguous
 }
 
 // Call is the state of one call.
@@ -96,12 +97,12 @@
 	Spec       CallSpec         `cbor:"1,keyasint,omitzero"`
 	State      CallState        `cbor:"2,keyasint,omitzero"`
 	AcceptedAt time.Time        `cbor:"3,keyasint,omitzero"`
-	Attempts   []Attempt        `cbor:"4,keyasint,omitzero"`
-	Answer     *Answer          `cbor:"5,keyasint,omitzero"`
-	Problem    *problem.Problem `cbor:"6,keyasint,omitzero"`
+	Attempts   []Attempt        `cbor:"4,keyasint,omitzero"` // in order of their numbers
+	Answer     *Answer          `cbor:"5,keyasint,omitzero"` // set only in the state CallAnswered
+	Problem    *problem.Problem `cbor:"6,keyasint,omitzero"` // why the call is final without an answer
 }
 
-// ProgramState is the lifecycle of a program.
+// ProgramState is the state of a program in its lifecycle.
 type ProgramState string //nolint:revive // CallState stands beside it
 
 // The states of a program.
@@ -110,10 +111,10 @@
 	ProgramEnded ProgramState = "ended"
 )
 
-// EndReason says why a program ended.
+// EndReason is the reason why a program ended.
 type EndReason string
 
-// The reasons of an end.
+// The reasons why a program can end.
 const (
 	EndByCaller   EndReason = "caller"
 	EndByOperator EndReason = "operator"
--- a/internal/program/calls.go
+++ b/internal/program/calls.go
@@ -4,192 +4,203 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// accept appends a call, or joins the one that stands there already.
-func (s *Shard) accept(owner *aggregate, command *Command) *Result {
+// accept appends a call to the program. If the same call already exists, it
+// returns that call as joined. A call over the turn or repeat limit ends the
+// program.
+func (s *Shard) accept(program *aggregate, command *Command) *Result {
 	spec := command.Call
-	if standing := owner.call(spec.Sequence); standing != nil {
-		if !sameCall(&standing.Spec, &spec) {
-			return rejected(problem.New(problem.KindConflict, "accept", "call %d stands with other content", spec.Sequence))
+	if existing := program.call(spec.Sequence); existing != nil {
+		if !isSameCall(&existing.Spec, &spec) {
+			return rejected(problem.New(problem.KindConflict, "accept", "call %d already exists with different content", spec.Sequence))
 		}
-		copied := *standing
-		return &Result{Program: owner.ID, Joined: true, Call: &copied}
+		copied := *existing
+		return &Result{Program: program.ID, Joined: true, Call: &copied}
 	}
-	if fault := s.acceptFault(owner, &spec); fault != nil {
+	if fault := s.validateAccept(program, &spec); fault != nil {
 		return rejected(fault.WithOutcome(problem.OutcomeNotRun))
 	}
-	if fault, reason := runaway(owner, &spec); fault != nil {
-		return &Result{Problem: fault, Program: owner.ID, Ended: s.endTree(owner, reason)}
+	if fault, reason := checkRunaway(program, &spec); fault != nil {
+		return &Result{Problem: fault, Program: program.ID, Ended: s.endTree(program, reason)}
 	}
 	accepted := &Call{Spec: spec, State: CallAccepted, AcceptedAt: s.now}
-	owner.Calls = append(owner.Calls, accepted)
-	owner.ContentBytes += spec.contentBytes()
-	s.touch(owner)
-	s.track(owner)
+	program.Calls = append(program.Calls, accepted)
+	program.ContentBytes += spec.contentBytes()
+	s.recordActivity(program)
+	s.updateActive(program)
 	copied := *accepted
-	return &Result{Program: owner.ID, Call: &copied}
+	return &Result{Program: program.ID, Call: &copied}
 }
 
-func (s *Shard) acceptFault(owner *aggregate, spec *CallSpec) *problem.Problem {
-	expected := uint64(len(owner.Calls)) + 1
+// validateAccept returns a problem if the program cannot accept the call.
+func (s *Shard) validateAccept(program *aggregate, spec *CallSpec) *problem.Problem {
+	expected := uint64(len(program.Calls)) + 1
 	switch {
-	case !owner.open():
-		return programEnded(owner, "accept")
+	case !program.isOpen():
+		return programEnded(program, "accept")
 	case spec.Sequence != expected:
 		return problem.New(problem.KindOutOfOrder, "accept", "expected call %d, got %d", expected, spec.Sequence)
-	case owner.underWay() != nil:
+	case program.activeCall() != nil:
 		return problem.New(problem.KindOutOfOrder, "accept", "call %d is under way", expected-1)
 	case !spec.Deadline.IsZero() && !spec.Deadline.After(s.now):
 		return problem.New(problem.KindDeadlineExceeded, "accept", "the deadline has passed")
-	case owner.ContentBytes+spec.contentBytes() > MaxHistoryBytes:
+	case program.ContentBytes+spec.contentBytes() > MaxHistoryBytes:
 		return problem.New(problem.KindTooLarge, "accept", "the history would exceed %d bytes", MaxHistoryBytes)
 	}
-	if fault := spec.fault(); fault != nil {
+	if fault := spec.validate(); fault != nil {
 		return fault
 	}
-	if spec.Target == TargetModel && owner.available() <= 0 {
-		return problem.New(problem.KindBudgetExhausted, "accept", "no tokens are left of %d", owner.Limits.TokenBudget)
+	if spec.Target == TargetModel && program.availableTokens() <= 0 {
+		return problem.New(problem.KindBudgetExhausted, "accept", "no tokens are left of the budget of %d", program.Limits.TokenBudget)
 	}
 	return nil
 }
 
-// runaway says whether the call is one too many, and why the program ends then.
-func runaway(owner *aggregate, spec *CallSpec) (*problem.Problem, EndReason) {
-	if owner.turns() >= owner.Limits.MaxTurns || uint64(len(owner.Calls)) >= callsPerTurn*owner.Limits.MaxTurns {
-		return problem.New(problem.KindTurnLimit, "accept", "the program had its %d turns", owner.Limits.MaxTurns).
+// checkRunaway checks the program's turn and repeat limits. If the call would
+// exceed one of them, it returns a problem and the reason to end the program.
+func checkRunaway(program *aggregate, spec *CallSpec) (*problem.Problem, EndReason) {
+	if program.countTurns() >= program.Limits.MaxTurns || uint64(len(program.Calls)) >= maxCallsPerTurn*program.Limits.MaxTurns {
+		return problem.New(problem.KindTurnLimit, "accept", "the program has used its %d turns", program.Limits.MaxTurns).
 			WithOutcome(problem.OutcomeNotRun), EndTurnLimit
 	}
-	if owner.repeats(spec) >= owner.Limits.MaxRepeats {
-		return problem.New(problem.KindTurnLimit, "accept", "%d identical calls after one another", owner.Limits.MaxRepeats).
+	if program.countRepeats(spec) >= program.Limits.MaxRepeats {
+		return problem.New(problem.KindTurnLimit, "accept", "there were %d identical consecutive calls", program.Limits.MaxRepeats).
 			WithOutcome(problem.OutcomeNotRun), EndLoop
 	}
 	return nil, ""
 }
 
-// dispatch commits an attempt with its reservation. A call that must not be
-// repeated never has a second attempt beside one that may have been sent.
-func (s *Shard) dispatch(owner *aggregate, call *Call, command *Command) (uint32, *problem.Problem) {
+// dispatch adds an attempt with its token reservation to the call and returns the
+// attempt's number. A call that is not repeatable gets no further attempt as long
+// as an earlier one may have been sent.
+func (s *Shard) dispatch(program *aggregate, call *Call, command *Command) (uint32, *problem.Problem) {
 	switch {
-	case !owner.open():
-		return 0, programEnded(owner, "dispatch")
+	case !program.isOpen():
+		return 0, programEnded(program, "dispatch")
 	case call.Spec.NotRepeatable && call.Unreleased():
-		return 0, problem.New(problem.KindConflict, "dispatch", "an attempt of a call not to be repeated may have been sent")
+		return 0, problem.New(problem.KindConflict, "dispatch", "an attempt of a non-repeatable call may have been sent")
 	case len(call.Attempts) >= MaxAttempts:
-		return 0, problem.New(problem.KindConflict, "dispatch", "the call had its %d attempts", MaxAttempts)
+		return 0, problem.New(problem.KindConflict, "dispatch", "the call has used its %d attempts", MaxAttempts)
 	}
-	if fault := reservationFault(owner, call, command.Attempt.Reserved); fault != nil {
+	if fault := validateReservation(program, call, command.Attempt.Reserved); fault != nil {
 		return 0, fault
 	}
-	if fault := call.move(eventDispatch); fault != nil {
+	if fault := call.transition(eventDispatch); fault != nil {
 		return 0, fault
 	}
 	attempt := command.Attempt
 	attempt.Number = uint32(len(call.Attempts)) + 1 //nolint:gosec // at most MaxAttempts
 	attempt.Closed, attempt.Released, attempt.Known, attempt.Spent = false, false, false, 0
-	owner.setAttempt(call, attempt)
+	program.setAttempt(call, attempt)
 	return attempt.Number, nil
 }
 
-func reservationFault(owner *aggregate, call *Call, reserved int64) *problem.Problem {
+// validateReservation returns a problem if the call must not reserve that many
+// tokens.
+func validateReservation(program *aggregate, call *Call, reserved int64) *problem.Problem {
 	if call.Spec.Target != TargetModel {
 		if reserved != 0 {
-			return problem.New(problem.KindMalformed, "dispatch", "only calls of models reserve tokens")
+			return problem.New(problem.KindMalformed, "dispatch", "only model calls reserve tokens")
 		}
 		return nil
 	}
 	if reserved <= 0 || reserved > call.Spec.MaxTokens {
-		return problem.New(problem.KindMalformed, "dispatch", "reservation of %d tokens out of bounds", reserved)
+		return problem.New(problem.KindMalformed, "dispatch", "the reservation of %d tokens is out of range", reserved)
 	}
-	if reserved > owner.available() {
-		return problem.New(problem.KindBudgetExhausted, "dispatch", "%d tokens are left", max(0, owner.available()))
+	if reserved > program.availableTokens() {
+		return problem.New(problem.KindBudgetExhausted, "dispatch", "only %d tokens are left", max(0, program.availableTokens()))
 	}
 	return nil
 }
 
-// release takes back an attempt that is proven never to have run. A late
-// proof frees the reservation, but does not change a final outcome.
+// release closes an attempt that is proven not to have run and frees its
+// reservation. It does not change the outcome of a call that is already final.
 //
-// A sender that does not know whether its dispatch committed names the attempt
-// by its nonce: the number that it expects may be another sender's by now.
-func (s *Shard) release(owner *aggregate, call *Call, command *Command) *problem.Problem {
+// A sender that does not know whether its dispatch committed identifies the
+// attempt by its nonce alone, because another sender's attempt may have the
+// number that it expects.
+func (s *Shard) release(program *aggregate, call *Call, command *Command) *problem.Problem {
 	if command.Number == 0 {
-		command.Number = call.numberOf(command.Attempt.Nonce)
+		command.Number = call.attemptNumber(command.Attempt.Nonce)
 	}
-	attempt, fault := unsettled(call, command)
+	attempt, fault := findUnsettled(call, command)
 	if fault != nil {
 		return fault
 	}
 	attempt.Closed, attempt.Released = true, true
-	owner.setAttempt(call, attempt)
+	program.setAttempt(call, attempt)
 	if call.State.Final() || call.Unreleased() {
 		return nil
 	}
-	return call.move(eventRelease)
+	return call.transition(eventRelease)
 }
 
-// settle closes an attempt that ended without answer, for a call that goes on
-// or is final by another attempt.
-func (s *Shard) settle(owner *aggregate, call *Call, command *Command) *problem.Problem {
-	attempt, fault := unsettled(call, command)
+// settle closes an attempt that ended without an answer and records its cost. It
+// does not change the state of the call.
+func (s *Shard) settle(program *aggregate, call *Call, command *Command) *problem.Problem {
+	attempt, fault := findUnsettled(call, command)
 	if fault != nil {
 		return fault
 	}
-	owner.setAttempt(call, closed(attempt, command.Spent))
+	program.setAttempt(call, closeAttempt(attempt, command.Spent))
 	return nil
 }
 
-// answer stores the first answer. Attempts that are open beside it keep their
-// whole reservation until they are settled.
-func (s *Shard) answer(owner *aggregate, call *Call, command *Command) *problem.Problem {
-	attempt, ok := call.named(command)
+// answer stores the answer of an attempt and makes the call final. The call's
+// other attempts of unknown cost keep their whole reservations until they are
+// settled or released.
+func (s *Shard) answer(program *aggregate, call *Call, command *Command) *problem.Problem {
+	attempt, ok := call.findAttempt(command)
 	switch {
 	case command.Answer == nil:
-		return problem.New(problem.KindMalformed, "answer", "no answer")
+		return problem.New(problem.KindMalformed, "answer", "the command has no answer")
 	case !ok:
 		return unknownAttempt(command)
 	case attempt.Released:
 		return problem.New(problem.KindConflict, "answer", "attempt %d was released as never run", command.Number)
 	}
-	if fault := call.move(eventAnswer); fault != nil {
+	if fault := call.transition(eventAnswer); fault != nil {
 		return fault
 	}
 	stored := *command.Answer
 	stored.Attempt = command.Number
-	stored.CompletionTokens = boundTokens(stored.CompletionTokens)
+	stored.CompletionTokens = clampTokens(stored.CompletionTokens)
 	call.Answer = &stored
-	owner.setAttempt(call, closed(attempt, tokensOf(call, stored.CompletionTokens)))
-	closeOpen(owner, call)
-	owner.ContentBytes += len(stored.Content) + len(stored.Payload)
+	program.setAttempt(call, closeAttempt(attempt, generatedTokens(call, stored.CompletionTokens)))
+	closeOpenAttempts(program, call)
+	program.ContentBytes += len(stored.Content) + len(stored.Payload)
 	return nil
 }
 
-// giveUp makes a call final without answer. The three outcomes are checked
-// against the log: not-run needs every attempt released, failed needs the end
-// of every attempt known.
-func (s *Shard) giveUp(owner *aggregate, call *Call, command *Command) *problem.Problem {
+// giveUp makes a call final without an answer. It rejects an outcome that the
+// attempts do not allow: "not run" requires that every attempt was released, and
+// "failed" that the end of every attempt is known.
+func (s *Shard) giveUp(program *aggregate, call *Call, command *Command) *problem.Problem {
 	if command.Problem == nil {
-		return problem.New(problem.KindMalformed, "give-up", "no problem")
+		return problem.New(problem.KindMalformed, "give-up", "the command has no problem")
 	}
 	if command.Number != 0 {
-		if _, ok := call.named(command); !ok {
+		if _, ok := call.findAttempt(command); !ok {
 			return unknownAttempt(command)
 		}
 	}
-	occurred, fault := outcomeEvent(call, command)
+	trigger, fault := outcomeEvent(call, command)
 	if fault != nil {
 		return fault
 	}
 	stored := *command.Problem
-	if fault := call.move(occurred); fault != nil {
+	if fault := call.transition(trigger); fault != nil {
 		return fault
 	}
 	if attempt, ok := call.attempt(command.Number); ok && !attempt.Released && !attempt.Known {
-		owner.setAttempt(call, closed(attempt, command.Spent))
+		program.setAttempt(call, closeAttempt(attempt, command.Spent))
 	}
-	closeOpen(owner, call)
+	closeOpenAttempts(program, call)
 	call.Problem = &stored
 	return nil
 }
 
+// outcomeEvent returns the event for the outcome in a give-up command, or a
+// problem if the call's attempts do not allow the outcome.
 func outcomeEvent(call *Call, command *Command) (event, *problem.Problem) {
 	switch command.Problem.Outcome {
 	case problem.OutcomeNotRun:
@@ -203,54 +214,57 @@
 		}
 		return eventFail, nil
 	case problem.OutcomeUnknown:
-		return eventLoseTrack, nil
+		return eventUnknown, nil
 	}
 	return "", problem.New(problem.KindMalformed, "give-up", "unknown outcome %q", command.Problem.Outcome)
 }
 
-// unsettled finds an attempt whose cost is not known yet.
-func unsettled(call *Call, command *Command) (Attempt, *problem.Problem) {
-	attempt, ok := call.named(command)
+// findUnsettled returns the attempt that the command is about. It returns a
+// problem if there is no such attempt or if its cost is already known.
+func findUnsettled(call *Call, command *Command) (Attempt, *problem.Problem) {
+	attempt, ok := call.findAttempt(command)
 	if !ok {
 		return attempt, unknownAttempt(command)
 	}
 	if attempt.Released || attempt.Known {
-		return attempt, problem.New(problem.KindConflict, string(command.Kind), "attempt %d is settled", command.Number)
+		return attempt, problem.New(problem.KindConflict, string(command.Kind), "attempt %d is already settled", command.Number)
 	}
 	return attempt, nil
 }
 
-// closed gives the attempt as ended; a negative cost is unknown.
-func closed(attempt Attempt, spent int64) Attempt {
+// closeAttempt returns the attempt as closed with the number of spent tokens. A
+// negative number means that the cost is unknown.
+func closeAttempt(attempt Attempt, spent int64) Attempt {
 	attempt.Closed = true
 	attempt.Known = spent >= 0
 	attempt.Spent = 0
 	if attempt.Known {
-		attempt.Spent = boundTokens(spent)
+		attempt.Spent = clampTokens(spent)
 	}
 	return attempt
 }
 
-// closeOpen closes all attempts of a call that became final.
-func closeOpen(owner *aggregate, call *Call) {
+// closeOpenAttempts closes the open attempts of a call that has become final.
+func closeOpenAttempts(program *aggregate, call *Call) {
 	for _, attempt := range call.Attempts {
 		if !attempt.Closed {
 			attempt.Closed = true
-			owner.setAttempt(call, attempt)
+			program.setAttempt(call, attempt)
 		}
 	}
 }
 
-// tokensOf counts generated tokens for models only.
-func tokensOf(call *Call, tokens int64) int64 {
+// generatedTokens returns tokens for a model call, and 0 for any other call.
+func generatedTokens(call *Call, tokens int64) int64 {
 	if call.Spec.Target != TargetModel {
 		return 0
 	}
 	return tokens
 }
 
-// boundTokens keeps what a back end reports within sums that cannot overflow.
-func boundTokens(tokens int64) int64 { return min(max(0, tokens), MaxTokenBudget) }
+// clampTokens limits a token count reported by a back end to the range from 0 to
+// MaxTokenBudget, so that sums of counts cannot overflow.
+func clampTokens(tokens int64) int64 { return min(max(0, tokens), MaxTokenBudget) }
 
 func unknownAttempt(command *Command) *problem.Problem {
 	return problem.New(problem.KindConflict, string(command.Kind), "attempt %d of call %d is not in the log", command.Number, command.Sequence)
--- a/internal/program/codec.go
+++ b/internal/program/codec.go
@@ -5,11 +5,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Commands and snapshots are encoded as CBOR (RFC 8949) with small integers
-// for field names: see docs/design/program-log.md for the measured sizes.
+// Commands and snapshots are encoded as CBOR (RFC 8949). Fields are identified
+// by small integers instead of names, which keeps the encoding short.
 
 const (
-	maxArrayElements = 1 << 20 // programs of a shard, or calls of a program
+	maxArrayElements = 1 << 20 // programs in a shard, or calls in a program
 	maxNestedLevels  = 16
 )
 
@@ -33,7 +33,7 @@
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxArrayElements,
 		MaxNestedLevels:  maxNestedLevels,
-		UTF8:             cbor.UTF8DecodeInvalid, // content passes unchanged
+		UTF8:             cbor.UTF8DecodeInvalid, // content that is not valid UTF-8 is kept unchanged
 		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
@@ -42,13 +42,13 @@
 	return mode
 }
 
-// EncodeCommand encodes a command for the log of its shard.
+// EncodeCommand encodes a command as an entry for the log of its shard.
 func EncodeCommand(command Command) ([]byte, error) {
 	encoded, err := encoder.Marshal(command)
 	return encoded, eris.Wrapf(err, "encode command %q", command.Kind)
 }
 
-// DecodeCommand reads a command out of the log.
+// DecodeCommand decodes a log entry that EncodeCommand encoded.
 func DecodeCommand(encoded []byte) (Command, error) {
 	var command Command
 	err := decoder.Unmarshal(encoded, &command)
--- a/internal/program/intern.go
+++ b/internal/program/intern.go
@@ -1,12 +1,16 @@
 package program
 
-// maxInterned bounds the table; names of machines, engines and models are few.
+// maxInterned is the maximum number of interned strings. A deployment has fewer
+// machines, engines and models; further strings are kept but not interned.
 const maxInterned = 4096
 
-// interner keeps one copy of each short name that recurs in attempts and
-// answers, since decoding makes a new copy for each command.
+// interner stores one copy of each short string that recurs in commands, such as
+// engine names. This saves memory because decoding a command allocates new
+// strings.
 type interner map[string]string
 
+// intern replaces *value by the stored copy of an equal string. It stores the
+// string first if there is none and the table is not full.
 func intern[S ~string](names interner, value *S) {
 	if *value == "" {
 		return
@@ -28,11 +32,11 @@
 	names.answer(command.Answer)
 }
 
-func (names interner) aggregate(owner *aggregate) {
-	intern(names, &owner.Tenant)
-	intern(names, &owner.Class)
-	intern(names, &owner.State)
-	for _, call := range owner.Calls {
+func (names interner) aggregate(program *aggregate) {
+	intern(names, &program.Tenant)
+	intern(names, &program.Class)
+	intern(names, &program.State)
+	for _, call := range program.Calls {
 		intern(names, &call.State)
 		names.spec(&call.Spec)
 		names.answer(call.Answer)
--- a/internal/program/lifecycle.go
+++ b/internal/program/lifecycle.go
@@ -7,23 +7,23 @@
 	"github.com/looplab/fsm"
 )
 
-// event moves a program or a call from one state to the next.
+// event causes a state transition of a program or a call.
 type event string
 
 // The events of a call and of a program.
 const (
-	eventDispatch  event = "dispatch" // an attempt is committed
-	eventRelease   event = "release"  // the last unreleased attempt is proven never run
-	eventAnswer    event = "answer"   // an attempt answered
-	eventNotRun    event = "give-up-not-run"
-	eventFail      event = "give-up-failed"
-	eventLoseTrack event = "give-up-unknown"
-	eventEnd       event = "end"
+	eventDispatch event = "dispatch"        // an attempt was committed
+	eventRelease  event = "release"         // every attempt is proven not to have run
+	eventAnswer   event = "answer"          // an attempt returned an answer
+	eventNotRun   event = "give-up-not-run" // the call ended without having run
+	eventFail     event = "give-up-failed"  // all attempts ended without an answer
+	eventUnknown  event = "give-up-unknown" // the call ended with an unknown outcome
+	eventEnd      event = "end"             // the program ended
 )
 
-// The lifecycles are declared with looplab/fsm. One fsm object for each call
-// would cost more memory than the call, so the table of transitions is
-// derived from one object at start and shared by all.
+// The lifecycles of calls and programs, declared with looplab/fsm. An fsm object
+// per call would take more memory than the call itself, so the transition tables
+// are derived from one object at program start and shared by all calls.
 var (
 	callLifecycle = deriveTransitions(CallAccepted, fsm.Events{
 		{Name: string(eventDispatch), Src: states(CallAccepted, CallDispatched), Dst: string(CallDispatched)},
@@ -31,14 +31,14 @@
 		{Name: string(eventAnswer), Src: states(CallDispatched), Dst: string(CallAnswered)},
 		{Name: string(eventNotRun), Src: states(CallAccepted), Dst: string(CallNotRun)},
 		{Name: string(eventFail), Src: states(CallDispatched), Dst: string(CallFailed)},
-		{Name: string(eventLoseTrack), Src: states(CallDispatched), Dst: string(CallUnknown)},
+		{Name: string(eventUnknown), Src: states(CallDispatched), Dst: string(CallUnknown)},
 	})
 	programLifecycle = deriveTransitions(ProgramOpen, fsm.Events{
 		{Name: string(eventEnd), Src: states(ProgramOpen), Dst: string(ProgramEnded)},
 	})
 )
 
-// transitions maps a state and an event to the next state.
+// transitions maps each state and event to the next state.
 type transitions[S ~string] map[S]map[event]S
 
 func states[S ~string](all ...S) []string {
@@ -49,7 +49,8 @@
 	return names
 }
 
-// deriveTransitions runs each event from each state of the declared machine.
+// deriveTransitions builds the transition table by triggering each declared event
+// in each of its source states.
 func deriveTransitions[S ~string](initial S, events fsm.Events) transitions[S] {
 	machine := fsm.NewFSM(string(initial), events, fsm.Callbacks{})
 	table := make(transitions[S])
@@ -57,7 +58,7 @@
 		for _, source := range declared.Src {
 			machine.SetState(source)
 			err := machine.Event(context.Background(), declared.Name)
-			if err != nil && !isUnmoved(err) {
+			if err != nil && !isSelfTransition(err) {
 				panic(err) // the declaration is a constant
 			}
 			if table[S(source)] == nil {
@@ -69,19 +70,20 @@
 	return table
 }
 
-// isUnmoved says that the event led back to the state it came from.
-func isUnmoved(err error) bool {
-	var unmoved fsm.NoTransitionError
-	return errors.As(err, &unmoved)
+// isSelfTransition reports whether the error only means that an event did not
+// change the state.
+func isSelfTransition(err error) bool {
+	var noTransition fsm.NoTransitionError
+	return errors.As(err, &noTransition)
 }
 
-// next gives the state after the event, or false if the event is not allowed.
-func (t transitions[S]) next(state S, occurred event) (S, bool) {
-	following, ok := t[state][occurred]
-	return following, ok
+// next returns the state after the event, or false if the state does not allow it.
+func (t transitions[S]) next(state S, trigger event) (S, bool) {
+	nextState, ok := t[state][trigger]
+	return nextState, ok
 }
 
-// Final says whether the state of a call never changes again.
+// Final reports whether a call in this state never changes its state again.
 func (s CallState) Final() bool {
 	return s != CallAccepted && s != CallDispatched
 }
--- a/internal/program/live.go
+++ b/internal/program/live.go
@@ -6,27 +6,31 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// LiveTokens sums up by model what open programs have in caches for
-// themselves: prompt and answer of their last call, without what the first
-// call found there, which others share. Of programs without a call under way
-// only those count that were active at the given time or later: callers may
-// never end the others, and engines need not keep what they hold.
+// LiveTokens returns for each model how many tokens live programs hold in engine
+// caches for themselves alone. A program is live if it is open and has a running
+// call or has been active since the given time; other open programs may have
+// been abandoned by their callers. Its tokens are those of the prompt and answer
+// of its last model call, without the tokens that its first model call found
+// cached, since those are shared with other programs.
 func (s *Shard) LiveTokens(activeSince time.Time) map[string]int64 {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	tokens := make(map[string]int64)
-	for _, owner := range s.programs {
-		idle := owner.underWay() == nil && owner.LastActive.Before(activeSince)
-		if owner.State != ProgramOpen || idle {
+	for _, program := range s.programs {
+		idle := program.activeCall() == nil && program.LastActive.Before(activeSince)
+		if program.State != ProgramOpen || idle {
 			continue
 		}
-		if model, own := owner.ownTokens(); own > 0 {
+		if model, own := program.ownTokens(); own > 0 {
 			tokens[model] += own
 		}
 	}
 	return tokens
 }
 
+// ownTokens returns the model of the last answered model call and the tokens that
+// the program holds in caches for itself alone. It returns zero values if there
+// is no such call.
 func (a *aggregate) ownTokens() (model string, tokens int64) {
 	var first, last *Call
 	for _, call := range a.Calls {
@@ -44,23 +48,25 @@
 	return last.Spec.Name, last.Answer.PromptTokens + last.Answer.CompletionTokens - first.Answer.CachedTokens
 }
 
-// OpenPrograms counts a tenant's open programs, sub-agents left out.
+// OpenPrograms returns the number of the tenant's open programs, without
+// sub-agents.
 func (s *Shard) OpenPrograms(tenant identity.Tenant) int {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	count := 0
-	for _, owner := range s.programs {
-		if owner.Tenant == tenant && owner.Parent == "" && owner.State == ProgramOpen {
+	for _, program := range s.programs {
+		if program.Tenant == tenant && program.Parent == "" && program.State == ProgramOpen {
 			count++
 		}
 	}
 	return count
 }
 
-// Created says whether the creation key has made a program that is still known.
+// Created reports whether a program with the creation key exists. It returns
+// false for an empty key.
 func (s *Shard) Created(tenant identity.Tenant, parent identity.Program, key string) bool {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	_, found := s.byKey[creationKey{tenant: tenant, parent: parent, key: key}]
+	_, found := s.byCreationKey[creationKey{tenant: tenant, parent: parent, key: key}]
 	return key != "" && found
 }
--- a/internal/program/main_test.go
+++ b/internal/program/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, unless the command line gives one.
+// TestMain sets a fixed seed for the property tests. The command line can
+// override it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/internal/program/programs.go
+++ b/internal/program/programs.go
@@ -8,15 +8,16 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// create makes a program, or finds the one that the key made before.
+// create creates a program, or returns the existing one with the same tenant,
+// parent and creation key.
 func (s *Shard) create(command *Command) *Result {
 	key := creationKey{tenant: command.Tenant, parent: command.Parent, key: command.CreationKey}
-	if first, ok := s.byKey[key]; ok && command.CreationKey != "" {
+	if first, ok := s.byCreationKey[key]; ok && command.CreationKey != "" {
 		return &Result{Program: first, Joined: true}
 	}
 	limits, fault := completeLimits(command.Limits)
 	if fault == nil {
-		fault = s.creationFault(command)
+		fault = s.validateCreate(command)
 	}
 	if fault != nil {
 		return rejected(fault)
@@ -33,185 +34,199 @@
 		LastActive:  s.now,
 	}
 	if command.Parent != "" {
-		if fault := s.adopt(created, command.Limits.TokenBudget); fault != nil {
+		if fault := s.attachToParent(created, command.Limits.TokenBudget); fault != nil {
 			return rejected(fault)
 		}
 	}
 	s.programs[created.ID] = created
 	if command.CreationKey != "" {
-		s.byKey[key] = created.ID
+		s.byCreationKey[key] = created.ID
 	}
 	return &Result{Program: created.ID}
 }
 
-func (s *Shard) creationFault(command *Command) *problem.Problem {
+// validateCreate returns a problem if the command's identifier or tenant is not
+// valid for a new program of this shard.
+func (s *Shard) validateCreate(command *Command) *problem.Problem {
 	shard, err := command.Program.Shard()
 	switch {
 	case err != nil || shard != s.number:
-		return problem.New(problem.KindMalformed, "create", "the identifier is not of shard %d", s.number)
+		return problem.New(problem.KindMalformed, "create", "the program identifier does not belong to shard %d", s.number)
 	case command.Tenant == "":
 		return problem.New(problem.KindMalformed, "create", "the program has no tenant")
 	case s.programs[command.Program] != nil:
-		return problem.New(problem.KindConflict, "create", "the identifier is taken")
+		return problem.New(problem.KindConflict, "create", "the program identifier is already in use")
 	}
 	return nil
 }
 
-// completeLimits fills in the defaults and refuses what is out of bounds.
+// completeLimits fills in the package defaults. It returns a problem if a limit
+// is out of range.
 func completeLimits(limits Limits) (Limits, *problem.Problem) {
 	if limits.TokenBudget < 0 || limits.TokenBudget > MaxTokenBudget || limits.Idle < 0 || limits.Lifetime < 0 {
-		return limits, problem.New(problem.KindMalformed, "create", "a limit is out of bounds")
+		return limits, problem.New(problem.KindMalformed, "create", "a limit is out of range")
 	}
-	fill(&limits.TokenBudget, DefaultTokenBudget)
-	fill(&limits.MaxTurns, DefaultMaxTurns)
-	fill(&limits.Idle, DefaultIdle)
-	fill(&limits.Lifetime, DefaultLifetime)
-	fill(&limits.MaxRepeats, DefaultMaxRepeats)
+	setDefault(&limits.TokenBudget, DefaultTokenBudget)
+	setDefault(&limits.MaxTurns, DefaultMaxTurns)
+	setDefault(&limits.Idle, DefaultIdle)
+	setDefault(&limits.Lifetime, DefaultLifetime)
+	setDefault(&limits.MaxRepeats, DefaultMaxRepeats)
 	return limits, nil
 }
 
-func fill[T comparable](value *T, fallback T) {
+// setDefault sets *value to defaultValue if it is the zero value.
+func setDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = fallback
+		*value = defaultValue
 	}
 }
 
-// adopt puts the program under its parent and reserves its budget there. A
-// child that asks for no budget of its own gets a share of what is left.
-func (s *Shard) adopt(child *aggregate, asked int64) *problem.Problem {
+// attachToParent adds the program to its parent's children and charges its token
+// budget to the parent. If requested is 0, the budget is the parent's available
+// tokens divided by childBudgetDivisor.
+func (s *Shard) attachToParent(child *aggregate, requested int64) *problem.Problem {
 	parent := s.programs[child.Parent]
 	if parent == nil || parent.Tenant != child.Tenant {
 		return unknownProgram("create")
 	}
 	switch {
-	case !parent.open():
+	case !parent.isOpen():
 		return programEnded(parent, "create")
 	case parent.Depth+1 > MaxDepth:
-		return problem.New(problem.KindMalformed, "create", "more than %d programs below each other", MaxDepth)
+		return problem.New(problem.KindMalformed, "create", "sub-agents can be nested at most %d levels deep", MaxDepth)
 	case len(parent.Children) >= MaxChildren:
-		return problem.New(problem.KindTurnLimit, "create", "the parent has %d sub-agents", MaxChildren)
+		return problem.New(problem.KindTurnLimit, "create", "the parent already has %d sub-agents", MaxChildren)
 	}
-	if asked == 0 {
-		asked = max(1, parent.available()/childShare)
+	if requested == 0 {
+		requested = max(1, parent.availableTokens()/childBudgetDivisor)
 	}
-	if asked <= 0 || asked > parent.available() {
-		return problem.New(problem.KindBudgetExhausted, "create", "the parent has %d tokens left", max(0, parent.available()))
+	if requested <= 0 || requested > parent.availableTokens() {
+		return problem.New(problem.KindBudgetExhausted, "create", "the parent has only %d tokens left", max(0, parent.availableTokens()))
 	}
-	child.Limits.TokenBudget = asked
-	child.Charged = asked
+	child.Limits.TokenBudget = requested
+	child.Charged = requested
 	child.Depth = parent.Depth + 1
-	parent.ChildrenCharged += asked
+	parent.ChildrenCharged += requested
 	parent.Children = append(slices.Clip(parent.Children), child.ID)
-	s.touch(parent)
+	s.recordActivity(parent)
 	return nil
 }
 
-// end ends a program and all below it. Ends by the clock are checked again
-// here, since a call may have come in before them.
-func (s *Shard) end(owner *aggregate, command *Command) *Result {
-	if !owner.open() {
-		// The result of the first end may have been lost: its memory is released again.
-		return &Result{Program: owner.ID, Joined: true, Ended: []identity.Program{owner.ID}}
+// end ends a program and its descendants. For a time-based reason it checks again
+// that the program has expired, since the program may have become active after
+// the command was proposed.
+func (s *Shard) end(program *aggregate, command *Command) *Result {
+	if !program.isOpen() {
+		// The proposer of the first end command may not have received its result,
+		// so the program is listed again to have its engine memory released.
+		return &Result{Program: program.ID, Joined: true, Ended: []identity.Program{program.ID}}
 	}
-	if isTimed(command.Reason) && s.expired(owner, s.now) != command.Reason {
-		return rejected(problem.New(problem.KindConflict, "end", "the program is in use"))
+	if isTimeBased(command.Reason) && s.expiryReason(program, s.now) != command.Reason {
+		return rejected(problem.New(problem.KindConflict, "end", "the program has not expired"))
 	}
-	return &Result{Program: owner.ID, Ended: s.endTree(owner, command.Reason)}
+	return &Result{Program: program.ID, Ended: s.endTree(program, command.Reason)}
 }
 
-func isTimed(reason EndReason) bool { return reason == EndIdle || reason == EndLifetime }
+func isTimeBased(reason EndReason) bool { return reason == EndIdle || reason == EndLifetime }
 
-// endTree ends the children first, so that their unspent budget is back
-// before the parent gives its own back.
-func (s *Shard) endTree(owner *aggregate, reason EndReason) []identity.Program {
+// endTree ends the program and its open descendants, and returns those that it
+// ended. Children end first, so that their unspent budget returns to the program
+// before the program's own unspent budget returns to its parent.
+func (s *Shard) endTree(program *aggregate, reason EndReason) []identity.Program {
 	var ended []identity.Program
-	for _, identifier := range owner.Children {
-		if child := s.programs[identifier]; child != nil && child.open() {
+	for _, identifier := range program.Children {
+		if child := s.programs[identifier]; child != nil && child.isOpen() {
 			ended = append(ended, s.endTree(child, EndParent)...)
 		}
 	}
-	following, ok := programLifecycle.next(owner.State, eventEnd)
+	nextState, ok := programLifecycle.next(program.State, eventEnd)
 	if !ok {
 		return ended
 	}
-	owner.State = following
-	owner.Reason = reason
-	owner.EndedAt = s.now
-	s.cutOff(owner)
-	s.recharge(owner)
-	s.track(owner)
-	return append(ended, owner.ID)
+	program.State = nextState
+	program.Reason = reason
+	program.EndedAt = s.now
+	s.endUnsentCall(program)
+	s.returnBudget(program)
+	s.updateActive(program)
+	return append(ended, program.ID)
 }
 
-// cutOff makes a call final that certainly never ran. One with an attempt
-// stays until its sender, or the next leader, tells how the attempt ended.
-func (s *Shard) cutOff(owner *aggregate) {
-	call := owner.underWay()
+// endUnsentCall makes the program's active call final if it certainly did not
+// run. A call that may have run stays active until its sender, or the next
+// leader, reports the end of its attempts.
+func (s *Shard) endUnsentCall(program *aggregate) {
+	call := program.activeCall()
 	if call == nil || call.Unreleased() {
 		return
 	}
 	changed := *call
-	if fault := changed.move(eventNotRun); fault != nil {
+	if fault := changed.transition(eventNotRun); fault != nil {
 		return
 	}
-	changed.Problem = problem.New(problem.KindCancelled, "end", "the program ended: %s", owner.Reason).
+	changed.Problem = problem.New(problem.KindCancelled, "end", "the program ended: %s", program.Reason).
 		WithOutcome(problem.OutcomeNotRun)
-	owner.replace(&changed)
+	program.replaceCall(&changed)
 }
 
-// expired says for which reason the clock ends the program; empty: it does not.
-func (s *Shard) expired(owner *aggregate, now time.Time) EndReason {
+// expiryReason returns EndLifetime or EndIdle if the program has expired at the
+// time now, and an empty string if it has not.
+func (s *Shard) expiryReason(program *aggregate, now time.Time) EndReason {
 	switch {
-	case !owner.open():
+	case !program.isOpen():
 		return ""
-	case now.Sub(owner.CreatedAt) > owner.Limits.Lifetime:
+	case now.Sub(program.CreatedAt) > program.Limits.Lifetime:
 		return EndLifetime
-	case owner.underWay() == nil && now.Sub(owner.LastActive) > owner.Limits.Idle && !s.busyBelow(owner):
+	case program.activeCall() == nil && now.Sub(program.LastActive) > program.Limits.Idle && !s.hasActiveDescendant(program):
 		return EndIdle
 	}
 	return ""
 }
 
-func (s *Shard) busyBelow(owner *aggregate) bool {
-	return slices.ContainsFunc(owner.Children, func(identifier identity.Program) bool {
+// hasActiveDescendant reports whether an open program below this one has an
+// active call.
+func (s *Shard) hasActiveDescendant(program *aggregate) bool {
+	return slices.ContainsFunc(program.Children, func(identifier identity.Program) bool {
 		child := s.programs[identifier]
-		return child != nil && child.open() && (child.underWay() != nil || s.busyBelow(child))
+		return child != nil && child.isOpen() && (child.activeCall() != nil || s.hasActiveDescendant(child))
 	})
 }
 
-// forget drops programs that ended before the given time and whose calls are
-// all final. What they spent stays charged to the parent.
+// forget deletes the programs that ended before the command's time and whose
+// calls are all final. The tokens that they spent stay charged to their parents.
 func (s *Shard) forget(command *Command) *Result {
 	var forgotten []identity.Program
-	for identifier, owner := range s.programs {
-		if owner.open() || owner.underWay() != nil || !owner.EndedAt.Before(command.Before) {
+	for identifier, program := range s.programs {
+		if program.isOpen() || program.activeCall() != nil || !program.EndedAt.Before(command.Before) {
 			continue
 		}
 		forgotten = append(forgotten, identifier)
 	}
 	slices.Sort(forgotten)
 	for _, identifier := range forgotten {
-		s.drop(s.programs[identifier])
+		s.deleteProgram(s.programs[identifier])
 	}
 	return &Result{}
 }
 
-func (s *Shard) drop(owner *aggregate) {
-	delete(s.programs, owner.ID)
-	key := creationKey{tenant: owner.Tenant, parent: owner.Parent, key: owner.CreationKey}
-	if s.byKey[key] == owner.ID {
-		delete(s.byKey, key)
+// deleteProgram removes the program from the shard's indexes and from its
+// parent's children.
+func (s *Shard) deleteProgram(program *aggregate) {
+	delete(s.programs, program.ID)
+	key := creationKey{tenant: program.Tenant, parent: program.Parent, key: program.CreationKey}
+	if s.byCreationKey[key] == program.ID {
+		delete(s.byCreationKey, key)
 	}
-	parent := s.programs[owner.Parent]
+	parent := s.programs[program.Parent]
 	if parent == nil {
 		return
 	}
 	parent.Children = slices.DeleteFunc(slices.Clone(parent.Children), func(child identity.Program) bool {
-		return child == owner.ID
+		return child == program.ID
 	})
 }
 
-func programEnded(owner *aggregate, step string) *problem.Problem {
-	return problem.New(problem.KindProgramEnded, step, "the program ended: %s", owner.Reason)
+func programEnded(program *aggregate, step string) *problem.Problem {
+	return problem.New(problem.KindProgramEnded, step, "the program ended: %s", program.Reason)
 }
--- a/internal/program/shard.go
+++ b/internal/program/shard.go
@@ -8,27 +8,29 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// Shard is the state machine of one shard of programs. Apply, Restore
-// and Snapshot are called by one goroutine at a time; reads are safe beside them.
+// Shard is the state machine of one shard of programs. Apply, Restore and
+// Snapshot must be called by one goroutine at a time. The other methods may be
+// called concurrently with them and with each other.
 type Shard struct {
 	number identity.Shard
 
-	mutex    sync.RWMutex
-	now      time.Time // the latest time of any command
-	programs map[identity.Program]*aggregate
-	byKey    map[creationKey]identity.Program
-	active   map[identity.Program]struct{} // programs with a call that is not final
-	names    interner
+	mutex         sync.RWMutex
+	now           time.Time // latest time of any command applied so far
+	programs      map[identity.Program]*aggregate
+	byCreationKey map[creationKey]identity.Program
+	active        map[identity.Program]struct{} // programs that have an active call
+	names         interner
 }
 
-// creationKey finds the program of a repeated creation.
+// creationKey identifies a creation, so that a repeated request finds the
+// existing program.
 type creationKey struct {
 	tenant identity.Tenant
 	parent identity.Program
 	key    string
 }
 
-// NewShard makes an empty shard.
+// NewShard returns a shard without programs.
 func NewShard(number identity.Shard) *Shard {
 	shard := &Shard{number: number}
 	shard.reset()
@@ -38,21 +40,24 @@
 func (s *Shard) reset() {
 	s.now = time.Time{}
 	s.programs = make(map[identity.Program]*aggregate)
-	s.byKey = make(map[creationKey]identity.Program)
+	s.byCreationKey = make(map[creationKey]identity.Program)
 	s.active = make(map[identity.Program]struct{})
 	s.names = make(interner)
 }
 
-// adoptState takes over the programs of another shard, which is used no more.
-func (s *Shard) adoptState(other *Shard) {
-	s.now, s.programs, s.byKey = other.now, other.programs, other.byKey
+// takeState replaces the state by that of another shard, which must not be used
+// afterwards.
+func (s *Shard) takeState(other *Shard) {
+	s.now, s.programs, s.byCreationKey = other.now, other.programs, other.byCreationKey
 	s.active, s.names = other.active, other.names
 }
 
-// Number gives the number of the shard.
+// Number returns the number of the shard, which never changes.
 func (s *Shard) Number() identity.Shard { return s.number }
 
-// Apply runs one command of the log. The result is always a *Result.
+// Apply decodes and applies one log entry. It always returns a *Result; an entry
+// that cannot be decoded is rejected and changes nothing. The first parameter,
+// the index of the entry, is not used.
 func (s *Shard) Apply(_ uint64, encoded []byte) any {
 	command, err := DecodeCommand(encoded)
 	if err != nil {
@@ -64,10 +69,11 @@
 	if command.Now.After(s.now) {
 		s.now = command.Now
 	}
-	return s.run(&command)
+	return s.applyCommand(&command)
 }
 
-func (s *Shard) run(command *Command) *Result {
+// applyCommand applies a decoded command. The caller must hold the mutex.
+func (s *Shard) applyCommand(command *Command) *Result {
 	switch command.Kind {
 	case CommandCreate:
 		return s.create(command)
@@ -88,84 +94,93 @@
 	if call == nil {
 		return rejected(problem.New(problem.KindUnknownCall, string(command.Kind), "call %d is not in the log", command.Sequence))
 	}
-	return s.step(found, call, command)
+	return s.applyToCall(found, call, command)
 }
 
-// step runs a command about one call. The rule works on a copy of the call,
-// which is stored only if the rule allows the command.
-func (s *Shard) step(owner *aggregate, call *Call, command *Command) *Result {
+// applyToCall applies a command about one call. The command changes a copy of the
+// call, which replaces the call only if the command is not rejected.
+func (s *Shard) applyToCall(program *aggregate, call *Call, command *Command) *Result {
 	changed := *call
-	before := budgetOf(owner)
+	before := budgetTotalsOf(program)
 	var fault *problem.Problem
 	var number uint32
 	switch command.Kind {
 	case CommandDispatch:
-		number, fault = s.dispatch(owner, &changed, command)
+		number, fault = s.dispatch(program, &changed, command)
 	case CommandRelease:
-		fault = s.release(owner, &changed, command)
+		fault = s.release(program, &changed, command)
 	case CommandSettle:
-		fault = s.settle(owner, &changed, command)
+		fault = s.settle(program, &changed, command)
 	case CommandAnswer:
-		fault = s.answer(owner, &changed, command)
+		fault = s.answer(program, &changed, command)
 	case CommandGiveUp:
-		fault = s.giveUp(owner, &changed, command)
+		fault = s.giveUp(program, &changed, command)
 	default:
 		fault = problem.New(problem.KindMalformed, "apply", "unknown command %q", command.Kind)
 	}
 	if fault != nil {
-		before.restore(owner)
+		before.restore(program)
 		copied := *call
-		return &Result{Problem: fault, Program: owner.ID, Call: &copied}
+		return &Result{Problem: fault, Program: program.ID, Call: &copied}
 	}
-	owner.replace(&changed)
-	s.touch(owner)
-	s.recharge(owner)
-	s.track(owner)
+	program.replaceCall(&changed)
+	s.recordActivity(program)
+	s.returnBudget(program)
+	s.updateActive(program)
 	copied := changed
-	return &Result{Program: owner.ID, Call: &copied, Number: number}
+	return &Result{Program: program.ID, Call: &copied, Number: number}
 }
 
-// budget holds the totals that a rejected command must not change.
-type budget struct{ spent, reserved int64 }
+// budgetTotals is a copy of a program's token totals, from which they are
+// restored if a command is rejected.
+type budgetTotals struct{ spent, reserved int64 }
 
-func budgetOf(owner *aggregate) budget { return budget{spent: owner.Spent, reserved: owner.Reserved} }
+func budgetTotalsOf(program *aggregate) budgetTotals {
+	return budgetTotals{spent: program.Spent, reserved: program.Reserved}
+}
 
-func (b budget) restore(owner *aggregate) { owner.Spent, owner.Reserved = b.spent, b.reserved }
+func (b budgetTotals) restore(program *aggregate) {
+	program.Spent, program.Reserved = b.spent, b.reserved
+}
 
-// touch marks activity of the program and of all above it.
-func (s *Shard) touch(owner *aggregate) {
-	for owner != nil {
-		owner.LastActive = s.now
-		owner = s.programs[owner.Parent]
+// recordActivity sets the time of the last activity of the program and of all its
+// ancestors.
+func (s *Shard) recordActivity(program *aggregate) {
+	for program != nil {
+		program.LastActive = s.now
+		program = s.programs[program.Parent]
 	}
 }
 
-// recharge gives back to the parent what an ended program left unspent.
-func (s *Shard) recharge(owner *aggregate) {
-	for !owner.open() {
-		parent := s.programs[owner.Parent]
+// returnBudget reduces an ended program's charge on its parent to the tokens that
+// the program has committed. If the parent has ended too, the parent's charge on
+// its own parent is reduced in the same way, and so on.
+func (s *Shard) returnBudget(program *aggregate) {
+	for !program.isOpen() {
+		parent := s.programs[program.Parent]
 		if parent == nil {
 			return
 		}
-		parent.ChildrenCharged += owner.committed() - owner.Charged
-		owner.Charged = owner.committed()
-		owner = parent
+		parent.ChildrenCharged += program.committedTokens() - program.Charged
+		program.Charged = program.committedTokens()
+		program = parent
 	}
 }
 
-// track keeps the index of programs with a call under way.
-func (s *Shard) track(owner *aggregate) {
-	if owner.underWay() == nil {
-		delete(s.active, owner.ID)
+// updateActive updates the program's entry in the index of programs with an
+// active call.
+func (s *Shard) updateActive(program *aggregate) {
+	if program.activeCall() == nil {
+		delete(s.active, program.ID)
 		return
 	}
-	s.active[owner.ID] = struct{}{}
+	s.active[program.ID] = struct{}{}
 }
 
 func rejected(fault *problem.Problem) *Result { return &Result{Problem: fault} }
 
-// unknownProgram says nothing about the outcome: a call of a program that was
-// forgotten may have run.
+// unknownProgram returns the problem for a program that is not in the shard. It
+// has no outcome, because a call of a deleted program may have run.
 func unknownProgram(step string) *problem.Problem {
 	return problem.New(problem.KindUnknownProgram, step, "no such program")
 }
--- a/internal/program/shard_rapid_test.go
+++ b/internal/program/shard_rapid_test.go
@@ -19,23 +19,23 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// model drives a shard with random commands, also senseless ones, and keeps
-// what it knows by itself: what each attempt could have cost at most.
-type model struct {
-	shard    *program.Shard
-	index    uint64
-	clock    time.Time
-	programs []identity.Program
-	created  int // identifiers issued
-	nonce    uint64
-	sent     map[string]bool // attempts committed and not proven never run
+// shardModel applies random commands, including invalid ones, to a shard. It
+// tracks independently of the shard which attempts may have been sent.
+type shardModel struct {
+	shard        *program.Shard
+	index        uint64
+	clock        time.Time
+	programs     []identity.Program
+	created      int // number of identifiers issued
+	nonce        uint64
+	possiblySent map[string]bool // keys of committed attempts that were not released
 }
 
 func programIdentifier(number int) identity.Program {
 	return identity.Program(fmt.Sprintf("p0001-%026d", number))
 }
 
-func (m *model) apply(t *rapid.T, command program.Command) *program.Result {
+func (m *shardModel) apply(t *rapid.T, command program.Command) *program.Result {
 	m.clock = m.clock.Add(time.Duration(rapid.Int64Range(-5, 60).Draw(t, "seconds")) * time.Second)
 	command.Now = m.clock
 	encoded, err := program.EncodeCommand(command)
@@ -45,21 +45,22 @@
 	m.index++
 	result, ok := m.shard.Apply(m.index, encoded).(*program.Result)
 	if !ok {
-		t.Fatal("Apply gave no result")
+		t.Fatal("Apply did not return a *Result")
 	}
 	return result
 }
 
-func (m *model) anyProgram(t *rapid.T) identity.Program {
+func (m *shardModel) drawProgram(t *rapid.T) identity.Program {
 	if len(m.programs) == 0 {
-		return programIdentifier(0) // not there: the command is rejected
+		return programIdentifier(0) // does not exist, so the command is rejected
 	}
 	return rapid.SampledFrom(m.programs).Draw(t, "program")
 }
 
-// anyCall prefers the last call, and sometimes names another or none.
-func (m *model) anyCall(t *rapid.T) (identity.Program, program.Call) {
-	identifier := m.anyProgram(t)
+// drawCall returns a random program and one of its calls, usually the last one.
+// If the program has no calls, the call has the invalid sequence number 0.
+func (m *shardModel) drawCall(t *rapid.T) (identity.Program, program.Call) {
+	identifier := m.drawProgram(t)
 	view, found := m.shard.Program(identifier)
 	if !found || len(view.Calls) == 0 {
 		return identifier, program.Call{Spec: program.CallSpec{MaxTokens: 1}}
@@ -71,15 +72,15 @@
 	return identifier, view.Calls[index]
 }
 
-func anyNumber(t *rapid.T, call *program.Call) uint32 {
+func drawAttemptNumber(t *rapid.T, call *program.Call) uint32 {
 	return uint32(rapid.IntRange(0, len(call.Attempts)).Draw(t, "number"))
 }
 
-func attemptName(identifier identity.Program, sequence uint64, number uint32) string {
+func attemptKey(identifier identity.Program, sequence uint64, number uint32) string {
 	return fmt.Sprintf("%s/%d/%d", identifier, sequence, number)
 }
 
-func (m *model) Create(t *rapid.T) {
+func (m *shardModel) Create(t *rapid.T) {
 	m.created++
 	command := program.Command{
 		Kind:        program.CommandCreate,
@@ -89,7 +90,7 @@
 		Limits:      program.Limits{TokenBudget: rootBudget, MaxTurns: 12, MaxRepeats: 3},
 	}
 	if len(m.programs) > 0 && rapid.Bool().Draw(t, "child") {
-		command.Parent = m.anyProgram(t)
+		command.Parent = m.drawProgram(t)
 		command.Limits.TokenBudget = rapid.Int64Range(0, rootBudget).Draw(t, "budget")
 	}
 	if result := m.apply(t, command); result.Problem == nil && !result.Joined {
@@ -97,8 +98,8 @@
 	}
 }
 
-func (m *model) Accept(t *rapid.T) {
-	identifier := m.anyProgram(t)
+func (m *shardModel) Accept(t *rapid.T) {
+	identifier := m.drawProgram(t)
 	head, _ := m.shard.Head(identifier)
 	spec := program.CallSpec{
 		Sequence:      uint64(max(0, head.CallCount+rapid.SampledFrom([]int{1, 1, 1, 1, 0, 2, -1}).Draw(t, "step"))),
@@ -113,7 +114,7 @@
 	after, _ := m.shard.Program(identifier)
 	if result.Problem != nil || result.Joined {
 		if len(after.Calls) != len(before.Calls) {
-			t.Fatal("a rejected or joined call left a trace")
+			t.Fatal("a rejected or joined call was stored")
 		}
 		return
 	}
@@ -121,12 +122,12 @@
 		t.Fatalf("call %d was accepted after %d calls", spec.Sequence, len(before.Calls))
 	}
 	if len(before.Calls) > 0 && !before.Calls[len(before.Calls)-1].State.Final() {
-		t.Fatal("accepted beside a call under way")
+		t.Fatal("a call was accepted while another call was active")
 	}
 }
 
-func (m *model) Dispatch(t *rapid.T) {
-	identifier, call := m.anyCall(t)
+func (m *shardModel) Dispatch(t *rapid.T) {
+	identifier, call := m.drawCall(t)
 	m.nonce++
 	attempt := program.Attempt{BackEnd: "engine", Nonce: m.nonce}
 	if call.Spec.Target == program.TargetModel {
@@ -136,38 +137,39 @@
 		Kind: program.CommandDispatch, Program: identifier, Sequence: call.Spec.Sequence, Attempt: attempt,
 	})
 	if result.Problem == nil {
-		m.sent[attemptName(identifier, call.Spec.Sequence, result.Number)] = true
+		m.possiblySent[attemptKey(identifier, call.Spec.Sequence, result.Number)] = true
 	}
 }
 
-func (m *model) Release(t *rapid.T) {
-	identifier, call := m.anyCall(t)
-	number := anyNumber(t, &call)
+func (m *shardModel) Release(t *rapid.T) {
+	identifier, call := m.drawCall(t)
+	number := drawAttemptNumber(t, &call)
 	foreign := rapid.Bool().Draw(t, "foreign")
 	var nonce uint64
 	if number > 0 {
 		nonce = call.Attempts[number-1].Nonce
 	}
 	if foreign {
-		nonce = m.nonce + 1 // of an attempt that is not in this log
+		nonce = m.nonce + 1 // no attempt in this log has this nonce
 	}
 	result := m.apply(t, program.Command{
 		Kind: program.CommandRelease, Program: identifier, Sequence: call.Spec.Sequence, Number: number,
 		Attempt: program.Attempt{Nonce: nonce},
 	})
 	if result.Problem == nil && foreign {
-		t.Fatal("an attempt was released for another sender's")
+		t.Fatal("an attempt was released by a command with another nonce")
 	}
 	if result.Problem == nil {
-		delete(m.sent, attemptName(identifier, call.Spec.Sequence, number))
+		delete(m.possiblySent, attemptKey(identifier, call.Spec.Sequence, number))
 	}
 }
 
-// Withdraw releases by a nonce: of the call's attempts, or of a dispatch that
-// never committed, which must take nothing back.
-func (m *model) Withdraw(t *rapid.T) {
-	identifier, call := m.anyCall(t)
-	number := anyNumber(t, &call)
+// Withdraw releases an attempt by its nonce alone. The nonce belongs to one of
+// the call's attempts or to a dispatch that never committed, in which case the
+// command must not release anything.
+func (m *shardModel) Withdraw(t *rapid.T) {
+	identifier, call := m.drawCall(t)
+	number := drawAttemptNumber(t, &call)
 	nonce := m.nonce + 1
 	if number > 0 {
 		nonce = call.Attempts[number-1].Nonce
@@ -176,45 +178,45 @@
 		Kind: program.CommandRelease, Program: identifier, Sequence: call.Spec.Sequence, Attempt: program.Attempt{Nonce: nonce},
 	})
 	if result.Problem == nil {
-		delete(m.sent, attemptName(identifier, call.Spec.Sequence, number))
+		delete(m.possiblySent, attemptKey(identifier, call.Spec.Sequence, number))
 	}
 }
 
-func anySpent(t *rapid.T, call *program.Call, number uint32) int64 {
+func drawSpent(t *rapid.T, call *program.Call, number uint32) int64 {
 	if number == 0 {
 		return 0
 	}
 	return rapid.Int64Range(-1, call.Attempts[number-1].Reserved).Draw(t, "spent")
 }
 
-func (m *model) Settle(t *rapid.T) {
-	identifier, call := m.anyCall(t)
-	number := anyNumber(t, &call)
+func (m *shardModel) Settle(t *rapid.T) {
+	identifier, call := m.drawCall(t)
+	number := drawAttemptNumber(t, &call)
 	m.apply(t, program.Command{
 		Kind: program.CommandSettle, Program: identifier, Sequence: call.Spec.Sequence,
-		Number: number, Spent: anySpent(t, &call, number),
+		Number: number, Spent: drawSpent(t, &call, number),
 	})
 }
 
-func (m *model) Answer(t *rapid.T) {
-	identifier, call := m.anyCall(t)
-	number := anyNumber(t, &call)
+func (m *shardModel) Answer(t *rapid.T) {
+	identifier, call := m.drawCall(t)
+	number := drawAttemptNumber(t, &call)
 	result := m.apply(t, program.Command{
 		Kind: program.CommandAnswer, Program: identifier, Sequence: call.Spec.Sequence, Number: number,
-		Answer: &program.Answer{Content: "answer", CompletionTokens: max(0, anySpent(t, &call, number))},
+		Answer: &program.Answer{Content: "answer", CompletionTokens: max(0, drawSpent(t, &call, number))},
 	})
-	if result.Problem == nil && (call.State.Final() || !m.sent[attemptName(identifier, call.Spec.Sequence, number)]) {
-		t.Fatal("an answer was taken of a final call or of an attempt never sent")
+	if result.Problem == nil && (call.State.Final() || !m.possiblySent[attemptKey(identifier, call.Spec.Sequence, number)]) {
+		t.Fatal("an answer was accepted for a final call or for an attempt that was never sent")
 	}
 }
 
-func (m *model) GiveUp(t *rapid.T) {
-	identifier, call := m.anyCall(t)
-	number := anyNumber(t, &call)
+func (m *shardModel) GiveUp(t *rapid.T) {
+	identifier, call := m.drawCall(t)
+	number := drawAttemptNumber(t, &call)
 	outcome := rapid.SampledFrom([]problem.Outcome{problem.OutcomeNotRun, problem.OutcomeFailed, problem.OutcomeUnknown}).Draw(t, "outcome")
 	result := m.apply(t, program.Command{
 		Kind: program.CommandGiveUp, Program: identifier, Sequence: call.Spec.Sequence, Number: number,
-		Spent:   anySpent(t, &call, number),
+		Spent:   drawSpent(t, &call, number),
 		Problem: problem.New(problem.KindBackEndFailed, "test", "given up").WithOutcome(outcome),
 	})
 	if result.Problem == nil && call.State.Final() {
@@ -222,15 +224,15 @@
 	}
 }
 
-func (m *model) End(t *rapid.T) {
+func (m *shardModel) End(t *rapid.T) {
 	if rapid.IntRange(0, 3).Draw(t, "seldom") != 0 {
 		return
 	}
 	reason := rapid.SampledFrom([]program.EndReason{program.EndByCaller, program.EndIdle, program.EndLifetime}).Draw(t, "reason")
-	m.apply(t, program.Command{Kind: program.CommandEnd, Program: m.anyProgram(t), Reason: reason})
+	m.apply(t, program.Command{Kind: program.CommandEnd, Program: m.drawProgram(t), Reason: reason})
 }
 
-func (m *model) Forget(t *rapid.T) {
+func (m *shardModel) Forget(t *rapid.T) {
 	m.apply(t, program.Command{Kind: program.CommandForget, Before: m.clock.Add(-5 * time.Minute)})
 	m.programs = slices.DeleteFunc(m.programs, func(identifier identity.Program) bool {
 		_, found := m.shard.Head(identifier)
@@ -239,7 +241,7 @@
 	m.programs = slices.Clip(m.programs)
 }
 
-func (m *model) Restart(t *rapid.T) {
+func (m *shardModel) Restart(t *rapid.T) {
 	encoded, err := m.shard.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -255,8 +257,8 @@
 	m.shard = restored
 }
 
-// Check holds after every command.
-func (m *model) Check(t *rapid.T) {
+// Check verifies the invariants of all programs. It runs after every command.
+func (m *shardModel) Check(t *rapid.T) {
 	for _, identifier := range m.programs {
 		view, found := m.shard.Program(identifier)
 		if !found {
@@ -270,19 +272,20 @@
 			cost += m.checkCall(t, identifier, &view.Calls[i])
 		}
 		if cost != view.Spent+view.Reserved {
-			t.Fatalf("totals are %d and %d, attempts cost %d", view.Spent, view.Reserved, cost)
+			t.Fatalf("the totals are %d spent and %d reserved, but the attempts cost %d", view.Spent, view.Reserved, cost)
 		}
 		m.checkChildren(t, &view)
 	}
 }
 
-// checkCall gives what the call's attempts may have cost at most.
-func (m *model) checkCall(t *rapid.T, identifier identity.Program, call *program.Call) int64 {
+// checkCall verifies the invariants of a call and returns the maximum number of
+// tokens that its attempts may have cost.
+func (m *shardModel) checkCall(t *rapid.T, identifier identity.Program, call *program.Call) int64 {
 	var cost int64
 	unreleased := 0
 	for _, attempt := range call.Attempts {
-		if m.sent[attemptName(identifier, call.Spec.Sequence, attempt.Number)] == attempt.Released {
-			t.Fatal("the log contradicts what was sent")
+		if m.possiblySent[attemptKey(identifier, call.Spec.Sequence, attempt.Number)] == attempt.Released {
+			t.Fatal("the shard and the model disagree on whether an attempt was released")
 		}
 		switch {
 		case attempt.Released:
@@ -295,15 +298,15 @@
 		unreleased++
 	}
 	if call.Spec.NotRepeatable && unreleased > 1 {
-		t.Fatal("two attempts of a call not to be repeated")
+		t.Fatal("more than one attempt of a non-repeatable call may have run")
 	}
 	if call.State == program.CallNotRun && unreleased > 0 {
-		t.Fatal("not-run was said of a call that may have run")
+		t.Fatal("a call that may have run has the state not-run")
 	}
 	return cost
 }
 
-func (m *model) checkChildren(t *rapid.T, parent *program.View) {
+func (m *shardModel) checkChildren(t *rapid.T, parent *program.View) {
 	var held int64
 	for _, identifier := range m.programs {
 		child, found := m.shard.Head(identifier)
@@ -319,15 +322,15 @@
 			t.Fatal("a child outlived its parent")
 		}
 	}
-	// Children that were forgotten stay charged.
+	// Deleted children stay charged, so the charge may be higher.
 	if parent.Lent < held {
-		t.Fatalf("children hold %d, the parent is charged %d", held, parent.Lent)
+		t.Fatalf("children hold %d tokens, but the parent is charged only %d", held, parent.Lent)
 	}
 }
 
-func TestShardKeepsItsRulesUnderAnyInterleaving(t *testing.T) {
+func TestShardKeepsInvariantsUnderRandomCommands(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := &model{shard: program.NewShard(1), clock: start, sent: make(map[string]bool)}
+		m := &shardModel{shard: program.NewShard(1), clock: start, possiblySent: make(map[string]bool)}
 		t.Repeat(map[string]func(*rapid.T){
 			"create": m.Create, "accept": m.Accept, "accept again": m.Accept,
 			"dispatch": m.Dispatch, "dispatch again": m.Dispatch, "release": m.Release, "withdraw": m.Withdraw,
@@ -357,7 +360,7 @@
 			restored.UnderWay()
 		}
 		if _, ok := restored.Apply(1, data).(*program.Result); !ok {
-			t.Fatal("Apply gave no result")
+			t.Fatal("Apply did not return a *Result")
 		}
 		if _, err := restored.Snapshot(); err != nil {
 			t.Fatal(err)
--- a/internal/program/shard_test.go
+++ b/internal/program/shard_test.go
@@ -11,14 +11,14 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// script applies commands that the test states one by one.
-type script struct {
+// commandScript applies individual commands to a shard at the time now.
+type commandScript struct {
 	*program.Shard
-	at time.Time
+	now time.Time
 }
 
-func (s *script) do(kind program.CommandKind, identifier identity.Program, change func(*program.Command)) *program.Result {
-	command := program.Command{Kind: kind, Program: identifier, Tenant: "tenant", Now: s.at, Sequence: 1, Number: 1}
+func (s *commandScript) apply(kind program.CommandKind, identifier identity.Program, change func(*program.Command)) *program.Result {
+	command := program.Command{Kind: kind, Program: identifier, Tenant: "tenant", Now: s.now, Sequence: 1, Number: 1}
 	if change != nil {
 		change(&command)
 	}
@@ -28,8 +28,8 @@
 	return result
 }
 
-func (s *script) accept(identifier identity.Program, sequence uint64) *program.Result {
-	return s.do(program.CommandAccept, identifier, func(command *program.Command) {
+func (s *commandScript) accept(identifier identity.Program, sequence uint64) *program.Result {
+	return s.apply(program.CommandAccept, identifier, func(command *program.Command) {
 		command.Call = program.CallSpec{
 			Sequence: sequence, Target: program.TargetModel, Name: "model", MaxTokens: 50,
 			Messages: []program.Message{{Role: "user", Content: "question"}},
@@ -41,45 +41,45 @@
 	return func(command *program.Command) { command.Attempt.Reserved = tokens }
 }
 
-func TestChildReturnsWhatItLeavesAndKeepsWhatMayBeSpent(t *testing.T) {
+func TestChildReturnsUnspentBudgetButKeepsUncertainCost(t *testing.T) {
 	RegisterTestingT(t)
-	shard := &script{Shard: program.NewShard(1), at: start}
+	shard := &commandScript{Shard: program.NewShard(1), now: start}
 	parent, child := programIdentifier(1), programIdentifier(2)
-	shard.do(program.CommandCreate, parent, func(command *program.Command) { command.Limits.TokenBudget = 100 })
-	shard.do(program.CommandCreate, child, func(command *program.Command) {
+	shard.apply(program.CommandCreate, parent, func(command *program.Command) { command.Limits.TokenBudget = 100 })
+	shard.apply(program.CommandCreate, child, func(command *program.Command) {
 		command.Parent = parent
 		command.Limits.TokenBudget = 80
 	})
 	shard.accept(child, 1)
-	Expect(shard.do(program.CommandDispatch, child, reserve(50)).Problem).To(BeNil())
+	Expect(shard.apply(program.CommandDispatch, child, reserve(50)).Problem).To(BeNil())
 	shard.accept(parent, 1)
-	Expect(shard.do(program.CommandDispatch, parent, reserve(30)).Problem.Kind).To(Equal(problem.KindBudgetExhausted))
+	Expect(shard.apply(program.CommandDispatch, parent, reserve(30)).Problem.Kind).To(Equal(problem.KindBudgetExhausted))
 
-	shard.do(program.CommandEnd, child, nil)
+	shard.apply(program.CommandEnd, child, nil)
 	head, _ := shard.Head(parent)
-	Expect(head.Lent).To(BeEquivalentTo(50), "the attempt under way may cost all it reserved")
-	shard.do(program.CommandGiveUp, child, func(command *program.Command) {
+	Expect(head.Lent).To(BeEquivalentTo(50), "the open attempt may cost its whole reservation")
+	shard.apply(program.CommandGiveUp, child, func(command *program.Command) {
 		command.Spent = -1
 		command.Problem = problem.New(problem.KindCancelled, "test", "unknown").WithOutcome(problem.OutcomeUnknown)
 	})
 	head, _ = shard.Head(parent)
-	Expect(head.Lent).To(BeEquivalentTo(50), "unknown for good")
-	Expect(shard.do(program.CommandSettle, child, func(command *program.Command) { command.Spent = 20 }).Problem).To(BeNil())
+	Expect(head.Lent).To(BeEquivalentTo(50), "the cost of the attempt is unknown")
+	Expect(shard.apply(program.CommandSettle, child, func(command *program.Command) { command.Spent = 20 }).Problem).To(BeNil())
 	head, _ = shard.Head(parent)
-	Expect(head.Lent).To(BeEquivalentTo(20), "known after all")
+	Expect(head.Lent).To(BeEquivalentTo(20), "the cost has become known")
 }
 
-func TestLateAnswerOfAnEarlierAttemptWinsOnce(t *testing.T) {
+func TestLateAnswerOfEarlierAttemptIsAcceptedOnce(t *testing.T) {
 	RegisterTestingT(t)
-	shard := &script{Shard: program.NewShard(1), at: start}
+	shard := &commandScript{Shard: program.NewShard(1), now: start}
 	identifier := programIdentifier(1)
-	shard.do(program.CommandCreate, identifier, func(command *program.Command) { command.Limits.TokenBudget = 100 })
+	shard.apply(program.CommandCreate, identifier, func(command *program.Command) { command.Limits.TokenBudget = 100 })
 	shard.accept(identifier, 1)
-	shard.do(program.CommandDispatch, identifier, reserve(50))
-	shard.do(program.CommandSettle, identifier, func(command *program.Command) { command.Spent = -1 })
-	Expect(shard.do(program.CommandDispatch, identifier, reserve(50)).Number).To(BeEquivalentTo(2))
+	shard.apply(program.CommandDispatch, identifier, reserve(50))
+	shard.apply(program.CommandSettle, identifier, func(command *program.Command) { command.Spent = -1 })
+	Expect(shard.apply(program.CommandDispatch, identifier, reserve(50)).Number).To(BeEquivalentTo(2))
 	answer := func(number uint32) *program.Result {
-		return shard.do(program.CommandAnswer, identifier, func(command *program.Command) {
+		return shard.apply(program.CommandAnswer, identifier, func(command *program.Command) {
 			command.Number = number
 			command.Answer = &program.Answer{Content: "answer", CompletionTokens: 10}
 		})
@@ -88,22 +88,22 @@
 	Expect(answer(2).Problem.Kind).To(Equal(problem.KindConflict))
 	head, _ := shard.Head(identifier)
 	Expect([]int64{head.Spent, head.Reserved}).To(Equal([]int64{10, 50}))
-	shard.do(program.CommandSettle, identifier, func(command *program.Command) { command.Number, command.Spent = 2, 5 })
+	shard.apply(program.CommandSettle, identifier, func(command *program.Command) { command.Number, command.Spent = 2, 5 })
 	head, _ = shard.Head(identifier)
 	Expect([]int64{head.Spent, head.Reserved}).To(Equal([]int64{15, 0}))
 }
 
-func TestCommandAboutAnotherSendersAttemptChangesNothing(t *testing.T) {
+func TestCommandWithOtherNonceChangesNothing(t *testing.T) {
 	RegisterTestingT(t)
-	shard := &script{Shard: program.NewShard(1), at: start}
+	shard := &commandScript{Shard: program.NewShard(1), now: start}
 	identifier := programIdentifier(1)
-	shard.do(program.CommandCreate, identifier, func(command *program.Command) { command.Limits.TokenBudget = 100 })
+	shard.apply(program.CommandCreate, identifier, func(command *program.Command) { command.Limits.TokenBudget = 100 })
 	shard.accept(identifier, 1)
-	shard.do(program.CommandDispatch, identifier, func(command *program.Command) {
+	shard.apply(program.CommandDispatch, identifier, func(command *program.Command) {
 		command.Attempt = program.Attempt{Reserved: 50, Nonce: 7}
 	})
 	about := func(kind program.CommandKind, nonce uint64) *program.Result {
-		return shard.do(kind, identifier, func(command *program.Command) {
+		return shard.apply(kind, identifier, func(command *program.Command) {
 			command.Attempt.Nonce = nonce
 			command.Answer = &program.Answer{Content: "answer"}
 			command.Problem = problem.New(problem.KindBackEndFailed, "test", "failed").WithOutcome(problem.OutcomeFailed)
@@ -120,57 +120,57 @@
 	Expect(about(program.CommandRelease, 7).Problem).To(BeNil())
 }
 
-func TestOnlyActiveProgramsCountAsLive(t *testing.T) {
+func TestLiveTokensCountsOnlyActivePrograms(t *testing.T) {
 	RegisterTestingT(t)
-	shard := &script{Shard: program.NewShard(1), at: start}
+	shard := &commandScript{Shard: program.NewShard(1), now: start}
 	identifier := programIdentifier(1)
-	shard.do(program.CommandCreate, identifier, nil)
+	shard.apply(program.CommandCreate, identifier, nil)
 	shard.accept(identifier, 1)
-	shard.do(program.CommandDispatch, identifier, reserve(50))
-	shard.do(program.CommandAnswer, identifier, func(command *program.Command) {
+	shard.apply(program.CommandDispatch, identifier, reserve(50))
+	shard.apply(program.CommandAnswer, identifier, func(command *program.Command) {
 		command.Answer = &program.Answer{Content: "answer", PromptTokens: 30, CompletionTokens: 10}
 	})
 	Expect(shard.LiveTokens(start)).To(Equal(map[string]int64{"model": 40}))
 	later := start.Add(time.Second)
-	Expect(shard.LiveTokens(later)).To(BeEmpty(), "its caller may be gone")
+	Expect(shard.LiveTokens(later)).To(BeEmpty(), "the program is not active any more")
 	shard.accept(identifier, 2)
 	Expect(shard.LiveTokens(later)).To(Equal(map[string]int64{"model": 40}), "a call is under way")
 }
 
-func TestTimeAndRepeats(t *testing.T) {
+func TestExpiryRetentionAndRepeatedCalls(t *testing.T) {
 	RegisterTestingT(t)
-	shard := &script{Shard: program.NewShard(1), at: start}
+	shard := &commandScript{Shard: program.NewShard(1), now: start}
 	identifier := programIdentifier(1)
-	shard.do(program.CommandCreate, identifier, func(command *program.Command) { command.Limits.Idle = time.Minute })
+	shard.apply(program.CommandCreate, identifier, func(command *program.Command) { command.Limits.Idle = time.Minute })
 	shard.accept(identifier, 1)
-	repeat := shard.do(program.CommandAccept, identifier, func(command *program.Command) {
+	repeat := shard.apply(program.CommandAccept, identifier, func(command *program.Command) {
 		view, _ := shard.Program(identifier)
 		command.Call = view.Calls[0].Spec
 		command.Call.Deadline = start.Add(time.Hour)
 	})
-	Expect(repeat.Joined).To(BeTrue(), "a deadline is no part of a call's identity")
-	Expect(repeat.Call.Spec.Deadline).To(BeZero(), "the first one counts")
+	Expect(repeat.Joined).To(BeTrue(), "deadlines are ignored when calls are compared")
+	Expect(repeat.Call.Spec.Deadline).To(BeZero(), "the deadline of the first submission stays in force")
 
 	end := func(reason program.EndReason) *program.Result {
-		return shard.do(program.CommandEnd, identifier, func(command *program.Command) { command.Reason = reason })
+		return shard.apply(program.CommandEnd, identifier, func(command *program.Command) { command.Reason = reason })
 	}
-	shard.at = start.Add(2 * time.Minute)
+	shard.now = start.Add(2 * time.Minute)
 	Expect(end(program.EndIdle).Problem.Kind).To(Equal(problem.KindConflict), "a call is under way")
-	shard.do(program.CommandGiveUp, identifier, func(command *program.Command) {
+	shard.apply(program.CommandGiveUp, identifier, func(command *program.Command) {
 		command.Number = 0
 		command.Problem = problem.New(problem.KindRefused, "test", "not run").WithOutcome(problem.OutcomeNotRun)
 	})
-	shard.at = start
+	shard.now = start
 	Expect(shard.accept(identifier, 2).Call.AcceptedAt).To(Equal(start.Add(2*time.Minute)), "time never goes backwards")
-	shard.at = start.Add(25 * time.Hour)
+	shard.now = start.Add(25 * time.Hour)
 	Expect(end(program.EndLifetime).Ended).To(Equal([]identity.Program{identifier}))
 	before, found := shard.Forgettable(start, 1)
 	Expect(found).To(BeFalse())
 	Expect(before).To(Equal(start))
 	before, found = shard.Forgettable(start, 0)
 	Expect(found).To(BeTrue())
-	Expect(before.After(shard.at)).To(BeTrue())
+	Expect(before.After(shard.now)).To(BeTrue())
 	call, _, _ := shard.Call(identifier, 2)
 	Expect(call.State).To(Equal(program.CallNotRun))
-	Expect(shard.Prompt(identifier, 3)).To(BeEmpty(), "calls without answer add nothing to the history")
+	Expect(shard.Prompt(identifier, 3)).To(BeEmpty(), "calls without an answer add nothing to the history")
 }
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -11,14 +11,14 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// ErrMalformedSnapshot means that a snapshot contradicts itself or is of
-// another version or shard.
+// ErrMalformedSnapshot means that a snapshot is inconsistent or belongs to another
+// version or shard.
 var ErrMalformedSnapshot = errors.New("malformed snapshot")
 
 const snapshotVersion = 1
 
-// snapshot is the whole state of a shard. Programs are in order of their
-// identifiers, so that equal shards have equal snapshots.
+// snapshot is the encoded form of a shard's state. The programs are sorted by
+// identifier, so that equal states have equal encodings.
 type snapshot struct {
 	Version  int            `cbor:"1,keyasint"`
 	Shard    identity.Shard `cbor:"2,keyasint"`
@@ -26,21 +26,22 @@
 	Programs []*aggregate   `cbor:"4,keyasint,omitzero"`
 }
 
-// Snapshot encodes the whole state.
+// Snapshot encodes the state of the shard. Restore reads the encoding.
 func (s *Shard) Snapshot() ([]byte, error) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	return s.collect().encode()
+	return s.collectSnapshot().encode()
 }
 
-// collect gathers the state without copying it.
-func (s *Shard) collect() *snapshot {
-	whole := &snapshot{Version: snapshotVersion, Shard: s.number, Now: s.now}
-	whole.Programs = make([]*aggregate, 0, len(s.programs))
-	for _, owner := range s.programs {
-		whole.Programs = append(whole.Programs, owner)
+// collectSnapshot returns a snapshot that shares the programs with the shard and
+// is not sorted yet. The caller must hold the mutex.
+func (s *Shard) collectSnapshot() *snapshot {
+	collected := &snapshot{Version: snapshotVersion, Shard: s.number, Now: s.now}
+	collected.Programs = make([]*aggregate, 0, len(s.programs))
+	for _, program := range s.programs {
+		collected.Programs = append(collected.Programs, program)
 	}
-	return whole
+	return collected
 }
 
 func (w *snapshot) encode() ([]byte, error) {
@@ -49,47 +50,51 @@
 	return encoded, eris.Wrapf(err, "encode snapshot of shard %d", w.Shard)
 }
 
-// Restore replaces the whole state. On an error the state stays as it was.
+// Restore replaces the state of the shard by a snapshot. If it returns an error,
+// the state is unchanged. A snapshot that decodes but is not valid for this shard
+// gives an error that wraps ErrMalformedSnapshot.
 func (s *Shard) Restore(encoded []byte) error {
-	var whole snapshot
-	if err := decoder.Unmarshal(encoded, &whole); err != nil {
+	var decoded snapshot
+	if err := decoder.Unmarshal(encoded, &decoded); err != nil {
 		return eris.Wrapf(err, "decode snapshot of shard %d", s.number)
 	}
-	if whole.Version != snapshotVersion || whole.Shard != s.number {
-		return eris.Wrapf(ErrMalformedSnapshot, "version %d of shard %d", whole.Version, whole.Shard)
+	if decoded.Version != snapshotVersion || decoded.Shard != s.number {
+		return eris.Wrapf(ErrMalformedSnapshot, "version %d of shard %d", decoded.Version, decoded.Shard)
 	}
 	restored := NewShard(s.number)
-	restored.now = whole.Now
-	for _, owner := range whole.Programs {
-		if err := restored.include(owner); err != nil {
+	restored.now = decoded.Now
+	for _, program := range decoded.Programs {
+		if err := restored.addRestored(program); err != nil {
 			return err
 		}
 	}
-	if err := restored.checkFamilies(); err != nil {
+	if err := restored.checkParentLinks(); err != nil {
 		return err
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.adoptState(restored)
+	s.takeState(restored)
 	return nil
 }
 
-// include adds a decoded program after checking what the rules rely on.
-func (s *Shard) include(owner *aggregate) error {
-	if owner == nil || s.programs[owner.ID] != nil || !owner.consistent() {
+// addRestored adds a decoded program and its index entries. It returns an error
+// if the program is inconsistent or a duplicate.
+func (s *Shard) addRestored(program *aggregate) error {
+	if program == nil || s.programs[program.ID] != nil || !program.isConsistent() {
 		return eris.Wrap(ErrMalformedSnapshot, "include program")
 	}
-	s.programs[owner.ID] = owner
-	s.names.aggregate(owner)
-	if owner.CreationKey != "" {
-		s.byKey[creationKey{tenant: owner.Tenant, parent: owner.Parent, key: owner.CreationKey}] = owner.ID
+	s.programs[program.ID] = program
+	s.names.aggregate(program)
+	if program.CreationKey != "" {
+		s.byCreationKey[creationKey{tenant: program.Tenant, parent: program.Parent, key: program.CreationKey}] = program.ID
 	}
-	s.track(owner)
+	s.updateActive(program)
 	return nil
 }
 
-// consistent checks sequences, attempt numbers, states and the totals.
-func (a *aggregate) consistent() bool {
+// isConsistent reports whether the program's states, sequence numbers, attempt
+// numbers and budget totals agree with each other.
+func (a *aggregate) isConsistent() bool {
 	if a.State != ProgramOpen && a.State != ProgramEnded {
 		return false
 	}
@@ -105,21 +110,21 @@
 			if int(call.Attempts[j].Number) != j+1 {
 				return false
 			}
-			totals.count(&call.Attempts[j], 1)
+			totals.addToTotals(&call.Attempts[j], 1)
 		}
 	}
 	return totals.Spent == a.Spent && totals.Reserved == a.Reserved && a.Depth >= 0 && a.Depth <= MaxDepth
 }
 
-// checkFamilies checks that depths grow from parent to child, which excludes
-// cycles, and that both name each other.
-func (s *Shard) checkFamilies() error {
-	for _, owner := range s.programs {
-		if parent := s.programs[owner.Parent]; parent != nil && owner.Depth != parent.Depth+1 {
+// checkParentLinks checks that each child is one level deeper than its parent,
+// which excludes cycles, and that a parent's children name it as their parent.
+func (s *Shard) checkParentLinks() error {
+	for _, program := range s.programs {
+		if parent := s.programs[program.Parent]; parent != nil && program.Depth != parent.Depth+1 {
 			return eris.Wrap(ErrMalformedSnapshot, "check depth")
 		}
-		for _, identifier := range owner.Children {
-			if child := s.programs[identifier]; child == nil || child.Parent != owner.ID {
+		for _, identifier := range program.Children {
+			if child := s.programs[identifier]; child == nil || child.Parent != program.ID {
 				return eris.Wrap(ErrMalformedSnapshot, "check children")
 			}
 		}
--- a/internal/program/view.go
+++ b/internal/program/view.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Head is a program without its calls; it is cheap to copy.
+// Head is the state of a program without its calls. It is cheap to copy.
 type Head struct {
 	ID         identity.Program
 	Parent     identity.Program
@@ -21,24 +21,26 @@
 	EndedAt    time.Time
 	LastActive time.Time
 	CallCount  int
-	Spent      int64 // known, of its own calls
-	Reserved   int64 // own attempts that are open or whose cost is unknown
-	Lent       int64 // held by children
+	Spent      int64 // tokens: known cost of the program's own attempts
+	Reserved   int64 // tokens: reservations of own attempts whose cost is not known
+	Lent       int64 // tokens: part of the budget that children hold or have used
 }
 
-// Available is what the program may still reserve.
+// Available returns how many tokens the program may still reserve. It is never
+// negative.
 func (h *Head) Available() int64 {
 	return max(0, h.Limits.TokenBudget-h.Spent-h.Reserved-h.Lent)
 }
 
-// View is a program as committed. What it refers to never changes.
+// View is the committed state of a program. The values that it points to are
+// never modified, so it can be read without a lock.
 type View struct {
 	Head
 	Calls []Call
 }
 
-// Messages is the history: for each answered call of a model its messages and
-// the answer. A call without answer adds nothing, its messages included.
+// Messages returns the history: the messages and the answer of each answered model
+// call, in order. Calls without an answer contribute nothing to it.
 func (v *View) Messages() []Message {
 	var messages []Message
 	for i := range v.Calls {
@@ -47,6 +49,8 @@
 	return messages
 }
 
+// appendTurn appends the messages and the answer of an answered model call. It
+// returns messages unchanged for any other call.
 func appendTurn(messages []Message, call *Call) []Message {
 	if call.State != CallAnswered || call.Spec.Target != TargetModel {
 		return messages
@@ -55,57 +59,61 @@
 	return append(messages, Message{Role: "assistant", Content: call.Answer.Content})
 }
 
-// Program gives a copy of a program with all its calls.
+// Program returns a copy of a program with all its calls, or false if it does not
+// exist.
 func (s *Shard) Program(identifier identity.Program) (View, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	owner := s.programs[identifier]
-	if owner == nil {
+	program := s.programs[identifier]
+	if program == nil {
 		return View{}, false
 	}
-	view := View{Head: owner.head(), Calls: make([]Call, len(owner.Calls))}
-	for i, call := range owner.Calls {
+	view := View{Head: program.head(), Calls: make([]Call, len(program.Calls))}
+	for i, call := range program.Calls {
 		view.Calls[i] = *call
 	}
 	return view, true
 }
 
-// Head gives a program without its calls.
+// Head returns a program without its calls, or false if it does not exist.
 func (s *Shard) Head(identifier identity.Program) (Head, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	owner := s.programs[identifier]
-	if owner == nil {
+	program := s.programs[identifier]
+	if program == nil {
 		return Head{}, false
 	}
-	return owner.head(), true
+	return program.head(), true
 }
 
-// Call gives a copy of one call and its program's head.
+// Call returns a copy of a call and the head of its program. It returns false if
+// the call does not exist; the head is then valid if the program exists, and
+// empty otherwise.
 func (s *Shard) Call(identifier identity.Program, sequence uint64) (Call, Head, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	owner := s.programs[identifier]
-	if owner == nil {
+	program := s.programs[identifier]
+	if program == nil {
 		return Call{}, Head{}, false
 	}
-	call := owner.call(sequence)
+	call := program.call(sequence)
 	if call == nil {
-		return Call{}, owner.head(), false
+		return Call{}, program.head(), false
 	}
-	return *call, owner.head(), true
+	return *call, program.head(), true
 }
 
-// Prompt gives the history before a call.
+// Prompt returns the history of a program before the call with the given sequence
+// number.
 func (s *Shard) Prompt(identifier identity.Program, sequence uint64) []Message {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	owner := s.programs[identifier]
-	if owner == nil {
+	program := s.programs[identifier]
+	if program == nil {
 		return nil
 	}
 	var messages []Message
-	for _, call := range owner.Calls {
+	for _, call := range program.Calls {
 		if call.Spec.Sequence >= sequence {
 			break
 		}
@@ -114,13 +122,13 @@
 	return messages
 }
 
-// CallKey names a call.
+// CallKey identifies a call.
 type CallKey struct {
 	Program  identity.Program
 	Sequence uint64
 }
 
-// UnderWay lists the calls that are not final, in a fixed order.
+// UnderWay returns the calls that are not final, sorted by program identifier.
 func (s *Shard) UnderWay() []CallKey {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -132,19 +140,20 @@
 	return keys
 }
 
-// Expiry tells that the clock ends a program.
+// Expiry is a program that has expired, with the time-based reason to end it.
 type Expiry struct {
 	Program identity.Program
 	Reason  EndReason
 }
 
-// Expired lists the programs that the clock ends by now.
+// Expired returns the open programs whose idle time or lifetime is over at the
+// time now, sorted by identifier.
 func (s *Shard) Expired(now time.Time) []Expiry {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	var expiries []Expiry
-	for identifier, owner := range s.programs {
-		if reason := s.expired(owner, now); reason != "" {
+	for identifier, program := range s.programs {
+		if reason := s.expiryReason(program, now); reason != "" {
 			expiries = append(expiries, Expiry{Program: identifier, Reason: reason})
 		}
 	}
@@ -152,16 +161,17 @@
 	return expiries
 }
 
-// Forgettable says before which time ended programs are to be forgotten, and
-// whether there are any: those that ended before the given time, and the
-// oldest ones beyond the number to keep.
+// Forgettable returns the time to use as Before in a CommandForget, and whether
+// the command would delete any programs. It selects the programs that ended
+// before the given time and, if more than keep ended programs would remain, the
+// oldest of those as well.
 func (s *Shard) Forgettable(before time.Time, keep int) (time.Time, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	var ends []time.Time
-	for _, owner := range s.programs {
-		if !owner.open() && owner.underWay() == nil {
-			ends = append(ends, owner.EndedAt)
+	for _, program := range s.programs {
+		if !program.isOpen() && program.activeCall() == nil {
+			ends = append(ends, program.EndedAt)
 		}
 	}
 	if len(ends) == 0 {
@@ -193,34 +203,38 @@
 	}
 }
 
-// Attainment is what a program got so far, for the scheduler.
+// Attainment describes the service that a program has received so far. The
+// scheduler uses it to order calls and to find the engine that may have the
+// program's prefix cached.
 type Attainment struct {
-	Service time.Duration // of its answered calls of models together, from first token to end
-	Model   string        // of the last one
-	Engine  string        // that answered it
-	Tokens  int64         // prompt and answer of it, as that engine counted them
-	At      time.Time     // when it was answered
+	Service time.Duration // sum of the times from first token to end of the answered model calls
+	Model   string        // model of the last answered call
+	Engine  string        // engine that answered the last call
+	Tokens  int64         // tokens of the last call's prompt and answer, as counted by the engine
+	At      time.Time     // when the last call was answered
 }
 
-// leastService is what any answered call counts: a program that was answered
-// once has been served.
-const leastService = time.Millisecond
+// minService is the minimum service time counted for an answered call, so that a
+// program with an answer always has a service time above zero.
+const minService = time.Millisecond
 
-// Attained sums up the answered calls of models of a program.
+// Attained returns the service that a program has received from its answered model
+// calls. It returns the zero value if the program does not exist.
 func (s *Shard) Attained(identifier identity.Program) Attainment {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	var attained Attainment
-	owner := s.programs[identifier]
-	if owner == nil {
+	program := s.programs[identifier]
+	if program == nil {
 		return attained
 	}
-	for _, call := range owner.Calls {
+	for _, call := range program.Calls {
 		if call.State != CallAnswered || call.Spec.Target != TargetModel {
 			continue
 		}
-		// Waiting is no service: else who waited longest would wait on.
-		attained.Service += max(call.Answer.Elapsed-call.Answer.FirstToken, leastService)
+		// The time before the first token does not count as service. Otherwise,
+		// programs that waited long would be made to wait even longer.
+		attained.Service += max(call.Answer.Elapsed-call.Answer.FirstToken, minService)
 		attained.At = call.AcceptedAt.Add(call.Answer.Elapsed)
 		attained.Model = call.Spec.Name
 		attained.Engine = call.Answer.Engine
