--- a/internal/execution/admission.go
+++ b/internal/execution/admission.go
@@ -19,24 +19,24 @@
 // request. The limits of all daemons add up to about the configured rate.
 // admission is safe for concurrent use.
 type admission struct {
-	share   func() float64 // fraction of all shards that this daemon leads, 0 to 1
-	limiter *quota.Limiter
+	shardShare func() float64 // fraction of all shards that this daemon leads, 0 to 1
+	limiter    *quota.Limiter
 }
 
-func newAdmission(share func() float64) *admission {
-	return &admission{share: share, limiter: quota.NewAlone(quota.Settings{Window: rateWindow}, time.Now)}
+func newAdmission(shardShare func() float64) *admission {
+	return &admission{shardShare: shardShare, limiter: quota.NewAlone(quota.Settings{Window: rateWindow}, time.Now)}
 }
 
 // admit counts one request against the tenant's rate. If the rate is exceeded,
 // it returns false and how long the caller should wait before it retries.
-func (a *admission) admit(declared *configuration.Tenant) (time.Duration, bool) {
-	if declared.RequestsPerSecond <= 0 {
+func (a *admission) admit(tenantConfig *configuration.Tenant) (time.Duration, bool) {
+	if tenantConfig.RequestsPerSecond <= 0 {
 		return 0, true
 	}
-	share := a.share()
-	burst := float64(max(declared.Burst, int(declared.RequestsPerSecond))) * share
+	share := a.shardShare()
+	burst := float64(max(tenantConfig.Burst, int(tenantConfig.RequestsPerSecond))) * share
 	_, err := a.limiter.Take(context.Background(), quota.Request{
-		Tenant: declared.Name, Quota: tenant.Quota{PerSecond: declared.RequestsPerSecond * share, Burst: max(1, int(burst))},
+		Tenant: tenantConfig.Name, Quota: tenant.Quota{PerSecond: tenantConfig.RequestsPerSecond * share, Burst: max(1, int(burst))},
 	})
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
--- a/internal/execution/admission_test.go
+++ b/internal/execution/admission_test.go
@@ -14,13 +14,13 @@
 	expect := gomega.NewWithT(t)
 	share := 0.25
 	now := time.Unix(1000, 0)
-	bounded := newAdmission(func() float64 { return share })
-	bounded.limiter = quota.NewAlone(quota.Settings{Window: rateWindow}, func() time.Time { return now })
+	limited := newAdmission(func() float64 { return share })
+	limited.limiter = quota.NewAlone(quota.Settings{Window: rateWindow}, func() time.Time { return now })
 	tenant := &configuration.Tenant{Name: "tenant", RequestsPerSecond: 40, Burst: 40}
 	admitted := func() int {
 		count := 0
 		for {
-			wait, ok := bounded.admit(tenant)
+			wait, ok := limited.admit(tenant)
 			if !ok {
 				expect.Expect(wait).To(gomega.BeNumerically(">", 0))
 				return count
--- a/internal/execution/attempt.go
+++ b/internal/execution/attempt.go
@@ -19,27 +19,27 @@
 // attempt commits an attempt to the log, sends it, and commits its result. It
 // returns true if the call needs another step, and false if the run is over.
 func (r *run) attempt(call *program.Call, head *program.Head, chosen *placement) bool {
-	committed, ok := r.commitDispatch(chosen)
+	attempt, ok := r.commitDispatch(chosen)
 	if !ok {
 		chosen.done(false, 0)
 		return r.lead.ctx.Err() == nil
 	}
-	r.stream.restart(committed.Number)
+	r.stream.restart(attempt.Number)
 	started := time.Now()
-	report, ended := r.send(r.newOrder(call, head, chosen, committed.Number))
+	report, ended := r.send(r.newOrder(call, head, chosen, attempt.Number))
 	if !ended {
 		chosen.done(false, 0)
 		return false
 	}
 	chosen.done(assessReport(&report, time.Since(started)))
-	return r.commitReport(call, &committed, &report)
+	return r.commitReport(call, &attempt, &report)
 }
 
 // assessReport returns what the fleet should record about the engine that was
 // tried. Every attempt without an answer counts as a failure, including those
 // that did not reach the engine or that it refused. For a cancelled attempt,
 // which says nothing about the engine, the results are false and zero.
-func assessReport(report *dispatch.Report, elapsed time.Duration) (failed bool, counted time.Duration) {
+func assessReport(report *dispatch.Report, elapsed time.Duration) (failed bool, duration time.Duration) {
 	if report.Problem != nil && report.Problem.Kind == problem.KindCancelled {
 		return false, 0
 	}
@@ -68,7 +68,7 @@
 		r.releaseUnsent(attempt.Nonce)
 		return attempt, false
 	case result.Problem != nil && result.Problem.Kind == problem.KindConflict:
-		r.giveUpUnsent(result.Call, result.Problem) // the shard allows no further attempt
+		r.giveUpUnsent(result.Call, result.Problem) // the shard refuses any further attempt of the call
 		return attempt, false
 	case result.Problem != nil:
 		// The budget or the program's state has changed since this run read it.
@@ -182,10 +182,10 @@
 	}
 }
 
-// backOffAndRetry excludes the back end for the rest of this run and then waits
-// for the exponential backoff or, if it is longer, for the delay that the back
-// end advised, which is capped at maxBackoff. It returns false if the leadership
-// has ended.
+// backOffAndRetry waits before the next attempt, which avoids the given back end
+// if there is another one. It waits for the exponential backoff or, if that is
+// longer, for the delay that the back end advised, which is capped at maxBackoff.
+// It returns false if the leadership has ended.
 func (r *run) backOffAndRetry(backEnd string, advice time.Duration) bool {
 	r.excluded = append(r.excluded, backEnd)
 	r.lead.service.metrics.retries.Inc()
@@ -195,27 +195,28 @@
 
 // giveUpAttempt ends the call after its last attempt. spent is the number of
 // tokens that the attempt generated, or -1 if unknown. The outcome is "failed"
-// only if the end of every attempt is known, and "unknown" otherwise.
-func (r *run) giveUpAttempt(attempt *program.Attempt, spent int64, found *problem.Problem) {
-	final := problem.Problem{Kind: problem.KindBackEndFailed, Step: "send"}
-	if found != nil {
-		final = *found
+// only if the result of every attempt is known, and "unknown" otherwise.
+func (r *run) giveUpAttempt(attempt *program.Attempt, spent int64, reported *problem.Problem) {
+	endProblem := problem.Problem{Kind: problem.KindBackEndFailed, Step: "send"}
+	if reported != nil {
+		endProblem = *reported
 	}
 	if r.ctx.Err() != nil {
-		stopped := r.stopProblem()
-		final.Kind = stopped.Kind
-		final.Detail = stopped.Detail + ": " + final.Detail
+		stopProblem := r.stopProblem()
+		endProblem.Kind = stopProblem.Kind
+		endProblem.Detail = stopProblem.Detail + ": " + endProblem.Detail
 	}
-	final.Outcome = problem.OutcomeFailed
+	endProblem.Outcome = problem.OutcomeFailed
 	call, _, _ := r.call()
 	if spent < 0 || call.Uncertain(attempt.Number) {
-		final.Outcome = problem.OutcomeUnknown
+		endProblem.Outcome = problem.OutcomeUnknown
 	}
-	r.giveUp(attempt, spent, &final)
+	r.giveUp(attempt, spent, &endProblem)
 }
 
-// commitAnswer commits the answer, with its durations counted from acceptance.
-// Followers see the final state only after the commit.
+// commitAnswer commits the answer to the log. It first converts the answer's
+// durations, which are measured from the start of the attempt, to durations since
+// the acceptance of the call. Followers see the final state only after the commit.
 func (r *run) commitAnswer(call *program.Call, attempt *program.Attempt, answer *program.Answer) {
 	stored := *answer
 	sinceAcceptance := time.Since(call.AcceptedAt)
--- a/internal/execution/daemon_test.go
+++ b/internal/execution/daemon_test.go
@@ -65,14 +65,14 @@
 	}
 }
 
-// start starts a daemon that does not lead, and stops it when the spec ends.
-func (s *testCluster) start(name string) *daemon {
+// start starts a daemon that does not lead, and stops it when the test ends.
+func (c *testCluster) start(name string) *daemon {
 	self := identity.Process{Machine: identity.Machine(name), Incarnation: 1, Address: name}
-	groups := s.log.join(self)
+	groups := c.log.join(self)
 	metrics := prometheus.NewRegistry()
 	service, err := execution.New(execution.Options{
-		Registerer: metrics, Self: self, Groups: groups, ShardMap: fakeMap{s.shards}, Dispatcher: s.backEnd, Fleet: s.fleet,
-		Policy: s.policy, Configuration: s.configuration, Limits: s.limits,
+		Registerer: metrics, Self: self, Groups: groups, ShardMap: fakeMap{c.shards}, Dispatcher: c.backEnd, Fleet: c.fleet,
+		Policy: c.policy, Configuration: c.configuration, Limits: c.limits,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	groups.machine = service.NewShard(shard)
@@ -87,15 +87,15 @@
 		cancel()
 		<-done
 	}}
-	s.daemons = append(s.daemons, started)
+	c.daemons = append(c.daemons, started)
 	DeferCleanup(started.stop)
 	return started
 }
 
 // leadingDaemon returns the daemon that is the leader according to the log.
-func (s *testCluster) leadingDaemon() *daemon {
-	leader, _ := s.daemons[0].groups.Leader(shard)
-	for _, candidate := range s.daemons {
+func (c *testCluster) leadingDaemon() *daemon {
+	leader, _ := c.daemons[0].groups.Leader(shard)
+	for _, candidate := range c.daemons {
 		if candidate.groups.self == leader {
 			return candidate
 		}
@@ -105,9 +105,9 @@
 
 // startLeader starts a daemon, makes it the leader and waits until it serves
 // requests.
-func (s *testCluster) startLeader(name string) *daemon {
-	started := s.start(name)
-	s.log.lead(started.groups)
+func (c *testCluster) startLeader(name string) *daemon {
+	started := c.start(name)
+	c.log.setLeader(started.groups)
 	started.awaitLeading()
 	return started
 }
--- a/internal/execution/drain.go
+++ b/internal/execution/drain.go
@@ -22,15 +22,15 @@
 // of each shard once the shard's calls have ended. After Limits.DrainPatience,
 // repeatable model calls no longer delay the hand-over: the next leader resumes
 // their streams at the engine. Drain returns the context's error if the context
-// ends while calls that must finish here are still running.
+// ends while calls that must finish on this daemon are still running.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.logger.Info("execution: draining.")
-	patienceEnd := time.Now().Add(s.limits.DrainPatience)
+	resumableDeadline := time.Now().Add(s.limits.DrainPatience)
 	var groups errgroup.Group
 	for _, status := range s.options.Groups.Status() {
 		if status.Leading {
-			groups.Go(func() error { return s.drainShard(ctx, status.Shard, patienceEnd) })
+			groups.Go(func() error { return s.drainShard(ctx, status.Shard, resumableDeadline) })
 		}
 	}
 	err := groups.Wait()
@@ -38,10 +38,10 @@
 	return err
 }
 
-func (s *Service) drainShard(ctx context.Context, number identity.Shard, patienceEnd time.Time) error {
-	ticker := time.NewTicker(runnerPollInterval)
+func (s *Service) drainShard(ctx context.Context, number identity.Shard, resumableDeadline time.Time) error {
+	ticker := time.NewTicker(runPollInterval)
 	defer ticker.Stop()
-	for s.hasBlockingCall(number, time.Now().After(patienceEnd)) {
+	for s.hasBlockingCall(number, time.Now().After(resumableDeadline)) {
 		select {
 		case <-ctx.Done():
 			return eris.Wrapf(ctx.Err(), "drain shard %d", number)
@@ -65,8 +65,8 @@
 	if lead == nil {
 		return false
 	}
-	for _, running := range lead.allRuns() {
-		call, _, _ := running.call()
+	for _, activeRun := range lead.allRuns() {
+		call, _, _ := activeRun.call()
 		resumable := call.Spec.Target == program.TargetModel && !call.Spec.NotRepeatable
 		if !skipResumable || !resumable {
 			return true
--- a/internal/execution/failover_test.go
+++ b/internal/execution/failover_test.go
@@ -39,7 +39,9 @@
 	// answer until release is closed. Later attempts are answered at once, and
 	// lookups of attempts return the report of the given function.
 	blockFirst := func(lookup func(dispatch.Order, func(string)) dispatch.Report) {
-		release, backEnd := release, cluster.backEnd // copied, since an attempt may run longer than its spec
+		// The variables are copied because BeforeEach replaces them, and an
+		// attempt may outlast its test.
+		release, backEnd := release, cluster.backEnd
 		backEnd.setBehaviour(func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
 			switch {
 			case order.Resume:
@@ -61,7 +63,7 @@
 		identifier := first.create("key", program.Limits{TokenBudget: 1000}, "")
 		first.submit(identifier, spec)
 		Eventually(cluster.backEnd.sent).Should(HaveLen(1))
-		cluster.log.lead(other.groups)
+		cluster.log.setLeader(other.groups)
 		other.awaitLeading()
 		return identifier
 	}
@@ -98,7 +100,7 @@
 			first.submit(identifier, serviceCall(1))
 		}
 		Eventually(cluster.backEnd.sent).Should(HaveLen(calls))
-		cluster.log.lead(other.groups)
+		cluster.log.setLeader(other.groups)
 		other.awaitLeading()
 		Eventually(func() int { return cluster.log.count(program.CommandGiveUp) }).Should(Equal(calls))
 		Eventually(first.Drain).WithArguments(context.Background()).Should(Succeed())
@@ -121,14 +123,14 @@
 		Expect(reply.State).To(Equal(program.CallAnswered))
 		Expect(content).To(Equal("answer 1"))
 		Expect(other.history(identifier).Reserved).To(BeEquivalentTo(100))
-		Expect(other.history(identifier).Spent).To(BeEquivalentTo(tokensOfAnswer))
+		Expect(other.history(identifier).Spent).To(BeEquivalentTo(answerTokens))
 	})
 
 	It("runs a call that was accepted but never dispatched", func() {
 		cluster.makePolicyWait()
 		identifier := first.create("key", program.Limits{}, "")
 		first.submit(identifier, modelCall(1))
-		cluster.log.lead(other.groups)
+		cluster.log.setLeader(other.groups)
 		other.awaitLeading()
 		cluster.policy.decision.Store(nil)
 		_, reply := other.follow(identifier, 1)
@@ -139,7 +141,7 @@
 	It("does not let a partitioned leader refuse calls as not run or serve reads, since it may be behind", func() {
 		identifier := first.create("key", program.Limits{}, "")
 		first.groups.isolate()
-		cluster.log.lead(other.groups)
+		cluster.log.setLeader(other.groups)
 		other.awaitLeading()
 		other.submit(identifier, serviceCall(1))
 		_, reply := other.follow(identifier, 1)
@@ -158,7 +160,7 @@
 		first.submit(identifier, serviceCall(1))
 		Eventually(cluster.backEnd.sent).Should(HaveLen(1))
 		first.groups.isolate()
-		cluster.log.lead(other.groups)
+		cluster.log.setLeader(other.groups)
 		followed, _ := first.Follow(context.Background(), execution.FollowArguments{
 			Tenant: tenant, Program: identifier, Sequence: 1, Offset: len("ans"), Wait: time.Millisecond,
 		})
--- a/internal/execution/fake_groups_test.go
+++ b/internal/execution/fake_groups_test.go
@@ -30,22 +30,22 @@
 	machine    shards.StateMachine
 	changes    chan shards.LeaderChange
 	handedOver bool
-	isolated   bool // partitioned from the other replicas without noticing it
+	isolated   bool // partitioned from the other replicas, but not aware of it
 }
 
 var _ shards.Groups = (*fakeGroups)(nil)
 
 func (l *fakeLog) join(self identity.Process) *fakeGroups {
-	joined := &fakeGroups{log: l, self: self, changes: make(chan shards.LeaderChange, 16)}
+	replica := &fakeGroups{log: l, self: self, changes: make(chan shards.LeaderChange, 16)}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.replicas = append(l.replicas, joined)
-	return joined
+	l.replicas = append(l.replicas, replica)
+	return replica
 }
 
-// lead makes the daemon the leader. The former leader is notified unless it is
+// setLeader makes the daemon the leader. The former leader is notified unless it is
 // isolated.
-func (l *fakeLog) lead(next *fakeGroups) {
+func (l *fakeLog) setLeader(next *fakeGroups) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, replica := range l.replicas {
--- a/internal/execution/fakes_test.go
+++ b/internal/execution/fakes_test.go
@@ -52,11 +52,11 @@
 
 func answered(order dispatch.Order, content string) dispatch.Report {
 	return dispatch.Report{Ending: dispatch.EndingAnswered, Answer: &program.Answer{
-		Content: content, FinishReason: "stop", CompletionTokens: min(order.Limit, tokensOfAnswer), Engine: order.BackEnd,
+		Content: content, FinishReason: "stop", CompletionTokens: min(order.Limit, answerTokens), Engine: order.BackEnd,
 	}}
 }
 
-const tokensOfAnswer = 10
+const answerTokens = 10
 
 func ended(ending dispatch.Ending, generated int64) dispatch.Report {
 	return dispatch.Report{Ending: ending, Generated: generated, Problem: problem.New(problem.KindBackEndFailed, "test", "reported by the test")}
@@ -162,8 +162,8 @@
 }
 
 func (p *fakePolicy) Decide(snapshot *scheduling.Snapshot, request *scheduling.Request) scheduling.Decision {
-	if told := p.decision.Load(); told != nil {
-		return *told
+	if preset := p.decision.Load(); preset != nil {
+		return *preset
 	}
 	switch p.slots.Load() {
 	case -1:
--- a/internal/execution/faults_test.go
+++ b/internal/execution/faults_test.go
@@ -51,7 +51,7 @@
 			history := leader.history(identifier)
 			Expect(history.Calls[0].Attempts[0].BackEnd).To(Equal("engine-a"))
 			Expect(history.Calls[0].Attempts[1].BackEnd).To(Equal("engine-b"))
-			Expect([]int64{history.Spent, history.Reserved}).To(Equal([]int64{spent + tokensOfAnswer, reserved}))
+			Expect([]int64{history.Spent, history.Reserved}).To(Equal([]int64{spent + answerTokens, reserved}))
 		},
 		Entry("never ran: nothing is spent", dispatch.EndingNeverRan, int64(0), int64(0), int64(0)),
 		Entry("failed: the known cost is spent", dispatch.EndingFailed, int64(7), int64(7), int64(0)),
--- a/internal/execution/flow_test.go
+++ b/internal/execution/flow_test.go
@@ -22,7 +22,7 @@
 		leader = cluster.startLeader("a")
 	})
 
-	It("are answered in order and kept in the history until the program ends", func() {
+	It("are answered in order and added to the history, and are refused after the program has ended", func() {
 		identifier := leader.create("key", program.Limits{TokenBudget: 1000}, "")
 		Expect(leader.create("key", program.Limits{TokenBudget: 1000}, "")).To(Equal(identifier))
 		for sequence := uint64(1); sequence <= 3; sequence++ {
@@ -34,7 +34,7 @@
 		history := leader.history(identifier)
 		Expect(history.Messages).To(HaveLen(6))
 		Expect(history.Messages[5]).To(Equal(program.Message{Role: "assistant", Content: "answer 3"}))
-		Expect(history.Spent).To(BeEquivalentTo(3 * tokensOfAnswer))
+		Expect(history.Spent).To(BeEquivalentTo(3 * answerTokens))
 		Expect(history.Reserved).To(BeZero())
 		Expect(cluster.backEnd.sent()[2].History).To(Equal(history.Messages[:4]))
 
@@ -46,7 +46,7 @@
 		Expect(leader.submit(identifier, modelCall(4)).Problem.Kind).To(Equal(problem.KindProgramEnded))
 	})
 
-	It("join an identical call, and are refused with different content, out of order or by another tenant", func() {
+	It("join an identical call, and are refused if the content differs, the order is wrong or the tenant is another", func() {
 		identifier := leader.create("key", program.Limits{}, "")
 		Expect(leader.submit(identifier, modelCall(2)).Problem.Kind).To(Equal(problem.KindOutOfOrder))
 		Expect(leader.submit(identifier, modelCall(1)).Joined).To(BeFalse())
--- a/internal/execution/follow.go
+++ b/internal/execution/follow.go
@@ -59,9 +59,12 @@
 func (l *leadership) readUpdate(arguments FollowArguments) (FollowReply, <-chan struct{}) {
 	key := program.CallKey{Program: arguments.Program, Sequence: arguments.Sequence}
 	var update streamUpdate
-	running := l.run(key) // read before the state: a run is removed only after its final state is committed
-	if running != nil {
-		update = running.stream.read(arguments.Offset, arguments.Attempt)
+	// The run is looked up before the call's state is read. Since a run is removed
+	// only after the call's final state has committed, a call without a run here
+	// is either final below or has no run yet.
+	activeRun := l.run(key)
+	if activeRun != nil {
+		update = activeRun.stream.read(arguments.Offset, arguments.Attempt)
 	}
 	call, head, found := l.shard.Call(key.Program, key.Sequence)
 	switch {
@@ -73,15 +76,15 @@
 		return finalReply(&call, arguments), nil
 	case update.hasContent():
 		return FollowReply{Content: update.content, Restarted: update.restarted, Attempt: update.attempt, State: call.State}, nil
-	case running == nil:
+	case activeRun == nil:
 		return FollowReply{}, pollSoon()
 	}
 	return FollowReply{}, update.changed
 }
 
-// readAfterWait returns the reply to a follower whose wait is over. A follower
-// that did not name the attempt of its content gets the whole content of the
-// attempt in progress if that is not the first one.
+// readAfterWait returns the reply to a follower whose wait is over. If the
+// follower did not name the attempt of its content, and the attempt in progress
+// is not the first one, the reply carries the whole content of that attempt.
 func (l *leadership) readAfterWait(arguments FollowArguments) FollowReply {
 	reply, changed := l.readUpdate(arguments)
 	if changed == nil {
@@ -90,8 +93,8 @@
 	key := program.CallKey{Program: arguments.Program, Sequence: arguments.Sequence}
 	call, _, _ := l.shard.Call(key.Program, key.Sequence)
 	reply = FollowReply{State: call.State, Attempt: arguments.Attempt}
-	if running := l.run(key); running != nil && arguments.Attempt == 0 {
-		update := running.stream.read(arguments.Offset, firstAttemptNumber)
+	if activeRun := l.run(key); activeRun != nil && arguments.Attempt == 0 {
+		update := activeRun.stream.read(arguments.Offset, firstAttemptNumber)
 		reply.Content, reply.Restarted, reply.Attempt = update.content, update.restarted, update.attempt
 	}
 	return reply
@@ -118,14 +121,13 @@
 	return reply
 }
 
-// runnerPollInterval is the interval at which followers poll a call that has no
-// run, because its run is about to start or has just ended. Drain uses the same
-// interval to poll the calls that still run.
-const runnerPollInterval = 20 * time.Millisecond
+// runPollInterval is the interval at which followers poll a call that has no run
+// yet. Drain uses the same interval to poll the calls that still run.
+const runPollInterval = 20 * time.Millisecond
 
-// pollSoon returns a channel that is closed after runnerPollInterval.
+// pollSoon returns a channel that is closed after runPollInterval.
 func pollSoon() <-chan struct{} {
 	changed := make(chan struct{})
-	time.AfterFunc(runnerPollInterval, func() { close(changed) })
+	time.AfterFunc(runPollInterval, func() { close(changed) })
 	return changed
 }
--- a/internal/execution/gate.go
+++ b/internal/execution/gate.go
@@ -49,11 +49,11 @@
 }
 
 func newGate(maxRunning, maxQueued int) *gate {
-	created := &gate{freeSlots: maxRunning, queueLimit: maxQueued}
-	for i := range created.queues {
-		created.queues[i] = list.New()
+	g := &gate{freeSlots: maxRunning, queueLimit: maxQueued}
+	for i := range g.queues {
+		g.queues[i] = list.New()
 	}
-	return created
+	return g
 }
 
 // acquire takes a slot or a place in the queue of the class. It returns nil if
@@ -68,18 +68,18 @@
 func (g *gate) takeTicket(class scheduling.Class, unbounded bool) *ticket {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	taken := &ticket{gate: g, class: class, ready: make(chan struct{})}
+	t := &ticket{gate: g, class: class, ready: make(chan struct{})}
 	if g.freeSlots > 0 {
 		g.freeSlots--
-		taken.grant()
-		return taken
+		t.grant()
+		return t
 	}
 	queue := g.queues[class]
 	if queue.Len() >= g.queueLimit && !unbounded {
 		return nil
 	}
-	taken.element = queue.PushBack(taken)
-	return taken
+	t.element = queue.PushBack(t)
+	return t
 }
 
 func (t *ticket) grant() {
--- a/internal/execution/leadership.go
+++ b/internal/execution/leadership.go
@@ -18,7 +18,7 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// Causes for which the contexts of runs are cancelled.
+// Causes, besides errDeadline, with which the contexts of runs are cancelled.
 var (
 	errNotLeading   = errors.New("the leadership ended")
 	errProgramEnded = errors.New("the program ended")
@@ -49,8 +49,8 @@
 	s.stopLeading(change)
 }
 
-// startLeading starts a leadership, from which point requests for the shard are
-// served, and resumes the former leader's unfinished calls in the background.
+// startLeading makes this daemon serve requests for the shard and resumes the
+// former leader's unfinished calls in the background.
 func (s *Service) startLeading(ctx context.Context, change shards.LeaderChange) {
 	s.mutex.Lock()
 	shard := s.shards[change.Shard]
@@ -59,11 +59,13 @@
 		s.logger.Warn("execution: leading a shard that has no program state machine.", zap.Uint32("shard", uint32(change.Shard)))
 		return
 	}
-	if former := (*s.leaderships.Load())[change.Shard]; former != nil {
-		if former.change == change {
+	if previous := (*s.leaderships.Load())[change.Shard]; previous != nil {
+		if previous.change == change {
 			return
 		}
-		former.stop() // replaced below, so that requests always find a leadership
+		// The previous leadership stays in the map until the new one replaces it
+		// below, so that requests always find one.
+		previous.stop()
 	}
 	lead := &leadership{
 		service: s,
@@ -100,13 +102,13 @@
 func (s *Service) setLeadership(number identity.Shard, lead *leadership) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	changed := maps.Clone(*s.leaderships.Load())
+	leaderships := maps.Clone(*s.leaderships.Load())
 	if lead == nil {
-		delete(changed, number)
+		delete(leaderships, number)
 	} else {
-		changed[number] = lead
+		leaderships[number] = lead
 	}
-	s.leaderships.Store(&changed)
+	s.leaderships.Store(&leaderships)
 }
 
 // stop ends the leadership. No run starts after it returns.
@@ -168,7 +170,7 @@
 	if errors.Is(err, shards.ErrNotLeader) {
 		return nil, l.service.notLeader(l.number, string(command.Kind))
 	}
-	return nil, problem.New(problem.KindUnavailable, string(command.Kind), "the command may still commit; repeat the same request: %v", err).
+	return nil, problem.New(problem.KindUnavailable, string(command.Kind), "the command may still commit, so repeat the same request; proposing it failed: %v", err).
 		WithOutcome(problem.OutcomeUnknown).
 		WithPeer(l.service.options.Self.String()).
 		WithRetryAfter(leaderRetry)
@@ -196,9 +198,9 @@
 		slot.release()
 		return
 	}
-	started := newRun(l, key, slot)
-	l.runs[key] = started
-	l.service.goroutines.Go(started.execute)
+	r := newRun(l, key, slot)
+	l.runs[key] = r
+	l.service.goroutines.Go(r.execute)
 }
 
 func (l *leadership) run(key program.CallKey) *run {
@@ -237,8 +239,8 @@
 		}
 		l.service.pauseEstimator.recordEnd(view.Tenant)
 		key := program.CallKey{Program: identifier, Sequence: uint64(len(view.Calls))}
-		if running := l.run(key); running != nil {
-			running.cancel(errProgramEnded)
+		if activeRun := l.run(key); activeRun != nil {
+			activeRun.cancel(errProgramEnded)
 		}
 	}
 	l.service.metrics.ended.Add(float64(len(ended)))
--- a/internal/execution/lease.go
+++ b/internal/execution/lease.go
@@ -37,8 +37,8 @@
 }
 
 func (p *pauseEstimator) estimateLocked(tenant identity.Tenant) scheduling.PauseEstimate {
-	if known, found := p.byTenant[tenant]; found {
-		return known
+	if estimate, found := p.byTenant[tenant]; found {
+		return estimate
 	}
 	return scheduling.PauseEstimate{Mean: initialPause, ReuseChance: initialReuseChance}
 }
@@ -47,19 +47,19 @@
 func (p *pauseEstimator) recordPause(tenant identity.Tenant, pause time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.estimateLocked(tenant)
-	known.Mean += time.Duration(pauseSmoothing * float64(max(pause, 0)-known.Mean))
-	known.ReuseChance += pauseSmoothing * (1 - known.ReuseChance)
-	p.byTenant[tenant] = known
+	estimate := p.estimateLocked(tenant)
+	estimate.Mean += time.Duration(pauseSmoothing * float64(max(pause, 0)-estimate.Mean))
+	estimate.ReuseChance += pauseSmoothing * (1 - estimate.ReuseChance)
+	p.byTenant[tenant] = estimate
 }
 
 // recordEnd records a pause that ended with the end of the program.
 func (p *pauseEstimator) recordEnd(tenant identity.Tenant) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	known := p.estimateLocked(tenant)
-	known.ReuseChance -= pauseSmoothing * known.ReuseChance
-	p.byTenant[tenant] = known
+	estimate := p.estimateLocked(tenant)
+	estimate.ReuseChance -= pauseSmoothing * estimate.ReuseChance
+	p.byTenant[tenant] = estimate
 }
 
 // holdPrefix asks the engine that answered to keep the program's prefix cached
@@ -106,10 +106,10 @@
 // shardShare returns the fraction of all shards that this daemon leads. It
 // returns 1 if the shard map is unknown or this daemon leads no shard.
 func (s *Service) shardShare() float64 {
-	known := s.options.ShardMap.Current()
-	led := len(*s.leaderships.Load())
-	if known == nil || known.Shards == 0 || led == 0 {
+	shardMap := s.options.ShardMap.Current()
+	ledShards := len(*s.leaderships.Load())
+	if shardMap == nil || shardMap.Shards == 0 || ledShards == 0 {
 		return 1
 	}
-	return min(float64(led)/float64(known.Shards), 1)
+	return min(float64(ledShards)/float64(shardMap.Shards), 1)
 }
--- a/internal/execution/limits_test.go
+++ b/internal/execution/limits_test.go
@@ -16,8 +16,8 @@
 )
 
 // makePolicyWait makes the scheduling policy queue all model calls.
-func (s *testCluster) makePolicyWait() {
-	s.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionWait, Retry: time.Millisecond})
+func (c *testCluster) makePolicyWait() {
+	c.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionWait, Retry: time.Millisecond})
 }
 
 var _ = Describe("Limits", func() {
--- a/internal/execution/messages.go
+++ b/internal/execution/messages.go
@@ -70,7 +70,7 @@
 	Done      bool
 	State     program.CallState
 	Answer    *program.Answer  // set if the call was answered
-	Problem   *problem.Problem // with Done: why the call has no answer; otherwise: why this request failed
+	Problem   *problem.Problem // if Done, why the call has no answer; if not, why this request failed
 }
 
 // EndArguments are the arguments of Programs.End.
@@ -103,8 +103,8 @@
 	EndReason program.EndReason
 	Limits    program.Limits
 	CreatedAt time.Time
-	Spent     int64 // tokens, known cost of the program's own attempts
-	Reserved  int64 // tokens reserved by open attempts, attempts of unknown cost, and sub-agents
+	Spent     int64 // tokens spent by the program's own attempts, as far as known
+	Reserved  int64 // tokens reserved by attempts whose cost is not known, or charged for sub-agents
 	Calls     []program.Call
 	Messages  []program.Message
 }
--- a/internal/execution/metrics.go
+++ b/internal/execution/metrics.go
@@ -27,13 +27,13 @@
 	gauge := func(name, help string, value func() float64) prometheus.Collector {
 		return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "thymeloft", Subsystem: "execution", Name: name, Help: help}, value)
 	}
-	created := &metrics{
-		calls:     counters("calls_total", "Calls that became final here, by state.", "state"),
-		refused:   counters("refused_total", "Work refused before it was accepted, and retries not made, by reason.", "reason"),
+	m := &metrics{
+		calls:     counters("calls_total", "Calls that became final on this daemon, by state.", "state"),
+		refused:   counters("refused_total", "Requests refused before acceptance and retries suppressed, by reason.", "reason"),
 		decisions: counters("decisions_total", "Decisions of the scheduler, by reason.", "reason"),
 		resumed:   counters("resumed_total", "Attempts of former leaders looked up, by ending.", "ending"),
 		retries:   counter("retries_total", "Attempts after the first of a call."),
-		ended:     counter("programs_ended_total", "Programs that ended while their shard was led here."),
+		ended:     counter("programs_ended_total", "Programs that ended while this daemon led their shard."),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "thymeloft", Subsystem: "execution", Name: "call_seconds",
 			Help:    "Time from acceptance to the answer, in seconds.",
@@ -41,16 +41,16 @@
 		}, []string{"target"}),
 	}
 	collectors := []prometheus.Collector{
-		created.calls, created.refused, created.decisions, created.resumed, created.retries, created.ended, created.latency,
-		gauge("calls_running", "Calls with a runner here.", func() float64 { return float64(service.countRuns()) }),
-		gauge("calls_queued", "Calls that wait for their turn.", func() float64 { return float64(service.gate.countQueued()) }),
+		m.calls, m.refused, m.decisions, m.resumed, m.retries, m.ended, m.latency,
+		gauge("calls_running", "Calls that this daemon is running.", func() float64 { return float64(service.countRuns()) }),
+		gauge("calls_queued", "Calls queued for a running slot.", func() float64 { return float64(service.gate.countQueued()) }),
 		gauge("calls_waiting", "Calls that wait for an engine.", func() float64 { return float64(service.waitQueues.count()) }),
-		gauge("shards_led", "Shards of programs led here.", func() float64 { return float64(len(*service.leaderships.Load())) }),
+		gauge("shards_led", "Program shards that this daemon leads.", func() float64 { return float64(len(*service.leaderships.Load())) }),
 	}
 	for _, collector := range collectors {
 		if err := registerer.Register(collector); err != nil {
 			return nil, eris.Wrap(err, "register collector")
 		}
 	}
-	return created, nil
+	return m, nil
 }
--- a/internal/execution/options.go
+++ b/internal/execution/options.go
@@ -34,20 +34,20 @@
 // Limits configure the limits and timeouts of a Service. A zero field takes its
 // value from DefaultLimits.
 type Limits struct {
-	MaxRunning       int           // calls that run at the same time
-	MaxQueued        int           // length of each queue: calls of one class that wait to run, or calls that wait for an engine
+	MaxRunning       int           // maximum number of calls that run at the same time
+	MaxQueued        int           // maximum length of each queue, both of calls that wait to run and of calls that wait for an engine
 	MaxFollow        time.Duration // longest wait of one Follow request
 	ProposeTimeout   time.Duration // timeout of one command or read barrier
 	ModelTimeout     time.Duration // timeout of a model call without a deadline
 	ServiceTimeout   time.Duration // timeout of a service or tool call without a deadline or a configured timeout
 	MaxWait          time.Duration // longest wait for a replica, an engine report or a confirmed configuration
-	MaxAttempts      int           // attempts per call that may have run; all attempts are limited to totalAttemptsFactor times as many
+	MaxAttempts      int           // maximum number of attempts per call that may have run; the limit for all attempts is totalAttemptsFactor times as high
 	RetryShare       float64       // retries allowed per first attempt, on average; negative for none
 	RetriesPerSecond float64       // retries allowed in addition, for all calls together; negative for none
 	RetryBurst       int           // size of the retry budget, in retries
 	SweepInterval    time.Duration // interval between sweeps, which end expired programs and resume calls
 	Retention        time.Duration // how long ended programs are kept
-	MaxEnded         int           // ended programs kept per shard, the most recent ones
+	MaxEnded         int           // maximum number of ended programs kept per shard; the oldest are deleted first
 	LookupGrace      time.Duration // minimum time allowed for the lookup of a former leader's attempt, even past the call's deadline
 	DrainPatience    time.Duration // time after which Drain hands over resumable calls instead of waiting for them
 	RetryAfter       time.Duration // retry delay given to refused callers
--- a/internal/execution/placement.go
+++ b/internal/execution/placement.go
@@ -13,8 +13,9 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// placement is the back end chosen for an attempt. done must be called once when
-// the attempt has ended, with a zero duration if it was not sent.
+// placement is the back end chosen for an attempt. done must be called exactly
+// once when the attempt is over, with false and a zero duration if there is
+// nothing to record about the back end.
 type placement struct {
 	backEnd  string
 	address  string
@@ -73,8 +74,8 @@
 		// the new messages are estimated.
 		request.HolderID = attained.Engine
 		r.expectedPrefix = expectedPrefix{engine: attained.Engine, tokens: attained.Tokens}
-		trustedShare := r.lead.service.cacheTrust.share(attained.Engine, time.Now())
-		request.HolderTokens = int64(trustedShare * float64(attained.Tokens))
+		hitRatio := r.lead.service.cacheHitEstimator.hitRatio(attained.Engine, time.Now())
+		request.HolderTokens = int64(hitRatio * float64(attained.Tokens))
 		request.PromptTokens = attained.Tokens + estimateTokens(call.Spec.Messages)
 	}
 	return request
@@ -93,25 +94,25 @@
 func (r *run) chooseReplica(call *program.Call) (*placement, time.Duration, *problem.Problem) {
 	service := r.lead.service
 	current := service.options.Configuration.Current()
-	declared := current.ServiceByName[call.Spec.Name]
-	if declared == nil {
+	target := current.ServiceByName[call.Spec.Name]
+	if target == nil {
 		return nil, 0, problem.New(problem.KindUnknownTarget, "place", "no %s named %q is configured", call.Spec.Target, call.Spec.Name)
 	}
 	var usable []string
-	for _, address := range declared.Addresses {
-		if !isDrained(current, declared.Name, address) && !service.options.Leaving(address) {
+	for _, address := range target.Addresses {
+		if !isDrained(current, target.Name, address) && !service.options.Leaving(address) {
 			usable = append(usable, address)
 		}
 	}
 	if len(usable) == 0 {
-		return r.waitFor("replica of "+declared.Name, 0)
+		return r.waitFor("replica of "+target.Name, 0)
 	}
 	untried := slices.DeleteFunc(slices.Clone(usable), func(address string) bool { return slices.Contains(r.excluded, address) })
 	if len(untried) > 0 {
 		usable = untried
 	}
 	return &placement{
-		backEnd: declared.Name,
+		backEnd: target.Name,
 		address: usable[rand.IntN(len(usable))], //nolint:gosec // spreading load needs no secret
 		done:    func(bool, time.Duration) {},
 	}, 0, nil
@@ -129,8 +130,8 @@
 
 // waitFor returns how long to wait before the next try: the advice, capped at
 // maxBackoff, or a backoff if the advice is 0. Once the call has waited for
-// longer than Limits.MaxWait, it returns a refusal instead, in which what names
-// the missing resource.
+// longer than Limits.MaxWait, it returns a refusal instead. The parameter what is
+// the name of the missing resource for the text of the refusal.
 func (r *run) waitFor(what string, advice time.Duration) (*placement, time.Duration, *problem.Problem) {
 	limits := &r.lead.service.limits
 	if r.waitingSince.IsZero() {
--- a/internal/execution/prefix.go
+++ b/internal/execution/prefix.go
@@ -8,14 +8,14 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// maxPrefixRuns is the maximum number of prefixes computed per prompt. A few are
+// maxPromptPrefixes is the maximum number of prefixes computed per prompt. A few are
 // enough, because shared content such as instructions comes first in a prompt.
-const maxPrefixRuns = 4
+const maxPromptPrefixes = 4
 
-// prefixRuns returns the prefixes of the prompt that other programs may share,
-// shortest first. There is one for each of the first maxPrefixRuns messages,
+// promptPrefixes returns the prefixes of the prompt that other programs may share,
+// shortest first. There is one for each of the first maxPromptPrefixes messages,
 // which covers the prompt up to the end of that message.
-func prefixRuns(call *program.CallSpec, history []program.Message) []engine.PrefixRun {
+func promptPrefixes(call *program.CallSpec, history []program.Message) []engine.PrefixRun {
 	digest := xxhash.New()
 	write := func(text string) {
 		_, _ = digest.WriteString(text)
@@ -23,28 +23,28 @@
 	}
 	write(call.Name)
 	write(call.Adapter)
-	var runs []engine.PrefixRun
+	var prefixes []engine.PrefixRun
 	var tokens int64
 	for _, messages := range [][]program.Message{history, call.Messages} {
 		for index := range messages {
-			if len(runs) == maxPrefixRuns {
-				return runs
+			if len(prefixes) == maxPromptPrefixes {
+				return prefixes
 			}
 			write(messages[index].Role)
 			write(messages[index].Content)
 			tokens += estimateTokens(messages[index : index+1])
-			runs = append(runs, engine.PrefixRun{Hash: digest.Sum64(), Tokens: tokens})
+			prefixes = append(prefixes, engine.PrefixRun{Hash: digest.Sum64(), Tokens: tokens})
 		}
 	}
-	return runs
+	return prefixes
 }
 
 // sharedPrefix returns the hash of the longest of the prefixes that some engine
 // has cached, or 0 if there is none.
-func sharedPrefix(snapshot *scheduling.Snapshot, runs []engine.PrefixRun) uint64 {
-	for index := len(runs) - 1; index >= 0; index-- {
-		if len(snapshot.SharedPrefixes[runs[index].Hash]) > 0 {
-			return runs[index].Hash
+func sharedPrefix(snapshot *scheduling.Snapshot, prefixes []engine.PrefixRun) uint64 {
+	for index := len(prefixes) - 1; index >= 0; index-- {
+		if len(snapshot.SharedPrefixes[prefixes[index].Hash]) > 0 {
+			return prefixes[index].Hash
 		}
 	}
 	return 0
@@ -54,6 +54,6 @@
 // prompt cached. It does nothing if the fleet does not track prefixes.
 func (r *run) recordServed(engineID string, call *program.Call) {
 	if learner, ok := r.lead.service.options.Fleet.(engine.PrefixLearner); ok {
-		learner.Served(engineID, prefixRuns(&call.Spec, r.history))
+		learner.Served(engineID, promptPrefixes(&call.Spec, r.history))
 	}
 }
--- a/internal/execution/prefix_test.go
+++ b/internal/execution/prefix_test.go
@@ -13,11 +13,11 @@
 	expect := gomega.NewWithT(t)
 	instructions := program.Message{Role: "system", Content: "instructions"}
 	dossier := program.Message{Role: "user", Content: "dossier"}
-	first := prefixRuns(&program.CallSpec{Name: "model", Messages: []program.Message{instructions, dossier, {Role: "user", Content: "one"}}}, nil)
-	second := prefixRuns(&program.CallSpec{Name: "model", Messages: []program.Message{{Role: "user", Content: "two"}}}, []program.Message{instructions, dossier})
+	first := promptPrefixes(&program.CallSpec{Name: "model", Messages: []program.Message{instructions, dossier, {Role: "user", Content: "one"}}}, nil)
+	second := promptPrefixes(&program.CallSpec{Name: "model", Messages: []program.Message{{Role: "user", Content: "two"}}}, []program.Message{instructions, dossier})
 	expect.Expect(second[:2]).To(gomega.Equal(first[:2]))
 	expect.Expect(second[2].Hash).NotTo(gomega.Equal(first[2].Hash))
-	other := prefixRuns(&program.CallSpec{Name: "model", Adapter: "adapter", Messages: []program.Message{instructions}}, nil)
+	other := promptPrefixes(&program.CallSpec{Name: "model", Adapter: "adapter", Messages: []program.Message{instructions}}, nil)
 	expect.Expect(other[0].Hash).NotTo(gomega.Equal(first[0].Hash))
 
 	held := map[uint64][]scheduling.PrefixHolder{first[0].Hash: {{Engine: 1}}, first[1].Hash: {{Engine: 2}}, first[2].Hash: nil}
--- a/internal/execution/programs.go
+++ b/internal/execution/programs.go
@@ -11,8 +11,8 @@
 // its limit of open programs on this daemon. The limit is the tenant's
 // MaxPrograms times the fraction of shards that this daemon leads, rounded up.
 // Sub-agents are not counted. Because only committed programs count, concurrent
-// creations can exceed the limit; because of the rounding, the whole fleet can
-// exceed MaxPrograms by less than one program per daemon.
+// creations can exceed the limit. Because of the rounding, all daemons together
+// can exceed MaxPrograms by less than one program per daemon.
 func (s *Service) checkProgramLimit(lead *leadership, tenant *configuration.Tenant, arguments *CreateArguments) *problem.Problem {
 	if tenant.MaxPrograms <= 0 || arguments.Parent != "" {
 		return nil
@@ -29,7 +29,7 @@
 		return nil
 	}
 	s.metrics.refused.WithLabelValues("max-programs").Inc()
-	return problem.New(problem.KindRefused, "create", "the tenant has %d open programs on this daemon; its limit for the whole fleet is %d", open, tenant.MaxPrograms).
+	return problem.New(problem.KindRefused, "create", "the tenant has %d open programs on this daemon; its limit for all daemons together is %d", open, tenant.MaxPrograms).
 		WithPeer(s.options.Self.String()).
 		WithRetryAfter(addJitter(s.limits.RetryAfter))
 }
--- a/internal/execution/requests.go
+++ b/internal/execution/requests.go
@@ -56,11 +56,11 @@
 		}
 		return number, nil
 	}
-	known := s.options.ShardMap.Current()
-	if known == nil || known.Shards == 0 {
+	shardMap := s.options.ShardMap.Current()
+	if shardMap == nil || shardMap.Shards == 0 {
 		return 0, problem.New(problem.KindUnavailable, "create", "no shard map is known yet").WithRetryAfter(s.limits.RetryAfter)
 	}
-	return identity.ShardOfCreation(arguments.Tenant, arguments.CreationKey, known.Shards), nil
+	return identity.ShardOfCreation(arguments.Tenant, arguments.CreationKey, shardMap.Shards), nil
 }
 
 // resolveLimits fills in the tenant's defaults for limits that the request does
@@ -183,15 +183,15 @@
 // validateTarget returns a problem if the call's target is not configured.
 func (s *Service) validateTarget(spec *program.CallSpec) *problem.Problem {
 	current := s.options.Configuration.Current()
-	known := false
+	configured := false
 	switch spec.Target {
 	case program.TargetModel:
-		known = current.ModelByName[spec.Name] != nil
+		configured = current.ModelByName[spec.Name] != nil
 	case program.TargetService, program.TargetTool:
 		service := current.ServiceByName[spec.Name]
-		known = service != nil && service.Kind == string(spec.Target)
+		configured = service != nil && service.Kind == string(spec.Target)
 	}
-	if known {
+	if configured {
 		return nil
 	}
 	return problem.New(problem.KindUnknownTarget, "submit", "no %s named %q is configured", spec.Target, spec.Name).
--- a/internal/execution/run.go
+++ b/internal/execution/run.go
@@ -37,16 +37,16 @@
 }
 
 func newRun(lead *leadership, key program.CallKey, slot *ticket) *run {
-	created := &run{lead: lead, key: key, slot: slot, stream: newStream(), backoff: newBackoff()}
-	created.ctx, created.cancel = context.WithCancelCause(lead.ctx)
-	return created
+	r := &run{lead: lead, key: key, slot: slot, stream: newStream(), backoff: newBackoff()}
+	r.ctx, r.cancel = context.WithCancelCause(lead.ctx)
+	return r
 }
 
 func newBackoff() *backoff.ExponentialBackOff {
-	created := backoff.NewExponentialBackOff()
-	created.InitialInterval = initialBackoff
-	created.MaxInterval = maxBackoff
-	return created
+	b := backoff.NewExponentialBackOff()
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
+	return b
 }
 
 // execute is the body of the run's goroutine.
@@ -202,19 +202,19 @@
 }
 
 // giveUpUnsent ends a call for which no attempt is being sent. The outcome follows
-// from its attempts: "not run" if none can have run, "failed" if the end of each
-// is known, and "unknown" otherwise.
+// from its attempts: "not run" if none can have run, "failed" if the result of
+// each is known, and "unknown" otherwise.
 func (r *run) giveUpUnsent(call *program.Call, fault *problem.Problem) {
-	final := *fault
+	endProblem := *fault
 	switch {
 	case call.Uncertain(0):
-		final.Outcome = problem.OutcomeUnknown
+		endProblem.Outcome = problem.OutcomeUnknown
 	case call.Unreleased():
-		final.Outcome = problem.OutcomeFailed
+		endProblem.Outcome = problem.OutcomeFailed
 	default:
-		final.Outcome = problem.OutcomeNotRun
+		endProblem.Outcome = problem.OutcomeNotRun
 	}
-	r.giveUp(&program.Attempt{}, 0, &final)
+	r.giveUp(&program.Attempt{}, 0, &endProblem)
 }
 
 // giveUp commits the end of the call without an answer. A zero Attempt means that
@@ -229,7 +229,7 @@
 		return
 	}
 	if result.Problem != nil {
-		r.log("execution: the shard rejected the end of a call.", result.Problem)
+		r.log("execution: the shard rejected a give-up command.", result.Problem)
 		return
 	}
 	r.lead.service.metrics.calls.WithLabelValues(string(result.Call.State)).Inc()
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -18,19 +18,19 @@
 // Service implements Programs for the shards that this daemon leads. It is safe
 // for concurrent use.
 type Service struct {
-	options        Options
-	limits         Limits
-	logger         *zap.Logger
-	metrics        *metrics
-	gate           *gate
-	waitQueues     *waitQueues
-	admission      *admission
-	retryBudget    *retryBudget
-	pauseEstimator *pauseEstimator
-	cacheTrust     *cacheTrust
-	draining       atomic.Bool
-	started        time.Time
-	goroutines     sync.WaitGroup // background goroutines: runs, sweeps and the wait queues
+	options           Options
+	limits            Limits
+	logger            *zap.Logger
+	metrics           *metrics
+	gate              *gate
+	waitQueues        *waitQueues
+	admission         *admission
+	retryBudget       *retryBudget
+	pauseEstimator    *pauseEstimator
+	cacheHitEstimator *cacheHitEstimator
+	draining          atomic.Bool
+	started           time.Time
+	goroutines        sync.WaitGroup // background goroutines of runs, sweeps and the wait queues
 
 	mutex  sync.Mutex // guards shards, and writes of leaderships
 	shards map[identity.Shard]*program.Shard
@@ -50,24 +50,24 @@
 	options = options.withDefaults()
 	limits := options.Limits
 	service := &Service{
-		options:        options,
-		limits:         limits,
-		logger:         options.Logger.Named("execution"),
-		gate:           newGate(limits.MaxRunning, limits.MaxQueued),
-		started:        time.Now(),
-		retryBudget:    newRetryBudget(&limits),
-		pauseEstimator: newPauseEstimator(),
-		cacheTrust:     newCacheTrust(),
-		shards:         make(map[identity.Shard]*program.Shard),
+		options:           options,
+		limits:            limits,
+		logger:            options.Logger.Named("execution"),
+		gate:              newGate(limits.MaxRunning, limits.MaxQueued),
+		started:           time.Now(),
+		retryBudget:       newRetryBudget(&limits),
+		pauseEstimator:    newPauseEstimator(),
+		cacheHitEstimator: newCacheHitEstimator(),
+		shards:            make(map[identity.Shard]*program.Shard),
 	}
 	service.waitQueues = newWaitQueues(service)
 	service.admission = newAdmission(service.shardShare)
 	service.leaderships.Store(&map[identity.Shard]*leadership{})
-	registered, err := newMetrics(options.Registerer, service)
+	m, err := newMetrics(options.Registerer, service)
 	if err != nil {
 		return nil, eris.Wrap(err, "register metrics of execution")
 	}
-	service.metrics = registered
+	service.metrics = m
 	return service, nil
 }
 
--- a/internal/execution/storm_test.go
+++ b/internal/execution/storm_test.go
@@ -37,67 +37,67 @@
 	}
 }
 
-// chance returns true with the given probability.
-func (w *groundTruth) chance(percent int) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.random.IntN(100) < percent
+// chance returns true with a probability of percent/100.
+func (g *groundTruth) chance(percent int) bool {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.random.IntN(100) < percent
 }
 
-func (w *groundTruth) intBelow(limit int) int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.random.IntN(limit)
+func (g *groundTruth) intBelow(limit int) int {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.random.IntN(limit)
 }
 
 // send simulates an attempt. It may pause before it executes the call, even
 // beyond the end of the daemon's leadership, and its answer may be lost.
-func (w *groundTruth) send(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+func (g *groundTruth) send(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
 	attempt := fmt.Sprintf("%s/%d/%d", order.Program, order.Call.Sequence, order.Number)
 	if order.Resume {
-		return w.lookUp(attempt, order)
+		return g.lookUp(attempt, order)
 	}
-	if w.chance(10) {
+	if g.chance(10) {
 		return ended(dispatch.EndingNeverRan, 0)
 	}
-	time.Sleep(time.Duration(w.intBelow(20)) * time.Millisecond)
-	tokens := w.execute(attempt, order)
+	time.Sleep(time.Duration(g.intBelow(20)) * time.Millisecond)
+	tokens := g.execute(attempt, order)
 	content := "answer of " + attempt
 	piece(content[:6])
-	time.Sleep(time.Duration(w.intBelow(10)) * time.Millisecond)
-	if w.chance(10) {
+	time.Sleep(time.Duration(g.intBelow(10)) * time.Millisecond)
+	if g.chance(10) {
 		return ended(dispatch.EndingUnknown, -1)
 	}
-	if w.chance(10) {
+	if g.chance(10) {
 		return ended(dispatch.EndingFailed, tokens)
 	}
-	return w.answered(attempt, order, tokens)
+	return g.answered(attempt, order, tokens)
 }
 
-func (w *groundTruth) execute(attempt string, order dispatch.Order) int64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (g *groundTruth) execute(attempt string, order dispatch.Order) int64 {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
 	var tokens int64
 	if order.Limit > 0 {
-		tokens = 1 + w.random.Int64N(order.Limit)
+		tokens = 1 + g.random.Int64N(order.Limit)
 	}
-	w.executions[callKey(order.Program, order.Call.Sequence)]++
-	w.attempts[attempt] = tokens
-	w.generated[order.Program] += tokens
+	g.executions[callKey(order.Program, order.Call.Sequence)]++
+	g.attempts[attempt] = tokens
+	g.generated[order.Program] += tokens
 	return tokens
 }
 
-func (w *groundTruth) lookUp(attempt string, order dispatch.Order) dispatch.Report {
-	w.mutex.Lock()
-	tokens, ran := w.attempts[attempt]
-	w.mutex.Unlock()
+func (g *groundTruth) lookUp(attempt string, order dispatch.Order) dispatch.Report {
+	g.mutex.Lock()
+	tokens, ran := g.attempts[attempt]
+	g.mutex.Unlock()
 	if !ran {
 		return ended(dispatch.EndingNeverRan, 0)
 	}
-	return w.answered(attempt, order, tokens)
+	return g.answered(attempt, order, tokens)
 }
 
-func (w *groundTruth) answered(attempt string, order dispatch.Order, tokens int64) dispatch.Report {
+func (g *groundTruth) answered(attempt string, order dispatch.Order, tokens int64) dispatch.Report {
 	report := answered(order, "answer of "+attempt)
 	report.Answer.CompletionTokens = tokens
 	return report
@@ -118,9 +118,9 @@
 func (c *caller) finish(spec program.CallSpec) *execution.FollowReply {
 	accepted := false
 	for {
-		asked := c.anyDaemon()
+		target := c.anyDaemon()
 		if !accepted {
-			reply := asked.submit(c.program, spec)
+			reply := target.submit(c.program, spec)
 			switch {
 			case reply.Problem == nil:
 				accepted = true
@@ -131,7 +131,7 @@
 				return nil
 			}
 		}
-		reply, err := asked.Follow(context.Background(), execution.FollowArguments{
+		reply, err := target.Follow(context.Background(), execution.FollowArguments{
 			Tenant: tenant, Program: c.program, Sequence: spec.Sequence, Wait: 20 * time.Millisecond,
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -159,7 +159,7 @@
 		truth := newGroundTruth(seed)
 		cluster.backEnd.setBehaviour(truth.send)
 		daemons := []*daemon{cluster.start("a"), cluster.start("b"), cluster.start("c")}
-		cluster.log.lead(daemons[0].groups)
+		cluster.log.setLeader(daemons[0].groups)
 		daemons[0].awaitLeading()
 
 		var identifiers, children []identity.Program
@@ -182,16 +182,16 @@
 				case <-over:
 					return
 				case <-time.After(time.Duration(5+truth.intBelow(40)) * time.Millisecond):
-					cluster.log.lead(daemons[truth.intBelow(len(daemons))].groups)
+					cluster.log.setLeader(daemons[truth.intBelow(len(daemons))].groups)
 				}
 			}
 		})
 		for _, identifier := range append(append([]identity.Program{}, identifiers...), children...) {
 			callers.Go(func() {
 				defer GinkgoRecover()
-				asking := &caller{daemons: daemons, groundTruth: truth, program: identifier}
+				programCaller := &caller{daemons: daemons, groundTruth: truth, program: identifier}
 				for sequence := uint64(1); sequence <= calls; sequence++ {
-					checkOutcome(truth, identifier, sequence, asking.finish(alternatingSpec(sequence)))
+					checkOutcome(truth, identifier, sequence, programCaller.finish(alternatingSpec(sequence)))
 				}
 			})
 		}
@@ -211,22 +211,22 @@
 	)
 })
 
-func (w *groundTruth) tokens(identifier identity.Program) int64 {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.generated[identifier]
+func (g *groundTruth) tokens(identifier identity.Program) int64 {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.generated[identifier]
 }
 
-func (w *groundTruth) count(identifier identity.Program, sequence uint64) int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.executions[callKey(identifier, sequence)]
+func (g *groundTruth) count(identifier identity.Program, sequence uint64) int {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.executions[callKey(identifier, sequence)]
 }
 
 // checkOutcome checks that a refused call did not run, and that an answer belongs
 // to the call.
 func checkOutcome(truth *groundTruth, identifier identity.Program, sequence uint64, reply *execution.FollowReply) {
-	if reply == nil { // refused: no budget left, or out of order after a refused call
+	if reply == nil { // the call was refused, because no budget was left or an earlier call had been refused
 		Expect(truth.count(identifier, sequence)).To(BeZero())
 		return
 	}
--- a/internal/execution/stream.go
+++ b/internal/execution/stream.go
@@ -19,7 +19,7 @@
 	changed   <-chan struct{} // closed on the next change of the stream
 }
 
-func (p *streamUpdate) hasContent() bool { return p.content != "" || p.restarted }
+func (u *streamUpdate) hasContent() bool { return u.content != "" || u.restarted }
 
 func newStream() *stream { return &stream{changed: make(chan struct{})} }
 
@@ -56,10 +56,11 @@
 	s.changed = make(chan struct{})
 }
 
-// read returns the content after the offset for a follower that has content of
-// the given attempt. If the current attempt is another one, the follower gets its
-// whole content, marked as restarted, as soon as there is any. A follower that
-// names no attempt (0) gets more content only while the first attempt is current.
+// read returns the content that a follower does not have yet. The follower has
+// offset bytes of the content of the given attempt. If another attempt has become
+// the current one, read returns all of that attempt's content, marked as
+// restarted, as soon as there is any. If attempt is 0 and the offset is not, read
+// returns content only while the first attempt is the current one.
 func (s *stream) read(offset int, attempt uint32) streamUpdate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/execution/sweep.go
+++ b/internal/execution/sweep.go
@@ -8,7 +8,8 @@
 
 // liveWindow is how long after its last activity a program without a running call
 // still counts as live. The cached tokens of live programs can delay the first
-// calls of new programs, so it must be much shorter than such a call may wait.
+// calls of new programs, so liveWindow must be much shorter than the time for
+// which such a call may wait.
 const liveWindow = 15 * time.Second
 
 // sweepAll starts a sweep of each shard that this daemon leads, unless the
@@ -45,16 +46,16 @@
 // cancelEnded cancels the running calls of ended programs. It covers programs
 // ended by a command whose result this daemon did not receive.
 func (l *leadership) cancelEnded() {
-	for _, running := range l.allRuns() {
-		_, head, found := running.call()
+	for _, activeRun := range l.allRuns() {
+		_, head, found := activeRun.call()
 		if found && head.State == program.ProgramEnded {
-			running.cancel(errProgramEnded)
+			activeRun.cancel(errProgramEnded)
 		}
 	}
 }
 
-// proposeFromSweep proposes a command and reports whether it committed. After a
-// failure, the sweep leaves the remaining commands to the next one.
+// proposeFromSweep proposes a command and reports whether it committed. If it
+// returns false, the remaining commands are left to the next sweep.
 func (l *leadership) proposeFromSweep(command program.Command) bool {
 	_, err := l.propose(l.ctx, command)
 	return err == nil
--- a/internal/execution/waiter.go
+++ b/internal/execution/waiter.go
@@ -25,38 +25,38 @@
 	key          queueKey
 	item         scheduling.QueueItem
 	request      *scheduling.Request
-	runs         []engine.PrefixRun
+	prefixes     []engine.PrefixRun
 	waitingSince time.Time // start of the waiting time that the scheduling policy takes into account
 	enteredAt    time.Time
 	deadline     time.Time
-	outcome      chan outcome // buffered; receives exactly one value
+	outcome      chan outcome // receives at most one value; buffered, so that the sender does not block
 }
 
 func (r *run) newWaiter(call *program.Call, head *program.Head, reserved int64) *waiter {
 	service := r.lead.service
 	now := time.Now()
-	created := &waiter{
+	w := &waiter{
 		service:      service,
 		request:      r.newRequest(call, head, reserved),
-		runs:         prefixRuns(&call.Spec, r.history),
+		prefixes:     promptPrefixes(&call.Spec, r.history),
 		waitingSince: call.AcceptedAt,
 		enteredAt:    now,
 		deadline:     r.deadline(call),
 		outcome:      make(chan outcome, 1),
 	}
 	if len(call.Attempts) > 0 {
-		created.waitingSince = now // the time spent on earlier attempts is not waiting time
+		w.waitingSince = now // the time spent on earlier attempts is not waiting time
 	}
-	created.key = queueKey{adapter: call.Spec.Adapter, firstCall: created.request.Attained == 0, hasExclusions: len(r.excluded) > 0}
-	created.item = scheduling.QueueItem{
-		Class:    created.request.Class,
-		Attained: created.request.Attained,
+	w.key = queueKey{adapter: call.Spec.Adapter, firstCall: w.request.Attained == 0, hasExclusions: len(r.excluded) > 0}
+	w.item = scheduling.QueueItem{
+		Class:    w.request.Class,
+		Attained: w.request.Attained,
 		Enqueued: call.AcceptedAt.Sub(service.started),
 	}
-	if created.key.firstCall {
-		created.item.Attained = firstCallAttained
+	if w.key.firstCall {
+		w.item.Attained = firstCallAttained
 	}
-	return created
+	return w
 }
 
 // refresh updates the parts of the request that depend on the time, the engines
@@ -66,7 +66,7 @@
 	w.request.DeadlineIn = time.Until(w.deadline)
 	w.request.QueuedAhead = ahead
 	w.request.Seed = rand.Uint64() //nolint:gosec // spreading load needs no secret
-	w.request.SharedPrefix = sharedPrefix(snapshot, w.runs)
+	w.request.SharedPrefix = sharedPrefix(snapshot, w.prefixes)
 	w.request.LiveTokens = w.service.liveTokens(w.request.Model)
 	w.request.FleetShare = w.service.shardShare()
 }
@@ -132,8 +132,8 @@
 }
 
 // waitForReport returns the time after which to decide again, or a refusal once
-// the call has waited for longer than Limits.MaxWait. what names the missing
-// information in the refusal.
+// the call has waited for longer than Limits.MaxWait. The parameter what is the
+// name of the missing information for the text of the refusal.
 func (w *waiter) waitForReport(what string) (outcome, time.Duration) {
 	limits := &w.service.limits
 	if time.Since(w.enteredAt) > limits.MaxWait {
--- a/internal/execution/waiting_test.go
+++ b/internal/execution/waiting_test.go
@@ -24,14 +24,14 @@
 
 // runOneAtATime makes the policy place one call at a time: the next call is
 // placed after the last one has been answered.
-func (s *testCluster) runOneAtATime() {
-	s.backEnd.setBehaviour(func(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
-		report := s.backEnd.answer(order, piece)
-		s.policy.slots.Store(1)
+func (c *testCluster) runOneAtATime() {
+	c.backEnd.setBehaviour(func(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+		report := c.backEnd.answer(order, piece)
+		c.policy.slots.Store(1)
 		return report
 	})
-	s.policy.slots.Store(1)
-	s.policy.decision.Store(nil)
+	c.policy.slots.Store(1)
+	c.policy.decision.Store(nil)
 }
 
 var _ = Describe("Calls that wait for an engine", func() {
@@ -55,7 +55,7 @@
 		Expect(former.submit(started, modelCall(2)).Problem).To(BeNil())
 		expected = slices.Insert(expected, 3, started) // arrives last, but is placed first in its class
 
-		cluster.log.lead(next.groups)
+		cluster.log.setLeader(next.groups)
 		next.awaitLeading()
 		Eventually(next.waitingCalls).Should(BeEquivalentTo(len(expected)))
 		cluster.runOneAtATime()
--- a/internal/program/aggregate.go
+++ b/internal/program/aggregate.go
@@ -27,12 +27,12 @@
 	MaxChildren        = 1024     // direct sub-agents of a program
 	MaxAttempts        = 32       // attempts of one call
 	childBudgetDivisor = 8        // a child without its own budget gets 1/8 of the tokens its parent has left
-	maxCallsPerTurn    = 4        // calls stored per allowed turn; calls that did not run are not turns but are stored
+	maxCallsPerTurn    = 4        // maximum number of stored calls per allowed turn; calls that did not run are stored but do not count as turns
 )
 
-// aggregate is the state of one program. The calls that Calls points to are
+// programRecord is the state of one program. The calls that Calls points to are
 // never modified in place, so that readers can keep them without a lock.
-type aggregate struct {
+type programRecord struct {
 	ID              identity.Program   `cbor:"1,keyasint,omitzero"`
 	Tenant          identity.Tenant    `cbor:"2,keyasint,omitzero"`
 	CreationKey     string             `cbor:"3,keyasint,omitzero"`
@@ -45,34 +45,34 @@
 	EndedAt         time.Time          `cbor:"10,keyasint,omitzero"`
 	LastActive      time.Time          `cbor:"11,keyasint,omitzero"`
 	Calls           []*Call            `cbor:"12,keyasint,omitzero"`
-	Spent           int64              `cbor:"13,keyasint,omitzero"` // tokens: known cost of this program's own attempts
-	Reserved        int64              `cbor:"14,keyasint,omitzero"` // tokens: reservations of own attempts whose cost is not known
+	Spent           int64              `cbor:"13,keyasint,omitzero"` // tokens spent by the program's own attempts, as far as known
+	Reserved        int64              `cbor:"14,keyasint,omitzero"` // tokens reserved by own attempts whose cost is not known
 	Children        []identity.Program `cbor:"15,keyasint,omitzero"` // in order of creation
-	ChildrenCharged int64              `cbor:"16,keyasint,omitzero"` // tokens: part of this program's budget that its children hold or have used
-	Charged         int64              `cbor:"17,keyasint,omitzero"` // tokens: part of the parent's budget that this program holds or has used
+	ChildrenCharged int64              `cbor:"16,keyasint,omitzero"` // tokens of this program's budget that its children hold or have used
+	Charged         int64              `cbor:"17,keyasint,omitzero"` // tokens of the parent's budget that this program holds or has used
 	Depth           int                `cbor:"18,keyasint,omitzero"`
 	ContentBytes    int                `cbor:"19,keyasint,omitzero"`
 }
 
-func (a *aggregate) isOpen() bool { return a.State == ProgramOpen }
+func (p *programRecord) isOpen() bool { return p.State == ProgramOpen }
 
 // availableTokens returns how many tokens can still be reserved. It is negative
 // only if a back end generated more tokens than its attempt had reserved.
-func (a *aggregate) availableTokens() int64 {
-	return a.Limits.TokenBudget - a.committedTokens()
+func (p *programRecord) availableTokens() int64 {
+	return p.Limits.TokenBudget - p.committedTokens()
 }
 
 // committedTokens returns how many tokens of the budget are spent, reserved by
 // attempts, or charged for children.
-func (a *aggregate) committedTokens() int64 { return a.Spent + a.Reserved + a.ChildrenCharged }
+func (p *programRecord) committedTokens() int64 { return p.Spent + p.Reserved + p.ChildrenCharged }
 
 // activeCall returns the call that is not final, or nil if there is none. Only
 // the last call of a program can be active.
-func (a *aggregate) activeCall() *Call {
-	if len(a.Calls) == 0 {
+func (p *programRecord) activeCall() *Call {
+	if len(p.Calls) == 0 {
 		return nil
 	}
-	last := a.Calls[len(a.Calls)-1]
+	last := p.Calls[len(p.Calls)-1]
 	if last.State.Final() {
 		return nil
 	}
@@ -80,17 +80,17 @@
 }
 
 // call returns the call with the sequence number, or nil if there is none.
-func (a *aggregate) call(sequence uint64) *Call {
-	if sequence == 0 || sequence > uint64(len(a.Calls)) {
+func (p *programRecord) call(sequence uint64) *Call {
+	if sequence == 0 || sequence > uint64(len(p.Calls)) {
 		return nil
 	}
-	return a.Calls[sequence-1]
+	return p.Calls[sequence-1]
 }
 
 // countTurns returns the number of calls, without those that did not run.
-func (a *aggregate) countTurns() uint64 {
+func (p *programRecord) countTurns() uint64 {
 	var count uint64
-	for _, call := range a.Calls {
+	for _, call := range p.Calls {
 		if call.State != CallNotRun {
 			count++
 		}
@@ -100,9 +100,9 @@
 
 // countRepeats returns how many of the program's latest consecutive calls are the
 // same request as spec. Calls that did not run are skipped.
-func (a *aggregate) countRepeats(spec *CallSpec) uint64 {
+func (p *programRecord) countRepeats(spec *CallSpec) uint64 {
 	var count uint64
-	for _, call := range slices.Backward(a.Calls) {
+	for _, call := range slices.Backward(p.Calls) {
 		if call.State == CallNotRun {
 			continue
 		}
@@ -115,31 +115,31 @@
 }
 
 // replaceCall replaces the call that has the same sequence number.
-func (a *aggregate) replaceCall(call *Call) { a.Calls[call.Spec.Sequence-1] = call }
+func (p *programRecord) replaceCall(call *Call) { p.Calls[call.Spec.Sequence-1] = call }
 
 // setAttempt adds or replaces an attempt of the call and updates the program's
 // budget totals. The call must be a copy that no reader shares.
-func (a *aggregate) setAttempt(call *Call, attempt Attempt) {
+func (p *programRecord) setAttempt(call *Call, attempt Attempt) {
 	attempts := slices.Clone(call.Attempts)
 	if index := int(attempt.Number) - 1; index < len(attempts) {
-		a.addToTotals(&attempts[index], -1)
+		p.addToTotals(&attempts[index], -1)
 		attempts[index] = attempt
 	} else {
 		attempts = append(attempts, attempt)
 	}
-	a.addToTotals(&attempt, 1)
+	p.addToTotals(&attempt, 1)
 	call.Attempts = attempts
 }
 
 // addToTotals adds the cost or the reservation of an attempt to the budget totals
 // if sign is 1, and subtracts it if sign is -1. A released attempt costs nothing.
-func (a *aggregate) addToTotals(attempt *Attempt, sign int64) {
+func (p *programRecord) addToTotals(attempt *Attempt, sign int64) {
 	switch {
 	case attempt.Released:
 	case attempt.Known:
-		a.Spent += sign * attempt.Spent
+		p.Spent += sign * attempt.Spent
 	default:
-		a.Reserved += sign * attempt.Reserved
+		p.Reserved += sign * attempt.Reserved
 	}
 }
 
@@ -189,7 +189,7 @@
 	return slices.ContainsFunc(c.Attempts, func(attempt Attempt) bool { return !attempt.Released })
 }
 
-// Uncertain reports whether the end of any attempt is not known, ignoring the
+// Uncertain reports whether the result of any attempt is not known, ignoring the
 // attempt with the number except. Such a call must not be reported as failed.
 func (c *Call) Uncertain(except uint32) bool {
 	return slices.ContainsFunc(c.Attempts, func(attempt Attempt) bool {
--- a/internal/program/call.go
+++ b/internal/program/call.go
@@ -61,7 +61,7 @@
 	CallAnswered   CallState = "answered"        // the answer is stored
 	CallNotRun     CallState = "not-run"         // the call certainly did not run
 	CallFailed     CallState = "failed"          // all attempts ended without an answer
-	CallUnknown    CallState = "outcome-unknown" // an attempt may have run
+	CallUnknown    CallState = "outcome-unknown" // final, but it is not known whether an attempt ran or with what result
 )
 
 // Answer is the result of a call that ran.
@@ -85,9 +85,9 @@
 	BackEnd  string           `cbor:"3,keyasint,omitzero"` // engine identifier or service name
 	Address  string           `cbor:"4,keyasint,omitzero"`
 	Reserved int64            `cbor:"5,keyasint,omitzero"`  // reserved tokens
-	Closed   bool             `cbor:"6,keyasint,omitzero"`  // no result is awaited any more: the attempt has ended or was released, or the call is final
+	Closed   bool             `cbor:"6,keyasint,omitzero"`  // the attempt has ended or was released, or the call became final while it was open
 	Released bool             `cbor:"7,keyasint,omitzero"`  // proven not to have run; costs nothing
-	Known    bool             `cbor:"8,keyasint,omitzero"`  // ended with a known cost; without it, an attempt that was not released costs its whole reservation
+	Known    bool             `cbor:"8,keyasint,omitzero"`  // ended with a known cost; if false, the attempt costs its whole reservation unless it was released
 	Spent    int64            `cbor:"9,keyasint,omitzero"`  // tokens spent, if Known
 	Nonce    uint64           `cbor:"10,keyasint,omitzero"` // random number that identifies the attempt if its number is unknown or ambiguous
 }
--- a/internal/program/calls.go
+++ b/internal/program/calls.go
@@ -7,7 +7,7 @@
 // accept appends a call to the program. If the same call already exists, it
 // returns that call as joined. A call over the turn or repeat limit ends the
 // program.
-func (s *Shard) accept(program *aggregate, command *Command) *Result {
+func (s *Shard) accept(program *programRecord, command *Command) *Result {
 	spec := command.Call
 	if existing := program.call(spec.Sequence); existing != nil {
 		if !isSameCall(&existing.Spec, &spec) {
@@ -32,7 +32,7 @@
 }
 
 // validateAccept returns a problem if the program cannot accept the call.
-func (s *Shard) validateAccept(program *aggregate, spec *CallSpec) *problem.Problem {
+func (s *Shard) validateAccept(program *programRecord, spec *CallSpec) *problem.Problem {
 	expected := uint64(len(program.Calls)) + 1
 	switch {
 	case !program.isOpen():
@@ -40,7 +40,7 @@
 	case spec.Sequence != expected:
 		return problem.New(problem.KindOutOfOrder, "accept", "expected call %d, got %d", expected, spec.Sequence)
 	case program.activeCall() != nil:
-		return problem.New(problem.KindOutOfOrder, "accept", "call %d is under way", expected-1)
+		return problem.New(problem.KindOutOfOrder, "accept", "call %d is still in progress", expected-1)
 	case !spec.Deadline.IsZero() && !spec.Deadline.After(s.now):
 		return problem.New(problem.KindDeadlineExceeded, "accept", "the deadline has passed")
 	case program.ContentBytes+spec.contentBytes() > MaxHistoryBytes:
@@ -57,7 +57,7 @@
 
 // checkRunaway checks the program's turn and repeat limits. If the call would
 // exceed one of them, it returns a problem and the reason to end the program.
-func checkRunaway(program *aggregate, spec *CallSpec) (*problem.Problem, EndReason) {
+func checkRunaway(program *programRecord, spec *CallSpec) (*problem.Problem, EndReason) {
 	if program.countTurns() >= program.Limits.MaxTurns || uint64(len(program.Calls)) >= maxCallsPerTurn*program.Limits.MaxTurns {
 		return problem.New(problem.KindTurnLimit, "accept", "the program has used its %d turns", program.Limits.MaxTurns).
 			WithOutcome(problem.OutcomeNotRun), EndTurnLimit
@@ -72,7 +72,7 @@
 // dispatch adds an attempt with its token reservation to the call and returns the
 // attempt's number. A call that is not repeatable gets no further attempt as long
 // as an earlier one may have been sent.
-func (s *Shard) dispatch(program *aggregate, call *Call, command *Command) (uint32, *problem.Problem) {
+func (s *Shard) dispatch(program *programRecord, call *Call, command *Command) (uint32, *problem.Problem) {
 	switch {
 	case !program.isOpen():
 		return 0, programEnded(program, "dispatch")
@@ -96,7 +96,7 @@
 
 // validateReservation returns a problem if the call must not reserve that many
 // tokens.
-func validateReservation(program *aggregate, call *Call, reserved int64) *problem.Problem {
+func validateReservation(program *programRecord, call *Call, reserved int64) *problem.Problem {
 	if call.Spec.Target != TargetModel {
 		if reserved != 0 {
 			return problem.New(problem.KindMalformed, "dispatch", "only model calls reserve tokens")
@@ -118,7 +118,7 @@
 // A sender that does not know whether its dispatch committed identifies the
 // attempt by its nonce alone, because another sender's attempt may have the
 // number that it expects.
-func (s *Shard) release(program *aggregate, call *Call, command *Command) *problem.Problem {
+func (s *Shard) release(program *programRecord, call *Call, command *Command) *problem.Problem {
 	if command.Number == 0 {
 		command.Number = call.attemptNumber(command.Attempt.Nonce)
 	}
@@ -136,7 +136,7 @@
 
 // settle closes an attempt that ended without an answer and records its cost. It
 // does not change the state of the call.
-func (s *Shard) settle(program *aggregate, call *Call, command *Command) *problem.Problem {
+func (s *Shard) settle(program *programRecord, call *Call, command *Command) *problem.Problem {
 	attempt, fault := findUnsettled(call, command)
 	if fault != nil {
 		return fault
@@ -148,15 +148,15 @@
 // answer stores the answer of an attempt and makes the call final. The call's
 // other attempts of unknown cost keep their whole reservations until they are
 // settled or released.
-func (s *Shard) answer(program *aggregate, call *Call, command *Command) *problem.Problem {
+func (s *Shard) answer(program *programRecord, call *Call, command *Command) *problem.Problem {
 	attempt, ok := call.findAttempt(command)
 	switch {
 	case command.Answer == nil:
-		return problem.New(problem.KindMalformed, "answer", "the command has no answer")
+		return problem.New(problem.KindMalformed, "answer", "the command does not contain an answer")
 	case !ok:
 		return unknownAttempt(command)
 	case attempt.Released:
-		return problem.New(problem.KindConflict, "answer", "attempt %d was released as never run", command.Number)
+		return problem.New(problem.KindConflict, "answer", "attempt %d was released because it never ran", command.Number)
 	}
 	if fault := call.transition(eventAnswer); fault != nil {
 		return fault
@@ -173,10 +173,10 @@
 
 // giveUp makes a call final without an answer. It rejects an outcome that the
 // attempts do not allow: "not run" requires that every attempt was released, and
-// "failed" that the end of every attempt is known.
-func (s *Shard) giveUp(program *aggregate, call *Call, command *Command) *problem.Problem {
+// "failed" that the result of every attempt is known.
+func (s *Shard) giveUp(program *programRecord, call *Call, command *Command) *problem.Problem {
 	if command.Problem == nil {
-		return problem.New(problem.KindMalformed, "give-up", "the command has no problem")
+		return problem.New(problem.KindMalformed, "give-up", "the command does not state a problem")
 	}
 	if command.Number != 0 {
 		if _, ok := call.findAttempt(command); !ok {
@@ -210,7 +210,7 @@
 		return eventNotRun, nil
 	case problem.OutcomeFailed:
 		if call.Uncertain(command.Number) || command.Spent < 0 {
-			return "", problem.New(problem.KindConflict, "give-up", "the end of an attempt is not known")
+			return "", problem.New(problem.KindConflict, "give-up", "the result of an attempt is not known")
 		}
 		return eventFail, nil
 	case problem.OutcomeUnknown:
@@ -245,7 +245,7 @@
 }
 
 // closeOpenAttempts closes the open attempts of a call that has become final.
-func closeOpenAttempts(program *aggregate, call *Call) {
+func closeOpenAttempts(program *programRecord, call *Call) {
 	for _, attempt := range call.Attempts {
 		if !attempt.Closed {
 			attempt.Closed = true
--- a/internal/program/codec.go
+++ b/internal/program/codec.go
@@ -24,7 +24,7 @@
 		Time: cbor.TimeRFC3339NanoUTC,
 	}.EncMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen, since the options are constant
 	}
 	return mode
 }
@@ -37,7 +37,7 @@
 		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen, since the options are constant
 	}
 	return mode
 }
--- a/internal/program/intern.go
+++ b/internal/program/intern.go
@@ -15,8 +15,8 @@
 	if *value == "" {
 		return
 	}
-	if known, ok := names[string(*value)]; ok {
-		*value = S(known)
+	if copied, ok := names[string(*value)]; ok {
+		*value = S(copied)
 		return
 	}
 	if len(names) < maxInterned {
@@ -24,29 +24,29 @@
 	}
 }
 
-func (names interner) command(command *Command) {
+func (names interner) internCommand(command *Command) {
 	intern(names, &command.Tenant)
 	intern(names, &command.Class)
-	names.spec(&command.Call)
-	names.attempt(&command.Attempt)
-	names.answer(command.Answer)
+	names.internSpec(&command.Call)
+	names.internAttempt(&command.Attempt)
+	names.internAnswer(command.Answer)
 }
 
-func (names interner) aggregate(program *aggregate) {
+func (names interner) internProgram(program *programRecord) {
 	intern(names, &program.Tenant)
 	intern(names, &program.Class)
 	intern(names, &program.State)
 	for _, call := range program.Calls {
 		intern(names, &call.State)
-		names.spec(&call.Spec)
-		names.answer(call.Answer)
+		names.internSpec(&call.Spec)
+		names.internAnswer(call.Answer)
 		for i := range call.Attempts {
-			names.attempt(&call.Attempts[i])
+			names.internAttempt(&call.Attempts[i])
 		}
 	}
 }
 
-func (names interner) spec(spec *CallSpec) {
+func (names interner) internSpec(spec *CallSpec) {
 	intern(names, &spec.Target)
 	intern(names, &spec.Name)
 	intern(names, &spec.Adapter)
@@ -56,7 +56,7 @@
 	}
 }
 
-func (names interner) attempt(attempt *Attempt) {
+func (names interner) internAttempt(attempt *Attempt) {
 	intern(names, &attempt.Process.Machine)
 	intern(names, &attempt.Process.Address)
 	intern(names, &attempt.Process.Zone)
@@ -65,7 +65,7 @@
 	intern(names, &attempt.Address)
 }
 
-func (names interner) answer(answer *Answer) {
+func (names interner) internAnswer(answer *Answer) {
 	if answer == nil {
 		return
 	}
--- a/internal/program/lifecycle.go
+++ b/internal/program/lifecycle.go
@@ -21,9 +21,9 @@
 	eventEnd      event = "end"             // the program ended
 )
 
-// The lifecycles of calls and programs, declared with looplab/fsm. An fsm object
-// per call would take more memory than the call itself, so the transition tables
-// are derived from one object at program start and shared by all calls.
+// These are the lifecycles of calls and programs, declared with looplab/fsm. An
+// fsm object per call would take more memory than the call itself, so all calls
+// share one transition table, which is derived from an fsm object at startup.
 var (
 	callLifecycle = deriveTransitions(CallAccepted, fsm.Events{
 		{Name: string(eventDispatch), Src: states(CallAccepted, CallDispatched), Dst: string(CallDispatched)},
@@ -59,7 +59,7 @@
 			machine.SetState(source)
 			err := machine.Event(context.Background(), declared.Name)
 			if err != nil && !isSelfTransition(err) {
-				panic(err) // the declaration is a constant
+				panic(err) // cannot happen, since the declaration is constant
 			}
 			if table[S(source)] == nil {
 				table[S(source)] = make(map[event]S)
--- a/internal/program/live.go
+++ b/internal/program/live.go
@@ -31,9 +31,9 @@
 // ownTokens returns the model of the last answered model call and the tokens that
 // the program holds in caches for itself alone. It returns zero values if there
 // is no such call.
-func (a *aggregate) ownTokens() (model string, tokens int64) {
+func (p *programRecord) ownTokens() (model string, tokens int64) {
 	var first, last *Call
-	for _, call := range a.Calls {
+	for _, call := range p.Calls {
 		if call.State != CallAnswered || call.Spec.Target != TargetModel {
 			continue
 		}
--- a/internal/program/programs.go
+++ b/internal/program/programs.go
@@ -22,7 +22,7 @@
 	if fault != nil {
 		return rejected(fault)
 	}
-	created := &aggregate{
+	program := &programRecord{
 		ID:          command.Program,
 		Tenant:      command.Tenant,
 		CreationKey: command.CreationKey,
@@ -34,15 +34,15 @@
 		LastActive:  s.now,
 	}
 	if command.Parent != "" {
-		if fault := s.attachToParent(created, command.Limits.TokenBudget); fault != nil {
+		if fault := s.attachToParent(program, command.Limits.TokenBudget); fault != nil {
 			return rejected(fault)
 		}
 	}
-	s.programs[created.ID] = created
+	s.programs[program.ID] = program
 	if command.CreationKey != "" {
-		s.byCreationKey[key] = created.ID
+		s.byCreationKey[key] = program.ID
 	}
-	return &Result{Program: created.ID}
+	return &Result{Program: program.ID}
 }
 
 // validateCreate returns a problem if the command's identifier or tenant is not
@@ -85,7 +85,7 @@
 // attachToParent adds the program to its parent's children and charges its token
 // budget to the parent. If requested is 0, the budget is the parent's available
 // tokens divided by childBudgetDivisor.
-func (s *Shard) attachToParent(child *aggregate, requested int64) *problem.Problem {
+func (s *Shard) attachToParent(child *programRecord, requested int64) *problem.Problem {
 	parent := s.programs[child.Parent]
 	if parent == nil || parent.Tenant != child.Tenant {
 		return unknownProgram("create")
@@ -116,14 +116,14 @@
 // end ends a program and its descendants. For a time-based reason it checks again
 // that the program has expired, since the program may have become active after
 // the command was proposed.
-func (s *Shard) end(program *aggregate, command *Command) *Result {
+func (s *Shard) end(program *programRecord, command *Command) *Result {
 	if !program.isOpen() {
 		// The proposer of the first end command may not have received its result,
 		// so the program is listed again to have its engine memory released.
 		return &Result{Program: program.ID, Joined: true, Ended: []identity.Program{program.ID}}
 	}
 	if isTimeBased(command.Reason) && s.expiryReason(program, s.now) != command.Reason {
-		return rejected(problem.New(problem.KindConflict, "end", "the program has not expired"))
+		return rejected(problem.New(problem.KindConflict, "end", "the program has not expired for the given reason"))
 	}
 	return &Result{Program: program.ID, Ended: s.endTree(program, command.Reason)}
 }
@@ -133,7 +133,7 @@
 // endTree ends the program and its open descendants, and returns those that it
 // ended. Children end first, so that their unspent budget returns to the program
 // before the program's own unspent budget returns to its parent.
-func (s *Shard) endTree(program *aggregate, reason EndReason) []identity.Program {
+func (s *Shard) endTree(program *programRecord, reason EndReason) []identity.Program {
 	var ended []identity.Program
 	for _, identifier := range program.Children {
 		if child := s.programs[identifier]; child != nil && child.isOpen() {
@@ -156,7 +156,7 @@
 // endUnsentCall makes the program's active call final if it certainly did not
 // run. A call that may have run stays active until its sender, or the next
 // leader, reports the end of its attempts.
-func (s *Shard) endUnsentCall(program *aggregate) {
+func (s *Shard) endUnsentCall(program *programRecord) {
 	call := program.activeCall()
 	if call == nil || call.Unreleased() {
 		return
@@ -172,7 +172,7 @@
 
 // expiryReason returns EndLifetime or EndIdle if the program has expired at the
 // time now, and an empty string if it has not.
-func (s *Shard) expiryReason(program *aggregate, now time.Time) EndReason {
+func (s *Shard) expiryReason(program *programRecord, now time.Time) EndReason {
 	switch {
 	case !program.isOpen():
 		return ""
@@ -186,7 +186,7 @@
 
 // hasActiveDescendant reports whether an open program below this one has an
 // active call.
-func (s *Shard) hasActiveDescendant(program *aggregate) bool {
+func (s *Shard) hasActiveDescendant(program *programRecord) bool {
 	return slices.ContainsFunc(program.Children, func(identifier identity.Program) bool {
 		child := s.programs[identifier]
 		return child != nil && child.isOpen() && (child.activeCall() != nil || s.hasActiveDescendant(child))
@@ -212,7 +212,7 @@
 
 // deleteProgram removes the program from the shard's indexes and from its
 // parent's children.
-func (s *Shard) deleteProgram(program *aggregate) {
+func (s *Shard) deleteProgram(program *programRecord) {
 	delete(s.programs, program.ID)
 	key := creationKey{tenant: program.Tenant, parent: program.Parent, key: program.CreationKey}
 	if s.byCreationKey[key] == program.ID {
@@ -227,6 +227,6 @@
 	})
 }
 
-func programEnded(program *aggregate, step string) *problem.Problem {
+func programEnded(program *programRecord, step string) *problem.Problem {
 	return problem.New(problem.KindProgramEnded, step, "the program ended: %s", program.Reason)
 }
--- a/internal/program/shard.go
+++ b/internal/program/shard.go
@@ -16,7 +16,7 @@
 
 	mutex         sync.RWMutex
 	now           time.Time // latest time of any command applied so far
-	programs      map[identity.Program]*aggregate
+	programs      map[identity.Program]*programRecord
 	byCreationKey map[creationKey]identity.Program
 	active        map[identity.Program]struct{} // programs that have an active call
 	names         interner
@@ -39,7 +39,7 @@
 
 func (s *Shard) reset() {
 	s.now = time.Time{}
-	s.programs = make(map[identity.Program]*aggregate)
+	s.programs = make(map[identity.Program]*programRecord)
 	s.byCreationKey = make(map[creationKey]identity.Program)
 	s.active = make(map[identity.Program]struct{})
 	s.names = make(interner)
@@ -65,7 +65,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.names.command(&command)
+	s.names.internCommand(&command)
 	if command.Now.After(s.now) {
 		s.now = command.Now
 	}
@@ -99,7 +99,7 @@
 
 // applyToCall applies a command about one call. The command changes a copy of the
 // call, which replaces the call only if the command is not rejected.
-func (s *Shard) applyToCall(program *aggregate, call *Call, command *Command) *Result {
+func (s *Shard) applyToCall(program *programRecord, call *Call, command *Command) *Result {
 	changed := *call
 	before := budgetTotalsOf(program)
 	var fault *problem.Problem
@@ -135,17 +135,17 @@
 // restored if a command is rejected.
 type budgetTotals struct{ spent, reserved int64 }
 
-func budgetTotalsOf(program *aggregate) budgetTotals {
+func budgetTotalsOf(program *programRecord) budgetTotals {
 	return budgetTotals{spent: program.Spent, reserved: program.Reserved}
 }
 
-func (b budgetTotals) restore(program *aggregate) {
+func (b budgetTotals) restore(program *programRecord) {
 	program.Spent, program.Reserved = b.spent, b.reserved
 }
 
 // recordActivity sets the time of the last activity of the program and of all its
 // ancestors.
-func (s *Shard) recordActivity(program *aggregate) {
+func (s *Shard) recordActivity(program *programRecord) {
 	for program != nil {
 		program.LastActive = s.now
 		program = s.programs[program.Parent]
@@ -155,7 +155,7 @@
 // returnBudget reduces an ended program's charge on its parent to the tokens that
 // the program has committed. If the parent has ended too, the parent's charge on
 // its own parent is reduced in the same way, and so on.
-func (s *Shard) returnBudget(program *aggregate) {
+func (s *Shard) returnBudget(program *programRecord) {
 	for !program.isOpen() {
 		parent := s.programs[program.Parent]
 		if parent == nil {
@@ -169,7 +169,7 @@
 
 // updateActive updates the program's entry in the index of programs with an
 // active call.
-func (s *Shard) updateActive(program *aggregate) {
+func (s *Shard) updateActive(program *programRecord) {
 	if program.activeCall() == nil {
 		delete(s.active, program.ID)
 		return
--- a/internal/program/shard_rapid_test.go
+++ b/internal/program/shard_rapid_test.go
@@ -52,7 +52,7 @@
 
 func (m *shardModel) drawProgram(t *rapid.T) identity.Program {
 	if len(m.programs) == 0 {
-		return programIdentifier(0) // does not exist, so the command is rejected
+		return programIdentifier(0) // this program does not exist, so the command is rejected
 	}
 	return rapid.SampledFrom(m.programs).Draw(t, "program")
 }
--- a/internal/program/shard_test.go
+++ b/internal/program/shard_test.go
@@ -134,7 +134,7 @@
 	later := start.Add(time.Second)
 	Expect(shard.LiveTokens(later)).To(BeEmpty(), "the program is not active any more")
 	shard.accept(identifier, 2)
-	Expect(shard.LiveTokens(later)).To(Equal(map[string]int64{"model": 40}), "a call is under way")
+	Expect(shard.LiveTokens(later)).To(Equal(map[string]int64{"model": 40}), "a call is in progress")
 }
 
 func TestExpiryRetentionAndRepeatedCalls(t *testing.T) {
@@ -155,7 +155,7 @@
 		return shard.apply(program.CommandEnd, identifier, func(command *program.Command) { command.Reason = reason })
 	}
 	shard.now = start.Add(2 * time.Minute)
-	Expect(end(program.EndIdle).Problem.Kind).To(Equal(problem.KindConflict), "a call is under way")
+	Expect(end(program.EndIdle).Problem.Kind).To(Equal(problem.KindConflict), "a call is in progress")
 	shard.apply(program.CommandGiveUp, identifier, func(command *program.Command) {
 		command.Number = 0
 		command.Problem = problem.New(problem.KindRefused, "test", "not run").WithOutcome(problem.OutcomeNotRun)
--- a/internal/program/snapshot.go
+++ b/internal/program/snapshot.go
@@ -20,10 +20,10 @@
 // snapshot is the encoded form of a shard's state. The programs are sorted by
 // identifier, so that equal states have equal encodings.
 type snapshot struct {
-	Version  int            `cbor:"1,keyasint"`
-	Shard    identity.Shard `cbor:"2,keyasint"`
-	Now      time.Time      `cbor:"3,keyasint,omitzero"`
-	Programs []*aggregate   `cbor:"4,keyasint,omitzero"`
+	Version  int              `cbor:"1,keyasint"`
+	Shard    identity.Shard   `cbor:"2,keyasint"`
+	Now      time.Time        `cbor:"3,keyasint,omitzero"`
+	Programs []*programRecord `cbor:"4,keyasint,omitzero"`
 }
 
 // Snapshot encodes the state of the shard. Restore reads the encoding.
@@ -36,18 +36,18 @@
 // collectSnapshot returns a snapshot that shares the programs with the shard and
 // is not sorted yet. The caller must hold the mutex.
 func (s *Shard) collectSnapshot() *snapshot {
-	collected := &snapshot{Version: snapshotVersion, Shard: s.number, Now: s.now}
-	collected.Programs = make([]*aggregate, 0, len(s.programs))
+	result := &snapshot{Version: snapshotVersion, Shard: s.number, Now: s.now}
+	result.Programs = make([]*programRecord, 0, len(s.programs))
 	for _, program := range s.programs {
-		collected.Programs = append(collected.Programs, program)
+		result.Programs = append(result.Programs, program)
 	}
-	return collected
+	return result
 }
 
-func (w *snapshot) encode() ([]byte, error) {
-	slices.SortFunc(w.Programs, func(first, second *aggregate) int { return cmp.Compare(first.ID, second.ID) })
-	encoded, err := encoder.Marshal(w)
-	return encoded, eris.Wrapf(err, "encode snapshot of shard %d", w.Shard)
+func (s *snapshot) encode() ([]byte, error) {
+	slices.SortFunc(s.Programs, func(first, second *programRecord) int { return cmp.Compare(first.ID, second.ID) })
+	encoded, err := encoder.Marshal(s)
+	return encoded, eris.Wrapf(err, "encode snapshot of shard %d", s.Shard)
 }
 
 // Restore replaces the state of the shard by a snapshot. If it returns an error,
@@ -79,12 +79,12 @@
 
 // addRestored adds a decoded program and its index entries. It returns an error
 // if the program is inconsistent or a duplicate.
-func (s *Shard) addRestored(program *aggregate) error {
+func (s *Shard) addRestored(program *programRecord) error {
 	if program == nil || s.programs[program.ID] != nil || !program.isConsistent() {
 		return eris.Wrap(ErrMalformedSnapshot, "include program")
 	}
 	s.programs[program.ID] = program
-	s.names.aggregate(program)
+	s.names.internProgram(program)
 	if program.CreationKey != "" {
 		s.byCreationKey[creationKey{tenant: program.Tenant, parent: program.Parent, key: program.CreationKey}] = program.ID
 	}
@@ -94,12 +94,12 @@
 
 // isConsistent reports whether the program's states, sequence numbers, attempt
 // numbers and budget totals agree with each other.
-func (a *aggregate) isConsistent() bool {
-	if a.State != ProgramOpen && a.State != ProgramEnded {
+func (p *programRecord) isConsistent() bool {
+	if p.State != ProgramOpen && p.State != ProgramEnded {
 		return false
 	}
-	var totals aggregate
-	for i, call := range a.Calls {
+	var totals programRecord
+	for i, call := range p.Calls {
 		if call == nil || call.Spec.Sequence != uint64(i)+1 {
 			return false
 		}
@@ -113,7 +113,7 @@
 			totals.addToTotals(&call.Attempts[j], 1)
 		}
 	}
-	return totals.Spent == a.Spent && totals.Reserved == a.Reserved && a.Depth >= 0 && a.Depth <= MaxDepth
+	return totals.Spent == p.Spent && totals.Reserved == p.Reserved && p.Depth >= 0 && p.Depth <= MaxDepth
 }
 
 // checkParentLinks checks that each child is one level deeper than its parent,
--- a/internal/program/view.go
+++ b/internal/program/view.go
@@ -21,9 +21,9 @@
 	EndedAt    time.Time
 	LastActive time.Time
 	CallCount  int
-	Spent      int64 // tokens: known cost of the program's own attempts
-	Reserved   int64 // tokens: reservations of own attempts whose cost is not known
-	Lent       int64 // tokens: part of the budget that children hold or have used
+	Spent      int64 // tokens spent by the program's own attempts, as far as known
+	Reserved   int64 // tokens reserved by own attempts whose cost is not known
+	Lent       int64 // tokens of the budget that children hold or have used
 }
 
 // Available returns how many tokens the program may still reserve. It is never
@@ -184,22 +184,22 @@
 	return before, ends[0].Before(before)
 }
 
-func (a *aggregate) head() Head {
+func (p *programRecord) head() Head {
 	return Head{
-		ID:         a.ID,
-		Parent:     a.Parent,
-		Tenant:     a.Tenant,
-		Class:      a.Class,
-		State:      a.State,
-		EndReason:  a.Reason,
-		Limits:     a.Limits,
-		CreatedAt:  a.CreatedAt,
-		EndedAt:    a.EndedAt,
-		LastActive: a.LastActive,
-		CallCount:  len(a.Calls),
-		Spent:      a.Spent,
-		Reserved:   a.Reserved,
-		Lent:       a.ChildrenCharged,
+		ID:         p.ID,
+		Parent:     p.Parent,
+		Tenant:     p.Tenant,
+		Class:      p.Class,
+		State:      p.State,
+		EndReason:  p.Reason,
+		Limits:     p.Limits,
+		CreatedAt:  p.CreatedAt,
+		EndedAt:    p.EndedAt,
+		LastActive: p.LastActive,
+		CallCount:  len(p.Calls),
+		Spent:      p.Spent,
+		Reserved:   p.Reserved,
+		Lent:       p.ChildrenCharged,
 	}
 }
 
