--- a/internal/execution/drain.go
+++ b/internal/execution/drain.go
@@ -22,7 +22,7 @@
 // of each shard once the shard's calls have ended. After Limits.DrainPatience,
 // repeatable model calls no longer delay the hand-over: the next leader resumes
 // their streams at the engine. Drain returns the context's error if the context
-// ends while calls that must finish on this daemon are still running.
+// ends before all calls that must finish on this daemon have ended.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.logger.Info("execution: draining.")
@@ -75,7 +75,8 @@
 	return false
 }
 
-// countRuns returns the number of calls that this daemon is running.
+// countRuns returns the number of runs on this daemon, including those whose call
+// is queued or waits for an engine.
 func (s *Service) countRuns() int {
 	count := 0
 	for _, lead := range *s.leaderships.Load() {
@@ -84,8 +85,8 @@
 	return count
 }
 
-// Idle reports whether this daemon leads the shard and runs none of its calls,
-// so that a hand-over would not affect any caller.
+// Idle reports whether this daemon leads the shard and has no unfinished call of
+// it, so that a hand-over would not affect any caller.
 func (s *Service) Idle(number identity.Shard) bool {
 	lead := (*s.leaderships.Load())[number]
 	return lead != nil && len(lead.allRuns()) == 0
--- a/internal/execution/failover_test.go
+++ b/internal/execution/failover_test.go
@@ -86,7 +86,7 @@
 		Expect(cluster.log.count(program.CommandDispatch)).To(Equal(1))
 	})
 
-	It("cancels none of many running calls", func() {
+	It("cancels none of many calls in progress", func() {
 		backEnd := cluster.backEnd
 		backEnd.setBehaviour(func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
 			if order.Resume {
--- a/internal/execution/faults_test.go
+++ b/internal/execution/faults_test.go
@@ -147,7 +147,7 @@
 		Expect(leader.history(identifier).Spent).To(BeEquivalentTo(1))
 	})
 
-	It("cancels the running calls of a program and its sub-agents when the program ends", func() {
+	It("cancels the unfinished calls of a program and its sub-agents when the program ends", func() {
 		cluster.backEnd.setBehaviour(cluster.backEnd.hang)
 		parent := leader.create("parent", program.Limits{TokenBudget: 1000}, "")
 		child := leader.create("child", program.Limits{TokenBudget: 400}, parent)
--- a/internal/execution/follow.go
+++ b/internal/execution/follow.go
@@ -122,7 +122,7 @@
 }
 
 // runPollInterval is the interval at which followers poll a call that has no run
-// yet. Drain uses the same interval to poll the calls that still run.
+// yet. Drain uses the same interval to poll for unfinished calls.
 const runPollInterval = 20 * time.Millisecond
 
 // pollSoon returns a channel that is closed after runPollInterval.
--- a/internal/execution/gate.go
+++ b/internal/execution/gate.go
@@ -27,8 +27,9 @@
 	return scheduling.ClassStandard
 }
 
-// gate limits the number of calls that run at the same time. Calls beyond the
-// limit wait in one bounded queue per class. It is safe for concurrent use.
+// gate limits how many calls are processed at the same time. Each of them holds a
+// slot, also while it waits for an engine. Calls without a slot wait in one
+// bounded queue per class. gate is safe for concurrent use.
 type gate struct {
 	mutex      sync.Mutex
 	freeSlots  int
@@ -37,7 +38,7 @@
 	queues     [classCount]*list.List // of *ticket
 }
 
-// ticket is a call's slot among the running calls or its place in a queue. The
+// ticket is a call's slot or, until a slot is granted, its place in a queue. The
 // gate's mutex guards granted and released.
 type ticket struct {
 	gate     *gate
--- a/internal/execution/leadership.go
+++ b/internal/execution/leadership.go
@@ -25,7 +25,7 @@
 )
 
 // leadership is the state of this daemon as the leader of one shard for one
-// term, with the calls that it runs.
+// term. It contains the runs of the shard's unfinished calls.
 type leadership struct {
 	service *Service
 	number  identity.Shard
@@ -222,8 +222,8 @@
 	delete(l.runs, key)
 }
 
-// handleEndedPrograms cancels the running calls of ended programs and tells the
-// fleet to release the engine memory held for these programs.
+// handleEndedPrograms cancels the unfinished calls of ended programs and tells
+// the fleet to release the engine memory held for these programs.
 func (l *leadership) handleEndedPrograms(ended []identity.Program) {
 	if len(ended) == 0 {
 		return
--- a/internal/execution/limits_test.go
+++ b/internal/execution/limits_test.go
@@ -131,7 +131,7 @@
 		Expect(leader.history(talk).Calls[0].State).To(Equal(program.CallDispatched))
 	})
 
-	It("drain: new work is refused, and the shard is handed over when its running calls have ended", func() {
+	It("drain: new work is refused, and the shard is handed over when its unfinished calls have ended", func() {
 		cluster := newTestCluster()
 		leader := cluster.startLeader("a")
 		cluster.makePolicyWait()
--- a/internal/execution/metrics.go
+++ b/internal/execution/metrics.go
@@ -42,8 +42,8 @@
 	}
 	collectors := []prometheus.Collector{
 		m.calls, m.refused, m.decisions, m.resumed, m.retries, m.ended, m.latency,
-		gauge("calls_running", "Calls that this daemon is running.", func() float64 { return float64(service.countRuns()) }),
-		gauge("calls_queued", "Calls queued for a running slot.", func() float64 { return float64(service.gate.countQueued()) }),
+		gauge("calls_running", "Unfinished calls on this daemon, including those that are queued or wait for an engine.", func() float64 { return float64(service.countRuns()) }),
+		gauge("calls_queued", "Calls that are queued until a slot is free.", func() float64 { return float64(service.gate.countQueued()) }),
 		gauge("calls_waiting", "Calls that wait for an engine.", func() float64 { return float64(service.waitQueues.count()) }),
 		gauge("shards_led", "Program shards that this daemon leads.", func() float64 { return float64(len(*service.leaderships.Load())) }),
 	}
--- a/internal/execution/options.go
+++ b/internal/execution/options.go
@@ -34,21 +34,21 @@
 // Limits configure the limits and timeouts of a Service. A zero field takes its
 // value from DefaultLimits.
 type Limits struct {
-	MaxRunning       int           // maximum number of calls that run at the same time
-	MaxQueued        int           // maximum length of each queue, both of calls that wait to run and of calls that wait for an engine
+	MaxRunning       int           // maximum number of calls with a slot, including those that wait for an engine
+	MaxQueued        int           // maximum length of each queue of calls that wait for a slot or for an engine
 	MaxFollow        time.Duration // longest wait of one Follow request
 	ProposeTimeout   time.Duration // timeout of one command or read barrier
 	ModelTimeout     time.Duration // timeout of a model call without a deadline
 	ServiceTimeout   time.Duration // timeout of a service or tool call without a deadline or a configured timeout
 	MaxWait          time.Duration // longest wait for a replica, an engine report or a confirmed configuration
-	MaxAttempts      int           // maximum number of attempts per call that may have run; the limit for all attempts is totalAttemptsFactor times as high
+	MaxAttempts      int           // maximum number of attempts per call that may have run; see totalAttemptsFactor
 	RetryShare       float64       // retries allowed per first attempt, on average; negative for none
 	RetriesPerSecond float64       // retries allowed in addition, for all calls together; negative for none
 	RetryBurst       int           // size of the retry budget, in retries
 	SweepInterval    time.Duration // interval between sweeps, which end expired programs and resume calls
 	Retention        time.Duration // how long ended programs are kept
 	MaxEnded         int           // maximum number of ended programs kept per shard; the oldest are deleted first
-	LookupGrace      time.Duration // minimum time allowed for the lookup of a former leader's attempt, even past the call's deadline
+	LookupGrace      time.Duration // minimum time for looking up a former leader's attempt, even past the deadline
 	DrainPatience    time.Duration // time after which Drain hands over resumable calls instead of waiting for them
 	RetryAfter       time.Duration // retry delay given to refused callers
 	WarmUp           time.Duration // time after the start during which engine reports may still be missing; zero for none
--- a/internal/execution/requests.go
+++ b/internal/execution/requests.go
@@ -85,8 +85,8 @@
 }
 
 // admitTenant returns the tenant's configuration if the tenant may submit new
-// work. It refuses while the daemon drains, while the configuration is not
-// confirmed, and while the tenant exceeds its request rate.
+// work. It returns a problem if the daemon is draining, the configuration is not
+// confirmed, the tenant is unknown, or the tenant exceeds its request rate.
 func (s *Service) admitTenant(name identity.Tenant, step string) (*configuration.Tenant, *problem.Problem) {
 	refuse := func(kind problem.Kind, detail string, wait time.Duration) *problem.Problem {
 		s.metrics.refused.WithLabelValues(string(kind)).Inc()
--- a/internal/execution/sweep.go
+++ b/internal/execution/sweep.go
@@ -6,8 +6,8 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// liveWindow is how long after its last activity a program without a running call
-// still counts as live. The cached tokens of live programs can delay the first
+// liveWindow is how long after its last activity a program without an unfinished
+// call still counts as live. The cached tokens of live programs can delay the first
 // calls of new programs, so liveWindow must be much shorter than the time for
 // which such a call may wait.
 const liveWindow = 15 * time.Second
@@ -43,8 +43,8 @@
 	}
 }
 
-// cancelEnded cancels the running calls of ended programs. It covers programs
-// ended by a command whose result this daemon did not receive.
+// cancelEnded cancels the unfinished calls of ended programs. It is needed for
+// programs ended by a command whose result this daemon did not receive.
 func (l *leadership) cancelEnded() {
 	for _, activeRun := range l.allRuns() {
 		_, head, found := activeRun.call()
--- a/internal/execution/trust.go
+++ b/internal/execution/trust.go
@@ -76,7 +76,7 @@
 // expectedPrefix is the part of a prompt that the engine of the program's last
 // answer should have cached.
 type expectedPrefix struct {
-	engine string // engine identifier
+	engine string // identifier of that engine
 	tokens int64
 }
 
--- a/internal/program/aggregate.go
+++ b/internal/program/aggregate.go
@@ -21,13 +21,19 @@
 // Fixed limits of a program. They limit the memory of a replica, so no setting
 // can raise them.
 const (
-	MaxTokenBudget     = 1 << 40  // tokens
-	MaxHistoryBytes    = 16 << 20 // content of all calls and answers of a program
-	MaxDepth           = 16       // levels of sub-agents below a root program
-	MaxChildren        = 1024     // direct sub-agents of a program
-	MaxAttempts        = 32       // attempts of one call
-	childBudgetDivisor = 8        // a child without its own budget gets 1/8 of the tokens its parent has left
-	maxCallsPerTurn    = 4        // maximum number of stored calls per allowed turn; calls that did not run are stored but do not count as turns
+	MaxTokenBudget  = 1 << 40  // tokens
+	MaxHistoryBytes = 16 << 20 // content of all calls and answers of a program
+	MaxDepth        = 16       // levels of sub-agents below a root program
+	MaxChildren     = 1024     // direct sub-agents of a program
+	MaxAttempts     = 32       // attempts of one call
+
+	// A child that requests no budget gets the parent's available tokens divided by
+	// childBudgetDivisor.
+	childBudgetDivisor = 8
+
+	// maxCallsPerTurn times Limits.MaxTurns is the maximum number of stored calls.
+	// Calls that did not run are stored, although they do not count as turns.
+	maxCallsPerTurn = 4
 )
 
 // programRecord is the state of one program. The calls that Calls points to are
@@ -45,11 +51,11 @@
 	EndedAt         time.Time          `cbor:"10,keyasint,omitzero"`
 	LastActive      time.Time          `cbor:"11,keyasint,omitzero"`
 	Calls           []*Call            `cbor:"12,keyasint,omitzero"`
-	Spent           int64              `cbor:"13,keyasint,omitzero"` // tokens spent by the program's own attempts, as far as known
-	Reserved        int64              `cbor:"14,keyasint,omitzero"` // tokens reserved by own attempts whose cost is not known
+	Spent           int64              `cbor:"13,keyasint,omitzero"` // tokens, known cost of own attempts
+	Reserved        int64              `cbor:"14,keyasint,omitzero"` // tokens reserved by own attempts of unknown cost
 	Children        []identity.Program `cbor:"15,keyasint,omitzero"` // in order of creation
-	ChildrenCharged int64              `cbor:"16,keyasint,omitzero"` // tokens of this program's budget that its children hold or have used
-	Charged         int64              `cbor:"17,keyasint,omitzero"` // tokens of the parent's budget that this program holds or has used
+	ChildrenCharged int64              `cbor:"16,keyasint,omitzero"` // tokens of this budget that children hold or used
+	Charged         int64              `cbor:"17,keyasint,omitzero"` // tokens of the parent's budget that this program holds or used
 	Depth           int                `cbor:"18,keyasint,omitzero"`
 	ContentBytes    int                `cbor:"19,keyasint,omitzero"`
 }
--- a/internal/program/call.go
+++ b/internal/program/call.go
@@ -32,9 +32,9 @@
 type Limits struct {
 	TokenBudget int64         `cbor:"1,keyasint,omitzero"` // maximum tokens generated for the program and its children together
 	MaxTurns    uint64        `cbor:"2,keyasint,omitzero"` // maximum number of calls, without those that did not run
-	Idle        time.Duration `cbor:"3,keyasint,omitzero"` // maximum time without a running call or other activity
+	Idle        time.Duration `cbor:"3,keyasint,omitzero"` // maximum time without a call in progress or other activity
 	Lifetime    time.Duration `cbor:"4,keyasint,omitzero"` // maximum time since creation
-	MaxRepeats  uint64        `cbor:"5,keyasint,omitzero"` // maximum number of identical consecutive calls; one more ends the program
+	MaxRepeats  uint64        `cbor:"5,keyasint,omitzero"` // identical consecutive calls allowed; one more ends the program
 }
 
 // CallSpec is a call as the caller submitted it. It is immutable once accepted.
@@ -78,18 +78,20 @@
 	Attempt          uint32        `cbor:"10,keyasint,omitzero"` // number of the attempt that answered
 }
 
-// Attempt is one attempt to run a call on a back end.
+// Attempt is one attempt to run a call on a back end. Its cost is Spent if Known
+// is set, nothing if Released is set, and its whole reservation otherwise. It is
+// Closed once it has ended, has been released, or its call has become final.
 type Attempt struct {
 	Number   uint32           `cbor:"1,keyasint,omitzero"` // position among the call's attempts, from 1
 	Process  identity.Process `cbor:"2,keyasint,omitzero"` // daemon that sends the attempt
 	BackEnd  string           `cbor:"3,keyasint,omitzero"` // engine identifier or service name
 	Address  string           `cbor:"4,keyasint,omitzero"`
-	Reserved int64            `cbor:"5,keyasint,omitzero"`  // reserved tokens
-	Closed   bool             `cbor:"6,keyasint,omitzero"`  // the attempt has ended or was released, or the call became final while it was open
-	Released bool             `cbor:"7,keyasint,omitzero"`  // proven not to have run; costs nothing
-	Known    bool             `cbor:"8,keyasint,omitzero"`  // ended with a known cost; if false, the attempt costs its whole reservation unless it was released
+	Reserved int64            `cbor:"5,keyasint,omitzero"` // tokens
+	Closed   bool             `cbor:"6,keyasint,omitzero"`
+	Released bool             `cbor:"7,keyasint,omitzero"`  // proven not to have run
+	Known    bool             `cbor:"8,keyasint,omitzero"`  // ended with a known cost
 	Spent    int64            `cbor:"9,keyasint,omitzero"`  // tokens spent, if Known
-	Nonce    uint64           `cbor:"10,keyasint,omitzero"` // random number that identifies the attempt if its number is unknown or ambiguous
+	Nonce    uint64           `cbor:"10,keyasint,omitzero"` // random; identifies the attempt where Number is unknown or ambiguous
 }
 
 // Call is the state of one call.
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -23,36 +23,60 @@
 	CommandForget   CommandKind = "forget"   // deletes programs that ended before a given time
 )
 
-// Command is one entry in the log of a shard. The comments list the kinds of
-// commands that use a field.
+// Command is one entry in the log of a shard. If only some kinds of commands use a
+// field, its comment names these kinds.
 type Command struct {
 	Kind    CommandKind      `cbor:"1,keyasint,omitzero"`
 	Program identity.Program `cbor:"2,keyasint,omitzero"`
 	Tenant  identity.Tenant  `cbor:"3,keyasint,omitzero"`
-	Now     time.Time        `cbor:"4,keyasint,omitzero"` // proposer's wall clock; the shard's time is the latest one seen, so it never goes backwards
+	Now     time.Time        `cbor:"4,keyasint,omitzero"` // proposer's clock; the shard uses the latest time of any command
 
-	CreationKey string           `cbor:"5,keyasint,omitzero"` // create: key chosen by the caller; a repeated key returns the existing program
-	Parent      identity.Program `cbor:"6,keyasint,omitzero"` // create: parent program, on the same shard; empty for a root program
-	Class       string           `cbor:"7,keyasint,omitzero"` // create: "interactive", "standard", "batch"
+	CreationKey string           `cbor:"5,keyasint,omitzero"` // create: chosen by the caller; a repeated key finds the existing program
+	Parent      identity.Program `cbor:"6,keyasint,omitzero"` // create: on the same shard; empty for a root program
+	Class       string           `cbor:"7,keyasint,omitzero"` // create: "interactive", "standard" or "batch"
 	Limits      Limits           `cbor:"8,keyasint,omitzero"` // create: with the tenant's defaults already filled in
 
-	Call     CallSpec         `cbor:"9,keyasint,omitzero"`  // accept
-	Sequence uint64           `cbor:"10,keyasint,omitzero"` // dispatch, release, settle, answer, give-up
-	Attempt  Attempt          `cbor:"11,keyasint,omitzero"` // dispatch: the new attempt; release, settle, answer, give-up: only Nonce is used and, if not zero, must match
-	Number   uint32           `cbor:"12,keyasint,omitzero"` // release, settle, answer, give-up: number of the attempt; 0 means no attempt, or for release the attempt with Attempt.Nonce
-	Answer   *Answer          `cbor:"13,keyasint,omitzero"` // answer
-	Problem  *problem.Problem `cbor:"14,keyasint,omitzero"` // give-up
-	Spent    int64            `cbor:"15,keyasint,omitzero"` // settle, give-up: generated tokens; -1 if unknown, which keeps the whole reservation
-	Reason   EndReason        `cbor:"16,keyasint,omitzero"` // end
-	Before   time.Time        `cbor:"17,keyasint,omitzero"` // forget: programs that ended before this time are deleted
+	Call     CallSpec `cbor:"9,keyasint,omitzero"`  // accept
+	Sequence uint64   `cbor:"10,keyasint,omitzero"` // dispatch, release, settle, answer, give-up: number of the call
+
+	// Attempt is the new attempt in a dispatch. In a release, settle, answer or
+	// give-up, only its Nonce is used. If the nonce is not zero, the attempt with
+	// the number Number must have it.
+	Attempt Attempt `cbor:"11,keyasint,omitzero"`
+
+	// Number is the number of the attempt in a release, settle, answer or give-up.
+	// In a release, 0 means the attempt that has the nonce Attempt.Nonce. In a
+	// give-up, 0 means that the command is not about any attempt.
+	Number uint32 `cbor:"12,keyasint,omitzero"`
+
+	Answer  *Answer          `cbor:"13,keyasint,omitzero"` // answer
+	Problem *problem.Problem `cbor:"14,keyasint,omitzero"` // give-up: why the call ends
+
+	// Spent is the number of tokens that the attempt of a settle or give-up
+	// generated. If it is -1, the number is unknown and the attempt keeps its
+	// whole reservation.
+	Spent int64 `cbor:"15,keyasint,omitzero"`
+
+	Reason EndReason `cbor:"16,keyasint,omitzero"` // end
+	Before time.Time `cbor:"17,keyasint,omitzero"` // forget: programs that ended before this time are deleted
 }
 
 // Result is the result of a command, which its proposer receives.
 type Result struct {
-	Problem *problem.Problem   // why the command was rejected; no program changes then, except that those in Ended have ended
-	Program identity.Program   // create: the created program or the existing one with the same key
-	Joined  bool               // create, accept, end: the program or call already existed, or the program had already ended
-	Call    *Call              // commands about a call: copy of its state after the command; nil for some rejected commands
-	Number  uint32             // dispatch: number of the new attempt
-	Ended   []identity.Program // end, accept: programs whose engine memory must be released because they have ended
+	// Problem is why the command was rejected, or nil. A rejected command changes
+	// no program, except that those in Ended have ended.
+	Problem *problem.Problem
+
+	Program identity.Program // create: the created program, or the existing one with the same key
+
+	// Joined is true if a create or accept found an existing program or call, or
+	// if an end found that the program had already ended.
+	Joined bool
+
+	Call   *Call  // commands about a call: copy of the call after the command; may be nil if rejected
+	Number uint32 // dispatch: number of the new attempt
+
+	// Ended lists programs that ended and whose engine memory must be released.
+	// Only end and accept set it.
+	Ended []identity.Program
 }
--- a/internal/program/live.go
+++ b/internal/program/live.go
@@ -7,11 +7,11 @@
 )
 
 // LiveTokens returns for each model how many tokens live programs hold in engine
-// caches for themselves alone. A program is live if it is open and has a running
-// call or has been active since the given time; other open programs may have
-// been abandoned by their callers. Its tokens are those of the prompt and answer
-// of its last model call, without the tokens that its first model call found
-// cached, since those are shared with other programs.
+// caches for themselves alone. A program is live if it is open and either has a
+// call in progress or has been active since the given time. Other open programs
+// are left out because their callers may have abandoned them. The tokens of a live
+// program are those of the prompt and answer of its last model call, without those
+// that its first model call found cached, which are shared with other programs.
 func (s *Shard) LiveTokens(activeSince time.Time) map[string]int64 {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
--- a/internal/program/view.go
+++ b/internal/program/view.go
@@ -21,9 +21,9 @@
 	EndedAt    time.Time
 	LastActive time.Time
 	CallCount  int
-	Spent      int64 // tokens spent by the program's own attempts, as far as known
-	Reserved   int64 // tokens reserved by own attempts whose cost is not known
-	Lent       int64 // tokens of the budget that children hold or have used
+	Spent      int64 // tokens, known cost of own attempts
+	Reserved   int64 // tokens reserved by own attempts of unknown cost
+	Lent       int64 // tokens of the budget that children hold or used
 }
 
 // Available returns how many tokens the program may still reserve. It is never
