--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -29,8 +29,8 @@
 // without a change of its rows.
 const rowTTL = 24 * time.Hour
 
-// Leftovers returns a sweep that deletes the rows of programs that ended long ago. mine reports
-// whether this daemon sweeps a partition.
+// Leftovers returns a sweep that deletes the rows that have not changed for rowTTL; their programs
+// have ended. mine reports whether this daemon sweeps a partition.
 func Leftovers(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
 		Store: store, Table: table, Partitions: state.Partitions(partitions), Mine: mine, Log: log,
@@ -42,8 +42,7 @@
 	}
 }
 
-// account is this process's copy of one account of a program's budget, with the state of its last
-// commit.
+// account is one account of a program's budget, as this process knows it.
 type account struct {
 	key        state.Key
 	limit      int64 // the most tokens that may be granted from the account
@@ -53,8 +52,8 @@
 	pending    *pendingGrant // the commit in progress, or whose outcome is unknown; nil if none
 }
 
-// pendingGrant is a grant whose commit is repeated unchanged until the store reports its outcome.
-// The ID in the row shows whether an earlier attempt succeeded, so the grant is counted once.
+// pendingGrant is a grant whose commit is repeated until its outcome is known. The ID in the row
+// shows whether an earlier attempt succeeded, so the grant is counted once.
 type pendingGrant struct {
 	id     uint64
 	amount int64 // tokens
@@ -64,13 +63,13 @@
 const (
 	// minBudgetWithCreditTokens is the budget up to which there is no credit reserve.
 	minBudgetWithCreditTokens = 640
-	// minDividedTokens is the size from which a budget is divided into two accounts. Half of a
-	// smaller one would hold too few turns.
+	// minDividedTokens is the size, without the credit reserve, from which a budget is divided into
+	// two accounts. Half of a smaller one would hold too few turns.
 	minDividedTokens = 640
 )
 
 // newAccounts returns the accounts of a budget without its credit reserve. The result depends only
-// on the arguments, so all processes divide a budget alike.
+// on the arguments, so all processes divide a budget in the same way.
 func newAccounts(identifier string, total int64) []*account {
 	hash := xxhash.Sum64String(identifier)
 	total -= creditReserve(total)
@@ -84,13 +83,14 @@
 	}
 }
 
-// grantSize returns how many tokens to request from an account with remaining tokens, for a turn
-// that is short of `need` tokens.
+// grantSize returns how many tokens to request from an account in which `remaining` tokens are
+// left, for a turn that is short of `need` tokens.
 //
-// The first account is granted whole, since one holder serves all daemons of a region. The second
-// account is for the holders of other regions and for replacements of a lost holder: each takes
-// half of what remains. If less than one and a half times `need` remains, only `need` is granted,
-// since the tokens granted to a holder that is lost can't be used any more.
+// If less than one and a half times `need` is left, only `need` is requested, since tokens that
+// were granted to a lost holder can't be used any more. Otherwise all that remains is requested if
+// grantWhole is set (the first account of a divided budget), since one holder serves all daemons of
+// a region. In the other cases half of what remains is requested, but at least `need`, so that
+// holders of other regions and replacements of a lost holder can get tokens, too.
 func (a *account) grantSize(remaining, need int64) int64 {
 	const remainingFactor, needFactor = 2, 3 // remaining < 1.5*need, in integers
 	if remainingFactor*remaining < needFactor*need {
@@ -103,9 +103,10 @@
 	return max(need, remaining/remainingHolders)
 }
 
-// draw obtains a grant from one account, for the tokens that held is short of for a turn of
-// maxTokens tokens. If inAdvance is set, the grant includes tokens for later turns. If the account
-// has too few tokens left, those are granted, and draw returns a *SpentError.
+// draw obtains a grant from one account if fewer than maxTokens tokens are available in held. If
+// inAdvance is set, the grant may include tokens for later turns. If the outcome of an earlier
+// grant is unknown, draw repeats that grant instead. It returns a *SpentError if nothing is left in
+// the account, or if fewer than maxTokens tokens are available even with the grant.
 func (l *Ledger) draw(ctx context.Context, held *holding, from *account, maxTokens int64, inAdvance bool) error {
 	for range maxConflicts {
 		if from.pending == nil {
@@ -166,9 +167,9 @@
 	return &SpentError{Total: a.limit, Granted: a.stored.Granted, Need: need, Version: a.version}
 }
 
-// applyConflict takes over the row from a conflict error and reports whether the row contains the
-// grant with this ID: an earlier attempt of its commit succeeded. It returns other errors
-// unchanged.
+// applyConflict copies the account's row from a conflict error and reports whether the row contains
+// this commit ID, that is, whether an earlier attempt of the commit succeeded. It returns other
+// errors unchanged.
 func (a *account) applyConflict(id uint64, err error) (bool, error) {
 	var conflict *state.ConflictError
 	if !errors.As(err, &conflict) {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -279,9 +279,9 @@
 	return canceled
 }
 
-// TestNeverExceeded simulates processes that reserve, settle, crash and restart on a store that
-// refuses commits, loses answers and applies commits late. The tokens generated must stay within
-// the budget.
+// TestNeverExceeded simulates processes that reserve, settle, release, crash and restart on a store
+// that refuses commits, loses answers and applies commits late. The tokens generated must stay
+// within the budget without its credit reserve.
 func TestNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		generated, total := simulate(t)
@@ -300,7 +300,8 @@
 
 type runningTurn struct{ reservation *Reservation }
 
-// simulate runs random steps and returns the tokens generated and the budget.
+// simulate runs random reservations, settlements, releases and crashes of three ledgers, and
+// returns the tokens generated and the budget. Turns that are not settled count with maxTurnTokens.
 func simulate(t *rapid.T) (generated, total int64) {
 	store := memorystore.New()
 	total = rapid.Int64Range(maxTurnTokens, 20*maxTurnTokens).Draw(t, "total")
--- a/internal/budget/credit.go
+++ b/internal/budget/credit.go
@@ -7,9 +7,9 @@
 	"go.uber.org/zap"
 )
 
-// A part of each budget, its credit reserve, is never granted by the store. One daemon may lend it
-// while the store is unavailable, so that a program that starts during an outage doesn't have to
-// wait for its end.
+// A part of each budget above minBudgetWithCreditTokens, its credit reserve, is never granted by
+// the store. One daemon may lend it while the store is unavailable, so that a program that starts
+// during an outage doesn't have to wait for its end, and after the rest of the budget is spent.
 //
 // A program generates at most its budget plus the maximum of one turn: the store grants at most the
 // budget without the credit reserve, and one daemon lends at most the credit reserve plus the
@@ -31,13 +31,13 @@
 	return max(total-minBudgetWithCreditTokens, 0) * creditReserveNumerator / creditReserveDenominator
 }
 
-// Limits on the credits that are kept.
+// Limits on the credits that are kept. Only expired credits are deleted to make room, since a
+// program whose credit was deleted could be lent the same tokens again.
 const (
-	// maxCredits is the number of programs with a credit. No further program gets one, since
-	// dropping a credit could lend to its program twice.
+	// maxCredits is the largest number of programs with a credit.
 	maxCredits = 16384
-	// creditTTL is how long a credit is kept after its program's last loan. It is longer than the
-	// time in which a program may come back.
+	// creditTTL is the time after its last use from which a credit may be deleted. It is longer
+	// than the time in which a program may come back.
 	creditTTL = 10 * time.Minute
 )
 
@@ -83,8 +83,8 @@
 	causeSpent cause = "granted part spent"
 )
 
-// lend reserves the tokens of a turn from the program's credit. It returns nil if nothing may be
-// lent.
+// lend reserves the tokens of a turn from the program's credit. It returns nil if they may not be
+// lent. A nil Lender lends nothing.
 func (l *Lender) lend(turn turnParams, reason cause) *loan {
 	if l == nil || !l.mayLend(turn.program) {
 		return nil
@@ -103,7 +103,7 @@
 }
 
 // openCredit returns the program's credit, and creates it if there is none. It returns nil if there
-// are too many credits. The caller holds the mutex.
+// are already maxCredits credits, none of which has expired. The caller holds the mutex.
 func (l *Lender) openCredit(turn turnParams) *credit {
 	programCredit, known := l.credits[turn.program]
 	if !known {
@@ -136,7 +136,7 @@
 	maxTokens int64
 }
 
-// settle returns the tokens that were not generated. It must be called only once.
+// settle gives the tokens that were not generated back to the credit. It must be called only once.
 func (l *loan) settle(generated int64) {
 	l.lender.mutex.Lock()
 	defer l.lender.mutex.Unlock()
--- a/internal/budget/credit_test.go
+++ b/internal/budget/credit_test.go
@@ -141,7 +141,9 @@
 	})
 }
 
-// simulateLending runs random steps and returns the tokens generated and the budget.
+// simulateLending runs random reservations, settlements and crashes of two ledgers, one of which
+// lends until it crashes. It returns the tokens generated and the budget. Turns that are not
+// settled count with maxTurnTokens.
 func simulateLending(t *rapid.T) (generated, total int64) {
 	store := memorystore.New()
 	total = rapid.Int64Range(maxTurnTokens, 40*maxTurnTokens).Draw(t, "total")
--- a/internal/budget/granting.go
+++ b/internal/budget/granting.go
@@ -21,8 +21,8 @@
 }
 
 const (
-	// defaultGrantTimeout bounds one request to the store. It is as long as one call to the store
-	// may take.
+	// defaultGrantTimeout bounds a grantRequest, with repeated commits and the request to other
+	// holders to release tokens.
 	defaultGrantTimeout = time.Second
 	// maxLoanDelay is how long a turn waits for the store before it gets a loan: several times the
 	// usual response time.
@@ -46,7 +46,8 @@
 
 // awaitGrant waits for a request to the store, and returns nil, nil if tokens have been granted. If
 // the store takes longer than loanDelay, or the outcome is unknown, it returns a loan if one is
-// possible. If no loan is possible and params.failFast is set, it returns an error after loanDelay.
+// possible; if the outcome is unknown it returns the request's error as well. If no loan is
+// possible and params.failFast is set, it returns an error after loanDelay.
 func (l *Ledger) awaitGrant(ctx context.Context, pending *grantRequest, params reserveParams) (*loan, error) {
 	loanTimer := time.NewTimer(l.loanDelay())
 	defer loanTimer.Stop()
@@ -81,8 +82,8 @@
 	return maxLoanDelay
 }
 
-// acquireFromStore obtains a grant from the store. If the budget is spent, it asks the other holders
-// to release theirs and tries once more.
+// acquireFromStore obtains a grant from the store. If the budget is spent, it asks the other
+// holders to release their tokens and tries once more, unless they were asked too recently.
 func (l *Ledger) acquireFromStore(ctx context.Context, held *holding, turn turnParams) error {
 	if err := held.lockStore(ctx); err != nil {
 		return err
@@ -99,8 +100,7 @@
 }
 
 // checkSpent returns a *SpentError if it is known without asking that the store grants nothing
-// more, and it is too early to ask the other holders again. It returns nil if the store should be
-// asked.
+// more, and the other holders may not be asked now. Otherwise it returns nil.
 func (l *Ledger) checkSpent(held *holding, turn turnParams) error {
 	select {
 	case held.storeLock <- struct{}{}:
@@ -191,8 +191,8 @@
 	l.reclaim(ctx, identifier)
 }
 
-// forgetRows discards the copies of the rows, since other processes may have released tokens. The
-// caller holds the store lock.
+// forgetRows discards the copies of the rows of accounts without a pending grant, since other
+// processes may have released tokens. The caller holds the store lock.
 func (h *holding) forgetRows() {
 	for _, each := range h.accounts {
 		if each.pending == nil {
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -52,8 +52,8 @@
 	Result   Result
 	Detail   string
 	Attained int64  // tokens that the program has generated so far
-	Engine   string // engine that has read the longest part of the prompt; empty if not known
-	Read     int    // number of parts that it has read
+	Engine   string // engine that has read the longest prefix of the prompt; empty if not known
+	Read     int    // number of parts in that prefix
 	KeptAt   string // address of the daemon that recorded the previous turn; empty if not known
 }
 
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// addReservation keeps a reservation until it is settled. If it has already been settled,
-// addReservation ends it and returns false.
+// addReservation keeps a reservation until it is settled, but for at most reservationTTL. If it has
+// already been settled, addReservation ends it and returns false.
 func (h *Holder) addReservation(name string, reservation *Reservation) bool {
 	h.mutex.Lock()
 	generated, settled := h.earlySettlements.Get(name)
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -15,8 +15,9 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// Release returns to the store the tokens of a program that this process holds and has not
-// reserved, so that they can be granted to other processes. It returns their number.
+// Release gives back to the store the tokens of a program that were granted to this process and are
+// neither reserved nor spent, so that they can be granted to other processes. It returns how many
+// it gave back, also with an error.
 func (l *Ledger) Release(ctx context.Context, identifier string) (int64, error) {
 	held, known := l.programs.Get(identifier)
 	if !known {
@@ -29,7 +30,8 @@
 	return l.releaseHolding(ctx, held)
 }
 
-// releaseHolding releases the available tokens of a holding. The caller holds the store lock.
+// releaseHolding releases the available tokens of a holding, except to accounts with a pending
+// grant. The caller holds the store lock.
 func (l *Ledger) releaseHolding(ctx context.Context, held *holding) (int64, error) {
 	released := int64(0)
 	for _, to := range l.sortByHealth(held.accounts) {
@@ -51,8 +53,8 @@
 }
 
 // returnToAccount subtracts the amount from the tokens granted from an account. The ID in the row
-// shows whether an attempt without an answer succeeded, so the amount is subtracted once. If the
-// outcome stays unknown, it returns an error and the tokens stay granted.
+// shows whether an attempt without an answer succeeded, so the amount is subtracted once. After an
+// error the tokens may stay granted.
 func (l *Ledger) returnToAccount(ctx context.Context, to *account, amount int64) error {
 	grantID := rand.Uint64()
 	for range maxConflicts {
@@ -73,12 +75,13 @@
 	return eris.New("release budget: too many conflicts")
 }
 
-// maxReleaseIdle is how long after its last turn a program is expected to continue. The tokens of
+// maxReleaseIdle is how long a program may be idle and still be expected to continue. The tokens of
 // programs that have been idle for longer are not released.
 const maxReleaseIdle = 5 * time.Second
 
 // ReleaseAll releases the tokens of programs that are likely to continue at other daemons. It is
-// called before a planned stop. It returns the numbers of programs and tokens released.
+// called before a planned stop. The first error cancels the releases that have not ended. It
+// returns the numbers of programs and tokens released.
 func (l *Ledger) ReleaseAll(ctx context.Context) (programs int, tokens int64) {
 	const concurrency = 8
 	var mutex sync.Mutex
--- a/internal/budget/settling.go
+++ b/internal/budget/settling.go
@@ -74,7 +74,8 @@
 func (r *remoteSettler) Attained() int64 { return r.generated }
 
 // Settle implements Settler. It does not wait for the holder: it sends the settlement in the
-// background, and logs a warning if all attempts fail.
+// background, and logs a warning if all attempts fail. If the connection to the holder is shut
+// down, it stops without a warning.
 func (r *remoteSettler) Settle(generated int64) {
 	request := SettleRequest{Reservation: r.request.Reservation, Generated: generated, Ran: r.outcome()}
 	go func() {
--- a/internal/budget/shared.go
+++ b/internal/budget/shared.go
@@ -32,11 +32,11 @@
 
 // Settler gives access to a reservation and ends it.
 type Settler interface {
-	// Attained returns how many tokens the program has generated, as far as the holder of its
-	// budget knows. It is a hint.
+	// Attained returns how many tokens the program had generated when the reservation was made, as
+	// far as the holder of its budget knew. It is a hint.
 	Attained() int64
-	// ReadAt returns the engine that has read the longest part of the turn's prompt, and how many
-	// of its parts it has read; "" and 0 if not known. It is a hint.
+	// ReadAt returns the engine that has read the longest prefix of the turn's prompt, and the
+	// number of parts in that prefix; "" and 0 if not known. It is a hint.
 	ReadAt() (engine string, parts int)
 	// KeptAt returns the address of the daemon that recorded the turn that this one continues; ""
 	// if not known. It is a hint.
@@ -46,14 +46,16 @@
 	// Recorded sets the identifier under which this daemon recorded the turn. It must be called
 	// before Settle.
 	Recorded(turn string)
-	// Settle returns the tokens that were not generated. Only the first call has an effect.
+	// Settle ends the reservation and frees the tokens that were not generated. Only the first call
+	// has an effect.
 	Settle(generated int64)
 }
 
 // Shared reserves tokens at the daemon of the region that holds a program's budget. All daemons of
-// the region thus share one grant, and need no store while it lasts. If the holder doesn't answer,
-// the next one is asked, and finally this daemon's own ledger, whose grants come from the same rows
-// of the store. It is safe for concurrent use, but Alone and Near must be set before its first use.
+// the region thus share the tokens granted to the holder, and need no store while enough of these
+// are left. If the holder doesn't answer, the next one is asked, and finally this daemon's own
+// ledger, whose grants come from the same rows of the store. It is safe for concurrent use, but
+// Alone and Near must be set before its first use.
 type Shared struct {
 	ledger *Ledger
 	list   *members.List
@@ -151,8 +153,8 @@
 	return s.askHolder(ctx, holder, request)
 }
 
-// reserveAtHolders asks the holders in order, and this daemon's own ledger when its turn comes or
-// no other holder is left. It returns the first definite result.
+// reserveAtHolders asks the holders in order, up to this daemon, and then this daemon's own ledger.
+// It skips holders whose zones may be cut off. It returns the first definite result.
 func (s *Shared) reserveAtHolders(ctx context.Context, holders members.Homes, request ReserveRequest) (Settler, error) {
 	var silentZones []identity.Zone // other zones with a holder that did not answer
 	for order := range holders.Len() {
@@ -189,8 +191,9 @@
 	return &localSettler{Reservation: reservation, trails: s.ledger.trails, turnPlacement: placement}, nil
 }
 
-// askHolder sends a reservation request to a holder. It returns ErrSpent, errNoStore or errStopping
-// as the holder replied, or the error of the call if the holder did not answer.
+// askHolder sends a reservation request to a holder. It returns an error that matches ErrSpent,
+// errNoStore or errStopping as the holder replied, or the error of the call if the holder did not
+// answer.
 func (s *Shared) askHolder(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
 	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
--- a/internal/budget/trail.go
+++ b/internal/budget/trail.go
@@ -11,8 +11,8 @@
 // Trails records at which engine each program's turns ran, by the last part of the turn's prompt,
 // and which daemon recorded each turn. The holder of a program's budget learns of all the program's
 // turns, whichever daemon they came to. It can therefore tell the next daemon which engine has read
-// most of a prompt, and which daemon has the previous turn in memory. Both are hints. It is safe
-// for concurrent use.
+// most of a prompt, and which daemon has the previous turn in memory. Both are hints. Trails is
+// safe for concurrent use.
 type Trails struct {
 	mutex    sync.Mutex
 	programs *expirable.LRU[string, *programTrail]
@@ -71,7 +71,8 @@
 	return trail
 }
 
-// recordTurn records where a settled turn ran and, if it was recorded, by which daemon.
+// recordTurn stores at which engine a settled turn ran, and which daemon recorded the turn, if one
+// did.
 func (t *Trails) recordTurn(ran Ran) {
 	t.recordEngine(ran.Program, ran.Part, ran.Engine)
 	if ran.Turn == "" || ran.Daemon == "" {
@@ -100,8 +101,8 @@
 	return ""
 }
 
-// findEngine returns the engine that has read the longest part of a prompt, and the number of parts
-// that it has read; "" and 0 if none is known.
+// findEngine returns the engine that has read the longest prefix of a prompt, and the number of
+// parts in that prefix; "" and 0 if none is known.
 func (t *Trails) findEngine(program string, parts []string) (engine string, partsRead int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/budget/trail_test.go
+++ b/internal/budget/trail_test.go
@@ -16,8 +16,8 @@
 
 	BeforeEach(func() { all = newTestDaemons(memorystore.New(), "a", "a", "a") })
 
-	// turn reserves at a daemon, settles the turn as run at the engine, and returns what ReadAt
-	// returned.
+	// turn reserves at a daemon, settles the turn with the engine at which it ran, and returns what
+	// ReadAt returned.
 	turn := func(ctx context.Context, daemon *testDaemon, engine string, parts ...string) (readAt string, partsRead int) {
 		GinkgoHelper()
 		settler, err := daemon.shared.Reserve(ctx, ReserveRequest{
@@ -49,7 +49,7 @@
 		Expect(read).To(Equal(3))
 	})
 
-	It("is given by the longest part of the prompt that an engine has read", func(ctx SpecContext) {
+	It("is found by the longest prefix of the prompt that an engine has read", func(ctx SpecContext) {
 		holder, _ := findHolder(all, "p")
 		turn(ctx, holder, "e1", "shared", "one")
 		turn(ctx, holder, "e2", "shared", "one", "child")
--- a/internal/budget/zones_test.go
+++ b/internal/budget/zones_test.go
@@ -162,7 +162,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// within returns a context with a deadline, for reservations that must not succeed.
+	// within returns a context with a short deadline, for reservations that may be refused.
 	within := func(parent context.Context) context.Context {
 		ctx, cancel := context.WithTimeout(parent, 100*time.Millisecond)
 		DeferCleanup(cancel)
@@ -254,7 +254,8 @@
 	})
 }
 
-// simulateZones runs random steps and returns the tokens generated and the budget.
+// simulateZones runs random reservations, settlements, crashes and cuts, and returns the tokens
+// generated and the budget. Turns that are not settled count with maxTurnTokens.
 func simulateZones(t *rapid.T) (generated, total int64) {
 	store := memorystore.New()
 	fleet, err := newZonesFleet(store)
--- a/internal/load/board.go
+++ b/internal/load/board.go
@@ -34,13 +34,14 @@
 	at    time.Time
 }
 
-// NewBoard returns an empty board that reads the time from now.
+// NewBoard returns an empty board, which calls `now` for the current time.
 func NewBoard(now func() time.Time) *Board {
 	return &Board{now: now, reports: map[string]received{}, shares: map[string]received{}}
 }
 
 // Report is the RPC by which the daemons of this group report. It records the report and fills in
-// the current sums. It returns an error if the report can't be decoded.
+// the sums, which may be up to sumTTL old and then don't include this report. It returns an error
+// if the report can't be decoded.
 func (b *Board) Report(report Sample, picture *Picture) error {
 	if err := validate(report.Told); err != nil {
 		return eris.Wrapf(err, "report of %s", report.Member)
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -21,12 +21,11 @@
 type Fleet interface {
 	// UnderWay returns the number of this daemon's requests in flight, by engine.
 	UnderWay() Counts
-	// Learn receives the counts of all daemons. The counts of the other daemons are all minus own.
+	// Learn receives the counts summed over all daemons, and this daemon's own part of them.
 	Learn(all, own Counts)
 	// Speeds returns the work that this daemon observed at each engine.
 	Speeds() Speeds
-	// LearnSpeeds receives the work that all daemons observed. That of the other daemons is all
-	// minus own.
+	// LearnSpeeds receives the work summed over all daemons, and this daemon's own part of it.
 	LearnSpeeds(all, own Speeds)
 }
 
@@ -182,8 +181,8 @@
 	e.lastAggregator = machine
 }
 
-// share sends the sums over the reports to this daemon to all other aggregators of the region, and
-// waits for the calls to end. It returns false if no daemon reports here.
+// share sends the sums over the reports to this daemon to all other aggregators of the region that
+// are not skipped, and waits for the calls to end. It returns false if no daemon reports here.
 func (e *Exchange) share(ctx context.Context) bool {
 	stats, reporters := e.Board.sumReports()
 	e.recordAggregating(reporters)
@@ -242,7 +241,7 @@
 }
 
 // recordOutside records when the aggregator last reached another group. If the aggregator doesn't
-// know, because it started recently, the time known before is kept.
+// know, for example because it started recently, the time known before is kept.
 func (e *Exchange) recordOutside(silence Silence) {
 	now := time.Now()
 	contact := outsideContact{reportedAt: now}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,16 +1,16 @@
-// Package load tells all daemons how many requests each engine has in flight and how fast it is.
-// Every daemon sends its own statistics to an aggregator of its group, and the reply holds the sums
-// over all daemons (Picture). A group is a zone, or the whole region if the region has at most
-// maxReportersPerAggregator daemons. A group's aggregators are a few of its larger machines,
-// selected by hash. Each sends the sums over the reports that it received (Share) to all other
-// aggregators of the region.
+// Package load gives every daemon the sums of all daemons' statistics: the requests in flight and
+// the speed of each engine, and the programs in progress. Every daemon sends its own statistics to
+// an aggregator of its group, and the reply holds the sums over all daemons (Picture). A group is a
+// zone, or the whole region if the region has at most maxReportersPerAggregator daemons. A group's
+// aggregators are a few of its larger machines, selected by hash. Each sends the sums over the
+// reports that it received (Share) to all other aggregators of the region.
 //
-// There are no guarantees: the sums are hints. Their age is at most 2*reportInterval +
-// exchangeInterval plus the network delays. A daemon that reaches no aggregator uses only its own
-// statistics.
+// There are no guarantees: the sums are hints. While no call fails, their age is at most
+// 2*reportInterval + exchangeInterval + sumTTL plus the network delays. A daemon that reaches no
+// aggregator receives no sums.
 //
-// Each daemon sends one report and gets one reply per reportInterval, however large the fleet is. A
-// group has one aggregator for every maxReportersPerAggregator daemons, rounded up.
+// Each daemon sends about one report per reportInterval, and gets one reply to each, however large
+// the fleet is. A group has one aggregator for every maxReportersPerAggregator daemons, rounded up.
 package load
 
 import (
@@ -30,8 +30,8 @@
 	methodShare  = ServiceName + ".Share"
 )
 
-// Intervals and timeouts. Turns take about 100 ms, so with older sums daemons would send bursts of
-// requests to engines that have filled up since.
+// Intervals and timeouts. The intervals of reports and shares are about as long as a turn (100 ms):
+// with longer ones, daemons would send bursts of requests to engines that have filled up meanwhile.
 const (
 	reportInterval   = 100 * time.Millisecond
 	exchangeInterval = 100 * time.Millisecond
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -110,7 +110,7 @@
 		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 3}))
 	})
 
-	It("sends only the sums over its own reports in a share", func() {
+	It("sums only its own reports for a share", func() {
 		report("a", Counts{1: 9})
 		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
 		share, reporters := board.sumReports()
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -16,7 +16,7 @@
 	learnedAt atomic.Int64
 }
 
-// Results of a report: values of the metric's label.
+// Results of a report: values of the label "result".
 const (
 	resultLearned      = "learned"
 	resultNoAnswer     = "no-answer"
@@ -53,8 +53,8 @@
 	return time.Since(time.Unix(0, at)).Seconds()
 }
 
-// reportEnded counts a report, unless the metrics are not registered, and records the time of a
-// successful one.
+// reportEnded counts a report if the metrics are registered, and records the time of a successful
+// one.
 func (m *metrics) reportEnded(result string) {
 	if result == resultLearned {
 		m.learnedAt.Store(time.Now().UnixNano())
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// maxReportersPerAggregator bounds how many daemons report to one aggregator. 40 daemons send
-	// 400 reports a second, which take about 4 % of a core.
+	// maxReportersPerAggregator is the most daemons per aggregator of a group, on average: daemons
+	// are assigned by hash. 40 daemons send about 400 reports a second, which take about 4 % of a
+	// core.
 	maxReportersPerAggregator = 40
 	// spareAggregators is how many further candidates a group has, to replace aggregators that
 	// don't answer.
@@ -22,8 +23,8 @@
 	minLargeShare = 0.75
 )
 
-// plan lists the aggregators of each group. It depends only on the list of members and the daemon's
-// own zone and region, and is computed once for each version of the list.
+// plan lists the candidates for aggregators of each group. It depends only on the list of members
+// and the daemon's own zone and region, and is computed once for each version of the list.
 type plan struct {
 	version uint64 // of the list of members
 	own     group  // the group of this daemon
@@ -62,8 +63,9 @@
 	return result
 }
 
-// newGroup sorts the members by preference as aggregators: large machines first, then by the hash
-// of the machine's name.
+// newGroup returns the group of these members, with the number of its aggregators. Its candidates
+// are the members that are preferred as aggregators: large machines first, then by the hash of the
+// machine's name. newGroup sorts inGroup in place.
 func newGroup(inGroup []members.Member) group {
 	maxCapacity := 0.0
 	for _, member := range inGroup {
--- a/internal/load/programs.go
+++ b/internal/load/programs.go
@@ -19,10 +19,13 @@
 
 // ServicePrograms are one service's statistics, of one daemon or summed over several.
 type ServicePrograms struct {
-	Daemons   int64 // number of daemons in the sum
-	Count     int64 // programs in progress
-	Held      int64 // tokens of the programs' contexts
-	Claimed   int64 // tokens of contexts that the daemon may admit; at least Held
+	Daemons int64 // number of daemons in the sum
+	Count   int64 // programs in progress
+	Held    int64 // tokens of the programs' contexts
+	// Claimed is how many tokens the daemon counts as its own when the capacity is divided: a
+	// running mean of Held or, if the daemon has received no sums recently, its equal part of the
+	// capacity if that is more.
+	Claimed   int64
 	Asked     int64 // recent rate at which callers asked to start contexts, in tokens a second
 	Turns     int64 // recent turns that continued an earlier one and got a first byte
 	FirstByte int64 // sum of these turns' times to the first byte, in microseconds
@@ -43,9 +46,9 @@
 	// statistics are, the more exactly the daemons together keep to the bound on admitted programs.
 	// A daemon whose statistics have expired isn't counted in ServicePrograms.Daemons either.
 	programsTTL = 150 * time.Millisecond
-	// OldestPrograms is the maximum age of any daemon's program statistics when a picture with them
-	// arrives: both calls on the way end after callTimeout, and an aggregator's sums are reused for
-	// sumTTL.
+	// OldestPrograms is the maximum age of any daemon's program statistics when an aggregator
+	// replies with a picture that includes them: the report and the share arrive within callTimeout
+	// and are used for programsTTL each, and the aggregator's sums are reused for sumTTL.
 	OldestPrograms = 2*programsTTL + 2*callTimeout + sumTTL
 )
 
@@ -53,8 +56,8 @@
 const (
 	// maxServices is above the number of services that a deployment declares.
 	maxServices = 64
-	// maxTenantsPerMessage bounds the tenants in Spent. With 6 to 8 bytes for each, a message stays
-	// under 8 KB.
+	// maxTenantsPerMessage bounds the tenants in Spent. Each takes 4 bytes and a varint, usually 6
+	// to 8 bytes in all, so together they take about 8 KB.
 	maxTenantsPerMessage = 1024
 	// maxNumber is the largest number that is accepted: 100,000 engines with 100 million tokens
 	// each.
@@ -62,7 +65,7 @@
 )
 
 // encode writes the number of services, each service's digest and figures, and then each tenant's
-// digest and cost. Tenants beyond maxTenantsPerMessage are left out.
+// digest and cost. Tenants without cost, and those beyond maxTenantsPerMessage, are left out.
 func (p Programs) encode() []byte {
 	encoded := binary.AppendUvarint(nil, uint64(len(p.Services)))
 	for key, service := range p.Services {
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -33,8 +33,8 @@
 	return drawn
 }
 
-// TestPrograms checks that encoded statistics decode to the same values, that decoding twice
-// doubles them, and that truncated input is rejected.
+// TestPrograms checks that encoded statistics decode to the same values, that decoding them twice
+// into the same sums doubles the costs, and that truncated input is rejected.
 func TestPrograms(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		original := drawPrograms(t)
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -1,6 +1,6 @@
 // Package mechanism lists the mechanisms that can be switched off one by one, so that experiments
 // can measure the effect of each. In production all are on. No mechanism is needed for correctness:
-// without one the system is only slower.
+// without one the system is only slower or less available.
 package mechanism
 
 import (
@@ -16,12 +16,12 @@
 // The mechanisms.
 const (
 	Lending        Name = "lending"         // lends parts of budgets while the store is unavailable
-	LoadBoard      Name = "load-board"      // placement considers the load of other daemons
+	LoadBoard      Name = "load-board"      // placement considers other daemons' requests at the engines
 	Trails         Name = "trails"          // placement considers engines that have read a prompt for other daemons
 	SharedBudgets  Name = "shared-budgets"  // one holder per region for each program's budget
 	StoreRelay     Name = "store-relay"     // reaches the store through other daemons
 	HedgedCalls    Name = "hedged-calls"    // sends a slow call to the store a second time
-	QualityClasses Name = "quality-classes" // placement prefers engines that are neither slow nor failing
+	QualityClasses Name = "quality-classes" // placement avoids engines that fail often or whose answers start late
 	Ejection       Name = "ejection"        // pauses an engine after several failures
 	PrefixGuess    Name = "prefix-guess"    // placement considers which prompts an engine has read
 	SharedParts    Name = "shared-parts"    // parts that many programs share count as read at every engine
--- a/internal/reach/monitor.go
+++ b/internal/reach/monitor.go
@@ -24,8 +24,8 @@
 	probeTimeout = 300 * time.Millisecond
 	// minRetryAfter is the least delay after which a refused caller is told to retry.
 	minRetryAfter = 100 * time.Millisecond
-	// retryJitterDivisor bounds the random part of a retry delay: it is less than the delay divided
-	// by retryJitterDivisor.
+	// retryJitterDivisor sets the random part that is added to a retry delay: it is less than the
+	// delay divided by retryJitterDivisor.
 	retryJitterDivisor = 4
 )
 
@@ -39,7 +39,7 @@
 	// Moved is the time from when daemons report that they are not ready until callers are routed
 	// to other zones.
 	Moved time.Duration
-	// OnChange is called after each change if it is not nil.
+	// OnChange is called after each change of CutOff, unless it is nil.
 	OnChange func(cutOff bool)
 	Now      func() time.Time
 	Log      *zap.Logger
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -7,20 +7,20 @@
 // taken as cut off until the next observation; the requests that it refuses meanwhile have not been
 // run.
 //
-// Each daemon decides for itself. Whether other zones are silent is known from the reports to the
-// zone's load aggregator (package load), so no further messages are needed for it. The store is
-// probed only while the other zones are silent.
+// Each daemon decides for itself. It knows from the replies of its load aggregator (package load)
+// whether other zones are silent, so no further messages are needed for that. The store is probed
+// only while the other zones are silent.
 package reach
 
 import "time"
 
 // Limits that the detector applies.
 const (
-	// outsideTimeout is how long other zones must be silent: four exchanges of loads between zones.
-	// One or two may be lost when an aggregator is replaced.
+	// outsideTimeout is how long other zones must be silent before a daemon counts as cut off: four
+	// exchanges of loads between zones. One or two may be lost when an aggregator is replaced.
 	outsideTimeout = 400 * time.Millisecond
-	// storeTimeout is how long the store must be silent. It is longer than a slow answer of the
-	// store, which takes about 300 ms.
+	// storeTimeout is how long the store must be silent before a daemon counts as cut off. It is
+	// longer than a slow answer of the store, which takes about 300 ms.
 	storeTimeout = 400 * time.Millisecond
 	// maxObservationGap is the longest time between two observations of a process that runs
 	// normally. After a longer gap the process was suspended, and contacts from before the gap are
@@ -60,8 +60,8 @@
 	return observation.OutsideKnown && d.silenceSince(now, observation.OutsideHeard) >= outsideTimeout/2
 }
 
-// silenceSince returns the time since heard, or since the process started or resumed if that is
-// later.
+// silenceSince returns the time since a contact at the time heard, or since the process started or
+// resumed if that is later.
 func (d *detector) silenceSince(now, heard time.Time) time.Duration {
 	if heard.Before(d.runningSince) {
 		heard = d.runningSince
