--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -12,22 +12,27 @@
 	"github.com/rotisserie/eris"
 )
 
-// connection is one outbound connection: net/rpc's client with limits and counts.
+// connection is an outbound connection. It implements rpc.ClientCodec with size
+// limits and traffic counters.
 type connection struct {
-	client    *rpc.Client
-	pool      *Pool
-	conn      net.Conn
-	class     Class
-	reader    *messageReader
-	decoder   *gob.Decoder
-	writer    *messageWriter
-	method    string       // of the reply being read
-	open      atomic.Int64 // calls without a reply yet
-	lastUse   atomic.Int64 // nanoseconds since the pool's start
-	lastReply atomic.Int64 // nanoseconds since the pool's start
-	retired   atomic.Bool  // takes no new calls
+	client      *rpc.Client
+	pool        *Pool
+	conn        net.Conn
+	class       Class
+	reader      *messageReader
+	decoder     *gob.Decoder
+	writer      *messageWriter
+	replyMethod string       // method of the reply that is being read
+	openCalls   atomic.Int64 // calls whose reply has not arrived
+	// lastUse is when the last call started, and lastReply when the last reply
+	// arrived, in nanoseconds since Pool.startTime. Both start as the time at which
+	// the connection was opened.
+	lastUse   atomic.Int64
+	lastReply atomic.Int64
+	retired   atomic.Bool // if true, new calls use another connection
 }
 
+// dial opens a connection to address and sends the preamble for class.
 func (p *Pool) dial(address string, class Class) (*connection, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.DialTimeout)
 	defer cancel()
@@ -35,12 +40,12 @@
 	if err != nil {
 		return nil, err
 	}
-	opening := append([]byte(preamble), byte(class))
+	header := append([]byte(preamble), byte(class))
 	if err := conn.SetWriteDeadline(time.Now().Add(p.options.DialTimeout)); err != nil {
 		_ = conn.Close()
 		return nil, eris.Wrap(err, "send preamble")
 	}
-	if _, err := conn.Write(opening); err != nil {
+	if _, err := conn.Write(header); err != nil {
 		_ = conn.Close()
 		return nil, eris.Wrap(err, "send preamble")
 	}
@@ -52,8 +57,8 @@
 	if p.options.TLS == nil {
 		return dialer.DialContext(ctx, "tcp", address)
 	}
-	secure := tls.Dialer{NetDialer: &dialer, Config: p.options.TLS}
-	return secure.DialContext(ctx, "tcp", address)
+	tlsDialer := tls.Dialer{NetDialer: &dialer, Config: p.options.TLS}
+	return tlsDialer.DialContext(ctx, "tcp", address)
 }
 
 func (p *Pool) newConnection(conn net.Conn, class Class) *connection {
@@ -72,64 +77,67 @@
 	return c
 }
 
-// WriteRequest is part of rpc.ClientCodec.
+// WriteRequest implements rpc.ClientCodec. Its errors are of type *unsentError.
 func (c *connection) WriteRequest(request *rpc.Request, body any) error {
 	bytes, err := c.writer.encode(request, body, false)
 	if err != nil {
 		return &unsentError{cause: err}
 	}
-	c.open.Add(1)
-	c.pool.statistics.sent(c.class, request.ServiceMethod, bytes)
+	c.openCalls.Add(1)
+	c.pool.statistics.countSent(c.class, request.ServiceMethod, bytes)
 	return nil
 }
 
-// ReadResponseHeader is part of rpc.ClientCodec.
+// ReadResponseHeader implements rpc.ClientCodec.
 func (c *connection) ReadResponseHeader(response *rpc.Response) error {
-	c.reader.begin()
+	c.reader.startMessage()
 	if err := c.decoder.Decode(response); err != nil {
-		c.broken(err)
+		c.failRead(err)
 		return err
 	}
-	c.open.Add(-1)
+	c.openCalls.Add(-1)
 	c.lastReply.Store(c.pool.elapsed())
-	c.method = response.ServiceMethod
+	c.replyMethod = response.ServiceMethod
 	return nil
 }
 
-// ReadResponseBody is part of rpc.ClientCodec.
+// ReadResponseBody implements rpc.ClientCodec.
 func (c *connection) ReadResponseBody(body any) error {
 	err := c.decoder.Decode(body)
 	if err != nil {
-		c.broken(err)
+		c.failRead(err)
 	}
-	c.pool.statistics.received(c.class, c.method, c.reader.consumed)
+	c.pool.statistics.countReceived(c.class, c.replyMethod, c.reader.consumed)
 	return err
 }
 
-// broken ends the connection after a reading error.
-func (c *connection) broken(err error) {
+// failRead closes the connection after a read error.
+func (c *connection) failRead(err error) {
 	c.retired.Store(true)
 	c.writer.fail(err)
 }
 
-// Close is part of rpc.ClientCodec.
+// Close implements rpc.ClientCodec.
 func (c *connection) Close() error {
 	c.retired.Store(true)
 	c.writer.fail(ErrClosed)
 	return nil
 }
 
-// failed says whether nothing can be sent any more.
-func (c *connection) failed() bool {
+// hasFailed reports whether the connection can no longer send requests.
+func (c *connection) hasFailed() bool {
 	c.writer.mutex.Lock()
 	defer c.writer.mutex.Unlock()
 	return c.writer.failure != nil
 }
 
-// finished says whether the connection may be closed: idle, retired and
-// drained, or silent for too long.
-func (c *connection) finished(now int64) bool {
-	if c.open.Load() <= 0 {
+// isClosable reports whether the connection may be closed at time now, in
+// nanoseconds since Pool.startTime. A connection without open calls may be
+// closed when it is retired or was not used for Options.IdleTimeout. One with
+// open calls may be closed when no call started and no reply arrived for
+// Options.StallTimeout.
+func (c *connection) isClosable(now int64) bool {
+	if c.openCalls.Load() <= 0 {
 		idle := now-c.lastUse.Load() > int64(c.pool.options.IdleTimeout)
 		return idle || c.retired.Load()
 	}
--- a/internal/peer/errors.go
+++ b/internal/peer/errors.go
@@ -5,27 +5,31 @@
 	"strings"
 )
 
-// Errors of calls.
+// Causes of failed calls, to be tested with errors.Is.
 var (
 	// ErrNotSent means that no byte of the request left this process.
 	ErrNotSent = errors.New("request not sent")
-	// ErrNoDeadline means that the context of a call carries no deadline.
+	// ErrNoDeadline means that the context of a call has no deadline.
 	ErrNoDeadline = errors.New("call without a deadline")
-	// ErrClosed means that the pool or the server has been closed.
+	// ErrClosed means that the pool, the server or the connection has been closed.
 	ErrClosed = errors.New("closed")
-	// ErrCongested means that too many bytes or calls wait on the connection.
+	// ErrCongested means that more than Options.MaxQueuedBytes wait to be sent on
+	// the connection, or that it has Options.MaxCallsPerConnection open calls.
 	ErrCongested = errors.New("connection congested")
 	// ErrTooLarge means that a message is larger than Options.MaxMessageBytes.
 	ErrTooLarge = errors.New("message too large")
-	// ErrTooManyConnections means that Options.MaxConnections are open.
+	// ErrTooManyConnections means that the pool already has
+	// Options.MaxConnections open connections.
 	ErrTooManyConnections = errors.New("too many connections")
-	// ErrBackoff means that a dial failed lately and the next one is not due yet.
+	// ErrBackoff means that the last dial failed and the delay before the next one
+	// is not over yet.
 	ErrBackoff = errors.New("waiting after a failed dial")
-	// ErrBadPreamble means that the other side does not speak this protocol.
+	// ErrBadPreamble means that an inbound connection did not start with the
+	// preamble of this protocol and a known class.
 	ErrBadPreamble = errors.New("bad preamble")
 )
 
-// The steps at which a call can fail.
+// Values of CallError.Step.
 const (
 	stepCheck = "check"
 	stepDial  = "dial"
@@ -33,18 +37,18 @@
 	stepReply = "await reply"
 )
 
-// CallError is the error of every failed call. It unwraps to its cause, and to
-// ErrNotSent when no byte of the request left this process. An error that the
-// remote method itself returned unwraps to rpc.ServerError.
+// CallError is the error that Pool.Call returns for every failed call. It wraps
+// its cause, and also ErrNotSent if no byte of the request left this process.
+// If the remote method returned an error, the cause is an rpc.ServerError.
 type CallError struct {
-	Step    string
-	Peer    string
-	Method  string
-	NotSent bool
+	Step    string // the step that failed: "check", "dial", "send" or "await reply"
+	Peer    string // the peer's address
+	Method  string // "Service.Method"
+	NotSent bool   // no byte of the request left this process
 	Cause   error
 }
 
-// Error gives step, method, peer and cause in one line.
+// Error returns method, peer, step and cause in one line.
 func (e *CallError) Error() string {
 	var text strings.Builder
 	text.WriteString("peer call " + e.Method + " at " + e.Peer + ": " + e.Step)
@@ -55,7 +59,7 @@
 	return text.String()
 }
 
-// Unwrap gives the cause, and ErrNotSent when it holds.
+// Unwrap returns the cause, followed by ErrNotSent if NotSent is set.
 func (e *CallError) Unwrap() []error {
 	if e.NotSent {
 		return []error{e.Cause, ErrNotSent}
@@ -63,11 +67,12 @@
 	return []error{e.Cause}
 }
 
-// unsentError marks a request that was never handed to the network.
+// unsentError wraps the error of a request of which no byte was written to the
+// connection.
 type unsentError struct{ cause error }
 
-// Error gives the cause.
+// Error returns the text of the cause.
 func (e *unsentError) Error() string { return e.cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *unsentError) Unwrap() error { return e.cause }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -16,48 +16,52 @@
 	class   Class
 }
 
-// link is the way to one address for one class.
+// link holds the connection to one address for one traffic class, and the state
+// of dialing it.
 type link struct {
-	mutex    sync.Mutex
-	current  *connection
-	dialing  chan struct{} // closed when the dial under way ended; nil when none is
-	failure  error         // of the last dial
-	retryAt  time.Time
-	schedule *backoff.ExponentialBackOff
-	lastUse  time.Time
-	removed  bool // no longer in the pool: look the link up again
+	mutex       sync.Mutex
+	connection  *connection   // nil if there is none
+	dialDone    chan struct{} // closed when the current dial ends; nil if no dial is in progress
+	dialErr     error         // of the last dial; nil if it succeeded
+	retryAt     time.Time     // no dial starts before this time
+	dialBackoff *backoff.ExponentialBackOff
+	lastUse     time.Time
+	removed     bool // if true, the link was deleted from Pool.links and must be looked up again
 }
 
-// closedChannel stands for a dial that has ended.
+// closedChannel is returned in place of link.dialDone if there is nothing to wait for.
 var closedChannel = func() chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
 	return channel
 }()
 
-// connection finds or dials the connection; all its errors mean "not sent".
-func (p *Pool) connection(ctx context.Context, key linkKey) (*connection, error) {
+// getConnection returns the connection for key and dials it if necessary. It
+// waits for a dial in progress until ctx ends. An error means that nothing was
+// sent.
+func (p *Pool) getConnection(ctx context.Context, key linkKey) (*connection, error) {
 	for {
-		l, err := p.link(key)
+		l, err := p.getLink(key)
 		if err != nil {
 			return nil, err
 		}
-		current, dialing, err := p.use(l, key)
-		if current != nil || err != nil {
-			return current, err
+		found, dialing, err := p.acquire(l, key)
+		if found != nil || err != nil {
+			return found, err
 		}
 		select {
 		case <-dialing:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
-		if err := l.lastFailure(); err != nil {
+		if err := l.lastDialError(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-func (p *Pool) link(key linkKey) (*link, error) {
+// getLink returns the link for key, which it creates if necessary.
+func (p *Pool) getLink(key linkKey) (*link, error) {
 	p.mutex.RLock()
 	found, closed := p.links[key], p.closed
 	p.mutex.RUnlock()
@@ -73,64 +77,67 @@
 		return nil, ErrClosed
 	}
 	if found = p.links[key]; found == nil {
-		found = &link{schedule: pause.Growing(p.options.BackoffInitial, p.options.BackoffMax)}
+		found = &link{dialBackoff: pause.Growing(p.options.BackoffInitial, p.options.BackoffMax)}
 		p.links[key] = found
 	}
 	return found, nil
 }
 
-// use gives the usable connection, or the dial to wait for.
-func (p *Pool) use(l *link, key linkKey) (*connection, <-chan struct{}, error) {
+// acquire returns the link's connection if it is usable. Otherwise it starts a
+// dial, unless one is in progress, and returns a channel that is closed when the
+// dial ends.
+func (p *Pool) acquire(l *link, key linkKey) (*connection, <-chan struct{}, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.removed {
 		return nil, closedChannel, nil
 	}
 	l.lastUse = time.Now()
-	if l.current != nil && !l.current.retired.Load() && !l.current.failed() {
-		return l.current, nil, nil
+	if l.connection != nil && !l.connection.retired.Load() && !l.connection.hasFailed() {
+		return l.connection, nil, nil
 	}
-	if l.current != nil {
-		p.retire(l.current)
-		l.current = nil
+	if l.connection != nil {
+		p.retire(l.connection)
+		l.connection = nil
 	}
-	if l.dialing != nil {
-		return nil, l.dialing, nil
+	if l.dialDone != nil {
+		return nil, l.dialDone, nil
 	}
 	if time.Now().Before(l.retryAt) {
-		return nil, nil, errors.Join(ErrBackoff, l.failure)
+		return nil, nil, errors.Join(ErrBackoff, l.dialErr)
 	}
 	if p.statistics.connections.Load() >= int64(p.options.MaxConnections) {
 		return nil, nil, ErrTooManyConnections
 	}
-	l.dialing = make(chan struct{})
-	go p.finishDial(l, key)
-	return nil, l.dialing, nil
+	l.dialDone = make(chan struct{})
+	go p.dialLink(l, key)
+	return nil, l.dialDone, nil
 }
 
-func (p *Pool) finishDial(l *link, key linkKey) {
+// dialLink dials l's connection, stores the result in l and closes l.dialDone.
+func (p *Pool) dialLink(l *link, key linkKey) {
 	p.statistics.connections.Add(1)
 	dialed, err := p.dial(key.address, key.class)
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	close(l.dialing)
-	l.dialing = nil
-	l.failure = err
+	close(l.dialDone)
+	l.dialDone = nil
+	l.dialErr = err
 	if err != nil {
 		p.statistics.connections.Add(-1)
-		l.retryAt = time.Now().Add(l.schedule.NextBackOff())
+		l.retryAt = time.Now().Add(l.dialBackoff.NextBackOff())
 		return
 	}
-	l.schedule.Reset()
-	l.current = dialed
+	l.dialBackoff.Reset()
+	l.connection = dialed
 	if p.isClosed() {
 		p.retire(dialed)
-		l.current = nil
+		l.connection = nil
 	}
 }
 
-func (l *link) lastFailure() error {
+func (l *link) lastDialError() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.failure
+	return l.dialErr
 }
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -8,40 +8,47 @@
 	"go.uber.org/zap"
 )
 
-// Options are the limits of a Server or a Pool. Zero values mean the defaults.
+// Options configures a Server or a Pool. A limit or timeout that is zero or
+// negative is replaced by its default.
 type Options struct {
-	// TLS, when set, is used on both sides: a server presents its certificates,
-	// a pool verifies them and presents its own.
+	// TLS is the configuration of TLS for all connections; nil disables TLS.
 	TLS *tls.Config
-	// DialTimeout bounds one dial, with its TLS handshake.
+	// DialTimeout limits one dial with its TLS handshake, and the time in which a
+	// server must receive the preamble of a new connection.
 	DialTimeout time.Duration
-	// WriteTimeout bounds the writing of one chunk; a peer that reads nothing for that long is cut off.
+	// WriteTimeout limits the time to write one chunk of up to 1 MiB. A connection
+	// on which a chunk takes longer is closed.
 	WriteTimeout time.Duration
-	// IdleTimeout is after how long a pool closes a connection without calls.
+	// IdleTimeout is the time after which a pool closes a connection without calls.
 	// A server waits serverIdleFactor times as long for the next request.
 	IdleTimeout time.Duration
-	// StallTimeout is after how long without any reply a connection with open calls is closed.
+	// StallTimeout is the time after which a pool closes a connection with open
+	// calls if no call started and no reply arrived on it.
 	StallTimeout time.Duration
-	// CloseTimeout bounds how long Close of a server waits for calls under way.
+	// CloseTimeout is the longest time that Server.Close waits for running calls.
 	CloseTimeout time.Duration
-	// BackoffInitial and BackoffMax bound the waiting after failed dials; it is jittered.
+	// BackoffInitial and BackoffMax are the first and the longest delay before a
+	// pool repeats a failed dial. Delays grow exponentially, with jitter.
 	BackoffInitial time.Duration
 	BackoffMax     time.Duration
-	// MaxMessageBytes bounds one request or reply.
+	// MaxMessageBytes is the largest encoded size of one request or reply.
 	MaxMessageBytes int64
-	// MaxQueuedBytes bounds the encoded bytes that wait on one connection.
+	// MaxQueuedBytes limits the encoded bytes that wait to be written to one
+	// connection. Above it, a pool rejects calls with ErrCongested, and a server
+	// delays its replies.
 	MaxQueuedBytes int
-	// MaxConnections bounds the open connections, inbound for a server, outbound for a pool.
+	// MaxConnections limits the open connections: inbound for a server, outbound for a pool.
 	MaxConnections int
-	// MaxCallsPerConnection bounds the calls under way on one connection.
+	// MaxCallsPerConnection limits the open calls on one connection. At the limit,
+	// a pool rejects calls with ErrCongested, and a server stops reading requests.
 	MaxCallsPerConnection int
-	// Logger may be nil.
+	// Logger receives log lines; nil disables logging.
 	Logger *zap.Logger
-	// Registerer of metrics; may be nil.
+	// Registerer receives the metrics; nil disables their registration.
 	Registerer prometheus.Registerer
 }
 
-// Defaults of Options.
+// Defaults of Options, and the factor that Options.IdleTimeout describes.
 const (
 	defaultDialTimeout           = time.Second
 	defaultWriteTimeout          = 5 * time.Second
@@ -58,6 +65,7 @@
 	serverIdleFactor = 3
 )
 
+// withDefaults returns a copy of o in which missing values are replaced by their defaults.
 func (o Options) withDefaults() Options {
 	setDefault(&o.DialTimeout, defaultDialTimeout)
 	setDefault(&o.WriteTimeout, defaultWriteTimeout)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,34 +1,39 @@
-// Package peer carries calls between daemons over net/rpc on TCP. Every call
-// has a deadline; a late reply is dropped. Control and data use separate
-// connections, so that a heartbeat never waits behind a history.
+// Package peer sends and serves RPC calls between daemons, with net/rpc over TCP
+// or TLS. Every call must have a deadline, and a reply that arrives later is
+// discarded. Each traffic class has its own connection, so that a heartbeat
+// never waits behind a large message.
 package peer
 
 import "context"
 
-// Class selects the connection that a call uses.
+// Class is the traffic class of a call. Calls of different classes never share a
+// connection.
 type Class uint8
 
 // The classes of traffic between two daemons.
 const (
-	// Control is for heartbeats, votes, probes and news: small and urgent.
+	// Control is for small, urgent messages: heartbeats, votes, probes and notifications.
 	Control Class = iota
-	// Log is for replication of program logs and of the configuration.
+	// Log is for the replication of program logs and of the configuration.
 	Log
-	// Data is for callers' requests, answers and snapshots: may be large.
+	// Data is for messages that may be large: callers' requests, answers and snapshots.
 	Data
 )
 
-// Caller sends calls to other daemons. Safe for concurrent use.
+// Caller sends calls to other daemons. It is safe for concurrent use.
 type Caller interface {
-	// Call runs the method ("Service.Method") at the peer address. The context
-	// must carry a deadline. Errors name the step and the peer; an error that
-	// wraps ErrNotSent says that no byte of the request left this process.
-	// Replies are written only before Call returns, never after.
+	// Call runs the method ("Service.Method") on the peer at address ("host:port")
+	// and stores its result in reply, which must be a non-nil pointer. The context
+	// must have a deadline. An error names the failed step and the peer; it wraps
+	// ErrNotSent if no byte of the request left this process. Call does not write
+	// to reply after it has returned.
 	Call(ctx context.Context, address string, class Class, method string, arguments, reply any) error
 }
 
-// Registrar takes the services that this daemon answers. A service is a
-// pointer whose methods have net/rpc's shape.
+// Registrar accepts the services that this daemon offers to other daemons.
 type Registrar interface {
+	// Register adds a service under name, which must not be in use. The service
+	// must be a pointer to a value whose methods have the signature that net/rpc
+	// requires.
 	Register(name string, service any) error
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,10 +24,10 @@
 
 const testDeadline = 10 * time.Second
 
-// echo answers with what it is sent; Block waits until released.
+// echo is an RPC service whose methods return the content of their arguments.
 type echo struct {
-	entered chan struct{}
-	release chan struct{}
+	entered chan struct{} // receives an element when Block is called
+	release chan struct{} // Block returns when it is closed
 }
 
 type Message struct{ Content []byte }
@@ -48,7 +48,7 @@
 	return errors.New(string(arguments.Content))
 }
 
-func start(options peer.Options) (*peer.Server, *echo) {
+func startServer(options peer.Options) (*peer.Server, *echo) {
 	server, err := peer.Listen("127.0.0.1:0", options)
 	Expect(err).NotTo(HaveOccurred())
 	service := &echo{entered: make(chan struct{}, 16), release: make(chan struct{})}
@@ -63,15 +63,15 @@
 	return pool
 }
 
-func within(limit time.Duration) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func newContext(timeout time.Duration) context.Context {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	DeferCleanup(cancel)
 	return ctx
 }
 
 var _ = Describe("Calls between daemons", func() {
 	It("carries requests, replies and remote errors, and counts them by class and service", func() {
-		server, _ := start(peer.Options{})
+		server, _ := startServer(peer.Options{})
 		registry := prometheus.NewRegistry()
 		pool := newPool(peer.Options{Registerer: registry})
 		var callers sync.WaitGroup
@@ -79,12 +79,12 @@
 			callers.Go(func() {
 				defer GinkgoRecover()
 				var reply Message
-				Expect(pool.Call(within(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{[]byte("hello")}, &reply)).To(Succeed())
+				Expect(pool.Call(newContext(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{[]byte("hello")}, &reply)).To(Succeed())
 				Expect(string(reply.Content)).To(Equal("hello"))
 			})
 		}
 		callers.Wait()
-		err := pool.Call(within(testDeadline), server.Address(), peer.Control, "Echo.Fail", Message{[]byte("no")}, new(Message))
+		err := pool.Call(newContext(testDeadline), server.Address(), peer.Control, "Echo.Fail", Message{[]byte("no")}, new(Message))
 		var remote rpc.ServerError
 		Expect(errors.As(err, &remote)).To(BeTrue())
 		Expect(err).NotTo(MatchError(peer.ErrNotSent))
@@ -100,7 +100,7 @@
 	})
 
 	It("never writes a late reply into the caller's value", func() {
-		server, service := start(peer.Options{})
+		server, service := startServer(peer.Options{})
 		pool := newPool(peer.Options{})
 		ctx, cancel := context.WithTimeout(context.Background(), testDeadline)
 		reply := Message{Content: []byte("untouched")}
@@ -113,31 +113,31 @@
 		Expect(<-failed).To(MatchError(context.Canceled))
 		close(service.release)
 		var next Message
-		Expect(pool.Call(within(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{[]byte("next")}, &next)).To(Succeed())
+		Expect(pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{[]byte("next")}, &next)).To(Succeed())
 		Eventually(func() uint64 { return pool.Stats().OfClass(peer.Data).MessagesReceived }).Should(BeEquivalentTo(2))
 		Expect(string(reply.Content)).To(Equal("untouched"))
 		Expect(string(next.Content)).To(Equal("next"))
 	})
 
-	It("says that nothing was sent when the dial failed, and backs off", func() {
+	It("returns ErrNotSent after a failed dial, and ErrBackoff until the next dial is due", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
 		pool := newPool(peer.Options{BackoffInitial: time.Hour, BackoffMax: time.Hour})
 		Expect(pool.Call(context.Background(), address, peer.Control, "Echo.Repeat", Message{}, new(Message))).To(MatchError(peer.ErrNoDeadline))
-		err = pool.Call(within(testDeadline), address, peer.Control, "Echo.Repeat", Message{}, new(Message))
+		err = pool.Call(newContext(testDeadline), address, peer.Control, "Echo.Repeat", Message{}, new(Message))
 		Expect(err).To(MatchError(peer.ErrNotSent))
-		err = pool.Call(within(testDeadline), address, peer.Control, "Echo.Repeat", Message{}, new(Message))
+		err = pool.Call(newContext(testDeadline), address, peer.Control, "Echo.Repeat", Message{}, new(Message))
 		Expect(err).To(MatchError(peer.ErrBackoff))
 		Expect(err).To(MatchError(ContainSubstring("dial")))
 	})
 
-	It("dials anew after the peer restarted", func() {
-		server, _ := start(peer.Options{})
+	It("reconnects after the peer has restarted", func() {
+		server, _ := startServer(peer.Options{})
 		pool := newPool(peer.Options{BackoffInitial: time.Millisecond})
 		call := func() error {
-			return pool.Call(within(testDeadline), server.Address(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(testDeadline), server.Address(), peer.Control, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(Succeed())
 		Expect(server.Close()).To(Succeed())
@@ -149,13 +149,13 @@
 		Eventually(call).Should(Succeed())
 	})
 
-	It("lets calls under way end when the server closes", func() {
-		server, service := start(peer.Options{CloseTimeout: testDeadline})
+	It("waits for running calls when the server closes", func() {
+		server, service := startServer(peer.Options{CloseTimeout: testDeadline})
 		pool := newPool(peer.Options{})
 		var reply Message
 		ended := make(chan error, 1)
 		go func() {
-			ended <- pool.Call(within(testDeadline), server.Address(), peer.Data, "Echo.Block", Message{[]byte("whole")}, &reply)
+			ended <- pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Block", Message{[]byte("whole")}, &reply)
 		}()
 		Eventually(service.entered).Should(Receive())
 		closed := make(chan struct{})
@@ -170,18 +170,18 @@
 		Eventually(closed).Should(BeClosed())
 	})
 
-	It("keeps small calls apart from a peer that reads nothing of the large ones", func() {
+	It("rejects calls with ErrCongested when the peer does not read", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
 		pool := newPool(peer.Options{MaxQueuedBytes: 1 << 20})
 		large := Message{make([]byte, 4<<20)}
-		Eventually(func() error { // The first ones fill the network's buffers and the queue.
-			return pool.Call(within(20*time.Millisecond), listener.Addr().String(), peer.Data, "Echo.Repeat", large, new(Message))
+		Eventually(func() error { // The first calls fill the network's buffers and the queue.
+			return pool.Call(newContext(20*time.Millisecond), listener.Addr().String(), peer.Data, "Echo.Repeat", large, new(Message))
 		}, testDeadline).Should(And(MatchError(peer.ErrCongested), MatchError(peer.ErrNotSent)))
 	})
 
-	It("leaves a connection that stayed silent through a whole call, as after a cut", func() {
+	It("replaces a connection on which no reply arrived during a whole call", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -192,12 +192,12 @@
 				if err != nil {
 					return
 				}
-				accepted <- conn // read by nobody, answered by nobody
+				accepted <- conn // never read or answered
 			}
 		}()
 		pool := newPool(peer.Options{})
 		call := func() error {
-			return pool.Call(within(600*time.Millisecond), listener.Addr().String(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(600*time.Millisecond), listener.Addr().String(), peer.Control, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(MatchError(context.DeadlineExceeded))
 		Eventually(accepted, testDeadline).Should(Receive())
@@ -205,27 +205,27 @@
 		Eventually(accepted, testDeadline).Should(Receive())
 	})
 
-	It("refuses messages over the limit, strangers, and connections over the limit", func() {
-		server, _ := start(peer.Options{MaxMessageBytes: 1 << 10, MaxConnections: 2})
+	It("rejects messages over the limit, connections without the preamble, and connections over the limit", func() {
+		server, _ := startServer(peer.Options{MaxMessageBytes: 1 << 10, MaxConnections: 2})
 		pool := newPool(peer.Options{})
-		err := pool.Call(within(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
+		err := pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
 		Expect(err).To(HaveOccurred())
 		small := newPool(peer.Options{MaxMessageBytes: 1 << 10})
-		err = small.Call(within(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
+		err = small.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
 		Expect(err).To(MatchError(peer.ErrTooLarge))
 		Expect(err).To(MatchError(peer.ErrNotSent))
 
-		stranger, err := net.Dial("tcp", server.Address())
+		unrelated, err := net.Dial("tcp", server.Address())
 		Expect(err).NotTo(HaveOccurred())
-		_, err = stranger.Write([]byte(strings.Repeat("x", 64)))
+		_, err = unrelated.Write([]byte(strings.Repeat("x", 64)))
 		Expect(err).NotTo(HaveOccurred())
-		_, err = stranger.Read(make([]byte, 1))
+		_, err = unrelated.Read(make([]byte, 1))
 		Expect(err).To(HaveOccurred())
 
 		Eventually(func() int { return server.Stats().Connections }).Should(BeZero())
 		for range 2 {
-			Expect(newPool(peer.Options{}).Call(within(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{}, new(Message))).To(Succeed())
+			Expect(newPool(peer.Options{}).Call(newContext(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{}, new(Message))).To(Succeed())
 		}
-		Expect(newPool(peer.Options{}).Call(within(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{}, new(Message))).NotTo(Succeed())
+		Expect(newPool(peer.Options{}).Call(newContext(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{}, new(Message))).NotTo(Succeed())
 	})
 })
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -12,29 +12,32 @@
 )
 
 const (
+	// sweepInterval is the time between two searches for connections to close.
 	sweepInterval = 5 * time.Second
-	// silentBeforeRetire is how long a connection must have been silent for a
-	// call's missed deadline to retire it: TCP's own retransmission may wait
-	// minutes after a cut has healed, a new connection does not.
-	silentBeforeRetire = 500 * time.Millisecond
+	// minSilenceBeforeRetire is the shortest time without a reply after which a
+	// call that reaches its deadline retires its connection. After a network
+	// partition TCP may retransmit only minutes later, whereas a new connection
+	// works at once.
+	minSilenceBeforeRetire = 500 * time.Millisecond
 )
 
-// Pool calls other daemons, over one connection for each address and class.
-// It is a Caller.
+// Pool sends calls to other daemons over one connection per address and class.
+// It implements Caller and is safe for concurrent use.
 type Pool struct {
 	options    Options
 	statistics *statistics
-	started    time.Time
+	startTime  time.Time
 
 	mutex   sync.RWMutex
 	links   map[linkKey]*link
-	retired map[*connection]struct{} // take no new calls, still have open ones
+	retired map[*connection]struct{} // connections that only wait for the end of their open calls
 	closed  bool
-	stop    chan struct{}
-	stopped chan struct{}
+	stop    chan struct{} // closed to stop the sweep goroutine
+	stopped chan struct{} // closed when the sweep goroutine has returned
 }
 
-// NewPool makes a pool. Close ends it.
+// NewPool returns a pool without connections and starts its sweep goroutine. The
+// caller must call Close to release both.
 func NewPool(options Options) *Pool {
 	options = options.withDefaults()
 	statistics, err := newStatistics("client", options.Registerer)
@@ -44,7 +47,7 @@
 	pool := &Pool{
 		options:    options,
 		statistics: statistics,
-		started:    time.Now(),
+		startTime:  time.Now(),
 		links:      map[linkKey]*link{},
 		retired:    map[*connection]struct{}{},
 		stop:       make(chan struct{}),
@@ -54,55 +57,57 @@
 	return pool
 }
 
-// Stats gives what the pool sent and received.
+// Stats returns the pool's number of open connections and its traffic so far.
 func (p *Pool) Stats() Stats { return p.statistics.snapshot() }
 
-// Call is part of Caller.
+// Call implements Caller. Its errors are of type *CallError.
 func (p *Pool) Call(ctx context.Context, address string, class Class, method string, arguments, reply any) error {
-	failure := func(step string, notSent bool, cause error) error {
+	newError := func(step string, notSent bool, cause error) error {
 		return &CallError{Step: step, Peer: address, Method: method, NotSent: notSent, Cause: cause}
 	}
 	if _, found := ctx.Deadline(); !found {
-		return failure(stepCheck, true, ErrNoDeadline)
+		return newError(stepCheck, true, ErrNoDeadline)
 	}
-	connection, err := p.connection(ctx, linkKey{address: address, class: class})
+	connection, err := p.getConnection(ctx, linkKey{address: address, class: class})
 	if err != nil {
-		return failure(stepDial, true, err)
+		return newError(stepDial, true, err)
 	}
-	if connection.open.Load() >= int64(p.options.MaxCallsPerConnection) {
-		return failure(stepSend, true, ErrCongested)
+	if connection.openCalls.Load() >= int64(p.options.MaxCallsPerConnection) {
+		return newError(stepSend, true, ErrCongested)
 	}
-	return p.exchange(ctx, connection, method, arguments, reply, failure)
+	return p.roundTrip(ctx, connection, method, arguments, reply, newError)
 }
 
-// exchange sends the request and waits for the reply. net/rpc may write a
-// reply long after the wait ended, so it writes into a private value.
-func (p *Pool) exchange(ctx context.Context, c *connection, method string, arguments, reply any, failure func(string, bool, error) error) error {
-	begun := p.elapsed()
-	c.lastUse.Store(begun)
-	private := reflect.New(reflect.TypeOf(reply).Elem())
-	call := c.client.Go(method, arguments, private.Interface(), make(chan *rpc.Call, 1))
+// roundTrip sends the request over c and waits until the reply arrives or ctx
+// ends. net/rpc may decode a reply long after that, so it decodes into a separate
+// value, which roundTrip copies to reply on success.
+func (p *Pool) roundTrip(ctx context.Context, c *connection, method string, arguments, reply any, newError func(string, bool, error) error) error {
+	start := p.elapsed()
+	c.lastUse.Store(start)
+	received := reflect.New(reflect.TypeOf(reply).Elem())
+	call := c.client.Go(method, arguments, received.Interface(), make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
 	case <-ctx.Done():
-		p.suspect(c, begun)
-		return failure(stepReply, false, ctx.Err())
+		p.retireIfSilent(c, start)
+		return newError(stepReply, false, ctx.Err())
 	}
 	if call.Error == nil {
-		reflect.ValueOf(reply).Elem().Set(private.Elem())
+		reflect.ValueOf(reply).Elem().Set(received.Elem())
 		return nil
 	}
 	var unsent *unsentError
 	if errors.As(call.Error, &unsent) {
-		return failure(stepSend, true, unsent.cause)
+		return newError(stepSend, true, unsent.cause)
 	}
-	return failure(stepReply, false, call.Error)
+	return newError(stepReply, false, call.Error)
 }
 
-// suspect retires a connection that was silent during a whole call.
-func (p *Pool) suspect(c *connection, begun int64) {
-	silent := p.elapsed() - begun
-	if c.lastReply.Load() < begun && silent > int64(silentBeforeRetire) {
+// retireIfSilent retires c if no reply arrived on it since start, in nanoseconds
+// since p.startTime, and start is more than minSilenceBeforeRetire ago.
+func (p *Pool) retireIfSilent(c *connection, start int64) {
+	silent := p.elapsed() - start
+	if c.lastReply.Load() < start && silent > int64(minSilenceBeforeRetire) {
 		c.retired.Store(true)
 	}
 }
@@ -113,33 +118,37 @@
 	return p.closed
 }
 
-// retire lets the connection's open calls end; the sweep closes it then.
+// retire excludes c from new calls. It closes c at once if the pool is closed or
+// if c has failed or has no open calls. Otherwise the sweep goroutine closes c
+// after its open calls have ended.
 func (p *Pool) retire(c *connection) {
 	c.retired.Store(true)
-	if !p.keepRetired(c) {
-		p.end(c)
+	if !p.addRetired(c) {
+		p.closeConnection(c)
 	}
 }
 
-func (p *Pool) keepRetired(c *connection) bool {
+// addRetired adds c to p.retired. It returns false, without adding c, if c can be
+// closed at once.
+func (p *Pool) addRetired(c *connection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.closed || c.open.Load() <= 0 || c.failed() {
+	if p.closed || c.openCalls.Load() <= 0 || c.hasFailed() {
 		return false
 	}
 	p.retired[c] = struct{}{}
 	return true
 }
 
-func (p *Pool) end(c *connection) {
-	_ = c.client.Close() // reports only that it was closed before
+func (p *Pool) closeConnection(c *connection) {
+	_ = c.client.Close() // fails only if it was closed before
 	p.statistics.connections.Add(-1)
 }
 
-// elapsed is the monotonic time since the pool's start, in nanoseconds.
-func (p *Pool) elapsed() int64 { return int64(time.Since(p.started)) }
+// elapsed returns the monotonic time since p.startTime, in nanoseconds.
+func (p *Pool) elapsed() int64 { return int64(time.Since(p.startTime)) }
 
-// Close closes all connections; calls under way fail.
+// Close closes all connections and unregisters the metrics. Open calls fail.
 func (p *Pool) Close() error {
 	p.mutex.Lock()
 	if p.closed {
@@ -156,7 +165,7 @@
 		p.closeLink(l)
 	}
 	for c := range retired {
-		p.end(c)
+		p.closeConnection(c)
 	}
 	if p.options.Registerer != nil {
 		p.options.Registerer.Unregister(p.statistics)
@@ -167,8 +176,8 @@
 func (p *Pool) closeLink(l *link) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.current != nil {
-		p.end(l.current)
-		l.current = nil
+	if l.connection != nil {
+		p.closeConnection(l.connection)
+		l.connection = nil
 	}
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -17,31 +17,35 @@
 	"go.uber.org/zap"
 )
 
-// preamble opens each connection; one byte with the class follows.
+// preamble is the first thing that a client sends on a new connection. It is
+// followed by one byte, the Class.
 const preamble = "thymeloft-peer/1"
 
 const (
-	keepAlivePeriod    = time.Minute
-	acceptRetryPause   = 20 * time.Millisecond
+	keepAlivePeriod  = time.Minute
+	acceptRetryDelay = 20 * time.Millisecond
+	// unknownServiceName stands in metrics for services that are not registered.
 	unknownServiceName = "unknown"
 )
 
-// Server answers the calls of other daemons. It is a Registrar.
+// Server answers calls from other daemons. It implements Registrar and is safe
+// for concurrent use.
 type Server struct {
 	options    Options
 	listener   net.Listener
 	rpc        *rpc.Server
-	services   sync.Map // names that were registered
+	services   sync.Map // keys are the names of the registered services
 	statistics *statistics
 
 	mutex       sync.Mutex
 	connections map[*serverCodec]struct{}
 	closed      atomic.Bool
-	running     sync.WaitGroup
+	goroutines  sync.WaitGroup // acceptLoop, and serve for each connection
 }
 
-// Listen opens the address ("ip:port", port 0 for any) and serves at once;
-// calls to services that are not registered yet get an error.
+// Listen opens a listener at address ("ip:port"; port 0 selects a free port) and
+// starts to serve. A call to a service that is not registered yet gets an error
+// as its reply.
 func Listen(address string, options Options) (*Server, error) {
 	options = options.withDefaults()
 	configuration := net.ListenConfig{KeepAlive: keepAlivePeriod}
@@ -61,12 +65,12 @@
 		statistics:  statistics,
 		connections: map[*serverCodec]struct{}{},
 	}
-	server.running.Add(1)
-	go server.accept()
+	server.goroutines.Add(1)
+	go server.acceptLoop()
 	return server, nil
 }
 
-// Register adds a service; the name must be new.
+// Register implements Registrar.
 func (s *Server) Register(name string, service any) error {
 	if err := s.rpc.RegisterName(name, service); err != nil {
 		return eris.Wrapf(err, "register peer service %s", name)
@@ -75,30 +79,31 @@
 	return nil
 }
 
-// Address is where the server listens, "ip:port".
+// Address returns the address at which the server listens, as "ip:port".
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Stats gives what the server received and answered.
+// Stats returns the server's number of open connections and its traffic so far.
 func (s *Server) Stats() Stats { return s.statistics.snapshot() }
 
-// Close stops accepting and reading requests, lets the calls under way end
-// and their replies leave for at most Options.CloseTimeout, then cuts them off.
+// Close stops accepting connections and reading requests. It waits up to
+// Options.CloseTimeout until running calls have ended and their replies are
+// sent, and then closes the remaining connections.
 func (s *Server) Close() error {
 	if s.closed.Swap(true) {
 		return nil
 	}
 	err := s.listener.Close()
-	s.each((*serverCodec).stopReading)
+	s.forEachConnection((*serverCodec).stopReading)
 	ended := make(chan struct{})
 	go func() {
-		s.running.Wait()
+		s.goroutines.Wait()
 		close(ended)
 	}()
 	select {
 	case <-ended:
 	case <-time.After(s.options.CloseTimeout):
-		s.options.Logger.Warn("peer: calls cut off at close.")
-		s.each((*serverCodec).cut)
+		s.options.Logger.Warn("peer: calls aborted because the server is closing.")
+		s.forEachConnection((*serverCodec).abort)
 	}
 	if s.options.Registerer != nil {
 		s.options.Registerer.Unregister(s.statistics)
@@ -106,7 +111,8 @@
 	return eris.Wrap(err, "close peer listener")
 }
 
-func (s *Server) each(action func(*serverCodec)) {
+// forEachConnection calls action for each open connection while it holds s.mutex.
+func (s *Server) forEachConnection(action func(*serverCodec)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for connection := range s.connections {
@@ -114,8 +120,8 @@
 	}
 }
 
-func (s *Server) accept() {
-	defer s.running.Done()
+func (s *Server) acceptLoop() {
+	defer s.goroutines.Done()
 	for {
 		conn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -123,7 +129,7 @@
 		}
 		if err != nil {
 			s.options.Logger.Warn("peer: accept failed.", zap.Error(err))
-			time.Sleep(acceptRetryPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if s.statistics.connections.Add(1) > int64(s.options.MaxConnections) {
@@ -132,13 +138,13 @@
 			_ = conn.Close()
 			continue
 		}
-		s.running.Add(1)
+		s.goroutines.Add(1)
 		go s.serve(conn)
 	}
 }
 
 func (s *Server) serve(conn net.Conn) {
-	defer s.running.Done()
+	defer s.goroutines.Done()
 	defer s.statistics.connections.Add(-1)
 	if s.options.TLS != nil {
 		conn = tls.Server(conn, s.options.TLS)
@@ -150,8 +156,8 @@
 		return
 	}
 	codec := newServerCodec(s, conn, class)
-	if !s.admit(codec) {
-		codec.cut()
+	if !s.addConnection(codec) {
+		codec.abort()
 		return
 	}
 	s.rpc.ServeCodec(codec)
@@ -160,7 +166,9 @@
 	delete(s.connections, codec)
 }
 
-func (s *Server) admit(codec *serverCodec) bool {
+// addConnection registers the connection for Close. It returns false if the
+// server is already closed.
+func (s *Server) addConnection(codec *serverCodec) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.closed.Load() {
@@ -170,6 +178,8 @@
 	return true
 }
 
+// readPreamble reads the preamble within Options.DialTimeout and returns the
+// connection's class.
 func (s *Server) readPreamble(conn net.Conn) (Class, error) {
 	if err := conn.SetDeadline(time.Now().Add(s.options.DialTimeout)); err != nil {
 		return 0, err
@@ -185,54 +195,57 @@
 	return class, conn.SetDeadline(time.Time{})
 }
 
-// serverCodec is net/rpc's gob codec with limits and counts.
+// serverCodec is an inbound connection. It implements rpc.ServerCodec with size
+// limits and traffic counters.
 type serverCodec struct {
-	server  *Server
-	conn    net.Conn
-	class   Class
-	reader  *messageReader
-	decoder *gob.Decoder
-	writer  *messageWriter
-	slots   chan struct{} // one for each call under way
-	method  string        // of the request being read
+	server        *Server
+	conn          net.Conn
+	class         Class
+	reader        *messageReader
+	decoder       *gob.Decoder
+	writer        *messageWriter
+	callSlots     chan struct{} // holds one element for each running call
+	requestMethod string        // method of the request that is being read, as counted in metrics
 
 	mutex    sync.Mutex
-	stopping bool
+	stopping bool // if true, no further requests are read; guarded by mutex
 }
 
 func newServerCodec(server *Server, conn net.Conn, class Class) *serverCodec {
 	reader := newMessageReader(conn, class, server.options.MaxMessageBytes)
 	return &serverCodec{
-		server:  server,
-		conn:    conn,
-		class:   class,
-		reader:  reader,
-		decoder: gob.NewDecoder(reader),
-		writer:  newMessageWriter(conn, &server.options),
-		slots:   make(chan struct{}, server.options.MaxCallsPerConnection),
+		server:    server,
+		conn:      conn,
+		class:     class,
+		reader:    reader,
+		decoder:   gob.NewDecoder(reader),
+		writer:    newMessageWriter(conn, &server.options),
+		callSlots: make(chan struct{}, server.options.MaxCallsPerConnection),
 	}
 }
 
-// ReadRequestHeader is part of rpc.ServerCodec.
+// ReadRequestHeader implements rpc.ServerCodec. After reading a header it waits
+// until fewer than Options.MaxCallsPerConnection calls are running.
 func (c *serverCodec) ReadRequestHeader(request *rpc.Request) error {
-	if err := c.awaitRequest(); err != nil {
+	if err := c.setRequestDeadline(); err != nil {
 		return err
 	}
-	c.reader.begin()
+	c.reader.startMessage()
 	if err := c.decoder.Decode(request); err != nil {
 		return err
 	}
-	c.method = c.knownMethod(request.ServiceMethod)
+	c.requestMethod = c.methodForMetrics(request.ServiceMethod)
 	select {
-	case c.slots <- struct{}{}:
+	case c.callSlots <- struct{}{}:
 		return nil
 	case <-c.writer.done:
 		return io.EOF
 	}
 }
 
-// awaitRequest sets the deadline for the next request, unless the server is closing.
-func (c *serverCodec) awaitRequest() error {
+// setRequestDeadline sets the read deadline for the next request. It returns
+// io.EOF if the server is closing.
+func (c *serverCodec) setRequestDeadline() error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.stopping {
@@ -241,8 +254,9 @@
 	return c.conn.SetReadDeadline(time.Now().Add(serverIdleFactor * c.server.options.IdleTimeout))
 }
 
-// knownMethod keeps made-up names out of the metrics.
-func (c *serverCodec) knownMethod(method string) string {
+// methodForMetrics returns method, or unknownServiceName if its service is not
+// registered, so that clients cannot add arbitrary label values to the metrics.
+func (c *serverCodec) methodForMetrics(method string) string {
 	service, _, _ := strings.Cut(method, ".")
 	if _, known := c.server.services.Load(service); known {
 		return method
@@ -250,30 +264,31 @@
 	return unknownServiceName
 }
 
-// ReadRequestBody is part of rpc.ServerCodec.
+// ReadRequestBody implements rpc.ServerCodec.
 func (c *serverCodec) ReadRequestBody(body any) error {
 	err := c.decoder.Decode(body)
-	c.server.statistics.received(c.class, c.method, c.reader.consumed)
+	c.server.statistics.countReceived(c.class, c.requestMethod, c.reader.consumed)
 	return err
 }
 
-// WriteResponse is part of rpc.ServerCodec.
+// WriteResponse implements rpc.ServerCodec.
 func (c *serverCodec) WriteResponse(response *rpc.Response, body any) error {
-	<-c.slots
+	<-c.callSlots
 	bytes, err := c.writer.encode(response, body, true)
 	if err != nil {
 		c.server.options.Logger.Debug("peer: reply not sent.",
 			zap.String("method", response.ServiceMethod), zap.Stringer("peer", c.conn.RemoteAddr()), zap.Error(err))
 		return err
 	}
-	c.server.statistics.sent(c.class, c.knownMethod(response.ServiceMethod), bytes)
+	c.server.statistics.countSent(c.class, c.methodForMetrics(response.ServiceMethod), bytes)
 	return nil
 }
 
-// Close is part of rpc.ServerCodec; net/rpc calls it after the last reply.
+// Close implements rpc.ServerCodec. net/rpc calls it after the last reply was
+// encoded; Close waits until the reply is sent.
 func (c *serverCodec) Close() error {
 	c.writer.flush()
-	c.cut()
+	c.abort()
 	return nil
 }
 
@@ -281,7 +296,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.stopping = true
-	_ = c.conn.SetReadDeadline(time.Now()) // fails only when it is closed already
+	_ = c.conn.SetReadDeadline(time.Now()) // fails only if the connection is already closed
 }
 
-func (c *serverCodec) cut() { c.writer.fail(ErrClosed) }
+// abort closes the connection without sending pending replies.
+func (c *serverCodec) abort() { c.writer.fail(ErrClosed) }
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -9,9 +9,10 @@
 	"github.com/rotisserie/eris"
 )
 
+// classCount is the number of classes; valid classes are smaller.
 const classCount = 3
 
-// String gives the name used in metrics.
+// String returns the value of the "class" label in metrics.
 func (c Class) String() string {
 	switch c {
 	case Control:
@@ -24,14 +25,14 @@
 	return "unknown"
 }
 
-// TrafficKey names one part's traffic of one class.
+// TrafficKey identifies the traffic of one service in one class.
 type TrafficKey struct {
 	Class   Class
-	Service string // the part before the dot of a method
+	Service string // the part of the method name before the dot
 }
 
-// Traffic counts messages (requests and replies) and their bytes, as encoded.
-// Bytes of TCP, IP and TLS are not in it.
+// Traffic counts messages (requests and replies) and their gob-encoded bytes,
+// without the overhead of TCP, IP and TLS.
 type Traffic struct {
 	MessagesSent     uint64
 	BytesSent        uint64
@@ -39,7 +40,7 @@
 	BytesReceived    uint64
 }
 
-// Add sums two counts.
+// Add returns the sum of t and other.
 func (t Traffic) Add(other Traffic) Traffic {
 	return Traffic{
 		MessagesSent:     t.MessagesSent + other.MessagesSent,
@@ -49,13 +50,13 @@
 	}
 }
 
-// Stats is what a Pool or a Server sent and received since its start.
+// Stats is the state of a Pool or a Server at one moment.
 type Stats struct {
-	Connections int
-	Traffic     map[TrafficKey]Traffic
+	Connections int                    // open connections; a pool includes those that it is dialing
+	Traffic     map[TrafficKey]Traffic // since the creation of the pool or server
 }
 
-// OfClass sums the traffic of one class.
+// OfClass returns the traffic of all services in one class.
 func (s Stats) OfClass(class Class) Traffic {
 	var sum Traffic
 	for key, traffic := range s.Traffic {
@@ -70,23 +71,25 @@
 	messagesSent, bytesSent, messagesReceived, bytesReceived atomic.Uint64
 }
 
-// statistics holds the counters of a Pool or a Server, and is their collector.
+// statistics holds the counters of a Pool or a Server. It implements
+// prometheus.Collector and is safe for concurrent use.
 type statistics struct {
-	counters    sync.Map // TrafficKey to *trafficCounters
-	connections atomic.Int64
-	messages    *prometheus.Desc
-	bytes       *prometheus.Desc
-	open        *prometheus.Desc
+	counters        sync.Map // maps TrafficKey to *trafficCounters
+	connections     atomic.Int64
+	messages        *prometheus.Desc
+	bytes           *prometheus.Desc
+	openConnections *prometheus.Desc
 }
 
-// newStatistics registers the metrics of one side ("client" or "server").
+// newStatistics returns counters that are registered with registerer, unless it
+// is nil. The side, "client" or "server", is a constant label of all metrics.
 func newStatistics(side string, registerer prometheus.Registerer) (*statistics, error) {
 	labels := []string{"class", "service", "direction"}
-	constant := prometheus.Labels{"side": side}
+	constLabels := prometheus.Labels{"side": side}
 	s := &statistics{
-		messages: prometheus.NewDesc("thymeloft_peer_messages_total", "Messages between daemons.", labels, constant),
-		bytes:    prometheus.NewDesc("thymeloft_peer_bytes_total", "Encoded bytes between daemons.", labels, constant),
-		open:     prometheus.NewDesc("thymeloft_peer_connections", "Open connections between daemons.", nil, constant),
+		messages:        prometheus.NewDesc("thymeloft_peer_messages_total", "Messages between daemons.", labels, constLabels),
+		bytes:           prometheus.NewDesc("thymeloft_peer_bytes_total", "Encoded bytes between daemons.", labels, constLabels),
+		openConnections: prometheus.NewDesc("thymeloft_peer_connections", "Open connections between daemons.", nil, constLabels),
 	}
 	if registerer == nil {
 		return s, nil
@@ -94,7 +97,8 @@
 	return s, eris.Wrap(registerer.Register(s), "register peer metrics")
 }
 
-func (s *statistics) of(class Class, method string) *trafficCounters {
+// countersFor returns the counters of the method's service in the class.
+func (s *statistics) countersFor(class Class, method string) *trafficCounters {
 	service, _, _ := strings.Cut(method, ".")
 	key := TrafficKey{Class: class, Service: service}
 	if found, ok := s.counters.Load(key); ok {
@@ -104,14 +108,14 @@
 	return found.(*trafficCounters)
 }
 
-func (s *statistics) sent(class Class, method string, bytes int) {
-	counters := s.of(class, method)
+func (s *statistics) countSent(class Class, method string, bytes int) {
+	counters := s.countersFor(class, method)
 	counters.messagesSent.Add(1)
 	counters.bytesSent.Add(uint64(bytes))
 }
 
-func (s *statistics) received(class Class, method string, bytes int64) {
-	counters := s.of(class, method)
+func (s *statistics) countReceived(class Class, method string, bytes int64) {
+	counters := s.countersFor(class, method)
 	counters.messagesReceived.Add(1)
 	counters.bytesReceived.Add(uint64(bytes))
 }
@@ -131,26 +135,26 @@
 	return stats
 }
 
-// Describe is part of prometheus.Collector.
+// Describe implements prometheus.Collector.
 func (s *statistics) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- s.messages
 	descriptions <- s.bytes
-	descriptions <- s.open
+	descriptions <- s.openConnections
 }
 
-// Collect is part of prometheus.Collector.
+// Collect implements prometheus.Collector.
 func (s *statistics) Collect(metrics chan<- prometheus.Metric) {
 	stats := s.snapshot()
-	metrics <- prometheus.MustNewConstMetric(s.open, prometheus.GaugeValue, float64(stats.Connections))
+	metrics <- prometheus.MustNewConstMetric(s.openConnections, prometheus.GaugeValue, float64(stats.Connections))
 	for key, traffic := range stats.Traffic {
 		class := key.Class.String()
-		metrics <- counter(s.messages, traffic.MessagesSent, class, key.Service, "sent")
-		metrics <- counter(s.messages, traffic.MessagesReceived, class, key.Service, "received")
-		metrics <- counter(s.bytes, traffic.BytesSent, class, key.Service, "sent")
-		metrics <- counter(s.bytes, traffic.BytesReceived, class, key.Service, "received")
+		metrics <- newCounterMetric(s.messages, traffic.MessagesSent, class, key.Service, "sent")
+		metrics <- newCounterMetric(s.messages, traffic.MessagesReceived, class, key.Service, "received")
+		metrics <- newCounterMetric(s.bytes, traffic.BytesSent, class, key.Service, "sent")
+		metrics <- newCounterMetric(s.bytes, traffic.BytesReceived, class, key.Service, "received")
 	}
 }
 
-func counter(description *prometheus.Desc, value uint64, labels ...string) prometheus.Metric {
+func newCounterMetric(description *prometheus.Desc, value uint64, labels ...string) prometheus.Metric {
 	return prometheus.MustNewConstMetric(description, prometheus.CounterValue, float64(value), labels...)
 }
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -12,35 +12,37 @@
 )
 
 const (
-	writeChunkBytes    = 1 << 20
-	keptBufferBytes    = 256 << 10
-	controlBufferBytes = 2 << 10
-	otherBufferBytes   = 32 << 10
+	writeChunkBytes     = 1 << 20
+	maxSpareBufferBytes = 256 << 10 // larger write buffers are not reused
+	controlBufferBytes  = 2 << 10
+	otherBufferBytes    = 32 << 10
 )
 
-func bufferBytes(class Class) int {
+// readBufferBytes returns the size of the read buffer of a connection.
+func readBufferBytes(class Class) int {
 	if class == Control {
 		return controlBufferBytes
 	}
 	return otherBufferBytes
 }
 
-// messageReader bounds the bytes of one message and counts them.
+// messageReader reads from a connection, counts the bytes of the current message
+// and returns ErrTooLarge when they exceed maxBytes.
 type messageReader struct {
 	buffered *bufio.Reader
-	limit    int64
-	consumed int64 // since begin
+	maxBytes int64
+	consumed int64 // bytes read since startMessage
 }
 
-func newMessageReader(conn net.Conn, class Class, limit int64) *messageReader {
-	return &messageReader{buffered: bufio.NewReaderSize(conn, bufferBytes(class)), limit: limit}
+func newMessageReader(conn net.Conn, class Class, maxBytes int64) *messageReader {
+	return &messageReader{buffered: bufio.NewReaderSize(conn, readBufferBytes(class)), maxBytes: maxBytes}
 }
 
-func (r *messageReader) begin() { r.consumed = 0 }
+func (r *messageReader) startMessage() { r.consumed = 0 }
 
-// Read is part of io.Reader.
+// Read implements io.Reader.
 func (r *messageReader) Read(into []byte) (int, error) {
-	left := r.limit - r.consumed
+	left := r.maxBytes - r.consumed
 	if left <= 0 {
 		return 0, ErrTooLarge
 	}
@@ -52,9 +54,10 @@
 	return count, err
 }
 
-// ReadByte is part of io.ByteReader; it keeps gob from reading ahead by itself.
+// ReadByte implements io.ByteReader. Without it, gob would add a buffer of its
+// own and read beyond the current message.
 func (r *messageReader) ReadByte() (byte, error) {
-	if r.consumed >= r.limit {
+	if r.consumed >= r.maxBytes {
 		return 0, ErrTooLarge
 	}
 	value, err := r.buffered.ReadByte()
@@ -64,31 +67,34 @@
 	return value, err
 }
 
-// messageWriter encodes into memory at once and writes from its own goroutine,
-// so that no caller waits for the network, and many messages share one write.
+// messageWriter encodes messages into a buffer, which its own goroutine writes to
+// the connection. Callers therefore need not wait for the network, and several
+// messages can share one write. It is safe for concurrent use.
 type messageWriter struct {
 	conn    net.Conn
 	options *Options
 
-	mutex   sync.Mutex
-	changed sync.Cond
-	encoder *gob.Encoder
-	pending bytes.Buffer
-	writing bool
-	failure error
-	done    chan struct{} // closed when the goroutine ended
+	mutex        sync.Mutex
+	stateChanged sync.Cond     // signals changes of pending, writing and failure
+	encoder      *gob.Encoder  // appends to pending
+	pending      bytes.Buffer  // encoded bytes that are not being written yet
+	writing      bool          // a write to conn is in progress
+	failure      error         // the first error; conn is closed if it is set
+	done         chan struct{} // closed when the goroutine has returned
 }
 
 func newMessageWriter(conn net.Conn, options *Options) *messageWriter {
 	w := &messageWriter{conn: conn, options: options, done: make(chan struct{})}
-	w.changed.L = &w.mutex
+	w.stateChanged.L = &w.mutex
 	w.encoder = gob.NewEncoder(&w.pending)
 	go w.run()
 	return w
 }
 
-// encode appends header and body. When too much is pending it waits, or
-// returns ErrCongested, before anything is encoded. It returns the bytes added.
+// encode appends header and body to the pending bytes and returns the number of
+// bytes added. If more than Options.MaxQueuedBytes are already pending, it waits
+// when wait is set, and otherwise returns ErrCongested without encoding. An
+// encoding error or a message above Options.MaxMessageBytes closes the connection.
 func (w *messageWriter) encode(header, body any, wait bool) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -96,13 +102,13 @@
 		if !wait {
 			return 0, ErrCongested
 		}
-		w.changed.Wait()
+		w.stateChanged.Wait()
 	}
 	if w.failure != nil {
 		return 0, w.failure
 	}
 	before := w.pending.Len()
-	if err := w.append(header, body); err != nil {
+	if err := w.appendMessage(header, body); err != nil {
 		w.failLocked(err)
 		return 0, err
 	}
@@ -111,24 +117,26 @@
 		w.failLocked(ErrTooLarge)
 		return added, ErrTooLarge
 	}
-	w.changed.Broadcast()
+	w.stateChanged.Broadcast()
 	return added, nil
 }
 
-func (w *messageWriter) append(header, body any) error {
+func (w *messageWriter) appendMessage(header, body any) error {
 	if err := w.encoder.Encode(header); err != nil {
 		return eris.Wrap(err, "encode header")
 	}
 	return eris.Wrap(w.encoder.Encode(body), "encode body")
 }
 
-// failLocked ends the stream: what is half encoded must not reach the peer.
+// failLocked records the first error and closes the connection without sending
+// the pending bytes, which may end in a partly encoded message. The caller must
+// hold w.mutex.
 func (w *messageWriter) failLocked(err error) {
 	if w.failure == nil {
 		w.failure = err
 	}
 	_ = w.conn.Close()
-	w.changed.Broadcast()
+	w.stateChanged.Broadcast()
 }
 
 func (w *messageWriter) fail(err error) {
@@ -137,20 +145,21 @@
 	w.failLocked(err)
 }
 
-// flush waits until all is written, or the stream failed.
+// flush waits until all pending bytes are written or the connection has failed.
 func (w *messageWriter) flush() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	for w.failure == nil && (w.pending.Len() > 0 || w.writing) {
-		w.changed.Wait()
+		w.stateChanged.Wait()
 	}
 }
 
+// run writes pending bytes to the connection until the connection fails.
 func (w *messageWriter) run() {
 	defer close(w.done)
 	var spare []byte
 	for {
-		taken, ok := w.take(&spare)
+		taken, ok := w.takePending(&spare)
 		if !ok {
 			return
 		}
@@ -162,20 +171,22 @@
 	}
 }
 
-// take swaps the pending bytes for the spare buffer.
-func (w *messageWriter) take(spare *[]byte) ([]byte, bool) {
+// takePending waits for pending bytes and returns them. The spare buffer, if it
+// is not too large, receives the bytes that are encoded next. takePending returns
+// false if the connection has failed.
+func (w *messageWriter) takePending(spare *[]byte) ([]byte, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.writing = false
-	w.changed.Broadcast()
+	w.stateChanged.Broadcast()
 	for w.failure == nil && w.pending.Len() == 0 {
-		w.changed.Wait()
+		w.stateChanged.Wait()
 	}
 	if w.failure != nil {
 		return nil, false
 	}
 	taken := w.pending.Bytes()
-	if cap(*spare) > keptBufferBytes {
+	if cap(*spare) > maxSpareBufferBytes {
 		*spare = nil
 	}
 	w.pending = *bytes.NewBuffer((*spare)[:0])
@@ -183,6 +194,7 @@
 	return taken, true
 }
 
+// write writes content in chunks, each within Options.WriteTimeout.
 func (w *messageWriter) write(content []byte) error {
 	for len(content) > 0 {
 		chunk := content[:min(len(content), writeChunkBytes)]
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -18,8 +18,9 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// certificate makes a self-signed one for the loopback address, and its pool.
-func certificate() (tls.Certificate, *x509.CertPool) {
+// newCertificate returns a new self-signed certificate for 127.0.0.1, and a pool
+// that contains only this certificate.
+func newCertificate() (tls.Certificate, *x509.CertPool) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	template := &x509.Certificate{
@@ -42,24 +43,24 @@
 }
 
 var _ = Describe("Calls over TLS", func() {
-	It("asks both sides for certificates", func() {
-		fleet, fleetPool := certificate()
-		stranger, strangerPool := certificate()
-		server, _ := start(peer.Options{TLS: &tls.Config{
-			Certificates: []tls.Certificate{fleet}, ClientCAs: fleetPool, ClientAuth: tls.RequireAndVerifyClientCert,
+	It("verifies the certificates of both sides", func() {
+		trusted, trustedPool := newCertificate()
+		untrusted, untrustedPool := newCertificate()
+		server, _ := startServer(peer.Options{TLS: &tls.Config{
+			Certificates: []tls.Certificate{trusted}, ClientCAs: trustedPool, ClientAuth: tls.RequireAndVerifyClientCert,
 		}})
 		call := func(configuration *tls.Config) error {
 			pool := newPool(peer.Options{TLS: configuration})
-			return pool.Call(within(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{}, new(Message))
 		}
-		Expect(call(&tls.Config{Certificates: []tls.Certificate{fleet}, RootCAs: fleetPool})).To(Succeed())
-		Expect(call(&tls.Config{Certificates: []tls.Certificate{fleet}, RootCAs: strangerPool})).To(MatchError(peer.ErrNotSent))
-		Expect(call(&tls.Config{Certificates: []tls.Certificate{stranger}, RootCAs: fleetPool})).NotTo(Succeed())
+		Expect(call(&tls.Config{Certificates: []tls.Certificate{trusted}, RootCAs: trustedPool})).To(Succeed())
+		Expect(call(&tls.Config{Certificates: []tls.Certificate{trusted}, RootCAs: untrustedPool})).To(MatchError(peer.ErrNotSent))
+		Expect(call(&tls.Config{Certificates: []tls.Certificate{untrusted}, RootCAs: trustedPool})).NotTo(Succeed())
 		Expect(call(nil)).NotTo(Succeed())
 	})
 })
 
-// FuzzServer feeds bytes of strangers to a server, which must survive them.
+// FuzzServer sends arbitrary bytes after a valid preamble; the server must not panic.
 func FuzzServer(f *testing.F) {
 	server, err := peer.Listen("127.0.0.1:0", peer.Options{MaxMessageBytes: 1 << 16})
 	if err != nil {
@@ -78,7 +79,7 @@
 		}
 		defer conn.Close()
 		if _, err := conn.Write(append([]byte("thymeloft-peer/1\x01"), content...)); err != nil {
-			return // closed on us already
+			return // the server has already closed the connection
 		}
 		_ = conn.(*net.TCPConn).CloseWrite()
 		_, _ = io.Copy(io.Discard, conn)
--- a/internal/peer/unanswered.go
+++ b/internal/peer/unanswered.go
@@ -2,35 +2,42 @@
 
 import "time"
 
-// RetireUnanswered makes calls of an address take new connections in place of those that were used and have not brought
-// a reply for so long. It is for the end of a cut, which other calls have shown: on a connection that
-// was used during it TCP sends again only after seconds, and each call of it would miss its deadline until
-// one of them lasts for silentBeforeRetire.
+// RetireUnanswered retires the connections to address that were used after their
+// last reply, if that reply arrived more than the duration silent ago. Later calls
+// dial new connections.
+//
+// Call it when a network partition has ended. On a connection that was used during
+// the partition, TCP may retransmit only seconds later. Without RetireUnanswered,
+// calls on it would miss their deadlines until one of them has waited for
+// minSilenceBeforeRetire.
 func (p *Pool) RetireUnanswered(address string, silent time.Duration) {
-	oldest := p.elapsed() - int64(silent)
-	for _, each := range p.linksTo(address) {
-		each.retireUnanswered(oldest)
+	cutoff := p.elapsed() - int64(silent)
+	for _, l := range p.linksTo(address) {
+		l.retireUnanswered(cutoff)
 	}
 }
 
+// linksTo returns the links to address, one for each class in use.
 func (p *Pool) linksTo(address string) (found []*link) {
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
-	for key, each := range p.links {
+	for key, l := range p.links {
 		if key.address == address {
-			found = append(found, each)
+			found = append(found, l)
 		}
 	}
 	return found
 }
 
-func (l *link) retireUnanswered(oldest int64) {
+// retireUnanswered retires the link's connection if it was used after its last
+// reply and that reply arrived before cutoff, in nanoseconds since Pool.startTime.
+func (l *link) retireUnanswered(cutoff int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.current == nil {
+	if l.connection == nil {
 		return
 	}
-	if replied := l.current.lastReply.Load(); replied < oldest && l.current.lastUse.Load() > replied {
-		l.current.retired.Store(true)
+	if lastReply := l.connection.lastReply.Load(); lastReply < cutoff && l.connection.lastUse.Load() > lastReply {
+		l.connection.retired.Store(true)
 	}
 }
--- a/internal/peer/unanswered_test.go
+++ b/internal/peer/unanswered_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-var _ = Describe("Connections that were used in a cut", func() {
-	It("are left at its end, though no call on them lasted long", func() {
+var _ = Describe("Connections used during a network partition", func() {
+	It("are replaced when it ends, although no call on them was long", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(listener.Close)
@@ -23,27 +23,27 @@
 				if err != nil {
 					return
 				}
-				accepted <- conn // read by nobody, answered by nobody
+				accepted <- conn // never read or answered
 			}
 		}()
 		pool := newPool(peer.Options{})
 		call := func() error {
-			return pool.Call(within(50*time.Millisecond), listener.Addr().String(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(50*time.Millisecond), listener.Addr().String(), peer.Control, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(MatchError(context.DeadlineExceeded))
 		Eventually(accepted, testDeadline).Should(Receive())
 		Expect(call()).To(MatchError(context.DeadlineExceeded))
-		Expect(accepted).NotTo(Receive(), "a short call does not retire it")
+		Expect(accepted).NotTo(Receive(), "a short call must not retire the connection")
 		pool.RetireUnanswered(listener.Addr().String(), time.Millisecond)
 		Expect(call()).To(MatchError(context.DeadlineExceeded))
 		Eventually(accepted, testDeadline).Should(Receive())
 	})
 
-	It("are kept where they brought the reply of their last use", func() {
-		server, _ := start(peer.Options{})
+	It("are kept if a reply has arrived since their last use", func() {
+		server, _ := startServer(peer.Options{})
 		pool := newPool(peer.Options{})
 		call := func() error {
-			return pool.Call(within(testDeadline), server.Address(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(testDeadline), server.Address(), peer.Control, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(Succeed())
 		pool.RetireUnanswered(server.Address(), 0)
