--- a/internal/server/answers.go
+++ b/internal/server/answers.go
@@ -6,11 +6,12 @@
 	"github.com/thymeloft/thymeloft/internal/writebehind"
 )
 
-// keepAnswers makes what keeps answers for callers that read slowly, within the account of
-// what is held for others.
-func (s *Server) keepAnswers() (*writebehind.Group, error) {
-	answers := writebehind.NewGroup(writebehind.Options{
+// newAnswerBuffers returns the group of connections that buffer responses for
+// callers that read slowly. The buffers count towards the limit of s.memory. The
+// function also registers the metrics of the group and of s.memory.
+func (s *Server) newAnswerBuffers() (*writebehind.Group, error) {
+	buffers := writebehind.NewGroup(writebehind.Options{
 		Account: s.memory, Silence: writebehind.UsualSilence, Pause: writebehind.UsualPause, Log: s.Log,
 	})
-	return answers, errors.Join(s.memory.Measure(s.Registry), answers.Measure(s.Registry))
+	return buffers, errors.Join(s.memory.Measure(s.Registry), buffers.Measure(s.Registry))
 }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -11,17 +11,19 @@
 	"github.com/thymeloft/thymeloft/internal/telemetry"
 )
 
-// metricsPath is where the metrics listener answers.
+// metricsPath is the HTTP path of the metrics.
 const metricsPath = "/metrics"
 
-// serveReadiness answers the platform's questions until the context ends; it returns where.
+// serveReadiness serves the platform's readiness checks until ctx ends. It returns
+// the address of the listener.
 func (s *Server) serveReadiness(ctx context.Context) (address string, err error) {
 	readiness := http.NewServeMux()
 	readiness.Handle(s.ReadyPath, s.conditions())
 	return s.serveEndpoint(ctx, "ready", s.Settings.Listen.Ready, readiness)
 }
 
-// serveMetrics answers on the address of the settings, if there is one, until the context ends.
+// serveMetrics serves the metrics until ctx ends, if the settings name an address
+// for them.
 func (s *Server) serveMetrics(ctx context.Context) error {
 	if s.Settings.Listen.Metrics == "" {
 		return nil
@@ -32,8 +34,11 @@
 	return err
 }
 
+// serveEndpoint serves handler at address until ctx ends and returns the address
+// of the listener. The name appears in logs and errors.
 func (s *Server) serveEndpoint(ctx context.Context, name, address string, handler http.Handler) (string, error) {
-	// headerTimeout ends connections of those that open one and ask nothing.
+	// headerTimeout limits the time to read a request header, so that connections
+	// without requests are closed.
 	const headerTimeout = 3 * time.Second
 	opened, err := process.Listen(process.EndpointOptions{
 		Name: name, Address: address, Limits: process.EndpointLimits{HeaderTimeout: headerTimeout}, Log: s.Log,
@@ -43,7 +48,7 @@
 	}
 	go func() {
 		if err := opened.Serve(handler); err != nil {
-			s.Log.Error("server: endpoint is not served any more.", zap.String("endpoint", name), zap.String("error", err.Error()))
+			s.Log.Error("server: endpoint stopped serving.", zap.String("endpoint", name), zap.String("error", err.Error()))
 		}
 	}()
 	context.AfterFunc(ctx, opened.Close)
--- a/internal/server/followers.go
+++ b/internal/server/followers.go
@@ -10,18 +10,24 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Rows translates the rows that operators and instances write.
+// Rows knows where operators and instances write their rows in the store, and
+// decodes these rows.
 type Rows interface {
+	// ConfigurationKey returns the key of the row with the configuration.
 	ConfigurationKey() state.Key
+	// Table decodes the row with the configuration.
 	Table(row state.Row) (*routetable.Table, error)
+	// InstancesTable returns the name of the table of instances.
 	InstancesTable() string
+	// Instance decodes a row of the table of instances.
 	Instance(row state.Row) (backend.Declaration, error)
 }
 
-// configurationFollower puts each newer configuration in force.
+// configurationFollower replaces the routing table whenever a newer configuration
+// is read from the store.
 type configurationFollower struct {
 	rows     Rows
-	holder   *routetable.Holder
+	routes   *routetable.Holder
 	onChange func(*routetable.Table)
 	log      *zap.Logger
 }
@@ -33,39 +39,42 @@
 func (c *configurationFollower) Change(rows []state.Row) {
 	for _, row := range rows {
 		if row.Key == c.rows.ConfigurationKey() && !row.Removed {
-			c.take(row)
+			c.apply(row)
 		}
 	}
 }
 
-func (c *configurationFollower) take(row state.Row) {
+// apply decodes the configuration and puts it in force if it is newer than the
+// current one.
+func (c *configurationFollower) apply(row state.Row) {
 	table, err := c.rows.Table(row)
 	if err != nil {
-		c.log.Error("configuration: cannot be read; the former stays in force.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
+		c.log.Error("configuration: cannot be read; the previous one stays in force.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
 		return
 	}
-	if !c.holder.Replace(table) {
+	if !c.routes.Replace(table) {
 		return
 	}
 	c.onChange(table)
 	c.log.Info("configuration: in force.", zap.Uint64("revision", table.Revision), zap.Uint64("version", uint64(row.Version)))
 }
 
-// instanceFollower keeps the picture of instances.
+// instanceFollower updates the fleet when the table of instances changes.
 type instanceFollower struct {
 	rows  Rows
 	fleet *backend.Fleet
-	// keep is how long an instance that left stays known: what runs there ends.
-	keep   time.Duration
-	onRead func()
-	log    *zap.Logger
+	// retainRemoved is how long an instance stays in the fleet after it was removed
+	// from the table, so that requests running there can end.
+	retainRemoved time.Duration
+	onRead        func() // called after each complete read of the table
+	log           *zap.Logger
 }
 
 // Replace implements watch.Follower.
 func (i *instanceFollower) Replace(rows []state.Row, version state.Version) {
 	declared := make([]backend.Declaration, 0, len(rows))
 	for _, row := range rows {
-		if declaration, valid := i.translate(row); valid {
+		if declaration, valid := i.decode(row); valid {
 			declared = append(declared, declaration)
 		}
 	}
@@ -76,7 +85,7 @@
 // Change implements watch.Follower.
 func (i *instanceFollower) Change(rows []state.Row) {
 	for _, row := range rows {
-		declaration, valid := i.translate(row)
+		declaration, valid := i.decode(row)
 		if !valid {
 			continue
 		}
@@ -85,10 +94,11 @@
 				zap.String("address", declaration.Address), zap.Uint64("version", declaration.Version))
 		}
 	}
-	i.fleet.Forget(i.keep)
+	i.fleet.Forget(i.retainRemoved)
 }
 
-func (i *instanceFollower) translate(row state.Row) (backend.Declaration, bool) {
+// decode decodes a row. It logs a row that is not valid and returns false.
+func (i *instanceFollower) decode(row state.Row) (backend.Declaration, bool) {
 	declaration, err := i.rows.Instance(row)
 	if err != nil {
 		i.log.Error("engine: entry cannot be read.", zap.String("engine", row.Key.Name), zap.String("error", err.Error()))
--- a/internal/server/followers_test.go
+++ b/internal/server/followers_test.go
@@ -13,17 +13,18 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// namedRows reads a row's value as the address of an engine; an empty one is no engine's.
-type namedRows struct{ Rows }
+// addressRows decodes a row whose value is the address of an engine. An empty
+// value is an error.
+type addressRows struct{ Rows }
 
-func (namedRows) Instance(row state.Row) (backend.Declaration, error) {
+func (addressRows) Instance(row state.Row) (backend.Declaration, error) {
 	if len(row.Value) == 0 {
 		return backend.Declaration{}, eris.New("no engine")
 	}
 	return backend.Declaration{ID: row.Key.Name, Service: "s", Address: string(row.Value), Version: uint64(row.Version)}, nil
 }
 
-var _ = Describe("Rows of engines that cannot be read", func() {
+var _ = Describe("Engine rows that cannot be decoded", func() {
 	var follower *instanceFollower
 	var logged *observer.ObservedLogs
 	rows := []state.Row{
@@ -36,7 +37,7 @@
 		core, observed := observer.New(zap.InfoLevel)
 		logged = observed
 		follower = &instanceFollower{
-			rows: namedRows{}, fleet: backend.NewFleet(time.Now), keep: time.Minute, onRead: func() {}, log: zap.New(core),
+			rows: addressRows{}, fleet: backend.NewFleet(time.Now), retainRemoved: time.Minute, onRead: func() {}, log: zap.New(core),
 		}
 	})
 
@@ -48,13 +49,13 @@
 		return ids
 	}
 
-	DescribeTable("leave the others in use, with a line in the log", func(read func()) {
+	DescribeTable("are logged and do not affect other rows", func(read func()) {
 		read()
 		Expect(known()).To(ConsistOf("a", "c"))
 		Expect(follower.fleet.Size()).To(Equal(2))
 		Expect(logged.FilterMessage("engine: entry cannot be read.").FilterField(zap.String("engine", "b")).Len()).To(Equal(1))
 	},
-		Entry("in a whole reading", func() { follower.Replace(rows, 3) }),
-		Entry("in a change", func() { follower.Change(rows) }),
+		Entry("when all rows are read", func() { follower.Replace(rows, 3) }),
+		Entry("when rows change", func() { follower.Change(rows) }),
 	)
 })
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -13,165 +13,176 @@
 	"github.com/thymeloft/thymeloft/internal/writebehind"
 )
 
-// front serves callers on one listener. Connections are bound by the limits
-// in force when they were accepted; new limits hold for new connections.
-type front struct {
+// callerServer serves callers on one listener. A connection keeps the limits that
+// were in force when it was accepted. For each change of the limits there is a
+// new http.Server, which gets the connections accepted from then on. It is safe
+// for concurrent use.
+type callerServer struct {
 	handler     http.Handler
 	listener    net.Listener
 	errors      *log.Logger
 	connections *callerConnections
-	answers     *writebehind.Group // nil: answers are kept for no caller
-
-	mutex    sync.Mutex
-	limits   routetable.Limits
-	server   *http.Server
-	feed     *feed
-	former   []*http.Server
-	stopping bool
+	buffers     *writebehind.Group // buffers responses to slow callers; nil disables it
+
+	mutex       sync.Mutex
+	limits      routetable.Limits
+	server      *http.Server
+	acceptQueue *connectionQueue
+	previous    []*http.Server
+	stopping    bool
 }
 
-// The limits before a configuration is known.
-var firstLimits = routetable.Limits{
+// initialLimits are in force until a configuration is known.
+var initialLimits = routetable.Limits{
 	HeaderBytes:   16 << 10,
 	BodyBytes:     4 << 20,
 	HeaderTimeout: 3 * time.Second,
 	IdleTimeout:   15 * time.Second,
 }
 
-func newFront(listener net.Listener, handler http.Handler, answers *writebehind.Group, errorLog *log.Logger) *front {
-	made := &front{listener: listener, errors: errorLog, connections: newCallerConnections(), answers: answers}
-	made.handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		handler.ServeHTTP(&answerWriter{ResponseWriter: writer, connections: made.connections}, request)
+func newCallerServer(listener net.Listener, handler http.Handler, buffers *writebehind.Group, errorLog *log.Logger) *callerServer {
+	s := &callerServer{listener: listener, errors: errorLog, connections: newCallerConnections(), buffers: buffers}
+	s.handler = http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+		handler.ServeHTTP(&responseWriter{ResponseWriter: writer, connections: s.connections}, request)
 	})
-	made.Limit(firstLimits)
-	go made.accept()
-	return made
+	s.SetLimits(initialLimits)
+	go s.accept()
+	return s
 }
 
-// Limit puts new limits in force for connections accepted from now on.
-func (f *front) Limit(limits routetable.Limits) {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	if f.stopping || f.server != nil && f.limits == limits {
+// SetLimits sets the limits of connections that are accepted from now on. It has
+// no effect after CloseIdle.
+func (s *callerServer) SetLimits(limits routetable.Limits) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.stopping || s.server != nil && s.limits == limits {
 		return
 	}
-	if f.server != nil {
-		f.former = append(f.former, f.server)
+	if s.server != nil {
+		s.previous = append(s.previous, s.server)
 	}
-	f.limits = limits
-	f.server = &http.Server{
-		Handler:           f.handler,
+	s.limits = limits
+	s.server = &http.Server{
+		Handler:           s.handler,
 		ReadHeaderTimeout: limits.HeaderTimeout,
 		IdleTimeout:       limits.IdleTimeout,
 		MaxHeaderBytes:    limits.HeaderBytes,
-		ErrorLog:          f.errors,
-		ConnState:         f.connections.note,
-		ConnContext:       withAnswers,
+		ErrorLog:          s.errors,
+		ConnState:         s.connections.onStateChange,
+		ConnContext:       withBufferedConn,
 	}
-	f.feed = newFeed(f.listener.Addr())
-	go func(server *http.Server, connections *feed) {
-		if err := server.Serve(connections); !endsAsPlanned(err) {
-			f.errors.Printf("callers are not served any more: %v", err)
+	s.acceptQueue = newConnectionQueue(s.listener.Addr())
+	go func(server *http.Server, connections *connectionQueue) {
+		if err := server.Serve(connections); !isExpectedServeError(err) {
+			s.errors.Printf("stopped serving callers: %v", err)
 		}
-	}(f.server, f.feed)
+	}(s.server, s.acceptQueue)
 }
 
-// withAnswers lets who serves a request know the connection that keeps its answer.
-func withAnswers(ctx context.Context, accepted net.Conn) context.Context {
-	if caller, is := accepted.(*callerConnection); is {
-		if keeping, keeps := caller.Conn.(*writebehind.Conn); keeps {
-			return writebehind.WithConn(ctx, keeping)
+// withBufferedConn adds the connection that buffers responses, if accepted has
+// one, to the context of its requests.
+func withBufferedConn(ctx context.Context, accepted net.Conn) context.Context {
+	if connection, ok := accepted.(*callerConnection); ok {
+		if buffered, wrapped := connection.Conn.(*writebehind.Conn); wrapped {
+			return writebehind.WithConn(ctx, buffered)
 		}
 	}
 	return ctx
 }
 
-// endsAsPlanned tells whether a server's end was asked for: it always ends with an error.
-func endsAsPlanned(err error) bool {
+// isExpectedServeError reports whether err, which http.Server.Serve returned,
+// only means that the server or its listener was closed.
+func isExpectedServeError(err error) bool {
 	return errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed)
 }
 
-// accept hands each connection to the server with the newest limits.
-func (f *front) accept() {
-	const pauseAfterError = 20 * time.Millisecond
+// accept accepts connections until the listener is closed and passes each to the
+// server with the current limits.
+func (s *callerServer) accept() {
+	const retryDelay = 20 * time.Millisecond
 	for {
-		accepted, err := f.listener.Accept()
+		accepted, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(pauseAfterError) // out of descriptors: some are given back soon
+			time.Sleep(retryDelay) // mostly for lack of file descriptors, until some are closed
 			continue
 		}
-		f.mutex.Lock()
-		current := f.feed
-		f.mutex.Unlock()
-		current.give(&callerConnection{Conn: f.answers.Wrap(accepted)})
+		s.mutex.Lock()
+		current := s.acceptQueue
+		s.mutex.Unlock()
+		current.deliver(&callerConnection{Conn: s.buffers.Wrap(accepted)})
 	}
 }
 
-// CloseIdle ends kept connections after their answer, and idle ones now.
-func (f *front) CloseIdle() {
-	f.mutex.Lock()
-	defer f.mutex.Unlock()
-	f.stopping = true
-	f.connections.stop()
+// CloseIdle closes idle connections at once, and each other connection after the
+// response to its current request.
+func (s *callerServer) CloseIdle() {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.stopping = true
+	s.connections.stop()
 }
 
-// Divert ends connections with their answers, and those that rest at once, so that
-// callers open new ones, which may lead elsewhere; or lets them stay again.
-func (f *front) Divert(diverts bool) { f.connections.divert(diverts) }
-
-// Stop accepts nothing more and waits until all requests are answered, and callers have taken
-// the answers that are kept for them.
-func (f *front) Stop(ctx context.Context) error {
-	_ = f.listener.Close()
-	f.mutex.Lock()
-	servers := append(f.former, f.server)
-	f.mutex.Unlock()
+// SetDiverting starts or stops diverting callers to other daemons. While diverting,
+// idle connections are closed at once and others after their response, so that
+// callers open new connections, which may reach another daemon.
+func (s *callerServer) SetDiverting(diverting bool) { s.connections.setDiverting(diverting) }
+
+// Stop closes the listener and waits, until ctx ends, for all requests to be
+// answered and for callers to read the responses that are buffered for them.
+func (s *callerServer) Stop(ctx context.Context) error {
+	_ = s.listener.Close()
+	s.mutex.Lock()
+	servers := append(s.previous, s.server)
+	s.mutex.Unlock()
 	var failures []error
 	for _, server := range servers {
 		failures = append(failures, server.Shutdown(ctx))
 	}
-	f.answers.Flush(ctx)
+	s.buffers.Flush(ctx)
 	return errors.Join(failures...)
 }
 
-// feed is a listener that is given its connections.
-type feed struct {
+// connectionQueue is a net.Listener whose Accept returns the connections passed to
+// deliver.
+type connectionQueue struct {
 	address     net.Addr
 	connections chan net.Conn
 	closed      chan struct{}
 	once        sync.Once
 }
 
-func newFeed(address net.Addr) *feed {
-	return &feed{address: address, connections: make(chan net.Conn), closed: make(chan struct{})}
+func newConnectionQueue(address net.Addr) *connectionQueue {
+	return &connectionQueue{address: address, connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-func (f *feed) give(connection net.Conn) {
+// deliver passes the connection to Accept. It closes the connection if the queue
+// is closed.
+func (q *connectionQueue) deliver(connection net.Conn) {
 	select {
-	case f.connections <- connection:
-	case <-f.closed:
+	case q.connections <- connection:
+	case <-q.closed:
 		_ = connection.Close()
 	}
 }
 
 // Accept implements net.Listener.
-func (f *feed) Accept() (net.Conn, error) {
+func (q *connectionQueue) Accept() (net.Conn, error) {
 	select {
-	case connection := <-f.connections:
+	case connection := <-q.connections:
 		return connection, nil
-	case <-f.closed:
+	case <-q.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close implements net.Listener.
-func (f *feed) Close() error {
-	f.once.Do(func() { close(f.closed) })
+func (q *connectionQueue) Close() error {
+	q.once.Do(func() { close(q.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (f *feed) Addr() net.Addr { return f.address }
+func (q *connectionQueue) Addr() net.Addr { return q.address }
--- a/internal/server/front_test.go
+++ b/internal/server/front_test.go
@@ -19,7 +19,7 @@
 )
 
 var _ = Describe("front", func() {
-	var served *front
+	var served *callerServer
 	var address string
 
 	BeforeEach(func() {
@@ -27,7 +27,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		address = listener.Addr().String()
 		handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(writer, "x") })
-		served = newFront(listener, handler, nil, log.New(io.Discard, "", 0))
+		served = newCallerServer(listener, handler, nil, log.New(io.Discard, "", 0))
 		DeferCleanup(func(ctx SpecContext) { _ = served.Stop(ctx) })
 	})
 
@@ -38,7 +38,8 @@
 		DeferCleanup(func() { _ = connection.Close() })
 		return connection
 	}
-	// ask sends a request with a header of this size and returns the answer's head.
+	// ask sends a request with a header of about size bytes, reads the response and
+	// returns it with its body closed.
 	ask := func(connection net.Conn, size int) *http.Response {
 		GinkgoHelper()
 		_, err := fmt.Fprintf(connection, "GET / HTTP/1.1\r\nHost: h\r\nX: %s\r\n\r\n", strings.Repeat("x", size))
@@ -51,11 +52,11 @@
 		return response
 	}
 
-	It("puts new limits in force for new connections, and leaves open ones be", func() {
+	It("applies new limits to new connections only", func() {
 		const large = 12 << 10
 		open := dial()
 		Expect(ask(open, large).StatusCode).To(Equal(200))
-		served.Limit(routetable.Limits{HeaderBytes: 1 << 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
+		served.SetLimits(routetable.Limits{HeaderBytes: 1 << 10, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 		Expect(ask(dial(), large).StatusCode).To(Equal(431))
 		Expect(ask(dial(), 10).StatusCode).To(Equal(200))
 		Expect(ask(open, large).StatusCode).To(Equal(200))
@@ -66,7 +67,7 @@
 		Expect(ask(kept, 10).Close).To(BeFalse())
 		_, err := io.WriteString(kept, "GET / HTTP/1.1\r\nHost: h\r\n")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(served.connections.begun).Should(Equal(1))
+		Eventually(served.connections.countBegun).Should(Equal(1))
 		served.CloseIdle()
 		_, err = io.WriteString(kept, "\r\n")
 		Expect(err).NotTo(HaveOccurred())
@@ -77,14 +78,14 @@
 		Expect(response.Body.Close()).To(Succeed())
 	})
 
-	It("ends connections while callers are better served elsewhere, and keeps them again after that", func() {
+	It("closes connections while callers are diverted to other daemons, and keeps them open afterwards", func() {
 		resting, busy := dial(), dial()
 		Expect(ask(resting, 10).Close).To(BeFalse())
 		Expect(ask(busy, 10).Close).To(BeFalse())
 		_, err := io.WriteString(busy, "GET / HTTP/1.1\r\nHost: h\r\n")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(served.connections.begun).Should(Equal(1))
-		served.Divert(true)
+		Eventually(served.connections.countBegun).Should(Equal(1))
+		served.SetDiverting(true)
 		_, err = resting.Read(make([]byte, 1))
 		Expect(err).To(MatchError(io.EOF))
 		_, err = io.WriteString(busy, "\r\n")
@@ -93,18 +94,18 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.Close).To(BeTrue())
 		Expect(response.Body.Close()).To(Succeed())
-		served.Divert(false)
+		served.SetDiverting(false)
 		Expect(ask(dial(), 10).Close).To(BeFalse())
 	})
 
-	It("ends no sooner than callers have taken the answers that are kept for them", func(ctx SpecContext) {
+	It("stops only after callers have read the responses that are buffered for them", func(ctx SpecContext) {
 		const answerBytes = 16 << 20 // more than the kernel's buffers hold
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(make([]byte, answerBytes)) })
 		account := memory.NewAccount(4 * answerBytes)
 		answers := writebehind.NewGroup(writebehind.Options{Account: account, Silence: time.Hour, Pause: time.Hour})
-		keeping := newFront(listener, handler, answers, log.New(io.Discard, "", 0))
+		keeping := newCallerServer(listener, handler, answers, log.New(io.Discard, "", 0))
 		caller, err := net.Dial("tcp", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer caller.Close()
@@ -124,7 +125,7 @@
 		Expect(account.Held()).To(BeZero())
 	})
 
-	It("passes nothing on that arrives on a connection that it closed", func() {
+	It("does not deliver bytes that arrive on a retired connection", func() {
 		near, far := net.Pipe()
 		connection := &callerConnection{Conn: near}
 		read := make(chan error, 1)
@@ -137,13 +138,13 @@
 		Expect(far.Close()).To(Succeed())
 	})
 
-	It("tells callers to leave once it stops, on connections of all limits", func() {
+	It("closes connections after CloseIdle, whatever limits they were accepted with", func() {
 		old := dial()
 		Expect(ask(old, 10).Close).To(BeFalse())
-		served.Limit(routetable.Limits{HeaderBytes: 1 << 12, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
+		served.SetLimits(routetable.Limits{HeaderBytes: 1 << 12, HeaderTimeout: time.Minute, IdleTimeout: time.Minute})
 		served.CloseIdle()
 		_, err := old.Read(make([]byte, 1))
-		Expect(err).To(MatchError(io.EOF), "an idle connection is closed")
+		Expect(err).To(MatchError(io.EOF), "an idle connection must be closed")
 		Expect(ask(dial(), 10).Close).To(BeTrue())
 	})
 })
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -7,18 +7,18 @@
 	"sync/atomic"
 )
 
-// callerConnection knows whether a request may have begun on it. The HTTP server
-// counts a connection as idle until it has read a whole request header, so that
-// its own closing of idle connections may meet a request that then runs without
-// an answer.
+// callerConnection is a caller's connection that records whether a request may
+// have begun on it. http.Server does not offer this: it treats a connection as idle
+// until it has read a whole request header. If it closed idle connections itself,
+// it could close one whose request then runs without a response.
 //
-// Guarantee: once retired, no byte read from it reaches the server; it is retired
-// only while none was read since it became idle.
+// Guarantee: after the connection is retired, no byte that is read from it reaches
+// the server. It is retired only if no byte was read since it became idle.
 type callerConnection struct {
 	net.Conn
-	mutex   sync.Mutex
-	begun   bool // bytes were read since it was last idle
-	retired bool
+	mutex        sync.Mutex
+	requestBegun bool // whether bytes were read since the connection was accepted or became idle
+	retired      bool
 }
 
 // Read implements net.Conn.
@@ -32,123 +32,127 @@
 	if c.retired {
 		return 0, net.ErrClosed
 	}
-	c.begun = true
+	c.requestBegun = true
 	return count, err
 }
 
-// CloseWrite lets the server end an answer before it closes the connection.
+// CloseWrite closes the sending side of the connection, if it supports that.
+// http.Server calls it before it closes the connection.
 func (c *callerConnection) CloseWrite() error {
-	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
 
-// rest notes that the last answer was sent whole.
-func (c *callerConnection) rest() {
+// markIdle records that the response to the last request was sent completely.
+func (c *callerConnection) markIdle() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.begun = false
+	c.requestBegun = false
 }
 
 // retire closes the connection if no request has begun on it.
 func (c *callerConnection) retire() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.begun || c.retired {
+	if c.requestBegun || c.retired {
 		return
 	}
 	c.retired = true
 	_ = c.Close()
 }
 
-// callerConnections are the connections that rest. It is safe for concurrent use.
+// callerConnections holds the idle connections of all servers of a callerServer,
+// and decides whether connections stay open. It is safe for concurrent use.
 type callerConnections struct {
-	mutex    sync.Mutex
-	resting  map[*callerConnection]struct{}
-	stopping atomic.Bool
-	diverts  atomic.Bool // callers are better served elsewhere
+	mutex     sync.Mutex
+	idle      map[*callerConnection]struct{}
+	stopping  atomic.Bool
+	diverting atomic.Bool // whether callers should move to other daemons
 }
 
 func newCallerConnections() *callerConnections {
-	return &callerConnections{resting: map[*callerConnection]struct{}{}}
+	return &callerConnections{idle: map[*callerConnection]struct{}{}}
 }
 
-// note is the ConnState hook of all servers.
-func (c *callerConnections) note(changed net.Conn, state http.ConnState) {
-	connection, is := changed.(*callerConnection)
-	if !is {
+// onStateChange is the http.Server.ConnState hook of all servers.
+func (c *callerConnections) onStateChange(changed net.Conn, state http.ConnState) {
+	connection, ok := changed.(*callerConnection)
+	if !ok {
 		return
 	}
 	if state != http.StateIdle {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		delete(c.resting, connection)
+		delete(c.idle, connection)
 		return
 	}
-	connection.rest()
+	connection.markIdle()
 	c.mutex.Lock()
-	c.resting[connection] = struct{}{}
+	c.idle[connection] = struct{}{}
 	c.mutex.Unlock()
-	if c.ending() {
+	if c.isClosing() {
 		connection.retire()
 	}
 }
 
-// stop closes connections on which no request has begun, and others once they rest.
+// stop closes idle connections on which no request has begun, and from now on
+// every connection that becomes idle.
 func (c *callerConnections) stop() {
 	c.stopping.Store(true)
-	c.retireResting()
+	c.retireIdle()
 }
 
-// divert begins or ends a time in which connections are ended.
-func (c *callerConnections) divert(diverts bool) {
-	c.diverts.Store(diverts)
-	if diverts {
-		c.retireResting()
+// setDiverting sets whether connections are closed when they become idle. If so,
+// it also closes those that are idle now.
+func (c *callerConnections) setDiverting(diverting bool) {
+	c.diverting.Store(diverting)
+	if diverting {
+		c.retireIdle()
 	}
 }
 
-// ending tells whether a connection ends with the answer that is on it.
-func (c *callerConnections) ending() bool { return c.stopping.Load() || c.diverts.Load() }
+// isClosing reports whether connections are closed after their current response.
+func (c *callerConnections) isClosing() bool { return c.stopping.Load() || c.diverting.Load() }
 
-// retireResting closes connections on which no request has begun.
-func (c *callerConnections) retireResting() {
+// retireIdle closes the idle connections on which no request has begun.
+func (c *callerConnections) retireIdle() {
 	c.mutex.Lock()
-	resting := make([]*callerConnection, 0, len(c.resting))
-	for connection := range c.resting {
-		resting = append(resting, connection)
+	idle := make([]*callerConnection, 0, len(c.idle))
+	for connection := range c.idle {
+		idle = append(idle, connection)
 	}
 	c.mutex.Unlock()
-	for _, connection := range resting {
+	for _, connection := range idle {
 		connection.retire()
 	}
 }
 
-// answerWriter tells the caller that its connection ends with this answer, if
-// connections are being ended when the answer begins.
-type answerWriter struct {
+// responseWriter adds the header "Connection: close" to a response if connections
+// are being closed when its header is written.
+type responseWriter struct {
 	http.ResponseWriter
-	connections *callerConnections
-	begun       bool
+	connections   *callerConnections
+	headerWritten bool
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answerWriter) WriteHeader(status int) {
-	a.begun = true
-	if a.connections.ending() {
-		a.Header().Set("Connection", "close")
+func (w *responseWriter) WriteHeader(status int) {
+	w.headerWritten = true
+	if w.connections.isClosing() {
+		w.Header().Set("Connection", "close")
 	}
-	a.ResponseWriter.WriteHeader(status)
+	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (a *answerWriter) Write(content []byte) (int, error) {
-	if !a.begun {
-		a.WriteHeader(http.StatusOK)
+func (w *responseWriter) Write(content []byte) (int, error) {
+	if !w.headerWritten {
+		w.WriteHeader(http.StatusOK)
 	}
-	return a.ResponseWriter.Write(content)
+	return w.ResponseWriter.Write(content)
 }
 
-// Unwrap lets http.ResponseController reach what it wraps.
-func (a *answerWriter) Unwrap() http.ResponseWriter { return a.ResponseWriter }
+// Unwrap returns the wrapped writer, for http.ResponseController.
+func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -1,13 +1,14 @@
 package server
 
-// begun counts resting connections on which bytes were read.
-func (c *callerConnections) begun() int {
+// countBegun returns the number of idle connections on which bytes of a next
+// request were read.
+func (c *callerConnections) countBegun() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	count := 0
-	for connection := range c.resting {
+	for connection := range c.idle {
 		connection.mutex.Lock()
-		if connection.begun {
+		if connection.requestBegun {
 			count++
 		}
 		connection.mutex.Unlock()
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -16,26 +16,29 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// StoreCalls counts the calls of the store, for the metrics listener and for
-// the log of those who have only that.
+// StoreCalls counts the calls to the store. It exports them as metrics and writes
+// them to the log, for operators who have only the log. It is safe for concurrent
+// use.
 type StoreCalls struct {
 	durations *prometheus.HistogramVec
 	mutex     sync.Mutex
 	counts    map[callLabels]int64
 }
 
-// callLabels tell calls apart.
+// callLabels are the values by which calls are counted separately.
 type callLabels struct {
 	kind   state.CallKind
 	table  string
-	result string // status, or noAnswer
+	result string // the status in decimal, or noAnswer
 }
 
+// noAnswer is the result of a call to which the store did not respond.
 const noAnswer = "no answer"
 
-// NewStoreCalls registers the metrics of store calls.
+// NewStoreCalls returns counters that are zero and registers their metrics. It
+// panics if the metrics are already registered.
 func NewStoreCalls(registry prometheus.Registerer) *StoreCalls {
-	made := &StoreCalls{
+	calls := &StoreCalls{
 		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "thymeloft_store_call_seconds",
 			Help:    "Time of calls to the store, by call, table and result.",
@@ -43,11 +46,11 @@
 		}, []string{"call", "table", "result"}),
 		counts: map[callLabels]int64{},
 	}
-	registry.MustRegister(made.durations)
-	return made
+	registry.MustRegister(calls.durations)
+	return calls
 }
 
-// Observe takes the end of one call in.
+// Observe counts one call that has ended.
 func (s *StoreCalls) Observe(call state.CallResult) {
 	labels := callLabels{kind: call.Kind, table: call.Table, result: noAnswer}
 	if call.Status != 0 {
@@ -59,12 +62,12 @@
 	s.counts[labels]++
 }
 
-// summaryPause is the time between two lines about all calls so far.
-const summaryPause = 15 * time.Second
+// summaryInterval is the time between two log lines of Summarize.
+const summaryInterval = 15 * time.Second
 
-// Summarize writes how many calls of each kind there were, from time to time.
+// Summarize logs the numbers of calls so far every summaryInterval, until ctx ends.
 func (s *StoreCalls) Summarize(ctx context.Context, log *zap.Logger) {
-	ticker := time.NewTicker(summaryPause)
+	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -82,7 +85,7 @@
 	return maps.Clone(s.counts)
 }
 
-// callCounts is written as one object, sorted by its labels.
+// callCounts are numbers of calls. They are logged as one object, sorted by label.
 type callCounts map[callLabels]int64
 
 // MarshalLogObject implements zapcore.ObjectMarshaler.
--- a/internal/server/moment.go
+++ b/internal/server/moment.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// moment is when something was last heard.
-type moment struct{ at atomic.Int64 }
+// timestamp is the time of the last call of set. It is safe for concurrent use.
+type timestamp struct{ at atomic.Int64 }
 
-func (m *moment) now() { m.at.Store(time.Now().UnixNano()) }
+func (t *timestamp) set() { t.at.Store(time.Now().UnixNano()) }
 
-// age is zero before the first time.
-func (m *moment) age() time.Duration {
-	at := m.at.Load()
+// age returns the time since the last call of set, or zero before the first call.
+func (t *timestamp) age() time.Duration {
+	at := t.at.Load()
 	if at == 0 {
 		return 0
 	}
--- a/internal/server/reaching.go
+++ b/internal/server/reaching.go
@@ -8,19 +8,21 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// watchReach makes the monitor that tells whether this daemon is cut off.
-func (s *Server) watchReach(parts *collaboration) error {
+// newReachMonitor sets s.reach to a monitor that detects whether this daemon is
+// cut off from other zones and from the store, and registers the monitor's metrics.
+func (s *Server) newReachMonitor(parts *components) error {
 	s.reach = reach.NewMonitor(reach.Options{
 		Observe: func() reach.Observation {
 			heard, known := parts.loads.Outside()
 			return reach.Observation{OutsideKnown: known, OutsideHeard: heard, StoreHeard: parts.availability.Answered()}
 		},
 		AskStore: func(ctx context.Context) {
-			// An answer shows in what the store was last heard of; that none came does, too.
+			// The result is ignored, since Observe reads from parts.availability
+			// when the store last answered.
 			_, _ = parts.client.Read(ctx, state.Single(s.Rows.ConfigurationKey()))
 		},
-		Moved:    noticed,
-		OnChange: func(cutOff bool) { s.front.Divert(cutOff) },
+		Moved:    unreadyDelay,
+		OnChange: func(cutOff bool) { s.callerServer.SetDiverting(cutOff) },
 		Now:      time.Now,
 		Log:      s.Log,
 	})
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -12,32 +12,34 @@
 	"go.uber.org/zap"
 )
 
-// reloadCheck is how often the settings file is looked at, since it may change
-// without a signal.
-const reloadCheck = 5 * time.Second
+// reloadCheckInterval is the time between two checks whether the settings file has
+// changed without a signal.
+const reloadCheckInterval = 5 * time.Second
 
-// Reloader takes over settings that changed while the process runs.
+// Reloader reads the settings file again while the process runs. It is not safe
+// for concurrent use.
 type Reloader struct {
 	Path  string
 	Log   *zap.Logger
-	Apply func(Settings)
+	Apply func(Settings) // called with each valid version of the file
 
 	current Settings
-	changed time.Time // of the file, when it was last read
+	modTime time.Time // modification time of the file when it was last read
 }
 
-// NewReloader starts from the settings that are in force.
+// NewReloader returns a Reloader for the file at path, from which the current
+// settings were read.
 func NewReloader(path string, current Settings, apply func(Settings), log *zap.Logger) *Reloader {
-	made := &Reloader{Path: path, Log: log, Apply: apply, current: current}
-	made.changed = made.fileTime()
-	return made
+	reloader := &Reloader{Path: path, Log: log, Apply: apply, current: current}
+	reloader.modTime = reloader.fileModTime()
+	return reloader
 }
 
-// Run reloads on SIGHUP, and when the file has changed, until the context ends.
+// Run calls Reload on SIGHUP and when the file has changed, until ctx ends.
 func (r *Reloader) Run(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
-	ticker := time.NewTicker(reloadCheck)
+	ticker := time.NewTicker(reloadCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -46,14 +48,16 @@
 		case <-signals:
 			r.Reload()
 		case <-ticker.C:
-			if !r.fileTime().Equal(r.changed) {
+			if !r.fileModTime().Equal(r.modTime) {
 				r.Reload()
 			}
 		}
 	}
 }
 
-func (r *Reloader) fileTime() time.Time {
+// fileModTime returns the modification time of the file, or the zero time if it
+// cannot be read.
+func (r *Reloader) fileModTime() time.Time {
 	information, err := os.Stat(r.Path)
 	if err != nil {
 		return time.Time{}
@@ -61,24 +65,26 @@
 	return information.ModTime()
 }
 
-// Reload reads the file. What is wrong leaves the former settings in force;
-// what only a start can change is named.
+// Reload reads the file and applies its settings. If the file is invalid, the
+// previous settings stay in force. It logs the names of changed settings that take
+// effect only after a restart.
 func (r *Reloader) Reload() {
-	r.changed = r.fileTime()
+	r.modTime = r.fileModTime()
 	next, err := Load(r.Path)
 	if err != nil {
-		r.Log.Error("server: settings not reloaded; the former stay in force.", zap.String("error", err.Error()))
+		r.Log.Error("server: settings not reloaded; the previous settings stay in force.", zap.String("error", err.Error()))
 		return
 	}
-	waiting := r.current.needingStart(next)
+	needRestart := r.current.needingRestart(next)
 	changed := !reflect.DeepEqual(next, r.current)
 	r.current = next
 	r.Apply(next)
-	r.Log.Info("server: settings reloaded.", zap.Bool("changed", changed), zap.Strings("untilNextStart", waiting))
+	r.Log.Info("server: settings reloaded.", zap.Bool("changed", changed), zap.Strings("untilNextStart", needRestart))
 }
 
-// needingStart names settings that differ and are taken over at a start only.
-func (s *Settings) needingStart(next Settings) []string {
+// needingRestart returns the sorted names of settings that differ in next and take
+// effect only after a restart.
+func (s *Settings) needingRestart(next Settings) []string {
 	fields := map[string]bool{
 		"machine":                  s.Machine != next.Machine,
 		"zone":                     s.Zone != next.Zone,
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -24,92 +24,97 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// Options are what a Server is made of.
+// Options configures a Server. All fields but OnStarted are required.
 type Options struct {
 	Settings  Settings
 	Store     state.Store
 	Wire      gateway.Wire
 	Rows      Rows
-	ReadyPath string
+	ReadyPath string // HTTP path of the readiness check
 	Log       *zap.Logger
 	Registry  *prometheus.Registry
-	// OnStarted, if given, hears where the process listens.
+	// OnStarted, if not nil, is called once when the process has started to serve.
 	OnStarted func(Addresses)
 }
 
-// Addresses are where a process listens.
+// Addresses are the "ip:port" addresses at which a process listens.
 type Addresses struct {
 	Callers string
 	Ready   string
 }
 
-// Server is one process that serves callers.
+// Server is a gateway process: it serves callers and holds the connections to the
+// store and to other daemons.
 type Server struct {
 	Options
 	routes             *routetable.Holder
 	fleet              *backend.Fleet
-	front              *front
+	callerServer       *callerServer
 	reach              *reach.Monitor
 	memory             *memory.Account
 	metrics            *gateway.Metrics
 	life               *process.Life
-	fleetRead          atomic.Bool
-	underWay           atomic.Int64
-	graceNow           atomic.Int64 // nanoseconds
-	rateLines          rate.Sometimes
-	configurationHeard moment
-	instancesHeard     moment
+	instancesRead      atomic.Bool // the table of instances was read at least once
+	activeRequests     atomic.Int64
+	graceNanos         atomic.Int64   // the grace period, in nanoseconds
+	rateLog            rate.Sometimes // limits the log lines of logLoweredRate
+	configurationHeard timestamp      // of the store's last answer about the configuration
+	instancesHeard     timestamp      // of the store's last answer about instances
 }
 
-// How much is kept in memory.
+// Limits of what is cached in memory.
 const (
-	turnsCached    = 2048
-	turnsCachedFor = 90 * time.Second
-	// The bytes in memory are a fifth of what the smallest machine has (88 MB). A turn adds
-	// some 3,000, so 4,000 turns fit: the turnsCached recent ones, and those they go on from.
-	turnsCachedBytes  = 12 << 20
-	piecesCachedBytes = 4 << 20
-	programsKept      = 8192
-	programsKeptFor   = 3 * time.Minute
+	maxCachedTurns   = 2048
+	maxCachedTurnAge = 90 * time.Second
+	// The two limits in bytes add up to a fifth of the smallest machine's memory
+	// (88 MB). A turn adds about 3,000 bytes, so that about 4,000 turns fit: the
+	// maxCachedTurns recent ones and the earlier turns that they continue.
+	maxCachedTurnBytes  = 12 << 20
+	maxCachedPieceBytes = 4 << 20
+	maxLedgerPrograms   = 8192
+	maxLedgerProgramAge = 3 * time.Minute
 )
 
-// How the store's tables are followed.
+// Parameters of following the store's tables. A feed that is silent for its
+// timeout is requested again.
 const (
-	instancesWait = 1500 * time.Millisecond
-	// membersWait is below the minute within which lenders must have heard of the
-	// list; changes come at once. What must be heard sooner is asked for by the list
-	// itself (members.List.Watch): a list that is behind keeps founders from lending.
-	membersWait = 15 * time.Second
-	// pausesInDrain is how many changes of instances come within the time
-	// after which one that leaves must get nothing more.
-	pausesInDrain = 4
+	instancesFeedTimeout = 1500 * time.Millisecond
+	// membersFeedTimeout is shorter than the minute within which a daemon must hear
+	// of the member list in order to lend budgets. Changes of the list arrive at
+	// once. If the list needs an answer earlier, it shortens the timeout itself
+	// (members.List.Watch), since a daemon with an outdated list may not lend.
+	membersFeedTimeout = 15 * time.Second
+	// changesPerDrain is the largest number of updates of the instances within the
+	// drain period; changes that arrive more often are combined.
+	changesPerDrain = 4
 )
 
-// New makes a server.
+// New returns a server that starts to listen when Run is called.
 func New(options Options) *Server {
-	made := &Server{
+	server := &Server{
 		Options: options,
 		routes:  &routetable.Holder{},
 		fleet:   backend.NewFleet(time.Now),
 		metrics: gateway.NewMetrics(options.Registry),
 		life:    process.NewLife("server", options.Log),
 
-		rateLines: rate.Sometimes{Interval: rateLinesApart},
-		memory:    memory.NewAccount(memory.Divide(options.Settings.MemoryMB).Held),
+		rateLog: rate.Sometimes{Interval: rateLogInterval},
+		memory:  memory.NewAccount(memory.Divide(options.Settings.MemoryMB).Held),
 	}
-	made.Reload(options.Settings)
-	return made
+	server.Reload(options.Settings)
+	return server
 }
 
-// Reload takes over what may change while the process runs: the grace of a
-// planned stop.
-func (s *Server) Reload(settings Settings) { s.graceNow.Store(int64(settings.grace())) }
+// Reload applies the settings that may change while the process runs: only the
+// grace period of a planned stop.
+func (s *Server) Reload(settings Settings) { s.graceNanos.Store(int64(settings.gracePeriod())) }
 
-func (s *Server) grace() time.Duration { return time.Duration(s.graceNow.Load()) }
+func (s *Server) grace() time.Duration { return time.Duration(s.graceNanos.Load()) }
 
-// Run serves until the context ends, and then until a planned stop is over.
+// Run serves callers until ctx ends, and then stops as planned: it returns when
+// the requests have ended or the grace period is over. It must be called only once.
 func (s *Server) Run(ctx context.Context) error {
-	parts, err := s.collaborate()
+	parts, err := s.newComponents()
 	if err != nil {
 		return err
 	}
@@ -118,14 +123,14 @@
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
-	if err := s.watchReach(parts); err != nil {
+	if err := s.newReachMonitor(parts); err != nil {
 		return err
 	}
-	answers, err := s.keepAnswers()
+	buffers, err := s.newAnswerBuffers()
 	if err != nil {
 		return err
 	}
-	s.front = newFront(callers, s.handler(parts), answers, zap.NewStdLog(s.Log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))))
+	s.callerServer = newCallerServer(callers, s.handler(parts), buffers, zap.NewStdLog(s.Log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))))
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	s.follow(background, parts)
@@ -147,9 +152,9 @@
 	return s.stop(parts)
 }
 
-// handler counts requests under way around the gateway.
-func (s *Server) handler(parts *collaboration) http.Handler {
-	served := gateway.New(gateway.Options{
+// handler returns the gateway's handler, which also counts s.activeRequests.
+func (s *Server) handler(parts *components) http.Handler {
+	handler := gateway.New(gateway.Options{
 		Zone:          s.Settings.Zone,
 		Wire:          s.Wire,
 		Routes:        s.routes,
@@ -166,94 +171,101 @@
 		Metrics:       s.metrics,
 		InstanceGrace: s.instanceGrace(),
 		Off:           s.Settings.Disabled,
-		KeysBelieved:  s.Settings.configurationWait() + timeToNotice,
+		KeysBelieved:  s.Settings.configurationFeedTimeout() + feedRecoveryTime,
 		Ages: func() (configuration, instances time.Duration) {
 			return s.configurationHeard.age(), s.instancesHeard.age()
 		},
 	})
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		s.underWay.Add(1)
-		defer s.underWay.Add(-1)
-		served.ServeHTTP(writer, request)
+		s.activeRequests.Add(1)
+		defer s.activeRequests.Add(-1)
+		handler.ServeHTTP(writer, request)
 	})
 }
 
-// instanceGrace leaves a margin before an instance that left must get nothing.
+// instanceGrace returns how long an instance that is leaving may still get new
+// requests. It is half of the drain period, as a margin for delays.
 func (s *Server) instanceGrace() time.Duration {
-	const margin = 2
-	return s.Settings.drain() / margin
+	const divisor = 2
+	return s.Settings.drainPeriod() / divisor
 }
 
-// follow keeps configuration and instances up to date.
-func (s *Server) follow(ctx context.Context, parts *collaboration) {
+// follow starts the goroutines that keep the configuration, the instances and the
+// components up to date until ctx ends.
+func (s *Server) follow(ctx context.Context, parts *components) {
 	configuration := &configurationFollower{
-		rows: s.Rows, holder: s.routes, log: s.Log,
-		onChange: func(table *routetable.Table) { s.front.Limit(table.Limits) },
+		rows: s.Rows, routes: s.routes, log: s.Log,
+		onChange: func(table *routetable.Table) { s.callerServer.SetLimits(table.Limits) },
 	}
 	instances := &instanceFollower{
 		rows: s.Rows, fleet: s.fleet, log: s.Log,
-		keep:   s.Settings.grace(),
-		onRead: func() { s.fleetRead.Store(true) },
+		retainRemoved: s.Settings.gracePeriod(),
+		onRead:        func() { s.instancesRead.Store(true) },
 	}
 	go watch.Run(ctx, watch.Options{
-		Store: parts.client, Table: s.Rows.ConfigurationKey().Table, Wait: s.Settings.configurationWait(), Log: s.Log,
-		OnHeard: s.configurationHeard.now,
+		Store: parts.client, Table: s.Rows.ConfigurationKey().Table, Wait: s.Settings.configurationFeedTimeout(), Log: s.Log,
+		OnHeard: s.configurationHeard.set,
 	}, configuration)
 	go watch.Run(ctx, watch.Options{
-		Store: parts.client, Table: s.Rows.InstancesTable(), Wait: instancesWait, Pause: s.Settings.drain() / pausesInDrain, Log: s.Log,
-		OnHeard: s.instancesHeard.now,
+		Store: parts.client, Table: s.Rows.InstancesTable(), Wait: instancesFeedTimeout, Pause: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
+		OnHeard: s.instancesHeard.set,
 	}, instances)
-	parts.join(ctx)
+	parts.start(ctx)
 }
 
-// conditions are what readiness asks for: callers are sent here while all hold.
+// conditions returns the conditions of readiness. The platform sends callers to
+// this process only while all of them hold.
 func (s *Server) conditions() process.Conditions {
 	return process.Conditions{
 		{Unmet: "stopping", Holds: func() bool { return !s.life.Draining() }},
-		{Unmet: "the engines are not known", Holds: s.fleetRead.Load},
+		{Unmet: "the engines are not known", Holds: s.instancesRead.Load},
 		{Unmet: "the configuration is not known", Holds: func() bool { return s.routes.Current() != nil }},
 		{Unmet: "cut off from other zones and the store", Holds: func() bool { return !s.reach.CutOff() }},
 	}
 }
 
-// The course of a planned stop.
+// Times of a planned stop.
 const (
-	// noticed is how long it takes until callers are no longer sent here.
-	noticed = 2500 * time.Millisecond
-	// endMargin is kept before the end by force.
-	endMargin = 500 * time.Millisecond
-	recheck   = 250 * time.Millisecond
+	// unreadyDelay is how long the platform may still send callers to a process
+	// that is not ready.
+	unreadyDelay = 2500 * time.Millisecond
+	// graceMargin is the part of the grace period that remains for the last steps,
+	// after waiting for requests.
+	graceMargin      = 500 * time.Millisecond
+	stopPollInterval = 250 * time.Millisecond
 )
 
-// stop tells that this process is not ready, answers what still comes, and
-// returns when nothing is under way.
-func (s *Server) stop(parts *collaboration) error {
+// stop makes the process not ready, serves the requests that still arrive, and
+// returns when no request is active or the grace period is nearly over. Requests
+// that are then still active are not an error.
+func (s *Server) stop(parts *components) error {
 	start := time.Now()
 	s.life.Drain()
-	s.Log.Info("server: stopping.", zap.Int64("underWay", s.underWay.Load()))
-	s.front.CloseIdle()
-	ctx, cancel := context.WithTimeout(context.Background(), s.grace()-endMargin)
+	s.Log.Info("server: stopping.", zap.Int64("underWay", s.activeRequests.Load()))
+	s.callerServer.CloseIdle()
+	ctx, cancel := context.WithTimeout(context.Background(), s.grace()-graceMargin)
 	defer cancel()
-	for ctx.Err() == nil && !s.mayLeave(time.Since(start)) {
-		parts.release(ctx)
-		pause.For(ctx, recheck)
+	for ctx.Err() == nil && !s.canStop(time.Since(start)) {
+		parts.releaseBudgets(ctx)
+		pause.For(ctx, stopPollInterval)
 	}
-	err := s.front.Stop(ctx)
-	parts.release(ctx)
-	parts.goodbye()
+	err := s.callerServer.Stop(ctx)
+	parts.releaseBudgets(ctx)
+	parts.endLease()
 	s.life.Stop()
-	s.Log.Info("server: stopped.", zap.Duration("took", time.Since(start)), zap.Int64("cut", s.underWay.Load()))
+	s.Log.Info("server: stopped.", zap.Duration("took", time.Since(start)), zap.Int64("cut", s.activeRequests.Load()))
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
 	return err
 }
 
-// mayLeave tells whether callers are no longer sent here and nothing is under
-// way, or half of the grace is over.
-func (s *Server) mayLeave(stoppingFor time.Duration) bool {
-	if stoppingFor < noticed {
+// canStop reports whether a stop that began elapsed ago may close the listener:
+// callers are no longer sent here, and either no request is active or half of the
+// grace period is over.
+func (s *Server) canStop(elapsed time.Duration) bool {
+	if elapsed < unreadyDelay {
 		return false
 	}
-	return s.underWay.Load() == 0 || stoppingFor > s.grace()/2
+	return s.activeRequests.Load() == 0 || elapsed > s.grace()/2
 }
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -1,5 +1,6 @@
-// Package server is the process of a gateway: its settings, listeners,
-// readiness, what it follows in the store, its planned stop, logs and metrics.
+// Package server runs a gateway process: it reads the settings, opens the
+// listeners, follows the configuration and the instances in the store, reports
+// readiness and metrics, and performs the planned stop.
 package server
 
 import (
@@ -15,64 +16,77 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Settings are what one process is told by its file.
+// Settings are the contents of a process's settings file.
 type Settings struct {
-	Machine string `yaml:"machine"`
+	Machine string `yaml:"machine"` // name of the machine
 	Zone    string `yaml:"zone"`
-	// Region is what zones near each other share; empty: all daemons are near.
+	// Region is the name of a group of zones near each other. If it is empty, all
+	// daemons count as near.
 	Region string `yaml:"region"`
 	Listen Listen `yaml:"listen"`
-	// Seeds are addresses at which other daemons listen for their peers; some may be
-	// gone. A daemon that can't reach the store asks them until it knows the others.
+	// Seeds are addresses at which other daemons listen for their peers; some may no
+	// longer exist. A daemon that cannot reach the store uses them until it knows the
+	// member list.
 	Seeds []string `yaml:"seeds"`
 	Store Store    `yaml:"store"`
-	// FirstStart tells that the whole system was never started before. It is for
-	// the first start of each machine only; left out, it is false.
+	// FirstStart means that the whole system has never been started before. It must
+	// be true only at the first start of each machine. The default is false.
 	FirstStart bool `yaml:"first_start"`
-	// Grace is the time from a planned stop to the end by force, in seconds.
+	// GraceSeconds is the time from the start of a planned stop until the process is
+	// killed.
 	GraceSeconds float64 `yaml:"grace_seconds"`
-	// DrainMillis is how long after its entry changed an instance may get work.
+	// DrainMillis is how long an instance may still get new requests after its row in
+	// the store was removed or changed to say that it is leaving.
 	DrainMillis float64 `yaml:"drain_millis"`
-	MemoryMB    int     `yaml:"memory_mb"`
-	// ProcessorShare is the part of a processor core that this machine has; larger
-	// machines aggregate loads for others. Left out, it is 0: none is larger.
+	// MemoryMB is the memory of the machine, in MiB, from which the process derives
+	// its own limits; 0 means no limits.
+	MemoryMB int `yaml:"memory_mb"`
+	// ProcessorShare is the part of a processor core that this machine has. Machines
+	// with a large share aggregate loads for others. The default, 0, means that the
+	// share is unknown.
 	ProcessorShare float64 `yaml:"processor_share"`
-	// ContactMillis is how long a daemon must have been sound before it is held
-	// to the configuration in force, also to one that came before. Left out, it
-	// is 0: silence is noticed as soon as it may be.
+	// ContactMillis is the time within which a daemon must apply the configuration in
+	// force once it works and reaches the store, even if that configuration was
+	// written before. It determines how long a feed of the configuration may be
+	// silent. The default, 0, selects the shortest time.
 	ContactMillis float64 `yaml:"contact_millis"`
-	// Quota is how tenants' quotas are meant. Left out, they hold in windows of 5 s
-	// and without tolerance.
+	// Quota configures how tenants' quotas are enforced.
 	Quota Quota `yaml:"quota"`
-	// BoundPrograms refuses programs at their first turn while the engines hold as many as they
-	// bear. It is for fleets whose engines' memory is short; left out, it is false.
+	// BoundPrograms rejects programs at their first turn while the engines hold as
+	// many programs as they can. It is meant for fleets whose engines have little
+	// memory. The default is false.
 	BoundPrograms bool `yaml:"bound_programs"`
-	// NearBudgets lets the holders of each zone hold budgets for the turns that come through it, so that
-	// a zone that is cut off goes on with its programs. Left out, it is false: two holders of a small
-	// budget may each be granted a part that is too small for a turn.
+	// NearBudgets lets daemons of each zone hold program budgets for the turns that
+	// arrive in the zone, so that a zone that is cut off can continue its programs. The
+	// default is false, because two holders of a small budget may each get a part that
+	// is too small for a turn.
 	NearBudgets bool `yaml:"near_budgets"`
-	// Disabled are mechanisms that an experiment goes without; empty in service.
+	// Disabled lists mechanisms that are switched off for an experiment. It is empty
+	// in production.
 	Disabled mechanism.Off `yaml:"disabled"`
-	// LogSuccessesPerSecond bounds the lines about requests that went well; 0: no bound.
+	// LogSuccessesPerSecond limits the log lines about successful requests; 0 means no
+	// limit.
 	LogSuccessesPerSecond int `yaml:"log_successes_per_second"`
 }
 
-// Listen holds the addresses on which a process is called.
+// Listen holds the addresses ("ip:port") at which a process listens.
 type Listen struct {
-	Callers string `yaml:"callers"`
-	Ready   string `yaml:"ready"`
-	Peers   string `yaml:"peers"` // other daemons
-	// Advertise is where other daemons reach Peers, if that differs.
+	Callers string `yaml:"callers"` // requests of callers
+	Ready   string `yaml:"ready"`   // the platform's readiness checks
+	Peers   string `yaml:"peers"`   // calls of other daemons
+	// Advertise is the address at which other daemons reach Peers. The default is the
+	// address that Peers listens on.
 	Advertise string `yaml:"advertise"`
-	Metrics   string `yaml:"metrics"` // empty: none
+	Metrics   string `yaml:"metrics"` // empty disables the metrics listener
 }
 
-// Store tells where the store is and what it takes.
+// Store describes the store and its limits.
 type Store struct {
-	Address  string `yaml:"address"`
-	RowBytes int    `yaml:"row_bytes"`
-	// WritesPerSecond and ReadsPerSecond are what it takes of all daemons together. Left
-	// out, they are 0: unknown, and each daemon goes by what is refused alone.
+	Address  string `yaml:"address"`   // "ip:port"
+	RowBytes int    `yaml:"row_bytes"` // largest value of a row, in bytes
+	// WritesPerSecond and ReadsPerSecond are the rates that the store accepts from all
+	// daemons together. The default, 0, means unknown: a daemon then lowers its rate
+	// only when the store rejects calls.
 	WritesPerSecond float64 `yaml:"writes_per_second"`
 	ReadsPerSecond  float64 `yaml:"reads_per_second"`
 }
@@ -81,17 +95,20 @@
 	return state.Rates{Writes: s.WritesPerSecond, Reads: s.ReadsPerSecond}
 }
 
-// Quota is how tenants' quotas are meant.
+// Quota configures how tenants' quotas are enforced.
 type Quota struct {
-	// WindowSeconds is the length of the windows in which requests are counted.
+	// WindowSeconds is the length of the windows in which requests are counted. The
+	// default is 5 seconds.
 	WindowSeconds float64 `yaml:"window_seconds"`
-	// ToleranceShare of a limit, and ToleranceRequests, may be taken beyond it,
-	// since daemons know of each other late.
+	// ToleranceShare is a fraction of a tenant's limit, and ToleranceRequests a number
+	// of requests. Both may be used in excess of the limit, since daemons learn late
+	// of each other's requests. The defaults are 0.
 	ToleranceShare    float64 `yaml:"tolerance_share"`
 	ToleranceRequests int     `yaml:"tolerance_requests"`
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file. The error names the file and all
+// invalid settings.
 func Load(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -105,52 +122,52 @@
 	if err := yaml.UnmarshalWithOptions(content, &settings, yaml.Strict()); err != nil {
 		return Settings{}, eris.Errorf("settings %s: %s", path, yaml.FormatError(err, false, true))
 	}
-	if err := settings.check(); err != nil {
+	if err := settings.validate(); err != nil {
 		return Settings{}, eris.Errorf("settings %s: %v", path, err)
 	}
 	return settings, nil
 }
 
-// check lists all that is wrong at once.
-func (s *Settings) check() error {
+// validate returns one error that lists all invalid settings, or nil.
+func (s *Settings) validate() error {
 	var faults []error
-	demand := func(holds bool, fault string) {
-		if !holds {
+	require := func(valid bool, fault string) {
+		if !valid {
 			faults = append(faults, errors.New(fault))
 		}
 	}
-	demand(s.Machine != "", "machine: missing")
-	demand(s.Zone != "", "zone: missing")
-	demand(s.Listen.Callers != "", "listen.callers: missing, expected IP:PORT")
-	demand(s.Listen.Ready != "", "listen.ready: missing, expected IP:PORT")
-	demand(s.Listen.Peers != "", "listen.peers: missing, expected IP:PORT")
-	demand(s.Store.Address != "", "store.address: missing, expected IP:PORT")
-	demand(s.Store.RowBytes > 0, "store.row_bytes: expected a number above 0")
-	demand(s.Store.WritesPerSecond >= 0, "store.writes_per_second: expected a number, 0 or above")
-	demand(s.Store.ReadsPerSecond >= 0, "store.reads_per_second: expected a number, 0 or above")
-	demand(s.GraceSeconds > 0, "grace_seconds: expected a number above 0")
-	demand(s.DrainMillis > 0, "drain_millis: expected a number above 0")
-	demand(s.ContactMillis >= 0, "contact_millis: expected a number, 0 or above")
-	demand(s.ProcessorShare >= 0, "processor_share: expected a number, 0 or above")
-	demand(s.MemoryMB >= 0, "memory_mb: expected a number, 0 or above")
-	demand(s.LogSuccessesPerSecond >= 0, "log_successes_per_second: expected a number, 0 or above")
-	demand(s.Quota.WindowSeconds >= 0, "quota.window_seconds: expected a number, 0 or above")
-	demand(s.Quota.ToleranceShare >= 0, "quota.tolerance_share: expected a number, 0 or above")
-	demand(s.Quota.ToleranceRequests >= 0, "quota.tolerance_requests: expected a number, 0 or above")
+	require(s.Machine != "", "machine: missing")
+	require(s.Zone != "", "zone: missing")
+	require(s.Listen.Callers != "", "listen.callers: missing, expected IP:PORT")
+	require(s.Listen.Ready != "", "listen.ready: missing, expected IP:PORT")
+	require(s.Listen.Peers != "", "listen.peers: missing, expected IP:PORT")
+	require(s.Store.Address != "", "store.address: missing, expected IP:PORT")
+	require(s.Store.RowBytes > 0, "store.row_bytes: expected a number above 0")
+	require(s.Store.WritesPerSecond >= 0, "store.writes_per_second: expected a number, 0 or above")
+	require(s.Store.ReadsPerSecond >= 0, "store.reads_per_second: expected a number, 0 or above")
+	require(s.GraceSeconds > 0, "grace_seconds: expected a number above 0")
+	require(s.DrainMillis > 0, "drain_millis: expected a number above 0")
+	require(s.ContactMillis >= 0, "contact_millis: expected a number, 0 or above")
+	require(s.ProcessorShare >= 0, "processor_share: expected a number, 0 or above")
+	require(s.MemoryMB >= 0, "memory_mb: expected a number, 0 or above")
+	require(s.LogSuccessesPerSecond >= 0, "log_successes_per_second: expected a number, 0 or above")
+	require(s.Quota.WindowSeconds >= 0, "quota.window_seconds: expected a number, 0 or above")
+	require(s.Quota.ToleranceShare >= 0, "quota.tolerance_share: expected a number, 0 or above")
+	require(s.Quota.ToleranceRequests >= 0, "quota.tolerance_requests: expected a number, 0 or above")
 	if err := s.Disabled.Check(); err != nil {
 		faults = append(faults, eris.Errorf("disabled: %v", err))
 	}
 	return errors.Join(faults...)
 }
 
-func (s *Settings) grace() time.Duration {
+func (s *Settings) gracePeriod() time.Duration {
 	return time.Duration(s.GraceSeconds * float64(time.Second))
 }
 
-// defaultQuotaWindow is the window where the settings name none.
+// defaultQuotaWindow is used if Quota.WindowSeconds is 0.
 const defaultQuotaWindow = 5 * time.Second
 
-func (s *Settings) quota() quota.Settings {
+func (s *Settings) quotaSettings() quota.Settings {
 	window := time.Duration(s.Quota.WindowSeconds * float64(time.Second))
 	if window <= 0 {
 		window = defaultQuotaWindow
@@ -158,22 +175,25 @@
 	return quota.Settings{Window: window, ToleranceShare: s.Quota.ToleranceShare, ToleranceRequests: s.Quota.ToleranceRequests, Parts: quota.DefaultParts}
 }
 
-func (s *Settings) drain() time.Duration {
+func (s *Settings) drainPeriod() time.Duration {
 	return time.Duration(s.DrainMillis * float64(time.Millisecond))
 }
 
-// Bounds of how long a silent feed of the configuration is believed.
+// Parameters of configurationFeedTimeout.
 const (
-	// timeToNotice is what it takes to end a silent feed and to read anew.
-	timeToNotice           = 1800 * time.Millisecond
-	leastConfigurationWait = 500 * time.Millisecond
-	mostConfigurationWait  = 10 * time.Second
+	// feedRecoveryTime is the longest time needed to close a silent feed and to read
+	// the configuration again.
+	feedRecoveryTime     = 1800 * time.Millisecond
+	minConfigurationWait = 500 * time.Millisecond
+	maxConfigurationWait = 10 * time.Second
 )
 
-// configurationWait is how long a feed of the configuration may be silent. One
-// whose connection was cut without a word may have begun its silence when the
-// daemon was last not sound, and what it missed is due once contact is over.
-func (s *Settings) configurationWait() time.Duration {
+// configurationFeedTimeout returns how long a feed of the configuration may be
+// silent before it is replaced. A feed whose connection was lost without notice may
+// have been silent since the daemon was last unable to reach the store. What the
+// feed missed since then must be applied within ContactMillis, of which
+// feedRecoveryTime is reserved for replacing the feed.
+func (s *Settings) configurationFeedTimeout() time.Duration {
 	bound := time.Duration(s.ContactMillis * float64(time.Millisecond))
-	return min(max(bound-timeToNotice, leastConfigurationWait), mostConfigurationWait)
+	return min(max(bound-feedRecoveryTime, minConfigurationWait), maxConfigurationWait)
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -35,7 +35,7 @@
 drain_millis: 2000
 `
 
-func written(content string) string {
+func writeSettings(content string) string {
 	GinkgoHelper()
 	path := filepath.Join(GinkgoT().TempDir(), "settings.yaml")
 	Expect(os.WriteFile(path, []byte(content), 0o600)).To(Succeed())
@@ -44,61 +44,61 @@
 
 var _ = Describe("Load", func() {
 	It("reads settings", func() {
-		settings, err := Load(written(validSettings))
+		settings, err := Load(writeSettings(validSettings))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.grace()).To(Equal(8 * time.Second))
-		Expect(settings.drain()).To(Equal(2 * time.Second))
+		Expect(settings.gracePeriod()).To(Equal(8 * time.Second))
+		Expect(settings.drainPeriod()).To(Equal(2 * time.Second))
 	})
 
 	DescribeTable("bounds how long a silent feed of the configuration is believed",
 		func(contact float64, expected time.Duration) {
 			settings := Settings{ContactMillis: contact}
-			Expect(settings.configurationWait()).To(Equal(expected))
+			Expect(settings.configurationFeedTimeout()).To(Equal(expected))
 		},
-		Entry("within the bound that is told", 3000.0, 1200*time.Millisecond),
-		Entry("and within a wider one", 4000.0, 2200*time.Millisecond),
-		Entry("at once when none is told", 0.0, leastConfigurationWait),
-		Entry("and not for ever", 60000.0, mostConfigurationWait),
+		Entry("below contact_millis", 3000.0, 1200*time.Millisecond),
+		Entry("below a longer contact_millis", 4000.0, 2200*time.Millisecond),
+		Entry("by the minimum without contact_millis", 0.0, minConfigurationWait),
+		Entry("by the maximum for a very long contact_millis", 60000.0, maxConfigurationWait),
 	)
 
-	It("lists all that is wrong, with the file", func() {
-		path := written("machine: \"\"\nmemory_mb: -1\n")
+	It("reports all invalid settings at once, with the name of the file", func() {
+		path := writeSettings("machine: \"\"\nmemory_mb: -1\n")
 		_, err := Load(path)
 		Expect(err).To(MatchError(And(ContainSubstring(path), ContainSubstring("machine: missing"),
 			ContainSubstring("listen.callers: missing, expected IP:PORT"), ContainSubstring("memory_mb: expected a number, 0 or above"))))
 	})
 
-	It("takes the store's rates, which may be left out and not be below zero", func() {
-		settings, err := Load(written(validSettings))
+	It("reads the store's rates, which are optional and must not be negative", func() {
+		settings, err := Load(writeSettings(validSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.Store.rates()).To(Equal(state.Rates{}))
 		declared := strings.Replace(validSettings, "  row_bytes: 65536\n", "  row_bytes: 65536\n  writes_per_second: 800\n  reads_per_second: 2000\n", 1)
-		settings, err = Load(written(declared))
+		settings, err = Load(writeSettings(declared))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.Store.rates()).To(Equal(state.Rates{Writes: 800, Reads: 2000}))
-		_, err = Load(written(strings.Replace(declared, "2000", "-1", 1)))
+		_, err = Load(writeSettings(strings.Replace(declared, "2000", "-1", 1)))
 		Expect(err).To(MatchError(ContainSubstring("store.reads_per_second: expected a number, 0 or above")))
-		_, err = Load(written(strings.Replace(declared, "800", "-1", 1)))
+		_, err = Load(writeSettings(strings.Replace(declared, "800", "-1", 1)))
 		Expect(err).To(MatchError(ContainSubstring("store.writes_per_second: expected a number, 0 or above")))
 	})
 
-	It("knows the mechanisms that an experiment may go without", func() {
-		settings, err := Load(written(validSettings + "disabled: [trails, zone-cost]\n"))
+	It("accepts only known mechanisms as disabled", func() {
+		settings, err := Load(writeSettings(validSettings + "disabled: [trails, zone-cost]\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.Disabled.Has(mechanism.Trails)).To(BeTrue())
-		_, err = Load(written(validSettings + "disabled: [trials]\n"))
+		_, err = Load(writeSettings(validSettings + "disabled: [trials]\n"))
 		Expect(err).To(MatchError(ContainSubstring(`disabled: "trials" is no mechanism`)))
 	})
 
-	It("names line and field of what it does not know", func() {
-		_, err := Load(written(validSettings + "grace: 9\n"))
+	It("reports the position and the name of an unknown field", func() {
+		_, err := Load(writeSettings(validSettings + "grace: 9\n"))
 		Expect(err).To(MatchError(And(ContainSubstring("[12:1]"), ContainSubstring("grace"))))
 	})
 })
 
 var _ = Describe("Reloader", func() {
-	It("takes over what may change, names what waits, and keeps the former when the file is wrong", func() {
-		path := written(validSettings)
+	It("applies a changed file, names settings that need a restart, and ignores an invalid file", func() {
+		path := writeSettings(validSettings)
 		settings, err := Load(path)
 		Expect(err).NotTo(HaveOccurred())
 		core, logs := observer.New(zap.InfoLevel)
@@ -109,12 +109,12 @@
 		Expect(os.WriteFile(path, []byte(changed), 0o600)).To(Succeed())
 		reloader.Reload()
 		Expect(applied).To(HaveLen(1))
-		Expect(applied[0].grace()).To(Equal(5 * time.Second))
+		Expect(applied[0].gracePeriod()).To(Equal(5 * time.Second))
 		Expect(logs.TakeAll()[0].ContextMap()["untilNextStart"]).To(Equal([]any{"zone"}))
 
 		Expect(os.WriteFile(path, []byte("machine: {"), 0o600)).To(Succeed())
 		reloader.Reload()
 		Expect(applied).To(HaveLen(1))
-		Expect(logs.TakeAll()[0].Message).To(ContainSubstring("the former stay in force"))
+		Expect(logs.TakeAll()[0].Message).To(ContainSubstring("the previous settings stay in force"))
 	})
 })
--- a/internal/server/storelines.go
+++ b/internal/server/storelines.go
@@ -8,11 +8,13 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// rateLinesApart is the time between two lines about a lowered rate: an overload lasts
-// seconds, and lowers it several times in each.
-const rateLinesApart = 2 * time.Second
+// rateLogInterval is the shortest time between two log lines about a lowered rate.
+// An overload lasts for seconds and lowers the rate several times a second.
+const rateLogInterval = 2 * time.Second
 
-func (s *Server) noteStore(available bool, lasted time.Duration) {
+// logStoreAvailability logs that the store stopped answering, or that it answers
+// again after not answering for the given time.
+func (s *Server) logStoreAvailability(available bool, lasted time.Duration) {
 	if available {
 		s.Log.Info("store: answers again.", zap.Duration("after", lasted))
 		return
@@ -20,8 +22,9 @@
 	s.Log.Warn("store: does not answer.")
 }
 
-// noteRoom tells when the store becomes full and when it has room again.
-func (s *Server) noteRoom(full bool, lasted time.Duration) {
+// logStoreRoom logs that the store is full, or that it has room again after being
+// full for the given time.
+func (s *Server) logStoreRoom(full bool, lasted time.Duration) {
 	if full {
 		s.Log.Warn("store: full.")
 		return
@@ -29,15 +32,17 @@
 	s.Log.Info("store: has room again.", zap.Duration("after", lasted))
 }
 
-// noteRate tells, from time to time, that the store refused calls for its rate.
-func (s *Server) noteRate(kind state.CallKind, allowed float64) {
-	s.rateLines.Do(func() {
+// logLoweredRate logs that calls of a kind were limited to a lower rate, in calls
+// per second, because the store rejected some. It writes at most one line per
+// rateLogInterval.
+func (s *Server) logLoweredRate(kind state.CallKind, allowed float64) {
+	s.rateLog.Do(func() {
 		s.Log.Warn("store: rate lowered.", zap.String("call", string(kind)), zap.Float64("allowedPerSecond", allowed))
 	})
 }
 
-// noteCall tells of a call of the store without a verdict.
-func (s *Server) noteCall(failure state.Failure) {
+// logFailedCall logs a call to the store that ended without a definite result.
+func (s *Server) logFailedCall(failure state.Failure) {
 	s.Log.Warn("store: call failed.", zap.String("call", failure.Call), zap.String("table", failure.Key.Table),
 		zap.String("partition", failure.Key.Partition), zap.String("key", failure.Key.Name),
 		zap.Duration("took", failure.Took), zap.String("cause", failure.Err.Error()))
