--- a/internal/process/endpoint.go
+++ b/internal/process/endpoint.go
@@ -13,28 +13,30 @@
 	"golang.org/x/net/netutil"
 )
 
-// keepAlivePeriod finds callers that are gone without a word.
+// keepAlivePeriod is the interval of TCP keep-alives, which detect clients that
+// disappeared without closing their connection.
 const keepAlivePeriod = 30 * time.Second
 
-// EndpointOptions are the parameters of an Endpoint.
+// EndpointOptions configures an Endpoint.
 type EndpointOptions struct {
-	Name    string // in logs and errors
-	Address string // "ip:port"
-	TLS     *tls.Config
+	Name    string      // identifies the endpoint in logs and errors
+	Address string      // "ip:port"; port 0 selects a free port
+	TLS     *tls.Config // nil disables TLS
 	Limits  EndpointLimits
-	Log     *zap.Logger
+	Log     *zap.Logger // required
 }
 
-// EndpointLimits bound what callers of an endpoint may do. Zero is no bound.
+// EndpointLimits limits the use of an endpoint. A zero field selects the default of
+// http.Server, and an unlimited number of connections.
 type EndpointLimits struct {
-	HeaderTimeout time.Duration // to read a request's header
-	ReadTimeout   time.Duration // to read a whole request
-	IdleTimeout   time.Duration // that an idle connection is kept
-	HeaderBytes   int
-	Connections   int // at once; more wait in the kernel
+	HeaderTimeout time.Duration // time to read the header of a request
+	ReadTimeout   time.Duration // time to read a whole request
+	IdleTimeout   time.Duration // time for which an idle connection is kept open
+	HeaderBytes   int           // size of a request header
+	Connections   int           // open connections; further ones wait in the kernel's backlog
 }
 
-// Endpoint is one HTTP listener of a process, with its limits.
+// Endpoint is an HTTP server with its listener.
 type Endpoint struct {
 	name     string
 	listener net.Listener
@@ -42,10 +44,11 @@
 	log      *zap.Logger
 }
 
-// Listen opens the address; requests are answered once Serve is called.
+// Listen opens a listener at options.Address. Connections wait until Serve is
+// called.
 func Listen(options EndpointOptions) (*Endpoint, error) {
-	configuration := net.ListenConfig{KeepAlive: keepAlivePeriod}
-	listener, err := configuration.Listen(context.Background(), "tcp", options.Address)
+	listenConfig := net.ListenConfig{KeepAlive: keepAlivePeriod}
+	listener, err := listenConfig.Listen(context.Background(), "tcp", options.Address)
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for %s at %s", options.Name, options.Address)
 	}
@@ -67,10 +70,11 @@
 	}, nil
 }
 
-// Address is where the endpoint listens, "ip:port".
+// Address returns the address at which the endpoint listens, as "ip:port".
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// Serve answers requests until Shutdown or Close.
+// Serve passes requests to handler until Shutdown or Close is called, and then
+// returns nil. It must be called only once.
 func (e *Endpoint) Serve(handler http.Handler) error {
 	e.server.Handler = handler
 	err := e.server.Serve(e.listener)
@@ -80,15 +84,16 @@
 	return eris.Wrapf(err, "serve %s", e.name)
 }
 
-// Shutdown takes no new connections and waits for requests under way.
+// Shutdown closes the listener and waits for active requests. If ctx ends first, it
+// closes the remaining connections.
 func (e *Endpoint) Shutdown(ctx context.Context) {
 	if err := e.server.Shutdown(ctx); err != nil {
-		e.log.Warn("process: requests cut off.", zap.String("endpoint", e.name), zap.Error(err))
+		e.log.Warn("process: active requests aborted at shutdown.", zap.String("endpoint", e.name), zap.Error(err))
 		_ = e.server.Close()
 	}
 }
 
-// Close cuts off everything.
+// Close closes the listener and all connections, also those with active requests.
 func (e *Endpoint) Close() {
 	_ = e.server.Close()
 	_ = e.listener.Close()
--- a/internal/process/life.go
+++ b/internal/process/life.go
@@ -1,5 +1,5 @@
-// Package process is what every process of the product has: a life of a few states,
-// conditions of its readiness, and small HTTP listeners with their limits.
+// Package process has parts that all server processes share: the state of the
+// process from start to stop, its readiness check, and HTTP endpoints with limits.
 package process
 
 import (
@@ -9,18 +9,18 @@
 	"go.uber.org/zap"
 )
 
-// State is where a process stands in its life.
+// State is the state of a process.
 type State string
 
-// The states of a life.
+// The states of a process, in order. A process never returns to an earlier state.
 const (
 	StateStarting State = "starting"
 	StateServing  State = "serving"
-	StateDraining State = "draining" // takes no new work
+	StateDraining State = "draining" // accepts no new work
 	StateStopped  State = "stopped"
 )
 
-// event moves a life on.
+// event is the name of a state transition.
 type event string
 
 const (
@@ -29,17 +29,19 @@
 	eventStop  event = "stop"
 )
 
-// Life is the state of a process as a whole. It is safe for concurrent use.
+// Life holds the state of a process and logs its changes. It is safe for
+// concurrent use.
 type Life struct {
-	machine *fsm.FSM
-	log     *zap.Logger
-	prefix  string
+	stateMachine *fsm.FSM
+	log          *zap.Logger
+	prefix       string
 }
 
-// NewLife begins a life; its changes are logged with the prefix.
+// NewLife returns a Life in StateStarting. Its log lines begin with prefix and a
+// colon.
 func NewLife(prefix string, log *zap.Logger) *Life {
-	made := &Life{log: log, prefix: prefix}
-	made.machine = fsm.NewFSM(string(StateStarting),
+	life := &Life{log: log, prefix: prefix}
+	life.stateMachine = fsm.NewFSM(string(StateStarting),
 		fsm.Events{
 			{Name: string(eventServe), Src: []string{string(StateStarting)}, Dst: string(StateServing)},
 			{Name: string(eventDrain), Src: []string{string(StateStarting), string(StateServing)}, Dst: string(StateDraining)},
@@ -48,29 +50,31 @@
 		fsm.Callbacks{
 			"enter_state": func(_ context.Context, entered *fsm.Event) { log.Info(prefix + ": " + entered.Dst + ".") },
 		})
-	return made
+	return life
 }
 
-// Serve tells that the process takes work.
-func (l *Life) Serve() { l.move(eventServe) }
+// Serve changes the state from StateStarting to StateServing.
+func (l *Life) Serve() { l.fire(eventServe) }
 
-// Drain tells that the process takes no new work.
-func (l *Life) Drain() { l.move(eventDrain) }
+// Drain changes the state to StateDraining, unless the process has stopped.
+func (l *Life) Drain() { l.fire(eventDrain) }
 
-// Stop tells that the process is over.
-func (l *Life) Stop() { l.move(eventStop) }
+// Stop changes the state to StateStopped.
+func (l *Life) Stop() { l.fire(eventStop) }
 
-// move fires the event; an event that does not fit the state is ignored.
-func (l *Life) move(fired event) {
-	if err := l.machine.Event(context.Background(), string(fired)); err != nil {
-		l.log.Debug(l.prefix+": event ignored.", zap.String("event", string(fired)), zap.String("cause", err.Error()))
+// fire makes the transition e. It does nothing if the current state does not
+// allow the transition.
+func (l *Life) fire(e event) {
+	if err := l.stateMachine.Event(context.Background(), string(e)); err != nil {
+		l.log.Debug(l.prefix+": event ignored.", zap.String("event", string(e)), zap.String("cause", err.Error()))
 	}
 }
 
-// State is where the process stands now.
-func (l *Life) State() State { return State(l.machine.Current()) }
+// State returns the current state.
+func (l *Life) State() State { return State(l.stateMachine.Current()) }
 
-// Draining tells whether new work must be refused.
+// Draining reports whether new work must be rejected: the process is draining or
+// has stopped.
 func (l *Life) Draining() bool {
 	state := l.State()
 	return state == StateDraining || state == StateStopped
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -19,7 +19,7 @@
 }
 
 var _ = Describe("Life", func() {
-	It("goes on only, and refuses new work from its drain on", func() {
+	It("never returns to an earlier state, and rejects new work once it drains", func() {
 		life := process.NewLife("process", zap.NewNop())
 		Expect(life.State()).To(Equal(process.StateStarting))
 		life.Serve()
@@ -27,13 +27,13 @@
 		life.Drain()
 		Expect(life.Draining()).To(BeTrue())
 		life.Serve()
-		Expect(life.State()).To(Equal(process.StateDraining), "nothing serves again")
+		Expect(life.State()).To(Equal(process.StateDraining), "a draining process must not serve again")
 		life.Stop()
 		Expect(life.State()).To(Equal(process.StateStopped))
 		Expect(life.Draining()).To(BeTrue())
 	})
 
-	It("may end before it served", func() {
+	It("can stop without having served", func() {
 		life := process.NewLife("process", zap.NewNop())
 		life.Stop()
 		Expect(life.State()).To(Equal(process.StateStopped))
@@ -41,11 +41,11 @@
 })
 
 var _ = Describe("Conditions", func() {
-	It("say which of them do not hold", func() {
+	It("report which of them do not hold", func() {
 		met := false
 		conditions := process.Conditions{
 			{Unmet: "one is missing", Holds: func() bool { return met }},
-			{Unmet: "never said", Holds: func() bool { return true }},
+			{Unmet: "never reported", Holds: func() bool { return true }},
 		}
 		answer := httptest.NewRecorder()
 		conditions.ServeHTTP(answer, nil)
@@ -60,7 +60,7 @@
 })
 
 var _ = Describe("Endpoint", func() {
-	It("answers until it is shut down, and tells no error then", func(ctx SpecContext) {
+	It("serves until it is shut down, and then returns no error", func(ctx SpecContext) {
 		opened, err := process.Listen(process.EndpointOptions{Name: "test", Address: "127.0.0.1:0", Log: zap.NewNop()})
 		Expect(err).NotTo(HaveOccurred())
 		ended := make(chan error, 1)
@@ -74,7 +74,7 @@
 		Eventually(ctx, ended).Should(Receive(BeNil()))
 	})
 
-	It("names itself where its address can't be had", func() {
+	It("returns an error with its name if it cannot listen at the address", func() {
 		_, err := process.Listen(process.EndpointOptions{Name: "test", Address: "nowhere", Log: zap.NewNop()})
 		Expect(err).To(MatchError(ContainSubstring("listen for test at nowhere")))
 	})
--- a/internal/process/readiness.go
+++ b/internal/process/readiness.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// Condition is one thing that must hold before a process is ready.
+// Condition is a condition of a process's readiness.
 type Condition struct {
-	Unmet string // what is said while it does not hold
-	Holds func() bool
+	Unmet string      // text of the response while the condition does not hold
+	Holds func() bool // must be safe for concurrent use
 }
 
-// Conditions are all that must hold before a process is ready.
+// Conditions are the conditions of a process's readiness. They are also the HTTP
+// handler of the readiness check.
 type Conditions []Condition
 
-// Unmet lists those that do not hold.
+// Unmet returns Condition.Unmet of each condition that does not hold.
 func (c Conditions) Unmet() []string {
 	var unmet []string
 	for _, condition := range c {
@@ -26,10 +27,11 @@
 	return unmet
 }
 
-// Hold tells whether all hold.
+// Hold reports whether all conditions hold.
 func (c Conditions) Hold() bool { return len(c.Unmet()) == 0 }
 
-// ServeHTTP answers 200 when all hold; else 503, and which do not.
+// ServeHTTP implements http.Handler. The status is 200 if all conditions hold, and
+// otherwise 503 with a body that lists those that do not.
 func (c Conditions) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
 	unmet := c.Unmet()
 	if len(unmet) == 0 {
