--- a/internal/platform/client/client_test.go
+++ b/internal/platform/client/client_test.go
@@ -27,18 +27,18 @@
 	return server
 }
 
-var _ = Describe("a service that misbehaves", func() {
+var _ = Describe("a failing service", func() {
 	var (
 		ctx     context.Context
-		stand   *weightstore.Store
+		store   *weightstore.Store
 		server  *standin.Server
 		weights *client.Weights
 	)
 
 	BeforeEach(func() {
 		ctx = context.Background()
-		stand = weightstore.New(weightstore.Options{DefaultBytes: 7})
-		server = start(stand)
+		store = weightstore.New(weightstore.Options{DefaultBytes: 7})
+		server = start(store)
 		weights = client.NewWeights(server.URL(), &http.Client{})
 	})
 
@@ -47,42 +47,42 @@
 		return err
 	}
 
-	It("has its breaker opened while it is away, and closed after a trial", func() {
+	It("opens the breaker while it is unavailable, and closes it after a successful trial", func() {
 		limits := client.DefaultLimits
 		limits.FailuresToOpen = 2
 		limits.OpenFor = 50 * time.Millisecond
 		weights = client.NewWeights(server.URL(), &http.Client{}, client.WithLimits(limits))
-		stand.Faults.Set([]standin.Rule{{Point: standin.PointBefore, Action: standin.ActionRefuse}})
+		store.Faults.Set([]standin.Rule{{Point: standin.PointBefore, Action: standin.ActionRefuse}})
 		for range 5 {
 			Expect(size(ctx)).To(MatchError(platform.ErrUnavailable))
 		}
-		Expect(stand.Faults.List().Rules[0].Met).To(BeNumerically("<", 5))
-		stand.Faults.Set(nil)
+		Expect(store.Faults.List().Rules[0].Met).To(BeNumerically("<", 5))
+		store.Faults.Set(nil)
 		Eventually(func() error { return size(ctx) }).Should(Succeed())
 	})
 
-	It("does not hold up more than its queue allows while it is slow", func() {
+	It("does not block more requests than its queue allows while it is slow", func() {
 		limits := client.DefaultLimits
 		limits.MaxQueued = 1
 		weights = client.NewWeights(server.URL(), &http.Client{}, client.WithLimits(limits))
-		stand.Faults.Set([]standin.Rule{{Point: standin.PointBefore, Action: standin.ActionHold}})
+		store.Faults.Set([]standin.Rule{{Point: standin.PointBefore, Action: standin.ActionHold}})
 		short, cancel := context.WithCancel(ctx)
 		ended := make(chan error, 1)
 		go func() { ended <- size(short) }()
-		Eventually(func() int { return stand.Faults.List().Rules[0].Holding }).Should(Equal(1))
+		Eventually(func() int { return store.Faults.List().Rules[0].Holding }).Should(Equal(1))
 		Expect(size(ctx)).To(MatchError(platform.ErrRateLimited))
 		cancel()
 		Eventually(ended).Should(Receive(HaveOccurred()))
 	})
 
-	It("is unavailable when no connection was made", func() {
+	It("is unavailable if it refuses connections", func() {
 		server.Close()
 		Expect(size(ctx)).To(MatchError(platform.ErrUnavailable))
 	})
 })
 
 var _ = Describe("Weights", func() {
-	It("tells sizes and rate limits of weights", func() {
+	It("returns sizes, and errors for unknown versions and above the rate limit", func() {
 		ctx := context.Background()
 		store := weightstore.New(weightstore.Options{Sizes: map[string]int64{"m/1": 7}, RequestsPerSecond: 0.001, Burst: 2})
 		weights := client.NewWeights(start(store).URL(), &http.Client{})
--- a/internal/platform/client/guard.go
+++ b/internal/platform/client/guard.go
@@ -1,7 +1,7 @@
-// Package client reaches the platform's services over HTTP: the transactional
-// table, the object store, the weight store and the machine list. Each client
-// keeps a rate limit, a bounded queue and a breaker of its own, so that a slow
-// or absent service costs its users a quick error and never a growing queue.
+// Package client has HTTP clients of the platform's weight store and machine list.
+// Each client has its own rate limit, bounded queue and circuit breaker, so that a
+// slow or unavailable service causes quick errors and no growing queue. Clients are
+// safe for concurrent use.
 package client
 
 import (
@@ -15,17 +15,17 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// Limits bound the use of one service.
+// Limits limits the use of one service by one client.
 type Limits struct {
-	RequestsPerSecond float64       // sent to the service
-	Burst             int           // requests
-	MaxQueued         int           // requests under way or waiting; more are refused with ErrRateLimited
-	Timeout           time.Duration // of one request
-	FailuresToOpen    int           // failures in a row that open the breaker
-	OpenFor           time.Duration // time for which an open breaker refuses with ErrUnavailable
+	RequestsPerSecond float64       // average rate of requests to the service
+	Burst             int           // requests that may be sent at once above the rate
+	MaxQueued         int           // waiting and active requests; further ones fail with platform.ErrRateLimited
+	Timeout           time.Duration // of one request, including its wait for the rate limit
+	FailuresToOpen    int           // consecutive failures that open the breaker
+	OpenFor           time.Duration // time for which an open breaker rejects requests with platform.ErrUnavailable
 }
 
-// DefaultLimits suit a shared service with a rate limit for each client.
+// DefaultLimits is meant for a shared service that limits the rate of each client.
 var DefaultLimits = Limits{
 	RequestsPerSecond: 50,
 	Burst:             20,
@@ -35,7 +35,7 @@
 	OpenFor:           time.Second,
 }
 
-// guard stands before every request of one client.
+// guard enforces the Limits of one client. It is safe for concurrent use.
 type guard struct {
 	limits  Limits
 	limiter *rate.Limiter
@@ -43,8 +43,8 @@
 	now     func() time.Time
 
 	mutex     sync.Mutex
-	failures  int
-	openUntil time.Time
+	failures  int       // consecutive failures
+	openUntil time.Time // until then, an open breaker rejects requests
 }
 
 func newGuard(limits Limits) *guard {
@@ -56,9 +56,11 @@
 	}
 }
 
-// run calls the request when the breaker, the queue and the rate limit let it through.
+// run calls request once the rate limit allows it, with a context that ends after
+// Limits.Timeout. It returns an error without calling request if the breaker is
+// open, the queue is full, or the wait for the rate limit would be too long.
 func (g *guard) run(ctx context.Context, request func(context.Context) error) error {
-	if !g.admits() {
+	if !g.allowRequest() {
 		return eris.Wrap(platform.ErrUnavailable, "breaker is open")
 	}
 	select {
@@ -70,24 +72,26 @@
 	ctx, cancel := context.WithTimeout(ctx, g.limits.Timeout)
 	defer cancel()
 	if err := g.limiter.Wait(ctx); err != nil {
-		return unsent(ctx)
+		return notSentError(ctx)
 	}
 	err := request(ctx)
-	g.learn(err)
+	g.recordResult(err)
 	return err
 }
 
-// unsent says why a request was never sent: its time was over, or its turn
-// would have come later than that.
-func unsent(ctx context.Context) error {
+// notSentError returns the error of a request that was not sent: ErrUnavailable if
+// its context has ended, or ErrRateLimited if the rate limit would have delayed it
+// beyond its deadline.
+func notSentError(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return eris.Wrapf(platform.ErrUnavailable, "not sent: %v", ctx.Err())
 	}
-	return eris.Wrap(platform.ErrRateLimited, "no turn within the deadline")
+	return eris.Wrap(platform.ErrRateLimited, "rate limit delays the request beyond its deadline")
 }
 
-// admits lets one trial request through once an open breaker's time is over.
-func (g *guard) admits() bool {
+// allowRequest reports whether the breaker lets a request through. When an open
+// breaker's time is over, it lets one trial request through every Limits.OpenFor.
+func (g *guard) allowRequest() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.failures < g.limits.FailuresToOpen {
@@ -101,8 +105,9 @@
 	return true
 }
 
-// learn counts failures of the service itself; answers of any kind close the breaker.
-func (g *guard) learn(err error) {
+// recordResult updates the breaker after a request. ErrUnavailable and
+// ErrUnknownOutcome count as failures; any other result closes the breaker.
+func (g *guard) recordResult(err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if !eris.Is(err, platform.ErrUnavailable) && !eris.Is(err, platform.ErrUnknownOutcome) {
--- a/internal/platform/client/machines.go
+++ b/internal/platform/client/machines.go
@@ -10,17 +10,18 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// Machines is the client of the lagging machine list. It implements platform.Machines.
+// Machines is a client of the machine list. It implements platform.Machines.
 type Machines struct{ service *service }
 
 var _ platform.Machines = (*Machines)(nil)
 
-// NewMachines makes a client of the machine list at the base URL.
+// NewMachines returns a client of the machine list at the base URL. A nil HTTP client
+// means http.DefaultClient.
 func NewMachines(url string, client *http.Client, options ...Option) *Machines {
 	return &Machines{service: newService("machine list", url, client, options)}
 }
 
-// List gives all listed machines, as of some time ago.
+// List implements platform.Machines.
 func (m *Machines) List(ctx context.Context) ([]platform.ListedMachine, error) {
 	var reply platformv1.Machines
 	if err := m.service.read(ctx, "list machines", platformv1.PathMachines, &reply); err != nil {
@@ -39,17 +40,18 @@
 	return listed, nil
 }
 
-// Weights is the client of the weight store. It implements platform.Weights.
+// Weights is a client of the weight store. It implements platform.Weights.
 type Weights struct{ service *service }
 
 var _ platform.Weights = (*Weights)(nil)
 
-// NewWeights makes a client of the weight store at the base URL.
+// NewWeights returns a client of the weight store at the base URL. A nil HTTP client
+// means http.DefaultClient.
 func NewWeights(url string, client *http.Client, options ...Option) *Weights {
 	return &Weights{service: newService("weight store", url, client, options)}
 }
 
-// Size gives the bytes of a model's version, or ErrNotFound.
+// Size implements platform.Weights.
 func (w *Weights) Size(ctx context.Context, model, version string) (int64, error) {
 	var size platformv1.WeightSize
 	path := platformv1.PathWeights + url.PathEscape(model) + "/" + url.PathEscape(version) + "/size"
--- a/internal/platform/client/transport.go
+++ b/internal/platform/client/transport.go
@@ -15,46 +15,46 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// maxReply bounds what is read of one reply, in bytes.
-const maxReply = 64 << 20
+// maxReplyBytes is the largest part of a response body that is read.
+const maxReplyBytes = 64 << 20
 
-// Option changes a client's defaults.
+// Option configures a client.
 type Option func(*service)
 
-// WithLimits replaces DefaultLimits.
+// WithLimits sets the limits to use instead of DefaultLimits.
 func WithLimits(limits Limits) Option {
 	return func(s *service) { s.guard = newGuard(limits) }
 }
 
-// service is one HTTP service behind its guard.
+// service sends requests to one HTTP service within the limits of its guard.
 type service struct {
-	name  string // for errors
-	base  string
-	http  *http.Client
-	guard *guard
+	name    string // appears in errors
+	baseURL string // without a final slash
+	http    *http.Client
+	guard   *guard
 }
 
 func newService(name, url string, client *http.Client, options []Option) *service {
 	if client == nil {
 		client = http.DefaultClient
 	}
-	created := &service{name: name, base: strings.TrimSuffix(url, "/"), http: client, guard: newGuard(DefaultLimits)}
+	s := &service{name: name, baseURL: strings.TrimSuffix(url, "/"), http: client, guard: newGuard(DefaultLimits)}
 	for _, option := range options {
-		option(created)
+		option(s)
 	}
-	return created
+	return s
 }
 
-// exchange is one request and what to do with its reply.
+// exchange describes one HTTP request.
 type exchange struct {
-	step   string // for errors
-	method string
-	path   string
-	body   []byte
-	writes bool // a lost answer leaves the outcome unknown
+	step    string // what the request is for; appears in errors
+	method  string
+	path    string // appended to the base URL
+	body    []byte
+	isWrite bool // if true, the outcome is unknown when the response is lost
 }
 
-// do sends the exchange and returns the body of a 2xx reply.
+// do sends the request and returns the body of a response with a 2xx status.
 func (s *service) do(ctx context.Context, exchange exchange) ([]byte, error) {
 	var reply []byte
 	err := s.guard.run(ctx, func(ctx context.Context) error {
@@ -63,7 +63,7 @@
 		return err
 	})
 	if err != nil {
-		return nil, eris.Wrapf(err, "%s with %s at %s", exchange.step, s.name, s.base)
+		return nil, eris.Wrapf(err, "%s with %s at %s", exchange.step, s.name, s.baseURL)
 	}
 	return reply, nil
 }
@@ -71,37 +71,40 @@
 func (s *service) send(ctx context.Context, exchange exchange) ([]byte, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		// From the moment a connection is at hand, bytes may have left.
+		// Once there is a connection, bytes of the request may have been sent.
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
-	request, err := http.NewRequestWithContext(ctx, exchange.method, s.base+exchange.path, bytes.NewReader(exchange.body))
+	request, err := http.NewRequestWithContext(ctx, exchange.method, s.baseURL+exchange.path, bytes.NewReader(exchange.body))
 	if err != nil {
 		return nil, eris.Wrap(err, "build request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := s.http.Do(request)
 	if err != nil {
-		return nil, lost(exchange.writes && sent.Load(), err)
+		return nil, lostReplyError(exchange.isWrite && sent.Load(), err)
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxReply))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, lost(exchange.writes, err)
+		return nil, lostReplyError(exchange.isWrite, err)
 	}
-	return body, statusError(exchange.writes, response.StatusCode)
+	return body, statusError(exchange.isWrite, response.StatusCode)
 }
 
-// lost maps a missing answer: a write that may have arrived has an unknown outcome.
-func lost(mayHaveWritten bool, cause error) error {
-	if mayHaveWritten {
-		return eris.Wrapf(platform.ErrUnknownOutcome, "answer lost: %v", cause)
+// lostReplyError returns the error of a request without a complete response:
+// ErrUnknownOutcome for a write that may have reached the service, and otherwise
+// ErrUnavailable.
+func lostReplyError(mayBeWritten bool, cause error) error {
+	if mayBeWritten {
+		return eris.Wrapf(platform.ErrUnknownOutcome, "response lost: %v", cause)
 	}
-	return eris.Wrapf(platform.ErrUnavailable, "no answer: %v", cause)
+	return eris.Wrapf(platform.ErrUnavailable, "no response: %v", cause)
 }
 
-// statusError maps a status; nil for 2xx. Only 429 and 503 promise that a
-// write was not applied; any other server error leaves it unknown.
-func statusError(writes bool, status int) error {
+// statusError returns the error for a response status; it is nil for 2xx. With 429
+// and 503 a write was certainly not applied. With any other 5xx status its outcome
+// is unknown.
+func statusError(isWrite bool, status int) error {
 	switch {
 	case status/100 == 2:
 		return nil
@@ -113,7 +116,7 @@
 		return platform.ErrRateLimited
 	case status == http.StatusServiceUnavailable:
 		return platform.ErrUnavailable
-	case status >= 500 && writes:
+	case status >= 500 && isWrite:
 		return eris.Wrapf(platform.ErrUnknownOutcome, "status %d", status)
 	case status >= 500:
 		return eris.Wrapf(platform.ErrUnavailable, "status %d", status)
@@ -122,14 +125,14 @@
 	}
 }
 
-// read does a GET and decodes its JSON reply into target.
+// read sends a GET request and decodes the JSON body of the response into target.
 func (s *service) read(ctx context.Context, step, path string, target any) error {
 	body, err := s.do(ctx, exchange{step: step, method: http.MethodGet, path: path})
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(body, target); err != nil {
-		return eris.Wrapf(err, "%s with %s at %s: decode", step, s.name, s.base)
+		return eris.Wrapf(err, "%s with %s at %s: decode", step, s.name, s.baseURL)
 	}
 	return nil
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform has the ports to what the platform gives beside its store
-// (internal/state): a weight store and a lagging list of machines. No request's
-// path waits for either.
+// Package platform defines the interfaces of the platform's services other than the
+// store (see internal/state): the weight store and the machine list. Requests of
+// callers never wait for these services.
 package platform
 
 import (
@@ -10,8 +10,9 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Errors of the platform. A write that ended in ErrUnknownOutcome may have
-// taken effect: read it back by its own identifier before trying again.
+// Errors of the platform's services, to be tested with errors.Is. After
+// ErrUnknownOutcome a write may have been applied; read it back by its identifier
+// before repeating it.
 var (
 	ErrConditionFailed = errors.New("condition failed")
 	ErrRateLimited     = errors.New("rate limited")
@@ -20,16 +21,16 @@
 	ErrNotFound        = errors.New("not found")
 )
 
-// MachineState is what the machine list says of a machine.
+// MachineState is the state of a machine in the machine list.
 type MachineState string
 
-// The states in the machine list.
+// The states of machines.
 const (
 	MachineLive    MachineState = "live"
 	MachineLeaving MachineState = "leaving"
 )
 
-// MachineKind is what runs on a listed machine.
+// MachineKind is the kind of process that runs on a machine.
 type MachineKind string
 
 // The kinds of machines.
@@ -39,23 +40,25 @@
 	MachineService MachineKind = "service"
 )
 
-// ListedMachine is one entry of the lagging machine list.
+// ListedMachine is an entry of the machine list.
 type ListedMachine struct {
 	Name    identity.Machine
 	Kind    MachineKind
-	Address string
+	Address string // host and port, or URL, of its process; may be empty
 	Zone    identity.Zone
 	State   MachineState
 }
 
-// Machines is the lagging list of machines.
+// Machines is the platform's machine list.
 type Machines interface {
+	// List returns all machines. The list may be out of date.
 	List(ctx context.Context) ([]ListedMachine, error)
 }
 
-// Weights is the rate-limited weight store; engines load from it, the
-// supervisor asks only how much may be loaded now.
+// Weights is the platform's weight store, which limits the rate of requests.
+// Engines load model weights from it; other processes only ask for their size.
 type Weights interface {
-	// Size gives the bytes of a model's version, or ErrNotFound.
+	// Size returns the size of the weights of a model's version, in bytes. The error
+	// is ErrNotFound if there is no such version.
 	Size(ctx context.Context, model, version string) (int64, error)
 }
