--- a/internal/callerapi/authenticate.go
+++ b/internal/callerapi/authenticate.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	bearerPrefix       = "Bearer "
-	configurationRetry = time.Second
+	bearerPrefix            = "Bearer "
+	configurationRetryAfter = time.Second
 )
 
-// authenticate finds the tenant by the digest of the bearer key. A daemon that just started, or is cut off, may
-// not know of a key yet: it does not say that the key is wrong.
+// authenticate returns the tenant whose key has the digest of the request's bearer
+// key. A daemon that has just started, or is cut off, may lack keys that were added
+// recently. While its configuration is not confirmed, it therefore answers
+// "unavailable", and not "unauthenticated", for an unknown key.
 func (a *api) authenticate(incoming *http.Request) (*configuration.Tenant, *problem.Problem) {
 	key, found := strings.CutPrefix(incoming.Header.Get("Authorization"), bearerPrefix)
 	if !found || key == "" {
-		return nil, unauthenticated("a bearer key is needed in the Authorization header")
+		return nil, unauthenticatedProblem("a bearer key is needed in the Authorization header")
 	}
 	current := a.Configuration.Current()
 	if owner, known := current.Keys.Owner(tenant.DigestOf(key)); known {
@@ -29,11 +31,11 @@
 	if !a.Configuration.Confirmed() {
 		return nil, problem.New(problem.KindUnavailable, "authenticate",
 			"the bearer key is not known here, and the configuration is not confirmed: it may have been declared since").
-			WithRetryAfter(configurationRetry)
+			WithRetryAfter(configurationRetryAfter)
 	}
-	return nil, unauthenticated("the bearer key is not known")
+	return nil, unauthenticatedProblem("the bearer key is not known")
 }
 
-func unauthenticated(detail string) *problem.Problem {
+func unauthenticatedProblem(detail string) *problem.Problem {
 	return problem.New(problem.KindUnauthenticated, "authenticate", "%s", detail)
 }
--- a/internal/callerapi/chat.go
+++ b/internal/callerapi/chat.go
@@ -13,57 +13,61 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// Headers of the OpenAI-shaped endpoint. With Thymeloft-Program and
-// Thymeloft-Sequence the messages are what this turn adds to the program's
-// history; without both, a program of one call is made for the request.
+// Request headers of the OpenAI-compatible endpoint. If HeaderProgram and
+// HeaderSequence are set, the request is a call of that program, and its messages
+// are appended to the program's history. If both are missing, the endpoint creates
+// a program for this one call. HeaderIdempotencyKey then identifies repetitions of
+// the request.
 const (
 	HeaderProgram        = "Thymeloft-Program"
 	HeaderSequence       = "Thymeloft-Sequence"
 	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
+// Parameters of implicit programs. Such a program is created for one call.
 const (
-	implicitKeyPrefix = "chat/"
-	implicitIdle      = time.Minute
-	defaultMaxTokens  = 1024
+	implicitKeyPrefix   = "chat/"
+	implicitProgramIdle = time.Minute
+	defaultMaxTokens    = 1024
 )
 
-func (a *api) chat(r *request) {
+// handleChat serves the OpenAI-compatible endpoint.
+func (a *api) handleChat(r *request) {
 	var body ChatRequest
 	if rejected := a.decode(r, &body); rejected != nil {
-		r.writer.problem(rejected)
+		r.writer.writeProblem(rejected)
 		return
 	}
-	spec, rejected := a.chatSpec(&body)
+	spec, rejected := a.newChatSpec(&body)
 	if rejected != nil {
-		r.writer.problem(rejected)
+		r.writer.writeProblem(rejected)
 		return
 	}
-	call, implicit, rejected := a.chatCall(r, &body)
+	call, implicit, rejected := a.findChatCall(r, &body)
 	if rejected != nil {
-		r.writer.problem(rejected)
+		r.writer.writeProblem(rejected)
 		return
 	}
 	spec.Sequence = call.sequence
 	r.writer.Header().Set(HeaderProgram, string(call.program))
 	r.writer.Header().Set(HeaderSequence, strconv.FormatUint(call.sequence, 10))
-	if rejected := a.take(r, call, spec); rejected != nil {
-		r.writer.callProblem(call, rejected)
+	if rejected := a.submitCall(r, call, spec); rejected != nil {
+		r.writer.writeCallProblem(call, rejected)
 		return
 	}
-	format := &chatFormat{call: call, model: body.Model, created: time.Now().Unix(), usage: body.wantsUsage()}
+	format := &chatFormat{call: call, model: body.Model, created: time.Now().Unix(), includeUsage: body.wantsUsage()}
 	ended := false
 	if body.Stream {
 		ended = a.stream(r, call, spec.Deadline, format)
 	} else {
-		ended = a.chatAnswer(r, call, spec.Deadline, format)
+		ended = a.writeChatAnswer(r, call, spec.Deadline, format)
 	}
 	if implicit && ended {
-		a.endImplicit(r, call)
+		a.endImplicitProgram(r, call)
 	}
 }
 
-func (a *api) chatSpec(body *ChatRequest) (program.CallSpec, *problem.Problem) {
+func (a *api) newChatSpec(body *ChatRequest) (program.CallSpec, *problem.Problem) {
 	spec := program.CallSpec{
 		Sequence:  1,
 		Target:    program.TargetModel,
@@ -71,50 +75,51 @@
 		Adapter:   body.Adapter,
 		MaxTokens: body.maxTokens(),
 	}
-	if rejected := body.unsupported(); rejected != nil {
+	if rejected := body.checkSupported(); rejected != nil {
 		return spec, rejected
 	}
 	for _, message := range body.Messages {
 		spec.Messages = append(spec.Messages, program.Message{Role: message.Role, Content: string(message.Content)})
 	}
-	if rejected := checkShape(&spec); rejected != nil {
+	if rejected := validateCall(&spec); rejected != nil {
 		return spec, rejected
 	}
 	var rejected *problem.Problem
-	spec.Deadline, rejected = a.deadline(body.DeadlineMS)
+	spec.Deadline, rejected = a.callDeadline(body.DeadlineMS)
 	return spec, rejected
 }
 
-// chatCall finds the call that the headers name, or makes a program for one call.
-func (a *api) chatCall(r *request, body *ChatRequest) (callID, bool, *problem.Problem) {
+// findChatCall returns the call that the headers identify. Without these headers it
+// creates an implicit program, and returns the program's only call and true.
+func (a *api) findChatCall(r *request, body *ChatRequest) (callID, bool, *problem.Problem) {
 	named, numbered := r.Header.Get(HeaderProgram), r.Header.Get(HeaderSequence)
 	if named == "" && numbered == "" {
-		call, rejected := a.implicitProgram(r, body)
+		call, rejected := a.createImplicitProgram(r, body)
 		return call, true, rejected
 	}
 	if named == "" || numbered == "" {
-		return callID{}, false, malformed("%s and %s go together", HeaderProgram, HeaderSequence)
+		return callID{}, false, malformedProblem("%s and %s go together", HeaderProgram, HeaderSequence)
 	}
 	call := callID{tenant: r.tenant.Name, program: identity.Program(named)}
 	if _, err := call.program.Shard(); err != nil {
-		return call, false, unknownProgram()
+		return call, false, unknownProgramProblem()
 	}
 	var rejected *problem.Problem
-	call.sequence, rejected = sequenceOf(numbered)
+	call.sequence, rejected = parseSequence(numbered)
 	return call, false, rejected
 }
 
-// implicitProgram makes a program of one call. A caller that repeats the
-// request with the same Idempotency-Key finds the first one's answer.
-func (a *api) implicitProgram(r *request, body *ChatRequest) (callID, *problem.Problem) {
+// createImplicitProgram creates a program for one call. A repeated request with the
+// same HeaderIdempotencyKey gets the program, and so the answer, of the first one.
+func (a *api) createImplicitProgram(r *request, body *ChatRequest) (callID, *problem.Problem) {
 	call := callID{tenant: r.tenant.Name, sequence: 1}
 	key := r.Header.Get(HeaderIdempotencyKey)
-	if len(key) > longestKey {
-		return call, malformed("%s must have at most %d bytes", HeaderIdempotencyKey, longestKey)
+	if len(key) > maxKeyBytes {
+		return call, malformedProblem("%s must have at most %d bytes", HeaderIdempotencyKey, maxKeyBytes)
 	}
 	if key == "" {
 		if a.Draining() {
-			return call, draining().WithOutcome(problem.OutcomeNotRun)
+			return call, drainingProblem().WithOutcome(problem.OutcomeNotRun)
 		}
 		key = rand.Text()
 	}
@@ -123,13 +128,16 @@
 	reply, err := a.Programs.Create(ctx, execution.CreateArguments{
 		Tenant:      r.tenant.Name,
 		CreationKey: implicitKeyPrefix + key,
-		Limits:      program.Limits{MaxTurns: 1, TokenBudget: body.maxTokens(), Idle: implicitIdle},
+		Limits:      program.Limits{MaxTurns: 1, TokenBudget: body.maxTokens(), Idle: implicitProgramIdle},
 	})
 	call.program = reply.Program
-	return call, firstProblem(reply.Problem, err, "create the program")
+	return call, toProblem(reply.Problem, err, "create the program")
 }
 
-func (a *api) chatAnswer(r *request, call callID, deadline time.Time, format *chatFormat) bool {
+// writeChatAnswer waits for the end of the call, until deadlineGrace after the
+// deadline, and writes the answer or a problem. It reports whether the call is known
+// to have ended.
+func (a *api) writeChatAnswer(r *request, call callID, deadline time.Time, format *chatFormat) bool {
 	ctx, cancel := context.WithDeadline(r.Context(), deadline.Add(deadlineGrace))
 	defer cancel()
 	follower := newEndFollower(a.Programs, call)
@@ -139,22 +147,23 @@
 			rejected = reply.Problem
 		}
 		if rejected != nil {
-			r.writer.callProblem(call, rejected)
+			r.writer.writeCallProblem(call, rejected)
 			return reply.Done
 		}
 		if reply.Done {
-			r.writer.json(http.StatusOK, format.completion(reply.Answer))
+			r.writer.writeJSON(http.StatusOK, format.newCompletion(reply.Answer))
 			return true
 		}
 	}
 }
 
-// endImplicit ends the program of one call. If that fails, its idle limit ends it.
-func (a *api) endImplicit(r *request, call callID) {
+// endImplicitProgram ends an implicit program. If that fails, the program ends when
+// it has been idle for implicitProgramIdle.
+func (a *api) endImplicitProgram(r *request, call callID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), operationTimeout)
 	defer cancel()
 	reply, err := a.Programs.End(ctx, execution.EndArguments{Tenant: call.tenant, Program: call.program, Reason: program.EndByCaller})
-	if found := firstProblem(reply.Problem, err, "end the program"); found != nil {
-		a.Logger.Info("callerapi: a program of one call is left to its idle limit: " + found.Error() + ".")
+	if found := toProblem(reply.Problem, err, "end the program"); found != nil {
+		a.Logger.Info("callerapi: implicit program not ended; its idle limit will end it: " + found.Error() + ".")
 	}
 }
--- a/internal/callerapi/chat_wire.go
+++ b/internal/callerapi/chat_wire.go
@@ -11,8 +11,8 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// ChatRequest is the OpenAI-shaped request. Fields that the engines could not
-// honour are refused rather than ignored.
+// ChatRequest is the body of an OpenAI-compatible request. A request with a field
+// that is not listed here is rejected, because engines could not honour the field.
 type ChatRequest struct {
 	Model               string         `json:"model"`
 	Messages            []ChatMessage  `json:"messages"`
@@ -20,25 +20,26 @@
 	MaxCompletionTokens int64          `json:"max_completion_tokens,omitempty"`
 	Stream              bool           `json:"stream,omitempty"`
 	StreamOptions       *StreamOptions `json:"stream_options,omitempty"`
-	Choices             int            `json:"n,omitempty"`    // 1 only
-	User                string         `json:"user,omitempty"` // taken and unused: the key names the tenant
+	Choices             int            `json:"n,omitempty"`    // number of answers; must be 1 or missing
+	User                string         `json:"user,omitempty"` // accepted but not used; the key identifies the tenant
 	Adapter             string         `json:"adapter,omitempty"`
-	DeadlineMS          int64          `json:"deadline_ms,omitempty"`
+	DeadlineMS          int64          `json:"deadline_ms,omitempty"` // from now, in milliseconds; 0 selects Limits.CallTimeout
 }
 
-// StreamOptions asks for the usage in a stream's last chunk.
+// StreamOptions are options of a streamed response.
 type StreamOptions struct {
-	IncludeUsage bool `json:"include_usage"`
+	IncludeUsage bool `json:"include_usage"` // whether the last chunk has the usage
 }
 
 // ChatMessage is one message of a request.
 type ChatMessage struct {
 	Role    string      `json:"role"`
 	Content ChatContent `json:"content"`
-	Name    string      `json:"name,omitempty"` // taken and unused
+	Name    string      `json:"name,omitempty"` // accepted but not used
 }
 
-// ChatContent is text, or a list of parts of type "text", which are joined.
+// ChatContent is the text of a message. In JSON it is a string, or a list of parts
+// of type "text" whose texts are concatenated.
 type ChatContent string
 
 type chatPart struct {
@@ -46,7 +47,7 @@
 	Text string `json:"text"`
 }
 
-// UnmarshalJSON takes both shapes.
+// UnmarshalJSON implements json.Unmarshaler.
 func (c *ChatContent) UnmarshalJSON(encoded []byte) error {
 	var text string
 	if json.Unmarshal(encoded, &text) == nil {
@@ -83,27 +84,29 @@
 	return r.StreamOptions != nil && r.StreamOptions.IncludeUsage
 }
 
-func (r *ChatRequest) unsupported() *problem.Problem {
+// checkSupported returns a problem if a field has a value that is not supported.
+func (r *ChatRequest) checkSupported() *problem.Problem {
 	if r.Choices > 1 || r.Choices < 0 {
-		return malformed("n must be 1")
+		return malformedProblem("n must be 1")
 	}
 	if r.StreamOptions != nil && !r.Stream {
-		return malformed("stream_options needs stream")
+		return malformedProblem("stream_options needs stream")
 	}
 	return nil
 }
 
-// Completion is the OpenAI-shaped answer, or one chunk of a stream.
+// Completion is the OpenAI-compatible response, or one chunk of a streamed response.
 type Completion struct {
 	ID      string       `json:"id"`
 	Object  string       `json:"object"`
-	Created int64        `json:"created"` // seconds since 1970
+	Created int64        `json:"created"` // Unix time in seconds
 	Model   string       `json:"model"`
 	Choices []ChatChoice `json:"choices"`
 	Usage   *ChatUsage   `json:"usage,omitempty"`
 }
 
-// ChatChoice is the one choice; Message in an answer, Delta in a chunk.
+// ChatChoice is the only choice of a Completion. Message is set in a response that
+// is not streamed, and Delta in a chunk.
 type ChatChoice struct {
 	Index        int        `json:"index"`
 	Message      *Message   `json:"message,omitempty"`
@@ -111,13 +114,13 @@
 	FinishReason *string    `json:"finish_reason"`
 }
 
-// ChatDelta is what a chunk adds.
+// ChatDelta is the part of the answer that a chunk adds.
 type ChatDelta struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content,omitempty"`
 }
 
-// ChatUsage counts tokens.
+// ChatUsage is the number of tokens that a call used.
 type ChatUsage struct {
 	PromptTokens     int64         `json:"prompt_tokens"`
 	CompletionTokens int64         `json:"completion_tokens"`
@@ -125,25 +128,26 @@
 	Details          PromptDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails tells how many tokens of the prompt were found in a cache.
+// PromptDetails has details of ChatUsage.PromptTokens.
 type PromptDetails struct {
-	CachedTokens int64 `json:"cached_tokens"`
+	CachedTokens int64 `json:"cached_tokens"` // tokens that were found in the engine's cache
 }
 
-// chatFormat is the OpenAI-shaped stream: chunks, then "[DONE]"; an error is
-// an event of its own with an "error" member, and no "[DONE]" follows it.
+// chatFormat encodes the events of an OpenAI-compatible stream: chunks, followed by
+// "[DONE]". An error is an event "error" whose data has a member "error"; it ends
+// the stream without "[DONE]".
 type chatFormat struct {
-	call    callID
-	model   string
-	created int64
-	usage   bool
+	call         callID
+	model        string
+	created      int64
+	includeUsage bool
 }
 
 const chatDone = "data: [DONE]\n\n"
 
-func (f *chatFormat) completion(answer *program.Answer) Completion {
+func (f *chatFormat) newCompletion(answer *program.Answer) Completion {
 	return Completion{
-		ID:      f.id(),
+		ID:      f.completionID(),
 		Object:  "chat.completion",
 		Created: f.created,
 		Model:   f.model,
@@ -151,49 +155,50 @@
 			Message:      &Message{Role: "assistant", Content: answer.Content},
 			FinishReason: &answer.FinishReason,
 		}},
-		Usage: chatUsage(answer),
+		Usage: newChatUsage(answer),
 	}
 }
 
-func (f *chatFormat) piece(offset int, content string) []byte {
+func (f *chatFormat) encodePiece(offset int, content string) []byte {
 	delta := &ChatDelta{Content: content}
 	if offset == 0 {
 		delta.Role = "assistant"
 	}
-	return event("", f.chunk([]ChatChoice{{Delta: delta}}))
+	return encodeEvent("", f.newChunk([]ChatChoice{{Delta: delta}}))
 }
 
-func (f *chatFormat) end(reply execution.FollowReply) []byte {
-	events := event("", f.chunk([]ChatChoice{{Delta: &ChatDelta{}, FinishReason: &reply.Answer.FinishReason}}))
-	if f.usage {
-		last := f.chunk([]ChatChoice{})
-		last.Usage = chatUsage(reply.Answer)
-		events = append(events, event("", last)...)
+func (f *chatFormat) encodeEnd(reply execution.FollowReply) []byte {
+	events := encodeEvent("", f.newChunk([]ChatChoice{{Delta: &ChatDelta{}, FinishReason: &reply.Answer.FinishReason}}))
+	if f.includeUsage {
+		last := f.newChunk([]ChatChoice{})
+		last.Usage = newChatUsage(reply.Answer)
+		events = append(events, encodeEvent("", last)...)
 	}
 	return append(events, chatDone...)
 }
 
-func (f *chatFormat) failure(document Problem) []byte {
-	return event("error", struct {
+func (f *chatFormat) encodeFailure(document Problem) []byte {
+	return encodeEvent("error", struct {
 		Error chatError `json:"error"`
 	}{chatError{Message: document.Detail, Type: string(document.Title), Problem: document}})
 }
 
+// chatError is the member "error" of an error event.
 type chatError struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
 	Problem Problem `json:"problem"`
 }
 
-func (f *chatFormat) chunk(choices []ChatChoice) Completion {
-	return Completion{ID: f.id(), Object: "chat.completion.chunk", Created: f.created, Model: f.model, Choices: choices}
+func (f *chatFormat) newChunk(choices []ChatChoice) Completion {
+	return Completion{ID: f.completionID(), Object: "chat.completion.chunk", Created: f.created, Model: f.model, Choices: choices}
 }
 
-func (f *chatFormat) id() string {
+func (f *chatFormat) completionID() string {
 	return fmt.Sprintf("chatcmpl-%s-%d", f.call.program, f.call.sequence)
 }
 
-func chatUsage(answer *program.Answer) *ChatUsage {
+func newChatUsage(answer *program.Answer) *ChatUsage {
 	return &ChatUsage{
 		PromptTokens:     answer.PromptTokens,
 		CompletionTokens: answer.CompletionTokens,
--- a/internal/callerapi/decode.go
+++ b/internal/callerapi/decode.go
@@ -14,31 +14,36 @@
 )
 
 const (
-	stepDecode      = "read the request"
-	longestKey      = 256
-	longestName     = 256
-	longestDuration = 365 * 24 * time.Hour
+	stepDecode   = "read the request"
+	maxKeyBytes  = 256
+	maxNameBytes = 256
+	maxDuration  = 365 * 24 * time.Hour
 )
 
-// decode reads the whole body into the target; unknown fields are refused.
+// decode decodes the JSON body of the request into target. It rejects unknown
+// fields and a body that does not arrive within Limits.ReadTimeout.
 func (a *api) decode(r *request, target any) *problem.Problem {
 	if mediaType, _, err := mime.ParseMediaType(r.Header.Get("Content-Type")); err != nil || mediaType != mediaTypeJSON {
-		return malformed("the Content-Type must be %s", mediaTypeJSON)
+		return malformedProblem("the Content-Type must be %s", mediaTypeJSON)
 	}
-	// Best effort, as extend: a reader without deadlines, as in tests, stays unbounded.
+	// The error is ignored: a connection that does not support deadlines, as in
+	// tests, is read without a time limit.
 	_ = r.writer.controller.SetReadDeadline(time.Now().Add(a.Limits.ReadTimeout))
 	decoder := json.NewDecoder(r.Body)
 	decoder.DisallowUnknownFields()
 	err := decoder.Decode(target)
 	if err == nil {
-		err = atEnd(decoder)
+		err = checkEnd(decoder)
 	}
-	// The handler may outlive the time for reading: a late deadline would look like a caller that left.
+	// The handler may run for longer than the read timeout. If the deadline then
+	// expired, the request's context would end as if the caller had disconnected.
 	_ = r.writer.controller.SetReadDeadline(time.Time{})
 	return decodeProblem(err)
 }
 
-func atEnd(decoder *json.Decoder) error {
+// checkEnd returns an error if the decoder's input contains anything but white space
+// after the first JSON value.
+func checkEnd(decoder *json.Decoder) error {
 	_, err := decoder.Token()
 	if errors.Is(err, io.EOF) {
 		return nil
@@ -57,47 +62,50 @@
 	if errors.As(err, &tooLarge) {
 		return problem.New(problem.KindTooLarge, stepDecode, "the body is larger than %d bytes", tooLarge.Limit)
 	}
-	return malformed("the body is not as described: %v", err)
+	return malformedProblem("the body is not as described: %v", err)
 }
 
-func malformed(format string, arguments ...any) *problem.Problem {
+func malformedProblem(format string, arguments ...any) *problem.Problem {
 	return problem.New(problem.KindMalformed, stepDecode, format, arguments...)
 }
 
-// pathProgram reads the program out of the path. Text that was never issued is
-// an unknown program, as is a foreign tenant's.
-func pathProgram(r *request) (identity.Program, *problem.Problem) {
+// programFromPath returns the program that the request's path identifies. An
+// identifier that cannot have been issued gives the same problem as the program of
+// another tenant: an unknown program.
+func programFromPath(r *request) (identity.Program, *problem.Problem) {
 	program := identity.Program(r.PathValue("program"))
 	if _, err := program.Shard(); err != nil {
-		return "", unknownProgram()
+		return "", unknownProgramProblem()
 	}
 	return program, nil
 }
 
-func unknownProgram() *problem.Problem {
+func unknownProgramProblem() *problem.Problem {
 	return problem.New(problem.KindUnknownProgram, "find the program", "no such program")
 }
 
-func sequenceOf(text string) (uint64, *problem.Problem) {
+func parseSequence(text string) (uint64, *problem.Problem) {
 	sequence, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || sequence == 0 {
-		return 0, malformed("%q is not a sequence number from 1", text)
+		return 0, malformedProblem("%q is not a sequence number from 1", text)
 	}
 	return sequence, nil
 }
 
-// seconds converts a duration on the wire.
-func seconds(key string, value float64) (time.Duration, *problem.Problem) {
-	if !(value >= 0 && value <= longestDuration.Seconds()) {
-		return 0, malformed("%s must be between 0 and %.0f", key, longestDuration.Seconds())
+// parseSeconds converts a duration in seconds. The key is the name of the field, for
+// the problem that it returns if the value is out of range.
+func parseSeconds(key string, value float64) (time.Duration, *problem.Problem) {
+	if !(value >= 0 && value <= maxDuration.Seconds()) {
+		return 0, malformedProblem("%s must be between 0 and %.0f", key, maxDuration.Seconds())
 	}
 	return time.Duration(value * float64(time.Second)), nil
 }
 
-// deadline gives when a call ends at the latest.
-func (a *api) deadline(milliseconds int64) (time.Time, *problem.Problem) {
+// callDeadline returns the time that is the given number of milliseconds from now,
+// or Limits.CallTimeout from now if the number is zero.
+func (a *api) callDeadline(milliseconds int64) (time.Time, *problem.Problem) {
 	if milliseconds < 0 || milliseconds > a.Limits.LongestDeadline.Milliseconds() {
-		return time.Time{}, malformed("deadline_ms must be between 0 and %d", a.Limits.LongestDeadline.Milliseconds())
+		return time.Time{}, malformedProblem("deadline_ms must be between 0 and %d", a.Limits.LongestDeadline.Milliseconds())
 	}
 	if milliseconds == 0 {
 		return time.Now().Add(a.Limits.CallTimeout), nil
--- a/internal/callerapi/fake_test.go
+++ b/internal/callerapi/fake_test.go
@@ -13,18 +13,19 @@
 
 const shard identity.Shard = 3
 
-// fakePrograms keeps programs of one tenant each; what Follow replies is scripted.
+// fakePrograms implements execution.Programs in memory. Follow returns the elements
+// of replies in turn, whatever the call.
 type fakePrograms struct {
-	mutex     sync.Mutex
-	tenants   map[identity.Program]identity.Tenant
-	keys      map[string]identity.Program
-	created   []execution.CreateArguments
-	submitted []program.CallSpec
-	ended     []identity.Program
-	submit    *problem.Problem
-	replies   []execution.FollowReply // the last one stays
-	follows   []execution.FollowArguments
-	silent    bool // Follow has no news before its wait is over
+	mutex         sync.Mutex
+	tenants       map[identity.Program]identity.Tenant
+	keys          map[string]identity.Program
+	created       []execution.CreateArguments
+	submitted     []program.CallSpec
+	ended         []identity.Program
+	submitProblem *problem.Problem
+	replies       []execution.FollowReply // the last element is returned again and again
+	follows       []execution.FollowArguments
+	silent        bool // if true, Follow returns nothing new after waiting for its full time
 }
 
 func newFakePrograms(replies ...execution.FollowReply) *fakePrograms {
@@ -48,7 +49,8 @@
 	return execution.CreateReply{Program: created}, nil
 }
 
-func (f *fakePrograms) foreign(tenant identity.Tenant, id identity.Program) *problem.Problem {
+// checkTenant returns a problem if the program is unknown or belongs to another tenant.
+func (f *fakePrograms) checkTenant(tenant identity.Tenant, id identity.Program) *problem.Problem {
 	if owner, known := f.tenants[id]; !known || owner != tenant {
 		return problem.New(problem.KindUnknownProgram, "find the program", "no such program")
 	}
@@ -58,11 +60,11 @@
 func (f *fakePrograms) Submit(_ context.Context, arguments execution.SubmitArguments) (execution.SubmitReply, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if rejected := f.foreign(arguments.Tenant, arguments.Program); rejected != nil {
+	if rejected := f.checkTenant(arguments.Tenant, arguments.Program); rejected != nil {
 		return execution.SubmitReply{Problem: rejected}, nil
 	}
-	if f.submit != nil {
-		return execution.SubmitReply{Problem: f.submit}, nil
+	if f.submitProblem != nil {
+		return execution.SubmitReply{Problem: f.submitProblem}, nil
 	}
 	f.submitted = append(f.submitted, arguments.Call)
 	return execution.SubmitReply{}, nil
@@ -77,7 +79,7 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if rejected := f.foreign(arguments.Tenant, arguments.Program); rejected != nil {
+	if rejected := f.checkTenant(arguments.Tenant, arguments.Program); rejected != nil {
 		return execution.FollowReply{Problem: rejected}, nil
 	}
 	f.follows = append(f.follows, arguments)
@@ -94,7 +96,7 @@
 func (f *fakePrograms) End(_ context.Context, arguments execution.EndArguments) (execution.EndReply, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if rejected := f.foreign(arguments.Tenant, arguments.Program); rejected != nil {
+	if rejected := f.checkTenant(arguments.Tenant, arguments.Program); rejected != nil {
 		return execution.EndReply{Problem: rejected}, nil
 	}
 	f.ended = append(f.ended, arguments.Program)
@@ -104,7 +106,7 @@
 func (f *fakePrograms) History(_ context.Context, arguments execution.HistoryArguments) (execution.HistoryReply, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if rejected := f.foreign(arguments.Tenant, arguments.Program); rejected != nil {
+	if rejected := f.checkTenant(arguments.Tenant, arguments.Program); rejected != nil {
 		return execution.HistoryReply{Problem: rejected}, nil
 	}
 	reply := execution.HistoryReply{Program: arguments.Program, Tenant: arguments.Tenant, State: program.ProgramOpen}
@@ -115,7 +117,7 @@
 	return reply, nil
 }
 
-// fakeSource is a configuration that never changes.
+// fakeSource is a configuration.Source whose configuration never changes.
 type fakeSource struct {
 	snapshot  *configuration.Snapshot
 	confirmed func() bool
--- a/internal/callerapi/follow.go
+++ b/internal/callerapi/follow.go
@@ -10,45 +10,48 @@
 )
 
 const (
-	// pollWait is how long one look at a call waits for news.
-	pollWait = 5 * time.Second
-	// deadlineGrace is left to the leader after a call's deadline, to tell its end.
+	// maxPollWait is the longest time that one Follow request waits for news of a
+	// call.
+	maxPollWait = 5 * time.Second
+	// deadlineGrace is the time after a call's deadline in which the program's leader
+	// can still report how the call ended.
 	deadlineGrace = 300 * time.Millisecond
-	// offsetOfEnd is past any content: one that waits for the end alone is not
-	// woken by each piece.
-	offsetOfEnd = math.MaxInt
+	// endOnlyOffset is an offset beyond any content. A Follow request with this offset
+	// returns only when the call ends, and not for each piece of its answer.
+	endOnlyOffset = math.MaxInt
 )
 
-// follower reads on in a call's answer. It keeps the content of the attempt
-// that is now under way.
+// follower reads a call's answer with successive Follow requests. It keeps the
+// content of the current attempt of the call. It is not safe for concurrent use.
 type follower struct {
 	programs execution.Programs
 	call     callID
-	endOnly  bool // pieces are of no use
+	endOnly  bool // if true, only the end of the call is of interest
 	attempt  uint32
-	content  []byte
+	content  []byte // of the current attempt so far; not used if endOnly is set
 }
 
-// newFollower follows the pieces of an answer and its end.
+// newFollower returns a follower for the pieces of a call's answer and its end.
 func newFollower(programs execution.Programs, call callID) *follower {
 	return &follower{programs: programs, call: call}
 }
 
-// newEndFollower waits for the end of a call.
+// newEndFollower returns a follower that only waits for the end of a call.
 func newEndFollower(programs execution.Programs, call callID) *follower {
 	return &follower{programs: programs, call: call, endOnly: true}
 }
 
-// next waits for news until the context ends; then it tells that the
-// deadline passed.
+// next waits for news of the call for up to maxPollWait, or until ctx ends. If ctx
+// has ended before the call, the problem says that the deadline has passed.
 func (f *follower) next(ctx context.Context) (execution.FollowReply, *problem.Problem) {
-	return f.nextWithin(ctx, pollWait)
+	return f.nextWithin(ctx, maxPollWait)
 }
 
-// nextWithin waits for news for the time. The problem is about following; the
-// call's own end is in a reply that is Done.
+// nextWithin is like next, but waits no longer than wait. The problem it returns
+// means that following has failed. If the call itself has failed, the reply has
+// Done and Problem set.
 func (f *follower) nextWithin(ctx context.Context, wait time.Duration) (execution.FollowReply, *problem.Problem) {
-	wait = min(wait, pollWait)
+	wait = min(wait, maxPollWait)
 	if deadline, set := ctx.Deadline(); set {
 		wait = min(wait, max(0, time.Until(deadline)))
 	}
@@ -63,24 +66,25 @@
 		Wait:     wait,
 	})
 	if ctx.Err() != nil && !reply.Done {
-		return reply, deadlinePassed()
+		return reply, deadlineProblem()
 	}
 	if found := followProblem(reply, err); found != nil {
 		return reply, found
 	}
-	f.take(reply)
+	f.appendReply(reply)
 	return reply, nil
 }
 
 func (f *follower) offset() int {
 	if f.endOnly {
-		return offsetOfEnd
+		return endOnlyOffset
 	}
 	return len(f.content)
 }
 
-// take adds the content of a reply. A later attempt begins anew.
-func (f *follower) take(reply execution.FollowReply) {
+// appendReply appends the reply's content to f.content, which it first empties if
+// the reply belongs to a new attempt. It does nothing if f.endOnly is set.
+func (f *follower) appendReply(reply execution.FollowReply) {
 	if f.endOnly {
 		return
 	}
@@ -91,20 +95,23 @@
 	f.content = append(f.content, reply.Content...)
 }
 
-// followProblem says why following failed. The call may run all the while.
+// followProblem returns the problem for which following failed, or nil. The call
+// itself may still be running, so that its outcome is unknown if the problem is
+// "unavailable".
 func followProblem(reply execution.FollowReply, err error) *problem.Problem {
 	if reply.Done {
 		return nil
 	}
-	found := firstProblem(reply.Problem, err, "follow the call")
+	found := toProblem(reply.Problem, err, "follow the call")
 	if found != nil && found.Kind == problem.KindUnavailable && found.Outcome == problem.OutcomeNone {
 		found.Outcome = problem.OutcomeUnknown
 	}
 	return found
 }
 
-// deadlinePassed is said when no final word came in time: the call may have run.
-func deadlinePassed() *problem.Problem {
+// deadlineProblem returns the problem for a call whose end was not known in time.
+// The call may have run.
+func deadlineProblem() *problem.Problem {
 	return problem.New(problem.KindDeadlineExceeded, "follow the call", "the deadline passed before the end of the call was known").
-		WithOutcome(problem.OutcomeUnknown).WithRetryAfter(readRetry)
+		WithOutcome(problem.OutcomeUnknown).WithRetryAfter(readRetryAfter)
 }
--- a/internal/callerapi/fuzz_test.go
+++ b/internal/callerapi/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// FuzzRequests shows that no body, path or header of a caller ends in a fault
-// of ours, and that what is refused leaves no trace.
+// FuzzRequests checks that no path, body or header leads to a 5xx status, and that
+// a rejected request submits no call.
 func FuzzRequests(f *testing.F) {
 	f.Add("POST", "/v1/programs", `{"creation_key":"k","idle_seconds":1e300}`, "")
 	f.Add("POST", "/v1/programs/p0003-aaaaaaaaaaaaaaaaaaaaaaaaaa/calls/1", `{"target":"model","name":"m","messages":[{"role":"user","content":"x"}],"max_tokens":1}`, "")
@@ -29,7 +29,7 @@
 		request.Header.Set("Authorization", "Bearer key-b")
 		request.Header.Set(callerapi.HeaderProgram, header)
 		request.Header.Set(callerapi.HeaderSequence, header)
-		programs := newFakePrograms(answered("whole"))
+		programs := newFakePrograms(answeredReply("whole"))
 		programs.tenants["p0003-aaaaaaaaaaaaaaaaaaaaaaaaaa"] = identity.Tenant("brackenlaw")
 		snapshot := configuration.BuildSnapshot(1, configuration.Document{Tenants: []configuration.Tenant{tenantWithKey("brackenlaw", "key-b")}})
 		handler := callerapi.NewHandler(callerapi.Options{
--- a/internal/callerapi/handler.go
+++ b/internal/callerapi/handler.go
@@ -1,6 +1,6 @@
-// Package callerapi serves callers over HTTP and JSON at any daemon: it checks
-// key, size and shape of a request, hands it to the programs behind it, and
-// tells the result truthfully. It keeps no state of programs.
+// Package callerapi implements the HTTP API for callers, which every daemon serves.
+// It authenticates and validates requests, passes them to the programs, and returns
+// or streams the results. It keeps no state between requests.
 package callerapi
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// Limits bound one request. The listener's own limits (header bytes,
-// connections, reading and idle times) are set where it is opened.
+// Limits limits requests. The limits of the listener (header size, connections,
+// read and idle timeouts) are set where it is opened.
 type Limits struct {
-	BodyBytes       int64         // largest body
-	Requests        int           // at once; more are refused
-	ReadTimeout     time.Duration // for the body
-	WriteTimeout    time.Duration // for a reader to take one part of an answer
-	CallTimeout     time.Duration // deadline of a call that names none
-	LongestDeadline time.Duration // of a call
+	BodyBytes       int64         // largest size of a request body
+	Requests        int           // active requests; further ones are rejected
+	ReadTimeout     time.Duration // time to read a request body
+	WriteTimeout    time.Duration // time to write one part of a response
+	CallTimeout     time.Duration // time until the deadline of a call that has none
+	LongestDeadline time.Duration // longest time until the deadline of a call
 }
 
-// DefaultLimits suit a daemon with callers a few milliseconds away.
+// DefaultLimits is meant for callers with a network latency of a few milliseconds.
 var DefaultLimits = Limits{
 	BodyBytes:       8 << 20,
 	Requests:        4096,
@@ -37,29 +37,31 @@
 	LongestDeadline: time.Hour,
 }
 
-// Options are what the handler needs.
+// Options configures the handler. Programs and Configuration are required.
 type Options struct {
 	Programs      execution.Programs
 	Configuration configuration.Source
-	Limits        Limits // zero: DefaultLimits
-	Logger        *zap.Logger
-	Registerer    prometheus.Registerer
-	Draining      func() bool // true: take no new work; nil: never
+	Limits        Limits                // the zero value means DefaultLimits
+	Logger        *zap.Logger           // nil disables logging
+	Registerer    prometheus.Registerer // nil disables the registration of metrics
+	Draining      func() bool           // reports whether to reject new work; nil means never
 }
 
-// Paths of the callers' endpoint.
+// URL paths of the API.
 const (
 	PathPrograms    = "/v1/programs"
 	PathCompletions = "/v1/chat/completions"
 )
 
+// api holds the state that all requests share. It is safe for concurrent use.
 type api struct {
 	Options
-	metrics *metrics
-	open    atomic.Int64 // requests under way
+	metrics        *metrics
+	activeRequests atomic.Int64
 }
 
-// NewHandler makes the callers' endpoint.
+// NewHandler returns the handler of the API. It panics if the metrics are already
+// registered with options.Registerer.
 func NewHandler(options Options) http.Handler {
 	if options.Limits == (Limits{}) {
 		options.Limits = DefaultLimits
@@ -73,38 +75,39 @@
 	}
 	a := &api{Options: options, metrics: newMetrics(options.Registerer)}
 	mux := http.NewServeMux()
-	a.handle(mux, "POST "+PathPrograms, "create", a.create)
-	a.handle(mux, "DELETE "+PathPrograms+"/{program}", "end", a.end)
-	a.handle(mux, "GET "+PathPrograms+"/{program}/history", "history", a.history)
-	a.handle(mux, "POST "+PathPrograms+"/{program}/calls/{sequence}", "submit", a.submit)
-	a.handle(mux, "GET "+PathPrograms+"/{program}/calls/{sequence}", "read", a.read)
-	a.handle(mux, "POST "+PathCompletions, "chat", a.chat)
+	a.handle(mux, "POST "+PathPrograms, "create", a.createProgram)
+	a.handle(mux, "DELETE "+PathPrograms+"/{program}", "end", a.endProgram)
+	a.handle(mux, "GET "+PathPrograms+"/{program}/history", "history", a.readHistory)
+	a.handle(mux, "POST "+PathPrograms+"/{program}/calls/{sequence}", "submit", a.handleCall)
+	a.handle(mux, "GET "+PathPrograms+"/{program}/calls/{sequence}", "read", a.readCall)
+	a.handle(mux, "POST "+PathCompletions, "chat", a.handleChat)
 	mux.HandleFunc("/", notFound)
 	return mux
 }
 
-// request is one authenticated request under way.
+// request is an authenticated request with its response.
 type request struct {
 	*http.Request
 	writer *responseWriter
 	tenant *configuration.Tenant
 }
 
-// handle wraps an operation with limits, authentication and metrics.
+// handle registers serve for the pattern. Each request first passes the limits and
+// the authentication; the operation is its label in the metrics.
 func (a *api) handle(mux *http.ServeMux, pattern, operation string, serve func(*request)) {
 	mux.HandleFunc(pattern, func(plain http.ResponseWriter, incoming *http.Request) {
 		started := time.Now()
 		writer := newResponseWriter(plain, a.Limits.WriteTimeout)
-		defer func() { a.metrics.served(operation, writer.status, started) }()
-		if a.open.Add(1) > int64(a.Limits.Requests) {
-			a.open.Add(-1)
-			writer.problem(overloaded())
+		defer func() { a.metrics.observeRequest(operation, writer.status, started) }()
+		if a.activeRequests.Add(1) > int64(a.Limits.Requests) {
+			a.activeRequests.Add(-1)
+			writer.writeProblem(overloadedProblem())
 			return
 		}
-		defer a.open.Add(-1)
+		defer a.activeRequests.Add(-1)
 		tenant, rejected := a.authenticate(incoming)
 		if rejected != nil {
-			writer.problem(rejected)
+			writer.writeProblem(rejected)
 			return
 		}
 		incoming.Body = http.MaxBytesReader(writer, incoming.Body, a.Limits.BodyBytes)
@@ -114,12 +117,12 @@
 
 func notFound(writer http.ResponseWriter, incoming *http.Request) {
 	found := problem.New(problem.KindMalformed, "match the path", "no such method and path: %s %s", incoming.Method, incoming.URL.Path)
-	newResponseWriter(writer, DefaultLimits.WriteTimeout).problemWithStatus(http.StatusNotFound, found)
+	newResponseWriter(writer, DefaultLimits.WriteTimeout).writeProblemWithStatus(http.StatusNotFound, found)
 }
 
-// overloaded tells of this request only: an earlier one for the same call
-// may have been taken, so that no outcome of the call is claimed.
-func overloaded() *problem.Problem {
+// overloadedProblem returns the problem for a request above Limits.Requests. It has
+// no outcome, because an earlier request may already have submitted the same call.
+func overloadedProblem() *problem.Problem {
 	return problem.New(problem.KindUnavailable, "admit the request", "too many requests at once at this daemon; this one was not taken").
 		WithRetryAfter(time.Second)
 }
--- a/internal/callerapi/handler_test.go
+++ b/internal/callerapi/handler_test.go
@@ -31,13 +31,13 @@
 	return configuration.Tenant{Name: name, KeyHashes: []string{tenant.DigestOf(key).String()}}
 }
 
-// endpoint is the handler under test behind a real listener.
+// endpoint is an HTTP server with the handler under test and fake programs.
 type endpoint struct {
 	*httptest.Server
 	programs *fakePrograms
 	registry *prometheus.Registry
 	draining bool
-	cutOff   bool // the configuration is not confirmed
+	cutOff   bool // if true, the configuration is not confirmed
 }
 
 func newEndpoint(programs *fakePrograms) *endpoint {
@@ -102,15 +102,15 @@
 	return created.Program
 }
 
-func piece(content string) execution.FollowReply {
+func pieceReply(content string) execution.FollowReply {
 	return execution.FollowReply{Content: content, State: program.CallDispatched}
 }
 
-func restart(content string) execution.FollowReply {
+func restartReply(content string) execution.FollowReply {
 	return execution.FollowReply{Content: content, Restarted: true, State: program.CallDispatched}
 }
 
-func answered(content string) execution.FollowReply {
+func answeredReply(content string) execution.FollowReply {
 	return execution.FollowReply{
 		Done:   true,
 		State:  program.CallAnswered,
@@ -122,7 +122,7 @@
 
 var _ = Describe("callers' endpoint", func() {
 	It("creates, calls, reads and ends a program", func() {
-		served := newEndpoint(newFakePrograms(piece("hel"), piece("lo"), answered("hello")))
+		served := newEndpoint(newFakePrograms(pieceReply("hel"), pieceReply("lo"), answeredReply("hello")))
 		id := served.create("key-b")
 		path := fmt.Sprintf("/v1/programs/%s/calls/1", id)
 		reply := served.send("POST", path, "key-b", fmt.Sprintf(modelCall, ""))
@@ -136,9 +136,9 @@
 		Expect(served.send("DELETE", "/v1/programs/"+string(id), "key-b", "").status).To(Equal(http.StatusNoContent))
 	})
 
-	DescribeTable("refuses bad input with a clear status and no trace in a history",
+	DescribeTable("rejects invalid requests with a status and kind, and submits no call",
 		func(status int, kind problem.Kind, send func(*endpoint, string) result) {
-			served := newEndpoint(newFakePrograms(answered("no")))
+			served := newEndpoint(newFakePrograms(answeredReply("no")))
 			path := fmt.Sprintf("/v1/programs/%s/calls/1", served.create("key-b"))
 			reply := send(served, path)
 			Expect(reply.status).To(Equal(status), reply.body)
@@ -185,7 +185,7 @@
 		}),
 	)
 
-	It("does not call a key wrong while the configuration is not confirmed", func() {
+	It("does not reject an unknown key as wrong while the configuration is not confirmed", func() {
 		served := newEndpoint(newFakePrograms())
 		served.cutOff = true
 		reply := served.send("POST", "/v1/programs", "key-declared-since", `{"creation_key":"one"}`)
@@ -194,10 +194,10 @@
 		served.create("key-b")
 	})
 
-	It("passes problems on with outcome and when to come back", func() {
+	It("returns problems with their outcome and Retry-After", func() {
 		served := newEndpoint(newFakePrograms())
 		path := fmt.Sprintf("/v1/programs/%s/calls/1", served.create("key-b"))
-		served.programs.submit = problem.New(problem.KindRefused, "admit", "busy").
+		served.programs.submitProblem = problem.New(problem.KindRefused, "admit", "busy").
 			WithOutcome(problem.OutcomeNotRun).WithRetryAfter(1)
 		reply := served.send("POST", path, "key-b", fmt.Sprintf(modelCall, ""))
 		Expect(reply.status).To(Equal(http.StatusTooManyRequests))
@@ -205,7 +205,7 @@
 		Expect(reply.problem().Outcome).To(Equal(problem.OutcomeNotRun))
 	})
 
-	It("tells at the deadline that the outcome is unknown, where to read it and when to come back", func() {
+	It("reports an unknown outcome at the deadline, with the path to read it and Retry-After", func() {
 		served := newEndpoint(newFakePrograms())
 		served.programs.silent = true
 		path := fmt.Sprintf("/v1/programs/%s/calls/1", served.create("key-b"))
@@ -217,7 +217,7 @@
 		Expect(served.send("GET", path+"?wait_ms=1", "key-b", "").status).To(Equal(http.StatusAccepted))
 	})
 
-	It("refuses new work while draining, and never says not-run of a call that stands", func() {
+	It("rejects new work while draining, but not a call that is already in the log", func() {
 		served := newEndpoint(newFakePrograms())
 		id := served.create("key-b")
 		path := fmt.Sprintf("/v1/programs/%s/calls/1", id)
@@ -225,7 +225,7 @@
 		Expect(served.send("POST", "/v1/programs", "key-b", `{"creation_key":"two"}`).status).To(Equal(http.StatusServiceUnavailable))
 		Expect(served.send("POST", path, "key-b", fmt.Sprintf(modelCall, "")).problem().Outcome).To(Equal(problem.OutcomeNotRun))
 		Expect(served.programs.submitted).To(BeEmpty())
-		served.programs.replies = []execution.FollowReply{answered("stands")}
+		served.programs.replies = []execution.FollowReply{answeredReply("stands")}
 		Expect(served.send("POST", path, "key-b", fmt.Sprintf(modelCall, "")).body).To(ContainSubstring("stands"))
 	})
 })
--- a/internal/callerapi/metrics.go
+++ b/internal/callerapi/metrics.go
@@ -13,12 +13,12 @@
 	streams  *prometheus.CounterVec
 }
 
-// Ends of streams.
+// Values of the label "end" of the metric of streams.
 const (
-	streamAnswered = "answered"
-	streamProblem  = "problem"
-	streamRestart  = "restarted"
-	streamLeft     = "caller-left"
+	streamAnswered   = "answered"
+	streamProblem    = "problem"
+	streamRestarted  = "restarted"
+	streamCallerLeft = "caller-left"
 )
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -39,9 +39,11 @@
 	return m
 }
 
-func (m *metrics) served(operation string, status int, started time.Time) {
+// observeRequest records the time that a request took since start. A status of zero
+// means 200.
+func (m *metrics) observeRequest(operation string, status int, start time.Time) {
 	if status == 0 {
 		status = http.StatusOK
 	}
-	m.requests.WithLabelValues(operation, strconv.Itoa(status)).Observe(time.Since(started).Seconds())
+	m.requests.WithLabelValues(operation, strconv.Itoa(status)).Observe(time.Since(start).Seconds())
 }
--- a/internal/callerapi/programs.go
+++ b/internal/callerapi/programs.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// operationTimeout bounds what a caller waits for besides an answer.
+	// operationTimeout limits operations that do not wait for the answer of a call.
 	operationTimeout = 15 * time.Second
 	drainRetryAfter  = time.Second
 )
 
-// Classes of programs that callers may name.
-var classes = map[string]bool{"": true, "interactive": true, "standard": true, "batch": true}
+// validClasses are the classes of programs that callers may set.
+var validClasses = map[string]bool{"": true, "interactive": true, "standard": true, "batch": true}
 
-func (a *api) create(r *request) {
+func (a *api) createProgram(r *request) {
 	var body CreateRequest
 	if rejected := a.decode(r, &body); rejected != nil {
-		r.writer.problem(rejected)
+		r.writer.writeProblem(rejected)
 		return
 	}
-	arguments, rejected := createArguments(r, body)
+	arguments, rejected := newCreateArguments(r, body)
 	if rejected == nil && a.Draining() {
-		rejected = draining().WithOutcome(problem.OutcomeNotRun)
+		rejected = drainingProblem().WithOutcome(problem.OutcomeNotRun)
 	}
 	if rejected != nil {
-		r.writer.problem(rejected)
+		r.writer.writeProblem(rejected)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), operationTimeout)
 	defer cancel()
 	reply, err := a.Programs.Create(ctx, arguments)
-	if found := firstProblem(reply.Problem, err, "create the program"); found != nil {
-		r.writer.problem(found)
+	if found := toProblem(reply.Problem, err, "create the program"); found != nil {
+		r.writer.writeProblem(found)
 		return
 	}
 	r.writer.Header().Set("Location", PathPrograms+"/"+string(reply.Program)+"/history")
-	r.writer.json(http.StatusCreated, CreateReply{Program: reply.Program, Joined: reply.Joined})
+	r.writer.writeJSON(http.StatusCreated, CreateReply{Program: reply.Program, Joined: reply.Joined})
 }
 
-func createArguments(r *request, body CreateRequest) (execution.CreateArguments, *problem.Problem) {
+func newCreateArguments(r *request, body CreateRequest) (execution.CreateArguments, *problem.Problem) {
 	arguments := execution.CreateArguments{
 		Tenant:      r.tenant.Name,
 		CreationKey: body.CreationKey,
@@ -52,61 +52,61 @@
 		Class:       body.Class,
 		Limits:      program.Limits{TokenBudget: body.TokenBudget, MaxTurns: body.MaxTurns},
 	}
-	if body.CreationKey == "" || len(body.CreationKey) > longestKey {
-		return arguments, malformed("creation_key must have 1 to %d bytes", longestKey)
+	if body.CreationKey == "" || len(body.CreationKey) > maxKeyBytes {
+		return arguments, malformedProblem("creation_key must have 1 to %d bytes", maxKeyBytes)
 	}
-	if !classes[body.Class] {
-		return arguments, malformed("class must be interactive, standard or batch")
+	if !validClasses[body.Class] {
+		return arguments, malformedProblem("class must be interactive, standard or batch")
 	}
 	if body.TokenBudget < 0 {
-		return arguments, malformed("token_budget must not be negative")
+		return arguments, malformedProblem("token_budget must not be negative")
 	}
 	if body.Parent != "" {
 		if _, err := body.Parent.Shard(); err != nil {
-			return arguments, unknownProgram()
+			return arguments, unknownProgramProblem()
 		}
 	}
 	var rejected *problem.Problem
-	if arguments.Limits.Idle, rejected = seconds("idle_seconds", body.IdleSeconds); rejected != nil {
+	if arguments.Limits.Idle, rejected = parseSeconds("idle_seconds", body.IdleSeconds); rejected != nil {
 		return arguments, rejected
 	}
-	arguments.Limits.Lifetime, rejected = seconds("lifetime_seconds", body.LifetimeSeconds)
+	arguments.Limits.Lifetime, rejected = parseSeconds("lifetime_seconds", body.LifetimeSeconds)
 	return arguments, rejected
 }
 
-func (a *api) end(r *request) {
-	id, rejected := pathProgram(r)
+func (a *api) endProgram(r *request) {
+	id, rejected := programFromPath(r)
 	if rejected != nil {
-		r.writer.problem(rejected)
+		r.writer.writeProblem(rejected)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), operationTimeout)
 	defer cancel()
 	reply, err := a.Programs.End(ctx, execution.EndArguments{Tenant: r.tenant.Name, Program: id, Reason: program.EndByCaller})
-	if found := firstProblem(reply.Problem, err, "end the program"); found != nil {
-		r.writer.problem(found)
+	if found := toProblem(reply.Problem, err, "end the program"); found != nil {
+		r.writer.writeProblem(found)
 		return
 	}
 	r.writer.WriteHeader(http.StatusNoContent)
 }
 
-func (a *api) history(r *request) {
-	id, rejected := pathProgram(r)
+func (a *api) readHistory(r *request) {
+	id, rejected := programFromPath(r)
 	if rejected != nil {
-		r.writer.problem(rejected)
+		r.writer.writeProblem(rejected)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), operationTimeout)
 	defer cancel()
 	reply, err := a.Programs.History(ctx, execution.HistoryArguments{Tenant: r.tenant.Name, Program: id})
-	if found := firstProblem(reply.Problem, err, "read the history"); found != nil {
-		r.writer.problem(found)
+	if found := toProblem(reply.Problem, err, "read the history"); found != nil {
+		r.writer.writeProblem(found)
 		return
 	}
-	r.writer.json(http.StatusOK, historyDocument(reply))
+	r.writer.writeJSON(http.StatusOK, newHistory(reply))
 }
 
-func historyDocument(reply execution.HistoryReply) History {
+func newHistory(reply execution.HistoryReply) History {
 	document := History{
 		Program:        reply.Program,
 		Parent:         reply.Parent,
@@ -122,7 +122,7 @@
 		Messages:       make([]Message, 0, len(reply.Messages)),
 	}
 	for i := range reply.Calls {
-		document.Calls = append(document.Calls, historyCall(&reply.Calls[i]))
+		document.Calls = append(document.Calls, newHistoryCall(&reply.Calls[i]))
 	}
 	for _, message := range reply.Messages {
 		document.Messages = append(document.Messages, Message(message))
@@ -130,7 +130,7 @@
 	return document
 }
 
-func historyCall(call *program.Call) HistoryCall {
+func newHistoryCall(call *program.Call) HistoryCall {
 	document := HistoryCall{
 		Sequence:      call.Spec.Sequence,
 		Target:        call.Spec.Target,
@@ -141,16 +141,16 @@
 		State:         call.State,
 		AcceptedAt:    call.AcceptedAt,
 		Attempts:      len(call.Attempts),
-		Answer:        answerDocument(call.Answer),
+		Answer:        newAnswer(call.Answer),
 	}
 	if call.Problem != nil {
-		found := problemDocument(statusOf(call.Problem), call.Problem)
+		found := newProblemDocument(statusFor(call.Problem), call.Problem)
 		document.Problem = &found
 	}
 	return document
 }
 
-func answerDocument(answer *program.Answer) *Answer {
+func newAnswer(answer *program.Answer) *Answer {
 	if answer == nil {
 		return nil
 	}
@@ -167,16 +167,17 @@
 	}
 }
 
-// firstProblem joins the two ways of failing; an error of transport never
-// says that something did not happen.
-func firstProblem(found *problem.Problem, err error, step string) *problem.Problem {
-	if found != nil || err == nil {
-		return found
+// toProblem returns failure if it is not nil, and otherwise converts err, which
+// comes from the transport. The problem of a transport error has no outcome, since
+// the operation may have been performed.
+func toProblem(failure *problem.Problem, err error, step string) *problem.Problem {
+	if failure != nil || err == nil {
+		return failure
 	}
 	return problem.New(problem.KindUnavailable, step, "%v", err).WithRetryAfter(time.Second)
 }
 
-func draining() *problem.Problem {
+func drainingProblem() *problem.Problem {
 	return problem.New(problem.KindUnavailable, "admit the request", "this daemon is about to stop; ask another one").
 		WithRetryAfter(drainRetryAfter)
 }
--- a/internal/callerapi/response.go
+++ b/internal/callerapi/response.go
@@ -15,8 +15,8 @@
 	mediaTypeProblem = "application/problem+json"
 )
 
-// statusOfKind gives the HTTP status of each kind of problem.
-var statusOfKind = map[problem.Kind]int{
+// statusByKind maps each kind of problem to its HTTP status.
+var statusByKind = map[problem.Kind]int{
 	problem.KindMalformed:        http.StatusBadRequest,
 	problem.KindUnauthenticated:  http.StatusUnauthorized,
 	problem.KindForbidden:        http.StatusForbidden,
@@ -39,23 +39,23 @@
 	problem.KindInternal:         http.StatusInternalServerError,
 }
 
-// responseWriter remembers the status and gives the reader a bounded time for
-// each part, so that a slow reader holds nothing for long.
+// responseWriter records the status of the response. It limits the time of each
+// write, so that a slow reader does not occupy resources for long.
 type responseWriter struct {
 	http.ResponseWriter
 	controller *http.ResponseController
-	timeout    time.Duration
-	status     int
+	timeout    time.Duration // of one write
+	status     int           // 0 until the header is written
 }
 
 func newResponseWriter(plain http.ResponseWriter, timeout time.Duration) *responseWriter {
 	return &responseWriter{ResponseWriter: plain, controller: http.NewResponseController(plain), timeout: timeout}
 }
 
-// Unwrap lets http.ResponseController find the connection.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *responseWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// WriteHeader remembers the status.
+// WriteHeader implements http.ResponseWriter.
 func (w *responseWriter) WriteHeader(status int) {
 	if w.status == 0 {
 		w.status = status
@@ -63,23 +63,27 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Write sets a new deadline before each part.
+// Write implements http.ResponseWriter. It sets a new write deadline.
 func (w *responseWriter) Write(content []byte) (int, error) {
-	w.extend()
+	w.extendDeadline()
 	if w.status == 0 {
 		w.status = http.StatusOK
 	}
 	return w.ResponseWriter.Write(content)
 }
 
-// extend is best effort: a writer without deadlines, as in tests, stays unbounded.
-func (w *responseWriter) extend() { _ = w.controller.SetWriteDeadline(time.Now().Add(w.timeout)) }
+// extendDeadline sets the write deadline to the timeout from now. It ignores the
+// error of a connection that does not support deadlines, as in tests.
+func (w *responseWriter) extendDeadline() {
+	_ = w.controller.SetWriteDeadline(time.Now().Add(w.timeout))
+}
 
-func (w *responseWriter) json(status int, body any) {
-	w.document(status, mediaTypeJSON, body)
+func (w *responseWriter) writeJSON(status int, body any) {
+	w.writeDocument(status, mediaTypeJSON, body)
 }
 
-func (w *responseWriter) document(status int, mediaType string, body any) {
+// writeDocument writes a response with body encoded as JSON.
+func (w *responseWriter) writeDocument(status int, mediaType string, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		status = http.StatusInternalServerError
@@ -87,44 +91,47 @@
 	}
 	w.Header().Set("Content-Type", mediaType)
 	w.WriteHeader(status)
-	_, _ = w.Write(encoded) // A caller that is gone reads the answer later.
+	_, _ = w.Write(encoded) // A caller that has disconnected can read the answer later.
 }
 
-func (w *responseWriter) problem(found *problem.Problem) {
-	w.problemWithStatus(statusOf(found), found)
+// writeProblem writes a problem with the status of its kind.
+func (w *responseWriter) writeProblem(failure *problem.Problem) {
+	w.writeProblemWithStatus(statusFor(failure), failure)
 }
 
-func (w *responseWriter) problemWithStatus(status int, found *problem.Problem) {
-	w.problemDocument(problemDocument(status, found))
+func (w *responseWriter) writeProblemWithStatus(status int, failure *problem.Problem) {
+	w.writeProblemDocument(newProblemDocument(status, failure))
 }
 
-func (w *responseWriter) problemDocument(body Problem) {
+func (w *responseWriter) writeProblemDocument(body Problem) {
 	if body.RetryAfterSeconds > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(body.RetryAfterSeconds, 10))
 	}
 	if body.Status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", "Bearer")
 	}
-	w.document(body.Status, mediaTypeProblem, body)
+	w.writeDocument(body.Status, mediaTypeProblem, body)
 }
 
-func statusOf(found *problem.Problem) int {
-	if status, known := statusOfKind[found.Kind]; known {
+// statusFor returns the HTTP status of a problem; it is 500 for an unknown kind.
+func statusFor(failure *problem.Problem) int {
+	if status, known := statusByKind[failure.Kind]; known {
 		return status
 	}
 	return http.StatusInternalServerError
 }
 
-// problemDocument gives the wire form. The leader's address stays inside the fleet.
-func problemDocument(status int, found *problem.Problem) Problem {
+// newProblemDocument converts a problem to its JSON form, without the leader's
+// address, which is only for daemons.
+func newProblemDocument(status int, failure *problem.Problem) Problem {
 	return Problem{
-		Type:              ProblemTypePrefix + string(found.Kind),
-		Title:             found.Kind,
+		Type:              ProblemTypePrefix + string(failure.Kind),
+		Title:             failure.Kind,
 		Status:            status,
-		Detail:            found.Detail,
-		Outcome:           found.Outcome,
-		RetryAfterSeconds: int64(math.Ceil(found.RetryAfter.Seconds())),
-		Step:              found.Step,
-		Peer:              found.Peer,
+		Detail:            failure.Detail,
+		Outcome:           failure.Outcome,
+		RetryAfterSeconds: int64(math.Ceil(failure.RetryAfter.Seconds())),
+		Step:              failure.Step,
+		Peer:              failure.Peer,
 	}
 }
--- a/internal/callerapi/stream.go
+++ b/internal/callerapi/stream.go
@@ -14,26 +14,30 @@
 
 const mediaTypeEvents = "text/event-stream"
 
-// streamFormat writes the events of one kind of stream.
+// streamFormat encodes the server-sent events of one kind of stream.
 type streamFormat interface {
-	piece(offset int, content string) []byte
-	// end is the terminal event: the committed answer.
-	end(reply execution.FollowReply) []byte
-	failure(document Problem) []byte
+	// encodePiece encodes a part of the answer that begins at a byte offset.
+	encodePiece(offset int, content string) []byte
+	// encodeEnd encodes the last events of the stream of a call that was answered.
+	encodeEnd(reply execution.FollowReply) []byte
+	// encodeFailure encodes the last event of a stream that failed.
+	encodeFailure(document Problem) []byte
 }
 
-// stream is one stream of events to a caller. What was passed on never
-// changes: an answer that differs from it ends the stream with an error.
+// stream is a stream of events to a caller. Content that was sent is never
+// corrected: if the answer turns out to differ, the stream ends with an error.
 type stream struct {
-	call   callID
-	writer *responseWriter
-	format streamFormat
-	passed []byte // content passed on
-	begun  bool   // the header is out
-	broken bool   // the caller's connection is gone
+	call         callID
+	writer       *responseWriter
+	format       streamFormat
+	sent         []byte // content sent so far
+	started      bool   // the header of the response was written
+	disconnected bool   // a write to the caller failed
 }
 
-// stream passes the answer on as it comes. It says whether the call is known to have ended.
+// stream sends the answer of a call to the caller piece by piece, until
+// deadlineGrace after the deadline. It reports whether the call is known to have
+// ended.
 func (a *api) stream(r *request, call callID, deadline time.Time, format streamFormat) bool {
 	ctx, cancel := context.WithDeadline(r.Context(), deadline.Add(deadlineGrace))
 	defer cancel()
@@ -41,19 +45,21 @@
 	follower := newFollower(a.Programs, call)
 	for {
 		reply, rejected := follower.next(ctx)
-		if s.broken || r.Context().Err() != nil {
-			a.metrics.streams.WithLabelValues(streamLeft).Inc()
+		if s.disconnected || r.Context().Err() != nil {
+			a.metrics.streams.WithLabelValues(streamCallerLeft).Inc()
 			return reply.Done
 		}
-		if end := s.advance(follower, reply, rejected); end != "" {
+		if end := s.handleReply(follower, reply, rejected); end != "" {
 			a.metrics.streams.WithLabelValues(end).Inc()
 			return reply.Done
 		}
 	}
 }
 
-// advance passes on one reply and names the end of the stream, if it is one.
-func (s *stream) advance(follower *follower, reply execution.FollowReply, rejected *problem.Problem) string {
+// handleReply sends the new content of a reply to the caller. If this ends the
+// stream, handleReply returns the value of the metric label "end", and otherwise an
+// empty string.
+func (s *stream) handleReply(follower *follower, reply execution.FollowReply, rejected *problem.Problem) string {
 	if rejected == nil && reply.Done {
 		rejected = reply.Problem
 	}
@@ -65,32 +71,33 @@
 	if reply.Done {
 		content = []byte(reply.Answer.Content)
 	}
-	if !consistent(s.passed, content, reply.Done) {
-		s.fail(restarted())
-		return streamRestart
+	if !isConsistent(s.sent, content, reply.Done) {
+		s.fail(restartedProblem())
+		return streamRestarted
 	}
 	if reply.Done {
-		s.pass(content, len(content))
-		s.write(s.format.end(reply))
+		s.sendContent(content, len(content))
+		s.write(s.format.encodeEnd(reply))
 		return streamAnswered
 	}
-	s.pass(content, wholeRunes(content))
+	s.sendContent(content, completeRunesLength(content))
 	s.keepAlive(reply)
 	return ""
 }
 
-// consistent says whether the content goes on from what was passed on. While
-// a new attempt is shorter than that, it must be a beginning of it.
-func consistent(passed, content []byte, whole bool) bool {
-	if len(content) >= len(passed) {
-		return bytes.HasPrefix(content, passed)
+// isConsistent reports whether content agrees with the content that was sent
+// before. It must begin with the sent content, or, while a new attempt has produced
+// less and is not complete, be a prefix of it.
+func isConsistent(sent, content []byte, complete bool) bool {
+	if len(content) >= len(sent) {
+		return bytes.HasPrefix(content, sent)
 	}
-	return !whole && bytes.HasPrefix(passed, content)
+	return !complete && bytes.HasPrefix(sent, content)
 }
 
-// wholeRunes gives the length of the content without a last character that
-// has not come whole yet.
-func wholeRunes(content []byte) int {
+// completeRunesLength returns the length in bytes of content without an incomplete
+// UTF-8 sequence at its end.
+func completeRunesLength(content []byte) int {
 	start := len(content) - 1
 	for start >= 0 && start >= len(content)-utf8.UTFMax && !utf8.RuneStart(content[start]) {
 		start--
@@ -101,72 +108,81 @@
 	return start
 }
 
-// pass passes on the content up to the length, from where the stream stands.
-func (s *stream) pass(content []byte, length int) {
-	if length <= len(s.passed) {
+// sendContent sends the bytes of content that were not sent yet, up to the length.
+func (s *stream) sendContent(content []byte, length int) {
+	if length <= len(s.sent) {
 		return
 	}
-	offset := len(s.passed)
+	offset := len(s.sent)
 	part := content[offset:length]
-	s.write(s.format.piece(offset, string(part)))
-	s.passed = append(s.passed, part...)
+	s.write(s.format.encodePiece(offset, string(part)))
+	s.sent = append(s.sent, part...)
 }
 
-// keepAlive tells a quiet stream's reader, and us, that the connection stands.
+// keepAlive sends a comment if the reply has no content. It shows the caller that
+// the stream is alive, and detects that the caller has disconnected.
 func (s *stream) keepAlive(reply execution.FollowReply) {
 	if reply.Content == "" {
 		s.write([]byte(": waiting\n\n"))
 	}
 }
 
-// fail ends the stream with an error: as a plain reply when nothing is out yet.
-func (s *stream) fail(found *problem.Problem) {
-	if !s.begun {
-		s.writer.callProblem(s.call, found)
+// fail ends the stream with an error event, or, if nothing was sent yet, with a
+// plain problem response.
+func (s *stream) fail(failure *problem.Problem) {
+	if !s.started {
+		s.writer.writeCallProblem(s.call, failure)
 		return
 	}
-	s.write(s.format.failure(callProblemDocument(s.call, found)))
+	s.write(s.format.encodeFailure(newCallProblemDocument(s.call, failure)))
 }
 
+// write sends an event at once. Before the first event it writes the header.
 func (s *stream) write(event []byte) {
-	if s.broken {
+	if s.disconnected {
 		return
 	}
-	if !s.begun {
-		s.begun = true
+	if !s.started {
+		s.started = true
 		s.writer.Header().Set("Content-Type", mediaTypeEvents)
 		s.writer.Header().Set("Cache-Control", "no-store")
 		s.writer.WriteHeader(http.StatusOK)
 	}
 	if _, err := s.writer.Write(event); err != nil {
-		s.broken = true
+		s.disconnected = true
 		return
 	}
-	s.broken = s.writer.controller.Flush() != nil
+	s.disconnected = s.writer.controller.Flush() != nil
 }
 
-func restarted() *problem.Problem {
+// restartedProblem returns the problem for an answer that differs from the content
+// that was already sent.
+func restartedProblem() *problem.Problem {
 	return problem.New(problem.KindOutcomeUnknown, "stream the answer", "an attempt was lost and the answer differs from what was streamed; read it again as a whole").
-		WithOutcome(problem.OutcomeUnknown).WithRetryAfter(readRetry)
+		WithOutcome(problem.OutcomeUnknown).WithRetryAfter(readRetryAfter)
 }
 
-// eventFormat is the stream of a call: events "content", then "answer" or "error".
-type eventFormat struct{ call callID }
+// callEventFormat encodes the stream of a call: any number of events "content",
+// followed by one event "answer" or "error".
+type callEventFormat struct{ call callID }
 
-func (f *eventFormat) piece(offset int, content string) []byte {
-	return event("content", Piece{Offset: offset, Content: content})
+func (f *callEventFormat) encodePiece(offset int, content string) []byte {
+	return encodeEvent("content", Piece{Offset: offset, Content: content})
 }
 
-func (f *eventFormat) end(reply execution.FollowReply) []byte {
-	return event("answer", callReply(f.call, reply))
+func (f *callEventFormat) encodeEnd(reply execution.FollowReply) []byte {
+	return encodeEvent("answer", newCallReply(f.call, reply))
 }
 
-func (f *eventFormat) failure(document Problem) []byte { return event("error", document) }
+func (f *callEventFormat) encodeFailure(document Problem) []byte {
+	return encodeEvent("error", document)
+}
 
-// event encodes one server-sent event; the data is JSON and so has no line ends.
-func event(name string, data any) []byte {
+// encodeEvent encodes a server-sent event with data as JSON, which contains no line
+// breaks. The name may be empty.
+func encodeEvent(name string, data any) []byte {
 	encoded, err := json.Marshal(data)
-	if err != nil { // The types above always encode.
+	if err != nil { // Cannot happen with the types above.
 		encoded = []byte("{}")
 	}
 	var text bytes.Buffer
--- a/internal/callerapi/wire.go
+++ b/internal/callerapi/wire.go
@@ -8,21 +8,22 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// CreateRequest asks for a program. A repeated creation key finds the first program.
+// CreateRequest is the request to create a program. A request with a creation key
+// that was used before returns the program created then.
 type CreateRequest struct {
 	CreationKey     string           `json:"creation_key"`
 	Parent          identity.Program `json:"parent,omitempty"`
-	Class           string           `json:"class,omitempty"` // "interactive", "standard", "batch"; empty: the tenant's
+	Class           string           `json:"class,omitempty"` // "interactive", "standard" or "batch"; empty for the tenant's default
 	TokenBudget     int64            `json:"token_budget,omitempty"`
 	MaxTurns        uint64           `json:"max_turns,omitempty"`
 	IdleSeconds     float64          `json:"idle_seconds,omitempty"`
 	LifetimeSeconds float64          `json:"lifetime_seconds,omitempty"`
 }
 
-// CreateReply names the program.
+// CreateReply identifies the program of a CreateRequest.
 type CreateReply struct {
 	Program identity.Program `json:"program"`
-	Joined  bool             `json:"joined"` // the key had created it before
+	Joined  bool             `json:"joined"` // true if an earlier request created the program
 }
 
 // Message is one entry of a conversation.
@@ -31,21 +32,21 @@
 	Content string `json:"content"`
 }
 
-// CallRequest asks for a call. Payloads are bytes, in base64.
+// CallRequest is the request to submit a call.
 type CallRequest struct {
 	Target        program.TargetKind `json:"target"`
 	Name          string             `json:"name"`
 	Adapter       string             `json:"adapter,omitempty"`
-	Messages      []Message          `json:"messages,omitempty"` // what this turn adds to the history
+	Messages      []Message          `json:"messages,omitempty"` // messages that the call adds to the history
 	Operation     string             `json:"operation,omitempty"`
-	Payload       []byte             `json:"payload,omitempty"`
+	Payload       []byte             `json:"payload,omitempty"` // base64 in JSON
 	MaxTokens     int64              `json:"max_tokens,omitempty"`
 	NotRepeatable bool               `json:"not_repeatable,omitempty"`
-	DeadlineMS    int64              `json:"deadline_ms,omitempty"` // from now; zero: the daemon's call timeout
+	DeadlineMS    int64              `json:"deadline_ms,omitempty"` // from now, in milliseconds; 0 selects Limits.CallTimeout
 	Stream        bool               `json:"stream,omitempty"`
 }
 
-// CallReply is the state of a call: its answer, or how far it is.
+// CallReply is the state of a call, with its answer if it has one.
 type CallReply struct {
 	Program  identity.Program  `json:"program"`
 	Sequence uint64            `json:"sequence"`
@@ -53,7 +54,7 @@
 	Answer   *Answer           `json:"answer,omitempty"`
 }
 
-// Answer is the result of a call that ran.
+// Answer is the result of a call that was answered.
 type Answer struct {
 	Content          string `json:"content,omitempty"`
 	Payload          []byte `json:"payload,omitempty"`
@@ -66,15 +67,16 @@
 	ElapsedMS        int64  `json:"elapsed_ms"`
 }
 
-// Piece is the data of a "content" event: a part of the answer from a byte offset on.
+// Piece is the data of a "content" event: a part of the answer.
 type Piece struct {
-	Offset  int    `json:"offset"`
+	Offset  int    `json:"offset"` // in the answer, in bytes
 	Content string `json:"content"`
 }
 
-// Problem is the body of an error, of media type application/problem+json.
+// Problem is the body of an error response. Its media type is
+// application/problem+json (RFC 9457).
 type Problem struct {
-	Type              string          `json:"type"` // ProblemTypePrefix and the kind
+	Type              string          `json:"type"` // ProblemTypePrefix followed by the kind
 	Title             problem.Kind    `json:"title"`
 	Status            int             `json:"status"`
 	Detail            string          `json:"detail,omitempty"`
@@ -82,13 +84,13 @@
 	RetryAfterSeconds int64           `json:"retry_after_seconds,omitempty"`
 	Step              string          `json:"step,omitempty"`
 	Peer              string          `json:"peer,omitempty"`
-	ReadAt            string          `json:"read_at,omitempty"` // where the call's answer may be read later
+	ReadAt            string          `json:"read_at,omitempty"` // path from which the call's answer can be read later
 }
 
-// ProblemTypePrefix begins the stable type of each problem.
+// ProblemTypePrefix is the prefix of Problem.Type.
 const ProblemTypePrefix = "urn:thymeloft:problem:"
 
-// History is a program as committed.
+// History is the committed state of a program.
 type History struct {
 	Program        identity.Program     `json:"program"`
 	Parent         identity.Program     `json:"parent,omitempty"`
