--- a/internal/callerapi/calls.go
+++ b/internal/callerapi/calls.go
@@ -32,7 +32,8 @@
 	return PathPrograms + "/" + string(c.program) + "/calls/" + strconv.FormatUint(c.sequence, 10)
 }
 
-// callFromPath returns the call that the request's path identifies.
+// callFromPath returns the call that the request's path identifies, or a problem if
+// the program or the sequence number cannot exist.
 func callFromPath(r *request) (callID, *problem.Problem) {
 	id, rejected := programFromPath(r)
 	if rejected != nil {
@@ -99,8 +100,8 @@
 	return spec, rejected
 }
 
-// validateCall rejects a call that is invalid whatever the state of its program, so
-// that it is not sent to the program's leader.
+// validateCall returns a problem for a call that no program could accept, so that
+// such a call is not sent to the program's leader.
 func validateCall(spec *program.CallSpec) *problem.Problem {
 	if spec.Name == "" || len(spec.Name) > maxNameBytes {
 		return malformedProblem("name must have 1 to %d bytes", maxNameBytes)
@@ -183,8 +184,8 @@
 	}
 }
 
-// writeAnswer waits for the end of the call, until deadlineGrace after the
-// deadline, and writes the answer or a problem.
+// writeAnswer waits for the end of the call, at most until deadlineGrace after the
+// deadline. It writes the answer as a CallReply, or a problem.
 func (a *api) writeAnswer(r *request, call callID, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(r.Context(), deadline.Add(deadlineGrace))
 	defer cancel()
@@ -234,8 +235,9 @@
 	}
 }
 
-// parseWait returns the query parameter wait_ms as a duration; it is zero if the
-// parameter is missing.
+// parseWait returns the value of the query parameter wait_ms, or zero if the
+// parameter is missing. It returns a problem if the value is not a number or out of
+// range.
 func parseWait(r *request) (time.Duration, *problem.Problem) {
 	text := r.URL.Query().Get("wait_ms")
 	if text == "" {
--- a/internal/callerapi/chat.go
+++ b/internal/callerapi/chat.go
@@ -89,28 +89,31 @@
 	return spec, rejected
 }
 
-// findChatCall returns the call that the headers identify. Without these headers it
-// creates an implicit program, and returns the program's only call and true.
+// findChatCall returns the call that HeaderProgram and HeaderSequence identify. If
+// both are missing, it creates an implicit program and returns that program's only
+// call. The boolean reports whether the program is implicit. The problem is set if
+// the headers are not valid or the program could not be created.
 func (a *api) findChatCall(r *request, body *ChatRequest) (callID, bool, *problem.Problem) {
-	named, numbered := r.Header.Get(HeaderProgram), r.Header.Get(HeaderSequence)
-	if named == "" && numbered == "" {
+	programHeader, sequenceHeader := r.Header.Get(HeaderProgram), r.Header.Get(HeaderSequence)
+	if programHeader == "" && sequenceHeader == "" {
 		call, rejected := a.createImplicitProgram(r, body)
 		return call, true, rejected
 	}
-	if named == "" || numbered == "" {
+	if programHeader == "" || sequenceHeader == "" {
 		return callID{}, false, malformedProblem("%s and %s go together", HeaderProgram, HeaderSequence)
 	}
-	call := callID{tenant: r.tenant.Name, program: identity.Program(named)}
+	call := callID{tenant: r.tenant.Name, program: identity.Program(programHeader)}
 	if _, err := call.program.Shard(); err != nil {
 		return call, false, unknownProgramProblem()
 	}
 	var rejected *problem.Problem
-	call.sequence, rejected = parseSequence(numbered)
+	call.sequence, rejected = parseSequence(sequenceHeader)
 	return call, false, rejected
 }
 
-// createImplicitProgram creates a program for one call. A repeated request with the
-// same HeaderIdempotencyKey gets the program, and so the answer, of the first one.
+// createImplicitProgram creates a program for one call and returns that call. A
+// repeated request with the same HeaderIdempotencyKey gets the call, and so the
+// answer, of the first request.
 func (a *api) createImplicitProgram(r *request, body *ChatRequest) (callID, *problem.Problem) {
 	call := callID{tenant: r.tenant.Name, sequence: 1}
 	key := r.Header.Get(HeaderIdempotencyKey)
@@ -134,9 +137,9 @@
 	return call, toProblem(reply.Problem, err, "create the program")
 }
 
-// writeChatAnswer waits for the end of the call, until deadlineGrace after the
-// deadline, and writes the answer or a problem. It reports whether the call is known
-// to have ended.
+// writeChatAnswer waits for the end of the call, at most until deadlineGrace after
+// the deadline. It writes the answer as a Completion, or a problem. It reports
+// whether the call is known to have ended.
 func (a *api) writeChatAnswer(r *request, call callID, deadline time.Time, format *chatFormat) bool {
 	ctx, cancel := context.WithDeadline(r.Context(), deadline.Add(deadlineGrace))
 	defer cancel()
@@ -164,6 +167,6 @@
 	defer cancel()
 	reply, err := a.Programs.End(ctx, execution.EndArguments{Tenant: call.tenant, Program: call.program, Reason: program.EndByCaller})
 	if found := toProblem(reply.Problem, err, "end the program"); found != nil {
-		a.Logger.Info("callerapi: implicit program not ended; its idle limit will end it: " + found.Error() + ".")
+		a.Logger.Info("callerapi: implicit program stays until its idle limit, because ending it failed: " + found.Error() + ".")
 	}
 }
--- a/internal/callerapi/chat_wire.go
+++ b/internal/callerapi/chat_wire.go
@@ -11,8 +11,8 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// ChatRequest is the body of an OpenAI-compatible request. A request with a field
-// that is not listed here is rejected, because engines could not honour the field.
+// ChatRequest is the body of an OpenAI-compatible request. A request with any other
+// field is rejected, so that no field is silently ignored.
 type ChatRequest struct {
 	Model               string         `json:"model"`
 	Messages            []ChatMessage  `json:"messages"`
--- a/internal/callerapi/decode.go
+++ b/internal/callerapi/decode.go
@@ -84,6 +84,7 @@
 	return problem.New(problem.KindUnknownProgram, "find the program", "no such program")
 }
 
+// parseSequence parses a sequence number, which must be at least 1.
 func parseSequence(text string) (uint64, *problem.Problem) {
 	sequence, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || sequence == 0 {
@@ -92,8 +93,8 @@
 	return sequence, nil
 }
 
-// parseSeconds converts a duration in seconds. The key is the name of the field, for
-// the problem that it returns if the value is out of range.
+// parseSeconds converts a number of seconds to a duration. If the number is out of
+// range, it returns a problem that names the field given as key.
 func parseSeconds(key string, value float64) (time.Duration, *problem.Problem) {
 	if !(value >= 0 && value <= maxDuration.Seconds()) {
 		return 0, malformedProblem("%s must be between 0 and %.0f", key, maxDuration.Seconds())
@@ -102,7 +103,8 @@
 }
 
 // callDeadline returns the time that is the given number of milliseconds from now,
-// or Limits.CallTimeout from now if the number is zero.
+// or Limits.CallTimeout from now if the number is zero. It returns a problem if the
+// number is negative or above Limits.LongestDeadline.
 func (a *api) callDeadline(milliseconds int64) (time.Time, *problem.Problem) {
 	if milliseconds < 0 || milliseconds > a.Limits.LongestDeadline.Milliseconds() {
 		return time.Time{}, malformedProblem("deadline_ms must be between 0 and %d", a.Limits.LongestDeadline.Milliseconds())
--- a/internal/callerapi/follow.go
+++ b/internal/callerapi/follow.go
@@ -41,15 +41,16 @@
 	return &follower{programs: programs, call: call, endOnly: true}
 }
 
-// next waits for news of the call for up to maxPollWait, or until ctx ends. If ctx
-// has ended before the call, the problem says that the deadline has passed.
+// next waits for news of the call for up to maxPollWait, or until the context ends,
+// and returns what is known then. If the context has ended before the call, the
+// problem says that the deadline has passed.
 func (f *follower) next(ctx context.Context) (execution.FollowReply, *problem.Problem) {
 	return f.nextWithin(ctx, maxPollWait)
 }
 
-// nextWithin is like next, but waits no longer than wait. The problem it returns
-// means that following has failed. If the call itself has failed, the reply has
-// Done and Problem set.
+// nextWithin is like next, but waits at most for the given time. The problem that it
+// returns means that the Follow request has failed. If the call itself has failed,
+// the fields Done and Problem of the reply are set.
 func (f *follower) nextWithin(ctx context.Context, wait time.Duration) (execution.FollowReply, *problem.Problem) {
 	wait = min(wait, maxPollWait)
 	if deadline, set := ctx.Deadline(); set {
@@ -95,9 +96,9 @@
 	f.content = append(f.content, reply.Content...)
 }
 
-// followProblem returns the problem for which following failed, or nil. The call
-// itself may still be running, so that its outcome is unknown if the problem is
-// "unavailable".
+// followProblem returns the problem of a failed Follow request, or nil. Since the
+// call itself may still be running, a problem of the kind "unavailable" without an
+// outcome gets the outcome "unknown".
 func followProblem(reply execution.FollowReply, err error) *problem.Problem {
 	if reply.Done {
 		return nil
--- a/internal/callerapi/handler.go
+++ b/internal/callerapi/handler.go
@@ -92,8 +92,9 @@
 	tenant *configuration.Tenant
 }
 
-// handle registers serve for the pattern. Each request first passes the limits and
-// the authentication; the operation is its label in the metrics.
+// handle registers a function for the requests that match a pattern. The function is
+// called only for requests within the limits whose key is valid. The operation is
+// the value of a label in the metrics.
 func (a *api) handle(mux *http.ServeMux, pattern, operation string, serve func(*request)) {
 	mux.HandleFunc(pattern, func(plain http.ResponseWriter, incoming *http.Request) {
 		started := time.Now()
--- a/internal/callerapi/handler_test.go
+++ b/internal/callerapi/handler_test.go
@@ -34,10 +34,10 @@
 // endpoint is an HTTP server with the handler under test and fake programs.
 type endpoint struct {
 	*httptest.Server
-	programs *fakePrograms
-	registry *prometheus.Registry
-	draining bool
-	cutOff   bool // if true, the configuration is not confirmed
+	programs    *fakePrograms
+	registry    *prometheus.Registry
+	draining    bool
+	unconfirmed bool // if true, the configuration is not confirmed
 }
 
 func newEndpoint(programs *fakePrograms) *endpoint {
@@ -50,7 +50,7 @@
 	limits.WriteTimeout = writeTimeout
 	served.Server = httptest.NewServer(callerapi.NewHandler(callerapi.Options{
 		Programs:      programs,
-		Configuration: fakeSource{snapshot, func() bool { return !served.cutOff }},
+		Configuration: fakeSource{snapshot, func() bool { return !served.unconfirmed }},
 		Limits:        limits,
 		Registerer:    served.registry,
 		Draining:      func() bool { return served.draining },
@@ -185,9 +185,9 @@
 		}),
 	)
 
-	It("does not reject an unknown key as wrong while the configuration is not confirmed", func() {
+	It("responds 503, not 401, to an unknown key while the configuration is not confirmed", func() {
 		served := newEndpoint(newFakePrograms())
-		served.cutOff = true
+		served.unconfirmed = true
 		reply := served.send("POST", "/v1/programs", "key-declared-since", `{"creation_key":"one"}`)
 		Expect(reply.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(reply.header.Get("Retry-After")).NotTo(BeEmpty())
--- a/internal/callerapi/metrics.go
+++ b/internal/callerapi/metrics.go
@@ -39,8 +39,8 @@
 	return m
 }
 
-// observeRequest records the time that a request took since start. A status of zero
-// means 200.
+// observeRequest records the time since the start of a request that has ended. A
+// status of zero means 200.
 func (m *metrics) observeRequest(operation string, status int, start time.Time) {
 	if status == 0 {
 		status = http.StatusOK
--- a/internal/callerapi/programs.go
+++ b/internal/callerapi/programs.go
@@ -167,9 +167,9 @@
 	}
 }
 
-// toProblem returns failure if it is not nil, and otherwise converts err, which
-// comes from the transport. The problem of a transport error has no outcome, since
-// the operation may have been performed.
+// toProblem returns the problem of a reply if there is one, and otherwise converts
+// the error of the transport, if there is one. The problem of a transport error has
+// no outcome, since the operation may have been performed.
 func toProblem(failure *problem.Problem, err error, step string) *problem.Problem {
 	if failure != nil || err == nil {
 		return failure
--- a/internal/callerapi/response.go
+++ b/internal/callerapi/response.go
@@ -82,7 +82,7 @@
 	w.writeDocument(status, mediaTypeJSON, body)
 }
 
-// writeDocument writes a response with body encoded as JSON.
+// writeDocument writes a response whose body is the given value in JSON.
 func (w *responseWriter) writeDocument(status int, mediaType string, body any) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/internal/callerapi/stream.go
+++ b/internal/callerapi/stream.go
@@ -85,9 +85,9 @@
 	return ""
 }
 
-// isConsistent reports whether content agrees with the content that was sent
-// before. It must begin with the sent content, or, while a new attempt has produced
-// less and is not complete, be a prefix of it.
+// isConsistent reports whether the content of the current attempt agrees with what
+// was already sent to the caller. The content must begin with everything that was
+// sent. If it is shorter and not complete yet, what was sent must begin with it.
 func isConsistent(sent, content []byte, complete bool) bool {
 	if len(content) >= len(sent) {
 		return bytes.HasPrefix(content, sent)
@@ -95,8 +95,8 @@
 	return !complete && bytes.HasPrefix(sent, content)
 }
 
-// completeRunesLength returns the length in bytes of content without an incomplete
-// UTF-8 sequence at its end.
+// completeRunesLength returns the length of the content in bytes, without an
+// incomplete UTF-8 sequence at its end.
 func completeRunesLength(content []byte) int {
 	start := len(content) - 1
 	for start >= 0 && start >= len(content)-utf8.UTFMax && !utf8.RuneStart(content[start]) {
@@ -108,7 +108,8 @@
 	return start
 }
 
-// sendContent sends the bytes of content that were not sent yet, up to the length.
+// sendContent sends the content up to the given length in bytes, without the part
+// that was already sent.
 func (s *stream) sendContent(content []byte, length int) {
 	if length <= len(s.sent) {
 		return
@@ -178,8 +179,8 @@
 	return encodeEvent("error", document)
 }
 
-// encodeEvent encodes a server-sent event with data as JSON, which contains no line
-// breaks. The name may be empty.
+// encodeEvent encodes a server-sent event. The data is encoded as JSON, which
+// contains no line breaks. The name may be empty.
 func encodeEvent(name string, data any) []byte {
 	encoded, err := json.Marshal(data)
 	if err != nil { // Cannot happen with the types above.
--- a/internal/callerapi/stream_test.go
+++ b/internal/callerapi/stream_test.go
@@ -46,9 +46,10 @@
 	return errors.Join(err, failure)
 }}
 
-// streamsLeft returns the value of the first series of the streams metric, which in
-// this test counts streams that ended because the caller disconnected.
-func (e *endpoint) streamsLeft() float64 {
+// disconnectedStreams returns how many streams ended because the caller
+// disconnected. It reads the first series of the metric, so a test that uses it must
+// have no streams that ended otherwise.
+func (e *endpoint) disconnectedStreams() float64 {
 	families, err := e.registry.Gather()
 	Expect(err).NotTo(HaveOccurred())
 	for _, family := range families {
@@ -102,7 +103,7 @@
 		defer connection.Close()
 		_, err = fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-b\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(served.streamsLeft).WithTimeout(testTimeout).Should(BeEquivalentTo(1))
+		Eventually(served.disconnectedStreams).WithTimeout(testTimeout).Should(BeEquivalentTo(1))
 		Expect(served.programs.submitted).To(HaveLen(1))
 		Expect(served.programs.ended).To(BeEmpty())
 	})
--- a/internal/peer/connection.go
+++ b/internal/peer/connection.go
@@ -32,7 +32,8 @@
 	retired   atomic.Bool // if true, new calls use another connection
 }
 
-// dial opens a connection to address and sends the preamble for class.
+// dial opens a connection to the address and sends the preamble, which contains the
+// traffic class.
 func (p *Pool) dial(address string, class Class) (*connection, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.DialTimeout)
 	defer cancel()
@@ -131,16 +132,16 @@
 	return c.writer.failure != nil
 }
 
-// isClosable reports whether the connection may be closed at time now, in
-// nanoseconds since Pool.startTime. A connection without open calls may be
-// closed when it is retired or was not used for Options.IdleTimeout. One with
-// open calls may be closed when no call started and no reply arrived for
+// isClosable reports whether the connection may be closed. The current time is
+// given in nanoseconds since Pool.startTime. A connection without open calls may be
+// closed if it is retired or was not used for Options.IdleTimeout. A connection with
+// open calls may be closed if no call started and no reply arrived for
 // Options.StallTimeout.
 func (c *connection) isClosable(now int64) bool {
 	if c.openCalls.Load() <= 0 {
 		idle := now-c.lastUse.Load() > int64(c.pool.options.IdleTimeout)
 		return idle || c.retired.Load()
 	}
-	silent := now - max(c.lastReply.Load(), c.lastUse.Load())
-	return silent > int64(c.pool.options.StallTimeout)
+	silence := now - max(c.lastReply.Load(), c.lastUse.Load())
+	return silence > int64(c.pool.options.StallTimeout)
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -36,9 +36,9 @@
 	return channel
 }()
 
-// getConnection returns the connection for key and dials it if necessary. It
-// waits for a dial in progress until ctx ends. An error means that nothing was
-// sent.
+// getConnection returns the connection to an address for a class, and dials it if
+// necessary. It waits for the dial until the context ends. An error means that no
+// byte of the caller's request was sent.
 func (p *Pool) getConnection(ctx context.Context, key linkKey) (*connection, error) {
 	for {
 		l, err := p.getLink(key)
@@ -60,7 +60,8 @@
 	}
 }
 
-// getLink returns the link for key, which it creates if necessary.
+// getLink returns the link to an address for a class, and creates the link if
+// there is none. It returns ErrClosed if the pool is closed.
 func (p *Pool) getLink(key linkKey) (*link, error) {
 	p.mutex.RLock()
 	found, closed := p.links[key], p.closed
@@ -83,9 +84,11 @@
 	return found, nil
 }
 
-// acquire returns the link's connection if it is usable. Otherwise it starts a
-// dial, unless one is in progress, and returns a channel that is closed when the
-// dial ends.
+// acquire returns the link's connection if it is usable. Otherwise it returns a
+// channel that is closed when the dial in progress ends, and starts that dial if
+// necessary. It returns an error if no dial may start now: ErrBackoff or
+// ErrTooManyConnections. If the link was removed from the pool, the channel is
+// already closed, and the caller must look the link up again.
 func (p *Pool) acquire(l *link, key linkKey) (*connection, <-chan struct{}, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -114,7 +117,8 @@
 	return nil, l.dialDone, nil
 }
 
-// dialLink dials l's connection, stores the result in l and closes l.dialDone.
+// dialLink dials the connection of a link, stores the connection or the error in
+// the link, and closes the channel link.dialDone.
 func (p *Pool) dialLink(l *link, key linkKey) {
 	p.statistics.connections.Add(1)
 	dialed, err := p.dial(key.address, key.class)
@@ -136,6 +140,7 @@
 	}
 }
 
+// lastDialError returns the error of the last dial, or nil if it succeeded.
 func (l *link) lastDialError() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/peer/options.go
+++ b/internal/peer/options.go
@@ -65,7 +65,8 @@
 	serverIdleFactor = 3
 )
 
-// withDefaults returns a copy of o in which missing values are replaced by their defaults.
+// withDefaults returns a copy of the options in which missing values are replaced
+// by their defaults.
 func (o Options) withDefaults() Options {
 	setDefault(&o.DialTimeout, defaultDialTimeout)
 	setDefault(&o.WriteTimeout, defaultWriteTimeout)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -32,8 +32,8 @@
 
 // Registrar accepts the services that this daemon offers to other daemons.
 type Registrar interface {
-	// Register adds a service under name, which must not be in use. The service
-	// must be a pointer to a value whose methods have the signature that net/rpc
-	// requires.
+	// Register adds a service with the given name, which must not be in use. The
+	// service must be a pointer to a value whose methods have the signature that
+	// net/rpc requires.
 	Register(name string, service any) error
 }
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// sweepInterval is the time between two searches for connections to close.
+	// sweepInterval is the time between two runs of the search for connections that
+	// can be closed.
 	sweepInterval = 5 * time.Second
 	// minSilenceBeforeRetire is the shortest time without a reply after which a
 	// call that reaches its deadline retires its connection. After a network
@@ -37,7 +38,7 @@
 }
 
 // NewPool returns a pool without connections and starts its sweep goroutine. The
-// caller must call Close to release both.
+// caller must call Close, which closes the connections and stops the goroutine.
 func NewPool(options Options) *Pool {
 	options = options.withDefaults()
 	statistics, err := newStatistics("client", options.Registerer)
@@ -78,9 +79,11 @@
 	return p.roundTrip(ctx, connection, method, arguments, reply, newError)
 }
 
-// roundTrip sends the request over c and waits until the reply arrives or ctx
-// ends. net/rpc may decode a reply long after that, so it decodes into a separate
-// value, which roundTrip copies to reply on success.
+// roundTrip sends a request over a connection and waits until the reply arrives or
+// the context ends. net/rpc may decode a reply long after that, so it decodes into
+// a separate value, which roundTrip copies to the caller's reply on success. The
+// function newError creates the error for a step, with CallError.NotSent and
+// CallError.Cause.
 func (p *Pool) roundTrip(ctx context.Context, c *connection, method string, arguments, reply any, newError func(string, bool, error) error) error {
 	start := p.elapsed()
 	c.lastUse.Store(start)
@@ -103,11 +106,12 @@
 	return newError(stepReply, false, call.Error)
 }
 
-// retireIfSilent retires c if no reply arrived on it since start, in nanoseconds
-// since p.startTime, and start is more than minSilenceBeforeRetire ago.
+// retireIfSilent retires a connection on which no reply has arrived since the start
+// of a call, if the call started more than minSilenceBeforeRetire ago. The start is
+// given in nanoseconds since p.startTime.
 func (p *Pool) retireIfSilent(c *connection, start int64) {
-	silent := p.elapsed() - start
-	if c.lastReply.Load() < start && silent > int64(minSilenceBeforeRetire) {
+	silence := p.elapsed() - start
+	if c.lastReply.Load() < start && silence > int64(minSilenceBeforeRetire) {
 		c.retired.Store(true)
 	}
 }
@@ -118,9 +122,10 @@
 	return p.closed
 }
 
-// retire excludes c from new calls. It closes c at once if the pool is closed or
-// if c has failed or has no open calls. Otherwise the sweep goroutine closes c
-// after its open calls have ended.
+// retire excludes a connection from new calls. It closes the connection at once if
+// the pool is closed, or if the connection has failed or has no open calls.
+// Otherwise the sweep goroutine closes the connection after its open calls have
+// ended.
 func (p *Pool) retire(c *connection) {
 	c.retired.Store(true)
 	if !p.addRetired(c) {
@@ -128,8 +133,8 @@
 	}
 }
 
-// addRetired adds c to p.retired. It returns false, without adding c, if c can be
-// closed at once.
+// addRetired adds a connection to p.retired. If the connection can be closed at
+// once, addRetired does not add it and returns false.
 func (p *Pool) addRetired(c *connection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -102,7 +102,7 @@
 	select {
 	case <-ended:
 	case <-time.After(s.options.CloseTimeout):
-		s.options.Logger.Warn("peer: calls aborted because the server is closing.")
+		s.options.Logger.Warn("peer: calls aborted: they did not end within the close timeout.")
 		s.forEachConnection((*serverCodec).abort)
 	}
 	if s.options.Registerer != nil {
@@ -111,7 +111,8 @@
 	return eris.Wrap(err, "close peer listener")
 }
 
-// forEachConnection calls action for each open connection while it holds s.mutex.
+// forEachConnection calls a function for each open connection while it holds
+// s.mutex.
 func (s *Server) forEachConnection(action func(*serverCodec)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -151,7 +152,7 @@
 	}
 	class, err := s.readPreamble(conn)
 	if err != nil {
-		s.options.Logger.Info("peer: connection refused.", zap.Stringer("peer", conn.RemoteAddr()), zap.Error(err))
+		s.options.Logger.Info("peer: inbound connection rejected.", zap.Stringer("peer", conn.RemoteAddr()), zap.Error(err))
 		_ = conn.Close()
 		return
 	}
@@ -178,8 +179,8 @@
 	return true
 }
 
-// readPreamble reads the preamble within Options.DialTimeout and returns the
-// connection's class.
+// readPreamble reads the preamble within Options.DialTimeout and returns the class
+// of the connection. It returns ErrBadPreamble if the preamble is not valid.
 func (s *Server) readPreamble(conn net.Conn) (Class, error) {
 	if err := conn.SetDeadline(time.Now().Add(s.options.DialTimeout)); err != nil {
 		return 0, err
@@ -254,8 +255,9 @@
 	return c.conn.SetReadDeadline(time.Now().Add(serverIdleFactor * c.server.options.IdleTimeout))
 }
 
-// methodForMetrics returns method, or unknownServiceName if its service is not
-// registered, so that clients cannot add arbitrary label values to the metrics.
+// methodForMetrics returns the name of a method if its service is registered, and
+// otherwise unknownServiceName, so that clients cannot add arbitrary label values to
+// the metrics.
 func (c *serverCodec) methodForMetrics(method string) string {
 	service, _, _ := strings.Cut(method, ".")
 	if _, known := c.server.services.Load(service); known {
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -40,7 +40,7 @@
 	BytesReceived    uint64
 }
 
-// Add returns the sum of t and other.
+// Add returns the sums of the counts in both values.
 func (t Traffic) Add(other Traffic) Traffic {
 	return Traffic{
 		MessagesSent:     t.MessagesSent + other.MessagesSent,
@@ -81,8 +81,9 @@
 	openConnections *prometheus.Desc
 }
 
-// newStatistics returns counters that are registered with registerer, unless it
-// is nil. The side, "client" or "server", is a constant label of all metrics.
+// newStatistics returns counters and registers their metrics, unless the registerer
+// is nil. The side, "client" or "server", is a constant label of all metrics. If the
+// registration fails, newStatistics returns the counters as well as the error.
 func newStatistics(side string, registerer prometheus.Registerer) (*statistics, error) {
 	labels := []string{"class", "service", "direction"}
 	constLabels := prometheus.Labels{"side": side}
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -91,9 +91,10 @@
 	return w
 }
 
-// encode appends header and body to the pending bytes and returns the number of
-// bytes added. If more than Options.MaxQueuedBytes are already pending, it waits
-// when wait is set, and otherwise returns ErrCongested without encoding. An
+// encode appends a header and a body to the pending bytes and returns the number of
+// bytes added. If more than Options.MaxQueuedBytes are already pending, it returns
+// ErrCongested without encoding, or, if wait is true, first waits for them to be
+// written. It returns the first error of the connection if that has failed. An
 // encoding error or a message above Options.MaxMessageBytes closes the connection.
 func (w *messageWriter) encode(header, body any, wait bool) (int, error) {
 	w.mutex.Lock()
@@ -171,9 +172,9 @@
 	}
 }
 
-// takePending waits for pending bytes and returns them. The spare buffer, if it
-// is not too large, receives the bytes that are encoded next. takePending returns
-// false if the connection has failed.
+// takePending waits for pending bytes and returns them, or returns false if the
+// connection has failed. Messages encoded later are written to the spare buffer,
+// unless it is larger than maxSpareBufferBytes.
 func (w *messageWriter) takePending(spare *[]byte) ([]byte, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -194,7 +195,8 @@
 	return taken, true
 }
 
-// write writes content in chunks, each within Options.WriteTimeout.
+// write writes bytes to the connection in chunks of up to writeChunkBytes, each
+// within Options.WriteTimeout.
 func (w *messageWriter) write(content []byte) error {
 	for len(content) > 0 {
 		chunk := content[:min(len(content), writeChunkBytes)]
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -18,8 +18,8 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// newCertificate returns a new self-signed certificate for 127.0.0.1, and a pool
-// that contains only this certificate.
+// newCertificate returns a new self-signed certificate for 127.0.0.1, and a
+// certificate pool that contains only this certificate.
 func newCertificate() (tls.Certificate, *x509.CertPool) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -37,9 +37,9 @@
 	Expect(err).NotTo(HaveOccurred())
 	parsed, err := x509.ParseCertificate(content)
 	Expect(err).NotTo(HaveOccurred())
-	pool := x509.NewCertPool()
-	pool.AddCert(parsed)
-	return tls.Certificate{Certificate: [][]byte{content}, PrivateKey: key}, pool
+	certPool := x509.NewCertPool()
+	certPool.AddCert(parsed)
+	return tls.Certificate{Certificate: [][]byte{content}, PrivateKey: key}, certPool
 }
 
 var _ = Describe("Calls over TLS", func() {
--- a/internal/platform/client/client_test.go
+++ b/internal/platform/client/client_test.go
@@ -20,7 +20,7 @@
 	RunSpecs(t, "platform client")
 }
 
-func start(handler http.Handler) *standin.Server {
+func startServer(handler http.Handler) *standin.Server {
 	server, err := standin.Start("127.0.0.1:0", handler)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(server.Close)
@@ -38,7 +38,7 @@
 	BeforeEach(func() {
 		ctx = context.Background()
 		store = weightstore.New(weightstore.Options{DefaultBytes: 7})
-		server = start(store)
+		server = startServer(store)
 		weights = client.NewWeights(server.URL(), &http.Client{})
 	})
 
@@ -82,10 +82,10 @@
 })
 
 var _ = Describe("Weights", func() {
-	It("returns sizes, and errors for unknown versions and above the rate limit", func() {
+	It("returns sizes, ErrNotFound for an unknown version, and ErrRateLimited above the rate limit", func() {
 		ctx := context.Background()
 		store := weightstore.New(weightstore.Options{Sizes: map[string]int64{"m/1": 7}, RequestsPerSecond: 0.001, Burst: 2})
-		weights := client.NewWeights(start(store).URL(), &http.Client{})
+		weights := client.NewWeights(startServer(store).URL(), &http.Client{})
 		Expect(weights.Size(ctx, "m", "1")).To(Equal(int64(7)))
 		_, err := weights.Size(ctx, "m", "2")
 		Expect(err).To(MatchError(platform.ErrNotFound))
--- a/internal/platform/client/guard.go
+++ b/internal/platform/client/guard.go
@@ -56,9 +56,10 @@
 	}
 }
 
-// run calls request once the rate limit allows it, with a context that ends after
-// Limits.Timeout. It returns an error without calling request if the breaker is
-// open, the queue is full, or the wait for the rate limit would be too long.
+// run calls the request function as soon as the rate limit allows it, with a context
+// that ends Limits.Timeout after the call of run, and returns its error. It returns
+// an error without calling the function if the breaker is open, the queue is full,
+// or the wait for the rate limit would be too long.
 func (g *guard) run(ctx context.Context, request func(context.Context) error) error {
 	if !g.allowRequest() {
 		return eris.Wrap(platform.ErrUnavailable, "breaker is open")
@@ -89,8 +90,9 @@
 	return eris.Wrap(platform.ErrRateLimited, "rate limit delays the request beyond its deadline")
 }
 
-// allowRequest reports whether the breaker lets a request through. When an open
-// breaker's time is over, it lets one trial request through every Limits.OpenFor.
+// allowRequest reports whether the breaker lets a request through. After an open
+// breaker has rejected requests for Limits.OpenFor, it lets one trial request
+// through in each further period of that length.
 func (g *guard) allowRequest() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/internal/platform/client/transport.go
+++ b/internal/platform/client/transport.go
@@ -45,8 +45,8 @@
 	return s
 }
 
-// exchange describes one HTTP request.
-type exchange struct {
+// requestSpec describes one HTTP request.
+type requestSpec struct {
 	step    string // what the request is for; appears in errors
 	method  string
 	path    string // appended to the base URL
@@ -55,40 +55,42 @@
 }
 
 // do sends the request and returns the body of a response with a 2xx status.
-func (s *service) do(ctx context.Context, exchange exchange) ([]byte, error) {
+func (s *service) do(ctx context.Context, spec requestSpec) ([]byte, error) {
 	var reply []byte
 	err := s.guard.run(ctx, func(ctx context.Context) error {
 		var err error
-		reply, err = s.send(ctx, exchange)
+		reply, err = s.send(ctx, spec)
 		return err
 	})
 	if err != nil {
-		return nil, eris.Wrapf(err, "%s with %s at %s", exchange.step, s.name, s.baseURL)
+		return nil, eris.Wrapf(err, "%s with %s at %s", spec.step, s.name, s.baseURL)
 	}
 	return reply, nil
 }
 
-func (s *service) send(ctx context.Context, exchange exchange) ([]byte, error) {
+// send sends the request, without the limits of the guard. It returns the body of
+// the response, and an error if the status is not 2xx.
+func (s *service) send(ctx context.Context, spec requestSpec) ([]byte, error) {
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		// Once there is a connection, bytes of the request may have been sent.
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
-	request, err := http.NewRequestWithContext(ctx, exchange.method, s.baseURL+exchange.path, bytes.NewReader(exchange.body))
+	request, err := http.NewRequestWithContext(ctx, spec.method, s.baseURL+spec.path, bytes.NewReader(spec.body))
 	if err != nil {
 		return nil, eris.Wrap(err, "build request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := s.http.Do(request)
 	if err != nil {
-		return nil, lostReplyError(exchange.isWrite && sent.Load(), err)
+		return nil, lostReplyError(spec.isWrite && sent.Load(), err)
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReplyBytes))
 	if err != nil {
-		return nil, lostReplyError(exchange.isWrite, err)
+		return nil, lostReplyError(spec.isWrite, err)
 	}
-	return body, statusError(exchange.isWrite, response.StatusCode)
+	return body, statusError(spec.isWrite, response.StatusCode)
 }
 
 // lostReplyError returns the error of a request without a complete response:
@@ -127,7 +129,7 @@
 
 // read sends a GET request and decodes the JSON body of the response into target.
 func (s *service) read(ctx context.Context, step, path string, target any) error {
-	body, err := s.do(ctx, exchange{step: step, method: http.MethodGet, path: path})
+	body, err := s.do(ctx, requestSpec{step: step, method: http.MethodGet, path: path})
 	if err != nil {
 		return err
 	}
--- a/internal/process/endpoint.go
+++ b/internal/process/endpoint.go
@@ -26,14 +26,14 @@
 	Log     *zap.Logger // required
 }
 
-// EndpointLimits limits the use of an endpoint. A zero field selects the default of
-// http.Server, and an unlimited number of connections.
+// EndpointLimits limits the use of an endpoint. If a field is zero, the default of
+// http.Server applies; the number of connections is then not limited.
 type EndpointLimits struct {
 	HeaderTimeout time.Duration // time to read the header of a request
 	ReadTimeout   time.Duration // time to read a whole request
 	IdleTimeout   time.Duration // time for which an idle connection is kept open
-	HeaderBytes   int           // size of a request header
-	Connections   int           // open connections; further ones wait in the kernel's backlog
+	HeaderBytes   int           // largest size of a request header
+	Connections   int           // largest number of open connections; further ones wait in the kernel's backlog
 }
 
 // Endpoint is an HTTP server with its listener.
@@ -73,8 +73,8 @@
 // Address returns the address at which the endpoint listens, as "ip:port".
 func (e *Endpoint) Address() string { return e.listener.Addr().String() }
 
-// Serve passes requests to handler until Shutdown or Close is called, and then
-// returns nil. It must be called only once.
+// Serve passes requests to the handler. It returns nil after Shutdown or Close, and
+// otherwise the error for which it ended. It must be called only once.
 func (e *Endpoint) Serve(handler http.Handler) error {
 	e.server.Handler = handler
 	err := e.server.Serve(e.listener)
@@ -84,8 +84,8 @@
 	return eris.Wrapf(err, "serve %s", e.name)
 }
 
-// Shutdown closes the listener and waits for active requests. If ctx ends first, it
-// closes the remaining connections.
+// Shutdown closes the listener and waits for active requests. If the context ends
+// first, Shutdown closes the connections that remain.
 func (e *Endpoint) Shutdown(ctx context.Context) {
 	if err := e.server.Shutdown(ctx); err != nil {
 		e.log.Warn("process: active requests aborted at shutdown.", zap.String("endpoint", e.name), zap.Error(err))
--- a/internal/process/life.go
+++ b/internal/process/life.go
@@ -20,7 +20,7 @@
 	StateStopped  State = "stopped"
 )
 
-// event is the name of a state transition.
+// event is the trigger of a state transition.
 type event string
 
 const (
@@ -37,7 +37,7 @@
 	prefix       string
 }
 
-// NewLife returns a Life in StateStarting. Its log lines begin with prefix and a
+// NewLife returns a Life in StateStarting. Its log lines begin with the prefix and a
 // colon.
 func NewLife(prefix string, log *zap.Logger) *Life {
 	life := &Life{log: log, prefix: prefix}
@@ -62,11 +62,11 @@
 // Stop changes the state to StateStopped.
 func (l *Life) Stop() { l.fire(eventStop) }
 
-// fire makes the transition e. It does nothing if the current state does not
-// allow the transition.
-func (l *Life) fire(e event) {
-	if err := l.stateMachine.Event(context.Background(), string(e)); err != nil {
-		l.log.Debug(l.prefix+": event ignored.", zap.String("event", string(e)), zap.String("cause", err.Error()))
+// fire triggers a state transition. It does nothing if the current state does not
+// allow that transition.
+func (l *Life) fire(trigger event) {
+	if err := l.stateMachine.Event(context.Background(), string(trigger)); err != nil {
+		l.log.Debug(l.prefix+": event ignored.", zap.String("event", string(trigger)), zap.String("cause", err.Error()))
 	}
 }
 
--- a/internal/process/readiness.go
+++ b/internal/process/readiness.go
@@ -31,7 +31,7 @@
 func (c Conditions) Hold() bool { return len(c.Unmet()) == 0 }
 
 // ServeHTTP implements http.Handler. The status is 200 if all conditions hold, and
-// otherwise 503 with a body that lists those that do not.
+// otherwise 503, with a body that lists the texts of the conditions that do not hold.
 func (c Conditions) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
 	unmet := c.Unmet()
 	if len(unmet) == 0 {
--- a/internal/server/collaboration.go
+++ b/internal/server/collaboration.go
@@ -24,8 +24,8 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// components are the parts of the process that use the store or communicate with
-// other daemons.
+// components holds the objects that use the store or communicate with other
+// daemons.
 type components struct {
 	availability   *state.Availability
 	client         *state.Client
@@ -41,8 +41,8 @@
 	quotaKeeper    *quota.Keeper
 	exchangesLoads bool                  // whether daemons tell each other the loads of instances
 	admission      *admission.Controller // nil if programs are not limited
-	server         *peer.Server
-	pool           *peer.Pool
+	peerServer     *peer.Server
+	peerPool       *peer.Pool
 	log            *zap.Logger
 }
 
@@ -65,18 +65,18 @@
 )
 
 // newComponents opens the listener for other daemons, creates all components and
-// registers their metrics. Only the peer server and the pool run before start is
-// called.
+// registers their metrics. The peer server and the pool run from then on, the other
+// components only after start.
 func (s *Server) newComponents() (*components, error) {
-	options := peer.Options{
+	peerOptions := peer.Options{
 		DialTimeout: peerDialTimeout, WriteTimeout: peerWriteTimeout, BackoffMax: peerMaxBackoff,
 		MaxMessageBytes: peerMaxMessageBytes, CloseTimeout: peerCloseTimeout, Logger: s.Log, Registerer: s.Registry,
 	}
-	peerServer, err := peer.Listen(s.Settings.Listen.Peers, options)
+	rpcServer, err := peer.Listen(s.Settings.Listen.Peers, peerOptions)
 	if err != nil {
 		return nil, eris.Wrap(err, "open the peer listener")
 	}
-	address := peerServer.Address()
+	address := rpcServer.Address()
 	if s.Settings.Listen.Advertise != "" {
 		address = s.Settings.Listen.Advertise
 	}
@@ -84,108 +84,108 @@
 		Machine: identity.Machine(s.Settings.Machine), Zone: identity.Zone(s.Settings.Zone), Region: identity.Region(s.Settings.Region),
 		Address: address, Incarnation: identity.Incarnation(time.Now().UnixNano()),
 	}, Capacity: s.Settings.ProcessorShare}
-	parts := &components{
-		members: members.NewList(self, time.Now, s.Log),
-		server:  peerServer,
-		pool:    peer.NewPool(options),
-		log:     s.Log,
-	}
-	parts.members.WatchZones = !s.Settings.Disabled.Has(mechanism.SilentZones)
-	parts.members.OnZoneBack = func(addresses []string, silent time.Duration) {
+	c := &components{
+		members:    members.NewList(self, time.Now, s.Log),
+		peerServer: rpcServer,
+		peerPool:   peer.NewPool(peerOptions),
+		log:        s.Log,
+	}
+	c.members.WatchZones = !s.Settings.Disabled.Has(mechanism.SilentZones)
+	c.members.OnZoneBack = func(addresses []string, silent time.Duration) {
 		for _, address := range addresses {
-			parts.pool.RetireUnanswered(address, silent)
+			c.peerPool.RetireUnanswered(address, silent)
 		}
 	}
-	parts.availability = state.NewAvailability(time.Now, s.logStoreAvailability)
-	parts.availability.PaceTries(func() time.Duration { return partitionRetryInterval(parts.members.Count()) })
+	c.availability = state.NewAvailability(time.Now, s.logStoreAvailability)
+	c.availability.PaceTries(func() time.Duration { return partitionRetryInterval(c.members.Count()) })
 	disabled := s.Settings.Disabled
 	storeOptions := state.ClientOptions{
-		Store: s.Store, Availability: parts.availability, NotHedged: disabled.Has(mechanism.HedgedCalls),
+		Store: s.Store, Availability: c.availability, NotHedged: disabled.Has(mechanism.HedgedCalls),
 		Probe: state.Single(s.Rows.ConfigurationKey()), OnFailure: s.logFailedCall,
-		Limiter: state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), Members: parts.members.Count, OnLowered: s.logLoweredRate}),
-		Room:    state.NewRoom(state.RoomOptions{OnChange: s.logStoreRoom, OnRefused: func() { parts.removalQueue.Hurry() }}),
+		Limiter: state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), Members: c.members.Count, OnLowered: s.logLoweredRate}),
+		Room:    state.NewRoom(state.RoomOptions{OnChange: s.logStoreRoom, OnRefused: func() { c.removalQueue.Hurry() }}),
 	}
 	if !disabled.Has(mechanism.StoreRelay) {
-		storeOptions.Alternative = storerelay.NewRelay(parts.members, parts.pool, s.Settings.Seeds)
+		storeOptions.Alternative = storerelay.NewRelay(c.members, c.peerPool, s.Settings.Seeds)
 	}
-	parts.client = state.NewClient(storeOptions)
-	parts.lease = &members.Lease{
-		List: parts.members, Store: parts.client, FirstStart: s.Settings.FirstStart, ShortestRenewal: minLeaseRenewal, Log: s.Log,
+	c.client = state.NewClient(storeOptions)
+	c.lease = &members.Lease{
+		List: c.members, Store: c.client, FirstStart: s.Settings.FirstStart, ShortestRenewal: minLeaseRenewal, Log: s.Log,
 	}
-	parts.removalQueue = retention.NewQueue(parts.client, time.Now, s.Log)
-	parts.ledger = budget.NewLedger(parts.client, maxLedgerPrograms, maxLedgerProgramAge)
+	c.removalQueue = retention.NewQueue(c.client, time.Now, s.Log)
+	c.ledger = budget.NewLedger(c.client, maxLedgerPrograms, maxLedgerProgramAge)
 	if !disabled.Has(mechanism.Lending) {
-		parts.ledger.LendWith(budget.NewLender(parts.members.MayLend, time.Now, s.Log))
+		c.ledger.LendWith(budget.NewLender(c.members.MayLend, time.Now, s.Log))
 	}
-	parts.budgets = budget.NewShared(parts.ledger, parts.members, parts.pool, parts.availability, s.Log)
-	parts.budgets.Near = s.Settings.NearBudgets && !disabled.Has(mechanism.NearBudgets)
-	parts.budgets.Alone = disabled.Has(mechanism.SharedBudgets)
-	parts.turns = turn.NewRecords(turn.Options{
-		Store: parts.client, RowBytes: s.Settings.Store.RowBytes, CacheEntries: maxCachedTurns, CacheFor: maxCachedTurnAge,
+	c.budgets = budget.NewShared(c.ledger, c.members, c.peerPool, c.availability, s.Log)
+	c.budgets.Near = s.Settings.NearBudgets && !disabled.Has(mechanism.NearBudgets)
+	c.budgets.Alone = disabled.Has(mechanism.SharedBudgets)
+	c.turns = turn.NewRecords(turn.Options{
+		Store: c.client, RowBytes: s.Settings.Store.RowBytes, CacheEntries: maxCachedTurns, CacheFor: maxCachedTurnAge,
 		CacheBytes: maxCachedTurnBytes, PieceBytes: maxCachedPieceBytes, Log: s.Log,
-		Now: time.Now, Removal: parts.removalQueue, Others: &turn.Others{List: parts.members, Caller: parts.pool, Log: s.Log},
+		Now: time.Now, Removal: c.removalQueue, Others: &turn.Others{List: c.members, Caller: c.peerPool, Log: s.Log},
 	})
-	parts.loads = &load.Exchange{List: parts.members, Caller: parts.pool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
-	parts.exchangesLoads = !disabled.Has(mechanism.LoadBoard)
-	parts.quotaKeeper = quota.NewKeeper(s.Settings.quotaSettings(), parts.members, time.Now)
-	parts.quotas = quota.NewLimiter(quota.Options{
-		Settings: s.Settings.quotaSettings(), Keeper: parts.quotaKeeper, Directory: parts.members, Caller: parts.pool, Now: time.Now, Log: s.Log,
+	c.loads = &load.Exchange{List: c.members, Caller: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
+	c.exchangesLoads = !disabled.Has(mechanism.LoadBoard)
+	c.quotaKeeper = quota.NewKeeper(s.Settings.quotaSettings(), c.members, time.Now)
+	c.quotas = quota.NewLimiter(quota.Options{
+		Settings: s.Settings.quotaSettings(), Keeper: c.quotaKeeper, Directory: c.members, Caller: c.peerPool, Now: time.Now, Log: s.Log,
 	})
 	registrations := []error{
-		parts.client.Measure(s.Registry), parts.members.Measure(s.Registry), parts.loads.Measure(s.Registry),
-		parts.quotas.Measure(s.Registry), parts.turns.Measure(s.Registry), s.Registry.Register(s.fleet.Collector()),
+		c.client.Measure(s.Registry), c.members.Measure(s.Registry), c.loads.Measure(s.Registry),
+		c.quotas.Measure(s.Registry), c.turns.Measure(s.Registry), s.Registry.Register(s.fleet.Collector()),
 	}
 	if err := errors.Join(registrations...); err != nil {
 		return nil, err
 	}
-	if err := s.enableAdmission(parts); err != nil {
+	if err := s.enableAdmission(c); err != nil {
 		return nil, err
 	}
-	if err := s.registerServices(parts); err != nil {
+	if err := s.registerServices(c); err != nil {
 		return nil, err
 	}
-	return parts, nil
+	return c, nil
 }
 
 // enableAdmission creates the controller that decides whether programs may begin,
 // if the settings ask for it. Daemons then also tell each other their numbers of
 // programs, together with the loads.
-func (s *Server) enableAdmission(parts *components) error {
+func (s *Server) enableAdmission(c *components) error {
 	if !s.Settings.BoundPrograms || s.Settings.Disabled.Has(mechanism.Admission) {
 		return nil
 	}
-	parts.admission = admission.NewController(admission.Options{
-		Members: parts.members.Count, Services: func() []string { return s.routes.Current().ModelServices() }, Now: time.Now, Log: s.Log,
+	c.admission = admission.NewController(admission.Options{
+		Members: c.members.Count, Services: func() []string { return s.routes.Current().ModelServices() }, Now: time.Now, Log: s.Log,
 	})
-	parts.loads.Programs = parts.admission
-	return parts.admission.Measure(s.Registry)
+	c.loads.Programs = c.admission
+	return c.admission.Measure(s.Registry)
 }
 
 // registerServices registers the RPC services that this daemon offers to others.
-func (s *Server) registerServices(parts *components) error {
-	peerServer := parts.server
-	if err := peerServer.Register(budget.Service, budget.NewHolder(parts.ledger, s.life.Draining)); err != nil {
+func (s *Server) registerServices(c *components) error {
+	peerServer := c.peerServer
+	if err := peerServer.Register(budget.Service, budget.NewHolder(c.ledger, s.life.Draining)); err != nil {
 		return eris.Wrap(err, "serve budgets")
 	}
-	if err := peerServer.Register(turn.ServiceName, turn.NewService(parts.turns)); err != nil {
+	if err := peerServer.Register(turn.ServiceName, turn.NewService(c.turns)); err != nil {
 		return eris.Wrap(err, "serve recent turns")
 	}
-	if err := peerServer.Register(load.ServiceName, parts.loads.Board); err != nil {
+	if err := peerServer.Register(load.ServiceName, c.loads.Board); err != nil {
 		return eris.Wrap(err, "serve loads")
 	}
-	if err := peerServer.Register(quota.ServiceName, parts.quotaKeeper); err != nil {
+	if err := peerServer.Register(quota.ServiceName, c.quotaKeeper); err != nil {
 		return eris.Wrap(err, "serve quotas")
 	}
 	if err := peerServer.Register(members.ServiceName, members.Service{}); err != nil {
 		return eris.Wrap(err, "serve members")
 	}
-	relay := storerelay.NewService(s.Store, parts.client.DirectUsable)
+	relay := storerelay.NewService(s.Store, c.client.DirectUsable)
 	return eris.Wrap(peerServer.Register(storerelay.ServiceName, relay), "serve the store relay")
 }
 
-// partitionRetryInterval returns the time between two attempts of one daemon to
-// use a failed partition of the store. It grows with the number of daemons, so
-// that all together make at most 250 attempts a second.
+// partitionRetryInterval returns the time that a daemon waits between two attempts
+// to use partitions of the store that have failed. It grows with the number of
+// daemons, so that all together make at most 250 attempts a second.
 func partitionRetryInterval(daemons int) time.Duration {
 	const (
 		perDaemon   = 4 * time.Millisecond
@@ -194,15 +194,16 @@
 	return max(time.Duration(daemons)*perDaemon, minInterval)
 }
 
-// start registers this daemon in the member list and starts the goroutines of the
-// components. They run until ctx ends; the lease also ends with endLease.
+// start starts the goroutines of the components, which run until the context ends.
+// One of them registers this daemon in the member list and renews its lease; it also
+// ends with endLease.
 func (c *components) start(ctx context.Context) {
 	var leaseContext context.Context
 	leaseContext, c.stopLease = context.WithCancel(ctx)
 	go c.lease.Run(leaseContext)
 	go watch.Run(ctx, c.members.Watch(c.client, membersFeedTimeout), c.members)
 	if c.members.WatchZones {
-		go (&members.Prober{List: c.members, Caller: c.pool}).Run(ctx)
+		go (&members.Prober{List: c.members, Caller: c.peerPool}).Run(ctx)
 	}
 	go c.removalQueue.Run(ctx)
 	if c.exchangesLoads {
@@ -213,8 +214,8 @@
 	go budget.Leftovers(c.client, c.members.Sweeps, time.Now, c.log).Run(ctx)
 }
 
-// releaseBudgets returns the unused tokens of program budgets that this daemon
-// holds to the store.
+// releaseBudgets gives the unused tokens of all program budgets that this daemon
+// holds back to the store.
 func (c *components) releaseBudgets(ctx context.Context) {
 	programs, tokens := c.ledger.ReleaseAll(ctx)
 	if programs > 0 {
@@ -234,6 +235,6 @@
 }
 
 func (c *components) close() {
-	_ = c.pool.Close()
-	_ = c.server.Close()
+	_ = c.peerPool.Close()
+	_ = c.peerServer.Close()
 }
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -14,8 +14,8 @@
 // metricsPath is the HTTP path of the metrics.
 const metricsPath = "/metrics"
 
-// serveReadiness serves the platform's readiness checks until ctx ends. It returns
-// the address of the listener.
+// serveReadiness serves the platform's readiness checks until the context ends. It
+// returns the address of the listener.
 func (s *Server) serveReadiness(ctx context.Context) (address string, err error) {
 	readiness := http.NewServeMux()
 	readiness.Handle(s.ReadyPath, s.conditions())
@@ -34,8 +34,9 @@
 	return err
 }
 
-// serveEndpoint serves handler at address until ctx ends and returns the address
-// of the listener. The name appears in logs and errors.
+// serveEndpoint opens a listener at the address and serves the handler until the
+// context ends. It returns the address with the port that was selected. The name
+// appears in logs and errors.
 func (s *Server) serveEndpoint(ctx context.Context, name, address string, handler http.Handler) (string, error) {
 	// headerTimeout limits the time to read a request header, so that connections
 	// without requests are closed.
--- a/internal/server/followers.go
+++ b/internal/server/followers.go
@@ -15,11 +15,11 @@
 type Rows interface {
 	// ConfigurationKey returns the key of the row with the configuration.
 	ConfigurationKey() state.Key
-	// Table decodes the row with the configuration.
+	// Table returns the routing table that the row with the configuration describes.
 	Table(row state.Row) (*routetable.Table, error)
 	// InstancesTable returns the name of the table of instances.
 	InstancesTable() string
-	// Instance decodes a row of the table of instances.
+	// Instance returns the instance that a row of the table of instances declares.
 	Instance(row state.Row) (backend.Declaration, error)
 }
 
@@ -49,7 +49,7 @@
 func (c *configurationFollower) apply(row state.Row) {
 	table, err := c.rows.Table(row)
 	if err != nil {
-		c.log.Error("configuration: cannot be read; the previous one stays in force.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
+		c.log.Error("configuration: cannot be decoded; the previous one stays in force.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
 		return
 	}
 	if !c.routes.Replace(table) {
@@ -97,11 +97,12 @@
 	i.fleet.Forget(i.retainRemoved)
 }
 
-// decode decodes a row. It logs a row that is not valid and returns false.
+// decode returns the instance that a row declares. If the row is not valid, decode
+// logs the error and returns false.
 func (i *instanceFollower) decode(row state.Row) (backend.Declaration, bool) {
 	declaration, err := i.rows.Instance(row)
 	if err != nil {
-		i.log.Error("engine: entry cannot be read.", zap.String("engine", row.Key.Name), zap.String("error", err.Error()))
+		i.log.Error("engine: row cannot be decoded.", zap.String("engine", row.Key.Name), zap.String("error", err.Error()))
 	}
 	return declaration, err == nil
 }
--- a/internal/server/followers_test.go
+++ b/internal/server/followers_test.go
@@ -53,7 +53,7 @@
 		read()
 		Expect(known()).To(ConsistOf("a", "c"))
 		Expect(follower.fleet.Size()).To(Equal(2))
-		Expect(logged.FilterMessage("engine: entry cannot be read.").FilterField(zap.String("engine", "b")).Len()).To(Equal(1))
+		Expect(logged.FilterMessage("engine: row cannot be decoded.").FilterField(zap.String("engine", "b")).Len()).To(Equal(1))
 	},
 		Entry("when all rows are read", func() { follower.Replace(rows, 3) }),
 		Entry("when rows change", func() { follower.Change(rows) }),
--- a/internal/server/front.go
+++ b/internal/server/front.go
@@ -15,8 +15,8 @@
 
 // callerServer serves callers on one listener. A connection keeps the limits that
 // were in force when it was accepted. For each change of the limits there is a
-// new http.Server, which gets the connections accepted from then on. It is safe
-// for concurrent use.
+// new http.Server, which gets the connections accepted from then on. A callerServer
+// is safe for concurrent use.
 type callerServer struct {
 	handler     http.Handler
 	listener    net.Listener
@@ -79,8 +79,9 @@
 	}(s.server, s.acceptQueue)
 }
 
-// withBufferedConn adds the connection that buffers responses, if accepted has
-// one, to the context of its requests.
+// withBufferedConn is the http.Server.ConnContext hook of all servers. If responses
+// on the accepted connection are buffered, it adds the buffering connection to the
+// context of the requests.
 func withBufferedConn(ctx context.Context, accepted net.Conn) context.Context {
 	if connection, ok := accepted.(*callerConnection); ok {
 		if buffered, wrapped := connection.Conn.(*writebehind.Conn); wrapped {
@@ -106,7 +107,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(retryDelay) // mostly for lack of file descriptors, until some are closed
+			time.Sleep(retryDelay) // wait for free file descriptors, whose lack is the usual cause
 			continue
 		}
 		s.mutex.Lock()
@@ -130,8 +131,8 @@
 // callers open new connections, which may reach another daemon.
 func (s *callerServer) SetDiverting(diverting bool) { s.connections.setDiverting(diverting) }
 
-// Stop closes the listener and waits, until ctx ends, for all requests to be
-// answered and for callers to read the responses that are buffered for them.
+// Stop closes the listener. It then waits until all requests are answered and
+// callers have read the responses that are buffered for them, or the context ends.
 func (s *callerServer) Stop(ctx context.Context) error {
 	_ = s.listener.Close()
 	s.mutex.Lock()
--- a/internal/server/front_test.go
+++ b/internal/server/front_test.go
@@ -38,8 +38,8 @@
 		DeferCleanup(func() { _ = connection.Close() })
 		return connection
 	}
-	// ask sends a request with a header of about size bytes, reads the response and
-	// returns it with its body closed.
+	// ask sends a request with a header of about the given size in bytes and reads the
+	// whole response. The body of the response that it returns is closed.
 	ask := func(connection net.Conn, size int) *http.Response {
 		GinkgoHelper()
 		_, err := fmt.Fprintf(connection, "GET / HTTP/1.1\r\nHost: h\r\nX: %s\r\n\r\n", strings.Repeat("x", size))
@@ -63,15 +63,15 @@
 	})
 
 	It("answers a request that is being read when it stops", func() {
-		kept := dial()
-		Expect(ask(kept, 10).Close).To(BeFalse())
-		_, err := io.WriteString(kept, "GET / HTTP/1.1\r\nHost: h\r\n")
+		open := dial()
+		Expect(ask(open, 10).Close).To(BeFalse())
+		_, err := io.WriteString(open, "GET / HTTP/1.1\r\nHost: h\r\n")
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(served.connections.countBegun).Should(Equal(1))
 		served.CloseIdle()
-		_, err = io.WriteString(kept, "\r\n")
+		_, err = io.WriteString(open, "\r\n")
 		Expect(err).NotTo(HaveOccurred())
-		response, err := http.ReadResponse(bufio.NewReader(kept), nil)
+		response, err := http.ReadResponse(bufio.NewReader(open), nil)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(response.StatusCode).To(Equal(200))
 		Expect(response.Close).To(BeTrue())
@@ -79,14 +79,14 @@
 	})
 
 	It("closes connections while callers are diverted to other daemons, and keeps them open afterwards", func() {
-		resting, busy := dial(), dial()
-		Expect(ask(resting, 10).Close).To(BeFalse())
+		idle, busy := dial(), dial()
+		Expect(ask(idle, 10).Close).To(BeFalse())
 		Expect(ask(busy, 10).Close).To(BeFalse())
 		_, err := io.WriteString(busy, "GET / HTTP/1.1\r\nHost: h\r\n")
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(served.connections.countBegun).Should(Equal(1))
 		served.SetDiverting(true)
-		_, err = resting.Read(make([]byte, 1))
+		_, err = idle.Read(make([]byte, 1))
 		Expect(err).To(MatchError(io.EOF))
 		_, err = io.WriteString(busy, "\r\n")
 		Expect(err).NotTo(HaveOccurred())
@@ -99,27 +99,27 @@
 	})
 
 	It("stops only after callers have read the responses that are buffered for them", func(ctx SpecContext) {
-		const answerBytes = 16 << 20 // more than the kernel's buffers hold
+		const responseBytes = 16 << 20 // more than the kernel's buffers hold
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
-		handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(make([]byte, answerBytes)) })
-		account := memory.NewAccount(4 * answerBytes)
-		answers := writebehind.NewGroup(writebehind.Options{Account: account, Silence: time.Hour, Pause: time.Hour})
-		keeping := newCallerServer(listener, handler, answers, log.New(io.Discard, "", 0))
+		handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(make([]byte, responseBytes)) })
+		account := memory.NewAccount(4 * responseBytes)
+		buffers := writebehind.NewGroup(writebehind.Options{Account: account, Silence: time.Hour, Pause: time.Hour})
+		buffered := newCallerServer(listener, handler, buffers, log.New(io.Discard, "", 0))
 		caller, err := net.Dial("tcp", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		defer caller.Close()
 		_, err = io.WriteString(caller, "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(account.Held).Should(BeNumerically(">", answerBytes/2))
+		Eventually(account.Held).Should(BeNumerically(">", responseBytes/2))
 		stopped := make(chan error, 1)
-		go func() { stopped <- keeping.Stop(ctx) }()
+		go func() { stopped <- buffered.Stop(ctx) }()
 		Consistently(stopped).ShouldNot(Receive())
 		response, err := http.ReadResponse(bufio.NewReader(caller), nil)
 		Expect(err).NotTo(HaveOccurred())
 		content, err := io.ReadAll(response.Body)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(content).To(HaveLen(answerBytes))
+		Expect(content).To(HaveLen(responseBytes))
 		Expect(response.Body.Close()).To(Succeed())
 		Eventually(stopped).Should(Receive(BeNil()))
 		Expect(account.Held()).To(BeZero())
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -8,9 +8,9 @@
 )
 
 // callerConnection is a caller's connection that records whether a request may
-// have begun on it. http.Server does not offer this: it treats a connection as idle
-// until it has read a whole request header. If it closed idle connections itself,
-// it could close one whose request then runs without a response.
+// have begun on it. http.Server records less: it treats a connection as idle until a
+// whole request header was read. If http.Server closed the idle connections, it
+// could close one whose request has begun, which would then run without a response.
 //
 // Guarantee: after the connection is retired, no byte that is read from it reaches
 // the server. It is retired only if no byte was read since it became idle.
@@ -21,7 +21,8 @@
 	retired      bool
 }
 
-// Read implements net.Conn.
+// Read implements net.Conn. After the connection was retired, it returns
+// net.ErrClosed in place of bytes that still arrive.
 func (c *callerConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count == 0 {
@@ -104,8 +105,8 @@
 	c.retireIdle()
 }
 
-// setDiverting sets whether connections are closed when they become idle. If so,
-// it also closes those that are idle now.
+// setDiverting sets whether connections are closed when they become idle. If
+// diverting is true, it also closes the connections that are idle now.
 func (c *callerConnections) setDiverting(diverting bool) {
 	c.diverting.Store(diverting)
 	if diverting {
--- a/internal/server/idle_test.go
+++ b/internal/server/idle_test.go
@@ -1,7 +1,7 @@
 package server
 
-// countBegun returns the number of idle connections on which bytes of a next
-// request were read.
+// countBegun returns the number of idle connections on which the first bytes of a
+// new request were read.
 func (c *callerConnections) countBegun() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -65,7 +65,8 @@
 // summaryInterval is the time between two log lines of Summarize.
 const summaryInterval = 15 * time.Second
 
-// Summarize logs the numbers of calls so far every summaryInterval, until ctx ends.
+// Summarize logs the numbers of calls so far once per summaryInterval, until the
+// context ends.
 func (s *StoreCalls) Summarize(ctx context.Context, log *zap.Logger) {
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -66,8 +66,8 @@
 }
 
 // Reload reads the file and applies its settings. If the file is invalid, the
-// previous settings stay in force. It logs the names of changed settings that take
-// effect only after a restart.
+// previous settings stay in force. Reload logs which settings wait for a restart, as
+// far as needingRestart checks them.
 func (r *Reloader) Reload() {
 	r.modTime = r.fileModTime()
 	next, err := Load(r.Path)
@@ -82,8 +82,9 @@
 	r.Log.Info("server: settings reloaded.", zap.Bool("changed", changed), zap.Strings("untilNextStart", needRestart))
 }
 
-// needingRestart returns the sorted names of settings that differ in next and take
-// effect only after a restart.
+// needingRestart compares most of the settings that take effect only after a
+// restart, and returns the sorted names of those that have changed. It does not
+// check seeds, first_start, processor_share, quota, bound_programs and near_budgets.
 func (s *Settings) needingRestart(next Settings) []string {
 	fields := map[string]bool{
 		"machine":                  s.Machine != next.Machine,
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -37,7 +37,9 @@
 	OnStarted func(Addresses)
 }
 
-// Addresses are the "ip:port" addresses at which a process listens.
+// Addresses are the addresses ("ip:port") of the listeners for callers and for
+// readiness checks after they were opened, with the ports that were selected in place
+// of port 0.
 type Addresses struct {
 	Callers string
 	Ready   string
@@ -111,29 +113,30 @@
 
 func (s *Server) grace() time.Duration { return time.Duration(s.graceNanos.Load()) }
 
-// Run serves callers until ctx ends, and then stops as planned: it returns when
-// the requests have ended or the grace period is over. It must be called only once.
+// Run serves callers until the context ends, and then performs a planned stop: it
+// returns when the requests have ended or the grace period is over. It must be
+// called only once.
 func (s *Server) Run(ctx context.Context) error {
-	parts, err := s.newComponents()
+	c, err := s.newComponents()
 	if err != nil {
 		return err
 	}
-	defer parts.close()
+	defer c.close()
 	callers, err := net.Listen("tcp", s.Settings.Listen.Callers)
 	if err != nil {
 		return eris.Wrap(err, "listen for callers")
 	}
-	if err := s.newReachMonitor(parts); err != nil {
+	if err := s.initReachMonitor(c); err != nil {
 		return err
 	}
 	buffers, err := s.newAnswerBuffers()
 	if err != nil {
 		return err
 	}
-	s.callerServer = newCallerServer(callers, s.handler(parts), buffers, zap.NewStdLog(s.Log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))))
+	s.callerServer = newCallerServer(callers, s.handler(c), buffers, zap.NewStdLog(s.Log.WithOptions(zap.IncreaseLevel(zap.ErrorLevel))))
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s.follow(background, parts)
+	s.follow(background, c)
 	go s.reach.Run(background)
 	addresses := Addresses{Callers: callers.Addr().String()}
 	if addresses.Ready, err = s.serveReadiness(background); err != nil {
@@ -149,23 +152,24 @@
 	s.Log.Info("server: started.", zap.String("zone", s.Settings.Zone),
 		zap.String("callers", callers.Addr().String()), zap.String("store", s.Settings.Store.Address))
 	<-ctx.Done()
-	return s.stop(parts)
+	return s.stop(c)
 }
 
-// handler returns the gateway's handler, which also counts s.activeRequests.
-func (s *Server) handler(parts *components) http.Handler {
+// handler returns an HTTP handler that counts active requests and passes them to the
+// gateway.
+func (s *Server) handler(c *components) http.Handler {
 	handler := gateway.New(gateway.Options{
 		Zone:          s.Settings.Zone,
 		Wire:          s.Wire,
 		Routes:        s.routes,
 		Fleet:         s.fleet,
-		Turns:         parts.turns,
-		Budgets:       parts.budgets,
-		Quotas:        parts.quotas,
-		Admission:     parts.admission,
-		Availability:  parts.availability,
+		Turns:         c.turns,
+		Budgets:       c.budgets,
+		Quotas:        c.quotas,
+		Admission:     c.admission,
+		Availability:  c.availability,
 		Reach:         s.reach,
-		Room:          parts.client.Room(),
+		Room:          c.client.Room(),
 		Memory:        s.memory,
 		Log:           s.Log,
 		Metrics:       s.metrics,
@@ -192,7 +196,7 @@
 
 // follow starts the goroutines that keep the configuration, the instances and the
 // components up to date until ctx ends.
-func (s *Server) follow(ctx context.Context, parts *components) {
+func (s *Server) follow(ctx context.Context, c *components) {
 	configuration := &configurationFollower{
 		rows: s.Rows, routes: s.routes, log: s.Log,
 		onChange: func(table *routetable.Table) { s.callerServer.SetLimits(table.Limits) },
@@ -203,14 +207,14 @@
 		onRead:        func() { s.instancesRead.Store(true) },
 	}
 	go watch.Run(ctx, watch.Options{
-		Store: parts.client, Table: s.Rows.ConfigurationKey().Table, Wait: s.Settings.configurationFeedTimeout(), Log: s.Log,
+		Store: c.client, Table: s.Rows.ConfigurationKey().Table, Wait: s.Settings.configurationFeedTimeout(), Log: s.Log,
 		OnHeard: s.configurationHeard.set,
 	}, configuration)
 	go watch.Run(ctx, watch.Options{
-		Store: parts.client, Table: s.Rows.InstancesTable(), Wait: instancesFeedTimeout, Pause: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
+		Store: c.client, Table: s.Rows.InstancesTable(), Wait: instancesFeedTimeout, Pause: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
 		OnHeard: s.instancesHeard.set,
 	}, instances)
-	parts.start(ctx)
+	c.start(ctx)
 }
 
 // conditions returns the conditions of readiness. The platform sends callers to
@@ -238,7 +242,7 @@
 // stop makes the process not ready, serves the requests that still arrive, and
 // returns when no request is active or the grace period is nearly over. Requests
 // that are then still active are not an error.
-func (s *Server) stop(parts *components) error {
+func (s *Server) stop(c *components) error {
 	start := time.Now()
 	s.life.Drain()
 	s.Log.Info("server: stopping.", zap.Int64("underWay", s.activeRequests.Load()))
@@ -246,12 +250,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.grace()-graceMargin)
 	defer cancel()
 	for ctx.Err() == nil && !s.canStop(time.Since(start)) {
-		parts.releaseBudgets(ctx)
+		c.releaseBudgets(ctx)
 		pause.For(ctx, stopPollInterval)
 	}
 	err := s.callerServer.Stop(ctx)
-	parts.releaseBudgets(ctx)
-	parts.endLease()
+	c.releaseBudgets(ctx)
+	c.endLease()
 	s.life.Stop()
 	s.Log.Info("server: stopped.", zap.Duration("took", time.Since(start)), zap.Int64("cut", s.activeRequests.Load()))
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -260,9 +264,9 @@
 	return err
 }
 
-// canStop reports whether a stop that began elapsed ago may close the listener:
-// callers are no longer sent here, and either no request is active or half of the
-// grace period is over.
+// canStop reports whether a planned stop that has lasted for the elapsed time may
+// close the listener: callers are no longer sent here, and either no request is
+// active or half of the grace period is over.
 func (s *Server) canStop(elapsed time.Duration) bool {
 	if elapsed < unreadyDelay {
 		return false
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -46,9 +46,10 @@
 	// share is unknown.
 	ProcessorShare float64 `yaml:"processor_share"`
 	// ContactMillis is the time within which a daemon must apply the configuration in
-	// force once it works and reaches the store, even if that configuration was
-	// written before. It determines how long a feed of the configuration may be
-	// silent. The default, 0, selects the shortest time.
+	// force after it has started or can reach the store again, even a configuration
+	// that was written while the daemon could not reach the store. It determines how
+	// long a feed of the configuration may be silent. The default, 0, selects the
+	// shortest time.
 	ContactMillis float64 `yaml:"contact_millis"`
 	// Quota configures how tenants' quotas are enforced.
 	Quota Quota `yaml:"quota"`
@@ -69,7 +70,8 @@
 	LogSuccessesPerSecond int `yaml:"log_successes_per_second"`
 }
 
-// Listen holds the addresses ("ip:port") at which a process listens.
+// Listen holds the configured addresses ("ip:port") of a process's listeners. Port 0
+// selects a free port.
 type Listen struct {
 	Callers string `yaml:"callers"` // requests of callers
 	Ready   string `yaml:"ready"`   // the platform's readiness checks
@@ -117,6 +119,7 @@
 	return parse(path, content)
 }
 
+// parse decodes and validates the content of the settings file at path.
 func parse(path string, content []byte) (Settings, error) {
 	var settings Settings
 	if err := yaml.UnmarshalWithOptions(content, &settings, yaml.Strict()); err != nil {
@@ -194,6 +197,6 @@
 // feed missed since then must be applied within ContactMillis, of which
 // feedRecoveryTime is reserved for replacing the feed.
 func (s *Settings) configurationFeedTimeout() time.Duration {
-	bound := time.Duration(s.ContactMillis * float64(time.Millisecond))
-	return min(max(bound-feedRecoveryTime, minConfigurationWait), maxConfigurationWait)
+	maxDelay := time.Duration(s.ContactMillis * float64(time.Millisecond))
+	return min(max(maxDelay-feedRecoveryTime, minConfigurationWait), maxConfigurationWait)
 }
