--- a/internal/callerapi/chat_wire.go
+++ b/internal/callerapi/chat_wire.go
@@ -84,7 +84,8 @@
 	return r.StreamOptions != nil && r.StreamOptions.IncludeUsage
 }
 
-// checkSupported returns a problem if a field has a value that is not supported.
+// checkSupported returns a problem if a field has a value that is not supported or
+// does not fit another field.
 func (r *ChatRequest) checkSupported() *problem.Problem {
 	if r.Choices > 1 || r.Choices < 0 {
 		return malformedProblem("n must be 1")
--- a/internal/callerapi/handler.go
+++ b/internal/callerapi/handler.go
@@ -17,7 +17,7 @@
 )
 
 // Limits limits requests. The limits of the listener (header size, connections,
-// read and idle timeouts) are set where it is opened.
+// read and idle timeouts) are set where the listener is opened.
 type Limits struct {
 	BodyBytes       int64         // largest size of a request body
 	Requests        int           // active requests; further ones are rejected
@@ -93,8 +93,8 @@
 }
 
 // handle registers a function for the requests that match a pattern. The function is
-// called only for requests within the limits whose key is valid. The operation is
-// the value of a label in the metrics.
+// called only for requests that have a valid key and are within the limits. The
+// operation is the value of a label in the metrics.
 func (a *api) handle(mux *http.ServeMux, pattern, operation string, serve func(*request)) {
 	mux.HandleFunc(pattern, func(plain http.ResponseWriter, incoming *http.Request) {
 		started := time.Now()
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -87,7 +87,7 @@
 
 // Close stops accepting connections and reading requests. It waits up to
 // Options.CloseTimeout until running calls have ended and their replies are
-// sent, and then closes the remaining connections.
+// sent, and then closes the remaining connections. Later calls do nothing.
 func (s *Server) Close() error {
 	if s.closed.Swap(true) {
 		return nil
@@ -102,7 +102,7 @@
 	select {
 	case <-ended:
 	case <-time.After(s.options.CloseTimeout):
-		s.options.Logger.Warn("peer: calls aborted: they did not end within the close timeout.")
+		s.options.Logger.Warn("peer: connections aborted, because they did not end within the close timeout.")
 		s.forEachConnection((*serverCodec).abort)
 	}
 	if s.options.Registerer != nil {
--- a/internal/process/readiness.go
+++ b/internal/process/readiness.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Condition is a condition of a process's readiness.
+// Condition must hold for the process to be ready.
 type Condition struct {
 	Unmet string      // text of the response while the condition does not hold
 	Holds func() bool // must be safe for concurrent use
 }
 
-// Conditions are the conditions of a process's readiness. They are also the HTTP
+// Conditions must all hold for the process to be ready. Conditions is also the HTTP
 // handler of the readiness check.
 type Conditions []Condition
 
--- a/internal/server/collaboration.go
+++ b/internal/server/collaboration.go
@@ -91,9 +91,9 @@
 		log:        s.Log,
 	}
 	c.members.WatchZones = !s.Settings.Disabled.Has(mechanism.SilentZones)
-	c.members.OnZoneBack = func(addresses []string, silent time.Duration) {
+	c.members.OnZoneBack = func(addresses []string, silence time.Duration) {
 		for _, address := range addresses {
-			c.peerPool.RetireUnanswered(address, silent)
+			c.peerPool.RetireUnanswered(address, silence)
 		}
 	}
 	c.availability = state.NewAvailability(time.Now, s.logStoreAvailability)
--- a/internal/server/endpoints.go
+++ b/internal/server/endpoints.go
@@ -14,16 +14,16 @@
 // metricsPath is the HTTP path of the metrics.
 const metricsPath = "/metrics"
 
-// serveReadiness serves the platform's readiness checks until the context ends. It
-// returns the address of the listener.
+// serveReadiness starts to serve the platform's readiness checks, which continues
+// until the context ends. It returns the address of the listener.
 func (s *Server) serveReadiness(ctx context.Context) (address string, err error) {
 	readiness := http.NewServeMux()
 	readiness.Handle(s.ReadyPath, s.conditions())
 	return s.serveEndpoint(ctx, "ready", s.Settings.Listen.Ready, readiness)
 }
 
-// serveMetrics serves the metrics until ctx ends, if the settings name an address
-// for them.
+// serveMetrics starts to serve the metrics if the settings name an address for them.
+// This continues until the context ends.
 func (s *Server) serveMetrics(ctx context.Context) error {
 	if s.Settings.Listen.Metrics == "" {
 		return nil
@@ -34,9 +34,9 @@
 	return err
 }
 
-// serveEndpoint opens a listener at the address and serves the handler until the
-// context ends. It returns the address with the port that was selected. The name
-// appears in logs and errors.
+// serveEndpoint opens a listener at the address and starts to serve the handler,
+// which continues until the context ends. It returns the address with the port that
+// was selected. The name appears in logs and errors.
 func (s *Server) serveEndpoint(ctx context.Context, name, address string, handler http.Handler) (string, error) {
 	// headerTimeout limits the time to read a request header, so that connections
 	// without requests are closed.
--- a/internal/server/idle.go
+++ b/internal/server/idle.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// responseWriter adds the header "Connection: close" to a response if connections
-// are being closed when its header is written.
+// responseWriter adds the header "Connection: close" to each response whose header
+// is written while callerConnections.isClosing returns true.
 type responseWriter struct {
 	http.ResponseWriter
 	connections   *callerConnections
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -35,7 +35,7 @@
 	return reloader
 }
 
-// Run calls Reload on SIGHUP and when the file has changed, until ctx ends.
+// Run calls Reload on SIGHUP and when the file has changed, until the context ends.
 func (r *Reloader) Run(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
@@ -66,8 +66,8 @@
 }
 
 // Reload reads the file and applies its settings. If the file is invalid, the
-// previous settings stay in force. Reload logs which settings wait for a restart, as
-// far as needingRestart checks them.
+// previous settings stay in force. Reload logs which settings wait for a restart, but
+// does not check all of them (see needingRestart).
 func (r *Reloader) Reload() {
 	r.modTime = r.fileModTime()
 	next, err := Load(r.Path)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -195,7 +195,7 @@
 }
 
 // follow starts the goroutines that keep the configuration, the instances and the
-// components up to date until ctx ends.
+// components up to date until the context ends.
 func (s *Server) follow(ctx context.Context, c *components) {
 	configuration := &configurationFollower{
 		rows: s.Rows, routes: s.routes, log: s.Log,
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -30,7 +30,8 @@
 	Seeds []string `yaml:"seeds"`
 	Store Store    `yaml:"store"`
 	// FirstStart means that the whole system has never been started before. It must
-	// be true only at the first start of each machine. The default is false.
+	// be true only when a machine is started for the first time as part of that first
+	// start of the system. The default is false.
 	FirstStart bool `yaml:"first_start"`
 	// GraceSeconds is the time from the start of a planned stop until the process is
 	// killed.
