--- a/internal/lab/replay/caller.go
+++ b/internal/lab/replay/caller.go
@@ -20,28 +20,29 @@
 )
 
 const (
-	attemptTimeout = 6 * time.Second // of one request, before another daemon is asked
-	retryPause     = 50 * time.Millisecond
-	longestPause   = time.Second // a caller comes back sooner than it is told to
+	attemptTimeout = 6 * time.Second // of one HTTP request
+	retryInterval  = 50 * time.Millisecond
+	maxRetryDelay  = time.Second // also when a daemon asks for a longer delay
 )
 
-// caller is one tenant's client. It goes round the daemons that run.
+// caller is an API client of one tenant. Its requests go to the running daemons
+// in turn. It is safe for concurrent use.
 type caller struct {
 	fleet  *fleet.Fleet
 	tenant string
-	turn   atomic.Int64
+	next   atomic.Int64
 }
 
-func newCaller(running *fleet.Fleet, tenant string, first int) *caller {
-	created := &caller{fleet: running, tenant: tenant}
-	created.turn.Store(int64(first))
-	return created
+func newCaller(running *fleet.Fleet, tenant string, next int) *caller {
+	c := &caller{fleet: running, tenant: tenant}
+	c.next.Store(int64(next))
+	return c
 }
 
-// daemon gives the next daemon that runs.
-func (c *caller) daemon() *fleet.Daemon {
+// nextDaemon returns the next running daemon, or the first daemon if none runs.
+func (c *caller) nextDaemon() *fleet.Daemon {
 	for range c.fleet.Daemons {
-		candidate := c.fleet.Daemons[int(c.turn.Add(1))%len(c.fleet.Daemons)]
+		candidate := c.fleet.Daemons[int(c.next.Add(1))%len(c.fleet.Daemons)]
 		if candidate.Alive() {
 			return candidate
 		}
@@ -49,15 +50,17 @@
 	return c.fleet.Daemons[0]
 }
 
-// rejection is a problem that a daemon told.
-type rejection struct{ document callerapi.Problem }
+// problemError is an error response that contains a problem document.
+type problemError struct{ document callerapi.Problem }
 
-func (r *rejection) Error() string {
+func (r *problemError) Error() string {
 	return fmt.Sprintf("%s (%s) at %s: %s", r.document.Title, r.document.Outcome, r.document.Step, r.document.Detail)
 }
 
-// open sends one request to the daemon and returns the response of a success.
-func (c *caller) open(ctx context.Context, daemon *fleet.Daemon, method, path string, body any, preferences ...string) (*http.Response, error) {
+// send sends one request to the daemon. A response with a status other than 2xx
+// is returned as an error, a *problemError if it contains a problem document. On
+// success, the caller must close the body.
+func (c *caller) send(ctx context.Context, daemon *fleet.Daemon, method, path string, body any, preferences ...string) (*http.Response, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode request")
@@ -80,18 +83,19 @@
 	}
 	defer response.Body.Close()
 	text, _ := io.ReadAll(response.Body)
-	var told rejection
-	if err := json.Unmarshal(text, &told.document); err != nil || told.document.Title == "" {
+	var problemErr problemError
+	if err := json.Unmarshal(text, &problemErr.document); err != nil || problemErr.document.Title == "" {
 		return nil, eris.Errorf("%s %s at %s: status %d: %.200s", method, path, daemon.Name, response.StatusCode, text)
 	}
-	return nil, &told
+	return nil, &problemErr
 }
 
-// ask sends one request to the next daemon and decodes its JSON reply.
-func (c *caller) ask(ctx context.Context, method, path string, body, reply any) error {
+// doJSON sends one request to the next daemon and decodes its JSON response into
+// reply, unless reply is nil.
+func (c *caller) doJSON(ctx context.Context, method, path string, body, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	response, err := c.open(ctx, c.daemon(), method, path, body)
+	response, err := c.send(ctx, c.nextDaemon(), method, path, body)
 	if err != nil {
 		return err
 	}
@@ -102,27 +106,27 @@
 	return eris.Wrap(json.NewDecoder(response.Body).Decode(reply), "decode reply")
 }
 
-// insist repeats the request at one daemon after the other until it is
-// answered, or rejected for good, or patience ends.
-func (c *caller) insist(ctx context.Context, method, path string, body, reply any) error {
+// doJSONWithRetry sends the request to the daemons in turn until it succeeds, it
+// fails with an error that a retry cannot overcome, or ctx is done.
+func (c *caller) doJSONWithRetry(ctx context.Context, method, path string, body, reply any) error {
 	for {
-		err := c.ask(ctx, method, path, body, reply)
-		if err == nil || !passing(err) {
+		err := c.doJSON(ctx, method, path, body, reply)
+		if err == nil || !isRetryable(err) {
 			return err
 		}
-		if !pause(ctx, pauseAfter(err)) {
-			return eris.Wrap(err, "patience ended")
+		if !sleep(ctx, retryDelay(err)) {
+			return eris.Wrap(err, "stopped retrying")
 		}
 	}
 }
 
-// passing tells errors that another try may overcome.
-func passing(err error) bool {
-	var told *rejection
-	if !eris.As(err, &told) {
+// isRetryable reports whether a retry may overcome the error.
+func isRetryable(err error) bool {
+	var problemErr *problemError
+	if !eris.As(err, &problemErr) {
 		return true
 	}
-	switch told.document.Title {
+	switch problemErr.document.Title {
 	case problem.KindUnavailable, problem.KindRefused, problem.KindInternal, problem.KindOutcomeUnknown,
 		problem.KindDeadlineExceeded, problem.KindUnauthenticated:
 		return true
@@ -131,15 +135,15 @@
 	}
 }
 
-func pauseAfter(err error) time.Duration {
-	var told *rejection
-	if eris.As(err, &told) && told.document.RetryAfterSeconds > 0 {
-		return min(longestPause, time.Duration(told.document.RetryAfterSeconds)*time.Second)
+func retryDelay(err error) time.Duration {
+	var problemErr *problemError
+	if eris.As(err, &problemErr) && problemErr.document.RetryAfterSeconds > 0 {
+		return min(maxRetryDelay, time.Duration(problemErr.document.RetryAfterSeconds)*time.Second)
 	}
-	return retryPause
+	return retryInterval
 }
 
-func pause(ctx context.Context, duration time.Duration) bool {
+func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -150,21 +154,21 @@
 
 func (c *caller) create(ctx context.Context, request callerapi.CreateRequest) (identity.Program, error) {
 	var reply callerapi.CreateReply
-	err := c.insist(ctx, http.MethodPost, callerapi.PathPrograms, request, &reply)
+	err := c.doJSONWithRetry(ctx, http.MethodPost, callerapi.PathPrograms, request, &reply)
 	return reply.Program, err
 }
 
 func (c *caller) end(ctx context.Context, id identity.Program) error {
-	return c.insist(ctx, http.MethodDelete, callerapi.PathPrograms+"/"+string(id), nil, nil)
+	return c.doJSONWithRetry(ctx, http.MethodDelete, callerapi.PathPrograms+"/"+string(id), nil, nil)
 }
 
 func (c *caller) history(ctx context.Context, id identity.Program) (callerapi.History, error) {
 	var reply callerapi.History
-	err := c.insist(ctx, http.MethodGet, callerapi.PathPrograms+"/"+string(id)+"/history", nil, &reply)
+	err := c.doJSONWithRetry(ctx, http.MethodGet, callerapi.PathPrograms+"/"+string(id)+"/history", nil, &reply)
 	return reply, err
 }
 
-// state gives the committed state of a call; empty: not in the log.
+// state returns the committed state of a call, or "" if the call is not in the log.
 func (c *caller) state(ctx context.Context, id identity.Program, sequence uint64) (program.CallState, error) {
 	history, err := c.history(ctx, id)
 	if err != nil {
@@ -182,6 +186,6 @@
 	return fmt.Sprintf("%s/%s/calls/%d", callerapi.PathPrograms, id, sequence)
 }
 
-func final(state program.CallState) bool {
+func isFinal(state program.CallState) bool {
 	return state != "" && state != program.CallAccepted && state != program.CallDispatched
 }
--- a/internal/lab/replay/changes.go
+++ b/internal/lab/replay/changes.go
@@ -6,10 +6,12 @@
 	"github.com/anishathalye/porcupine"
 )
 
+// linearizabilityTimeout limits the search of checkLinearizable. A search that takes
+// longer counts as a violation.
 const linearizabilityTimeout = 10 * time.Second
 
-// changeCall is one operator's change of a base revision.
-type changeCall struct {
+// configurationChange is one operator's attempt to change the base revision.
+type configurationChange struct {
 	operator int
 	base     uint64
 	called   time.Time
@@ -17,29 +19,30 @@
 	outcome  changeOutcome
 }
 
-// changeOutcome is what the operator learned.
+// changeOutcome is the outcome of a change as the operator observed it.
 type changeOutcome struct {
-	revision uint64 // made by the change; 0: it lost to another
-	unknown  bool   // patience ended
+	revision uint64 // made by the change; 0: rejected because another change came first, or unknown
+	unknown  bool   // the change may or may not have been accepted
 }
 
-// revisionModel is a register that a change moves on by one, from its base only.
+// revisionModel models the revision as a register. A change is accepted only if
+// its base is the current revision, and increments it.
 var revisionModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint64(0)} },
 	Step: func(state, input, output any) []any {
-		current, base, told := state.(uint64), input.(uint64), output.(changeOutcome)
+		current, base, outcome := state.(uint64), input.(uint64), output.(changeOutcome)
 		if current == 0 {
-			current = base // revisions before the first race are not recorded
+			current = base // the revision before the first recorded change is not known
 		}
 		accepted := current == base
 		switch {
-		case told.unknown && accepted:
+		case outcome.unknown && accepted:
 			return []any{current, current + 1}
-		case told.unknown:
+		case outcome.unknown:
 			return []any{current}
-		case told.revision != 0 && accepted && told.revision == base+1:
-			return []any{told.revision}
-		case told.revision == 0 && !accepted:
+		case outcome.revision != 0 && accepted && outcome.revision == base+1:
+			return []any{outcome.revision}
+		case outcome.revision == 0 && !accepted:
 			return []any{current}
 		default:
 			return nil
@@ -47,9 +50,9 @@
 	},
 }
 
-// linearizable: the operators' changes took effect one after the other, each
-// between its call and its return.
-func linearizable(changes []changeCall) []string {
+// checkLinearizable checks that the changes took effect one after the other, each
+// at some time between its call and its return.
+func checkLinearizable(changes []configurationChange) []string {
 	var history []porcupine.Operation
 	for _, change := range changes {
 		history = append(history, porcupine.Operation{
--- a/internal/lab/replay/checks.go
+++ b/internal/lab/replay/checks.go
@@ -13,238 +13,253 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// stuckPatience bounds the reading of histories after a call had no answer.
-const stuckPatience = 10 * time.Second
+// historyTimeoutAfterStall limits the reading of all histories if a call got no
+// final outcome in time.
+const historyTimeoutAfterStall = 10 * time.Second
 
-// outcomes: each call ended as the trace says that it may.
-func (e *evidence) outcomes() []string {
+// checkOutcomes checks that programs were created and ended without error, that no
+// call timed out, and that each call has an outcome that the trace allows.
+func (e *evidence) checkOutcomes() []string {
 	var findings []string
-	if e.stuck != "" {
-		findings = append(findings, e.stuck)
-	}
-	for _, one := range e.played {
-		if one.err != nil {
-			findings = append(findings, fmt.Sprintf("%s: %v", one.name, one.err))
-		}
-		for index, learned := range one.results {
-			right := e.rightOutcomes(one.bodies[index].Call, &learned)
-			if !slices.Contains(right, string(learned.state)) {
-				findings = append(findings, fmt.Sprintf("%s call %d: %s, not %s: %v",
-					one.name, index+1, learned.state, strings.Join(right, " or "), learned.err))
+	if e.timeoutReport != "" {
+		findings = append(findings, e.timeoutReport)
+	}
+	for _, p := range e.programs {
+		if p.err != nil {
+			findings = append(findings, fmt.Sprintf("%s: %v", p.name, p.err))
+		}
+		for index, res := range p.results {
+			allowed := e.allowedOutcomes(p.submitted[index].Call, &res)
+			if !slices.Contains(allowed, string(res.state)) {
+				findings = append(findings, fmt.Sprintf("%s call %d: outcome %s, expected %s: %v",
+					p.name, index+1, res.state, strings.Join(allowed, " or "), res.err))
 			}
 		}
 	}
 	return findings
 }
 
-// rightOutcomes lists the outcomes that the trace allows for a call.
-func (e *evidence) rightOutcomes(call Call, learned *result) []string {
-	right := call.Outcomes
-	if len(right) == 0 {
-		right = []string{string(program.CallAnswered)}
+// allowedOutcomes returns the outcomes that the trace allows for a call.
+func (e *evidence) allowedOutcomes(call Call, res *result) []string {
+	allowed := call.Outcomes
+	if len(allowed) == 0 {
+		allowed = []string{string(program.CallAnswered)}
 	}
-	if e.interrupted(learned) {
-		right = slices.Concat(right, call.Interrupted)
+	if e.wasInterrupted(res) {
+		allowed = slices.Concat(allowed, call.Interrupted)
 	}
-	return right
+	return allowed
 }
 
-// readHistories reads each program at every daemon; all must tell the same.
+// readHistories reads the history of each program from every daemon. All daemons
+// must return the same one, and the end reason must be the expected one.
 func (e *evidence) readHistories(ctx context.Context) []string {
-	patience := e.trace.Bounds.Caller
-	if e.stuck != "" {
-		patience = stuckPatience
+	timeout := e.trace.Bounds.Caller
+	if e.timeoutReport != "" {
+		timeout = historyTimeoutAfterStall
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var findings []string
-	for _, one := range e.played {
-		if one.id == "" {
+	for _, p := range e.programs {
+		if p.id == "" {
 			continue
 		}
 		for number := range e.fleet.Daemons {
-			history, err := newCaller(e.fleet, one.Tenant, number).history(ctx, one.id)
+			history, err := newCaller(e.fleet, p.Tenant, number).history(ctx, p.id)
 			if err != nil {
-				findings = append(findings, fmt.Sprintf("%s: history: %v", one.name, err))
+				findings = append(findings, fmt.Sprintf("%s: read history: %v", p.name, err))
 				continue
 			}
-			first, read := e.histories[one]
-			if read && !sameHistory(first, history) {
-				findings = append(findings, one.name+": two daemons tell different histories")
+			first, read := e.histories[p]
+			if read && !isSameHistory(first, history) {
+				findings = append(findings, p.name+": two daemons returned different histories")
 			}
-			e.histories[one] = history
+			e.histories[p] = history
 		}
-		if reason := string(e.histories[one].EndReason); one.Ends != "" && reason != one.Ends {
-			findings = append(findings, fmt.Sprintf("%s: ended by %q, not %q", one.name, reason, one.Ends))
+		if reason := string(e.histories[p].EndReason); p.Ends != "" && reason != p.Ends {
+			findings = append(findings, fmt.Sprintf("%s: end reason %q, expected %q", p.name, reason, p.Ends))
 		}
 	}
 	return findings
 }
 
-func sameHistory(first, second callerapi.History) bool {
+func isSameHistory(first, second callerapi.History) bool {
 	sameCall := func(a, b callerapi.HistoryCall) bool { return a.Sequence == b.Sequence && a.State == b.State }
 	return slices.Equal(first.Messages, second.Messages) && slices.EqualFunc(first.Calls, second.Calls, sameCall)
 }
 
-// order: the calls of a program stand in their order, without gaps, and the
-// messages are exactly those of its answered calls.
-func (e *evidence) order() []string {
+// checkOrder checks, for each program, that its history has the calls in order and
+// without gaps, with the outcomes that the caller observed; that its messages are
+// exactly those of the answered calls to models; and that the calls reached back
+// ends in order.
+func (e *evidence) checkOrder() []string {
 	var findings []string
-	for one, history := range e.histories {
+	for p, history := range e.histories {
 		for index, call := range history.Calls {
 			if call.Sequence != uint64(index+1) {
-				findings = append(findings, fmt.Sprintf("%s: call %d stands at place %d", one.name, call.Sequence, index+1))
+				findings = append(findings, fmt.Sprintf("%s: call %d stands at place %d", p.name, call.Sequence, index+1))
 			}
 		}
-		findings = append(findings, e.inOrder(one)...)
-		findings = append(findings, sameOutcomes(one, history)...)
-		if !slices.Equal(history.Messages, expectedMessages(one)) {
-			findings = append(findings, fmt.Sprintf("%s: its %d messages are not those of its answered calls", one.name, len(history.Messages)))
+		findings = append(findings, e.checkArrivalOrder(p)...)
+		findings = append(findings, checkHistoryOutcomes(p, history)...)
+		if !slices.Equal(history.Messages, expectedMessages(p)) {
+			findings = append(findings, fmt.Sprintf("%s: its %d messages are not those of its answered calls", p.name, len(history.Messages)))
 		}
 	}
 	return findings
 }
 
-// sameOutcomes: the history tells of each call what its caller was told.
-func sameOutcomes(one *played, history callerapi.History) []string {
+// checkHistoryOutcomes checks that the history has the state and answer that the
+// caller observed of each call, except of rejected calls and those without a final
+// outcome. Without such exceptions, the history must have no further calls.
+func checkHistoryOutcomes(p *programRun, history callerapi.History) []string {
 	var findings []string
 	accepted := 0
-	for index, learned := range one.results {
-		if learned.state == outcomeRejected || learned.state == outcomeNone {
+	for index, res := range p.results {
+		if res.state == outcomeRejected || res.state == outcomeNone {
 			continue
 		}
 		accepted++
 		if index >= len(history.Calls) {
-			findings = append(findings, fmt.Sprintf("%s call %d: told %s, and not in the history", one.name, index+1, learned.state))
+			findings = append(findings, fmt.Sprintf("%s call %d: the caller observed %s, but the call is not in the history", p.name, index+1, res.state))
 			continue
 		}
-		stands := history.Calls[index]
-		if stands.State != learned.state || !sameAnswer(stands.Answer, learned.answer) {
-			findings = append(findings, fmt.Sprintf("%s call %d: told %s, in the history %s", one.name, index+1, learned.state, stands.State))
+		recorded := history.Calls[index]
+		if recorded.State != res.state || !isSameAnswer(recorded.Answer, res.answer) {
+			findings = append(findings, fmt.Sprintf("%s call %d: the caller observed %s, the history has %s", p.name, index+1, res.state, recorded.State))
 		}
 	}
-	if told := len(one.results); accepted == told && len(history.Calls) > told {
-		findings = append(findings, fmt.Sprintf("%s: %d calls were submitted, %d are in the history", one.name, told, len(history.Calls)))
+	if submitted := len(p.results); accepted == submitted && len(history.Calls) > submitted {
+		findings = append(findings, fmt.Sprintf("%s: %d calls were submitted, %d are in the history", p.name, submitted, len(history.Calls)))
 	}
 	return findings
 }
 
-// expectedMessages is the history by what the caller sent and was answered.
-func expectedMessages(one *played) []callerapi.Message {
+// expectedMessages returns the messages of the history, as they follow from the
+// requests and answers of the caller.
+func expectedMessages(p *programRun) []callerapi.Message {
 	messages := []callerapi.Message{}
-	for index, learned := range one.results {
-		if learned.answer == nil || one.bodies[index].Model == "" {
+	for index, res := range p.results {
+		if res.answer == nil || p.submitted[index].Model == "" {
 			continue
 		}
-		messages = append(messages, one.bodies[index].body.Messages...)
-		messages = append(messages, callerapi.Message{Role: "assistant", Content: learned.answer.Content})
+		messages = append(messages, p.submitted[index].body.Messages...)
+		messages = append(messages, callerapi.Message{Role: "assistant", Content: res.answer.Content})
 	}
 	return messages
 }
 
-// answers: each answer is the one that the back end gives for the whole
-// prompt of this very program, and streams delivered it whole.
-func (e *evidence) answers() []string {
+// checkAnswers checks that each answer is the complete one to the prompt or payload
+// of its call, that repeated submissions got the same result, and that no stream
+// closed silently or delivered pieces that differ from its answer.
+func (e *evidence) checkAnswers() []string {
 	var findings []string
-	for _, one := range e.played {
-		findings = append(findings, repeatsAlike(one)...)
-		all := prompts(one)
-		for index, learned := range one.results {
-			if learned.answer == nil {
+	for _, p := range e.programs {
+		findings = append(findings, checkDuplicates(p)...)
+		all := expectedPrompts(p)
+		for index, res := range p.results {
+			if res.answer == nil {
 				continue
 			}
-			call := one.bodies[index]
+			call := p.submitted[index]
 			if call.Model == "" {
-				if string(learned.answer.Payload) != string(appservice.Answer(call.Operation, call.body.Payload)) {
-					findings = append(findings, fmt.Sprintf("%s call %d: another call's result", one.name, index+1))
+				if string(res.answer.Payload) != string(appservice.Answer(call.Operation, call.body.Payload)) {
+					findings = append(findings, fmt.Sprintf("%s call %d: the result belongs to another call", p.name, index+1))
 				}
 				continue
 			}
-			if !e.rightAnswer(one, index, all[index]) {
-				findings = append(findings, fmt.Sprintf("%s call %d: not the whole answer to its prompt", one.name, index+1))
+			if !e.isExpectedAnswer(p, index, all[index]) {
+				findings = append(findings, fmt.Sprintf("%s call %d: not the complete answer to its prompt", p.name, index+1))
 			}
 		}
 	}
-	if silent := e.streams.silent.Load(); silent > 0 {
+	if silent := e.streams.silentEnds.Load(); silent > 0 {
 		findings = append(findings, fmt.Sprintf("%d streams ended without an error or an answer", silent))
 	}
-	if differs := e.streams.differs.Load(); differs > 0 {
-		findings = append(findings, fmt.Sprintf("%d times a stream differed from the answer", differs))
+	if differs := e.streams.mismatches.Load(); differs > 0 {
+		findings = append(findings, fmt.Sprintf("%d differences between a stream and its answer", differs))
 	}
 	return findings
 }
 
-// budgets: what the engines generated for a program and its sub-agents is
-// within its budget.
-func (e *evidence) budgets() []string {
+// checkBudgets checks that engines generated no more tokens for a program and its
+// sub-agents than its budget.
+func (e *evidence) checkBudgets() []string {
 	var findings []string
-	for _, root := range e.played {
+	for _, root := range e.programs {
 		budget := e.budgetOf(root)
 		var generated int64
-		for _, one := range e.played {
-			if descends(one, root) {
-				generated += e.records.generated[one.id]
+		for _, p := range e.programs {
+			if isDescendant(p, root) {
+				generated += e.records.generatedTokens[p.id]
 			}
 		}
 		if budget > 0 && generated > budget {
-			findings = append(findings, fmt.Sprintf("%s: %d tokens generated with a budget of %d", root.name, generated, budget))
+			findings = append(findings, fmt.Sprintf("%s: %d tokens generated, budget %d", root.name, generated, budget))
 		}
 	}
 	return findings
 }
 
-// budgetOf is what the caller or, failing that, the tenant or the log states.
-func (e *evidence) budgetOf(one *played) int64 {
-	if one.Budget > 0 {
-		return one.Budget
+// budgetOf returns the budget in tokens: the one in the trace; without it, for a
+// program without a parent, the budget of its tenant; otherwise the one in the
+// history.
+func (e *evidence) budgetOf(p *programRun) int64 {
+	if p.Budget > 0 {
+		return p.Budget
 	}
 	for _, tenant := range e.trace.Deployment.Tenants {
-		if one.parent == nil && tenant.Name == one.Tenant && tenant.TokenBudget > 0 {
+		if p.parent == nil && tenant.Name == p.Tenant && tenant.TokenBudget > 0 {
 			return tenant.TokenBudget
 		}
 	}
-	return e.histories[one].TokenBudget
+	return e.histories[p].TokenBudget
 }
 
-func descends(one, root *played) bool {
-	for ; one != nil; one = one.parent {
-		if one == root {
-			return one.id != ""
+// isDescendant reports whether p is root or one of its sub-agents, and root was
+// created.
+func isDescendant(p, root *programRun) bool {
+	for ; p != nil; p = p.parent {
+		if p == root {
+			return p.id != ""
 		}
 	}
 	return false
 }
 
-// atMostOnce: a call that is not repeatable was executed at most once.
-func (e *evidence) atMostOnce() []string {
+// checkAtMostOnce checks that calls that must not be repeated were executed at most
+// once.
+func (e *evidence) checkAtMostOnce() []string {
 	var findings []string
-	for _, one := range e.played {
-		for index, call := range one.bodies {
-			count := e.records.executions[callID(one.id, index)]
+	for _, p := range e.programs {
+		for index, call := range p.submitted {
+			count := e.records.executions[callID(p.id, index)]
 			if call.NotRepeatable && count > 1 {
-				findings = append(findings, fmt.Sprintf("%s call %d: executed %d times", one.name, index+1, count))
+				findings = append(findings, fmt.Sprintf("%s call %d: executed %d times", p.name, index+1, count))
 			}
 		}
 	}
 	return findings
 }
 
-// refusals: what was answered "not run" was not even begun and, if refused, tells
-// when to come back; what was answered did run.
-func (e *evidence) refusals() []string {
+// checkRefusals checks that back ends did not start calls whose outcome is "not-run"
+// or "rejected", that refusals have a retry delay, and that answered calls were
+// executed.
+func (e *evidence) checkRefusals() []string {
 	var findings []string
-	for _, one := range e.played {
-		for index, learned := range one.results {
-			count := e.records.executions[callID(one.id, index)]
-			started := e.records.started[callID(one.id, index)]
-			if (learned.state == program.CallNotRun || learned.state == outcomeRejected) && started > 0 {
-				findings = append(findings, fmt.Sprintf("%s call %d: told %s, started %d times", one.name, index+1, learned.state, started))
+	for _, p := range e.programs {
+		for index, res := range p.results {
+			count := e.records.executions[callID(p.id, index)]
+			started := e.records.startedExecutions[callID(p.id, index)]
+			if (res.state == program.CallNotRun || res.state == outcomeRejected) && started > 0 {
+				findings = append(findings, fmt.Sprintf("%s call %d: outcome %s, but started %d times", p.name, index+1, res.state, started))
 			}
-			if learned.kind == problem.KindRefused && learned.retry <= 0 {
-				findings = append(findings, fmt.Sprintf("%s call %d: refused without when to come back", one.name, index+1))
+			if res.problemKind == problem.KindRefused && res.retryAfterSeconds <= 0 {
+				findings = append(findings, fmt.Sprintf("%s call %d: refused without a retry delay", p.name, index+1))
 			}
-			if learned.state == program.CallAnswered && count == 0 {
-				findings = append(findings, fmt.Sprintf("%s call %d: answered, but never executed", one.name, index+1))
+			if res.state == program.CallAnswered && count == 0 {
+				findings = append(findings, fmt.Sprintf("%s call %d: answered, but never executed", p.name, index+1))
 			}
 		}
 	}
--- a/internal/lab/replay/checks_test.go
+++ b/internal/lab/replay/checks_test.go
@@ -27,139 +27,139 @@
 	RunSpecs(t, "replay library")
 }
 
-// sound is evidence of one program with an answered model call and an
-// answered call that must not be repeated, against which nothing can be said.
-func sound() (*evidence, *played) {
+// validEvidence returns evidence of one program with an answered model call and an
+// answered call that must not be repeated. No check has a finding for it.
+func validEvidence() (*evidence, *programRun) {
 	model := Call{Model: "m", Say: "hello tokens=9", MaxTokens: 16}
 	charge := Call{Service: "s", Operation: "charge", Payload: "x", NotRepeatable: true}
-	one := &played{Program: Program{Name: "p", Budget: 9}, name: "p", id: "p0001-a"}
+	p := &programRun{Program: Program{Name: "p", Budget: 9}, name: "p", id: "p0001-a"}
 	for _, call := range []Call{model, charge} {
-		one.bodies = append(one.bodies, recordedCall{Call: call, body: requestOf(call)})
+		p.submitted = append(p.submitted, submittedCall{Call: call, body: requestOf(call)})
 	}
 	content, finish := modelengine.Answer("m", "", []enginev1.Message{{Role: "user", Content: model.Say}}, 16)
-	one.results = []result{
+	p.results = []result{
 		{state: program.CallAnswered, answer: &callerapi.Answer{Content: content, FinishReason: finish}},
 		{state: program.CallAnswered, answer: &callerapi.Answer{Payload: appservice.Answer("charge", []byte("x"))}},
 	}
-	found := &evidence{
-		run:       &run{trace: Trace{Bounds: Bounds{Leaving: time.Second}}, observer: &observer{}, played: []*played{one}},
-		histories: map[*played]callerapi.History{},
+	e := &evidence{
+		run:       &run{trace: Trace{Bounds: Bounds{Leaving: time.Second}}, observer: &revisionObserver{}, programs: []*programRun{p}},
+		histories: map[*programRun]callerapi.History{},
 		records: records{
-			executions:   map[string]int{"p0001-a/1": 1, "p0001-a/2": 1},
-			started:      map[string]int{"p0001-a/1": 1, "p0001-a/2": 1},
-			firstArrival: map[string]int64{"p0001-a/1": 1, "p0001-a/2": 2},
+			executions:        map[string]int{"p0001-a/1": 1, "p0001-a/2": 1},
+			startedExecutions: map[string]int{"p0001-a/1": 1, "p0001-a/2": 1},
+			firstArrivalMS:    map[string]int64{"p0001-a/1": 1, "p0001-a/2": 2},
 			requests: map[string][]modelengine.Record{"p0001-a/1": {{
 				RequestID: "p0001-a/1/1", Program: "p0001-a", MaxTokens: 16,
 				PromptHash: modelengine.PromptHash([]enginev1.Message{{Role: "user", Content: model.Say}}),
 			}}},
-			generated: map[identity.Program]int64{"p0001-a": 9},
+			generatedTokens: map[identity.Program]int64{"p0001-a": 9},
 		},
 	}
-	found.histories[one] = callerapi.History{
+	e.histories[p] = callerapi.History{
 		Calls: []callerapi.HistoryCall{
-			{Sequence: 1, State: program.CallAnswered, Answer: one.results[0].answer},
-			{Sequence: 2, State: program.CallAnswered, Answer: one.results[1].answer},
+			{Sequence: 1, State: program.CallAnswered, Answer: p.results[0].answer},
+			{Sequence: 2, State: program.CallAnswered, Answer: p.results[1].answer},
 		},
-		Messages: expectedMessages(one),
+		Messages: expectedMessages(p),
 	}
-	return found, one
+	return e, p
 }
 
-var _ = DescribeTable("each check finds the fault that it is there for",
-	func(spoil func(*evidence, *played), check func(*evidence) []string) {
-		found, one := sound()
-		Expect(check(found)).To(BeEmpty())
-		spoil(found, one)
-		Expect(check(found)).To(HaveLen(1))
+var _ = DescribeTable("each check reports its kind of violation",
+	func(violate func(*evidence, *programRun), check func(*evidence) []string) {
+		e, p := validEvidence()
+		Expect(check(e)).To(BeEmpty())
+		violate(e, p)
+		Expect(check(e)).To(HaveLen(1))
 	},
-	Entry("a wrong outcome", func(_ *evidence, one *played) { one.results[0].state = program.CallFailed }, (*evidence).outcomes),
-	Entry("an outcome that only an interrupted call may have", func(e *evidence, one *played) {
-		one.bodies[0].Interrupted = []string{string(program.CallUnknown)}
-		one.results[0].state, one.results[0].began, one.results[0].elapsed = program.CallUnknown, time.UnixMilli(1000), 500
+	Entry("an outcome that the trace does not allow", func(_ *evidence, p *programRun) { p.results[0].state = program.CallFailed }, (*evidence).checkOutcomes),
+	Entry("an outcome that is allowed only for interrupted calls, when no kill interrupted the call", func(e *evidence, p *programRun) {
+		p.submitted[0].Interrupted = []string{string(program.CallUnknown)}
+		p.results[0].state, p.results[0].startedAt, p.results[0].elapsedMS = program.CallUnknown, time.UnixMilli(1000), 500
 		e.kills = []time.Time{time.UnixMilli(999), time.UnixMilli(1501)}
-	}, (*evidence).outcomes),
-	Entry("another outcome of an interrupted call than stated", func(e *evidence, one *played) {
-		one.bodies[0].Interrupted = []string{string(program.CallUnknown)}
-		one.results[0].state, one.results[0].began, one.results[0].elapsed = program.CallFailed, time.UnixMilli(1000), 500
+	}, (*evidence).checkOutcomes),
+	Entry("an outcome of an interrupted call that the trace does not allow", func(e *evidence, p *programRun) {
+		p.submitted[0].Interrupted = []string{string(program.CallUnknown)}
+		p.results[0].state, p.results[0].startedAt, p.results[0].elapsedMS = program.CallFailed, time.UnixMilli(1000), 500
 		e.kills = []time.Time{time.UnixMilli(1200)}
-	}, (*evidence).outcomes),
-	Entry("a gap in the order", func(e *evidence, one *played) { e.histories[one].Calls[1].Sequence = 3 }, (*evidence).order),
-	Entry("a call at a back end before its turn", func(e *evidence, _ *played) { e.records.firstArrival["p0001-a/2"] = 0 }, (*evidence).order),
-	Entry("another outcome in the history", func(e *evidence, one *played) { e.histories[one].Calls[1].State = program.CallFailed }, (*evidence).order),
-	Entry("a call that nobody submitted", func(e *evidence, one *played) {
-		history := e.histories[one]
+	}, (*evidence).checkOutcomes),
+	Entry("a gap in the sequence numbers", func(e *evidence, p *programRun) { e.histories[p].Calls[1].Sequence = 3 }, (*evidence).checkOrder),
+	Entry("a call that reached a back end before an earlier call", func(e *evidence, _ *programRun) { e.records.firstArrivalMS["p0001-a/2"] = 0 }, (*evidence).checkOrder),
+	Entry("a history with another outcome than the caller observed", func(e *evidence, p *programRun) { e.histories[p].Calls[1].State = program.CallFailed }, (*evidence).checkOrder),
+	Entry("a call that nobody submitted", func(e *evidence, p *programRun) {
+		history := e.histories[p]
 		history.Calls = append(history.Calls, callerapi.HistoryCall{Sequence: 3})
-		e.histories[one] = history
-	}, (*evidence).order),
-	Entry("a foreign prompt", func(e *evidence, _ *played) { e.records.requests["p0001-a/1"][0].PromptHash = "other" }, (*evidence).promptsSeen),
-	Entry("a prompt of another program", func(e *evidence, _ *played) { e.records.requests["p0001-a/1"][0].Program = "p0001-b" }, (*evidence).promptsSeen),
-	Entry("a foreign message", func(e *evidence, one *played) { e.histories[one].Messages[0].Content = "other" }, (*evidence).order),
-	Entry("a cut answer", func(_ *evidence, one *played) {
-		one.results[0].answer.Content = one.results[0].answer.Content[:8]
-	}, (*evidence).answers),
-	Entry("a part that calls itself the length asked for", func(_ *evidence, one *played) {
-		answer := *one.results[0].answer
+		e.histories[p] = history
+	}, (*evidence).checkOrder),
+	Entry("a request with another prompt", func(e *evidence, _ *programRun) { e.records.requests["p0001-a/1"][0].PromptHash = "other" }, (*evidence).checkPrompts),
+	Entry("a request with the identifier of another program", func(e *evidence, _ *programRun) { e.records.requests["p0001-a/1"][0].Program = "p0001-b" }, (*evidence).checkPrompts),
+	Entry("a message that the caller did not send", func(e *evidence, p *programRun) { e.histories[p].Messages[0].Content = "other" }, (*evidence).checkOrder),
+	Entry("a truncated answer", func(_ *evidence, p *programRun) {
+		p.results[0].answer.Content = p.results[0].answer.Content[:8]
+	}, (*evidence).checkAnswers),
+	Entry("a truncated answer with the finish reason length", func(_ *evidence, p *programRun) {
+		answer := *p.results[0].answer
 		answer.Content, answer.FinishReason, answer.CompletionTokens = answer.Content[:8], "length", 2
-		one.results[0].answer = &answer
-	}, (*evidence).answers),
-	Entry("two answers to one call", func(_ *evidence, one *played) {
-		one.repeats = []repeated{{index: 1, learned: result{state: program.CallAnswered, answer: &callerapi.Answer{}}}}
-	}, (*evidence).answers),
-	Entry("another call's result", func(_ *evidence, one *played) { one.results[1].answer.Payload = []byte("other") }, (*evidence).answers),
-	Entry("a stream that ended silently", func(e *evidence, _ *played) { e.streams.silent.Add(1) }, (*evidence).answers),
-	Entry("a budget exceeded", func(e *evidence, one *played) { e.records.generated[one.id]++ }, (*evidence).budgets),
-	Entry("the tenant's budget exceeded", func(e *evidence, one *played) {
-		one.Budget = 0
+		p.results[0].answer = &answer
+	}, (*evidence).checkAnswers),
+	Entry("two submissions of one call with different answers", func(_ *evidence, p *programRun) {
+		p.duplicates = []duplicateResult{{index: 1, outcome: result{state: program.CallAnswered, answer: &callerapi.Answer{}}}}
+	}, (*evidence).checkAnswers),
+	Entry("the result of another call", func(_ *evidence, p *programRun) { p.results[1].answer.Payload = []byte("other") }, (*evidence).checkAnswers),
+	Entry("a stream without a terminal event", func(e *evidence, _ *programRun) { e.streams.silentEnds.Add(1) }, (*evidence).checkAnswers),
+	Entry("a budget exceeded", func(e *evidence, p *programRun) { e.records.generatedTokens[p.id]++ }, (*evidence).checkBudgets),
+	Entry("the tenant's budget exceeded", func(e *evidence, p *programRun) {
+		p.Budget = 0
 		e.trace.Deployment.Tenants = []fleet.Tenant{{TokenBudget: 8}}
-	}, (*evidence).budgets),
-	Entry("two executions", func(e *evidence, _ *played) { e.records.executions["p0001-a/2"]++ }, (*evidence).atMostOnce),
-	Entry("a refusal of what was begun", func(e *evidence, one *played) {
+	}, (*evidence).checkBudgets),
+	Entry("two executions of a call that must not be repeated", func(e *evidence, _ *programRun) { e.records.executions["p0001-a/2"]++ }, (*evidence).checkAtMostOnce),
+	Entry("a refusal of a call that was started but not completed", func(e *evidence, p *programRun) {
 		e.records.executions["p0001-a/2"] = 0
-		one.results[1].state = program.CallNotRun
-	}, (*evidence).refusals),
-	Entry("a refusal without when to come back", func(_ *evidence, one *played) { one.results[1].kind = problem.KindRefused }, (*evidence).refusals),
-	Entry("an untrue refusal", func(_ *evidence, one *played) { one.results[1].state = program.CallNotRun }, (*evidence).refusals),
-	Entry("an answer from nowhere", func(e *evidence, _ *played) { e.records.executions["p0001-a/2"] = 0 }, (*evidence).refusals),
-	Entry("work for a back end that left", func(e *evidence, _ *played) {
-		e.leaving = []leaving{{name: "b", at: time.UnixMilli(0)}}
-		e.records.arrivals = []arrival{{backEnd: "b", arrived: 900}, {backEnd: "b", arrived: 1001}}
-	}, (*evidence).leavingBackEnds),
-	Entry("a planned stop that ended a stream", func(e *evidence, _ *played) { e.streams.failed.Add(1) }, (*evidence).plannedStops),
-	Entry("two operators who won", func(e *evidence, _ *played) {
-		e.changes = []changeCall{{base: 1, outcome: changeOutcome{revision: 2}}, {operator: 1, base: 1, outcome: changeOutcome{revision: 3}}}
-	}, func(e *evidence) []string { return linearizable(e.changes) }),
-	Entry("a change that lost to nobody", func(e *evidence, _ *played) {
+		p.results[1].state = program.CallNotRun
+	}, (*evidence).checkRefusals),
+	Entry("a refusal without a retry delay", func(_ *evidence, p *programRun) { p.results[1].problemKind = problem.KindRefused }, (*evidence).checkRefusals),
+	Entry("a refusal of a call that was executed", func(_ *evidence, p *programRun) { p.results[1].state = program.CallNotRun }, (*evidence).checkRefusals),
+	Entry("an answer to a call that was not executed", func(e *evidence, _ *programRun) { e.records.executions["p0001-a/2"] = 0 }, (*evidence).checkRefusals),
+	Entry("a request to a leaving back end after the bound", func(e *evidence, _ *programRun) {
+		e.leaving = []leavingBackEnd{{name: "b", since: time.UnixMilli(0)}}
+		e.records.arrivals = []arrival{{backEnd: "b", arrivedMS: 900}, {backEnd: "b", arrivedMS: 1001}}
+	}, (*evidence).checkLeavingBackEnds),
+	Entry("a planned stop that ended a stream", func(e *evidence, _ *programRun) { e.streams.failed.Add(1) }, (*evidence).checkPlannedStops),
+	Entry("two accepted changes of one revision", func(e *evidence, _ *programRun) {
+		e.changes = []configurationChange{{base: 1, outcome: changeOutcome{revision: 2}}, {operator: 1, base: 1, outcome: changeOutcome{revision: 3}}}
+	}, func(e *evidence) []string { return checkLinearizable(e.changes) }),
+	Entry("a change that was rejected without an earlier accepted change", func(e *evidence, _ *programRun) {
 		now := time.Now()
 		later := now.Add(time.Second)
-		e.changes = []changeCall{
+		e.changes = []configurationChange{
 			{base: 1, called: now, returned: now.Add(time.Millisecond)},
 			{base: 1, called: later, returned: later.Add(time.Millisecond), outcome: changeOutcome{revision: 2}},
 		}
-	}, func(e *evidence) []string { return linearizable(e.changes) }),
-	Entry("a planned stop that failed", func(e *evidence, _ *played) { e.stops = []string{"exit code 1"} }, (*evidence).plannedStops),
-	Entry("a revision that went back", func(e *evidence, _ *played) {
-		e.observer.sightings = []sighting{{revision: 2, confirmed: true}, {revision: 1, confirmed: true}}
-	}, (*evidence).monotone),
+	}, func(e *evidence) []string { return checkLinearizable(e.changes) }),
+	Entry("a planned stop that failed", func(e *evidence, _ *programRun) { e.stopFailures = []string{"exit code 1"} }, (*evidence).checkPlannedStops),
+	Entry("a confirmed revision that decreased", func(e *evidence, _ *programRun) {
+		e.observer.samples = []revisionSample{{revision: 2, confirmed: true}, {revision: 1, confirmed: true}}
+	}, (*evidence).checkMonotonicRevisions),
 )
 
 var _ = It("lets a call that a kill interrupted end as stated for that", func() {
-	found, one := sound()
-	one.bodies[0].Interrupted = []string{string(program.CallUnknown)}
-	one.results[0].state, one.results[0].began, one.results[0].elapsed = program.CallUnknown, time.UnixMilli(1000), 500
-	found.kills = []time.Time{time.UnixMilli(1200)}
-	Expect(found.outcomes()).To(BeEmpty())
+	e, p := validEvidence()
+	p.submitted[0].Interrupted = []string{string(program.CallUnknown)}
+	p.results[0].state, p.results[0].startedAt, p.results[0].elapsedMS = program.CallUnknown, time.UnixMilli(1000), 500
+	e.kills = []time.Time{time.UnixMilli(1200)}
+	Expect(e.checkOutcomes()).To(BeEmpty())
 })
 
-var _ = It("lets a creation be refused for the stated reason only", func() {
-	refused := eris.Wrap(&rejection{document: callerapi.Problem{Title: problem.KindBudgetExhausted}}, "create")
-	Expect((&played{}).refusedAsStated(refused)).To(BeFalse())
-	Expect((&played{Program: Program{Refused: problem.KindProgramEnded}}).refusedAsStated(refused)).To(BeFalse())
-	Expect((&played{Program: Program{Refused: problem.KindBudgetExhausted}}).refusedAsStated(eris.New("patience ended"))).To(BeFalse())
-	Expect((&played{Program: Program{Refused: problem.KindBudgetExhausted}}).refusedAsStated(refused)).To(BeTrue())
+var _ = It("allows the creation to be refused only for the reason that the trace states", func() {
+	refused := eris.Wrap(&problemError{document: callerapi.Problem{Title: problem.KindBudgetExhausted}}, "create")
+	Expect((&programRun{}).isAllowedRefusal(refused)).To(BeFalse())
+	Expect((&programRun{Program: Program{Refused: problem.KindProgramEnded}}).isAllowedRefusal(refused)).To(BeFalse())
+	Expect((&programRun{Program: Program{Refused: problem.KindBudgetExhausted}}).isAllowedRefusal(eris.New("timed out"))).To(BeFalse())
+	Expect((&programRun{Program: Program{Refused: problem.KindBudgetExhausted}}).isAllowedRefusal(refused)).To(BeTrue())
 })
 
 var _ = Describe("Recorder", func() {
-	It("records programs and calls that the daemon took, and its trace reads back the same", func() {
+	It("records programs and calls that succeeded, and encodes a trace that can be parsed", func() {
 		daemon := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == callerapi.PathPrograms {
 				_, _ = w.Write([]byte(`{"program":"p0001-a"}`))
@@ -185,7 +185,7 @@
 		post(callPath("p0001-a", 1), requestOf(call))
 		post(callPath("p0001-a", 2), requestOf(call))
 		recorded := func() []Program { return recorder.Trace("t", fleet.Deployment{Zones: []string{"a"}}).Programs }
-		// The recorder notes a call once its answer is passed on, so perhaps after the caller has it.
+		// The recorder records a call after it has forwarded the response.
 		Eventually(recorded).Should(ConsistOf(HaveField("Calls", HaveLen(1))))
 		trace := recorder.Trace("t", fleet.Deployment{Zones: []string{"a"}})
 		encoded, err := trace.Encode()
--- a/internal/lab/replay/disorder.go
+++ b/internal/lab/replay/disorder.go
@@ -10,82 +10,87 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// disorder submits the calls of a program early, late and doubled, beside
-// their proper submission.
-type disorder struct {
-	run    *run
-	one    *played
-	calls  []Call
-	others sync.WaitGroup
+// disorderSubmitter submits the calls of a program early and once more at the end,
+// besides their regular submissions. It does so only for programs that are marked
+// Disorder.
+type disorderSubmitter struct {
+	run     *run
+	p       *programRun
+	calls   []Call
+	pending sync.WaitGroup
 }
 
-// early submits the call before its turn, again and again until its turn has come.
-func (d *disorder) early(ctx context.Context, index int) {
-	if !d.one.Disorder || index >= len(d.calls) {
+// submitEarly starts a goroutine that submits the call with the given index, from 0,
+// before its turn. It repeats the submission until the call is no longer rejected as
+// out of order, then waits for the final outcome and records it.
+func (d *disorderSubmitter) submitEarly(ctx context.Context, index int) {
+	if !d.p.Disorder || index >= len(d.calls) {
 		return
 	}
-	submission := d.submission(index)
-	d.others.Go(func() {
+	submission := d.newSubmission(index)
+	d.pending.Go(func() {
 		for {
 			_, err := submission.attempt(ctx)
-			var told *rejection
-			if !eris.As(err, &told) || told.document.Title != problem.KindOutOfOrder {
+			var problemErr *problemError
+			if !eris.As(err, &problemErr) || problemErr.document.Title != problem.KindOutOfOrder {
 				break
 			}
-			d.one.refusedEarly.Add(1)
-			if !pause(ctx, retryPause) {
+			d.p.earlyRejections.Add(1)
+			if !sleep(ctx, retryInterval) {
 				return
 			}
 		}
-		d.note(index, submission.finish(ctx))
+		d.recordDuplicate(index, submission.finish(ctx))
 	})
 }
 
-// late submits all calls once more when they are done.
-func (d *disorder) late(ctx context.Context) {
-	if !d.one.Disorder {
+// resubmitAll submits all calls once more, and waits for the results of these and
+// of the early submissions.
+func (d *disorderSubmitter) resubmitAll(ctx context.Context) {
+	if !d.p.Disorder {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, d.run.trace.Bounds.Caller)
 	defer cancel()
-	for index := range d.one.results {
-		submission := d.submission(index)
-		d.others.Go(func() { d.note(index, submission.finish(ctx)) })
+	for index := range d.p.results {
+		submission := d.newSubmission(index)
+		d.pending.Go(func() { d.recordDuplicate(index, submission.finish(ctx)) })
 	}
-	d.others.Wait()
+	d.pending.Wait()
 }
 
-func (d *disorder) submission(index int) *submission {
-	caller := newCaller(d.run.fleet, d.one.Tenant, index)
-	return &submission{caller: caller, streams: &d.run.streams, program: d.one.id, sequence: uint64(index + 1), body: requestOf(d.calls[index])}
+func (d *disorderSubmitter) newSubmission(index int) *submission {
+	caller := newCaller(d.run.fleet, d.p.Tenant, index)
+	return &submission{caller: caller, streams: &d.run.streams, program: d.p.id, sequence: uint64(index + 1), body: requestOf(d.calls[index])}
 }
 
-func (d *disorder) note(index int, learned result) {
+func (d *disorderSubmitter) recordDuplicate(index int, outcome result) {
 	d.run.mutex.Lock()
 	defer d.run.mutex.Unlock()
-	d.one.repeats = append(d.one.repeats, repeated{index: index, learned: learned})
+	d.p.duplicates = append(d.p.duplicates, duplicateResult{index: index, outcome: outcome})
 }
 
-// repeated is what a submission beside the proper one learned.
-type repeated struct {
+// duplicateResult is the result of an early or repeated submission of a call.
+type duplicateResult struct {
 	index   int
-	learned result
+	outcome result
 }
 
-// repeatsAlike: whoever asks for a call, early, late or twice, is told the same.
-func repeatsAlike(one *played) []string {
+// checkDuplicates checks that all submissions of a call got the same result, and
+// that at least one early submission was rejected as out of order.
+func checkDuplicates(p *programRun) []string {
 	var findings []string
-	for _, other := range one.repeats {
-		if other.index >= len(one.results) {
+	for _, other := range p.duplicates {
+		if other.index >= len(p.results) {
 			continue
 		}
-		proper := one.results[other.index]
-		if other.learned.state != proper.state || !sameAnswer(other.learned.answer, proper.answer) {
-			findings = append(findings, fmt.Sprintf("%s call %d: told %s, and asked again %s", one.name, other.index+1, proper.state, other.learned.state))
+		proper := p.results[other.index]
+		if other.outcome.state != proper.state || !isSameAnswer(other.outcome.answer, proper.answer) {
+			findings = append(findings, fmt.Sprintf("%s call %d: outcome %s, but another submission got %s", p.name, other.index+1, proper.state, other.outcome.state))
 		}
 	}
-	if one.Disorder && one.err == nil && one.refusedEarly.Load() == 0 {
-		findings = append(findings, one.name+": no call was refused as out of order, though each was submitted early")
+	if p.Disorder && p.err == nil && p.earlyRejections.Load() == 0 {
+		findings = append(findings, p.name+": no early submission was rejected as out of order")
 	}
 	return findings
 }
--- a/internal/lab/replay/fault.go
+++ b/internal/lab/replay/fault.go
@@ -11,86 +11,88 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// The daemons that a fault may name besides machines.
+// Values of Fault.Daemon other than the name of a daemon.
 const (
 	targetLeader    = "leader"
 	targetFollower  = "follower"
 	targetSuccessor = "successor"
-	targetOperators = "operators" // the daemon through which the first operator of a race changes
+	targetOperators = "operators" // the first running daemon
 )
 
+// stopTimeout is how long a planned stop may take.
 const stopTimeout = 90 * time.Second
 
-// leaving is a back end that takes no new work from a time on.
-type leaving struct {
-	name string
-	at   time.Time
+// leavingBackEnd records when a back end was marked as leaving or drained.
+type leavingBackEnd struct {
+	name  string
+	since time.Time
 }
 
-// bringAbout does the fault and arranges for its end.
-func (r *run) bringAbout(ctx context.Context, fault Fault, one *played) error {
+// injectFault injects the fault and schedules its end. p is the program of the
+// step, or nil.
+func (r *run) injectFault(ctx context.Context, fault Fault, p *programRun) error {
 	r.progress("replay: fault %s at %s of %s call %d.", fault.Do, fault.At.Step, fault.At.Program, fault.At.Call)
 	switch fault.Do {
 	case ActionKill, ActionFreeze, ActionIsolate, ActionStop:
-		return r.strikeDaemon(ctx, fault, one)
+		return r.injectDaemonFault(ctx, fault, p)
 	case ActionRules:
 		return r.setRules(fault)
 	case ActionRace:
-		return r.race(ctx, fault)
+		return r.raceOperators(ctx, fault)
 	case ActionLeave:
 		r.fleet.MarkLeaving(fault.Of)
-		r.noteLeaving(fault.Of)
+		r.recordLeaving(fault.Of)
 		return nil
 	case ActionDrain:
-		r.noteLeaving(fault.Of)
-		return r.drain(ctx, fault.Of)
+		r.recordLeaving(fault.Of)
+		return r.drainBackEnd(ctx, fault.Of)
 	default:
 		return eris.Errorf("unknown action %q", fault.Do)
 	}
 }
 
-// strikeDaemon lets one daemon after the other be struck: two faults whose
-// moments come at once must not both find the fleet whole, also when one of
-// them may overlap.
-func (r *run) strikeDaemon(ctx context.Context, fault Fault, one *played) error {
-	r.choosing.Lock()
-	defer r.choosing.Unlock()
-	if fault.needsWhole() {
-		if err := r.awaitWhole(ctx); err != nil {
+// injectDaemonFault chooses a daemon and applies the fault to it, while no other
+// fault on a daemon is applied: otherwise two concurrent faults, one of which may
+// overlap with others, could both find the fleet healthy.
+func (r *run) injectDaemonFault(ctx context.Context, fault Fault, p *programRun) error {
+	r.daemonFaultMutex.Lock()
+	defer r.daemonFaultMutex.Unlock()
+	if fault.needsHealthyFleet() {
+		if err := r.awaitHealthyFleet(ctx); err != nil {
 			return err
 		}
 	}
-	daemon, err := r.target(ctx, fault, one)
+	daemon, err := r.resolveDaemon(ctx, fault, p)
 	if err != nil {
 		return err
 	}
-	return r.strike(fault, daemon)
+	return r.applyToDaemon(fault, daemon)
 }
 
-// target finds the daemon that the fault strikes.
-func (r *run) target(ctx context.Context, fault Fault, one *played) (*fleet.Daemon, error) {
+// resolveDaemon returns the daemon that the fault applies to.
+func (r *run) resolveDaemon(ctx context.Context, fault Fault, p *programRun) (*fleet.Daemon, error) {
 	switch fault.Daemon {
 	case "", targetLeader:
-		if one == nil {
+		if p == nil {
 			return r.zoneDaemon(fault)
 		}
-		return r.leaderOf(ctx, one)
+		return r.leaderOf(ctx, p)
 	case targetSuccessor:
-		return r.successor(ctx, one)
+		return r.successor(ctx, p)
 	case targetFollower:
-		return r.follower(ctx, one)
+		return r.follower(ctx, p)
 	case targetOperators:
 		return r.operatorsDaemon()
 	default:
 		daemon := r.fleet.Daemon(fault.Daemon)
 		if daemon == nil {
-			return nil, eris.Errorf("there is no daemon %q", fault.Daemon)
+			return nil, eris.Errorf("no daemon has the name %q", fault.Daemon)
 		}
 		return daemon, nil
 	}
 }
 
-// operatorsDaemon is the first daemon that runs: operators begin there.
+// operatorsDaemon returns the first running daemon.
 func (r *run) operatorsDaemon() (*fleet.Daemon, error) {
 	for _, daemon := range r.fleet.Daemons {
 		if daemon.Alive() {
@@ -106,21 +108,22 @@
 			return daemon, nil
 		}
 	}
-	return nil, eris.Errorf("a %s names neither a daemon nor a zone", fault.Do)
+	return nil, eris.Errorf("a %s fault names neither a daemon nor a zone", fault.Do)
 }
 
-// successor is the daemon that leads the program's shard after its leader.
-func (r *run) successor(ctx context.Context, one *played) (*fleet.Daemon, error) {
-	shard, err := one.id.Shard()
+// successor returns a daemon that may lead the program's shard after the present
+// leader.
+func (r *run) successor(ctx context.Context, p *programRun) (*fleet.Daemon, error) {
+	shard, err := p.id.Shard()
 	if err != nil {
-		return nil, eris.Wrapf(err, "program %s", one.name)
+		return nil, eris.Wrapf(err, "program %s", p.name)
 	}
 	return r.fleet.Successor(ctx, uint32(shard))
 }
 
-// follower is a daemon that runs and does not lead the program's shard.
-func (r *run) follower(ctx context.Context, one *played) (*fleet.Daemon, error) {
-	leader, err := r.leaderOf(ctx, one)
+// follower returns a running daemon that does not lead the program's shard.
+func (r *run) follower(ctx context.Context, p *programRun) (*fleet.Daemon, error) {
+	leader, err := r.leaderOf(ctx, p)
 	if err != nil {
 		return nil, err
 	}
@@ -132,73 +135,75 @@
 	return nil, eris.New("no follower runs")
 }
 
-// strike does what the fault does to a daemon.
-func (r *run) strike(fault Fault, daemon *fleet.Daemon) error {
+// applyToDaemon applies the fault to the daemon and schedules its end.
+func (r *run) applyToDaemon(fault Fault, daemon *fleet.Daemon) error {
 	zone := fault.Zone
 	if zone == "" {
 		zone = daemon.Zone
 	}
-	r.progress("replay: it strikes %s.", daemon.Name)
+	r.progress("replay: the fault applies to daemon %s.", daemon.Name)
 	switch fault.Do {
 	case ActionKill:
-		r.expectRestart(fault, daemon)
+		r.markAwayIfRestarting(fault, daemon)
 		if err := daemon.Kill(); err != nil {
 			return err
 		}
-		r.noteKill()
+		r.recordKill()
 		r.restartLater(fault, daemon)
 	case ActionFreeze:
-		r.expectBack(daemon, true)
+		r.setAway(daemon, true)
 		if err := daemon.Freeze(); err != nil {
 			return err
 		}
-		r.later(fault.For, func() {
-			_ = daemon.Thaw() // it may have been killed meanwhile
-			r.expectBack(daemon, false)
+		r.undoLater(fault.For, func() {
+			_ = daemon.Thaw() // fails if the process was killed meanwhile
+			r.setAway(daemon, false)
 		})
 	case ActionIsolate:
 		r.isolate(fault, zone)
 	case ActionStop:
-		r.expectRestart(fault, daemon)
-		r.undo.Go(func() { r.stop(fault, daemon) })
+		r.markAwayIfRestarting(fault, daemon)
+		r.undos.Go(func() { r.stop(fault, daemon) })
 	}
 	return nil
 }
 
-func (r *run) noteKill() {
+func (r *run) recordKill() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.kills = append(r.kills, time.Now())
 }
 
-// interrupted tells whether a daemon was killed while the call was under way.
-func (r *run) interrupted(learned *result) bool {
-	ended := learned.began.Add(time.Duration(learned.elapsed) * time.Millisecond)
+// wasInterrupted reports whether a daemon was killed while the call was in
+// progress.
+func (r *run) wasInterrupted(res *result) bool {
+	ended := res.startedAt.Add(time.Duration(res.elapsedMS) * time.Millisecond)
 	return slices.ContainsFunc(r.kills, func(kill time.Time) bool {
-		return !kill.Before(learned.began) && !kill.After(ended)
+		return !kill.Before(res.startedAt) && !kill.After(ended)
 	})
 }
 
-// isolate cuts the zone off; its daemons are away until it heals.
+// isolate disconnects the zone from the network. Its daemons count as away until
+// the zone is connected again.
 func (r *run) isolate(fault Fault, zone string) {
-	expect := func(coming bool) {
+	setZoneAway := func(away bool) {
 		for _, daemon := range r.fleet.Daemons {
 			if daemon.Zone == zone {
-				r.expectBack(daemon, coming)
+				r.setAway(daemon, away)
 			}
 		}
 	}
-	expect(true)
+	setZoneAway(true)
 	r.fleet.Network.Isolate(zone)
-	r.later(fault.For, func() {
+	r.undoLater(fault.For, func() {
 		r.fleet.Network.Heal(zone)
-		expect(false)
+		setZoneAway(false)
 	})
 }
 
-func (r *run) expectRestart(fault Fault, daemon *fleet.Daemon) {
+func (r *run) markAwayIfRestarting(fault Fault, daemon *fleet.Daemon) {
 	if fault.Restart {
-		r.expectBack(daemon, true)
+		r.setAway(daemon, true)
 	}
 }
 
@@ -206,51 +211,53 @@
 	if !fault.Restart {
 		return
 	}
-	r.later(fault.For, func() {
+	r.undoLater(fault.For, func() {
 		if err := daemon.Start(); err != nil {
-			r.progress("replay: restart failed: %v", err)
+			r.progress("replay: restart of a daemon failed: %v", err)
 		}
-		r.expectBack(daemon, false)
+		r.setAway(daemon, false)
 	})
 }
 
-// stop stops a daemon as planned; anything but exit code 0 is a finding.
+// stop stops a daemon as planned. Any exit code but 0 is a finding.
 func (r *run) stop(fault Fault, daemon *fleet.Daemon) {
 	code, err := daemon.Stop(stopTimeout)
 	if err != nil || code != 0 {
 		r.mutex.Lock()
-		r.stops = append(r.stops, eris.Errorf("%s: exit code %d, %v", daemon.Name, code, err).Error())
+		r.stopFailures = append(r.stopFailures, eris.Errorf("%s: exit code %d, %v", daemon.Name, code, err).Error())
 		r.mutex.Unlock()
 	}
 	r.restartLater(fault, daemon)
 }
 
-// later undoes a fault after the time, or when the programs are done.
-func (r *run) later(after time.Duration, undo func()) {
-	if after == 0 {
+// undoLater runs undo after the delay; with a zero delay, when all programs are
+// done.
+func (r *run) undoLater(delay time.Duration, undo func()) {
+	if delay == 0 {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		r.lasting = append(r.lasting, undo)
+		r.undoAtEnd = append(r.undoAtEnd, undo)
 		return
 	}
-	r.undo.Go(func() {
-		time.Sleep(after)
+	r.undos.Go(func() {
+		time.Sleep(delay)
 		undo()
 	})
 }
 
-// setRules sets rules at stand-ins.
+// setRules adds the fault rules to the stand-ins that the fault names, and
+// schedules their removal.
 func (r *run) setRules(fault Fault) error {
-	targets := r.standIns(fault.Of)
+	targets := r.standInFaults(fault.Of)
 	if len(targets) == 0 {
-		return eris.Errorf("there is no stand-in %q", fault.Of)
+		return eris.Errorf("no stand-in has the name %q", fault.Of)
 	}
 	for _, faults := range targets {
 		for _, rule := range fault.Rules {
 			faults.Add(rule)
 		}
 	}
-	r.later(fault.For, func() {
+	r.undoLater(fault.For, func() {
 		for _, faults := range targets {
 			for _, rule := range fault.Rules {
 				faults.Remove(rule.Name)
@@ -260,7 +267,7 @@
 	return nil
 }
 
-func (r *run) standIns(name string) []*standin.Faults {
+func (r *run) standInFaults(name string) []*standin.Faults {
 	switch name {
 	case "store":
 		return []*standin.Faults{r.fleet.Platform.Store.Faults}
@@ -273,12 +280,12 @@
 		}
 		return all
 	default:
-		return r.backEnds(name)
+		return r.backEndFaults(name)
 	}
 }
 
-func (r *run) noteLeaving(name string) {
+func (r *run) recordLeaving(name string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.leaving = append(r.leaving, leaving{name: name, at: time.Now()})
+	r.leaving = append(r.leaving, leavingBackEnd{name: name, since: time.Now()})
 }
--- a/internal/lab/replay/fleetchecks.go
+++ b/internal/lab/replay/fleetchecks.go
@@ -8,30 +8,31 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// leavingBackEnds: a back end that is leaving gets nothing new after the bound.
-func (e *evidence) leavingBackEnds() []string {
+// checkLeavingBackEnds checks that leaving back ends receive no new request after
+// the bound.
+func (e *evidence) checkLeavingBackEnds() []string {
 	var findings []string
-	for _, left := range e.leaving {
-		last := left.at.Add(e.trace.Bounds.Leaving).UnixMilli()
-		for _, arrived := range e.records.arrivals {
-			if arrived.backEnd == left.name && arrived.arrived > last {
+	for _, backEnd := range e.leaving {
+		lastAllowedMS := backEnd.since.Add(e.trace.Bounds.Leaving).UnixMilli()
+		for _, request := range e.records.arrivals {
+			if request.backEnd == backEnd.name && request.arrivedMS > lastAllowedMS {
 				findings = append(findings, fmt.Sprintf("%s got call %s %d ms after it began to leave",
-					left.name, arrived.call, arrived.arrived-left.at.UnixMilli()))
+					backEnd.name, request.call, request.arrivedMS-backEnd.since.UnixMilli()))
 			}
 		}
 	}
 	return findings
 }
 
-// plannedStops: each stopped daemon ended with exit code 0, and where every
-// fault is a planned stop no stream was cut.
-func (e *evidence) plannedStops() []string {
-	findings := append([]string(nil), e.stops...)
+// checkPlannedStops checks that stopped daemons exited with code 0 and, if the
+// trace has no other faults, that no stream was cut or ended with an error.
+func (e *evidence) checkPlannedStops() []string {
+	findings := append([]string(nil), e.stopFailures...)
 	onlyStops := true
 	for _, fault := range e.trace.Faults {
 		onlyStops = onlyStops && fault.Do == ActionStop
 	}
-	if cut := e.streams.cut.Load(); onlyStops && cut > 0 {
+	if cut := e.streams.incomplete.Load(); onlyStops && cut > 0 {
 		findings = append(findings, fmt.Sprintf("%d streams were cut", cut))
 	}
 	if failed := e.streams.failed.Load(); onlyStops && failed > 0 {
@@ -40,62 +41,67 @@
 	return findings
 }
 
-// configuration: no daemon process went back, of racing changes one won, and
-// within the bound every daemon had the last one or refused new work.
-func (e *evidence) configuration(ctx context.Context) []string {
+// checkConfiguration checks that exactly one of several concurrent changes was
+// accepted, that changes are linearizable, that no daemon went back to an earlier
+// revision, and that every daemon serves the last accepted revision within the
+// bound.
+func (e *evidence) checkConfiguration(ctx context.Context) []string {
 	var findings []string
 	var accepted uint64
-	for _, raced := range e.races {
-		if len(raced.won) != 1 {
-			findings = append(findings, fmt.Sprintf("of %d operators on one revision %d won", raced.operators, len(raced.won)))
+	for _, race := range e.races {
+		if len(race.accepted) != 1 {
+			findings = append(findings, fmt.Sprintf("of %d concurrent changes of one revision %d were accepted", race.operators, len(race.accepted)))
 		}
-		for _, revision := range raced.won {
+		for _, revision := range race.accepted {
 			accepted = max(accepted, revision)
-			findings = append(findings, e.inForce(revision, raced.at)...)
+			findings = append(findings, e.checkInForce(revision, race.acceptedAt)...)
 		}
 	}
-	e.tellForce()
-	findings = append(findings, linearizable(e.changes)...)
-	findings = append(findings, e.monotone()...)
-	return append(findings, e.lastInForce(ctx, accepted)...)
+	e.logPropagationTimes()
+	findings = append(findings, checkLinearizable(e.changes)...)
+	findings = append(findings, e.checkMonotonicRevisions()...)
+	return append(findings, e.awaitInForce(ctx, accepted)...)
 }
 
-// monotone: no machine was ever seen at a lower confirmed revision than before.
-func (e *evidence) monotone() []string {
+// checkMonotonicRevisions checks that the confirmed revision of a machine never
+// decreases.
+func (e *evidence) checkMonotonicRevisions() []string {
 	var findings []string
 	highest := map[string]uint64{}
-	for _, seen := range e.observer.seen() {
-		if seen.confirmed && seen.revision < highest[seen.machine] {
-			findings = append(findings, fmt.Sprintf("%s went back from revision %d to %d", seen.machine, highest[seen.machine], seen.revision))
+	for _, sample := range e.observer.copySamples() {
+		if sample.confirmed && sample.revision < highest[sample.machine] {
+			findings = append(findings, fmt.Sprintf("%s went back from revision %d to %d", sample.machine, highest[sample.machine], sample.revision))
 		}
-		if seen.confirmed {
-			highest[seen.machine] = max(highest[seen.machine], seen.revision)
+		if sample.confirmed {
+			highest[sample.machine] = max(highest[sample.machine], sample.revision)
 		}
 	}
 	return findings
 }
 
-// inForce: after the bound no daemon serves, which means confirmed, an earlier one.
-func (e *evidence) inForce(revision uint64, since time.Time) []string {
+// checkInForce checks that no daemon serves an earlier revision after the bound. A
+// daemon serves a revision while it is confirmed.
+func (e *evidence) checkInForce(revision uint64, acceptedAt time.Time) []string {
 	var findings []string
-	for _, seen := range e.observer.seen() {
-		late := seen.at.After(since.Add(e.trace.Bounds.Configuration))
-		if late && seen.confirmed && seen.revision < revision {
+	for _, sample := range e.observer.copySamples() {
+		late := sample.requestedAt.After(acceptedAt.Add(e.trace.Bounds.Configuration))
+		if late && sample.confirmed && sample.revision < revision {
 			findings = append(findings, fmt.Sprintf("%s still serves revision %d, %s after %d was accepted",
-				seen.machine, seen.revision, seen.at.Sub(since).Round(time.Second), revision))
+				sample.machine, sample.revision, sample.requestedAt.Sub(acceptedAt).Round(time.Second), revision))
 		}
 	}
 	return findings
 }
 
-// tellForce tells how long any daemon served an earlier revision than the accepted.
-func (e *evidence) tellForce() {
-	for _, raced := range e.races {
-		for _, revision := range raced.won {
+// logPropagationTimes logs, for each accepted revision, how long after its
+// acceptance a daemon last served an earlier one.
+func (e *evidence) logPropagationTimes() {
+	for _, race := range e.races {
+		for _, revision := range race.accepted {
 			var longest time.Duration
-			for _, seen := range e.observer.seen() {
-				if seen.confirmed && seen.revision < revision {
-					longest = max(longest, seen.at.Sub(raced.at))
+			for _, sample := range e.observer.copySamples() {
+				if sample.confirmed && sample.revision < revision {
+					longest = max(longest, sample.requestedAt.Sub(race.acceptedAt))
 				}
 			}
 			e.progress("replay: revision %d: an earlier one was last served %s after its acceptance.", revision, longest.Round(time.Millisecond))
@@ -103,8 +109,9 @@
 	}
 }
 
-// lastInForce waits until every running daemon confirms the last accepted revision.
-func (e *evidence) lastInForce(ctx context.Context, accepted uint64) []string {
+// awaitInForce waits, at most for the bound, until every running daemon has
+// confirmed the accepted revision or a later one.
+func (e *evidence) awaitInForce(ctx context.Context, accepted uint64) []string {
 	ctx, cancel := context.WithTimeout(ctx, e.trace.Bounds.Configuration)
 	defer cancel()
 	var findings []string
@@ -117,7 +124,7 @@
 			if err == nil && status.ConfigurationConfirmed && status.ConfigurationRevision >= accepted {
 				break
 			}
-			if !pause(ctx, retryPause) {
+			if !sleep(ctx, retryInterval) {
 				findings = append(findings, fmt.Sprintf("%s does not confirm revision %d: %v", daemon.Name, accepted, err))
 				break
 			}
@@ -126,23 +133,24 @@
 	return findings
 }
 
-// memory: within the bound, engines hold memory of programs that live only.
-func (e *evidence) memory(ctx context.Context) []string {
+// awaitMemoryReleased waits, at most for the bound, until engines hold memory only
+// for programs that have not ended.
+func (e *evidence) awaitMemoryReleased(ctx context.Context) []string {
 	ctx, cancel := context.WithTimeout(ctx, e.trace.Bounds.Memory)
 	defer cancel()
 	alive := map[identity.Program]bool{}
-	for _, one := range e.played {
-		alive[one.id] = one.Abandon && one.Ends == ""
+	for _, p := range e.programs {
+		alive[p.id] = p.Abandon && p.Ends == ""
 	}
 	for {
-		findings := e.heldForEnded(alive)
-		if len(findings) == 0 || !pause(ctx, retryPause) {
+		findings := e.findUnreleasedMemory(alive)
+		if len(findings) == 0 || !sleep(ctx, retryInterval) {
 			return findings
 		}
 	}
 }
 
-func (e *evidence) heldForEnded(alive map[identity.Program]bool) []string {
+func (e *evidence) findUnreleasedMemory(alive map[identity.Program]bool) []string {
 	var findings []string
 	for _, engine := range e.fleet.Engines {
 		for _, held := range engine.Held() {
--- a/internal/lab/replay/moment.go
+++ b/internal/lab/replay/moment.go
@@ -15,72 +15,71 @@
 )
 
 const (
-	momentPoll  = 2 * time.Millisecond
-	streamParts = 3 // chunks after which a stream is held at StepMidStream
+	pollInterval    = 2 * time.Millisecond
+	midStreamChunks = 3 // chunks sent before a stream is held at StepMidStream
 )
 
-// withFaults submits the call and brings about the faults at its moments, in
-// the order of the steps. A moment is learned from the outside: stand-ins hold
-// the call at the step until the fault has come.
-func (r *run) withFaults(ctx context.Context, one *played, submission *submission, together int) (result, error) {
-	here := r.faultsOf(one.name, int(submission.sequence))
-	var armed []*armedMoment
-	for number, fault := range here {
-		armed = append(armed, r.arm(fault, submission, number))
+// submitWithFaults submits the call and injects its faults in the order of their
+// steps. Stand-ins hold or refuse the call at a step until the fault is injected.
+// Faults at StepAnswered are injected while the caller has not read the answer.
+func (r *run) submitWithFaults(ctx context.Context, p *programRun, submission *submission, count int) (result, error) {
+	faults := r.faultsOfCall(p.name, int(submission.sequence))
+	var watches []*stepWatch
+	for number, fault := range faults {
+		watches = append(watches, r.watchStep(fault, submission, number))
 	}
 	defer func() {
-		for _, moment := range armed {
-			moment.disarm()
+		for _, moment := range watches {
+			moment.remove()
 		}
 	}()
-	during := here
-	if first := slices.IndexFunc(here, func(fault Fault) bool { return fault.At.Step == StepAnswered }); first >= 0 {
-		during = here[:first]
+	beforeAnswer := faults
+	if first := slices.IndexFunc(faults, func(fault Fault) bool { return fault.At.Step == StepAnswered }); first >= 0 {
+		beforeAnswer = faults[:first]
 	}
-	learned := make(chan result, 1)
-	unread := len(during) < len(here)
-	over := make(chan struct{})
+	results := make(chan result, 1)
+	awaitUnread := len(beforeAnswer) < len(faults)
+	ended := make(chan struct{})
 	go func() {
-		defer close(over)
-		if unread {
-			learned <- submission.unread(ctx)
+		defer close(ended)
+		if awaitUnread {
+			results <- submission.submitUnread(ctx)
 			return
 		}
-		learned <- submitTogether(ctx, submission, together)
+		results <- submitConcurrently(ctx, submission, count)
 	}()
-	for number, fault := range during {
-		err := armed[number].reached(ctx, over)
-		if errors.Is(err, errCallOver) && fault.IfReached {
-			r.progress("replay: fault %s did not come: %s call %d ended before.", fault.Do, one.name, submission.sequence)
+	for number, fault := range beforeAnswer {
+		err := watches[number].awaitReached(ctx, ended)
+		if errors.Is(err, errCallEnded) && fault.IfReached {
+			r.progress("replay: fault %s was skipped: %s call %d ended before its step.", fault.Do, p.name, submission.sequence)
 			break
 		}
-		if errors.Is(err, errCallOver) {
-			return result{}, eris.Wrapf(err, "fault %s, the caller learned %+v", fault.Do, <-learned)
+		if errors.Is(err, errCallEnded) {
+			return result{}, eris.Wrapf(err, "fault %s, the result of the call is %+v", fault.Do, <-results)
 		}
 		if err != nil {
 			return result{}, err
 		}
-		if err := r.bringAbout(ctx, fault, one); err != nil {
+		if err := r.injectFault(ctx, fault, p); err != nil {
 			return result{}, err
 		}
-		pause(ctx, fault.Release)
-		armed[number].disarm()
+		sleep(ctx, fault.Release)
+		watches[number].remove()
 	}
-	found := <-learned
-	if !unread || found.state == outcomeNone {
-		return found, nil
+	res := <-results
+	if !awaitUnread || res.state == outcomeNone {
+		return res, nil
 	}
-	for _, fault := range here[len(during):] {
-		if err := r.bringAbout(ctx, fault, one); err != nil {
+	for _, fault := range faults[len(beforeAnswer):] {
+		if err := r.injectFault(ctx, fault, p); err != nil {
 			return result{}, err
 		}
 	}
 	return submission.finish(ctx), nil
 }
 
-// faultsOf gives the faults at a call, in the order of the steps: at a later
-// one the call comes only once it is let go from the earlier.
-func (r *run) faultsOf(program string, call int) []Fault {
+// faultsOfCall returns the faults of a call, ordered by step.
+func (r *run) faultsOfCall(program string, call int) []Fault {
 	var found []Fault
 	for _, fault := range r.trace.Faults {
 		if fault.At.Program == program && fault.At.Call == call {
@@ -88,65 +87,68 @@
 		}
 	}
 	slices.SortStableFunc(found, func(first, second Fault) int {
-		return slices.Index(steps, first.At.Step) - slices.Index(steps, second.At.Step)
+		return slices.Index(stepOrder, first.At.Step) - slices.Index(stepOrder, second.At.Step)
 	})
 	return found
 }
 
-// faultsAt brings about the faults at moments outside calls.
-func (r *run) faultsAt(ctx context.Context, moment Moment, one *played) error {
+// injectFaultsAt injects the faults of a step outside calls.
+func (r *run) injectFaultsAt(ctx context.Context, moment Moment, p *programRun) error {
 	for _, fault := range r.trace.Faults {
 		if fault.At != moment {
 			continue
 		}
-		strike := func() error { return r.bringAbout(ctx, fault, one) }
-		if err := r.oneByOne(ctx, []Fault{fault}, strike); err != nil {
+		inject := func() error { return r.injectFault(ctx, fault, p) }
+		if err := r.runExclusively(ctx, []Fault{fault}, inject); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// armedMoment is a rule on all back ends that a call may reach.
-type armedMoment struct {
-	name   string
-	rules  []*standin.Faults
-	isMet  func(standin.RuleState) bool
-	target string
+// stepWatch detects that a call reaches a step. It is a rule at all back ends of
+// the call that holds or refuses the call at the step.
+type stepWatch struct {
+	name     string
+	backEnds []*standin.Faults
+	matches  func(standin.RuleState) bool
+	callID   string
 }
 
-// arm sets the rule that shows the step of the call from the outside.
-func (r *run) arm(fault Fault, submission *submission, number int) *armedMoment {
-	moment := &armedMoment{
-		name:   fmt.Sprintf("%s/%d/%d", submission.program, submission.sequence, number),
-		target: fmt.Sprintf("%s/%d", submission.program, submission.sequence),
-		isMet:  func(state standin.RuleState) bool { return state.Holding > 0 },
-	}
-	rule := standin.Rule{Name: moment.name, Match: moment.target + "/", Action: standin.ActionHold}
+// watchStep adds the rule for the step of the fault to the back ends of the call.
+// For StepAnswered there is no rule.
+func (r *run) watchStep(fault Fault, submission *submission, number int) *stepWatch {
+	moment := &stepWatch{
+		name:    fmt.Sprintf("%s/%d/%d", submission.program, submission.sequence, number),
+		callID:  fmt.Sprintf("%s/%d", submission.program, submission.sequence),
+		matches: func(state standin.RuleState) bool { return state.Holding > 0 },
+	}
+	rule := standin.Rule{Name: moment.name, Match: moment.callID + "/", Action: standin.ActionHold}
 	switch fault.At.Step {
 	case StepAccepted:
 		rule.Point = standin.PointBefore
 		rule.Action = standin.ActionRefuse
-		moment.isMet = func(state standin.RuleState) bool { return state.Met > 0 }
+		moment.matches = func(state standin.RuleState) bool { return state.Met > 0 }
 	case StepDispatched:
 		rule.Point = standin.PointBefore
 	case StepMidStream:
 		rule.Point = standin.PointStream
-		rule.AfterChunks = streamParts
+		rule.AfterChunks = midStreamChunks
 	case StepExecuted:
 		rule.Point = standin.PointAfter
 	default:
 		return moment
 	}
-	moment.rules = r.backEnds(submission.body.Name)
-	for _, faults := range moment.rules {
+	moment.backEnds = r.backEndFaults(submission.body.Name)
+	for _, faults := range moment.backEnds {
 		faults.Add(rule)
 	}
 	return moment
 }
 
-// backEnds are the faults of all back ends of a model, service or tool.
-func (r *run) backEnds(name string) []*standin.Faults {
+// backEndFaults returns the fault rules of the back ends whose own name, or whose
+// model, service or tool, is name.
+func (r *run) backEndFaults(name string) []*standin.Faults {
 	var found []*standin.Faults
 	for _, engine := range r.fleet.Engines {
 		if engine.Model == name || engine.Name == name {
@@ -161,30 +163,31 @@
 	return found
 }
 
-// errCallOver says that a call ended without coming to the step of a fault.
-var errCallOver = errors.New("the call ended before the moment of a fault")
+// errCallEnded means that a call ended before it reached the step of a fault.
+var errCallEnded = errors.New("the call ended before the step of a fault")
 
-// reached waits until a back end has met the rule, or the call is over.
-func (m *armedMoment) reached(ctx context.Context, over <-chan struct{}) error {
-	for !m.met() {
+// awaitReached waits until the call has reached the step. It returns errCallEnded
+// if the call ends before, and another error if ctx is done.
+func (m *stepWatch) awaitReached(ctx context.Context, ended <-chan struct{}) error {
+	for !m.isReached() {
 		select {
-		case <-over:
-			if m.met() {
+		case <-ended:
+			if m.isReached() {
 				return nil
 			}
-			return eris.Wrapf(errCallOver, "call %s", m.target)
+			return eris.Wrapf(errCallEnded, "call %s", m.callID)
 		case <-ctx.Done():
-			return eris.Errorf("the moment of a fault did not come: call %s", m.target)
-		case <-time.After(momentPoll):
+			return eris.Errorf("the call did not reach the step of a fault: call %s", m.callID)
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
-func (m *armedMoment) met() bool {
-	for _, faults := range m.rules {
+func (m *stepWatch) isReached() bool {
+	for _, faults := range m.backEnds {
 		for _, state := range faults.List().Rules {
-			if state.Name == m.name && m.isMet(state) {
+			if state.Name == m.name && m.matches(state) {
 				return true
 			}
 		}
@@ -192,17 +195,17 @@
 	return false
 }
 
-func (m *armedMoment) disarm() {
-	for _, faults := range m.rules {
+func (m *stepWatch) remove() {
+	for _, faults := range m.backEnds {
 		faults.Remove(m.name)
 	}
 }
 
-// leaderOf finds the leader of the program's shard.
-func (r *run) leaderOf(ctx context.Context, one *played) (*fleet.Daemon, error) {
-	shard, err := one.id.Shard()
+// leaderOf waits until the program's shard has a running leader and returns it.
+func (r *run) leaderOf(ctx context.Context, p *programRun) (*fleet.Daemon, error) {
+	shard, err := p.id.Shard()
 	if err != nil {
-		return nil, eris.Wrapf(err, "program %s", one.name)
+		return nil, eris.Wrapf(err, "program %s", p.name)
 	}
 	var leader *fleet.Daemon
 	for {
@@ -210,8 +213,8 @@
 		if err == nil && leader.Alive() {
 			return leader, nil
 		}
-		if !pause(ctx, momentPoll) {
-			return nil, eris.Errorf("no living leader of %s: %s", one.name, strings.TrimSpace(fmt.Sprint(err)))
+		if !sleep(ctx, pollInterval) {
+			return nil, eris.Errorf("no running leader for program %s: %s", p.name, strings.TrimSpace(fmt.Sprint(err)))
 		}
 	}
 }
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -15,32 +15,33 @@
 	"github.com/thymeloft/thymeloft/internal/lab/fleet"
 )
 
-const observerPause = 20 * time.Millisecond
-
-// sighting is one reading of a daemon's revision.
-type sighting struct {
-	at        time.Time
-	machine   string
-	revision  uint64
-	confirmed bool
+const observeInterval = 20 * time.Millisecond
+
+// revisionSample is the revision that a daemon reported.
+type revisionSample struct {
+	requestedAt time.Time // before the request was sent
+	machine     string
+	revision    uint64
+	confirmed   bool
 }
 
-// observer reads the revision of every daemon again and again.
-type observer struct {
-	mutex     sync.Mutex
-	sightings []sighting
+// revisionObserver polls the revision of every daemon. It is safe for concurrent
+// use.
+type revisionObserver struct {
+	mutex   sync.Mutex
+	samples []revisionSample
 }
 
-func observe(ctx context.Context, running *fleet.Fleet) *observer {
-	created := &observer{}
+func startObserver(ctx context.Context, running *fleet.Fleet) *revisionObserver {
+	observer := &revisionObserver{}
 	for _, daemon := range running.Daemons {
-		go created.watch(ctx, running, daemon)
+		go observer.watch(ctx, running, daemon)
 	}
-	return created
+	return observer
 }
 
-func (o *observer) watch(ctx context.Context, running *fleet.Fleet, daemon *fleet.Daemon) {
-	for pause(ctx, observerPause) {
+func (o *revisionObserver) watch(ctx context.Context, running *fleet.Fleet, daemon *fleet.Daemon) {
+	for sleep(ctx, observeInterval) {
 		if !daemon.Alive() {
 			continue
 		}
@@ -50,45 +51,46 @@
 			continue
 		}
 		o.mutex.Lock()
-		o.sightings = append(o.sightings, sighting{
-			at: asked, machine: daemon.Name, revision: status.ConfigurationRevision, confirmed: status.ConfigurationConfirmed,
+		o.samples = append(o.samples, revisionSample{
+			requestedAt: asked, machine: daemon.Name, revision: status.ConfigurationRevision, confirmed: status.ConfigurationConfirmed,
 		})
 		o.mutex.Unlock()
 	}
 }
 
-func (o *observer) seen() []sighting {
+func (o *revisionObserver) copySamples() []revisionSample {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return append([]sighting(nil), o.sightings...)
+	return append([]revisionSample(nil), o.samples...)
 }
 
-// race is what came of operators who changed the same revision at once.
-type race struct {
-	operators int
-	won       []uint64  // revisions made
-	at        time.Time // when the winner was told
+// raceResult is the outcome of concurrent changes of the same revision.
+type raceResult struct {
+	operators  int
+	accepted   []uint64  // revisions that accepted changes made
+	acceptedAt time.Time // when an operator received the last acceptance
 }
 
-// race lets operators change the same revision at once, each at another daemon.
-func (r *run) race(ctx context.Context, fault Fault) error {
-	base, err := r.latest(ctx)
+// raceOperators lets several operators change the latest revision concurrently,
+// with the first attempts at successive daemons.
+func (r *run) raceOperators(ctx context.Context, fault Fault) error {
+	base, err := r.latestConfiguration(ctx)
 	if err != nil {
 		return err
 	}
-	found := race{operators: max(2, fault.Count)}
+	found := raceResult{operators: max(2, fault.Count)}
 	var all sync.WaitGroup
 	var mutex sync.Mutex
 	for number := range found.operators {
 		all.Go(func() {
 			called := time.Now()
-			revision, err := r.change(ctx, base, number)
-			r.noteChange(changeCall{operator: number, base: base.Revision, called: called, returned: time.Now(), outcome: outcomeOf(revision, err)})
+			revision, err := r.applyChange(ctx, base, number)
+			r.recordChange(configurationChange{operator: number, base: base.Revision, called: called, returned: time.Now(), outcome: outcomeOf(revision, err)})
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err == nil {
-				found.won = append(found.won, revision)
-				found.at = time.Now()
+				found.accepted = append(found.accepted, revision)
+				found.acceptedAt = time.Now()
 			}
 		})
 	}
@@ -99,7 +101,7 @@
 	return nil
 }
 
-func (r *run) noteChange(change changeCall) {
+func (r *run) recordChange(change configurationChange) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.changes = append(r.changes, change)
@@ -112,8 +114,9 @@
 	return changeOutcome{unknown: connect.CodeOf(err) != connect.CodeAborted}
 }
 
-// latest is the highest revision that any daemon has in force.
-func (r *run) latest(ctx context.Context) (*operatorv1.GetConfigurationResponse, error) {
+// latestConfiguration returns the configuration with the highest revision that a
+// running daemon reports.
+func (r *run) latestConfiguration(ctx context.Context) (*operatorv1.GetConfigurationResponse, error) {
 	var found *operatorv1.GetConfigurationResponse
 	for _, daemon := range r.fleet.Daemons {
 		if !daemon.Alive() {
@@ -125,13 +128,15 @@
 		}
 	}
 	if found == nil {
-		return nil, eris.New("no daemon tells the configuration")
+		return nil, eris.New("no running daemon returned its configuration")
 	}
 	return found, nil
 }
 
-// change makes one operator's change, repeating it while its outcome is uncertain.
-func (r *run) change(ctx context.Context, base *operatorv1.GetConfigurationResponse, number int) (uint64, error) {
+// applyChange adds a tenant to the base configuration and returns the new
+// revision. It retries at the next daemon until the change is accepted, it is
+// rejected or ctx is done.
+func (r *run) applyChange(ctx context.Context, base *operatorv1.GetConfigurationResponse, number int) (uint64, error) {
 	document := proto.CloneOf(base.Document)
 	document.Tenants = append(document.Tenants, &operatorv1.Tenant{Name: fmt.Sprintf("raced-%d-%d", base.Revision, number)})
 	identifier := fmt.Sprintf("race-%d-%d", base.Revision, number)
@@ -141,14 +146,15 @@
 		if err == nil || connect.CodeOf(err) == connect.CodeAborted || connect.CodeOf(err) == connect.CodeInvalidArgument {
 			return revision, err
 		}
-		if !pause(ctx, retryPause) {
+		if !sleep(ctx, retryInterval) {
 			return 0, err
 		}
 	}
 }
 
-// drain lets an operator drain a back end.
-func (r *run) drain(ctx context.Context, name string) error {
+// drainBackEnd drains a back end through the operator API. It retries at the next
+// daemon until that succeeds or ctx is done.
+func (r *run) drainBackEnd(ctx context.Context, name string) error {
 	var err error
 	for attempt := 0; ; attempt++ {
 		daemon := r.fleet.Daemons[attempt%len(r.fleet.Daemons)]
@@ -156,14 +162,15 @@
 			ChangeIdentifier: "drain-" + name,
 			Add:              []string{r.drainName(name)},
 		}))
-		if err == nil || !pause(ctx, retryPause) {
+		if err == nil || !sleep(ctx, retryInterval) {
 			return eris.Wrapf(err, "drain %s", name)
 		}
 	}
 }
 
-// drainName is what an operator names: a replica of a service has no name in
-// the configuration, only its address.
+// drainName returns the name by which the operator API knows the back end. For a
+// replica of a service or tool that is its address, since it has no name in the
+// configuration.
 func (r *run) drainName(name string) string {
 	for _, replica := range r.fleet.Replicas {
 		if replica.Name == name {
--- a/internal/lab/replay/program.go
+++ b/internal/lab/replay/program.go
@@ -13,131 +13,134 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// recordedCall is a call as it was submitted.
-type recordedCall struct {
+// submittedCall is a call of the trace and the request that was sent for it.
+type submittedCall struct {
 	Call
 	body callerapi.CallRequest
 }
 
-func copyName(program Program, copied int) string {
+func copyName(program Program, copyIndex int) string {
 	if program.Copies <= 1 {
 		return program.Name
 	}
-	return fmt.Sprintf("%s-%d", program.Name, copied+1)
+	return fmt.Sprintf("%s-%d", program.Name, copyIndex+1)
 }
 
-// playProgram plays one program as its caller would.
-func (r *run) playProgram(ctx context.Context, one *played, number int) error {
+// runProgram creates the program, makes its calls one after the other and ends it.
+// It returns an error only if a fault could not be injected; errors of the
+// creation and the end are kept in p.err.
+func (r *run) runProgram(ctx context.Context, p *programRun, number int) error {
 	var doneOnce, createdOnce sync.Once
-	done := func() { doneOnce.Do(func() { close(one.done) }) }
-	created := func() { createdOnce.Do(func() { close(one.created) }) }
+	done := func() { doneOnce.Do(func() { close(p.done) }) }
+	created := func() { createdOnce.Do(func() { close(p.created) }) }
 	defer done()
 	defer created()
-	pause(ctx, one.Start)
-	if one.parent != nil {
-		<-one.parent.created
-	}
-	one.started = time.Now()
-	caller := newCaller(r.fleet, one.Tenant, number)
-	if one.err = r.create(ctx, caller, one); one.err != nil {
-		if one.refusedAsStated(one.err) {
-			one.err = nil
+	sleep(ctx, p.Start)
+	if p.parent != nil {
+		<-p.parent.created
+	}
+	p.started = time.Now()
+	caller := newCaller(r.fleet, p.Tenant, number)
+	if p.err = r.createProgram(ctx, caller, p); p.err != nil {
+		if p.isAllowedRefusal(p.err) {
+			p.err = nil
 		}
 		return nil
 	}
 	created()
-	if err := r.faultsAt(ctx, Moment{Program: one.name, Step: StepCreated}, one); err != nil {
+	if err := r.injectFaultsAt(ctx, Moment{Program: p.name, Step: StepCreated}, p); err != nil {
 		return err
 	}
-	calls := expand(one.Calls)
-	disorder := &disorder{run: r, one: one, calls: calls}
+	calls := expandRepeats(p.Calls)
+	disorder := &disorderSubmitter{run: r, p: p, calls: calls}
 	for index, call := range calls {
-		if !pause(ctx, call.Pause) {
+		if !sleep(ctx, call.Pause) {
 			break
 		}
-		disorder.early(ctx, index+1)
-		if err := r.playCall(ctx, caller, one, index, call); err != nil {
+		disorder.submitEarly(ctx, index+1)
+		if err := r.runCall(ctx, caller, p, index, call); err != nil {
 			return err
 		}
-		if state := one.results[index].state; state == outcomeRejected || state == outcomeNone {
+		if state := p.results[index].state; state == outcomeRejected || state == outcomeNone {
 			break
 		}
 	}
-	one.elapsed = time.Since(one.started)
-	disorder.late(ctx)
+	p.elapsed = time.Since(p.started)
+	disorder.resubmitAll(ctx)
 	done()
-	return r.endProgram(ctx, caller, one)
+	return r.endProgram(ctx, caller, p)
 }
 
-func (r *run) create(ctx context.Context, caller *caller, one *played) error {
+func (r *run) createProgram(ctx context.Context, caller *caller, p *programRun) error {
 	request := callerapi.CreateRequest{
-		CreationKey: r.trace.Name + "/" + one.name,
-		Class:       one.Class,
-		TokenBudget: one.Budget,
-		MaxTurns:    one.Turns,
-		IdleSeconds: one.Idle.Seconds(),
-	}
-	if one.parent != nil {
-		request.Parent = one.parent.id
+		CreationKey: r.trace.Name + "/" + p.name,
+		Class:       p.Class,
+		TokenBudget: p.Budget,
+		MaxTurns:    p.Turns,
+		IdleSeconds: p.Idle.Seconds(),
+	}
+	if p.parent != nil {
+		request.Parent = p.parent.id
 		if request.Parent == "" {
-			return eris.Errorf("its parent %s was not created", one.parent.name)
+			return eris.Errorf("parent program %s was not created", p.parent.name)
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.trace.Bounds.Caller)
 	defer cancel()
 	id, err := caller.create(ctx, request)
-	one.id = id
+	p.id = id
 	return err
 }
 
-// refusedAsStated says whether the creation was refused for the reason that
-// the trace allows.
-func (p *played) refusedAsStated(err error) bool {
-	var told *rejection
-	return p.Refused != "" && eris.As(err, &told) && told.document.Title == p.Refused
+// isAllowedRefusal reports whether err is a refusal of the creation for the
+// reason that the trace allows.
+func (p *programRun) isAllowedRefusal(err error) bool {
+	var problemErr *problemError
+	return p.Refused != "" && eris.As(err, &problemErr) && problemErr.document.Title == p.Refused
 }
 
-// endProgram waits for the sub-agents, then ends the program.
-func (r *run) endProgram(ctx context.Context, caller *caller, one *played) error {
-	for _, other := range r.played {
-		if other.parent == one {
+// endProgram waits until the calls of its sub-agents are done, then ends the
+// program or, if the trace says so, waits until something else ends it.
+func (r *run) endProgram(ctx context.Context, caller *caller, p *programRun) error {
+	for _, other := range r.programs {
+		if other.parent == p {
 			<-other.done
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.trace.Bounds.Caller)
 	defer cancel()
 	switch {
-	case one.Ends != "" && one.Ends != string(program.EndByCaller):
-		one.err = awaitEnd(ctx, caller, one)
-	case !one.Abandon:
-		one.err = caller.end(ctx, one.id)
+	case p.Ends != "" && p.Ends != string(program.EndByCaller):
+		p.err = awaitEnd(ctx, caller, p)
+	case !p.Abandon:
+		p.err = caller.end(ctx, p.id)
 	}
-	return r.faultsAt(ctx, Moment{Program: one.name, Step: StepEnded}, one)
+	return r.injectFaultsAt(ctx, Moment{Program: p.name, Step: StepEnded}, p)
 }
 
-// awaitEnd waits until the program is ended by something else than its caller.
-func awaitEnd(ctx context.Context, caller *caller, one *played) error {
+// awaitEnd waits until the program has ended without a request of its caller.
+func awaitEnd(ctx context.Context, caller *caller, p *programRun) error {
 	for {
-		history, err := caller.history(ctx, one.id)
+		history, err := caller.history(ctx, p.id)
 		if err != nil || history.State == program.ProgramEnded {
 			return err
 		}
-		if !pause(ctx, retryPause) {
-			return eris.Errorf("the program was not ended, though it should be by %s", one.Ends)
+		if !sleep(ctx, retryInterval) {
+			return eris.Errorf("the program did not end; expected end reason: %s", p.Ends)
 		}
 	}
 }
 
-// expand writes repeated calls out. Each is numbered, unless all shall be
-// identical as those of a program that loops.
-func expand(calls []Call) []Call {
+// expandRepeats returns the calls with each repetition as a call of its own.
+// The text of repetitions gets a number, unless the call is marked Identical.
+func expandRepeats(calls []Call) []Call {
 	var expanded []Call
 	for _, call := range calls {
 		for number := range max(1, call.Repeat) {
 			turn := call
 			if number > 0 && !call.Identical {
-				turn.Say = numbered(call.Say, number)
-				turn.Payload = numbered(call.Payload, number)
+				turn.Say = appendNumber(call.Say, number)
+				turn.Payload = appendNumber(call.Payload, number)
 			}
 			expanded = append(expanded, turn)
 		}
@@ -145,36 +148,38 @@
 	return expanded
 }
 
-func numbered(text string, number int) string {
+func appendNumber(text string, number int) string {
 	if text == "" {
 		return ""
 	}
 	return fmt.Sprintf("%s (%d)", text, number+1)
 }
 
-// playCall submits one call, with the faults that come during it.
-func (r *run) playCall(ctx context.Context, caller *caller, one *played, index int, call Call) error {
+// runCall submits one call, injects the faults of its steps and records its
+// result. A call without a final outcome ends the replay.
+func (r *run) runCall(ctx context.Context, caller *caller, p *programRun, index int, call Call) error {
 	body := requestOf(call)
-	one.bodies = append(one.bodies, recordedCall{Call: call, body: body})
-	submission := &submission{caller: caller, streams: &r.streams, program: one.id, sequence: uint64(index + 1), body: body}
-	err := r.oneByOne(ctx, r.faultsOf(one.name, index+1), func() error {
-		patience, cancel := context.WithTimeout(ctx, r.trace.Bounds.Caller)
+	p.submitted = append(p.submitted, submittedCall{Call: call, body: body})
+	submission := &submission{caller: caller, streams: &r.streams, program: p.id, sequence: uint64(index + 1), body: body}
+	err := r.runExclusively(ctx, r.faultsOfCall(p.name, index+1), func() error {
+		callCtx, cancel := context.WithTimeout(ctx, r.trace.Bounds.Caller)
 		defer cancel()
 		started := time.Now()
-		learned, err := r.withFaults(patience, one, submission, max(1, call.Together))
-		learned.began = started
-		learned.elapsed = time.Since(started).Milliseconds()
-		one.results = append(one.results, learned)
+		res, err := r.submitWithFaults(callCtx, p, submission, max(1, call.Together))
+		res.startedAt = started
+		res.elapsedMS = time.Since(started).Milliseconds()
+		p.results = append(p.results, res)
 		return err
 	})
-	if err == nil && one.results[index].state == outcomeNone && ctx.Err() == nil {
-		r.noAnswer(one, index+1)
+	if err == nil && p.results[index].state == outcomeNone && ctx.Err() == nil {
+		r.reportTimeout(p, index+1)
 	}
 	return err
 }
 
-// submitTogether submits the same call several times at once; all must learn the same.
-func submitTogether(ctx context.Context, submission *submission, count int) result {
+// submitConcurrently submits the same call count times at once. The result has
+// outcomeNone if the submissions end differently.
+func submitConcurrently(ctx context.Context, submission *submission, count int) result {
 	results := make([]result, count)
 	var all sync.WaitGroup
 	for index := range count {
@@ -182,21 +187,21 @@
 	}
 	all.Wait()
 	for _, other := range results[1:] {
-		if other.state != results[0].state || !sameAnswer(other.answer, results[0].answer) {
-			return result{state: outcomeNone, err: fmt.Errorf("submissions at once ended as %s and %s", results[0].state, other.state)}
+		if other.state != results[0].state || !isSameAnswer(other.answer, results[0].answer) {
+			return result{state: outcomeNone, err: fmt.Errorf("concurrent submissions ended as %s and %s, or with different answers", results[0].state, other.state)}
 		}
 	}
 	return results[0]
 }
 
-func sameAnswer(first, second *callerapi.Answer) bool {
+func isSameAnswer(first, second *callerapi.Answer) bool {
 	if first == nil || second == nil {
 		return first == second
 	}
 	return first.Content == second.Content && string(first.Payload) == string(second.Payload)
 }
 
-// requestOf turns a recorded call into what a caller sends.
+// requestOf returns the request that a caller sends for the call.
 func requestOf(call Call) callerapi.CallRequest {
 	request := callerapi.CallRequest{
 		NotRepeatable: call.NotRepeatable,
--- a/internal/lab/replay/prompts.go
+++ b/internal/lab/replay/prompts.go
@@ -9,26 +9,26 @@
 	"github.com/thymeloft/thymeloft/internal/lab/modelengine"
 )
 
-// prompts gives what an engine must see for each call of the program: the
-// messages of the calls answered before and its own. Calls of services and
-// tools have none.
-func prompts(one *played) [][]enginev1.Message {
-	all := make([][]enginev1.Message, len(one.results))
+// expectedPrompts returns the prompt of each call of the program: the messages and
+// answers of the answered calls before it, then its own messages. Calls to services
+// and tools have none (nil).
+func expectedPrompts(p *programRun) [][]enginev1.Message {
+	all := make([][]enginev1.Message, len(p.results))
 	var history []enginev1.Message
-	for index, learned := range one.results {
-		call := one.bodies[index]
+	for index, res := range p.results {
+		call := p.submitted[index]
 		if call.Model == "" {
 			continue
 		}
-		all[index] = slices.Concat(history, wireMessages(call.body.Messages))
-		if learned.answer != nil {
-			history = append(slices.Clip(all[index]), enginev1.Message{Role: "assistant", Content: learned.answer.Content})
+		all[index] = slices.Concat(history, engineMessages(call.body.Messages))
+		if res.answer != nil {
+			history = append(slices.Clip(all[index]), enginev1.Message{Role: "assistant", Content: res.answer.Content})
 		}
 	}
 	return all
 }
 
-func wireMessages(messages []callerapi.Message) []enginev1.Message {
+func engineMessages(messages []callerapi.Message) []enginev1.Message {
 	converted := make([]enginev1.Message, 0, len(messages))
 	for _, message := range messages {
 		converted = append(converted, enginev1.Message(message))
@@ -36,19 +36,19 @@
 	return converted
 }
 
-// promptsSeen: in each attempt at a call, whether it was answered or not, the
-// engine saw the program's history as its caller knows it and nothing else.
-func (e *evidence) promptsSeen() []string {
+// checkPrompts checks that each request to an engine, also of a call without an
+// answer, had the expected prompt and the identifier of its program.
+func (e *evidence) checkPrompts() []string {
 	var findings []string
-	for _, one := range e.played {
-		for index, prompt := range prompts(one) {
+	for _, p := range e.programs {
+		for index, prompt := range expectedPrompts(p) {
 			if prompt == nil {
 				continue
 			}
-			right := modelengine.PromptHash(prompt)
-			for _, seen := range e.records.requests[callID(one.id, index)] {
-				if seen.PromptHash != right || seen.Program != string(one.id) {
-					findings = append(findings, fmt.Sprintf("%s call %d: an engine saw another prompt than its history (%s)", one.name, index+1, seen.RequestID))
+			expectedHash := modelengine.PromptHash(prompt)
+			for _, request := range e.records.requests[callID(p.id, index)] {
+				if request.PromptHash != expectedHash || request.Program != string(p.id) {
+					findings = append(findings, fmt.Sprintf("%s call %d: an engine saw another prompt than its history (%s)", p.name, index+1, request.RequestID))
 				}
 			}
 		}
@@ -56,31 +56,33 @@
 	return findings
 }
 
-// inOrder: no call reached a back end before one that stands before it did.
-func (e *evidence) inOrder(one *played) []string {
+// checkArrivalOrder checks that the calls of a program first reached a back end in
+// the order of their sequence numbers.
+func (e *evidence) checkArrivalOrder(p *programRun) []string {
 	var findings []string
 	var latest int64
-	for index := range one.results {
-		first, reached := e.records.firstArrival[callID(one.id, index)]
+	for index := range p.results {
+		first, reached := e.records.firstArrivalMS[callID(p.id, index)]
 		if !reached {
 			continue
 		}
 		if first < latest {
-			findings = append(findings, fmt.Sprintf("%s call %d: reached a back end %d ms before an earlier call", one.name, index+1, latest-first))
+			findings = append(findings, fmt.Sprintf("%s call %d: reached a back end %d ms before an earlier call", p.name, index+1, latest-first))
 		}
 		latest = max(latest, first)
 	}
 	return findings
 }
 
-// rightAnswer allows for a limit below the caller's when the budget runs out:
-// then an engine must have been given just this limit, and used it up.
-func (e *evidence) rightAnswer(one *played, index int, prompt []enginev1.Message) bool {
-	call, answer := one.bodies[index], one.results[index].answer
+// isExpectedAnswer reports whether the answer is the complete one to the prompt. An
+// answer with the finish reason "length" may be shorter than the caller's limit if
+// an engine was given exactly that limit, as happens when the budget runs out.
+func (e *evidence) isExpectedAnswer(p *programRun, index int, prompt []enginev1.Message) bool {
+	call, answer := p.submitted[index], p.results[index].answer
 	limit := call.MaxTokens
-	for _, seen := range e.records.requests[callID(one.id, index)] {
-		if answer.FinishReason == "length" && seen.MaxTokens == answer.CompletionTokens {
-			limit = min(limit, seen.MaxTokens)
+	for _, request := range e.records.requests[callID(p.id, index)] {
+		if answer.FinishReason == "length" && request.MaxTokens == answer.CompletionTokens {
+			limit = min(limit, request.MaxTokens)
 		}
 	}
 	whole, finish := modelengine.Answer(call.Model, call.Adapter, prompt, limit)
--- a/internal/lab/replay/random.go
+++ b/internal/lab/replay/random.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	randomPrograms   = 6
-	randomCallsMost  = 6
-	randomFaultsMost = 6
-	randomBudget     = 3000
-	randomOutage     = 4 * time.Second // the longest of a fault
-	randomModel      = "tutor-llm"
-	randomService    = "desk-app"
-	randomTool       = "ledger"
-	randomTenant     = "theory-desk"
+	randomPrograms       = 6
+	maxRandomCalls       = 6
+	maxRandomFaults      = 6
+	randomBudget         = 3000            // tokens
+	randomOutageDuration = 4 * time.Second // of stand-in rules that end; also bounds the random part of the other faults
+	randomModel          = "tutor-llm"
+	randomService        = "desk-app"
+	randomTool           = "ledger"
+	randomTenant         = "theory-desk"
 )
 
-// Random makes the trace of a seed: programs of every kind, and faults of
-// every kind at random moments. The same seed makes the same trace.
+// Random returns the trace for a seed: programs with calls of every kind, and
+// faults at random steps. The same seed always gives the same trace.
 func Random(seed uint64) Trace {
 	random := rand.New(rand.NewPCG(seed, seed))
 	trace := Trace{
@@ -46,20 +46,21 @@
 	for number := range randomPrograms {
 		trace.Programs = append(trace.Programs, randomProgram(random, number))
 	}
-	for range 2 + random.IntN(randomFaultsMost-1) {
-		if fault := randomFault(random, trace.Programs); !trace.hasFaultIn(fault.At) {
+	for range 2 + random.IntN(maxRandomFaults-1) {
+		if fault := randomFault(random, trace.Programs); !trace.hasFaultAtCall(fault.At) {
 			trace.Faults = append(trace.Faults, fault)
-			trace.allowRefusal(fault.At)
+			trace.allowNotRun(fault.At)
 		}
 	}
 	trace.Faults = append(trace.Faults, randomRules(random)...)
-	trace.Bounds.fill()
+	trace.Bounds.setDefaults()
 	return trace
 }
 
-// allowRefusal allows "not-run" for a call that back ends refuse until its
-// fault has come: the daemon may give it up before, truthfully.
-func (t *Trace) allowRefusal(moment Moment) {
+// allowNotRun allows the outcome "not-run" for the call of a fault at StepAccepted:
+// back ends refuse the call until the fault is injected, so a daemon may give up
+// the call before that.
+func (t *Trace) allowNotRun(moment Moment) {
 	for index := range t.Programs {
 		program := &t.Programs[index]
 		if moment.Step != StepAccepted || program.Name != moment.Program {
@@ -73,9 +74,8 @@
 	}
 }
 
-// hasFaultIn says whether a fault comes in the same call: the steps of two
-// might stand in the wrong order, and the second would never come.
-func (t *Trace) hasFaultIn(moment Moment) bool {
+// hasFaultAtCall reports whether the trace already has a fault at the same call.
+func (t *Trace) hasFaultAtCall(moment Moment) bool {
 	return slices.ContainsFunc(t.Faults, func(fault Fault) bool {
 		return fault.At.Program == moment.Program && fault.At.Call == moment.Call
 	})
@@ -93,7 +93,7 @@
 		program.Parent = "program-0"
 		program.Budget = randomBudget / randomPrograms
 	}
-	for turn := range 2 + random.IntN(randomCallsMost-1) {
+	for turn := range 2 + random.IntN(maxRandomCalls-1) {
 		call := randomCall(random, turn)
 		call.Pause = time.Duration(random.IntN(300)) * time.Millisecond
 		call.Together = 1 + random.IntN(3)
@@ -115,7 +115,8 @@
 	}
 }
 
-// randomFault strikes a daemon at a step of a call that has the step.
+// randomFault returns a random fault at a random step of a random call. Only calls
+// to models have StepMidStream.
 func randomFault(random *rand.Rand, programs []Program) Fault {
 	program := programs[random.IntN(len(programs))]
 	call := random.IntN(len(program.Calls))
@@ -126,9 +127,9 @@
 	fault := Fault{
 		At:     Moment{Program: program.Name, Call: call + 1, Step: steps[random.IntN(len(steps))]},
 		Daemon: []string{targetLeader, targetLeader, targetFollower, targetOperators}[random.IntN(4)],
-		For:    200*time.Millisecond + time.Duration(random.Int64N(int64(randomOutage))),
+		For:    200*time.Millisecond + time.Duration(random.Int64N(int64(randomOutageDuration))),
 
-		IfReached: true, // another fault may end the call before
+		IfReached: true, // another fault may end the call before its step
 	}
 	switch random.IntN(5) {
 	case 0, 1:
@@ -147,18 +148,20 @@
 	return fault
 }
 
-// randomLost is how many commits of the store are done and not answered.
-const randomLost = 40
+// maxLostCommits is the number of store commits that are done but not acknowledged.
+const maxLostCommits = 40
 
-// randomRules are faults of the stand-ins that last, or end after a time.
+// randomRules returns one to three faults of stand-ins. They begin at the start of
+// the replay and end after randomOutageDuration, after a number of requests or at
+// the end of the programs.
 func randomRules(random *rand.Rand) []Fault {
 	start := Moment{Step: StepStart}
 	all := []Fault{
-		{At: start, Do: ActionRules, Of: "store", For: randomOutage, Rules: []standin.Rule{{Name: "down", Point: standin.PointBefore, Action: standin.ActionRefuse}}},
-		{At: start, Do: ActionRules, Of: "store", Rules: []standin.Rule{{Name: "lost", Point: standin.PointAfter, Match: "rows-tx", Action: standin.ActionLose, Times: randomLost}}},
-		{At: start, Do: ActionRules, Of: "store", For: randomOutage, Rules: []standin.Rule{{Name: "slow", Point: standin.PointBefore, Action: standin.ActionDelay, DelayMS: 300}}},
+		{At: start, Do: ActionRules, Of: "store", For: randomOutageDuration, Rules: []standin.Rule{{Name: "down", Point: standin.PointBefore, Action: standin.ActionRefuse}}},
+		{At: start, Do: ActionRules, Of: "store", Rules: []standin.Rule{{Name: "lost", Point: standin.PointAfter, Match: "rows-tx", Action: standin.ActionLose, Times: maxLostCommits}}},
+		{At: start, Do: ActionRules, Of: "store", For: randomOutageDuration, Rules: []standin.Rule{{Name: "slow", Point: standin.PointBefore, Action: standin.ActionDelay, DelayMS: 300}}},
 		{At: start, Do: ActionRules, Of: "engines", Rules: []standin.Rule{{Name: "cut", Point: standin.PointStream, AfterChunks: 4, Action: standin.ActionLose, Times: 3}}},
-		{At: start, Do: ActionRules, Of: "engines", For: randomOutage, Rules: []standin.Rule{{Name: "miss", Point: standin.PointBefore, Match: "release", Action: standin.ActionFail}}},
+		{At: start, Do: ActionRules, Of: "engines", For: randomOutageDuration, Rules: []standin.Rule{{Name: "miss", Point: standin.PointBefore, Match: "release", Action: standin.ActionFail}}},
 		{At: start, Do: ActionRules, Of: randomService, Rules: []standin.Rule{{Name: "lose", Point: standin.PointAfter, Action: standin.ActionLose, Times: 1}}},
 	}
 	random.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
--- a/internal/lab/replay/recorder.go
+++ b/internal/lab/replay/recorder.go
@@ -20,40 +20,42 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// longestRecordedBody bounds a request that is recorded, in bytes.
-const longestRecordedBody = 8 << 20
+// maxRecordedBodyBytes limits the body of a request; larger ones are rejected.
+const maxRecordedBodyBytes = 8 << 20
 
-// Recorder stands before one daemon, passes callers' requests on and records
-// the programs and calls that they make. Only what the daemon took is recorded.
+// Recorder is a reverse proxy in front of one daemon that records programs and
+// their calls. It records only POST requests that the daemon answered with a 2xx
+// status. It is safe for concurrent use.
 type Recorder struct {
 	target string // base URL of the daemon
 	client *http.Client
 
-	mutex   sync.Mutex
-	began   time.Time
-	order   []*recordedProgram
-	byID    map[identity.Program]*recordedProgram
-	tenants []string // by bearer key
+	mutex     sync.Mutex
+	startedAt time.Time
+	programs  []*recordedProgram
+	byID      map[identity.Program]*recordedProgram
+	tenants   []string // Authorization headers, in the order of their first programs
 }
 
 type recordedProgram struct {
 	Program
-	calls map[int]recordedAt // by sequence
+	calls map[int]timedCall // by sequence number, from 1
 }
 
-type recordedAt struct {
+type timedCall struct {
 	call Call
 	at   time.Time
 }
 
-// NewRecorder makes a recorder before the daemon at the base URL.
+// NewRecorder returns a recorder for the daemon at the base URL.
 func NewRecorder(target string) *Recorder {
-	return &Recorder{target: target, client: &http.Client{}, began: time.Now(), byID: map[identity.Program]*recordedProgram{}}
+	return &Recorder{target: target, client: &http.Client{}, startedAt: time.Now(), byID: map[identity.Program]*recordedProgram{}}
 }
 
-// ServeHTTP passes the request on, and records it when it was taken.
+// ServeHTTP forwards the request to the daemon and records it if it is a POST
+// request that succeeded.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, incoming *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, incoming.Body, longestRecordedBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, incoming.Body, maxRecordedBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
@@ -70,29 +72,29 @@
 		return
 	}
 	defer response.Body.Close()
-	reply := pass(w, response)
+	reply := copyResponse(w, response)
 	if response.StatusCode/100 == 2 && incoming.Method == http.MethodPost {
 		r.record(incoming, body, reply)
 	}
 }
 
-// pass writes the response on as it comes and returns its body.
-func pass(w http.ResponseWriter, response *http.Response) []byte {
+// copyResponse streams the response to w and returns its body.
+func copyResponse(w http.ResponseWriter, response *http.Response) []byte {
 	for name, values := range response.Header {
 		w.Header()[name] = values
 	}
 	w.WriteHeader(response.StatusCode)
-	var whole bytes.Buffer
-	part := make([]byte, 32<<10)
+	var body bytes.Buffer
+	chunk := make([]byte, 32<<10)
 	for {
-		count, err := response.Body.Read(part)
-		whole.Write(part[:count])
-		_, _ = w.Write(part[:count])
+		count, err := response.Body.Read(chunk)
+		body.Write(chunk[:count])
+		_, _ = w.Write(chunk[:count])
 		if flusher, ok := w.(http.Flusher); ok {
 			flusher.Flush()
 		}
 		if err != nil {
-			return whole.Bytes()
+			return body.Bytes()
 		}
 	}
 }
@@ -115,7 +117,7 @@
 		return
 	}
 	if _, repeated := known.calls[sequence]; !repeated {
-		known.calls[sequence] = recordedAt{call: callOf(request), at: time.Now()}
+		known.calls[sequence] = timedCall{call: callOf(request), at: time.Now()}
 	}
 }
 
@@ -125,23 +127,24 @@
 	if json.Unmarshal(body, &request) != nil || json.Unmarshal(reply, &created) != nil || r.byID[created.Program] != nil {
 		return
 	}
-	recorded := &recordedProgram{calls: map[int]recordedAt{}, Program: Program{
-		Name:   "program-" + strconv.Itoa(len(r.order)+1),
+	recorded := &recordedProgram{calls: map[int]timedCall{}, Program: Program{
+		Name:   "program-" + strconv.Itoa(len(r.programs)+1),
 		Tenant: r.tenant(key),
 		Class:  request.Class,
 		Budget: request.TokenBudget,
 		Turns:  request.MaxTurns,
 		Idle:   time.Duration(request.IdleSeconds * float64(time.Second)),
-		Start:  time.Since(r.began),
+		Start:  time.Since(r.startedAt),
 	}}
 	if parent := r.byID[request.Parent]; parent != nil {
 		recorded.Parent = parent.Name
 	}
 	r.byID[created.Program] = recorded
-	r.order = append(r.order, recorded)
+	r.programs = append(r.programs, recorded)
 }
 
-// tenant names a tenant by the order of its first request: keys are not recorded.
+// tenant returns a name for the tenant with this key, numbered in the order of
+// their first programs. Keys do not appear in the trace.
 func (r *Recorder) tenant(key string) string {
 	index := slices.Index(r.tenants, key)
 	if index < 0 {
@@ -179,7 +182,8 @@
 	return call
 }
 
-// Trace gives what was recorded, for the deployment on which it shall be replayed.
+// Trace returns what was recorded so far as a trace for the deployment, whose
+// tenants are replaced by the recorded ones.
 func (r *Recorder) Trace(name string, deployment fleet.Deployment) Trace {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -188,30 +192,31 @@
 	for index := range r.tenants {
 		trace.Deployment.Tenants = append(trace.Deployment.Tenants, fleet.Tenant{Name: "tenant-" + strconv.Itoa(index+1)})
 	}
-	for _, recorded := range r.order {
-		trace.Programs = append(trace.Programs, recorded.whole())
+	for _, recorded := range r.programs {
+		trace.Programs = append(trace.Programs, recorded.orderedProgram())
 	}
 	return trace
 }
 
-// whole puts the calls in order up to the first gap, with the pauses between them.
-func (p *recordedProgram) whole() Program {
+// orderedProgram returns the program with its calls in order, up to the first
+// missing one, and the pauses between them.
+func (p *recordedProgram) orderedProgram() Program {
 	complete := p.Program
-	var former time.Time
+	var previous time.Time
 	for sequence := 1; ; sequence++ {
 		recorded, found := p.calls[sequence]
 		if !found {
 			return complete
 		}
-		if !former.IsZero() {
-			recorded.call.Pause = recorded.at.Sub(former)
+		if !previous.IsZero() {
+			recorded.call.Pause = recorded.at.Sub(previous)
 		}
-		former = recorded.at
+		previous = recorded.at
 		complete.Calls = append(complete.Calls, recorded.call)
 	}
 }
 
-// Encode writes the trace as a file.
+// Encode returns the trace as YAML, in the form that Parse reads.
 func (t *Trace) Encode() ([]byte, error) {
 	encoded, err := yaml.Marshal(t)
 	return encoded, eris.Wrap(err, "encode trace")
--- a/internal/lab/replay/records.go
+++ b/internal/lab/replay/records.go
@@ -9,31 +9,32 @@
 	"github.com/thymeloft/thymeloft/internal/lab/modelengine"
 )
 
-// arrival is one request as a back end recorded it.
+// arrival is the arrival of one request at a back end.
 type arrival struct {
-	backEnd string
-	call    string // "program/sequence"
-	arrived int64  // Unix milliseconds
+	backEnd   string
+	call      string // "program/sequence"
+	arrivedMS int64  // Unix milliseconds
 }
 
-// records are what all back ends recorded of themselves.
+// records combines what all engines and replicas recorded. Calls are identified as
+// "program/sequence".
 type records struct {
-	arrivals     []arrival
-	executions   map[string]int                  // by call
-	started      map[string]int                  // by call; arrivals that were not turned away
-	generated    map[identity.Program]int64      // tokens
-	firstArrival map[string]int64                // by call, Unix milliseconds
-	requests     map[string][]modelengine.Record // engines, by call
+	arrivals          []arrival
+	executions        map[string]int                  // by call
+	startedExecutions map[string]int                  // attempts at replicas and engine requests that generated tokens, by call
+	generatedTokens   map[identity.Program]int64      // tokens generated
+	firstArrivalMS    map[string]int64                // Unix milliseconds, by call
+	requests          map[string][]modelengine.Record // requests to engines, by call
 }
 
-// collect reads the stand-ins' own records.
-func collect(running *fleet.Fleet) records {
+// collectRecords reads the records of all engines and replicas.
+func collectRecords(running *fleet.Fleet) records {
 	found := records{
-		executions:   map[string]int{},
-		started:      map[string]int{},
-		generated:    map[identity.Program]int64{},
-		firstArrival: map[string]int64{},
-		requests:     map[string][]modelengine.Record{},
+		executions:        map[string]int{},
+		startedExecutions: map[string]int{},
+		generatedTokens:   map[identity.Program]int64{},
+		firstArrivalMS:    map[string]int64{},
+		requests:          map[string][]modelengine.Record{},
 	}
 	for _, engine := range running.Engines {
 		for _, record := range engine.Records().Requests {
@@ -44,8 +45,8 @@
 		for _, execution := range replica.Records().Executions {
 			found.executions[execution.CallID] += execution.Executions
 			for _, attempt := range execution.Attempts {
-				found.started[execution.CallID]++
-				found.addArrival(arrival{backEnd: replica.Name, call: execution.CallID, arrived: attempt.ArrivedMS})
+				found.startedExecutions[execution.CallID]++
+				found.addArrival(arrival{backEnd: replica.Name, call: execution.CallID, arrivedMS: attempt.ArrivedMS})
 			}
 		}
 	}
@@ -55,19 +56,19 @@
 func (r *records) addRequest(engine string, record modelengine.Record) {
 	call := record.RequestID[:max(0, strings.LastIndexByte(record.RequestID, '/'))]
 	r.requests[call] = append(r.requests[call], record)
-	r.generated[identity.Program(record.Program)] += record.Generated
+	r.generatedTokens[identity.Program(record.Program)] += record.Generated
 	if record.Generated > 0 {
 		r.executions[call]++
-		r.started[call]++
+		r.startedExecutions[call]++
 	}
-	r.addArrival(arrival{backEnd: engine, call: call, arrived: record.ArrivedMS})
+	r.addArrival(arrival{backEnd: engine, call: call, arrivedMS: record.ArrivedMS})
 }
 
 func (r *records) addArrival(added arrival) {
 	r.arrivals = append(r.arrivals, added)
-	first, found := r.firstArrival[added.call]
-	if !found || added.arrived < first {
-		r.firstArrival[added.call] = added.arrived
+	first, found := r.firstArrivalMS[added.call]
+	if !found || added.arrivedMS < first {
+		r.firstArrivalMS[added.call] = added.arrivedMS
 	}
 }
 
--- a/internal/lab/replay/run.go
+++ b/internal/lab/replay/run.go
@@ -13,56 +13,57 @@
 	"github.com/thymeloft/thymeloft/internal/lab/fleet"
 )
 
-// Options say how to run a trace.
+// Options configure Run.
 type Options struct {
-	Daemon    string                                // path of the daemon's binary
-	Directory string                                // for logs; empty: temporary
-	Progress  func(format string, arguments ...any) // may be nil
+	Daemon    string                                // path to the daemon binary
+	Directory string                                // for logs; empty: a temporary directory
+	Progress  func(format string, arguments ...any) // called for each progress message; may be nil
 }
 
-// run is one replay under way.
+// run is the state of one replay.
 type run struct {
-	trace    Trace
-	fleet    *fleet.Fleet
-	progress func(format string, arguments ...any)
-	streams  streamCounts
-	observer *observer
-	undo     sync.WaitGroup // faults that are taken back after a time
-	striking chan struct{}  // holds the turn of a fault that needs a whole fleet
-	giveUp   func()         // ends the programs
+	trace          Trace
+	fleet          *fleet.Fleet
+	progress       func(format string, arguments ...any)
+	streams        streamCounts
+	observer       *revisionObserver
+	undos          sync.WaitGroup // goroutines that stop a daemon or undo a fault
+	exclusive      chan struct{}  // semaphore of capacity one; see acquireExclusive
+	cancelPrograms func()
 
-	choosing  sync.Mutex // held while a daemon is chosen and struck
-	mutex     sync.Mutex
-	lasting   []func() // undone when the programs are done
-	played    []*played
-	leaving   []leaving
-	returning map[*fleet.Daemon]int // how many faults keep it away and will end
-	stops     []string              // planned stops that went wrong
-	races     []race
-	stuck     string // the fleet's state when a caller's patience ended
-	changes   []changeCall
-	kills     []time.Time
+	daemonFaultMutex sync.Mutex // serializes the choice of a daemon and the fault on it
+	mutex            sync.Mutex
+	undoAtEnd        []func() // undo functions of faults that last until all programs have ended
+	programs         []*programRun
+	leaving          []leavingBackEnd
+	away             map[*fleet.Daemon]int // number of faults that make the daemon unavailable for a time
+	stopFailures     []string              // errors of planned stops
+	races            []raceResult
+	timeoutReport    string // describes the first call without a final outcome and the fleet at that time; empty: none
+	changes          []configurationChange
+	kills            []time.Time
 }
 
-// played is one copy of a program and what its caller learned.
-type played struct {
+// programRun is the run of one copy of a program and what its caller observed.
+type programRun struct {
 	Program
-	name         string
-	parent       *played
-	started      time.Time
-	created      chan struct{} // closed when the identifier is known, or will never be
-	done         chan struct{} // closed when all its calls have their outcomes
-	id           identity.Program
-	results      []result // by call
-	err          error    // of creation or end
-	bodies       []recordedCall
-	repeats      []repeated // of submissions beside the proper ones
-	refusedEarly atomic.Int64
-	elapsed      time.Duration
+	name            string
+	parent          *programRun
+	started         time.Time
+	created         chan struct{} // closed once the program was created, or could not be
+	done            chan struct{} // closed when no more calls will be made
+	id              identity.Program
+	results         []result // of each call
+	err             error    // of creating or ending the program
+	submitted       []submittedCall
+	duplicates      []duplicateResult // results of early and repeated submissions; see Program.Disorder
+	earlyRejections atomic.Int64
+	elapsed         time.Duration
 }
 
-// Run replays the trace and returns its verdict. The error is for what kept
-// it from running at all.
+// Run starts the deployment, replays the trace and checks all guarantees. A
+// violated guarantee is a finding of the verdict, not an error; an error means
+// that the deployment did not start or that a fault could not be injected.
 func Run(ctx context.Context, trace Trace, options Options) (*Verdict, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -75,81 +76,83 @@
 		return nil, err
 	}
 	defer running.Close()
-	r := &run{trace: trace, fleet: running, progress: options.Progress, striking: make(chan struct{}, 1)}
+	r := &run{trace: trace, fleet: running, progress: options.Progress, exclusive: make(chan struct{}, 1)}
 	if r.progress == nil {
 		r.progress = func(string, ...any) {}
 	}
 	r.progress("replay: %d daemons are ready.", len(running.Daemons))
-	r.observer = observe(ctx, running)
-	if err := r.play(ctx); err != nil {
+	r.observer = startObserver(ctx, running)
+	if err := r.runPrograms(ctx); err != nil {
 		return nil, err
 	}
-	r.takeBack()
-	r.progress("replay: programs are done, checking.")
-	return r.judge(ctx), nil
+	r.undoFaults()
+	r.progress("replay: all programs are done; checking guarantees.")
+	return r.buildVerdict(ctx), nil
 }
 
-// play runs all programs to their ends.
-func (r *run) play(ctx context.Context) error {
-	ctx, r.giveUp = context.WithCancel(ctx)
-	defer r.giveUp()
-	if err := r.faultsAt(ctx, Moment{Step: StepStart}, nil); err != nil {
+// runPrograms injects the faults of StepStart, then runs all programs
+// concurrently and waits for them.
+func (r *run) runPrograms(ctx context.Context) error {
+	ctx, r.cancelPrograms = context.WithCancel(ctx)
+	defer r.cancelPrograms()
+	if err := r.injectFaultsAt(ctx, Moment{Step: StepStart}, nil); err != nil {
 		return err
 	}
-	byName := map[string]*played{}
+	byName := map[string]*programRun{}
 	for _, program := range r.trace.Programs {
 		for copied := range max(1, program.Copies) {
-			r.addPlayed(program, copied, byName)
+			r.addProgram(program, copied, byName)
 		}
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	for number, one := range r.played {
-		group.Go(func() error { return r.playProgram(ctx, one, number) })
+	for number, p := range r.programs {
+		group.Go(func() error { return r.runProgram(ctx, p, number) })
 	}
 	err := group.Wait()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.stuck != "" {
-		return nil // a finding of the verdict
+	if r.timeoutReport != "" {
+		return nil // checkOutcomes reports it
 	}
 	return err
 }
 
-func (r *run) addPlayed(program Program, copied int, byName map[string]*played) {
-	one := &played{
+func (r *run) addProgram(program Program, copyIndex int, byName map[string]*programRun) {
+	p := &programRun{
 		Program: program,
-		name:    copyName(program, copied),
+		name:    copyName(program, copyIndex),
 		parent:  byName[program.Parent],
 		created: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
-	if copied == 0 {
-		byName[program.Name] = one
+	if copyIndex == 0 {
+		byName[program.Name] = p
 	}
-	r.played = append(r.played, one)
+	r.programs = append(r.programs, p)
 }
 
-// noAnswer ends the replay early: without an answer to one call nothing is
-// learned by the patience of the others' callers.
-func (r *run) noAnswer(one *played, sequence int) {
-	state := r.describe()
+// reportTimeout records that a call got no final outcome in time, and cancels all
+// programs so that the replay does not wait for further timeouts.
+func (r *run) reportTimeout(p *programRun, sequence int) {
+	state := r.describeFleet()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.stuck == "" {
-		r.stuck = fmt.Sprintf("%s call %d had no answer within %s:\n%s", one.name, sequence, r.trace.Bounds.Caller, state)
-		r.progress("replay: %s", r.stuck)
+	if r.timeoutReport == "" {
+		r.timeoutReport = fmt.Sprintf("%s call %d had no final outcome within %s:\n%s", p.name, sequence, r.trace.Bounds.Caller, state)
+		r.progress("replay: %s", r.timeoutReport)
 	}
-	r.giveUp()
+	r.cancelPrograms()
 }
 
-// takeBack ends all faults that last, and waits for those under way.
-func (r *run) takeBack() {
+// undoFaults undoes the faults that have no duration, and waits until all others
+// are undone.
+func (r *run) undoFaults() {
 	r.mutex.Lock()
-	lasting := r.lasting
-	r.lasting = nil
+	lasting := r.undoAtEnd
+	r.undoAtEnd = nil
 	r.mutex.Unlock()
 	for _, undo := range lasting {
 		undo()
 	}
-	r.undo.Wait()
+	r.undos.Wait()
 }
--- a/internal/lab/replay/settle.go
+++ b/internal/lab/replay/settle.go
@@ -6,20 +6,21 @@
 )
 
 const (
-	quietTime     = 3 * time.Second // without a new record, after which all is believed to be over
+	quietPeriod   = 3 * time.Second // time without new records after which back ends count as idle
 	settleTimeout = 30 * time.Second
 )
 
-// settled collects the records once back ends have had nothing new for a
-// while: a daemon that woke late must not escape the checks.
-func (e *evidence) settledRecords(ctx context.Context) records {
+// awaitQuietRecords returns the records once back ends have recorded nothing new
+// for quietPeriod, at the latest after settleTimeout. This includes requests of a
+// daemon that resumes late.
+func (e *evidence) awaitQuietRecords(ctx context.Context) records {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
-	latest := collect(e.fleet)
+	latest := collectRecords(e.fleet)
 	quietSince := time.Now()
-	for time.Since(quietSince) < quietTime && pause(ctx, retryPause) {
-		found := collect(e.fleet)
-		if found.activity() != latest.activity() {
+	for time.Since(quietSince) < quietPeriod && sleep(ctx, retryInterval) {
+		found := collectRecords(e.fleet)
+		if found.countActivity() != latest.countActivity() {
 			quietSince = time.Now()
 		}
 		latest = found
@@ -27,13 +28,14 @@
 	return latest
 }
 
-// activity grows with all that back ends do.
-func (r *records) activity() int64 {
+// countActivity returns a number that grows with each arrival, execution and
+// generated token.
+func (r *records) countActivity() int64 {
 	total := int64(len(r.arrivals))
 	for _, count := range r.executions {
 		total += int64(count)
 	}
-	for _, tokens := range r.generated {
+	for _, tokens := range r.generatedTokens {
 		total += tokens
 	}
 	return total
--- a/internal/lab/replay/submission.go
+++ b/internal/lab/replay/submission.go
@@ -18,33 +18,33 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// The outcomes of a call that has no state in the log.
+// Outcomes that the log does not know.
 const (
-	outcomeRejected program.CallState = "rejected"        // for good, e.g. the program has ended
-	outcomeNone     program.CallState = "no-final-answer" // patience ended
+	outcomeRejected program.CallState = "rejected"        // not in the log, and a retry would fail too, for example because the program has ended
+	outcomeNone     program.CallState = "no-final-answer" // the final outcome could not be determined
 )
 
-// result is what a caller learned of its call.
+// result is the outcome of a call as its caller observed it.
 type result struct {
-	state   program.CallState
-	kind    problem.Kind // of a problem
-	retry   int64        // seconds after which to come back
-	answer  *callerapi.Answer
-	err     error
-	began   time.Time // of the submission
-	elapsed int64     // milliseconds, as the caller saw it
+	state             program.CallState
+	problemKind       problem.Kind // of the problem that ended the call; empty: none
+	retryAfterSeconds int64        // retry delay that the problem asks for
+	answer            *callerapi.Answer
+	err               error
+	startedAt         time.Time // time of the first submission
+	elapsedMS         int64     // from startedAt to the result
 }
 
-// streamCounts count what streams did wrong, over a whole replay.
+// streamCounts counts the streams of a replay, and their faults.
 type streamCounts struct {
-	opened  atomic.Int64
-	cut     atomic.Int64 // connections lost before the end
-	silent  atomic.Int64 // ended cleanly without a terminal event
-	failed  atomic.Int64 // ended with an error after a part of the answer
-	differs atomic.Int64 // the pieces are not the answer
+	opened     atomic.Int64
+	incomplete atomic.Int64 // without a terminal event
+	silentEnds atomic.Int64 // of the incomplete ones, those whose connection was closed without an error
+	failed     atomic.Int64 // ended with an error event
+	mismatches atomic.Int64 // pieces at a wrong offset, and answers that differ from their pieces
 }
 
-// submission is one call on its way to a final outcome.
+// submission submits one call until its final outcome is known.
 type submission struct {
 	caller   *caller
 	streams  *streamCounts
@@ -53,37 +53,38 @@
 	body     callerapi.CallRequest
 }
 
-// finish submits the call, again and again at other daemons, until its final
-// outcome is known.
+// finish submits the call to the daemons in turn until its final outcome is known
+// or ctx is done.
 func (s *submission) finish(ctx context.Context) result {
 	for {
 		reply, err := s.attempt(ctx)
 		if err == nil && reply.Answer != nil {
 			return result{state: program.CallAnswered, answer: reply.Answer}
 		}
-		if found := s.settled(ctx, err); found != nil {
+		if found := s.finalOutcome(ctx, err); found != nil {
 			return *found
 		}
-		if !pause(ctx, pauseAfter(err)) {
+		if !sleep(ctx, retryDelay(err)) {
 			return result{state: outcomeNone, err: err}
 		}
 	}
 }
 
-// settled tells whether the error is the call's final outcome, by the log.
-func (s *submission) settled(ctx context.Context, err error) *result {
-	var told *rejection
-	if !eris.As(err, &told) {
+// finalOutcome looks the call up in the log after an error, and returns its result
+// if the error is its final outcome, else nil.
+func (s *submission) finalOutcome(ctx context.Context, err error) *result {
+	var problemErr *problemError
+	if !eris.As(err, &problemErr) {
 		return nil
 	}
-	state, lookup := s.caller.state(ctx, s.program, s.sequence)
+	state, lookupErr := s.caller.state(ctx, s.program, s.sequence)
 	switch {
-	case lookup != nil || state == program.CallAnswered:
+	case lookupErr != nil || state == program.CallAnswered:
 		return nil
-	case final(state):
-		return &result{state: state, kind: told.document.Title, retry: told.document.RetryAfterSeconds, err: err}
-	case state == "" && !passing(err):
-		return &result{state: outcomeRejected, kind: told.document.Title, err: err}
+	case isFinal(state):
+		return &result{state: state, problemKind: problemErr.document.Title, retryAfterSeconds: problemErr.document.RetryAfterSeconds, err: err}
+	case state == "" && !isRetryable(err):
+		return &result{state: outcomeRejected, problemKind: problemErr.document.Title, err: err}
 	default:
 		return nil
 	}
@@ -92,7 +93,7 @@
 func (s *submission) attempt(ctx context.Context) (callerapi.CallReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	response, err := s.caller.open(ctx, s.caller.daemon(), http.MethodPost, callPath(s.program, s.sequence), s.body)
+	response, err := s.caller.send(ctx, s.caller.nextDaemon(), http.MethodPost, callPath(s.program, s.sequence), s.body)
 	if err != nil {
 		return callerapi.CallReply{}, err
 	}
@@ -105,7 +106,7 @@
 	return reply, eris.Wrap(err, "decode reply")
 }
 
-// readStream reads events until the terminal one.
+// readStream reads events up to the terminal one, "answer" or "error".
 func (s *submission) readStream(body io.Reader) (callerapi.CallReply, error) {
 	s.streams.opened.Add(1)
 	var reply callerapi.CallReply
@@ -129,66 +130,68 @@
 				return reply, eris.Wrap(err, "decode piece")
 			}
 			if piece.Offset != content.Len() {
-				s.streams.differs.Add(1)
+				s.streams.mismatches.Add(1)
 			}
 			content.WriteString(piece.Content)
 		case "answer":
 			err := json.Unmarshal([]byte(data), &reply)
 			if err == nil && reply.Answer.Content != content.String() {
-				s.streams.differs.Add(1)
+				s.streams.mismatches.Add(1)
 			}
 			return reply, eris.Wrap(err, "decode answer")
 		case "error":
-			told := &rejection{}
-			if err := json.Unmarshal([]byte(data), &told.document); err != nil {
+			problemErr := &problemError{}
+			if err := json.Unmarshal([]byte(data), &problemErr.document); err != nil {
 				return reply, eris.Wrap(err, "decode problem")
 			}
 			s.streams.failed.Add(1)
-			return reply, told
+			return reply, problemErr
 		}
 	}
 	if lines.Err() == nil {
-		s.streams.silent.Add(1)
+		s.streams.silentEnds.Add(1)
 	}
-	s.streams.cut.Add(1)
+	s.streams.incomplete.Add(1)
 	return reply, eris.New("stream ended without a terminal event")
 }
 
-// submitOnly hands the call in without waiting for its answer.
-func (s *submission) submitOnly(ctx context.Context) error {
+// submitAsync submits the call without waiting for its answer, and retries until
+// a daemon has accepted the call.
+func (s *submission) submitAsync(ctx context.Context) error {
 	for {
-		err := s.handIn(ctx)
-		if err == nil || !passing(err) {
+		err := s.attemptAsync(ctx)
+		if err == nil || !isRetryable(err) {
 			return err
 		}
-		if !pause(ctx, pauseAfter(err)) {
+		if !sleep(ctx, retryDelay(err)) {
 			return err
 		}
 	}
 }
 
-// unread lets the call come to its end while its caller does not listen.
-func (s *submission) unread(ctx context.Context) result {
-	if err := s.submitOnly(ctx); err != nil {
-		return result{state: outcomeNone, err: eris.Wrap(err, "submit without listening")}
+// submitUnread submits the call and waits for its final state without reading its
+// answer.
+func (s *submission) submitUnread(ctx context.Context) result {
+	if err := s.submitAsync(ctx); err != nil {
+		return result{state: outcomeNone, err: eris.Wrap(err, "submit without reading the answer")}
 	}
 	for {
 		state, err := s.caller.state(ctx, s.program, s.sequence)
-		if err == nil && final(state) {
+		if err == nil && isFinal(state) {
 			return result{state: state}
 		}
-		if !pause(ctx, momentPoll) {
-			return result{state: outcomeNone, err: eris.New("the call was not answered before patience ended")}
+		if !sleep(ctx, pollInterval) {
+			return result{state: outcomeNone, err: eris.New("the call had no final outcome in time")}
 		}
 	}
 }
 
-func (s *submission) handIn(ctx context.Context) error {
+func (s *submission) attemptAsync(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	body := s.body
 	body.Stream = false
-	response, err := s.caller.open(ctx, s.caller.daemon(), http.MethodPost, callPath(s.program, s.sequence), body, "respond-async")
+	response, err := s.caller.send(ctx, s.caller.nextDaemon(), http.MethodPost, callPath(s.program, s.sequence), body, "respond-async")
 	if err != nil {
 		return err
 	}
--- a/internal/lab/replay/trace.go
+++ b/internal/lab/replay/trace.go
@@ -1,6 +1,8 @@
-// Package replay runs recorded traces with real daemon processes: recorded
-// calls, faults at moments in logical order, and outcomes that are checked
-// from the stand-ins' own records.
+// Package replay runs traces against real daemon processes. A trace lists
+// programs with their calls, the faults to inject at given steps of those
+// calls, and the outcomes that are allowed. Stores, engines and services are
+// stand-ins that run in the same process. After the run, the package checks the
+// scheduler's guarantees from what callers received and what stand-ins recorded.
 package replay
 
 import (
@@ -16,50 +18,50 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// Trace is a recorded trace as it stands in a file.
+// Trace is a replay scenario, as read from a YAML file.
 type Trace struct {
 	Name        string           `yaml:"name"`
 	Description string           `yaml:"description,omitempty"`
 	Deployment  fleet.Deployment `yaml:"deployment"`
-	Arguments   []string         `yaml:"arguments,omitempty"` // further flags of every daemon
+	Arguments   []string         `yaml:"arguments,omitempty"` // additional command-line arguments of every daemon
 	Programs    []Program        `yaml:"programs"`
 	Faults      []Fault          `yaml:"faults,omitempty"`
 	Bounds      Bounds           `yaml:"bounds,omitempty"`
 }
 
-// Bounds are the times after which a promise must hold. Zero: the default.
+// Bounds are time limits of a replay and its checks. Zero means the default.
 type Bounds struct {
-	Memory        time.Duration `yaml:"memory,omitempty"`        // from the end of a program to the release of what engines hold for it
-	Configuration time.Duration `yaml:"configuration,omitempty"` // from acceptance to force everywhere
-	Leaving       time.Duration `yaml:"leaving,omitempty"`       // from a mark to the last new work
-	Caller        time.Duration `yaml:"caller,omitempty"`        // a caller's patience with one call
+	Memory        time.Duration `yaml:"memory,omitempty"`        // how long to wait, after all programs, for engines to release the memory of ended ones
+	Configuration time.Duration `yaml:"configuration,omitempty"` // from the acceptance of a revision until no daemon serves an earlier one
+	Leaving       time.Duration `yaml:"leaving,omitempty"`       // from marking a back end as leaving until it receives its last request
+	Caller        time.Duration `yaml:"caller,omitempty"`        // timeout of a call, and of creating or ending a program
 }
 
-// Program is one recorded program and its caller.
+// Program is a program of the trace and the behavior of its caller.
 type Program struct {
 	Name     string        `yaml:"name"`
 	Tenant   string        `yaml:"tenant"`
 	Class    string        `yaml:"class,omitempty"`
 	Parent   string        `yaml:"parent,omitempty"` // name of an earlier program
-	Budget   int64         `yaml:"budget,omitempty"`
+	Budget   int64         `yaml:"budget,omitempty"` // in tokens
 	Turns    uint64        `yaml:"max_turns,omitempty"`
-	Idle     time.Duration `yaml:"idle,omitempty"`
-	Start    time.Duration `yaml:"start,omitempty"`
-	Copies   int           `yaml:"copies,omitempty"`   // programs alike, at once; 1 by default
-	Abandon  bool          `yaml:"abandon,omitempty"`  // its caller never ends it
-	Disorder bool          `yaml:"disorder,omitempty"` // each call is also submitted before its turn, and once more after all
-	Ends     string        `yaml:"ends,omitempty"`     // the reason of its end; "caller" by default
-	Refused  problem.Kind  `yaml:"refused,omitempty"`  // the kind of problem with which its creation may be refused
+	Idle     time.Duration `yaml:"idle,omitempty"`     // idle timeout
+	Start    time.Duration `yaml:"start,omitempty"`    // delay before the program is created
+	Copies   int           `yaml:"copies,omitempty"`   // number of identical programs that run concurrently; 0 means 1
+	Abandon  bool          `yaml:"abandon,omitempty"`  // the caller does not end the program
+	Disorder bool          `yaml:"disorder,omitempty"` // also submit each call but the first before its turn, and all calls again at the end
+	Ends     string        `yaml:"ends,omitempty"`     // expected reason for the end of the program; empty: not checked
+	Refused  problem.Kind  `yaml:"refused,omitempty"`  // kind of problem with which its creation may be refused; empty: none
 	Calls    []Call        `yaml:"calls"`
 }
 
-// Call is one recorded call.
+// Call is a call to a model, a service or a tool.
 type Call struct {
 	Model         string        `yaml:"model,omitempty"`
 	Adapter       string        `yaml:"adapter,omitempty"`
-	Opening       string        `yaml:"opening,omitempty"` // a shared text that comes first, repeated Words times
-	Words         int           `yaml:"words,omitempty"`
-	Say           string        `yaml:"say,omitempty"`
+	Opening       string        `yaml:"opening,omitempty"` // system message, repeated Words times
+	Words         int           `yaml:"words,omitempty"`   // 0 means 1
+	Say           string        `yaml:"say,omitempty"`     // user message
 	MaxTokens     int64         `yaml:"max_tokens,omitempty"`
 	Service       string        `yaml:"service,omitempty"`
 	Tool          string        `yaml:"tool,omitempty"`
@@ -68,38 +70,38 @@
 	NotRepeatable bool          `yaml:"not_repeatable,omitempty"`
 	Stream        bool          `yaml:"stream,omitempty"`
 	Deadline      time.Duration `yaml:"deadline,omitempty"`
-	Pause         time.Duration `yaml:"pause,omitempty"`     // before the call
-	Repeat        int           `yaml:"repeat,omitempty"`    // turns alike, one after the other; 1 by default
-	Identical     bool          `yaml:"identical,omitempty"` // repeated without a number
-	Together      int           `yaml:"together,omitempty"`  // submissions of the same call at once, through several daemons
-	Outcomes      []string      `yaml:"outcomes,omitempty"`  // that are right; "answered" by default
-	// Interrupted are further outcomes that are right only for a call that was under way when a daemon was killed.
+	Pause         time.Duration `yaml:"pause,omitempty"`     // wait before the call, and before each repetition
+	Repeat        int           `yaml:"repeat,omitempty"`    // number of consecutive calls; 0 means 1
+	Identical     bool          `yaml:"identical,omitempty"` // do not number the text of repeated calls
+	Together      int           `yaml:"together,omitempty"`  // number of concurrent submissions of the same call; 0 means 1
+	Outcomes      []string      `yaml:"outcomes,omitempty"`  // allowed outcomes; empty means "answered"
+	// Interrupted lists outcomes that are also allowed if a daemon was killed while the call was in progress.
 	Interrupted []string `yaml:"interrupted,omitempty"`
 }
 
-// Step is a moment in a call's life.
+// Step is a point in the life of the replay, a program or a call.
 type Step string
 
-// The steps, in order.
+// The steps, in the order in which they are reached.
 const (
-	StepStart      Step = "start"      // of the replay
-	StepCreated    Step = "created"    // the program is created
-	StepAccepted   Step = "accepted"   // in the log, every back end refuses it
-	StepDispatched Step = "dispatched" // at the back end, nothing done yet
-	StepMidStream  Step = "mid-stream" // some of the answer is out
-	StepExecuted   Step = "executed"   // the back end is done, its answer not out
-	StepAnswered   Step = "answered"   // committed, not yet read by its caller
-	StepEnded      Step = "ended"      // the program is ended
+	StepStart      Step = "start"      // before the first program is created
+	StepCreated    Step = "created"    // the program was created
+	StepAccepted   Step = "accepted"   // the call is in the log, and a back end has refused to run it
+	StepDispatched Step = "dispatched" // a back end received the call and has not begun to run it
+	StepMidStream  Step = "mid-stream" // the engine has sent the first chunks of the answer
+	StepExecuted   Step = "executed"   // the back end has run the call and not yet sent the end of its answer
+	StepAnswered   Step = "answered"   // the outcome is committed, and the caller has not read it
+	StepEnded      Step = "ended"      // the program has ended, or its caller has abandoned it
 )
 
-var steps = []Step{
+var stepOrder = []Step{
 	StepStart, StepCreated, StepAccepted, StepDispatched, StepMidStream, StepExecuted, StepAnswered, StepEnded,
 }
 
-// Moment is when a fault comes.
+// Moment is the step at which a fault is injected.
 type Moment struct {
 	Program string `yaml:"program,omitempty"`
-	Call    int    `yaml:"call,omitempty"` // from 1
+	Call    int    `yaml:"call,omitempty"` // number of the call, from 1; 0 for a step outside calls
 	Step    Step   `yaml:"step"`
 }
 
@@ -109,40 +111,40 @@
 // The actions.
 const (
 	ActionKill    Action = "kill"    // SIGKILL to a daemon
-	ActionFreeze  Action = "freeze"  // SIGSTOP to a daemon, SIGCONT after For
-	ActionIsolate Action = "isolate" // cut a zone off for the time For
+	ActionFreeze  Action = "freeze"  // SIGSTOP to a daemon, then SIGCONT after For
+	ActionIsolate Action = "isolate" // disconnect a zone from the network for the time For
 	ActionStop    Action = "stop"    // SIGTERM to a daemon
-	ActionRules   Action = "rules"   // rules of stand-ins, taken away after For
-	ActionRace    Action = "race"    // operators change the configuration at once
-	ActionLeave   Action = "leave"   // a back end is listed as leaving
-	ActionDrain   Action = "drain"   // a back end is drained by an operator
+	ActionRules   Action = "rules"   // add fault rules to stand-ins, and remove them after For
+	ActionRace    Action = "race"    // several operators change the configuration concurrently
+	ActionLeave   Action = "leave"   // mark a back end as leaving in the machine list
+	ActionDrain   Action = "drain"   // drain a back end, as an operator would
 )
 
-// Fault is one failure at its moment.
+// Fault is a fault to inject, and the step at which to inject it.
 type Fault struct {
 	At        Moment         `yaml:"at"`
 	Do        Action         `yaml:"do"`
-	Daemon    string         `yaml:"daemon,omitempty"`     // "leader" of the program's shard, its "successor", "follower", "configuration-leader", or a name
-	Zone      string         `yaml:"zone,omitempty"`       // isolate: by default the daemon's
-	For       time.Duration  `yaml:"for,omitempty"`        // zero: to the end of the programs
-	Release   time.Duration  `yaml:"release,omitempty"`    // how long the call is held at its step after the fault
-	Overlap   bool           `yaml:"overlap,omitempty"`    // comes also while the fleet has not healed from another
-	IfReached bool           `yaml:"if_reached,omitempty"` // does not come if its call ends before the step; else that is an error
-	Restart   bool           `yaml:"restart,omitempty"`    // kill, stop: a new process starts on the machine after For
-	Of        string         `yaml:"of,omitempty"`         // rules, leave, drain: "store", "engines", or the name of a service or back end
+	Daemon    string         `yaml:"daemon,omitempty"`     // "leader", "successor" or "follower" of the program's shard, "operators", or the name of a daemon; empty: the leader, or at StepStart the first daemon of Zone
+	Zone      string         `yaml:"zone,omitempty"`       // isolate: the zone; empty: that of the daemon
+	For       time.Duration  `yaml:"for,omitempty"`        // how long the fault lasts; zero: until all programs have ended
+	Release   time.Duration  `yaml:"release,omitempty"`    // how long the call stays at its step after the fault was injected
+	Overlap   bool           `yaml:"overlap,omitempty"`    // inject the fault even if the fleet has not recovered from another
+	IfReached bool           `yaml:"if_reached,omitempty"` // skip the fault if its call ends before the step; without it, that is an error
+	Restart   bool           `yaml:"restart,omitempty"`    // kill, stop: start a new process on the machine after For
+	Of        string         `yaml:"of,omitempty"`         // rules: "store", "machines", "engines", or the name of a model, service, tool or back end; leave, drain: the name of a back end
 	Rules     []standin.Rule `yaml:"rules,omitempty"`
-	Count     int            `yaml:"count,omitempty"` // race: operators
+	Count     int            `yaml:"count,omitempty"` // race: number of operators, at least 2
 }
 
-// Defaults of the bounds.
+// Defaults of Bounds.
 const (
 	defaultMemoryBound        = 30 * time.Second
 	defaultConfigurationBound = 10 * time.Second
 	defaultLeavingBound       = 5 * time.Second
-	defaultPatience           = 60 * time.Second
+	defaultCallerTimeout      = 60 * time.Second
 )
 
-// Load reads a trace from a file; unknown fields are an error with the line.
+// Load reads a trace from a YAML file and validates it. Unknown fields are an error.
 func Load(path string) (Trace, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -151,21 +153,22 @@
 	return Parse(path, content)
 }
 
-// Parse reads a trace; the name is for errors.
+// Parse decodes a trace from YAML and validates it. Unknown fields are an error.
+// Errors contain the given name.
 func Parse(name string, content []byte) (Trace, error) {
 	var trace Trace
 	if err := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict()).Decode(&trace); err != nil {
 		return Trace{}, eris.Errorf("trace %s: %s", name, yaml.FormatError(err, false, true))
 	}
-	trace.Bounds.fill()
-	return trace, trace.check()
+	trace.Bounds.setDefaults()
+	return trace, trace.validate()
 }
 
-func (b *Bounds) fill() {
+func (b *Bounds) setDefaults() {
 	setDefault(&b.Memory, defaultMemoryBound)
 	setDefault(&b.Configuration, defaultConfigurationBound)
 	setDefault(&b.Leaving, defaultLeavingBound)
-	setDefault(&b.Caller, defaultPatience)
+	setDefault(&b.Caller, defaultCallerTimeout)
 }
 
 func setDefault(field *time.Duration, value time.Duration) {
@@ -174,19 +177,19 @@
 	}
 }
 
-// check refuses a trace that names what is not there.
-func (t *Trace) check() error {
+// validate returns an error if a parent or the call of a fault is not defined.
+func (t *Trace) validate() error {
 	names := map[string]int{}
 	for _, program := range t.Programs {
 		if _, found := names[program.Parent]; program.Parent != "" && !found {
-			return eris.Errorf("trace %s: parent %q of %q does not come before it", t.Name, program.Parent, program.Name)
+			return eris.Errorf("trace %s: parent %q of program %q is not defined before it", t.Name, program.Parent, program.Name)
 		}
 		names[program.Name] = len(program.Calls)
 	}
 	for _, fault := range t.Faults {
 		calls, found := names[fault.At.Program]
 		if fault.At.Step != StepStart && (!found || fault.At.Call > calls) {
-			return eris.Errorf("trace %s: a fault comes at call %d of %q, which is not there", t.Name, fault.At.Call, fault.At.Program)
+			return eris.Errorf("trace %s: a fault refers to call %d of %q, which is not defined", t.Name, fault.At.Call, fault.At.Program)
 		}
 	}
 	return nil
--- a/internal/lab/replay/verdict.go
+++ b/internal/lab/replay/verdict.go
@@ -10,34 +10,33 @@
 	"github.com/thymeloft/thymeloft/internal/callerapi"
 )
 
-// Point is one promise and what was found against it.
+// Point is the result of checking one guarantee.
 type Point struct {
 	Name     string
-	Findings []string // empty: it held
+	Findings []string // violations; empty: the guarantee held
 }
 
-// Verdict is what a replay came to. Its String depends on nothing but whether
-// each promise held and each outcome was right.
+// Verdict is the result of a replay.
 type Verdict struct {
 	Trace    string
 	Points   []Point
 	Programs []ProgramResult
-	Streams  int64 // opened by callers
+	Streams  int64 // number of streams that callers opened
 }
 
-// ProgramResult is what one program's caller saw, for the demo's table.
+// ProgramResult summarizes what the caller of one program observed.
 type ProgramResult struct {
 	Name         string
 	Tenant       string
 	Calls        int
-	Outcomes     map[string]int
-	Elapsed      time.Duration
+	Outcomes     map[string]int // number of calls by outcome
+	Elapsed      time.Duration  // from creating the program to the result of its last call
 	PromptTokens int64
 	CachedTokens int64
-	Engines      []string
+	Engines      []string // that answered, in order of first use
 }
 
-// Held says whether every promise held.
+// Held reports whether every guarantee held.
 func (v *Verdict) Held() bool {
 	for _, point := range v.Points {
 		if len(point.Findings) > 0 {
@@ -47,7 +46,8 @@
 	return true
 }
 
-// String gives one line for each promise.
+// String returns one line for each guarantee, which says whether it held. Replays
+// with the same violated guarantees have the same text.
 func (v *Verdict) String() string {
 	var text strings.Builder
 	for _, point := range v.Points {
@@ -60,7 +60,7 @@
 	return text.String()
 }
 
-// Findings gives all findings, one a line.
+// Findings returns all findings, one per line.
 func (v *Verdict) Findings() string {
 	var text strings.Builder
 	for _, point := range v.Points {
@@ -71,53 +71,53 @@
 	return text.String()
 }
 
-// evidence is what the checks look at.
+// evidence is the input of the checks.
 type evidence struct {
 	*run
-	histories map[*played]callerapi.History
+	histories map[*programRun]callerapi.History
 	records   records
 }
 
-// judge checks every promise from the stand-ins' own records.
-func (r *run) judge(ctx context.Context) *Verdict {
-	found := &evidence{run: r, histories: map[*played]callerapi.History{}}
+// buildVerdict runs all checks and summarizes the programs.
+func (r *run) buildVerdict(ctx context.Context) *Verdict {
+	e := &evidence{run: r, histories: map[*programRun]callerapi.History{}}
 	verdict := &Verdict{Trace: r.trace.Name, Streams: r.streams.opened.Load()}
 	add := func(name string, findings []string) {
 		sort.Strings(findings)
 		verdict.Points = append(verdict.Points, Point{Name: name, Findings: findings})
 	}
-	add("outcomes", found.outcomes())
-	add("histories", found.readHistories(ctx))
-	found.records = found.settledRecords(ctx)
-	add("order", found.order())
-	add("prompts", found.promptsSeen())
-	add("whole answers", found.answers())
-	add("budgets", found.budgets())
-	add("at most once", found.atMostOnce())
-	add("truthful refusals", found.refusals())
-	add("leaving back ends", found.leavingBackEnds())
-	add("planned stops", found.plannedStops())
-	add("configuration", found.configuration(ctx))
-	add("engine memory", found.memory(ctx))
-	for _, one := range r.played {
-		verdict.Programs = append(verdict.Programs, summary(one))
+	add("outcomes", e.checkOutcomes())
+	add("histories", e.readHistories(ctx))
+	e.records = e.awaitQuietRecords(ctx)
+	add("order", e.checkOrder())
+	add("prompts", e.checkPrompts())
+	add("whole answers", e.checkAnswers())
+	add("budgets", e.checkBudgets())
+	add("at most once", e.checkAtMostOnce())
+	add("truthful refusals", e.checkRefusals())
+	add("leaving back ends", e.checkLeavingBackEnds())
+	add("planned stops", e.checkPlannedStops())
+	add("configuration", e.checkConfiguration(ctx))
+	add("engine memory", e.awaitMemoryReleased(ctx))
+	for _, p := range r.programs {
+		verdict.Programs = append(verdict.Programs, summarize(p))
 	}
 	return verdict
 }
 
-func summary(one *played) ProgramResult {
-	result := ProgramResult{Name: one.name, Tenant: one.Tenant, Calls: len(one.results), Outcomes: map[string]int{}, Elapsed: one.elapsed}
+func summarize(p *programRun) ProgramResult {
+	result := ProgramResult{Name: p.name, Tenant: p.Tenant, Calls: len(p.results), Outcomes: map[string]int{}, Elapsed: p.elapsed}
 	engines := map[string]bool{}
-	for _, learned := range one.results {
-		result.Outcomes[string(learned.state)]++
-		if learned.answer == nil {
+	for _, res := range p.results {
+		result.Outcomes[string(res.state)]++
+		if res.answer == nil {
 			continue
 		}
-		result.PromptTokens += learned.answer.PromptTokens
-		result.CachedTokens += learned.answer.CachedTokens
-		if learned.answer.Engine != "" && !engines[learned.answer.Engine] {
-			engines[learned.answer.Engine] = true
-			result.Engines = append(result.Engines, learned.answer.Engine)
+		result.PromptTokens += res.answer.PromptTokens
+		result.CachedTokens += res.answer.CachedTokens
+		if res.answer.Engine != "" && !engines[res.answer.Engine] {
+			engines[res.answer.Engine] = true
+			result.Engines = append(result.Engines, res.answer.Engine)
 		}
 	}
 	return result
--- a/internal/lab/replay/whole.go
+++ b/internal/lab/replay/whole.go
@@ -14,64 +14,67 @@
 )
 
 const (
-	wholeTimeout    = 45 * time.Second // how long the fleet may take to heal between two faults
-	describeTimeout = 5 * time.Second
+	healTimeout     = 45 * time.Second // how long a fault waits for the fleet to recover from earlier ones
+	describeTimeout = 5 * time.Second  // for all status requests of describeFleet
 )
 
-// statuses are what the daemons that run know, by machine.
+// statuses holds the status that each running daemon reported, by machine.
 type statuses map[string]*operatorv1.GetStatusResponse
 
-// awaitWhole waits until the fleet has healed from former faults, so that
-// faults of one trace come one after the other, whatever the machine's speed.
-func (r *run) awaitWhole(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, wholeTimeout)
+// awaitHealthyFleet waits until the fleet is healthy, so that a fault does not
+// overlap with an earlier one, however slow the machine is.
+func (r *run) awaitHealthyFleet(ctx context.Context) error {
+	bounded, cancel := context.WithTimeout(ctx, healTimeout)
 	defer cancel()
 	for {
-		err := r.whole(bounded)
+		err := r.checkHealthy(bounded)
 		if err == nil {
 			return nil
 		}
-		if !pause(bounded, retryPause) {
-			return eris.Wrapf(err, "the fleet did not heal before the next fault\n%s", r.describe())
+		if !sleep(bounded, retryInterval) {
+			return eris.Wrapf(err, "the fleet did not heal before the next fault\n%s", r.describeFleet())
 		}
 	}
 }
 
-// oneByOne runs what brings about the faults. One that needs a whole fleet
-// has it to itself from the wait to the strike: else two programs could find
-// the fleet whole at once, and take two replicas of one group away.
-func (r *run) oneByOne(ctx context.Context, faults []Fault, strike func() error) error {
-	if !slices.ContainsFunc(faults, Fault.needsWhole) {
-		return strike()
+// runExclusively runs inject, which injects the faults. If one of them needs a
+// healthy fleet, it first waits for that, and excludes other such faults until
+// inject returns: otherwise two programs could find the fleet healthy at the same
+// time, and together make two replicas of a group unavailable.
+func (r *run) runExclusively(ctx context.Context, faults []Fault, inject func() error) error {
+	if !slices.ContainsFunc(faults, Fault.needsHealthyFleet) {
+		return inject()
 	}
-	done, err := r.turn(ctx)
+	release, err := r.acquireExclusive(ctx)
 	if err != nil {
 		return err
 	}
-	defer done()
-	if err := r.awaitWhole(ctx); err != nil {
+	defer release()
+	if err := r.awaitHealthyFleet(ctx); err != nil {
 		return err
 	}
-	return strike()
+	return inject()
 }
 
-// turn waits until no other fault that needs a whole fleet is under way.
-func (r *run) turn(ctx context.Context) (done func(), err error) {
+// acquireExclusive waits until runExclusively injects no other fault that needs a
+// healthy fleet. The caller must call release after the injection.
+func (r *run) acquireExclusive(ctx context.Context) (release func(), err error) {
 	select {
-	case r.striking <- struct{}{}:
-		return func() { <-r.striking }, nil
+	case r.exclusive <- struct{}{}:
+		return func() { <-r.exclusive }, nil
 	case <-ctx.Done():
-		return nil, eris.Wrap(context.Cause(ctx), "wait for the turn of a fault")
+		return nil, eris.Wrap(context.Cause(ctx), "wait until other faults are injected")
 	}
 }
 
-// whole says what is missing: each daemon that runs sees the present process
-// of each other alive and none of the former ones, and each shard has a
-// present leader.
-func (r *run) whole(ctx context.Context) error {
+// checkHealthy returns nil if the fleet is healthy: no fault keeps a daemon away,
+// every running daemon has confirmed its configuration and sees exactly the running
+// processes alive, and every shard is led by one of them. Otherwise the error says
+// what is missing.
+func (r *run) checkHealthy(ctx context.Context) error {
 	all := statuses{}
 	for _, daemon := range r.fleet.Daemons {
-		if r.comesBack(daemon) {
+		if r.isAway(daemon) {
 			return eris.Errorf("%s is away", daemon.Name)
 		}
 		if !daemon.Alive() {
@@ -83,32 +86,32 @@
 		}
 		all[daemon.Name] = status
 	}
-	return all.whole(r.fleet.Deployment.Shards)
+	return all.checkHealthy(r.fleet.Deployment.Shards)
 }
 
-func (all statuses) whole(shards int) error {
+func (all statuses) checkHealthy(shards int) error {
 	for name, status := range all {
 		if !status.ConfigurationConfirmed {
 			return eris.Errorf("%s has not confirmed its configuration", name)
 		}
-		if err := all.membersAt(name, status); err != nil {
+		if err := all.checkMembers(name, status); err != nil {
 			return err
 		}
 		for _, group := range status.Groups {
-			if err := all.group(name, group); err != nil {
+			if err := all.checkGroup(name, group); err != nil {
 				return err
 			}
 		}
 	}
 	for shard := 1; shard <= shards; shard++ {
-		if !slices.ContainsFunc(all.list(), func(status *operatorv1.GetStatusResponse) bool { return holds(status, uint32(shard)) }) { //nolint:gosec // few shards
+		if !slices.ContainsFunc(all.values(), func(status *operatorv1.GetStatusResponse) bool { return hasShard(status, uint32(shard)) }) { //nolint:gosec // few shards
 			return eris.Errorf("no daemon knows shard %d", shard)
 		}
 	}
 	return nil
 }
 
-func (all statuses) list() []*operatorv1.GetStatusResponse {
+func (all statuses) values() []*operatorv1.GetStatusResponse {
 	var list []*operatorv1.GetStatusResponse
 	for _, status := range all {
 		list = append(list, status)
@@ -116,33 +119,34 @@
 	return list
 }
 
-// membersAt compares the members as seen at a daemon with the processes there are.
-func (all statuses) membersAt(name string, status *operatorv1.GetStatusResponse) error {
+// checkMembers checks that the members that a daemon sees alive are exactly the
+// current processes.
+func (all statuses) checkMembers(name string, status *operatorv1.GetStatusResponse) error {
 	alive := map[string]uint64{}
 	for _, member := range status.Members {
 		if member.State != operatorv1.MemberState_MEMBER_STATE_ALIVE {
 			continue
 		}
-		present, runs := all[member.Machine]
-		if !runs || present.Incarnation != member.Incarnation {
-			return eris.Errorf("%s sees %s/%d alive, which is gone", name, member.Machine, member.Incarnation)
+		current, isRunning := all[member.Machine]
+		if !isRunning || current.Incarnation != member.Incarnation {
+			return eris.Errorf("%s sees %s/%d alive, but that process has ended", name, member.Machine, member.Incarnation)
 		}
 		alive[member.Machine] = member.Incarnation
 	}
 	for machine := range all {
 		if alive[machine] == 0 {
-			return eris.Errorf("%s does not see the present process of %s alive", name, machine)
+			return eris.Errorf("%s does not see the current process of %s alive", name, machine)
 		}
 	}
 	return nil
 }
 
-// group checks one shard as seen at a daemon: a present process leads it, and
-// that process knows so too.
-func (all statuses) group(name string, group *operatorv1.Group) error {
+// checkGroup checks the group of one shard as one daemon sees it: its leader is a
+// current process, and that process also considers itself the leader.
+func (all statuses) checkGroup(name string, group *operatorv1.Group) error {
 	leader := all[group.Leader]
 	if !group.Normal || leader == nil || len(group.ReplicaIncarnations) != 1 || leader.Incarnation != group.ReplicaIncarnations[0] {
-		return eris.Errorf("%s sees shard %d led by %q %v", name, group.Shard, group.Leader, group.ReplicaIncarnations)
+		return eris.Errorf("%s sees shard %d without a current leader: leader %q, replica incarnations %v", name, group.Shard, group.Leader, group.ReplicaIncarnations)
 	}
 	if !slices.ContainsFunc(leader.Groups, func(own *operatorv1.Group) bool {
 		return own.Shard == group.Shard && own.Leader == group.Leader
@@ -152,17 +156,17 @@
 	return nil
 }
 
-func holds(status *operatorv1.GetStatusResponse, shard uint32) bool {
+func hasShard(status *operatorv1.GetStatusResponse, shard uint32) bool {
 	return slices.ContainsFunc(status.Groups, func(group *operatorv1.Group) bool { return group.Shard == shard })
 }
 
-// describe tells the state of the fleet for a message, one line for each daemon.
-func (r *run) describe() string {
+// describeFleet returns the state of the fleet for messages, one line per daemon.
+func (r *run) describeFleet() string {
 	ctx, cancel := context.WithTimeout(context.Background(), describeTimeout)
 	defer cancel()
 	var text strings.Builder
 	for _, daemon := range r.fleet.Daemons {
-		fmt.Fprintf(&text, "%s: alive %t, away %t", daemon.Name, daemon.Alive(), r.comesBack(daemon))
+		fmt.Fprintf(&text, "%s: alive %t, away %t", daemon.Name, daemon.Alive(), r.isAway(daemon))
 		status, err := r.fleet.Status(ctx, daemon)
 		if err != nil {
 			fmt.Fprintf(&text, ", status: %v\n", err)
@@ -180,9 +184,9 @@
 	return text.String()
 }
 
-// needsWhole says whether the fault takes a daemon or a zone away and may
-// not come on top of another.
-func (f Fault) needsWhole() bool {
+// needsHealthyFleet reports whether the fault makes daemons unavailable and must
+// not overlap with another such fault.
+func (f Fault) needsHealthyFleet() bool {
 	switch f.Do {
 	case ActionKill, ActionFreeze, ActionIsolate, ActionStop:
 		return !f.Overlap
@@ -191,22 +195,23 @@
 	}
 }
 
-// expectBack notes that a daemon is away and will be back.
-func (r *run) expectBack(daemon *fleet.Daemon, coming bool) {
+// setAway records that a fault makes the daemon unavailable for a time, or that such
+// a fault has ended.
+func (r *run) setAway(daemon *fleet.Daemon, away bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.returning == nil {
-		r.returning = map[*fleet.Daemon]int{}
+	if r.away == nil {
+		r.away = map[*fleet.Daemon]int{}
 	}
-	if coming {
-		r.returning[daemon]++
+	if away {
+		r.away[daemon]++
 		return
 	}
-	r.returning[daemon]--
+	r.away[daemon]--
 }
 
-func (r *run) comesBack(daemon *fleet.Daemon) bool {
+func (r *run) isAway(daemon *fleet.Daemon) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.returning[daemon] > 0
+	return r.away[daemon] > 0
 }
