--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -22,37 +22,38 @@
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	now := i.currently()
-	time.Sleep(now.delay)
-	if rand.Float64() < now.reject {
+	behavior := i.currentBehavior()
+	time.Sleep(behavior.delay)
+	if rand.Float64() < behavior.rejectShare {
 		writer.Header().Set("Not-Executed", "1")
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	i.owner.evidence.ran(id, run{service: i.service, engine: i.id, path: request.URL.Path, prompt: string(body), began: time.Now()})
-	if rand.Float64() < now.drop {
+	i.owner.evidence.recordExecution(id, execution{service: i.service, instance: i.id, path: request.URL.Path, prompt: string(body), began: time.Now()})
+	if rand.Float64() < behavior.dropShare {
 		panic(http.ErrAbortHandler)
 	}
 	writer.Header().Set("Server-Stamp", "stamp."+i.id)
 	if i.service == serviceModel {
-		i.stream(writer, request, id, now)
+		i.stream(writer, request, id, behavior)
 		return
 	}
-	answer := answerTo(kindUnsafe, id)
-	if rand.Float64() < now.cut {
+	answer := expectedAnswer(kindUnsafe, id)
+	if rand.Float64() < behavior.cutShare {
 		writer.Header().Set("Content-Length", fmt.Sprint(len(answer)))
 		_, _ = io.WriteString(writer, answer[:len(answer)/2])
 		panic(http.ErrAbortHandler)
 	}
-	if rand.Float64() < now.extra {
-		sayTwice(writer, id, i.id, answer)
+	if rand.Float64() < behavior.extraShare {
+		sendTwoAnswers(writer, id, i.id, answer)
 		return
 	}
 	_, _ = io.WriteString(writer, answer)
 }
 
-// sayTwice sends the answer and another one behind it, which belongs to nobody.
-func sayTwice(writer http.ResponseWriter, id, engine, answer string) {
+// sendTwoAnswers sends the answer and, on the same connection, a second answer that
+// belongs to no request.
+func sendTwoAnswers(writer http.ResponseWriter, id, engine, answer string) {
 	connection, buffer, err := http.NewResponseController(writer).Hijack()
 	if err != nil {
 		return
@@ -64,54 +65,56 @@
 	time.AfterFunc(time.Second, func() { _ = connection.Close() })
 }
 
-const timePerItem = 4 * time.Millisecond
+// eventInterval is the time between two events of a stream.
+const eventInterval = 4 * time.Millisecond
 
-func (i *instance) stream(writer http.ResponseWriter, request *http.Request, id string, now conduct) {
+func (i *instance) stream(writer http.ResponseWriter, request *http.Request, id string, behavior instanceBehavior) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
-	cut := rand.Float64() < now.cut
-	for number, item := range itemsOf(id) {
+	cut := rand.Float64() < behavior.cutShare
+	for number, event := range eventsOf(id) {
 		select {
 		case <-request.Context().Done():
 			panic(http.ErrAbortHandler)
-		case <-time.After(timePerItem):
+		case <-time.After(eventInterval):
 		}
 		if cut && number > 0 {
 			_, _ = io.WriteString(writer, "id: 9\nda")
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number+1, item)
+		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number+1, event)
 		_ = controller.Flush()
 	}
 }
 
-// itemsOf are the data of the events of a turn: they name the request.
-func itemsOf(id string) []string {
-	const fewest, spread = 2, 5
+// eventsOf returns the data of the events that answer the turn with this request
+// identifier. The data contains the identifier.
+func eventsOf(id string) []string {
+	const minEvents, eventSpread = 2, 5
 	digest := fnv.New32a()
 	_, _ = io.WriteString(digest, id)
-	var items []string
-	for number := range fewest + int(digest.Sum32()%spread) {
-		items = append(items, fmt.Sprintf("%s.%d", id, number))
+	var events []string
+	for number := range minEvents + int(digest.Sum32()%eventSpread) {
+		events = append(events, fmt.Sprintf("%s.%d", id, number))
 	}
-	return items
+	return events
 }
 
-// mostItems is the most that a turn generates.
-const mostItems = 6
+// maxEvents is the maximum number of events that answer a turn.
+const maxEvents = 6
 
-// answerTo is the right answer: a stream's data with a line feed behind each,
-// or a text.
-func answerTo(of kind, id string) string {
-	if of == kindRecorded || of == kindPlain {
-		return strings.Join(itemsOf(id), "\n") + "\n"
+// expectedAnswer returns the correct answer to a request: for turns, the data of all
+// events with a line feed after each; for others, a text.
+func expectedAnswer(kind requestKind, id string) string {
+	if kind == kindRecorded || kind == kindPlain {
+		return strings.Join(eventsOf(id), "\n") + "\n"
 	}
 	return "done " + id
 }
 
-func pathOf(of kind) string {
-	switch of {
+func pathOf(kind requestKind) string {
+	switch kind {
 	case kindRecorded:
 		return pathRecorded
 	case kindPlain:
@@ -125,8 +128,8 @@
 	}
 }
 
-func servicesOf(of kind) []string {
-	switch of {
+func servicesOf(kind requestKind) []string {
+	switch kind {
 	case kindRecorded, kindPlain:
 		return []string{serviceModel}
 	case kindMoving:
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -13,103 +13,104 @@
 	"time"
 )
 
-// caller plays programs, one after the other.
+// caller runs programs one after the other.
 type caller struct {
-	world    *world
-	name     string
-	random   *rand.Rand
-	mutex    sync.Mutex // of random, which sub-agents share
-	clients  []*http.Client
-	requests int
-	programs int
-	earlier  []*attempt // turns answered whole, to go on from later
+	run       *soakRun
+	name      string
+	random    *rand.Rand
+	mutex     sync.Mutex // protects random, requests and keptTurns, which sub-agents share
+	clients   []*http.Client
+	requests  int
+	programs  int
+	keptTurns []*attempt // completely answered turns that later programs may continue
 }
 
-func newCaller(played *world, number int, random *rand.Rand) *caller {
-	made := &caller{world: played, name: fmt.Sprintf("c%d", number), random: random}
-	for range played.gateways {
+func newCaller(r *soakRun, number int, random *rand.Rand) *caller {
+	c := &caller{run: r, name: fmt.Sprintf("c%d", number), random: random}
+	for range r.gateways {
 		transport := &http.Transport{DisableKeepAlives: number%2 == 1, DisableCompression: true}
-		made.clients = append(made.clients, &http.Client{Transport: transport})
+		c.clients = append(c.clients, &http.Client{Transport: transport})
 	}
-	return made
+	return c
 }
 
-// play goes on until the context ends; what is under way ends by itself.
-func (c *caller) play(ctx context.Context) {
+// runPrograms runs programs until ctx is done. Requests that are in progress then end
+// by themselves.
+func (c *caller) runPrograms(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.program(ctx)
-		c.pause(ctx, c.drawn(20))
+		c.runProgram(ctx)
+		c.sleep(ctx, c.drawInt(20))
 	}
 }
 
-func (c *caller) drawn(below int) int {
+func (c *caller) drawInt(limit int) int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.random.IntN(below)
+	return c.random.IntN(limit)
 }
 
-func (c *caller) pause(ctx context.Context, milliseconds int) {
+func (c *caller) sleep(ctx context.Context, durationMS int) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Duration(milliseconds) * time.Millisecond):
+	case <-time.After(time.Duration(durationMS) * time.Millisecond):
 	}
 }
 
-// line is one line of turns of a program.
-type line struct {
+// conversation is a sequence of turns of one program.
+type conversation struct {
 	program string
 	budget  int64
-	kind    kind
-	last    *attempt // answered whole
-	history string   // what an engine has heard and said in this line
+	kind    requestKind
+	last    *attempt // the last completely answered turn; nil: none
+	history string   // prompts and answers of all turns so far
 }
 
 const (
-	mostTurns    = 6
-	mostPerTurn  = mostItems * tokensPerItem
-	keptEarlier  = 30
-	earlierShare = 4 // one program in so many goes on from a turn of another
-	forkShare    = 3
-	loopShare    = 6
+	maxTurns         = 6
+	maxTokensPerTurn = maxEvents * tokensPerEvent
+	maxKeptTurns     = 30
+	continueOneIn    = 4 // one in this number of programs continues a turn of another program
+	forkOneIn        = 3 // one in this number of turns starts sub-agents
+	loopOneIn        = 6 // one in this number of programs makes turns until its budget is used up
 )
 
-// program plays one: turns, calls of tools, sub-agents, sometimes a loop that
-// its budget has to end, sometimes one that goes on from an earlier one.
-func (c *caller) program(ctx context.Context) {
+// runProgram runs one program: turns, calls to services and sub-agents. Some programs
+// continue an earlier one, and some loop until their budget is used up.
+func (c *caller) runProgram(ctx context.Context) {
 	c.programs++
-	current := &line{program: fmt.Sprintf("%s-p%d", c.name, c.programs), kind: kindPlain}
-	current.budget = int64(mostPerTurn * (2 + c.drawn(30)))
-	if c.drawn(2) == 0 {
-		current.kind = kindRecorded
+	conv := &conversation{program: fmt.Sprintf("%s-p%d", c.name, c.programs), kind: kindPlain}
+	conv.budget = int64(maxTokensPerTurn * (2 + c.drawInt(30)))
+	if c.drawInt(2) == 0 {
+		conv.kind = kindRecorded
 	}
-	if earlier := c.earlierTurn(); earlier != nil && c.drawn(earlierShare) == 0 {
-		current.kind, current.last = kindRecorded, earlier
-		current.history = earlier.prompt + earlier.content
+	if kept := c.pickKeptTurn(); kept != nil && c.drawInt(continueOneIn) == 0 {
+		conv.kind, conv.last = kindRecorded, kept
+		conv.history = kept.prompt + kept.content
 	}
-	turns := 1 + c.drawn(mostTurns)
-	if c.drawn(loopShare) == 0 {
+	turns := 1 + c.drawInt(maxTurns)
+	if c.drawInt(loopOneIn) == 0 {
 		const beyondAnyBudget = 40
 		turns = beyondAnyBudget
 	}
 	for number := 0; number < turns && ctx.Err() == nil; number++ {
-		if !c.turn(ctx, current) {
+		if !c.sendTurn(ctx, conv) {
 			return
 		}
-		c.tools(ctx)
-		if c.drawn(forkShare) == 0 {
-			c.fork(ctx, *current)
+		c.callServices(ctx)
+		if c.drawInt(forkOneIn) == 0 {
+			c.runSubAgents(ctx, *conv)
 		}
 	}
 }
 
-// fork lets sub-agents go on from where the line stands, side by side.
-func (c *caller) fork(ctx context.Context, from line) {
+// runSubAgents runs sub-agents concurrently, which all continue the conversation.
+func (c *caller) runSubAgents(ctx context.Context, parent conversation) {
 	var agents sync.WaitGroup
-	for range 2 + c.drawn(2) {
+	for range 2 + c.drawInt(2) {
 		agents.Go(func() {
-			own := from
+			own := parent
 			for range 2 {
-				if !c.turn(ctx, &own) {
+				if !c.sendTurn(ctx, &own) {
 					return
 				}
 			}
@@ -118,143 +119,147 @@
 	agents.Wait()
 }
 
-// earlierTurn draws a turn of another program that is not too old.
-func (c *caller) earlierTurn() *attempt {
-	const longestKept = 40 * time.Second
+// pickKeptTurn returns a random turn of an earlier program that is not too old, or nil
+// if there is none.
+func (c *caller) pickKeptTurn() *attempt {
+	const maxKeptAge = 40 * time.Second
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for len(c.earlier) > 0 && time.Since(c.earlier[0].ended) > longestKept {
-		c.earlier = c.earlier[1:]
+	for len(c.keptTurns) > 0 && time.Since(c.keptTurns[0].ended) > maxKeptAge {
+		c.keptTurns = c.keptTurns[1:]
 	}
-	if len(c.earlier) == 0 {
+	if len(c.keptTurns) == 0 {
 		return nil
 	}
-	return c.earlier[c.random.IntN(len(c.earlier))]
+	return c.keptTurns[c.random.IntN(len(c.keptTurns))]
 }
 
-const mostTries = 4
+const maxAttempts = 4 // of one turn
 
-// turn sends the next turn of the line until it is answered whole.
-func (c *caller) turn(ctx context.Context, of *line) bool {
-	input := fmt.Sprintf("[input %d of %s]", c.drawn(1<<20), of.program)
-	for range mostTries {
-		one := c.attempt(of.kind)
-		one.program, one.budget, one.most, one.input = of.program, of.budget, mostPerTurn, input
-		one.prompt = of.history + input
-		if of.kind == kindRecorded && of.last != nil {
-			one.previous = of.last.id
+// sendTurn sends the next turn of the conversation until it is completely answered. It
+// returns false if it gives up: after maxAttempts, if the budget is used up or the
+// previous turn is unknown, or if ctx is done.
+func (c *caller) sendTurn(ctx context.Context, conv *conversation) bool {
+	input := fmt.Sprintf("[input %d of %s]", c.drawInt(1<<20), conv.program)
+	for range maxAttempts {
+		a := c.newAttempt(conv.kind)
+		a.program, a.budget, a.maxTokens, a.input = conv.program, conv.budget, maxTokensPerTurn, input
+		a.prompt = conv.history + input
+		if conv.kind == kindRecorded && conv.last != nil {
+			a.previous = conv.last.id
 		}
-		c.send(one)
+		c.send(a)
 		switch {
-		case one.status == http.StatusOK && one.complete:
-			of.last, of.history = one, one.prompt+one.content
-			c.remember(one)
+		case a.status == http.StatusOK && a.complete:
+			conv.last, conv.history = a, a.prompt+a.content
+			c.keepTurn(a)
 			return true
-		case one.status == http.StatusPaymentRequired || one.status == http.StatusNotFound || ctx.Err() != nil:
+		case a.status == http.StatusPaymentRequired || a.status == http.StatusNotFound || ctx.Err() != nil:
 			return false
 		}
-		c.pause(ctx, int(one.after.Milliseconds())+c.drawn(100))
+		c.sleep(ctx, int(a.retryAfter.Milliseconds())+c.drawInt(100))
 	}
 	return false
 }
 
-func (c *caller) remember(one *attempt) {
-	if one.kind != kindRecorded {
+func (c *caller) keepTurn(a *attempt) {
+	if a.kind != kindRecorded {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.earlier = append(c.earlier, one)
-	c.earlier = c.earlier[max(0, len(c.earlier)-keptEarlier):]
+	c.keptTurns = append(c.keptTurns, a)
+	c.keptTurns = c.keptTurns[max(0, len(c.keptTurns)-maxKeptTurns):]
 }
 
-// tools calls services, as programs do between turns.
-func (c *caller) tools(ctx context.Context) {
-	kinds := []kind{kindSafe, kindUnsafe, kindMoving}
-	for range c.drawn(3) {
-		one := c.attempt(kinds[c.drawn(len(kinds))])
-		one.input = fmt.Sprintf("payload %d", c.drawn(1<<20))
-		one.prompt = one.input
-		c.send(one)
+// callServices sends up to two requests to services, of random kinds.
+func (c *caller) callServices(ctx context.Context) {
+	kinds := []requestKind{kindSafe, kindUnsafe, kindMoving}
+	for range c.drawInt(3) {
+		a := c.newAttempt(kinds[c.drawInt(len(kinds))])
+		a.input = fmt.Sprintf("payload %d", c.drawInt(1<<20))
+		a.prompt = a.input
+		c.send(a)
 		if ctx.Err() != nil {
 			return
 		}
 	}
 }
 
-// probe demands one answer of each kind of one gateway.
+// probe sends requests of each kind to one gateway until one is answered completely,
+// and reports a finding for each kind without an answer in time.
 func (c *caller) probe(ctx context.Context, number int) {
-	const patience = 20 * time.Second
-	for _, of := range []kind{kindRecorded, kindPlain, kindSafe, kindUnsafe, kindMoving} {
+	const timeout = 20 * time.Second
+	for _, kind := range []requestKind{kindRecorded, kindPlain, kindSafe, kindUnsafe, kindMoving} {
 		served := false
-		for deadline := time.Now().Add(patience); !served && time.Now().Before(deadline) && ctx.Err() == nil; {
-			one := c.attempt(of)
-			one.gateway, one.input, one.prompt = number, "probe", "probe"
-			if of == kindRecorded || of == kindPlain {
-				one.program, one.budget, one.most = one.id, 10*mostPerTurn, mostPerTurn
+		for deadline := time.Now().Add(timeout); !served && time.Now().Before(deadline) && ctx.Err() == nil; {
+			a := c.newAttempt(kind)
+			a.gateway, a.input, a.prompt = number, "probe", "probe"
+			if kind == kindRecorded || kind == kindPlain {
+				a.program, a.budget, a.maxTokens = a.id, 10*maxTokensPerTurn, maxTokensPerTurn
 			}
-			c.send(one)
-			served = one.status == http.StatusOK && one.complete
+			c.send(a)
+			served = a.status == http.StatusOK && a.complete
 			if !served {
-				c.pause(ctx, 50)
+				c.sleep(ctx, 50)
 			}
 		}
 		if !served {
-			c.world.evidence.find("recovery: gateway %d serves no %s request", number, of)
+			c.run.evidence.addFinding("recovery: gateway %d serves no %s request", number, kind)
 		}
 	}
 }
 
-func (c *caller) attempt(of kind) *attempt {
+func (c *caller) newAttempt(k requestKind) *attempt {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.requests++
-	return &attempt{id: fmt.Sprintf("%s-r%d", c.name, c.requests), kind: of, gateway: c.random.IntN(len(c.world.gateways))}
+	return &attempt{id: fmt.Sprintf("%s-r%d", c.name, c.requests), kind: k, gateway: c.random.IntN(len(c.run.gateways))}
 }
 
-// send makes one request and notes what came of it.
-func (c *caller) send(one *attempt) {
-	one.sent = time.Now()
+// send sends one request and records the attempt.
+func (c *caller) send(a *attempt) {
+	a.sent = time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), routeTimeout)
 	defer cancel()
-	one.err = c.exchange(ctx, one)
-	one.ended = time.Now()
-	c.world.evidence.attempted(one)
+	a.err = c.exchange(ctx, a)
+	a.ended = time.Now()
+	c.run.evidence.recordAttempt(a)
 }
 
-func (c *caller) exchange(ctx context.Context, one *attempt) error {
-	gateway := c.world.gateways[one.gateway]
-	method, body := http.MethodPost, io.Reader(strings.NewReader(one.input))
-	if one.kind == kindRecorded && one.previous == "" {
-		body = strings.NewReader(one.prompt)
+func (c *caller) exchange(ctx context.Context, a *attempt) error {
+	gateway := c.run.gateways[a.gateway]
+	method, body := http.MethodPost, io.Reader(strings.NewReader(a.input))
+	if a.kind == kindRecorded && a.previous == "" {
+		body = strings.NewReader(a.prompt)
 	}
-	if one.kind == kindPlain {
-		body = strings.NewReader(one.prompt)
+	if a.kind == kindPlain {
+		body = strings.NewReader(a.prompt)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+gateway.callers.Address()+pathOf(one.kind), body)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+gateway.fromCallers.Address()+pathOf(a.kind), body)
 	if err != nil {
 		return err
 	}
 	request.Host = host
-	one.headers(request.Header)
-	response, err := c.clients[one.gateway].Do(request)
+	a.setHeaders(request.Header)
+	response, err := c.clients[a.gateway].Do(request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
-	one.status = response.StatusCode
-	one.signed = response.Header.Get("Server-Stamp") != ""
+	a.status = response.StatusCode
+	a.hasStamp = response.Header.Get("Server-Stamp") != ""
 	seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-	one.after = time.Duration(seconds * float64(time.Second))
-	if one.kind == kindRecorded || one.kind == kindPlain {
-		return one.readStream(response.Body)
+	a.retryAfter = time.Duration(seconds * float64(time.Second))
+	if a.kind == kindRecorded || a.kind == kindPlain {
+		return a.readStream(response.Body)
 	}
 	content, err := io.ReadAll(response.Body)
-	one.content, one.complete = string(content), err == nil
+	a.content, a.complete = string(content), err == nil
 	return err
 }
 
-func (a *attempt) headers(header http.Header) {
+func (a *attempt) setHeaders(header http.Header) {
 	header.Set("Request-Id", a.id)
 	header.Set("Deadline-Ms", strconv.FormatInt(routeTimeout.Milliseconds(), 10))
 	key := keyUnlimited
@@ -267,24 +272,24 @@
 	}
 	header.Set("Program-Id", a.program)
 	header.Set("Token-Budget", strconv.FormatInt(a.budget, 10))
-	header.Set("Token-Usage", fmt.Sprintf("%d,%d", len(a.prompt), a.most))
+	header.Set("Token-Usage", fmt.Sprintf("%d,%d", len(a.prompt), a.maxTokens))
 	if a.previous != "" {
 		header.Set("Previous-Turn", a.previous)
 	}
 }
 
-// readStream collects the data of events; the answer is whole if it ends
-// cleanly behind an event.
+// readStream collects the data of the events. The answer is complete if the status is
+// 200 and the stream ends with EOF after a whole line.
 func (a *attempt) readStream(body io.Reader) error {
 	reader := bufio.NewReader(body)
 	for {
-		text, err := reader.ReadString('\n')
-		if data, is := strings.CutPrefix(text, "data: "); is && strings.HasSuffix(text, "\n") {
+		line, err := reader.ReadString('\n')
+		if data, found := strings.CutPrefix(line, "data: "); found && strings.HasSuffix(line, "\n") {
 			a.content += data
-			a.items++
+			a.events++
 		}
 		if err != nil {
-			a.complete = err == io.EOF && a.status == http.StatusOK && text == ""
+			a.complete = err == io.EOF && a.status == http.StatusOK && line == ""
 			return err
 		}
 	}
--- a/internal/lab/soak/calmness.go
+++ b/internal/lab/soak/calmness.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// calmness knows when nothing was wrong, since bounds in time hold only then.
-type calmness struct {
-	mutex     sync.Mutex
-	troubles  int
-	calmSince time.Time // meaningless while there are troubles
-	past      []span
+// calmTracker records the times without a fault, since time limits are checked only
+// for them. It is safe for concurrent use.
+type calmTracker struct {
+	mutex        sync.Mutex
+	activeFaults int
+	calmSince    time.Time // begin of the current span; not valid while a fault is active
+	pastSpans    []span
 }
 
-// span is a time during which all was well.
+// span is a time without a fault.
 type span struct{ from, to time.Time }
 
-func newCalmness() *calmness { return &calmness{calmSince: time.Now()} }
+func newCalmTracker() *calmTracker { return &calmTracker{calmSince: time.Now()} }
 
-// trouble notes that something is wrong until the returned function is called.
-func (c *calmness) trouble() (over func()) {
+// beginFault records that a fault is active until the returned function is called.
+func (c *calmTracker) beginFault() (end func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.troubles == 0 {
-		c.past = append(c.past, span{c.calmSince, time.Now()})
+	if c.activeFaults == 0 {
+		c.pastSpans = append(c.pastSpans, span{c.calmSince, time.Now()})
 	}
-	c.troubles++
+	c.activeFaults++
 	return func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
-		c.troubles--
-		if c.troubles == 0 {
+		c.activeFaults--
+		if c.activeFaults == 0 {
 			c.calmSince = time.Now()
 		}
 	}
 }
 
-// throughout tells whether nothing was wrong from one moment to another.
-func (c *calmness) throughout(from, to time.Time) bool {
+// isCalmThroughout reports whether no fault was active between the two times.
+func (c *calmTracker) isCalmThroughout(from, to time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.troubles == 0 && !from.Before(c.calmSince) {
+	if c.activeFaults == 0 && !from.Before(c.calmSince) {
 		return true
 	}
-	for _, calm := range c.past {
+	for _, calm := range c.pastSpans {
 		if !from.Before(calm.from) && !to.After(calm.to) {
 			return true
 		}
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -7,157 +7,165 @@
 	"time"
 )
 
-// check holds what was seen against the promises. It returns each broken one.
+// check checks all guarantees and returns the findings, sorted.
 func (e *evidence) check() []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	findings := slices.Clone(e.findings)
 	known := map[string]*attempt{}
-	for _, one := range e.attempts {
-		known[one.id] = one
-		findings = append(findings, e.answers(one)...)
-		findings = append(findings, e.truth(one)...)
+	for _, a := range e.attempts {
+		known[a.id] = a
+		findings = append(findings, e.checkAnswer(a)...)
+		findings = append(findings, e.checkExecutions(a)...)
 		if !e.untimed {
-			findings = append(findings, e.bounds(one)...)
+			findings = append(findings, e.checkConfigurationBound(a)...)
 		}
 	}
-	for id, runs := range e.runs {
-		findings = append(findings, asked(id, runs, known[id])...)
+	for id, executions := range e.executions {
+		findings = append(findings, checkRequested(id, executions, known[id])...)
 	}
-	findings = append(findings, e.keptTurns(known)...)
-	findings = append(findings, e.budgets()...)
-	findings = append(findings, e.quotas()...)
+	findings = append(findings, e.checkKeptTurns(known)...)
+	findings = append(findings, e.checkBudgets()...)
+	findings = append(findings, e.checkQuota()...)
 	if !e.untimed {
-		findings = append(findings, e.departed()...)
+		findings = append(findings, e.checkDrains()...)
 	}
 	slices.Sort(findings)
 	return findings
 }
 
-// answers: each answer is the whole one of an engine to this very request, or
-// cannot be taken for one.
-func (e *evidence) answers(one *attempt) []string {
-	if one.status != http.StatusOK {
-		if one.signed && one.status != http.StatusInternalServerError {
-			return []string{fmt.Sprintf("answers: %s got %d with an engine's signature", one.id, one.status)}
+// checkAnswer checks that a successful response is the complete answer of an engine to
+// this request, or a part of that answer which the caller can recognize as cut. Other
+// responses must not have the stamp of an engine, except those with status 500.
+func (e *evidence) checkAnswer(a *attempt) []string {
+	if a.status != http.StatusOK {
+		if a.hasStamp && a.status != http.StatusInternalServerError {
+			return []string{fmt.Sprintf("answers: %s got status %d with the stamp of an engine", a.id, a.status)}
 		}
 		return nil
 	}
-	expected := answerTo(one.kind, one.id)
+	expected := expectedAnswer(a.kind, a.id)
 	switch {
-	case !one.signed:
-		return []string{fmt.Sprintf("answers: %s got a success without a signature", one.id)}
-	case one.complete && one.content != expected:
-		return []string{fmt.Sprintf("answers: %s got %q, not %q", one.id, one.content, expected)}
-	case !one.complete && !startsLike(expected, one.content):
-		return []string{fmt.Sprintf("answers: %s got a part %q that is not of %q", one.id, one.content, expected)}
-	case len(e.runs[one.id]) == 0:
-		return []string{fmt.Sprintf("answers: %s got a success, and no engine ran it", one.id)}
+	case !a.hasStamp:
+		return []string{fmt.Sprintf("answers: %s got a success without the stamp of an engine", a.id)}
+	case a.complete && a.content != expected:
+		return []string{fmt.Sprintf("answers: %s got %q, not %q", a.id, a.content, expected)}
+	case !a.complete && !hasPrefix(expected, a.content):
+		return []string{fmt.Sprintf("answers: %s got %q, which is not the start of %q", a.id, a.content, expected)}
+	case len(e.executions[a.id]) == 0:
+		return []string{fmt.Sprintf("answers: %s got a success, but no engine executed it", a.id)}
 	}
 	return nil
 }
 
-func startsLike(whole, part string) bool {
+func hasPrefix(whole, part string) bool {
 	return len(part) <= len(whole) && whole[:len(part)] == part
 }
 
-// promisesNotRun are the statuses that say that a request has not run and
-// never will.
-var promisesNotRun = []int{
+// notExecutedStatuses are the statuses that guarantee that a request was not executed
+// and never will be.
+var notExecutedStatuses = []int{
 	http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 	http.StatusPaymentRequired, http.StatusNotFound,
 }
 
-// truth: what must not be repeated runs at most once, and what was refused
-// never ran.
-func (e *evidence) truth(one *attempt) []string {
-	runs := len(e.runs[one.id])
+// checkExecutions checks that requests other than safe ones are executed at most once,
+// that refused ones are never executed, and that a refusal with status 503 has a retry
+// delay.
+func (e *evidence) checkExecutions(a *attempt) []string {
+	count := len(e.executions[a.id])
 	var findings []string
-	if runs > 1 && one.kind != kindSafe {
-		findings = append(findings, fmt.Sprintf("once: %s (%s) ran %d times", one.id, one.kind, runs))
+	if count > 1 && a.kind != kindSafe {
+		findings = append(findings, fmt.Sprintf("once: %s (%s) was executed %d times", a.id, a.kind, count))
 	}
-	if runs > 0 && one.kind != kindSafe && slices.Contains(promisesNotRun, one.status) {
-		findings = append(findings, fmt.Sprintf("refusals: %s (%s) was answered %d and ran", one.id, one.kind, one.status))
+	if count > 0 && a.kind != kindSafe && slices.Contains(notExecutedStatuses, a.status) {
+		findings = append(findings, fmt.Sprintf("refusals: %s (%s) got status %d, but was executed", a.id, a.kind, a.status))
 	}
-	if one.status == http.StatusServiceUnavailable && one.after <= 0 && one.ended.Sub(one.sent) < routeTimeout/2 {
-		findings = append(findings, fmt.Sprintf("refusals: %s (%s) was answered 503 without when to come back", one.id, one.kind))
+	if a.status == http.StatusServiceUnavailable && a.retryAfter <= 0 && a.ended.Sub(a.sent) < routeTimeout/2 {
+		findings = append(findings, fmt.Sprintf("refusals: %s (%s) got status 503 without a retry delay", a.id, a.kind))
 	}
 	return findings
 }
 
-// asked: an engine runs nothing that no caller sent so.
-func asked(id string, runs []run, one *attempt) []string {
-	if one == nil {
-		return []string{fmt.Sprintf("asked: an engine ran %s, which nobody sent", id)}
+// checkRequested checks that engines executed only requests that a caller sent, with
+// the expected body, path and service.
+func checkRequested(id string, executions []execution, a *attempt) []string {
+	if a == nil {
+		return []string{fmt.Sprintf("asked: an engine executed %s, which no caller sent", id)}
 	}
 	var findings []string
-	for _, each := range runs {
-		if each.prompt != one.prompt || each.path != pathOf(one.kind) {
-			findings = append(findings, fmt.Sprintf("asked: %s (%s) reached %s as %s with %q, not %q", id, one.kind, each.engine, each.path, each.prompt, one.prompt))
+	for _, each := range executions {
+		if each.prompt != a.prompt || each.path != pathOf(a.kind) {
+			findings = append(findings, fmt.Sprintf("asked: %s (%s) reached %s on path %s with body %q, expected %q", id, a.kind, each.instance, each.path, each.prompt, a.prompt))
 		}
-		if !slices.Contains(servicesOf(one.kind), each.service) {
-			findings = append(findings, fmt.Sprintf("route: %s (%s) ran at %s", id, one.kind, each.service))
+		if !slices.Contains(servicesOf(a.kind), each.service) {
+			findings = append(findings, fmt.Sprintf("route: %s (%s) was executed by service %s", id, a.kind, each.service))
 		}
 	}
 	return findings
 }
 
-// keptTurns: a turn that was told whole is known, whatever happened since.
-func (e *evidence) keptTurns(known map[string]*attempt) []string {
+// checkKeptTurns checks that a completely answered turn can be continued, whatever
+// happened since, and that a turn that does not exist cannot.
+func (e *evidence) checkKeptTurns(known map[string]*attempt) []string {
 	var findings []string
-	for _, one := range e.attempts {
-		previous := known[one.previous]
-		if one.status == http.StatusNotFound && (one.previous == "" || previous != nil && previous.complete) {
-			findings = append(findings, fmt.Sprintf("lost: %s goes on from %q, which was answered whole, and got 404", one.id, one.previous))
+	for _, a := range e.attempts {
+		previous := known[a.previous]
+		if a.status == http.StatusNotFound && (a.previous == "" || previous != nil && previous.complete) {
+			findings = append(findings, fmt.Sprintf("lost: %s continues %q, which was answered completely, and got 404", a.id, a.previous))
 		}
-		if one.status == http.StatusOK && one.previous != "" && previous == nil {
-			findings = append(findings, fmt.Sprintf("lost: %s goes on from %q, which never was", one.id, one.previous))
+		if a.status == http.StatusOK && a.previous != "" && previous == nil {
+			findings = append(findings, fmt.Sprintf("lost: %s continues %q, which does not exist, and got 200", a.id, a.previous))
 		}
 	}
 	return findings
 }
 
-// budgets: what a program's callers were handed stays within its budget and the
-// most of one turn, which a lender may add while the store is away.
-func (e *evidence) budgets() []string {
-	handed, allowed := map[string]int64{}, map[string]int64{}
-	for _, one := range e.attempts {
-		if one.program != "" {
-			handed[one.program] += int64(one.items) * tokensPerItem
-			allowed[one.program] = one.budget + one.most
+// checkBudgets checks that the tokens that callers of a program received do not exceed
+// its budget and the limit of one turn, which a lender may grant in addition while the
+// store is unavailable.
+func (e *evidence) checkBudgets() []string {
+	received, allowed := map[string]int64{}, map[string]int64{}
+	for _, a := range e.attempts {
+		if a.program != "" {
+			received[a.program] += int64(a.events) * tokensPerEvent
+			allowed[a.program] = a.budget + a.maxTokens
 		}
 	}
 	var findings []string
-	for program, tokens := range handed {
+	for program, tokens := range received {
 		if tokens > allowed[program] {
-			findings = append(findings, fmt.Sprintf("budget: %s was handed %d tokens of %d", program, tokens, allowed[program]))
+			findings = append(findings, fmt.Sprintf("budget: %s received %d tokens, limit %d", program, tokens, allowed[program]))
 		}
 	}
 	return findings
 }
 
-// bounds: in calm times a configuration is in force within its bound.
-func (e *evidence) bounds(one *attempt) []string {
-	if one.kind != kindMoving {
+// checkConfigurationBound checks that requests on the moving route are executed by the
+// service of a configuration that may be in force.
+func (e *evidence) checkConfigurationBound(a *attempt) []string {
+	if a.kind != kindMoving {
 		return nil
 	}
 	var findings []string
-	for _, each := range e.runs[one.id] {
-		if !e.mayRunAt(each.service, one, each.began) {
-			findings = append(findings, fmt.Sprintf("configuration: %s ran at %s, %s after another service was acknowledged",
-				one.id, each.service, one.sent.Sub(e.configured[len(e.configured)-1].acknowledged)))
+	for _, each := range e.executions[a.id] {
+		if !e.isAllowedService(each.service, a, each.began) {
+			findings = append(findings, fmt.Sprintf("configuration: %s was executed by %s, %s after the last configuration was acknowledged",
+				a.id, each.service, a.sent.Sub(e.configurations[len(e.configurations)-1].acknowledged)))
 		}
 	}
 	return findings
 }
 
-// mayRunAt tells whether the service was the moving route's at any moment that
-// the bounds allow.
-func (e *evidence) mayRunAt(service string, one *attempt, began time.Time) bool {
-	oldest := one.sent.Add(-configurationBound - schedulingSlack)
-	calm := e.calm.throughout(oldest.Add(-contact), began)
-	for index, each := range e.configured {
-		replaced := index+1 < len(e.configured) && e.configured[index+1].acknowledged.Before(oldest)
+// isAllowedService reports whether a request that began to execute at this time may be
+// executed by the service: a configuration that names it was acknowledged before, and
+// was not replaced too long before the request was sent. A replaced configuration may
+// stay in force longer if a fault was active.
+func (e *evidence) isAllowedService(service string, a *attempt, began time.Time) bool {
+	oldest := a.sent.Add(-configurationBound - schedulingSlack)
+	calm := e.calm.isCalmThroughout(oldest.Add(-contactTimeout), began)
+	for index, each := range e.configurations {
+		replaced := index+1 < len(e.configurations) && e.configurations[index+1].acknowledged.Before(oldest)
 		if each.moving == service && !each.acknowledged.After(began) && (!replaced || !calm) {
 			return true
 		}
@@ -165,15 +173,16 @@
 	return false
 }
 
-// departed: in calm times an engine that leaves gets nothing after the bound.
-func (e *evidence) departed() []string {
+// checkDrains checks that a draining instance receives no request after the bound,
+// unless a fault was active.
+func (e *evidence) checkDrains() []string {
 	var findings []string
-	for id, runs := range e.runs {
-		for _, each := range runs {
-			gone, leaving := e.departures[each.engine]
-			bound := gone.acknowledged.Add(drainBound + schedulingSlack)
-			if leaving && each.began.After(bound) && e.calm.throughout(gone.acknowledged.Add(-contact), each.began) {
-				findings = append(findings, fmt.Sprintf("drain: %s reached %s %s after it began to leave", id, each.engine, each.began.Sub(gone.acknowledged)))
+	for id, executions := range e.executions {
+		for _, each := range executions {
+			departed, leaving := e.departures[each.instance]
+			bound := departed.acknowledged.Add(drainBound + schedulingSlack)
+			if leaving && each.began.After(bound) && e.calm.isCalmThroughout(departed.acknowledged.Add(-contactTimeout), each.began) {
+				findings = append(findings, fmt.Sprintf("drain: %s reached %s %s after it began to leave", id, each.instance, each.began.Sub(departed.acknowledged)))
 			}
 		}
 	}
--- a/internal/lab/soak/engines.go
+++ b/internal/lab/soak/engines.go
@@ -13,19 +13,20 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// engines are the instances of all services.
+// engines are the running instances of all services. Safe for concurrent use.
 type engines struct {
-	evidence *evidence
-	store    *store
-	stop     chan struct{}
-	beats    sync.WaitGroup
-
-	mutex   sync.Mutex
-	all     []*instance
-	started int
+	evidence   *evidence
+	store      *store
+	stop       chan struct{}
+	heartbeats sync.WaitGroup
+
+	mutex      sync.Mutex
+	running    []*instance
+	startCount int
 }
 
-// instance is one start of an engine or of a service's copy.
+// instance is an instance of a service: an engine of the model or a replica of an
+// application service.
 type instance struct {
 	id      string
 	service string
@@ -35,32 +36,36 @@
 
 	mutex    sync.Mutex
 	draining bool
-	silent   bool // writes no heartbeats any more
+	stopped  bool // no longer writes its entry
 	sequence int
-	conduct  conduct
+	behavior instanceBehavior
 }
 
-// conduct is how an instance treats its requests; shares are of one.
-type conduct struct {
-	reject, drop, cut, extra float64
-	delay                    time.Duration
+// instanceBehavior is the fault that an instance shows. Shares are fractions of its
+// requests. The zero value is no fault.
+type instanceBehavior struct {
+	rejectShare, dropShare, cutShare, extraShare float64
+	delay                                        time.Duration
 }
 
-const heartbeat = 600 * time.Millisecond
+// heartbeatInterval is the time between two writes of an instance's entry.
+const heartbeatInterval = 600 * time.Millisecond
 
-// newEngines starts the instances of all services.
-func newEngines(noted *evidence, writes *store) (*engines, error) {
-	made := &engines{evidence: noted, store: writes, stop: make(chan struct{})}
+// newEngines starts the instances of all services. They write their entries to the
+// store.
+func newEngines(observed *evidence, entries *store) (*engines, error) {
+	e := &engines{evidence: observed, store: entries, stop: make(chan struct{})}
 	for _, service := range []string{serviceModel, serviceModel, serviceModel, serviceApp, serviceApp, serviceOther, serviceOther} {
-		if err := made.add(service, "127.0.0.1:0"); err != nil {
+		if err := e.add(service, "127.0.0.1:0"); err != nil {
 			return nil, err
 		}
 	}
-	made.beats.Go(made.beat)
-	return made, nil
+	e.heartbeats.Go(e.runHeartbeats)
+	return e, nil
 }
 
-// add starts an instance; its address may have been another one's.
+// add starts an instance of the service at the address, which a stopped instance may
+// have used before.
 func (e *engines) add(service, address string) error {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -73,35 +78,36 @@
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.started++
-	made := &instance{id: fmt.Sprintf("i-%s-%d", service, e.started), service: service, link: link, owner: e}
-	made.server = &http.Server{Handler: made}
-	go func() { _ = made.server.Serve(listener) }()
-	e.all = append(e.all, made)
-	made.declare()
+	e.startCount++
+	added := &instance{id: fmt.Sprintf("i-%s-%d", service, e.startCount), service: service, link: link, owner: e}
+	added.server = &http.Server{Handler: added}
+	go func() { _ = added.server.Serve(listener) }()
+	e.running = append(e.running, added)
+	added.writeEntry()
 	return nil
 }
 
 func (e *engines) close() {
 	close(e.stop)
-	e.beats.Wait()
-	for _, each := range e.current() {
-		each.end()
+	e.heartbeats.Wait()
+	for _, each := range e.instances() {
+		each.close()
 	}
 }
 
-func (e *engines) current() []*instance {
+func (e *engines) instances() []*instance {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return append([]*instance{}, e.all...)
+	return append([]*instance{}, e.running...)
 }
 
-// of returns the instances of a service that neither leave nor are silent.
-func (e *engines) of(service string) []*instance {
+// activeInstances returns the instances of the service that are not draining and
+// still write their entries.
+func (e *engines) activeInstances(service string) []*instance {
 	var found []*instance
-	for _, each := range e.current() {
+	for _, each := range e.instances() {
 		each.mutex.Lock()
-		if each.service == service && !each.draining && !each.silent {
+		if each.service == service && !each.draining && !each.stopped {
 			found = append(found, each)
 		}
 		each.mutex.Unlock()
@@ -109,26 +115,27 @@
 	return found
 }
 
-func (e *engines) beat() {
-	ticker := time.NewTicker(heartbeat)
+func (e *engines) runHeartbeats() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-e.stop:
 			return
 		case <-ticker.C:
-			for _, each := range e.current() {
-				each.declare()
+			for _, each := range e.instances() {
+				each.writeEntry()
 			}
 		}
 	}
 }
 
-// declare writes the instance's entry.
-func (i *instance) declare() {
+// writeEntry writes the entry of the instance to the store, unless the instance has
+// stopped.
+func (i *instance) writeEntry() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.silent {
+	if i.stopped {
 		return
 	}
 	i.sequence++
@@ -138,51 +145,51 @@
 	}
 	value := fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":"z1","version":"v1","slots":8,"state":%q,"cold_remaining_ms":0,"sequence":%d}`,
 		i.service, i.link.Address(), condition, i.sequence)
-	i.owner.store.operatorWrites(state.Put{Key: state.Key{Table: "servers", Name: i.id}, Value: value})
+	i.owner.store.writeAsOperator(state.Put{Key: state.Key{Table: "servers", Name: i.id}, Value: value})
 }
 
-// drain announces that the instance leaves.
+// drain writes an entry that says that the instance is draining.
 func (i *instance) drain() {
 	i.mutex.Lock()
 	i.draining = true
 	i.mutex.Unlock()
-	i.declare()
-	i.owner.evidence.left(i.id)
+	i.writeEntry()
+	i.owner.evidence.recordDeparture(i.id)
 }
 
-// forget takes the instance's entry away.
-func (i *instance) forget() {
+// removeEntry removes the entry of the instance from the store.
+func (i *instance) removeEntry() {
 	i.mutex.Lock()
-	i.silent = true
+	i.stopped = true
 	i.mutex.Unlock()
-	i.owner.store.operatorRemoves(state.Key{Table: "servers", Name: i.id})
+	i.owner.store.removeAsOperator(state.Key{Table: "servers", Name: i.id})
 }
 
-// end stops the instance at once; its connections are reset.
-func (i *instance) end() {
+// close stops the instance at once and resets its connections.
+func (i *instance) close() {
 	i.mutex.Lock()
-	i.silent = true
+	i.stopped = true
 	i.mutex.Unlock()
 	_ = i.link.Close()
 	_ = i.server.Close()
 	i.owner.mutex.Lock()
 	defer i.owner.mutex.Unlock()
-	for index, each := range i.owner.all {
+	for index, each := range i.owner.running {
 		if each == i {
-			i.owner.all = append(i.owner.all[:index], i.owner.all[index+1:]...)
+			i.owner.running = append(i.owner.running[:index], i.owner.running[index+1:]...)
 			return
 		}
 	}
 }
 
-func (i *instance) behave(next conduct) {
+func (i *instance) setBehavior(next instanceBehavior) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.conduct = next
+	i.behavior = next
 }
 
-func (i *instance) currently() conduct {
+func (i *instance) currentBehavior() instanceBehavior {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.conduct
+	return i.behavior
 }
--- a/internal/lab/soak/evidence.go
+++ b/internal/lab/soak/evidence.go
@@ -6,123 +6,124 @@
 	"time"
 )
 
-// kind tells requests apart by the promises that hold for them.
-type kind string
+// requestKind is a kind of request. Different guarantees hold for each.
+type requestKind string
 
 const (
-	kindRecorded kind = "recorded" // a turn whose history the system keeps
-	kindPlain    kind = "plain"    // a turn that brings its whole prompt
-	kindSafe     kind = "safe"
-	kindUnsafe   kind = "unsafe"
-	kindMoving   kind = "moving" // unsafe, on the route that changes services
+	kindRecorded requestKind = "recorded" // a turn on a route that records histories; it contains only the new input
+	kindPlain    requestKind = "plain"    // a turn that contains the whole prompt
+	kindSafe     requestKind = "safe"     // a call to a service that may be repeated
+	kindUnsafe   requestKind = "unsafe"   // a call to a service that must not be repeated
+	kindMoving   requestKind = "moving"   // unsafe, on a route whose service changes
 )
 
-// attempt is one request of a caller and what came of it.
+// attempt is one request of a caller, and its result.
 type attempt struct {
-	id       string
-	kind     kind
-	limited  bool // of the tenant with a quota
-	program  string
-	previous string // turn that it goes on from
-	budget   int64
-	most     int64
-	input    string
-	prompt   string // what an engine must get
-	gateway  int
-	sent     time.Time
-	ended    time.Time
-
-	status   int // 0: no answer
-	signed   bool
-	complete bool // the answer ended as it should
-	content  string
-	items    int // events of which any part arrived
-	after    time.Duration
-	err      error
+	id        string
+	kind      requestKind
+	limited   bool // the request belongs to the tenant with a quota
+	program   string
+	previous  string // identifier of the turn that it continues; empty: none
+	budget    int64
+	maxTokens int64
+	input     string
+	prompt    string // body that the engine must receive
+	gateway   int
+	sent      time.Time
+	ended     time.Time
+
+	status     int // HTTP status; 0: no response
+	hasStamp   bool
+	complete   bool // the response ended without an error
+	content    string
+	events     int // number of complete data lines received
+	retryAfter time.Duration
+	err        error
 }
 
-// run is one request as an engine began to work on it.
-type run struct {
-	service string
-	engine  string
-	path    string
-	prompt  string
-	began   time.Time
+// execution is one request that an instance began to execute.
+type execution struct {
+	service  string
+	instance string
+	path     string
+	prompt   string
+	began    time.Time
 }
 
-// version is a configuration, and when the store acknowledged it.
-type version struct {
-	moving       string // the service of the moving route
-	acknowledged time.Time
+// configuration records one write of a configuration.
+type configuration struct {
+	moving       string    // service of the moving route
+	acknowledged time.Time // when the store acknowledged the write
 }
 
-// departure is an engine that leaves.
+// departure records when the store acknowledged that an instance is draining.
 type departure struct{ acknowledged time.Time }
 
-// evidence collects what callers, engines and the operator saw.
+// evidence collects what callers, engines and the operator observed. It is safe for
+// concurrent use.
 type evidence struct {
-	mutex      sync.Mutex
-	attempts   []*attempt
-	runs       map[string][]run
-	configured []version
-	departures map[string]departure
-	findings   []string
-	calm       *calmness
-	untimed    bool
+	mutex          sync.Mutex
+	attempts       []*attempt
+	executions     map[string][]execution
+	configurations []configuration
+	departures     map[string]departure
+	findings       []string
+	calm           *calmTracker
+	untimed        bool
 }
 
-func newEvidence(calm *calmness) *evidence {
-	return &evidence{runs: map[string][]run{}, departures: map[string]departure{}, calm: calm}
+func newEvidence(calm *calmTracker) *evidence {
+	return &evidence{executions: map[string][]execution{}, departures: map[string]departure{}, calm: calm}
 }
 
-func (e *evidence) attempted(one *attempt) {
+func (e *evidence) recordAttempt(a *attempt) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.attempts = append(e.attempts, one)
+	e.attempts = append(e.attempts, a)
 }
 
-func (e *evidence) ran(id string, one run) {
+func (e *evidence) recordExecution(id string, executed execution) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.runs[id] = append(e.runs[id], one)
+	e.executions[id] = append(e.executions[id], executed)
 }
 
-func (e *evidence) noteVersion(moving string) {
+func (e *evidence) recordConfiguration(moving string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.configured = append(e.configured, version{moving: moving, acknowledged: time.Now()})
+	e.configurations = append(e.configurations, configuration{moving: moving, acknowledged: time.Now()})
 }
 
-func (e *evidence) versions() int {
+func (e *evidence) countConfigurations() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return len(e.configured)
+	return len(e.configurations)
 }
 
-func (e *evidence) left(engine string) {
+func (e *evidence) recordDeparture(engine string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.departures[engine] = departure{acknowledged: time.Now()}
 }
 
-// find notes a broken promise.
-func (e *evidence) find(format string, arguments ...any) {
+// addFinding records a violated guarantee.
+func (e *evidence) addFinding(format string, arguments ...any) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.findings = append(e.findings, fmt.Sprintf(format, arguments...))
 }
 
-// outcomes counts attempts by kind and outcome.
-func (e *evidence) outcomes() map[string]int {
+// countOutcomes returns the number of attempts by kind and outcome.
+func (e *evidence) countOutcomes() map[string]int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	counts := map[string]int{}
-	for _, one := range e.attempts {
-		outcome := fmt.Sprintf("%s %d", one.kind, one.status)
-		if one.limited {
+	for _, a := range e.attempts {
+		outcome := fmt.Sprintf("%s %d", a.kind, a.status)
+		if a.limited {
 			outcome = "limited " + outcome
 		}
-		if one.status == 200 && !one.complete {
+		if a.status == 200 && !a.complete {
 			outcome += " cut"
 		}
 		counts[outcome]++
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,125 +10,128 @@
 	"github.com/thymeloft/thymeloft/internal/lab/faultproxy"
 )
 
-// during holds a trouble in force for its time.
-func (w *world) during(f fault, begin, end func()) {
-	over := w.calm.trouble()
+// injectFor begins a fault, waits for its duration and ends it.
+func (r *soakRun) injectFor(f fault, begin, end func()) {
+	endFault := r.calm.beginFault()
 	begin()
-	time.Sleep(f.lasts)
+	time.Sleep(f.duration)
 	end()
-	over()
+	endFault()
 }
 
-// eachOf does something to all targets at once, and waits.
-func (w *world) eachOf(f fault, do func(target *gateway)) {
+// forEachTarget calls do for all target gateways concurrently, and waits.
+func (r *soakRun) forEachTarget(f fault, do func(target *gateway)) {
 	var all sync.WaitGroup
 	for _, number := range f.targets {
-		all.Go(func() { do(w.gateways[number]) })
+		all.Go(func() { do(r.gateways[number]) })
 	}
 	all.Wait()
 }
 
-// kill ends processes, one or many or all, and starts them again later.
-func (w *world) kill(f fault) {
-	over := w.calm.trouble()
-	defer over()
-	w.eachOf(f, (*gateway).kill)
-	time.Sleep(f.lasts / 2)
-	w.startAgain(f)
+// kill kills the target gateways and starts them again after half the duration.
+func (r *soakRun) kill(f fault) {
+	endFault := r.calm.beginFault()
+	defer endFault()
+	r.forEachTarget(f, (*gateway).kill)
+	time.Sleep(f.duration / 2)
+	r.startTargets(f)
 }
 
-func (w *world) startAgain(f fault) {
-	w.eachOf(f, func(target *gateway) {
+func (r *soakRun) startTargets(f fault) {
+	r.forEachTarget(f, func(target *gateway) {
 		if err := target.start(); err != nil {
-			w.evidence.find("process: %v", err)
+			r.evidence.addFinding("process: %v", err)
 		}
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	w.eachOf(f, func(target *gateway) { _ = target.awaitReady(ctx) }) // the store may be away too
+	r.forEachTarget(f, func(target *gateway) { _ = target.awaitReady(ctx) }) // fails if the store is unavailable too
 }
 
-// pause stops processes without their knowing.
-func (w *world) pause(f fault) {
-	w.during(f,
-		func() { w.eachOf(f, func(target *gateway) { target.signal(syscall.SIGSTOP) }) },
-		func() { w.eachOf(f, func(target *gateway) { target.signal(syscall.SIGCONT) }) })
+// pause suspends gateways with SIGSTOP and resumes them with SIGCONT.
+func (r *soakRun) pause(f fault) {
+	r.injectFor(f,
+		func() { r.forEachTarget(f, func(target *gateway) { target.signal(syscall.SIGSTOP) }) },
+		func() { r.forEachTarget(f, func(target *gateway) { target.signal(syscall.SIGCONT) }) })
 }
 
-// stop ends processes as planned, one after the other, and starts them again.
-func (w *world) stop(f fault) {
-	over := w.calm.trouble()
-	defer over()
+// stop stops at most two gateways as planned, one after the other, and starts each
+// again.
+func (r *soakRun) stop(f fault) {
+	endFault := r.calm.beginFault()
+	defer endFault()
 	for _, number := range f.targets[:min(2, len(f.targets))] {
-		w.gateways[number].stop()
-		w.startAgain(fault{targets: []int{number}})
+		r.gateways[number].stop()
+		r.startTargets(fault{targets: []int{number}})
 	}
 }
 
-// hup changes the settings file and sends the signal.
-func (w *world) hup(f fault) {
-	target := w.gateways[f.targets[0]]
+// hup changes the settings file of a gateway and sends it SIGHUP.
+func (r *soakRun) hup(f fault) {
+	target := r.gateways[f.targets[0]]
 	target.mutex.Lock()
-	target.current.GraceSeconds = grace.Seconds() - float64(f.how%2)/2
+	target.settings.GraceSeconds = gracePeriod.Seconds() - float64(f.variant%2)/2
 	err := target.writeSettings()
 	target.mutex.Unlock()
 	if err != nil {
-		w.evidence.find("process: %v", err)
+		r.evidence.addFinding("process: %v", err)
 	}
 	target.signal(syscall.SIGHUP)
 }
 
-// moods of a store that does not serve.
-func notServing(how int) mood {
-	switch how % 4 {
+// unavailableBehavior returns one of the ways in which a store does not serve.
+func unavailableBehavior(variant int) storeBehavior {
+	switch variant % 4 {
 	case 0:
-		return mood{status: http.StatusServiceUnavailable}
+		return storeBehavior{refuseStatus: http.StatusServiceUnavailable}
 	case 1:
-		return mood{status: http.StatusTooManyRequests}
+		return storeBehavior{refuseStatus: http.StatusTooManyRequests}
 	case 2:
-		return mood{resets: true}
+		return storeBehavior{resets: true}
 	default:
-		return mood{silent: true}
+		return storeBehavior{silent: true}
 	}
 }
 
-func (w *world) storeMood(f fault, next mood) {
-	w.during(f, func() { w.store.all(next) }, func() { w.store.all(mood{}) })
+func (r *soakRun) injectStoreBehavior(f fault, next storeBehavior) {
+	r.injectFor(f, func() { r.store.setAll(next) }, func() { r.store.setAll(storeBehavior{}) })
 }
 
-func (w *world) storeDown(f fault) { w.storeMood(f, notServing(f.how)) }
+func (r *soakRun) storeDown(f fault) { r.injectStoreBehavior(f, unavailableBehavior(f.variant)) }
 
-func (w *world) storePart(f fault) {
-	w.storeMood(f, mood{partsDown: f.share, salt: uint32(f.how)})
+func (r *soakRun) storePart(f fault) {
+	r.injectStoreBehavior(f, storeBehavior{downShare: f.share, downSalt: uint32(f.variant)})
 }
 
-func (w *world) storeSlow(f fault) {
-	w.storeMood(f, mood{delay: time.Duration(f.share * float64(300*time.Millisecond))})
+func (r *soakRun) storeSlow(f fault) {
+	r.injectStoreBehavior(f, storeBehavior{delay: time.Duration(f.share * float64(300*time.Millisecond))})
 }
 
-func (w *world) storeLost(f fault) { w.storeMood(f, mood{loseShare: f.share}) }
+func (r *soakRun) storeLost(f fault) { r.injectStoreBehavior(f, storeBehavior{lostShare: f.share}) }
 
-func (w *world) storeLate(f fault) { w.storeMood(f, mood{lateShare: f.share}) }
+func (r *soakRun) storeLate(f fault) { r.injectStoreBehavior(f, storeBehavior{lateShare: f.share}) }
 
-// storeOne turns some gateways away while the others are served.
-func (w *world) storeOne(f fault) {
-	served := f.targets[:max(1, len(f.targets)/2)]
-	set := func(next mood) {
-		for _, number := range served {
-			w.store.doors[number].set(next)
+// storeOne makes the store unavailable to some of the target gateways. The others
+// are served.
+func (r *soakRun) storeOne(f fault) {
+	affected := f.targets[:max(1, len(f.targets)/2)]
+	set := func(next storeBehavior) {
+		for _, number := range affected {
+			r.store.endpoints[number].setBehavior(next)
 		}
 	}
-	w.during(f, func() { set(notServing(f.how)) }, func() { set(mood{}) })
+	r.injectFor(f, func() { set(unavailableBehavior(f.variant)) }, func() { set(storeBehavior{}) })
 }
 
-// storeHistory lets the store forget what changed so far.
-func (w *world) storeHistory(f fault) {
-	w.during(fault{lasts: shortestFault}, w.store.memory.ForgetHistory, func() {})
+// storeHistory makes the store drop its history of changes.
+func (r *soakRun) storeHistory(f fault) {
+	r.injectFor(fault{duration: minFaultDuration}, r.store.memory.ForgetHistory, func() {})
 }
 
-// linkTrouble is what a link does to its connections.
-func linkTrouble(how int) (condition faultproxy.Condition, resets bool) {
-	switch how % 5 {
+// linkCondition returns one of the faults of a link, and whether its existing
+// connections are to be reset.
+func linkCondition(variant int) (condition faultproxy.Condition, resets bool) {
+	switch variant % 5 {
 	case 0:
 		return faultproxy.Condition{Delay: 60 * time.Millisecond}, false
 	case 1:
@@ -142,52 +145,53 @@
 	}
 }
 
-func (w *world) links(f fault, of func(*gateway) *faultproxy.Link) {
-	condition, resets := linkTrouble(f.how)
+func (r *soakRun) injectLinkFault(f fault, linkOf func(*gateway) *faultproxy.Link) {
+	condition, resets := linkCondition(f.variant)
 	set := func(next faultproxy.Condition) {
 		for _, number := range f.targets {
-			of(w.gateways[number]).Set(next)
+			linkOf(r.gateways[number]).Set(next)
 		}
 	}
-	w.during(f, func() {
+	r.injectFor(f, func() {
 		set(condition)
 		for _, number := range f.targets {
 			if resets {
-				of(w.gateways[number]).Reset()
+				linkOf(r.gateways[number]).Reset()
 			}
 		}
 	}, func() { set(faultproxy.Condition{}) })
 }
 
-func (w *world) linkStore(f fault) {
-	w.links(f, func(target *gateway) *faultproxy.Link { return target.toStore })
+func (r *soakRun) linkStore(f fault) {
+	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.toStore })
 }
 
-func (w *world) linkPeers(f fault) {
-	w.links(f, func(target *gateway) *faultproxy.Link { return target.toPeers })
+func (r *soakRun) linkPeers(f fault) {
+	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.fromPeers })
 }
 
-func (w *world) linkCallers(f fault) {
-	w.links(f, func(target *gateway) *faultproxy.Link { return target.callers })
+func (r *soakRun) linkCallers(f fault) {
+	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.fromCallers })
 }
 
-// someInstance draws one of a service that has others beside it.
-func (w *world) someInstance(f fault) *instance {
+// pickInstance selects an active instance by the variant of the fault. It returns nil
+// if the service has fewer than two active instances.
+func (r *soakRun) pickInstance(f fault) *instance {
 	services := []string{serviceModel, serviceApp, serviceOther}
-	found := w.engines.of(services[f.how%len(services)])
+	found := r.engines.activeInstances(services[f.variant%len(services)])
 	if len(found) < 2 {
 		return nil
 	}
-	return found[f.how/len(services)%len(found)]
+	return found[f.variant/len(services)%len(found)]
 }
 
-func (w *world) linkEngine(f fault) {
-	target := w.someInstance(f)
+func (r *soakRun) linkEngine(f fault) {
+	target := r.pickInstance(f)
 	if target == nil {
 		return
 	}
-	condition, resets := linkTrouble(f.how / 7)
-	w.during(f, func() {
+	condition, resets := linkCondition(f.variant / 7)
+	r.injectFor(f, func() {
 		target.link.Set(condition)
 		if resets {
 			target.link.Reset()
@@ -195,56 +199,57 @@
 	}, func() { target.link.Set(faultproxy.Condition{}) })
 }
 
-// engineCrash ends an instance at once. Its entry stays for a while; another
-// one of any service may get its address.
-func (w *world) engineCrash(f fault) {
-	target := w.someInstance(f)
+// engineCrash stops an instance at once. Its entry in the store is removed later, and
+// a new instance of the service starts after that. For even variants, an instance of
+// any service also starts at the old address.
+func (r *soakRun) engineCrash(f fault) {
+	target := r.pickInstance(f)
 	if target == nil {
 		return
 	}
-	over := w.calm.trouble()
-	defer over()
+	endFault := r.calm.beginFault()
+	defer endFault()
 	address := target.link.Address()
-	target.end()
-	const entryStays, addressRests = 1500 * time.Millisecond, 2 * time.Second
-	time.Sleep(entryStays)
-	target.forget()
-	time.Sleep(addressRests - entryStays)
-	if err := w.engines.add(target.service, "127.0.0.1:0"); err != nil {
-		w.evidence.find("engines: %v", err)
+	target.close()
+	const entryRemovalDelay, restartDelay = 1500 * time.Millisecond, 2 * time.Second
+	time.Sleep(entryRemovalDelay)
+	target.removeEntry()
+	time.Sleep(restartDelay - entryRemovalDelay)
+	if err := r.engines.add(target.service, "127.0.0.1:0"); err != nil {
+		r.evidence.addFinding("engines: %v", err)
 	}
-	if f.how%2 == 0 {
+	if f.variant%2 == 0 {
 		services := []string{serviceModel, serviceApp, serviceOther}
-		_ = w.engines.add(services[f.how/2%len(services)], address) // the port may be taken
+		_ = r.engines.add(services[f.variant/2%len(services)], address) // fails if the port is in use
 	}
 }
 
-// engineBad lets an instance reject, drop, cut, double or delay its answers.
-func (w *world) engineBad(f fault) {
-	target := w.someInstance(f)
+// engineBad makes an instance reject, drop, truncate, duplicate or delay its answers.
+func (r *soakRun) engineBad(f fault) {
+	target := r.pickInstance(f)
 	if target == nil {
 		return
 	}
-	moods := []conduct{{reject: f.share}, {drop: f.share}, {cut: f.share}, {extra: f.share}, {delay: time.Duration(f.share * float64(time.Second))}}
-	w.during(f, func() { target.behave(moods[f.how%len(moods)]) }, func() { target.behave(conduct{}) })
+	behaviors := []instanceBehavior{{rejectShare: f.share}, {dropShare: f.share}, {cutShare: f.share}, {extraShare: f.share}, {delay: time.Duration(f.share * float64(time.Second))}}
+	r.injectFor(f, func() { target.setBehavior(behaviors[f.variant%len(behaviors)]) }, func() { target.setBehavior(instanceBehavior{}) })
 }
 
-// engineDrain starts a new instance, then lets an old one leave.
-func (w *world) engineDrain(f fault) {
-	target := w.someInstance(f)
+// engineDrain starts a new instance, then drains and stops an old one.
+func (r *soakRun) engineDrain(f fault) {
+	target := r.pickInstance(f)
 	if target == nil {
 		return
 	}
-	if err := w.engines.add(target.service, "127.0.0.1:0"); err != nil {
-		w.evidence.find("engines: %v", err)
+	if err := r.engines.add(target.service, "127.0.0.1:0"); err != nil {
+		r.evidence.addFinding("engines: %v", err)
 		return
 	}
 	target.drain()
-	const servesOn = drainBound + schedulingSlack + 500*time.Millisecond
-	time.AfterFunc(servesOn, func() {
-		target.forget()
-		target.end()
+	const stopDelay = drainBound + schedulingSlack + 500*time.Millisecond
+	time.AfterFunc(stopDelay, func() {
+		target.removeEntry()
+		target.close()
 	})
 }
 
-func (w *world) reconfigure(fault) { w.store.configure(w.evidence) }
+func (r *soakRun) reconfigure(fault) { r.store.configure(r.evidence) }
--- a/internal/lab/soak/gateway.go
+++ b/internal/lab/soak/gateway.go
@@ -18,23 +18,23 @@
 	"github.com/thymeloft/thymeloft/internal/server"
 )
 
-// gateway is one machine's place for a gateway; processes come and go on it.
+// gateway is a gateway with its settings and links. Its process may be replaced.
 type gateway struct {
-	name     string
-	world    *world
-	settings string // the file
-	current  server.Settings
-	toStore  *faultproxy.Link
-	toPeers  *faultproxy.Link // others reach it here
-	callers  *faultproxy.Link
-
-	mutex    sync.Mutex
-	command  *exec.Cmd
-	exited   chan struct{}
-	expected bool // the process was told to end
+	name         string
+	run          *soakRun
+	settingsPath string // path of the settings file
+	settings     server.Settings
+	toStore      *faultproxy.Link
+	fromPeers    *faultproxy.Link // other gateways connect to it through this link
+	fromCallers  *faultproxy.Link
+
+	mutex        sync.Mutex
+	command      *exec.Cmd
+	exited       chan struct{}
+	exitExpected bool // the process got a signal to end
 }
 
-// The ports of a gateway on its own loopback address.
+// Ports of a gateway. Each gateway has a loopback address of its own.
 const (
 	portCallers = 8080
 	portReady   = 8081
@@ -42,86 +42,88 @@
 	portMetrics = 8083
 )
 
-// loopback gives each gateway an address of its own; the identifier of this
-// process keeps soaks on one machine apart.
+// loopback returns the loopback address of the gateway with this number. The address
+// contains the process identifier, so that concurrent soaks on one machine do not
+// collide.
 func loopback(number int) string {
-	process := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 128+(process>>8)&0x3f, process&0xff, number+1)
+	processID := os.Getpid()
+	return fmt.Sprintf("127.%d.%d.%d", 128+(processID>>8)&0x3f, processID&0xff, number+1)
 }
 
-func newGateway(number int, played *world) (*gateway, error) {
+func newGateway(number int, r *soakRun) (*gateway, error) {
 	address := loopback(number)
 	at := func(port int) string { return fmt.Sprintf("%s:%d", address, port) }
-	made := &gateway{name: fmt.Sprintf("g%d", number), world: played}
-	made.settings = filepath.Join(played.options.Directory, made.name+".yaml")
-	for _, wanted := range []struct {
+	g := &gateway{name: fmt.Sprintf("g%d", number), run: r}
+	g.settingsPath = filepath.Join(r.options.Directory, g.name+".yaml")
+	for _, entry := range []struct {
 		link   **faultproxy.Link
 		target string
 	}{
-		{&made.toStore, played.store.doors[number].address()},
-		{&made.toPeers, at(portPeers)},
-		{&made.callers, at(portCallers)},
+		{&g.toStore, r.store.endpoints[number].address()},
+		{&g.fromPeers, at(portPeers)},
+		{&g.fromCallers, at(portCallers)},
 	} {
-		link, err := faultproxy.Listen("127.0.0.1:0", wanted.target)
+		link, err := faultproxy.Listen("127.0.0.1:0", entry.target)
 		if err != nil {
 			return nil, err
 		}
-		*wanted.link = link
+		*entry.link = link
 	}
-	const rowBytes = 4096 // small, so that histories take several rows
-	made.current = server.Settings{
-		Machine: made.name, Zone: fmt.Sprintf("z%d", number%2+1), Region: "r",
+	const rowBytes = 4096 // small, so that histories need several rows
+	g.settings = server.Settings{
+		Machine: g.name, Zone: fmt.Sprintf("z%d", number%2+1), Region: "r",
 		Listen: server.Listen{
 			Callers: at(portCallers), Ready: at(portReady), Peers: at(portPeers), Metrics: at(portMetrics),
-			Advertise: made.toPeers.Address(),
+			Advertise: g.fromPeers.Address(),
 		},
-		Store:        server.Store{Address: made.toStore.Address(), RowBytes: rowBytes},
-		GraceSeconds: grace.Seconds(), DrainMillis: float64(drainBound.Milliseconds()),
-		ContactMillis: float64(contact.Milliseconds()),
+		Store:        server.Store{Address: g.toStore.Address(), RowBytes: rowBytes},
+		GraceSeconds: gracePeriod.Seconds(), DrainMillis: float64(drainBound.Milliseconds()),
+		ContactMillis: float64(contactTimeout.Milliseconds()),
 		MemoryMB:      256,
 		Quota: server.Quota{
 			WindowSeconds: quotaWindow.Seconds(), ToleranceShare: toleranceShare, ToleranceRequests: toleranceRequests,
 		},
-		// Also at later starts: a gateway that wrote its row before is no founder.
+		// Also set at restarts: a gateway that already has its row does not count as a
+		// founder again.
 		FirstStart: true,
 	}
-	return made, made.writeSettings()
+	return g, g.writeSettings()
 }
 
 func (g *gateway) writeSettings() error {
-	content, err := yaml.Marshal(g.current)
+	content, err := yaml.Marshal(g.settings)
 	if err != nil {
 		return eris.Wrap(err, "encode settings")
 	}
-	return eris.Wrap(os.WriteFile(g.settings, content, 0o600), "write settings")
+	return eris.Wrap(os.WriteFile(g.settingsPath, content, 0o600), "write settings")
 }
 
-// start runs a new process, unless one runs: a kill and a planned stop that overlap both start again
-// what they ended.
+// start starts a new process, unless one is running: a kill and a planned stop that
+// overlap both restart the gateway.
 func (g *gateway) start() error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.runs() {
+	if g.isRunning() {
 		return nil
 	}
-	output, err := os.OpenFile(g.world.logFile(g.name), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+	output, err := os.OpenFile(g.run.logFile(g.name), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return eris.Wrap(err, "open log")
 	}
 	defer func() { _ = output.Close() }() // the process has its own copy
-	command := exec.Command(g.world.options.Binary, "--settings", g.settings)
+	command := exec.Command(g.run.options.Binary, "--settings", g.settingsPath)
 	command.Stdout, command.Stderr = output, output
-	command.Env = append(os.Environ(), g.world.options.Environment...)
+	command.Env = append(os.Environ(), g.run.options.Environment...)
 	if err := command.Start(); err != nil {
 		return eris.Wrapf(err, "start gateway %s", g.name)
 	}
-	g.command, g.exited, g.expected = command, make(chan struct{}), false
-	go g.await(command, g.exited)
+	g.command, g.exited, g.exitExpected = command, make(chan struct{}), false
+	go g.awaitExit(command, g.exited)
 	return nil
 }
 
-// runs tells whether the latest process has not ended; the lock is held.
-func (g *gateway) runs() bool {
+// isRunning reports whether the latest process is running. g.mutex must be held.
+func (g *gateway) isRunning() bool {
 	if g.command == nil {
 		return false
 	}
@@ -133,39 +135,42 @@
 	}
 }
 
-// await notes a process that ended though nobody told it to.
-func (g *gateway) await(command *exec.Cmd, exited chan struct{}) {
-	_ = command.Wait() // the state says it all
+// awaitExit waits until the process ends, and reports a finding if it got no signal
+// to end.
+func (g *gateway) awaitExit(command *exec.Cmd, exited chan struct{}) {
+	_ = command.Wait() // the process state contains the result
 	g.mutex.Lock()
-	expected := g.expected
+	expected := g.exitExpected
 	g.mutex.Unlock()
 	if !expected {
-		g.world.evidence.find("process: %s ended by itself: %s", g.name, command.ProcessState)
+		g.run.evidence.addFinding("process: %s ended without a signal: %s", g.name, command.ProcessState)
 	}
 	close(exited)
 }
 
-// signal sends a signal to the process that runs.
+// signal sends a signal to the latest process, which may have ended, and returns a
+// channel that is closed when that process has ended.
 func (g *gateway) signal(sent syscall.Signal) <-chan struct{} {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if sent == syscall.SIGKILL || sent == syscall.SIGTERM {
-		g.expected = true
+		g.exitExpected = true
 	}
-	_ = g.command.Process.Signal(sent) // it may have ended already
+	_ = g.command.Process.Signal(sent) // fails if the process has ended
 	return g.exited
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (g *gateway) kill() { <-g.signal(syscall.SIGKILL) }
 
-// stop ends the process as planned, by force after the grace.
+// stop stops the process as planned. If that takes longer than the grace period, it
+// reports a finding and kills the process.
 func (g *gateway) stop() {
 	exited := g.signal(syscall.SIGTERM)
 	select {
 	case <-exited:
-	case <-time.After(grace + schedulingSlack):
-		g.world.evidence.find("process: %s did not stop within %s", g.name, grace+schedulingSlack)
+	case <-time.After(gracePeriod + schedulingSlack):
+		g.run.evidence.addFinding("process: %s did not stop within %s", g.name, gracePeriod+schedulingSlack)
 		g.kill()
 	}
 }
@@ -175,19 +180,19 @@
 		g.signal(syscall.SIGCONT)
 		g.kill()
 	}
-	for _, link := range []*faultproxy.Link{g.toStore, g.toPeers, g.callers} {
+	for _, link := range []*faultproxy.Link{g.toStore, g.fromPeers, g.fromCallers} {
 		if link != nil {
 			_ = link.Close()
 		}
 	}
 }
 
-// ready tells whether callers would be sent here.
-func (g *gateway) ready(ctx context.Context) bool {
-	const patience = 500 * time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// isReady reports whether the gateway answers that it is ready for callers.
+func (g *gateway) isReady(ctx context.Context) bool {
+	const timeout = 500 * time.Millisecond
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.current.Listen.Ready+"/api/ready", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.settings.Listen.Ready+"/api/ready", nil)
 	if err != nil {
 		return false
 	}
@@ -200,12 +205,12 @@
 }
 
 func (g *gateway) awaitReady(ctx context.Context) error {
-	const pauseBetween = 50 * time.Millisecond
-	for !g.ready(ctx) {
+	const pollInterval = 50 * time.Millisecond
+	for !g.isReady(ctx) {
 		if ctx.Err() != nil {
 			return eris.Errorf("gateway %s did not become ready", g.name)
 		}
-		time.Sleep(pauseBetween)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -10,50 +10,51 @@
 	"time"
 )
 
-// fault is one trouble as the seed draws it, before it begins.
+// fault is a fault with the parameters that were drawn for it.
 type fault struct {
-	kind    string
-	targets []int // gateways, or places among the engines
-	how     int   // variant, meaning by kind
-	share   float64
-	lasts   time.Duration
+	kind     string
+	targets  []int   // indices of gateways
+	variant  int     // selects details of the fault; its meaning depends on the kind
+	share    float64 // fraction of requests or partitions that are affected; also scales delays
+	duration time.Duration
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%s of %v, variant %d, share %.2f, for %s", f.kind, f.targets, f.how, f.share, f.lasts)
+	return fmt.Sprintf("%s of %v, variant %d, share %.2f, for %s", f.kind, f.targets, f.variant, f.share, f.duration)
 }
 
-// injector brings a fault about, waits for its end and takes it back.
-type injector func(w *world, f fault)
+// injector injects a fault, waits for its end and undoes it.
+type injector func(w *soakRun, f fault)
 
-// injectors are the kinds of faults.
+// injectors contains the injector of each kind of fault.
 var injectors = map[string]injector{
-	"kill":          (*world).kill,
-	"pause":         (*world).pause,
-	"stop":          (*world).stop,
-	"store-down":    (*world).storeDown,
-	"store-part":    (*world).storePart,
-	"store-one":     (*world).storeOne,
-	"store-slow":    (*world).storeSlow,
-	"store-lost":    (*world).storeLost,
-	"store-late":    (*world).storeLate,
-	"store-history": (*world).storeHistory,
-	"link-store":    (*world).linkStore,
-	"link-peers":    (*world).linkPeers,
-	"link-callers":  (*world).linkCallers,
-	"link-engine":   (*world).linkEngine,
-	"engine-crash":  (*world).engineCrash,
-	"engine-bad":    (*world).engineBad,
+	"kill":          (*soakRun).kill,
+	"pause":         (*soakRun).pause,
+	"stop":          (*soakRun).stop,
+	"store-down":    (*soakRun).storeDown,
+	"store-part":    (*soakRun).storePart,
+	"store-one":     (*soakRun).storeOne,
+	"store-slow":    (*soakRun).storeSlow,
+	"store-lost":    (*soakRun).storeLost,
+	"store-late":    (*soakRun).storeLate,
+	"store-history": (*soakRun).storeHistory,
+	"link-store":    (*soakRun).linkStore,
+	"link-peers":    (*soakRun).linkPeers,
+	"link-callers":  (*soakRun).linkCallers,
+	"link-engine":   (*soakRun).linkEngine,
+	"engine-crash":  (*soakRun).engineCrash,
+	"engine-bad":    (*soakRun).engineBad,
 }
 
-// planned are changes that nobody may notice.
-var planned = map[string]injector{
-	"engine-drain": (*world).engineDrain,
-	"configure":    (*world).reconfigure,
-	"hup":          (*world).hup,
+// plannedChanges are operations that callers must not notice. They happen while faults
+// are injected and in calm rounds.
+var plannedChanges = map[string]injector{
+	"engine-drain": (*soakRun).engineDrain,
+	"configure":    (*soakRun).reconfigure,
+	"hup":          (*soakRun).hup,
 }
 
-// Kinds lists the kinds of faults.
+// Kinds returns the kinds of faults, sorted.
 func Kinds() []string {
 	var kinds []string
 	for kind := range injectors {
@@ -64,97 +65,100 @@
 }
 
 const (
-	mostTogether  = 3
-	roundsToCalm  = 4 // after so many rounds comes one without faults
-	shortestFault = 300 * time.Millisecond
-	longestFault  = 4 * time.Second
+	maxConcurrentFaults = 3
+	roundsPerCalmRound  = 4 // each round with this multiple as its number is followed by a calm round
+	minFaultDuration    = 300 * time.Millisecond
+	maxFaultDuration    = 4 * time.Second
 )
 
-// injectFaults plays rounds of faults until the time is over; each ends before
-// the next begins. In calm rounds changes are made whose bounds are checked.
-func (w *world) injectFaults(ctx context.Context) {
-	random := newRandom(w.options.Seed)
-	kinds := w.options.Kinds
+// injectFaults runs rounds of faults until the duration is over. All faults of a
+// round end before the next round begins. Calm rounds, without faults, allow time
+// limits to be checked.
+func (r *soakRun) injectFaults(ctx context.Context) {
+	random := newFaultRandom(r.options.Seed)
+	kinds := r.options.Kinds
 	if len(kinds) == 0 {
 		kinds = Kinds()
 	}
-	w.wait(ctx, time.Second)
-	for round := 1; ctx.Err() == nil && time.Since(w.began) < founded+w.options.Duration; round++ {
-		drawn := w.draw(random, kinds)
-		var together sync.WaitGroup
-		for _, each := range drawn {
-			w.note(each.String())
-			together.Go(func() { injectors[each.kind](w, each) })
+	r.sleep(ctx, time.Second)
+	for round := 1; ctx.Err() == nil && time.Since(r.began) < firstStartDuration+r.options.Duration; round++ {
+		faults := r.drawFaults(random, kinds)
+		var running sync.WaitGroup
+		for _, each := range faults {
+			r.logEvent(each.String())
+			running.Go(func() { injectors[each.kind](r, each) })
 		}
-		change := w.drawChange(random)
-		together.Go(func() { w.change(change) })
-		together.Wait()
-		w.wait(ctx, time.Duration(random.IntN(1000))*time.Millisecond)
-		if round%roundsToCalm == 0 {
-			w.calmRound(ctx, random)
+		change := r.drawChange(random)
+		running.Go(func() { r.makeChange(change) })
+		running.Wait()
+		r.sleep(ctx, time.Duration(random.IntN(1000))*time.Millisecond)
+		if round%roundsPerCalmRound == 0 {
+			r.runCalmRound(ctx, random)
 		}
 	}
 }
 
-// calmRound makes every planned change while nothing is wrong.
-func (w *world) calmRound(ctx context.Context, random *rand.Rand) {
-	if err := w.awaitReady(ctx); err != nil {
-		w.evidence.find("recovery: %v", err)
+// runCalmRound makes random planned changes while no fault is active. It waits long
+// enough before and after for the time limits to be checked.
+func (r *soakRun) runCalmRound(ctx context.Context, random *rand.Rand) {
+	if err := r.awaitReady(ctx); err != nil {
+		r.evidence.addFinding("recovery: %v", err)
 		return
 	}
-	w.note("calm")
-	w.wait(ctx, contact+time.Second)
-	for range planned {
-		w.change(w.drawChange(random))
+	r.logEvent("calm")
+	r.sleep(ctx, contactTimeout+time.Second)
+	for range plannedChanges {
+		r.makeChange(r.drawChange(random))
 	}
-	w.wait(ctx, configurationBound+schedulingSlack+time.Second)
+	r.sleep(ctx, configurationBound+schedulingSlack+time.Second)
 }
 
-func (w *world) drawChange(random *rand.Rand) fault {
+func (r *soakRun) drawChange(random *rand.Rand) fault {
 	var kinds []string
-	for kind := range planned {
+	for kind := range plannedChanges {
 		kinds = append(kinds, kind)
 	}
 	slices.Sort(kinds)
-	return fault{kind: kinds[random.IntN(len(kinds))], targets: []int{random.IntN(len(w.gateways))}, how: random.IntN(1 << 16)}
+	return fault{kind: kinds[random.IntN(len(kinds))], targets: []int{random.IntN(len(r.gateways))}, variant: random.IntN(1 << 16)}
 }
 
-func (w *world) change(drawn fault) {
-	w.note(drawn.String())
-	planned[drawn.kind](w, drawn)
+func (r *soakRun) makeChange(change fault) {
+	r.logEvent(change.String())
+	plannedChanges[change.kind](r, change)
 }
 
-// draw picks faults of different families: two troubles of the store would
-// take each other back.
-func (w *world) draw(random *rand.Rand, kinds []string) []fault {
-	var drawn []fault
+// drawFaults draws up to maxConcurrentFaults faults of different families. The
+// family is the part of the kind before "-"; two faults of one family could undo
+// each other.
+func (r *soakRun) drawFaults(random *rand.Rand, kinds []string) []fault {
+	var faults []fault
 	families := map[string]bool{}
-	for range 1 + random.IntN(mostTogether) {
+	for range 1 + random.IntN(maxConcurrentFaults) {
 		kind := kinds[random.IntN(len(kinds))]
-		one := fault{
-			kind: kind, how: random.IntN(1 << 16), share: 0.1 + 0.5*random.Float64(),
-			targets: random.Perm(len(w.gateways))[:1+random.IntN(len(w.gateways))],
+		f := fault{
+			kind: kind, variant: random.IntN(1 << 16), share: 0.1 + 0.5*random.Float64(),
+			targets: random.Perm(len(r.gateways))[:1+random.IntN(len(r.gateways))],
 		}
-		one.lasts = shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
+		f.duration = minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 		family, _, _ := strings.Cut(kind, "-")
 		if families[family] {
 			continue
 		}
 		families[family] = true
-		drawn = append(drawn, one)
+		faults = append(faults, f)
 	}
-	return drawn
+	return faults
 }
 
-func (w *world) wait(ctx context.Context, pause time.Duration) {
+func (r *soakRun) sleep(ctx context.Context, pause time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(pause):
 	}
 }
 
-// newRandom is what the faults of a seed are drawn from.
-func newRandom(seed uint64) *rand.Rand {
-	const ofFaults = 1 << 32 // callers draw from smaller streams
-	return rand.New(rand.NewPCG(seed, ofFaults))
+// newFaultRandom returns the random source from which the faults of a seed are drawn.
+func newFaultRandom(seed uint64) *rand.Rand {
+	const faultStream = 1 << 32 // the streams of callers have lower numbers
+	return rand.New(rand.NewPCG(seed, faultStream))
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,7 +1,8 @@
-// Package soak runs real gateways as processes on one machine, lets callers
-// play programs through them, injects faults from outside (signals, links,
-// a store and engines that misbehave), and checks what callers and engines
-// saw against the promises of the pages. What happens when comes from a seed.
+// Package soak runs real gateway processes on one machine, sends them requests of
+// simulated programs and injects faults: signals to the processes, faults on the
+// network links, and a store and engines that misbehave. Afterwards it checks the
+// gateways' guarantees from what callers and engines observed. All faults are drawn
+// from a seed.
 package soak
 
 import (
@@ -15,119 +16,122 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options are the parameters of a run.
+// Options configure Run.
 type Options struct {
-	Binary    string // of the gateway
-	Directory string // for settings and logs; empty: a temporary one, removed if no promise was broken
+	Binary    string // path to the gateway binary
+	Directory string // for settings and logs; empty: a temporary one, removed if there are no findings
 	Seed      uint64
-	Duration  time.Duration // of the faults; the recovery comes after
-	Gateways  int
-	Callers   int // that play programs at the same time
-	// Kinds, if given, limits the faults to these.
+	Duration  time.Duration // how long faults are injected; recovery comes after it
+	Gateways  int           // number of gateways
+	Callers   int           // number of callers that run programs concurrently
+	// Kinds limits the faults to these kinds; empty: all kinds.
 	Kinds []string
-	// Untimed leaves out the promises that are bounds in time, for machines
-	// that may stop for seconds.
+	// Untimed skips the checks of time limits, for machines that may stall for
+	// seconds.
 	Untimed bool
-	// Environment is added to that of the gateways.
+	// Environment is added to the gateways' environment, as "NAME=value".
 	Environment []string
-	Progress    func(format string, arguments ...any)
+	Progress    func(format string, arguments ...any) // called for each fault and planned change; may be nil
 }
 
-// Bounds that the gateways are told, and that the checks use.
+// Time limits that the gateways are configured with and that the checks use.
 const (
 	drainBound         = 2 * time.Second
 	configurationBound = 2 * time.Second
-	contact            = 3 * time.Second
-	grace              = 6 * time.Second
-	// schedulingSlack is what a busy machine may add to any bound.
+	contactTimeout     = 3 * time.Second
+	gracePeriod        = 6 * time.Second
+	// schedulingSlack is added to the limits in checks, for delays of a busy machine.
 	schedulingSlack = 2 * time.Second
 )
 
-// Verdict is what a run found.
+// Verdict is the result of a run.
 type Verdict struct {
 	Seed     uint64
-	Findings []string
-	Attempts map[string]int // by kind and outcome
-	Faults   []string       // in their order
-	Logs     string         // the directory, if it was kept
+	Findings []string       // violated guarantees; empty: none
+	Attempts map[string]int // number of attempts, by kind and outcome
+	Faults   []string       // faults and planned changes, in the order of injection
+	Logs     string         // directory of the settings and logs; empty if it was removed
 }
 
-// world is everything of one run.
-type world struct {
+// soakRun is the state of one run.
+type soakRun struct {
 	options  Options
 	began    time.Time
 	evidence *evidence
 	store    *store
 	engines  *engines
 	gateways []*gateway
-	calm     *calmness
+	calm     *calmTracker
 
-	pressed sync.WaitGroup // requests of the limited tenant
+	quotaRequests sync.WaitGroup // requests of the tenant with a quota that are in progress
 
 	mutex  sync.Mutex
 	faults []string
 }
 
-// Run plays one seed.
+// Run starts the gateways, injects the faults of the seed while callers send
+// requests, and checks all guarantees. A violated guarantee is a finding of the
+// verdict, not an error.
 func Run(ctx context.Context, options Options) (*Verdict, error) {
 	if options.Progress == nil {
 		options.Progress = func(string, ...any) {}
 	}
-	kept := options.Directory != ""
-	if !kept {
-		made, err := os.MkdirTemp("", "thymeloft-soak-")
+	keepDirectory := options.Directory != ""
+	if !keepDirectory {
+		directory, err := os.MkdirTemp("", "thymeloft-soak-")
 		if err != nil {
-			return nil, eris.Wrap(err, "make a directory")
+			return nil, eris.Wrap(err, "create a temporary directory")
 		}
-		options.Directory = made
+		options.Directory = directory
 	}
-	played := &world{options: options, began: time.Now(), calm: newCalmness()}
-	played.evidence = newEvidence(played.calm)
-	played.evidence.untimed = options.Untimed
-	defer played.close()
-	if err := played.start(ctx); err != nil {
+	run := &soakRun{options: options, began: time.Now(), calm: newCalmTracker()}
+	run.evidence = newEvidence(run.calm)
+	run.evidence.untimed = options.Untimed
+	defer run.close()
+	if err := run.start(ctx); err != nil {
 		return nil, err
 	}
-	played.play(ctx)
+	run.runCallersAndFaults(ctx)
 	report := &Verdict{
-		Seed: options.Seed, Findings: played.evidence.check(), Attempts: played.evidence.outcomes(),
-		Faults: played.faults, Logs: options.Directory,
+		Seed: options.Seed, Findings: run.evidence.check(), Attempts: run.evidence.countOutcomes(),
+		Faults: run.faults, Logs: options.Directory,
 	}
-	if len(report.Findings) == 0 && !kept {
+	if len(report.Findings) == 0 && !keepDirectory {
 		report.Logs = ""
 		return report, os.RemoveAll(options.Directory)
 	}
 	return report, nil
 }
 
-// start brings store, engines and gateways up, and waits until all are ready.
-func (w *world) start(ctx context.Context) error {
-	w.store = newStore(w.options.Gateways)
-	made, err := newEngines(w.evidence, w.store)
+// start starts the store, the engines and the gateways, and waits until all
+// gateways are ready.
+func (r *soakRun) start(ctx context.Context) error {
+	r.store = newStore(r.options.Gateways)
+	created, err := newEngines(r.evidence, r.store)
 	if err != nil {
 		return err
 	}
-	w.engines = made
-	w.store.configure(w.evidence)
-	for number := range w.options.Gateways {
-		made, err := newGateway(number, w)
+	r.engines = created
+	r.store.configure(r.evidence)
+	for number := range r.options.Gateways {
+		created, err := newGateway(number, r)
 		if err != nil {
 			return err
 		}
-		w.gateways = append(w.gateways, made)
-		if err := made.start(); err != nil {
+		r.gateways = append(r.gateways, created)
+		if err := created.start(); err != nil {
 			return err
 		}
 	}
-	return w.awaitReady(ctx)
+	return r.awaitReady(ctx)
 }
 
-const startPatience = 60 * time.Second
+const startTimeout = 60 * time.Second
 
-func (w *world) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+func (r *soakRun) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for _, each := range w.gateways {
+	for _, each := range r.gateways {
 		if err := each.awaitReady(ctx); err != nil {
 			return err
 		}
@@ -135,58 +139,60 @@
 	return nil
 }
 
-// founded is when the gateways of a system that was never started before have written that they
-// keep the quotas: who is killed before goes on with its part six minutes later (package members).
-const founded = 7 * time.Second
+// firstStartDuration is how long the gateways of a new system need until each has
+// recorded in the store that it keeps a share of the quotas. A gateway that is killed
+// before that gets its share back only six minutes later (package members).
+const firstStartDuration = 7 * time.Second
 
-// play runs callers beside the faults, then lets all recover and asks again.
-func (w *world) play(ctx context.Context) {
-	playing, stop := context.WithCancel(ctx)
+// runCallersAndFaults injects the faults while callers send requests, then stops the
+// callers and checks that the gateways recover.
+func (r *soakRun) runCallersAndFaults(ctx context.Context) {
+	callersCtx, stop := context.WithCancel(ctx)
 	var callers sync.WaitGroup
-	for number := range w.options.Callers {
-		random := rand.New(rand.NewPCG(w.options.Seed, uint64(number)+1))
-		callers.Go(func() { newCaller(w, number, random).play(playing) })
+	for number := range r.options.Callers {
+		random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)+1))
+		callers.Go(func() { newCaller(r, number, random).runPrograms(callersCtx) })
 	}
-	callers.Go(func() { w.pressQuota(playing, newRandom(w.options.Seed+1)) })
-	w.wait(ctx, founded)
-	w.injectFaults(ctx)
+	callers.Go(func() { r.exceedQuota(callersCtx, newFaultRandom(r.options.Seed+1)) })
+	r.sleep(ctx, firstStartDuration)
+	r.injectFaults(ctx)
 	stop()
 	callers.Wait()
-	w.recover(ctx)
+	r.checkRecovery(ctx)
 }
 
-// recover demands that all gateways become ready and serve once nothing is
-// wrong any more.
-func (w *world) recover(ctx context.Context) {
-	if err := w.awaitReady(ctx); err != nil {
-		w.evidence.find("recovery: %v", err)
+// checkRecovery checks, after all faults have ended, that all gateways become ready
+// and answer requests of each kind.
+func (r *soakRun) checkRecovery(ctx context.Context) {
+	if err := r.awaitReady(ctx); err != nil {
+		r.evidence.addFinding("recovery: %v", err)
 		return
 	}
-	random := rand.New(rand.NewPCG(w.options.Seed, 0))
-	last := newCaller(w, w.options.Callers, random)
-	for number := range w.gateways {
-		last.probe(ctx, number)
+	random := rand.New(rand.NewPCG(r.options.Seed, 0))
+	probing := newCaller(r, r.options.Callers, random)
+	for number := range r.gateways {
+		probing.probe(ctx, number)
 	}
 }
 
-func (w *world) note(fault string) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.faults = append(w.faults, fault)
-	w.options.Progress("%7.3f s  %s", time.Since(w.began).Seconds(), fault)
+func (r *soakRun) logEvent(event string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.faults = append(r.faults, event)
+	r.options.Progress("%7.3f s  %s", time.Since(r.began).Seconds(), event)
 }
 
-func (w *world) close() {
-	for _, each := range w.gateways {
+func (r *soakRun) close() {
+	for _, each := range r.gateways {
 		each.close()
 	}
-	if w.engines != nil {
-		w.engines.close()
+	if r.engines != nil {
+		r.engines.close()
 	}
-	if w.store != nil {
-		w.store.close()
+	if r.store != nil {
+		r.store.close()
 	}
 }
 
-// logFile is where a gateway's output goes.
-func (w *world) logFile(name string) string { return filepath.Join(w.options.Directory, name+".log") }
+// logFile returns the path of the file that gets the output of a gateway.
+func (r *soakRun) logFile(name string) string { return filepath.Join(r.options.Directory, name+".log") }
--- a/internal/lab/soak/store.go
+++ b/internal/lab/soak/store.go
@@ -15,97 +15,97 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// store is the stand-in of the store with an own door for each gateway, so
-// that it may treat them differently.
+// store is an in-memory store with an endpoint for each gateway, so that faults can
+// affect single gateways.
 type store struct {
-	memory *memorystore.Store
-	doors  []*door
+	memory    *memorystore.Store
+	endpoints []*endpoint
 
 	mutex    sync.Mutex
 	revision uint64
 }
 
-// door is the store as one gateway sees it.
-type door struct {
+// endpoint is the HTTP server through which one gateway reaches the store.
+type endpoint struct {
 	handler  *platformstore.Handler
 	listener net.Listener
 	server   *http.Server
 
-	mutex sync.Mutex
-	mood  mood
+	mutex    sync.Mutex
+	behavior storeBehavior
 }
 
-// mood is how a door treats its calls.
-type mood struct {
-	status    int // refused with it, if set
-	resets    bool
-	silent    bool
-	delay     time.Duration
-	partsDown float64 // share of the partitions that are refused
-	salt      uint32  // picks them
-	loseShare float64 // of writes: done and not answered
-	lateShare float64 // of writes: not answered, done later
+// storeBehavior is the fault that an endpoint shows. The zero value is none.
+type storeBehavior struct {
+	refuseStatus int           // status that all calls are refused with; 0: not refused
+	resets       bool          // reset the connections of all calls
+	silent       bool          // do not answer calls
+	delay        time.Duration // before each answer
+	downShare    float64       // share of the partitions that are unavailable
+	downSalt     uint32        // selects these partitions
+	lostShare    float64       // share of the writes that are done but not answered
+	lateShare    float64       // share of the writes that are not answered and done later
 }
 
-func newStore(doors int) *store {
-	made := &store{memory: memorystore.New()}
-	for range doors {
+func newStore(count int) *store {
+	s := &store{memory: memorystore.New()}
+	for range count {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			panic(err) // the kernel has no port left
+			panic(err) // no port is free
 		}
-		each := &door{handler: &platformstore.Handler{Store: made.memory}, listener: listener}
+		each := &endpoint{handler: &platformstore.Handler{Store: s.memory}, listener: listener}
 		each.server = &http.Server{Handler: each}
 		go func() { _ = each.server.Serve(listener) }()
-		made.doors = append(made.doors, each)
+		s.endpoints = append(s.endpoints, each)
 	}
-	made.memory.Misbehave(made.script)
-	return made
+	s.memory.Misbehave(s.decideFault)
+	return s
 }
 
 func (s *store) close() {
-	for _, each := range s.doors {
+	for _, each := range s.endpoints {
 		_ = each.server.Close()
 	}
 }
 
-func (d *door) address() string { return d.listener.Addr().String() }
+func (e *endpoint) address() string { return e.listener.Addr().String() }
 
-func (d *door) set(next mood) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.mood = next
+func (e *endpoint) setBehavior(next storeBehavior) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.behavior = next
 }
 
-func (d *door) current() mood {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.mood
+func (e *endpoint) currentBehavior() storeBehavior {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.behavior
 }
 
-// all puts a mood in force at all doors.
-func (s *store) all(next mood) {
-	for _, each := range s.doors {
-		each.set(next)
+// setAll sets the behavior of all endpoints.
+func (s *store) setAll(next storeBehavior) {
+	for _, each := range s.endpoints {
+		each.setBehavior(next)
 	}
 }
 
-// script decides by the first door's mood what concerns the rows themselves:
-// all doors share such troubles.
-func (s *store) script(call memorystore.Call) memorystore.Fault {
-	current := s.doors[0].current()
+// decideFault returns the fault of a call to the memory store. It uses the behavior
+// of the first endpoint: faults of rows are the same at all endpoints.
+func (s *store) decideFault(call memorystore.Call) memorystore.Fault {
+	current := s.endpoints[0].currentBehavior()
 	partition := ""
 	if call.Name == "commit" {
 		partition = partitionOf(call.Commit)
-		switch drawn := rand.Float64(); {
-		case drawn < current.loseShare:
+		switch random := rand.Float64(); {
+		case random < current.lostShare:
 			return memorystore.Lost
-		case drawn < current.loseShare+current.lateShare:
+		case random < current.lostShare+current.lateShare:
 			time.AfterFunc(time.Duration(1000+rand.IntN(2000))*time.Millisecond, s.memory.Release)
 			return memorystore.Late
 		}
 	}
-	if call.Name != "feed" && isDown(partition, current) {
+	if call.Name != "feed" && isPartitionDown(partition, current) {
 		return memorystore.Refused
 	}
 	return memorystore.None
@@ -124,51 +124,51 @@
 	}
 }
 
-// isDown draws the partitions that are down; the nameless one stays up, since
-// operators and engines write there.
-func isDown(partition string, current mood) bool {
-	if current.partsDown == 0 || partition == "" {
+// isPartitionDown reports whether the partition is unavailable. The unnamed partition
+// never is, since operators and engines write there.
+func isPartitionDown(partition string, current storeBehavior) bool {
+	if current.downShare == 0 || partition == "" {
 		return false
 	}
 	digest := fnv.New32a()
-	_, _ = fmt.Fprintf(digest, "%s/%d", partition, current.salt)
+	_, _ = fmt.Fprintf(digest, "%s/%d", partition, current.downSalt)
 	const steps = 1000
-	return float64(digest.Sum32()%steps) < current.partsDown*steps
+	return float64(digest.Sum32()%steps) < current.downShare*steps
 }
 
 // ServeHTTP implements http.Handler.
-func (d *door) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	current := d.current()
+func (e *endpoint) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	current := e.currentBehavior()
 	switch {
 	case current.resets:
 		panic(http.ErrAbortHandler)
 	case current.silent:
 		<-request.Context().Done()
 		panic(http.ErrAbortHandler)
-	case current.status != 0:
-		writer.WriteHeader(current.status)
+	case current.refuseStatus != 0:
+		writer.WriteHeader(current.refuseStatus)
 		return
 	}
-	if request.URL.Path == "/api/rows-get" && isDown(request.URL.Query().Get("part"), current) {
+	if request.URL.Path == "/api/rows-get" && isPartitionDown(request.URL.Query().Get("part"), current) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	time.Sleep(current.delay)
-	d.handler.ServeHTTP(writer, request)
+	e.handler.ServeHTTP(writer, request)
 }
 
-// The names of services and of routes.
+// Names of the services, paths of the routes, and the host of all routes.
 const (
-	serviceModel  = "llm"
-	serviceApp    = "app"
-	serviceOther  = "app-other"
-	host          = "soak.example"
-	pathRecorded  = "/chat/"
-	pathPlain     = "/agent/"
-	pathSafe      = "/look/"
-	pathUnsafe    = "/pay/"
-	pathMoving    = "/move/"
-	tokensPerItem = 9 // of each event
+	serviceModel   = "llm"
+	serviceApp     = "app"
+	serviceOther   = "app-other"
+	host           = "soak.example"
+	pathRecorded   = "/chat/"
+	pathPlain      = "/agent/"
+	pathSafe       = "/look/"
+	pathUnsafe     = "/pay/"
+	pathMoving     = "/move/"
+	tokensPerEvent = 9 // tokens that the gateway counts for each event of a stream
 )
 
 type routeRow struct {
@@ -202,16 +202,17 @@
 	Tenants  []tenantRow    `json:"tenants"`
 }
 
-// routeTimeout bounds each request.
+// routeTimeout is the timeout of each request, on every route.
 const routeTimeout = 4 * time.Second
 
-// configure writes the next configuration; the moving route changes sides.
-func (s *store) configure(noted *evidence) {
+// configure writes the next configuration. The service of the moving route
+// alternates between two services.
+func (s *store) configure(observed *evidence) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision += 1 + uint64(rand.IntN(3))
 	moving := serviceApp
-	if noted.versions()%2 == 1 {
+	if observed.countConfigurations()%2 == 1 {
 		moving = serviceOther
 	}
 	timeout := float64(routeTimeout.Milliseconds())
@@ -231,21 +232,21 @@
 			route("pay", pathUnsafe, "unsafe", serviceApp, 1, false),
 			route("move", pathMoving, "unsafe", moving, 1, false),
 		},
-		Services: []serviceRow{{Name: serviceModel, Engine: &engineRow{Slots: 8, Stride: tokensPerItem}}, {Name: serviceApp}, {Name: serviceOther}},
+		Services: []serviceRow{{Name: serviceModel, Engine: &engineRow{Slots: 8, Stride: tokensPerEvent}}, {Name: serviceApp}, {Name: serviceOther}},
 		Limits:   map[string]int{"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
 		Tenants:  tenantRows(),
 	})
 	if err != nil {
-		panic(err) // a fixed shape
+		panic(err) // cannot fail for these types
 	}
-	s.operatorWrites(state.Put{Key: state.Key{Table: "op", Name: "config"}, Value: value})
-	noted.noteVersion(moving)
+	s.writeAsOperator(state.Put{Key: state.Key{Table: "op", Name: "config"}, Value: value})
+	observed.recordConfiguration(moving)
 }
 
-// operatorWrites commits past all troubles: the store serves the operator and
-// the engines while it refuses the system.
-func (s *store) operatorWrites(put state.Put) {
+// writeAsOperator writes a row regardless of faults: the store serves operators and
+// engines also while it refuses gateways.
+func (s *store) writeAsOperator(put state.Put) {
 	s.memory.Write(put)
 }
 
-func (s *store) operatorRemoves(key state.Key) { s.memory.Remove(key) }
+func (s *store) removeAsOperator(key state.Key) { s.memory.Remove(key) }
--- a/internal/lab/soak/tenants.go
+++ b/internal/lab/soak/tenants.go
@@ -8,24 +8,25 @@
 	"time"
 )
 
-// The tenants of a run: one without a quota, whose programs the callers play, and one whose
-// caller asks for about ten times its quota all the time.
+// Parameters of the two tenants. The programs of callers belong to the unlimited
+// tenant; the limited one sends about ten times as many requests as its quota allows.
 const (
 	keyUnlimited = "key-of-the-unlimited"
 	keyLimited   = "key-of-the-limited"
 
 	quotaWindow    = 5 * time.Second
-	quotaPerSecond = 10
-	quotaBurst     = 10
-	// The tolerance is a tenth and so many requests.
+	quotaPerSecond = 10 // requests
+	quotaBurst     = 10 // requests
+	// A window may exceed the quota by this share and this number of requests.
 	toleranceShare    = 0.1
 	toleranceRequests = 5
-	// pressedPause lies between two requests of the limited tenant.
-	pressedPause = time.Second / quotaPerSecond / 10
+	// limitedRequestInterval is the time between two requests of the limited tenant.
+	limitedRequestInterval = time.Second / quotaPerSecond / 10
 )
 
-// mostInQuota is how many requests of the limited tenant may run in any window.
-const mostInQuota = (quotaPerSecond*int(quotaWindow/time.Second)+quotaBurst)*(100+int(100*toleranceShare))/100 + toleranceRequests
+// maxRequestsInWindow is how many requests of the limited tenant may be executed in any
+// window.
+const maxRequestsInWindow = (quotaPerSecond*int(quotaWindow/time.Second)+quotaBurst)*(100+int(100*toleranceShare))/100 + toleranceRequests
 
 type tenantRow struct {
 	Name      string   `json:"name"`
@@ -41,27 +42,29 @@
 	}
 }
 
-// pressQuota asks for far more than the limited tenant's quota, at all gateways, without waiting for answers.
-func (w *world) pressQuota(ctx context.Context, random *rand.Rand) {
-	pressing := newCaller(w, w.options.Callers+1, random)
+// exceedQuota sends about ten times as many requests of the limited tenant as its quota
+// allows, to all gateways, without waiting for answers. It returns when ctx is done and
+// all requests have ended.
+func (r *soakRun) exceedQuota(ctx context.Context, random *rand.Rand) {
+	limited := newCaller(r, r.options.Callers+1, random)
 	for ctx.Err() == nil {
-		one := pressing.attempt(kindSafe)
-		one.limited, one.input, one.prompt = true, "pressed", "pressed"
-		w.pressed.Go(func() { pressing.send(one) })
-		pressing.pause(ctx, int(pressedPause.Milliseconds()))
+		a := limited.newAttempt(kindSafe)
+		a.limited, a.input, a.prompt = true, "pressed", "pressed"
+		r.quotaRequests.Go(func() { limited.send(a) })
+		limited.sleep(ctx, int(limitedRequestInterval.Milliseconds()))
 	}
-	w.pressed.Wait()
+	r.quotaRequests.Wait()
 }
 
-// quotas: in any window, no more requests of the limited tenant were sent and ran than its quota allows,
-// whatever happened to gateways and store.
-func (e *evidence) quotas() []string {
+// checkQuota checks that in every window, no more requests of the limited tenant were
+// both sent and executed than maxRequestsInWindow, whatever faults were active.
+func (e *evidence) checkQuota() []string {
 	type moment struct{ sent, began time.Time }
 	var ran []moment
-	for _, one := range e.attempts {
-		for _, each := range e.runs[one.id] {
-			if one.limited {
-				ran = append(ran, moment{one.sent, each.began})
+	for _, a := range e.attempts {
+		for _, each := range e.executions[a.id] {
+			if a.limited {
+				ran = append(ran, moment{a.sent, each.began})
 			}
 		}
 	}
@@ -73,8 +76,8 @@
 				count++
 			}
 		}
-		if count > mostInQuota {
-			return []string{fmt.Sprintf("quota: %d requests were sent and ran within %s, %d may", count, quotaWindow, mostInQuota)}
+		if count > maxRequestsInWindow {
+			return []string{fmt.Sprintf("quota: %d requests were sent and executed within %s, limit %d", count, quotaWindow, maxRequestsInWindow)}
 		}
 	}
 	return nil
