--- a/test/replay/replay_test.go
+++ b/test/replay/replay_test.go
@@ -1,4 +1,5 @@
-// Package replay_test replays the recorded traces with real processes.
+// Package replay_test replays the traces in traces/ and random traces with real daemon
+// processes.
 package replay_test
 
 import (
@@ -27,13 +28,13 @@
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-func run(ctx context.Context, name string) *replay.Verdict {
+func replayFile(ctx context.Context, name string) *replay.Verdict {
 	trace, err := replay.Load(filepath.Join("traces", name+".yaml"))
 	Expect(err).NotTo(HaveOccurred())
-	return replayed(ctx, trace)
+	return replayTrace(ctx, trace)
 }
 
-func replayed(ctx context.Context, trace replay.Trace) *replay.Verdict {
+func replayTrace(ctx context.Context, trace replay.Trace) *replay.Verdict {
 	verdict, err := replay.Run(ctx, trace, replay.Options{
 		Daemon:   daemonBinary,
 		Progress: func(format string, arguments ...any) { GinkgoWriter.Printf(format+"\n", arguments...) },
@@ -42,9 +43,9 @@
 	return verdict
 }
 
-var _ = DescribeTable("every promise holds in the trace",
+var _ = DescribeTable("every guarantee holds in the trace",
 	func(ctx SpecContext, name string) {
-		verdict := run(ctx, name)
+		verdict := replayFile(ctx, name)
 		Expect(verdict.Findings()).To(BeEmpty())
 		Expect(verdict.Held()).To(BeTrue())
 	},
@@ -67,17 +68,17 @@
 	Entry("of runaways", "runaways"),
 )
 
-var _ = DescribeTable("every promise holds when faults come together",
+var _ = DescribeTable("every guarantee holds under random faults",
 	func(ctx SpecContext, seed int) {
-		verdict := replayed(ctx, replay.Random(uint64(seed)))
+		verdict := replayTrace(ctx, replay.Random(uint64(seed)))
 		Expect(verdict.Findings()).To(BeEmpty())
 	},
-	Entry("as seed 2 has them", 2),
-	Entry("as seed 5 has them", 5),
-	Entry("as seed 7 has them", 7),
-	Entry("as seed 11 has them", 11),
+	Entry("of seed 2", 2),
+	Entry("of seed 5", 5),
+	Entry("of seed 7", 7),
+	Entry("of seed 11", 11),
 )
 
-var _ = It("comes to the same verdict when a trace is replayed again", func(ctx SpecContext) {
-	Expect(run(ctx, "theory-desk").String()).To(Equal(run(ctx, "theory-desk").String()))
+var _ = It("gives the same verdict when a trace is replayed again", func(ctx SpecContext) {
+	Expect(replayFile(ctx, "theory-desk").String()).To(Equal(replayFile(ctx, "theory-desk").String()))
 })
--- a/test/scheduling/caller_test.go
+++ b/test/scheduling/caller_test.go
@@ -22,33 +22,35 @@
 )
 
 const (
-	answerTokens = 100000 // that a call may generate
-	dossierWords = 600
-	requestBound = 30 * time.Second
+	maxAnswerTokens    = 100000 // limit of each call
+	dossierRepetitions = 600
+	requestTimeout     = 30 * time.Second
 )
 
-// caller is the tenant's client; it goes round the daemons.
+// caller is an API client of the tenant. Its requests go to the daemons in turn. It is
+// safe for concurrent use.
 type caller struct {
 	fleet *fleet.Fleet
-	turn  atomic.Int64
+	next  atomic.Int64
 }
 
 func newCaller(running *fleet.Fleet) *caller { return &caller{fleet: running} }
 
-func name(prefix string, number int) string { return fmt.Sprintf("%s-%d", prefix, number) }
+func numberedName(prefix string, number int) string { return fmt.Sprintf("%s-%d", prefix, number) }
 
-// dossier is a long text; equal numbers give the same.
+// dossier returns a long text. Equal numbers give equal texts.
 func dossier(number int) string {
-	return strings.Repeat(fmt.Sprintf("page %03d; ", number), dossierWords)
+	return strings.Repeat(fmt.Sprintf("page %03d; ", number), dossierRepetitions)
 }
 
-// send sends a request until it is answered, and gives its status and reply.
+// send sends one request to the next daemon and returns the status. It decodes the
+// response into reply if the status is 2xx and reply is not nil.
 func (c *caller) send(method, path string, body, reply any, preferences ...string) int {
 	encoded, err := json.Marshal(body)
 	Expect(err).NotTo(HaveOccurred())
-	ctx, cancel := context.WithTimeout(context.Background(), requestBound)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	daemon := c.fleet.Daemons[int(c.turn.Add(1))%len(c.fleet.Daemons)]
+	daemon := c.fleet.Daemons[int(c.next.Add(1))%len(c.fleet.Daemons)]
 	request, err := http.NewRequestWithContext(ctx, method, daemon.CallerURL()+path, bytes.NewReader(encoded))
 	Expect(err).NotTo(HaveOccurred())
 	request.Header.Set("Authorization", "Bearer "+fleet.TenantKey(tenantName))
@@ -69,7 +71,7 @@
 
 func (c *caller) create(key, class string) identity.Program {
 	var reply callerapi.CreateReply
-	status := c.send(http.MethodPost, callerapi.PathPrograms, callerapi.CreateRequest{CreationKey: key, Class: class, TokenBudget: 10 * answerTokens}, &reply)
+	status := c.send(http.MethodPost, callerapi.PathPrograms, callerapi.CreateRequest{CreationKey: key, Class: class, TokenBudget: 10 * maxAnswerTokens}, &reply)
 	Expect(status).To(Equal(http.StatusCreated))
 	return reply.Program
 }
@@ -78,19 +80,19 @@
 	return fmt.Sprintf("%s/%s/calls/%d", callerapi.PathPrograms, id, sequence)
 }
 
-func call(question string) callerapi.CallRequest {
+func modelCall(question string) callerapi.CallRequest {
 	return callerapi.CallRequest{
-		Target: program.TargetModel, Name: modelName, MaxTokens: answerTokens,
+		Target: program.TargetModel, Name: modelName, MaxTokens: maxAnswerTokens,
 		Messages: []callerapi.Message{{Role: "user", Content: question}},
 	}
 }
 
-// submit hands a call in.
+// submit submits a call without waiting for its answer.
 func (c *caller) submit(id identity.Program, sequence uint64, question string) {
-	Expect(c.send(http.MethodPost, callPath(id, sequence), call(question), nil, "respond-async")).To(Equal(http.StatusAccepted))
+	Expect(c.send(http.MethodPost, callPath(id, sequence), modelCall(question), nil, "respond-async")).To(Equal(http.StatusAccepted))
 }
 
-// awaitAnswer waits until a call is answered.
+// awaitAnswer waits until the call is answered.
 func (c *caller) awaitAnswer(id identity.Program, sequence uint64) {
 	Eventually(func() program.CallState {
 		var reply callerapi.CallReply
@@ -99,8 +101,8 @@
 	}).Should(Equal(program.CallAnswered))
 }
 
-// answer makes a call and waits for its answer.
-func (c *caller) answer(id identity.Program, sequence uint64, question string) {
+// submitAndAwait submits a call and waits for its answer.
+func (c *caller) submitAndAwait(id identity.Program, sequence uint64, question string) {
 	c.submit(id, sequence, question)
 	c.awaitAnswer(id, sequence)
 }
@@ -110,13 +112,14 @@
 	c.send(http.MethodDelete, callerapi.PathPrograms+"/"+string(id), nil, nil)
 }
 
-// overload gives an engine more than its batch and its queue, past the
-// daemons, and waits until all of them know.
-func overload(ctx context.Context, running *fleet.Fleet, engine *fleet.Engine) {
+// overloadEngine sends an engine, directly and not through the daemons, more requests
+// than its batch and queue can hold, and waits until all daemons report them. The
+// requests last until ctx is done.
+func overloadEngine(ctx context.Context, running *fleet.Fleet, engine *fleet.Engine) {
 	const requests = 60
 	for number := range requests {
 		body, err := json.Marshal(enginev1.CompletionRequest{
-			RequestID: name("overload/1", number), Program: name("overload", number), Model: modelName,
+			RequestID: numberedName("overload/1", number), Program: numberedName("overload", number), Model: modelName,
 			Messages: []enginev1.Message{{Role: "user", Content: "tokens=100000"}}, MaxTokens: 100000, Stream: true,
 		})
 		Expect(err).NotTo(HaveOccurred())
@@ -127,23 +130,24 @@
 			response.Body.Close()
 		}()
 	}
-	awaitKnown(ctx, running, engine, BeNumerically(">=", requests))
+	awaitReportedRequests(ctx, running, engine, BeNumerically(">=", requests))
 }
 
-// awaitKnown waits until all daemons know of so many requests at an engine.
-func awaitKnown(ctx context.Context, running *fleet.Fleet, engine *fleet.Engine, requests types.GomegaMatcher) {
+// awaitReportedRequests waits until, at every daemon, the number of running and waiting
+// requests of the engine satisfies the matcher.
+func awaitReportedRequests(ctx context.Context, running *fleet.Fleet, engine *fleet.Engine, matcher types.GomegaMatcher) {
 	for _, daemon := range running.Daemons {
 		Eventually(func() int64 {
 			status, err := running.Status(ctx, daemon)
 			if err != nil {
 				return -1
 			}
-			for _, known := range status.Engines {
-				if known.Name == engine.Name {
-					return known.Running + known.Waiting
+			for _, reported := range status.Engines {
+				if reported.Name == engine.Name {
+					return reported.Running + reported.Waiting
 				}
 			}
 			return -1
-		}).Should(requests)
+		}).Should(matcher)
 	}
 }
--- a/test/scheduling/load_test.go
+++ b/test/scheduling/load_test.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	loadSeed     = 11
-	loadPrograms = 200
-	loadDossiers = 8
-	loadTurns    = 5
-	loadSpread   = 8 * time.Second
-	leastAnswer  = 40
-	answerSpread = 120
-	longestPause = 300 * time.Millisecond
-	p95          = 0.95
+	loadSeed          = 11
+	loadPrograms      = 200
+	dossierCount      = 8
+	turnsPerProgram   = 5
+	maxStartDelay     = 8 * time.Second
+	minAnswerTokens   = 40
+	answerTokenSpread = 120
+	maxPause          = 300 * time.Millisecond
+	p95               = 0.95
 )
 
-// measures are what a load told.
-type measures struct {
-	mutex     sync.Mutex
-	latencies map[string][]time.Duration // of programs, by class
-	ended     int
-	refused   int
-	prompt    int64
-	cached    int64
+// loadMeasurements are the results of a load. They are safe for concurrent use while
+// the load runs.
+type loadMeasurements struct {
+	mutex        sync.Mutex
+	latencies    map[string][]time.Duration // of whole programs, by class
+	ended        int
+	refused      int
+	promptTokens int64
+	cachedTokens int64
 }
 
-func (m *measures) String() string {
+func (m *loadMeasurements) String() string {
 	all := slices.Concat(m.latencies["interactive"], m.latencies["standard"], m.latencies["batch"])
 	return fmt.Sprintf("p95 program latency %v (interactive %v, standard %v, batch %v); %d of %d prompt tokens cached; %d refusals",
 		quantile(all), quantile(m.latencies["interactive"]), quantile(m.latencies["standard"]), quantile(m.latencies["batch"]),
-		m.cached, m.prompt, m.refused)
+		m.cachedTokens, m.promptTokens, m.refused)
 }
 
 func quantile(values []time.Duration) time.Duration {
@@ -51,13 +52,14 @@
 	return sorted[int(p95*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
-// loadProgram is drawn beforehand, so that the same seed asks the same.
+// loadProgram is one program of the load. All are drawn before the load starts, so
+// that a seed always gives the same requests.
 type loadProgram struct {
-	class   string
-	begins  time.Duration
-	dossier int
-	answers [loadTurns]int
-	pauses  [loadTurns]time.Duration
+	class        string
+	startDelay   time.Duration
+	dossier      int
+	answerTokens [turnsPerProgram]int
+	pauses       [turnsPerProgram]time.Duration
 }
 
 func drawLoad() []loadProgram {
@@ -66,54 +68,55 @@
 	drawn := make([]loadProgram, loadPrograms)
 	for number := range drawn {
 		drawn[number].class = classes[random.IntN(len(classes))]
-		drawn[number].begins = time.Duration(random.Int64N(int64(loadSpread)))
-		drawn[number].dossier = random.IntN(loadDossiers)
-		for turn := range loadTurns {
-			drawn[number].answers[turn] = leastAnswer + random.IntN(answerSpread)
-			drawn[number].pauses[turn] = time.Duration(random.Int64N(int64(longestPause)))
+		drawn[number].startDelay = time.Duration(random.Int64N(int64(maxStartDelay)))
+		drawn[number].dossier = random.IntN(dossierCount)
+		for turn := range turnsPerProgram {
+			drawn[number].answerTokens[turn] = minAnswerTokens + random.IntN(answerTokenSpread)
+			drawn[number].pauses[turn] = time.Duration(random.Int64N(int64(maxPause)))
 		}
 	}
 	return drawn
 }
 
-// runLoad runs all programs to their end.
-func runLoad(client *caller) *measures {
-	measured := &measures{latencies: make(map[string][]time.Duration)}
+// runLoad runs all programs of the load and waits until they have ended.
+func runLoad(client *caller) *loadMeasurements {
+	measurements := &loadMeasurements{latencies: make(map[string][]time.Duration)}
 	var programs sync.WaitGroup
 	for number, drawn := range drawLoad() {
 		programs.Go(func() {
 			defer GinkgoRecover()
-			time.Sleep(drawn.begins)
-			measured.run(client, number, &drawn)
+			time.Sleep(drawn.startDelay)
+			measurements.runProgram(client, number, &drawn)
 		})
 	}
 	programs.Wait()
-	return measured
+	return measurements
 }
 
-func (m *measures) run(client *caller, number int, drawn *loadProgram) {
+func (m *loadMeasurements) runProgram(client *caller, number int, program *loadProgram) {
 	started := time.Now()
-	id := client.create(name("load", number), drawn.class)
-	for turn := range loadTurns {
-		question := fmt.Sprintf("program %d tokens=%d", number, drawn.answers[turn])
-		m.ask(client, id, uint64(turn+1), drawn, question)
-		time.Sleep(drawn.pauses[turn])
+	id := client.create(numberedName("load", number), program.class)
+	for turn := range turnsPerProgram {
+		question := fmt.Sprintf("program %d tokens=%d", number, program.answerTokens[turn])
+		m.ask(client, id, uint64(turn+1), program, question)
+		time.Sleep(program.pauses[turn])
 	}
 	client.end(id)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.ended++
-	m.latencies[drawn.class] = append(m.latencies[drawn.class], time.Since(started))
+	m.latencies[program.class] = append(m.latencies[program.class], time.Since(started))
 }
 
-// ask makes a call; the first one brings the dossier, which programs share.
-func (m *measures) ask(client *caller, id identity.Program, sequence uint64, drawn *loadProgram, question string) {
-	asked := call(question)
+// ask makes a call. The first call of a program contains its dossier, which several
+// programs share.
+func (m *loadMeasurements) ask(client *caller, id identity.Program, sequence uint64, program *loadProgram, question string) {
+	request := modelCall(question)
 	if sequence == 1 {
-		shared := callerapi.Message{Role: "system", Content: dossier(drawn.dossier)}
-		asked.Messages = append([]callerapi.Message{shared}, asked.Messages...)
+		shared := callerapi.Message{Role: "system", Content: dossier(program.dossier)}
+		request.Messages = append([]callerapi.Message{shared}, request.Messages...)
 	}
-	status := client.send(http.MethodPost, callPath(id, sequence), asked, nil)
+	status := client.send(http.MethodPost, callPath(id, sequence), request, nil)
 	if status == http.StatusOK {
 		return
 	}
--- a/test/scheduling/scheduling_test.go
+++ b/test/scheduling/scheduling_test.go
@@ -1,5 +1,5 @@
-// Package scheduling_test shows on real daemons that calls are placed and
-// ordered as the scheduling page says.
+// Package scheduling_test tests, with real daemon processes, on which engine and in
+// which order calls run.
 package scheduling_test
 
 import (
@@ -17,19 +17,20 @@
 )
 
 const (
-	modelName  = "model"
-	tenantName = "tenant"
-	patience   = time.Minute
-	oldSlots   = 12 // of an engine of the older generation
-
-	// talkDossiers make a prompt so long that its prefill costs more than a
-	// few calls that the lagging report of its holder still counts.
-	talkDossiers = 5
+	modelName      = "model"
+	tenantName     = "tenant"
+	waitTimeout    = time.Minute
+	oldEngineSlots = 12 // number of calls that an engine of the older generation runs at the same time
+
+	// dossiersPerTalk is the number of dossiers in the first prompt of a talk. It is so
+	// large that prefilling them again costs more than waiting for a few calls that
+	// an outdated report of the engine still counts.
+	dossiersPerTalk = 5
 )
 
 func TestScheduling(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(waitTimeout)
 	RunSpecs(t, "scheduling")
 }
 
@@ -42,8 +43,9 @@
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-// start starts three daemons in three zones, and the engines.
-func start(ctx context.Context, shards, engines, old int, timeScale float64, tenant fleet.Tenant) *fleet.Fleet {
+// startFleet starts three daemons in three zones, and the engines, of which old are of
+// the older generation.
+func startFleet(ctx context.Context, shards, engines, old int, timeScale float64, tenant fleet.Tenant) *fleet.Fleet {
 	tenant.Name = tenantName
 	running, err := fleet.Start(ctx, fleet.Deployment{
 		Region: "region", Zones: []string{"a", "b", "c"}, Shards: shards, TimeScale: timeScale,
@@ -55,9 +57,9 @@
 	return running
 }
 
-// arrivals gives programs in the order in which their requests reached the
-// engine, from the one with this number on.
-func arrivals(engine *fleet.Engine, from int) []identity.Program {
+// arrivedPrograms returns the programs of the requests that reached the engine, in
+// order of arrival, without the first ones up to from.
+func arrivedPrograms(engine *fleet.Engine, from int) []identity.Program {
 	var programs []identity.Program
 	requests := engine.Records().Requests
 	for _, request := range requests[min(from, len(requests)):] {
@@ -66,7 +68,7 @@
 	return programs
 }
 
-// engineOf finds the engine that ran the last request of the program.
+// engineOf returns the engine that received the last request of the program, or nil.
 func engineOf(running *fleet.Fleet, program identity.Program) *fleet.Engine {
 	var found *fleet.Engine
 	latest := int64(0)
@@ -83,81 +85,81 @@
 
 var _ = Describe("Three daemons", func() {
 	It("place waiting calls by class, then by arrival", func(ctx SpecContext) {
-		running := start(ctx, 1, 1, 1, 0.1, fleet.Tenant{})
+		running := startFleet(ctx, 1, 1, 1, 0.1, fleet.Tenant{})
 		caller := newCaller(running)
 		engine := running.Engines[0]
 		started := caller.create("started", "standard")
-		caller.answer(started, 1, "a first turn tokens=5")
-		for number := range oldSlots - 1 {
-			caller.submit(caller.create(name("filler", number), "interactive"), 1, "tokens=100000")
+		caller.submitAndAwait(started, 1, "a first turn tokens=5")
+		for number := range oldEngineSlots - 1 {
+			caller.submit(caller.create(numberedName("filler", number), "interactive"), 1, "tokens=100000")
 		}
 		caller.submit(caller.create("last filler", "interactive"), 1, "tokens=300")
-		Eventually(func() int { return len(arrivals(engine, 1)) }).Should(Equal(oldSlots))
+		Eventually(func() int { return len(arrivedPrograms(engine, 1)) }).Should(Equal(oldEngineSlots))
 
 		caller.submit(started, 2, "a second turn tokens=5")
-		Eventually(func() []identity.Program { return arrivals(engine, 1+oldSlots) }).Should(Equal([]identity.Program{started}), "it may wait at its holder")
+		Eventually(func() []identity.Program { return arrivedPrograms(engine, 1+oldEngineSlots) }).Should(Equal([]identity.Program{started}), "the call may wait at the engine that caches its prefix")
 
-		// Until all wait, the place is taken by a program that is then ended, and
-		// all daemons know that none is free.
+		// A blocker takes the last slot until all other calls wait. It is then ended, after
+		// all daemons have seen that no slot is free.
 		caller.awaitAnswer(started, 2)
-		awaitKnown(ctx, running, engine, BeEquivalentTo(oldSlots-1))
+		awaitReportedRequests(ctx, running, engine, BeEquivalentTo(oldEngineSlots-1))
 		blocker := caller.create("blocker", "interactive")
 		caller.submit(blocker, 1, "tokens=100000")
-		Eventually(func() []identity.Program { return arrivals(engine, 2+oldSlots) }).Should(Equal([]identity.Program{blocker}))
-		awaitKnown(ctx, running, engine, BeEquivalentTo(oldSlots))
+		Eventually(func() []identity.Program { return arrivedPrograms(engine, 2+oldEngineSlots) }).Should(Equal([]identity.Program{blocker}))
+		awaitReportedRequests(ctx, running, engine, BeEquivalentTo(oldEngineSlots))
 		var expected []identity.Program
 		for _, class := range []string{"batch", "standard", "interactive"} {
 			var ofClass []identity.Program
 			for number := range 2 {
-				waits := caller.create(name(class, number), class)
+				waits := caller.create(numberedName(class, number), class)
 				caller.submit(waits, 1, "tokens=60")
 				ofClass = append(ofClass, waits)
 			}
 			expected = append(ofClass, expected...)
 		}
-		Expect(arrivals(engine, 3+oldSlots)).To(BeEmpty(), "all wait")
+		Expect(arrivedPrograms(engine, 3+oldEngineSlots)).To(BeEmpty(), "all wait")
 		caller.end(blocker)
 		for _, waits := range expected {
 			caller.awaitAnswer(waits, 1)
 		}
-		Expect(arrivals(engine, 3+oldSlots)).To(Equal(expected))
-	}, SpecTimeout(2*patience))
+		Expect(arrivedPrograms(engine, 3+oldEngineSlots)).To(Equal(expected))
+	}, SpecTimeout(2*waitTimeout))
 
-	It("keep a program's turns with the engine that holds its prefix, and leave it when it is overloaded", func(ctx SpecContext) {
-		running := start(ctx, 4, 3, 3, 0.05, fleet.Tenant{})
+	It("keep a program's turns on the engine that caches its prefix until the engine is overloaded", func(ctx SpecContext) {
+		running := startFleet(ctx, 4, 3, 3, 0.05, fleet.Tenant{})
 		caller := newCaller(running)
 		talks := make([]identity.Program, 6)
 		for number := range talks {
-			talks[number] = caller.create(name("talk", number), "standard")
-			caller.answer(talks[number], 1, strings.Repeat(dossier(number), talkDossiers)+" tokens=20")
+			talks[number] = caller.create(numberedName("talk", number), "standard")
+			caller.submitAndAwait(talks[number], 1, strings.Repeat(dossier(number), dossiersPerTalk)+" tokens=20")
 		}
-		holders := make(map[identity.Program]*fleet.Engine)
+		engineByTalk := make(map[identity.Program]*fleet.Engine)
 		for _, talk := range talks {
-			holders[talk] = engineOf(running, talk)
+			engineByTalk[talk] = engineOf(running, talk)
 		}
 		for turn := uint64(2); turn <= 4; turn++ {
 			for _, talk := range talks {
-				caller.answer(talk, turn, "and then? tokens=20")
-				Expect(engineOf(running, talk).Name).To(Equal(holders[talk].Name), "turn %d", turn)
+				caller.submitAndAwait(talk, turn, "and then? tokens=20")
+				Expect(engineOf(running, talk).Name).To(Equal(engineByTalk[talk].Name), "turn %d", turn)
 			}
 		}
-		leaver := talks[0]
-		overload(ctx, running, holders[leaver])
-		caller.answer(leaver, 5, "and at last? tokens=20")
-		Expect(engineOf(running, leaver).Name).NotTo(Equal(holders[leaver].Name))
-	}, SpecTimeout(2*patience))
-
-	It("run a load of all classes to its end", func(ctx SpecContext) {
-		running := start(ctx, 8, 3, 1, 0.2, fleet.Tenant{})
+		moved := talks[0]
+		overloadEngine(ctx, running, engineByTalk[moved])
+		caller.submitAndAwait(moved, 5, "and at last? tokens=20")
+		Expect(engineOf(running, moved).Name).NotTo(Equal(engineByTalk[moved].Name))
+	}, SpecTimeout(2*waitTimeout))
+
+	It("complete a load of programs of all classes", func(ctx SpecContext) {
+		running := startFleet(ctx, 8, 3, 1, 0.2, fleet.Tenant{})
 		measured := runLoad(newCaller(running))
-		measured.prompt, measured.cached = 0, 0
+		measured.promptTokens, measured.cachedTokens = 0, 0
 		for _, engine := range running.Engines {
 			for _, request := range engine.Records().Requests {
-				measured.prompt += request.PromptTokens
-				measured.cached += request.CachedTokens
+				measured.promptTokens += request.PromptTokens
+				measured.cachedTokens += request.CachedTokens
 			}
 		}
 		AddReportEntry("measured", measured.String(), ReportEntryVisibilityAlways)
 		Expect(measured.ended).To(Equal(loadPrograms))
-	}, SpecTimeout(4*patience))
+	}, SpecTimeout(4*waitTimeout))
 })
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,4 +1,4 @@
-// Package soak_test plays the seeds of the soak that are kept.
+// Package soak_test runs the soak with the seeds in seeds.txt.
 package soak_test
 
 import (
@@ -18,7 +18,7 @@
 
 func TestSoak(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "kept seeds of the soak")
+	RunSpecs(t, "soak seeds")
 }
 
 var gatewayBinary string
@@ -30,8 +30,9 @@
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-// kept reads the lines of seeds.txt.
-func kept() (entries []TableEntry) {
+// seedEntries returns a table entry for each seed in seeds.txt. It panics if the file
+// cannot be read or a line is malformed.
+func seedEntries() (entries []TableEntry) {
 	file, err := os.Open("seeds.txt")
 	if err != nil {
 		panic(err)
@@ -53,15 +54,15 @@
 	return entries
 }
 
-var _ = DescribeTable("every promise holds under the faults",
+var _ = DescribeTable("every guarantee holds under the faults",
 	func(ctx SpecContext, seed uint64, seconds int) {
 		verdict, err := soak.Run(ctx, soak.Options{
 			Binary: gatewayBinary, Seed: seed, Duration: time.Duration(seconds) * time.Second, Gateways: 3, Callers: 4, Untimed: true,
-			Environment: []string{"GORACE=halt_on_error=1"}, // a data race ends the process, which is a finding
+			Environment: []string{"GORACE=halt_on_error=1"}, // a data race ends the gateway, which is a finding
 			Progress:    func(format string, arguments ...any) { GinkgoWriter.Printf(format+"\n", arguments...) },
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict.Findings).To(BeEmpty())
 	},
-	kept(),
+	seedEntries(),
 )
