--- a/test/scheduling/scheduling_test.go
+++ b/test/scheduling/scheduling_test.go
@@ -43,13 +43,13 @@
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-// startFleet starts three daemons in three zones, and the engines, of which old are of
-// the older generation.
-func startFleet(ctx context.Context, shards, engines, old int, timeScale float64, tenant fleet.Tenant) *fleet.Fleet {
+// startFleet starts three daemons in three zones and the engines. The first oldEngines
+// of the engines are of the older generation.
+func startFleet(ctx context.Context, shards, engines, oldEngines int, timeScale float64, tenant fleet.Tenant) *fleet.Fleet {
 	tenant.Name = tenantName
 	running, err := fleet.Start(ctx, fleet.Deployment{
 		Region: "region", Zones: []string{"a", "b", "c"}, Shards: shards, TimeScale: timeScale,
-		Models:  []fleet.Model{{Name: modelName, Engines: engines, Old: old}},
+		Models:  []fleet.Model{{Name: modelName, Engines: engines, Old: oldEngines}},
 		Tenants: []fleet.Tenant{tenant},
 	}, fleet.Options{Daemon: daemonBinary})
 	Expect(err).NotTo(HaveOccurred())
@@ -58,11 +58,11 @@
 }
 
 // arrivedPrograms returns the programs of the requests that reached the engine, in
-// order of arrival, without the first ones up to from.
-func arrivedPrograms(engine *fleet.Engine, from int) []identity.Program {
+// order of arrival. It leaves out the first skipCount requests.
+func arrivedPrograms(engine *fleet.Engine, skipCount int) []identity.Program {
 	var programs []identity.Program
 	requests := engine.Records().Requests
-	for _, request := range requests[min(from, len(requests)):] {
+	for _, request := range requests[min(skipCount, len(requests)):] {
 		programs = append(programs, identity.Program(request.Program))
 	}
 	return programs
