--- a/internal/lab/replay/caller.go
+++ b/internal/lab/replay/caller.go
@@ -22,7 +22,7 @@
 const (
 	attemptTimeout = 6 * time.Second // of one HTTP request
 	retryInterval  = 50 * time.Millisecond
-	maxRetryDelay  = time.Second // also when a daemon asks for a longer delay
+	maxRetryDelay  = time.Second // limit of the delay that a daemon asks for
 )
 
 // caller is an API client of one tenant. Its requests go to the running daemons
@@ -53,8 +53,8 @@
 // problemError is an error response that contains a problem document.
 type problemError struct{ document callerapi.Problem }
 
-func (r *problemError) Error() string {
-	return fmt.Sprintf("%s (%s) at %s: %s", r.document.Title, r.document.Outcome, r.document.Step, r.document.Detail)
+func (e *problemError) Error() string {
+	return fmt.Sprintf("%s (%s) at %s: %s", e.document.Title, e.document.Outcome, e.document.Step, e.document.Detail)
 }
 
 // send sends one request to the daemon. A response with a status other than 2xx
--- a/internal/lab/replay/checks.go
+++ b/internal/lab/replay/checks.go
@@ -65,8 +65,8 @@
 		if p.id == "" {
 			continue
 		}
-		for number := range e.fleet.Daemons {
-			history, err := newCaller(e.fleet, p.Tenant, number).history(ctx, p.id)
+		for index := range e.fleet.Daemons {
+			history, err := newCaller(e.fleet, p.Tenant, index).history(ctx, p.id)
 			if err != nil {
 				findings = append(findings, fmt.Sprintf("%s: read history: %v", p.name, err))
 				continue
@@ -98,7 +98,7 @@
 	for p, history := range e.histories {
 		for index, call := range history.Calls {
 			if call.Sequence != uint64(index+1) {
-				findings = append(findings, fmt.Sprintf("%s: call %d stands at place %d", p.name, call.Sequence, index+1))
+				findings = append(findings, fmt.Sprintf("%s: call %d is at position %d", p.name, call.Sequence, index+1))
 			}
 		}
 		findings = append(findings, e.checkArrivalOrder(p)...)
@@ -112,7 +112,7 @@
 
 // checkHistoryOutcomes checks that the history has the state and answer that the
 // caller observed of each call, except of rejected calls and those without a final
-// outcome. Without such exceptions, the history must have no further calls.
+// outcome. If there are no such calls, the history must not have further ones.
 func checkHistoryOutcomes(p *programRun, history callerapi.History) []string {
 	var findings []string
 	accepted := 0
@@ -127,7 +127,7 @@
 		}
 		recorded := history.Calls[index]
 		if recorded.State != res.state || !isSameAnswer(recorded.Answer, res.answer) {
-			findings = append(findings, fmt.Sprintf("%s call %d: the caller observed %s, the history has %s", p.name, index+1, res.state, recorded.State))
+			findings = append(findings, fmt.Sprintf("%s call %d: the caller and the history differ in outcome (%s, %s) or answer", p.name, index+1, res.state, recorded.State))
 		}
 	}
 	if submitted := len(p.results); accepted == submitted && len(history.Calls) > submitted {
@@ -136,8 +136,8 @@
 	return findings
 }
 
-// expectedMessages returns the messages of the history, as they follow from the
-// requests and answers of the caller.
+// expectedMessages returns the messages that the history must have: for each answered
+// call to a model, those of its request and the answer.
 func expectedMessages(p *programRun) []callerapi.Message {
 	messages := []callerapi.Message{}
 	for index, res := range p.results {
--- a/internal/lab/replay/disorder.go
+++ b/internal/lab/replay/disorder.go
@@ -76,17 +76,18 @@
 	outcome result
 }
 
-// checkDuplicates checks that all submissions of a call got the same result, and
-// that at least one early submission was rejected as out of order.
+// checkDuplicates checks that all submissions of a call got the same result and, if the
+// program is marked Disorder, that at least one early submission was rejected as out of
+// order.
 func checkDuplicates(p *programRun) []string {
 	var findings []string
-	for _, other := range p.duplicates {
-		if other.index >= len(p.results) {
+	for _, duplicate := range p.duplicates {
+		if duplicate.index >= len(p.results) {
 			continue
 		}
-		proper := p.results[other.index]
-		if other.outcome.state != proper.state || !isSameAnswer(other.outcome.answer, proper.answer) {
-			findings = append(findings, fmt.Sprintf("%s call %d: outcome %s, but another submission got %s", p.name, other.index+1, proper.state, other.outcome.state))
+		regular := p.results[duplicate.index]
+		if duplicate.outcome.state != regular.state || !isSameAnswer(duplicate.outcome.answer, regular.answer) {
+			findings = append(findings, fmt.Sprintf("%s call %d: submissions differ in outcome (%s, %s) or answer", p.name, duplicate.index+1, regular.state, duplicate.outcome.state))
 		}
 	}
 	if p.Disorder && p.err == nil && p.earlyRejections.Load() == 0 {
--- a/internal/lab/replay/fault.go
+++ b/internal/lab/replay/fault.go
@@ -13,13 +13,13 @@
 
 // Values of Fault.Daemon other than the name of a daemon.
 const (
-	targetLeader    = "leader"
-	targetFollower  = "follower"
-	targetSuccessor = "successor"
-	targetOperators = "operators" // the first running daemon
+	targetLeader       = "leader"
+	targetFollower     = "follower"
+	targetSuccessor    = "successor"
+	targetFirstRunning = "operators" // the first running daemon, which operators contact first
 )
 
-// stopTimeout is how long a planned stop may take.
+// stopTimeout is how long a graceful stop may take.
 const stopTimeout = 90 * time.Second
 
 // leavingBackEnd records when a back end was marked as leaving or drained.
@@ -74,15 +74,15 @@
 	switch fault.Daemon {
 	case "", targetLeader:
 		if p == nil {
-			return r.zoneDaemon(fault)
+			return r.daemonInZone(fault)
 		}
 		return r.leaderOf(ctx, p)
 	case targetSuccessor:
 		return r.successor(ctx, p)
 	case targetFollower:
 		return r.follower(ctx, p)
-	case targetOperators:
-		return r.operatorsDaemon()
+	case targetFirstRunning:
+		return r.firstRunningDaemon()
 	default:
 		daemon := r.fleet.Daemon(fault.Daemon)
 		if daemon == nil {
@@ -92,8 +92,8 @@
 	}
 }
 
-// operatorsDaemon returns the first running daemon.
-func (r *run) operatorsDaemon() (*fleet.Daemon, error) {
+// firstRunningDaemon returns the first running daemon.
+func (r *run) firstRunningDaemon() (*fleet.Daemon, error) {
 	for _, daemon := range r.fleet.Daemons {
 		if daemon.Alive() {
 			return daemon, nil
@@ -102,16 +102,16 @@
 	return nil, eris.New("no daemon runs")
 }
 
-func (r *run) zoneDaemon(fault Fault) (*fleet.Daemon, error) {
+func (r *run) daemonInZone(fault Fault) (*fleet.Daemon, error) {
 	for _, daemon := range r.fleet.Daemons {
 		if daemon.Zone == fault.Zone {
 			return daemon, nil
 		}
 	}
-	return nil, eris.Errorf("a %s fault names neither a daemon nor a zone", fault.Do)
+	return nil, eris.Errorf("no daemon for a %s fault: it belongs to no program, and its zone has no daemon", fault.Do)
 }
 
-// successor returns a daemon that may lead the program's shard after the present
+// successor returns a daemon that may lead the program's shard after the current
 // leader.
 func (r *run) successor(ctx context.Context, p *programRun) (*fleet.Daemon, error) {
 	shard, err := p.id.Shard()
@@ -219,7 +219,7 @@
 	})
 }
 
-// stop stops a daemon as planned. Any exit code but 0 is a finding.
+// stop stops the daemon gracefully, with SIGTERM. Any exit code but 0 is a finding.
 func (r *run) stop(fault Fault, daemon *fleet.Daemon) {
 	code, err := daemon.Stop(stopTimeout)
 	if err != nil || code != 0 {
--- a/internal/lab/replay/fleetchecks.go
+++ b/internal/lab/replay/fleetchecks.go
@@ -8,8 +8,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// checkLeavingBackEnds checks that leaving back ends receive no new request after
-// the bound.
+// checkLeavingBackEnds checks that a leaving back end receives no request later than
+// Bounds.Leaving after it was marked as leaving or drained.
 func (e *evidence) checkLeavingBackEnds() []string {
 	var findings []string
 	for _, backEnd := range e.leaving {
@@ -24,7 +24,7 @@
 	return findings
 }
 
-// checkPlannedStops checks that stopped daemons exited with code 0 and, if the
+// checkPlannedStops checks that gracefully stopped daemons exited with code 0 and, if the
 // trace has no other faults, that no stream was cut or ended with an error.
 func (e *evidence) checkPlannedStops() []string {
 	findings := append([]string(nil), e.stopFailures...)
@@ -43,14 +43,14 @@
 
 // checkConfiguration checks that exactly one of several concurrent changes was
 // accepted, that changes are linearizable, that no daemon went back to an earlier
-// revision, and that every daemon serves the last accepted revision within the
-// bound.
+// revision, and that every daemon serves the last accepted revision within
+// Bounds.Configuration.
 func (e *evidence) checkConfiguration(ctx context.Context) []string {
 	var findings []string
 	var accepted uint64
 	for _, race := range e.races {
 		if len(race.accepted) != 1 {
-			findings = append(findings, fmt.Sprintf("of %d concurrent changes of one revision %d were accepted", race.operators, len(race.accepted)))
+			findings = append(findings, fmt.Sprintf("of %d concurrent changes to the same revision, %d were accepted, expected 1", race.operators, len(race.accepted)))
 		}
 		for _, revision := range race.accepted {
 			accepted = max(accepted, revision)
@@ -79,8 +79,9 @@
 	return findings
 }
 
-// checkInForce checks that no daemon serves an earlier revision after the bound. A
-// daemon serves a revision while it is confirmed.
+// checkInForce checks that no daemon serves a lower revision than the given one once
+// Bounds.Configuration has passed since acceptedAt. A daemon serves the revision that it
+// reports as confirmed.
 func (e *evidence) checkInForce(revision uint64, acceptedAt time.Time) []string {
 	var findings []string
 	for _, sample := range e.observer.copySamples() {
@@ -109,8 +110,9 @@
 	}
 }
 
-// awaitInForce waits, at most for the bound, until every running daemon has
-// confirmed the accepted revision or a later one.
+// awaitInForce waits, at most for Bounds.Configuration, until every running daemon has
+// confirmed the accepted revision or a later one. It returns a finding for each daemon
+// that has not.
 func (e *evidence) awaitInForce(ctx context.Context, accepted uint64) []string {
 	ctx, cancel := context.WithTimeout(ctx, e.trace.Bounds.Configuration)
 	defer cancel()
@@ -133,8 +135,9 @@
 	return findings
 }
 
-// awaitMemoryReleased waits, at most for the bound, until engines hold memory only
-// for programs that have not ended.
+// awaitMemoryReleased waits, at most for Bounds.Memory, until engines hold memory only
+// for programs that have not ended. If they still hold other memory, it returns a finding
+// for each engine and ended program.
 func (e *evidence) awaitMemoryReleased(ctx context.Context) []string {
 	ctx, cancel := context.WithTimeout(ctx, e.trace.Bounds.Memory)
 	defer cancel()
--- a/internal/lab/replay/moment.go
+++ b/internal/lab/replay/moment.go
@@ -19,18 +19,19 @@
 	midStreamChunks = 3 // chunks sent before a stream is held at StepMidStream
 )
 
-// submitWithFaults submits the call and injects its faults in the order of their
-// steps. Stand-ins hold or refuse the call at a step until the fault is injected.
-// Faults at StepAnswered are injected while the caller has not read the answer.
+// submitWithFaults makes count concurrent submissions of the call and injects its faults
+// in the order of their steps. Stand-ins hold or refuse the call at a step until the
+// fault is injected. If the call has a fault at StepAnswered, it is submitted once, and
+// the answer is read only after that fault is injected.
 func (r *run) submitWithFaults(ctx context.Context, p *programRun, submission *submission, count int) (result, error) {
 	faults := r.faultsOfCall(p.name, int(submission.sequence))
 	var watches []*stepWatch
-	for number, fault := range faults {
-		watches = append(watches, r.watchStep(fault, submission, number))
+	for index, fault := range faults {
+		watches = append(watches, r.watchStep(fault, submission, index))
 	}
 	defer func() {
-		for _, moment := range watches {
-			moment.remove()
+		for _, watch := range watches {
+			watch.remove()
 		}
 	}()
 	beforeAnswer := faults
@@ -48,8 +49,8 @@
 		}
 		results <- submitConcurrently(ctx, submission, count)
 	}()
-	for number, fault := range beforeAnswer {
-		err := watches[number].awaitReached(ctx, ended)
+	for index, fault := range beforeAnswer {
+		err := watches[index].awaitReached(ctx, ended)
 		if errors.Is(err, errCallEnded) && fault.IfReached {
 			r.progress("replay: fault %s was skipped: %s call %d ended before its step.", fault.Do, p.name, submission.sequence)
 			break
@@ -64,7 +65,7 @@
 			return result{}, err
 		}
 		sleep(ctx, fault.Release)
-		watches[number].remove()
+		watches[index].remove()
 	}
 	res := <-results
 	if !awaitUnread || res.state == outcomeNone {
@@ -92,7 +93,8 @@
 	return found
 }
 
-// injectFaultsAt injects the faults of a step outside calls.
+// injectFaultsAt injects the faults of a moment that belongs to no call: StepStart,
+// StepCreated or StepEnded. p is the program of the moment, or nil for StepStart.
 func (r *run) injectFaultsAt(ctx context.Context, moment Moment, p *programRun) error {
 	for _, fault := range r.trace.Faults {
 		if fault.At != moment {
@@ -106,8 +108,8 @@
 	return nil
 }
 
-// stepWatch detects that a call reaches a step. It is a rule at all back ends of
-// the call that holds or refuses the call at the step.
+// stepWatch detects that a call reaches a step. It consists of a rule at each back end
+// of the call; the rule holds or refuses the call at the step.
 type stepWatch struct {
 	name     string
 	backEnds []*standin.Faults
@@ -117,18 +119,18 @@
 
 // watchStep adds the rule for the step of the fault to the back ends of the call.
 // For StepAnswered there is no rule.
-func (r *run) watchStep(fault Fault, submission *submission, number int) *stepWatch {
-	moment := &stepWatch{
-		name:    fmt.Sprintf("%s/%d/%d", submission.program, submission.sequence, number),
+func (r *run) watchStep(fault Fault, submission *submission, index int) *stepWatch {
+	watch := &stepWatch{
+		name:    fmt.Sprintf("%s/%d/%d", submission.program, submission.sequence, index),
 		callID:  fmt.Sprintf("%s/%d", submission.program, submission.sequence),
 		matches: func(state standin.RuleState) bool { return state.Holding > 0 },
 	}
-	rule := standin.Rule{Name: moment.name, Match: moment.callID + "/", Action: standin.ActionHold}
+	rule := standin.Rule{Name: watch.name, Match: watch.callID + "/", Action: standin.ActionHold}
 	switch fault.At.Step {
 	case StepAccepted:
 		rule.Point = standin.PointBefore
 		rule.Action = standin.ActionRefuse
-		moment.matches = func(state standin.RuleState) bool { return state.Met > 0 }
+		watch.matches = func(state standin.RuleState) bool { return state.Met > 0 }
 	case StepDispatched:
 		rule.Point = standin.PointBefore
 	case StepMidStream:
@@ -137,13 +139,13 @@
 	case StepExecuted:
 		rule.Point = standin.PointAfter
 	default:
-		return moment
+		return watch
 	}
-	moment.backEnds = r.backEndFaults(submission.body.Name)
-	for _, faults := range moment.backEnds {
+	watch.backEnds = r.backEndFaults(submission.body.Name)
+	for _, faults := range watch.backEnds {
 		faults.Add(rule)
 	}
-	return moment
+	return watch
 }
 
 // backEndFaults returns the fault rules of the back ends whose own name, or whose
@@ -166,8 +168,8 @@
 // errCallEnded means that a call ended before it reached the step of a fault.
 var errCallEnded = errors.New("the call ended before the step of a fault")
 
-// awaitReached waits until the call has reached the step. It returns errCallEnded
-// if the call ends before, and another error if ctx is done.
+// awaitReached waits until the call has reached the step. If the call ends before, the
+// error wraps errCallEnded; if ctx is done before, it does not.
 func (m *stepWatch) awaitReached(ctx context.Context, ended <-chan struct{}) error {
 	for !m.isReached() {
 		select {
@@ -177,7 +179,7 @@
 			}
 			return eris.Wrapf(errCallEnded, "call %s", m.callID)
 		case <-ctx.Done():
-			return eris.Errorf("the call did not reach the step of a fault: call %s", m.callID)
+			return eris.Errorf("call %s did not reach the step of a fault in time", m.callID)
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -68,7 +68,7 @@
 type raceResult struct {
 	operators  int
 	accepted   []uint64  // revisions that accepted changes made
-	acceptedAt time.Time // when an operator received the last acceptance
+	acceptedAt time.Time // when the last acceptance reached its operator
 }
 
 // raceOperators lets several operators change the latest revision concurrently,
@@ -78,26 +78,26 @@
 	if err != nil {
 		return err
 	}
-	found := raceResult{operators: max(2, fault.Count)}
-	var all sync.WaitGroup
+	race := raceResult{operators: max(2, fault.Count)}
+	var wg sync.WaitGroup
 	var mutex sync.Mutex
-	for number := range found.operators {
-		all.Go(func() {
+	for index := range race.operators {
+		wg.Go(func() {
 			called := time.Now()
-			revision, err := r.applyChange(ctx, base, number)
-			r.recordChange(configurationChange{operator: number, base: base.Revision, called: called, returned: time.Now(), outcome: outcomeOf(revision, err)})
+			revision, err := r.applyChange(ctx, base, index)
+			r.recordChange(configurationChange{operator: index, base: base.Revision, called: called, returned: time.Now(), outcome: outcomeOf(revision, err)})
 			mutex.Lock()
 			defer mutex.Unlock()
 			if err == nil {
-				found.accepted = append(found.accepted, revision)
-				found.acceptedAt = time.Now()
+				race.accepted = append(race.accepted, revision)
+				race.acceptedAt = time.Now()
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.races = append(r.races, found)
+	r.races = append(r.races, race)
 	return nil
 }
 
@@ -136,12 +136,12 @@
 // applyChange adds a tenant to the base configuration and returns the new
 // revision. It retries at the next daemon until the change is accepted, it is
 // rejected or ctx is done.
-func (r *run) applyChange(ctx context.Context, base *operatorv1.GetConfigurationResponse, number int) (uint64, error) {
+func (r *run) applyChange(ctx context.Context, base *operatorv1.GetConfigurationResponse, index int) (uint64, error) {
 	document := proto.CloneOf(base.Document)
-	document.Tenants = append(document.Tenants, &operatorv1.Tenant{Name: fmt.Sprintf("raced-%d-%d", base.Revision, number)})
-	identifier := fmt.Sprintf("race-%d-%d", base.Revision, number)
+	document.Tenants = append(document.Tenants, &operatorv1.Tenant{Name: fmt.Sprintf("raced-%d-%d", base.Revision, index)})
+	identifier := fmt.Sprintf("race-%d-%d", base.Revision, index)
 	for attempt := 0; ; attempt++ {
-		daemon := r.fleet.Daemons[(number+attempt)%len(r.fleet.Daemons)]
+		daemon := r.fleet.Daemons[(index+attempt)%len(r.fleet.Daemons)]
 		revision, err := r.fleet.Apply(ctx, daemon, identifier, base.Revision, document)
 		if err == nil || connect.CodeOf(err) == connect.CodeAborted || connect.CodeOf(err) == connect.CodeInvalidArgument {
 			return revision, err
--- a/internal/lab/replay/program.go
+++ b/internal/lab/replay/program.go
@@ -19,7 +19,7 @@
 	body callerapi.CallRequest
 }
 
-func copyName(program Program, copyIndex int) string {
+func nameOfCopy(program Program, copyIndex int) string {
 	if program.Copies <= 1 {
 		return program.Name
 	}
@@ -29,7 +29,7 @@
 // runProgram creates the program, makes its calls one after the other and ends it.
 // It returns an error only if a fault could not be injected; errors of the
 // creation and the end are kept in p.err.
-func (r *run) runProgram(ctx context.Context, p *programRun, number int) error {
+func (r *run) runProgram(ctx context.Context, p *programRun, callerIndex int) error {
 	var doneOnce, createdOnce sync.Once
 	done := func() { doneOnce.Do(func() { close(p.done) }) }
 	created := func() { createdOnce.Do(func() { close(p.created) }) }
@@ -39,8 +39,8 @@
 	if p.parent != nil {
 		<-p.parent.created
 	}
-	p.started = time.Now()
-	caller := newCaller(r.fleet, p.Tenant, number)
+	p.startedAt = time.Now()
+	caller := newCaller(r.fleet, p.Tenant, callerIndex)
 	if p.err = r.createProgram(ctx, caller, p); p.err != nil {
 		if p.isAllowedRefusal(p.err) {
 			p.err = nil
@@ -65,7 +65,7 @@
 			break
 		}
 	}
-	p.elapsed = time.Since(p.started)
+	p.elapsed = time.Since(p.startedAt)
 	disorder.resubmitAll(ctx)
 	done()
 	return r.endProgram(ctx, caller, p)
@@ -136,23 +136,23 @@
 func expandRepeats(calls []Call) []Call {
 	var expanded []Call
 	for _, call := range calls {
-		for number := range max(1, call.Repeat) {
-			turn := call
-			if number > 0 && !call.Identical {
-				turn.Say = appendNumber(call.Say, number)
-				turn.Payload = appendNumber(call.Payload, number)
+		for index := range max(1, call.Repeat) {
+			repeated := call
+			if index > 0 && !call.Identical {
+				repeated.Say = appendNumber(call.Say, index)
+				repeated.Payload = appendNumber(call.Payload, index)
 			}
-			expanded = append(expanded, turn)
+			expanded = append(expanded, repeated)
 		}
 	}
 	return expanded
 }
 
-func appendNumber(text string, number int) string {
+func appendNumber(text string, index int) string {
 	if text == "" {
 		return ""
 	}
-	return fmt.Sprintf("%s (%d)", text, number+1)
+	return fmt.Sprintf("%s (%d)", text, index+1)
 }
 
 // runCall submits one call, injects the faults of its steps and records its
@@ -181,14 +181,14 @@
 // outcomeNone if the submissions end differently.
 func submitConcurrently(ctx context.Context, submission *submission, count int) result {
 	results := make([]result, count)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for index := range count {
-		all.Go(func() { results[index] = submission.finish(ctx) })
+		wg.Go(func() { results[index] = submission.finish(ctx) })
 	}
-	all.Wait()
+	wg.Wait()
 	for _, other := range results[1:] {
 		if other.state != results[0].state || !isSameAnswer(other.answer, results[0].answer) {
-			return result{state: outcomeNone, err: fmt.Errorf("concurrent submissions ended as %s and %s, or with different answers", results[0].state, other.state)}
+			return result{state: outcomeNone, err: fmt.Errorf("concurrent submissions differ in state (%s, %s) or answer", results[0].state, other.state)}
 		}
 	}
 	return results[0]
--- a/internal/lab/replay/prompts.go
+++ b/internal/lab/replay/prompts.go
@@ -48,7 +48,7 @@
 			expectedHash := modelengine.PromptHash(prompt)
 			for _, request := range e.records.requests[callID(p.id, index)] {
 				if request.PromptHash != expectedHash || request.Program != string(p.id) {
-					findings = append(findings, fmt.Sprintf("%s call %d: an engine saw another prompt than its history (%s)", p.name, index+1, request.RequestID))
+					findings = append(findings, fmt.Sprintf("%s call %d: an engine received an unexpected prompt or program identifier (request %s)", p.name, index+1, request.RequestID))
 				}
 			}
 		}
--- a/internal/lab/replay/random.go
+++ b/internal/lab/replay/random.go
@@ -15,7 +15,7 @@
 	maxRandomCalls       = 6
 	maxRandomFaults      = 6
 	randomBudget         = 3000            // tokens
-	randomOutageDuration = 4 * time.Second // of stand-in rules that end; also bounds the random part of the other faults
+	randomOutageDuration = 4 * time.Second // duration of temporary stand-in rules; other faults last 200 ms plus a random time below this
 	randomModel          = "tutor-llm"
 	randomService        = "desk-app"
 	randomTool           = "ledger"
@@ -43,8 +43,8 @@
 			Tenants: []fleet.Tenant{{Name: randomTenant, MaxTurns: 200, Idle: time.Minute}},
 		},
 	}
-	for number := range randomPrograms {
-		trace.Programs = append(trace.Programs, randomProgram(random, number))
+	for index := range randomPrograms {
+		trace.Programs = append(trace.Programs, randomProgram(random, index))
 	}
 	for range 2 + random.IntN(maxRandomFaults-1) {
 		if fault := randomFault(random, trace.Programs); !trace.hasFaultAtCall(fault.At) {
@@ -81,15 +81,15 @@
 	})
 }
 
-func randomProgram(random *rand.Rand, number int) Program {
+func randomProgram(random *rand.Rand, index int) Program {
 	program := Program{
-		Name:   fmt.Sprintf("program-%d", number),
+		Name:   fmt.Sprintf("program-%d", index),
 		Tenant: randomTenant,
 		Class:  []string{"interactive", "standard", "batch"}[random.IntN(3)],
 		Budget: randomBudget,
 		Start:  time.Duration(random.IntN(300)) * time.Millisecond,
 	}
-	if number > 0 && random.IntN(3) == 0 {
+	if index > 0 && random.IntN(3) == 0 {
 		program.Parent = "program-0"
 		program.Budget = randomBudget / randomPrograms
 	}
@@ -126,7 +126,7 @@
 	}
 	fault := Fault{
 		At:     Moment{Program: program.Name, Call: call + 1, Step: steps[random.IntN(len(steps))]},
-		Daemon: []string{targetLeader, targetLeader, targetFollower, targetOperators}[random.IntN(4)],
+		Daemon: []string{targetLeader, targetLeader, targetFollower, targetFirstRunning}[random.IntN(4)],
 		For:    200*time.Millisecond + time.Duration(random.Int64N(int64(randomOutageDuration))),
 
 		IfReached: true, // another fault may end the call before its step
@@ -148,7 +148,7 @@
 	return fault
 }
 
-// maxLostCommits is the number of store commits that are done but not acknowledged.
+// maxLostCommits limits how many store commits are executed but not acknowledged.
 const maxLostCommits = 40
 
 // randomRules returns one to three faults of stand-ins. They begin at the start of
--- a/internal/lab/replay/records.go
+++ b/internal/lab/replay/records.go
@@ -21,8 +21,8 @@
 type records struct {
 	arrivals          []arrival
 	executions        map[string]int                  // by call
-	startedExecutions map[string]int                  // attempts at replicas and engine requests that generated tokens, by call
-	generatedTokens   map[identity.Program]int64      // tokens generated
+	startedExecutions map[string]int                  // attempts at replicas, and engine requests that generated tokens; by call
+	generatedTokens   map[identity.Program]int64      // by program
 	firstArrivalMS    map[string]int64                // Unix milliseconds, by call
 	requests          map[string][]modelengine.Record // requests to engines, by call
 }
--- a/internal/lab/replay/run.go
+++ b/internal/lab/replay/run.go
@@ -37,7 +37,7 @@
 	programs         []*programRun
 	leaving          []leavingBackEnd
 	away             map[*fleet.Daemon]int // number of faults that make the daemon unavailable for a time
-	stopFailures     []string              // errors of planned stops
+	stopFailures     []string              // errors of graceful stops
 	races            []raceResult
 	timeoutReport    string // describes the first call without a final outcome and the fleet at that time; empty: none
 	changes          []configurationChange
@@ -49,11 +49,11 @@
 	Program
 	name            string
 	parent          *programRun
-	started         time.Time
+	startedAt       time.Time
 	created         chan struct{} // closed once the program was created, or could not be
 	done            chan struct{} // closed when no more calls will be made
 	id              identity.Program
-	results         []result // of each call
+	results         []result // one per call made, in order
 	err             error    // of creating or ending the program
 	submitted       []submittedCall
 	duplicates      []duplicateResult // results of early and repeated submissions; see Program.Disorder
@@ -100,13 +100,13 @@
 	}
 	byName := map[string]*programRun{}
 	for _, program := range r.trace.Programs {
-		for copied := range max(1, program.Copies) {
-			r.addProgram(program, copied, byName)
+		for copyIndex := range max(1, program.Copies) {
+			r.addProgram(program, copyIndex, byName)
 		}
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	for number, p := range r.programs {
-		group.Go(func() error { return r.runProgram(ctx, p, number) })
+	for index, p := range r.programs {
+		group.Go(func() error { return r.runProgram(ctx, p, index) })
 	}
 	err := group.Wait()
 	r.mutex.Lock()
@@ -120,7 +120,7 @@
 func (r *run) addProgram(program Program, copyIndex int, byName map[string]*programRun) {
 	p := &programRun{
 		Program: program,
-		name:    copyName(program, copyIndex),
+		name:    nameOfCopy(program, copyIndex),
 		parent:  byName[program.Parent],
 		created: make(chan struct{}),
 		done:    make(chan struct{}),
--- a/internal/lab/replay/submission.go
+++ b/internal/lab/replay/submission.go
@@ -18,7 +18,7 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// Outcomes that the log does not know.
+// Outcomes in addition to the call states of the log.
 const (
 	outcomeRejected program.CallState = "rejected"        // not in the log, and a retry would fail too, for example because the program has ended
 	outcomeNone     program.CallState = "no-final-answer" // the final outcome could not be determined
@@ -35,7 +35,7 @@
 	elapsedMS         int64     // from startedAt to the result
 }
 
-// streamCounts counts the streams of a replay, and their faults.
+// streamCounts counts the streams of a replay, and those that ended in an unusual way.
 type streamCounts struct {
 	opened     atomic.Int64
 	incomplete atomic.Int64 // without a terminal event
@@ -70,8 +70,9 @@
 	}
 }
 
-// finalOutcome looks the call up in the log after an error, and returns its result
-// if the error is its final outcome, else nil.
+// finalOutcome looks up the call in the log after a submission failed with err. It
+// returns the result if the log has a final state other than answered, or if the call
+// is not in the log and a retry would fail too. Otherwise it returns nil.
 func (s *submission) finalOutcome(ctx context.Context, err error) *result {
 	var problemErr *problemError
 	if !eris.As(err, &problemErr) {
@@ -112,14 +113,14 @@
 	var reply callerapi.CallReply
 	var content strings.Builder
 	var event string
-	lines := bufio.NewScanner(body)
-	lines.Buffer(nil, 1<<20)
-	for lines.Scan() {
-		if name, found := strings.CutPrefix(lines.Text(), "event: "); found {
+	scanner := bufio.NewScanner(body)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		if name, found := strings.CutPrefix(scanner.Text(), "event: "); found {
 			event = name
 			continue
 		}
-		data, found := strings.CutPrefix(lines.Text(), "data: ")
+		data, found := strings.CutPrefix(scanner.Text(), "data: ")
 		if !found {
 			continue
 		}
@@ -148,7 +149,7 @@
 			return reply, problemErr
 		}
 	}
-	if lines.Err() == nil {
+	if scanner.Err() == nil {
 		s.streams.silentEnds.Add(1)
 	}
 	s.streams.incomplete.Add(1)
--- a/internal/lab/replay/trace.go
+++ b/internal/lab/replay/trace.go
@@ -1,8 +1,9 @@
 // Package replay runs traces against real daemon processes. A trace lists
 // programs with their calls, the faults to inject at given steps of those
-// calls, and the outcomes that are allowed. Stores, engines and services are
-// stand-ins that run in the same process. After the run, the package checks the
-// scheduler's guarantees from what callers received and what stand-ins recorded.
+// calls, and the outcomes that are allowed. The store, engines and services are
+// stand-ins: simulations that run in the process of this package. After the run,
+// the package checks the scheduler's guarantees from what callers received and
+// what the stand-ins recorded.
 package replay
 
 import (
@@ -101,7 +102,7 @@
 // Moment is the step at which a fault is injected.
 type Moment struct {
 	Program string `yaml:"program,omitempty"`
-	Call    int    `yaml:"call,omitempty"` // number of the call, from 1; 0 for a step outside calls
+	Call    int    `yaml:"call,omitempty"` // number of the call, from 1; 0 if the step belongs to no call
 	Step    Step   `yaml:"step"`
 }
 
--- a/internal/lab/replay/verdict.go
+++ b/internal/lab/replay/verdict.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// String returns one line for each guarantee, which says whether it held. Replays
-// with the same violated guarantees have the same text.
+// String returns one line for each guarantee, which says whether it held. The text depends
+// only on the name of the trace and on which guarantees held.
 func (v *Verdict) String() string {
 	var text strings.Builder
 	for _, point := range v.Points {
--- a/internal/lab/replay/whole.go
+++ b/internal/lab/replay/whole.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	healTimeout     = 45 * time.Second // how long a fault waits for the fleet to recover from earlier ones
+	recoveryTimeout = 45 * time.Second // how long a fault waits for the fleet to recover from earlier ones
 	describeTimeout = 5 * time.Second  // for all status requests of describeFleet
 )
 
@@ -24,7 +24,7 @@
 // awaitHealthyFleet waits until the fleet is healthy, so that a fault does not
 // overlap with an earlier one, however slow the machine is.
 func (r *run) awaitHealthyFleet(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, healTimeout)
+	bounded, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for {
 		err := r.checkHealthy(bounded)
@@ -32,7 +32,7 @@
 			return nil
 		}
 		if !sleep(bounded, retryInterval) {
-			return eris.Wrapf(err, "the fleet did not heal before the next fault\n%s", r.describeFleet())
+			return eris.Wrapf(err, "the fleet did not recover before the next fault\n%s", r.describeFleet())
 		}
 	}
 }
@@ -195,8 +195,8 @@
 	}
 }
 
-// setAway records that a fault makes the daemon unavailable for a time, or that such
-// a fault has ended.
+// setAway records that a fault makes the daemon unavailable for a time or, if away is
+// false, that such a fault has ended.
 func (r *run) setAway(daemon *fleet.Daemon, away bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/lab/replay/whole_test.go
+++ b/internal/lab/replay/whole_test.go
@@ -13,8 +13,8 @@
 func healthyStatuses() statuses {
 	machines := []string{"a", "b", "c"}
 	all := statuses{}
-	for number, machine := range machines {
-		status := &operatorv1.GetStatusResponse{Machine: machine, Incarnation: uint64(number + 1), ConfigurationConfirmed: true}
+	for index, machine := range machines {
+		status := &operatorv1.GetStatusResponse{Machine: machine, Incarnation: uint64(index + 1), ConfigurationConfirmed: true}
 		for other, member := range machines {
 			status.Members = append(status.Members, &operatorv1.Member{
 				Machine: member, Incarnation: uint64(other + 1), State: operatorv1.MemberState_MEMBER_STATE_ALIVE,
