--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -29,7 +29,7 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	i.owner.evidence.recordExecution(id, execution{service: i.service, instance: i.id, path: request.URL.Path, prompt: string(body), began: time.Now()})
+	i.owner.evidence.recordExecution(id, execution{service: i.service, instance: i.id, path: request.URL.Path, prompt: string(body), startedAt: time.Now()})
 	if rand.Float64() < behavior.dropShare {
 		panic(http.ErrAbortHandler)
 	}
@@ -72,18 +72,18 @@
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	cut := rand.Float64() < behavior.cutShare
-	for number, event := range eventsOf(id) {
+	for index, event := range eventsOf(id) {
 		select {
 		case <-request.Context().Done():
 			panic(http.ErrAbortHandler)
 		case <-time.After(eventInterval):
 		}
-		if cut && number > 0 {
+		if cut && index > 0 {
 			_, _ = io.WriteString(writer, "id: 9\nda")
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number+1, event)
+		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", index+1, event)
 		_ = controller.Flush()
 	}
 }
@@ -95,8 +95,8 @@
 	digest := fnv.New32a()
 	_, _ = io.WriteString(digest, id)
 	var events []string
-	for number := range minEvents + int(digest.Sum32()%eventSpread) {
-		events = append(events, fmt.Sprintf("%s.%d", id, number))
+	for index := range minEvents + int(digest.Sum32()%eventSpread) {
+		events = append(events, fmt.Sprintf("%s.%d", id, index))
 	}
 	return events
 }
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -25,10 +25,10 @@
 	keptTurns []*attempt // completely answered turns that later programs may continue
 }
 
-func newCaller(r *soakRun, number int, random *rand.Rand) *caller {
-	c := &caller{run: r, name: fmt.Sprintf("c%d", number), random: random}
+func newCaller(r *soakRun, index int, random *rand.Rand) *caller {
+	c := &caller{run: r, name: fmt.Sprintf("c%d", index), random: random}
 	for range r.gateways {
-		transport := &http.Transport{DisableKeepAlives: number%2 == 1, DisableCompression: true}
+		transport := &http.Transport{DisableKeepAlives: index%2 == 1, DisableCompression: true}
 		c.clients = append(c.clients, &http.Client{Transport: transport})
 	}
 	return c
@@ -92,7 +92,7 @@
 		const beyondAnyBudget = 40
 		turns = beyondAnyBudget
 	}
-	for number := 0; number < turns && ctx.Err() == nil; number++ {
+	for index := 0; index < turns && ctx.Err() == nil; index++ {
 		if !c.sendTurn(ctx, conv) {
 			return
 		}
@@ -119,8 +119,8 @@
 	agents.Wait()
 }
 
-// pickKeptTurn returns a random turn of an earlier program that is not too old, or nil
-// if there is none.
+// pickKeptTurn returns a random turn of an earlier program that ended at most maxKeptAge
+// ago, or nil if there is none.
 func (c *caller) pickKeptTurn() *attempt {
 	const maxKeptAge = 40 * time.Second
 	c.mutex.Lock()
@@ -186,15 +186,15 @@
 	}
 }
 
-// probe sends requests of each kind to one gateway until one is answered completely,
-// and reports a finding for each kind without an answer in time.
-func (c *caller) probe(ctx context.Context, number int) {
+// probe sends requests of each kind to the gateway with this index until one is answered
+// completely, and reports a finding for each kind without an answer in time.
+func (c *caller) probe(ctx context.Context, index int) {
 	const timeout = 20 * time.Second
 	for _, kind := range []requestKind{kindRecorded, kindPlain, kindSafe, kindUnsafe, kindMoving} {
 		served := false
 		for deadline := time.Now().Add(timeout); !served && time.Now().Before(deadline) && ctx.Err() == nil; {
 			a := c.newAttempt(kind)
-			a.gateway, a.input, a.prompt = number, "probe", "probe"
+			a.gateway, a.input, a.prompt = index, "probe", "probe"
 			if kind == kindRecorded || kind == kindPlain {
 				a.program, a.budget, a.maxTokens = a.id, 10*maxTokensPerTurn, maxTokensPerTurn
 			}
@@ -205,7 +205,7 @@
 			}
 		}
 		if !served {
-			c.run.evidence.addFinding("recovery: gateway %d serves no %s request", number, kind)
+			c.run.evidence.addFinding("recovery: gateway %d serves no %s request", index, kind)
 		}
 	}
 }
--- a/internal/lab/soak/calmness.go
+++ b/internal/lab/soak/calmness.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// calmTracker records the times without a fault, since time limits are checked only
+// calmTracker records the periods without a fault, since time limits are checked only
 // for them. It is safe for concurrent use.
 type calmTracker struct {
 	mutex        sync.Mutex
 	activeFaults int
-	calmSince    time.Time // begin of the current span; not valid while a fault is active
+	calmSince    time.Time // start of the current span; not valid while a fault is active
 	pastSpans    []span
 }
 
-// span is a time without a fault.
+// span is a period without a fault.
 type span struct{ from, to time.Time }
 
 func newCalmTracker() *calmTracker { return &calmTracker{calmSince: time.Now()} }
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -17,7 +17,7 @@
 		known[a.id] = a
 		findings = append(findings, e.checkAnswer(a)...)
 		findings = append(findings, e.checkExecutions(a)...)
-		if !e.untimed {
+		if !e.skipTimingChecks {
 			findings = append(findings, e.checkConfigurationBound(a)...)
 		}
 	}
@@ -27,7 +27,7 @@
 	findings = append(findings, e.checkKeptTurns(known)...)
 	findings = append(findings, e.checkBudgets()...)
 	findings = append(findings, e.checkQuota()...)
-	if !e.untimed {
+	if !e.skipTimingChecks {
 		findings = append(findings, e.checkDrains()...)
 	}
 	slices.Sort(findings)
@@ -70,8 +70,8 @@
 }
 
 // checkExecutions checks that requests other than safe ones are executed at most once,
-// that refused ones are never executed, and that a refusal with status 503 has a retry
-// delay.
+// that refused ones are never executed, and that a response with status 503 has a retry
+// delay, unless it took half of routeTimeout or longer.
 func (e *evidence) checkExecutions(a *attempt) []string {
 	count := len(e.executions[a.id])
 	var findings []string
@@ -112,7 +112,7 @@
 	for _, a := range e.attempts {
 		previous := known[a.previous]
 		if a.status == http.StatusNotFound && (a.previous == "" || previous != nil && previous.complete) {
-			findings = append(findings, fmt.Sprintf("lost: %s continues %q, which was answered completely, and got 404", a.id, a.previous))
+			findings = append(findings, fmt.Sprintf("lost: %s got 404, but the previous turn %q was answered completely, or there is none", a.id, a.previous))
 		}
 		if a.status == http.StatusOK && a.previous != "" && previous == nil {
 			findings = append(findings, fmt.Sprintf("lost: %s continues %q, which does not exist, and got 200", a.id, a.previous))
@@ -122,8 +122,8 @@
 }
 
 // checkBudgets checks that the tokens that callers of a program received do not exceed
-// its budget and the limit of one turn, which a lender may grant in addition while the
-// store is unavailable.
+// its budget by more than the limit of one turn. The gateway that grants budgets while
+// the store is unavailable may exceed the budget that far.
 func (e *evidence) checkBudgets() []string {
 	received, allowed := map[string]int64{}, map[string]int64{}
 	for _, a := range e.attempts {
@@ -149,7 +149,7 @@
 	}
 	var findings []string
 	for _, each := range e.executions[a.id] {
-		if !e.isAllowedService(each.service, a, each.began) {
+		if !e.isAllowedService(each.service, a, each.startedAt) {
 			findings = append(findings, fmt.Sprintf("configuration: %s was executed by %s, %s after the last configuration was acknowledged",
 				a.id, each.service, a.sent.Sub(e.configurations[len(e.configurations)-1].acknowledged)))
 		}
@@ -157,32 +157,32 @@
 	return findings
 }
 
-// isAllowedService reports whether a request that began to execute at this time may be
-// executed by the service: a configuration that names it was acknowledged before, and
-// was not replaced too long before the request was sent. A replaced configuration may
-// stay in force longer if a fault was active.
-func (e *evidence) isAllowedService(service string, a *attempt, began time.Time) bool {
+// isAllowedService reports whether the service may execute a request that started at
+// startedAt. A configuration must name the service for the moving route and must have
+// been acknowledged by then. If no fault was active, it also must not have been replaced
+// more than configurationBound and schedulingSlack before the request was sent.
+func (e *evidence) isAllowedService(service string, a *attempt, startedAt time.Time) bool {
 	oldest := a.sent.Add(-configurationBound - schedulingSlack)
-	calm := e.calm.isCalmThroughout(oldest.Add(-contactTimeout), began)
+	calm := e.calm.isCalmThroughout(oldest.Add(-contactTimeout), startedAt)
 	for index, each := range e.configurations {
 		replaced := index+1 < len(e.configurations) && e.configurations[index+1].acknowledged.Before(oldest)
-		if each.moving == service && !each.acknowledged.After(began) && (!replaced || !calm) {
+		if each.moving == service && !each.acknowledged.After(startedAt) && (!replaced || !calm) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkDrains checks that a draining instance receives no request after the bound,
-// unless a fault was active.
+// checkDrains checks that a draining instance receives no request later than drainBound
+// and schedulingSlack after the store acknowledged the drain, unless a fault was active.
 func (e *evidence) checkDrains() []string {
 	var findings []string
 	for id, executions := range e.executions {
 		for _, each := range executions {
 			departed, leaving := e.departures[each.instance]
 			bound := departed.acknowledged.Add(drainBound + schedulingSlack)
-			if leaving && each.began.After(bound) && e.calm.isCalmThroughout(departed.acknowledged.Add(-contactTimeout), each.began) {
-				findings = append(findings, fmt.Sprintf("drain: %s reached %s %s after it began to leave", id, each.instance, each.began.Sub(departed.acknowledged)))
+			if leaving && each.startedAt.After(bound) && e.calm.isCalmThroughout(departed.acknowledged.Add(-contactTimeout), each.startedAt) {
+				findings = append(findings, fmt.Sprintf("drain: %s reached %s %s after it began to leave", id, each.instance, each.startedAt.Sub(departed.acknowledged)))
 			}
 		}
 	}
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -35,7 +35,7 @@
 		if a.status == 0 {
 			a.status, a.hasStamp, a.complete, a.content = 200, true, true, expectedAnswer(a.kind, id)
 			a.events = len(eventsOf(id))
-			e.executions[id] = []execution{{service: services[a.kind], instance: "e", path: pathOf(a.kind), prompt: a.prompt, began: now}}
+			e.executions[id] = []execution{{service: services[a.kind], instance: "e", path: pathOf(a.kind), prompt: a.prompt, startedAt: now}}
 		}
 		if a.kind == kindMoving {
 			a.events = 0
@@ -60,9 +60,9 @@
 	Entry("a cut response that is not the start of the answer", func(_ *evidence, all map[string]*attempt) {
 		all["r1"].complete, all["r1"].content = false, "x"
 	}, "answers:"),
-	Entry("an answer that no engine gave", func(e *evidence, _ map[string]*attempt) { delete(e.executions, "r3") }, "answers:"),
+	Entry("an answer to a request that no engine executed", func(e *evidence, _ map[string]*attempt) { delete(e.executions, "r3") }, "answers:"),
 	Entry("a failure with a stamp", func(_ *evidence, all map[string]*attempt) { all["r4"].hasStamp = true }, "answers:"),
-	Entry("two runs", func(e *evidence, _ map[string]*attempt) {
+	Entry("two executions", func(e *evidence, _ map[string]*attempt) {
 		e.executions["r3"] = append(e.executions["r3"], e.executions["r3"][0])
 	}, "once:"),
 	Entry("a refusal of a request that was executed", func(e *evidence, _ map[string]*attempt) {
@@ -79,7 +79,7 @@
 	Entry("a completely answered turn that is unknown later", func(_ *evidence, all map[string]*attempt) {
 		all["r2"].status, all["r2"].hasStamp, all["r2"].complete = 404, false, false
 	}, "lost:"),
-	Entry("a turn that goes on from none", func(_ *evidence, all map[string]*attempt) { all["r2"].previous = "r9" }, "lost:"),
+	Entry("a turn that continues an unknown turn", func(_ *evidence, all map[string]*attempt) { all["r2"].previous = "r9" }, "lost:"),
 	Entry("a budget exceeded", func(_ *evidence, all map[string]*attempt) { all["r1"].events = 100 }, "budget:"),
 	Entry("a budget and a turn exceeded by one event", func(_ *evidence, all map[string]*attempt) {
 		const budgetAndTurn = 3 * maxEvents // the budget is two turns
@@ -90,7 +90,7 @@
 		for number := range maxRequestsInWindow + 1 {
 			a := &attempt{id: fmt.Sprint("q", number), kind: kindSafe, limited: true, sent: time.Now(), status: 0}
 			e.attempts = append(e.attempts, a)
-			e.executions[a.id] = []execution{{service: serviceApp, instance: "e", path: pathSafe, began: a.sent.Add(time.Second)}}
+			e.executions[a.id] = []execution{{service: serviceApp, instance: "e", path: pathSafe, startedAt: a.sent.Add(time.Second)}}
 		}
 	}, "quota:"),
 	Entry("a configuration that is not in force", func(e *evidence, _ map[string]*attempt) { e.executions["r3"][0].service = serviceApp }, "configuration:"),
--- a/internal/lab/soak/engines.go
+++ b/internal/lab/soak/engines.go
@@ -13,7 +13,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// engines are the running instances of all services. Safe for concurrent use.
+// engines are the running instances of all services. It is safe for concurrent use.
 type engines struct {
 	evidence   *evidence
 	store      *store
--- a/internal/lab/soak/evidence.go
+++ b/internal/lab/soak/evidence.go
@@ -32,8 +32,8 @@
 	sent      time.Time
 	ended     time.Time
 
-	status     int // HTTP status; 0: no response
-	hasStamp   bool
+	status     int  // HTTP status; 0: no response
+	hasStamp   bool // the response has the Server-Stamp header, which only instances set
 	complete   bool // the response ended without an error
 	content    string
 	events     int // number of complete data lines received
@@ -43,11 +43,11 @@
 
 // execution is one request that an instance began to execute.
 type execution struct {
-	service  string
-	instance string
-	path     string
-	prompt   string
-	began    time.Time
+	service   string
+	instance  string
+	path      string
+	prompt    string
+	startedAt time.Time
 }
 
 // configuration records one write of a configuration.
@@ -60,16 +60,16 @@
 type departure struct{ acknowledged time.Time }
 
 // evidence collects what callers, engines and the operator observed. It is safe for
-// concurrent use.
+// concurrent use, but the methods that check calls need its mutex held.
 type evidence struct {
-	mutex          sync.Mutex
-	attempts       []*attempt
-	executions     map[string][]execution
-	configurations []configuration
-	departures     map[string]departure
-	findings       []string
-	calm           *calmTracker
-	untimed        bool
+	mutex            sync.Mutex
+	attempts         []*attempt
+	executions       map[string][]execution
+	configurations   []configuration
+	departures       map[string]departure
+	findings         []string
+	calm             *calmTracker
+	skipTimingChecks bool
 }
 
 func newEvidence(calm *calmTracker) *evidence {
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -21,11 +21,11 @@
 
 // forEachTarget calls do for all target gateways concurrently, and waits.
 func (r *soakRun) forEachTarget(f fault, do func(target *gateway)) {
-	var all sync.WaitGroup
-	for _, number := range f.targets {
-		all.Go(func() { do(r.gateways[number]) })
+	var wg sync.WaitGroup
+	for _, index := range f.targets {
+		wg.Go(func() { do(r.gateways[index]) })
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 // kill kills the target gateways and starts them again after half the duration.
@@ -34,10 +34,12 @@
 	defer endFault()
 	r.forEachTarget(f, (*gateway).kill)
 	time.Sleep(f.duration / 2)
-	r.startTargets(f)
+	r.startTargetsAndWait(f)
 }
 
-func (r *soakRun) startTargets(f fault) {
+// startTargetsAndWait starts the target gateways and waits at most two seconds until
+// they are ready.
+func (r *soakRun) startTargetsAndWait(f fault) {
 	r.forEachTarget(f, func(target *gateway) {
 		if err := target.start(); err != nil {
 			r.evidence.addFinding("process: %v", err)
@@ -55,14 +57,14 @@
 		func() { r.forEachTarget(f, func(target *gateway) { target.signal(syscall.SIGCONT) }) })
 }
 
-// stop stops at most two gateways as planned, one after the other, and starts each
+// stop stops at most two gateways gracefully, one after the other, and starts each
 // again.
 func (r *soakRun) stop(f fault) {
 	endFault := r.calm.beginFault()
 	defer endFault()
-	for _, number := range f.targets[:min(2, len(f.targets))] {
-		r.gateways[number].stop()
-		r.startTargets(fault{targets: []int{number}})
+	for _, index := range f.targets[:min(2, len(f.targets))] {
+		r.gateways[index].stop()
+		r.startTargetsAndWait(fault{targets: []int{index}})
 	}
 }
 
@@ -97,27 +99,32 @@
 	r.injectFor(f, func() { r.store.setAll(next) }, func() { r.store.setAll(storeBehavior{}) })
 }
 
+// storeDown makes the store unavailable to all gateways.
 func (r *soakRun) storeDown(f fault) { r.injectStoreBehavior(f, unavailableBehavior(f.variant)) }
 
+// storePart makes a share of the partitions of the store unavailable.
 func (r *soakRun) storePart(f fault) {
 	r.injectStoreBehavior(f, storeBehavior{downShare: f.share, downSalt: uint32(f.variant)})
 }
 
+// storeSlow delays the answers of the store.
 func (r *soakRun) storeSlow(f fault) {
 	r.injectStoreBehavior(f, storeBehavior{delay: time.Duration(f.share * float64(300*time.Millisecond))})
 }
 
+// storeLost makes the store execute a share of the writes without answering them.
 func (r *soakRun) storeLost(f fault) { r.injectStoreBehavior(f, storeBehavior{lostShare: f.share}) }
 
+// storeLate makes the store execute a share of the writes later, without answering them.
 func (r *soakRun) storeLate(f fault) { r.injectStoreBehavior(f, storeBehavior{lateShare: f.share}) }
 
-// storeOne makes the store unavailable to some of the target gateways. The others
-// are served.
+// storeOne makes the store unavailable to the first half of the target gateways, at least
+// one.
 func (r *soakRun) storeOne(f fault) {
 	affected := f.targets[:max(1, len(f.targets)/2)]
 	set := func(next storeBehavior) {
-		for _, number := range affected {
-			r.store.endpoints[number].setBehavior(next)
+		for _, index := range affected {
+			r.store.endpoints[index].setBehavior(next)
 		}
 	}
 	r.injectFor(f, func() { set(unavailableBehavior(f.variant)) }, func() { set(storeBehavior{}) })
@@ -128,8 +135,8 @@
 	r.injectFor(fault{duration: minFaultDuration}, r.store.memory.ForgetHistory, func() {})
 }
 
-// linkCondition returns one of the faults of a link, and whether its existing
-// connections are to be reset.
+// linkCondition returns the fault of a link for the variant, and whether the existing
+// connections of the link are to be reset.
 func linkCondition(variant int) (condition faultproxy.Condition, resets bool) {
 	switch variant % 5 {
 	case 0:
@@ -148,28 +155,31 @@
 func (r *soakRun) injectLinkFault(f fault, linkOf func(*gateway) *faultproxy.Link) {
 	condition, resets := linkCondition(f.variant)
 	set := func(next faultproxy.Condition) {
-		for _, number := range f.targets {
-			linkOf(r.gateways[number]).Set(next)
+		for _, index := range f.targets {
+			linkOf(r.gateways[index]).Set(next)
 		}
 	}
 	r.injectFor(f, func() {
 		set(condition)
-		for _, number := range f.targets {
+		for _, index := range f.targets {
 			if resets {
-				linkOf(r.gateways[number]).Reset()
+				linkOf(r.gateways[index]).Reset()
 			}
 		}
 	}, func() { set(faultproxy.Condition{}) })
 }
 
+// linkStore injects a fault on the links from the target gateways to the store.
 func (r *soakRun) linkStore(f fault) {
 	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.toStore })
 }
 
+// linkPeers injects a fault on the links from other gateways to the target gateways.
 func (r *soakRun) linkPeers(f fault) {
 	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.fromPeers })
 }
 
+// linkCallers injects a fault on the links from callers to the target gateways.
 func (r *soakRun) linkCallers(f fault) {
 	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.fromCallers })
 }
@@ -185,6 +195,7 @@
 	return found[f.variant/len(services)%len(found)]
 }
 
+// linkEngine injects a fault on the link to one instance of a service.
 func (r *soakRun) linkEngine(f fault) {
 	target := r.pickInstance(f)
 	if target == nil {
--- a/internal/lab/soak/gateway.go
+++ b/internal/lab/soak/gateway.go
@@ -31,7 +31,7 @@
 	mutex        sync.Mutex
 	command      *exec.Cmd
 	exited       chan struct{}
-	exitExpected bool // the process got a signal to end
+	exitExpected bool // the soak sent the process a signal to end
 }
 
 // Ports of a gateway. Each gateway has a loopback address of its own.
@@ -42,24 +42,24 @@
 	portMetrics = 8083
 )
 
-// loopback returns the loopback address of the gateway with this number. The address
-// contains the process identifier, so that concurrent soaks on one machine do not
-// collide.
-func loopback(number int) string {
+// loopback returns the loopback address of the gateway with this index. The address
+// contains bits of the process identifier, to keep concurrent soaks on one machine
+// apart.
+func loopback(index int) string {
 	processID := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 128+(processID>>8)&0x3f, processID&0xff, number+1)
+	return fmt.Sprintf("127.%d.%d.%d", 128+(processID>>8)&0x3f, processID&0xff, index+1)
 }
 
-func newGateway(number int, r *soakRun) (*gateway, error) {
-	address := loopback(number)
+func newGateway(index int, r *soakRun) (*gateway, error) {
+	address := loopback(index)
 	at := func(port int) string { return fmt.Sprintf("%s:%d", address, port) }
-	g := &gateway{name: fmt.Sprintf("g%d", number), run: r}
+	g := &gateway{name: fmt.Sprintf("g%d", index), run: r}
 	g.settingsPath = filepath.Join(r.options.Directory, g.name+".yaml")
 	for _, entry := range []struct {
 		link   **faultproxy.Link
 		target string
 	}{
-		{&g.toStore, r.store.endpoints[number].address()},
+		{&g.toStore, r.store.endpoints[index].address()},
 		{&g.fromPeers, at(portPeers)},
 		{&g.fromCallers, at(portCallers)},
 	} {
@@ -71,7 +71,7 @@
 	}
 	const rowBytes = 4096 // small, so that histories need several rows
 	g.settings = server.Settings{
-		Machine: g.name, Zone: fmt.Sprintf("z%d", number%2+1), Region: "r",
+		Machine: g.name, Zone: fmt.Sprintf("z%d", index%2+1), Region: "r",
 		Listen: server.Listen{
 			Callers: at(portCallers), Ready: at(portReady), Peers: at(portPeers), Metrics: at(portMetrics),
 			Advertise: g.fromPeers.Address(),
@@ -83,8 +83,8 @@
 		Quota: server.Quota{
 			WindowSeconds: quotaWindow.Seconds(), ToleranceShare: toleranceShare, ToleranceRequests: toleranceRequests,
 		},
-		// Also set at restarts: a gateway that already has its row does not count as a
-		// founder again.
+		// Also set at restarts. It has an effect only until the gateway has written its
+		// row in the store.
 		FirstStart: true,
 	}
 	return g, g.writeSettings()
@@ -98,7 +98,7 @@
 	return eris.Wrap(os.WriteFile(g.settingsPath, content, 0o600), "write settings")
 }
 
-// start starts a new process, unless one is running: a kill and a planned stop that
+// start starts a new process, unless one is running: a kill and a graceful stop that
 // overlap both restart the gateway.
 func (g *gateway) start() error {
 	g.mutex.Lock()
@@ -135,15 +135,15 @@
 	}
 }
 
-// awaitExit waits until the process ends, and reports a finding if it got no signal
-// to end.
+// awaitExit waits until the process ends, and reports a finding unless the soak ended
+// it.
 func (g *gateway) awaitExit(command *exec.Cmd, exited chan struct{}) {
 	_ = command.Wait() // the process state contains the result
 	g.mutex.Lock()
 	expected := g.exitExpected
 	g.mutex.Unlock()
 	if !expected {
-		g.run.evidence.addFinding("process: %s ended without a signal: %s", g.name, command.ProcessState)
+		g.run.evidence.addFinding("process: %s ended unexpectedly: %s", g.name, command.ProcessState)
 	}
 	close(exited)
 }
@@ -163,8 +163,8 @@
 // kill kills the process and waits for its end.
 func (g *gateway) kill() { <-g.signal(syscall.SIGKILL) }
 
-// stop stops the process as planned. If that takes longer than the grace period, it
-// reports a finding and kills the process.
+// stop stops the process gracefully, with SIGTERM. If that takes longer than the grace
+// period and schedulingSlack, it reports a finding and kills the process.
 func (g *gateway) stop() {
 	exited := g.signal(syscall.SIGTERM)
 	select {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -24,10 +24,10 @@
 }
 
 // injector injects a fault, waits for its end and undoes it.
-type injector func(w *soakRun, f fault)
+type injector func(r *soakRun, f fault)
 
-// injectors contains the injector of each kind of fault.
-var injectors = map[string]injector{
+// faultInjectors contains the injector of each kind of fault.
+var faultInjectors = map[string]injector{
 	"kill":          (*soakRun).kill,
 	"pause":         (*soakRun).pause,
 	"stop":          (*soakRun).stop,
@@ -57,7 +57,7 @@
 // Kinds returns the kinds of faults, sorted.
 func Kinds() []string {
 	var kinds []string
-	for kind := range injectors {
+	for kind := range faultInjectors {
 		kinds = append(kinds, kind)
 	}
 	slices.Sort(kinds)
@@ -66,7 +66,7 @@
 
 const (
 	maxConcurrentFaults = 3
-	roundsPerCalmRound  = 4 // each round with this multiple as its number is followed by a calm round
+	roundsPerCalmRound  = 4 // a calm round follows after this many rounds
 	minFaultDuration    = 300 * time.Millisecond
 	maxFaultDuration    = 4 * time.Second
 )
@@ -81,12 +81,12 @@
 		kinds = Kinds()
 	}
 	r.sleep(ctx, time.Second)
-	for round := 1; ctx.Err() == nil && time.Since(r.began) < firstStartDuration+r.options.Duration; round++ {
+	for round := 1; ctx.Err() == nil && time.Since(r.startedAt) < firstStartDuration+r.options.Duration; round++ {
 		faults := r.drawFaults(random, kinds)
 		var running sync.WaitGroup
 		for _, each := range faults {
 			r.logEvent(each.String())
-			running.Go(func() { injectors[each.kind](r, each) })
+			running.Go(func() { faultInjectors[each.kind](r, each) })
 		}
 		change := r.drawChange(random)
 		running.Go(func() { r.makeChange(change) })
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,8 +1,8 @@
 // Package soak runs real gateway processes on one machine, sends them requests of
 // simulated programs and injects faults: signals to the processes, faults on the
 // network links, and a store and engines that misbehave. Afterwards it checks the
-// gateways' guarantees from what callers and engines observed. All faults are drawn
-// from a seed.
+// gateways' guarantees from what callers and engines observed. The faults of a run are
+// drawn from a seed.
 package soak
 
 import (
@@ -55,13 +55,13 @@
 
 // soakRun is the state of one run.
 type soakRun struct {
-	options  Options
-	began    time.Time
-	evidence *evidence
-	store    *store
-	engines  *engines
-	gateways []*gateway
-	calm     *calmTracker
+	options   Options
+	startedAt time.Time
+	evidence  *evidence
+	store     *store
+	engines   *engines
+	gateways  []*gateway
+	calm      *calmTracker
 
 	quotaRequests sync.WaitGroup // requests of the tenant with a quota that are in progress
 
@@ -84,23 +84,23 @@
 		}
 		options.Directory = directory
 	}
-	run := &soakRun{options: options, began: time.Now(), calm: newCalmTracker()}
+	run := &soakRun{options: options, startedAt: time.Now(), calm: newCalmTracker()}
 	run.evidence = newEvidence(run.calm)
-	run.evidence.untimed = options.Untimed
+	run.evidence.skipTimingChecks = options.Untimed
 	defer run.close()
 	if err := run.start(ctx); err != nil {
 		return nil, err
 	}
 	run.runCallersAndFaults(ctx)
-	report := &Verdict{
+	verdict := &Verdict{
 		Seed: options.Seed, Findings: run.evidence.check(), Attempts: run.evidence.countOutcomes(),
 		Faults: run.faults, Logs: options.Directory,
 	}
-	if len(report.Findings) == 0 && !keepDirectory {
-		report.Logs = ""
-		return report, os.RemoveAll(options.Directory)
+	if len(verdict.Findings) == 0 && !keepDirectory {
+		verdict.Logs = ""
+		return verdict, os.RemoveAll(options.Directory)
 	}
-	return report, nil
+	return verdict, nil
 }
 
 // start starts the store, the engines and the gateways, and waits until all
@@ -113,8 +113,8 @@
 	}
 	r.engines = created
 	r.store.configure(r.evidence)
-	for number := range r.options.Gateways {
-		created, err := newGateway(number, r)
+	for index := range r.options.Gateways {
+		created, err := newGateway(index, r)
 		if err != nil {
 			return err
 		}
@@ -149,9 +149,9 @@
 func (r *soakRun) runCallersAndFaults(ctx context.Context) {
 	callersCtx, stop := context.WithCancel(ctx)
 	var callers sync.WaitGroup
-	for number := range r.options.Callers {
-		random := rand.New(rand.NewPCG(r.options.Seed, uint64(number)+1))
-		callers.Go(func() { newCaller(r, number, random).runPrograms(callersCtx) })
+	for index := range r.options.Callers {
+		random := rand.New(rand.NewPCG(r.options.Seed, uint64(index)+1))
+		callers.Go(func() { newCaller(r, index, random).runPrograms(callersCtx) })
 	}
 	callers.Go(func() { r.exceedQuota(callersCtx, newFaultRandom(r.options.Seed+1)) })
 	r.sleep(ctx, firstStartDuration)
@@ -170,8 +170,8 @@
 	}
 	random := rand.New(rand.NewPCG(r.options.Seed, 0))
 	probing := newCaller(r, r.options.Callers, random)
-	for number := range r.gateways {
-		probing.probe(ctx, number)
+	for index := range r.gateways {
+		probing.probe(ctx, index)
 	}
 }
 
@@ -179,7 +179,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.faults = append(r.faults, event)
-	r.options.Progress("%7.3f s  %s", time.Since(r.began).Seconds(), event)
+	r.options.Progress("%7.3f s  %s", time.Since(r.startedAt).Seconds(), event)
 }
 
 func (r *soakRun) close() {
--- a/internal/lab/soak/store.go
+++ b/internal/lab/soak/store.go
@@ -40,7 +40,7 @@
 	refuseStatus int           // status that all calls are refused with; 0: not refused
 	resets       bool          // reset the connections of all calls
 	silent       bool          // do not answer calls
-	delay        time.Duration // before each answer
+	delay        time.Duration // delay of each answer
 	downShare    float64       // share of the partitions that are unavailable
 	downSalt     uint32        // selects these partitions
 	lostShare    float64       // share of the writes that are done but not answered
--- a/internal/lab/soak/tenants.go
+++ b/internal/lab/soak/tenants.go
@@ -24,8 +24,8 @@
 	limitedRequestInterval = time.Second / quotaPerSecond / 10
 )
 
-// maxRequestsInWindow is how many requests of the limited tenant may be executed in any
-// window.
+// maxRequestsInWindow limits the requests of the limited tenant that are executed in any
+// window of quotaWindow.
 const maxRequestsInWindow = (quotaPerSecond*int(quotaWindow/time.Second)+quotaBurst)*(100+int(100*toleranceShare))/100 + toleranceRequests
 
 type tenantRow struct {
@@ -56,23 +56,24 @@
 	r.quotaRequests.Wait()
 }
 
-// checkQuota checks that in every window, no more requests of the limited tenant were
-// both sent and executed than maxRequestsInWindow, whatever faults were active.
+// checkQuota checks that no window of quotaWindow contains more than maxRequestsInWindow
+// requests of the limited tenant that were both sent and executed in it, whatever faults
+// were active.
 func (e *evidence) checkQuota() []string {
-	type moment struct{ sent, began time.Time }
-	var ran []moment
+	type executedRequest struct{ sent, startedAt time.Time }
+	var executed []executedRequest
 	for _, a := range e.attempts {
-		for _, each := range e.executions[a.id] {
+		for _, request := range e.executions[a.id] {
 			if a.limited {
-				ran = append(ran, moment{a.sent, each.began})
+				executed = append(executed, executedRequest{a.sent, request.startedAt})
 			}
 		}
 	}
-	slices.SortFunc(ran, func(a, b moment) int { return a.sent.Compare(b.sent) })
-	for first := range ran {
+	slices.SortFunc(executed, func(a, b executedRequest) int { return a.sent.Compare(b.sent) })
+	for start := range executed {
 		count := 0
-		for _, each := range ran[first:] {
-			if each.began.Sub(ran[first].sent) <= quotaWindow {
+		for _, request := range executed[start:] {
+			if request.startedAt.Sub(executed[start].sent) <= quotaWindow {
 				count++
 			}
 		}
