--- a/test/scheduling/caller_test.go
+++ b/test/scheduling/caller_test.go
@@ -36,7 +36,7 @@
 
 func newCaller(running *fleet.Fleet) *caller { return &caller{fleet: running} }
 
-func numberedName(prefix string, number int) string { return fmt.Sprintf("%s-%d", prefix, number) }
+func numberedName(prefix string, index int) string { return fmt.Sprintf("%s-%d", prefix, index) }
 
 // dossier returns a long text. Equal numbers give equal texts.
 func dossier(number int) string {
@@ -107,7 +107,6 @@
 	c.awaitAnswer(id, sequence)
 }
 
-// end ends a program.
 func (c *caller) end(id identity.Program) {
 	c.send(http.MethodDelete, callerapi.PathPrograms+"/"+string(id), nil, nil)
 }
@@ -117,9 +116,9 @@
 // requests last until ctx is done.
 func overloadEngine(ctx context.Context, running *fleet.Fleet, engine *fleet.Engine) {
 	const requests = 60
-	for number := range requests {
+	for index := range requests {
 		body, err := json.Marshal(enginev1.CompletionRequest{
-			RequestID: numberedName("overload/1", number), Program: numberedName("overload", number), Model: modelName,
+			RequestID: numberedName("overload/1", index), Program: numberedName("overload", index), Model: modelName,
 			Messages: []enginev1.Message{{Role: "user", Content: "tokens=100000"}}, MaxTokens: 100000, Stream: true,
 		})
 		Expect(err).NotTo(HaveOccurred())
--- a/test/scheduling/load_test.go
+++ b/test/scheduling/load_test.go
@@ -16,14 +16,14 @@
 
 const (
 	loadSeed          = 11
-	loadPrograms      = 200
+	programCount      = 200
 	dossierCount      = 8
 	turnsPerProgram   = 5
 	maxStartDelay     = 8 * time.Second
 	minAnswerTokens   = 40
 	answerTokenSpread = 120
 	maxPause          = 300 * time.Millisecond
-	p95               = 0.95
+	p95Fraction       = 0.95
 )
 
 // loadMeasurements are the results of a load. They are safe for concurrent use while
@@ -40,16 +40,16 @@
 func (m *loadMeasurements) String() string {
 	all := slices.Concat(m.latencies["interactive"], m.latencies["standard"], m.latencies["batch"])
 	return fmt.Sprintf("p95 program latency %v (interactive %v, standard %v, batch %v); %d of %d prompt tokens cached; %d refusals",
-		quantile(all), quantile(m.latencies["interactive"]), quantile(m.latencies["standard"]), quantile(m.latencies["batch"]),
+		p95(all), p95(m.latencies["interactive"]), p95(m.latencies["standard"]), p95(m.latencies["batch"]),
 		m.cachedTokens, m.promptTokens, m.refused)
 }
 
-func quantile(values []time.Duration) time.Duration {
+func p95(values []time.Duration) time.Duration {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	return sorted[int(p95*float64(len(sorted)-1))].Round(time.Millisecond)
+	return sorted[int(p95Fraction*float64(len(sorted)-1))].Round(time.Millisecond)
 }
 
 // loadProgram is one program of the load. All are drawn before the load starts, so
@@ -65,39 +65,39 @@
 func drawLoad() []loadProgram {
 	random := rand.New(rand.NewPCG(loadSeed, loadSeed))
 	classes := []string{"interactive", "standard", "batch"}
-	drawn := make([]loadProgram, loadPrograms)
-	for number := range drawn {
-		drawn[number].class = classes[random.IntN(len(classes))]
-		drawn[number].startDelay = time.Duration(random.Int64N(int64(maxStartDelay)))
-		drawn[number].dossier = random.IntN(dossierCount)
+	programs := make([]loadProgram, programCount)
+	for index := range programs {
+		programs[index].class = classes[random.IntN(len(classes))]
+		programs[index].startDelay = time.Duration(random.Int64N(int64(maxStartDelay)))
+		programs[index].dossier = random.IntN(dossierCount)
 		for turn := range turnsPerProgram {
-			drawn[number].answerTokens[turn] = minAnswerTokens + random.IntN(answerTokenSpread)
-			drawn[number].pauses[turn] = time.Duration(random.Int64N(int64(maxPause)))
+			programs[index].answerTokens[turn] = minAnswerTokens + random.IntN(answerTokenSpread)
+			programs[index].pauses[turn] = time.Duration(random.Int64N(int64(maxPause)))
 		}
 	}
-	return drawn
+	return programs
 }
 
 // runLoad runs all programs of the load and waits until they have ended.
 func runLoad(client *caller) *loadMeasurements {
 	measurements := &loadMeasurements{latencies: make(map[string][]time.Duration)}
 	var programs sync.WaitGroup
-	for number, drawn := range drawLoad() {
+	for index, program := range drawLoad() {
 		programs.Go(func() {
 			defer GinkgoRecover()
-			time.Sleep(drawn.startDelay)
-			measurements.runProgram(client, number, &drawn)
+			time.Sleep(program.startDelay)
+			measurements.runProgram(client, index, &program)
 		})
 	}
 	programs.Wait()
 	return measurements
 }
 
-func (m *loadMeasurements) runProgram(client *caller, number int, program *loadProgram) {
+func (m *loadMeasurements) runProgram(client *caller, index int, program *loadProgram) {
 	started := time.Now()
-	id := client.create(numberedName("load", number), program.class)
+	id := client.create(numberedName("load", index), program.class)
 	for turn := range turnsPerProgram {
-		question := fmt.Sprintf("program %d tokens=%d", number, program.answerTokens[turn])
+		question := fmt.Sprintf("program %d tokens=%d", index, program.answerTokens[turn])
 		m.ask(client, id, uint64(turn+1), program, question)
 		time.Sleep(program.pauses[turn])
 	}
--- a/test/scheduling/scheduling_test.go
+++ b/test/scheduling/scheduling_test.go
@@ -90,8 +90,8 @@
 		engine := running.Engines[0]
 		started := caller.create("started", "standard")
 		caller.submitAndAwait(started, 1, "a first turn tokens=5")
-		for number := range oldEngineSlots - 1 {
-			caller.submit(caller.create(numberedName("filler", number), "interactive"), 1, "tokens=100000")
+		for index := range oldEngineSlots - 1 {
+			caller.submit(caller.create(numberedName("filler", index), "interactive"), 1, "tokens=100000")
 		}
 		caller.submit(caller.create("last filler", "interactive"), 1, "tokens=300")
 		Eventually(func() int { return len(arrivedPrograms(engine, 1)) }).Should(Equal(oldEngineSlots))
@@ -99,8 +99,8 @@
 		caller.submit(started, 2, "a second turn tokens=5")
 		Eventually(func() []identity.Program { return arrivedPrograms(engine, 1+oldEngineSlots) }).Should(Equal([]identity.Program{started}), "the call may wait at the engine that caches its prefix")
 
-		// A blocker takes the last slot until all other calls wait. It is then ended, after
-		// all daemons have seen that no slot is free.
+		// A blocker occupies the last slot, and all daemons see that none is free, before
+		// the other calls are submitted. Then the blocker is ended.
 		caller.awaitAnswer(started, 2)
 		awaitReportedRequests(ctx, running, engine, BeEquivalentTo(oldEngineSlots-1))
 		blocker := caller.create("blocker", "interactive")
@@ -110,17 +110,17 @@
 		var expected []identity.Program
 		for _, class := range []string{"batch", "standard", "interactive"} {
 			var ofClass []identity.Program
-			for number := range 2 {
-				waits := caller.create(numberedName(class, number), class)
-				caller.submit(waits, 1, "tokens=60")
-				ofClass = append(ofClass, waits)
+			for index := range 2 {
+				waiting := caller.create(numberedName(class, index), class)
+				caller.submit(waiting, 1, "tokens=60")
+				ofClass = append(ofClass, waiting)
 			}
 			expected = append(ofClass, expected...)
 		}
 		Expect(arrivedPrograms(engine, 3+oldEngineSlots)).To(BeEmpty(), "all wait")
 		caller.end(blocker)
-		for _, waits := range expected {
-			caller.awaitAnswer(waits, 1)
+		for _, waiting := range expected {
+			caller.awaitAnswer(waiting, 1)
 		}
 		Expect(arrivedPrograms(engine, 3+oldEngineSlots)).To(Equal(expected))
 	}, SpecTimeout(2*waitTimeout))
@@ -129,9 +129,9 @@
 		running := startFleet(ctx, 4, 3, 3, 0.05, fleet.Tenant{})
 		caller := newCaller(running)
 		talks := make([]identity.Program, 6)
-		for number := range talks {
-			talks[number] = caller.create(numberedName("talk", number), "standard")
-			caller.submitAndAwait(talks[number], 1, strings.Repeat(dossier(number), dossiersPerTalk)+" tokens=20")
+		for index := range talks {
+			talks[index] = caller.create(numberedName("talk", index), "standard")
+			caller.submitAndAwait(talks[index], 1, strings.Repeat(dossier(index), dossiersPerTalk)+" tokens=20")
 		}
 		engineByTalk := make(map[identity.Program]*fleet.Engine)
 		for _, talk := range talks {
@@ -151,15 +151,15 @@
 
 	It("complete a load of programs of all classes", func(ctx SpecContext) {
 		running := startFleet(ctx, 8, 3, 1, 0.2, fleet.Tenant{})
-		measured := runLoad(newCaller(running))
-		measured.promptTokens, measured.cachedTokens = 0, 0
+		measurements := runLoad(newCaller(running))
+		measurements.promptTokens, measurements.cachedTokens = 0, 0
 		for _, engine := range running.Engines {
 			for _, request := range engine.Records().Requests {
-				measured.promptTokens += request.PromptTokens
-				measured.cachedTokens += request.CachedTokens
+				measurements.promptTokens += request.PromptTokens
+				measurements.cachedTokens += request.CachedTokens
 			}
 		}
-		AddReportEntry("measured", measured.String(), ReportEntryVisibilityAlways)
-		Expect(measured.ended).To(Equal(loadPrograms))
+		AddReportEntry("measured", measurements.String(), ReportEntryVisibilityAlways)
+		Expect(measurements.ended).To(Equal(programCount))
 	}, SpecTimeout(4*waitTimeout))
 })
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -38,16 +38,16 @@
 		panic(err)
 	}
 	defer func() { _ = file.Close() }()
-	lines := bufio.NewScanner(file)
-	for lines.Scan() {
-		if strings.HasPrefix(lines.Text(), "#") || strings.TrimSpace(lines.Text()) == "" {
+	scanner := bufio.NewScanner(file)
+	for scanner.Scan() {
+		if strings.HasPrefix(scanner.Text(), "#") || strings.TrimSpace(scanner.Text()) == "" {
 			continue
 		}
-		fields := strings.SplitN(lines.Text(), ";", 3)
+		fields := strings.SplitN(scanner.Text(), ";", 3)
 		seed, seedErr := strconv.ParseUint(strings.TrimSpace(fields[0]), 10, 64)
 		seconds, secondsErr := strconv.Atoi(strings.TrimSpace(fields[1]))
 		if seedErr != nil || secondsErr != nil {
-			panic(lines.Text())
+			panic(scanner.Text())
 		}
 		entries = append(entries, Entry("of seed "+strings.TrimSpace(fields[0]), seed, seconds))
 	}
