--- a/internal/lab/replay/checks.go
+++ b/internal/lab/replay/checks.go
@@ -110,9 +110,10 @@
 	return findings
 }
 
-// checkHistoryOutcomes checks that the history has the state and answer that the
-// caller observed of each call, except of rejected calls and those without a final
-// outcome. If there are no such calls, the history must not have further ones.
+// checkHistoryOutcomes checks that the history has the state and answer that the caller
+// observed of each call, except of rejected calls and those without a final outcome. If
+// every call has a final outcome and none was rejected, the history must not have more
+// calls.
 func checkHistoryOutcomes(p *programRun, history callerapi.History) []string {
 	var findings []string
 	accepted := 0
--- a/internal/lab/replay/fault.go
+++ b/internal/lab/replay/fault.go
@@ -144,25 +144,25 @@
 	r.progress("replay: the fault applies to daemon %s.", daemon.Name)
 	switch fault.Do {
 	case ActionKill:
-		r.markAwayIfRestarting(fault, daemon)
+		r.markUnavailableIfRestarting(fault, daemon)
 		if err := daemon.Kill(); err != nil {
 			return err
 		}
 		r.recordKill()
 		r.restartLater(fault, daemon)
 	case ActionFreeze:
-		r.setAway(daemon, true)
+		r.setUnavailable(daemon, true)
 		if err := daemon.Freeze(); err != nil {
 			return err
 		}
 		r.undoLater(fault.For, func() {
 			_ = daemon.Thaw() // fails if the process was killed meanwhile
-			r.setAway(daemon, false)
+			r.setUnavailable(daemon, false)
 		})
 	case ActionIsolate:
 		r.isolate(fault, zone)
 	case ActionStop:
-		r.markAwayIfRestarting(fault, daemon)
+		r.markUnavailableIfRestarting(fault, daemon)
 		r.undos.Go(func() { r.stop(fault, daemon) })
 	}
 	return nil
@@ -183,27 +183,27 @@
 	})
 }
 
-// isolate disconnects the zone from the network. Its daemons count as away until
-// the zone is connected again.
+// isolate disconnects the zone from the network. Its daemons are recorded as unavailable
+// until the zone is connected again.
 func (r *run) isolate(fault Fault, zone string) {
-	setZoneAway := func(away bool) {
+	setZoneUnavailable := func(unavailable bool) {
 		for _, daemon := range r.fleet.Daemons {
 			if daemon.Zone == zone {
-				r.setAway(daemon, away)
+				r.setUnavailable(daemon, unavailable)
 			}
 		}
 	}
-	setZoneAway(true)
+	setZoneUnavailable(true)
 	r.fleet.Network.Isolate(zone)
 	r.undoLater(fault.For, func() {
 		r.fleet.Network.Heal(zone)
-		setZoneAway(false)
+		setZoneUnavailable(false)
 	})
 }
 
-func (r *run) markAwayIfRestarting(fault Fault, daemon *fleet.Daemon) {
+func (r *run) markUnavailableIfRestarting(fault Fault, daemon *fleet.Daemon) {
 	if fault.Restart {
-		r.setAway(daemon, true)
+		r.setUnavailable(daemon, true)
 	}
 }
 
@@ -215,7 +215,7 @@
 		if err := daemon.Start(); err != nil {
 			r.progress("replay: restart of a daemon failed: %v", err)
 		}
-		r.setAway(daemon, false)
+		r.setUnavailable(daemon, false)
 	})
 }
 
--- a/internal/lab/replay/moment.go
+++ b/internal/lab/replay/moment.go
@@ -148,8 +148,8 @@
 	return watch
 }
 
-// backEndFaults returns the fault rules of the back ends whose own name, or whose
-// model, service or tool, is name.
+// backEndFaults returns the fault rules of the back ends that have the name, or that serve
+// the model, service or tool with the name.
 func (r *run) backEndFaults(name string) []*standin.Faults {
 	var found []*standin.Faults
 	for _, engine := range r.fleet.Engines {
--- a/internal/lab/replay/run.go
+++ b/internal/lab/replay/run.go
@@ -36,7 +36,7 @@
 	undoAtEnd        []func() // undo functions of faults that last until all programs have ended
 	programs         []*programRun
 	leaving          []leavingBackEnd
-	away             map[*fleet.Daemon]int // number of faults that make the daemon unavailable for a time
+	unavailable      map[*fleet.Daemon]int // number of faults that make the daemon unavailable for a time
 	stopFailures     []string              // errors of graceful stops
 	races            []raceResult
 	timeoutReport    string // describes the first call without a final outcome and the fleet at that time; empty: none
--- a/internal/lab/replay/trace.go
+++ b/internal/lab/replay/trace.go
@@ -178,7 +178,8 @@
 	}
 }
 
-// validate returns an error if a parent or the call of a fault is not defined.
+// validate returns an error if the parent of a program is not defined before it, or if a
+// fault refers to a program or call that is not defined.
 func (t *Trace) validate() error {
 	names := map[string]int{}
 	for _, program := range t.Programs {
--- a/internal/lab/replay/whole.go
+++ b/internal/lab/replay/whole.go
@@ -21,8 +21,8 @@
 // statuses holds the status that each running daemon reported, by machine.
 type statuses map[string]*operatorv1.GetStatusResponse
 
-// awaitHealthyFleet waits until the fleet is healthy, so that a fault does not
-// overlap with an earlier one, however slow the machine is.
+// awaitHealthyFleet waits until the fleet is healthy, so that a fault does not overlap
+// with an earlier one, also on a slow machine. It returns an error after recoveryTimeout.
 func (r *run) awaitHealthyFleet(ctx context.Context) error {
 	bounded, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
@@ -67,15 +67,15 @@
 	}
 }
 
-// checkHealthy returns nil if the fleet is healthy: no fault keeps a daemon away,
-// every running daemon has confirmed its configuration and sees exactly the running
-// processes alive, and every shard is led by one of them. Otherwise the error says
-// what is missing.
+// checkHealthy returns nil if the fleet is healthy: no daemon is unavailable because of
+// a fault, every running daemon has confirmed its configuration and lists exactly the
+// running processes as alive, and every shard is led by one of them. Otherwise the
+// error says what is missing.
 func (r *run) checkHealthy(ctx context.Context) error {
 	all := statuses{}
 	for _, daemon := range r.fleet.Daemons {
-		if r.isAway(daemon) {
-			return eris.Errorf("%s is away", daemon.Name)
+		if r.isUnavailable(daemon) {
+			return eris.Errorf("%s is unavailable because of a fault", daemon.Name)
 		}
 		if !daemon.Alive() {
 			continue
@@ -166,7 +166,7 @@
 	defer cancel()
 	var text strings.Builder
 	for _, daemon := range r.fleet.Daemons {
-		fmt.Fprintf(&text, "%s: alive %t, away %t", daemon.Name, daemon.Alive(), r.isAway(daemon))
+		fmt.Fprintf(&text, "%s: alive %t, unavailable %t", daemon.Name, daemon.Alive(), r.isUnavailable(daemon))
 		status, err := r.fleet.Status(ctx, daemon)
 		if err != nil {
 			fmt.Fprintf(&text, ", status: %v\n", err)
@@ -195,23 +195,24 @@
 	}
 }
 
-// setAway records that a fault makes the daemon unavailable for a time or, if away is
-// false, that such a fault has ended.
-func (r *run) setAway(daemon *fleet.Daemon, away bool) {
+// setUnavailable records that a fault makes the daemon unavailable for a time or, if
+// unavailable is false, that such a fault has ended.
+func (r *run) setUnavailable(daemon *fleet.Daemon, unavailable bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.away == nil {
-		r.away = map[*fleet.Daemon]int{}
+	if r.unavailable == nil {
+		r.unavailable = map[*fleet.Daemon]int{}
 	}
-	if away {
-		r.away[daemon]++
+	if unavailable {
+		r.unavailable[daemon]++
 		return
 	}
-	r.away[daemon]--
+	r.unavailable[daemon]--
 }
 
-func (r *run) isAway(daemon *fleet.Daemon) bool {
+// isUnavailable reports whether a fault makes the daemon unavailable for a time.
+func (r *run) isUnavailable(daemon *fleet.Daemon) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.away[daemon] > 0
+	return r.unavailable[daemon] > 0
 }
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -34,26 +34,26 @@
 	return findings
 }
 
-// checkAnswer checks that a successful response is the complete answer of an engine to
+// checkAnswer checks that a successful response is the complete answer of an instance to
 // this request, or a part of that answer which the caller can recognize as cut. Other
-// responses must not have the stamp of an engine, except those with status 500.
+// responses must not have the stamp of an instance, except those with status 500.
 func (e *evidence) checkAnswer(a *attempt) []string {
 	if a.status != http.StatusOK {
 		if a.hasStamp && a.status != http.StatusInternalServerError {
-			return []string{fmt.Sprintf("answers: %s got status %d with the stamp of an engine", a.id, a.status)}
+			return []string{fmt.Sprintf("answers: %s got status %d with the stamp of an instance", a.id, a.status)}
 		}
 		return nil
 	}
 	expected := expectedAnswer(a.kind, a.id)
 	switch {
 	case !a.hasStamp:
-		return []string{fmt.Sprintf("answers: %s got a success without the stamp of an engine", a.id)}
+		return []string{fmt.Sprintf("answers: %s got a success without the stamp of an instance", a.id)}
 	case a.complete && a.content != expected:
 		return []string{fmt.Sprintf("answers: %s got %q, not %q", a.id, a.content, expected)}
 	case !a.complete && !hasPrefix(expected, a.content):
 		return []string{fmt.Sprintf("answers: %s got %q, which is not the start of %q", a.id, a.content, expected)}
 	case len(e.executions[a.id]) == 0:
-		return []string{fmt.Sprintf("answers: %s got a success, but no engine executed it", a.id)}
+		return []string{fmt.Sprintf("answers: %s got a success, but no instance executed it", a.id)}
 	}
 	return nil
 }
@@ -87,11 +87,11 @@
 	return findings
 }
 
-// checkRequested checks that engines executed only requests that a caller sent, with
+// checkRequested checks that instances executed only requests that a caller sent, with
 // the expected body, path and service.
 func checkRequested(id string, executions []execution, a *attempt) []string {
 	if a == nil {
-		return []string{fmt.Sprintf("asked: an engine executed %s, which no caller sent", id)}
+		return []string{fmt.Sprintf("asked: an instance executed %s, which no caller sent", id)}
 	}
 	var findings []string
 	for _, each := range executions {
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -60,7 +60,7 @@
 	Entry("a cut response that is not the start of the answer", func(_ *evidence, all map[string]*attempt) {
 		all["r1"].complete, all["r1"].content = false, "x"
 	}, "answers:"),
-	Entry("an answer to a request that no engine executed", func(e *evidence, _ map[string]*attempt) { delete(e.executions, "r3") }, "answers:"),
+	Entry("an answer to a request that no instance executed", func(e *evidence, _ map[string]*attempt) { delete(e.executions, "r3") }, "answers:"),
 	Entry("a failure with a stamp", func(_ *evidence, all map[string]*attempt) { all["r4"].hasStamp = true }, "answers:"),
 	Entry("two executions", func(e *evidence, _ map[string]*attempt) {
 		e.executions["r3"] = append(e.executions["r3"], e.executions["r3"][0])
@@ -87,14 +87,14 @@
 		all["r1"].events = budgetAndTurn - all["r2"].events + 1
 	}, "budget:"),
 	Entry("a quota exceeded by one request", func(e *evidence, _ map[string]*attempt) {
-		for number := range maxRequestsInWindow + 1 {
-			a := &attempt{id: fmt.Sprint("q", number), kind: kindSafe, limited: true, sent: time.Now(), status: 0}
+		for index := range maxRequestsInWindow + 1 {
+			a := &attempt{id: fmt.Sprint("q", index), kind: kindSafe, limited: true, sent: time.Now(), status: 0}
 			e.attempts = append(e.attempts, a)
 			e.executions[a.id] = []execution{{service: serviceApp, instance: "e", path: pathSafe, startedAt: a.sent.Add(time.Second)}}
 		}
 	}, "quota:"),
 	Entry("a configuration that is not in force", func(e *evidence, _ map[string]*attempt) { e.executions["r3"][0].service = serviceApp }, "configuration:"),
-	Entry("a request to an engine after its drain", func(e *evidence, _ map[string]*attempt) {
+	Entry("a request to an instance after its drain", func(e *evidence, _ map[string]*attempt) {
 		e.departures["e"] = departure{acknowledged: time.Now().Add(-10 * time.Minute)}
 	}, "drain:"),
 )
--- a/internal/lab/soak/evidence.go
+++ b/internal/lab/soak/evidence.go
@@ -27,7 +27,7 @@
 	budget    int64
 	maxTokens int64
 	input     string
-	prompt    string // body that the engine must receive
+	prompt    string // body that the instance must receive
 	gateway   int
 	sent      time.Time
 	ended     time.Time
@@ -59,7 +59,7 @@
 // departure records when the store acknowledged that an instance is draining.
 type departure struct{ acknowledged time.Time }
 
-// evidence collects what callers, engines and the operator observed. It is safe for
+// evidence collects what callers, instances and the operator observed. It is safe for
 // concurrent use, but the methods that check calls need its mutex held.
 type evidence struct {
 	mutex            sync.Mutex
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -99,28 +99,34 @@
 	r.injectFor(f, func() { r.store.setAll(next) }, func() { r.store.setAll(storeBehavior{}) })
 }
 
-// storeDown makes the store unavailable to all gateways.
-func (r *soakRun) storeDown(f fault) { r.injectStoreBehavior(f, unavailableBehavior(f.variant)) }
+// makeStoreUnavailable makes the store unavailable to all gateways.
+func (r *soakRun) makeStoreUnavailable(f fault) {
+	r.injectStoreBehavior(f, unavailableBehavior(f.variant))
+}
 
-// storePart makes a share of the partitions of the store unavailable.
-func (r *soakRun) storePart(f fault) {
+// makePartitionsUnavailable makes a share of the partitions of the store unavailable.
+func (r *soakRun) makePartitionsUnavailable(f fault) {
 	r.injectStoreBehavior(f, storeBehavior{downShare: f.share, downSalt: uint32(f.variant)})
 }
 
-// storeSlow delays the answers of the store.
-func (r *soakRun) storeSlow(f fault) {
+// delayStore delays the answers of the store.
+func (r *soakRun) delayStore(f fault) {
 	r.injectStoreBehavior(f, storeBehavior{delay: time.Duration(f.share * float64(300*time.Millisecond))})
 }
 
-// storeLost makes the store execute a share of the writes without answering them.
-func (r *soakRun) storeLost(f fault) { r.injectStoreBehavior(f, storeBehavior{lostShare: f.share}) }
+// loseStoreAnswers makes the store execute a share of the writes without answering them.
+func (r *soakRun) loseStoreAnswers(f fault) {
+	r.injectStoreBehavior(f, storeBehavior{lostShare: f.share})
+}
 
-// storeLate makes the store execute a share of the writes later, without answering them.
-func (r *soakRun) storeLate(f fault) { r.injectStoreBehavior(f, storeBehavior{lateShare: f.share}) }
+// delayStoreWrites makes the store execute a share of the writes later, without answering them.
+func (r *soakRun) delayStoreWrites(f fault) {
+	r.injectStoreBehavior(f, storeBehavior{lateShare: f.share})
+}
 
-// storeOne makes the store unavailable to the first half of the target gateways, at least
+// makeStoreUnavailableToSome makes the store unavailable to the first half of the target gateways, at least
 // one.
-func (r *soakRun) storeOne(f fault) {
+func (r *soakRun) makeStoreUnavailableToSome(f fault) {
 	affected := f.targets[:max(1, len(f.targets)/2)]
 	set := func(next storeBehavior) {
 		for _, index := range affected {
@@ -130,8 +136,8 @@
 	r.injectFor(f, func() { set(unavailableBehavior(f.variant)) }, func() { set(storeBehavior{}) })
 }
 
-// storeHistory makes the store drop its history of changes.
-func (r *soakRun) storeHistory(f fault) {
+// dropStoreHistory makes the store drop its history of changes.
+func (r *soakRun) dropStoreHistory(f fault) {
 	r.injectFor(fault{duration: minFaultDuration}, r.store.memory.ForgetHistory, func() {})
 }
 
@@ -169,18 +175,18 @@
 	}, func() { set(faultproxy.Condition{}) })
 }
 
-// linkStore injects a fault on the links from the target gateways to the store.
-func (r *soakRun) linkStore(f fault) {
+// injectStoreLinkFault injects a fault on the links from the target gateways to the store.
+func (r *soakRun) injectStoreLinkFault(f fault) {
 	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.toStore })
 }
 
-// linkPeers injects a fault on the links from other gateways to the target gateways.
-func (r *soakRun) linkPeers(f fault) {
+// injectPeerLinkFault injects a fault on the links from other gateways to the target gateways.
+func (r *soakRun) injectPeerLinkFault(f fault) {
 	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.fromPeers })
 }
 
-// linkCallers injects a fault on the links from callers to the target gateways.
-func (r *soakRun) linkCallers(f fault) {
+// injectCallerLinkFault injects a fault on the links from callers to the target gateways.
+func (r *soakRun) injectCallerLinkFault(f fault) {
 	r.injectLinkFault(f, func(target *gateway) *faultproxy.Link { return target.fromCallers })
 }
 
@@ -195,8 +201,8 @@
 	return found[f.variant/len(services)%len(found)]
 }
 
-// linkEngine injects a fault on the link to one instance of a service.
-func (r *soakRun) linkEngine(f fault) {
+// injectInstanceLinkFault injects a fault on the link to one instance of a service.
+func (r *soakRun) injectInstanceLinkFault(f fault) {
 	target := r.pickInstance(f)
 	if target == nil {
 		return
@@ -210,10 +216,10 @@
 	}, func() { target.link.Set(faultproxy.Condition{}) })
 }
 
-// engineCrash stops an instance at once. Its entry in the store is removed later, and
+// crashInstance stops an instance at once. Its entry in the store is removed later, and
 // a new instance of the service starts after that. For even variants, an instance of
 // any service also starts at the old address.
-func (r *soakRun) engineCrash(f fault) {
+func (r *soakRun) crashInstance(f fault) {
 	target := r.pickInstance(f)
 	if target == nil {
 		return
@@ -235,8 +241,8 @@
 	}
 }
 
-// engineBad makes an instance reject, drop, truncate, duplicate or delay its answers.
-func (r *soakRun) engineBad(f fault) {
+// injectInstanceFault makes an instance reject, drop, truncate, duplicate or delay its answers.
+func (r *soakRun) injectInstanceFault(f fault) {
 	target := r.pickInstance(f)
 	if target == nil {
 		return
@@ -245,8 +251,8 @@
 	r.injectFor(f, func() { target.setBehavior(behaviors[f.variant%len(behaviors)]) }, func() { target.setBehavior(instanceBehavior{}) })
 }
 
-// engineDrain starts a new instance, then drains and stops an old one.
-func (r *soakRun) engineDrain(f fault) {
+// replaceInstance starts a new instance, then drains and stops an old one.
+func (r *soakRun) replaceInstance(f fault) {
 	target := r.pickInstance(f)
 	if target == nil {
 		return
