--- a/internal/configuration/administrator.go
+++ b/internal/configuration/administrator.go
@@ -4,24 +4,28 @@
 	"context"
 )
 
-// Source gives the revision in force at this daemon.
+// Source provides the configuration revision that is in force at this daemon.
 type Source interface {
-	// Current never returns nil and never goes back to an earlier revision.
+	// Current returns the revision in force. It never returns nil and never
+	// goes back to an earlier revision.
 	Current() *Snapshot
-	// Confirmed says whether the daemon confirmed its revision with the
-	// configuration group within the bound; if not, new work is refused.
+	// Confirmed reports whether the daemon verified recently enough that
+	// its revision is the latest one. If not, new work must be refused.
 	Confirmed() bool
-	// Subscribe delivers a signal after changes; signals may coalesce.
+	// Subscribe returns a channel that receives a signal after each change of
+	// the revision in force. Several changes may be reported by one signal.
 	Subscribe() <-chan struct{}
 }
 
-// Administrator is what the operators' endpoint uses. It works at any daemon:
-// changes are forwarded to the leader of the configuration group. A returned
-// error that wraps ErrChangeUncertain says that the change may still be accepted:
-// repeat it with the same identifier.
+// Administrator reads and changes the configuration on behalf of operators. It
+// works at every daemon.
 type Administrator interface {
 	Source
+	// Change submits the change and returns its outcome. If the error wraps
+	// ErrChangeUncertain, the change may still be accepted; the caller should
+	// repeat it with the same identifier.
 	Change(ctx context.Context, change Change) (ChangeResult, error)
-	// History gives the latest revisions, newest first, at most limit of them.
+	// History returns the latest revisions, newest first. The limit is the
+	// maximum number of revisions returned.
 	History(ctx context.Context, limit int) ([]Revision, error)
 }
--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -11,7 +11,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// The size that the design is built towards.
+// Sizes of the documents in the benchmarks: the largest deployment that the
+// design must support.
 const (
 	targetTenants = 15000
 	targetModels  = 9
@@ -19,7 +20,8 @@
 	targetZones   = 11
 )
 
-// document makes a valid document with the numbers of items.
+// document returns a valid document with the given numbers of tenants and
+// engines, and targetModels models.
 func document(tenants, engines int) configuration.Document {
 	var made configuration.Document
 	for i := range tenants {
@@ -75,7 +77,8 @@
 	return machine
 }
 
-// partialChange changes one tenant.
+// partialChange returns a change of one tenant against the base revision. The
+// number makes its identifier and its content unique.
 func partialChange(number int, base uint64) configuration.Change {
 	tenant := document(1, 0).Tenants[0]
 	tenant.MaxTurns = uint64(number) + 1
@@ -85,8 +88,8 @@
 	}
 }
 
-// BenchmarkApply measures one change at the target size; bytes/command is what
-// travels to each replica.
+// BenchmarkApply measures encoding and applying one change to a document of the
+// target size. It reports the size of the encoded command as bytes/command.
 func BenchmarkApply(b *testing.B) {
 	b.Run("partial", func(b *testing.B) {
 		machine := loaded(b)
@@ -114,7 +117,9 @@
 	})
 }
 
-// BenchmarkDistribution measures what a daemon does that learns of a revision.
+// BenchmarkDistribution measures how a daemon that is 100 revisions behind gets
+// to the current one: computing the difference, applying it, and building the
+// indexes from scratch.
 func BenchmarkDistribution(b *testing.B) {
 	const behind = 100
 	machine := loaded(b)
@@ -125,7 +130,7 @@
 	b.Run("difference", func(b *testing.B) {
 		for b.Loop() {
 			if _, kept := machine.Difference(old.Revision); !kept {
-				b.Fatal("not kept")
+				b.Fatal("the difference is no longer retained")
 			}
 		}
 	})
@@ -142,7 +147,7 @@
 	})
 }
 
-// BenchmarkState measures the transfer of the whole machine.
+// BenchmarkState measures encoding and restoring the whole state of a machine.
 func BenchmarkState(b *testing.B) {
 	machine := loaded(b)
 	state, err := machine.Snapshot()
@@ -164,7 +169,7 @@
 	})
 }
 
-// BenchmarkYAML measures what an operator's command does with the whole file.
+// BenchmarkYAML measures parsing and formatting a whole configuration file.
 func BenchmarkYAML(b *testing.B) {
 	text, err := configuration.FormatYAML(document(targetTenants, targetEngines))
 	if err != nil {
@@ -186,8 +191,8 @@
 	})
 }
 
-// BenchmarkMemory measures the heap that a machine at the target size holds,
-// the loading of the whole document still in its history.
+// BenchmarkMemory measures the heap bytes that a machine of the target size
+// occupies, including the history entry of the change that loaded the document.
 func BenchmarkMemory(b *testing.B) {
 	for b.Loop() {
 		before := liveHeap()
--- a/internal/configuration/codec.go
+++ b/internal/configuration/codec.go
@@ -7,12 +7,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// EncodeChange encodes the change as a command for the machine.
+// EncodeChange encodes the change as a command for Machine.Apply.
 func EncodeChange(change Change) ([]byte, error) {
 	return encode(&change, "encode change")
 }
 
-// decodeChange reads a command that EncodeChange wrote.
+// decodeChange decodes a command that EncodeChange encoded.
 func decodeChange(command []byte) (Change, error) {
 	var change Change
 	err := decode(command, &change, "decode change")
--- a/internal/configuration/difference.go
+++ b/internal/configuration/difference.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// Difference leads from one revision to another: items added or replaced, and
-// names taken away. Its size follows the items that differ, not the document.
+// Difference describes how to get from one revision to another: the items to add
+// or replace, and the names of the items to delete. Its size is proportional to
+// the number of changed items, not to the size of the document.
 type Difference struct {
 	From    uint64   `json:"from,omitempty"`
 	To      uint64   `json:"to,omitempty"`
-	Upserts Document `json:"upserts,omitzero"` // in Drains: the names added
+	Upserts Document `json:"upserts,omitzero"` // items to add or replace
 	Deletes Names    `json:"deletes,omitzero"`
 }
 
-// Names lists items by name, each kind apart.
+// Names lists the names of items, one list for each kind of item.
 type Names struct {
 	Tenants  []string `json:"tenants,omitempty"`
 	Models   []string `json:"models,omitempty"`
@@ -21,7 +22,7 @@
 	Drains   []string `json:"drains,omitempty"`
 }
 
-// Items counts the items that the difference touches.
+// Items returns the number of items that the difference adds, replaces or deletes.
 func (d *Difference) Items() int {
 	upserts, deletes := &d.Upserts, &d.Deletes
 	return upserts.Items() +
@@ -29,13 +30,13 @@
 		len(deletes.Engines) + len(deletes.Services) + len(deletes.Drains)
 }
 
-// Items counts the items of the document.
+// Items returns the number of items of all kinds in the document.
 func (d *Document) Items() int {
 	return len(d.Tenants) + len(d.Models) + len(d.Pools) + len(d.Engines) + len(d.Services) + len(d.Drains)
 }
 
-// Compare gives the difference that leads from one document to the other.
-// Both must be in normal form (see Normalize).
+// Compare returns the difference between two documents, without revision
+// numbers. Both must be in normal form (see Normalize).
 func Compare(from, to *Document) Difference {
 	var difference Difference
 	upserts, deletes := &difference.Upserts, &difference.Deletes
@@ -48,8 +49,9 @@
 	return difference
 }
 
-// Patch gives the document after the difference. Lists that the difference
-// does not touch are shared with the original; neither is ever written to.
+// Patch returns the document that results from applying the difference. The
+// document must be in normal form. Lists that the difference does not change
+// are shared with the original document; Patch modifies neither argument.
 func Patch(document *Document, difference *Difference) Document {
 	upserts, deletes := &difference.Upserts, &difference.Deletes
 	return Document{
@@ -62,9 +64,9 @@
 	}
 }
 
-// Normalize gives the document with each list sorted by name, so that the
-// same declaration is the same document however it was written. The order
-// inside an item (key hashes, engines of a pool, addresses) stays.
+// Normalize returns a copy of the document in normal form: each list is sorted
+// by name, so that the order in which items were declared does not matter. The
+// order within an item (key hashes, engines of a pool, addresses) is kept.
 func Normalize(document *Document) Document {
 	return Document{
 		Tenants:  sortedList(document.Tenants, tenantName),
--- a/internal/configuration/differences.go
+++ b/internal/configuration/differences.go
@@ -1,45 +1,48 @@
 package configuration
 
-// Differences keeps the differences between the latest revisions, so that one
-// who is behind gets what it lacks from any daemon. It is bounded as the
-// history is (HistoryRevisions, HistoryItems), and holds no documents. The
-// zero value is empty. It is not safe for concurrent use.
+// Differences stores the differences between consecutive recent revisions. It
+// computes from them the difference between an older revision and the current
+// one. It retains at most HistoryRevisions differences with at most HistoryItems
+// items in total, but always the latest difference. The zero value is empty and
+// ready to use. Differences is not safe for concurrent use.
 type Differences struct {
-	kept  []Difference // each leads from the To of the one before
-	items int
+	retained []Difference // oldest first; each starts at the revision at which the previous one ends
+	items    int
 }
 
-// Add appends the difference. One that does not follow on the last one begins anew.
+// Add appends the difference. If the difference does not start at the revision
+// at which the last one ends, Add first discards all earlier differences.
 func (d *Differences) Add(difference Difference) {
-	if len(d.kept) > 0 && d.kept[len(d.kept)-1].To != difference.From {
+	if len(d.retained) > 0 && d.retained[len(d.retained)-1].To != difference.From {
 		*d = Differences{}
 	}
-	d.kept = append(d.kept, difference)
+	d.retained = append(d.retained, difference)
 	d.items += difference.Items()
-	for len(d.kept) > HistoryRevisions || (len(d.kept) > 1 && d.items > HistoryItems) {
-		d.items -= d.kept[0].Items()
-		d.kept = d.kept[1:]
+	for len(d.retained) > HistoryRevisions || (len(d.retained) > 1 && d.items > HistoryItems) {
+		d.items -= d.retained[0].Items()
+		d.retained = d.retained[1:]
 	}
 }
 
-// Since gives the one difference that leads from the revision to the current
-// one. It is false when the way is not kept: then the whole document is needed.
+// Since returns the difference between the revision and the current one. It
+// returns false if the differences between them are not all retained; the caller
+// then needs the whole document.
 func (d *Differences) Since(from uint64, current *Snapshot) (Difference, bool) {
 	if from == current.Revision {
 		return Difference{From: from, To: from}, true
 	}
-	var touched touchedNames
+	var touched changedNames
 	found := false
-	for i := range d.kept {
-		found = found || d.kept[i].From == from
+	for i := range d.retained {
+		found = found || d.retained[i].From == from
 		if found {
-			touched.add(&d.kept[i])
+			touched.add(&d.retained[i])
 		}
 	}
-	if !found || d.kept[len(d.kept)-1].To != current.Revision {
+	if !found || d.retained[len(d.retained)-1].To != current.Revision {
 		return Difference{}, false
 	}
-	difference := touched.presentIn(&current.Document)
+	difference := touched.differenceTo(&current.Document)
 	difference.From = from
 	difference.To = current.Revision
 	return difference, true
--- a/internal/configuration/display.go
+++ b/internal/configuration/display.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// Action is what happened to an item.
+// Action says whether an item was added, removed or changed.
 type Action string
 
-// The actions of an ItemChange.
+// Values of ItemChange.Action.
 const (
 	ActionAdded   Action = "added"
 	ActionRemoved Action = "removed"
 	ActionChanged Action = "changed"
 )
 
-// ItemChange is one changed item, for display.
+// ItemChange describes one item that differs between two documents, for display.
 type ItemChange struct {
 	Kind   string // "tenant", "model", "pool", "engine", "service", "drain"
 	Name   string
 	Action Action
-	Fields []FieldChange // for ActionChanged: the fields that differ
+	Fields []FieldChange // the fields that differ; set only for ActionChanged
 }
 
-// FieldChange is one changed field, for display.
+// FieldChange describes one changed field of an item, for display.
 type FieldChange struct {
-	Name string // as in YAML
-	From string
-	To   string
+	Name string // YAML key of the field
+	From string // formatted old value
+	To   string // formatted new value
 }
 
-// Diff lists what leads from one document to the other, for display, by kind
-// and then by name. The documents may be in any order.
+// Diff returns the changes between two documents, for display. The changes are
+// grouped by kind; within a kind the removals come first, and removals and other
+// changes are each sorted by name. The documents need not be in normal form.
 func Diff(from, to Document) []ItemChange {
 	before, after := Normalize(&from), Normalize(&to)
 	difference := Compare(&before, &after)
@@ -53,23 +54,24 @@
 	}
 	for i := range upserts {
 		change := ItemChange{Kind: kind, Name: name(&upserts[i]), Action: ActionAdded}
-		if former, there := findItem(before, change.Name, name); there {
+		if previous, found := findItem(before, change.Name, name); found {
 			change.Action = ActionChanged
-			change.Fields = changedFields(reflect.ValueOf(*former), reflect.ValueOf(upserts[i]))
+			change.Fields = changedFields(reflect.ValueOf(*previous), reflect.ValueOf(upserts[i]))
 		}
 		changes = append(changes, change)
 	}
 	return changes
 }
 
-// changedFields compares two structs of the same type, field by field.
+// changedFields returns the fields in which two structs of the same type differ.
+// It returns nil for values that are not structs.
 func changedFields(from, to reflect.Value) []FieldChange {
 	if from.Kind() != reflect.Struct {
 		return nil
 	}
 	var changed []FieldChange
 	for i := range from.NumField() {
-		before, after := displayed(from.Field(i)), displayed(to.Field(i))
+		before, after := formatField(from.Field(i)), formatField(to.Field(i))
 		if before == after {
 			continue
 		}
@@ -79,11 +81,11 @@
 	return changed
 }
 
-func displayed(value reflect.Value) string {
-	if duration, is := value.Interface().(time.Duration); is {
+func formatField(value reflect.Value) string {
+	if duration, ok := value.Interface().(time.Duration); ok {
 		return duration.String()
 	}
-	if list, is := value.Interface().([]string); is {
+	if list, ok := value.Interface().([]string); ok {
 		return "[" + strings.Join(list, ", ") + "]"
 	}
 	return fmt.Sprint(value.Interface())
--- a/internal/configuration/display_test.go
+++ b/internal/configuration/display_test.go
@@ -10,8 +10,9 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// changedAt returns a copy of the items whose first item differs in one field.
-func changedAt[T any](items []T, field int) []T {
+// withChangedField returns a copy of the items in which the field with the given index
+// of the first item has another value.
+func withChangedField[T any](items []T, field int) []T {
 	changed := slices.Clone(items)
 	value := reflect.ValueOf(&changed[0]).Elem().Field(field)
 	switch value.Kind() {
@@ -26,16 +27,16 @@
 	case reflect.Slice:
 		value.Set(reflect.ValueOf([]string{"x"}))
 	default:
-		Fail("no way to change a " + value.Kind().String())
+		Fail("cannot change a field of kind " + value.Kind().String())
 	}
 	return changed
 }
 
-// fieldsOf counts the fields of an item of the list.
-func fieldsOf[T any](items []T) int { return reflect.TypeOf(items[0]).NumField() }
+// countFields returns the number of struct fields of the item type.
+func countFields[T any](items []T) int { return reflect.TypeOf(items[0]).NumField() }
 
 var _ = Describe("Diff", func() {
-	It("sees a change of any field of any kind of item", func() {
+	It("reports a change of each field of each kind of item", func() {
 		base := validDocument()
 		check := func(field int, changed configuration.Document) {
 			GinkgoHelper()
@@ -46,34 +47,34 @@
 				Expect(changes[0].Fields[0].Name).NotTo(BeEmpty())
 			}
 		}
-		for field := range fieldsOf(base.Tenants) {
+		for field := range countFields(base.Tenants) {
 			changed := base
-			changed.Tenants = changedAt(base.Tenants, field)
+			changed.Tenants = withChangedField(base.Tenants, field)
 			check(field, changed)
 		}
-		for field := range fieldsOf(base.Models) {
+		for field := range countFields(base.Models) {
 			changed := base
-			changed.Models = changedAt(base.Models, field)
+			changed.Models = withChangedField(base.Models, field)
 			check(field, changed)
 		}
-		for field := range fieldsOf(base.Pools) {
+		for field := range countFields(base.Pools) {
 			changed := base
-			changed.Pools = changedAt(base.Pools, field)
+			changed.Pools = withChangedField(base.Pools, field)
 			check(field, changed)
 		}
-		for field := range fieldsOf(base.Engines) {
+		for field := range countFields(base.Engines) {
 			changed := base
-			changed.Engines = changedAt(base.Engines, field)
+			changed.Engines = withChangedField(base.Engines, field)
 			check(field, changed)
 		}
-		for field := range fieldsOf(base.Services) {
+		for field := range countFields(base.Services) {
 			changed := base
-			changed.Services = changedAt(base.Services, field)
+			changed.Services = withChangedField(base.Services, field)
 			check(field, changed)
 		}
 	})
 
-	It("lists additions and removals by kind and name", func() {
+	It("reports added and removed items by kind and name", func() {
 		changed := validDocument()
 		changed.Drains = []string{"e1"}
 		changed.Services = nil
--- a/internal/configuration/fuzz_test.go
+++ b/internal/configuration/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// FuzzParseYAML feeds what operators may write. A valid document must come
-// back equal after it is formatted and read again.
+// FuzzParseYAML checks that a valid document that was parsed from arbitrary YAML
+// is unchanged after it is formatted and parsed again.
 func FuzzParseYAML(f *testing.F) {
 	written, err := configuration.FormatYAML(validDocument())
 	if err != nil {
@@ -38,7 +38,8 @@
 	})
 }
 
-// FuzzApply feeds commands: a malformed one is rejected and changes nothing.
+// FuzzApply checks that an arbitrary command that is rejected changes nothing, and
+// that an accepted one leads to a valid document.
 func FuzzApply(f *testing.F) {
 	whole, err := configuration.EncodeChange(configuration.Change{Identifier: "a", Document: validDocument()})
 	if err != nil {
@@ -64,7 +65,7 @@
 			t.Fatal("an invalid document was accepted")
 		}
 		if err := configuration.NewMachine().Restore(command); err == nil && len(command) == 0 {
-			t.Fatal("restored from nothing")
+			t.Fatal("Restore accepted empty data")
 		}
 	})
 }
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// record is one accepted change with the way forward and back.
+// record is one accepted change, with the differences that apply and revert it.
 type record struct {
 	Number     uint64
 	Identifier string
 	Operator   string
 	Comment    string
 	At         time.Time
-	Forward    Difference // from the revision before
-	Back       Difference // to the revision before
+	Forward    Difference // from the previous revision to this one
+	Back       Difference // from this revision to the previous one
 }
 
-// history keeps the latest revisions as differences, oldest first.
+// history stores the records of the latest revisions, bounded by HistoryRevisions
+// and HistoryItems.
 type history struct {
-	records []record
-	items   int
+	records []record // oldest first
+	items   int      // number of items in the differences of all records
 }
 
-func historyOf(records []record) history {
+func restoreHistory(records []record) history {
 	restored := history{records: records}
 	for i := range records {
 		restored.items += records[i].items()
@@ -41,16 +42,18 @@
 	}
 }
 
-// add appends the change; before is the document that it was applied to.
+// add appends a record of the accepted change, and drops the oldest records that
+// are beyond the bounds. The before argument is the document that the change was
+// applied to.
 func (h *history) add(change *Change, before *Document, forward Difference) {
 	added := record{
 		Number:     forward.To,
 		Identifier: change.Identifier,
 		Operator:   change.Operator,
 		Comment:    change.Comment,
-		At:         h.notBefore(change.At),
+		At:         h.clampTime(change.At),
 		Forward:    forward,
-		Back:       reverse(before, &forward),
+		Back:       reverseDifference(before, &forward),
 	}
 	h.records = append(h.records, added)
 	h.items += added.items()
@@ -60,8 +63,9 @@
 	}
 }
 
-// notBefore keeps the times of revisions from going backwards.
-func (h *history) notBefore(at time.Time) time.Time {
+// clampTime returns the given time, or the time of the latest record if that is
+// later, so that the times of revisions never decrease.
+func (h *history) clampTime(at time.Time) time.Time {
 	if len(h.records) == 0 {
 		return at
 	}
@@ -81,8 +85,9 @@
 	return revisions
 }
 
-// at walks back from the current snapshot to the revision.
-func (h *history) at(number uint64, current *Snapshot) (Revision, bool) {
+// findRevision returns the revision with its document, which it computes by
+// reverting the later changes. It returns false if the revision is not retained.
+func (h *history) findRevision(number uint64, current *Snapshot) (Revision, bool) {
 	revisions := h.latest(len(h.records))
 	document, found := current.Past(number, revisions)
 	if !found || number == 0 || number < h.records[0].Number {
@@ -93,7 +98,8 @@
 	return revision, true
 }
 
-// since gives the difference from the revision to the current one.
+// since returns the difference between the revision and the current one, or false
+// if the records between them are not all retained.
 func (h *history) since(from uint64, current *Snapshot) (Difference, bool) {
 	var forward Differences
 	for i := range h.records {
--- a/internal/configuration/lists.go
+++ b/internal/configuration/lists.go
@@ -6,24 +6,27 @@
 	"strings"
 )
 
-// sortedList returns a copy of the list in the order of names.
+// sortedList returns a copy of the list, sorted by name. It returns nil for an
+// empty list.
 func sortedList[T any](list []T, name func(*T) string) []T {
 	if len(list) == 0 {
 		return nil
 	}
 	sorted := slices.Clone(list)
-	inOrder := func(i, j int) bool { return name(&sorted[i]) < name(&sorted[j]) }
-	if !sort.SliceIsSorted(sorted, inOrder) {
-		sort.SliceStable(sorted, inOrder)
+	less := func(i, j int) bool { return name(&sorted[i]) < name(&sorted[j]) }
+	if !sort.SliceIsSorted(sorted, less) {
+		sort.SliceStable(sorted, less)
 	}
 	return sorted
 }
 
-// compareLists merges two sorted lists into what leads from one to the other.
+// compareLists compares two lists that are sorted by name. It returns the items of
+// the second list that are new or changed, and the names of the items that only
+// the first list has.
 func compareLists[T any](from, to []T, name func(*T) string, equal func(a, b *T) bool) (upserts []T, deletes []string) {
 	i, j := 0, 0
 	for i < len(from) || j < len(to) {
-		switch order := compareHeads(from[i:], to[j:], name); {
+		switch order := compareFirstNames(from[i:], to[j:], name); {
 		case order < 0:
 			deletes = append(deletes, name(&from[i]))
 			i++
@@ -41,8 +44,9 @@
 	return upserts, deletes
 }
 
-// compareHeads orders the first items of two lists by name; an empty list is last.
-func compareHeads[T any](a, b []T, name func(*T) string) int {
+// compareFirstNames compares the names of the first items of two lists, like
+// strings.Compare. An empty list sorts after a list with items.
+func compareFirstNames[T any](a, b []T, name func(*T) string) int {
 	if len(a) == 0 {
 		return 1
 	}
@@ -52,8 +56,8 @@
 	return strings.Compare(name(&a[0]), name(&b[0]))
 }
 
-// patchList gives a sorted list after the upserts and deletes. An untouched
-// list is returned as it is; else the result is a new list.
+// patchList applies upserts and deletes to a list that is sorted by name. It
+// returns the list itself if there are none, otherwise a new sorted list.
 func patchList[T any](list, upserts []T, deletes []string, name func(*T) string) []T {
 	if len(upserts) == 0 && len(deletes) == 0 {
 		return list
@@ -73,7 +77,7 @@
 			changed = changed[1:]
 			continue
 		}
-		if _, gone := slices.BinarySearch(deleted, current); gone {
+		if _, isDeleted := slices.BinarySearch(deleted, current); isDeleted {
 			continue
 		}
 		patched = append(patched, list[i])
@@ -85,7 +89,8 @@
 	return patched
 }
 
-// findItem searches a sorted list by name.
+// findItem returns a pointer to the item with the wanted name in a list that is
+// sorted by name, or false if there is none.
 func findItem[T any](list []T, wanted string, name func(*T) string) (*T, bool) {
 	index := sort.Search(len(list), func(i int) bool { return name(&list[i]) >= wanted })
 	if index == len(list) || name(&list[index]) != wanted {
--- a/internal/configuration/machine.go
+++ b/internal/configuration/machine.go
@@ -6,43 +6,48 @@
 	"sync/atomic"
 )
 
-// Bounds of what the machine remembers beside the current document.
+// Bounds of the results and the history that a Machine stores.
 const (
-	// RememberedAccepted is the number of accepted changes whose identifier is
-	// known: a repeat of one of them returns its first result.
+	// RememberedAccepted is the maximum number of accepted changes whose results
+	// are stored. A repeat of such a change returns the stored result.
 	RememberedAccepted = 4096
-	// RememberedRejected is the same for rejected changes, kept apart so that
-	// a flood of rejections never pushes out an accepted one.
+	// RememberedRejected is the maximum number of rejected changes whose results
+	// are stored. They are stored separately, so that many rejections do not
+	// evict the results of accepted changes.
 	RememberedRejected = 256
-	// HistoryRevisions is the number of latest revisions kept.
+	// HistoryRevisions is the maximum number of revisions in the history.
 	HistoryRevisions = 1024
-	// HistoryItems bounds the items in the differences kept; the latest
-	// revision is always kept.
+	// HistoryItems is the maximum number of items in all differences of the
+	// history. The latest revision is retained even if it exceeds this bound.
 	HistoryItems = 40000
 )
 
-// Machine is the state machine of the configuration, whose states the store keeps:
-// commands are encoded changes, results are *ChangeResult. Apply, Snapshot and
-// Restore belong to one goroutine at a time; the reads are safe from any.
+// Machine is the state machine of the configuration. Its commands are encoded
+// changes. Apply, Snapshot and Restore must be called by one goroutine at a time;
+// the other methods are safe for concurrent use.
 type Machine struct {
 	current  atomic.Pointer[Snapshot]
-	mutex    sync.RWMutex // guards what follows against readers
+	mutex    sync.RWMutex // guards the fields below
 	history  history
-	accepted results
-	rejected results
+	accepted resultCache
+	rejected resultCache
 }
 
 // NewMachine returns a machine at revision 0 with an empty document.
 func NewMachine() *Machine {
-	machine := &Machine{accepted: newResults(RememberedAccepted), rejected: newResults(RememberedRejected)}
+	machine := &Machine{accepted: newResultCache(RememberedAccepted), rejected: newResultCache(RememberedRejected)}
 	machine.current.Store(BuildSnapshot(0, Document{}))
 	return machine
 }
 
-// Current returns the latest revision; never nil, never going back.
+// Current returns the latest revision. It never returns nil, and the revision
+// number never decreases.
 func (m *Machine) Current() *Snapshot { return m.current.Load() }
 
-// Apply runs one encoded change and returns a *ChangeResult.
+// Apply decodes and applies one change and returns a *ChangeResult. The first
+// argument is not used. An accepted change creates a new revision; a rejected one
+// changes nothing but the stored results. If a result is stored for the identifier
+// of the change, Apply returns that result and changes nothing.
 func (m *Machine) Apply(_ uint64, command []byte) any {
 	change, err := decodeChange(command)
 	if err != nil {
@@ -50,7 +55,7 @@
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if first, found := m.remembered(change.Identifier); found {
+	if first, found := m.findResult(change.Identifier); found {
 		return &first
 	}
 	result := m.decide(&change)
@@ -62,14 +67,15 @@
 	return &result
 }
 
-func (m *Machine) remembered(identifier string) (ChangeResult, bool) {
+func (m *Machine) findResult(identifier string) (ChangeResult, bool) {
 	if result, found := m.accepted.find(identifier); found {
 		return result, true
 	}
 	return m.rejected.find(identifier)
 }
 
-// decide accepts or rejects a change that was not seen before.
+// decide validates a change whose identifier has no stored result, and applies it
+// if it is valid.
 func (m *Machine) decide(change *Change) ChangeResult {
 	current := m.Current()
 	if change.Identifier == "" {
@@ -78,12 +84,12 @@
 	if change.BaseRevision != current.Revision {
 		return ChangeResult{Revision: current.Revision, Conflict: true}
 	}
-	difference, faults := differenceOf(change, current)
+	difference, faults := buildDifference(change, current)
 	if len(faults) > 0 {
 		return ChangeResult{Revision: current.Revision, Faults: faults}
 	}
 	next := current.Patched(&difference)
-	if change.Partial != nil { // A whole document was validated before it was compared.
+	if change.Partial != nil { // buildDifference has already validated a whole document
 		faults = Validate(&next.Document)
 	}
 	if len(faults) > 0 {
@@ -94,9 +100,11 @@
 	return ChangeResult{Accepted: true, Revision: next.Revision}
 }
 
-// differenceOf reduces a change to the difference from the current revision.
-// A whole document is validated; of a partial change only whether it fits.
-func differenceOf(change *Change, current *Snapshot) (Difference, []string) {
+// buildDifference returns the difference between the current revision and the
+// result of the change, or the faults that reject the change. It validates a whole
+// document, but checks a partial change only with checkPartial: for a partial
+// change the caller must validate the resulting document.
+func buildDifference(change *Change, current *Snapshot) (Difference, []string) {
 	var difference Difference
 	if change.Partial == nil {
 		if faults := Validate(&change.Document); len(faults) > 0 {
@@ -115,9 +123,10 @@
 	return difference, nil
 }
 
-// Reduced turns a change of the whole document into a partial one where the
-// snapshot is the revision that the change was made against, so that only what
-// differs is replicated. An invalid document stays whole, for its faults.
+// Reduced returns an equivalent partial change for a change of the whole document,
+// so that only the differing items have to be encoded. It returns the change as it
+// is if the change is already partial, its base is another revision, or its
+// document is invalid.
 func (s *Snapshot) Reduced(change Change) Change {
 	if change.Partial != nil || change.BaseRevision != s.Revision || len(Validate(&change.Document)) > 0 {
 		return change
@@ -129,24 +138,26 @@
 	return change
 }
 
-// History gives the latest revisions, newest first, at most limit of them,
-// each with its difference from the one before and without its document.
+// History returns the latest revisions without their documents, newest first. The
+// limit is the maximum number of revisions returned.
 func (m *Machine) History(limit int) []Revision {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	return m.history.latest(limit)
 }
 
-// Revision gives one kept revision with its document, or false.
+// Revision returns a revision with its document, or false if the revision is not
+// in the history.
 func (m *Machine) Revision(number uint64) (Revision, bool) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
-	return m.history.at(number, m.Current())
+	return m.history.findRevision(number, m.Current())
 }
 
-// Difference leads from the revision to the current one. It is false when the
-// revision is no longer kept (or is later than the current): then the reader
-// must take the whole document.
+// Difference returns the difference between the given revision and the current
+// one. It returns false if the history does not reach back to the given revision,
+// or if that is later than the current one; the caller then needs the whole
+// document.
 func (m *Machine) Difference(from uint64) (Difference, bool) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -154,7 +165,7 @@
 	return m.history.since(from, current)
 }
 
-// state is what a snapshot of the machine carries.
+// state is the encoded form of a Machine.
 type state struct {
 	Revision uint64
 	Document Document
@@ -163,7 +174,7 @@
 	Rejected []namedResult
 }
 
-// Snapshot encodes the whole state.
+// Snapshot encodes the whole state of the machine, for Restore.
 func (m *Machine) Snapshot() ([]byte, error) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
@@ -177,13 +188,15 @@
 	}, "encode configuration")
 }
 
-// EncodeState gives a state for Restore that has the snapshot's document and no history.
+// EncodeState encodes a state for Restore that has the revision and document of
+// the snapshot, and neither history nor results.
 func EncodeState(snapshot *Snapshot) ([]byte, error) {
 	return encode(&state{Revision: snapshot.Revision, Document: snapshot.Document}, "encode configuration")
 }
 
-// Restore replaces the whole state. It refuses bytes that are no state of a
-// machine and one that is behind the current revision, and then changes nothing.
+// Restore replaces the state of the machine by an encoded one. It returns an error
+// and changes nothing if the data cannot be decoded or if its revision is older
+// than the current one.
 func (m *Machine) Restore(snapshot []byte) error {
 	var restored state
 	if err := decode(snapshot, &restored, "decode configuration"); err != nil {
@@ -192,11 +205,11 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if current := m.Current().Revision; restored.Revision < current {
-		return fmt.Errorf("restore configuration: revision %d is behind the current %d", restored.Revision, current)
+		return fmt.Errorf("restore configuration: revision %d is older than the current revision %d", restored.Revision, current)
 	}
-	m.history = historyOf(restored.History)
-	m.accepted = resultsOf(RememberedAccepted, restored.Accepted)
-	m.rejected = resultsOf(RememberedRejected, restored.Rejected)
+	m.history = restoreHistory(restored.History)
+	m.accepted = restoreResultCache(RememberedAccepted, restored.Accepted)
+	m.rejected = restoreResultCache(RememberedRejected, restored.Rejected)
 	m.current.Store(BuildSnapshot(restored.Revision, restored.Document))
 	return nil
 }
--- a/internal/configuration/machine_test.go
+++ b/internal/configuration/machine_test.go
@@ -41,7 +41,7 @@
 			To(Equal(configuration.ChangeResult{Accepted: true, Revision: 1}))
 	})
 
-	It("indexes the revision in force", func() {
+	It("builds the indexes of the current revision", func() {
 		current := machine.Current()
 		digest, err := tenant.ParseDigest(keyHash("a1"))
 		Expect(err).NotTo(HaveOccurred())
@@ -56,7 +56,7 @@
 		Expect(current.Names("e3")).To(BeFalse())
 	})
 
-	It("returns a conflict with the current revision, and the first result for a repeat", func() {
+	It("returns a conflict for a stale base revision, and the first result for a repeated change", func() {
 		stale := configuration.Change{Identifier: "stale", BaseRevision: 0, Document: validDocument()}
 		conflict := configuration.ChangeResult{Conflict: true, Revision: 1}
 		Expect(apply(machine, stale)).To(Equal(conflict))
@@ -72,21 +72,21 @@
 		Expect(machine.Current().Drained).To(HaveKey("e1"))
 	})
 
-	It("keeps the document when a reduced change changes nothing", func() {
+	It("keeps the document after a reduced change without differences", func() {
 		unchanged := machine.Current().Reduced(configuration.Change{Identifier: "same", BaseRevision: 1, Document: validDocument()})
 		Expect(unchanged.Partial.Items()).To(BeZero())
 		Expect(apply(machine, unchanged)).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 2}))
 		Expect(machine.Current().Document).To(Equal(configuration.BuildSnapshot(0, validDocument()).Document))
 	})
 
-	It("keeps a rejected change rejected when its base comes later", func() {
+	It("still rejects a repeated change once its base revision exists", func() {
 		early := configuration.Change{Identifier: "early", BaseRevision: 2, Document: validDocument()}
 		Expect(apply(machine, early).Conflict).To(BeTrue())
 		Expect(apply(machine, configuration.Change{Identifier: "second", BaseRevision: 1, Document: validDocument()}).Accepted).To(BeTrue())
 		Expect(apply(machine, early).Conflict).To(BeTrue())
 	})
 
-	It("gives history, old revisions and differences", func() {
+	It("returns the history, old revisions and differences", func() {
 		before := machine.Current()
 		for i := range 3 {
 			Expect(apply(machine, configuration.Change{
@@ -116,7 +116,7 @@
 		Expect(kept).To(BeFalse())
 	})
 
-	It("forgets the oldest differences beyond its bounds", func() {
+	It("drops the oldest differences beyond its bounds", func() {
 		var kept configuration.Differences
 		for i := range uint64(configuration.HistoryRevisions + 2) {
 			kept.Add(configuration.Difference{From: i, To: i + 1})
@@ -131,13 +131,13 @@
 		kept.Add(configuration.Difference{From: current.Revision, To: current.Revision + 1, Upserts: configuration.Document{Drains: large}})
 		later := configuration.BuildSnapshot(current.Revision+1, configuration.Document{})
 		_, found = kept.Since(current.Revision-1, later)
-		Expect(found).To(BeTrue(), "empty differences hold no items")
+		Expect(found).To(BeTrue(), "empty differences do not count towards the bound")
 		kept.Add(configuration.Difference{From: later.Revision, To: later.Revision + 1, Upserts: configuration.Document{Drains: large[:1]}})
 		_, found = kept.Since(current.Revision, configuration.BuildSnapshot(later.Revision+1, configuration.Document{}))
 		Expect(found).To(BeFalse())
 	})
 
-	It("lists all faults of a document at once and stays as it was", func() {
+	It("returns all faults of a document and does not change", func() {
 		document := validDocument()
 		document.Tenants[0].KeyHashes = []string{"secret-key"}
 		document.Tenants[0].Idle = -1
@@ -161,7 +161,7 @@
 		Expect(machine.Current().Revision).To(Equal(uint64(1)))
 	})
 
-	It("restores whole, and never to an earlier revision", func() {
+	It("restores its whole state, but not an earlier revision", func() {
 		old, err := machine.Snapshot()
 		Expect(err).NotTo(HaveOccurred())
 		drain := configuration.Change{Identifier: "drain", BaseRevision: 1, Partial: &configuration.Difference{
@@ -182,7 +182,7 @@
 })
 
 var _ = Describe("ParseYAML", func() {
-	It("reads what FormatYAML writes, with durations as text", func() {
+	It("parses the output of FormatYAML, with durations as text", func() {
 		document := validDocument()
 		document.Tenants[0].Idle = 90_000_000_000
 		data, err := configuration.FormatYAML(document)
@@ -191,14 +191,14 @@
 		Expect(configuration.ParseYAML(data)).To(Equal(document))
 	})
 
-	DescribeTable("refuses with the line", func(text, part string) {
+	DescribeTable("rejects with a specific error", func(text, part string) {
 		_, err := configuration.ParseYAML([]byte(text))
 		Expect(err).To(MatchError(ContainSubstring(part)))
 	},
 		Entry("an unknown field", "models:\n- name: a\n  verson: b\n", `[3:3] unknown field "verson"`),
-		Entry("a doubled field", "models:\n- name: a\n  name: b\n", `[3:3]`),
+		Entry("a duplicate field", "models:\n- name: a\n  name: b\n", `[3:3]`),
 		Entry("a wrong type", "tenants:\n- name: a\n  burst: many\n", `[3:10]`),
-		Entry("a bare number as duration", "tenants:\n- name: a\n  idle: 30\n", `30s`),
-		Entry("a second document", "models: []\n---\nmodels: []\n", "more than one"),
+		Entry("a duration without a unit", "tenants:\n- name: a\n  idle: 30\n", `30s`),
+		Entry("a second YAML document", "models: []\n---\nmodels: []\n", "more than one"),
 	)
 })
--- a/internal/configuration/main_test.go
+++ b/internal/configuration/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, unless one is given.
+// TestMain runs the property tests with a fixed seed unless the environment
+// variable RAPID_SEED is set.
 func TestMain(m *testing.M) {
 	if os.Getenv("RAPID_SEED") == "" {
 		if err := flag.Set("rapid.seed", "1"); err != nil {
--- a/internal/configuration/partial.go
+++ b/internal/configuration/partial.go
@@ -1,7 +1,8 @@
 package configuration
 
-// checkPartial lists what makes a difference unfit for the document: a delete
-// of what is not there, an item named twice, or one both set and deleted.
+// checkPartial returns the faults of a difference that is to be applied to the
+// document: deletes of items that do not exist, and items that occur more than
+// once in the difference.
 func checkPartial(partial *Difference, document *Document) []string {
 	var found faults
 	upserts, deletes := &partial.Upserts, &partial.Deletes
@@ -28,8 +29,8 @@
 			found.add("%s %q is named twice in one change", kind, current)
 		}
 		named[current] = true
-		if _, there := findItem(list, current, name); !there {
-			found.add("%s %q cannot be deleted: it is not there", kind, current)
+		if _, exists := findItem(list, current, name); !exists {
+			found.add("%s %q cannot be deleted: it does not exist", kind, current)
 		}
 	}
 }
--- a/internal/configuration/property_test.go
+++ b/internal/configuration/property_test.go
@@ -12,7 +12,8 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// drawDocument makes a valid document out of few names, so that documents meet.
+// drawDocument draws a valid document. Its names come from a small set, so that
+// successive documents have items in common.
 func drawDocument(t *rapid.T) configuration.Document {
 	var drawn configuration.Document
 	for _, name := range drawNames(t, "model") {
@@ -38,8 +39,8 @@
 	return texts
 }
 
-// drawChange makes a change against a revision near the current one: whole,
-// partial, or invalid, with an identifier that may have been used before.
+// drawChange draws a whole or partial change, which may be invalid. Its base is the
+// current revision or the next one, and its identifier may already be in use.
 func drawChange(t *rapid.T, machine *configuration.Machine) configuration.Change {
 	current := machine.Current()
 	change := configuration.Change{
@@ -59,8 +60,9 @@
 	return change
 }
 
-// TestMachineProperties runs sequences of changes, repeats and transfers of
-// state against what must hold after each of them.
+// TestMachineProperties applies random sequences of changes, some of them repeated,
+// to a machine and a replica that is sometimes restored from the machine's state.
+// It checks results, documents, history and differences.
 func TestMachineProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -74,9 +76,9 @@
 			change := drawChange(t, machine)
 			before := machine.Current()
 			result := applyTo(t, machine, change)
-			g.Expect(applyTo(t, replica, change)).To(Equal(result), "replicas decide alike")
+			g.Expect(applyTo(t, replica, change)).To(Equal(result), "replicas return the same result")
 			if earlier, repeated := first[change.Identifier]; repeated {
-				g.Expect(result).To(Equal(earlier), "a repeat finds the first result")
+				g.Expect(result).To(Equal(earlier), "a repeated change returns its first result")
 				g.Expect(machine.Current()).To(BeIdenticalTo(before))
 				continue
 			}
@@ -86,14 +88,14 @@
 				g.Expect(machine.Current()).To(BeIdenticalTo(before), "a rejected change changes nothing")
 				continue
 			}
-			g.Expect(accepted).NotTo(HaveKey(result.Revision), "one change wins a revision")
+			g.Expect(accepted).NotTo(HaveKey(result.Revision), "each revision has one change")
 			accepted[result.Revision] = change.Identifier
 			g.Expect(result.Revision).To(Equal(before.Revision + 1))
 			g.Expect(machine.Current().Document).To(Equal(configuration.Normalize(&change.Document)))
 			documents = append(documents, machine.Current().Document)
 			distributed.Add(machine.History(1)[0].Difference)
 			if rapid.Bool().Draw(t, "transfer") {
-				replica = transferred(t, machine)
+				replica = restoreReplica(t, machine)
 			}
 		}
 		checkHistory(g, machine, documents)
@@ -108,7 +110,8 @@
 	})
 }
 
-// checkHistory compares each way to an old revision with the documents seen.
+// checkHistory checks that the history reproduces each of the documents, which are
+// indexed by revision, and leads from each of them to the current one.
 func checkHistory(g *WithT, machine *configuration.Machine, documents []configuration.Document) {
 	revisions := machine.History(len(documents))
 	g.Expect(revisions).To(HaveLen(len(documents) - 1))
@@ -133,7 +136,7 @@
 	return *machine.Apply(0, command).(*configuration.ChangeResult)
 }
 
-func transferred(t *rapid.T, machine *configuration.Machine) *configuration.Machine {
+func restoreReplica(t *rapid.T, machine *configuration.Machine) *configuration.Machine {
 	state, err := machine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
@@ -145,8 +148,9 @@
 	return replica
 }
 
-// TestReducedDecidesAlike checks that a whole change and its reduced form end alike.
-func TestReducedDecidesAlike(t *testing.T) {
+// TestReducedChangeIsEquivalent checks that a whole change and its reduced form have the
+// same result and lead to the same document.
+func TestReducedChangeIsEquivalent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		machine, other := configuration.NewMachine(), configuration.NewMachine()
--- a/internal/configuration/results.go
+++ b/internal/configuration/results.go
@@ -1,36 +1,37 @@
 package configuration
 
-// namedResult is the result of the change with the identifier.
+// namedResult is the result of a change, with the identifier of the change.
 type namedResult struct {
 	Identifier string
 	Result     ChangeResult
 }
 
-// results remembers the first results of the latest changes, first in first out.
-type results struct {
-	capacity     int
+// resultCache stores the results of changes by identifier. When it is full, adding
+// a result evicts the oldest one.
+type resultCache struct {
+	capacity     int // maximum number of results
 	byIdentifier map[string]ChangeResult
-	order        []string // oldest first
+	order        []string // identifiers, oldest first
 }
 
-func newResults(capacity int) results {
-	return results{capacity: capacity, byIdentifier: map[string]ChangeResult{}}
+func newResultCache(capacity int) resultCache {
+	return resultCache{capacity: capacity, byIdentifier: map[string]ChangeResult{}}
 }
 
-func resultsOf(capacity int, list []namedResult) results {
-	restored := newResults(capacity)
-	for _, named := range list {
+func restoreResultCache(capacity int, entries []namedResult) resultCache {
+	restored := newResultCache(capacity)
+	for _, named := range entries {
 		restored.add(named.Identifier, named.Result)
 	}
 	return restored
 }
 
-func (r *results) find(identifier string) (ChangeResult, bool) {
+func (r *resultCache) find(identifier string) (ChangeResult, bool) {
 	result, found := r.byIdentifier[identifier]
 	return result, found
 }
 
-func (r *results) add(identifier string, result ChangeResult) {
+func (r *resultCache) add(identifier string, result ChangeResult) {
 	if identifier == "" {
 		return
 	}
@@ -42,7 +43,7 @@
 	r.byIdentifier[identifier] = result
 }
 
-func (r *results) list() []namedResult {
+func (r *resultCache) list() []namedResult {
 	list := make([]namedResult, 0, len(r.order))
 	for _, identifier := range r.order {
 		list = append(list, namedResult{Identifier: identifier, Result: r.byIdentifier[identifier]})
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -8,51 +8,53 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Snapshot is an immutable revision with indexes, read through an atomic pointer.
+// Snapshot is one revision of the document, with indexes. It must not be modified
+// and is safe for concurrent use.
 type Snapshot struct {
 	Revision      uint64
 	Document      Document
-	Keys          tenant.Keys // whose each caller's key is
+	Keys          tenant.Keys // owner of each caller's key
 	TenantByName  map[identity.Tenant]*Tenant
 	EngineByName  map[string]*Engine
 	ModelByName   map[string]*Model
 	ServiceByName map[string]*Service
-	PoolsOfModel  map[string][]*Pool
-	Drained       map[string]bool
+	PoolsOfModel  map[string][]*Pool // by model name
+	Drained       map[string]bool    // the entries of Document.Drains
 }
 
-// BuildSnapshot puts the document into normal form and builds its indexes.
-// The document must be valid; of items with equal names the last one counts.
+// BuildSnapshot returns a snapshot of the normalized document with its indexes. The
+// document must be valid.
 func BuildSnapshot(revision uint64, document Document) *Snapshot {
-	return indexed(revision, Normalize(&document), nil)
+	return buildIndexes(revision, Normalize(&document), nil)
 }
 
-// Patched gives the snapshot of the revision to which the difference leads.
-// Lists and indexes that it does not touch are shared, so that the cost
-// follows the lists touched.
+// Patched returns a new snapshot with the difference applied; its revision is the
+// To of the difference. Lists that the difference does not change are shared with
+// the original snapshot, as are the indexes of unchanged tenants and engines.
 func (s *Snapshot) Patched(difference *Difference) *Snapshot {
-	return indexed(difference.To, Patch(&s.Document, difference), s)
+	return buildIndexes(difference.To, Patch(&s.Document, difference), s)
 }
 
-// Past gives the document of an earlier revision (or of this one) out of the
-// history, newest first. It is false when the history does not reach from this
-// revision to the earlier one.
+// Past returns the document of this or an earlier revision, by reverting the
+// changes of the history. The history must be sorted newest first. Past returns
+// false if the history does not cover all changes between the two revisions.
 func (s *Snapshot) Past(revision uint64, history []Revision) (Document, bool) {
-	document, reached := s.Document, s.Revision
+	document, current := s.Document, s.Revision
 	for i := range history {
-		if reached == revision {
+		if current == revision {
 			break
 		}
-		if history[i].Number == reached {
+		if history[i].Number == current {
 			document = Patch(&document, &history[i].Back)
-			reached = history[i].Back.To
+			current = history[i].Back.To
 		}
 	}
-	return document, reached == revision
+	return document, current == revision
 }
 
-// Preview gives the document after a partial change of this revision, or all
-// faults that would reject the change.
+// Preview returns the document that a partial change of this revision would lead
+// to, and the faults for which the change would be rejected. The document is empty
+// if the change cannot be applied at all.
 func (s *Snapshot) Preview(partial *Difference) (Document, []string) {
 	if faults := checkPartial(partial, &s.Document); len(faults) > 0 {
 		return Document{}, faults
@@ -61,43 +63,44 @@
 	return document, Validate(&document)
 }
 
-// Names says whether a drain of the name would concern any declared back end:
-// an engine or service by name, or one of their places by "host:port" or host.
+// Names reports whether the drain matches a declared engine or service: by its
+// name, or by the base URL, "host:port" or host of one of its addresses.
 func (s *Snapshot) Names(drain string) bool {
 	if s.EngineByName[drain] != nil || s.ServiceByName[drain] != nil {
 		return true
 	}
 	for i := range s.Document.Engines {
-		if isPlace(s.Document.Engines[i].Address, drain) {
+		if matchesAddress(s.Document.Engines[i].Address, drain) {
 			return true
 		}
 	}
 	for i := range s.Document.Services {
-		if slices.ContainsFunc(s.Document.Services[i].Addresses, func(address string) bool { return isPlace(address, drain) }) {
+		if slices.ContainsFunc(s.Document.Services[i].Addresses, func(address string) bool { return matchesAddress(address, drain) }) {
 			return true
 		}
 	}
 	return false
 }
 
-func isPlace(address, drain string) bool {
+func matchesAddress(address, drain string) bool {
 	parsed, err := url.Parse(address)
 	return err == nil && (address == drain || parsed.Host == drain || parsed.Hostname() == drain)
 }
 
-// indexed builds the indexes over a document in normal form, or takes them
-// from the former snapshot where the list is the same.
-func indexed(revision uint64, document Document, former *Snapshot) *Snapshot {
+// buildIndexes returns a snapshot of a document in normal form. It reuses the tenant
+// and engine indexes of the previous snapshot, which may be nil, if the lists are
+// unchanged.
+func buildIndexes(revision uint64, document Document, previous *Snapshot) *Snapshot {
 	snapshot := &Snapshot{Revision: revision, Document: document}
-	if former == nil {
-		former = &Snapshot{}
+	if previous == nil {
+		previous = &Snapshot{}
 	}
-	snapshot.TenantByName, snapshot.Keys = former.TenantByName, former.Keys
-	if former.TenantByName == nil || !sameList(document.Tenants, former.Document.Tenants) {
+	snapshot.TenantByName, snapshot.Keys = previous.TenantByName, previous.Keys
+	if previous.TenantByName == nil || !isSameList(document.Tenants, previous.Document.Tenants) {
 		snapshot.indexTenants()
 	}
-	snapshot.EngineByName = former.EngineByName
-	if former.EngineByName == nil || !sameList(document.Engines, former.Document.Engines) {
+	snapshot.EngineByName = previous.EngineByName
+	if previous.EngineByName == nil || !isSameList(document.Engines, previous.Document.Engines) {
 		snapshot.EngineByName = indexByName(document.Engines, engineName)
 	}
 	snapshot.ModelByName = indexByName(document.Models, modelName)
@@ -122,7 +125,7 @@
 		declared := &tenants[i]
 		s.TenantByName[declared.Name] = declared
 		for _, hash := range declared.KeyHashes {
-			if digest, err := tenant.ParseDigest(hash); err == nil { // a valid document has no other
+			if digest, err := tenant.ParseDigest(hash); err == nil { // always nil in a valid document
 				s.Keys[digest] = declared.Name
 			}
 		}
@@ -137,8 +140,9 @@
 	return index
 }
 
-// sameList says whether both are the same list in memory.
-func sameList[T any](a, b []T) bool {
+// isSameList reports whether both slices have the same length and backing array.
+// Two empty slices are the same list.
+func isSameList[T any](a, b []T) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/configuration/touched.go
+++ b/internal/configuration/touched.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// touchedNames gathers the names of items that differences touch.
-type touchedNames struct{ names Names }
+// changedNames collects the names of the items that occur in differences.
+type changedNames struct{ names Names }
 
-func (t *touchedNames) add(difference *Difference) {
+func (t *changedNames) add(difference *Difference) {
 	upserts, deletes := &difference.Upserts, &difference.Deletes
 	t.names.Tenants = appendNames(t.names.Tenants, upserts.Tenants, deletes.Tenants, tenantName)
 	t.names.Models = appendNames(t.names.Models, upserts.Models, deletes.Models, modelName)
@@ -15,25 +15,27 @@
 	t.names.Drains = appendNames(t.names.Drains, upserts.Drains, deletes.Drains, drainName)
 }
 
-// presentIn gives each touched item as it is in the document: an upsert when
-// it is there, else a delete.
-func (t *touchedNames) presentIn(document *Document) Difference {
+// differenceTo returns the difference that brings all collected items to their state
+// in the document: an upsert for an item that the document has, a delete for one
+// that it does not have.
+func (t *changedNames) differenceTo(document *Document) Difference {
 	var difference Difference
 	upserts, deletes := &difference.Upserts, &difference.Deletes
-	upserts.Tenants, deletes.Tenants = present(document.Tenants, t.names.Tenants, tenantName)
-	upserts.Models, deletes.Models = present(document.Models, t.names.Models, modelName)
-	upserts.Pools, deletes.Pools = present(document.Pools, t.names.Pools, poolName)
-	upserts.Engines, deletes.Engines = present(document.Engines, t.names.Engines, engineName)
-	upserts.Services, deletes.Services = present(document.Services, t.names.Services, serviceName)
-	upserts.Drains, deletes.Drains = present(document.Drains, t.names.Drains, drainName)
+	upserts.Tenants, deletes.Tenants = splitByPresence(document.Tenants, t.names.Tenants, tenantName)
+	upserts.Models, deletes.Models = splitByPresence(document.Models, t.names.Models, modelName)
+	upserts.Pools, deletes.Pools = splitByPresence(document.Pools, t.names.Pools, poolName)
+	upserts.Engines, deletes.Engines = splitByPresence(document.Engines, t.names.Engines, engineName)
+	upserts.Services, deletes.Services = splitByPresence(document.Services, t.names.Services, serviceName)
+	upserts.Drains, deletes.Drains = splitByPresence(document.Drains, t.names.Drains, drainName)
 	return difference
 }
 
-// reverse leads back from the document after the difference to the one before.
-func reverse(before *Document, forward *Difference) Difference {
-	var touched touchedNames
+// reverseDifference returns the difference that reverts the forward difference. The
+// before argument is the document that the forward difference was applied to.
+func reverseDifference(before *Document, forward *Difference) Difference {
+	var touched changedNames
 	touched.add(forward)
-	back := touched.presentIn(before)
+	back := touched.differenceTo(before)
 	back.From = forward.To
 	back.To = forward.From
 	return back
@@ -46,7 +48,7 @@
 	return append(names, deletes...)
 }
 
-func present[T any](list []T, names []string, name func(*T) string) (upserts []T, deletes []string) {
+func splitByPresence[T any](list []T, names []string, name func(*T) string) (upserts []T, deletes []string) {
 	unique := slices.Clone(names)
 	slices.Sort(unique)
 	for _, wanted := range slices.Compact(unique) {
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -13,23 +13,24 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Limits of a document.
+// Limits of the validation.
 const (
-	maxNameLength  = 128
-	keyHashLength  = 64 // hex digits of a SHA-256
-	maxFaults      = 100
-	maxItemsInList = 100000
+	maxNameBytes  = 128
+	keyHashDigits = 64 // hexadecimal digits of a SHA-256 hash
+	maxFaults     = 100
+	maxListItems  = 100000
 )
 
-// Priority classes, roles of pools and kinds of services that may be declared.
+// Valid values of Tenant.Class, Pool.Role and Service.Kind.
 var (
-	classes      = []string{"", "interactive", "standard", "batch"}
-	roles        = []string{"", "serve", "prefill", "decode"}
-	serviceKinds = []string{"service", "tool"}
+	priorityClasses = []string{"", "interactive", "standard", "batch"}
+	poolRoles       = []string{"", "serve", "prefill", "decode"}
+	serviceKinds    = []string{"service", "tool"}
 )
 
-// Validate checks the document as a whole and lists all its faults (at most
-// 100 of them, then a line that says how many more); empty means valid.
+// Validate returns the faults of the document, one message per fault; the document
+// is valid if there are none. It returns at most 100 faults, followed by one message
+// with the number of faults that it left out.
 func Validate(document *Document) []string {
 	var found faults
 	found.checkTenants(document.Tenants)
@@ -41,30 +42,31 @@
 	return found.list()
 }
 
-// faults gathers what is wrong.
+// faults collects fault messages.
 type faults struct {
-	lines []string
-	more  int
+	lines   []string // at most maxFaults messages
+	omitted int      // number of faults beyond maxFaults
 }
 
-// item is where a fault is; it becomes text only when there is one.
-type item struct{ kind, name string }
+// subject identifies the item that a fault concerns. It is formatted only if there
+// is a fault.
+type subject struct{ kind, name string }
 
-func (i item) String() string { return fmt.Sprintf("%s %q", i.kind, i.name) }
+func (i subject) String() string { return fmt.Sprintf("%s %q", i.kind, i.name) }
 
 func (f *faults) add(format string, arguments ...any) {
 	if len(f.lines) >= maxFaults {
-		f.more++
+		f.omitted++
 		return
 	}
 	f.lines = append(f.lines, fmt.Sprintf(format, arguments...))
 }
 
 func (f *faults) list() []string {
-	if f.more == 0 {
+	if f.omitted == 0 {
 		return f.lines
 	}
-	return append(f.lines, fmt.Sprintf("and %d more faults", f.more))
+	return append(f.lines, fmt.Sprintf("and %d more faults", f.omitted))
 }
 
 func (f *faults) checkTenants(tenants []Tenant) {
@@ -72,12 +74,12 @@
 	owners := make(map[string]string, len(tenants))
 	for i := range tenants {
 		declared := &tenants[i]
-		where := item{"tenant", string(declared.Name)}
+		where := subject{"tenant", string(declared.Name)}
 		f.checkKeyHashes(where, declared, owners)
-		f.checkOneOf(where, "class", declared.Class, classes)
+		f.checkOneOf(where, "class", declared.Class, priorityClasses)
 		f.checkNotNegative(where, "requests_per_second", declared.RequestsPerSecond >= 0)
 		if math.IsInf(declared.RequestsPerSecond, 0) {
-			f.add("%s: requests_per_second is not finite; leave it out for no limit", where)
+			f.add("%s: requests_per_second must be finite; omit it for no limit", where)
 		}
 		f.checkNotNegative(where, "burst", declared.Burst >= 0)
 		f.checkNotNegative(where, "token_budget", declared.TokenBudget >= 0)
@@ -87,10 +89,10 @@
 	}
 }
 
-func (f *faults) checkKeyHashes(where item, declared *Tenant, owners map[string]string) {
+func (f *faults) checkKeyHashes(where subject, declared *Tenant, owners map[string]string) {
 	for _, hash := range declared.KeyHashes {
 		if _, err := tenant.ParseDigest(hash); err != nil {
-			f.add("%s: key_hashes: %q is not the SHA-256 of a key in %d lower-case hex digits", where, shortened(hash), keyHashLength)
+			f.add("%s: key_hashes: %q is not the SHA-256 of a key in %d lower-case hex digits", where, truncateSecret(hash), keyHashDigits)
 			continue
 		}
 		if owner, taken := owners[hash]; taken {
@@ -101,8 +103,9 @@
 	}
 }
 
-// shortened keeps what may be a key by mistake out of messages.
-func shortened(text string) string {
+// truncateSecret shortens a text for a message, since an operator may have written a
+// key in place of its hash.
+func truncateSecret(text string) string {
 	const shown = 4
 	if len(text) <= shown {
 		return text
@@ -113,7 +116,7 @@
 func (f *faults) checkModels(models []Model) {
 	checkNames(f, "model", models, modelName)
 	for i := range models {
-		where := item{"model", models[i].Name}
+		where := subject{"model", models[i].Name}
 		if models[i].Version == "" {
 			f.add("%s: version is missing", where)
 		}
@@ -126,7 +129,7 @@
 	owners := make(map[string]string, len(engines))
 	for i := range engines {
 		engine := &engines[i]
-		where := item{"engine", engine.Name}
+		where := subject{"engine", engine.Name}
 		f.checkAddress(where, engine.Address)
 		if owner, taken := owners[engine.Address]; taken {
 			f.add("%s: address %q is also that of engine %q", where, engine.Address, owner)
@@ -145,11 +148,11 @@
 	owners := make(map[string]string, len(document.Engines))
 	for i := range document.Pools {
 		pool := &document.Pools[i]
-		where := item{"pool", pool.Name}
+		where := subject{"pool", pool.Name}
 		if !models[pool.Model] {
 			f.add("%s: model %q is not declared", where, pool.Model)
 		}
-		f.checkOneOf(where, "role", pool.Role, roles)
+		f.checkOneOf(where, "role", pool.Role, poolRoles)
 		f.checkNotNegative(where, "max_unavailable", pool.MaxUnavailable >= 0)
 		if len(pool.Engines) == 0 {
 			f.add("%s: engines is empty", where)
@@ -171,7 +174,7 @@
 	checkNames(f, "service", services, serviceName)
 	for i := range services {
 		service := &services[i]
-		where := item{"service", service.Name}
+		where := subject{"service", service.Name}
 		f.checkOneOf(where, "kind", service.Kind, serviceKinds)
 		if len(service.Addresses) == 0 {
 			f.add("%s: addresses is empty", where)
@@ -188,7 +191,7 @@
 	checkNames(f, "drain", drains, drainName)
 }
 
-func (f *faults) checkAddress(where item, address string) {
+func (f *faults) checkAddress(where subject, address string) {
 	if !isBaseURL(address) {
 		f.add("%s: address %q is not a base URL such as http://10.0.0.7:8000", where, address)
 	}
@@ -209,19 +212,19 @@
 	return err == nil && port > 0
 }
 
-func (f *faults) checkOneOf(where item, field, value string, allowed []string) {
+func (f *faults) checkOneOf(where subject, field, value string, allowed []string) {
 	if !slices.Contains(allowed, value) {
 		f.add("%s: %s %q is not one of %q", where, field, value, slices.DeleteFunc(slices.Clone(allowed), isEmpty))
 	}
 }
 
-func (f *faults) checkNotNegative(where item, field string, valid bool) {
+func (f *faults) checkNotNegative(where subject, field string, valid bool) {
 	if !valid {
 		f.add("%s: %s is negative", where, field)
 	}
 }
 
-func (f *faults) checkUnique(where item, field string, values []string) {
+func (f *faults) checkUnique(where subject, field string, values []string) {
 	seen := make(map[string]bool, len(values))
 	for _, value := range values {
 		if value == "" {
@@ -237,14 +240,14 @@
 func isEmpty(text string) bool { return text == "" }
 
 func checkNames[T any](found *faults, kind string, list []T, name func(*T) string) {
-	if len(list) > maxItemsInList {
-		found.add("%d %ss are more than the %d that a document may hold", len(list), kind, maxItemsInList)
+	if len(list) > maxListItems {
+		found.add("%d %ss exceed the limit of %d in a document", len(list), kind, maxListItems)
 	}
 	seen := make(map[string]bool, len(list))
 	for i := range list {
 		current := name(&list[i])
 		if !isName(current) {
-			found.add("%s %d: name %q is not 1 to %d visible characters", kind, i+1, current, maxNameLength)
+			found.add("%s %d: name %q is not 1 to %d visible characters", kind, i+1, current, maxNameBytes)
 		}
 		if seen[current] {
 			found.add("%s %q is declared twice", kind, current)
@@ -253,9 +256,10 @@
 	}
 }
 
-// isName allows what reads well in a path, a log and a table.
+// isName reports whether the text is a valid name: 1 to maxNameBytes bytes of UTF-8
+// with printable characters and no spaces.
 func isName(text string) bool {
-	if text == "" || len(text) > maxNameLength || !utf8.ValidString(text) {
+	if text == "" || len(text) > maxNameBytes || !utf8.ValidString(text) {
 		return false
 	}
 	return !strings.ContainsFunc(text, func(r rune) bool { return unicode.IsSpace(r) || !unicode.IsPrint(r) })
--- a/internal/configuration/yaml.go
+++ b/internal/configuration/yaml.go
@@ -11,17 +11,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxYAMLBytes bounds the file that ParseYAML reads.
+// MaxYAMLBytes is the maximum size of the data that ParseYAML accepts.
 const MaxYAMLBytes = 32 << 20
 
-// ParseYAML reads a document as operators write it. Unknown and doubled fields
-// and values of the wrong type are refused with the line in the error;
-// durations are written like "30s". The document may still be invalid as a
-// whole: see Validate.
+// ParseYAML parses a document. For unknown and duplicate fields and for values of the
+// wrong type it returns an error with the line and column. Durations are written
+// like "30s". ParseYAML does not validate the document; see Validate.
 func ParseYAML(data []byte) (Document, error) {
 	var document Document
 	if len(data) > MaxYAMLBytes {
-		return document, eris.Errorf("parse configuration: %d bytes are more than %d", len(data), MaxYAMLBytes)
+		return document, eris.Errorf("parse configuration: %d bytes exceed the limit of %d bytes", len(data), MaxYAMLBytes)
 	}
 	decoder := yaml.NewDecoder(bytes.NewReader(data), yaml.Strict(), yaml.CustomUnmarshaler(parseDuration))
 	err := decoder.Decode(&document)
@@ -35,7 +34,7 @@
 	return document, nil
 }
 
-// FormatYAML writes a document as ParseYAML reads it.
+// FormatYAML formats a document as YAML that ParseYAML accepts.
 func FormatYAML(document Document) ([]byte, error) {
 	data, err := yaml.MarshalWithOptions(document, yaml.CustomMarshaler(formatDuration))
 	return data, eris.Wrap(err, "format configuration")
@@ -44,11 +43,11 @@
 func parseDuration(target *time.Duration, data []byte) error {
 	var text string
 	if err := yaml.Unmarshal(data, &text); err != nil {
-		return fmt.Errorf("a duration is written like 30s: %w", err)
+		return fmt.Errorf("a duration must be written like 30s: %w", err)
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf("a duration is written like 30s, not %q", text)
+		return fmt.Errorf("a duration must be written like 30s, not %q", text)
 	}
 	*target = parsed
 	return nil
