--- a/internal/configuration/stored/change.go
+++ b/internal/configuration/stored/change.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	changeTimeout    = 10 * time.Second // of a change whose caller names no deadline
-	unavailableRetry = time.Second      // what a refused caller is told to wait
+	changeTimeout         = 10 * time.Second // limit for a call whose context has no deadline
+	unavailableRetryAfter = time.Second      // delay after which a caller is asked to try again
 )
 
-// Change is part of configuration.Administrator. The change is decided on the
-// state that the store holds, and counts once its commit is acknowledged. A
-// commit without an answer is told by the next reading: the state remembers
-// the changes' identifiers.
+// Change implements configuration.Administrator. It applies the change to the state
+// that it reads from the store, and commits the new state on the condition that the
+// stored one has not changed meanwhile. It tries again after errors until the
+// context ends, or for changeTimeout if the context has no deadline. If the store
+// does not answer a commit, the next try tells by the change's identifier whether
+// the commit was done.
 func (s *Service) Change(parent context.Context, change configuration.Change) (configuration.ChangeResult, error) {
 	ctx, cancel := withDeadline(parent)
 	defer cancel()
-	schedule := pause.Growing(readPause, time.Second)
+	backoff := pause.Growing(initialRetryPause, time.Second)
 	uncertain := false
 	for {
 		result, err := s.tryChange(ctx, change)
@@ -33,8 +35,8 @@
 			return result, nil
 		}
 		uncertain = uncertain || errors.Is(err, state.ErrUnknown)
-		if !pause.For(ctx, schedule.NextBackOff()) {
-			return configuration.ChangeResult{}, undecided(err, uncertain)
+		if !pause.For(ctx, backoff.NextBackOff()) {
+			return configuration.ChangeResult{}, changeError(err, uncertain)
 		}
 	}
 }
@@ -46,16 +48,18 @@
 	return context.WithTimeout(parent, changeTimeout)
 }
 
-// undecided is the error of a change whose time was over.
-func undecided(err error, uncertain bool) error {
+// changeError returns the error of a change that had no result before its deadline.
+// The uncertain argument says whether a commit of the change may have been done.
+func changeError(err error, uncertain bool) error {
 	if uncertain {
 		return errors.Join(configuration.ErrChangeUncertain, err)
 	}
 	return problem.New(problem.KindUnavailable, "change the configuration", "%v", err).
-		WithOutcome(problem.OutcomeNotRun).WithRetryAfter(unavailableRetry)
+		WithOutcome(problem.OutcomeNotRun).WithRetryAfter(unavailableRetryAfter)
 }
 
-// tryChange decides once. An error says that it has to be decided again.
+// tryChange applies the change once. After an error the caller must try again, even
+// if the commit may have been done: the next try then returns its result.
 func (s *Service) tryChange(ctx context.Context, change configuration.Change) (configuration.ChangeResult, error) {
 	machine, row, err := s.read(ctx)
 	if err != nil {
@@ -67,28 +71,28 @@
 		return configuration.ChangeResult{Revision: machine.Current().Revision, Faults: []string{err.Error()}}, nil //nolint:nilerr // told in the result
 	}
 	before := machine.Current().Revision
-	result, good := machine.Apply(0, command).(*configuration.ChangeResult)
-	if !good {
-		return configuration.ChangeResult{}, eris.New("the machine of the configuration gave no result")
+	result, ok := machine.Apply(0, command).(*configuration.ChangeResult)
+	if !ok {
+		return configuration.ChangeResult{}, eris.New("the configuration machine returned no result")
 	}
 	if machine.Current().Revision == before {
-		return *result, s.check(ctx, row) // a reading may be behind, a condition never is
+		return *result, s.verifyHead(ctx, row) // the rows read may be outdated; a condition is checked against the latest ones
 	}
 	if err := s.write(ctx, row, machine); err != nil {
 		return configuration.ChangeResult{}, err
 	}
-	s.known.Store(max(s.known.Load(), machine.Current().Revision))
-	s.adopt(machine)
+	s.latestKnown.Store(max(s.latestKnown.Load(), machine.Current().Revision))
+	s.install(machine)
 	return *result, nil
 }
 
-// check proves that the head is still the newest.
-func (s *Service) check(ctx context.Context, row state.Row) error {
+// verifyHead returns an error unless the row is the latest version of the head row.
+func (s *Service) verifyHead(ctx context.Context, row state.Row) error {
 	_, err := s.options.Store.Commit(ctx, state.Commit{Class: state.ClassLease, Conditions: []state.Condition{{Key: headKey, Version: row.Version}}})
 	return eris.Wrap(err, "check the head of the configuration")
 }
 
-// History is part of configuration.Administrator.
+// History implements configuration.Administrator. It reads the history from the store.
 func (s *Service) History(parent context.Context, limit int) ([]configuration.Revision, error) {
 	ctx, cancel := withDeadline(parent)
 	defer cancel()
--- a/internal/configuration/stored/metrics.go
+++ b/internal/configuration/stored/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// register adds gauges that read the service when they are collected.
+// register registers the gauges of the service. A nil registry is ignored.
 func (s *Service) register(registry prometheus.Registerer) error {
 	if registry == nil {
 		return nil
@@ -15,15 +15,15 @@
 		value      func() float64
 	}{
 		{"thymeloft_configuration_revision", "Revision of the configuration in force here.", func() float64 { return float64(s.Current().Revision) }},
-		{"thymeloft_configuration_confirmed", "Whether the revision is confirmed within the bound.", func() float64 {
+		{"thymeloft_configuration_confirmed", "1 if the revision in force was confirmed as the latest within confirm_bound, otherwise 0.", func() float64 {
 			if s.Confirmed() {
 				return 1
 			}
 			return 0
 		}},
-		{"thymeloft_configuration_confirmation_age_seconds", "Time since the store last told of the latest revision; -1: never.", func() float64 {
-			age, heard := s.age()
-			if !heard {
+		{"thymeloft_configuration_confirmation_age_seconds", "Time since the store last answered which revision is the latest; -1: never.", func() float64 {
+			age, found := s.sinceStoreAnswer()
+			if !found {
 				return -1
 			}
 			return age.Seconds()
--- a/internal/configuration/stored/rows.go
+++ b/internal/configuration/stored/rows.go
@@ -15,30 +15,32 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// The tables. The content has a table of its own, so that those who follow
-// the head do not get it with every change.
+// Names of the tables and of the head row. The content has its own table, so that
+// daemons that watch the head table do not receive the content with every change.
 const (
 	tableHead    = "configuration"
 	tableContent = "configuration-content"
-	nameHead     = "head"
+	headName     = "head"
 )
 
 const (
-	mostRowsTogether  = 90        // of one commit
-	mostBytesTogether = 640 << 10 // of one commit
+	maxCommitRows  = 90        // maximum number of rows in one commit
+	maxCommitBytes = 640 << 10 // maximum size of the values in one commit, in bytes; a single row may be larger
 )
 
-// head is the row on whose version every change hangs.
+// head is the value of the head row, which refers to the rows of the current
+// content. Every change is committed on the condition that this row is unchanged.
 type head struct {
 	Revision uint64 `cbor:"r"`
-	Name     string `cbor:"n"` // of the content's rows
-	Rows     int    `cbor:"c"`
-	Nonce    uint64 `cbor:"x"`
+	Name     string `cbor:"n"` // common prefix of the names of the content rows
+	Rows     int    `cbor:"c"` // number of content rows
+	Nonce    uint64 `cbor:"x"` // random, so that concurrent changes write different rows
 }
 
-var headKey = state.Key{Table: tableHead, Name: nameHead}
+var headKey = state.Key{Table: tableHead, Name: headName}
 
-// read gives a machine with the store's state, and the head that it hangs on.
+// read returns a machine with the state in the store, and the head row that the
+// state was read from. Without a head row the machine is empty.
 func (s *Service) read(ctx context.Context) (*configuration.Machine, state.Row, error) {
 	var page state.Page
 	err := s.options.Store.Repeat(ctx, func() error {
@@ -54,27 +56,27 @@
 		return machine, state.Row{Key: headKey}, nil
 	}
 	row := page.Rows[0]
-	var told head
-	if err := cbor.Unmarshal(row.Value, &told); err != nil {
+	var current head
+	if err := cbor.Unmarshal(row.Value, &current); err != nil {
 		return nil, row, eris.Wrap(err, "decode the head of the configuration")
 	}
-	content, err := s.readContent(ctx, told)
+	content, err := s.readContent(ctx, current)
 	if err != nil {
 		return nil, row, err
 	}
 	return machine, row, eris.Wrap(machine.Restore(content), "restore the configuration")
 }
 
-// readContent gives what the head names. A later change may have removed it
-// meanwhile; then the head is read again.
-func (s *Service) readContent(ctx context.Context, told head) ([]byte, error) {
+// readContent returns the content that the head refers to. It returns an error if a
+// later change has removed some of the rows; the caller must then read the head again.
+func (s *Service) readContent(ctx context.Context, current head) ([]byte, error) {
 	var content []byte
-	from, found := told.Name, 0
+	from, found := current.Name, 0
 	for {
 		var page state.Page
 		err := s.options.Store.Repeat(ctx, func() error {
 			var err error
-			page, err = s.options.Store.Read(ctx, state.Range{Table: tableContent, From: from, To: told.Name + "~"})
+			page, err = s.options.Store.Read(ctx, state.Range{Table: tableContent, From: from, To: current.Name + "~"})
 			return err
 		})
 		if err != nil {
@@ -89,14 +91,15 @@
 		}
 		from = page.Rows[len(page.Rows)-1].Key.Name + "\x00"
 	}
-	if found != told.Rows {
-		return nil, eris.Errorf("read the configuration: %d of %d rows of revision %d", found, told.Rows, told.Revision)
+	if found != current.Rows {
+		return nil, eris.Errorf("read the configuration: found %d of %d rows of revision %d", found, current.Rows, current.Revision)
 	}
 	return content, nil
 }
 
-// write puts the content in rows of its own, and then the head that names them.
-func (s *Service) write(ctx context.Context, former state.Row, machine *configuration.Machine) error {
+// write commits the state of the machine to new content rows, and then the head that
+// refers to them, on the condition that the head row is still the previous one.
+func (s *Service) write(ctx context.Context, previous state.Row, machine *configuration.Machine) error {
 	content, err := machine.Snapshot()
 	if err != nil {
 		return eris.Wrap(err, "encode the configuration")
@@ -104,8 +107,8 @@
 	next := head{Revision: machine.Current().Revision, Nonce: rand.Uint64()}
 	next.Name = fmt.Sprintf("%016x-%016x/", next.Revision, next.Nonce)
 	var puts []state.Put
-	for piece := range slices.Chunk(content, s.options.RowBytes) {
-		puts = append(puts, state.Put{Key: state.Key{Table: tableContent, Name: next.Name + fmt.Sprintf("%06x", len(puts))}, Value: piece})
+	for chunk := range slices.Chunk(content, s.options.RowBytes) {
+		puts = append(puts, state.Put{Key: state.Key{Table: tableContent, Name: next.Name + fmt.Sprintf("%06x", len(puts))}, Value: chunk})
 	}
 	next.Rows = len(puts)
 	if err := s.writeContent(ctx, puts); err != nil {
@@ -116,26 +119,26 @@
 		return eris.Wrap(err, "encode the head of the configuration")
 	}
 	_, err = s.options.Store.Commit(ctx, state.Commit{
-		Conditions: []state.Condition{{Key: headKey, Version: former.Version}},
+		Conditions: []state.Condition{{Key: headKey, Version: previous.Version}},
 		Puts:       []state.Put{{Key: headKey, Value: value}},
 	})
 	if err != nil {
 		return eris.Wrap(err, "write the head of the configuration")
 	}
-	s.clean(ctx, next)
+	s.removeOldContents(ctx, next)
 	return nil
 }
 
 func (s *Service) writeContent(ctx context.Context, puts []state.Put) error {
 	for len(puts) > 0 {
 		count, size := 0, 0
-		for count < len(puts) && count < mostRowsTogether && (count == 0 || size+len(puts[count].Value) <= mostBytesTogether) {
+		for count < len(puts) && count < maxCommitRows && (count == 0 || size+len(puts[count].Value) <= maxCommitBytes) {
 			size += len(puts[count].Value)
 			count++
 		}
 		if _, err := s.options.Store.Commit(ctx, state.Commit{Puts: puts[:count]}); err != nil {
 			if errors.Is(err, state.ErrUnknown) {
-				return eris.Wrap(state.ErrNotDone, "write the configuration: its rows are not named yet")
+				return eris.Wrap(state.ErrNotDone, "write the configuration: no answer to the content rows; the head is unchanged")
 			}
 			return eris.Wrap(err, "write the configuration")
 		}
@@ -144,16 +147,19 @@
 	return nil
 }
 
-// keptRevisions is how many former contents stay, for readers under way.
-const keptRevisions = 3
+// retainedContents is the number of older revisions whose content rows are retained
+// for daemons that are still reading them.
+const retainedContents = 3
 
-// clean removes contents that no head will name any more.
-func (s *Service) clean(ctx context.Context, current head) {
-	if current.Revision <= keptRevisions {
+// removeOldContents removes the content rows of older revisions, but retains those of
+// the last retainedContents revisions before the current one. It removes at most
+// maxCommitRows rows and ignores errors.
+func (s *Service) removeOldContents(ctx context.Context, current head) {
+	if current.Revision <= retainedContents {
 		return
 	}
-	oldest := fmt.Sprintf("%016x", current.Revision-keptRevisions)
-	page, err := s.options.Store.Read(ctx, state.Range{Table: tableContent, To: oldest, Limit: mostRowsTogether})
+	oldest := fmt.Sprintf("%016x", current.Revision-retainedContents)
+	page, err := s.options.Store.Read(ctx, state.Range{Table: tableContent, To: oldest, Limit: maxCommitRows})
 	if err != nil || len(page.Rows) == 0 {
 		return
 	}
@@ -163,5 +169,5 @@
 			keys = append(keys, row.Key)
 		}
 	}
-	_, _ = s.options.Store.Commit(ctx, state.Commit{Removals: keys}) // what stays is removed the next time
+	_, _ = s.options.Store.Commit(ctx, state.Commit{Removals: keys}) // the next change removes rows that remain
 }
--- a/internal/configuration/stored/stored.go
+++ b/internal/configuration/stored/stored.go
@@ -1,9 +1,12 @@
-// Package stored keeps the configuration in the transactional store: any
-// daemon decides on a change and commits it on condition of the revision that
-// it was decided on, and every daemon follows the head row.
+// Package stored keeps the configuration in the transactional store. Any daemon can
+// apply a change: it commits the new state on the condition that no other change was
+// committed meanwhile. Every daemon watches the head row, which changes with each
+// revision, and reads the new state.
 //
-// Guarantees: revisions have one order, an accepted change outlasts the loss
-// of all daemons, and a repeat of a change finds the first's result.
+// Guarantees: each revision is based on the previous one, no daemon goes back to an
+// earlier revision, an accepted change survives the loss of all daemons, and a
+// repeated change returns its first result as long as that is stored (see
+// configuration.RememberedAccepted).
 package stored
 
 import (
@@ -23,42 +26,45 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// Options of a Service.
+// Options are the parameters of a Service.
 type Options struct {
 	Store    *state.Client
-	RowBytes int // most bytes of a value
-	// ConfirmBound is for how long a revision counts as confirmed after the
-	// store was last heard.
+	RowBytes int // maximum size of a row's value, in bytes
+	// ConfirmBound is how long a revision counts as confirmed after the last
+	// answer of the store.
 	ConfirmBound time.Duration
 	Log          *zap.Logger           // may be nil
 	Registry     prometheus.Registerer // may be nil
-	// OnRevision, if given, hears each revision that came into force here.
+	// OnRevision, if not nil, is called with each revision that comes into force at
+	// this daemon, in increasing order. It must not call Subscribe.
 	OnRevision func(revision uint64)
 }
 
 const (
-	confirmationsPerBound = 4                     // tries to hear of the head within one bound
-	readPause             = 30 * time.Millisecond // first pause before a reading is tried again
+	readsPerConfirmBound = 4                     // how often the store is asked for changes of the head within ConfirmBound
+	initialRetryPause    = 30 * time.Millisecond // first pause before the store is read again
 )
 
-// Service is one daemon's part. It is safe for concurrent use.
+// Service provides the stored configuration to one daemon and applies changes to
+// it. It is safe for concurrent use.
 type Service struct {
-	options Options
-	log     *zap.Logger
-	heard   atomic.Int64 // unix nanoseconds when the store last told of the head; 0: never
-	known   atomic.Uint64
-	machine atomic.Pointer[configuration.Machine]
+	options         Options
+	log             *zap.Logger
+	storeAnsweredAt atomic.Int64 // when the store last answered the watch of the head, in Unix nanoseconds; 0: never
+	latestKnown     atomic.Uint64
+	machine         atomic.Pointer[configuration.Machine]
 
-	mutex       sync.Mutex // one adoption at a time
+	mutex       sync.Mutex // guards subscribers and the replacement of machine
 	subscribers []chan struct{}
 }
 
 var _ configuration.Administrator = (*Service)(nil)
 
-// New makes a service that knows revision 0.
+// New returns a service with revision 0 in force. It returns an error if Store,
+// RowBytes or ConfirmBound is not set, or if its metrics cannot be registered.
 func New(options Options) (*Service, error) {
 	if options.Store == nil || options.RowBytes <= 0 || options.ConfirmBound <= 0 {
-		return nil, eris.New("configuration: store, size of rows and confirm bound are needed")
+		return nil, eris.New("configuration: Store, RowBytes and ConfirmBound must be set")
 	}
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -66,21 +72,22 @@
 	if options.OnRevision == nil {
 		options.OnRevision = func(uint64) {}
 	}
-	made := &Service{options: options, log: options.Log.Named("configuration")}
-	made.machine.Store(configuration.NewMachine())
-	return made, made.register(options.Registry)
+	service := &Service{options: options, log: options.Log.Named("configuration")}
+	service.machine.Store(configuration.NewMachine())
+	return service, service.register(options.Registry)
 }
 
-// Run follows the configuration until the context ends.
+// Run watches the store and puts new revisions in force, until the context ends. It
+// always returns nil.
 func (s *Service) Run(ctx context.Context) error {
 	watch.Run(ctx, watch.Options{
-		Store: s.options.Store, Table: tableHead, Wait: s.options.ConfirmBound / confirmationsPerBound, Log: s.log,
-		OnHeard: func() { s.heard.Store(time.Now().UnixNano()) },
+		Store: s.options.Store, Table: tableHead, Wait: s.options.ConfirmBound / readsPerConfirmBound, Log: s.log,
+		OnHeard: func() { s.storeAnsweredAt.Store(time.Now().UnixNano()) },
 	}, follower{s, ctx})
 	return nil
 }
 
-// follower takes the head in.
+// follower passes changes of the head row on to the service.
 type follower struct {
 	service *Service
 	ctx     context.Context //nolint:containedctx // that of Run, which the follower belongs to
@@ -92,39 +99,41 @@
 // Change implements watch.Follower.
 func (f follower) Change(rows []state.Row) {
 	for _, row := range rows {
-		var told head
-		if row.Key != headKey || row.Removed || cbor.Unmarshal(row.Value, &told) != nil {
+		var changed head
+		if row.Key != headKey || row.Removed || cbor.Unmarshal(row.Value, &changed) != nil {
 			continue
 		}
-		f.service.known.Store(max(f.service.known.Load(), told.Revision))
+		f.service.latestKnown.Store(max(f.service.latestKnown.Load(), changed.Revision))
 		f.service.fetch(f.ctx)
 	}
 }
 
-// fetch reads the present content until it is in force here.
+// fetch reads the state from the store until the latest known revision is in force or
+// the context ends.
 func (s *Service) fetch(ctx context.Context) {
-	schedule := pause.Growing(readPause, time.Second)
+	backoff := pause.Growing(initialRetryPause, time.Second)
 	for ctx.Err() == nil {
 		found, _, err := s.read(ctx)
 		if err == nil {
-			s.adopt(found)
-			if s.Current().Revision >= s.known.Load() {
+			s.install(found)
+			if s.Current().Revision >= s.latestKnown.Load() {
 				return
 			}
 		} else {
-			s.log.Warn("configuration: cannot be read.", zap.String("cause", err.Error()))
+			s.log.Warn("configuration: cannot be read from the store; trying again.", zap.String("cause", err.Error()))
 		}
-		pause.For(ctx, schedule.NextBackOff())
+		pause.For(ctx, backoff.NextBackOff())
 	}
 }
 
-// adopt puts a later revision in force.
-func (s *Service) adopt(found *configuration.Machine) {
+// install puts the revision of the machine in force, if it is later than the one in
+// force, and notifies the subscribers.
+func (s *Service) install(found *configuration.Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	revision := found.Current().Revision
 	if revision <= s.Current().Revision {
-		return // the present one, or a reading that is behind
+		return // the current revision, or an outdated read
 	}
 	s.machine.Store(found)
 	s.log.Info("configuration: revision in force.", zap.Uint64("revision", revision))
@@ -137,10 +146,10 @@
 	}
 }
 
-// Current is part of configuration.Source.
+// Current implements configuration.Source.
 func (s *Service) Current() *configuration.Snapshot { return s.machine.Load().Current() }
 
-// Subscribe is part of configuration.Source.
+// Subscribe implements configuration.Source.
 func (s *Service) Subscribe() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -149,21 +158,22 @@
 	return added
 }
 
-// Confirmed is part of configuration.Source: the store told within the bound
-// which revision is the latest, and that one is in force here.
+// Confirmed implements configuration.Source. It reports whether the store has
+// answered the watch of the head within ConfirmBound, and the latest revision known
+// from the store is in force.
 func (s *Service) Confirmed() bool {
-	age, heard := s.age()
-	return heard && age <= s.options.ConfirmBound && s.Current().Revision >= s.known.Load()
+	age, found := s.sinceStoreAnswer()
+	return found && age <= s.options.ConfirmBound && s.Current().Revision >= s.latestKnown.Load()
 }
 
-// Heard tells whether the store was heard since the start.
+// Heard reports whether the store has answered the watch of the head at least once.
 func (s *Service) Heard() bool {
-	_, heard := s.age()
-	return heard
+	_, found := s.sinceStoreAnswer()
+	return found
 }
 
-func (s *Service) age() (time.Duration, bool) {
-	at := s.heard.Load()
+func (s *Service) sinceStoreAnswer() (time.Duration, bool) {
+	at := s.storeAnsweredAt.Load()
 	if at == 0 {
 		return 0, false
 	}
--- a/internal/configuration/stored/stored_test.go
+++ b/internal/configuration/stored/stored_test.go
@@ -28,7 +28,8 @@
 
 const confirmBound = 400 * time.Millisecond
 
-// start makes one daemon's part and runs it.
+// start returns a running service, as one daemon has it. It is stopped at the end of
+// the spec.
 func start(store state.Store) *stored.Service {
 	GinkgoHelper()
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
@@ -42,7 +43,7 @@
 	return made
 }
 
-// change names some tenants, against a revision.
+// change returns a change of the base revision to a document with the given tenants.
 func change(identifier string, base uint64, tenants ...string) configuration.Change {
 	made := configuration.Change{Identifier: identifier, BaseRevision: base, Operator: "op"}
 	for _, name := range tenants {
@@ -56,10 +57,10 @@
 
 	BeforeEach(func() { store = memorystore.New() })
 
-	It("puts a change in force at every daemon, and keeps it for those that start later", func(ctx SpecContext) {
+	It("puts a change in force at running daemons and at daemons that start later", func(ctx SpecContext) {
 		first, second := start(store), start(store)
 		var names []string
-		for number := range 50 { // more than one row holds
+		for number := range 50 { // more than fit into one row
 			names = append(names, fmt.Sprintf("tenant-%02d", number))
 		}
 		result, err := first.Change(ctx, change("one", 0, names...))
@@ -77,7 +78,7 @@
 		Expect(revisions[0].Operator).To(Equal("op"))
 	})
 
-	It("gives a repeat the first's result, refuses a stale base, and lists faults", func(ctx SpecContext) {
+	It("returns the first result for a repeated change, a conflict for a stale base, and faults", func(ctx SpecContext) {
 		service := start(store)
 		for range 2 {
 			Expect(service.Change(ctx, change("one", 0, "a"))).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 1}))
@@ -89,7 +90,7 @@
 		Expect(faulty.Faults).NotTo(BeEmpty())
 	})
 
-	It("tells a commit without an answer by its identifier", func(ctx SpecContext) {
+	It("recognizes a commit without an answer by the identifier of the change", func(ctx SpecContext) {
 		service := start(store)
 		lost := 0
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
@@ -103,7 +104,7 @@
 		Expect(start(store).Change(ctx, change("two", 1, "a", "b"))).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 2}))
 	})
 
-	It("says while the store is down that a change was not made, and is not confirmed after the bound", func(ctx SpecContext) {
+	It("reports that a change did not run while the store is down, and is unconfirmed after the bound", func(ctx SpecContext) {
 		service := start(store)
 		Expect(service.Change(ctx, change("one", 0, "a"))).To(HaveField("Accepted", true))
 		Eventually(service.Confirmed).Should(BeTrue())
@@ -116,12 +117,12 @@
 		Expect(told.Outcome).To(Equal(problem.OutcomeNotRun))
 		Expect(told.RetryAfter).To(BeNumerically(">", 0))
 		Eventually(service.Confirmed).Should(BeFalse())
-		Expect(service.Current().Revision).To(BeEquivalentTo(1), "the former stays in force")
+		Expect(service.Current().Revision).To(BeEquivalentTo(1), "the previous revision stays in force")
 		store.Misbehave(nil)
 		Eventually(service.Confirmed).Should(BeTrue())
 	})
 
-	It("never goes back, though readings are behind", func(ctx SpecContext) {
+	It("keeps its revision when reads of the store are outdated", func(ctx SpecContext) {
 		service := start(store)
 		Expect(service.Change(ctx, change("one", 0, "a"))).To(HaveField("Accepted", true))
 		store.AnswerReadings(&state.Page{})
@@ -131,7 +132,7 @@
 		Eventually(service.Confirmed).Should(BeTrue())
 	})
 
-	DescribeTable("lets one of the operators win who race from one revision", func(ctx SpecContext, seed int) {
+	DescribeTable("accepts one of several concurrent changes of one revision", func(ctx SpecContext, seed int) {
 		services := []*stored.Service{start(store), start(store), start(store)}
 		calls := 0
 		store.Misbehave(func(memorystore.Call) memorystore.Fault {
