--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	sha256Bytes   = 32
-	largestShards = 0xffff // a program identifier carries the shard in four hexadecimal digits
+	sha256Bytes = 32
+	maxShards   = 0xffff // a program identifier stores the shard number in four hexadecimal digits
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// checker gathers faults, each with the key that it concerns.
+// checker collects faults. Each fault starts with the key of its setting.
 type checker struct{ faults Faults }
 
 func (c *checker) add(key, format string, arguments ...any) {
 	c.faults = append(c.faults, key+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Check returns nil or Faults with everything that is wrong.
+// Check validates the settings. It returns nil, or an error of type Faults that lists
+// all faults.
 func (s *Settings) Check() error {
 	c := &checker{}
-	c.name("machine", s.Machine)
-	c.name("zone", s.Zone)
-	c.name("region", s.Region)
+	c.checkName("machine", s.Machine)
+	c.checkName("zone", s.Zone)
+	c.checkName("region", s.Region)
 	s.checkAddresses(c)
 	s.checkPlatform(c)
 	s.checkKeys(c)
-	c.tlsFiles("tls.caller", s.TLS.Caller)
-	c.tlsFiles("tls.operator", s.TLS.Operator)
-	c.tlsFiles("tls.peer", s.TLS.Peer)
-	c.tlsFiles("tls.metrics", s.TLS.Metrics)
+	c.checkTLSFiles("tls.caller", s.TLS.Caller)
+	c.checkTLSFiles("tls.operator", s.TLS.Operator)
+	c.checkTLSFiles("tls.peer", s.TLS.Peer)
+	c.checkTLSFiles("tls.metrics", s.TLS.Metrics)
 	s.checkShards(c)
 	s.checkLimits(c)
 	s.checkScheduling(c)
@@ -51,26 +52,26 @@
 }
 
 func (s *Settings) checkAddresses(c *checker) {
-	c.listen("listen.caller", s.Listen.Caller)
-	c.listen("listen.operator", s.Listen.Operator)
-	c.listen("listen.peer", s.Listen.Peer)
-	c.listen("listen.metrics", s.Listen.Metrics)
+	c.checkListenAddress("listen.caller", s.Listen.Caller)
+	c.checkListenAddress("listen.operator", s.Listen.Operator)
+	c.checkListenAddress("listen.peer", s.Listen.Peer)
+	c.checkListenAddress("listen.metrics", s.Listen.Metrics)
 	if s.Advertise != "" {
-		c.reachable("advertise", s.Advertise)
-	} else if unspecified(s.Listen.Peer) {
-		c.add("advertise", "needed because listen.peer is %s, which others cannot reach", s.Listen.Peer)
+		c.checkReachableAddress("advertise", s.Advertise)
+	} else if isUnspecified(s.Listen.Peer) {
+		c.add("advertise", "must be set because listen.peer is %s, which other daemons cannot reach", s.Listen.Peer)
 	}
 	if s.AdvertiseCaller != "" {
-		c.reachable("advertise_caller", s.AdvertiseCaller)
-	} else if unspecified(s.Listen.Caller) {
-		c.add("advertise_caller", "needed because listen.caller is %s, which others cannot reach", s.Listen.Caller)
+		c.checkReachableAddress("advertise_caller", s.AdvertiseCaller)
+	} else if isUnspecified(s.Listen.Caller) {
+		c.add("advertise_caller", "must be set because listen.caller is %s, which other daemons cannot reach", s.Listen.Caller)
 	}
 }
 
 func (s *Settings) checkPlatform(c *checker) {
-	c.reachable("platform.store", s.Platform.Store)
-	c.url("platform.machines", s.Platform.Machines)
-	c.url("platform.weights", s.Platform.Weights)
+	c.checkReachableAddress("platform.store", s.Platform.Store)
+	c.checkURL("platform.machines", s.Platform.Machines)
+	c.checkURL("platform.weights", s.Platform.Weights)
 }
 
 func (s *Settings) checkKeys(c *checker) {
@@ -84,15 +85,15 @@
 }
 
 func (s *Settings) checkShards(c *checker) {
-	if s.Shards < 1 || s.Shards > largestShards {
-		c.add("shards", "%d is not between 1 and %d", s.Shards, largestShards)
+	if s.Shards < 1 || s.Shards > maxShards {
+		c.add("shards", "%d is not between 1 and %d", s.Shards, maxShards)
 	}
 	if s.BootstrapExpect < 1 {
 		c.add("bootstrap_expect", "%d is less than 1", s.BootstrapExpect)
 	}
-	c.positive("confirm_bound", s.ConfirmBound)
-	c.positive("drain_timeout", s.DrainTimeout)
-	c.positive("commit_timeout", s.CommitTimeout)
+	c.checkPositive("confirm_bound", s.ConfirmBound)
+	c.checkPositive("drain_timeout", s.DrainTimeout)
+	c.checkPositive("commit_timeout", s.CommitTimeout)
 }
 
 func (s *Settings) checkLimits(c *checker) {
@@ -110,14 +111,14 @@
 			c.add(count.key, "%d is less than 1", count.value)
 		}
 	}
-	c.positive("limits.header_timeout", s.Limits.HeaderTimeout)
-	c.positive("limits.read_timeout", s.Limits.ReadTimeout)
-	c.positive("limits.write_timeout", s.Limits.WriteTimeout)
-	c.positive("limits.idle_timeout", s.Limits.IdleTimeout)
-	c.positive("limits.call_timeout", s.Limits.CallTimeout)
-	c.positive("limits.longest_deadline", s.Limits.LongestDeadline)
+	c.checkPositive("limits.header_timeout", s.Limits.HeaderTimeout)
+	c.checkPositive("limits.read_timeout", s.Limits.ReadTimeout)
+	c.checkPositive("limits.write_timeout", s.Limits.WriteTimeout)
+	c.checkPositive("limits.idle_timeout", s.Limits.IdleTimeout)
+	c.checkPositive("limits.call_timeout", s.Limits.CallTimeout)
+	c.checkPositive("limits.longest_deadline", s.Limits.LongestDeadline)
 	if s.Limits.CallTimeout > s.Limits.LongestDeadline {
-		c.add("limits.call_timeout", "%s is more than limits.longest_deadline, %s", s.Limits.CallTimeout, s.Limits.LongestDeadline)
+		c.add("limits.call_timeout", "%s is more than limits.longest_deadline, which is %s", s.Limits.CallTimeout, s.Limits.LongestDeadline)
 	}
 }
 
@@ -134,7 +135,7 @@
 	}
 }
 
-func (c *checker) name(key, value string) {
+func (c *checker) checkName(key, value string) {
 	if value == "" {
 		c.add(key, "missing")
 		return
@@ -144,24 +145,24 @@
 	}
 }
 
-func (c *checker) listen(key, value string) {
+func (c *checker) checkListenAddress(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		c.add(key, "%q is not IP:PORT", value)
 	}
 }
 
-func (c *checker) reachable(key, value string) {
+func (c *checker) checkReachableAddress(key, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
 		c.add(key, "%q is not IP:PORT", value)
 		return
 	}
 	if address.Port() == 0 || address.Addr().IsUnspecified() {
-		c.add(key, "%q cannot be reached by others", value)
+		c.add(key, "%q has an unspecified IP address or port 0", value)
 	}
 }
 
-func (c *checker) url(key, value string) {
+func (c *checker) checkURL(key, value string) {
 	if value == "" {
 		return
 	}
@@ -171,25 +172,25 @@
 	}
 }
 
-func (c *checker) positive(key string, value time.Duration) {
+func (c *checker) checkPositive(key string, value time.Duration) {
 	if value <= 0 {
-		c.add(key, "%s is not more than zero", value)
+		c.add(key, "%s is not greater than zero", value)
 	}
 }
 
-func (c *checker) tlsFiles(key string, files TLSFiles) {
+func (c *checker) checkTLSFiles(key string, files TLSFiles) {
 	if (files.Certificate == "") != (files.Key == "") {
 		c.add(key, "certificate and key must be set together")
 	}
 	if files.Authority != "" && files.Certificate == "" {
 		c.add(key+".authority", "set without a certificate")
 	}
-	c.file(key+".certificate", files.Certificate)
-	c.file(key+".key", files.Key)
-	c.file(key+".authority", files.Authority)
+	c.checkFile(key+".certificate", files.Certificate)
+	c.checkFile(key+".key", files.Key)
+	c.checkFile(key+".authority", files.Authority)
 }
 
-func (c *checker) file(key, name string) {
+func (c *checker) checkFile(key, name string) {
 	if name == "" {
 		return
 	}
@@ -198,7 +199,7 @@
 	}
 }
 
-func unspecified(address string) bool {
+func isUnspecified(address string) bool {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
 		return false
--- a/internal/settings/defaults.go
+++ b/internal/settings/defaults.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Default returns the settings that hold where file and flags say nothing.
+// Default returns the default settings. They apply where neither the settings file nor
+// a flag sets a value.
 func Default() Settings {
 	return Settings{
 		Listen:          Listen{Caller: "127.0.0.1:8080", Operator: "127.0.0.1:8081", Peer: "127.0.0.1:8082", Metrics: "127.0.0.1:8083"},
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -14,10 +14,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Description is the text above the list of flags.
-const Description = "thymeloftd is the one daemon of thymeloft, the same on every machine."
+// Description is the program description in the output of --help.
+const Description = "thymeloftd is the thymeloft daemon; every machine runs the same program."
 
-// ErrVersion says that only the version was asked for, and printed.
+// ErrVersion is the error that Load returns after it printed the version because of
+// the flag --version.
 var ErrVersion = errors.New("version printed")
 
 type commandLine struct {
@@ -26,11 +27,14 @@
 	Settings
 }
 
-// Load reads the file named by --settings, then the flags in arguments (without
-// the program's name), and checks the whole. The error lists all faults.
+// Load returns the settings from the defaults, the file named by --settings, and the
+// flags in arguments, where a flag takes precedence over the file. The arguments do
+// not include the program name. If the resulting settings are invalid, Load returns
+// them with an error of type Faults. With --version it prints the version to output
+// and returns ErrVersion.
 func Load(arguments []string, version string, output io.Writer) (Settings, error) {
 	line := commandLine{}
-	given, err := parse(&line, arguments, output)
+	given, err := parseFlags(&line, arguments, output)
 	if err != nil {
 		return Settings{}, err
 	}
@@ -40,7 +44,7 @@
 	}
 	line.Settings = Default()
 	if line.File != "" {
-		line.Settings, err = fromFile(line.File)
+		line.Settings, err = loadFile(line.File)
 		if err != nil {
 			return Settings{}, err
 		}
@@ -51,14 +55,15 @@
 	return line.Settings, line.Check()
 }
 
-// givenFlag is a flag on the command line: the field that it sets, and to what.
-type givenFlag struct {
+// flagValue is a flag given on the command line: the settings field that it sets, and
+// the value.
+type flagValue struct {
 	field reflect.Value
 	value reflect.Value
 }
 
-// parse reads the flags into the command line and lists those that were given.
-func parse(line *commandLine, arguments []string, output io.Writer) ([]givenFlag, error) {
+// parseFlags parses the arguments into line and returns the flags that were given.
+func parseFlags(line *commandLine, arguments []string, output io.Writer) ([]flagValue, error) {
 	parser, err := kong.New(line,
 		kong.Name("thymeloftd"),
 		kong.Description(Description),
@@ -71,19 +76,19 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "read the flags")
 	}
-	var given []givenFlag
+	var given []flagValue
 	for _, element := range parsed.Path {
 		if element.Flag == nil {
 			continue
 		}
 		value := reflect.New(element.Flag.Target.Type()).Elem()
 		value.Set(element.Flag.Target)
-		given = append(given, givenFlag{field: element.Flag.Target, value: value})
+		given = append(given, flagValue{field: element.Flag.Target, value: value})
 	}
 	return given, nil
 }
 
-func fromFile(name string) (Settings, error) {
+func loadFile(name string) (Settings, error) {
 	content, err := os.ReadFile(name)
 	if err != nil {
 		return Settings{}, eris.Wrap(err, "read the settings file")
@@ -96,10 +101,10 @@
 	return loaded, nil
 }
 
-// Faults is an error that lists all that is wrong with the settings.
+// Faults is an error with one entry for each fault of the settings.
 type Faults []string
 
-// Error gives one fault a line.
+// Error returns the number of faults and then one fault per line.
 func (f Faults) Error() string {
 	return fmt.Sprintf("%d faults in the settings:\n  %s", len(f), strings.Join(f, "\n  "))
 }
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -19,7 +19,8 @@
 	referenceEnd   = "<!-- end of the reference -->\n"
 )
 
-// referenceRows gives a table row for each setting.
+// referenceRows returns a Markdown table row for each setting in the struct value. The
+// keys are the path of the struct in the settings file.
 func referenceRows(value reflect.Value, keys []string) []string {
 	var rows []string
 	for i := range value.NumField() {
@@ -31,13 +32,13 @@
 		}
 		flag := strings.ReplaceAll(strings.Join(path, "-"), "_", "-")
 		rows = append(rows, fmt.Sprintf("| `%s` | `--%s` | %s | %s |\n",
-			strings.Join(path, "."), flag, referenceDefault(value.Field(i)), field.Tag.Get("help")))
+			strings.Join(path, "."), flag, formatDefault(value.Field(i)), field.Tag.Get("help")))
 	}
 	return rows
 }
 
-func referenceDefault(value reflect.Value) string {
-	if duration, is := value.Interface().(time.Duration); is {
+func formatDefault(value reflect.Value) string {
+	if duration, ok := value.Interface().(time.Duration); ok {
 		return "`" + duration.String() + "`"
 	}
 	if value.IsZero() {
@@ -46,20 +47,20 @@
 	return fmt.Sprintf("`%v`", value.Interface())
 }
 
-var _ = Describe("the operators' page of settings", func() {
+var _ = Describe("the operators' reference of settings", func() {
 	It("lists every setting with its flag, default and meaning", func() {
 		page, err := os.ReadFile(referencePage)
 		Expect(err).NotTo(HaveOccurred())
 		_, rest, found := strings.Cut(string(page), referenceBegin)
-		Expect(found).To(BeTrue(), "no begin of the reference")
+		Expect(found).To(BeTrue(), "the reference has no begin marker")
 		table, _, found := strings.Cut(rest, referenceEnd)
-		Expect(found).To(BeTrue(), "no end of the reference")
+		Expect(found).To(BeTrue(), "the reference has no end marker")
 		expected := "| key in the file | flag | default | meaning |\n| --- | --- | --- | --- |\n" +
 			strings.Join(referenceRows(reflect.ValueOf(settings.Default()), nil), "")
 		Expect(table).To(Equal(expected), "the table should be:\n"+expected)
 	})
 
-	It("names flags that the command line knows", func() {
+	It("contains only flags that exist", func() {
 		var arguments []string
 		for _, row := range referenceRows(reflect.ValueOf(settings.Default()), nil) {
 			flag := strings.Trim(strings.Split(row, "|")[2], " `")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,14 +1,14 @@
-// Package settings reads what one daemon is told at its start: a YAML file
-// and flags, of which the flags win. All faults are found before anything
-// starts and are listed at once.
+// Package settings loads and validates the settings of a daemon. They come from a
+// YAML file and command-line flags; flags take precedence. The validation reports
+// all faults at once.
 package settings
 
 import "time"
 
-// Settings are the settings of one daemon. The key of a field in the file is
-// its yaml tag, and a flag's name is the path of keys joined by "-" with
-// dashes for underscores ("limits.body_bytes" is
-// "--limits-body-bytes"). Durations are written like "250ms".
+// Settings are the settings of one daemon. The yaml tag of a field is its key in the
+// file. The name of its flag is the path of keys joined by dashes, with dashes in
+// place of underscores: "limits.body_bytes" in the file is the flag
+// "--limits-body-bytes". Durations are written like "250ms".
 type Settings struct {
 	Machine         string   `yaml:"machine" help:"Name of the machine; it stays the same when the process restarts." placeholder:"NAME"`
 	Zone            string   `yaml:"zone" help:"Failure domain of the machine." placeholder:"ZONE"`
@@ -34,7 +34,8 @@
 	Engines    Engines    `yaml:"engines" embed:"" prefix:"engines-"`
 }
 
-// Listen holds the addresses of the listeners, "IP:PORT"; port 0 takes a free one.
+// Listen contains the addresses of the listeners, "IP:PORT". With port 0 the listener
+// gets a free port.
 type Listen struct {
 	Caller   string `yaml:"caller" help:"Listener for callers, IP:PORT." placeholder:"IP:PORT"`
 	Operator string `yaml:"operator" help:"Listener for operators, IP:PORT." placeholder:"IP:PORT"`
@@ -42,16 +43,16 @@
 	Metrics  string `yaml:"metrics" help:"Listener for metrics and health, IP:PORT." placeholder:"IP:PORT"`
 }
 
-// Platform tells where the platform's services are. The store is needed; an
-// empty URL means that the service is not there.
+// Platform contains the addresses of the platform's services. Store is required. An
+// empty URL means that the platform does not have the service.
 type Platform struct {
 	Store    string `yaml:"store" help:"Address of the transactional store, IP:PORT." placeholder:"IP:PORT"`
 	Machines string `yaml:"machines" help:"Base URL of the list of machines." placeholder:"URL"`
 	Weights  string `yaml:"weights" help:"Base URL of the weight store." placeholder:"URL"`
 }
 
-// TLS holds the files of each listener. The peer listener's files also
-// authenticate this daemon to the others (mutual TLS).
+// TLS contains the TLS files of each listener. The files of the peer listener also
+// authenticate this daemon when it connects to other daemons.
 type TLS struct {
 	Caller   TLSFiles `yaml:"caller" embed:"" prefix:"caller-"`
 	Operator TLSFiles `yaml:"operator" embed:"" prefix:"operator-"`
@@ -59,15 +60,16 @@
 	Metrics  TLSFiles `yaml:"metrics" embed:"" prefix:"metrics-"`
 }
 
-// TLSFiles are PEM files. Certificate and key go together; with an authority
-// set, clients must present a certificate that it signed.
+// TLSFiles are the names of the PEM files of one listener. Certificate and Key must be
+// set together. If Authority is set, clients must present a certificate signed by one
+// of the authorities in that file.
 type TLSFiles struct {
 	Certificate string `yaml:"certificate" help:"PEM file of the certificate chain." placeholder:"FILE"`
 	Key         string `yaml:"key" help:"PEM file of the private key." placeholder:"FILE"`
 	Authority   string `yaml:"authority" help:"PEM file of the authorities that sign clients' certificates." placeholder:"FILE"`
 }
 
-// Limits bound what callers may ask of one daemon.
+// Limits are the limits for callers at one daemon: sizes, counts and times.
 type Limits struct {
 	BodyBytes       int64         `yaml:"body_bytes" help:"Largest body of a request, in bytes." placeholder:"BYTES"`
 	HeaderBytes     int           `yaml:"header_bytes" help:"Largest header of a request, in bytes." placeholder:"BYTES"`
@@ -81,14 +83,14 @@
 	LongestDeadline time.Duration `yaml:"longest_deadline" help:"Longest deadline that a call may name." placeholder:"DURATION"`
 }
 
-// Log says what is logged and how.
+// Log selects the level and the format of the log.
 type Log struct {
 	Level  string `yaml:"level" help:"Lowest level that is logged: debug, info, warn or error." placeholder:"LEVEL"`
 	Format string `yaml:"format" help:"Format of the log: json or console." placeholder:"FORMAT"`
 }
 
-// Scheduling weighs placements and bounds waits. A weight or count of zero
-// switches its part off.
+// Scheduling contains the weights for choosing an engine and the limits of waiting for
+// one. A weight, HolderQueue or WorkingSet of zero switches off what it controls.
 type Scheduling struct {
 	ExpectedOutput  int64         `yaml:"expected_output" help:"Usual count of generated tokens of a call." placeholder:"TOKENS"`
 	InflictedWeight float64       `yaml:"inflicted_weight" help:"Weight of the delay that a placement inflicts on running streams." placeholder:"FACTOR"`
@@ -104,15 +106,15 @@
 	HoldPrefix      time.Duration `yaml:"hold_prefix" help:"Longest lease of a program's prefix between its turns." placeholder:"DURATION"`
 }
 
-// Retries bound the retries of all calls at one daemon.
+// Retries limit the retries of all calls of one daemon.
 type Retries struct {
 	Share     float64 `yaml:"share" help:"Retries for each first attempt, on average." placeholder:"SHARE"`
 	PerSecond float64 `yaml:"per_second" help:"Retries a second besides." placeholder:"N"`
 	Burst     int     `yaml:"burst" help:"Most retries at once." placeholder:"N"`
 }
 
-// Engines are the times and bounds of the supervision of engines, and of
-// attempts at back ends.
+// Engines contains the intervals and limits for supervising engines and for sending
+// calls to engines and other back ends.
 type Engines struct {
 	PollInterval         time.Duration `yaml:"poll_interval" help:"Between reads of an engine's state." placeholder:"DURATION"`
 	SpreadInterval       time.Duration `yaml:"spread_interval" help:"Between reports to the region's daemons." placeholder:"DURATION"`
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,14 +18,14 @@
 	RunSpecs(t, "settings")
 }
 
-func file(content string) string {
+func writeSettingsFile(content string) string {
 	GinkgoHelper()
 	name := filepath.Join(GinkgoT().TempDir(), "settings.yaml")
 	Expect(os.WriteFile(name, []byte(content), 0o600)).To(Succeed())
 	return name
 }
 
-const whole = `
+const validSettingsFile = `
 machine: m1
 zone: leith-a
 region: scot-central
@@ -37,8 +37,8 @@
 `
 
 var _ = Describe("settings", func() {
-	It("take the file over the defaults and the flags over the file", func() {
-		loaded, err := settings.Load([]string{"--settings", file(whole), "--zone", "leith-b", "--commit-timeout=2s"}, "v0", GinkgoWriter)
+	It("come from defaults, file and flags in increasing precedence", func() {
+		loaded, err := settings.Load([]string{"--settings", writeSettingsFile(validSettingsFile), "--zone", "leith-b", "--commit-timeout=2s"}, "v0", GinkgoWriter)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(loaded.Machine).To(Equal("m1"))
 		Expect(loaded.Zone).To(Equal("leith-b"))
@@ -49,7 +49,7 @@
 		Expect(loaded.Listen.Metrics).To(Equal(settings.Default().Listen.Metrics))
 	})
 
-	It("list all faults at once", func() {
+	It("report all faults at once", func() {
 		_, err := settings.Load([]string{
 			"--zone=Leith A", "--listen-peer=0.0.0.0:1", "--listen-caller=localhost:1", "--bootstrap-expect=0", "--shards=0",
 			"--platform-store=ftp://x", "--platform-machines=ftp://x", "--operator-key-hashes=abc", "--tls-peer-key=/nowhere", "--log-level=loud", "--limits-body-bytes=0",
@@ -68,12 +68,12 @@
 		}
 	})
 
-	It("refuse unknown fields with the line", func() {
-		_, err := settings.Load([]string{"--settings", file("machine: m1\ncolour: red\n")}, "v0", GinkgoWriter)
+	It("reject unknown fields with their position", func() {
+		_, err := settings.Load([]string{"--settings", writeSettingsFile("machine: m1\ncolour: red\n")}, "v0", GinkgoWriter)
 		Expect(err).To(MatchError(And(ContainSubstring("colour"), ContainSubstring("[2:1]"))))
 	})
 
-	It("print the version", func() {
+	It("are not loaded for --version, which prints the version", func() {
 		var output bytes.Buffer
 		_, err := settings.Load([]string{"--version"}, "v9", &output)
 		Expect(err).To(MatchError(settings.ErrVersion))
--- a/internal/settings/tls.go
+++ b/internal/settings/tls.go
@@ -8,8 +8,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// ServerConfig returns the TLS configuration of a listener, or nil when no
-// certificate is set. With an authority, clients must present a certificate.
+// ServerConfig returns the TLS configuration of a listener, or nil without an error if
+// no certificate is set. If an authority is set, the listener requires a client
+// certificate signed by it.
 func (f TLSFiles) ServerConfig() (*tls.Config, error) {
 	if f.Certificate == "" {
 		return nil, nil
@@ -31,8 +32,9 @@
 	return configuration, nil
 }
 
-// ClientConfig returns the TLS configuration for calls to peers, or nil when
-// no certificate is set.
+// ClientConfig returns the TLS configuration for calls to other daemons, or nil without
+// an error if no certificate is set. If an authority is set, the other daemon's
+// certificate must be signed by it; otherwise by an authority of the system.
 func (f TLSFiles) ClientConfig() (*tls.Config, error) {
 	server, err := f.ServerConfig()
 	if server == nil || err != nil {
