--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain finds in the logs of several daemons why a request ended as
-// it did: it merges the lines that concern the request, its program, its
-// engine and its daemon's view of the store, and names the cause.
+// Package explain reports from the logs of several daemons why a request ended as it
+// did, or how a program spent its time. For a request it merges the log lines about
+// the request, its program, its engine and the state of its daemon, and names the
+// cause.
 package explain
 
 import (
@@ -18,16 +19,16 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Line is one line of a log.
+// Line is one line of the JSON log of a daemon.
 type Line struct {
 	At      time.Time
 	Machine string
 	Level   string
 	Message string
-	Fields  map[string]any
+	Fields  map[string]any // all fields of the line, including those above
 }
 
-// The fields that lines are joined by.
+// Names of the log fields that are read.
 const (
 	fieldTime        = "ts"
 	fieldLevel       = "level"
@@ -45,38 +46,42 @@
 	fieldTook        = "took"
 )
 
-// The lines that tell how a request ended.
+// Messages of the lines that report how a request ended, and the prefix of all lines
+// about requests.
 const (
 	messageAnswered = "request: answered."
 	messageFailed   = "request: failed."
 	prefixRequest   = "request:"
 )
 
-// questionMark parts a request's identifier from the number of the question in the
-// name of a reservation that was asked for again.
-const questionMark = "/"
+// repeatSeparator separates the request identifier from the repeat number in the name
+// of a reservation that was requested again.
+const repeatSeparator = "/"
 
-// around is how far before a request's arrival the state of its daemon matters.
-const around = 5 * time.Second
+// contextWindow is how long before the arrival of a request lines about its program,
+// engine and daemon are still included.
+const contextWindow = 5 * time.Second
 
-// longestLine bounds a line of a log.
-const longestLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read takes the structured lines of a log; text before a line's JSON, such as
-// a collector's prefix, and lines without any are passed over.
+// Read returns the JSON lines of a log. It ignores text before the JSON object of a
+// line, such as the prefix of a log collector, and skips lines without a JSON object,
+// a message or a valid time. It returns an error if reading fails or if a line is
+// longer than 1 MiB.
 func Read(log io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
-		if line, found := parse(scanner.Text()); found {
+		if line, found := parseLine(scanner.Text()); found {
 			lines = append(lines, line)
 		}
 	}
 	return lines, eris.Wrap(scanner.Err(), "read log")
 }
 
-func parse(text string) (Line, bool) {
+func parseLine(text string) (Line, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return Line{}, false
@@ -86,50 +91,51 @@
 		return Line{}, false
 	}
 	line := Line{Fields: fields}
-	line.Message = line.text(fieldMessage)
-	line.Machine = line.text(fieldMachine)
-	line.Level = line.text(fieldLevel)
-	at, err := time.Parse(time.RFC3339Nano, line.text(fieldTime))
+	line.Message = line.stringField(fieldMessage)
+	line.Machine = line.stringField(fieldMachine)
+	line.Level = line.stringField(fieldLevel)
+	at, err := time.Parse(time.RFC3339Nano, line.stringField(fieldTime))
 	line.At = at
 	return line, err == nil && line.Message != ""
 }
 
-func (l Line) text(field string) string {
+func (l Line) stringField(field string) string {
 	value, _ := l.Fields[field].(string)
 	return value
 }
 
-func (l Line) milliseconds(field string) time.Duration {
+func (l Line) durationField(field string) time.Duration {
 	value, _ := l.Fields[field].(float64)
 	return time.Duration(value * float64(time.Millisecond))
 }
 
-// Explanation is what the logs tell of a request.
+// Explanation contains what the logs say about a request.
 type Explanation struct {
 	Request string
-	Outcome Line   // how the request ended
-	Way     []Line // what concerns it, by time
-	Cause   string // one sentence
+	Outcome Line   // the line that reports how the request ended
+	Way     []Line // all lines related to the request, sorted by time
+	Cause   string // why the request ended so; a sentence without the final period
 }
 
-// NotFoundError says that no log tells how the request ended.
+// NotFoundError is returned if no line reports how the request ended.
 type NotFoundError struct{ Request string }
 
 // Error implements error.
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("no line tells how request %s ended; give the logs of all daemons of its time", e.Request)
+	return fmt.Sprintf("no log line reports how request %s ended; give the logs of all daemons from that time", e.Request)
 }
 
-// Of explains a request.
+// Of explains the request with the given identifier from log lines in any order. It
+// returns *NotFoundError if no line reports how the request ended.
 func Of(request string, lines []Line) (*Explanation, error) {
-	found := slices.IndexFunc(lines, func(line Line) bool { return line.text(fieldRequest) == request && line.isOutcome() })
+	found := slices.IndexFunc(lines, func(line Line) bool { return line.stringField(fieldRequest) == request && line.isOutcome() })
 	if found < 0 {
 		return nil, &NotFoundError{Request: request}
 	}
 	outcome := lines[found]
-	explained := &Explanation{Request: request, Outcome: outcome, Cause: causeOf(outcome)}
+	explained := &Explanation{Request: request, Outcome: outcome, Cause: outcomeCause(outcome)}
 	for _, line := range lines {
-		if concerns(line, outcome) {
+		if isRelated(line, outcome) {
 			explained.Way = append(explained.Way, line)
 		}
 	}
@@ -139,35 +145,39 @@
 
 func (l Line) isOutcome() bool { return l.Message == messageAnswered || l.Message == messageFailed }
 
-// concerns tells whether a line belongs to the way of the request.
-func concerns(line, outcome Line) bool {
-	request, program, previous := outcome.text(fieldRequest), outcome.text(fieldProgram), outcome.text(fieldPrevious)
-	owned := func(name string) string { return tenant.Scope(identity.Tenant(outcome.text(fieldTenant)), name) }
-	for _, named := range []string{line.text(fieldRequest), line.text(fieldReservation), line.text(fieldKey)} {
-		if named == request || named == owned(request) || strings.HasPrefix(named, owned(request)+questionMark) {
+// isRelated reports whether a line belongs to the explanation of a request. It does if
+// it names the request, its reservation or its previous turn. Between contextWindow
+// before the arrival of the request and its end, a line also belongs if it names the
+// program, if it comes from another daemon and names the engine but is not about a
+// request, or if it describes the state of the request's own daemon.
+func isRelated(line, outcome Line) bool {
+	request, program, previous := outcome.stringField(fieldRequest), outcome.stringField(fieldProgram), outcome.stringField(fieldPrevious)
+	scoped := func(name string) string { return tenant.Scope(identity.Tenant(outcome.stringField(fieldTenant)), name) }
+	for _, named := range []string{line.stringField(fieldRequest), line.stringField(fieldReservation), line.stringField(fieldKey)} {
+		if named == request || named == scoped(request) || strings.HasPrefix(named, scoped(request)+repeatSeparator) {
 			return true
 		}
-		if named != "" && (named == previous || named == owned(previous)) {
+		if named != "" && (named == previous || named == scoped(previous)) {
 			return true
 		}
 	}
-	begun := outcome.At.Add(-outcome.milliseconds(fieldTook))
-	if line.At.Before(begun.Add(-around)) || line.At.After(outcome.At) {
+	arrivedAt := outcome.At.Add(-outcome.durationField(fieldTook))
+	if line.At.Before(arrivedAt.Add(-contextWindow)) || line.At.After(outcome.At) {
 		return false
 	}
-	if program != "" && (line.text(fieldProgram) == program || line.text(fieldProgram) == owned(program) || line.text(fieldKey) == owned(program)) {
+	if program != "" && (line.stringField(fieldProgram) == program || line.stringField(fieldProgram) == scoped(program) || line.stringField(fieldKey) == scoped(program)) {
 		return true
 	}
 	if line.Machine != outcome.Machine || strings.HasPrefix(line.Message, prefixRequest) {
-		engine := outcome.text(fieldEngine)
-		return engine != "" && line.text(fieldEngine) == engine && !strings.HasPrefix(line.Message, prefixRequest)
+		engine := outcome.stringField(fieldEngine)
+		return engine != "" && line.stringField(fieldEngine) == engine && !strings.HasPrefix(line.Message, prefixRequest)
 	}
-	return changesBelief(line)
+	return describesDaemonState(line)
 }
 
-// changesBelief tells whether a line of the request's own daemon says what it
-// believed of the store, the configuration or itself.
-func changesBelief(line Line) bool {
+// describesDaemonState reports whether a line is about the daemon itself, its
+// configuration, or the availability of the store.
+func describesDaemonState(line Line) bool {
 	for _, prefix := range []string{"server:", "configuration:", "watch:", "store: does not", "store: answers"} {
 		if strings.HasPrefix(line.Message, prefix) {
 			return true
@@ -176,69 +186,70 @@
 	return false
 }
 
-// causes says for each reason what happened and what it means for the caller.
-var causes = map[string]string{
-	"no-configuration":    "the daemon had just started and had read no configuration; the request did not run",
-	"unknown-key":         "it showed no key, more than one, or one that the configuration in force does not hold; it did not run",
-	"unsure-key":          "its key was not known, and the configuration was heard so long ago that the key may have been added since; it did not run",
-	"quota-exceeded":      "the keepers of its tenant's quota had no place left; it did not run",
-	"quota-unknown":       "no keeper of its tenant's quota was reached, so that nobody knew whether there was a place; it did not run",
+// causeByReason explains each reason of a failed request, and whether the request ran.
+var causeByReason = map[string]string{
+	"no-configuration":    "the daemon had just started and had not read a configuration yet; the request did not run",
+	"unknown-key":         "it had no key, more than one key, or a key that is not in the configuration in force; it did not run",
+	"unsure-key":          "its key was not known, but the configuration was last confirmed so long ago that the key may have been added since; it did not run",
+	"quota-exceeded":      "the quota of its tenant was used up; it did not run",
+	"quota-unknown":       "no daemon that counts the quota of its tenant could be reached, so it was unknown whether the quota was used up; it did not run",
 	"no-route":            "the configuration in force had no route for its host and path",
-	"malformed":           "a header could not be read",
-	"too-large":           "its body was over the limit of the configuration",
-	"unknown-turn":        "a condition in the store proved that the turn it goes on from does not exist",
-	"unsure-turn":         "the turn it goes on from exists, and what it holds is not certain: a reading of the store was behind, or the conversation's rows are broken (the line 'turn: its conversation is broken.' tells where); the request did not run",
+	"malformed":           "one of its headers could not be parsed",
+	"too-large":           "its body exceeded the limit of the configuration",
+	"unknown-turn":        "its previous turn does not exist, as a condition in the store proved",
+	"unsure-turn":         "its previous turn exists, but the content of that turn is uncertain: a read of the store was outdated, or the rows of the conversation are damaged (the line 'turn: its conversation is broken.' tells where); the request did not run",
 	"store-unavailable":   "the store did not answer while the request waited for its history or budget; it did not run",
-	"store-full":          "the store had no room, and what it needed to write was refused or left out; it did not run",
-	"cut-off":             "its daemon heard neither other zones nor the store, so that no turn could be kept there; it did not run, and another zone serves it",
-	"memory":              "the daemon held as much for others as its memory bears, or as much as one tenant or connection may take; it did not run, unless its answer had begun: that was cut",
-	"body-slow":           "its body did not come whole in the time that it had; it did not run",
-	"caller-slow":         "the caller did not read its answer, which was cut so that no engine holds it",
-	"store-rate":          "the calls of all daemons took the store's rate up, and what it needed could not be called in its time; it did not run",
-	"budget-spent":        "the budget of its program held no further turn; it did not run",
+	"store-full":          "the store was full, so a write that the request needed was refused or not attempted; it did not run",
+	"cut-off":             "its daemon reached neither other zones nor the store, so it could not record turns; it did not run, and another zone can serve it",
+	"memory":              "the daemon was at its memory limit, or at the limit for one tenant or connection; it did not run, unless its answer had begun: then the answer was cut off",
+	"body-slow":           "its body did not arrive completely in time; it did not run",
+	"caller-slow":         "the caller did not read its answer, which was cut off to free the engine",
+	"store-rate":          "the calls of all daemons used up the rate limit of the store, so a call that the request needed could not be sent in time; it did not run",
+	"budget-spent":        "the budget of its program was too small for another turn; it did not run",
 	"no-engine":           "no engine of its service was known to be ready; it did not run",
-	"overload":            "the engines hold as many programs as they bear, and this one had not begun; it did not run",
+	"overload":            "the engines were already serving as many programs as they can, and its program had not begun; it did not run",
 	"engines-full":        "every engine that it was offered to refused it as full; it did not run",
-	"engines-unreachable": "no engine that it was offered to could be connected; it did not run",
-	"deadline":            "the time that the caller or the route allows was over",
-	"answer-lost":         "an engine got it and no answer came: it may have run, and must not be repeated",
+	"engines-unreachable": "no connection could be made to any engine that it was offered to; it did not run",
+	"deadline":            "the time that the caller or the route allows had passed",
+	"answer-lost":         "it was sent to an engine and no answer came: it may have run, and must not be repeated",
 	"caller-left":         "the caller closed its connection",
-	"turn-not-recorded":   "the turn ran, but the store did not take its record in time, so its end was not told; the caller sends it again",
-	"stream-broken":       "the engine broke its stream off",
+	"turn-not-recorded":   "the turn ran, but the store did not confirm its record in time, so the end of its answer was withheld; the caller should send it again",
+	"stream-broken":       "the engine ended its stream early",
 }
 
-func causeOf(outcome Line) string {
-	reason := outcome.text(fieldReason)
+func outcomeCause(outcome Line) string {
+	reason := outcome.stringField(fieldReason)
 	if outcome.Message == messageAnswered {
-		return fmt.Sprintf("answered with status %v by engine %s", outcome.Fields[fieldStatus], outcome.text(fieldEngine))
+		return fmt.Sprintf("answered with status %v by engine %s", outcome.Fields[fieldStatus], outcome.stringField(fieldEngine))
 	}
-	return causeFor(reason)
+	return reasonCause(reason)
 }
 
-func causeFor(reason string) string {
-	if cause, known := causes[reason]; known {
+func reasonCause(reason string) string {
+	if cause, known := causeByReason[reason]; known {
 		return cause
 	}
-	return "not known: " + reason
+	return "unknown reason: " + reason
 }
 
-// shown are the fields printed with a line, in this order.
-var shown = []string{
+// printedFields are the names of the fields that are printed with a line, in this order.
+var printedFields = []string{
 	"request", "route", "status", "reason", "took", "storeWait", "firstByte", "tries", "searches", "events", "tenant", "program", "programLeft", "previous",
 	"reservation", "budget", "most", "attained", "lent", "limit", "holder", "engine", "revision", "configurationAge", "enginesAge", "call", "table",
 	"partition", "key", "for", "after", "underWay", "cause",
 }
 
-// Print writes the way and the cause.
+// Print writes the related lines and the cause. Lines that name the request are marked
+// with ">".
 func (e *Explanation) Print(output io.Writer) error {
 	var text strings.Builder
 	for _, line := range e.Way {
 		mark := " "
-		if line.text(fieldRequest) == e.Request {
+		if line.stringField(fieldRequest) == e.Request {
 			mark = ">"
 		}
 		fmt.Fprintf(&text, "%s %s %s %s", mark, line.At.Format("15:04:05.000"), line.Machine, line.Message)
-		for _, name := range shown {
+		for _, name := range printedFields {
 			if value, found := line.Fields[name]; found {
 				fmt.Fprintf(&text, " %s=%v", name, value)
 			}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -21,7 +21,7 @@
 	RunSpecs(t, "explain")
 }
 
-const logOfOne = `
+const firstDaemonLog = `
  12.1 m1 {"level":"warn","ts":"2026-01-01T10:00:01Z","msg":"store: does not answer.","machine":"m1"}
 {"level":"warn","ts":"2026-01-01T10:00:01.5Z","msg":"store: call failed.","machine":"m1","call":"commit","table":"budgets","key":"p1","cause":"reset"}
 {"level":"info","ts":"2026-01-01T09:00:01Z","msg":"server: started.","machine":"m1"}
@@ -30,10 +30,10 @@
 no line
 {broken`
 
-const logOfTwo = `{"level":"info","ts":"2026-01-01T10:00:00Z","msg":"request: answered.","machine":"m2","request":"r0","status":200,"program":"p1","engine":"e1"}
+const secondDaemonLog = `{"level":"info","ts":"2026-01-01T10:00:00Z","msg":"request: answered.","machine":"m2","request":"r0","status":200,"program":"p1","engine":"e1"}
 {"level":"warn","ts":"2026-01-01T10:00:02Z","msg":"store: does not answer.","machine":"m2"}`
 
-func read(logs ...string) []explain.Line {
+func readLogs(logs ...string) []explain.Line {
 	GinkgoHelper()
 	var lines []explain.Line
 	for _, log := range logs {
@@ -45,9 +45,9 @@
 }
 
 var _ = Describe("Of", func() {
-	It("finds the rows and reservations that bear a tenant's name in front", func() {
+	It("finds rows and reservations whose names are scoped to the tenant", func() {
 		owned := tenant.Scope("north", "p1")
-		explained, err := explain.Of("r1", read(`
+		explained, err := explain.Of("r1", readLogs(`
 {"level":"warn","ts":"2026-01-01T10:00:01.5Z","msg":"store: call failed.","machine":"m2","table":"budgets","key":"`+owned+`","cause":"reset"}
 {"level":"warn","ts":"2026-01-01T10:00:01.6Z","msg":"store: call failed.","machine":"m2","table":"budgets","key":"p1","cause":"of another tenant"}
 {"level":"warn","ts":"2026-01-01T10:00:02Z","msg":"request: failed.","machine":"m1","request":"r1","status":429,"took":900,"tenant":"north","program":"p1","reason":"quota-exceeded"}`))
@@ -56,8 +56,8 @@
 		Expect(explained.Cause).To(ContainSubstring("quota"))
 	})
 
-	It("merges what concerns the request, over daemons and by time", func() {
-		explained, err := explain.Of("r1", read(logOfOne, logOfTwo))
+	It("merges the lines related to the request from all daemons, sorted by time", func() {
+		explained, err := explain.Of("r1", readLogs(firstDaemonLog, secondDaemonLog))
 		Expect(err).NotTo(HaveOccurred())
 		var output bytes.Buffer
 		Expect(explained.Print(&output)).To(Succeed())
@@ -70,12 +70,12 @@
 `))
 	})
 
-	It("says which logs lack when no line tells the end", func() {
-		_, err := explain.Of("r7", read(logOfOne))
+	It("asks for more logs when no line reports how the request ended", func() {
+		_, err := explain.Of("r7", readLogs(firstDaemonLog))
 		Expect(err).To(MatchError(ContainSubstring("give the logs of all daemons")))
 	})
 
-	It("knows a cause for each reason of the gateway", func() {
+	It("explains each reason of the gateway", func() {
 		file, err := parser.ParseFile(token.NewFileSet(), "../gateway/refusal.go", nil, 0)
 		Expect(err).NotTo(HaveOccurred())
 		count := 0
@@ -91,9 +91,9 @@
 			}
 			count++
 			line := `{"ts":"2026-01-01T10:00:03Z","msg":"request: failed.","machine":"m","request":"r","reason":"` + reason + `"}`
-			explained, err := explain.Of("r", read(line))
+			explained, err := explain.Of("r", readLogs(line))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(explained.Cause).NotTo(HavePrefix("not known"), reason)
+			Expect(explained.Cause).NotTo(HavePrefix("unknown reason"), reason)
 			return true
 		})
 		Expect(count).To(BeNumerically(">", 10))
--- a/internal/explain/program.go
+++ b/internal/explain/program.go
@@ -11,7 +11,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// The fields of a turn's outcome that its time is added up from.
+// Names of the log fields in the outcome of a turn that are used for the times of a
+// program.
 const (
 	fieldStoreWait   = "storeWait"
 	fieldFirstByte   = "firstByte"
@@ -19,120 +20,121 @@
 	fieldProgramLeft = "programLeft"
 )
 
-// Share is how long a program's requests spent for one cause, all lines of turns
-// added up: sub-agents run side by side, so shares may be more than the whole.
+// Share is the total time that the requests of a program spent for one cause. Requests
+// may run concurrently, so the shares may add up to more than the time of the program.
 type Share struct {
 	Cause string
 	Took  time.Duration
 }
 
-// The causes of a program's time, in the order of reports.
+// Causes on which a program spends its time, in the order in which they are reported.
 const (
 	causeStore   = "waiting for history or budget"
 	causeEngine  = "from the engine's choice to its first byte"
 	causeStream  = "events of streams"
 	causeTools   = "calls of tools"
 	causeFailed  = "requests that failed"
-	causeBetween = "between requests (the program itself, its way, its retries)"
+	causeBetween = "between requests (the program itself, the network, its retries)"
 )
 
-// ProgramExplanation is what the logs tell of a program, over all its turns and
-// daemons.
+// ProgramExplanation summarizes what the logs of all daemons say about a program.
 type ProgramExplanation struct {
 	Program  string
 	Began    time.Time
-	Took     time.Duration // from the first request's arrival to the last one's end
-	Aim      time.Duration // time that the first turn said was left; 0: not told
-	Turns    int           // answered
-	Tools    int           // answered
-	Failures map[string]int
-	Daemons  []string
+	Took     time.Duration  // from the arrival of the first request to the end of the last one
+	Aim      time.Duration  // time that the first request had left until the program's deadline; 0: unknown
+	Turns    int            // number of turns answered
+	Tools    int            // number of tool calls answered
+	Failures map[string]int // number of failed requests by reason
+	Daemons  []string       // machines of the daemons that logged the requests
 	Engines  []string
-	Shares   []Share
+	Shares   []Share // one for each cause
 }
 
-// NoProgramError says that no log has a request of the program.
+// NoProgramError is returned if no line reports how a request of the program ended.
 type NoProgramError struct{ Program string }
 
 // Error implements error.
 func (e *NoProgramError) Error() string {
-	return fmt.Sprintf("no line tells of a request or program %s; give the logs of all daemons of its time", e.Program)
+	return fmt.Sprintf("no log line mentions a request or program %s; give the logs of all daemons from that time", e.Program)
 }
 
-// OfProgram adds up a program's time by cause.
+// OfProgram summarizes the times of a program by cause, from log lines in any order. It
+// returns *NoProgramError if no line reports how a request of the program ended.
 func OfProgram(program string, lines []Line) (*ProgramExplanation, error) {
 	outcomes := slices.DeleteFunc(slices.Clone(lines), func(line Line) bool {
-		return !line.isOutcome() || line.text(fieldProgram) != program
+		return !line.isOutcome() || line.stringField(fieldProgram) != program
 	})
 	if len(outcomes) == 0 {
 		return nil, &NoProgramError{Program: program}
 	}
-	slices.SortStableFunc(outcomes, func(a, b Line) int { return a.arrived().Compare(b.arrived()) })
+	slices.SortStableFunc(outcomes, func(a, b Line) int { return a.arrivedAt().Compare(b.arrivedAt()) })
 	explained := &ProgramExplanation{
-		Program: program, Began: outcomes[0].arrived(), Aim: outcomes[0].milliseconds(fieldProgramLeft), Failures: map[string]int{},
+		Program: program, Began: outcomes[0].arrivedAt(), Aim: outcomes[0].durationField(fieldProgramLeft), Failures: map[string]int{},
 	}
 	spent := map[string]time.Duration{}
 	for _, outcome := range outcomes {
 		explained.count(outcome)
-		addShares(spent, outcome)
+		addTimes(spent, outcome)
 	}
 	end := slices.MaxFunc(outcomes, func(a, b Line) int { return a.At.Compare(b.At) }).At
 	explained.Took = end.Sub(explained.Began)
-	spent[causeBetween] = explained.Took - covered(outcomes)
+	spent[causeBetween] = explained.Took - timeUnderWay(outcomes)
 	for _, cause := range []string{causeStore, causeEngine, causeStream, causeTools, causeFailed, causeBetween} {
 		explained.Shares = append(explained.Shares, Share{Cause: cause, Took: spent[cause]})
 	}
 	return explained, nil
 }
 
-func (l Line) arrived() time.Time { return l.At.Add(-l.milliseconds(fieldTook)) }
+func (l Line) arrivedAt() time.Time { return l.At.Add(-l.durationField(fieldTook)) }
 
-// isTurn tells turns from calls of tools: these name no budget.
+// isTurn reports whether an outcome is that of a turn. Only turns, not tool calls, have
+// the field budget.
 func (l Line) isTurn() bool { return l.Fields[fieldBudget] != nil }
 
 func (p *ProgramExplanation) count(outcome Line) {
 	switch {
 	case outcome.Message == messageFailed:
-		p.Failures[outcome.text(fieldReason)]++
+		p.Failures[outcome.stringField(fieldReason)]++
 	case outcome.isTurn():
 		p.Turns++
 	default:
 		p.Tools++
 	}
-	p.Daemons = addName(p.Daemons, outcome.Machine)
-	p.Engines = addName(p.Engines, outcome.text(fieldEngine))
+	p.Daemons = appendUnique(p.Daemons, outcome.Machine)
+	p.Engines = appendUnique(p.Engines, outcome.stringField(fieldEngine))
 }
 
-func addName(names []string, name string) []string {
+func appendUnique(names []string, name string) []string {
 	if name == "" || slices.Contains(names, name) {
 		return names
 	}
 	return append(names, name)
 }
 
-func addShares(spent map[string]time.Duration, outcome Line) {
-	took := outcome.milliseconds(fieldTook)
+func addTimes(spent map[string]time.Duration, outcome Line) {
+	took := outcome.durationField(fieldTook)
 	switch {
 	case outcome.Message == messageFailed:
 		spent[causeFailed] += took
 	case !outcome.isTurn():
 		spent[causeTools] += took
 	default:
-		waited, firstByte := outcome.milliseconds(fieldStoreWait), outcome.milliseconds(fieldFirstByte)
+		waited, firstByte := outcome.durationField(fieldStoreWait), outcome.durationField(fieldFirstByte)
 		spent[causeStore] += waited
 		spent[causeEngine] += firstByte
 		spent[causeStream] += max(took-waited-firstByte, 0)
 	}
 }
 
-// covered is the time in which some request of the program was under way. The
-// outcomes are ordered by arrival.
-func covered(outcomes []Line) time.Duration {
+// timeUnderWay returns the total time in which at least one request of the program was
+// under way. The outcomes must be sorted by arrival.
+func timeUnderWay(outcomes []Line) time.Duration {
 	total := time.Duration(0)
-	until := outcomes[0].arrived()
+	until := outcomes[0].arrivedAt()
 	for _, outcome := range outcomes {
 		if outcome.At.After(until) {
-			from := outcome.arrived()
+			from := outcome.arrivedAt()
 			if from.Before(until) {
 				from = until
 			}
@@ -143,23 +145,24 @@
 	return total
 }
 
-// Print writes the sums, and what was late by how much.
+// Print writes the numbers of requests, whether the program was late, the time spent for
+// each cause, and the failures by reason.
 func (p *ProgramExplanation) Print(output io.Writer) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "Program %s: %d turns and %d calls of tools answered, %d requests failed, through %d daemons, at %d engines.\n",
-		p.Program, p.Turns, p.Tools, p.failed(), len(p.Daemons), len(p.Engines))
-	fmt.Fprintf(&text, "It took %d ms from %s; %s.\n", p.Took.Milliseconds(), p.Began.Format("15:04:05.000"), p.verdict())
+		p.Program, p.Turns, p.Tools, p.failureCount(), len(p.Daemons), len(p.Engines))
+	fmt.Fprintf(&text, "It took %d ms from %s; %s.\n", p.Took.Milliseconds(), p.Began.Format("15:04:05.000"), p.describeLateness())
 	for _, share := range p.Shares {
 		fmt.Fprintf(&text, "%8d ms %s\n", share.Took.Milliseconds(), share.Cause)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(p.Failures)) {
-		fmt.Fprintf(&text, "Failed %d times: %s (%s).\n", p.Failures[reason], reason, causeFor(reason))
+		fmt.Fprintf(&text, "Failed %d times: %s (%s).\n", p.Failures[reason], reason, reasonCause(reason))
 	}
 	_, err := io.WriteString(output, text.String())
 	return eris.Wrap(err, "print explanation")
 }
 
-func (p *ProgramExplanation) failed() int {
+func (p *ProgramExplanation) failureCount() int {
 	total := 0
 	for _, count := range p.Failures {
 		total += count
@@ -167,13 +170,13 @@
 	return total
 }
 
-func (p *ProgramExplanation) verdict() string {
+func (p *ProgramExplanation) describeLateness() string {
 	switch {
 	case p.Aim == 0:
-		return "it named no time"
+		return "it had no deadline"
 	case p.Took > p.Aim:
-		return fmt.Sprintf("%d ms were aimed at, so it was late by %d ms", p.Aim.Milliseconds(), (p.Took - p.Aim).Milliseconds())
+		return fmt.Sprintf("its deadline was %d ms, so it was late by %d ms", p.Aim.Milliseconds(), (p.Took - p.Aim).Milliseconds())
 	default:
-		return fmt.Sprintf("%d ms were aimed at", p.Aim.Milliseconds())
+		return fmt.Sprintf("its deadline was %d ms", p.Aim.Milliseconds())
 	}
 }
--- a/internal/explain/program_test.go
+++ b/internal/explain/program_test.go
@@ -10,35 +10,35 @@
 	"github.com/thymeloft/thymeloft/internal/explain"
 )
 
-const programOfOne = `{"level":"info","ts":"2026-01-01T10:00:00.400Z","msg":"request: answered.","machine":"m1","request":"r1","status":200,"took":400,"program":"p1","budget":1800,"most":576,"programLeft":900,"engine":"e1","storeWait":20,"firstByte":30,"events":9}
+const firstProgramLog = `{"level":"info","ts":"2026-01-01T10:00:00.400Z","msg":"request: answered.","machine":"m1","request":"r1","status":200,"took":400,"program":"p1","budget":1800,"most":576,"programLeft":900,"engine":"e1","storeWait":20,"firstByte":30,"events":9}
 {"level":"info","ts":"2026-01-01T10:00:00.500Z","msg":"request: answered.","machine":"m1","request":"t1","status":200,"took":50,"program":"p1","engine":"a1"}
 {"level":"info","ts":"2026-01-01T10:00:00.520Z","msg":"request: answered.","machine":"m1","request":"t2","status":200,"took":60,"program":"p1","engine":"a2"}
 {"level":"info","ts":"2026-01-01T10:00:00.520Z","msg":"request: answered.","machine":"m1","request":"t3","status":200,"took":60,"program":"p2","engine":"a2"}`
 
-const programOfTwo = `{"level":"warn","ts":"2026-01-01T10:00:00.600Z","msg":"request: failed.","machine":"m2","request":"r2","status":503,"took":10,"program":"p1","budget":1800,"reason":"engines-full","cause":"x"}
+const secondProgramLog = `{"level":"warn","ts":"2026-01-01T10:00:00.600Z","msg":"request: failed.","machine":"m2","request":"r2","status":503,"took":10,"program":"p1","budget":1800,"reason":"engines-full","cause":"x"}
 {"level":"info","ts":"2026-01-01T10:00:01.000Z","msg":"request: answered.","machine":"m2","request":"r3","status":200,"took":300,"program":"p1","budget":1800,"engine":"e1","firstByte":100}`
 
 var _ = Describe("OfProgram", func() {
-	It("adds a program's time up by cause, over daemons", func() {
-		explained, err := explain.OfProgram("p1", read(programOfOne, programOfTwo))
+	It("adds up the time of a program by cause from the logs of several daemons", func() {
+		explained, err := explain.OfProgram("p1", readLogs(firstProgramLog, secondProgramLog))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(explained.Took).To(Equal(time.Second))
 		var output bytes.Buffer
 		Expect(explained.Print(&output)).To(Succeed())
 		Expect(output.String()).To(Equal(`Program p1: 2 turns and 2 calls of tools answered, 1 requests failed, through 2 daemons, at 3 engines.
-It took 1000 ms from 10:00:00.000; 900 ms were aimed at, so it was late by 100 ms.
+It took 1000 ms from 10:00:00.000; its deadline was 900 ms, so it was late by 100 ms.
       20 ms waiting for history or budget
      130 ms from the engine's choice to its first byte
      550 ms events of streams
      110 ms calls of tools
       10 ms requests that failed
-     220 ms between requests (the program itself, its way, its retries)
+     220 ms between requests (the program itself, the network, its retries)
 Failed 1 times: engines-full (every engine that it was offered to refused it as full; it did not run).
 `))
 	})
 
-	It("names a program that no log knows", func() {
-		_, err := explain.OfProgram("p9", read(programOfOne))
-		Expect(err).To(MatchError(ContainSubstring("no line tells of a request or program p9")))
+	It("reports a program that is in no log", func() {
+		_, err := explain.OfProgram("p9", readLogs(firstProgramLog))
+		Expect(err).To(MatchError(ContainSubstring("no log line mentions a request or program p9")))
 	})
 })
