--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -11,27 +11,30 @@
 	"golang.org/x/time/rate"
 )
 
-// NewBounded makes a logger that never blocks: lines go through a queue of
-// bounded size, and what does not fit is counted. Lines below warning beyond
-// perSecond are left out, so that failures keep their place; 0 is no bound.
-// The returned function writes out what is queued.
+// NewBounded returns a JSON logger for level info and above that never blocks on the
+// output. Lines wait in a queue of limited size; lines that do not fit are dropped.
+// If perSecond is positive, lines below level warn beyond that rate are dropped too, so
+// that they do not displace warnings and errors. Dropped lines are counted in the
+// metric thymeloft_log_lines_dropped_total; NewBounded panics if it cannot be
+// registered. The returned function waits at most 200 ms until the queued lines are
+// written, and returns at once if the queue is full; lines logged after it are lost.
 func NewBounded(output io.Writer, perSecond int, registry prometheus.Registerer) (*zap.Logger, func()) {
 	dropped := prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "thymeloft_log_lines_dropped_total", Help: "Log lines left out, by reason.",
+		Name: "thymeloft_log_lines_dropped_total", Help: "Log lines that were dropped, by reason.",
 	}, []string{"reason"})
 	registry.MustRegister(dropped)
 	queue := newQueue(output, dropped.WithLabelValues("output full"))
-	configuration := zap.NewProductionEncoderConfig()
-	configuration.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	configuration.EncodeDuration = zapcore.MillisDurationEncoder
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(configuration), queue, zap.InfoLevel)
+	encoding := zap.NewProductionEncoderConfig()
+	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
+	encoding.EncodeDuration = zapcore.MillisDurationEncoder
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), queue, zap.InfoLevel)
 	if perSecond > 0 {
 		core = &limitedCore{Core: core, limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond), dropped: dropped.WithLabelValues("rate")}
 	}
 	return zap.New(core), queue.close
 }
 
-// limitedCore leaves out lines below warning beyond a rate.
+// limitedCore drops lines below level warn that exceed the rate of its limiter.
 type limitedCore struct {
 	zapcore.Core
 	limiter *rate.Limiter
@@ -52,20 +55,20 @@
 	return l.Core.Check(entry, checked)
 }
 
-// queue hands lines to one writer; a full queue drops.
+// queue passes lines to a goroutine that writes them. It drops lines while it is full.
 type queue struct {
-	lines   chan []byte
-	done    chan struct{}
+	lines   chan []byte   // a nil line ends the goroutine
+	done    chan struct{} // closed when the goroutine has ended
 	dropped prometheus.Counter
 	once    sync.Once
 }
 
-const queuedLines = 1024
+const maxQueuedLines = 1024
 
 func newQueue(output io.Writer, dropped prometheus.Counter) *queue {
-	made := &queue{lines: make(chan []byte, queuedLines), done: make(chan struct{}), dropped: dropped}
-	go made.run(output)
-	return made
+	created := &queue{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), dropped: dropped}
+	go created.run(output)
+	return created
 }
 
 func (q *queue) run(output io.Writer) {
@@ -74,15 +77,15 @@
 		if line == nil {
 			return
 		}
-		_, _ = output.Write(line) // there is no other place to tell that lines can't be written
+		_, _ = output.Write(line) // the error cannot be logged, since the log itself cannot be written
 	}
 }
 
-// Write implements io.Writer; it never blocks.
+// Write implements io.Writer. It never blocks and always returns success.
 func (q *queue) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case q.lines <- kept:
+	case q.lines <- copied:
 	default:
 		q.dropped.Inc()
 	}
@@ -92,9 +95,10 @@
 // Sync implements zapcore.WriteSyncer.
 func (q *queue) Sync() error { return nil }
 
-// close waits for the queued lines, but not for an output that hangs.
+// close ends the goroutine after the queued lines, and waits for it for at most
+// closeTimeout. It gives up at once if the queue is full.
 func (q *queue) close() {
-	const patience = 200 * time.Millisecond
+	const closeTimeout = 200 * time.Millisecond
 	q.once.Do(func() {
 		select {
 		case q.lines <- nil:
@@ -103,7 +107,7 @@
 		}
 		select {
 		case <-q.done:
-		case <-time.After(patience):
+		case <-time.After(closeTimeout):
 		}
 	})
 }
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -11,22 +11,22 @@
 	"github.com/thymeloft/thymeloft/internal/telemetry"
 )
 
-// stuckOutput takes nothing until it is released.
-type stuckOutput struct {
+// blockedOutput is a writer that blocks until release is closed.
+type blockedOutput struct {
 	release chan struct{}
 	mutex   sync.Mutex
 	written bytes.Buffer
 }
 
-func (s *stuckOutput) Write(line []byte) (int, error) {
+func (s *blockedOutput) Write(line []byte) (int, error) {
 	<-s.release
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.written.Write(line)
 }
 
-// droppedLines sums what the logger counted as left out.
-func droppedLines(g Gomega, registry *prometheus.Registry) (sum float64) {
+// countDroppedLines returns the number of lines that the logger counted as dropped.
+func countDroppedLines(g Gomega, registry *prometheus.Registry) (sum float64) {
 	families, err := registry.Gather()
 	g.Expect(err).NotTo(HaveOccurred())
 	for _, family := range families {
@@ -37,17 +37,18 @@
 	return sum
 }
 
-// TestBoundedNeverBlocks writes far more than fits to an output that hangs.
+// TestBoundedNeverBlocks checks that logging to a blocked output does not block, and
+// that lines beyond the queue size are counted as dropped.
 func TestBoundedNeverBlocks(t *testing.T) {
 	g := NewWithT(t)
-	output := &stuckOutput{release: make(chan struct{})}
+	output := &blockedOutput{release: make(chan struct{})}
 	registry := prometheus.NewRegistry()
 	log, closeLog := telemetry.NewBounded(output, 0, registry)
 	const lines = 5000
 	for range lines {
 		log.Warn("test: a line.")
 	}
-	dropped := droppedLines(g, registry)
+	dropped := countDroppedLines(g, registry)
 	close(output.release)
 	closeLog()
 	output.mutex.Lock()
@@ -57,7 +58,7 @@
 	g.Expect(float64(written) + dropped).To(BeNumerically("<=", lines))
 }
 
-// TestBoundedKeepsFailures bounds the lines of successes and no others.
+// TestBoundedKeepsFailures checks that the rate limit drops info lines and no warnings.
 func TestBoundedKeepsFailures(t *testing.T) {
 	g := NewWithT(t)
 	var output bytes.Buffer
--- a/internal/telemetry/documentation_test.go
+++ b/internal/telemetry/documentation_test.go
@@ -19,20 +19,21 @@
 const metricsPage = "../../docs/operations/metrics.md"
 
 var (
-	logMessage = regexp.MustCompile(`^([a-z]+): `)
-	logRow     = regexp.MustCompile("(?m)^\\| `([a-z]+):` \\|")
-	logMethods = []string{"Debug", "Info", "Warn", "Error"}
+	prefixPattern   = regexp.MustCompile(`^([a-z]+): `)
+	tableRowPattern = regexp.MustCompile("(?m)^\\| `([a-z]+):` \\|")
+	logMethods      = []string{"Debug", "Info", "Warn", "Error"}
 )
 
-// logged is what the product's source gives to loggers.
-type logged struct {
-	prefixes map[string]bool
-	bare     []string // messages without a prefix
+// logMessages contains the log messages found in the source code.
+type logMessages struct {
+	prefixes      map[string]bool
+	withoutPrefix []string // messages without a prefix such as "store: "
 }
 
-// scan reads the source of the product, without tests and the lab.
-func scan(g Gomega) logged {
-	all := logged{prefixes: map[string]bool{}}
+// collectLogMessages parses the source code of internal and cmd/thymeloftd, without
+// tests and internal/lab.
+func collectLogMessages(g Gomega) logMessages {
+	all := logMessages{prefixes: map[string]bool{}}
 	for _, root := range []string{"..", "../../cmd/thymeloftd"} {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil {
@@ -46,7 +47,7 @@
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
 			if err == nil {
-				ast.Inspect(file, all.read)
+				ast.Inspect(file, all.visitNode)
 			}
 			return err
 		})
@@ -55,51 +56,52 @@
 	return all
 }
 
-func (l *logged) read(node ast.Node) bool {
-	call, is := node.(*ast.CallExpr)
-	if !is || len(call.Args) == 0 {
+func (l *logMessages) visitNode(node ast.Node) bool {
+	call, ok := node.(*ast.CallExpr)
+	if !ok || len(call.Args) == 0 {
 		return true
 	}
-	method, is := call.Fun.(*ast.SelectorExpr)
-	if !is || !slices.Contains(logMethods, method.Sel.Name) {
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || !slices.Contains(logMethods, method.Sel.Name) {
 		return true
 	}
 	text := firstLiteral(call.Args[0])
-	if match := logMessage.FindStringSubmatch(text); match != nil {
+	if match := prefixPattern.FindStringSubmatch(text); match != nil {
 		l.prefixes[match[1]] = true
 	} else if text != "" {
-		l.bare = append(l.bare, text)
+		l.withoutPrefix = append(l.withoutPrefix, text)
 	}
 	return true
 }
 
-// firstLiteral follows a concatenation to its first operand.
+// firstLiteral returns the string literal that an expression starts with, which may be
+// a concatenation. It returns "" if there is none.
 func firstLiteral(expression ast.Expr) string {
-	if sum, is := expression.(*ast.BinaryExpr); is {
+	if sum, ok := expression.(*ast.BinaryExpr); ok {
 		return firstLiteral(sum.X)
 	}
-	basic, is := expression.(*ast.BasicLit)
-	if !is || basic.Kind != token.STRING {
+	basic, ok := expression.(*ast.BasicLit)
+	if !ok || basic.Kind != token.STRING {
 		return ""
 	}
 	text, _ := strconv.Unquote(basic.Value)
 	return text
 }
 
-// TestPageOfLogs holds the operators' page to the source: each message begins
-// with the prefix of its part, and the page explains each prefix.
-func TestPageOfLogs(t *testing.T) {
+// TestLogPageListsPrefixes checks that each log message in the source code begins with
+// the prefix of its component, and that the operators' page explains each prefix.
+func TestLogPageListsPrefixes(t *testing.T) {
 	g := NewWithT(t)
 	page, err := os.ReadFile(metricsPage)
 	g.Expect(err).NotTo(HaveOccurred())
-	var explained []string
-	for _, match := range logRow.FindAllSubmatch(page, -1) {
-		explained = append(explained, string(match[1]))
+	var documented []string
+	for _, match := range tableRowPattern.FindAllSubmatch(page, -1) {
+		documented = append(documented, string(match[1]))
 	}
-	all := scan(g)
-	g.Expect(all.bare).To(BeEmpty(), "each log message begins with the prefix of its part")
+	all := collectLogMessages(g)
+	g.Expect(all.withoutPrefix).To(BeEmpty(), "each log message must begin with the prefix of its component")
 	for prefix := range all.prefixes {
-		g.Expect(explained).To(ContainElement(prefix))
+		g.Expect(documented).To(ContainElement(prefix))
 	}
 	g.Expect(len(all.prefixes)).To(BeNumerically(">=", 8))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry makes the logger and the metrics registry of a daemon.
-// Each part logs short sentences with its own fixed prefix.
+// Package telemetry creates the logger and the metrics registry of a daemon. Each
+// log message is a short sentence with the fixed prefix of its component.
 package telemetry
 
 import (
@@ -14,18 +14,20 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Formats of the log.
+// Log formats that NewLogger accepts.
 const (
 	formatJSON    = "json"
 	formatConsole = "console"
 )
 
-// NewLogger makes a logger that writes to output: one line an entry, level
-// "debug", "info", "warn" or "error", format formatJSON or formatConsole.
+// NewLogger returns a logger that writes one line per entry to output. The level is the
+// lowest one that is logged, such as "debug", "info", "warn" or "error"; the format is
+// "json" or "console". Another level or format is an error. The output need not be safe
+// for concurrent use.
 func NewLogger(level, format string, output io.Writer) (*zap.Logger, error) {
-	lowest, err := zapcore.ParseLevel(level)
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
-		return nil, eris.Wrap(err, "read the log level")
+		return nil, eris.Wrap(err, "parse the log level")
 	}
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
@@ -39,11 +41,12 @@
 	default:
 		return nil, eris.Errorf("unknown log format %q", format)
 	}
-	core := zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(output)), lowest)
+	core := zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(output)), minLevel)
 	return zap.New(core), nil
 }
 
-// NewRegistry makes a metrics registry that also shows the process and the Go runtime.
+// NewRegistry returns a metrics registry that contains the metrics of the process and
+// the Go runtime.
 func NewRegistry() *prometheus.Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -53,10 +56,11 @@
 	return registry
 }
 
-// Handler serves the metrics of the registry.
+// Handler returns an HTTP handler that serves the metrics of the registry. It answers
+// status 503 if maxScrapes requests are already being served.
 func Handler(registry *prometheus.Registry) http.Handler {
 	return promhttp.HandlerFor(registry, promhttp.HandlerOpts{Registry: registry, MaxRequestsInFlight: maxScrapes})
 }
 
-// maxScrapes bounds how many scrapes run at once.
+// maxScrapes is the maximum number of metrics requests served concurrently.
 const maxScrapes = 4
