--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -23,10 +23,10 @@
 // document returns a valid document with the given numbers of tenants and
 // engines, and targetModels models.
 func document(tenants, engines int) configuration.Document {
-	var made configuration.Document
+	var result configuration.Document
 	for i := range tenants {
 		hash := sha256.Sum256([]byte(fmt.Sprint("key ", i)))
-		made.Tenants = append(made.Tenants, configuration.Tenant{
+		result.Tenants = append(result.Tenants, configuration.Tenant{
 			Name:        identity.Tenant(fmt.Sprintf("tenant-%05d", i)),
 			KeyHashes:   []string{hex.EncodeToString(hash[:])},
 			Class:       "standard",
@@ -37,24 +37,24 @@
 	}
 	for i := range targetModels {
 		name := fmt.Sprintf("model-%d", i)
-		made.Models = append(made.Models, configuration.Model{Name: name, Version: "1"})
-		made.Pools = append(made.Pools, configuration.Pool{Name: "pool-of-" + name, Model: name, MaxUnavailable: 4})
+		result.Models = append(result.Models, configuration.Model{Name: name, Version: "1"})
+		result.Pools = append(result.Pools, configuration.Pool{Name: "pool-of-" + name, Model: name, MaxUnavailable: 4})
 	}
 	for i := range engines {
 		name := fmt.Sprintf("engine-%04d", i)
-		made.Engines = append(made.Engines, configuration.Engine{
+		result.Engines = append(result.Engines, configuration.Engine{
 			Name:       name,
 			Address:    fmt.Sprintf("http://10.%d.%d.%d:8000", i>>16, i>>8&255, i&255),
 			Zone:       identity.Zone(fmt.Sprintf("zone-%02d", i%targetZones)),
 			Generation: "g2",
 		})
-		pool := &made.Pools[i%targetModels]
+		pool := &result.Pools[i%targetModels]
 		pool.Engines = append(pool.Engines, name)
 	}
 	if engines == 0 {
-		made.Pools = nil
+		result.Pools = nil
 	}
-	return made
+	return result
 }
 
 func mustEncode(b *testing.B, change configuration.Change) []byte {
@@ -129,7 +129,7 @@
 	}
 	b.Run("difference", func(b *testing.B) {
 		for b.Loop() {
-			if _, kept := machine.Difference(old.Revision); !kept {
+			if _, found := machine.Difference(old.Revision); !found {
 				b.Fatal("the difference is no longer retained")
 			}
 		}
--- a/internal/configuration/fuzz_test.go
+++ b/internal/configuration/fuzz_test.go
@@ -27,13 +27,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := configuration.ParseYAML(text)
+		reparsed, err := configuration.ParseYAML(text)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, text)
 		}
-		before, after := configuration.Normalize(&document), configuration.Normalize(&again)
+		before, after := configuration.Normalize(&document), configuration.Normalize(&reparsed)
 		if difference := configuration.Compare(&before, &after); difference.Items() > 0 {
-			t.Fatalf("%#v\n%#v\n%s", document, again, text)
+			t.Fatalf("%#v\n%#v\n%s", document, reparsed, text)
 		}
 	})
 }
--- a/internal/configuration/machine_test.go
+++ b/internal/configuration/machine_test.go
@@ -105,35 +105,35 @@
 		Expect(history).To(HaveLen(2))
 		Expect(history[0].Number).To(Equal(uint64(5)))
 		Expect(history[1].Operator).To(Equal("ailsa"))
-		old, kept := machine.Revision(1)
-		Expect(kept).To(BeTrue())
+		old, found := machine.Revision(1)
+		Expect(found).To(BeTrue())
 		Expect(old.Document).To(Equal(before.Document))
 
-		difference, kept := machine.Difference(1)
-		Expect(kept).To(BeTrue())
+		difference, found := machine.Difference(1)
+		Expect(found).To(BeTrue())
 		Expect(before.Patched(&difference)).To(Equal(machine.Current()))
-		_, kept = machine.Difference(9)
-		Expect(kept).To(BeFalse())
+		_, found = machine.Difference(9)
+		Expect(found).To(BeFalse())
 	})
 
 	It("drops the oldest differences beyond its bounds", func() {
-		var kept configuration.Differences
+		var retained configuration.Differences
 		for i := range uint64(configuration.HistoryRevisions + 2) {
-			kept.Add(configuration.Difference{From: i, To: i + 1})
+			retained.Add(configuration.Difference{From: i, To: i + 1})
 		}
 		current := configuration.BuildSnapshot(configuration.HistoryRevisions+2, configuration.Document{})
-		_, found := kept.Since(1, current)
+		_, found := retained.Since(1, current)
 		Expect(found).To(BeFalse())
-		_, found = kept.Since(2, current)
+		_, found = retained.Since(2, current)
 		Expect(found).To(BeTrue())
 
 		large := make([]string, configuration.HistoryItems)
-		kept.Add(configuration.Difference{From: current.Revision, To: current.Revision + 1, Upserts: configuration.Document{Drains: large}})
+		retained.Add(configuration.Difference{From: current.Revision, To: current.Revision + 1, Upserts: configuration.Document{Drains: large}})
 		later := configuration.BuildSnapshot(current.Revision+1, configuration.Document{})
-		_, found = kept.Since(current.Revision-1, later)
+		_, found = retained.Since(current.Revision-1, later)
 		Expect(found).To(BeTrue(), "empty differences do not count towards the bound")
-		kept.Add(configuration.Difference{From: later.Revision, To: later.Revision + 1, Upserts: configuration.Document{Drains: large[:1]}})
-		_, found = kept.Since(current.Revision, configuration.BuildSnapshot(later.Revision+1, configuration.Document{}))
+		retained.Add(configuration.Difference{From: later.Revision, To: later.Revision + 1, Upserts: configuration.Document{Drains: large[:1]}})
+		_, found = retained.Since(current.Revision, configuration.BuildSnapshot(later.Revision+1, configuration.Document{}))
 		Expect(found).To(BeFalse())
 	})
 
--- a/internal/configuration/property_test.go
+++ b/internal/configuration/property_test.go
@@ -100,9 +100,9 @@
 		}
 		checkHistory(g, machine, documents)
 		for number := range documents {
-			difference, kept := machine.Difference(uint64(number))
-			same, alsoKept := distributed.Since(uint64(number), machine.Current())
-			g.Expect(alsoKept).To(Equal(kept))
+			difference, found := machine.Difference(uint64(number))
+			same, alsoFound := distributed.Since(uint64(number), machine.Current())
+			g.Expect(alsoFound).To(Equal(found))
 			g.Expect(same).To(Equal(difference))
 		}
 		g.Expect(replica.Current()).To(Equal(machine.Current()))
@@ -118,12 +118,12 @@
 	g.Expect(slices.IsSortedFunc(revisions, func(a, b configuration.Revision) int { return b.At.Compare(a.At) })).To(BeTrue())
 	for number, seen := range documents {
 		if number > 0 {
-			old, kept := machine.Revision(uint64(number))
-			g.Expect(kept).To(BeTrue())
+			old, found := machine.Revision(uint64(number))
+			g.Expect(found).To(BeTrue())
 			g.Expect(old.Document).To(Equal(seen))
 		}
-		difference, kept := machine.Difference(uint64(number))
-		g.Expect(kept).To(BeTrue())
+		difference, found := machine.Difference(uint64(number))
+		g.Expect(found).To(BeTrue())
 		g.Expect(configuration.BuildSnapshot(uint64(number), seen).Patched(&difference)).To(Equal(machine.Current()))
 	}
 }
--- a/internal/configuration/stored/stored_test.go
+++ b/internal/configuration/stored/stored_test.go
@@ -34,22 +34,22 @@
 	GinkgoHelper()
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	client := state.NewClient(state.ClientOptions{Store: store, Availability: availability})
-	made, err := stored.New(stored.Options{Store: client, RowBytes: 200, ConfirmBound: confirmBound})
+	service, err := stored.New(stored.Options{Store: client, RowBytes: 200, ConfirmBound: confirmBound})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); _ = made.Run(ctx) }()
+	go func() { defer close(ended); _ = service.Run(ctx) }()
 	DeferCleanup(func() { cancel(); Eventually(ended).Should(BeClosed()) })
-	return made
+	return service
 }
 
 // change returns a change of the base revision to a document with the given tenants.
 func change(identifier string, base uint64, tenants ...string) configuration.Change {
-	made := configuration.Change{Identifier: identifier, BaseRevision: base, Operator: "op"}
+	result := configuration.Change{Identifier: identifier, BaseRevision: base, Operator: "op"}
 	for _, name := range tenants {
-		made.Document.Tenants = append(made.Document.Tenants, configuration.Tenant{Name: identity.Tenant(name)})
+		result.Document.Tenants = append(result.Document.Tenants, configuration.Tenant{Name: identity.Tenant(name)})
 	}
-	return made
+	return result
 }
 
 var _ = Describe("Service", func() {
@@ -112,10 +112,10 @@
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		_, err := service.Change(short, change("two", 1, "b"))
-		var told *problem.Problem
-		Expect(errors.As(err, &told)).To(BeTrue())
-		Expect(told.Outcome).To(Equal(problem.OutcomeNotRun))
-		Expect(told.RetryAfter).To(BeNumerically(">", 0))
+		var reported *problem.Problem
+		Expect(errors.As(err, &reported)).To(BeTrue())
+		Expect(reported.Outcome).To(Equal(problem.OutcomeNotRun))
+		Expect(reported.RetryAfter).To(BeNumerically(">", 0))
 		Eventually(service.Confirmed).Should(BeFalse())
 		Expect(service.Current().Revision).To(BeEquivalentTo(1), "the previous revision stays in force")
 		store.Misbehave(nil)
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -67,8 +67,8 @@
 
 // Read returns the JSON lines of a log. It ignores text before the JSON object of a
 // line, such as the prefix of a log collector, and skips lines without a JSON object,
-// a message or a valid time. It returns an error if reading fails or if a line is
-// longer than 1 MiB.
+// a message or a valid time. It returns an error if reading fails or if a line
+// exceeds maxLineBytes.
 func Read(log io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -146,10 +146,10 @@
 func (l Line) isOutcome() bool { return l.Message == messageAnswered || l.Message == messageFailed }
 
 // isRelated reports whether a line belongs to the explanation of a request. It does if
-// it names the request, its reservation or its previous turn. Between contextWindow
-// before the arrival of the request and its end, a line also belongs if it names the
-// program, if it comes from another daemon and names the engine but is not about a
-// request, or if it describes the state of the request's own daemon.
+// it names the request or its previous turn as request, reservation or store key. From
+// contextWindow before the arrival of the request until its end, a line also belongs if
+// it names the program; if it is from another daemon, names the engine and is not about
+// a request; or if it describes the state of the request's own daemon.
 func isRelated(line, outcome Line) bool {
 	request, program, previous := outcome.stringField(fieldRequest), outcome.stringField(fieldProgram), outcome.stringField(fieldPrevious)
 	scoped := func(name string) string { return tenant.Scope(identity.Tenant(outcome.stringField(fieldTenant)), name) }
@@ -176,7 +176,7 @@
 }
 
 // describesDaemonState reports whether a line is about the daemon itself, its
-// configuration, or the availability of the store.
+// configuration, the store tables that it watches, or the availability of the store.
 func describesDaemonState(line Line) bool {
 	for _, prefix := range []string{"server:", "configuration:", "watch:", "store: does not", "store: answers"} {
 		if strings.HasPrefix(line.Message, prefix) {
@@ -239,7 +239,7 @@
 	"partition", "key", "for", "after", "underWay", "cause",
 }
 
-// Print writes the related lines and the cause. Lines that name the request are marked
+// Print writes the related lines and the cause. Lines of the request itself are marked
 // with ">".
 func (e *Explanation) Print(output io.Writer) error {
 	var text strings.Builder
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -80,8 +80,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		count := 0
 		ast.Inspect(file, func(node ast.Node) bool {
-			value, is := node.(*ast.ValueSpec)
-			if !is || !strings.HasPrefix(value.Names[0].Name, "Reason") {
+			value, ok := node.(*ast.ValueSpec)
+			if !ok || !strings.HasPrefix(value.Names[0].Name, "Reason") {
 				return true
 			}
 			reason, err := strconv.Unquote(value.Values[0].(*ast.BasicLit).Value)
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -28,10 +28,10 @@
 }
 
 // Load returns the settings from the defaults, the file named by --settings, and the
-// flags in arguments, where a flag takes precedence over the file. The arguments do
-// not include the program name. If the resulting settings are invalid, Load returns
-// them with an error of type Faults. With --version it prints the version to output
-// and returns ErrVersion.
+// flags in arguments; a flag takes precedence over the file. The arguments do not
+// include the program name. Load returns an error if the flags or the file cannot be
+// read. If the settings are invalid, it returns them with an error of type Faults.
+// With --version it prints the version to output and returns ErrVersion.
 func Load(arguments []string, version string, output io.Writer) (Settings, error) {
 	line := commandLine{}
 	given, err := parseFlags(&line, arguments, output)
