--- a/internal/configuration/administrator.go
+++ b/internal/configuration/administrator.go
@@ -9,8 +9,8 @@
 	// Current returns the revision in force. It never returns nil and never
 	// goes back to an earlier revision.
 	Current() *Snapshot
-	// Confirmed reports whether the daemon verified recently enough that
-	// its revision is the latest one. If not, new work must be refused.
+	// Confirmed reports whether the daemon has verified recently enough that its
+	// revision is the latest one. If it has not, new work must be refused.
 	Confirmed() bool
 	// Subscribe returns a channel that receives a signal after each change of
 	// the revision in force. Several changes may be reported by one signal.
@@ -22,7 +22,7 @@
 type Administrator interface {
 	Source
 	// Change submits the change and returns its outcome. If the error wraps
-	// ErrChangeUncertain, the change may still be accepted; the caller should
+	// ErrChangeUncertain, the change may have been accepted; the caller should
 	// repeat it with the same identifier.
 	Change(ctx context.Context, change Change) (ChangeResult, error)
 	// History returns the latest revisions, newest first. The limit is the
--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Sizes of the documents in the benchmarks: the largest deployment that the
-// design must support.
+// Sizes of the documents in the benchmarks. They are those of the largest deployment
+// that the design must support.
 const (
 	targetTenants = 15000
 	targetModels  = 9
@@ -117,9 +117,8 @@
 	})
 }
 
-// BenchmarkDistribution measures how a daemon that is 100 revisions behind gets
-// to the current one: computing the difference, applying it, and building the
-// indexes from scratch.
+// BenchmarkDistribution measures the steps that bring a daemon up to date that is 100
+// revisions behind: computing the difference, applying it, and building all indexes.
 func BenchmarkDistribution(b *testing.B) {
 	const behind = 100
 	machine := loaded(b)
--- a/internal/configuration/differences.go
+++ b/internal/configuration/differences.go
@@ -31,18 +31,18 @@
 	if from == current.Revision {
 		return Difference{From: from, To: from}, true
 	}
-	var touched changedNames
+	var changed changedNames
 	found := false
 	for i := range d.retained {
 		found = found || d.retained[i].From == from
 		if found {
-			touched.add(&d.retained[i])
+			changed.add(&d.retained[i])
 		}
 	}
 	if !found || d.retained[len(d.retained)-1].To != current.Revision {
 		return Difference{}, false
 	}
-	difference := touched.differenceTo(&current.Document)
+	difference := changed.differenceTo(&current.Document)
 	difference.From = from
 	difference.To = current.Revision
 	return difference, true
--- a/internal/configuration/display.go
+++ b/internal/configuration/display.go
@@ -69,16 +69,16 @@
 	if from.Kind() != reflect.Struct {
 		return nil
 	}
-	var changed []FieldChange
+	var changes []FieldChange
 	for i := range from.NumField() {
 		before, after := formatField(from.Field(i)), formatField(to.Field(i))
 		if before == after {
 			continue
 		}
 		name, _, _ := strings.Cut(from.Type().Field(i).Tag.Get("yaml"), ",")
-		changed = append(changed, FieldChange{Name: name, From: before, To: after})
+		changes = append(changes, FieldChange{Name: name, From: before, To: after})
 	}
-	return changed
+	return changes
 }
 
 func formatField(value reflect.Value) string {
--- a/internal/configuration/display_test.go
+++ b/internal/configuration/display_test.go
@@ -13,8 +13,8 @@
 // withChangedField returns a copy of the items in which the field with the given index
 // of the first item has another value.
 func withChangedField[T any](items []T, field int) []T {
-	changed := slices.Clone(items)
-	value := reflect.ValueOf(&changed[0]).Elem().Field(field)
+	result := slices.Clone(items)
+	value := reflect.ValueOf(&result[0]).Elem().Field(field)
 	switch value.Kind() {
 	case reflect.String:
 		value.SetString(value.String() + "x")
@@ -29,7 +29,7 @@
 	default:
 		Fail("cannot change a field of kind " + value.Kind().String())
 	}
-	return changed
+	return result
 }
 
 // countFields returns the number of struct fields of the item type.
@@ -38,9 +38,9 @@
 var _ = Describe("Diff", func() {
 	It("reports a change of each field of each kind of item", func() {
 		base := validDocument()
-		check := func(field int, changed configuration.Document) {
+		check := func(field int, modified configuration.Document) {
 			GinkgoHelper()
-			changes := configuration.Diff(base, changed)
+			changes := configuration.Diff(base, modified)
 			Expect(changes).NotTo(BeEmpty(), "field %d", field)
 			if len(changes) == 1 {
 				Expect(changes[0].Fields).To(HaveLen(1), "field %d", field)
@@ -48,37 +48,37 @@
 			}
 		}
 		for field := range countFields(base.Tenants) {
-			changed := base
-			changed.Tenants = withChangedField(base.Tenants, field)
-			check(field, changed)
+			modified := base
+			modified.Tenants = withChangedField(base.Tenants, field)
+			check(field, modified)
 		}
 		for field := range countFields(base.Models) {
-			changed := base
-			changed.Models = withChangedField(base.Models, field)
-			check(field, changed)
+			modified := base
+			modified.Models = withChangedField(base.Models, field)
+			check(field, modified)
 		}
 		for field := range countFields(base.Pools) {
-			changed := base
-			changed.Pools = withChangedField(base.Pools, field)
-			check(field, changed)
+			modified := base
+			modified.Pools = withChangedField(base.Pools, field)
+			check(field, modified)
 		}
 		for field := range countFields(base.Engines) {
-			changed := base
-			changed.Engines = withChangedField(base.Engines, field)
-			check(field, changed)
+			modified := base
+			modified.Engines = withChangedField(base.Engines, field)
+			check(field, modified)
 		}
 		for field := range countFields(base.Services) {
-			changed := base
-			changed.Services = withChangedField(base.Services, field)
-			check(field, changed)
+			modified := base
+			modified.Services = withChangedField(base.Services, field)
+			check(field, modified)
 		}
 	})
 
 	It("reports added and removed items by kind and name", func() {
-		changed := validDocument()
-		changed.Drains = []string{"e1"}
-		changed.Services = nil
-		Expect(configuration.Diff(validDocument(), changed)).To(Equal([]configuration.ItemChange{
+		modified := validDocument()
+		modified.Drains = []string{"e1"}
+		modified.Services = nil
+		Expect(configuration.Diff(validDocument(), modified)).To(Equal([]configuration.ItemChange{
 			{Kind: "service", Name: "factor-app", Action: configuration.ActionRemoved},
 			{Kind: "drain", Name: "e1", Action: configuration.ActionAdded},
 		}))
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -21,11 +21,11 @@
 }
 
 func restoreHistory(records []record) history {
-	restored := history{records: records}
+	result := history{records: records}
 	for i := range records {
-		restored.items += records[i].items()
+		result.items += records[i].items()
 	}
-	return restored
+	return result
 }
 
 func (r *record) items() int { return r.Forward.Items() + r.Back.Items() }
@@ -46,7 +46,7 @@
 // are beyond the bounds. The before argument is the document that the change was
 // applied to.
 func (h *history) add(change *Change, before *Document, forward Difference) {
-	added := record{
+	entry := record{
 		Number:     forward.To,
 		Identifier: change.Identifier,
 		Operator:   change.Operator,
@@ -55,8 +55,8 @@
 		Forward:    forward,
 		Back:       reverseDifference(before, &forward),
 	}
-	h.records = append(h.records, added)
-	h.items += added.items()
+	h.records = append(h.records, entry)
+	h.items += entry.items()
 	for len(h.records) > HistoryRevisions || (len(h.records) > 1 && h.items > HistoryItems) {
 		h.items -= h.records[0].items()
 		h.records = h.records[1:]
--- a/internal/configuration/lists.go
+++ b/internal/configuration/lists.go
@@ -12,12 +12,12 @@
 	if len(list) == 0 {
 		return nil
 	}
-	sorted := slices.Clone(list)
-	less := func(i, j int) bool { return name(&sorted[i]) < name(&sorted[j]) }
-	if !sort.SliceIsSorted(sorted, less) {
-		sort.SliceStable(sorted, less)
+	result := slices.Clone(list)
+	less := func(i, j int) bool { return name(&result[i]) < name(&result[j]) }
+	if !sort.SliceIsSorted(result, less) {
+		sort.SliceStable(result, less)
 	}
-	return sorted
+	return result
 }
 
 // compareLists compares two lists that are sorted by name. It returns the items of
@@ -62,31 +62,31 @@
 	if len(upserts) == 0 && len(deletes) == 0 {
 		return list
 	}
-	changed := sortedList(upserts, name)
-	deleted := slices.Clone(deletes)
-	slices.Sort(deleted)
-	patched := make([]T, 0, len(list)+len(changed))
+	sortedUpserts := sortedList(upserts, name)
+	sortedDeletes := slices.Clone(deletes)
+	slices.Sort(sortedDeletes)
+	result := make([]T, 0, len(list)+len(sortedUpserts))
 	for i := range list {
-		current := name(&list[i])
-		for len(changed) > 0 && name(&changed[0]) < current {
-			patched = append(patched, changed[0])
-			changed = changed[1:]
+		itemName := name(&list[i])
+		for len(sortedUpserts) > 0 && name(&sortedUpserts[0]) < itemName {
+			result = append(result, sortedUpserts[0])
+			sortedUpserts = sortedUpserts[1:]
 		}
-		if len(changed) > 0 && name(&changed[0]) == current {
-			patched = append(patched, changed[0])
-			changed = changed[1:]
+		if len(sortedUpserts) > 0 && name(&sortedUpserts[0]) == itemName {
+			result = append(result, sortedUpserts[0])
+			sortedUpserts = sortedUpserts[1:]
 			continue
 		}
-		if _, isDeleted := slices.BinarySearch(deleted, current); isDeleted {
+		if _, isDeleted := slices.BinarySearch(sortedDeletes, itemName); isDeleted {
 			continue
 		}
-		patched = append(patched, list[i])
+		result = append(result, list[i])
 	}
-	patched = append(patched, changed...)
-	if len(patched) == 0 {
+	result = append(result, sortedUpserts...)
+	if len(result) == 0 {
 		return nil
 	}
-	return patched
+	return result
 }
 
 // findItem returns a pointer to the item with the wanted name in a list that is
--- a/internal/configuration/machine.go
+++ b/internal/configuration/machine.go
@@ -6,7 +6,8 @@
 	"sync/atomic"
 )
 
-// Bounds of the results and the history that a Machine stores.
+// Bounds of the results and the history that a Machine stores. HistoryRevisions and
+// HistoryItems also apply to Differences.
 const (
 	// RememberedAccepted is the maximum number of accepted changes whose results
 	// are stored. A repeat of such a change returns the stored result.
@@ -58,7 +59,7 @@
 	if first, found := m.findResult(change.Identifier); found {
 		return &first
 	}
-	result := m.decide(&change)
+	result := m.applyChange(&change)
 	if result.Accepted {
 		m.accepted.add(change.Identifier, result)
 	} else {
@@ -74,9 +75,9 @@
 	return m.rejected.find(identifier)
 }
 
-// decide validates a change whose identifier has no stored result, and applies it
+// applyChange validates a change whose identifier has no stored result, and applies it
 // if it is valid.
-func (m *Machine) decide(change *Change) ChangeResult {
+func (m *Machine) applyChange(change *Change) ChangeResult {
 	current := m.Current()
 	if change.Identifier == "" {
 		return ChangeResult{Revision: current.Revision, Faults: []string{"the change has no identifier"}}
@@ -198,18 +199,18 @@
 // and changes nothing if the data cannot be decoded or if its revision is older
 // than the current one.
 func (m *Machine) Restore(snapshot []byte) error {
-	var restored state
-	if err := decode(snapshot, &restored, "decode configuration"); err != nil {
+	var newState state
+	if err := decode(snapshot, &newState, "decode configuration"); err != nil {
 		return err
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if current := m.Current().Revision; restored.Revision < current {
-		return fmt.Errorf("restore configuration: revision %d is older than the current revision %d", restored.Revision, current)
+	if current := m.Current().Revision; newState.Revision < current {
+		return fmt.Errorf("restore configuration: revision %d is older than the current revision %d", newState.Revision, current)
 	}
-	m.history = restoreHistory(restored.History)
-	m.accepted = restoreResultCache(RememberedAccepted, restored.Accepted)
-	m.rejected = restoreResultCache(RememberedRejected, restored.Rejected)
-	m.current.Store(BuildSnapshot(restored.Revision, restored.Document))
+	m.history = restoreHistory(newState.History)
+	m.accepted = restoreResultCache(RememberedAccepted, newState.Accepted)
+	m.rejected = restoreResultCache(RememberedRejected, newState.Rejected)
+	m.current.Store(BuildSnapshot(newState.Revision, newState.Document))
 	return nil
 }
--- a/internal/configuration/partial.go
+++ b/internal/configuration/partial.go
@@ -4,33 +4,33 @@
 // document: deletes of items that do not exist, and items that occur more than
 // once in the difference.
 func checkPartial(partial *Difference, document *Document) []string {
-	var found faults
+	var result faults
 	upserts, deletes := &partial.Upserts, &partial.Deletes
-	checkPartialList(&found, "tenant", document.Tenants, upserts.Tenants, deletes.Tenants, tenantName)
-	checkPartialList(&found, "model", document.Models, upserts.Models, deletes.Models, modelName)
-	checkPartialList(&found, "pool", document.Pools, upserts.Pools, deletes.Pools, poolName)
-	checkPartialList(&found, "engine", document.Engines, upserts.Engines, deletes.Engines, engineName)
-	checkPartialList(&found, "service", document.Services, upserts.Services, deletes.Services, serviceName)
-	checkPartialList(&found, "drain", document.Drains, upserts.Drains, deletes.Drains, drainName)
-	return found.list()
+	checkPartialList(&result, "tenant", document.Tenants, upserts.Tenants, deletes.Tenants, tenantName)
+	checkPartialList(&result, "model", document.Models, upserts.Models, deletes.Models, modelName)
+	checkPartialList(&result, "pool", document.Pools, upserts.Pools, deletes.Pools, poolName)
+	checkPartialList(&result, "engine", document.Engines, upserts.Engines, deletes.Engines, engineName)
+	checkPartialList(&result, "service", document.Services, upserts.Services, deletes.Services, serviceName)
+	checkPartialList(&result, "drain", document.Drains, upserts.Drains, deletes.Drains, drainName)
+	return result.list()
 }
 
-func checkPartialList[T any](found *faults, kind string, list, upserts []T, deletes []string, name func(*T) string) {
-	named := make(map[string]bool, len(upserts)+len(deletes))
+func checkPartialList[T any](result *faults, kind string, list, upserts []T, deletes []string, name func(*T) string) {
+	seen := make(map[string]bool, len(upserts)+len(deletes))
 	for i := range upserts {
-		current := name(&upserts[i])
-		if named[current] {
-			found.add("%s %q is set twice in one change", kind, current)
+		itemName := name(&upserts[i])
+		if seen[itemName] {
+			result.add("%s %q is set twice in one change", kind, itemName)
 		}
-		named[current] = true
+		seen[itemName] = true
 	}
-	for _, current := range deletes {
-		if named[current] {
-			found.add("%s %q is named twice in one change", kind, current)
+	for _, itemName := range deletes {
+		if seen[itemName] {
+			result.add("%s %q is named twice in one change", kind, itemName)
 		}
-		named[current] = true
-		if _, exists := findItem(list, current, name); !exists {
-			found.add("%s %q cannot be deleted: it does not exist", kind, current)
+		seen[itemName] = true
+		if _, exists := findItem(list, itemName, name); !exists {
+			result.add("%s %q cannot be deleted: it does not exist", kind, itemName)
 		}
 	}
 }
--- a/internal/configuration/property_test.go
+++ b/internal/configuration/property_test.go
@@ -15,19 +15,19 @@
 // drawDocument draws a valid document. Its names come from a small set, so that
 // successive documents have items in common.
 func drawDocument(t *rapid.T) configuration.Document {
-	var drawn configuration.Document
+	var result configuration.Document
 	for _, name := range drawNames(t, "model") {
 		version := rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")
-		drawn.Models = append(drawn.Models, configuration.Model{Name: name, Version: version})
+		result.Models = append(result.Models, configuration.Model{Name: name, Version: version})
 	}
 	for _, name := range drawNames(t, "engine") {
-		drawn.Engines = append(drawn.Engines, configuration.Engine{Name: name, Address: "http://" + name + ":1", Zone: "z"})
+		result.Engines = append(result.Engines, configuration.Engine{Name: name, Address: "http://" + name + ":1", Zone: "z"})
 	}
-	if len(drawn.Models) > 0 && len(drawn.Engines) > 0 {
-		drawn.Pools = []configuration.Pool{{Name: "pool", Model: drawn.Models[0].Name, Engines: []string{drawn.Engines[0].Name}}}
+	if len(result.Models) > 0 && len(result.Engines) > 0 {
+		result.Pools = []configuration.Pool{{Name: "pool", Model: result.Models[0].Name, Engines: []string{result.Engines[0].Name}}}
 	}
-	drawn.Drains = drawNames(t, "drain")
-	return drawn
+	result.Drains = drawNames(t, "drain")
+	return result
 }
 
 func drawNames(t *rapid.T, kind string) []string {
--- a/internal/configuration/results.go
+++ b/internal/configuration/results.go
@@ -19,11 +19,11 @@
 }
 
 func restoreResultCache(capacity int, entries []namedResult) resultCache {
-	restored := newResultCache(capacity)
-	for _, named := range entries {
-		restored.add(named.Identifier, named.Result)
+	cache := newResultCache(capacity)
+	for _, entry := range entries {
+		cache.add(entry.Identifier, entry.Result)
 	}
-	return restored
+	return cache
 }
 
 func (r *resultCache) find(identifier string) (ChangeResult, bool) {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -122,11 +122,11 @@
 	s.TenantByName = make(map[identity.Tenant]*Tenant, len(tenants))
 	s.Keys = make(tenant.Keys, len(tenants))
 	for i := range tenants {
-		declared := &tenants[i]
-		s.TenantByName[declared.Name] = declared
-		for _, hash := range declared.KeyHashes {
+		item := &tenants[i]
+		s.TenantByName[item.Name] = item
+		for _, hash := range item.KeyHashes {
 			if digest, err := tenant.ParseDigest(hash); err == nil { // always nil in a valid document
-				s.Keys[digest] = declared.Name
+				s.Keys[digest] = item.Name
 			}
 		}
 	}
--- a/internal/configuration/stored/change.go
+++ b/internal/configuration/stored/change.go
@@ -22,8 +22,8 @@
 // that it reads from the store, and commits the new state on the condition that the
 // stored one has not changed meanwhile. It tries again after errors until the
 // context ends, or for changeTimeout if the context has no deadline. If the store
-// does not answer a commit, the next try tells by the change's identifier whether
-// the commit was done.
+// does not answer a commit, the next try recognizes by the change's identifier
+// whether the commit was done.
 func (s *Service) Change(parent context.Context, change configuration.Change) (configuration.ChangeResult, error) {
 	ctx, cancel := withDeadline(parent)
 	defer cancel()
@@ -86,7 +86,7 @@
 	return *result, nil
 }
 
-// verifyHead returns an error unless the row is the latest version of the head row.
+// verifyHead returns an error if the row is not the latest version of the head row.
 func (s *Service) verifyHead(ctx context.Context, row state.Row) error {
 	_, err := s.options.Store.Commit(ctx, state.Commit{Class: state.ClassLease, Conditions: []state.Condition{{Key: headKey, Version: row.Version}}})
 	return eris.Wrap(err, "check the head of the configuration")
--- a/internal/configuration/stored/metrics.go
+++ b/internal/configuration/stored/metrics.go
@@ -21,7 +21,7 @@
 			}
 			return 0
 		}},
-		{"thymeloft_configuration_confirmation_age_seconds", "Time since the store last answered which revision is the latest; -1: never.", func() float64 {
+		{"thymeloft_configuration_confirmation_age_seconds", "Seconds since the store last reported the latest revision, or -1 if it has not done so yet.", func() float64 {
 			age, found := s.sinceStoreAnswer()
 			if !found {
 				return -1
--- a/internal/configuration/stored/rows.go
+++ b/internal/configuration/stored/rows.go
@@ -15,8 +15,8 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Names of the tables and of the head row. The content has its own table, so that
-// daemons that watch the head table do not receive the content with every change.
+// Names of the tables and of the head row. The content has its own table: daemons that
+// watch the head table do not receive the content with every change.
 const (
 	tableHead    = "configuration"
 	tableContent = "configuration-content"
@@ -71,7 +71,7 @@
 // later change has removed some of the rows; the caller must then read the head again.
 func (s *Service) readContent(ctx context.Context, current head) ([]byte, error) {
 	var content []byte
-	from, found := current.Name, 0
+	from, rowCount := current.Name, 0
 	for {
 		var page state.Page
 		err := s.options.Store.Repeat(ctx, func() error {
@@ -84,15 +84,15 @@
 		}
 		for _, row := range page.Rows {
 			content = append(content, row.Value...)
-			found++
+			rowCount++
 		}
 		if !page.More || len(page.Rows) == 0 {
 			break
 		}
 		from = page.Rows[len(page.Rows)-1].Key.Name + "\x00"
 	}
-	if found != current.Rows {
-		return nil, eris.Errorf("read the configuration: found %d of %d rows of revision %d", found, current.Rows, current.Revision)
+	if rowCount != current.Rows {
+		return nil, eris.Errorf("read the configuration: found %d of %d rows of revision %d", rowCount, current.Rows, current.Revision)
 	}
 	return content, nil
 }
@@ -138,7 +138,7 @@
 		}
 		if _, err := s.options.Store.Commit(ctx, state.Commit{Puts: puts[:count]}); err != nil {
 			if errors.Is(err, state.ErrUnknown) {
-				return eris.Wrap(state.ErrNotDone, "write the configuration: no answer to the content rows; the head is unchanged")
+				return eris.Wrap(state.ErrNotDone, "write the configuration: the store did not answer the commit of the content rows; the head row is unchanged")
 			}
 			return eris.Wrap(err, "write the configuration")
 		}
--- a/internal/configuration/stored/stored.go
+++ b/internal/configuration/stored/stored.go
@@ -41,7 +41,7 @@
 }
 
 const (
-	readsPerConfirmBound = 4                     // how often the store is asked for changes of the head within ConfirmBound
+	readsPerConfirmBound = 4                     // ConfirmBound is this many times the longest wait for a change of the head
 	initialRetryPause    = 30 * time.Millisecond // first pause before the store is read again
 )
 
@@ -99,11 +99,11 @@
 // Change implements watch.Follower.
 func (f follower) Change(rows []state.Row) {
 	for _, row := range rows {
-		var changed head
-		if row.Key != headKey || row.Removed || cbor.Unmarshal(row.Value, &changed) != nil {
+		var current head
+		if row.Key != headKey || row.Removed || cbor.Unmarshal(row.Value, &current) != nil {
 			continue
 		}
-		f.service.latestKnown.Store(max(f.service.latestKnown.Load(), changed.Revision))
+		f.service.latestKnown.Store(max(f.service.latestKnown.Load(), current.Revision))
 		f.service.fetch(f.ctx)
 	}
 }
@@ -113,9 +113,9 @@
 func (s *Service) fetch(ctx context.Context) {
 	backoff := pause.Growing(initialRetryPause, time.Second)
 	for ctx.Err() == nil {
-		found, _, err := s.read(ctx)
+		machine, _, err := s.read(ctx)
 		if err == nil {
-			s.install(found)
+			s.install(machine)
 			if s.Current().Revision >= s.latestKnown.Load() {
 				return
 			}
@@ -128,14 +128,14 @@
 
 // install puts the revision of the machine in force, if it is later than the one in
 // force, and notifies the subscribers.
-func (s *Service) install(found *configuration.Machine) {
+func (s *Service) install(machine *configuration.Machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	revision := found.Current().Revision
+	revision := machine.Current().Revision
 	if revision <= s.Current().Revision {
 		return // the current revision, or an outdated read
 	}
-	s.machine.Store(found)
+	s.machine.Store(machine)
 	s.log.Info("configuration: revision in force.", zap.Uint64("revision", revision))
 	s.options.OnRevision(revision)
 	for _, subscriber := range s.subscribers {
@@ -153,9 +153,9 @@
 func (s *Service) Subscribe() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	added := make(chan struct{}, 1)
-	s.subscribers = append(s.subscribers, added)
-	return added
+	channel := make(chan struct{}, 1)
+	s.subscribers = append(s.subscribers, channel)
+	return channel
 }
 
 // Confirmed implements configuration.Source. It reports whether the store has
--- a/internal/configuration/touched.go
+++ b/internal/configuration/touched.go
@@ -33,9 +33,9 @@
 // reverseDifference returns the difference that reverts the forward difference. The
 // before argument is the document that the forward difference was applied to.
 func reverseDifference(before *Document, forward *Difference) Difference {
-	var touched changedNames
-	touched.add(forward)
-	back := touched.differenceTo(before)
+	var changed changedNames
+	changed.add(forward)
+	back := changed.differenceTo(before)
 	back.From = forward.To
 	back.To = forward.From
 	return back
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -13,12 +13,11 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Limits of the validation.
 const (
-	maxNameBytes  = 128
-	keyHashDigits = 64 // hexadecimal digits of a SHA-256 hash
-	maxFaults     = 100
-	maxListItems  = 100000
+	maxNameBytes  = 128    // maximum length of the name of an item
+	keyHashDigits = 64     // length of a SHA-256 hash in hexadecimal
+	maxFaults     = 100    // maximum number of faults that are described
+	maxListItems  = 100000 // maximum number of items of one kind
 )
 
 // Valid values of Tenant.Class, Pool.Role and Service.Kind.
@@ -32,14 +31,14 @@
 // is valid if there are none. It returns at most 100 faults, followed by one message
 // with the number of faults that it left out.
 func Validate(document *Document) []string {
-	var found faults
-	found.checkTenants(document.Tenants)
-	found.checkModels(document.Models)
-	found.checkEngines(document.Engines)
-	found.checkPools(document)
-	found.checkServices(document.Services)
-	found.checkDrains(document.Drains)
-	return found.list()
+	var result faults
+	result.checkTenants(document.Tenants)
+	result.checkModels(document.Models)
+	result.checkEngines(document.Engines)
+	result.checkPools(document)
+	result.checkServices(document.Services)
+	result.checkDrains(document.Drains)
+	return result.list()
 }
 
 // faults collects fault messages.
@@ -52,7 +51,7 @@
 // is a fault.
 type subject struct{ kind, name string }
 
-func (i subject) String() string { return fmt.Sprintf("%s %q", i.kind, i.name) }
+func (s subject) String() string { return fmt.Sprintf("%s %q", s.kind, s.name) }
 
 func (f *faults) add(format string, arguments ...any) {
 	if len(f.lines) >= maxFaults {
@@ -73,33 +72,33 @@
 	checkNames(f, "tenant", tenants, tenantName)
 	owners := make(map[string]string, len(tenants))
 	for i := range tenants {
-		declared := &tenants[i]
-		where := subject{"tenant", string(declared.Name)}
-		f.checkKeyHashes(where, declared, owners)
-		f.checkOneOf(where, "class", declared.Class, priorityClasses)
-		f.checkNotNegative(where, "requests_per_second", declared.RequestsPerSecond >= 0)
-		if math.IsInf(declared.RequestsPerSecond, 0) {
-			f.add("%s: requests_per_second must be finite; omit it for no limit", where)
+		item := &tenants[i]
+		location := subject{"tenant", string(item.Name)}
+		f.checkKeyHashes(location, item, owners)
+		f.checkOneOf(location, "class", item.Class, priorityClasses)
+		f.checkNotNegative(location, "requests_per_second", item.RequestsPerSecond >= 0)
+		if math.IsInf(item.RequestsPerSecond, 0) {
+			f.add("%s: requests_per_second is not finite; omit it for no limit", location)
 		}
-		f.checkNotNegative(where, "burst", declared.Burst >= 0)
-		f.checkNotNegative(where, "token_budget", declared.TokenBudget >= 0)
-		f.checkNotNegative(where, "idle", declared.Idle >= 0)
-		f.checkNotNegative(where, "lifetime", declared.Lifetime >= 0)
-		f.checkNotNegative(where, "max_programs", declared.MaxPrograms >= 0)
+		f.checkNotNegative(location, "burst", item.Burst >= 0)
+		f.checkNotNegative(location, "token_budget", item.TokenBudget >= 0)
+		f.checkNotNegative(location, "idle", item.Idle >= 0)
+		f.checkNotNegative(location, "lifetime", item.Lifetime >= 0)
+		f.checkNotNegative(location, "max_programs", item.MaxPrograms >= 0)
 	}
 }
 
-func (f *faults) checkKeyHashes(where subject, declared *Tenant, owners map[string]string) {
-	for _, hash := range declared.KeyHashes {
+func (f *faults) checkKeyHashes(location subject, item *Tenant, owners map[string]string) {
+	for _, hash := range item.KeyHashes {
 		if _, err := tenant.ParseDigest(hash); err != nil {
-			f.add("%s: key_hashes: %q is not the SHA-256 of a key in %d lower-case hex digits", where, truncateSecret(hash), keyHashDigits)
+			f.add("%s: key_hashes: %q is not the SHA-256 of a key in %d lower-case hex digits", location, truncateSecret(hash), keyHashDigits)
 			continue
 		}
 		if owner, taken := owners[hash]; taken {
-			f.add("%s: key_hashes: %q is also a key of tenant %q", where, hash, owner)
+			f.add("%s: key_hashes: %q is also a key of tenant %q", location, hash, owner)
 			continue
 		}
-		owners[hash] = string(declared.Name)
+		owners[hash] = string(item.Name)
 	}
 }
 
@@ -116,11 +115,11 @@
 func (f *faults) checkModels(models []Model) {
 	checkNames(f, "model", models, modelName)
 	for i := range models {
-		where := subject{"model", models[i].Name}
+		location := subject{"model", models[i].Name}
 		if models[i].Version == "" {
-			f.add("%s: version is missing", where)
+			f.add("%s: version is missing", location)
 		}
-		f.checkUnique(where, "adapters", models[i].Adapters)
+		f.checkUnique(location, "adapters", models[i].Adapters)
 	}
 }
 
@@ -129,14 +128,14 @@
 	owners := make(map[string]string, len(engines))
 	for i := range engines {
 		engine := &engines[i]
-		where := subject{"engine", engine.Name}
-		f.checkAddress(where, engine.Address)
+		location := subject{"engine", engine.Name}
+		f.checkAddress(location, engine.Address)
 		if owner, taken := owners[engine.Address]; taken {
-			f.add("%s: address %q is also that of engine %q", where, engine.Address, owner)
+			f.add("%s: address %q is also that of engine %q", location, engine.Address, owner)
 		}
 		owners[engine.Address] = engine.Name
 		if engine.Zone == "" {
-			f.add("%s: zone is missing", where)
+			f.add("%s: zone is missing", location)
 		}
 	}
 }
@@ -148,21 +147,21 @@
 	owners := make(map[string]string, len(document.Engines))
 	for i := range document.Pools {
 		pool := &document.Pools[i]
-		where := subject{"pool", pool.Name}
+		location := subject{"pool", pool.Name}
 		if !models[pool.Model] {
-			f.add("%s: model %q is not declared", where, pool.Model)
+			f.add("%s: model %q is not declared", location, pool.Model)
 		}
-		f.checkOneOf(where, "role", pool.Role, poolRoles)
-		f.checkNotNegative(where, "max_unavailable", pool.MaxUnavailable >= 0)
+		f.checkOneOf(location, "role", pool.Role, poolRoles)
+		f.checkNotNegative(location, "max_unavailable", pool.MaxUnavailable >= 0)
 		if len(pool.Engines) == 0 {
-			f.add("%s: engines is empty", where)
+			f.add("%s: engines is empty", location)
 		}
 		for _, engine := range pool.Engines {
 			if !engines[engine] {
-				f.add("%s: engine %q is not declared", where, engine)
+				f.add("%s: engine %q is not declared", location, engine)
 			}
 			if owner, taken := owners[engine]; taken {
-				f.add("%s: engine %q is already in pool %q; an engine is in one pool only", where, engine, owner)
+				f.add("%s: engine %q is already in pool %q; an engine is in one pool only", location, engine, owner)
 				continue
 			}
 			owners[engine] = pool.Name
@@ -174,16 +173,16 @@
 	checkNames(f, "service", services, serviceName)
 	for i := range services {
 		service := &services[i]
-		where := subject{"service", service.Name}
-		f.checkOneOf(where, "kind", service.Kind, serviceKinds)
+		location := subject{"service", service.Name}
+		f.checkOneOf(location, "kind", service.Kind, serviceKinds)
 		if len(service.Addresses) == 0 {
-			f.add("%s: addresses is empty", where)
+			f.add("%s: addresses is empty", location)
 		}
-		f.checkUnique(where, "addresses", service.Addresses)
+		f.checkUnique(location, "addresses", service.Addresses)
 		for _, address := range service.Addresses {
-			f.checkAddress(where, address)
+			f.checkAddress(location, address)
 		}
-		f.checkNotNegative(where, "timeout", service.Timeout >= 0)
+		f.checkNotNegative(location, "timeout", service.Timeout >= 0)
 	}
 }
 
@@ -191,9 +190,9 @@
 	checkNames(f, "drain", drains, drainName)
 }
 
-func (f *faults) checkAddress(where subject, address string) {
+func (f *faults) checkAddress(location subject, address string) {
 	if !isBaseURL(address) {
-		f.add("%s: address %q is not a base URL such as http://10.0.0.7:8000", where, address)
+		f.add("%s: address %q is not a base URL such as http://10.0.0.7:8000", location, address)
 	}
 }
 
@@ -212,26 +211,26 @@
 	return err == nil && port > 0
 }
 
-func (f *faults) checkOneOf(where subject, field, value string, allowed []string) {
+func (f *faults) checkOneOf(location subject, field, value string, allowed []string) {
 	if !slices.Contains(allowed, value) {
-		f.add("%s: %s %q is not one of %q", where, field, value, slices.DeleteFunc(slices.Clone(allowed), isEmpty))
+		f.add("%s: %s %q is not one of %q", location, field, value, slices.DeleteFunc(slices.Clone(allowed), isEmpty))
 	}
 }
 
-func (f *faults) checkNotNegative(where subject, field string, valid bool) {
+func (f *faults) checkNotNegative(location subject, field string, valid bool) {
 	if !valid {
-		f.add("%s: %s is negative", where, field)
+		f.add("%s: %s is negative", location, field)
 	}
 }
 
-func (f *faults) checkUnique(where subject, field string, values []string) {
+func (f *faults) checkUnique(location subject, field string, values []string) {
 	seen := make(map[string]bool, len(values))
 	for _, value := range values {
 		if value == "" {
-			f.add("%s: %s has an empty entry", where, field)
+			f.add("%s: %s has an empty entry", location, field)
 		}
 		if seen[value] {
-			f.add("%s: %s names %q twice", where, field, value)
+			f.add("%s: %s names %q twice", location, field, value)
 		}
 		seen[value] = true
 	}
@@ -239,20 +238,20 @@
 
 func isEmpty(text string) bool { return text == "" }
 
-func checkNames[T any](found *faults, kind string, list []T, name func(*T) string) {
+func checkNames[T any](result *faults, kind string, list []T, name func(*T) string) {
 	if len(list) > maxListItems {
-		found.add("%d %ss exceed the limit of %d in a document", len(list), kind, maxListItems)
+		result.add("%d %ss exceed the limit of %d in a document", len(list), kind, maxListItems)
 	}
 	seen := make(map[string]bool, len(list))
 	for i := range list {
-		current := name(&list[i])
-		if !isName(current) {
-			found.add("%s %d: name %q is not 1 to %d visible characters", kind, i+1, current, maxNameBytes)
+		itemName := name(&list[i])
+		if !isName(itemName) {
+			result.add("%s %d: name %q is not 1 to %d visible characters", kind, i+1, itemName, maxNameBytes)
 		}
-		if seen[current] {
-			found.add("%s %q is declared twice", kind, current)
+		if seen[itemName] {
+			result.add("%s %q is declared twice", kind, itemName)
 		}
-		seen[current] = true
+		seen[itemName] = true
 	}
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -46,20 +46,19 @@
 	fieldTook        = "took"
 )
 
-// Messages of the lines that report how a request ended, and the prefix of all lines
-// about requests.
+// Messages of the lines that report how a request ended.
 const (
 	messageAnswered = "request: answered."
 	messageFailed   = "request: failed."
-	prefixRequest   = "request:"
+	prefixRequest   = "request:" // prefix of all messages about requests
 )
 
 // repeatSeparator separates the request identifier from the repeat number in the name
 // of a reservation that was requested again.
 const repeatSeparator = "/"
 
-// contextWindow is how long before the arrival of a request lines about its program,
-// engine and daemon are still included.
+// contextWindow is the time before the arrival of a request from which lines about its
+// program, engine and daemon are included.
 const contextWindow = 5 * time.Second
 
 // maxLineBytes is the maximum length of a log line.
@@ -114,7 +113,7 @@
 	Request string
 	Outcome Line   // the line that reports how the request ended
 	Way     []Line // all lines related to the request, sorted by time
-	Cause   string // why the request ended so; a sentence without the final period
+	Cause   string // how and why the request ended, without a final period
 }
 
 // NotFoundError is returned if no line reports how the request ended.
@@ -122,7 +121,7 @@
 
 // Error implements error.
 func (e *NotFoundError) Error() string {
-	return fmt.Sprintf("no log line reports how request %s ended; give the logs of all daemons from that time", e.Request)
+	return fmt.Sprintf("no log line reports how request %s ended; pass the logs of all daemons from the time of the request", e.Request)
 }
 
 // Of explains the request with the given identifier from log lines in any order. It
@@ -133,14 +132,14 @@
 		return nil, &NotFoundError{Request: request}
 	}
 	outcome := lines[found]
-	explained := &Explanation{Request: request, Outcome: outcome, Cause: outcomeCause(outcome)}
+	explanation := &Explanation{Request: request, Outcome: outcome, Cause: outcomeCause(outcome)}
 	for _, line := range lines {
 		if isRelated(line, outcome) {
-			explained.Way = append(explained.Way, line)
+			explanation.Way = append(explanation.Way, line)
 		}
 	}
-	slices.SortStableFunc(explained.Way, func(a, b Line) int { return a.At.Compare(b.At) })
-	return explained, nil
+	slices.SortStableFunc(explanation.Way, func(a, b Line) int { return a.At.Compare(b.At) })
+	return explanation, nil
 }
 
 func (l Line) isOutcome() bool { return l.Message == messageAnswered || l.Message == messageFailed }
@@ -152,12 +151,12 @@
 // a request; or if it describes the state of the request's own daemon.
 func isRelated(line, outcome Line) bool {
 	request, program, previous := outcome.stringField(fieldRequest), outcome.stringField(fieldProgram), outcome.stringField(fieldPrevious)
-	scoped := func(name string) string { return tenant.Scope(identity.Tenant(outcome.stringField(fieldTenant)), name) }
-	for _, named := range []string{line.stringField(fieldRequest), line.stringField(fieldReservation), line.stringField(fieldKey)} {
-		if named == request || named == scoped(request) || strings.HasPrefix(named, scoped(request)+repeatSeparator) {
+	scope := func(name string) string { return tenant.Scope(identity.Tenant(outcome.stringField(fieldTenant)), name) }
+	for _, name := range []string{line.stringField(fieldRequest), line.stringField(fieldReservation), line.stringField(fieldKey)} {
+		if name == request || name == scope(request) || strings.HasPrefix(name, scope(request)+repeatSeparator) {
 			return true
 		}
-		if named != "" && (named == previous || named == scoped(previous)) {
+		if name != "" && (name == previous || name == scope(previous)) {
 			return true
 		}
 	}
@@ -165,7 +164,7 @@
 	if line.At.Before(arrivedAt.Add(-contextWindow)) || line.At.After(outcome.At) {
 		return false
 	}
-	if program != "" && (line.stringField(fieldProgram) == program || line.stringField(fieldProgram) == scoped(program) || line.stringField(fieldKey) == scoped(program)) {
+	if program != "" && (line.stringField(fieldProgram) == program || line.stringField(fieldProgram) == scope(program) || line.stringField(fieldKey) == scope(program)) {
 		return true
 	}
 	if line.Machine != outcome.Machine || strings.HasPrefix(line.Message, prefixRequest) {
@@ -186,7 +185,8 @@
 	return false
 }
 
-// causeByReason explains each reason of a failed request, and whether the request ran.
+// causeByReason maps the reason in the log line of a failed request to an explanation.
+// Most explanations also say whether the request ran.
 var causeByReason = map[string]string{
 	"no-configuration":    "the daemon had just started and had not read a configuration yet; the request did not run",
 	"unknown-key":         "it had no key, more than one key, or a key that is not in the configuration in force; it did not run",
@@ -196,8 +196,8 @@
 	"no-route":            "the configuration in force had no route for its host and path",
 	"malformed":           "one of its headers could not be parsed",
 	"too-large":           "its body exceeded the limit of the configuration",
-	"unknown-turn":        "its previous turn does not exist, as a condition in the store proved",
-	"unsure-turn":         "its previous turn exists, but the content of that turn is uncertain: a read of the store was outdated, or the rows of the conversation are damaged (the line 'turn: its conversation is broken.' tells where); the request did not run",
+	"unknown-turn":        "its previous turn does not exist: the store confirmed that its row is absent",
+	"unsure-turn":         "its previous turn exists, but the content of that turn is uncertain: the store returned outdated rows, or the rows of the conversation are damaged (the line 'turn: its conversation is broken.' shows where); the request did not run",
 	"store-unavailable":   "the store did not answer while the request waited for its history or budget; it did not run",
 	"store-full":          "the store was full, so a write that the request needed was refused or not attempted; it did not run",
 	"cut-off":             "its daemon reached neither other zones nor the store, so it could not record turns; it did not run, and another zone can serve it",
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -47,20 +47,20 @@
 var _ = Describe("Of", func() {
 	It("finds rows and reservations whose names are scoped to the tenant", func() {
 		owned := tenant.Scope("north", "p1")
-		explained, err := explain.Of("r1", readLogs(`
+		explanation, err := explain.Of("r1", readLogs(`
 {"level":"warn","ts":"2026-01-01T10:00:01.5Z","msg":"store: call failed.","machine":"m2","table":"budgets","key":"`+owned+`","cause":"reset"}
 {"level":"warn","ts":"2026-01-01T10:00:01.6Z","msg":"store: call failed.","machine":"m2","table":"budgets","key":"p1","cause":"of another tenant"}
 {"level":"warn","ts":"2026-01-01T10:00:02Z","msg":"request: failed.","machine":"m1","request":"r1","status":429,"took":900,"tenant":"north","program":"p1","reason":"quota-exceeded"}`))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(explained.Way).To(HaveLen(2))
-		Expect(explained.Cause).To(ContainSubstring("quota"))
+		Expect(explanation.Way).To(HaveLen(2))
+		Expect(explanation.Cause).To(ContainSubstring("quota"))
 	})
 
 	It("merges the lines related to the request from all daemons, sorted by time", func() {
-		explained, err := explain.Of("r1", readLogs(firstDaemonLog, secondDaemonLog))
+		explanation, err := explain.Of("r1", readLogs(firstDaemonLog, secondDaemonLog))
 		Expect(err).NotTo(HaveOccurred())
 		var output bytes.Buffer
-		Expect(explained.Print(&output)).To(Succeed())
+		Expect(explanation.Print(&output)).To(Succeed())
 		Expect(output.String()).To(Equal(`  10:00:00.000 m2 request: answered. request=r0 status=200 program=p1 engine=e1
   10:00:01.000 m1 store: does not answer.
   10:00:01.500 m1 store: call failed. call=commit table=budgets key=p1 cause=reset
@@ -72,7 +72,7 @@
 
 	It("asks for more logs when no line reports how the request ended", func() {
 		_, err := explain.Of("r7", readLogs(firstDaemonLog))
-		Expect(err).To(MatchError(ContainSubstring("give the logs of all daemons")))
+		Expect(err).To(MatchError(ContainSubstring("pass the logs of all daemons")))
 	})
 
 	It("explains each reason of the gateway", func() {
@@ -91,9 +91,9 @@
 			}
 			count++
 			line := `{"ts":"2026-01-01T10:00:03Z","msg":"request: failed.","machine":"m","request":"r","reason":"` + reason + `"}`
-			explained, err := explain.Of("r", readLogs(line))
+			explanation, err := explain.Of("r", readLogs(line))
 			Expect(err).NotTo(HaveOccurred())
-			Expect(explained.Cause).NotTo(HavePrefix("unknown reason"), reason)
+			Expect(explanation.Cause).NotTo(HavePrefix("unknown reason"), reason)
 			return true
 		})
 		Expect(count).To(BeNumerically(">", 10))
--- a/internal/explain/program.go
+++ b/internal/explain/program.go
@@ -27,12 +27,12 @@
 	Took  time.Duration
 }
 
-// Causes on which a program spends its time, in the order in which they are reported.
+// Causes of the time that a program takes, in the order in which they are reported.
 const (
 	causeStore   = "waiting for history or budget"
-	causeEngine  = "from the engine's choice to its first byte"
-	causeStream  = "events of streams"
-	causeTools   = "calls of tools"
+	causeEngine  = "from choosing the engine to its first byte"
+	causeStream  = "streaming events"
+	causeTools   = "tool calls"
 	causeFailed  = "requests that failed"
 	causeBetween = "between requests (the program itself, the network, its retries)"
 )
@@ -42,7 +42,7 @@
 	Program  string
 	Began    time.Time
 	Took     time.Duration  // from the arrival of the first request to the end of the last one
-	Aim      time.Duration  // time that the first request had left until the program's deadline; 0: unknown
+	Aim      time.Duration  // time that the program had left at its first request; 0: no time limit
 	Turns    int            // number of turns answered
 	Tools    int            // number of tool calls answered
 	Failures map[string]int // number of failed requests by reason
@@ -56,7 +56,7 @@
 
 // Error implements error.
 func (e *NoProgramError) Error() string {
-	return fmt.Sprintf("no log line mentions a request or program %s; give the logs of all daemons from that time", e.Program)
+	return fmt.Sprintf("no log line reports how a request or program with the identifier %s ended; pass the logs of all daemons from its time", e.Program)
 }
 
 // OfProgram summarizes the times of a program by cause, from log lines in any order. It
@@ -69,27 +69,27 @@
 		return nil, &NoProgramError{Program: program}
 	}
 	slices.SortStableFunc(outcomes, func(a, b Line) int { return a.arrivedAt().Compare(b.arrivedAt()) })
-	explained := &ProgramExplanation{
+	explanation := &ProgramExplanation{
 		Program: program, Began: outcomes[0].arrivedAt(), Aim: outcomes[0].durationField(fieldProgramLeft), Failures: map[string]int{},
 	}
 	spent := map[string]time.Duration{}
 	for _, outcome := range outcomes {
-		explained.count(outcome)
+		explanation.count(outcome)
 		addTimes(spent, outcome)
 	}
 	end := slices.MaxFunc(outcomes, func(a, b Line) int { return a.At.Compare(b.At) }).At
-	explained.Took = end.Sub(explained.Began)
-	spent[causeBetween] = explained.Took - timeUnderWay(outcomes)
+	explanation.Took = end.Sub(explanation.Began)
+	spent[causeBetween] = explanation.Took - timeUnderWay(outcomes)
 	for _, cause := range []string{causeStore, causeEngine, causeStream, causeTools, causeFailed, causeBetween} {
-		explained.Shares = append(explained.Shares, Share{Cause: cause, Took: spent[cause]})
+		explanation.Shares = append(explanation.Shares, Share{Cause: cause, Took: spent[cause]})
 	}
-	return explained, nil
+	return explanation, nil
 }
 
 func (l Line) arrivedAt() time.Time { return l.At.Add(-l.durationField(fieldTook)) }
 
-// isTurn reports whether an outcome is that of a turn. Only turns, not tool calls, have
-// the field budget.
+// isTurn reports whether an answered request counts as a turn. Requests without the field
+// budget count as tool calls.
 func (l Line) isTurn() bool { return l.Fields[fieldBudget] != nil }
 
 func (p *ProgramExplanation) count(outcome Line) {
@@ -149,7 +149,7 @@
 // each cause, and the failures by reason.
 func (p *ProgramExplanation) Print(output io.Writer) error {
 	var text strings.Builder
-	fmt.Fprintf(&text, "Program %s: %d turns and %d calls of tools answered, %d requests failed, through %d daemons, at %d engines.\n",
+	fmt.Fprintf(&text, "Program %s: %d turns and %d tool calls answered, %d requests failed, by %d daemons on %d engines.\n",
 		p.Program, p.Turns, p.Tools, p.failureCount(), len(p.Daemons), len(p.Engines))
 	fmt.Fprintf(&text, "It took %d ms from %s; %s.\n", p.Took.Milliseconds(), p.Began.Format("15:04:05.000"), p.describeLateness())
 	for _, share := range p.Shares {
@@ -173,10 +173,10 @@
 func (p *ProgramExplanation) describeLateness() string {
 	switch {
 	case p.Aim == 0:
-		return "it had no deadline"
+		return "it had no time limit"
 	case p.Took > p.Aim:
-		return fmt.Sprintf("its deadline was %d ms, so it was late by %d ms", p.Aim.Milliseconds(), (p.Took - p.Aim).Milliseconds())
+		return fmt.Sprintf("its time limit was %d ms, so it was late by %d ms", p.Aim.Milliseconds(), (p.Took - p.Aim).Milliseconds())
 	default:
-		return fmt.Sprintf("its deadline was %d ms", p.Aim.Milliseconds())
+		return fmt.Sprintf("its time limit was %d ms", p.Aim.Milliseconds())
 	}
 }
--- a/internal/explain/program_test.go
+++ b/internal/explain/program_test.go
@@ -20,17 +20,17 @@
 
 var _ = Describe("OfProgram", func() {
 	It("adds up the time of a program by cause from the logs of several daemons", func() {
-		explained, err := explain.OfProgram("p1", readLogs(firstProgramLog, secondProgramLog))
+		explanation, err := explain.OfProgram("p1", readLogs(firstProgramLog, secondProgramLog))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(explained.Took).To(Equal(time.Second))
+		Expect(explanation.Took).To(Equal(time.Second))
 		var output bytes.Buffer
-		Expect(explained.Print(&output)).To(Succeed())
-		Expect(output.String()).To(Equal(`Program p1: 2 turns and 2 calls of tools answered, 1 requests failed, through 2 daemons, at 3 engines.
-It took 1000 ms from 10:00:00.000; its deadline was 900 ms, so it was late by 100 ms.
+		Expect(explanation.Print(&output)).To(Succeed())
+		Expect(output.String()).To(Equal(`Program p1: 2 turns and 2 tool calls answered, 1 requests failed, by 2 daemons on 3 engines.
+It took 1000 ms from 10:00:00.000; its time limit was 900 ms, so it was late by 100 ms.
       20 ms waiting for history or budget
-     130 ms from the engine's choice to its first byte
-     550 ms events of streams
-     110 ms calls of tools
+     130 ms from choosing the engine to its first byte
+     550 ms streaming events
+     110 ms tool calls
       10 ms requests that failed
      220 ms between requests (the program itself, the network, its retries)
 Failed 1 times: engines-full (every engine that it was offered to refused it as full; it did not run).
@@ -39,6 +39,6 @@
 
 	It("reports a program that is in no log", func() {
 		_, err := explain.OfProgram("p9", readLogs(firstProgramLog))
-		Expect(err).To(MatchError(ContainSubstring("no log line mentions a request or program p9")))
+		Expect(err).To(MatchError(ContainSubstring("no log line reports how a request or program with the identifier p9 ended")))
 	})
 })
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -79,17 +79,17 @@
 		digits := hash[strings.IndexByte(hash, ':')+1:]
 		decoded, err := hex.DecodeString(digits)
 		if err != nil || len(decoded) != sha256Bytes {
-			c.add(fmt.Sprintf("operator_key_hashes[%d]", i), "not NAME:HASH or HASH with a SHA-256 in 64 hexadecimal digits")
+			c.add(fmt.Sprintf("operator_key_hashes[%d]", i), "must be NAME:HASH or HASH, where HASH is a SHA-256 hash in 64 hexadecimal digits")
 		}
 	}
 }
 
 func (s *Settings) checkShards(c *checker) {
 	if s.Shards < 1 || s.Shards > maxShards {
-		c.add("shards", "%d is not between 1 and %d", s.Shards, maxShards)
+		c.add("shards", "%d must be between 1 and %d", s.Shards, maxShards)
 	}
 	if s.BootstrapExpect < 1 {
-		c.add("bootstrap_expect", "%d is less than 1", s.BootstrapExpect)
+		c.add("bootstrap_expect", "%d must be at least 1", s.BootstrapExpect)
 	}
 	c.checkPositive("confirm_bound", s.ConfirmBound)
 	c.checkPositive("drain_timeout", s.DrainTimeout)
@@ -108,7 +108,7 @@
 	}
 	for _, count := range counts {
 		if count.value < 1 {
-			c.add(count.key, "%d is less than 1", count.value)
+			c.add(count.key, "%d must be at least 1", count.value)
 		}
 	}
 	c.checkPositive("limits.header_timeout", s.Limits.HeaderTimeout)
@@ -118,7 +118,7 @@
 	c.checkPositive("limits.call_timeout", s.Limits.CallTimeout)
 	c.checkPositive("limits.longest_deadline", s.Limits.LongestDeadline)
 	if s.Limits.CallTimeout > s.Limits.LongestDeadline {
-		c.add("limits.call_timeout", "%s is more than limits.longest_deadline, which is %s", s.Limits.CallTimeout, s.Limits.LongestDeadline)
+		c.add("limits.call_timeout", "%s must be at most limits.longest_deadline, which is %s", s.Limits.CallTimeout, s.Limits.LongestDeadline)
 	}
 }
 
@@ -126,12 +126,12 @@
 	switch s.Log.Level {
 	case "debug", "info", "warn", "error":
 	default:
-		c.add("log.level", "%q is not debug, info, warn or error", s.Log.Level)
+		c.add("log.level", "%q must be debug, info, warn or error", s.Log.Level)
 	}
 	switch s.Log.Format {
 	case "json", "console":
 	default:
-		c.add("log.format", "%q is not json or console", s.Log.Format)
+		c.add("log.format", "%q must be json or console", s.Log.Format)
 	}
 }
 
@@ -141,24 +141,24 @@
 		return
 	}
 	if !namePattern.MatchString(value) {
-		c.add(key, "%q is not a name of lower-case letters, digits, dots and dashes", value)
+		c.add(key, "%q must be a name of lower-case letters, digits, dots and dashes", value)
 	}
 }
 
 func (c *checker) checkListenAddress(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.add(key, "%q is not IP:PORT", value)
+		c.add(key, "%q must be IP:PORT", value)
 	}
 }
 
 func (c *checker) checkReachableAddress(key, value string) {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil {
-		c.add(key, "%q is not IP:PORT", value)
+		c.add(key, "%q must be IP:PORT", value)
 		return
 	}
 	if address.Port() == 0 || address.Addr().IsUnspecified() {
-		c.add(key, "%q has an unspecified IP address or port 0", value)
+		c.add(key, "%q must have a specified IP address and a port other than 0", value)
 	}
 }
 
@@ -168,13 +168,13 @@
 	}
 	parsed, err := url.Parse(value)
 	if err != nil || (parsed.Scheme != "http" && parsed.Scheme != "https") || parsed.Host == "" {
-		c.add(key, "%q is not an http or https URL", value)
+		c.add(key, "%q must be an http or https URL", value)
 	}
 }
 
 func (c *checker) checkPositive(key string, value time.Duration) {
 	if value <= 0 {
-		c.add(key, "%s is not greater than zero", value)
+		c.add(key, "%s must be greater than zero", value)
 	}
 }
 
@@ -183,7 +183,7 @@
 		c.add(key, "certificate and key must be set together")
 	}
 	if files.Authority != "" && files.Certificate == "" {
-		c.add(key+".authority", "set without a certificate")
+		c.add(key+".authority", "must not be set without a certificate")
 	}
 	c.checkFile(key+".certificate", files.Certificate)
 	c.checkFile(key+".key", files.Key)
--- a/internal/settings/check_scheduling.go
+++ b/internal/settings/check_scheduling.go
@@ -25,7 +25,7 @@
 	c.checkAtLeastOne("retries.burst", int64(s.Retries.Burst))
 	minStaleAfter := s.Engines.RefreshInterval + minStaleSpreadIntervals*s.Engines.SpreadInterval
 	if scheduling.StaleAfter < minStaleAfter {
-		c.add("scheduling.stale_after", "%s is less than engines.refresh_interval plus %d times engines.spread_interval, which is %s", scheduling.StaleAfter, minStaleSpreadIntervals, minStaleAfter)
+		c.add("scheduling.stale_after", "%s must be at least engines.refresh_interval plus %d times engines.spread_interval, which is %s", scheduling.StaleAfter, minStaleSpreadIntervals, minStaleAfter)
 	}
 }
 
@@ -47,36 +47,36 @@
 	c.checkPositiveShare("engines.eject_error_rate", engines.EjectErrorRate)
 	c.checkNotNegative("engines.weight_bytes_per_second", engines.WeightBytesPerSecond)
 	if !(engines.EjectSlowFactor > 1) {
-		c.add("engines.eject_slow_factor", "%v is not greater than 1", engines.EjectSlowFactor)
+		c.add("engines.eject_slow_factor", "%v must be greater than 1", engines.EjectSlowFactor)
 	}
 	if !(engines.SpreadBytesPerSecond >= 1) {
-		c.add("engines.spread_bytes_per_second", "%v is less than 1", engines.SpreadBytesPerSecond)
+		c.add("engines.spread_bytes_per_second", "%v must be at least 1", engines.SpreadBytesPerSecond)
 	}
 	if engines.ReportTooOld < s.Scheduling.StaleAfter {
-		c.add("engines.report_too_old", "%s is less than scheduling.stale_after, which is %s", engines.ReportTooOld, s.Scheduling.StaleAfter)
+		c.add("engines.report_too_old", "%s must be at least scheduling.stale_after, which is %s", engines.ReportTooOld, s.Scheduling.StaleAfter)
 	}
 }
 
 func (c *checker) checkAtLeastOne(key string, value int64) {
 	if value < 1 {
-		c.add(key, "%d is less than 1", value)
+		c.add(key, "%d must be at least 1", value)
 	}
 }
 
 func (c *checker) checkNotNegative(key string, value float64) {
 	if !(value >= 0) || math.IsInf(value, 1) {
-		c.add(key, "%v is not a finite number of at least 0", value)
+		c.add(key, "%v must be a finite number of at least 0", value)
 	}
 }
 
 func (c *checker) checkShare(key string, value float64) {
 	if !(value >= 0 && value <= 1) {
-		c.add(key, "%v is not between 0 and 1", value)
+		c.add(key, "%v must be between 0 and 1", value)
 	}
 }
 
 func (c *checker) checkPositiveShare(key string, value float64) {
 	if !(value > 0 && value <= 1) {
-		c.add(key, "%v is not greater than 0 and at most 1", value)
+		c.add(key, "%v must be greater than 0 and at most 1", value)
 	}
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -17,8 +17,7 @@
 // Description is the program description in the output of --help.
 const Description = "thymeloftd is the thymeloft daemon; every machine runs the same program."
 
-// ErrVersion is the error that Load returns after it printed the version because of
-// the flag --version.
+// ErrVersion is returned by Load after printing the version for the flag --version.
 var ErrVersion = errors.New("version printed")
 
 type commandLine struct {
@@ -33,26 +32,26 @@
 // read. If the settings are invalid, it returns them with an error of type Faults.
 // With --version it prints the version to output and returns ErrVersion.
 func Load(arguments []string, version string, output io.Writer) (Settings, error) {
-	line := commandLine{}
-	given, err := parseFlags(&line, arguments, output)
+	cli := commandLine{}
+	flags, err := parseFlags(&cli, arguments, output)
 	if err != nil {
 		return Settings{}, err
 	}
-	if line.Version {
+	if cli.Version {
 		_, _ = fmt.Fprintln(output, version)
 		return Settings{}, ErrVersion
 	}
-	line.Settings = Default()
-	if line.File != "" {
-		line.Settings, err = loadFile(line.File)
+	cli.Settings = Default()
+	if cli.File != "" {
+		cli.Settings, err = loadFile(cli.File)
 		if err != nil {
 			return Settings{}, err
 		}
 	}
-	for _, flag := range given {
+	for _, flag := range flags {
 		flag.field.Set(flag.value)
 	}
-	return line.Settings, line.Check()
+	return cli.Settings, cli.Check()
 }
 
 // flagValue is a flag given on the command line: the settings field that it sets, and
@@ -62,9 +61,9 @@
 	value reflect.Value
 }
 
-// parseFlags parses the arguments into line and returns the flags that were given.
-func parseFlags(line *commandLine, arguments []string, output io.Writer) ([]flagValue, error) {
-	parser, err := kong.New(line,
+// parseFlags parses the arguments into cli. It returns the flags that the arguments contain.
+func parseFlags(cli *commandLine, arguments []string, output io.Writer) ([]flagValue, error) {
+	parser, err := kong.New(cli,
 		kong.Name("thymeloftd"),
 		kong.Description(Description),
 		kong.Writers(output, output),
@@ -72,20 +71,20 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "build the command line")
 	}
-	parsed, err := parser.Parse(arguments)
+	parseContext, err := parser.Parse(arguments)
 	if err != nil {
 		return nil, eris.Wrap(err, "read the flags")
 	}
-	var given []flagValue
-	for _, element := range parsed.Path {
+	var flags []flagValue
+	for _, element := range parseContext.Path {
 		if element.Flag == nil {
 			continue
 		}
 		value := reflect.New(element.Flag.Target.Type()).Elem()
 		value.Set(element.Flag.Target)
-		given = append(given, flagValue{field: element.Flag.Target, value: value})
+		flags = append(flags, flagValue{field: element.Flag.Target, value: value})
 	}
-	return given, nil
+	return flags, nil
 }
 
 func loadFile(name string) (Settings, error) {
@@ -93,12 +92,12 @@
 	if err != nil {
 		return Settings{}, eris.Wrap(err, "read the settings file")
 	}
-	loaded := Default()
+	result := Default()
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
-	if err := decoder.Decode(&loaded); err != nil && !errors.Is(err, io.EOF) {
+	if err := decoder.Decode(&result); err != nil && !errors.Is(err, io.EOF) {
 		return Settings{}, eris.Errorf("read the settings file %s: %s", name, yaml.FormatError(err, false, true))
 	}
-	return loaded, nil
+	return result, nil
 }
 
 // Faults is an error with one entry for each fault of the settings.
--- a/internal/settings/tls.go
+++ b/internal/settings/tls.go
@@ -33,9 +33,8 @@
 }
 
 // ClientConfig returns the TLS configuration for calls to other daemons, or nil without
-// an error if no certificate is set. If an authority is set, the other daemon's
-// certificate must be signed by it; otherwise by one of
-// the root authorities of the host.
+// an error if no certificate is set. The other daemon's certificate must be signed by
+// the authority if one is set, otherwise by one of the root authorities of the host.
 func (f TLSFiles) ClientConfig() (*tls.Config, error) {
 	server, err := f.ServerConfig()
 	if server == nil || err != nil {
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -66,9 +66,9 @@
 const maxQueuedLines = 1024
 
 func newQueue(output io.Writer, dropped prometheus.Counter) *queue {
-	created := &queue{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), dropped: dropped}
-	go created.run(output)
-	return created
+	q := &queue{lines: make(chan []byte, maxQueuedLines), done: make(chan struct{}), dropped: dropped}
+	go q.run(output)
+	return q
 }
 
 func (q *queue) run(output io.Writer) {
@@ -83,9 +83,9 @@
 
 // Write implements io.Writer. It never blocks and always returns success.
 func (q *queue) Write(line []byte) (int, error) {
-	copied := append([]byte(nil), line...)
+	data := append([]byte(nil), line...)
 	select {
-	case q.lines <- copied:
+	case q.lines <- data:
 	default:
 		q.dropped.Inc()
 	}
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -18,11 +18,11 @@
 	written bytes.Buffer
 }
 
-func (s *blockedOutput) Write(line []byte) (int, error) {
-	<-s.release
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.written.Write(line)
+func (b *blockedOutput) Write(line []byte) (int, error) {
+	<-b.release
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.written.Write(line)
 }
 
 // countDroppedLines returns the number of lines that the logger counted as dropped.
@@ -58,7 +58,8 @@
 	g.Expect(float64(written) + dropped).To(BeNumerically("<=", lines))
 }
 
-// TestBoundedKeepsFailures checks that the rate limit drops info lines and no warnings.
+// TestBoundedKeepsFailures checks that the rate limit drops info lines, which stand for
+// successes, but no warnings, which stand for failures.
 func TestBoundedKeepsFailures(t *testing.T) {
 	g := NewWithT(t)
 	var output bytes.Buffer
