--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -117,8 +117,8 @@
 	})
 }
 
-// BenchmarkDistribution measures the steps that bring a daemon up to date that is 100
-// revisions behind: computing the difference, applying it, and building all indexes.
+// BenchmarkDistribution measures the steps that update a daemon by 100 revisions:
+// computing the difference, applying it, and building all indexes.
 func BenchmarkDistribution(b *testing.B) {
 	const behind = 100
 	machine := loaded(b)
--- a/internal/configuration/differences.go
+++ b/internal/configuration/differences.go
@@ -11,7 +11,7 @@
 }
 
 // Add appends the difference. If the difference does not start at the revision
-// at which the last one ends, Add first discards all earlier differences.
+// at which the latest retained one ends, Add first discards all earlier differences.
 func (d *Differences) Add(difference Difference) {
 	if len(d.retained) > 0 && d.retained[len(d.retained)-1].To != difference.From {
 		*d = Differences{}
--- a/internal/explain/program.go
+++ b/internal/explain/program.go
@@ -27,7 +27,7 @@
 	Took  time.Duration
 }
 
-// Causes of the time that a program takes, in the order in which they are reported.
+// Categories of the time that a program takes, in the order in which they are reported.
 const (
 	causeStore   = "waiting for history or budget"
 	causeEngine  = "from choosing the engine to its first byte"
@@ -56,7 +56,7 @@
 
 // Error implements error.
 func (e *NoProgramError) Error() string {
-	return fmt.Sprintf("no log line reports how a request or program with the identifier %s ended; pass the logs of all daemons from its time", e.Program)
+	return fmt.Sprintf("no log line reports how a request with the identifier %s, or of a program with this identifier, ended; pass the logs of all daemons of its time", e.Program)
 }
 
 // OfProgram summarizes the times of a program by cause, from log lines in any order. It
--- a/internal/explain/program_test.go
+++ b/internal/explain/program_test.go
@@ -39,6 +39,6 @@
 
 	It("reports a program that is in no log", func() {
 		_, err := explain.OfProgram("p9", readLogs(firstProgramLog))
-		Expect(err).To(MatchError(ContainSubstring("no log line reports how a request or program with the identifier p9 ended")))
+		Expect(err).To(MatchError(ContainSubstring("no log line reports how a request with the identifier p9, or of a program with this identifier, ended")))
 	})
 })
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -158,7 +158,7 @@
 		return
 	}
 	if address.Port() == 0 || address.Addr().IsUnspecified() {
-		c.add(key, "%q must have a specified IP address and a port other than 0", value)
+		c.add(key, "%q must not have port 0 or the address 0.0.0.0 or ::", value)
 	}
 }
 
