--- a/internal/configuration/display_test.go
+++ b/internal/configuration/display_test.go
@@ -10,10 +10,11 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// changedAt returns a copy of the items whose first item differs in one field.
-func changedAt[T any](items []T, field int) []T {
-	changed := slices.Clone(items)
-	value := reflect.ValueOf(&changed[0]).Elem().Field(field)
+// withChangedField returns a copy of the items in which the field with the given index
+// of the first item has another value.
+func withChangedField[T any](items []T, field int) []T {
+	result := slices.Clone(items)
+	value := reflect.ValueOf(&result[0]).Elem().Field(field)
 	switch value.Kind() {
 	case reflect.String:
 		value.SetString(value.String() + "x")
@@ -26,58 +27,58 @@
 	case reflect.Slice:
 		value.Set(reflect.ValueOf([]string{"x"}))
 	default:
-		Fail("no way to change a " + value.Kind().String())
+		Fail("cannot change a field of kind " + value.Kind().String())
 	}
-	return changed
+	return result
 }
 
-// fieldsOf counts the fields of an item of the list.
-func fieldsOf[T any](items []T) int { return reflect.TypeOf(items[0]).NumField() }
+// countFields returns the number of struct fields of the item type.
+func countFields[T any](items []T) int { return reflect.TypeOf(items[0]).NumField() }
 
 var _ = Describe("Diff", func() {
-	It("sees a change of any field of any kind of item", func() {
+	It("reports a change of each field of each kind of item", func() {
 		base := validDocument()
-		check := func(field int, changed configuration.Document) {
+		check := func(field int, modified configuration.Document) {
 			GinkgoHelper()
-			changes := configuration.Diff(base, changed)
+			changes := configuration.Diff(base, modified)
 			Expect(changes).NotTo(BeEmpty(), "field %d", field)
 			if len(changes) == 1 {
 				Expect(changes[0].Fields).To(HaveLen(1), "field %d", field)
 				Expect(changes[0].Fields[0].Name).NotTo(BeEmpty())
 			}
 		}
-		for field := range fieldsOf(base.Tenants) {
-			changed := base
-			changed.Tenants = changedAt(base.Tenants, field)
-			check(field, changed)
+		for field := range countFields(base.Tenants) {
+			modified := base
+			modified.Tenants = withChangedField(base.Tenants, field)
+			check(field, modified)
 		}
-		for field := range fieldsOf(base.Models) {
-			changed := base
-			changed.Models = changedAt(base.Models, field)
-			check(field, changed)
+		for field := range countFields(base.Models) {
+			modified := base
+			modified.Models = withChangedField(base.Models, field)
+			check(field, modified)
 		}
-		for field := range fieldsOf(base.Pools) {
-			changed := base
-			changed.Pools = changedAt(base.Pools, field)
-			check(field, changed)
+		for field := range countFields(base.Pools) {
+			modified := base
+			modified.Pools = withChangedField(base.Pools, field)
+			check(field, modified)
 		}
-		for field := range fieldsOf(base.Engines) {
-			changed := base
-			changed.Engines = changedAt(base.Engines, field)
-			check(field, changed)
+		for field := range countFields(base.Engines) {
+			modified := base
+			modified.Engines = withChangedField(base.Engines, field)
+			check(field, modified)
 		}
-		for field := range fieldsOf(base.Services) {
-			changed := base
-			changed.Services = changedAt(base.Services, field)
-			check(field, changed)
+		for field := range countFields(base.Services) {
+			modified := base
+			modified.Services = withChangedField(base.Services, field)
+			check(field, modified)
 		}
 	})
 
-	It("lists additions and removals by kind and name", func() {
-		changed := validDocument()
-		changed.Drains = []string{"e1"}
-		changed.Services = nil
-		Expect(configuration.Diff(validDocument(), changed)).To(Equal([]configuration.ItemChange{
+	It("reports added and removed items by kind and name", func() {
+		modified := validDocument()
+		modified.Drains = []string{"e1"}
+		modified.Services = nil
+		Expect(configuration.Diff(validDocument(), modified)).To(Equal([]configuration.ItemChange{
 			{Kind: "service", Name: "factor-app", Action: configuration.ActionRemoved},
 			{Kind: "drain", Name: "e1", Action: configuration.ActionAdded},
 		}))
--- a/internal/configuration/fuzz_test.go
+++ b/internal/configuration/fuzz_test.go
@@ -6,8 +6,8 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// FuzzParseYAML feeds what operators may write. A valid document must come
-// back equal after it is formatted and read again.
+// FuzzParseYAML checks that a valid document that was parsed from arbitrary YAML
+// is unchanged after it is formatted and parsed again.
 func FuzzParseYAML(f *testing.F) {
 	written, err := configuration.FormatYAML(validDocument())
 	if err != nil {
@@ -27,18 +27,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := configuration.ParseYAML(text)
+		reparsed, err := configuration.ParseYAML(text)
 		if err != nil {
 			t.Fatalf("%v\n%s", err, text)
 		}
-		before, after := configuration.Normalize(&document), configuration.Normalize(&again)
+		before, after := configuration.Normalize(&document), configuration.Normalize(&reparsed)
 		if difference := configuration.Compare(&before, &after); difference.Items() > 0 {
-			t.Fatalf("%#v\n%#v\n%s", document, again, text)
+			t.Fatalf("%#v\n%#v\n%s", document, reparsed, text)
 		}
 	})
 }
 
-// FuzzApply feeds commands: a malformed one is rejected and changes nothing.
+// FuzzApply checks that an arbitrary command that is rejected changes nothing, and
+// that an accepted one leads to a valid document.
 func FuzzApply(f *testing.F) {
 	whole, err := configuration.EncodeChange(configuration.Change{Identifier: "a", Document: validDocument()})
 	if err != nil {
@@ -64,7 +65,7 @@
 			t.Fatal("an invalid document was accepted")
 		}
 		if err := configuration.NewMachine().Restore(command); err == nil && len(command) == 0 {
-			t.Fatal("restored from nothing")
+			t.Fatal("Restore accepted empty data")
 		}
 	})
 }
