--- a/internal/callerapi/response.go
+++ b/internal/callerapi/response.go
@@ -35,7 +35,7 @@
 	problem.KindCancelled:        http.StatusConflict,
 	problem.KindBackEndFailed:    http.StatusBadGateway,
 	problem.KindOutcomeUnknown:   http.StatusBadGateway,
-	problem.KindInvalidChange:    http.StatusBadRequest,
+	problem.KindInvalidConfiguration:    http.StatusBadRequest,
 	problem.KindInternal:         http.StatusInternalServerError,
 }
 
--- a/internal/commandline/advice.go
+++ b/internal/commandline/advice.go
@@ -27,7 +27,7 @@
 	problem.KindCancelled:        {ExitFailed, "The program ended while the call ran."},
 	problem.KindBackEndFailed:    {ExitFailed, "The back end failed; the next call may still succeed."},
 	problem.KindOutcomeUnknown:   {ExitUncertain, "The call may have run. Check its effect at the back end before you do it by other means."},
-	problem.KindInvalidChange:    {ExitInvalid, "Nothing was changed. Mend the faults and try again."},
+	problem.KindInvalidConfiguration:    {ExitInvalid, "Nothing was changed. Mend the faults and try again."},
 	problem.KindInternal:         {ExitFailed, "This is a fault of thymeloft: report it with the daemon's log."},
 }
 
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -29,10 +29,10 @@
 	EndingUnknown
 )
 
-// Order describes one attempt to send. The back end receives the identifier of
+// AttemptSpec describes one attempt to send. The back end receives the identifier of
 // the attempt, "program/sequence/attempt". Services and tools also receive that
 // of the call, "program/sequence".
-type Order struct {
+type AttemptSpec struct {
 	Program  identity.Program
 	Tenant   identity.Tenant
 	Call     program.CallSpec
@@ -41,7 +41,7 @@
 	History  []program.Message // for models: the prompt before this call's messages
 	BackEnd  string            // name of the back end, for reports
 	Address  string            // base URL, "http://ip:port"
-	Limit    int64             // reserved tokens, the maximum that may be generated
+	ReservedTokens    int64             // reserved tokens, the maximum that may be generated
 	Deadline time.Time         // zero: Options.MaxAttempt from now
 	Resume   bool              // a former leader sent the attempt, so it is looked up and not sent again
 }
@@ -50,9 +50,9 @@
 type Report struct {
 	Ending    Ending
 	Answer    *program.Answer  // nil unless EndingAnswered
-	Generated int64            // tokens known to have been generated; -1: unknown
+	GeneratedTokens int64            // tokens known to have been generated; -1: unknown
 	Problem   *problem.Problem // nil for EndingAnswered
-	Retry     time.Duration    // retry delay that the back end advises; zero: none
+	RetryAfter     time.Duration    // retry delay that the back end advises; zero: none
 }
 
 // Dispatcher sends attempts. *HTTP implements it.
@@ -60,5 +60,5 @@
 	// Send runs the attempt until it ends. onContent is called with each
 	// streamed part of the content, in order. Cancelling ctx also cancels the
 	// attempt at the back end, unless the cause is ErrLeadershipLost.
-	Send(ctx context.Context, order Order, onContent func(content string)) Report
+	Send(ctx context.Context, order AttemptSpec, onContent func(content string)) Report
 }
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -22,7 +22,7 @@
 func (a *attempt) reportAnswered(answer *program.Answer) Report {
 	answer.Engine = a.order.BackEnd
 	answer.Elapsed = time.Since(a.started)
-	return Report{Ending: EndingAnswered, Answer: answer, Generated: answer.CompletionTokens}
+	return Report{Ending: EndingAnswered, Answer: answer, GeneratedTokens: answer.CompletionTokens}
 }
 
 // reportNeverRan must be called only if the attempt certainly did not run:
@@ -31,23 +31,23 @@
 	return Report{
 		Ending:  EndingNeverRan,
 		Problem: failure.WithOutcome(problem.OutcomeNotRun).WithRetryAfter(retry),
-		Retry:   retry,
+		RetryAfter:   retry,
 	}
 }
 
 func (a *attempt) reportFailed(failure *problem.Problem, generated int64, retry time.Duration) Report {
 	return Report{
 		Ending:    EndingFailed,
-		Generated: generated,
+		GeneratedTokens: generated,
 		Problem:   failure.WithOutcome(problem.OutcomeFailed).WithRetryAfter(retry),
-		Retry:     retry,
+		RetryAfter:     retry,
 	}
 }
 
 func (a *attempt) reportUnknown(step string, cause error) Report {
 	return Report{
 		Ending:    EndingUnknown,
-		Generated: tokensUnknown,
+		GeneratedTokens: tokensUnknown,
 		Problem:   a.problem(problem.KindOutcomeUnknown, step, cause).WithOutcome(problem.OutcomeUnknown),
 	}
 }
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -74,7 +74,7 @@
 	problem.KindCancelled:        connect.CodeCanceled,
 	problem.KindBackEndFailed:    connect.CodeInternal,
 	problem.KindOutcomeUnknown:   connect.CodeUnknown,
-	problem.KindInvalidChange:    connect.CodeInvalidArgument,
+	problem.KindInvalidConfiguration:    connect.CodeInvalidArgument,
 	problem.KindInternal:         connect.CodeInternal,
 }
 
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -49,7 +49,7 @@
 	KindCancelled        Kind = "cancelled"             // 409; the program ended while the call ran
 	KindBackEndFailed    Kind = "back-end-failed"       // 502
 	KindOutcomeUnknown   Kind = "outcome-unknown"       // 502
-	KindInvalidChange    Kind = "invalid-configuration" // 400; operators only
+	KindInvalidConfiguration    Kind = "invalid-configuration" // 400; operators only
 	KindInternal         Kind = "internal"              // 500
 )
 
--- a/internal/state/callkind.go
+++ b/internal/state/callkind.go
@@ -17,7 +17,7 @@
 	Kind   CallKind
 	Table  string // first table that the call names
 	Status int    // status code of the store's answer; 0: there was no answer
-	Took   time.Duration
+	Duration   time.Duration
 }
 
 // Table returns the table of the commit's first put, else of its first condition, else of its
