--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -72,8 +72,8 @@
 type program struct {
 	name            string
 	route           string
-	countedParts    map[string]struct{} // names of the prompt sections that contextTokens includes
-	contextTokens   int64               // tokens of the program's own sections in all prompts so far
+	countedParts    map[string]struct{} // names of the prompt parts that contextTokens includes
+	contextTokens   int64               // tokens of the program's own parts in all prompts so far
 	expectedTokens  int64               // expected context, at least contextTokens
 	activeRequests  int                 // number of requests that have not ended
 	startedAt       time.Time
@@ -81,11 +81,11 @@
 	idleSince       time.Time     // end of the last request; valid only without an active request
 }
 
-// addPrompt adds the tokens of the prompt's sections to contextTokens, without the sections that
+// addPrompt adds the tokens of the prompt's parts to contextTokens, without the parts that
 // every engine keeps and those that are counted already.
 func (p *program) addPrompt(request *Request) {
 	for index, part := range request.Prompt {
-		if index < request.Everywhere {
+		if index < request.SharedPartCount {
 			continue
 		}
 		if _, counted := p.countedParts[part.Name]; counted {
@@ -151,7 +151,7 @@
 
 // Limits for remembering refused programs. maxRefusals is the maximum number of programs that are
 // remembered per service. refusalTTL is how long a refusal is used. It is longer than any wait that
-// ComeBack returns.
+// RetryAfter returns.
 const (
 	maxRefusals = 4096
 	refusalTTL  = 2 * maxRetryAfter
--- a/internal/backend/shared_tokens.go
+++ b/internal/backend/shared_tokens.go
@@ -1,8 +1,9 @@
 package backend
 
-// Tokens returns the total size of all shared parts known to this process, in tokens.
-func (s *Sharing) Tokens() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.sharedTokens
+// SharedTokens returns the total size of all shared parts known to this process, in
+// tokens.
+func (t *SharedPartTracker) SharedTokens() int {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.sharedTokens
 }
--- a/internal/backend/sharing.go
+++ b/internal/backend/sharing.go
@@ -6,11 +6,11 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Sharing records which prompt parts several programs have in common, as far as this process
-// sees them. Programs on any engine use such parts, so that all engines soon have them cached.
-// Reading a shared part once more is cheaper than sending all programs that use it to one
-// engine. The result is an estimate. Sharing is safe for concurrent use.
-type Sharing struct {
+// SharedPartTracker records which prompt parts several programs have in common, as far as this
+// process sees them. Programs on any engine use such parts, so that all engines soon have them
+// cached. Reading a shared part once more is cheaper than sending all programs that use it to
+// one engine. The result is an estimate. SharedPartTracker is safe for concurrent use.
+type SharedPartTracker struct {
 	mutex        sync.Mutex
 	parts        *simplelru.LRU[string, seenPart]
 	sharedTokens int // size of all shared parts in tokens
@@ -32,57 +32,57 @@
 	sharedMemoryDivisor = 2
 )
 
-// NewSharing returns an empty Sharing.
-func NewSharing() *Sharing {
-	sharing := &Sharing{}
-	parts, err := simplelru.NewLRU(maxTrackedParts, sharing.onEvicted)
+// NewSharedPartTracker returns an empty SharedPartTracker.
+func NewSharedPartTracker() *SharedPartTracker {
+	tracker := &SharedPartTracker{}
+	parts, err := simplelru.NewLRU(maxTrackedParts, tracker.onEvicted)
 	if err != nil {
 		panic(err) // only for a size below one
 	}
-	sharing.parts = parts
-	return sharing
+	tracker.parts = parts
+	return tracker
 }
 
-// Note records that a program used these parts. It returns how many of the leading parts count
-// as cached at every engine with a memory of memoryTokens: the shared ones, or none if the
-// shared parts known to this process take too much of that memory. If program is empty, it
+// Record records that a program used these parts. It returns how many of the leading parts
+// count as cached at every engine with a memory of memoryTokens: the shared ones, or none if
+// the shared parts known to this process take too much of that memory. If program is empty, it
 // records nothing and returns 0.
-func (s *Sharing) Note(program string, parts []PromptPart, memoryTokens int) int {
+func (t *SharedPartTracker) Record(program string, parts []PromptPart, memoryTokens int) int {
 	if program == "" {
 		return 0
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	sharedPrefix := 0
 	for index, part := range parts {
-		if s.recordPart(program, part) && index == sharedPrefix {
+		if t.recordPart(program, part) && index == sharedPrefix {
 			sharedPrefix++
 		}
 	}
-	if s.sharedTokens > memoryTokens/sharedMemoryDivisor {
+	if t.sharedTokens > memoryTokens/sharedMemoryDivisor {
 		return 0
 	}
 	return sharedPrefix
 }
 
 // recordPart records one use of a part and reports whether at least two programs have used it.
-func (s *Sharing) recordPart(program string, part PromptPart) bool {
-	known, found := s.parts.Get(part.Name)
+func (t *SharedPartTracker) recordPart(program string, part PromptPart) bool {
+	known, found := t.parts.Get(part.Name)
 	if !found {
 		known.tokens = part.Tokens
 	}
 	if found && !known.shared && known.lastProgram != program {
 		known.shared = true
-		s.sharedTokens += known.tokens
+		t.sharedTokens += known.tokens
 	}
 	known.lastProgram = program
-	s.parts.Add(part.Name, known)
+	t.parts.Add(part.Name, known)
 	return known.shared
 }
 
 // onEvicted subtracts the tokens of an evicted part.
-func (s *Sharing) onEvicted(_ string, part seenPart) {
+func (t *SharedPartTracker) onEvicted(_ string, part seenPart) {
 	if part.shared {
-		s.sharedTokens -= part.tokens
+		t.sharedTokens -= part.tokens
 	}
 }
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -9,13 +9,13 @@
 	"github.com/hashicorp/golang-lru/v2/expirable"
 )
 
-// Service is the RPC service under which daemons call a holder.
-const Service = "Budget"
+// ServiceName is the RPC service under which daemons call a holder.
+const ServiceName = "Budget"
 
 // RPC methods.
 const (
-	methodReserve = Service + ".Reserve"
-	methodSettle  = Service + ".Settle"
+	methodReserve = ServiceName + ".Reserve"
+	methodSettle  = ServiceName + ".Settle"
 )
 
 // ReserveRequest asks a holder to reserve tokens for a turn.
@@ -61,11 +61,11 @@
 type SettleRequest struct {
 	Reservation string
 	Generated   int64
-	Ran         Ran
+	Ran         TurnLocation
 }
 
-// Ran is where a turn ran and was recorded.
-type Ran struct {
+// TurnLocation is where a turn ran and was recorded.
+type TurnLocation struct {
 	Program string
 	Engine  string // empty if the turn did not run
 	Part    string // last part of the prompt
@@ -114,10 +114,10 @@
 		reply.Result = resultStopping
 		return nil
 	}
-	reply.Engine, reply.Read = h.ledger.trails.findEngine(request.Program, request.Parts)
-	reply.KeptAt = h.ledger.trails.recordedAt(request.Program, request.Previous)
+	reply.Engine, reply.Read = h.ledger.turnLocations.findEngine(request.Program, request.Parts)
+	reply.KeptAt = h.ledger.turnLocations.recorderAddress(request.Program, request.Previous)
 	if reservation, known := h.reservations.Get(request.Reservation); known {
-		reply.Result, reply.Attained = resultReserved, reservation.Attained()
+		reply.Result, reply.Attained = resultReserved, reservation.GeneratedTokens()
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), holderTimeout)
@@ -126,7 +126,7 @@
 	var spent *SpentError
 	switch {
 	case err == nil && h.addReservation(request.Reservation, reservation):
-		reply.Result, reply.Attained = resultReserved, reservation.Attained()
+		reply.Result, reply.Attained = resultReserved, reservation.GeneratedTokens()
 	case err == nil:
 		reply.Result, reply.Detail = resultNoStore, "the reservation was settled before it was made"
 	case errors.As(err, &spent):
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// addReservation keeps a reservation until it is settled, but for at most reservationTTL. If it has
-// already been settled, addReservation ends it and returns false.
+// addReservation keeps a reservation until it is settled, but for at most reservationTTL. If it
+// has already been settled, addReservation ends it and returns false.
 func (h *Holder) addReservation(name string, reservation *Reservation) bool {
 	h.mutex.Lock()
 	generated, settled := h.earlySettlements.Get(name)
@@ -156,7 +156,7 @@
 
 // Settle is the RPC that ends a reservation. It may be called more than once for a reservation.
 func (h *Holder) Settle(request SettleRequest, _ *SettleReply) error {
-	h.ledger.trails.recordTurn(request.Ran)
+	h.ledger.turnLocations.recordTurn(request.Ran)
 	if reservation := h.removeReservation(request); reservation != nil {
 		reservation.Settle(request.Generated)
 	}
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -120,7 +120,7 @@
 // ReleaseReply returns the number of tokens released.
 type ReleaseReply struct{ Tokens int64 }
 
-const methodRelease = Service + ".Release"
+const methodRelease = ServiceName + ".Release"
 
 // Release is the RPC that releases a program's tokens to the store.
 func (h *Holder) Release(request ReleaseRequest, reply *ReleaseReply) error {
@@ -133,13 +133,13 @@
 
 // Reclaim asks the likely holders in all zones and regions to release a program's tokens, and waits
 // for their replies until the context ends.
-func (s *Shared) Reclaim(ctx context.Context, program string) {
+func (c *Client) Reclaim(ctx context.Context, program string) {
 	var mutex sync.Mutex
 	total := int64(0)
 	var group errgroup.Group
-	for _, holder := range s.list.LikelyHomes(program) {
+	for _, holder := range c.list.LikelyHomes(program) {
 		group.Go(func() error {
-			tokens, err := s.askRelease(ctx, holder, program)
+			tokens, err := c.askRelease(ctx, holder, program)
 			mutex.Lock()
 			defer mutex.Unlock()
 			total += tokens
@@ -147,14 +147,14 @@
 		})
 	}
 	_ = group.Wait() // a holder that doesn't reply keeps its tokens
-	s.log.Info("budget: reclaimed from others.", zap.String("program", program), zap.Int64("tokens", total))
+	c.log.Info("budget: reclaimed from others.", zap.String("program", program), zap.Int64("tokens", total))
 }
 
-func (s *Shared) askRelease(ctx context.Context, holder members.Member, program string) (int64, error) {
+func (c *Client) askRelease(ctx context.Context, holder members.Member, program string) (int64, error) {
 	var reply ReleaseReply
-	err := s.caller.Call(ctx, holder.Process.Address, peer.Control, methodRelease, ReleaseRequest{Program: program}, &reply)
+	err := c.caller.Call(ctx, holder.Process.Address, peer.Control, methodRelease, ReleaseRequest{Program: program}, &reply)
 	if errors.Is(err, peer.ErrNotSent) {
-		s.list.Suspect(holder, suspectDuration)
+		c.list.Suspect(holder, suspectDuration)
 	}
 	return reply.Tokens, err
 }
--- a/internal/budget/settling.go
+++ b/internal/budget/settling.go
@@ -18,60 +18,60 @@
 	engine    string
 	partsRead int
 	ranAt     string
-	// keptAt is the address of the daemon that recorded the previous turn. recordedTurn is the
-	// identifier of this turn if this daemon recorded it.
-	keptAt       string
-	selfAddress  string // this daemon's address
-	recordedTurn string
+	// recorderAddress is the address of the daemon that recorded the previous turn.
+	// recordedTurn is the identifier of this turn if this daemon recorded it.
+	recorderAddress string
+	selfAddress     string // this daemon's address
+	recordedTurn    string
 }
 
-// ReadAt implements Settler.
-func (p *turnPlacement) ReadAt() (engine string, parts int) { return p.engine, p.partsRead }
+// CachedPrefix implements Settler.
+func (p *turnPlacement) CachedPrefix() (engine string, parts int) { return p.engine, p.partsRead }
 
-// KeptAt implements Settler.
-func (p *turnPlacement) KeptAt() string { return p.keptAt }
+// RecorderAddress implements Settler.
+func (p *turnPlacement) RecorderAddress() string { return p.recorderAddress }
 
-// Recorded implements Settler.
-func (p *turnPlacement) Recorded(turn string) { p.recordedTurn = turn }
+// SetRecordedTurn implements Settler.
+func (p *turnPlacement) SetRecordedTurn(turn string) { p.recordedTurn = turn }
 
-// RanAt implements Settler.
-func (p *turnPlacement) RanAt(engine string) { p.ranAt = engine }
+// SetEngine implements Settler.
+func (p *turnPlacement) SetEngine(engine string) { p.ranAt = engine }
 
 // outcome returns what the holder is told about the turn.
-func (p *turnPlacement) outcome() Ran {
-	ran := Ran{Program: p.request.Program, Engine: p.ranAt}
+func (p *turnPlacement) outcome() TurnLocation {
+	location := TurnLocation{Program: p.request.Program, Engine: p.ranAt}
 	if count := len(p.request.Parts); count > 0 {
-		ran.Part = p.request.Parts[count-1]
+		location.Part = p.request.Parts[count-1]
 	}
 	if p.recordedTurn != "" {
-		ran.Turn, ran.Daemon = p.recordedTurn, p.selfAddress
+		location.Turn, location.Daemon = p.recordedTurn, p.selfAddress
 	}
-	return ran
+	return location
 }
 
 // localSettler settles a reservation of this daemon's own ledger.
 type localSettler struct {
 	*Reservation
 	turnPlacement
-	trails *Trails
+	turnLocations *TurnLocations
 }
 
 // Settle implements Settler.
 func (l *localSettler) Settle(generated int64) {
-	l.trails.recordTurn(l.outcome())
+	l.turnLocations.recordTurn(l.outcome())
 	l.Reservation.Settle(generated)
 }
 
 // remoteSettler settles a reservation at another daemon.
 type remoteSettler struct {
 	turnPlacement
-	shared    *Shared
+	client    *Client
 	holder    members.Member
 	generated int64
 }
 
-// Attained implements Settler.
-func (r *remoteSettler) Attained() int64 { return r.generated }
+// GeneratedTokens implements Settler.
+func (r *remoteSettler) GeneratedTokens() int64 { return r.generated }
 
 // Settle implements Settler. It does not wait for the holder: it sends the settlement in the
 // background, and logs a warning if all attempts fail. If the connection to the holder is shut
@@ -86,7 +86,7 @@
 			}
 			time.Sleep(time.Duration(try+1) * settleBackoff)
 		}
-		r.shared.log.Warn("budget: settlement lost; the tokens stay reserved.", zap.String("holder", string(r.holder.Process.Machine)),
+		r.client.log.Warn("budget: settlement lost; the tokens stay reserved.", zap.String("holder", string(r.holder.Process.Machine)),
 			zap.String("reservation", request.Reservation), zap.Int64("generated", generated), zap.Int("tries", maxSettleAttempts), zap.String("cause", err.Error()))
 	}()
 }
@@ -94,5 +94,5 @@
 func (r *remoteSettler) settleOnce(request SettleRequest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	return r.shared.caller.Call(ctx, r.holder.Process.Address, peer.Control, methodSettle, request, &SettleReply{})
+	return r.client.caller.Call(ctx, r.holder.Process.Address, peer.Control, methodSettle, request, &SettleReply{})
 }
--- a/internal/budget/shared_test.go
+++ b/internal/budget/shared_test.go
@@ -18,7 +18,7 @@
 
 // testDaemon is a daemon with a ledger, and a holder that other daemons can call.
 type testDaemon struct {
-	shared     *Shared
+	client     *Client
 	ledger     *Ledger
 	list       *members.List
 	server     *peer.Server
@@ -45,8 +45,8 @@
 		client := state.NewClient(state.ClientOptions{Store: store, Availability: availability})
 		daemon := &testDaemon{ledger: NewLedger(client, 64, time.Hour), server: server}
 		daemon.list = members.NewList(self, time.Now, zap.NewNop())
-		daemon.shared = NewShared(daemon.ledger, daemon.list, pool, availability, zap.NewNop())
-		Expect(server.Register(Service, NewHolder(daemon.ledger, func() bool { return daemon.isStopping }))).To(Succeed())
+		daemon.client = NewClient(daemon.ledger, daemon.list, pool, availability, zap.NewNop())
+		Expect(server.Register(ServiceName, NewHolder(daemon.ledger, func() bool { return daemon.isStopping }))).To(Succeed())
 		daemons = append(daemons, daemon)
 		lists = append(lists, daemon.list)
 	}
@@ -94,7 +94,7 @@
 	BeforeEach(func() { store = memorystore.New() })
 
 	reserve := func(ctx context.Context, daemon *testDaemon, name string, total, most int64) (Settler, error) {
-		return daemon.shared.Reserve(ctx, ReserveRequest{Reservation: name, Program: "p", Total: total, Most: most})
+		return daemon.client.Reserve(ctx, ReserveRequest{Reservation: name, Program: "p", Total: total, Most: most})
 	}
 
 	It("spends one grant at all daemons of a region", func(ctx SpecContext) {
@@ -152,8 +152,8 @@
 	It("asks again under another name, so that a late settlement doesn't end a reservation in use", func(ctx SpecContext) {
 		all := newTestDaemons(store, "a", "a", "a")
 		holder, others := findHolder(all, "p")
-		caller := &busyOnceCaller{Caller: others[0].shared.caller}
-		others[0].shared.caller = caller
+		caller := &busyOnceCaller{Caller: others[0].client.caller}
+		others[0].client.caller = caller
 		_, err := reserve(ctx, others[0], "r", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(caller.names).To(Equal([]string{"r", "r/1"}))
--- a/internal/budget/trail.go
+++ b/internal/budget/trail.go
@@ -8,20 +8,20 @@
 	"github.com/hashicorp/golang-lru/v2/expirable"
 )
 
-// Trails records at which engine each program's turns ran, by the last part of the turn's prompt,
-// and which daemon recorded each turn. The holder of a program's budget learns of all the program's
-// turns, whichever daemon they came to. It can therefore tell the next daemon which engine has read
-// most of a prompt, and which daemon has the previous turn in memory. Both are hints. Trails is
-// safe for concurrent use.
-type Trails struct {
+// TurnLocations records at which engine each program's turns ran, by the last part of the turn's
+// prompt, and which daemon recorded each turn. The holder of a program's budget learns of all the
+// program's turns, whichever daemon they came to. It can therefore tell the next daemon which
+// engine has read most of a prompt, and which daemon has the previous turn in memory. Both are
+// hints. TurnLocations is safe for concurrent use.
+type TurnLocations struct {
 	mutex    sync.Mutex
-	programs *expirable.LRU[string, *programTrail]
+	programs *expirable.LRU[string, *programLocations]
 }
 
 // maxPartsPerProgram is the number of parts kept for each program; beyond it the oldest is dropped.
 const maxPartsPerProgram = 64
 
-type programTrail struct {
+type programLocations struct {
 	engines map[string]string // by part of a prompt
 	parts   []string          // keys of engines, oldest first
 	// recordedTurns are the last maxTurnsPerProgram recorded turns, oldest first.
@@ -35,65 +35,65 @@
 // of its last few turns, even if it runs several conversations at once.
 const maxTurnsPerProgram = 16
 
-// newTrails returns Trails that keep up to maxPrograms programs. A program is dropped when its
-// trail is older than ttl.
-func newTrails(maxPrograms int, ttl time.Duration) *Trails {
-	return &Trails{programs: expirable.NewLRU[string, *programTrail](maxPrograms, nil, ttl)}
+// newTurnLocations returns TurnLocations that keep up to maxPrograms programs. A program is dropped
+// when its entry is older than ttl.
+func newTurnLocations(maxPrograms int, ttl time.Duration) *TurnLocations {
+	return &TurnLocations{programs: expirable.NewLRU[string, *programLocations](maxPrograms, nil, ttl)}
 }
 
 // recordEngine records that an engine has read a prompt up to and including the part. It does
 // nothing if the part or the engine is empty.
-func (t *Trails) recordEngine(program, part, engine string) {
+func (t *TurnLocations) recordEngine(program, part, engine string) {
 	if part == "" || engine == "" {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	trail := t.trailOf(program)
-	if _, exists := trail.engines[part]; !exists {
-		trail.parts = append(trail.parts, part)
+	locations := t.locationsOf(program)
+	if _, exists := locations.engines[part]; !exists {
+		locations.parts = append(locations.parts, part)
 	}
-	trail.engines[part] = engine
-	if len(trail.parts) > maxPartsPerProgram {
-		delete(trail.engines, trail.parts[0])
-		trail.parts = trail.parts[1:]
+	locations.engines[part] = engine
+	if len(locations.parts) > maxPartsPerProgram {
+		delete(locations.engines, locations.parts[0])
+		locations.parts = locations.parts[1:]
 	}
 }
 
-// trailOf returns the trail of a program, and creates it if there is none. The caller holds the
-// mutex.
-func (t *Trails) trailOf(program string) *programTrail {
-	trail, found := t.programs.Get(program)
+// locationsOf returns the locations of a program's turns, and adds an entry if there is none. The
+// caller holds the mutex.
+func (t *TurnLocations) locationsOf(program string) *programLocations {
+	locations, found := t.programs.Get(program)
 	if !found {
-		trail = &programTrail{engines: map[string]string{}}
-		t.programs.Add(program, trail)
+		locations = &programLocations{engines: map[string]string{}}
+		t.programs.Add(program, locations)
 	}
-	return trail
+	return locations
 }
 
 // recordTurn stores at which engine a settled turn ran, and which daemon recorded the turn, if one
 // did.
-func (t *Trails) recordTurn(ran Ran) {
-	t.recordEngine(ran.Program, ran.Part, ran.Engine)
-	if ran.Turn == "" || ran.Daemon == "" {
+func (t *TurnLocations) recordTurn(location TurnLocation) {
+	t.recordEngine(location.Program, location.Part, location.Engine)
+	if location.Turn == "" || location.Daemon == "" {
 		return
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	trail := t.trailOf(ran.Program)
-	trail.recordedTurns = append(trail.recordedTurns, recordedTurn{turn: ran.Turn, daemon: ran.Daemon})
-	trail.recordedTurns = trail.recordedTurns[max(0, len(trail.recordedTurns)-maxTurnsPerProgram):]
+	locations := t.locationsOf(location.Program)
+	locations.recordedTurns = append(locations.recordedTurns, recordedTurn{turn: location.Turn, daemon: location.Daemon})
+	locations.recordedTurns = locations.recordedTurns[max(0, len(locations.recordedTurns)-maxTurnsPerProgram):]
 }
 
-// recordedAt returns the address of the daemon that recorded a turn, or "" if not known.
-func (t *Trails) recordedAt(program, turn string) string {
+// recorderAddress returns the address of the daemon that recorded a turn, or "" if not known.
+func (t *TurnLocations) recorderAddress(program, turn string) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	trail, found := t.programs.Get(program)
+	locations, found := t.programs.Get(program)
 	if !found || turn == "" {
 		return ""
 	}
-	for _, each := range slices.Backward(trail.recordedTurns) {
+	for _, each := range slices.Backward(locations.recordedTurns) {
 		if each.turn == turn {
 			return each.daemon
 		}
@@ -103,15 +103,15 @@
 
 // findEngine returns the engine that has read the longest prefix of a prompt, and the number of
 // parts in that prefix; "" and 0 if none is known.
-func (t *Trails) findEngine(program string, parts []string) (engine string, partsRead int) {
+func (t *TurnLocations) findEngine(program string, parts []string) (engine string, partsRead int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	trail, found := t.programs.Get(program)
+	locations, found := t.programs.Get(program)
 	if !found {
 		return "", 0
 	}
 	for index := len(parts) - 1; index >= 0; index-- {
-		if engine, exists := trail.engines[parts[index]]; exists {
+		if engine, exists := locations.engines[parts[index]]; exists {
 			return engine, index + 1
 		}
 	}
--- a/internal/configuration/stored/change.go
+++ b/internal/configuration/stored/change.go
@@ -25,15 +25,15 @@
 func (s *Service) Change(parent context.Context, change configuration.Change) (configuration.ChangeResult, error) {
 	ctx, cancel := withDeadline(parent)
 	defer cancel()
-	schedule := pause.Growing(readPause, time.Second)
+	schedule := pause.NewBackoff(readPause, time.Second)
 	uncertain := false
 	for {
 		result, err := s.tryChange(ctx, change)
 		if err == nil {
 			return result, nil
 		}
-		uncertain = uncertain || errors.Is(err, state.ErrUnknown)
-		if !pause.For(ctx, schedule.NextBackOff()) {
+		uncertain = uncertain || errors.Is(err, state.ErrUnknownOutcome)
+		if !pause.Sleep(ctx, schedule.NextBackOff()) {
 			return configuration.ChangeResult{}, undecided(err, uncertain)
 		}
 	}
--- a/internal/configuration/stored/rows.go
+++ b/internal/configuration/stored/rows.go
@@ -41,9 +41,9 @@
 // read gives a machine with the store's state, and the head that it hangs on.
 func (s *Service) read(ctx context.Context) (*configuration.Machine, state.Row, error) {
 	var page state.Page
-	err := s.options.Store.Repeat(ctx, func() error {
+	err := s.options.Store.Retry(ctx, func() error {
 		var err error
-		page, err = s.options.Store.Read(ctx, state.Single(headKey))
+		page, err = s.options.Store.Read(ctx, state.KeyRange(headKey))
 		return err
 	})
 	if err != nil {
@@ -72,7 +72,7 @@
 	from, found := told.Name, 0
 	for {
 		var page state.Page
-		err := s.options.Store.Repeat(ctx, func() error {
+		err := s.options.Store.Retry(ctx, func() error {
 			var err error
 			page, err = s.options.Store.Read(ctx, state.Range{Table: tableContent, From: from, To: told.Name + "~"})
 			return err
@@ -134,8 +134,8 @@
 			count++
 		}
 		if _, err := s.options.Store.Commit(ctx, state.Commit{Puts: puts[:count]}); err != nil {
-			if errors.Is(err, state.ErrUnknown) {
-				return eris.Wrap(state.ErrNotDone, "write the configuration: its rows are not named yet")
+			if errors.Is(err, state.ErrUnknownOutcome) {
+				return eris.Wrap(state.ErrNotExecuted, "write the configuration: its rows are not named yet")
 			}
 			return eris.Wrap(err, "write the configuration")
 		}
--- a/internal/configuration/stored/stored.go
+++ b/internal/configuration/stored/stored.go
@@ -74,8 +74,8 @@
 // Run follows the configuration until the context ends.
 func (s *Service) Run(ctx context.Context) error {
 	watch.Run(ctx, watch.Options{
-		Store: s.options.Store, Table: tableHead, Wait: s.options.ConfirmBound / confirmationsPerBound, Log: s.log,
-		OnHeard: func() { s.heard.Store(time.Now().UnixNano()) },
+		Store: s.options.Store, Table: tableHead, MaxWait: s.options.ConfirmBound / confirmationsPerBound, Log: s.log,
+		OnAnswer: func() { s.heard.Store(time.Now().UnixNano()) },
 	}, follower{s, ctx})
 	return nil
 }
@@ -87,10 +87,10 @@
 }
 
 // Replace implements watch.Follower.
-func (f follower) Replace(rows []state.Row, _ state.Version) { f.Change(rows) }
+func (f follower) Replace(rows []state.Row, _ state.Version) { f.Apply(rows) }
 
-// Change implements watch.Follower.
-func (f follower) Change(rows []state.Row) {
+// Apply implements watch.Follower.
+func (f follower) Apply(rows []state.Row) {
 	for _, row := range rows {
 		var told head
 		if row.Key != headKey || row.Removed || cbor.Unmarshal(row.Value, &told) != nil {
@@ -103,7 +103,7 @@
 
 // fetch reads the present content until it is in force here.
 func (s *Service) fetch(ctx context.Context) {
-	schedule := pause.Growing(readPause, time.Second)
+	schedule := pause.NewBackoff(readPause, time.Second)
 	for ctx.Err() == nil {
 		found, _, err := s.read(ctx)
 		if err == nil {
@@ -114,7 +114,7 @@
 		} else {
 			s.log.Warn("configuration: cannot be read.", zap.String("cause", err.Error()))
 		}
-		pause.For(ctx, schedule.NextBackOff())
+		pause.Sleep(ctx, schedule.NextBackOff())
 	}
 }
 
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -55,7 +55,7 @@
 
 func (c *completion) run(ctx context.Context) Report {
 	end := streamEnd{step: "resume stream", err: errors.New("the attempt of a former leader has not been found yet")}
-	if !c.order.Resume {
+	if !c.spec.Resume {
 		if c.tokenLimit() <= 0 {
 			return c.reportNeverRan(c.problem(problem.KindBudgetExhausted, "check limit", errors.New("no tokens reserved")), 0)
 		}
@@ -67,15 +67,15 @@
 
 // tokenLimit returns the smaller of the caller's limit and the reserved tokens.
 func (c *completion) tokenLimit() int64 {
-	if c.order.Call.MaxTokens > 0 {
-		return min(c.order.Call.MaxTokens, c.order.Limit)
+	if c.spec.Call.MaxTokens > 0 {
+		return min(c.spec.Call.MaxTokens, c.spec.ReservedTokens)
 	}
-	return c.order.Limit
+	return c.spec.ReservedTokens
 }
 
-// follow resumes the stream while it is broken. It stops when MaxTries tries in
-// a row have made no progress or ctx has ended, and returns how the last stream
-// ended.
+// follow resumes the stream while it is broken. It stops when MaxLookupTries
+// tries in a row have made no progress or ctx has ended, and returns how the
+// last stream ended.
 func (c *completion) follow(ctx context.Context, end streamEnd) streamEnd {
 	backoff := c.http.newBackoff()
 	tries := 0
@@ -84,10 +84,10 @@
 			tries = 0
 			backoff.Reset()
 		}
-		if tries == c.http.options.MaxTries {
+		if tries == c.http.options.MaxLookupTries {
 			return end
 		}
-		if tries > 0 && !pause.For(ctx, backoff.NextBackOff()) {
+		if tries > 0 && !pause.Sleep(ctx, backoff.NextBackOff()) {
 			return end
 		}
 		tries++
@@ -99,8 +99,8 @@
 
 // start posts the request once and reads the stream.
 func (c *completion) start(ctx context.Context) streamEnd {
-	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.IdleStream)
-	response, sent, err := postOnce(ctx, c.postClient(), c.order.Address+enginev1.PathCompletions, c.request())
+	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.StreamIdleTimeout)
+	response, sent, err := postOnce(ctx, c.postClient(), c.spec.Address+enginev1.PathCompletions, c.request())
 	if err != nil {
 		stop()
 		if !sent {
@@ -116,21 +116,21 @@
 }
 
 func (c *completion) request() *enginev1.CompletionRequest {
-	messages := make([]enginev1.Message, 0, len(c.order.History)+len(c.order.Call.Messages))
-	for _, message := range c.order.History {
+	messages := make([]enginev1.Message, 0, len(c.spec.History)+len(c.spec.Call.Messages))
+	for _, message := range c.spec.History {
 		messages = append(messages, enginev1.Message(message))
 	}
-	for _, message := range c.order.Call.Messages {
+	for _, message := range c.spec.Call.Messages {
 		messages = append(messages, enginev1.Message(message))
 	}
 	return &enginev1.CompletionRequest{
 		RequestID:  c.requestID(),
-		Program:    string(c.order.Program),
-		Model:      c.order.Call.Name,
-		Adapter:    c.order.Call.Adapter,
+		Program:    string(c.spec.Program),
+		Model:      c.spec.Call.Name,
+		Adapter:    c.spec.Call.Adapter,
 		Messages:   messages,
 		MaxTokens:  c.tokenLimit(),
-		Priority:   priorityOf(c.order.Class),
+		Priority:   priorityOf(c.spec.Class),
 		DeadlineMS: c.deadlineMS(),
 		Stream:     true,
 	}
@@ -169,7 +169,7 @@
 
 // resume requests the rest of the stream after the content received so far.
 func (c *completion) resume(ctx context.Context) streamEnd {
-	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.IdleStream)
+	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.StreamIdleTimeout)
 	response, err := doRequest(ctx, c.http.dataClient, http.MethodGet, c.resumeAddress())
 	if err != nil {
 		stop()
--- a/internal/dispatch/completion_test.go
+++ b/internal/dispatch/completion_test.go
@@ -18,7 +18,7 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// expectedAnswer returns the content of the answer to modelOrder.
+// expectedAnswer returns the content of the answer to modelSpec.
 func expectedAnswer() string {
 	content, _ := modelengine.Answer("model", "", []enginev1.Message{{Role: "user", Content: "before"}, {Role: "user", Content: "now tokens=60"}}, 50)
 	return content
@@ -45,7 +45,7 @@
 	})
 
 	It("streams the whole answer and passes the smaller token limit to the engine", func() {
-		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
+		report := dispatcher.Send(context.Background(), modelSpec(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(report.Answer.Content).To(Equal(expectedAnswer()))
 		Expect(report.Answer.CompletionTokens).To(BeEquivalentTo(50))
@@ -61,19 +61,19 @@
 			{Point: standin.PointStream, Action: standin.ActionLose, AfterChunks: 2, Times: 4},
 			{Point: standin.PointAfter, Action: standin.ActionLose, Times: 1},
 		})
-		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
+		report := dispatcher.Send(context.Background(), modelSpec(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(pieces.String()).To(Equal(expectedAnswer()))
 		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
 	It("follows an attempt of a former leader without posting it", func() {
-		order := modelOrder(backEnd.address)
-		order.Resume = true
-		Expect(dispatcher.Send(context.Background(), order, onContent).Ending).To(Equal(dispatch.EndingUnknown))
+		spec := modelSpec(backEnd.address)
+		spec.Resume = true
+		Expect(dispatcher.Send(context.Background(), spec, onContent).Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(backEnd.posts.Load()).To(BeZero())
-		Expect(dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent).Ending).To(Equal(dispatch.EndingAnswered))
-		Expect(dispatcher.Send(context.Background(), order, onContent).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(dispatcher.Send(context.Background(), modelSpec(backEnd.address), onContent).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(dispatcher.Send(context.Background(), spec, onContent).Ending).To(Equal(dispatch.EndingAnswered))
 		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
@@ -82,7 +82,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
-		report := dispatcher.Send(context.Background(), modelOrder("http://"+address), onContent)
+		report := dispatcher.Send(context.Background(), modelSpec("http://"+address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingNeverRan))
 		Expect(report.Problem.Error()).To(ContainSubstring("dial engine with engine-1"))
 
@@ -94,19 +94,19 @@
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			return true
 		}
-		report = dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
+		report = dispatcher.Send(context.Background(), modelSpec(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingNeverRan))
-		Expect(report.Retry).To(Equal(2 * time.Second))
+		Expect(report.RetryAfter).To(Equal(2 * time.Second))
 
 		clear(header)
-		report = dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
+		report = dispatcher.Send(context.Background(), modelSpec(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
-		Expect(report.Generated).To(BeEquivalentTo(-1))
+		Expect(report.GeneratedTokens).To(BeEquivalentTo(-1))
 	})
 
 	It("does not report never-ran for an interrupted post that the engine does not know", func() {
 		engine.Faults.Add(standin.Rule{Point: standin.PointBefore, Action: standin.ActionLose, Times: 1})
-		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
+		report := dispatcher.Send(context.Background(), modelSpec(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(report.Problem.Outcome).To(Equal(problem.OutcomeUnknown))
 		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
@@ -117,7 +117,7 @@
 			_, _ = io.WriteString(writer, `data: {"id":"another/1/1","choices":[{"delta":{"content":"x"},"finish_reason":"stop"}],"usage":{}}`+"\n\n")
 			return true
 		}
-		report := dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
+		report := dispatcher.Send(context.Background(), modelSpec(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(pieces.Len()).To(BeZero())
 	})
@@ -125,18 +125,18 @@
 	It("cancels at the engine when the caller cancels, and reports the generated tokens", func() {
 		serveEngine(1)
 		ctx, cancel := context.WithCancel(context.Background())
-		report := dispatcher.Send(ctx, modelOrder(backEnd.address), func(string) { cancel() })
+		report := dispatcher.Send(ctx, modelSpec(backEnd.address), func(string) { cancel() })
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
 		Expect(report.Problem.Kind).To(Equal(problem.KindCancelled))
 		record := engine.Records().Requests[0]
 		Expect(record.State).To(Equal("cancelled"))
-		Expect(report.Generated).To(Equal(record.Generated))
+		Expect(report.GeneratedTokens).To(Equal(record.Generated))
 	})
 
 	It("leaves the request running when leadership is lost", func() {
 		serveEngine(1)
 		ctx, cancel := context.WithCancelCause(context.Background())
-		report := dispatcher.Send(ctx, modelOrder(backEnd.address), func(string) { cancel(dispatch.ErrLeadershipLost) })
+		report := dispatcher.Send(ctx, modelSpec(backEnd.address), func(string) { cancel(dispatch.ErrLeadershipLost) })
 		Expect(report.Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(engine.Records().Requests[0].State).To(Equal("running"))
 	})
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -31,10 +31,10 @@
 
 // execute runs an attempt at a service or tool.
 func (a *attempt) execute(ctx context.Context) Report {
-	if a.order.Resume {
+	if a.spec.Resume {
 		return a.lookUp(ctx, "look up execution", errors.New("the attempt of a former leader has not been found yet"))
 	}
-	response, sent, err := postOnce(ctx, a.postClient(), a.order.Address+enginev1.PathExecute, a.executeRequest())
+	response, sent, err := postOnce(ctx, a.postClient(), a.spec.Address+enginev1.PathExecute, a.executeRequest())
 	if err != nil {
 		if sent {
 			return a.lookUp(ctx, "post execution", err)
@@ -65,9 +65,9 @@
 	return &enginev1.ExecuteRequest{
 		CallID:     a.callID(),
 		AttemptID:  a.requestID(),
-		Program:    string(a.order.Program),
-		Operation:  a.order.Call.Operation,
-		Payload:    a.order.Call.Payload,
+		Program:    string(a.spec.Program),
+		Operation:  a.spec.Call.Operation,
+		Payload:    a.spec.Call.Payload,
 		DeadlineMS: a.deadlineMS(),
 	}
 }
@@ -95,12 +95,12 @@
 	return a.reportFailed(failure, 0, retry)
 }
 
-// lookUp polls the record of the call until it is final, MaxTries requests in a
-// row have failed, or ctx ends. For an order with Resume, it also stops when
-// there is no record. It never sends the call.
+// lookUp polls the record of the call until it is final, MaxLookupTries requests
+// in a row have failed, or ctx ends. For an attempt with Resume, it also stops
+// when there is no record. It never sends the call.
 func (a *attempt) lookUp(ctx context.Context, step string, cause error) Report {
 	backoff := a.http.newBackoff()
-	for failures := 0; ctx.Err() == nil && failures < a.http.options.MaxTries; {
+	for failures := 0; ctx.Err() == nil && failures < a.http.options.MaxLookupTries; {
 		a.http.metrics.lookups.Inc()
 		reply, err := a.requestExecution(ctx, http.MethodGet)
 		switch {
@@ -114,10 +114,10 @@
 			cause = err
 			failures++
 		}
-		if errors.Is(err, errNoRecord) && a.order.Resume {
+		if errors.Is(err, errNoRecord) && a.spec.Resume {
 			break
 		}
-		if !pause.For(ctx, backoff.NextBackOff()) {
+		if !pause.Sleep(ctx, backoff.NextBackOff()) {
 			break
 		}
 	}
@@ -136,7 +136,7 @@
 	if cause == nil {
 		cause = context.Cause(ctx)
 	}
-	if ctx.Err() == nil && !a.order.Call.NotRepeatable {
+	if ctx.Err() == nil && !a.spec.Call.NotRepeatable {
 		return a.reportUnknown(step, cause)
 	}
 	cleanup, cancel := a.cleanup(ctx)
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -71,7 +71,7 @@
 		func(e expectation) {
 			service.Faults.Add(standin.Rule{Point: e.point, Action: e.action, Match: string(testProgram) + "/5/2"})
 			backEnd.intercept = e.intercept
-			report := dispatcher.Send(context.Background(), serviceOrder(backEnd.address, e.notRepeatable), ignore)
+			report := dispatcher.Send(context.Background(), serviceSpec(backEnd.address, e.notRepeatable), ignore)
 			Expect(report.Ending).To(Equal(e.ending))
 			_, executed, cancelled := attempts()
 			Expect(executed).To(Equal(e.executed))
@@ -101,10 +101,10 @@
 	)
 
 	It("cancels a hung execution at the deadline", func() {
-		order := serviceOrder(backEnd.address, true)
-		order.Call.Operation = "hang"
-		order.Deadline = time.Now().Add(50 * time.Millisecond)
-		report := dispatcher.Send(context.Background(), order, ignore)
+		spec := serviceSpec(backEnd.address, true)
+		spec.Call.Operation = "hang"
+		spec.Deadline = time.Now().Add(50 * time.Millisecond)
+		report := dispatcher.Send(context.Background(), spec, ignore)
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
 		Expect(report.Problem.Kind).To(Equal(problem.KindDeadlineExceeded))
 		_, _, cancelled := attempts()
@@ -112,14 +112,14 @@
 	})
 
 	It("does not send an attempt of a former leader again", func() {
-		order := serviceOrder(backEnd.address, false)
-		order.Resume = true
-		Expect(dispatcher.Send(context.Background(), order, ignore).Ending).To(Equal(dispatch.EndingUnknown))
+		spec := serviceSpec(backEnd.address, false)
+		spec.Resume = true
+		Expect(dispatcher.Send(context.Background(), spec, ignore).Ending).To(Equal(dispatch.EndingUnknown))
 		arrived, _, cancelled := attempts()
 		Expect(arrived).To(BeZero())
 		Expect(cancelled).To(BeFalse())
-		Expect(dispatcher.Send(context.Background(), serviceOrder(backEnd.address, false), ignore).Ending).To(Equal(dispatch.EndingAnswered))
-		Expect(dispatcher.Send(context.Background(), order, ignore).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(dispatcher.Send(context.Background(), serviceSpec(backEnd.address, false), ignore).Ending).To(Equal(dispatch.EndingAnswered))
+		Expect(dispatcher.Send(context.Background(), spec, ignore).Ending).To(Equal(dispatch.EndingAnswered))
 		arrived, _, _ = attempts()
 		Expect(arrived).To(Equal(1))
 	})
@@ -133,8 +133,8 @@
 			}
 			http.NotFound(writer, request)
 		}))
-		Expect(dispatcher.Send(context.Background(), serviceOrder(unreliable.address, false), ignore).Ending).To(Equal(dispatch.EndingFailed))
-		Expect(dispatcher.Send(context.Background(), serviceOrder(unreliable.address, false), ignore).Ending).To(Equal(dispatch.EndingUnknown))
+		Expect(dispatcher.Send(context.Background(), serviceSpec(unreliable.address, false), ignore).Ending).To(Equal(dispatch.EndingFailed))
+		Expect(dispatcher.Send(context.Background(), serviceSpec(unreliable.address, false), ignore).Ending).To(Equal(dispatch.EndingUnknown))
 		Expect(received.Load()).To(BeEquivalentTo(2))
 	})
 })
@@ -160,11 +160,11 @@
 			_ = connection.Close()
 			arrived <- count
 		}()
-		dispatcher := dispatch.NewHTTP(dispatch.Options{MaxTries: 1, RetryInitial: time.Millisecond, CleanupTimeout: 100 * time.Millisecond})
+		dispatcher := dispatch.NewHTTP(dispatch.Options{MaxLookupTries: 1, InitialRetryDelay: time.Millisecond, CleanupTimeout: 100 * time.Millisecond})
 		defer dispatcher.Close()
-		order := serviceOrder("http://"+listener.Addr().String(), rapid.Bool().Draw(t, "not repeatable"))
-		order.Deadline = time.Now().Add(50 * time.Millisecond) // Ends the attempt if the back end waits for more bytes than are sent.
-		report := dispatcher.Send(context.Background(), order, func(string) {})
+		spec := serviceSpec("http://"+listener.Addr().String(), rapid.Bool().Draw(t, "not repeatable"))
+		spec.Deadline = time.Now().Add(50 * time.Millisecond) // Ends the attempt if the back end waits for more bytes than are sent.
+		report := dispatcher.Send(context.Background(), spec, func(string) {})
 		_ = listener.Close() // Unblocks Accept if nothing has dialled.
 		if <-arrived > 0 && report.Ending != dispatch.EndingUnknown {
 			t.Fatalf("ended as %s after bytes had arrived: %v", report.Ending, report.Problem)
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -39,7 +39,7 @@
 
 func newFastDispatcher() *dispatch.HTTP {
 	return dispatch.NewHTTP(dispatch.Options{
-		MaxTries: 3, RetryInitial: time.Millisecond, RetryMaximum: 3 * time.Millisecond, CleanupTimeout: 500 * time.Millisecond,
+		MaxLookupTries: 3, InitialRetryDelay: time.Millisecond, MaxRetryDelay: 3 * time.Millisecond, CleanupTimeout: 500 * time.Millisecond,
 	})
 }
 
@@ -53,12 +53,12 @@
 		defer server.Close()
 		dispatcher := newFastDispatcher()
 		defer dispatcher.Close()
-		order := modelOrder(server.URL)
-		order.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{15, 2000}).Draw(t, "deadline")) * time.Millisecond)
+		spec := modelSpec(server.URL)
+		spec.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{15, 2000}).Draw(t, "deadline")) * time.Millisecond)
 		engine.Faults.Set(drawFaults(t))
 
 		var pieces strings.Builder
-		report := dispatcher.Send(context.Background(), order, func(piece string) { pieces.WriteString(piece) })
+		report := dispatcher.Send(context.Background(), spec, func(piece string) { pieces.WriteString(piece) })
 
 		want := expectedAnswer()
 		if !strings.HasPrefix(want, pieces.String()) {
@@ -72,9 +72,9 @@
 			}
 		case report.Ending == dispatch.EndingNeverRan && len(records) > 0:
 			t.Fatalf("reported as never ran, but the engine recorded %+v", records[0])
-		case report.Ending == dispatch.EndingFailed && report.Generated >= 0 && len(records) > 0:
-			if records[0].Generated != report.Generated || records[0].State == "running" || records[0].State == "waiting" {
-				t.Fatalf("reported as failed after %d tokens, but the engine recorded %+v", report.Generated, records[0])
+		case report.Ending == dispatch.EndingFailed && report.GeneratedTokens >= 0 && len(records) > 0:
+			if records[0].Generated != report.GeneratedTokens || records[0].State == "running" || records[0].State == "waiting" {
+				t.Fatalf("reported as failed after %d tokens, but the engine recorded %+v", report.GeneratedTokens, records[0])
 			}
 		}
 	})
@@ -89,11 +89,11 @@
 		defer server.Close()
 		dispatcher := newFastDispatcher()
 		defer dispatcher.Close()
-		order := serviceOrder(server.URL, rapid.Bool().Draw(t, "not repeatable"))
-		order.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{8, 2000}).Draw(t, "deadline")) * time.Millisecond)
+		spec := serviceSpec(server.URL, rapid.Bool().Draw(t, "not repeatable"))
+		spec.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{8, 2000}).Draw(t, "deadline")) * time.Millisecond)
 		service.Faults.Set(drawFaults(t))
 
-		report := dispatcher.Send(context.Background(), order, func(string) {})
+		report := dispatcher.Send(context.Background(), spec, func(string) {})
 		executions := 0
 		for _, record := range service.Records().Executions {
 			executions += record.Executions
--- a/internal/dispatch/http.go
+++ b/internal/dispatch/http.go
@@ -21,7 +21,7 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// errDeadline is the cause of a context that ended at the order's deadline.
+// errDeadline is the cause of a context that ended at the attempt's deadline.
 var errDeadline = errors.New("deadline of the attempt exceeded")
 
 // HTTP sends attempts with the protocol of api/engine/v1. Each Send posts its
@@ -58,20 +58,20 @@
 }
 
 // Send implements Dispatcher. Times in the Answer count from the start of Send.
-func (h *HTTP) Send(ctx context.Context, order Order, onContent func(content string)) Report {
+func (h *HTTP) Send(ctx context.Context, spec AttemptSpec, onContent func(content string)) Report {
 	started := time.Now()
-	deadline := order.Deadline
+	deadline := spec.Deadline
 	if deadline.IsZero() {
-		deadline = started.Add(h.options.MaxAttempt)
+		deadline = started.Add(h.options.AttemptTimeout)
 	}
 	ctx, cancel := context.WithDeadlineCause(ctx, deadline, errDeadline)
 	defer cancel()
 
 	h.metrics.inFlight.Inc()
 	defer h.metrics.inFlight.Dec()
-	attempt := &attempt{http: h, order: &order, started: started, deadline: deadline, onContent: onContent}
+	attempt := &attempt{http: h, spec: &spec, started: started, deadline: deadline, onContent: onContent}
 	report := attempt.run(ctx)
-	h.metrics.observe(order.Call.Target, report.Ending, time.Since(started))
+	h.metrics.observe(spec.Call.Target, report.Ending, time.Since(started))
 	if report.Problem != nil {
 		h.logger.Debug("dispatch: attempt ended without an answer.",
 			zap.String("attempt", attempt.requestID()), zap.String("peer", attempt.peer()), zap.Error(report.Problem))
@@ -79,37 +79,37 @@
 	return report
 }
 
-// attempt is an order that is being sent.
+// attempt is the state of an attempt while it is being sent.
 type attempt struct {
 	http      *HTTP
-	order     *Order
+	spec      *AttemptSpec
 	started   time.Time
 	deadline  time.Time
 	onContent func(string)
 }
 
 func (a *attempt) run(ctx context.Context) Report {
-	if ctx.Err() != nil && !a.order.Resume {
+	if ctx.Err() != nil && !a.spec.Resume {
 		return a.reportNeverRan(a.contextProblem(ctx, "before sending"), 0)
 	}
-	if a.order.Call.Target == program.TargetModel {
+	if a.spec.Call.Target == program.TargetModel {
 		return newCompletion(a).run(ctx)
 	}
 	return a.execute(ctx)
 }
 
 func (a *attempt) callID() string {
-	return string(a.order.Program) + "/" + strconv.FormatUint(a.order.Call.Sequence, 10)
+	return string(a.spec.Program) + "/" + strconv.FormatUint(a.spec.Call.Sequence, 10)
 }
 
 func (a *attempt) requestID() string {
-	return a.callID() + "/" + strconv.FormatUint(uint64(a.order.Number), 10)
+	return a.callID() + "/" + strconv.FormatUint(uint64(a.spec.Number), 10)
 }
 
-func (a *attempt) peer() string { return a.order.BackEnd + " (" + a.order.Address + ")" }
+func (a *attempt) peer() string { return a.spec.BackEnd + " (" + a.spec.Address + ")" }
 
 func (a *attempt) address(path, identifier string) string {
-	return a.order.Address + path + url.PathEscape(identifier)
+	return a.spec.Address + path + url.PathEscape(identifier)
 }
 
 // deadlineMS returns the milliseconds left until the deadline, at least 1.
@@ -117,10 +117,10 @@
 	return max(1, time.Until(a.deadline).Milliseconds())
 }
 
-// postClient returns the client that posts the order. It uses a new connection
+// postClient returns the client that posts the attempt. It uses a new connection
 // for a call that must not be repeated.
 func (a *attempt) postClient() *http.Client {
-	if a.order.Call.NotRepeatable {
+	if a.spec.Call.NotRepeatable {
 		return a.http.singleUseClient
 	}
 	return a.http.dataClient
@@ -128,7 +128,7 @@
 
 // newBackoff returns the jittered delays between lookups.
 func (h *HTTP) newBackoff() *backoff.ExponentialBackOff {
-	return pause.Growing(h.options.RetryInitial, h.options.RetryMaximum)
+	return pause.NewBackoff(h.options.InitialRetryDelay, h.options.MaxRetryDelay)
 }
 
 // postOnce sends body as JSON. net/http cannot repeat the request, because its
--- a/internal/engine/benchmark_test.go
+++ b/internal/engine/benchmark_test.go
@@ -33,7 +33,7 @@
 		b.Fatal(err)
 	}
 	service.table.Store(service.buildTable(&document))
-	service.wanted.Store(newWantedPools(source.Current(), 1))
+	service.poolSpecs.Store(newPoolSpecs(source.Current(), 1))
 	for _, tracked := range service.table.Load().engines {
 		digest := sampleDigest(tracked.declared.Name, 1)
 		tracked.accept(digest, staticChecksum(&digest), time.Now())
@@ -169,7 +169,7 @@
 	service := newBenchmarkService(b, 680)
 	for hash := range uint64(maxPrefixes) {
 		for number := range maxHoldersPerPrefix {
-			service.Served(fmt.Sprintf("engine-%04d", (int(hash)*7+number)%680), []PrefixRun{{Hash: hash, Tokens: 4000}})
+			service.RecordPrefixes(fmt.Sprintf("engine-%04d", (int(hash)*7+number)%680), []PromptPrefix{{Hash: hash, Tokens: 4000}})
 		}
 	}
 	b.ReportAllocs()
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -76,7 +76,7 @@
 	results    results
 	stale      bool
 	medianTime time.Duration // median of the mean request times in the engine's peer group; zero: too few peers
-	mayEject   bool          // ejecting one more engine stays within EjectShare
+	mayEject   bool          // ejecting one more engine stays within MaxEjectedShare
 	jitter     float64       // random number from 0 to 1
 	settings   *Settings
 }
@@ -174,11 +174,11 @@
 	}
 }
 
-// eject ejects the engine for EjectFor, doubled for each consecutive ejection up to
-// EjectAtMost, plus jitter. It also discards the samples and the mean request time.
+// eject ejects the engine for BaseEjectionTime, doubled for each consecutive ejection up to
+// MaxEjectionTime, plus jitter. It also discards the samples and the mean request time.
 func (h *health) eject(a assessment) {
-	wait := a.settings.EjectFor << min(h.ejections, maxDoublings)
-	wait = min(wait, a.settings.EjectAtMost)
+	wait := a.settings.BaseEjectionTime << min(h.ejections, maxDoublings)
+	wait = min(wait, a.settings.MaxEjectionTime)
 	wait += time.Duration(a.jitter * ejectionJitter * float64(wait))
 	h.ejections++
 	h.probeAt = a.now.Add(wait)
--- a/internal/engine/machines.go
+++ b/internal/engine/machines.go
@@ -25,130 +25,130 @@
 // use the same one.
 const machineListKey = "machine list"
 
-// Departures lists the leaving machines that one reader found in the machine list. It is sent
-// to the other daemons of the region.
-type Departures struct {
+// LeavingMachines lists the leaving machines that one reader found in the machine list. It is
+// sent to the other daemons of the region.
+type LeavingMachines struct {
 	Reader   identity.Machine
 	Sequence uint64   // reader's wall clock in Unix nanoseconds when it published the list; the highest is the latest
 	Names    []string // names and "host:port" addresses of leaving machines, sorted
 }
 
-// departureSet combines the lists of all readers. It is safe for concurrent use.
-type departureSet struct {
+// leavingMachineSet combines the lists of all readers. It is safe for concurrent use.
+type leavingMachineSet struct {
 	mutex        sync.Mutex
-	byReader     map[identity.Machine]Departures
+	byReader     map[identity.Machine]LeavingMachines
 	readers      []identity.Machine
 	leavingNames atomic.Pointer[map[string]bool]
 }
 
-func newDepartureSet() *departureSet {
-	d := &departureSet{byReader: map[identity.Machine]Departures{}}
-	d.leavingNames.Store(&map[string]bool{})
-	return d
+func newLeavingMachineSet() *leavingMachineSet {
+	s := &leavingMachineSet{byReader: map[identity.Machine]LeavingMachines{}}
+	s.leavingNames.Store(&map[string]bool{})
+	return s
 }
 
 // setReaders selects the readers of the machine list among the region's daemons.
-func (d *departureSet) setReaders(daemons []identity.Process) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.readers = d.readers[:0]
+func (s *leavingMachineSet) setReaders(daemons []identity.Process) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.readers = s.readers[:0]
 	for _, reader := range rendezvous(machineListKey, daemons, machineListReaders) {
-		d.readers = append(d.readers, reader.Machine)
+		s.readers = append(s.readers, reader.Machine)
 	}
 }
 
 // isReader returns true if the daemon on the machine has to read the machine list.
-func (d *departureSet) isReader(machine identity.Machine) bool {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return slices.Contains(d.readers, machine)
+func (s *leavingMachineSet) isReader(machine identity.Machine) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return slices.Contains(s.readers, machine)
 }
 
 // If the reader's list is newer than the known one, merge stores it and returns true. A machine
 // is leaving if any reader lists it. Lists of former readers are dropped once a current reader
 // has reported.
-func (d *departureSet) merge(update Departures) bool {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if known, listed := d.byReader[update.Reader]; listed && known.Sequence >= update.Sequence {
+func (s *leavingMachineSet) merge(update LeavingMachines) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if known, listed := s.byReader[update.Reader]; listed && known.Sequence >= update.Sequence {
 		return false
 	}
-	d.byReader[update.Reader] = update
-	currentReaderReported := slices.ContainsFunc(d.readers, func(reader identity.Machine) bool { _, listed := d.byReader[reader]; return listed })
+	s.byReader[update.Reader] = update
+	currentReaderReported := slices.ContainsFunc(s.readers, func(reader identity.Machine) bool { _, listed := s.byReader[reader]; return listed })
 	leavingNames := map[string]bool{}
-	for reader, listed := range d.byReader {
-		if currentReaderReported && !slices.Contains(d.readers, reader) {
-			delete(d.byReader, reader)
+	for reader, listed := range s.byReader {
+		if currentReaderReported && !slices.Contains(s.readers, reader) {
+			delete(s.byReader, reader)
 			continue
 		}
 		for _, name := range listed.Names {
 			leavingNames[name] = true
 		}
 	}
-	d.leavingNames.Store(&leavingNames)
+	s.leavingNames.Store(&leavingNames)
 	return true
 }
 
 // contains returns true if a reader listed the back end as leaving, by its name, its endpoint
 // ("host:port") or the host of its endpoint.
-func (d *departureSet) contains(name, endpoint string) bool {
-	leaving := *d.leavingNames.Load()
+func (s *leavingMachineSet) contains(name, endpoint string) bool {
+	leaving := *s.leavingNames.Load()
 	if len(leaving) == 0 {
 		return false
 	}
 	return leaving[name] || leaving[endpoint] || leaving[hostOf(endpoint)]
 }
 
-// Leaving returns true if the machine list names the back end at the address (an engine,
+// IsLeaving returns true if the machine list names the back end at the address (an engine,
 // service or tool) as leaving. Such a back end must get no new work.
-func (s *Service) Leaving(address string) bool {
-	return s.departures.contains(address, hostPort(address))
+func (s *Service) IsLeaving(address string) bool {
+	return s.leavingMachines.contains(address, hostPort(address))
 }
 
-// machineListLoop reads the machine list every MachineInterval while this daemon is one of the
-// readers. It publishes the leaving machines when they change, and again when RefreshInterval
-// has passed.
+// machineListLoop reads the machine list every MachineListInterval while this daemon is one of
+// the readers. It publishes the leaving machines when they change, and again when
+// DigestRefreshInterval has passed.
 func (s *Service) machineListLoop(ctx context.Context) {
-	if s.options.Machines == nil {
+	if s.options.MachineList == nil {
 		return
 	}
 	var last []string
 	var publishedAt time.Time
 	for {
-		if s.departures.isReader(s.self.Machine) {
+		if s.leavingMachines.isReader(s.self.Machine) {
 			names, err := s.listLeaving(ctx)
 			changed := !slices.Equal(names, last)
 			switch {
 			case err != nil:
 				s.logger.Debug("engine: reading the machine list failed.", zap.Error(err))
-			case changed || time.Since(publishedAt) >= s.settings.RefreshInterval:
+			case changed || time.Since(publishedAt) >= s.settings.DigestRefreshInterval:
 				last, publishedAt = names, time.Now()
-				s.publishDepartures(names, publishedAt)
+				s.publishLeavingMachines(names, publishedAt)
 			}
 		}
-		interval := float64(s.settings.MachineInterval)
-		if !pause.For(ctx, time.Duration(interval*(1-pollJitter/2+pollJitter*rand.Float64()))) {
+		interval := float64(s.settings.MachineListInterval)
+		if !pause.Sleep(ctx, time.Duration(interval*(1-pollJitter/2+pollJitter*rand.Float64()))) {
 			return
 		}
 	}
 }
 
-// publishDepartures merges this daemon's own list of leaving machines and passes it to the
+// publishLeavingMachines merges this daemon's own list of leaving machines and passes it to the
 // digest exchange.
-func (s *Service) publishDepartures(names []string, now time.Time) {
-	update := Departures{Reader: s.self.Machine, Sequence: uint64(now.UnixNano()), Names: names}
-	if s.departures.merge(update) {
+func (s *Service) publishLeavingMachines(names []string, now time.Time) {
+	update := LeavingMachines{Reader: s.self.Machine, Sequence: uint64(now.UnixNano()), Names: names}
+	if s.leavingMachines.merge(update) {
 		s.requestRebuild()
 	}
-	s.exchange.publishDepartures(update)
+	s.exchange.publishLeavingMachines(update)
 }
 
 // listLeaving returns the sorted names and "host:port" addresses of the machines that the
 // machine list marks as leaving, without machines that run a daemon.
 func (s *Service) listLeaving(ctx context.Context) ([]string, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.settings.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.settings.CallTimeout)
 	defer cancel()
-	listed, err := s.options.Machines.List(ctx)
+	listed, err := s.options.MachineList.List(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/engine/picture.go
+++ b/internal/engine/picture.go
@@ -34,7 +34,7 @@
 			s.rebuilding.Lock()
 			s.rebuild(time.Now())
 			s.rebuilding.Unlock()
-			if !pause.For(ctx, s.settings.RebuildInterval) {
+			if !pause.Sleep(ctx, s.settings.RebuildInterval) {
 				return
 			}
 		}
@@ -55,7 +55,7 @@
 			results:    tracked.placements.takeResults(),
 			stale:      !s.isFresh(tracked, now),
 			medianTime: group.medianTime,
-			mayEject:   float64(group.ejected+1) <= s.settings.EjectShare*float64(group.count),
+			mayEject:   float64(group.ejected+1) <= s.settings.MaxEjectedShare*float64(group.count),
 			jitter:     s.random.Float64(),
 			settings:   s.settings,
 		}
@@ -86,8 +86,8 @@
 // peerGroupOf returns the engine's peer group by the model that its pool wants.
 func (s *Service) peerGroupOf(tracked *trackedEngine) peerGroupKey {
 	key := peerGroupKey{generation: tracked.declared.Generation}
-	if wanted := s.wanted.Load().byEngine[tracked.declared.Name]; wanted != nil {
-		key.model = wanted.Model
+	if spec := s.poolSpecs.Load().byEngine[tracked.declared.Name]; spec != nil {
+		key.model = spec.Model
 	}
 	return key
 }
@@ -121,10 +121,10 @@
 	return groups
 }
 
-// isFresh returns true if the engine's latest report is not older than DigestTooOld.
+// isFresh returns true if the engine's latest report is not older than MaxDigestAge.
 func (s *Service) isFresh(tracked *trackedEngine, now time.Time) bool {
 	latest := tracked.report.Load()
-	return latest != nil && now.Sub(latest.received) <= s.settings.DigestTooOld
+	return latest != nil && now.Sub(latest.received) <= s.settings.MaxDigestAge
 }
 
 // rebuild builds and stores a new snapshot and signals the change. The caller must hold
@@ -132,12 +132,12 @@
 func (s *Service) rebuild(now time.Time) {
 	started := time.Now()
 	table := s.table.Load()
-	wanted := s.wanted.Load()
+	specs := s.poolSpecs.Load()
 	planned := *s.plans.Load()
 	engines := make([]scheduling.Engine, len(table.engines))
 	accepting := 0
 	for index, tracked := range table.engines {
-		engines[index] = s.schedulerView(tracked, wanted, planned, now)
+		engines[index] = s.schedulerView(tracked, specs, planned, now)
 		if engines[index].Accepting {
 			accepting++
 		}
@@ -149,7 +149,7 @@
 }
 
 // schedulerView returns the engine as the scheduler sees it.
-func (s *Service) schedulerView(tracked *trackedEngine, wanted *wantedPools, planned map[string]Order, now time.Time) scheduling.Engine {
+func (s *Service) schedulerView(tracked *trackedEngine, specs *poolSpecs, planned map[string]Order, now time.Time) scheduling.Engine {
 	engine := scheduling.Engine{
 		ID:         tracked.declared.Name,
 		Address:    tracked.declared.Address,
@@ -159,10 +159,10 @@
 	}
 	latest := tracked.report.Load()
 	if latest == nil {
-		// For DigestTooOld after its declaration, an engine without a report is listed with the
+		// For MaxDigestAge after its declaration, an engine without a report is listed with the
 		// model that its pool wants, so that requests may wait for it. It accepts no requests.
-		pool := wanted.byEngine[tracked.declared.Name]
-		if pool != nil && now.Sub(tracked.declaredAt) <= s.settings.DigestTooOld {
+		pool := specs.byEngine[tracked.declared.Name]
+		if pool != nil && now.Sub(tracked.declaredAt) <= s.settings.MaxDigestAge {
 			engine.Model, engine.Version, engine.Adapters = pool.Model, pool.Version, pool.Adapters
 		}
 		return engine
@@ -179,19 +179,19 @@
 	engine.WaitingTokens = digest.WaitingTokens
 	engine.CacheTokens = digest.CacheTokens
 	engine.CacheUsed = digest.CacheUsed
-	engine.PlacedSince, engine.PlacedTokens = tracked.placements.unreported()
+	engine.PlacedSinceReport, engine.PlacedTokens = tracked.placements.unreported()
 	engine.ReportAge = now.Sub(latest.received)
-	usable := s.isUsable(tracked, digest, wanted, planned) && engine.ReportAge <= s.settings.DigestTooOld
+	usable := s.isUsable(tracked, digest, specs, planned) && engine.ReportAge <= s.settings.MaxDigestAge
 	engine.Accepting = usable && tracked.health.isAccepting()
 	engine.Probing = usable && tracked.health.isProbing()
 	return engine
 }
 
-// AwaitsReport returns true if the snapshot lists an engine of the model that has not reported
-// yet, which it shows with MaxRunning 0. The snapshot lists such an engine for at most
-// DigestTooOld after this daemon learned of its declaration. A request for which no engine
+// HasUnreportedEngine returns true if the snapshot lists an engine of the model that has not
+// reported yet, which it shows with MaxRunning 0. The snapshot lists such an engine for at most
+// MaxDigestAge after this daemon learned of its declaration. A request for which no engine
 // accepts work should then wait instead of being refused.
-func AwaitsReport(snapshot *scheduling.Snapshot, model string) bool {
+func HasUnreportedEngine(snapshot *scheduling.Snapshot, model string) bool {
 	return slices.ContainsFunc(snapshot.ByModel[model], func(index int) bool {
 		return snapshot.Engines[index].MaxRunning == 0
 	})
@@ -200,13 +200,13 @@
 // isUsable returns true if the engine may accept work for the model that its pool wants. An
 // engine with an earlier version of the model remains usable until its order is planned, so
 // that a roll-out does not stop the whole pool.
-func (s *Service) isUsable(tracked *trackedEngine, digest *Digest, wanted *wantedPools, planned map[string]Order) bool {
-	pool := wanted.byEngine[tracked.declared.Name]
+func (s *Service) isUsable(tracked *trackedEngine, digest *Digest, specs *poolSpecs, planned map[string]Order) bool {
+	pool := specs.byEngine[tracked.declared.Name]
 	if pool == nil || pool.Model != digest.Model || !digest.Serving || digest.Loading {
 		return false
 	}
 	if planned[tracked.declared.Name].Drain {
 		return false
 	}
-	return !s.isBlocked(tracked, wanted)
+	return !s.isBlocked(tracked, specs)
 }
--- a/internal/engine/pools.go
+++ b/internal/engine/pools.go
@@ -10,16 +10,16 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// wantedPools is the desired state of all engines by one revision of the configuration.
-type wantedPools struct {
-	pools       []*Wanted
+// poolSpecs is the desired state of all engines by one revision of the configuration.
+type poolSpecs struct {
+	pools       []*PoolSpec
 	engineNames [][]string // sorted engine names of the pool with the same index
-	byEngine    map[string]*Wanted
+	byEngine    map[string]*PoolSpec
 	drained     map[string]bool // names, endpoints and hosts that an operator drains
 }
 
-func newWantedPools(current *configuration.Snapshot, maxParallelOrders int) *wantedPools {
-	wanted := &wantedPools{byEngine: map[string]*Wanted{}, drained: map[string]bool{}}
+func newPoolSpecs(current *configuration.Snapshot, maxParallelOrders int) *poolSpecs {
+	specs := &poolSpecs{byEngine: map[string]*PoolSpec{}, drained: map[string]bool{}}
 	models := map[string]*configuration.Model{}
 	for index := range current.Document.Models {
 		models[current.Document.Models[index].Name] = &current.Document.Models[index]
@@ -30,32 +30,32 @@
 		if model == nil {
 			continue // the configuration does not allow such a pool
 		}
-		added := &Wanted{
+		added := &PoolSpec{
 			Pool: pool.Name, Model: model.Name, Version: model.Version, Adapters: model.Adapters,
-			Role: pool.Role, MaxUnavailable: pool.MaxUnavailable, ParallelLoads: maxParallelOrders,
+			Role: pool.Role, MaxUnavailable: pool.MaxUnavailable, MaxParallelOrders: maxParallelOrders,
 		}
-		wanted.pools = append(wanted.pools, added)
-		wanted.engineNames = append(wanted.engineNames, slices.Sorted(slices.Values(pool.Engines)))
+		specs.pools = append(specs.pools, added)
+		specs.engineNames = append(specs.engineNames, slices.Sorted(slices.Values(pool.Engines)))
 		for _, name := range pool.Engines {
-			wanted.byEngine[name] = added
+			specs.byEngine[name] = added
 		}
 	}
 	for _, name := range current.Document.Drains {
-		wanted.drained[name] = true
+		specs.drained[name] = true
 	}
-	return wanted
+	return specs
 }
 
 // plan returns the planned orders of all pools by engine name.
 func (s *Service) plan(now time.Time) map[string]Order {
-	wanted := s.wanted.Load()
+	specs := s.poolSpecs.Load()
 	table := s.table.Load()
 	planned := map[string]Order{}
-	for index, pool := range wanted.pools {
-		observed := make([]Observed, 0, len(wanted.engineNames[index]))
-		for _, name := range wanted.engineNames[index] {
-			if tracked, found := table.byName[name]; found && wanted.byEngine[name] == pool {
-				observed = append(observed, s.observe(tracked, wanted, now))
+	for index, pool := range specs.pools {
+		observed := make([]ObservedEngine, 0, len(specs.engineNames[index]))
+		for _, name := range specs.engineNames[index] {
+			if tracked, found := table.byName[name]; found && specs.byEngine[name] == pool {
+				observed = append(observed, s.observe(tracked, specs, now))
 			}
 		}
 		for _, order := range Plan(*pool, observed) {
@@ -66,22 +66,22 @@
 }
 
 // observe returns the engine's state as input for Plan.
-func (s *Service) observe(tracked *trackedEngine, wanted *wantedPools, now time.Time) Observed {
-	observed := Observed{Digest: Digest{Engine: tracked.declared.Name}, Blocked: s.isBlocked(tracked, wanted)}
+func (s *Service) observe(tracked *trackedEngine, specs *poolSpecs, now time.Time) ObservedEngine {
+	observed := ObservedEngine{Digest: Digest{Engine: tracked.declared.Name}, Blocked: s.isBlocked(tracked, specs)}
 	if latest := tracked.report.Load(); latest != nil {
 		observed.Digest = latest.digest
-		observed.Known = now.Sub(latest.received) <= s.settings.DigestTooOld
+		observed.Fresh = now.Sub(latest.received) <= s.settings.MaxDigestAge
 	}
 	return observed
 }
 
 // isBlocked returns true if an operator drains the engine, by its name, endpoint or host, or if
 // the machine list marks it as leaving.
-func (s *Service) isBlocked(tracked *trackedEngine, wanted *wantedPools) bool {
-	if len(wanted.drained) > 0 && (wanted.drained[tracked.declared.Name] || wanted.drained[tracked.endpoint] || wanted.drained[hostOf(tracked.endpoint)]) {
+func (s *Service) isBlocked(tracked *trackedEngine, specs *poolSpecs) bool {
+	if len(specs.drained) > 0 && (specs.drained[tracked.declared.Name] || specs.drained[tracked.endpoint] || specs.drained[hostOf(tracked.endpoint)]) {
 		return true
 	}
-	return s.departures.contains(tracked.declared.Name, tracked.endpoint)
+	return s.leavingMachines.contains(tracked.declared.Name, tracked.endpoint)
 }
 
 // weightLimiter limits the rate at which engines supervised by this daemon load weights. The
@@ -110,7 +110,7 @@
 	if weights == nil {
 		return true, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.settings.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.settings.CallTimeout)
 	defer cancel()
 	size, err := weights.Size(ctx, model, version)
 	if err != nil {
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -24,13 +24,13 @@
 	self     identity.Process
 	logger   *zap.Logger
 	metrics  *metrics
-	calls    *semaphore.Weighted // limits concurrent calls to engines to PollConcurrency
+	calls    *semaphore.Weighted // limits concurrent calls to engines to MaxConcurrentCalls
 
 	snapshot        atomic.Pointer[scheduling.Snapshot]
 	table           atomic.Pointer[engineTable]
-	departures      *departureSet
+	leavingMachines *leavingMachineSet
 	plans           atomic.Pointer[map[string]Order]
-	wanted          atomic.Pointer[wantedPools]
+	poolSpecs       atomic.Pointer[poolSpecs]
 	daemonCount     atomic.Int64 // daemons eligible to supervise engines in the region; at least 1
 	weightLimiter   weightLimiter
 	rebuildRequests chan struct{}
@@ -60,9 +60,9 @@
 }
 
 var (
-	_ Fleet         = (*Service)(nil)
-	_ PrefixLearner = (*Service)(nil)
-	_ Announcer     = (*Service)(nil)
+	_ Fleet            = (*Service)(nil)
+	_ PrefixRecorder   = (*Service)(nil)
+	_ SnapshotNotifier = (*Service)(nil)
 )
 
 const holdQueueSize = 256
@@ -80,25 +80,25 @@
 		self:            options.Self,
 		logger:          options.Logger.Named("engine"),
 		metrics:         newMetrics(options.Registerer),
-		calls:           semaphore.NewWeighted(int64(options.Settings.PollConcurrency)),
-		departures:      newDepartureSet(),
+		calls:           semaphore.NewWeighted(int64(options.Settings.MaxConcurrentCalls)),
+		leavingMachines: newLeavingMachineSet(),
 		rebuildRequests: make(chan struct{}, 1),
 		snapshotChanged: make(chan struct{}, 1),
 		releaseWake:     make(chan struct{}, 1),
 		pendingReleases: pendingReleases{engines: map[*trackedEngine]struct{}{}},
 		holdRequests:    make(chan holdRequest, holdQueueSize),
 		random:          rand.New(rand.NewPCG(uint64(options.Self.Incarnation), weightOf("jitter", options.Self))),
-		prefixes:        newPrefixIndex(options.Settings.KeepPrefix),
+		prefixes:        newPrefixIndex(options.Settings.PrefixTTL),
 		regions:         map[identity.Zone]identity.Region{},
 		supervisors:     map[string]supervision{},
 	}
 	s.table.Store(&engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}})
 	s.plans.Store(&map[string]Order{})
-	s.wanted.Store(&wantedPools{})
+	s.poolSpecs.Store(&poolSpecs{})
 	s.daemonCount.Store(1)
-	s.snapshot.Store(scheduling.Build(nil, nil))
+	s.snapshot.Store(scheduling.NewSnapshot(nil, nil))
 	s.exchange = newDigestExchange(s)
-	if err := options.Registrar.Register(rpcName, &Receiver{service: s}); err != nil {
+	if err := options.Registrar.Register(rpcName, &DigestReceiver{service: s}); err != nil {
 		return nil, eris.Wrap(err, "engine: register the RPC receiver")
 	}
 	return s, nil
@@ -124,12 +124,12 @@
 // Snapshot implements Fleet.
 func (s *Service) Snapshot() *scheduling.Snapshot { return s.snapshot.Load() }
 
-// Changed implements Announcer. The channel is shared, so only one listener receives each
-// value.
+// Changed implements SnapshotNotifier. The channel is shared, so only one listener receives
+// each value.
 func (s *Service) Changed() <-chan struct{} { return s.snapshotChanged }
 
-// Placed implements Fleet. A placement at an engine that is not declared is ignored.
-func (s *Service) Placed(engineID string, promptTokens int64) func(bool, time.Duration) {
+// AddPlacement implements Fleet. A placement at an engine that is not declared is ignored.
+func (s *Service) AddPlacement(engineID string, promptTokens int64) func(bool, time.Duration) {
 	placedAt, found := s.table.Load().byName[engineID]
 	if !found {
 		return func(bool, time.Duration) {}
--- a/internal/execution/resume.go
+++ b/internal/execution/resume.go
@@ -30,14 +30,14 @@
 // keeps its token reservation. It returns false if the run is over.
 func (r *run) lookUpAttempt(call *program.Call, head *program.Head, attempt *program.Attempt) bool {
 	r.stream.restart(attempt.Number)
-	order := r.newOrder(call, head, &placement{
+	spec := r.newAttemptSpec(call, head, &placement{
 		backEnd: attempt.BackEnd, address: attempt.Address, reserved: attempt.Reserved,
 	}, attempt.Number)
-	order.Resume = true
-	if earliest := time.Now().Add(r.lead.service.limits.LookupGrace); order.Deadline.Before(earliest) {
-		order.Deadline = earliest
+	spec.Resume = true
+	if earliest := time.Now().Add(r.lead.service.limits.MinLookupTimeout); spec.Deadline.Before(earliest) {
+		spec.Deadline = earliest
 	}
-	report, ended := r.send(order)
+	report, ended := r.send(spec)
 	if !ended {
 		return false
 	}
--- a/internal/execution/storm_test.go
+++ b/internal/execution/storm_test.go
@@ -52,16 +52,16 @@
 
 // send simulates an attempt. It may pause before it executes the call, even
 // beyond the end of the daemon's leadership, and its answer may be lost.
-func (g *groundTruth) send(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
-	attempt := fmt.Sprintf("%s/%d/%d", order.Program, order.Call.Sequence, order.Number)
-	if order.Resume {
-		return g.lookUp(attempt, order)
+func (g *groundTruth) send(_ context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+	attempt := fmt.Sprintf("%s/%d/%d", spec.Program, spec.Call.Sequence, spec.Number)
+	if spec.Resume {
+		return g.lookUp(attempt, spec)
 	}
 	if g.chance(10) {
 		return ended(dispatch.EndingNeverRan, 0)
 	}
 	time.Sleep(time.Duration(g.intBelow(20)) * time.Millisecond)
-	tokens := g.execute(attempt, order)
+	tokens := g.execute(attempt, spec)
 	content := "answer of " + attempt
 	piece(content[:6])
 	time.Sleep(time.Duration(g.intBelow(10)) * time.Millisecond)
@@ -71,34 +71,34 @@
 	if g.chance(10) {
 		return ended(dispatch.EndingFailed, tokens)
 	}
-	return g.answered(attempt, order, tokens)
+	return g.answered(attempt, spec, tokens)
 }
 
-func (g *groundTruth) execute(attempt string, order dispatch.Order) int64 {
+func (g *groundTruth) execute(attempt string, spec dispatch.AttemptSpec) int64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var tokens int64
-	if order.Limit > 0 {
-		tokens = 1 + g.random.Int64N(order.Limit)
+	if spec.ReservedTokens > 0 {
+		tokens = 1 + g.random.Int64N(spec.ReservedTokens)
 	}
-	g.executions[callKey(order.Program, order.Call.Sequence)]++
+	g.executions[callKey(spec.Program, spec.Call.Sequence)]++
 	g.attempts[attempt] = tokens
-	g.generated[order.Program] += tokens
+	g.generated[spec.Program] += tokens
 	return tokens
 }
 
-func (g *groundTruth) lookUp(attempt string, order dispatch.Order) dispatch.Report {
+func (g *groundTruth) lookUp(attempt string, spec dispatch.AttemptSpec) dispatch.Report {
 	g.mutex.Lock()
 	tokens, ran := g.attempts[attempt]
 	g.mutex.Unlock()
 	if !ran {
 		return ended(dispatch.EndingNeverRan, 0)
 	}
-	return g.answered(attempt, order, tokens)
+	return g.answered(attempt, spec, tokens)
 }
 
-func (g *groundTruth) answered(attempt string, order dispatch.Order, tokens int64) dispatch.Report {
-	report := answered(order, "answer of "+attempt)
+func (g *groundTruth) answered(attempt string, spec dispatch.AttemptSpec, tokens int64) dispatch.Report {
+	report := answered(spec, "answer of "+attempt)
 	report.Answer.CompletionTokens = tokens
 	return report
 }
--- a/internal/execution/waiting_test.go
+++ b/internal/execution/waiting_test.go
@@ -25,8 +25,8 @@
 // runOneAtATime makes the policy place one call at a time: the next call is
 // placed after the last one has been answered.
 func (c *testCluster) runOneAtATime() {
-	c.backEnd.setBehaviour(func(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
-		report := c.backEnd.answer(order, piece)
+	c.backEnd.setBehaviour(func(_ context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+		report := c.backEnd.answer(spec, piece)
 		c.policy.slots.Store(1)
 		return report
 	})
@@ -63,8 +63,8 @@
 			next.follow(identifier, uint64(len(next.history(identifier).Calls)))
 		}
 		var placed []identity.Program
-		for _, order := range cluster.backEnd.sent()[1:] {
-			placed = append(placed, order.Program)
+		for _, spec := range cluster.backEnd.sent()[1:] {
+			placed = append(placed, spec.Program)
 		}
 		Expect(placed).To(Equal(expected))
 	})
@@ -94,9 +94,9 @@
 var _ = Describe("Retries", func() {
 	It("are limited to a share of the first attempts, so that an outage does not multiply the load", func() {
 		cluster := newTestCluster()
-		cluster.limits.RetryBurst, cluster.limits.RetriesPerSecond, cluster.limits.RetryShare = 1, 1e-9, 1e-9
+		cluster.limits.RetryBurst, cluster.limits.RetriesPerSecond, cluster.limits.RetryRatio = 1, 1e-9, 1e-9
 		leader := cluster.startLeader("a")
-		cluster.backEnd.setBehaviour(func(context.Context, dispatch.Order, func(string)) dispatch.Report {
+		cluster.backEnd.setBehaviour(func(context.Context, dispatch.AttemptSpec, func(string)) dispatch.Report {
 			return ended(dispatch.EndingNeverRan, 0)
 		})
 		for number := range 10 {
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -21,38 +21,38 @@
 	outputStepBytes = 4 << 10
 )
 
-// openHolding starts the memory accounting of the request and reserves requestOverheadBytes. The
+// reserveMemory starts the memory accounting of the request and reserves requestOverheadBytes. The
 // memory is accounted to the tenant, or to the caller's connection if there is no tenant. It is
 // not accounted to the caller's IP address, which all callers behind a load balancer may share.
 // The error is a *Refusal.
-func (e *execution) openHolding() error {
+func (e *execution) reserveMemory() error {
 	owner := memory.Owner(e.request.RemoteAddr)
 	if e.tenant != nil {
 		owner = memory.Owner(e.tenant.Name)
 	}
-	e.holding = e.gateway.Memory.Open(owner)
-	writebehind.From(e.request.Context()).Own(owner)
-	if err := e.holding.Grow(memory.Request, requestOverheadBytes); err != nil {
+	e.memoryReservation = e.gateway.Memory.NewReservation(owner)
+	writebehind.ConnFromContext(e.request.Context()).SetOwner(owner)
+	if err := e.memoryReservation.Grow(memory.Request, requestOverheadBytes); err != nil {
 		return memoryRefusal(err)
 	}
 	return nil
 }
 
-// closeHolding releases all memory accounted for the request.
-func (e *execution) closeHolding() { e.holding.Close() }
+// releaseMemory releases all memory accounted for the request.
+func (e *execution) releaseMemory() { e.memoryReservation.Close() }
 
 // reserveTurnMemory reserves memory for the history of a turn and for saving the turn, before
 // it runs, so that a complete turn is never lost because there is no memory to save it. The
 // error is a *Refusal.
 func (e *execution) reserveTurnMemory() error {
-	history := int64(e.history.Length())
-	if err := e.holding.Grow(memory.History, history); err != nil {
+	history := int64(e.history.Size())
+	if err := e.memoryReservation.Grow(memory.History, history); err != nil {
 		return memoryRefusal(err)
 	}
 	if !e.route.Recorded {
 		return nil
 	}
-	if err := e.holding.Grow(memory.UnsavedTurn, copiesWhileSaving*int64(len(e.input))); err != nil {
+	if err := e.memoryReservation.Grow(memory.UnsavedTurn, copiesWhileSaving*int64(len(e.input))); err != nil {
 		return memoryRefusal(err)
 	}
 	if err := e.reserveOutputMemory(outputStepBytes); err != nil {
@@ -70,7 +70,7 @@
 		return nil
 	}
 	added := max(bytes-e.reservedOutput, outputStepBytes)
-	if err := e.holding.Grow(memory.UnsavedTurn, (1+copiesWhileSaving)*added); err != nil {
+	if err := e.memoryReservation.Grow(memory.UnsavedTurn, (1+copiesWhileSaving)*added); err != nil {
 		return err
 	}
 	e.reservedOutput += added
@@ -79,13 +79,13 @@
 
 // memoryRefusal returns a refusal for lack of memory. It must be used only before anything was sent
 // to an engine, since the refusal promises that the request did not run.
-func memoryRefusal(err error) *Refusal { return notRunRefusal(ReasonMemory, shortRetryAfter, err) }
+func memoryRefusal(err error) *Refusal { return notRunRefusal(ReasonNoMemory, shortRetryAfter, err) }
 
 // callerEndReason returns why nothing more can be written to the caller: it read too slowly
 // or it disconnected.
 func callerEndReason(ctx context.Context) Reason {
-	if writebehind.From(ctx).Slow() {
-		return ReasonCallerSlow
+	if writebehind.ConnFromContext(ctx).IsSlow() {
+		return ReasonSlowCaller
 	}
-	return ReasonCallerLeft
+	return ReasonCallerDisconnected
 }
--- a/internal/gateway/input.go
+++ b/internal/gateway/input.go
@@ -18,8 +18,8 @@
 
 // readInput reads the whole body into memory, since a request is sent to an engine only when
 // it is complete. The buffer is accounted for before it is allocated. A body whose announced
-// length exceeds the available memory is refused unread. The error is a *Refusal or a
-// *CutError.
+// length exceeds the available memory is refused unread. The error is a *Refusal or an
+// *AbortedError.
 func (e *execution) readInput() error {
 	if e.request.ContentLength == 0 {
 		return nil
@@ -31,36 +31,36 @@
 		}
 		body = http.MaxBytesReader(e.writer, body, limit)
 	}
-	if !e.holding.Fits(e.request.ContentLength) {
+	if !e.memoryReservation.Fits(e.request.ContentLength) {
 		return memoryRefusal(eris.Errorf("no memory for a body of %d bytes", e.request.ContentLength))
 	}
 	control := http.NewResponseController(e.writer)
 	// Some connections, such as those of tests, support no deadline; only the size limit applies then.
 	bounded := control.SetReadDeadline(e.arrived.Add(e.timeLimit())) == nil
-	input, err := readWithAccounting(body, e.request.ContentLength, e.holding)
+	input, err := readWithAccounting(body, e.request.ContentLength, e.memoryReservation)
 	if err != nil {
 		return inputError(err)
 	}
 	if bounded {
 		if err := control.SetReadDeadline(time.Time{}); err != nil {
-			return &CutError{Reason: ReasonCallerLeft, Err: eris.Wrap(err, "clear the read deadline")}
+			return &AbortedError{Reason: ReasonCallerDisconnected, Err: eris.Wrap(err, "clear the read deadline")}
 		}
 	}
 	e.input = input
 	return nil
 }
 
-// readWithAccounting reads body to its end into a growing buffer. Each buffer is added to holding
-// before it is allocated, and the previous one is subtracted after its content was copied.
-// length is the announced length, or -1 if it is unknown. The error is an error of body or a
-// *memory.ExceededError.
-func readWithAccounting(body io.Reader, length int64, holding *memory.Holding) ([]byte, error) {
+// readWithAccounting reads body to its end into a growing buffer. Each buffer is added to
+// reservation before it is allocated, and the previous one is subtracted after its content was
+// copied. length is the announced length, or -1 if it is unknown. The error is an error of body
+// or a *memory.ExceededError.
+func readWithAccounting(body io.Reader, length int64, reservation *memory.Reservation) ([]byte, error) {
 	const extraByte = 1 // beyond the announced length, to see the end of the body without growing the buffer
 	size := int64(initialInputBufferBytes)
 	if length >= 0 {
 		size = min(size, length+extraByte)
 	}
-	if err := holding.Grow(memory.Request, size); err != nil {
+	if err := reservation.Grow(memory.Request, size); err != nil {
 		return nil, err
 	}
 	buffer := make([]byte, 0, size)
@@ -81,15 +81,15 @@
 		if length >= 0 {
 			size = min(size, length+extraByte)
 		}
-		if err := holding.Grow(memory.Request, size); err != nil {
+		if err := reservation.Grow(memory.Request, size); err != nil {
 			return nil, err
 		}
 		buffer = append(make([]byte, 0, size), buffer...)
-		holding.Shrink(memory.Request, oldSize)
+		reservation.Shrink(memory.Request, oldSize)
 	}
 }
 
-// inputError returns the *Refusal or *CutError for an error of reading the body. Nothing was
+// inputError returns the *Refusal or *AbortedError for an error of reading the body. Nothing was
 // sent to an engine.
 func inputError(err error) error {
 	var tooLarge *http.MaxBytesError
@@ -100,8 +100,8 @@
 	case errors.As(err, &exceeded):
 		return memoryRefusal(err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Refusal{Status: http.StatusRequestTimeout, Reason: ReasonBodySlow, Err: eris.Wrap(err, "read request")}
+		return &Refusal{Status: http.StatusRequestTimeout, Reason: ReasonSlowBody, Err: eris.Wrap(err, "read request")}
 	default:
-		return &CutError{Reason: ReasonCallerLeft, Err: eris.Wrap(err, "read request")}
+		return &AbortedError{Reason: ReasonCallerDisconnected, Err: eris.Wrap(err, "read request")}
 	}
 }
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -15,13 +15,13 @@
 )
 
 // takeQuota takes a permit from the tenant's quota, before the body is read, and notes the
-// program as admitted. The error is a *Refusal or a *CutError.
+// program as admitted. The error is a *Refusal or an *AbortedError.
 func (e *execution) takeQuota() error {
 	if e.tenant == nil {
 		return nil
 	}
-	taken, err := e.takePermit(e.isProgramUnderWay())
-	e.quotaPermit = taken
+	permit, err := e.takePermit(e.isProgramUnderWay())
+	e.quotaPermit = permit
 	if err == nil && e.call.Program != "" {
 		e.gateway.recentPrograms.add(e.tenantScoped(e.call.Program))
 	}
@@ -33,27 +33,27 @@
 const maxKeeperWait = 500 * time.Millisecond
 
 // takePermit takes one permit from the tenant's quota and retries for up to maxKeeperWait while
-// no keeper of the quota can be reached. The error is a *Refusal or a *CutError.
-func (e *execution) takePermit(isProgramUnderWay bool) (*quota.Taken, error) {
-	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, UnderWay: isProgramUnderWay}
-	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxKeeperWait, e.storePatience()))
+// no keeper of the quota can be reached. The error is a *Refusal or an *AbortedError.
+func (e *execution) takePermit(isProgramUnderWay bool) (*quota.Permit, error) {
+	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, Continuation: isProgramUnderWay}
+	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxKeeperWait, e.maxPreparationWait()))
 	defer cancel()
-	taken, err := e.gateway.Quotas.Take(e.request.Context(), request)
-	var unreached *quota.UnreachedError
-	for errors.As(err, &unreached) && pause.For(ctx, instancePollInterval) {
-		taken, err = e.gateway.Quotas.Take(e.request.Context(), request)
+	permit, err := e.gateway.Quotas.Acquire(e.request.Context(), request)
+	var unreachable *quota.UnreachableError
+	for errors.As(err, &unreachable) && pause.Sleep(ctx, instancePollInterval) {
+		permit, err = e.gateway.Quotas.Acquire(e.request.Context(), request)
 	}
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
-		return nil, &Refusal{Status: http.StatusTooManyRequests, Reason: ReasonQuota, After: exceeded.After, Err: err}
+		return nil, &Refusal{Status: http.StatusTooManyRequests, Reason: ReasonQuotaExceeded, RetryAfter: exceeded.RetryAfter, Err: err}
 	}
 	if err != nil && e.request.Context().Err() != nil {
-		return nil, &CutError{Reason: ReasonCallerLeft, Err: err}
+		return nil, &AbortedError{Reason: ReasonCallerDisconnected, Err: err}
 	}
 	if err != nil {
 		return nil, notRunRefusal(ReasonQuotaUnknown, shortRetryAfter, err)
 	}
-	return taken, nil
+	return permit, nil
 }
 
 // takeQuotaForRetry takes another permit if the engine tried last may have run the request,
@@ -74,7 +74,7 @@
 // returnQuota returns the permit to the quota if it is certain that no engine ran the request.
 func (e *execution) returnQuota() {
 	if e.runs == 0 {
-		e.quotaPermit.Return()
+		e.quotaPermit.Release()
 	}
 }
 
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics counts reports by result and holds the time of the last picture.
+// metrics counts reports by result and holds the time of the last reply.
 type metrics struct {
 	reports *prometheus.CounterVec
-	// learnedAt is when a picture was last received, in nanoseconds since the Unix epoch; 0 if
+	// learnedAt is when a reply was last received, in nanoseconds since the Unix epoch; 0 if
 	// never.
 	learnedAt atomic.Int64
 }
@@ -24,8 +24,8 @@
 	resultNoAggregator = "nobody-to-ask"
 )
 
-// Measure registers the exchange's metrics. It must be called before Run.
-func (e *Exchange) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers the exchange's metrics. It must be called before Run.
+func (e *Exchange) RegisterMetrics(registerer prometheus.Registerer) error {
 	e.metrics.reports = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "thymeloft_load_reports_total", Help: "Reports of this daemon's load to an aggregator, by result.",
 	}, []string{"result"})
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// age returns the seconds since a picture was last received, or -1 if none was.
+// age returns the seconds since a reply was last received, or -1 if none was.
 func (m *metrics) age() float64 {
 	const never = -1
 	at := m.learnedAt.Load()
@@ -53,8 +53,8 @@
 	return time.Since(time.Unix(0, at)).Seconds()
 }
 
-// reportEnded counts a report if the metrics are registered, and records the time of a successful
-// one.
+// reportEnded counts a report if the metrics are registered, and records the time of a
+// successful one.
 func (m *metrics) reportEnded(result string) {
 	if result == resultLearned {
 		m.learnedAt.Store(time.Now().UnixNano())
--- a/internal/members/keeper_play_test.go
+++ b/internal/members/keeper_play_test.go
@@ -9,11 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneKeeper simulates machines in one to three zones. They start within a second or join later,
-// register late, renew and read the list now and then, are suspended, cut off from the store,
-// killed, shut down, and restarted at the same or another address. At most one process may own a
-// shard at a time, and no other process may have owned it since the time that Keeps returns.
-func TestOneKeeper(t *testing.T) {
+// TestOneShardOwner simulates machines in one to three zones. They start within a second or join
+// later, register late, renew and read the list now and then, are suspended, cut off from the
+// store, killed, shut down, and restarted at the same or another address. At most one process may
+// own a shard at a time, and no other process may have owned it since the time that OwnsShard
+// returns.
+func TestOneShardOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulation := &ownerSimulation{lenderSimulation: newZonedLenderSimulation(t, rapid.IntRange(1, 3).Draw(t, "zones")), lastOwned: map[shard]map[*List]time.Time{}}
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
@@ -74,7 +75,7 @@
 		s.daemons[machine] = restarted
 	case 1:
 		if !chosen.isCutOff {
-			_ = chosen.lease.End(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
+			_ = chosen.lease.WriteEnded(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
 		}
 	default:
 		s.runOtherAction(t, step, machine)
@@ -92,7 +93,7 @@
 }
 
 func (s *ownerSimulation) checkShard(t *rapid.T, key string, shardNumber int, list *List) {
-	since, owned := list.Keeps(key, shardNumber)
+	since, owned := list.OwnsShard(key, shardNumber)
 	if !owned {
 		return
 	}
--- a/internal/members/layout.go
+++ b/internal/members/layout.go
@@ -10,8 +10,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// layout assigns shards (see keeper.go) to zones. It is stored in a single row, so that a starting
-// process reads it at once, together with any change in progress.
+// layout assigns shards (see List.ShardOwner) to zones. It is stored in a single row, so that a
+// starting process reads it at once, together with any change in progress.
 //
 // A change takes two commits. The first one announces the change: from then on, shards that move to
 // another zone have no owner. The second one, layoutChangeDelay later, puts the change in force. By
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -49,14 +49,14 @@
 	isBootstrapped atomic.Bool   // the list has shown the end of the bootstrap
 	standing       atomic.Uint32 // Standing in this process's row; before registration StandingJoined, or as inherited
 	standingSince  atomic.Int64  // when standing was set; 0: never
-	// exclusiveSince is the result of mayOwnFrom while standing is StandingKeeps.
+	// exclusiveSince is the result of mayOwnFrom while standing is StandingOwner.
 	exclusiveSince atomic.Int64
 	// inheritedAt is when this process took over the shards of its machine's former process without
 	// being registered (see inheritShards); 0: it didn't, or it has registered or lost its
 	// membership since.
 	inheritedAt atomic.Int64
-	// hasOwned reports whether Keeps has returned true. From then on, currentOwnersSince no longer
-	// returns the start of this process.
+	// hasOwned reports whether OwnsShard has returned true. From then on, currentOwnersSince no
+	// longer returns the start of this process.
 	hasOwned atomic.Bool
 	// staleUntil is the time of the latest confirmation of the list that came more than
 	// maxOwnerListAge after the confirmation before it or, if it was the first, after startedAt; 0:
@@ -66,8 +66,8 @@
 
 func (s *localStatus) elapsed(now time.Time) int64 { return max(int64(now.Sub(s.startedAt)), 1) }
 
-// Heard records that the store has just confirmed the list.
-func (l *List) Heard() {
+// RecordConfirmation records that the store has just confirmed the list.
+func (l *List) RecordConfirmation() {
 	elapsed := l.localStatus.elapsed(l.now())
 	if previous := l.localStatus.lastHeard.Swap(elapsed); elapsed-previous > int64(maxOwnerListAge) {
 		l.localStatus.staleUntil.Store(elapsed)
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -3,8 +3,8 @@
 // marked dead by another daemon that checks the lease.
 //
 // The list is eventually consistent: it may name daemons that have ended and lack new ones. Callers
-// that need certainty must ask the store. Only List.MayLend and List.Keeps give stronger
-// guarantees; lender.go and keeper.go describe them.
+// that need certainty must ask the store. Only List.MayLend and List.OwnsShard give stronger
+// guarantees; lender.go and shard_owner.go describe them.
 //
 // Each daemon renews its own lease and reads the leases of a few others. The interval between
 // renewals grows with the number of members, so the total rate of renewals doesn't grow with a
@@ -19,8 +19,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Table is the store table with one row per member, keyed by machine name.
-const Table = "members"
+// MemberTable is the store table with one row per member, keyed by machine name.
+const MemberTable = "members"
 
 // State is a member's lifecycle state.
 type State string
@@ -60,8 +60,8 @@
 // View is an immutable snapshot of all members, ordered by machine name.
 type View struct {
 	Version uint64 // increases with each change
-	// Read reports whether the whole list was read from the store at least once.
-	Read    bool
+	// Loaded reports whether the whole list was read from the store at least once.
+	Loaded  bool
 	Members []Member
 }
 
@@ -76,7 +76,7 @@
 	Subscribe() <-chan struct{}
 }
 
-// memberRow is the encoded value of a row in Table.
+// memberRow is the encoded value of a row in MemberTable.
 type memberRow struct {
 	Address       string               `cbor:"a"` // for calls between daemons, "ip:port"
 	Zone          identity.Zone        `cbor:"z"`
@@ -89,7 +89,7 @@
 	ClaimZone     identity.Zone        `cbor:"w,omitempty"`
 }
 
-// Encode returns the value of the member's row in Table.
+// Encode returns the value of the member's row in MemberTable.
 func Encode(member Member) ([]byte, error) {
 	row := memberRow{
 		Address: member.Process.Address, Zone: member.Process.Zone, Region: member.Process.Region,
--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -37,30 +37,30 @@
 	return [kindCount]string{"request", "history", "answer", "unsaved-turn"}[k]
 }
 
-// ExceededError says that a reservation would exceed a limit, or that its holding is closed; in
-// the latter case only Kind and Wanted are set. All amounts are in bytes.
+// ExceededError says that a reservation would exceed a limit or is closed; in the latter case
+// only Kind and Requested are set. All amounts are in bytes.
 type ExceededError struct {
-	Kind   Kind
-	Wanted int64 // requested amount
-	Held   int64 // held by all owners
-	Own    int64 // held by the owner
-	Limit  int64 // limit for all owners
-	// OwnersBound is set if only the limit of the owner would be exceeded.
-	OwnersBound bool
+	Kind        Kind
+	Requested   int64 // requested amount
+	Held        int64 // held by all owners
+	HeldByOwner int64 // held by the owner
+	Limit       int64 // limit for all owners
+	// OwnerLimited is set if only the limit of the owner would be exceeded.
+	OwnerLimited bool
 }
 
 // Error implements error.
 func (e *ExceededError) Error() string {
 	scope := "all"
-	if e.OwnersBound {
+	if e.OwnerLimited {
 		scope = "the owner's"
 	}
 	return fmt.Sprintf("cannot hold %d more bytes (%s) within the limit for %s holdings: %d held in total, %d by the owner, total limit %d",
-		e.Wanted, e.Kind, scope, e.Held, e.Own, e.Limit)
+		e.Requested, e.Kind, scope, e.Held, e.HeldByOwner, e.Limit)
 }
 
 // Account accounts for the bytes held for all owners. It is safe for concurrent use. A nil
-// Account limits and counts nothing: its Open returns a nil Holding.
+// Account limits and counts nothing: its NewReservation returns a nil Reservation.
 type Account struct {
 	limit   int64 // bytes; 0 if there is no limit
 	held    atomic.Int64
@@ -73,8 +73,8 @@
 
 // ownerUsage is the amount that one owner holds.
 type ownerUsage struct {
-	held         atomic.Int64
-	openHoldings int // protected by the account's mutex
+	held             atomic.Int64
+	openReservations int // protected by the account's mutex
 }
 
 // NewAccount returns an account with a limit in bytes. With a limit of 0 it only counts.
@@ -88,9 +88,9 @@
 // Limit returns the limit in bytes; 0 if there is none.
 func (a *Account) Limit() int64 { return a.limit }
 
-// Open returns a new holding of the owner. The caller must close it. Open of a nil Account
-// returns a nil Holding.
-func (a *Account) Open(owner Owner) *Holding {
+// NewReservation returns a new reservation of the owner. The caller must close it.
+// NewReservation of a nil Account returns a nil Reservation.
+func (a *Account) NewReservation(owner Owner) *Reservation {
 	if a == nil {
 		return nil
 	}
@@ -101,17 +101,17 @@
 		usage = &ownerUsage{}
 		a.owners[owner] = usage
 	}
-	usage.openHoldings++
-	return &Holding{account: a, owner: owner, ownerUsage: usage}
+	usage.openReservations++
+	return &Reservation{account: a, owner: owner, ownerUsage: usage}
 }
 
-// closeHolding removes one holding of an owner, and the owner itself if that was its last
-// holding.
-func (a *Account) closeHolding(owner Owner, usage *ownerUsage) {
+// closeReservation removes one reservation of an owner, and the owner itself if that was its
+// last reservation.
+func (a *Account) closeReservation(owner Owner, usage *ownerUsage) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	usage.openHoldings--
-	if usage.openHoldings == 0 {
+	usage.openReservations--
+	if usage.openReservations == 0 {
 		delete(a.owners, owner)
 	}
 }
@@ -177,7 +177,7 @@
 func (a *Account) refuse(usage *ownerUsage, kind Kind, bytes int64, ownerLimited bool) error {
 	a.refused[kind].Add(1)
 	return &ExceededError{
-		Kind: kind, Wanted: bytes, Held: a.held.Load(), Own: usage.held.Load(), Limit: a.limit, OwnersBound: ownerLimited,
+		Kind: kind, Requested: bytes, Held: a.held.Load(), HeldByOwner: usage.held.Load(), Limit: a.limit, OwnerLimited: ownerLimited,
 	}
 }
 
@@ -187,12 +187,12 @@
 	a.byKind[kind].Add(-bytes)
 }
 
-// Fits reports whether an open holding could currently reserve this many bytes. It disregards
-// the lower limit for answers.
-func (h *Holding) Fits(bytes int64) bool {
-	if h == nil || h.account.limit == 0 {
+// Fits reports whether an open reservation could currently reserve this many bytes. It
+// disregards the lower limit for answers.
+func (r *Reservation) Fits(bytes int64) bool {
+	if r == nil || r.account.limit == 0 {
 		return true
 	}
-	free := h.account.limit - h.account.held.Load() - bytes
-	return h.ownerUsage.held.Load()+bytes <= free
+	free := r.account.limit - r.account.held.Load() - bytes
+	return r.ownerUsage.held.Load()+bytes <= free
 }
--- a/internal/memory/holding.go
+++ b/internal/memory/holding.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Holding is the memory held for one request or connection of an owner. It is safe for
-// concurrent use. A nil Holding accepts everything and counts nothing.
-type Holding struct {
+// Reservation is the memory held for one request or connection of an owner. It is safe for
+// concurrent use. A nil Reservation accepts everything and counts nothing.
+type Reservation struct {
 	account    *Account
 	owner      Owner
 	ownerUsage *ownerUsage
@@ -15,52 +15,52 @@
 }
 
 // Grow reserves bytes that the caller is about to allocate. It returns an *ExceededError if a
-// limit would be exceeded or the holding is closed.
-func (h *Holding) Grow(kind Kind, bytes int64) error {
-	if h == nil || bytes <= 0 {
+// limit would be exceeded or the reservation is closed.
+func (r *Reservation) Grow(kind Kind, bytes int64) error {
+	if r == nil || bytes <= 0 {
 		return nil
 	}
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.closed {
-		return &ExceededError{Kind: kind, Wanted: bytes}
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.closed {
+		return &ExceededError{Kind: kind, Requested: bytes}
 	}
-	if err := h.account.reserve(h.ownerUsage, kind, bytes); err != nil {
+	if err := r.account.reserve(r.ownerUsage, kind, bytes); err != nil {
 		return err
 	}
-	h.bytes[kind] += bytes
+	r.bytes[kind] += bytes
 	return nil
 }
 
-// Shrink releases bytes of the kind, at most as many as the holding has reserved.
-func (h *Holding) Shrink(kind Kind, bytes int64) {
-	if h == nil || bytes <= 0 {
+// Shrink releases bytes of the kind, at most as many as are reserved.
+func (r *Reservation) Shrink(kind Kind, bytes int64) {
+	if r == nil || bytes <= 0 {
 		return
 	}
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.shrink(kind, min(bytes, h.bytes[kind]))
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.shrink(kind, min(bytes, r.bytes[kind]))
 }
 
-func (h *Holding) shrink(kind Kind, bytes int64) {
-	h.bytes[kind] -= bytes
-	h.account.release(h.ownerUsage, kind, bytes)
+func (r *Reservation) shrink(kind Kind, bytes int64) {
+	r.bytes[kind] -= bytes
+	r.account.release(r.ownerUsage, kind, bytes)
 }
 
-// Close releases all bytes of the holding, which cannot grow afterwards. Closing it again has no
-// effect.
-func (h *Holding) Close() {
-	if h == nil {
+// Close releases all bytes of the reservation, which cannot grow afterwards. Closing it again
+// has no effect.
+func (r *Reservation) Close() {
+	if r == nil {
 		return
 	}
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.closed {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.closed {
 		return
 	}
-	h.closed = true
-	for kind, bytes := range h.bytes {
-		h.shrink(Kind(kind), bytes)
+	r.closed = true
+	for kind, bytes := range r.bytes {
+		r.shrink(Kind(kind), bytes)
 	}
-	h.account.closeHolding(h.owner, h.ownerUsage)
+	r.account.closeReservation(r.owner, r.ownerUsage)
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -73,7 +73,7 @@
 		return nil, ErrClosed
 	}
 	if found = p.links[key]; found == nil {
-		found = &link{schedule: pause.Growing(p.options.BackoffInitial, p.options.BackoffMax)}
+		found = &link{schedule: pause.NewBackoff(p.options.BackoffInitial, p.options.BackoffMax)}
 		p.links[key] = found
 	}
 	return found, nil
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -68,16 +68,16 @@
 type fleet interface {
 	// take asks a daemon for a permit. after is how long a refused caller should wait before it
 	// retries.
-	take(daemon int, request quota.Request) (after time.Duration, admitted bool)
+	take(daemon int, request quota.Request) (retryAfter time.Duration, admitted bool)
 	// advance sets the clock.
 	advance(to time.Time)
 }
 
 // caller is a request that arrives, or is retried, at a certain time.
 type caller struct {
-	at       time.Time
-	underWay bool
-	retries  int
+	at           time.Time
+	continuation bool
+	retries      int
 }
 
 // callers is a heap of requests, the earliest first.
@@ -111,8 +111,8 @@
 	for len(pending) > 0 {
 		next := heap.Pop(&pending).(caller)
 		simulated.advance(next.at)
-		request := quota.Request{Tenant: "t", Quota: load.quota, UnderWay: next.underWay}
-		after, admitted := simulated.take(random.IntN(load.daemons), request)
+		request := quota.Request{Tenant: "t", Quota: load.quota, Continuation: next.continuation}
+		retryAfter, admitted := simulated.take(random.IntN(load.daemons), request)
 		if admitted {
 			taken = append(taken, next.at)
 			continue
@@ -120,7 +120,7 @@
 		result.refused++
 		const maxRetries, retryProbability = 4, 0.7
 		if next.retries < maxRetries && random.Float64() < retryProbability {
-			heap.Push(&pending, caller{at: next.at.Add(after), underWay: next.underWay, retries: next.retries + 1})
+			heap.Push(&pending, caller{at: next.at.Add(retryAfter), continuation: next.continuation, retries: next.retries + 1})
 		}
 	}
 	result.taken = len(taken)
@@ -139,7 +139,7 @@
 	var result callers
 	for at := time.Duration(0); at < load.length; at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
 		for range groupSize {
-			result = append(result, caller{at: start.Add(at), underWay: random.Float64() < underWayShare})
+			result = append(result, caller{at: start.Add(at), continuation: random.Float64() < underWayShare})
 		}
 	}
 	return result
@@ -154,7 +154,7 @@
 	}
 	interval := time.Duration(float64(time.Second) / (load.quota.PerSecond * load.loadFactor))
 	for at := interval; at < load.length; at += interval {
-		result = append(result, caller{at: start.Add(at), underWay: random.IntN(2) == 0})
+		result = append(result, caller{at: start.Add(at), continuation: random.IntN(2) == 0})
 	}
 	return result
 }
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -35,9 +35,9 @@
 	defaultMaxRunning = 1
 )
 
-// Build returns a snapshot of the engines and computes in advance what decisions
-// read. It takes ownership of the slice and the map.
-func Build(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
+// NewSnapshot returns a snapshot of the engines and computes in advance what
+// decisions read. It takes ownership of the slice and the map.
+func NewSnapshot(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	snapshot := &Snapshot{
 		Engines:        engines,
 		ByModel:        make(map[string][]int),
@@ -56,13 +56,13 @@
 }
 
 // Refresh returns a snapshot of newer states of the same engines. It is faster
-// than Build because both snapshots share their indexes. If the number, order,
-// IDs, models, zones or adapters of the engines have changed, or if s was made
-// without Build and Refresh, it does the same as Build. It takes ownership of
-// the slice and the map.
+// than NewSnapshot because both snapshots share their indexes. If the number,
+// order, IDs, models, zones or adapters of the engines have changed, or if s was
+// made without NewSnapshot and Refresh, it does the same as NewSnapshot. It takes
+// ownership of the slice and the map.
 func (s *Snapshot) Refresh(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	if s.prepared == nil || !s.hasSameEngines(engines) {
-		return Build(engines, sharedPrefixes)
+		return NewSnapshot(engines, sharedPrefixes)
 	}
 	next := &Snapshot{
 		Engines:        engines,
@@ -205,10 +205,10 @@
 		pressure:        cachePressure(engine),
 		reportAge:       engine.ReportAge.Seconds(),
 		batchDecodeRate: float64(max(engine.MaxRunning, defaultMaxRunning)) * decode,
-		busy:            int32(engine.Running + engine.Waiting + engine.PlacedSince),
+		busy:            int32(engine.Running + engine.Waiting + engine.PlacedSinceReport),
 		slots:           int32(max(engine.MaxRunning, defaultMaxRunning)),
 		accepting:       engine.Accepting,
-		probing:         !engine.Accepting && engine.Probing && engine.PlacedSince == 0,
+		probing:         !engine.Accepting && engine.Probing && engine.PlacedSinceReport == 0,
 	}
 }
 
--- a/internal/server/answers.go
+++ b/internal/server/answers.go
@@ -10,7 +10,7 @@
 // what is held for others.
 func (s *Server) keepAnswers() (*writebehind.Group, error) {
 	answers := writebehind.NewGroup(writebehind.Options{
-		Account: s.memory, Silence: writebehind.UsualSilence, Pause: writebehind.UsualPause, Log: s.Log,
+		Account: s.memory, StallTimeout: writebehind.DefaultStallTimeout, MaxWriteWait: writebehind.DefaultMaxWriteWait, Log: s.Log,
 	})
-	return answers, errors.Join(s.memory.Measure(s.Registry), answers.Measure(s.Registry))
+	return answers, errors.Join(s.memory.RegisterMetrics(s.Registry), answers.RegisterMetrics(s.Registry))
 }
--- a/internal/server/collaboration.go
+++ b/internal/server/collaboration.go
@@ -29,9 +29,9 @@
 type collaboration struct {
 	availability *state.Availability
 	client       *state.Client
-	budgets      *budget.Shared
+	budgets      *budget.Client
 	ledger       *budget.Ledger
-	turns        *turn.Records
+	turns        *turn.Repository
 	list         *members.List
 	lease        *members.Lease
 	stopLease    context.CancelFunc
@@ -88,50 +88,50 @@
 		pool:   peer.NewPool(options),
 		log:    s.Log,
 	}
-	parts.list.WatchZones = !s.Settings.Disabled.Has(mechanism.SilentZones)
-	parts.list.OnZoneBack = func(addresses []string, silent time.Duration) {
+	parts.list.DetectSilentZones = !s.Settings.Disabled.Has(mechanism.SkipSilentZones)
+	parts.list.OnZoneRecovered = func(addresses []string, silent time.Duration) {
 		for _, address := range addresses {
 			parts.pool.RetireUnanswered(address, silent)
 		}
 	}
 	parts.availability = state.NewAvailability(time.Now, s.noteStore)
-	parts.availability.PaceTries(func() time.Duration { return triesApart(parts.list.Count()) })
+	parts.availability.SetRetryIntervalFunc(func() time.Duration { return triesApart(parts.list.Count()) })
 	off := s.Settings.Disabled
 	storeOptions := state.ClientOptions{
-		Store: s.Store, Availability: parts.availability, NotHedged: off.Has(mechanism.HedgedCalls),
-		Probe: state.Single(s.Rows.ConfigurationKey()), OnFailure: s.noteCall,
-		Limiter: state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), Members: parts.list.Count, OnLowered: s.noteRate}),
-		Room:    state.NewRoom(state.RoomOptions{OnChange: s.noteRoom, OnRefused: func() { parts.removal.Hurry() }}),
+		Store: s.Store, Availability: parts.availability, DisableHedging: off.Has(mechanism.HedgedCalls),
+		Probe: state.KeyRange(s.Rows.ConfigurationKey()), OnFailure: s.noteCall,
+		Limiter:      state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), MemberCount: parts.list.Count, OnRateLowered: s.noteRate}),
+		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.noteRoom, OnFullError: func() { parts.removal.TriggerRemoval() }}),
 	}
 	if !off.Has(mechanism.StoreRelay) {
 		storeOptions.Alternative = storerelay.NewRelay(parts.list, parts.pool, s.Settings.Seeds)
 	}
 	parts.client = state.NewClient(storeOptions)
 	parts.lease = &members.Lease{
-		List: parts.list, Store: parts.client, FirstStart: s.Settings.FirstStart, ShortestRenewal: shortestRenewal, Log: s.Log,
+		List: parts.list, Store: parts.client, FirstStart: s.Settings.FirstStart, MinRenewalInterval: shortestRenewal, Log: s.Log,
 	}
 	parts.removal = retention.NewQueue(parts.client, time.Now, s.Log)
 	parts.ledger = budget.NewLedger(parts.client, programsKept, programsKeptFor)
 	if !off.Has(mechanism.Lending) {
-		parts.ledger.LendWith(budget.NewLender(parts.list.MayLend, time.Now, s.Log))
-	}
-	parts.budgets = budget.NewShared(parts.ledger, parts.list, parts.pool, parts.availability, s.Log)
-	parts.budgets.Near = s.Settings.NearBudgets && !off.Has(mechanism.NearBudgets)
-	parts.budgets.Alone = off.Has(mechanism.SharedBudgets)
-	parts.turns = turn.NewRecords(turn.Options{
-		Store: parts.client, RowBytes: s.Settings.Store.RowBytes, CacheEntries: turnsCached, CacheFor: turnsCachedFor,
-		CacheBytes: turnsCachedBytes, PieceBytes: piecesCachedBytes, Log: s.Log,
-		Now: time.Now, Removal: parts.removal, Others: &turn.Others{List: parts.list, Caller: parts.pool, Log: s.Log},
+		parts.ledger.SetLender(budget.NewLender(parts.list.MayLend, time.Now, s.Log))
+	}
+	parts.budgets = budget.NewClient(parts.ledger, parts.list, parts.pool, parts.availability, s.Log)
+	parts.budgets.PreferZone = s.Settings.NearBudgets && !off.Has(mechanism.ZoneBudgetHolders)
+	parts.budgets.LocalOnly = off.Has(mechanism.SharedBudgets)
+	parts.turns = turn.NewRepository(turn.Options{
+		Store: parts.client, MaxRowBytes: s.Settings.Store.RowBytes, MaxCacheEntries: turnsCached, CacheIdleTimeout: turnsCachedFor,
+		MaxCacheBytes: turnsCachedBytes, MaxPieceCacheBytes: piecesCachedBytes, Log: s.Log,
+		Now: time.Now, RemovalQueue: parts.removal, Peers: &turn.Peers{List: parts.list, Caller: parts.pool, Log: s.Log},
 	})
 	parts.loads = &load.Exchange{List: parts.list, Caller: parts.pool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
-	parts.tellsLoads = !off.Has(mechanism.LoadBoard)
+	parts.tellsLoads = !off.Has(mechanism.FleetLoads)
 	parts.keeper = quota.NewKeeper(s.Settings.quota(), parts.list, time.Now)
 	parts.quotas = quota.NewLimiter(quota.Options{
 		Settings: s.Settings.quota(), Keeper: parts.keeper, Directory: parts.list, Caller: parts.pool, Now: time.Now, Log: s.Log,
 	})
 	measured := []error{
-		parts.client.Measure(s.Registry), parts.list.Measure(s.Registry), parts.loads.Measure(s.Registry),
-		parts.quotas.Measure(s.Registry), parts.turns.Measure(s.Registry), s.Registry.Register(s.fleet.Collector()),
+		parts.client.RegisterMetrics(s.Registry), parts.list.RegisterMetrics(s.Registry), parts.loads.RegisterMetrics(s.Registry),
+		parts.quotas.RegisterMetrics(s.Registry), parts.turns.RegisterMetrics(s.Registry), s.Registry.Register(s.fleet.Collector()),
 	}
 	if err := errors.Join(measured...); err != nil {
 		return nil, err
@@ -155,13 +155,13 @@
 		Members: parts.list.Count, Services: func() []string { return s.routes.Current().ModelServices() }, Now: time.Now, Log: s.Log,
 	})
 	parts.loads.Programs = parts.admission
-	return parts.admission.Measure(s.Registry)
+	return parts.admission.RegisterMetrics(s.Registry)
 }
 
 // register offers what other daemons may ask for.
 func (s *Server) register(parts *collaboration) error {
 	listening := parts.server
-	if err := listening.Register(budget.Service, budget.NewHolder(parts.ledger, s.life.Draining)); err != nil {
+	if err := listening.Register(budget.ServiceName, budget.NewHolder(parts.ledger, s.life.Draining)); err != nil {
 		return eris.Wrap(err, "serve budgets")
 	}
 	if err := listening.Register(turn.ServiceName, turn.NewService(parts.turns)); err != nil {
@@ -173,10 +173,10 @@
 	if err := listening.Register(quota.ServiceName, parts.keeper); err != nil {
 		return eris.Wrap(err, "serve quotas")
 	}
-	if err := listening.Register(members.ServiceName, members.Service{}); err != nil {
+	if err := listening.Register(members.ProbeServiceName, members.ProbeService{}); err != nil {
 		return eris.Wrap(err, "serve members")
 	}
-	relay := storerelay.NewService(s.Store, parts.client.DirectUsable)
+	relay := storerelay.NewService(s.Store, parts.client.IsDirectHealthy)
 	return eris.Wrap(listening.Register(storerelay.ServiceName, relay), "serve the store's relay")
 }
 
@@ -195,17 +195,17 @@
 	var keeping context.Context
 	keeping, c.stopLease = context.WithCancel(ctx)
 	go c.lease.Run(keeping)
-	go watch.Run(ctx, c.list.Watch(c.client, membersWait), c.list)
-	if c.list.WatchZones {
+	go watch.Run(ctx, c.list.WatchOptions(c.client, membersWait), c.list)
+	if c.list.DetectSilentZones {
 		go (&members.Prober{List: c.list, Caller: c.pool}).Run(ctx)
 	}
 	go c.removal.Run(ctx)
 	if c.tellsLoads {
 		go c.loads.Run(ctx)
 	}
-	go turn.Leftovers(c.client, c.list.Sweeps, time.Now, c.log).Run(ctx)
-	go piece.Leftovers(c.client, c.list.Sweeps, time.Now, c.log).Run(ctx)
-	go budget.Leftovers(c.client, c.list.Sweeps, time.Now, c.log).Run(ctx)
+	go turn.NewSweep(c.client, c.list.HasHighestScore, time.Now, c.log).Run(ctx)
+	go piece.NewSweep(c.client, c.list.HasHighestScore, time.Now, c.log).Run(ctx)
+	go budget.NewSweep(c.client, c.list.HasHighestScore, time.Now, c.log).Run(ctx)
 }
 
 // release gives back what is held of budgets.
@@ -221,7 +221,7 @@
 	c.stopLease()
 	ctx, cancel := context.WithTimeout(context.Background(), goodbyeWait)
 	defer cancel()
-	if err := c.lease.End(ctx); err != nil {
+	if err := c.lease.WriteEnded(ctx); err != nil {
 		c.log.Warn("members: end not told; the lease runs out by itself.", zap.String("error", err.Error()))
 	}
 }
--- a/internal/server/followers.go
+++ b/internal/server/followers.go
@@ -27,10 +27,10 @@
 }
 
 // Replace implements watch.Follower.
-func (c *configurationFollower) Replace(rows []state.Row, _ state.Version) { c.Change(rows) }
+func (c *configurationFollower) Replace(rows []state.Row, _ state.Version) { c.Apply(rows) }
 
-// Change implements watch.Follower.
-func (c *configurationFollower) Change(rows []state.Row) {
+// Apply implements watch.Follower.
+func (c *configurationFollower) Apply(rows []state.Row) {
 	for _, row := range rows {
 		if row.Key == c.rows.ConfigurationKey() && !row.Removed {
 			c.take(row)
@@ -73,8 +73,8 @@
 	i.onRead()
 }
 
-// Change implements watch.Follower.
-func (i *instanceFollower) Change(rows []state.Row) {
+// Apply implements watch.Follower.
+func (i *instanceFollower) Apply(rows []state.Row) {
 	for _, row := range rows {
 		declaration, valid := i.translate(row)
 		if !valid {
@@ -85,7 +85,7 @@
 				zap.String("address", declaration.Address), zap.Uint64("version", declaration.Version))
 		}
 	}
-	i.fleet.Forget(i.keep)
+	i.fleet.Prune(i.keep)
 }
 
 func (i *instanceFollower) translate(row state.Row) (backend.Declaration, bool) {
--- a/internal/server/followers_test.go
+++ b/internal/server/followers_test.go
@@ -42,7 +42,7 @@
 
 	known := func() []string {
 		var ids []string
-		for _, instance := range follower.fleet.Of("s") {
+		for _, instance := range follower.fleet.Instances("s") {
 			ids = append(ids, instance.ID)
 		}
 		return ids
@@ -55,6 +55,6 @@
 		Expect(logged.FilterMessage("engine: entry cannot be read.").FilterField(zap.String("engine", "b")).Len()).To(Equal(1))
 	},
 		Entry("in a whole reading", func() { follower.Replace(rows, 3) }),
-		Entry("in a change", func() { follower.Change(rows) }),
+		Entry("in a change", func() { follower.Apply(rows) }),
 	)
 })
--- a/internal/server/front_test.go
+++ b/internal/server/front_test.go
@@ -103,7 +103,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(make([]byte, answerBytes)) })
 		account := memory.NewAccount(4 * answerBytes)
-		answers := writebehind.NewGroup(writebehind.Options{Account: account, Silence: time.Hour, Pause: time.Hour})
+		answers := writebehind.NewGroup(writebehind.Options{Account: account, StallTimeout: time.Hour, MaxWriteWait: time.Hour})
 		keeping := newFront(listener, handler, answers, log.New(io.Discard, "", 0))
 		caller, err := net.Dial("tcp", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/server/reaching.go
+++ b/internal/server/reaching.go
@@ -12,17 +12,17 @@
 func (s *Server) watchReach(parts *collaboration) error {
 	s.reach = reach.NewMonitor(reach.Options{
 		Observe: func() reach.Observation {
-			heard, known := parts.loads.Outside()
-			return reach.Observation{OutsideKnown: known, OutsideHeard: heard, StoreHeard: parts.availability.Answered()}
+			heard, known := parts.loads.LastOutsideContact()
+			return reach.Observation{OutsideKnown: known, LastOutsideContact: heard, LastStoreAnswer: parts.availability.LastAnswerTime()}
 		},
-		AskStore: func(ctx context.Context) {
+		ProbeStore: func(ctx context.Context) {
 			// An answer shows in what the store was last heard of; that none came does, too.
-			_, _ = parts.client.Read(ctx, state.Single(s.Rows.ConfigurationKey()))
+			_, _ = parts.client.Read(ctx, state.KeyRange(s.Rows.ConfigurationKey()))
 		},
-		Moved:    noticed,
-		OnChange: func(cutOff bool) { s.front.Divert(cutOff) },
-		Now:      time.Now,
-		Log:      s.Log,
+		RerouteDelay: noticed,
+		OnChange:     func(cutOff bool) { s.front.Divert(cutOff) },
+		Now:          time.Now,
+		Log:          s.Log,
 	})
-	return s.reach.Measure(s.Registry)
+	return s.reach.RegisterMetrics(s.Registry)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -28,7 +28,7 @@
 type Options struct {
 	Settings  Settings
 	Store     state.Store
-	Wire      gateway.Wire
+	Wire      gateway.HeaderCodec
 	Rows      Rows
 	ReadyPath string
 	Log       *zap.Logger
@@ -95,7 +95,7 @@
 		life:    process.NewLife("server", options.Log),
 
 		rateLines: rate.Sometimes{Interval: rateLinesApart},
-		memory:    memory.NewAccount(memory.Divide(options.Settings.MemoryMB).Held),
+		memory:    memory.NewAccount(memory.LimitsFor(options.Settings.MemoryMB).MaxHeldBytes),
 	}
 	made.Reload(options.Settings)
 	return made
@@ -150,24 +150,24 @@
 // handler counts requests under way around the gateway.
 func (s *Server) handler(parts *collaboration) http.Handler {
 	served := gateway.New(gateway.Options{
-		Zone:          s.Settings.Zone,
-		Wire:          s.Wire,
-		Routes:        s.routes,
-		Fleet:         s.fleet,
-		Turns:         parts.turns,
-		Budgets:       parts.budgets,
-		Quotas:        parts.quotas,
-		Admission:     parts.admission,
-		Availability:  parts.availability,
-		Reach:         s.reach,
-		Room:          parts.client.Room(),
-		Memory:        s.memory,
-		Log:           s.Log,
-		Metrics:       s.metrics,
-		InstanceGrace: s.instanceGrace(),
-		Off:           s.Settings.Disabled,
-		KeysBelieved:  s.Settings.configurationWait() + timeToNotice,
-		Ages: func() (configuration, instances time.Duration) {
+		Zone:                s.Settings.Zone,
+		Wire:                s.Wire,
+		Routes:              s.routes,
+		Fleet:               s.fleet,
+		Turns:               parts.turns,
+		Budgets:             parts.budgets,
+		Quotas:              parts.quotas,
+		Admission:           parts.admission,
+		Availability:        parts.availability,
+		Connectivity:        s.reach,
+		StoreSpace:          parts.client.SpaceTracker(),
+		Memory:              s.memory,
+		Log:                 s.Log,
+		Metrics:             s.metrics,
+		InstanceGrace:       s.instanceGrace(),
+		DisabledMechanisms:  s.Settings.Disabled,
+		MaxConfigurationAge: s.Settings.configurationWait() + timeToNotice,
+		Staleness: func() (configuration, instances time.Duration) {
 			return s.configurationHeard.age(), s.instancesHeard.age()
 		},
 	})
@@ -196,12 +196,12 @@
 		onRead: func() { s.fleetRead.Store(true) },
 	}
 	go watch.Run(ctx, watch.Options{
-		Store: parts.client, Table: s.Rows.ConfigurationKey().Table, Wait: s.Settings.configurationWait(), Log: s.Log,
-		OnHeard: s.configurationHeard.now,
+		Store: parts.client, Table: s.Rows.ConfigurationKey().Table, MaxWait: s.Settings.configurationWait(), Log: s.Log,
+		OnAnswer: s.configurationHeard.now,
 	}, configuration)
 	go watch.Run(ctx, watch.Options{
-		Store: parts.client, Table: s.Rows.InstancesTable(), Wait: instancesWait, Pause: s.Settings.drain() / pausesInDrain, Log: s.Log,
-		OnHeard: s.instancesHeard.now,
+		Store: parts.client, Table: s.Rows.InstancesTable(), MaxWait: instancesWait, MinBatchInterval: s.Settings.drain() / pausesInDrain, Log: s.Log,
+		OnAnswer: s.instancesHeard.now,
 	}, instances)
 	parts.join(ctx)
 }
@@ -236,7 +236,7 @@
 	defer cancel()
 	for ctx.Err() == nil && !s.mayLeave(time.Since(start)) {
 		parts.release(ctx)
-		pause.For(ctx, recheck)
+		pause.Sleep(ctx, recheck)
 	}
 	err := s.front.Stop(ctx)
 	parts.release(ctx)
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -52,7 +52,7 @@
 	// budget may each be granted a part that is too small for a turn.
 	NearBudgets bool `yaml:"near_budgets"`
 	// Disabled are mechanisms that an experiment goes without; empty in service.
-	Disabled mechanism.Off `yaml:"disabled"`
+	Disabled mechanism.Disabled `yaml:"disabled"`
 	// LogSuccessesPerSecond bounds the lines about requests that went well; 0: no bound.
 	LogSuccessesPerSecond int `yaml:"log_successes_per_second"`
 }
@@ -137,7 +137,7 @@
 	demand(s.Quota.WindowSeconds >= 0, "quota.window_seconds: expected a number, 0 or above")
 	demand(s.Quota.ToleranceShare >= 0, "quota.tolerance_share: expected a number, 0 or above")
 	demand(s.Quota.ToleranceRequests >= 0, "quota.tolerance_requests: expected a number, 0 or above")
-	if err := s.Disabled.Check(); err != nil {
+	if err := s.Disabled.Validate(); err != nil {
 		faults = append(faults, eris.Errorf("disabled: %v", err))
 	}
 	return errors.Join(faults...)
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -85,7 +85,7 @@
 	It("knows the mechanisms that an experiment may go without", func() {
 		settings, err := Load(written(validSettings + "disabled: [trails, zone-cost]\n"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.Disabled.Has(mechanism.Trails)).To(BeTrue())
+		Expect(settings.Disabled.Has(mechanism.TurnLocations)).To(BeTrue())
 		_, err = Load(written(validSettings + "disabled: [trials]\n"))
 		Expect(err).To(MatchError(ContainSubstring(`disabled: unknown mechanism "trials"`)))
 	})
--- a/internal/server/storelines.go
+++ b/internal/server/storelines.go
@@ -38,7 +38,7 @@
 
 // noteCall tells of a call of the store without a verdict.
 func (s *Server) noteCall(failure state.Failure) {
-	s.Log.Warn("store: call failed.", zap.String("call", failure.Call), zap.String("table", failure.Key.Table),
+	s.Log.Warn("store: call failed.", zap.String("call", failure.Op), zap.String("table", failure.Key.Table),
 		zap.String("partition", failure.Key.Partition), zap.String("key", failure.Key.Name),
-		zap.Duration("took", failure.Took), zap.String("cause", failure.Err.Error()))
+		zap.Duration("took", failure.Duration), zap.String("cause", failure.Err.Error()))
 }
--- a/internal/state/limits_model_store_test.go
+++ b/internal/state/limits_model_store_test.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maySendWrite returns whether the daemon's Room lets it send a write, and may take a probe for
-// it. It schedules another attempt of a turn commit that has to wait. Without limits every
-// write may be sent.
+// maySendWrite returns whether the daemon's SpaceTracker lets it send a write, and may take a
+// probe for it. It schedules another attempt of a turn commit that has to wait. Without limits
+// every write may be sent.
 func (m *model) maySendWrite(call *modelCall) bool {
-	room := call.daemon.room
-	if _, full := room.FullSince(); !full || m.strategy == strategyNone || call.class == ClassLease {
+	tracker := call.daemon.spaceTracker
+	if _, full := tracker.FullSince(); !full || m.strategy == strategyNone || call.class == ClassLease {
 		return true
 	}
-	if call.class == ClassTurn && call.attempts == 0 || room.Probe() {
+	if call.class == ClassTurn && call.attempts == 0 || tracker.AllowWrite() {
 		return true
 	}
 	if call.class == ClassTurn {
@@ -20,7 +20,7 @@
 }
 
 // retry schedules another attempt of the call, and of the calls batched with it, after the
-// delay of Client.Repeat. With strategyRetryBudget, it drops the call if the budget has no
+// delay of Client.Retry. With strategyRetryBudget, it drops the call if the budget has no
 // token.
 func (m *model) retry(call *modelCall) {
 	call.attempts++
@@ -82,7 +82,7 @@
 // their deadlines.
 func (m *model) recordAnswer(call *modelCall, sent time.Duration) {
 	if call.kind == CallCommit {
-		call.daemon.room.recordWrite(100, time.Unix(1000, 0).Add(sent))
+		call.daemon.spaceTracker.recordWrite(100, time.Unix(1000, 0).Add(sent))
 	}
 	for _, batchedCall := range call.batched {
 		m.recordAnswer(batchedCall, sent)
@@ -118,7 +118,7 @@
 		m.attempt(batchedCall)
 	}
 	call.batched = nil
-	call.daemon.room.recordRefusal(100)
+	call.daemon.spaceTracker.recordRefusal(100)
 	if call.class == ClassTurn {
 		m.attempt(call)
 	}
--- a/internal/state/room.go
+++ b/internal/state/room.go
@@ -10,12 +10,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Room tracks whether the store is full. While the store is full, Room holds back commits that
-// can wait, so that they do not use up the rate limit. It lets one of them at a time through,
-// at growing intervals, to probe whether the store has space again. A Room is safe for
-// concurrent use. FullSince takes no lock.
-type Room struct {
-	options RoomOptions
+// SpaceTracker tracks whether the store is full. While the store is full, it holds back commits
+// that can wait, so that they do not use up the rate limit. It lets one of them at a time
+// through, at growing intervals, to probe whether the store has space again. A SpaceTracker is
+// safe for concurrent use. FullSince takes no lock.
+type SpaceTracker struct {
+	options SpaceTrackerOptions
 
 	fullSince atomic.Int64 // Unix time in nanoseconds; 0: the store is not full
 
@@ -27,95 +27,95 @@
 	wake                chan struct{} // closed and replaced to make waiting commits check again
 }
 
-// RoomOptions configures a Room. All of its fields are optional.
-type RoomOptions struct {
+// SpaceTrackerOptions configures a SpaceTracker. All of its fields are optional.
+type SpaceTrackerOptions struct {
 	Now func() time.Time
 	// OnChange is called when the store becomes full and when it has space again. lasted is the
-	// time for which the store was full, or 0 if it became full. OnChange runs with the Room's
-	// lock held.
+	// time for which the store was full, or 0 if it became full. OnChange runs with the
+	// SpaceTracker's lock held.
 	OnChange func(full bool, lasted time.Duration)
-	// OnRefused is called for each commit that the store refused because it is full, so that
+	// OnFullError is called for each commit that the store refused because it is full, so that
 	// expired rows can be removed. It must not block.
-	OnRefused func()
+	OnFullError func()
 }
 
 const (
-	initialRoomProbeInterval = 100 * time.Millisecond
-	// maxRoomProbeInterval keeps the probes of 400 daemons at 200 to 400 per second, a small
+	initialSpaceProbeInterval = 100 * time.Millisecond
+	// maxSpaceProbeInterval keeps the probes of 400 daemons at 200 to 400 per second, a small
 	// part of the 1,500 writes per second that a large store accepts.
-	maxRoomProbeInterval = 2 * time.Second
+	maxSpaceProbeInterval = 2 * time.Second
 	// refusalRetention is the time without a refusal after which a successful write of any size
 	// proves that the store has space.
-	refusalRetention = 2 * maxRoomProbeInterval
+	refusalRetention = 2 * maxSpaceProbeInterval
 )
 
-// NewRoom returns a Room that considers the store not full.
-func NewRoom(options RoomOptions) *Room {
+// NewSpaceTracker returns a SpaceTracker that considers the store not full.
+func NewSpaceTracker(options SpaceTrackerOptions) *SpaceTracker {
 	if options.Now == nil {
 		options.Now = time.Now
 	}
 	if options.OnChange == nil {
 		options.OnChange = func(bool, time.Duration) {}
 	}
-	if options.OnRefused == nil {
-		options.OnRefused = func() {}
+	if options.OnFullError == nil {
+		options.OnFullError = func() {}
 	}
-	return &Room{options: options, wake: make(chan struct{})}
+	return &SpaceTracker{options: options, wake: make(chan struct{})}
 }
 
 // FullSince returns when the store became full. The second result is false if it is not full.
-func (r *Room) FullSince() (time.Time, bool) {
-	since := r.fullSince.Load()
+func (t *SpaceTracker) FullSince() (time.Time, bool) {
+	since := t.fullSince.Load()
 	return time.Unix(0, since), since != 0
 }
 
-// FullFor returns how long the store has been full, or 0 if it is not.
-func (r *Room) FullFor() time.Duration {
-	since, full := r.FullSince()
+// FullDuration returns how long the store has been full, or 0 if it is not.
+func (t *SpaceTracker) FullDuration() time.Duration {
+	since, full := t.FullSince()
 	if !full {
 		return 0
 	}
-	return r.options.Now().Sub(since)
+	return t.options.Now().Sub(since)
 }
 
-// Probe returns true if the store is not full. While the store is full, Probe returns true to
-// one caller per probe interval. That caller may send a write. The next interval starts even if
-// the caller sends none.
-func (r *Room) Probe() bool {
-	if _, full := r.FullSince(); !full {
+// AllowWrite returns true if the store is not full. While the store is full, AllowWrite returns
+// true to one caller per probe interval. That caller may send a write. The next interval starts
+// even if the caller sends none.
+func (t *SpaceTracker) AllowWrite() bool {
+	if _, full := t.FullSince(); !full {
 		return true
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return r.takeProbe() <= 0
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return t.takeProbe() <= 0
 }
 
 // takeProbe returns 0 if the store is not full. While the store is full, takeProbe takes the
 // next probe and returns 0 if that probe is due, and otherwise returns the time until it is
 // due. The caller holds the mutex.
-func (r *Room) takeProbe() time.Duration {
-	if r.fullSince.Load() == 0 {
+func (t *SpaceTracker) takeProbe() time.Duration {
+	if t.fullSince.Load() == 0 {
 		return 0
 	}
-	now := r.options.Now()
-	if wait := r.nextProbe.Sub(now); wait > 0 {
+	now := t.options.Now()
+	if wait := t.nextProbe.Sub(now); wait > 0 {
 		return wait
 	}
-	r.nextProbe = now.Add(roomProbeInterval(r.consecutiveRefusals))
+	t.nextProbe = now.Add(spaceProbeInterval(t.consecutiveRefusals))
 	return 0
 }
 
-// roomProbeInterval returns the interval after a number of consecutive refusals: it doubles
-// with each refusal up to maxRoomProbeInterval, and is shortened by jitter.
-func roomProbeInterval(refusals int) time.Duration {
+// spaceProbeInterval returns the interval after a number of consecutive refusals: it doubles
+// with each refusal up to maxSpaceProbeInterval, and is shortened by jitter.
+func spaceProbeInterval(refusals int) time.Duration {
 	const maxDoublings = 8
-	return withJitter(min(initialRoomProbeInterval<<min(refusals, maxDoublings), maxRoomProbeInterval))
+	return withJitter(min(initialSpaceProbeInterval<<min(refusals, maxDoublings), maxSpaceProbeInterval))
 }
 
 // admit returns nil if the commit may be sent, and ErrFull otherwise. isRetry means that the
 // commit was sent before. A retry of a commit of ClassTurn waits for a probe.
-func (r *Room) admit(ctx context.Context, commit Commit, isRetry bool) error {
-	if _, full := r.FullSince(); !full || len(commit.Puts) == 0 {
+func (t *SpaceTracker) admit(ctx context.Context, commit Commit, isRetry bool) error {
+	if _, full := t.FullSince(); !full || len(commit.Puts) == 0 {
 		return nil
 	}
 	switch commit.Class {
@@ -123,12 +123,12 @@
 		return nil
 	case ClassTurn:
 		if isRetry {
-			return r.waitForProbe(ctx)
+			return t.waitForProbe(ctx)
 		}
 		return nil
 	case ClassReservation, ClassSettlement, ClassSweep, ClassFollow:
 		// Even one attempt per reservation would use up the rate limit that turn commits need.
-		if !r.Probe() {
+		if !t.AllowWrite() {
 			return eris.Wrap(ErrFull, "commit not sent")
 		}
 	}
@@ -137,11 +137,11 @@
 
 // waitForProbe waits until the store has space or a probe is due, and takes that probe. It
 // returns ErrFull if ctx ends first.
-func (r *Room) waitForProbe(ctx context.Context) error {
+func (t *SpaceTracker) waitForProbe(ctx context.Context) error {
 	for {
-		r.mutex.Lock()
-		wait, wake := r.takeProbe(), r.wake
-		r.mutex.Unlock()
+		t.mutex.Lock()
+		wait, wake := t.takeProbe(), t.wake
+		t.mutex.Unlock()
 		if wait <= 0 {
 			return nil
 		}
@@ -159,35 +159,35 @@
 }
 
 // recordResult records the result of a commit that was sent at the given time.
-func (r *Room) recordResult(commit Commit, sent time.Time, err error) {
+func (t *SpaceTracker) recordResult(commit Commit, sent time.Time, err error) {
 	switch {
 	case errors.Is(err, ErrFull):
-		r.recordRefusal(commit.valueBytes())
+		t.recordRefusal(commit.valueBytes())
 	case err != nil:
 	case len(commit.Puts) > 0:
-		r.recordWrite(commit.valueBytes(), sent)
+		t.recordWrite(commit.valueBytes(), sent)
 	case len(commit.Removals) > 0:
-		r.recordRemoval()
+		t.recordRemoval()
 	}
 }
 
 // recordRefusal records that the store was full and refused a commit whose values have the
 // given size.
-func (r *Room) recordRefusal(bytes int) {
-	defer r.options.OnRefused()
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	now := r.options.Now()
-	r.lastRefused = now
-	r.nextProbe = now.Add(roomProbeInterval(r.consecutiveRefusals))
-	r.consecutiveRefusals++
-	if r.fullSince.Load() != 0 {
-		r.smallestRefused = min(r.smallestRefused, bytes)
+func (t *SpaceTracker) recordRefusal(bytes int) {
+	defer t.options.OnFullError()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	now := t.options.Now()
+	t.lastRefused = now
+	t.nextProbe = now.Add(spaceProbeInterval(t.consecutiveRefusals))
+	t.consecutiveRefusals++
+	if t.fullSince.Load() != 0 {
+		t.smallestRefused = min(t.smallestRefused, bytes)
 		return
 	}
-	r.smallestRefused = bytes
-	r.fullSince.Store(now.UnixNano())
-	r.options.OnChange(true, 0)
+	t.smallestRefused = bytes
+	t.fullSince.Store(now.UnixNano())
+	t.options.OnChange(true, 0)
 }
 
 // recordWrite records a successful commit with puts that was sent at the given time. The store
@@ -195,40 +195,40 @@
 // are at least as large as those of the smallest refused commit, or refusalRetention has passed
 // since the last refusal. A smaller commit proves less: a full store still accepts a small row
 // that replaces its former value.
-func (r *Room) recordWrite(bytes int, sent time.Time) {
-	since, full := r.FullSince()
+func (t *SpaceTracker) recordWrite(bytes int, sent time.Time) {
+	since, full := t.FullSince()
 	if !full {
 		return
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	now := r.options.Now()
-	largeEnough := bytes >= r.smallestRefused || now.Sub(r.lastRefused) >= refusalRetention
-	if !largeEnough || !sent.After(r.lastRefused) || r.fullSince.Load() == 0 {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	now := t.options.Now()
+	largeEnough := bytes >= t.smallestRefused || now.Sub(t.lastRefused) >= refusalRetention
+	if !largeEnough || !sent.After(t.lastRefused) || t.fullSince.Load() == 0 {
 		return
 	}
-	r.consecutiveRefusals = 0
-	r.fullSince.Store(0)
-	r.wakeWaiters()
-	r.options.OnChange(false, now.Sub(since))
+	t.consecutiveRefusals = 0
+	t.fullSince.Store(0)
+	t.wakeWaiters()
+	t.options.OnChange(false, now.Sub(since))
 }
 
 // recordRemoval makes the next probe due at once, since a removal may have freed space.
-func (r *Room) recordRemoval() {
-	if _, full := r.FullSince(); !full {
+func (t *SpaceTracker) recordRemoval() {
+	if _, full := t.FullSince(); !full {
 		return
 	}
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.consecutiveRefusals = 0
-	r.nextProbe = r.options.Now()
-	r.wakeWaiters()
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.consecutiveRefusals = 0
+	t.nextProbe = t.options.Now()
+	t.wakeWaiters()
 }
 
 // wakeWaiters makes the waiting commits check again. The caller holds the mutex.
-func (r *Room) wakeWaiters() {
-	close(r.wake)
-	r.wake = make(chan struct{})
+func (t *SpaceTracker) wakeWaiters() {
+	close(t.wake)
+	t.wake = make(chan struct{})
 }
 
 // valueBytes returns the total size of the commit's values in bytes.
--- a/internal/turn/play_test.go
+++ b/internal/turn/play_test.go
@@ -34,8 +34,8 @@
 
 // modelDaemon is the in-memory state of a daemon.
 type modelDaemon struct {
-	records *turn.Records
-	removal *retention.Queue
+	repository *turn.Repository
+	removal    *retention.Queue
 }
 
 // storeModel is the state of the property test. It consists of daemons that share one store, and
@@ -71,15 +71,15 @@
 
 func (m *storeModel) client() *state.Client {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	return state.NewClient(state.ClientOptions{Store: m.store, Availability: availability, NotHedged: true})
+	return state.NewClient(state.ClientOptions{Store: m.store, Availability: availability, DisableHedging: true})
 }
 
 // newDaemon returns a daemon with empty memory.
 func (m *storeModel) newDaemon() modelDaemon {
 	client := m.client()
 	removal := retention.NewQueue(client, m.clock, zap.NewNop())
-	return modelDaemon{removal: removal, records: turn.NewRecords(turn.Options{
-		Store: client, RowBytes: modelRowBytes, CacheEntries: 5, CacheBytes: 20000, PieceBytes: 30000, CacheFor: time.Hour, Now: m.clock, Removal: removal,
+	return modelDaemon{removal: removal, repository: turn.NewRepository(turn.Options{
+		Store: client, MaxRowBytes: modelRowBytes, MaxCacheEntries: 5, MaxCacheBytes: 20000, MaxPieceCacheBytes: 30000, CacheIdleTimeout: time.Hour, Now: m.clock, RemovalQueue: removal,
 	})}
 }
 
@@ -117,12 +117,12 @@
 func (m *storeModel) Save(t *rapid.T) {
 	ctx, cancel := m.context()
 	defer cancel()
-	records := m.randomDaemon().records
+	repository := m.randomDaemon().repository
 	added := turn.Addition{Input: randomText(m.random, rapid.IntRange(1, 3000).Draw(t, "input")), Output: randomText(m.random, rapid.IntRange(0, 6000).Draw(t, "output"))}
 	previous, found := m.retainedTurn()
 	history := ""
 	if found && rapid.IntRange(0, 4).Draw(t, "begin") > 0 {
-		loaded, err := records.Load(ctx, previous, "")
+		loaded, err := repository.Load(ctx, previous, "")
 		if !m.checkLoaded(previous, loaded, err) {
 			return
 		}
@@ -132,7 +132,7 @@
 		added.Input = append(append([]byte(nil), common...), added.Input...)
 	}
 	name := fmt.Sprint("t", len(m.names))
-	err := records.Save(ctx, name, added, modelRetention)
+	err := repository.Save(ctx, name, added, modelRetention)
 	m.names = append(m.names, name)
 	m.turns[name] = modelTurn{history: history + string(added.Input) + string(added.Output), savedAt: m.now, isSaved: err == nil}
 	if err != nil && !m.hasFaults {
@@ -147,7 +147,7 @@
 	case err == nil && historyOf(loaded) == m.turns[name].history:
 		return true
 	case err == nil:
-		m.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Length())
+		m.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Size())
 	case errors.Is(err, turn.ErrNotFound):
 		m.t.Fatalf("turn %s: not found", name)
 	case !m.hasFaults:
@@ -164,7 +164,7 @@
 	}
 	ctx, cancel := m.context()
 	defer cancel()
-	loaded, err := m.newDaemon().records.Load(ctx, name, "")
+	loaded, err := m.newDaemon().repository.Load(ctx, name, "")
 	m.checkLoaded(name, loaded, err)
 }
 
@@ -190,9 +190,9 @@
 	}
 	all := func(string) bool { return true }
 	client := m.client()
-	for _, sweep := range []*retention.Sweep{turn.Leftovers(client, all, m.clock, zap.NewNop()), piece.Leftovers(client, all, m.clock, zap.NewNop())} {
+	for _, sweep := range []*retention.Sweep{turn.NewSweep(client, all, m.clock, zap.NewNop()), piece.NewSweep(client, all, m.clock, zap.NewNop())} {
 		for _, partition := range sweep.Partitions {
-			if _, err := sweep.Partition(ctx, partition); err != nil && !m.hasFaults {
+			if _, err := sweep.SweepPartition(ctx, partition); err != nil && !m.hasFaults {
 				t.Fatalf("sweep: %v", err)
 			}
 		}
@@ -230,10 +230,10 @@
 	}
 }
 
-// TestEachKeptTurnReadsBack checks random sequences of saves, branches, lost daemons, removals and
+// TestSavedTurnsCanBeLoaded checks random sequences of saves, branches, lost daemons, removals and
 // failing partitions. Until its retention is over, a turn whose Save returned nil must be loaded
 // byte for byte. While partitions fail, Load may return an error instead, but not ErrNotFound.
-func TestEachKeptTurnReadsBack(t *testing.T) {
+func TestSavedTurnsCanBeLoaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newStoreModel(t)
 		t.Repeat(map[string]func(*rapid.T){
@@ -249,7 +249,7 @@
 			if !known.isSaved || model.now.After(known.savedAt.Add(modelRetention)) {
 				continue
 			}
-			loaded, err := model.newDaemon().records.Load(context.Background(), name, "")
+			loaded, err := model.newDaemon().repository.Load(context.Background(), name, "")
 			model.checkLoaded(name, loaded, err)
 		}
 	})
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -30,33 +30,34 @@
 
 func optionsOf(store state.Store) turn.Options {
 	return turn.Options{
-		Store: clientOf(store), RowBytes: rowBytes, CacheEntries: 64, CacheBytes: cacheBytes, PieceBytes: cacheBytes,
-		CacheFor: time.Hour, Now: time.Now,
+		Store: clientOf(store), MaxRowBytes: rowBytes, MaxCacheEntries: 64, MaxCacheBytes: cacheBytes, MaxPieceCacheBytes: cacheBytes,
+		CacheIdleTimeout: time.Hour, Now: time.Now,
 	}
 }
 
-func newRecords(store state.Store) *turn.Records { return turn.NewRecords(optionsOf(store)) }
+func newRepository(store state.Store) *turn.Repository { return turn.NewRepository(optionsOf(store)) }
 
-// newRecordsWithPeer returns the Records of a daemon that knows another daemon by its address.
-func newRecordsWithPeer(store state.Store, other string) *turn.Records {
+// newRepositoryWithPeer returns the Repository of a daemon that knows another daemon by its
+// address.
+func newRepositoryWithPeer(store state.Store, other string) *turn.Repository {
 	list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
 	row, err := acquaintance.RowOf(members.Member{Process: identity.Process{Machine: "other", Zone: "z", Address: other}, State: members.StateAlive})
 	Expect(err).NotTo(HaveOccurred())
-	list.Change([]state.Row{row})
+	list.Apply([]state.Row{row})
 	pool := peer.NewPool(peer.Options{})
 	DeferCleanup(pool.Close)
 	options := optionsOf(store)
-	options.Others = &turn.Others{List: list, Caller: pool, Log: zap.NewNop()}
-	return turn.NewRecords(options)
+	options.Peers = &turn.Peers{List: list, Caller: pool, Log: zap.NewNop()}
+	return turn.NewRepository(options)
 }
 
-// serve starts a server at which other daemons can ask for turns that records has in memory, and
-// returns its address.
-func serve(records *turn.Records) (address string) {
+// serve starts a server at which other daemons can ask for turns that repository has in memory,
+// and returns its address.
+func serve(repository *turn.Repository) (address string) {
 	server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(server.Close)
-	Expect(server.Register(turn.ServiceName, turn.NewService(records))).To(Succeed())
+	Expect(server.Register(turn.ServiceName, turn.NewService(repository))).To(Succeed())
 	return server.Address()
 }
 
@@ -73,8 +74,8 @@
 
 	DescribeTable("saves a turn that fits one commit with one commit, and loads it in another process with one read", func(ctx SpecContext, size int) {
 		added := turn.Addition{Input: bytes.Repeat([]byte("abc"), size/3), Output: []byte("out"), Engine: "e"}
-		Expect(newRecords(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
-		loaded, err := newRecords(store).Load(ctx, "t1", "")
+		Expect(newRepository(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
+		loaded, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal(string(added.Input) + "out"))
 		Expect(loaded.Engine()).To(Equal("e"))
@@ -87,8 +88,8 @@
 
 	DescribeTable("saves a turn that does not fit one commit in several commits", func(ctx SpecContext, size int) {
 		added := turn.Addition{Input: bytes.Repeat([]byte("abc"), size/3), Output: []byte("out"), Engine: "e"}
-		Expect(newRecords(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
-		loaded, err := newRecords(store).Load(ctx, "t1", "")
+		Expect(newRepository(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
+		loaded, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal(string(added.Input) + "out"))
 	},
@@ -97,18 +98,18 @@
 	)
 
 	It("distinguishes turns whose identifiers share a prefix", func(ctx SpecContext) {
-		Expect(newRecords(store).Save(ctx, "t1", firstTurn("long enough for one row"), time.Minute)).To(Succeed())
-		Expect(newRecords(store).Save(ctx, "t10", firstTurn("another"), time.Minute)).To(Succeed())
-		loaded, err := newRecords(store).Load(ctx, "t1", "")
+		Expect(newRepository(store).Save(ctx, "t1", firstTurn("long enough for one row"), time.Minute)).To(Succeed())
+		Expect(newRepository(store).Save(ctx, "t10", firstTurn("another"), time.Minute)).To(Succeed())
+		loaded, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("long enough for one row"))
 	})
 
 	It("loads a turn that was saved by the same process without reading the store", func(ctx SpecContext) {
-		records := newRecords(store)
-		Expect(records.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
-		Expect(records.Cached("t1")).To(BeTrue())
-		_, err := records.Load(ctx, "t1", "")
+		repository := newRepository(store)
+		Expect(repository.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
+		Expect(repository.IsCached("t1")).To(BeTrue())
+		_, err := repository.Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(store.Calls("read")).To(BeZero())
 	})
@@ -120,21 +121,21 @@
 			return memorystore.None
 		})
 		added := firstTurn(string(make([]byte, 3000))) // the turn's rows, and pieces
-		Expect(newRecords(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
+		Expect(newRepository(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
 		Expect(len(classes)).To(BeNumerically(">", 1))
 		Expect(classes).To(HaveEach(state.ClassTurn))
 	})
 
 	It("returns ErrNotFound if a condition proves that there is no such turn", func(ctx SpecContext) {
-		_, err := newRecords(store).Load(ctx, "t1", "")
+		_, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).To(MatchError(turn.ErrNotFound))
 	})
 
-	It("returns ErrUnsure if a read of the store is stale", func(ctx SpecContext) {
-		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
+	It("returns ErrUncertain if a read of the store is stale", func(ctx SpecContext) {
+		Expect(newRepository(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		store.AnswerReadings(&state.Page{})
-		_, err := newRecords(store).Load(ctx, "t1", "")
-		Expect(err).To(MatchError(turn.ErrUnsure))
+		_, err := newRepository(store).Load(ctx, "t1", "")
+		Expect(err).To(MatchError(turn.ErrUncertain))
 	})
 
 	It("does not report a turn as absent if the store does not answer", func(ctx SpecContext) {
@@ -146,8 +147,8 @@
 		})
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
-		_, err := newRecords(store).Load(short, "t1", "")
-		Expect(err).To(MatchError(state.ErrNotDone))
+		_, err := newRepository(store).Load(short, "t1", "")
+		Expect(err).To(MatchError(state.ErrNotExecuted))
 		Expect(err).NotTo(MatchError(turn.ErrNotFound))
 	})
 
@@ -162,17 +163,17 @@
 			}
 			return memorystore.None
 		})
-		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
+		Expect(newRepository(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		Expect(store.Calls("commit")).To(Equal(5))
-		loaded, err := newRecords(store).Load(ctx, "t1", "")
+		loaded, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("x"))
 	})
 
 	It("loads a turn from a daemon that has it in memory while the store is down", func(ctx SpecContext) {
-		first := newRecords(store)
+		first := newRepository(store)
 		Expect(first.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
-		second := newRecordsWithPeer(store, serve(first))
+		second := newRepositoryWithPeer(store, serve(first))
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
 		loaded, err := second.Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -180,26 +181,26 @@
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		_, err = second.Load(short, "t2", "")
-		Expect(err).To(MatchError(state.ErrNotDone), "a turn that no daemon has in memory may still exist")
+		Expect(err).To(MatchError(state.ErrNotExecuted), "a turn that no daemon has in memory may still exist")
 	})
 
 	It("saves a turn again after the answer of a commit was lost", func(ctx SpecContext) {
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Lost })
-		records := newRecords(store)
+		repository := newRepository(store)
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
-		Expect(records.Save(short, "t1", firstTurn("x"), time.Minute)).To(MatchError(state.ErrUnknown))
+		Expect(repository.Save(short, "t1", firstTurn("x"), time.Minute)).To(MatchError(state.ErrUnknownOutcome))
 		store.Misbehave(nil)
-		Expect(records.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
+		Expect(repository.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 	})
 
 	It("lets the sweep remove a turn after its expiry, and not before", func(ctx SpecContext) {
-		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
+		Expect(newRepository(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		now := time.Now()
-		sweep := turn.Leftovers(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, zap.NewNop())
+		sweep := turn.NewSweep(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, zap.NewNop())
 		all := func() (removed int) {
 			for _, partition := range sweep.Partitions {
-				count, err := sweep.Partition(ctx, partition)
+				count, err := sweep.SweepPartition(ctx, partition)
 				Expect(err).NotTo(HaveOccurred())
 				removed += count
 			}
@@ -208,12 +209,12 @@
 		Expect(all()).To(BeZero())
 		now = now.Add(time.Hour)
 		Expect(all()).To(Equal(1))
-		_, err := newRecords(store).Load(ctx, "t1", "")
+		_, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).To(MatchError(turn.ErrNotFound))
 	})
 
 	It("refuses a turn so large that the references to its pieces do not fit one commit", func(ctx SpecContext) {
-		err := newRecords(store).Save(ctx, "t1", firstTurn(string(make([]byte, 1000*rowBytes))), time.Minute)
+		err := newRepository(store).Save(ctx, "t1", firstTurn(string(make([]byte, 1000*rowBytes))), time.Minute)
 		Expect(err).To(MatchError(turn.ErrTooLarge))
 	})
 })
--- a/internal/writebehind/drain.go
+++ b/internal/writebehind/drain.go
@@ -56,12 +56,12 @@
 	return nil, false
 }
 
-// writeBlock writes the block. It returns ErrSlow if the peer accepts no bytes for
-// Options.Silence. Each write that makes some progress restarts that time, so a peer that stops
-// reading is detected after at most twice Options.Silence.
+// writeBlock writes the block. It returns ErrSlowPeer if the peer accepts no bytes for
+// Options.StallTimeout. Each write that makes some progress restarts that time, so a peer that
+// stops reading is detected after at most twice Options.StallTimeout.
 func (c *Conn) writeBlock(block []byte) error {
 	for len(block) > 0 {
-		if err := c.SetWriteDeadline(time.Now().Add(c.group.options.Silence)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(c.group.options.StallTimeout)); err != nil {
 			return err
 		}
 		count, err := c.Conn.Write(block)
@@ -70,7 +70,7 @@
 			if count > 0 {
 				continue
 			}
-			return eris.Wrapf(ErrSlow, "no bytes accepted for %s", c.group.options.Silence)
+			return eris.Wrapf(ErrSlowPeer, "no bytes accepted for %s", c.group.options.StallTimeout)
 		}
 		if err != nil {
 			return err
@@ -84,7 +84,7 @@
 func (c *Conn) finishBlock(err error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.holding.Shrink(memory.Answer, blockBytes)
+	c.reservation.Shrink(memory.Answer, blockBytes)
 	if err != nil && c.failure == nil {
 		c.fail(err)
 	}
@@ -97,7 +97,7 @@
 	c.failure = err
 	c.blocks = nil
 	c.release()
-	if errors.Is(err, ErrSlow) {
+	if errors.Is(err, ErrSlowPeer) {
 		c.group.recordSlow(c.RemoteAddr(), err)
 	}
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
@@ -109,8 +109,8 @@
 
 // release gives the memory of all blocks back to the account. The caller holds the mutex.
 func (c *Conn) release() {
-	c.holding.Close()
-	c.holding = nil
+	c.reservation.Close()
+	c.reservation = nil
 }
 
 // finishClose completes a CloseWrite or Close that was requested while bytes were buffered. The
