--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -23,7 +23,7 @@
 	"time"
 )
 
-// PromptPart is a section of a prompt. Sections with the same name count once for a program.
+// PromptPart is a part of a prompt. Parts with the same name count once for a program.
 type PromptPart struct {
 	Name   string
 	Tokens int
@@ -34,15 +34,15 @@
 	Engines int // number of engines that accept work
 	// MemoryTokens is how many tokens one engine keeps in memory; 0: not declared.
 	MemoryTokens int
-	// SharedTokens is how many of the MemoryTokens are used for prompt sections that all
+	// SharedTokens is how many of the MemoryTokens are used for prompt parts that all
 	// programs share.
 	SharedTokens int
 }
 
 // contextCapacity returns how many tokens all engines together have for the programs' own
 // contexts.
-func (r Capacity) contextCapacity() float64 {
-	return float64(r.Engines) * float64(max(r.MemoryTokens-r.SharedTokens, 0))
+func (c Capacity) contextCapacity() float64 {
+	return float64(c.Engines) * float64(max(c.MemoryTokens-c.SharedTokens, 0))
 }
 
 // Request describes one turn of a program.
@@ -55,12 +55,12 @@
 	// the highest.
 	Priority int
 	Prompt   []PromptPart
-	// SharedPartCount is the number of leading prompt sections that every engine keeps in memory.
+	// SharedPartCount is the number of leading prompt parts that every engine keeps in memory.
 	// They do not count as the program's own context.
 	SharedPartCount int
 	// TimeLeft is the time until the program's deadline; 0: not known.
 	TimeLeft time.Duration
-	Capacity     Capacity
+	Capacity Capacity
 	// Random is a number from 0 to 1 that spreads the retries of refused callers.
 	Random float64
 }
@@ -70,30 +70,30 @@
 
 // The causes of a refusal.
 const (
-	CauseFull   Cause = "full"   // the daemon's part of the bound is used up
-	CauseShare  Cause = "share"  // the tenant has used more than its fair share
+	CauseFull     Cause = "full"   // the daemon's part of the bound is used up
+	CauseShare    Cause = "share"  // the tenant has used more than its fair share
 	CausePriority Cause = "urgent" // the rest is reserved for higher priorities
-	CauseLate   Cause = "late"   // the program can no longer meet its deadline
+	CauseLate     Cause = "late"   // the program can no longer meet its deadline
 )
 
 // RefusedError is returned for a program that may not start now.
 type RefusedError struct {
-	Cause   Cause
-	RetryAfter   time.Duration // wait before the next attempt
-	Figures Figures
+	Cause      Cause
+	RetryAfter time.Duration // wait before the next attempt
+	Figures    Figures
 }
 
 // Figures are the values on which a decision is based. Contexts, the part and the bound are in
 // tokens.
 type Figures struct {
-	ExpectedTokens      int64         // expected context of the program
-	Held       int64         // contexts of the programs at this daemon
-	Part       int64         // this daemon's part of the bound, reduced to the fraction that this request may use
-	FleetHeld  int64         // contexts of all programs in the fleet, according to the last snapshot
-	Bound      int64         // bound of the fleet
-	Daemons    int64         // number of daemons in the snapshot
-	SnapshotAge time.Duration // age of the snapshot
-	Share      float64       // recent spending of the tenant, relative to the mean of all tenants
+	ExpectedTokens int64         // expected context of the program
+	Held           int64         // contexts of the programs at this daemon
+	Part           int64         // this daemon's part of the bound, reduced to the fraction that this request may use
+	FleetHeld      int64         // contexts of all programs in the fleet, according to the last snapshot
+	Bound          int64         // bound of the fleet
+	Daemons        int64         // number of daemons in the snapshot
+	SnapshotAge    time.Duration // age of the snapshot
+	Share          float64       // recent spending of the tenant, relative to the mean of all tenants
 }
 
 // Error implements error.
--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -48,11 +48,11 @@
 
 // Observation describes the fleet since the previous step.
 type Observation struct {
-	Elapsed time.Duration
-	Capacity    Capacity
-	Held    float64 // tokens of the contexts held by all daemons
-	// FirstByteRatio is the mean time to first byte of turns other than first ones, relative to its
-	// baseline; 0: not known.
+	Elapsed  time.Duration
+	Capacity Capacity
+	Held     float64 // tokens of the contexts held by all daemons
+	// FirstByteRatio is the mean time to first byte of turns other than first ones, relative to
+	// its baseline; 0: not known.
 	FirstByteRatio float64
 }
 
@@ -81,25 +81,25 @@
 
 // limits returns the lowest and the highest bound for one engine. There is no highest bound
 // (+Inf) if the memory size is not declared.
-func (b Bound) limits(room Capacity) (minTokens, maxTokens float64) {
-	if room.MemoryTokens <= 0 {
+func (b Bound) limits(capacity Capacity) (minTokens, maxTokens float64) {
+	if capacity.MemoryTokens <= 0 {
 		return b.servedPerEngine * servedMargin, math.Inf(1)
 	}
-	memory := room.contextCapacity() / float64(max(room.Engines, 1))
+	memory := capacity.contextCapacity() / float64(max(capacity.Engines, 1))
 	maxTokens = maxMemoryFraction * memory
 	return min(max(minMemoryFraction*memory, b.servedPerEngine*servedMargin), maxTokens), maxTokens
 }
 
 // Tokens returns the bound for all engines of the service. It may be +Inf.
-func (b Bound) Tokens(room Capacity) float64 {
-	if room.Engines == 0 {
+func (b Bound) Tokens(capacity Capacity) float64 {
+	if capacity.Engines == 0 {
 		return 0
 	}
-	_, maxTokens := b.limits(room)
+	_, maxTokens := b.limits(capacity)
 	if b.tokensPerEngine == 0 {
-		return maxTokens * float64(room.Engines)
+		return maxTokens * float64(capacity.Engines)
 	}
-	return min(b.tokensPerEngine, maxTokens) * float64(room.Engines)
+	return min(b.tokensPerEngine, maxTokens) * float64(capacity.Engines)
 }
 
 // idleBaseline estimates the time to first byte at low load. The estimate is the lowest mean so
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -41,7 +41,7 @@
 type service struct {
 	name           string
 	programs       programs
-	capacity           Capacity // capacity of the engines, as of the last request
+	capacity       Capacity // capacity of the engines, as of the last request
 	bound          Bound
 	baseline       idleBaseline
 	firstByteRatio float64 // mean time to first byte relative to baseline, by the last snapshot
@@ -68,20 +68,20 @@
 	return entry
 }
 
-// updateCapacity stores the current capacity. If the daemon has reported without any engines so far,
-// updateCapacity sets firstReported to now, because the earlier claims did not allow for the capacity.
-func (s *service) updateCapacity(room Capacity, now time.Time) {
+// updateCapacity stores the current capacity. If the daemon has reported without any engines so
+// far, updateCapacity sets firstReported to now, because the earlier claims did not allow for the
+// capacity.
+func (s *service) updateCapacity(capacity Capacity, now time.Time) {
 	if s.capacity.Engines == 0 && !s.firstReported.IsZero() {
 		s.firstReported = now
 	}
-	s.capacity = room
+	s.capacity = capacity
 }
 
-// Admit decides whether a program may start, and counts the program and its first turn. It
-// returns a *RefusedError if the program may not start. A program that already runs at this
-// daemon is never refused. After a successful call the caller must call Leave or Drop when
-// the turn has ended. If there is no engine, Begin refuses nothing and leaves the error to
-// placement.
+// Admit decides whether a program may start, and counts the program and its first turn. It returns
+// a *RefusedError if the program may not start. A program that already runs at this daemon is
+// never refused. After a successful call the caller must call EndTurn or CancelFirstTurn when the
+// turn has ended. If there is no engine, Admit refuses nothing and leaves the error to placement.
 func (c *Controller) Admit(request *Request) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -106,7 +106,7 @@
 }
 
 // ContinueTurn counts a later turn of a program that started at this or another daemon. The caller
-// must call Leave when the turn has ended.
+// must call EndTurn when the turn has ended.
 func (c *Controller) ContinueTurn(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -174,8 +174,8 @@
 	c.spentByTenant[key].add(float64(spent), now, spendingHalfLife)
 }
 
-// CancelFirstTurn removes a first turn that no engine started to run. It also removes the program if no
-// other request of it is active.
+// CancelFirstTurn removes a first turn that no engine started to run. It also removes the program
+// if no other request of it is active.
 func (c *Controller) CancelFirstTurn(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -15,9 +15,9 @@
 
 var _ = Describe("Bound", func() {
 	memory := Capacity{Engines: 10, MemoryTokens: 1200, SharedTokens: 200}
-	observe := func(bound Bound, room Capacity, held, ratio float64, seconds int) Bound {
+	observe := func(bound Bound, capacity Capacity, held, ratio float64, seconds int) Bound {
 		for range seconds {
-			bound = bound.Step(Observation{Elapsed: time.Second, Capacity: room, Held: held, FirstByteRatio: ratio})
+			bound = bound.Step(Observation{Elapsed: time.Second, Capacity: capacity, Held: held, FirstByteRatio: ratio})
 		}
 		return bound
 	}
--- a/internal/admission/exchange.go
+++ b/internal/admission/exchange.go
@@ -14,7 +14,7 @@
 // dropped.
 const minReportedSpending = 1
 
-// ProgramStats implements load.ProgramSource. It returns this daemon's own figures and removes
+// Programs implements load.ProgramSource. It returns this daemon's own figures and removes
 // services that are neither declared nor used.
 func (c *Controller) Programs() load.ProgramStats {
 	c.mutex.Lock()
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -16,7 +16,8 @@
 	share    prometheus.Gauge
 }
 
-// RegisterMetrics registers the controller's metrics. It must be called before the first request.
+// RegisterMetrics registers the controller's metrics. It must be called before the first
+// request.
 func (c *Controller) RegisterMetrics(registerer prometheus.Registerer) error {
 	c.metrics = metrics{
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -22,8 +22,8 @@
 
 // Claim is what a daemon reported of itself at a certain time.
 type Claim struct {
-	At    time.Time
-	Held  int64 // tokens that the daemon holds, or that it may hold if that is more
+	At     time.Time
+	Held   int64 // tokens that the daemon holds, or that it may hold if that is more
 	Demand int64 // tokens requested per second by new programs
 }
 
@@ -34,29 +34,29 @@
 	Daemons int64     // number of daemons in the sums
 	Held    int64     // sum of the contexts
 	Claimed int64     // sum of the claims
-	Demand   int64     // sum of the tokens per second that new programs request
+	Demand  int64     // sum of the tokens per second that new programs request
 }
 
 // age returns how long ago the snapshot arrived, or 0 if there is none.
-func (p Snapshot) age(now time.Time) time.Duration {
-	if p.At.IsZero() {
+func (s Snapshot) age(now time.Time) time.Duration {
+	if s.At.IsZero() {
 		return 0
 	}
-	return now.Sub(p.At)
+	return now.Sub(s.At)
 }
 
 // PartInputs holds the inputs of Part.
 type PartInputs struct {
-	Bound   float64 // bound of the fleet, in tokens
-	Members int     // number of all daemons
+	Bound    float64 // bound of the fleet, in tokens
+	Members  int     // number of all daemons
 	Snapshot Snapshot
-	MinClaim   Claim // lowest values of this daemon's claims, as returned by claims.minimum
+	MinClaim Claim // lowest values of this daemon's claims, as returned by claims.minimum
 	// LastPart is the daemon's part when its last snapshot arrived, or what it held at its first
 	// report, in tokens.
 	LastPart float64
 	// FirstReportAt is the time of the daemon's first report; zero: none yet.
 	FirstReportAt time.Time
-	Now       time.Time
+	Now           time.Time
 }
 
 // Part returns how many tokens of contexts a daemon may hold when it starts a program.
@@ -96,24 +96,24 @@
 }
 
 // isIsolated reports whether the daemon has no valid snapshot.
-func (s PartInputs) isIsolated() bool {
-	return s.Snapshot.At.IsZero() || s.Snapshot.Daemons <= 0 || s.Now.Sub(s.Snapshot.At) > maxSnapshotAge
+func (p PartInputs) isIsolated() bool {
+	return p.Snapshot.At.IsZero() || p.Snapshot.Daemons <= 0 || p.Now.Sub(p.Snapshot.At) > maxSnapshotAge
 }
 
 // isolatedPart returns the part of a daemon without a valid snapshot, given the equal part. While
 // the snapshots of other daemons may still contain its earlier claims, the part is at most its
 // last one. A daemon that has not reported yet is in no snapshot. The other daemons therefore
 // leave the equal part to it.
-func (s PartInputs) isolatedPart(equal float64) float64 {
-	if s.FirstReportAt.IsZero() {
+func (p PartInputs) isolatedPart(equal float64) float64 {
+	if p.FirstReportAt.IsZero() {
 		return equal
 	}
-	since := s.FirstReportAt
-	if snapshotEnd := s.Snapshot.At.Add(maxSnapshotAge); snapshotEnd.After(since) {
+	since := p.FirstReportAt
+	if snapshotEnd := p.Snapshot.At.Add(maxSnapshotAge); snapshotEnd.After(since) {
 		since = snapshotEnd
 	}
-	if s.Now.Sub(since) < claimWindow {
-		return min(equal, s.LastPart)
+	if p.Now.Sub(since) < claimWindow {
+		return min(equal, p.LastPart)
 	}
 	return equal
 }
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Parameters of Reach.
+// Parameters of AllowedFraction.
 const (
 	// contentionFill is the fraction of the bound in use from which on priorities and shares
 	// limit programs. It is low enough to serve high-priority programs first when the load of
@@ -11,8 +11,8 @@
 	// maxFairShare is the share above which a tenant is limited. It is above 1 because the
 	// tenants' spending fluctuates even if their demand is the same.
 	maxFairShare = 1.25
-	// minShareFraction is the lowest factor by which Reach multiplies the fraction of the bound
-	// for a tenant above maxFairShare.
+	// minShareFraction is the lowest factor by which AllowedFraction multiplies the fraction of the
+	// bound for a tenant above maxFairShare.
 	minShareFraction = 0.25
 	// starvedShare is the share below which a tenant may use the whole bound at any priority.
 	starvedShare = 0.25
@@ -36,8 +36,8 @@
 	MissesDeadline bool
 }
 
-// AllowedFraction returns the fraction of the bound up to which the claimant may start a program, and
-// the cause to give if it is refused. fill is the fraction of the bound in use.
+// AllowedFraction returns the fraction of the bound up to which the claimant may start a program,
+// and the cause to give if it is refused. fill is the fraction of the bound in use.
 //
 // A program that can no longer meet its deadline gets lateFraction. Other programs may use the
 // whole bound while fill is below contentionFill, or if their tenant is below starvedShare.
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -95,7 +95,7 @@
 })
 
 var _ = Describe("Choose", func() {
-	It("uses an instance that has left only if there is no other, and not after LeavingAllowed", func() {
+	It("uses an instance that has left only if there is no other, and not after LeavingGrace", func() {
 		fleet, _ := newTestFleet("a")
 		fleet.Apply(Declaration{ID: "a", Gone: true, Version: 2})
 		Expect(choose(fleet, start.Add(900*time.Millisecond), nil)).NotTo(BeNil())
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -11,12 +11,12 @@
 type PlacementRequest struct {
 	Affinity string       // requests with equal values share prompt prefixes; empty if there is none
 	Prefix   []PromptPart // parts of the prompt, in order
-	// SharedPartCount is the number of leading parts of Prefix that every engine is assumed to have
-	// cached, as returned by Sharing.Note.
+	// SharedPartCount is the number of leading parts of Prefix that every engine is assumed to
+	// have cached, as returned by SharedPartTracker.Record.
 	SharedPartCount int
-	Zone       string   // zone of this process
-	Slots      int      // slots of each engine of the service; 0 if not declared
-	Excluded   []string // IDs of instances that must not be chosen
+	Zone            string   // zone of this process
+	Slots           int      // slots of each engine of the service; 0 if not declared
+	Excluded        []string // IDs of instances that must not be chosen
 	// Seed seeds the placement of requests without an affinity. It is constant within a process
 	// and differs between processes, so that each process prefers a few instances and needs few
 	// connections.
@@ -24,7 +24,7 @@
 	// LeavingGrace is how long a draining or gone instance may still be used if no other is
 	// usable: the registration of an instance may expire while it still serves.
 	LeavingGrace time.Duration
-	Now            time.Time
+	Now          time.Time
 	// DisabledMechanisms lists the mechanisms that are disabled, for experiments.
 	DisabledMechanisms mechanism.Disabled
 }
--- a/internal/backend/cost.go
+++ b/internal/backend/cost.go
@@ -61,7 +61,8 @@
 	return baseline.preferFastShare >= 1 || hashFraction(request, "hasty") < baseline.preferFastShare
 }
 
-// MissingTokens returns the estimated number of prompt tokens that the instance would have to read.
+// MissingTokens returns the estimated number of prompt tokens that the instance would have to
+// read.
 func MissingTokens(instance *Instance, request *PlacementRequest) int {
 	if request.DisabledMechanisms.Has(mechanism.PrefixTracking) {
 		return 0
@@ -82,8 +83,8 @@
 	return fullEngineCostMs * utilization * utilization
 }
 
-// SlotsOf returns how many requests the instance processes at a time: its own declared value, else
-// that of its service, else a default.
+// SlotsOf returns how many requests the instance processes at a time: its own declared value,
+// else that of its service, else a default.
 func SlotsOf(instance *Instance, request *PlacementRequest) int {
 	switch {
 	case instance.Slots > 0:
@@ -97,13 +98,13 @@
 
 // preference returns a number from 0 to 1 for the instance; a lower one is preferred. For
 // requests with an affinity it is the same in every process, without communication. For others
-// it depends on request.Order.
+// it depends on request.Seed.
 func preference(instance *Instance, request *PlacementRequest) float64 {
 	return hashFraction(request, instance.ID)
 }
 
 // hashFraction returns a hash of the name and the request's affinity as a number from 0 to 1.
-// Without an affinity, request.Order seeds the hash.
+// Without an affinity, request.Seed seeds the hash.
 func hashFraction(request *PlacementRequest, name string) float64 {
 	affinity := request.Affinity
 	seed := uint64(0)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -50,7 +50,7 @@
 // executed.
 type LostError struct {
 	Peer string
-	Op string
+	Op   string
 	Err  error
 }
 
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -10,11 +10,11 @@
 // instances of a service takes no lock.
 type Fleet struct {
 	// SharedParts tracks the prompt parts that programs have in common.
-	SharedParts   *SharedPartTracker
-	now       func() time.Time
-	mutex     sync.Mutex
-	byID      map[string]*Instance
-	byService atomic.Pointer[map[string][]*Instance] // immutable; replaced on change
+	SharedParts *SharedPartTracker
+	now         func() time.Time
+	mutex       sync.Mutex
+	byID        map[string]*Instance
+	byService   atomic.Pointer[map[string][]*Instance] // immutable; replaced on change
 }
 
 // NewFleet returns an empty fleet that uses the given clock.
@@ -146,8 +146,8 @@
 	f.byService.Store(&next)
 }
 
-// Instances returns the instances of a service, including those that are leaving. The caller must not
-// change the slice.
+// Instances returns the instances of a service, including those that are leaving. The caller
+// must not change the slice.
 func (f *Fleet) Instances(service string) []*Instance { return (*f.byService.Load())[service] }
 
 // Size returns the number of known instances.
--- a/internal/backend/instance.go
+++ b/internal/backend/instance.go
@@ -35,7 +35,7 @@
 	speed           speedTracker
 	health          health
 	prefixes        *prefixCache
-	loadKey         load.Digest     // identifies the instance in load reports between daemons
+	loadKey         load.Digest  // identifies the instance in load reports between daemons
 	othersInFlight  atomic.Int64 // requests of other processes, as last reported
 	othersUpdatedAt atomic.Int64 // unix nanoseconds of the last report; 0 if there was none
 	leftAt          atomic.Int64 // unix nanoseconds when it began draining or was gone; 0 if neither
@@ -59,16 +59,16 @@
 	return time.Unix(0, at), at != 0
 }
 
-// BeginRequest counts a request as in flight until the returned function is called. Calling that
-// function again has no effect.
+// BeginRequest counts a request as in flight until the returned function is called. Calling
+// that function again has no effect.
 func (i *Instance) BeginRequest() (end func()) {
 	i.inFlight.Add(1)
 	var once sync.Once
 	return func() { once.Do(func() { i.inFlight.Add(-1) }) }
 }
 
-// RecordOutcome records the outcome of a request for the quality and the speed of the instance. It
-// does not eject the instance; see Failed.
+// RecordOutcome records the outcome of a request for the quality and the speed of the instance.
+// It does not eject the instance; see RecordFailure.
 func (i *Instance) RecordOutcome(outcome Outcome, now time.Time) {
 	i.quality.observe(outcome, now)
 	i.speed.observe(outcome, now)
@@ -77,9 +77,11 @@
 // RecordSuccess records that the instance sent a usable response. It ends an ejection.
 func (i *Instance) RecordSuccess() { i.health.recordSuccess() }
 
-// RecordFailure records that the instance could not be reached, sent no response, or broke one off. It
-// returns whether the instance is now ejected, and for how long.
-func (i *Instance) RecordFailure(now time.Time) (time.Duration, bool) { return i.health.recordFailure(now) }
+// RecordFailure records that the instance could not be reached, sent no response, or broke one
+// off. It returns whether the instance is now ejected, and for how long.
+func (i *Instance) RecordFailure(now time.Time) (time.Duration, bool) {
+	return i.health.recordFailure(now)
+}
 
 // RecordPrefix records that the instance has read these parts of a prompt.
 func (i *Instance) RecordPrefix(parts []PromptPart) { i.prefixes.add(parts) }
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -10,8 +10,8 @@
 // the aggregator.
 const loadTTL = time.Second
 
-// InFlightCounts returns the number of requests in flight from this process at each instance, by load
-// key. Instances without such requests are omitted.
+// InFlightCounts returns the number of requests in flight from this process at each instance,
+// by load key. Instances without such requests are omitted.
 func (f *Fleet) InFlightCounts() load.Counts {
 	counts := load.Counts{}
 	for _, instances := range *f.byService.Load() {
@@ -24,9 +24,9 @@
 	return counts
 }
 
-// UpdateCounts updates the instances with the numbers of requests of all processes. own holds the
-// requests of this process that are included in all; they are subtracted, since Load adds the
-// current number.
+// UpdateCounts updates the instances with the numbers of requests of all processes. own holds
+// the requests of this process that are included in all; they are subtracted, since Load adds
+// the current number.
 func (f *Fleet) UpdateCounts(all, own load.Counts) {
 	now := f.now().UnixNano()
 	for _, instances := range *f.byService.Load() {
--- a/internal/backend/quality.go
+++ b/internal/backend/quality.go
@@ -10,12 +10,12 @@
 type Outcome struct {
 	// Failed is set if the instance was unreachable, broke the connection, sent nothing before
 	// the caller left, or sent an unusable answer.
-	Failed    bool
-	TimeToFirstByte time.Duration // time until the response began; 0 if it did not
-	EventInterval  time.Duration // mean time between events of a stream; 0 if there were too few
-	EventsAfterFirst   int           // number of events after the first
-	Load      int           // requests at the instance when it was chosen, as far as known
-	Slots     int           // slots of the instance; 0 if not declared
+	Failed           bool
+	TimeToFirstByte  time.Duration // time until the response began; 0 if it did not
+	EventInterval    time.Duration // mean time between events of a stream; 0 if there were too few
+	EventsAfterFirst int           // number of events after the first
+	Load             int           // requests at the instance when it was chosen, as far as known
+	Slots            int           // slots of the instance; 0 if not declared
 }
 
 // utilization returns the load at the time of choice as a fraction of the slots.
--- a/internal/backend/sending.go
+++ b/internal/backend/sending.go
@@ -16,8 +16,8 @@
 // unackedTimeout.
 const writeStallTimeout = 1200 * time.Millisecond
 
-// ErrRequestNotRead says that the exchange ended before the whole request was written, so that the
-// instance has not read all of it.
+// ErrRequestNotRead says that the exchange ended before the whole request was written, so that
+// the instance has not read all of it.
 var ErrRequestNotRead = errors.New("the instance has not read the whole request")
 
 // write writes the request to the connection and sends the result to writeResult. If the
@@ -34,9 +34,9 @@
 	}
 }
 
-// closeWithCause closes the connection and returns why there is no response: ErrRequestNotRead, with the
-// texts of both errors, if the request was not sent completely, and err otherwise. In either
-// case the instance may have executed the request.
+// closeWithCause closes the connection and returns why there is no response: ErrRequestNotRead,
+// with the texts of both errors, if the request was not sent completely, and err otherwise. In
+// either case the instance may have executed the request.
 func (e *exchange) closeWithCause(err error) error {
 	_ = e.connection.Close() // stops a write that is still in progress
 	if writeErr := <-e.writeResult; writeErr != nil {
--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -126,7 +126,7 @@
 	return load.Work{
 		ChunkHundredths:  int(math.Round(own.events * fixedPointScale)),
 		AnswerHundredths: int(math.Round(own.answers * fixedPointScale)),
-		Millis:   int(math.Round(own.seconds * millisecondsPerSecond)),
+		Millis:           int(math.Round(own.seconds * millisecondsPerSecond)),
 	}
 }
 
@@ -164,7 +164,7 @@
 	return snapshot.work
 }
 
-// EngineWork returns the recent work that this process observed at each instance, by load key.
+// ObservedWork returns the recent work that this process observed at each instance, by load key.
 // Instances without any are omitted.
 func (f *Fleet) ObservedWork() load.EngineWork {
 	now := f.now()
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -32,7 +32,7 @@
 // matches ErrSpent.
 type SpentError struct {
 	Total, Granted, Needed int64         // tokens: the account's limit, granted so far, missing for the turn
-	Version              state.Version // of the account's row
+	Version                state.Version // of the account's row
 }
 
 // Error implements error.
@@ -57,9 +57,9 @@
 	mutex    sync.Mutex // guards adding to programs
 	programs *expirable.LRU[string, *holding]
 	// reclaim asks other processes to release their grants of a program. It may be nil.
-	reclaim func(ctx context.Context, identifier string)
-	lender  *Lender // may be nil
-	trails  *TurnLocations
+	reclaim       func(ctx context.Context, identifier string)
+	lender        *Lender // may be nil
+	turnLocations *TurnLocations
 	// grantTimeout bounds one request to the store for a grant.
 	grantTimeout time.Duration
 }
@@ -87,7 +87,7 @@
 // NewLedger returns a ledger that keeps the holdings of up to maxPrograms programs. A holding is
 // dropped when it is older than ttl.
 func NewLedger(store *state.Client, maxPrograms int, ttl time.Duration) *Ledger {
-	return &Ledger{store: store, programs: expirable.NewLRU[string, *holding](maxPrograms, nil, ttl), trails: newTrails(maxPrograms, ttl), grantTimeout: defaultGrantTimeout}
+	return &Ledger{store: store, programs: expirable.NewLRU[string, *holding](maxPrograms, nil, ttl), turnLocations: newTurnLocations(maxPrograms, ttl), grantTimeout: defaultGrantTimeout}
 }
 
 // SetLender sets the lender that lends tokens while the store is unavailable. It must be called
@@ -103,8 +103,8 @@
 	loan      *loan // nil if the tokens are from a grant of the store
 }
 
-// GeneratedTokens returns how many tokens the program had generated in settled turns when the reservation
-// was made, as far as the ledger knows.
+// GeneratedTokens returns how many tokens the program had generated in settled turns when the
+// reservation was made, as far as the ledger knows.
 func (r *Reservation) GeneratedTokens() int64 { return r.generated }
 
 // OnCredit reports whether the tokens were lent rather than granted by the store.
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -279,9 +279,9 @@
 	return canceled
 }
 
-// TestNeverExceeded simulates processes that reserve, settle, release, crash and restart on a store
-// that refuses commits, loses answers and applies commits late. The tokens generated must stay
-// within the budget without its credit reserve.
+// TestNeverExceeded simulates processes that reserve, settle, release, crash and restart on a
+// store that refuses commits, loses answers and applies commits late. The tokens generated must
+// stay within the budget without its credit reserve.
 func TestNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		generated, total := simulate(t)
@@ -301,7 +301,8 @@
 type runningTurn struct{ reservation *Reservation }
 
 // simulate runs random reservations, settlements, releases and crashes of three ledgers, and
-// returns the tokens generated and the budget. Turns that are not settled count with maxTurnTokens.
+// returns the tokens generated and the budget. Turns that are not settled count with
+// maxTurnTokens.
 func simulate(t *rapid.T) (generated, total int64) {
 	store := memorystore.New()
 	total = rapid.Int64Range(maxTurnTokens, 20*maxTurnTokens).Draw(t, "total")
--- a/internal/budget/credit_test.go
+++ b/internal/budget/credit_test.go
@@ -19,10 +19,10 @@
 
 func refuseAll(memorystore.Call) memorystore.Fault { return memorystore.Refused }
 
-// noVerdictStore returns ErrUnknownOutcome for each commit once its context ends.
-type noVerdictStore struct{ *memorystore.Store }
+// unknownOutcomeStore returns ErrUnknownOutcome for each commit once its context ends.
+type unknownOutcomeStore struct{ *memorystore.Store }
 
-func (noVerdictStore) Commit(ctx context.Context, _ state.Commit) (state.Version, error) {
+func (unknownOutcomeStore) Commit(ctx context.Context, _ state.Commit) (state.Version, error) {
 	<-ctx.Done()
 	return 0, state.ErrUnknownOutcome
 }
@@ -86,7 +86,7 @@
 	})
 
 	It("lends if the store is up but takes too long", func(ctx SpecContext) {
-		ledger := newLedger(noVerdictStore{store})
+		ledger := newLedger(unknownOutcomeStore{store})
 		ledger.SetLender(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
 		reservation, err := ledger.Reserve(ctx, "p", 2600, 576)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -114,8 +114,8 @@
 		reply.Result = resultStopping
 		return nil
 	}
-	reply.Engine, reply.Read = h.ledger.trails.findEngine(request.Program, request.Parts)
-	reply.KeptAt = h.ledger.trails.recordedAt(request.Program, request.Previous)
+	reply.Engine, reply.Read = h.ledger.turnLocations.findEngine(request.Program, request.Parts)
+	reply.KeptAt = h.ledger.turnLocations.recorderAddress(request.Program, request.Previous)
 	if reservation, known := h.reservations.Get(request.Reservation); known {
 		reply.Result, reply.Attained = resultReserved, reservation.GeneratedTokens()
 		return nil
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// addReservation keeps a reservation until it is settled, but for at most reservationTTL. If it has
-// already been settled, addReservation ends it and returns false.
+// addReservation keeps a reservation until it is settled, but for at most reservationTTL. If it
+// has already been settled, addReservation ends it and returns false.
 func (h *Holder) addReservation(name string, reservation *Reservation) bool {
 	h.mutex.Lock()
 	generated, settled := h.earlySettlements.Get(name)
@@ -156,7 +156,7 @@
 
 // Settle is the RPC that ends a reservation. It may be called more than once for a reservation.
 func (h *Holder) Settle(request SettleRequest, _ *SettleReply) error {
-	h.ledger.trails.recordTurn(request.Ran)
+	h.ledger.turnLocations.recordTurn(request.Ran)
 	if reservation := h.removeReservation(request); reservation != nil {
 		reservation.Settle(request.Generated)
 	}
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -99,12 +99,12 @@
 	d.node, err = shards.NewNode(shards.Options{
 		Self: d.self, Store: d.store, Directory: d.directory, Caller: d.pool, Registrar: d.server,
 		NewStateMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
-		IsIdle:       func(shard identity.Shard) bool { return d.execution.IsShardIdle(shard) },
-		ShardCount:     d.settings.Shards,
-		MinDaemons:     d.settings.BootstrapExpect,
-		MaxRowBytes:   rowBytes,
-		Logger:        d.logger,
-		Registerer:   d.registry,
+		IsIdle:          func(shard identity.Shard) bool { return d.execution.IsShardIdle(shard) },
+		ShardCount:      d.settings.Shards,
+		MinDaemons:      d.settings.BootstrapExpect,
+		MaxRowBytes:     rowBytes,
+		Logger:          d.logger,
+		Registerer:      d.registry,
 	})
 	return eris.Wrap(err, "make the shards")
 }
@@ -117,8 +117,8 @@
 		Directory:     d.directory,
 		Caller:        d.pool,
 		Registrar:     d.server,
-		MachineList:      d.platform.machines,
-		WeightStore:       d.platform.weights,
+		MachineList:   d.platform.machines,
+		WeightStore:   d.platform.weights,
 		FilterEnded: func(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
 			return d.router.EndedOrUnknown(ctx, programs)
 		},
@@ -142,7 +142,7 @@
 		Fleet:         d.fleet,
 		Policy:        scheduling.NewPolicy(schedulingSettings(&d.settings.Scheduling)),
 		Configuration: d.configuration,
-		IsLeaving:       d.fleet.IsLeaving,
+		IsLeaving:     d.fleet.IsLeaving,
 		Logger:        d.logger,
 		Registerer:    d.registry,
 		Limits:        executionLimits(&d.settings),
@@ -156,7 +156,7 @@
 		Self:       d.self,
 		Local:      d.execution,
 		Groups:     d.node,
-		ShardMap:        d.node,
+		ShardMap:   d.node,
 		Caller:     d.pool,
 		Registrar:  d.server,
 		Logger:     d.logger,
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -53,12 +53,12 @@
 		defer server.Close()
 		dispatcher := newFastDispatcher()
 		defer dispatcher.Close()
-		order := modelOrder(server.URL)
-		order.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{15, 2000}).Draw(t, "deadline")) * time.Millisecond)
+		spec := modelSpec(server.URL)
+		spec.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{15, 2000}).Draw(t, "deadline")) * time.Millisecond)
 		engine.Faults.Set(drawFaults(t))
 
 		var pieces strings.Builder
-		report := dispatcher.Send(context.Background(), order, func(piece string) { pieces.WriteString(piece) })
+		report := dispatcher.Send(context.Background(), spec, func(piece string) { pieces.WriteString(piece) })
 
 		want := expectedAnswer()
 		if !strings.HasPrefix(want, pieces.String()) {
@@ -89,11 +89,11 @@
 		defer server.Close()
 		dispatcher := newFastDispatcher()
 		defer dispatcher.Close()
-		order := serviceOrder(server.URL, rapid.Bool().Draw(t, "not repeatable"))
-		order.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{8, 2000}).Draw(t, "deadline")) * time.Millisecond)
+		spec := serviceSpec(server.URL, rapid.Bool().Draw(t, "not repeatable"))
+		spec.Deadline = time.Now().Add(time.Duration(rapid.SampledFrom([]int{8, 2000}).Draw(t, "deadline")) * time.Millisecond)
 		service.Faults.Set(drawFaults(t))
 
-		report := dispatcher.Send(context.Background(), order, func(string) {})
+		report := dispatcher.Send(context.Background(), spec, func(string) {})
 		executions := 0
 		for _, record := range service.Records().Executions {
 			executions += record.Executions
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -41,7 +41,7 @@
 	return backEnd
 }
 
-func modelOrder(address string) dispatch.AttemptSpec {
+func modelSpec(address string) dispatch.AttemptSpec {
 	return dispatch.AttemptSpec{
 		Program: testProgram, Number: 1, Class: "interactive", BackEnd: "engine-1", Address: address, ReservedTokens: 50,
 		History:  []program.Message{{Role: "user", Content: "before"}},
@@ -50,7 +50,7 @@
 	}
 }
 
-func serviceOrder(address string, notRepeatable bool) dispatch.AttemptSpec {
+func serviceSpec(address string, notRepeatable bool) dispatch.AttemptSpec {
 	return dispatch.AttemptSpec{
 		Program: testProgram, Number: 2, BackEnd: "ledger", Address: address,
 		Call: program.CallSpec{
--- a/internal/engine/benchmark_test.go
+++ b/internal/engine/benchmark_test.go
@@ -33,7 +33,7 @@
 		b.Fatal(err)
 	}
 	service.table.Store(service.buildTable(&document))
-	service.wanted.Store(newWantedPools(source.Current(), 1))
+	service.poolSpecs.Store(newPoolSpecs(source.Current(), 1))
 	for _, tracked := range service.table.Load().engines {
 		digest := sampleDigest(tracked.declared.Name, 1)
 		tracked.accept(digest, staticChecksum(&digest), time.Now())
--- a/internal/engine/spread.go
+++ b/internal/engine/digest_exchange.go
@@ -34,22 +34,22 @@
 type digestExchange struct {
 	service *Service
 
-	mutex             sync.Mutex
-	mesh              mesh
-	updated           map[*trackedEngine]bool // supervised engines with a new digest since the last tick
-	sent              map[*trackedEngine]sentDigest
-	relay             map[*trackedEngine]bool // engines whose digest, received along the row, is to be sent along the column; true: as a full record
-	relayedDepartures map[identity.Machine]LeavingMachines
-	ownDepartures     *LeavingMachines
-	pendingFetches    map[string]bool // addresses to fetch full records from
-	sending           map[string]bool // addresses to which a batch is being sent
-	nextSendAt        time.Time       // digests are held back until this time to keep DigestBytesPerSecond
+	mutex                  sync.Mutex
+	mesh                   mesh
+	updated                map[*trackedEngine]bool // supervised engines with a new digest since the last tick
+	sent                   map[*trackedEngine]sentDigest
+	relay                  map[*trackedEngine]bool // engines whose digest, received along the row, is to be sent along the column; true: as a full record
+	relayedLeavingMachines map[identity.Machine]LeavingMachines
+	ownLeavingMachines     *LeavingMachines
+	pendingFetches         map[string]bool // addresses to fetch full records from
+	sending                map[string]bool // addresses to which a batch is being sent
+	nextSendAt             time.Time       // digests are held back until this time to keep DigestBytesPerSecond
 }
 
 func newDigestExchange(service *Service) *digestExchange {
 	return &digestExchange{
 		service: service, updated: map[*trackedEngine]bool{}, sent: map[*trackedEngine]sentDigest{}, relay: map[*trackedEngine]bool{},
-		relayedDepartures: map[identity.Machine]LeavingMachines{}, pendingFetches: map[string]bool{}, sending: map[string]bool{},
+		relayedLeavingMachines: map[identity.Machine]LeavingMachines{}, pendingFetches: map[string]bool{}, sending: map[string]bool{},
 	}
 }
 
@@ -70,11 +70,11 @@
 	e.updated[tracked] = true
 }
 
-// publishDepartures sends this daemon's list of leaving machines with the next tick.
-func (e *digestExchange) publishDepartures(update LeavingMachines) {
+// publishLeavingMachines sends this daemon's list of leaving machines with the next tick.
+func (e *digestExchange) publishLeavingMachines(update LeavingMachines) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.ownDepartures = &update
+	e.ownLeavingMachines = &update
 }
 
 func (e *digestExchange) loop(ctx context.Context) {
@@ -92,11 +92,11 @@
 
 // tick sends this daemon's new digests along the row and the column, and the digests received
 // along the row to the column. After a tick, digests are held back until the sent bytes fit
-// DigestBytesPerSecond; meanwhile newer digests replace older ones. Departures are not held
-// back. It also starts the pending fetches.
+// DigestBytesPerSecond; meanwhile newer digests replace older ones. Lists of leaving machines are
+// not held back. It also starts the pending fetches.
 func (e *digestExchange) tick(ctx context.Context, now time.Time) {
 	e.mutex.Lock()
-	row, column := e.departureBatches()
+	row, column := e.leavingMachineBatches()
 	if !now.Before(e.nextSendAt) {
 		e.appendOwn(&row, now)
 		column.Payload = slices.Clone(row.Payload)
@@ -152,20 +152,20 @@
 	clear(e.relay)
 }
 
-// departureBatches returns one batch for the row and one for the column, with the departures to
-// send and no digests yet.
-func (e *digestExchange) departureBatches() (row, column DigestBatch) {
+// leavingMachineBatches returns one batch for the row and one for the column, with the lists of
+// leaving machines to send and no digests yet.
+func (e *digestExchange) leavingMachineBatches() (row, column DigestBatch) {
 	row = DigestBatch{Sender: e.service.self.Address, Relay: true}
 	column = DigestBatch{Sender: e.service.self.Address}
-	if e.ownDepartures != nil {
-		row.Departures = []LeavingMachines{*e.ownDepartures}
-		column.Departures = []LeavingMachines{*e.ownDepartures}
-		e.ownDepartures = nil
+	if e.ownLeavingMachines != nil {
+		row.Departures = []LeavingMachines{*e.ownLeavingMachines}
+		column.Departures = []LeavingMachines{*e.ownLeavingMachines}
+		e.ownLeavingMachines = nil
 	}
-	for _, update := range e.relayedDepartures {
+	for _, update := range e.relayedLeavingMachines {
 		column.Departures = append(column.Departures, update)
 	}
-	clear(e.relayedDepartures)
+	clear(e.relayedLeavingMachines)
 	return row, column
 }
 
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -17,15 +17,15 @@
 type Fleet interface {
 	// Snapshot returns the current snapshot of the region's engines. It is never nil.
 	Snapshot() *scheduling.Snapshot
-	// AddPlacement counts a request that was just placed at the engine until the engine's reports
-	// include it. The returned function must be called when the attempt ends; elapsed is zero
-	// if the request was never sent.
+	// AddPlacement counts a request that was just placed at the engine until the engine's
+	// reports include it. The returned function must be called when the attempt ends; elapsed
+	// is zero if the request was never sent.
 	AddPlacement(engineID string, promptTokens int64) (done func(failed bool, elapsed time.Duration))
-	// ReleasePrograms reports programs that ended. The named engines are asked to release the programs'
-	// memory until they confirm it.
+	// ReleasePrograms reports programs that ended. The named engines are asked to release the
+	// programs' memory until they confirm it.
 	ReleasePrograms(programs []identity.Program, engines []string)
-	// HoldPrefix asks the engine to keep the program's prefix for the duration of the lease. It does
-	// not wait, and the request may be lost.
+	// HoldPrefix asks the engine to keep the program's prefix for the duration of the lease.
+	// It does not wait, and the request may be lost.
 	HoldPrefix(engineID string, program identity.Program, lease time.Duration)
 }
 
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -76,7 +76,7 @@
 	results    results
 	stale      bool
 	medianTime time.Duration // median of the mean request times in the engine's peer group; zero: too few peers
-	mayEject   bool          // ejecting one more engine stays within EjectShare
+	mayEject   bool          // ejecting one more engine stays within MaxEjectedShare
 	jitter     float64       // random number from 0 to 1
 	settings   *Settings
 }
--- a/internal/engine/prefixes.go
+++ b/internal/engine/prefixes.go
@@ -17,8 +17,8 @@
 
 // PrefixRecorder records which prefixes the engines hold. *Service implements it.
 type PrefixRecorder interface {
-	// RecordPrefixes records that the engine just served a prompt with these prefixes and so holds them
-	// in its cache. The snapshot includes them within about a second.
+	// RecordPrefixes records that the engine just served a prompt with these prefixes and so
+	// holds them in its cache. The snapshot includes them within about a second.
 	RecordPrefixes(engineID string, runs []PromptPrefix)
 }
 
--- a/internal/engine/properties_test.go
+++ b/internal/engine/properties_test.go
@@ -131,7 +131,7 @@
 // than allowed, and must bring all engines that answer to the wanted state.
 func TestPlanKeepsCapacityAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wanted := PoolSpec{Model: "model", Version: "v2", MaxUnavailable: rapid.IntRange(0, 3).Draw(t, "unavailable"), MaxParallelOrders: rapid.IntRange(1, 3).Draw(t, "loads")}
+		spec := PoolSpec{Model: "model", Version: "v2", MaxUnavailable: rapid.IntRange(0, 3).Draw(t, "unavailable"), MaxParallelOrders: rapid.IntRange(1, 3).Draw(t, "loads")}
 		engines := make([]ObservedEngine, rapid.IntRange(1, 8).Draw(t, "engines"))
 		for index := range engines {
 			engines[index] = ObservedEngine{Fresh: true, Digest: Digest{
@@ -143,17 +143,17 @@
 			index := rapid.IntRange(0, len(engines)-1).Draw(t, "index")
 			engines[index].Fresh = rapid.Bool().Draw(t, "known")
 			engines[index].Blocked = rapid.Bool().Draw(t, "blocked")
-			applyOrders(t, &wanted, engines)
+			applyOrders(t, &spec, engines)
 		}
 		for index := range engines {
 			engines[index].Fresh, engines[index].Blocked = true, false
 		}
 		for range 4 * len(engines) {
-			applyOrders(t, &wanted, engines)
+			applyOrders(t, &spec, engines)
 			finishLoads(engines)
 		}
 		for _, engine := range engines {
-			if order, needed := wanted.nextOrder(&engine.Digest); needed || engine.Digest.Loading {
+			if order, needed := spec.nextOrder(&engine.Digest); needed || engine.Digest.Loading {
 				t.Fatalf("engine %s still needs %+v", engine.Digest.Engine, order)
 			}
 		}
@@ -161,16 +161,16 @@
 }
 
 // applyOrders checks the planned orders and applies them to the engines.
-func applyOrders(t *rapid.T, wanted *PoolSpec, engines []ObservedEngine) {
-	outOfService, _ := countOutOfService(wanted, engines)
-	orders := Plan(*wanted, engines)
+func applyOrders(t *rapid.T, spec *PoolSpec, engines []ObservedEngine) {
+	outOfService, _ := countOutOfService(spec, engines)
+	orders := Plan(*spec, engines)
 	drains := 0
 	for _, order := range orders {
 		if order.Drain {
 			drains++
 		}
 	}
-	if drains > 0 && outOfService+drains > max(1, wanted.MaxUnavailable) {
+	if drains > 0 && outOfService+drains > max(1, spec.MaxUnavailable) {
 		t.Fatalf("%d engines are out of service and %d more are to be drained", outOfService, drains)
 	}
 	for _, order := range orders {
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -22,7 +22,7 @@
 	startupFetches = 2 // number of daemons to fetch from when an engine has no report yet
 )
 
-// DigestBatch carries digests and departures from one daemon to another.
+// DigestBatch carries digests and lists of leaving machines from one daemon to another.
 type DigestBatch struct {
 	Sender     string // peer address from which the receiver may fetch full records
 	Relay      bool   // the receiver passes the content on along its column
@@ -63,8 +63,9 @@
 	}
 }
 
-// receive accepts the digests and departures of a batch that are newer than the known ones. It
-// returns errMalformedBatch, and accepts nothing, if the batch is too large or malformed.
+// receive accepts the digests and lists of leaving machines of a batch that are newer than the
+// known ones. It returns errMalformedBatch, and accepts nothing, if the batch is too large or
+// malformed.
 func (e *digestExchange) receive(batch *DigestBatch) error {
 	if len(batch.Payload) > maxBatchBytes {
 		return eris.Wrapf(errMalformedBatch, "batch of %d bytes is too large", len(batch.Payload))
@@ -83,8 +84,8 @@
 		urgent = e.receiveRecord(table, &records[index], batch, now) || urgent
 	}
 	for _, update := range batch.Departures {
-		if e.service.departures.merge(update) && batch.Relay {
-			e.relayedDepartures[update.Reader] = update
+		if e.service.leavingMachines.merge(update) && batch.Relay {
+			e.relayedLeavingMachines[update.Reader] = update
 		}
 	}
 	e.service.digestsReceived(urgent)
@@ -112,8 +113,8 @@
 	return accepted && previous == nil
 }
 
-// freshDigests returns full records of all digests received at most DigestRefreshInterval and one
-// DigestInterval ago.
+// freshDigests returns full records of all digests received at most DigestRefreshInterval and
+// one DigestInterval ago.
 func (e *digestExchange) freshDigests(now time.Time) DigestBatch {
 	batch := DigestBatch{Sender: e.service.self.Address}
 	freshFor := e.service.settings.DigestRefreshInterval + e.service.settings.DigestInterval
--- a/internal/engine/memory.go
+++ b/internal/engine/releases.go
@@ -226,8 +226,8 @@
 	lease   time.Duration
 }
 
-// HoldPrefix implements Fleet. The request is dropped if the engine is not declared, the lease is not
-// positive or the queue of requests is full.
+// HoldPrefix implements Fleet. The request is dropped if the engine is not declared, the lease
+// is not positive or the queue of requests is full.
 func (s *Service) HoldPrefix(engineID string, program identity.Program, lease time.Duration) {
 	engine, found := s.table.Load().byName[engineID]
 	if !found || lease <= 0 {
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -28,9 +28,9 @@
 
 	snapshot        atomic.Pointer[scheduling.Snapshot]
 	table           atomic.Pointer[engineTable]
-	departures      *departureSet
+	leavingMachines *leavingMachineSet
 	plans           atomic.Pointer[map[string]Order]
-	wanted          atomic.Pointer[wantedPools]
+	poolSpecs       atomic.Pointer[poolSpecs]
 	daemonCount     atomic.Int64 // daemons eligible to supervise engines in the region; at least 1
 	weightLimiter   weightLimiter
 	rebuildRequests chan struct{}
@@ -60,9 +60,9 @@
 }
 
 var (
-	_ Fleet         = (*Service)(nil)
-	_ PrefixRecorder = (*Service)(nil)
-	_ SnapshotNotifier     = (*Service)(nil)
+	_ Fleet            = (*Service)(nil)
+	_ PrefixRecorder   = (*Service)(nil)
+	_ SnapshotNotifier = (*Service)(nil)
 )
 
 const holdQueueSize = 256
@@ -81,7 +81,7 @@
 		logger:          options.Logger.Named("engine"),
 		metrics:         newMetrics(options.Registerer),
 		calls:           semaphore.NewWeighted(int64(options.Settings.MaxConcurrentCalls)),
-		departures:      newDepartureSet(),
+		leavingMachines: newLeavingMachineSet(),
 		rebuildRequests: make(chan struct{}, 1),
 		snapshotChanged: make(chan struct{}, 1),
 		releaseWake:     make(chan struct{}, 1),
@@ -94,7 +94,7 @@
 	}
 	s.table.Store(&engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}})
 	s.plans.Store(&map[string]Order{})
-	s.wanted.Store(&wantedPools{})
+	s.poolSpecs.Store(&poolSpecs{})
 	s.daemonCount.Store(1)
 	s.snapshot.Store(scheduling.NewSnapshot(nil, nil))
 	s.exchange = newDigestExchange(s)
@@ -124,8 +124,8 @@
 // Snapshot implements Fleet.
 func (s *Service) Snapshot() *scheduling.Snapshot { return s.snapshot.Load() }
 
-// Changed implements Announcer. The channel is shared, so only one listener receives each
-// value.
+// Changed implements SnapshotNotifier. The channel is shared, so only one listener receives
+// each value.
 func (s *Service) Changed() <-chan struct{} { return s.snapshotChanged }
 
 // AddPlacement implements Fleet. A placement at an engine that is not declared is ignored.
--- a/internal/engine/picture.go
+++ b/internal/engine/snapshot.go
@@ -86,8 +86,8 @@
 // peerGroupOf returns the engine's peer group by the model that its pool wants.
 func (s *Service) peerGroupOf(tracked *trackedEngine) peerGroupKey {
 	key := peerGroupKey{generation: tracked.declared.Generation}
-	if wanted := s.wanted.Load().byEngine[tracked.declared.Name]; wanted != nil {
-		key.model = wanted.Model
+	if spec := s.poolSpecs.Load().byEngine[tracked.declared.Name]; spec != nil {
+		key.model = spec.Model
 	}
 	return key
 }
@@ -132,12 +132,12 @@
 func (s *Service) rebuild(now time.Time) {
 	started := time.Now()
 	table := s.table.Load()
-	wanted := s.wanted.Load()
+	specs := s.poolSpecs.Load()
 	planned := *s.plans.Load()
 	engines := make([]scheduling.Engine, len(table.engines))
 	accepting := 0
 	for index, tracked := range table.engines {
-		engines[index] = s.schedulerView(tracked, wanted, planned, now)
+		engines[index] = s.schedulerView(tracked, specs, planned, now)
 		if engines[index].Accepting {
 			accepting++
 		}
@@ -149,7 +149,7 @@
 }
 
 // schedulerView returns the engine as the scheduler sees it.
-func (s *Service) schedulerView(tracked *trackedEngine, wanted *wantedPools, planned map[string]Order, now time.Time) scheduling.Engine {
+func (s *Service) schedulerView(tracked *trackedEngine, specs *poolSpecs, planned map[string]Order, now time.Time) scheduling.Engine {
 	engine := scheduling.Engine{
 		ID:         tracked.declared.Name,
 		Address:    tracked.declared.Address,
@@ -161,7 +161,7 @@
 	if latest == nil {
 		// For MaxDigestAge after its declaration, an engine without a report is listed with the
 		// model that its pool wants, so that requests may wait for it. It accepts no requests.
-		pool := wanted.byEngine[tracked.declared.Name]
+		pool := specs.byEngine[tracked.declared.Name]
 		if pool != nil && now.Sub(tracked.declaredAt) <= s.settings.MaxDigestAge {
 			engine.Model, engine.Version, engine.Adapters = pool.Model, pool.Version, pool.Adapters
 		}
@@ -181,14 +181,14 @@
 	engine.CacheUsed = digest.CacheUsed
 	engine.PlacedSinceReport, engine.PlacedTokens = tracked.placements.unreported()
 	engine.ReportAge = now.Sub(latest.received)
-	usable := s.isUsable(tracked, digest, wanted, planned) && engine.ReportAge <= s.settings.MaxDigestAge
+	usable := s.isUsable(tracked, digest, specs, planned) && engine.ReportAge <= s.settings.MaxDigestAge
 	engine.Accepting = usable && tracked.health.isAccepting()
 	engine.Probing = usable && tracked.health.isProbing()
 	return engine
 }
 
-// HasUnreportedEngine returns true if the snapshot lists an engine of the model that has not reported
-// yet, which it shows with MaxRunning 0. The snapshot lists such an engine for at most
+// HasUnreportedEngine returns true if the snapshot lists an engine of the model that has not
+// reported yet, which it shows with MaxRunning 0. The snapshot lists such an engine for at most
 // MaxDigestAge after this daemon learned of its declaration. A request for which no engine
 // accepts work should then wait instead of being refused.
 func HasUnreportedEngine(snapshot *scheduling.Snapshot, model string) bool {
@@ -200,13 +200,13 @@
 // isUsable returns true if the engine may accept work for the model that its pool wants. An
 // engine with an earlier version of the model remains usable until its order is planned, so
 // that a roll-out does not stop the whole pool.
-func (s *Service) isUsable(tracked *trackedEngine, digest *Digest, wanted *wantedPools, planned map[string]Order) bool {
-	pool := wanted.byEngine[tracked.declared.Name]
+func (s *Service) isUsable(tracked *trackedEngine, digest *Digest, specs *poolSpecs, planned map[string]Order) bool {
+	pool := specs.byEngine[tracked.declared.Name]
 	if pool == nil || pool.Model != digest.Model || !digest.Serving || digest.Loading {
 		return false
 	}
 	if planned[tracked.declared.Name].Drain {
 		return false
 	}
-	return !s.isBlocked(tracked, wanted)
+	return !s.isBlocked(tracked, specs)
 }
--- a/internal/engine/supervisor.go
+++ b/internal/engine/supervisor.go
@@ -189,7 +189,7 @@
 // isStillNeeded returns true if the engine's latest digest still requires the planned order;
 // the plan may be older than the digest.
 func (s *supervisor) isStillNeeded(planned *enginev1.Order) bool {
-	pool := s.service.wanted.Load().byEngine[s.engine.declared.Name]
+	pool := s.service.poolSpecs.Load().byEngine[s.engine.declared.Name]
 	latest := s.engine.report.Load()
 	if pool == nil || latest == nil || latest.digest.Loading {
 		return false
--- a/internal/engine/follow.go
+++ b/internal/engine/watch.go
@@ -93,14 +93,14 @@
 }
 
 // applyConfiguration replaces the engine table and the wanted state of the pools, and passes
-// the region's eligible daemons to the digest exchange and the departure set.
+// the region's eligible daemons to the digest exchange and the set of leaving machines.
 func (s *Service) applyConfiguration(current *configuration.Snapshot, daemons []identity.Process) {
 	next := s.buildTable(&current.Document)
 	s.table.Store(next)
-	s.wanted.Store(newWantedPools(current, s.settings.MaxParallelOrders))
+	s.poolSpecs.Store(newPoolSpecs(current, s.settings.MaxParallelOrders))
 	s.daemonCount.Store(int64(max(1, len(daemons))))
 	s.exchange.setMesh(newMesh(s.self, daemons))
-	s.departures.setReaders(daemons)
+	s.leavingMachines.setReaders(daemons)
 	s.requestRebuild()
 }
 
--- a/internal/execution/fakes_test.go
+++ b/internal/execution/fakes_test.go
@@ -26,33 +26,33 @@
 	orders     []dispatch.AttemptSpec
 	cancelled  int
 	// behave runs an attempt. If it is nil, attempts are answered at once.
-	behave func(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report
+	behave func(ctx context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report
 }
 
-func (b *backEnd) Send(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+func (b *backEnd) Send(ctx context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 	b.mutex.Lock()
-	b.orders = append(b.orders, order)
+	b.orders = append(b.orders, spec)
 	behave := b.behave
 	b.mutex.Unlock()
 	if behave != nil {
-		return behave(ctx, order, piece)
+		return behave(ctx, spec, piece)
 	}
-	return b.answer(order, piece)
+	return b.answer(spec, piece)
 }
 
 // answer executes the call, streams the answer "answer <sequence>" in two pieces,
 // and reports it.
-func (b *backEnd) answer(order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
-	b.recordExecution(order)
-	content := fmt.Sprintf("answer %d", order.Call.Sequence)
+func (b *backEnd) answer(spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+	b.recordExecution(spec)
+	content := fmt.Sprintf("answer %d", spec.Call.Sequence)
 	piece(content[:3])
 	piece(content[3:])
-	return answered(order, content)
+	return answered(spec, content)
 }
 
-func answered(order dispatch.AttemptSpec, content string) dispatch.Report {
+func answered(spec dispatch.AttemptSpec, content string) dispatch.Report {
 	return dispatch.Report{Ending: dispatch.EndingAnswered, Answer: &program.Answer{
-		Content: content, FinishReason: "stop", CompletionTokens: min(order.ReservedTokens, answerTokens), Engine: order.BackEnd,
+		Content: content, FinishReason: "stop", CompletionTokens: min(spec.ReservedTokens, answerTokens), Engine: spec.BackEnd,
 	}}
 }
 
@@ -62,10 +62,10 @@
 	return dispatch.Report{Ending: ending, GeneratedTokens: generated, Problem: problem.New(problem.KindBackEndFailed, "test", "reported by the test")}
 }
 
-func (b *backEnd) recordExecution(order dispatch.AttemptSpec) {
+func (b *backEnd) recordExecution(spec dispatch.AttemptSpec) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.executions[callKey(order.Program, order.Call.Sequence)]++
+	b.executions[callKey(spec.Program, spec.Call.Sequence)]++
 }
 
 func callKey(identifier identity.Program, sequence uint64) string {
@@ -80,8 +80,8 @@
 
 // hang executes the call, streams one piece and then blocks until the attempt is
 // cancelled.
-func (b *backEnd) hang(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
-	b.recordExecution(order)
+func (b *backEnd) hang(ctx context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+	b.recordExecution(spec)
 	piece("begun")
 	<-ctx.Done()
 	return b.reportStopped(ctx)
--- a/internal/execution/faults_test.go
+++ b/internal/execution/faults_test.go
@@ -28,13 +28,13 @@
 	// failFirst makes the first attempt end as specified and the later ones
 	// succeed.
 	failFirst := func(ending dispatch.Ending, generated int64) {
-		cluster.backEnd.setBehaviour(func(_ context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
-			if order.Number > 1 {
-				return cluster.backEnd.answer(order, piece)
+		cluster.backEnd.setBehaviour(func(_ context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+			if spec.Number > 1 {
+				return cluster.backEnd.answer(spec, piece)
 			}
 			piece("lost")
 			if ending != dispatch.EndingNeverRan {
-				cluster.backEnd.recordExecution(order)
+				cluster.backEnd.recordExecution(spec)
 			}
 			return ended(ending, generated)
 		})
@@ -60,11 +60,11 @@
 
 	It("keeps retrying while back ends refuse to start the call", func() {
 		refusals := uint32(execution.DefaultLimits.MaxAttempts) //nolint:gosec // a small constant
-		cluster.backEnd.setBehaviour(func(_ context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
-			if order.Number <= refusals {
+		cluster.backEnd.setBehaviour(func(_ context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+			if spec.Number <= refusals {
 				return ended(dispatch.EndingNeverRan, 0)
 			}
-			return cluster.backEnd.answer(order, piece)
+			return cluster.backEnd.answer(spec, piece)
 		})
 		identifier := leader.create("key", program.Limits{}, "")
 		leader.submit(identifier, modelCall(1))
--- a/internal/execution/options.go
+++ b/internal/execution/options.go
@@ -15,7 +15,7 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// Options configure a Service. Logger, Registerer, Leaving and Limits are
+// Options configure a Service. Logger, Registerer, IsLeaving and Limits are
 // optional.
 type Options struct {
 	Self          identity.Process
@@ -25,7 +25,7 @@
 	Fleet         engine.Fleet
 	Policy        scheduling.Policy
 	Configuration configuration.Source
-	IsLeaving       func(address string) bool // reports whether the service or tool replica at the address is shutting down
+	IsLeaving     func(address string) bool // reports whether the service or tool replica at the address is shutting down
 	Logger        *zap.Logger
 	Registerer    prometheus.Registerer
 	Limits        Limits
@@ -34,25 +34,25 @@
 // Limits configure the limits and timeouts of a Service. A zero field takes its
 // value from DefaultLimits.
 type Limits struct {
-	MaxRunning       int           // maximum number of calls with a slot, including those that wait for an engine
-	MaxQueued        int           // maximum length of each queue of calls that wait for a slot or for an engine
-	MaxFollowWait        time.Duration // longest wait of one Follow request
-	ProposeTimeout   time.Duration // timeout of one command or read barrier
-	ModelTimeout     time.Duration // timeout of a model call without a deadline
-	ServiceTimeout   time.Duration // timeout of a service or tool call without a deadline or a configured timeout
-	MaxWait          time.Duration // longest wait for a replica, an engine report or a confirmed configuration
-	MaxAttempts      int           // maximum number of attempts per call that may have run; see totalAttemptsFactor
-	RetryRatio       float64       // retries allowed per first attempt, on average; negative for none
-	RetriesPerSecond float64       // retries allowed in addition, for all calls together; negative for none
-	RetryBurst       int           // size of the retry budget, in retries
-	SweepInterval    time.Duration // interval between sweeps, which end expired programs and resume calls
-	Retention        time.Duration // how long ended programs are kept
-	MaxEndedPrograms         int           // maximum number of ended programs kept per shard; the oldest are deleted first
+	MaxRunning            int           // maximum number of calls with a slot, including those that wait for an engine
+	MaxQueued             int           // maximum length of each queue of calls that wait for a slot or for an engine
+	MaxFollowWait         time.Duration // longest wait of one Follow request
+	ProposeTimeout        time.Duration // timeout of one command or read barrier
+	ModelTimeout          time.Duration // timeout of a model call without a deadline
+	ServiceTimeout        time.Duration // timeout of a service or tool call without a deadline or a configured timeout
+	MaxWait               time.Duration // longest wait for a replica, an engine report or a confirmed configuration
+	MaxAttempts           int           // maximum number of attempts per call that may have run; see totalAttemptsFactor
+	RetryRatio            float64       // retries allowed per first attempt, on average; negative for none
+	RetriesPerSecond      float64       // retries allowed in addition, for all calls together; negative for none
+	RetryBurst            int           // size of the retry budget, in retries
+	SweepInterval         time.Duration // interval between sweeps, which end expired programs and resume calls
+	Retention             time.Duration // how long ended programs are kept
+	MaxEndedPrograms      int           // maximum number of ended programs kept per shard; the oldest are deleted first
 	MinLookupTimeout      time.Duration // minimum time for looking up a former leader's attempt, even past the deadline
-	DrainResumableTimeout    time.Duration // time after which Drain hands over resumable calls instead of waiting for them
-	RetryAfter       time.Duration // retry delay given to refused callers
-	WarmUpPeriod           time.Duration // time after the start during which engine reports may still be missing; zero for none
-	MaxPrefixLease       time.Duration // longest lease for a program's prefix between turns
+	DrainResumableTimeout time.Duration // time after which Drain hands over resumable calls instead of waiting for them
+	RetryAfter            time.Duration // retry delay given to refused callers
+	WarmUpPeriod          time.Duration // time after the start during which engine reports may still be missing; zero for none
+	MaxPrefixLease        time.Duration // longest lease for a program's prefix between turns
 }
 
 // totalAttemptsFactor times Limits.MaxAttempts is the maximum number of attempts
@@ -62,24 +62,24 @@
 // DefaultLimits are suitable for a daemon that leads a few thousand programs.
 // WarmUpPeriod is zero by default.
 var DefaultLimits = Limits{
-	MaxRunning:       4096,
-	MaxQueued:        4096,
-	MaxFollowWait:        30 * time.Second,
-	ProposeTimeout:   3 * time.Second,
-	ModelTimeout:     10 * time.Minute,
-	ServiceTimeout:   time.Minute,
-	MaxWait:          30 * time.Second,
-	MaxAttempts:      4,
-	RetryRatio:       0.1,
-	RetriesPerSecond: 10,
-	RetryBurst:       100,
-	SweepInterval:    time.Second,
-	Retention:        24 * time.Hour,
-	MaxEndedPrograms:         1000,
+	MaxRunning:            4096,
+	MaxQueued:             4096,
+	MaxFollowWait:         30 * time.Second,
+	ProposeTimeout:        3 * time.Second,
+	ModelTimeout:          10 * time.Minute,
+	ServiceTimeout:        time.Minute,
+	MaxWait:               30 * time.Second,
+	MaxAttempts:           4,
+	RetryRatio:            0.1,
+	RetriesPerSecond:      10,
+	RetryBurst:            100,
+	SweepInterval:         time.Second,
+	Retention:             24 * time.Hour,
+	MaxEndedPrograms:      1000,
 	MinLookupTimeout:      5 * time.Second,
-	DrainResumableTimeout:    10 * time.Second,
-	RetryAfter:       time.Second,
-	MaxPrefixLease:       30 * time.Second,
+	DrainResumableTimeout: 10 * time.Second,
+	RetryAfter:            time.Second,
+	MaxPrefixLease:        30 * time.Second,
 }
 
 func (o Options) validate() error {
--- a/internal/execution/placement.go
+++ b/internal/execution/placement.go
@@ -61,7 +61,7 @@
 		Zone:            r.lead.service.options.Self.Zone,
 		PromptTokens:    estimateTokens(r.history) + estimateTokens(call.Spec.Messages),
 		MaxOutputTokens: reserved,
-		ExcludedEngines:        r.excluded,
+		ExcludedEngines: r.excluded,
 		NotRepeatable:   call.Spec.NotRepeatable,
 	}
 	attained := r.lead.shard.AttainedService(r.key.Program)
--- a/internal/execution/prefix.go
+++ b/internal/execution/prefix.go
@@ -53,7 +53,7 @@
 // recordServed tells the fleet that the engine now has the prefixes of the call's
 // prompt cached. It does nothing if the fleet does not track prefixes.
 func (r *run) recordServed(engineID string, call *program.Call) {
-	if learner, ok := r.lead.service.options.Fleet.(engine.PrefixRecorder); ok {
-		learner.RecordPrefixes(engineID, promptPrefixes(&call.Spec, r.history))
+	if recorder, ok := r.lead.service.options.Fleet.(engine.PrefixRecorder); ok {
+		recorder.RecordPrefixes(engineID, promptPrefixes(&call.Spec, r.history))
 	}
 }
--- a/internal/execution/run.go
+++ b/internal/execution/run.go
@@ -105,8 +105,8 @@
 }
 
 // armDeadline starts a timer that cancels the run at the call's deadline. If a
-// former leader left attempts, the timer runs for at least Limits.MinLookupTimeout, so
-// that they can be looked up.
+// former leader left attempts, the timer runs for at least
+// Limits.MinLookupTimeout, so that they can be looked up.
 func (r *run) armDeadline(call *program.Call) (stop func()) {
 	left := time.Until(r.deadline(call))
 	if call.HasUnreleasedAttempt() {
--- a/internal/execution/waiting.go
+++ b/internal/execution/wait_queues.go
@@ -91,8 +91,8 @@
 // decideUntilDone decides on waiting calls until the context ends.
 func (w *waitQueues) decideUntilDone(ctx context.Context) {
 	var changed <-chan struct{}
-	if announcer, ok := w.service.options.Fleet.(engine.SnapshotNotifier); ok {
-		changed = announcer.Changed()
+	if notifier, ok := w.service.options.Fleet.(engine.SnapshotNotifier); ok {
+		changed = notifier.Changed()
 	}
 	timer := time.NewTimer(maxRetryInterval)
 	defer timer.Stop()
--- a/internal/execution/waiting_test.go
+++ b/internal/execution/wait_queues_test.go
@@ -25,8 +25,8 @@
 // runOneAtATime makes the policy place one call at a time: the next call is
 // placed after the last one has been answered.
 func (c *testCluster) runOneAtATime() {
-	c.backEnd.setBehaviour(func(_ context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
-		report := c.backEnd.answer(order, piece)
+	c.backEnd.setBehaviour(func(_ context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
+		report := c.backEnd.answer(spec, piece)
 		c.policy.slots.Store(1)
 		return report
 	})
@@ -63,8 +63,8 @@
 			next.follow(identifier, uint64(len(next.history(identifier).Calls)))
 		}
 		var placed []identity.Program
-		for _, order := range cluster.backEnd.sent()[1:] {
-			placed = append(placed, order.Program)
+		for _, spec := range cluster.backEnd.sent()[1:] {
+			placed = append(placed, spec.Program)
 		}
 		Expect(placed).To(Equal(expected))
 	})
--- a/internal/execution/waiter.go
+++ b/internal/execution/waiter.go
@@ -49,9 +49,9 @@
 	}
 	w.key = queueKey{adapter: call.Spec.Adapter, firstCall: w.request.AttainedService == 0, hasExclusions: len(r.excluded) > 0}
 	w.item = scheduling.QueueItem{
-		Class:    w.request.Class,
+		Class:           w.request.Class,
 		AttainedService: w.request.AttainedService,
-		Enqueued: call.AcceptedAt.Sub(service.started),
+		Enqueued:        call.AcceptedAt.Sub(service.started),
 	}
 	if w.key.firstCall {
 		w.item.AttainedService = firstCallAttained
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -58,7 +58,7 @@
 func (e *execution) admissionRequest() *admission.Request {
 	request := &admission.Request{
 		Service: e.service.Name, Route: e.route.Name, Program: e.tenantScoped(e.call.Program), Priority: e.route.Priority,
-		SharedPartCount: e.sharedParts, TimeLeft: e.call.ProgramDeadline, Capacity: e.engineRoom(), Random: rand.Float64(),
+		SharedPartCount: e.sharedParts, TimeLeft: e.call.ProgramDeadline, Capacity: e.engineCapacity(), Random: rand.Float64(),
 	}
 	for _, part := range e.call.Prefix {
 		request.Prompt = append(request.Prompt, admission.PromptPart{Name: part.Name, Tokens: part.Tokens})
@@ -72,16 +72,16 @@
 	return request
 }
 
-// engineRoom returns the number of engines of the service that accept work and the number of
+// engineCapacity returns the number of engines of the service that accept work and the number of
 // tokens that each of them can hold. Engines that are draining or gone are not counted.
-func (e *execution) engineRoom() admission.Capacity {
-	room := admission.Capacity{MemoryTokens: e.service.MemoryTokens, SharedTokens: e.gateway.Fleet.SharedParts.SharedTokens()}
+func (e *execution) engineCapacity() admission.Capacity {
+	capacity := admission.Capacity{MemoryTokens: e.service.MemoryTokens, SharedTokens: e.gateway.Fleet.SharedParts.SharedTokens()}
 	for _, instance := range e.gateway.Fleet.Instances(e.service.Name) {
 		if _, leaving := instance.LeavingSince(); !leaving {
-			room.Engines++
+			capacity.Engines++
 		}
 	}
-	return room
+	return capacity
 }
 
 // reportFirstByte informs admission control how long a turn of a program that had already started
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -23,7 +23,7 @@
 	engine   string
 }
 
-func (r startedReservation) GeneratedTokens() int64       { return r.attained }
+func (r startedReservation) GeneratedTokens() int64      { return r.attained }
 func (r startedReservation) CachedPrefix() (string, int) { return r.engine, 1 }
 
 var _ = Describe("admitProgram", func() {
@@ -67,7 +67,7 @@
 	)
 
 	It("counts only engines that accept work, and prefers the tenant's priority to the route's", func() {
-		Expect(current.engineRoom()).To(Equal(admission.Capacity{Engines: 1, MemoryTokens: 1000}))
+		Expect(current.engineCapacity()).To(Equal(admission.Capacity{Engines: 1, MemoryTokens: 1000}))
 		Expect(current.admissionRequest().Priority).To(Equal(1))
 		highest := 0
 		current.tenant = &tenant.Tenant{Name: identity.Tenant("t"), Priority: &highest}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -41,10 +41,10 @@
 }
 
 // obtainReply returns the answer of the first instance that starts to answer the request. The
-// error is a *Refusal or a *AbortedError.
+// error is a *Refusal or an *AbortedError.
 //
 // While all available instances refuse the request because they are full, the search is repeated
-// with growing pauses, until storePatience has passed since the request's arrival.
+// with growing pauses, until maxPreparationWait has passed since the request's arrival.
 func (e *execution) obtainReply(ctx context.Context) (*startedReply, error) {
 	schedule := pause.NewBackoff(minFullRetryPause, maxFullRetryPause)
 	for {
@@ -53,7 +53,7 @@
 			return reply, err
 		}
 		wait := schedule.NextBackOff()
-		if time.Since(e.arrived)+wait > e.storePatience() || !pause.Sleep(ctx, wait) {
+		if time.Since(e.arrived)+wait > e.maxPreparationWait() || !pause.Sleep(ctx, wait) {
 			return nil, err
 		}
 		e.repeatedSearches++
@@ -61,7 +61,7 @@
 }
 
 // searchInstance sends the request to one instance after another until one starts to answer.
-// The error is a *Refusal or a *AbortedError.
+// The error is a *Refusal or an *AbortedError.
 func (e *execution) searchInstance(ctx context.Context) (*startedReply, error) {
 	var excluded []string
 	attempts := 0
@@ -99,18 +99,18 @@
 
 // chooseInstance returns the best instance whose ID is not in excluded. last is the error of
 // the previous attempt in this search, or nil. If no instance is available, chooseInstance
-// polls for one until storePatience is over if last is nil, and otherwise fails at once. The
-// error is a *Refusal or a *AbortedError.
+// polls for one until maxPreparationWait is over if last is nil, and otherwise fails at once. The
+// error is a *Refusal or an *AbortedError.
 func (e *execution) chooseInstance(ctx context.Context, excluded []string, last error) (*backend.Instance, error) {
 	request := &backend.PlacementRequest{
-		Prefix:         e.call.Prefix,
-		SharedPartCount:     e.sharedParts,
-		Zone:           e.gateway.Zone,
-		Slots:          e.service.Slots,
-		Excluded:       excluded,
-		Seed:          e.gateway.order,
-		LeavingGrace: e.gateway.InstanceGrace,
-		DisabledMechanisms:            e.gateway.DisabledMechanisms,
+		Prefix:             e.call.Prefix,
+		SharedPartCount:    e.sharedParts,
+		Zone:               e.gateway.Zone,
+		Slots:              e.service.Slots,
+		Excluded:           excluded,
+		Seed:               e.gateway.order,
+		LeavingGrace:       e.gateway.InstanceGrace,
+		DisabledMechanisms: e.gateway.DisabledMechanisms,
 	}
 	if e.service.Model {
 		request.Affinity = e.affinity()
@@ -127,7 +127,7 @@
 		if last != nil {
 			return nil, e.exhaustedError(last)
 		}
-		if time.Since(e.arrived) > e.storePatience() || !pause.Sleep(ctx, instancePollInterval) {
+		if time.Since(e.arrived) > e.maxPreparationWait() || !pause.Sleep(ctx, instancePollInterval) {
 			return nil, notRunRefusal(ReasonNoEngine, storeRetryAfter, eris.Errorf("no instance of %s", e.service.Name))
 		}
 	}
@@ -285,7 +285,7 @@
 }
 
 // endedError returns the final error of a request that ran out of time or whose caller has
-// disconnected. The result is a *AbortedError if the caller has disconnected, and otherwise a
+// disconnected. The result is an *AbortedError if the caller has disconnected, and otherwise a
 // *Refusal.
 func (e *execution) endedError(err error) error {
 	if e.request.Context().Err() != nil {
--- a/internal/gateway/reader_test.go
+++ b/internal/gateway/cached_prefix_test.go
@@ -34,7 +34,7 @@
 			call:        Call{Program: "p", Prefix: parts},
 			reservation: prefixReservation{engine: engine, read: 2},
 		}
-		current.rememberReader()
+		current.recordCachedPrefix()
 		chosen := backend.Choose(fleet.Instances("llm"), &backend.PlacementRequest{Affinity: "p", Prefix: parts, Now: time.Now()})
 		Expect(chosen.ID).To(Equal(engine))
 	}, Entry("the first", "e1"), Entry("the second", "e2"), Entry("the third", "e3"))
@@ -46,6 +46,6 @@
 			call:        Call{Prefix: parts},
 			reservation: prefixReservation{engine: "gone", read: 9},
 		}
-		Expect(current.rememberReader).NotTo(Panic())
+		Expect(current.recordCachedPrefix).NotTo(Panic())
 	})
 })
--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -91,7 +91,7 @@
 	if reply.Length >= 0 {
 		limit = min(limit, reply.Length+extraByte)
 	}
-	if e.holding.Grow(memory.Answer, limit) != nil {
+	if e.memoryReservation.Grow(memory.Answer, limit) != nil {
 		limit = min(limit, firstReadBytes)
 	}
 	content, err := io.ReadAll(io.LimitReader(reply.Body, limit))
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -27,19 +27,19 @@
 	request *http.Request
 	arrived time.Time
 
-	table          *routetable.Table
-	route          *routetable.Route
-	service        *routetable.Service
-	tenant         *tenant.Tenant // nil if the request belongs to no tenant
-	call           Call
-	input          []byte
-	history        *turn.Turn      // the turn that the request continues; nil if none
-	holding        *memory.Reservation // memory accounted for this request
-	reservedOutput int64           // bytes of output for which memory has been reserved, not counting copiesWhileSaving
-	quotaPermit    *quota.Permit    // permit from the tenant's quota; nil if there is no limit
-	reservation    budget.Settler  // tokens reserved from the program's budget; nil if none
-	sharedParts    int             // number of leading prompt parts assumed to be in the prefix cache of every engine
-	admitted       admittedTurn
+	table             *routetable.Table
+	route             *routetable.Route
+	service           *routetable.Service
+	tenant            *tenant.Tenant // nil if the request belongs to no tenant
+	call              Call
+	input             []byte
+	history           *turn.Turn          // the turn that the request continues; nil if none
+	memoryReservation *memory.Reservation // memory accounted for this request
+	reservedOutput    int64               // bytes of output for which memory has been reserved, not counting copiesWhileSaving
+	quotaPermit       *quota.Permit       // permit from the tenant's quota; nil if there is no limit
+	reservation       budget.Settler      // tokens reserved from the program's budget; nil if none
+	sharedParts       int                 // number of leading prompt parts assumed to be in the prefix cache of every engine
+	admitted          admittedTurn
 
 	instance         *backend.Instance // the instance that was tried last
 	placement        placement         // state of the instance when it was chosen
@@ -75,10 +75,10 @@
 	answerMargin = 250 * time.Millisecond
 )
 
-// serve runs all steps of the request. The error is a *Refusal or a *AbortedError.
+// serve runs all steps of the request. The error is a *Refusal or an *AbortedError.
 func (e *execution) serve() error {
 	defer e.returnQuota()
-	defer e.closeHolding()
+	defer e.releaseMemory()
 	if err := e.admit(); err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 }
 
 // admit reads the headers, finds the route, authenticates the caller, takes a permit from the
-// quota, and reads the body. The error is a *Refusal or a *AbortedError.
+// quota, and reads the body. The error is a *Refusal or an *AbortedError.
 func (e *execution) admit() error {
 	var err error
 	e.call, err = e.gateway.Wire.ParseCall(e.request.Header)
@@ -123,7 +123,7 @@
 	if err != nil {
 		return &Refusal{Status: http.StatusBadRequest, Reason: ReasonMalformed, Err: err}
 	}
-	if err := e.openHolding(); err != nil {
+	if err := e.reserveMemory(); err != nil {
 		return err
 	}
 	e.service = e.table.Service(route.NextService())
@@ -156,9 +156,9 @@
 // budget, loads the history and reserves memory; for a turn that is to be recorded it first
 // waits until the store is available. The budget comes before the history because the
 // reservation names the daemon that has the previous turn in memory. The error is a *Refusal
-// or a *AbortedError.
+// or an *AbortedError.
 func (e *execution) prepare(ctx context.Context) error {
-	waitCtx, cancel := context.WithTimeout(ctx, e.storePatience())
+	waitCtx, cancel := context.WithTimeout(ctx, e.maxPreparationWait())
 	defer cancel()
 	if e.route.Recorded {
 		// Stops waiting if this daemon gets cut off, so that the caller can retry in another zone.
@@ -171,7 +171,7 @@
 			e.storeWait = waited
 		}
 	}()
-	if e.isNewProgramWithoutRoom() {
+	if e.isNewProgramWithoutSpace() {
 		return e.preparationError(ctx, eris.Wrap(state.ErrFull, "start a program"))
 	}
 	if e.route.Recorded {
@@ -201,26 +201,26 @@
 	}
 }
 
-// storePatience returns how long the request may wait for the store, an engine or its quota
+// maxPreparationWait returns how long the request may wait for the store, an engine or its quota
 // before it is sent. This is less than half of the time limit, so that a refused caller has
 // time to retry, and on streaming routes less than the route's patience. While this daemon is
 // cut off, it is at most maxCutOffWait.
-func (e *execution) storePatience() time.Duration {
-	patience := min(e.remaining()-answerMargin, time.Duration(maxStoreWaitShare*float64(e.timeLimit())))
+func (e *execution) maxPreparationWait() time.Duration {
+	wait := min(e.remaining()-answerMargin, time.Duration(maxStoreWaitShare*float64(e.timeLimit())))
 	if e.route.Streaming && e.route.MaxStreamGap > 0 {
-		patience = min(patience, e.route.MaxStreamGap-answerMargin)
+		wait = min(wait, e.route.MaxStreamGap-answerMargin)
 	}
 	if e.gateway.Connectivity.CutOff() {
-		patience = min(patience, maxCutOffWait)
+		wait = min(wait, maxCutOffWait)
 	}
-	return max(patience, 0)
+	return max(wait, 0)
 }
 
-// isNewProgramWithoutRoom reports whether the request must be refused because it would start a
+// isNewProgramWithoutSpace reports whether the request must be refused because it would start a
 // recorded conversation while the store is full. The remaining space is left to conversations
 // that have started. From time to time one request is let through nevertheless, to find out
 // whether there is space again.
-func (e *execution) isNewProgramWithoutRoom() bool {
+func (e *execution) isNewProgramWithoutSpace() bool {
 	return e.route.Recorded && e.call.Previous == "" && !e.gateway.StoreSpace.AllowWrite()
 }
 
@@ -253,14 +253,14 @@
 		return err
 	}
 	e.reservation = reservation
-	e.rememberReader()
+	e.recordCachedPrefix()
 	return nil
 }
 
-// rememberReader takes the engine that has already read the beginning of the prompt from the
+// recordCachedPrefix takes the engine that has already read the beginning of the prompt from the
 // budget reservation, and notes it for placement. This daemon may not know the engine itself,
 // since earlier turns may have come through other daemons.
-func (e *execution) rememberReader() {
+func (e *execution) recordCachedPrefix() {
 	engine, readParts := e.reservation.CachedPrefix()
 	if engine == "" || e.gateway.DisabledMechanisms.Has(mechanism.TurnLocations) || readParts > len(e.call.Prefix) {
 		return
--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -26,8 +26,8 @@
 				call:    Call{Deadline: deadline},
 				route:   &routetable.Route{Timeout: time.Hour, Streaming: streaming, MaxStreamGap: 2 * time.Second},
 			}
-			Expect(waiting.storePatience()).To(BeNumerically("<=", maxWait))
-			Expect(waiting.storePatience()).To(BeNumerically(">", maxWait/2))
+			Expect(waiting.maxPreparationWait()).To(BeNumerically("<=", maxWait))
+			Expect(waiting.maxPreparationWait()).To(BeNumerically(">", maxWait/2))
 		},
 		Entry("the first attempt at a stream", 4*time.Second, true, 1750*time.Millisecond),
 		Entry("a later attempt with less time", 2*time.Second, true, 900*time.Millisecond),
@@ -54,8 +54,8 @@
 		for _, partition := range state.PartitionNames(3) {
 			availability.RecordFailure(partition)
 		}
-		room := state.NewClient(state.ClientOptions{Availability: availability}).SpaceTracker()
-		return &Gateway{Options: Options{Connectivity: monitor, Availability: availability, StoreSpace: room}}
+		capacity := state.NewClient(state.ClientOptions{Availability: availability}).SpaceTracker()
+		return &Gateway{Options: Options{Connectivity: monitor, Availability: availability, StoreSpace: capacity}}
 	}
 
 	It("is refused at once if its turn must be recorded, and says when to retry", func(ctx SpecContext) {
@@ -74,6 +74,6 @@
 
 	It("waits at most maxCutOffWait for the daemons of its zone", func(ctx SpecContext) {
 		waiting := &execution{gateway: cutOff(ctx), arrived: time.Now(), route: &routetable.Route{Timeout: time.Hour}}
-		Expect(waiting.storePatience()).To(Equal(maxCutOffWait))
+		Expect(waiting.maxPreparationWait()).To(Equal(maxCutOffWait))
 	})
 })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,17 +40,17 @@
 	// Connectivity reports whether this daemon is cut off from the store and the other zones; nil
 	// means that it never is.
 	Connectivity *reach.Monitor
-	// Room reports whether the store is full.
-	StoreSpace    *state.SpaceTracker
-	Log     *zap.Logger
-	Metrics *Metrics
+	// StoreSpace reports whether the store is full.
+	StoreSpace *state.SpaceTracker
+	Log        *zap.Logger
+	Metrics    *Metrics
 	// InstanceGrace is how long an instance may still be used after its registry entry is gone.
 	// It is used only if no other instance is available.
 	InstanceGrace time.Duration
-	// Off lists mechanisms that are disabled for an experiment.
+	// DisabledMechanisms lists mechanisms that are disabled for an experiment.
 	DisabledMechanisms mechanism.Disabled
-	// MaxConfigurationAge is the maximum age of the configuration for rejecting an unknown key with
-	// status 401. If the configuration is older, the key may have been added since.
+	// MaxConfigurationAge is the maximum age of the configuration for rejecting an unknown key
+	// with status 401. If the configuration is older, the key may have been added since.
 	MaxConfigurationAge time.Duration
 	// Staleness returns how long ago the configuration and the list of instances were last
 	// confirmed by the store.
--- a/internal/gateway/input_test.go
+++ b/internal/gateway/input_test.go
@@ -42,14 +42,14 @@
 		func(size int, length int64, maxRead int) {
 			content := bytes.Repeat([]byte("0123456789"), size/10+1)[:size]
 			account := memory.NewAccount(1 << 30)
-			holding := account.NewReservation("one")
+			reservation := account.NewReservation("one")
 			body := &accountedBody{Reader: bytes.NewReader(content), account: account, maxRead: maxRead}
-			read, err := readWithAccounting(body, length, holding)
+			read, err := readWithAccounting(body, length, reservation)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(read).To(Equal(content))
 			Expect(account.Held()).To(BeEquivalentTo(cap(read)))
 			Expect(body.maxHeld).To(BeNumerically("<=", max(initialInputBufferBytes, 2*size+1)))
-			holding.Close()
+			reservation.Close()
 			Expect(account.Held()).To(BeZero())
 		},
 		Entry("a short body", 10, int64(10), 1000),
@@ -84,7 +84,7 @@
 		request := httptest.NewRequest("POST", "/", iotest.ErrReader(errors.New("the body was read")))
 		request.ContentLength = 1 << 20
 		current := &execution{
-			request: request, holding: account.NewReservation("one"), writer: httptest.NewRecorder(),
+			request: request, memoryReservation: account.NewReservation("one"), writer: httptest.NewRecorder(),
 			table: routetable.New(1, routetable.Limits{BodyBytes: 4 << 20}, nil, nil),
 		}
 		var refusal *Refusal
@@ -116,7 +116,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		account := memory.NewAccount(limit)
 		return &execution{
-			holding: account.NewReservation("one"), route: &routetable.Route{Recorded: true, Streaming: true},
+			memoryReservation: account.NewReservation("one"), route: &routetable.Route{Recorded: true, Streaming: true},
 			history: before, input: make([]byte, input), events: eventReader{collect: true},
 			writer: httptest.NewRecorder(), arrived: time.Now(),
 		}, account
@@ -132,7 +132,7 @@
 		Expect(refusal.Reason).To(Equal(ReasonNoMemory))
 	})
 
-	It("is cut short with ReasonMemory before its output exceeds the memory limit", func(ctx SpecContext) {
+	It("is cut short with ReasonNoMemory before its output exceeds the memory limit", func(ctx SpecContext) {
 		current, account := newTurn(ctx, 0, 0)
 		Expect(current.reserveTurnMemory()).To(Succeed())
 		chunk := []byte("data: " + strings.Repeat("x", 8000) + "\n\n")
@@ -143,7 +143,7 @@
 		}
 		Expect(reasonOf(err)).To(Equal(ReasonNoMemory))
 		Expect(account.Held()).To(BeNumerically("<=", limit/2))
-		current.closeHolding()
+		current.releaseMemory()
 		Expect(account.Held()).To(BeZero())
 	})
 })
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -15,13 +15,13 @@
 )
 
 // takeQuota takes a permit from the tenant's quota, before the body is read, and notes the
-// program as admitted. The error is a *Refusal or a *AbortedError.
+// program as admitted. The error is a *Refusal or an *AbortedError.
 func (e *execution) takeQuota() error {
 	if e.tenant == nil {
 		return nil
 	}
-	taken, err := e.takePermit(e.isProgramUnderWay())
-	e.quotaPermit = taken
+	permit, err := e.takePermit(e.isProgramUnderWay())
+	e.quotaPermit = permit
 	if err == nil && e.call.Program != "" {
 		e.gateway.recentPrograms.add(e.tenantScoped(e.call.Program))
 	}
@@ -33,15 +33,15 @@
 const maxKeeperWait = 500 * time.Millisecond
 
 // takePermit takes one permit from the tenant's quota and retries for up to maxKeeperWait while
-// no keeper of the quota can be reached. The error is a *Refusal or a *AbortedError.
+// no keeper of the quota can be reached. The error is a *Refusal or an *AbortedError.
 func (e *execution) takePermit(isProgramUnderWay bool) (*quota.Permit, error) {
 	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, Continuation: isProgramUnderWay}
-	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxKeeperWait, e.storePatience()))
+	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxKeeperWait, e.maxPreparationWait()))
 	defer cancel()
-	taken, err := e.gateway.Quotas.Acquire(e.request.Context(), request)
-	var unreached *quota.UnreachableError
-	for errors.As(err, &unreached) && pause.Sleep(ctx, instancePollInterval) {
-		taken, err = e.gateway.Quotas.Acquire(e.request.Context(), request)
+	permit, err := e.gateway.Quotas.Acquire(e.request.Context(), request)
+	var unreachable *quota.UnreachableError
+	for errors.As(err, &unreachable) && pause.Sleep(ctx, instancePollInterval) {
+		permit, err = e.gateway.Quotas.Acquire(e.request.Context(), request)
 	}
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, notRunRefusal(ReasonQuotaUnknown, shortRetryAfter, err)
 	}
-	return taken, nil
+	return permit, nil
 }
 
 // takeQuotaForRetry takes another permit if the engine tried last may have run the request,
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -19,7 +19,7 @@
 const relayBufferBytes = 8 << 10
 
 // relay writes the answer to the caller as it arrives. On a route that records turns, it saves the
-// turn before it returns, and so before the caller sees the end of the stream. The error is a
+// turn before it returns, and so before the caller sees the end of the stream. The error is an
 // *AbortedError.
 func (e *execution) relay(ctx context.Context, reply *startedReply) error {
 	e.writeHead(reply)
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeBody writes the body of the answer to the caller. The error is a *AbortedError.
+// writeBody writes the body of the answer to the caller. The error is an *AbortedError.
 func (e *execution) writeBody(ctx context.Context, reply *startedReply) error {
 	if err := e.writeChunk(reply.firstBytes); err != nil || reply.isComplete {
 		return err
@@ -97,7 +97,7 @@
 }
 
 // writeChunk writes bytes of the body to the caller; on streaming routes it also counts their
-// events and flushes them. The error is a *AbortedError.
+// events and flushes them. The error is an *AbortedError.
 func (e *execution) writeChunk(chunk []byte) error {
 	if len(chunk) == 0 {
 		return nil
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// relayRest relays the body from where startedReply.firstBytes ends. The error is a *AbortedError.
+// relayRest relays the body from where startedReply.firstBytes ends. The error is an
+// *AbortedError.
 func (e *execution) relayRest(ctx context.Context, reply *startedReply) error {
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -144,7 +145,7 @@
 }
 
 // recordTurn saves the turn. It must succeed before the end of the stream is sent. If the store
-// does not answer in time, it returns a *AbortedError, and the caller is expected to repeat the
+// does not answer in time, it returns an *AbortedError, and the caller is expected to repeat the
 // turn.
 func (e *execution) recordTurn(ctx context.Context) error {
 	recordCtx, cancel := context.WithTimeout(ctx, max(e.route.MaxStreamGap-answerMargin, answerMargin))
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -58,10 +58,10 @@
 	t.notePause(received)
 	t.sequence++
 	item := scheduling.QueueItem{
-		Class:    received.program.Class,
+		Class:           received.program.Class,
 		AttainedService: received.program.attained,
-		Enqueued: t.daemon.run.clock.now,
-		Sequence: t.sequence,
+		Enqueued:        t.daemon.run.clock.now,
+		Sequence:        t.sequence,
 	}
 	queue := t.queue
 	if received.program.started() == 0 {
@@ -131,7 +131,7 @@
 		Tenant: waiting.program.Tenant, Class: waiting.program.Class, Model: t.daemon.run.trace.Model,
 		Zone: t.daemon.zone, PromptTokens: waiting.promptTokens,
 		MaxOutputTokens: 0, // callers rarely say
-		AttainedService:        waiting.program.started(),
+		AttainedService: waiting.program.started(),
 		LiveTokens:      t.live,
 		CacheShare:      1 / float64(len(t.daemon.run.daemons)),
 		Waited:          now - waiting.received,
--- a/internal/load/board.go
+++ b/internal/load/board.go
@@ -18,10 +18,10 @@
 	now func() time.Time
 
 	mutex         sync.Mutex
-	reports       map[string]received // by the reporting daemon's machine
-	shares        map[string]received // by the sending aggregator's machine
-	sum           EncodedStats                // over reports and shares
-	summedReports map[string]EncodedStats     // the reports that sum includes, by machine
+	reports       map[string]received     // by the reporting daemon's machine
+	shares        map[string]received     // by the sending aggregator's machine
+	sum           EncodedStats            // over reports and shares
+	summedReports map[string]EncodedStats // the reports that sum includes, by machine
 	summedAt      time.Time
 	// lastOutsideContact is when an aggregator of another group last answered this one. It is zero
 	// if none has since this daemon became an aggregator.
@@ -42,7 +42,7 @@
 // Report is the RPC by which the daemons of this group report. It records the report and fills in
 // the sums, which may be up to sumTTL old and then don't include this report. It returns an error
 // if the report can't be decoded.
-func (b *Board) Report(report ReportRequest, picture *ReportReply) error {
+func (b *Board) Report(report ReportRequest, reply *ReportReply) error {
 	if err := validate(report.Told); err != nil {
 		return eris.Wrapf(err, "report of %s", report.Member)
 	}
@@ -53,14 +53,15 @@
 	if now.Sub(b.summedAt) >= sumTTL || b.summedReports == nil {
 		b.rebuildSum(now)
 	}
-	picture.All = b.sum
-	picture.Own = b.summedReports[report.Member]
-	picture.Outside = b.outsideSilence(now)
+	reply.All = b.sum
+	reply.Own = b.summedReports[report.Member]
+	reply.Outside = b.sinceOutsideContact(now)
 	return nil
 }
 
-// outsideSilence returns the time since another group was last reached. The caller holds the mutex.
-func (b *Board) outsideSilence(now time.Time) OutsideContact {
+// sinceOutsideContact returns the time since another group was last reached. The caller holds the
+// mutex.
+func (b *Board) sinceOutsideContact(now time.Time) OutsideContact {
 	if b.lastOutsideContact.IsZero() {
 		return OutsideContact{}
 	}
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -43,7 +43,7 @@
 	Log      *zap.Logger
 
 	metrics     metrics
-	lastOutside atomic.Pointer[outsideContact] // as of the last picture
+	lastOutside atomic.Pointer[outsideContact] // as of the last reply
 
 	mutex          sync.Mutex
 	plan           *plan
@@ -127,9 +127,9 @@
 	}
 	index := xxhash.Sum64String(string(e.List.Self().Machine)) % uint64(len(aggregators))
 	chosen := aggregators[index]
-	var picture ReportReply
+	var reply ReportReply
 	report := ReportRequest{Member: string(e.List.Self().Machine), Told: e.localStats()}
-	if err := e.sendReport(ctx, chosen, report, &picture); err != nil {
+	if err := e.sendReport(ctx, chosen, report, &reply); err != nil {
 		if ctx.Err() == nil {
 			e.metrics.reportEnded(resultNoAnswer)
 			e.skip(chosen, err)
@@ -137,19 +137,19 @@
 		return
 	}
 	all, own := newSum(), newSum()
-	if err := errors.Join(all.add(picture.All), own.add(picture.Own)); err != nil {
+	if err := errors.Join(all.add(reply.All), own.add(reply.Own)); err != nil {
 		e.metrics.reportEnded(resultUnreadable)
-		e.skip(chosen, eris.Wrapf(err, "decode the picture from %s", chosen.Process.Machine))
+		e.skip(chosen, eris.Wrapf(err, "decode the reply from %s", chosen.Process.Machine))
 		return
 	}
-	if err := e.learnPrograms(picture); err != nil {
+	if err := e.updatePrograms(reply); err != nil {
 		e.metrics.reportEnded(resultUnreadable)
-		e.skip(chosen, eris.Wrapf(err, "decode the picture from %s", chosen.Process.Machine))
+		e.skip(chosen, eris.Wrapf(err, "decode the reply from %s", chosen.Process.Machine))
 		return
 	}
 	e.Fleet.UpdateCounts(all.underWay, own.underWay)
 	e.Fleet.UpdateWork(all.speeds, own.speeds)
-	e.recordOutside(picture.Outside)
+	e.recordOutside(reply.Outside)
 	e.metrics.reportEnded(resultLearned)
 	e.List.RecordAnswer(chosen)
 	e.recordAggregator(chosen)
@@ -161,13 +161,13 @@
 	return own.encode(e.localPrograms())
 }
 
-func (e *Exchange) sendReport(parent context.Context, aggregator members.Member, report ReportRequest, picture *ReportReply) error {
+func (e *Exchange) sendReport(parent context.Context, aggregator members.Member, report ReportRequest, reply *ReportReply) error {
 	if aggregator.Process == e.List.Self() {
-		return e.Board.Report(report, picture)
+		return e.Board.Report(report, reply)
 	}
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
-	return e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodReport, report, picture)
+	return e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodReport, report, reply)
 }
 
 func (e *Exchange) recordAggregator(aggregator members.Member) {
@@ -234,28 +234,28 @@
 	}
 }
 
-// outsideContact is the last known contact with other groups, taken from a picture.
+// outsideContact is the last known contact with other groups, taken from a reply.
 type outsideContact struct {
 	reachedAt  time.Time // when another group was last reached; zero if not known
-	reportedAt time.Time // when the picture arrived
+	reportedAt time.Time // when the reply arrived
 }
 
 // recordOutside records when the aggregator last reached another group. If the aggregator doesn't
 // know, for example because it started recently, the time known before is kept.
-func (e *Exchange) recordOutside(silence OutsideContact) {
+func (e *Exchange) recordOutside(outside OutsideContact) {
 	now := time.Now()
 	contact := outsideContact{reportedAt: now}
 	if former := e.lastOutside.Load(); former != nil {
 		contact.reachedAt = former.reachedAt
 	}
-	if silence.Heard {
-		contact.reachedAt = now.Add(-silence.Lasted)
+	if outside.Heard {
+		contact.reachedAt = now.Add(-outside.Lasted)
 	}
 	e.lastOutside.Store(&contact)
 }
 
-// LastOutsideContact returns when this daemon's group last reached a daemon of another group. known is false
-// if there are no other groups, none has been reached yet, or the last picture is older than
+// LastOutsideContact returns when this daemon's group last reached a daemon of another group. known
+// is false if there are no other groups, none has been reached yet, or the last reply is older than
 // reportTTL.
 func (e *Exchange) LastOutsideContact() (heard time.Time, known bool) {
 	last := e.lastOutside.Load()
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,9 +1,9 @@
 // Package load gives every daemon the sums of all daemons' statistics: the requests in flight and
 // the speed of each engine, and the programs in progress. Every daemon sends its own statistics to
-// an aggregator of its group, and the reply holds the sums over all daemons (Picture). A group is a
-// zone, or the whole region if the region has at most maxReportersPerAggregator daemons. A group's
-// aggregators are a few of its larger machines, selected by hash. Each sends the sums over the
-// reports that it received (Share) to all other aggregators of the region.
+// an aggregator of its group, and the reply holds the sums over all daemons (ReportReply). A group
+// is a zone, or the whole region if the region has at most maxReportersPerAggregator daemons. A
+// group's aggregators are a few of its larger machines, selected by hash. Each sends the sums over
+// the reports that it received (Share) to all other aggregators of the region.
 //
 // There are no guarantees: the sums are hints. While no call fails, their age is at most
 // 2*reportInterval + exchangeInterval + sumTTL plus the network delays. A daemon that reaches no
@@ -63,8 +63,8 @@
 // EncodedStats is the encoded statistics of one daemon, or the sums over several daemons.
 type EncodedStats struct {
 	UnderWay []byte // Counts, encoded
-	Speeds   []byte // Speeds, encoded
-	Programs []byte // Programs, encoded; empty if the sender has none
+	Speeds   []byte // EngineWork, encoded
+	Programs []byte // ProgramStats, encoded; empty if the sender has none
 }
 
 // ReportRequest is a daemon's report to its aggregator.
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -64,29 +64,29 @@
 
 	report := func(member string, underWay Counts) ReportReply {
 		GinkgoHelper()
-		var picture ReportReply
-		Expect(board.Report(ReportRequest{Member: member, Told: EncodedStats{UnderWay: underWay.encode()}}, &picture)).To(Succeed())
-		return picture
+		var reply ReportReply
+		Expect(board.Report(ReportRequest{Member: member, Told: EncodedStats{UnderWay: underWay.encode()}}, &reply)).To(Succeed())
+		return reply
 	}
 
 	It("sums the counts of all daemons and returns the reporting daemon's own part", func() {
 		report("a", Counts{1: 2, 2: 1})
 		report("b", Counts{1: 3})
 		now = now.Add(sumTTL)
-		picture := report("c", Counts{3: 1})
-		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 5, 2: 1, 3: 1}))
-		Expect(decodeCounts(picture.Own.UnderWay)).To(Equal(Counts{3: 1}))
+		reply := report("c", Counts{3: 1})
+		Expect(decodeCounts(reply.All.UnderWay)).To(Equal(Counts{1: 5, 2: 1, 3: 1}))
+		Expect(decodeCounts(reply.Own.UnderWay)).To(Equal(Counts{3: 1}))
 	})
 
 	It("returns the report that the cached sums include as the daemon's own part", func() {
 		report("a", Counts{1: 2})
-		picture := report("a", Counts{1: 7})
-		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 2}))
-		Expect(decodeCounts(picture.Own.UnderWay)).To(Equal(Counts{1: 2}))
+		reply := report("a", Counts{1: 7})
+		Expect(decodeCounts(reply.All.UnderWay)).To(Equal(Counts{1: 2}))
+		Expect(decodeCounts(reply.Own.UnderWay)).To(Equal(Counts{1: 2}))
 		now = now.Add(sumTTL)
-		picture = report("b", Counts{})
-		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 7}))
-		Expect(picture.Own.UnderWay).To(BeEmpty())
+		reply = report("b", Counts{})
+		Expect(decodeCounts(reply.All.UnderWay)).To(Equal(Counts{1: 7}))
+		Expect(reply.Own.UnderWay).To(BeEmpty())
 	})
 
 	It("drops reports and shares that have expired", func() {
@@ -103,11 +103,11 @@
 		report("a", Counts{1: 2})
 		now = now.Add(reportTTL + time.Millisecond)
 		report("b", Counts{})
-		var picture ReportReply
-		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{UnderWay: Counts{1: 3}.encode()}}, &picture)).To(Succeed())
+		var reply ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{UnderWay: Counts{1: 3}.encode()}}, &reply)).To(Succeed())
 		now = now.Add(sumTTL)
-		Expect(board.Report(ReportRequest{Member: "b"}, &picture)).To(Succeed())
-		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 3}))
+		Expect(board.Report(ReportRequest{Member: "b"}, &reply)).To(Succeed())
+		Expect(decodeCounts(reply.All.UnderWay)).To(Equal(Counts{1: 3}))
 	})
 
 	It("sums only its own reports for a share", func() {
--- a/internal/load/programs.go
+++ b/internal/load/programs.go
@@ -7,9 +7,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// ProgramStats are statistics of the programs in progress, of one daemon or summed over several. From
-// the sums each daemon derives how much of the engines' capacity is taken, and its own part of the
-// rest.
+// ProgramStats are statistics of the programs in progress, of one daemon or summed over several.
+// From the sums each daemon derives how much of the engines' capacity is taken, and its own part of
+// the rest.
 type ProgramStats struct {
 	Services map[Digest]ServiceStats // by digest of the service's name
 	// Spent is the recent cost of each tenant's programs at the engines, in tokens, by digest of
@@ -47,7 +47,7 @@
 	// A daemon whose statistics have expired isn't counted in ServiceStats.Daemons either.
 	programsTTL = 150 * time.Millisecond
 	// MaxProgramStatsAge is the maximum age of any daemon's program statistics when an aggregator
-	// replies with a picture that includes them: the report and the share arrive within callTimeout
+	// sends a reply that includes them: the report and the share arrive within callTimeout
 	// and are used for programsTTL each, and the aggregator's sums are reused for sumTTL.
 	MaxProgramStatsAge = 2*programsTTL + 2*callTimeout + sumTTL
 )
@@ -206,17 +206,17 @@
 	return e.Programs.Programs().encode()
 }
 
-// learnPrograms passes the program statistics of a picture to e.Programs. It returns an error if
+// updatePrograms passes the program statistics of a reply to e.Programs. It returns an error if
 // they can't be decoded.
-func (e *Exchange) learnPrograms(picture ReportReply) error {
+func (e *Exchange) updatePrograms(reply ReportReply) error {
 	if e.Programs == nil {
 		return nil
 	}
 	all, own := newPrograms(), newPrograms()
-	if err := all.addEncoded(picture.All.Programs); err != nil {
+	if err := all.addEncoded(reply.All.Programs); err != nil {
 		return err
 	}
-	if err := own.addEncoded(picture.Own.Programs); err != nil {
+	if err := own.addEncoded(reply.Own.Programs); err != nil {
 		return err
 	}
 	e.Programs.UpdatePrograms(all, own)
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -83,13 +83,13 @@
 	It("are summed by a board over reports and shares that have not expired", func() {
 		now := time.Unix(1000, 0)
 		board := NewBoard(func() time.Time { return now })
-		var picture ReportReply
-		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Programs: own(10).encode()}}, &picture)).To(Succeed())
+		var reply ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Programs: own(10).encode()}}, &reply)).To(Succeed())
 		Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{Programs: own(5).encode()}}, &ShareReply{})).To(Succeed())
 		now = now.Add(sumTTL)
-		Expect(board.Report(ReportRequest{Member: "b", Told: EncodedStats{Programs: own(1).encode()}}, &picture)).To(Succeed())
+		Expect(board.Report(ReportRequest{Member: "b", Told: EncodedStats{Programs: own(1).encode()}}, &reply)).To(Succeed())
 		all := newPrograms()
-		Expect(all.addEncoded(picture.All.Programs)).To(Succeed())
+		Expect(all.addEncoded(reply.All.Programs)).To(Succeed())
 		Expect(all.Services[service]).To(Equal(ServiceStats{Daemons: 3, Count: 3, Held: 16, Claimed: 16, Asked: 9, Turns: 6, FirstByte: 3000}))
 		Expect(all.Spent[tenant]).To(BeEquivalentTo(16))
 		shared, _ := board.sumReports()
@@ -97,9 +97,9 @@
 		Expect(sharedPrograms.addEncoded(shared.Programs)).To(Succeed())
 		Expect(sharedPrograms.Services[service].Held).To(BeEquivalentTo(11))
 		now = now.Add(programsTTL + time.Millisecond)
-		Expect(board.Report(ReportRequest{Member: "c", Told: EncodedStats{Programs: own(2).encode()}}, &picture)).To(Succeed())
+		Expect(board.Report(ReportRequest{Member: "c", Told: EncodedStats{Programs: own(2).encode()}}, &reply)).To(Succeed())
 		fresh := newPrograms()
-		Expect(fresh.addEncoded(picture.All.Programs)).To(Succeed())
+		Expect(fresh.addEncoded(reply.All.Programs)).To(Succeed())
 		Expect(fresh.Services[service].Held).To(BeEquivalentTo(2))
 	})
 
--- a/internal/load/speeds.go
+++ b/internal/load/speeds.go
@@ -12,7 +12,7 @@
 type Work struct {
 	ChunkHundredths  int // hundredths of pieces; a piece is an event of a stream, or an answer that is not a stream
 	AnswerHundredths int // hundredths of answers
-	Millis   int // milliseconds that these pieces took
+	Millis           int // milliseconds that these pieces took
 }
 
 // EngineWork is the recent work by engine. Engines without work are left out.
@@ -27,10 +27,10 @@
 
 // encode writes each engine's digest, followed by its numbers as varints: about ten bytes an
 // engine.
-func (s EngineWork) encode() []byte {
+func (w EngineWork) encode() []byte {
 	const usualNumberBytes = 2
-	encoded := make([]byte, 0, len(s)*(digestBytes+workFieldCount*usualNumberBytes))
-	for key, work := range s {
+	encoded := make([]byte, 0, len(w)*(digestBytes+workFieldCount*usualNumberBytes))
+	for key, work := range w {
 		encoded = binary.LittleEndian.AppendUint32(encoded, uint32(key))
 		for _, number := range [workFieldCount]int{work.ChunkHundredths, work.AnswerHundredths, work.Millis} {
 			encoded = binary.AppendUvarint(encoded, uint64(min(max(number, 0), maxWork)))
@@ -39,9 +39,9 @@
 	return encoded
 }
 
-// addEncoded adds encoded work to s. It returns an error if the input is truncated or a number
+// addEncoded adds encoded work to w. It returns an error if the input is truncated or a number
 // exceeds maxWork; the entries before the invalid one have been added by then.
-func (s EngineWork) addEncoded(encoded []byte) error {
+func (w EngineWork) addEncoded(encoded []byte) error {
 	for len(encoded) > 0 {
 		if len(encoded) <= digestBytes {
 			return eris.Errorf("load: truncated work entry of %d bytes", len(encoded))
@@ -57,7 +57,7 @@
 			numbers[index] = int(number)
 			encoded = encoded[length:]
 		}
-		s[key] = s[key].Add(Work{ChunkHundredths: numbers[0], AnswerHundredths: numbers[1], Millis: numbers[2]})
+		w[key] = w[key].Add(Work{ChunkHundredths: numbers[0], AnswerHundredths: numbers[1], Millis: numbers[2]})
 	}
 	return nil
 }
--- a/internal/load/speeds_test.go
+++ b/internal/load/speeds_test.go
@@ -88,21 +88,21 @@
 
 	It("sums the speeds of reports and shares, and returns the reporting daemon's own part", func() {
 		board := newTestBoard()
-		var picture ReportReply
-		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: EngineWork{1: one, 2: other}.encode()}}, &picture)).To(Succeed())
+		var reply ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: EngineWork{1: one, 2: other}.encode()}}, &reply)).To(Succeed())
 		Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{Speeds: EngineWork{1: other}.encode()}}, &ShareReply{})).To(Succeed())
 		board.clock = board.clock.Add(sumTTL)
-		Expect(board.Report(ReportRequest{Member: "b", Told: EncodedStats{Speeds: EngineWork{1: one}.encode()}}, &picture)).To(Succeed())
-		Expect(decodeSpeeds(picture.All.Speeds)).To(Equal(EngineWork{1: one.Add(one).Add(other), 2: other}))
-		Expect(decodeSpeeds(picture.Own.Speeds)).To(Equal(EngineWork{1: one}))
+		Expect(board.Report(ReportRequest{Member: "b", Told: EncodedStats{Speeds: EngineWork{1: one}.encode()}}, &reply)).To(Succeed())
+		Expect(decodeSpeeds(reply.All.Speeds)).To(Equal(EngineWork{1: one.Add(one).Add(other), 2: other}))
+		Expect(decodeSpeeds(reply.Own.Speeds)).To(Equal(EngineWork{1: one}))
 		share, _ := board.sumReports()
 		Expect(decodeSpeeds(share.Speeds)).To(Equal(EngineWork{1: one.Add(one), 2: other}))
 	})
 
-	It("gives a newly started daemon the speeds of the others with its first picture", func(ctx SpecContext) {
+	It("gives a newly started daemon the speeds of the others with its first reply", func(ctx SpecContext) {
 		board := newTestBoard()
-		var picture ReportReply
-		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: EngineWork{1: one}.encode()}}, &picture)).To(Succeed())
+		var reply ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: EngineWork{1: one}.encode()}}, &reply)).To(Succeed())
 		board.clock = board.clock.Add(sumTTL)
 		started := reportOnce(ctx, board.Board)
 		Expect(started.all).To(Equal(EngineWork{1: one}))
@@ -111,9 +111,9 @@
 
 	It("rejects speeds that can't be decoded or exceed the limit", func() {
 		board := newTestBoard()
-		for _, told := range [][]byte{{1}, {1, 2, 3, 4}, {1, 2, 3, 4, 1, 1}, EngineWork{1: one}.encode()[:6]} {
-			Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: told}}, &ReportReply{})).To(MatchError(ContainSubstring("report of a")))
-			Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{Speeds: told}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
+		for _, encoded := range [][]byte{{1}, {1, 2, 3, 4}, {1, 2, 3, 4, 1, 1}, EngineWork{1: one}.encode()[:6]} {
+			Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: encoded}}, &ReportReply{})).To(MatchError(ContainSubstring("report of a")))
+			Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{Speeds: encoded}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
 		}
 		tooMuch := append(EngineWork{1: {ChunkHundredths: 1, AnswerHundredths: 1}}.encode()[:6], 0x81, 0x80, 0x80, 0x80, 0x08) // maxWork + 1
 		Expect(EngineWork{}.addEncoded(tooMuch)).To(MatchError(ContainSubstring("invalid work")))
--- a/internal/members/fleet_world_test.go
+++ b/internal/members/fleet_test.go
@@ -83,7 +83,8 @@
 	d.list.RecordConfirmation()
 }
 
-// step runs one step of the lease and then reads the list. It returns the result of Lease.Step.
+// step runs one step of the lease and then reads the list. It returns the result of
+// Lease.RenewOnce.
 func (d *daemon) step() bool {
 	ctx, cancel := d.storeContext()
 	defer cancel()
--- a/internal/members/lease.go
+++ b/internal/members/lease.go
@@ -60,18 +60,18 @@
 	FirstStart bool
 	// MinRenewalInterval is the minimum renewal interval; it applies to small fleets.
 	MinRenewalInterval time.Duration
-	Log             *zap.Logger
-	// ConfigRevision is the configuration revision in force at this daemon. Each registration and renewal
-	// writes it to the lease.
+	Log                *zap.Logger
+	// ConfigRevision is the configuration revision in force at this daemon. Each registration and
+	// renewal writes it to the lease.
 	ConfigRevision atomic.Uint64
 
 	mutex         sync.Mutex // guards the fields below
 	isRegistered  bool
 	version       state.Version // of this daemon's row in LeaseTable, as last written by this process
-	claimZone     identity.Zone // ClaimZone of this daemon's row in Table
+	claimZone     identity.Zone // ClaimZone of this daemon's row in MemberTable
 	isLeaving     bool          // set by Leave
 	isSuperseded  bool          // a later process of this machine has registered
-	hasEnded      bool          // set by End
+	hasEnded      bool          // set by WriteEnded
 	watchedLeases watchedLeases
 }
 
@@ -116,9 +116,9 @@
 	}
 }
 
-// RenewOnce registers this daemon or renews its lease and, if that succeeds, checks the other members.
-// It reports whether this daemon is registered; once this process has ended or was superseded, it
-// does nothing and returns true.
+// RenewOnce registers this daemon or renews its lease and, if that succeeds, checks the other
+// members. It reports whether this daemon is registered; once this process has ended or was
+// superseded, it does nothing and returns true.
 func (l *Lease) RenewOnce(ctx context.Context) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -259,8 +259,8 @@
 	return l.writeState(ctx, StateLeaving, state.Commit{})
 }
 
-// WriteEnded writes that this process has ended, so that other daemons don't have to wait until its lease
-// expires.
+// WriteEnded writes that this process has ended, so that other daemons don't have to wait until its
+// lease expires.
 func (l *Lease) WriteEnded(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/members/list.go
+++ b/internal/members/list.go
@@ -23,11 +23,12 @@
 	log     *zap.Logger
 	current atomic.Pointer[snapshot]
 
-	// DetectSilentZones enables the detection of silent zones. It must be set before the list is used.
+	// DetectSilentZones enables the detection of silent zones. It must be set before the list is
+	// used.
 	DetectSilentZones bool
-	// OnZoneRecovered, if set, is called when a silent zone answers again, with the addresses of its
-	// living members and the length of the silence. It must be set before the list is used and must
-	// not block.
+	// OnZoneRecovered, if set, is called when a silent zone answers again, with the addresses of
+	// its living members and the length of the silence. It must be set before the list is used and
+	// must not block.
 	OnZoneRecovered func(addresses []string, silent time.Duration)
 
 	mutex        sync.Mutex // serializes changes
@@ -90,8 +91,8 @@
 	return subscriber
 }
 
-// WatchOptions returns the options with which watch.Run follows the member table. wait is how long a feed
-// call may wait for a change.
+// WatchOptions returns the options with which watch.Run follows the member table. wait is how long
+// a feed call may wait for a change.
 func (l *List) WatchOptions(store state.Store, wait time.Duration) watch.Options {
 	return watch.Options{
 		Store: store, Table: MemberTable, Partition: partition, MaxWait: wait, MinBatchInterval: changeBatchInterval, Log: l.log, OnAnswer: l.RecordConfirmation,
--- a/internal/members/prober.go
+++ b/internal/members/prober.go
@@ -20,10 +20,10 @@
 // ProbeService is the RPC service that answers probes. It has no state.
 type ProbeService struct{}
 
-// PingRequest is the empty request of Service.Ping.
+// PingRequest is the empty request of ProbeService.Ping.
 type PingRequest struct{}
 
-// PingReply is the empty reply of Service.Ping.
+// PingReply is the empty reply of ProbeService.Ping.
 type PingReply struct{}
 
 // Ping answers a probe.
--- a/internal/members/claims.go
+++ b/internal/members/rendezvous.go
@@ -162,9 +162,9 @@
 	return members
 }
 
-// HasHighestScore reports whether this daemon has the highest score for the key among the living members of
-// all zones. Callers use it to select one daemon for a task. It may be true at several daemons, or
-// at none, while their lists differ.
+// HasHighestScore reports whether this daemon has the highest score for the key among the living
+// members of all zones. Callers use it to select one daemon for a task. It may be true at several
+// daemons, or at none, while their lists differ.
 func (l *List) HasHighestScore(key string) bool {
 	current := l.current.Load()
 	return hasHighestScore(current.living, current.own, hashOf(key))
--- a/internal/members/keeper.go
+++ b/internal/members/shard_owner.go
@@ -72,8 +72,8 @@
 // hasClaims reports whether members of this standing are eligible as owners of shards.
 func (s Standing) hasClaims() bool { return s != StandingJoined && s != StandingReleased }
 
-// ShardOwner returns the owner of a shard of the key according to this list. It returns false if the
-// shard has no owner or if its owner is dead.
+// ShardOwner returns the owner of a shard of the key according to this list. It returns false if
+// the shard has no owner or if its owner is dead.
 func (l *List) ShardOwner(key string, shardNumber int) (Member, bool) {
 	owner := l.current.Load().owners.ownerOf(shard{hashOf(key), shardNumber})
 	if owner == nil || owner.member.State == StateDead {
@@ -82,13 +82,13 @@
 	return owner.member, true
 }
 
-// OwnsShard reports whether this process owns the given shard of the key, and returns the time since
-// which no other process has owned the shard.
+// OwnsShard reports whether this process owns the given shard of the key, and returns the time
+// since which no other process has owned the shard.
 func (l *List) OwnsShard(key string, shardNumber int) (since time.Time, owns bool) {
 	if !l.mayOwnShards() {
 		return time.Time{}, false
 	}
-	// Loaded after mayOwnShards has checked the list, so the snapshot isn't older than that list.
+	// Read after mayOwnShards has checked the list, so the snapshot isn't older than that list.
 	current, wanted := l.current.Load(), shard{hashOf(key), shardNumber}
 	if current.owners.ownerOf(wanted) != current.own {
 		return time.Time{}, false
--- a/internal/members/keeper_play_test.go
+++ b/internal/members/shard_owner_property_test.go
@@ -9,11 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestOneKeeper simulates machines in one to three zones. They start within a second or join later,
-// register late, renew and read the list now and then, are suspended, cut off from the store,
-// killed, shut down, and restarted at the same or another address. At most one process may own a
-// shard at a time, and no other process may have owned it since the time that Keeps returns.
-func TestOneKeeper(t *testing.T) {
+// TestOneShardOwner simulates machines in one to three zones. They start within a second or join
+// later, register late, renew and read the list now and then, are suspended, cut off from the
+// store, killed, shut down, and restarted at the same or another address. At most one process may
+// own a shard at a time, and no other process may have owned it since the time that OwnsShard
+// returns.
+func TestOneShardOwner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		simulation := &ownerSimulation{lenderSimulation: newZonedLenderSimulation(t, rapid.IntRange(1, 3).Draw(t, "zones")), lastOwned: map[shard]map[*List]time.Time{}}
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
--- a/internal/members/keeper_test.go
+++ b/internal/members/shard_owner_test.go
@@ -235,9 +235,9 @@
 	})
 })
 
-// BenchmarkKeeper measures the lookup of a shard's owner among 390 members. Each request of a
-// tenant with a quota makes such a lookup.
-func BenchmarkKeeper(b *testing.B) {
+// BenchmarkShardOwner measures the lookup of a shard's owner among 390 members. Each request
+// of a tenant with a quota makes such a lookup.
+func BenchmarkShardOwner(b *testing.B) {
 	env := newTestEnv()
 	d := env.startDaemon("m0", true)
 	registerOnce(d)
--- a/internal/members/silence.go
+++ b/internal/members/zone_health.go
@@ -113,8 +113,8 @@
 	return health
 }
 
-// RecordMiss records that a member did not answer a call in time. It has no effect for members of this
-// daemon's zone, or if DetectSilentZones is false.
+// RecordMiss records that a member did not answer a call in time. It has no effect for members of
+// this daemon's zone, or if DetectSilentZones is false.
 func (l *List) RecordMiss(member Member) {
 	rec := l.findInOtherZone(member)
 	if rec == nil {
@@ -150,8 +150,8 @@
 	l.OnZoneRecovered(addresses, silentFor)
 }
 
-// IsZoneSilent reports whether the member's zone is silent. Requests should not wait for members of a
-// silent zone.
+// IsZoneSilent reports whether the member's zone is silent. Requests should not wait for members of
+// a silent zone.
 func (l *List) IsZoneSilent(member Member) bool {
 	rec := l.findInOtherZone(member)
 	return rec != nil && rec.zone.isSilent.Load()
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -17,7 +17,7 @@
 }
 
 // TestAccountStaysWithinLimits checks that for any sequence of operations the account equals the
-// sum of all holdings, stays within the limits in total and for each owner, and ends empty.
+// sum of all reservations, stays within the limits in total and for each owner, and ends empty.
 func TestAccountStaysWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
@@ -31,23 +31,23 @@
 				owner := Owner(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "owner")))
 				open = append(open, account.NewReservation(owner))
 			case action == 1:
-				holding := rapid.SampledFrom(open).Draw(t, "grown")
+				reservation := rapid.SampledFrom(open).Draw(t, "grown")
 				bytes := rapid.Int64Range(0, limit).Draw(t, "bytes")
 				kind := Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind"))
-				fits := holding.Fits(bytes)
-				err := holding.Grow(kind, bytes)
+				fits := reservation.Fits(bytes)
+				err := reservation.Grow(kind, bytes)
 				if kind != Answer && fits != (err == nil) && bytes > 0 {
 					t.Fatalf("Fits returned %v, but Grow returned %v", fits, err)
 				}
 				if err == nil {
-					expected[holding] += bytes
+					expected[reservation] += bytes
 				}
 			case action == 2:
-				holding := rapid.SampledFrom(open).Draw(t, "shrunk")
+				reservation := rapid.SampledFrom(open).Draw(t, "shrunk")
 				kind := Kind(rapid.IntRange(0, int(kindCount)-1).Draw(t, "kind"))
 				bytes := rapid.Int64Range(0, 2*limit).Draw(t, "bytes")
-				expected[holding] -= min(bytes, holding.bytes[kind])
-				holding.Shrink(kind, bytes)
+				expected[reservation] -= min(bytes, reservation.bytes[kind])
+				reservation.Shrink(kind, bytes)
 			default:
 				index := rapid.IntRange(0, len(open)-1).Draw(t, "ended")
 				open[index].Close()
@@ -57,8 +57,8 @@
 			}
 			checkSums(t, account, expected)
 		}
-		for _, holding := range open {
-			holding.Close()
+		for _, reservation := range open {
+			reservation.Close()
 		}
 		if account.Held() != 0 || len(account.owners) != 0 {
 			t.Fatalf("%d bytes still held at the end by %d owners", account.Held(), len(account.owners))
@@ -68,9 +68,9 @@
 
 func checkSums(t *rapid.T, account *Account, expected map[*Reservation]int64) {
 	sum, byOwner := int64(0), map[Owner]int64{}
-	for holding, bytes := range expected {
+	for reservation, bytes := range expected {
 		sum += bytes
-		byOwner[holding.owner] += bytes
+		byOwner[reservation.owner] += bytes
 	}
 	if account.Held() != sum || sum > account.Limit() {
 		t.Fatalf("held %d, expected %d, limit %d", account.Held(), sum, account.Limit())
@@ -94,16 +94,16 @@
 		for caller := range callers {
 			all.Go(func() {
 				for round := range rounds {
-					holding := account.NewReservation(Owner(fmt.Sprint(caller % 4)))
-					_ = holding.Grow(Request, int64(1+(caller*round)%(limit/8)))
-					_ = holding.Grow(Answer, int64(1+(caller+round)%(limit/16)))
+					reservation := account.NewReservation(Owner(fmt.Sprint(caller % 4)))
+					_ = reservation.Grow(Request, int64(1+(caller*round)%(limit/8)))
+					_ = reservation.Grow(Answer, int64(1+(caller+round)%(limit/16)))
 					if held := account.Held(); held > limit {
 						violations <- held
 					}
-					if own := holding.ownerUsage.held.Load(); own > limit/2 {
+					if own := reservation.ownerUsage.held.Load(); own > limit/2 {
 						violations <- own
 					}
-					holding.Close()
+					reservation.Close()
 				}
 			})
 		}
@@ -128,8 +128,8 @@
 	It("accepts requests even if many callers do not read their answers", func() {
 		account := NewAccount(1000)
 		for caller := range 100 {
-			holding := account.NewReservation(Owner(fmt.Sprint(caller)))
-			for holding.Grow(Answer, 1) == nil {
+			reservation := account.NewReservation(Owner(fmt.Sprint(caller)))
+			for reservation.Grow(Answer, 1) == nil {
 			}
 		}
 		Expect(account.Held()).To(BeEquivalentTo(500))
@@ -138,25 +138,25 @@
 
 	It("only counts if it has no limit", func() {
 		account := NewAccount(0)
-		holding := account.NewReservation("one")
-		Expect(holding.Grow(History, 1<<40)).To(Succeed())
-		Expect(holding.Fits(1 << 50)).To(BeTrue())
+		reservation := account.NewReservation("one")
+		Expect(reservation.Grow(History, 1<<40)).To(Succeed())
+		Expect(reservation.Fits(1 << 50)).To(BeTrue())
 		Expect(account.Held()).To(BeEquivalentTo(1 << 40))
-		holding.Close()
-		Expect(holding.Grow(History, 1)).NotTo(Succeed())
+		reservation.Close()
+		Expect(reservation.Grow(History, 1)).NotTo(Succeed())
 		Expect(account.Held()).To(BeZero())
 	})
 
 	It("can be nil", func() {
 		var account *Account
-		holding := account.NewReservation("one")
-		Expect(holding.Grow(Request, 1)).To(Succeed())
-		holding.Shrink(Request, 1)
-		holding.Close()
+		reservation := account.NewReservation("one")
+		Expect(reservation.Grow(Request, 1)).To(Succeed())
+		reservation.Shrink(Request, 1)
+		reservation.Close()
 	})
 })
 
-var _ = DescribeTable("Divide leaves memory for kernel buffers, the process and garbage",
+var _ = DescribeTable("LimitsFor leaves memory for kernel buffers, the process and garbage",
 	func(machineMB int) {
 		divided := LimitsFor(machineMB)
 		machine := int64(machineMB) * megabyte
@@ -167,6 +167,6 @@
 	Entry("the smallest machine", 112), Entry("a medium machine", 254), Entry("a large machine", 536), Entry("others", 4096),
 )
 
-var _ = It("Divide sets no limits if the memory size is unknown", func() {
+var _ = It("LimitsFor sets no limits if the memory size is unknown", func() {
 	Expect(LimitsFor(0)).To(Equal(Limits{}))
 })
--- a/internal/memory/division.go
+++ b/internal/memory/limits.go
@@ -1,7 +1,7 @@
 package memory
 
-// Limits holds the limits derived from the size of a machine's memory. Runtime and Held are in
-// bytes; 0 means no limit.
+// Limits holds the limits derived from the size of a machine's memory. MemoryLimit and
+// MaxHeldBytes are in bytes; 0 means no limit.
 type Limits struct {
 	// MemoryLimit is the soft memory limit of the Go runtime.
 	MemoryLimit int64
@@ -12,7 +12,7 @@
 	GCPercent int
 }
 
-// Parameters of Divide.
+// Parameters of LimitsFor.
 const (
 	megabyte = 1 << 20
 	// kernelDivisor reserves 1/kernelDivisor of the memory for socket buffers, which count as
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// NewBackoff returns an exponential backoff with jitter, whose intervals grow from first to longest
-// before jitter is applied. It is not safe for concurrent use.
+// NewBackoff returns an exponential backoff with jitter, whose intervals grow from first to
+// longest before jitter is applied. It is not safe for concurrent use.
 func NewBackoff(first, longest time.Duration) *backoff.ExponentialBackOff {
 	schedule := backoff.NewExponentialBackOff()
 	schedule.InitialInterval = first
--- a/internal/piece/piece.go
+++ b/internal/piece/piece.go
@@ -49,7 +49,7 @@
 
 // Options configures a Pieces.
 type Options struct {
-	Store    *state.Client
+	Store       *state.Client
 	MaxRowBytes int // maximum size of a row's value in bytes
 	// MaxCacheBytes bounds the total size of the pieces cached in memory.
 	MaxCacheBytes int
@@ -93,8 +93,8 @@
 
 // Stored describes a piece in the store.
 type Stored struct {
-	Content []byte // may be shared with the cache; must not be changed
-	Expires int64  // unix seconds after which it may be removed; 0 if unknown
+	Content      []byte // may be shared with the cache; must not be changed
+	Expires      int64  // unix seconds after which it may be removed; 0 if unknown
 	WrittenBytes int    // number of content bytes written by this call
 }
 
--- a/internal/program/live.go
+++ b/internal/program/live_tokens.go
@@ -62,8 +62,8 @@
 	return count
 }
 
-// HasCreationKey reports whether a program with the creation key exists. It returns
-// false for an empty key.
+// HasCreationKey reports whether a program with the creation key exists. It
+// returns false for an empty key.
 func (s *Shard) HasCreationKey(tenant identity.Tenant, parent identity.Program, key string) bool {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
--- a/internal/program/view.go
+++ b/internal/program/view.go
@@ -10,24 +10,24 @@
 
 // Head is the state of a program without its calls. It is cheap to copy.
 type Head struct {
-	ID         identity.Program
-	Parent     identity.Program
-	Tenant     identity.Tenant
-	Class      string
-	State      ProgramState
-	EndReason  EndReason
-	Limits     Limits
-	CreatedAt  time.Time
-	EndedAt    time.Time
-	LastActive time.Time
-	CallCount  int
-	Spent      int64 // tokens, known cost of own attempts
-	Reserved   int64 // tokens reserved by own attempts of unknown cost
-	ChildrenCharged       int64 // tokens of the budget that children hold or used
-}
-
-// AvailableTokens returns how many tokens the program may still reserve. It is never
-// negative.
+	ID              identity.Program
+	Parent          identity.Program
+	Tenant          identity.Tenant
+	Class           string
+	State           ProgramState
+	EndReason       EndReason
+	Limits          Limits
+	CreatedAt       time.Time
+	EndedAt         time.Time
+	LastActive      time.Time
+	CallCount       int
+	Spent           int64 // tokens, known cost of own attempts
+	Reserved        int64 // tokens reserved by own attempts of unknown cost
+	ChildrenCharged int64 // tokens of the budget that children hold or used
+}
+
+// AvailableTokens returns how many tokens the program may still reserve. It is
+// never negative.
 func (h *Head) AvailableTokens() int64 {
 	return max(0, h.Limits.TokenBudget-h.Spent-h.Reserved-h.ChildrenCharged)
 }
@@ -103,8 +103,8 @@
 	return *call, program.head(), true
 }
 
-// HistoryBefore returns the history of a program before the call with the given sequence
-// number.
+// HistoryBefore returns the history of a program before the call with the given
+// sequence number.
 func (s *Shard) HistoryBefore(identifier identity.Program, sequence uint64) []Message {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -146,8 +146,8 @@
 	Reason  EndReason
 }
 
-// ExpiredPrograms returns the open programs whose idle time or lifetime is over at the
-// time now, sorted by identifier.
+// ExpiredPrograms returns the open programs whose idle time or lifetime is over at
+// the time now, sorted by identifier.
 func (s *Shard) ExpiredPrograms(now time.Time) []Expiry {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -161,10 +161,10 @@
 	return expiries
 }
 
-// RetentionCutoff returns the time to use as Before in a CommandForget, and whether
-// the command would delete any programs. It selects the programs that ended
-// before the given time and, if more than keep ended programs would remain, the
-// oldest of those as well.
+// RetentionCutoff returns the time to use as Before in a CommandForget, and
+// whether the command would delete any programs. It selects the programs that
+// ended before the given time and, if more than keep ended programs would remain,
+// the oldest of those as well.
 func (s *Shard) RetentionCutoff(before time.Time, keep int) (time.Time, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -186,20 +186,20 @@
 
 func (p *programRecord) head() Head {
 	return Head{
-		ID:         p.ID,
-		Parent:     p.Parent,
-		Tenant:     p.Tenant,
-		Class:      p.Class,
-		State:      p.State,
-		EndReason:  p.Reason,
-		Limits:     p.Limits,
-		CreatedAt:  p.CreatedAt,
-		EndedAt:    p.EndedAt,
-		LastActive: p.LastActive,
-		CallCount:  len(p.Calls),
-		Spent:      p.Spent,
-		Reserved:   p.Reserved,
-		ChildrenCharged:       p.ChildrenCharged,
+		ID:              p.ID,
+		Parent:          p.Parent,
+		Tenant:          p.Tenant,
+		Class:           p.Class,
+		State:           p.State,
+		EndReason:       p.Reason,
+		Limits:          p.Limits,
+		CreatedAt:       p.CreatedAt,
+		EndedAt:         p.EndedAt,
+		LastActive:      p.LastActive,
+		CallCount:       len(p.Calls),
+		Spent:           p.Spent,
+		Reserved:        p.Reserved,
+		ChildrenCharged: p.ChildrenCharged,
 	}
 }
 
@@ -207,19 +207,19 @@
 // scheduler uses it to order calls and to find the engine that may have the
 // program's prefix cached.
 type AttainedService struct {
-	Duration time.Duration // sum of the times from first token to end of the answered model calls
-	Model   string        // model of the last answered call
-	Engine  string        // engine that answered the last call
-	ContextTokens  int64         // tokens of the last call's prompt and answer, as counted by the engine
-	AnsweredAt      time.Time     // when the last call was answered
+	Duration      time.Duration // sum of the times from first token to end of the answered model calls
+	Model         string        // model of the last answered call
+	Engine        string        // engine that answered the last call
+	ContextTokens int64         // tokens of the last call's prompt and answer, as counted by the engine
+	AnsweredAt    time.Time     // when the last call was answered
 }
 
 // minService is the minimum service time counted for an answered call, so that a
 // program with an answer always has a service time above zero.
 const minService = time.Millisecond
 
-// AttainedService returns the service that a program has received from its answered model
-// calls. It returns the zero value if the program does not exist.
+// AttainedService returns the service that a program has received from its
+// answered model calls. It returns the zero value if the program does not exist.
 func (s *Shard) AttainedService(identifier identity.Program) AttainedService {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
--- a/internal/quota/acquisition.go
+++ b/internal/quota/acquisition.go
@@ -78,7 +78,7 @@
 }
 
 func (a *acquisition) emptyKey(part partKey) emptyPartKey {
-	return emptyPartKey{part: part, underWay: a.request.Continuation, revision: a.request.Revision}
+	return emptyPartKey{part: part, continuation: a.request.Continuation, revision: a.request.Revision}
 }
 
 // run asks the keepers one after another and returns the first permit. It returns nil if no
@@ -92,21 +92,21 @@
 	defer a.releasePending()
 	for len(a.remaining) > 0 || a.pending > 0 {
 		if a.pending == 0 {
-			if taken := a.askNext(ctx); taken != nil {
-				return taken
+			if permit := a.askNext(ctx); permit != nil {
+				return permit
 			}
 			continue
 		}
 		select {
 		case received := <-a.answers:
 			a.pending--
-			if taken := a.handleAnswer(received); taken != nil {
-				return taken
+			if permit := a.handleAnswer(received); permit != nil {
+				return permit
 			}
 		case <-hedgeTimer.C:
 			hedgeTimer.Reset(hedgeDelay)
-			if taken := a.askNext(ctx); taken != nil {
-				return taken
+			if permit := a.askNext(ctx); permit != nil {
+				return permit
 			}
 		case <-ctx.Done():
 			a.decision.Unreachable += a.pending + len(a.remaining)
@@ -157,7 +157,7 @@
 	a.decision.Keeper, a.decision.Level = string(received.keeper.Process.Machine), received.reply.Level
 	switch received.reply.Verdict {
 	case VerdictGranted:
-		return a.newTaken(received)
+		return a.newPermit(received)
 	case VerdictRefused:
 		a.retryAfter = min(a.retryAfter, received.reply.Back)
 		if received.keeper.Process != a.limiter.directory.Self() {
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func (a *acquisition) newTaken(received answer) *Permit {
+func (a *acquisition) newPermit(received answer) *Permit {
 	giveBack := GiveBackRequest{Tenant: a.request.Tenant, Part: received.part.number, Place: received.reply.Place}
 	return &Permit{limiter: a.limiter, keeper: received.keeper, giveBack: giveBack}
 }
@@ -186,7 +186,7 @@
 			if received.err != nil {
 				a.limiter.avoid(received.keeper, received.err.Error())
 			} else if received.reply.Verdict == VerdictGranted {
-				a.newTaken(received).Release()
+				a.newPermit(received).Release()
 			}
 		}
 	}(a.pending)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -63,9 +63,9 @@
 }
 
 type emptyPartKey struct {
-	part     partKey
-	underWay bool
-	revision uint64
+	part         partKey
+	continuation bool
+	revision     uint64
 }
 
 // Options are the settings and dependencies of a Limiter.
@@ -90,21 +90,22 @@
 	}
 }
 
-// Acquire gets a permit for the request. It returns nil without an error if the tenant has no limit.
-// If no keeper grants a permit, the error is *ExceededError if a keeper refused the request, or if
-// a part is known to be empty from an earlier answer. Otherwise it is *UnreachableError.
+// Acquire gets a permit for the request. It returns nil without an error if the tenant has no
+// limit. If no keeper grants a permit, the error is *ExceededError if a keeper refused the
+// request, or if a part is known to be empty from an earlier answer. Otherwise it is
+// *UnreachableError.
 func (l *Limiter) Acquire(ctx context.Context, request Request) (*Permit, error) {
 	if !request.Quota.IsLimited() {
 		return nil, nil
 	}
 	start := l.now()
 	attempt := newAcquisition(l, request)
-	taken := attempt.run(ctx)
+	permit := attempt.run(ctx)
 	attempt.decision.Duration = l.now().Sub(start)
-	if taken != nil {
-		taken.Decision = attempt.decision
+	if permit != nil {
+		permit.Decision = attempt.decision
 		l.metrics.count(resultTaken)
-		return taken, nil
+		return permit, nil
 	}
 	if attempt.retryAfter == maxWait {
 		l.metrics.count(resultUnreached)
@@ -134,16 +135,16 @@
 
 // Release gives back the permit of a request that was not run. It does not wait for the
 // keeper. Only the first call has an effect. A call on a nil permit does nothing.
-func (t *Permit) Release() {
-	if t == nil {
+func (p *Permit) Release() {
+	if p == nil {
 		return
 	}
-	t.once.Do(func() {
-		if t.keeper.Process == t.limiter.directory.Self() {
-			_ = t.limiter.keeper.GiveBack(t.giveBack, &GiveBackReply{}) // never fails
+	p.once.Do(func() {
+		if p.keeper.Process == p.limiter.directory.Self() {
+			_ = p.limiter.keeper.GiveBack(p.giveBack, &GiveBackReply{}) // never fails
 			return
 		}
-		go t.limiter.giveBack(t.keeper, t.giveBack)
+		go p.limiter.giveBack(p.keeper, p.giveBack)
 	})
 }
 
--- a/internal/quota/metrics.go
+++ b/internal/quota/metrics.go
@@ -16,7 +16,8 @@
 // metrics counts the results of permit requests. The zero value counts nothing.
 type metrics struct{ results *prometheus.CounterVec }
 
-// RegisterMetrics registers the limiter's metrics. It must be called before the first request.
+// RegisterMetrics registers the limiter's metrics. It must be called before the first
+// request.
 func (l *Limiter) RegisterMetrics(registerer prometheus.Registerer) error {
 	l.metrics.results = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "thymeloft_quota_places_total", Help: "Requests for a place in a tenant's quota, by result.",
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -42,12 +42,12 @@
 
 // Decision holds the details of how a permit was issued or refused, for logs and errors.
 type Decision struct {
-	Keeper string  // machine of the keeper that answered last
-	Level  float64 // permits left in the part of that keeper
-	Asked  int     // number of parts whose keeper was asked
+	Keeper      string  // machine of the keeper that answered last
+	Level       float64 // permits left in the part of that keeper
+	Asked       int     // number of parts whose keeper was asked
 	KnownEmpty  int     // number of parts not asked because they were known to be empty
 	Unreachable int     // number of parts whose keeper is unknown, could not be reached, or no longer keeps the part
-	Duration   time.Duration
+	Duration    time.Duration
 }
 
 // String returns the details in one line.
@@ -72,8 +72,8 @@
 	return fmt.Sprintf("tenant %s: quota used up, %d requests allowed in a window; %s", e.Tenant, e.Limit, e.Decision)
 }
 
-// UnreachableError is returned when no keeper of the tenant's quota could be reached. It is then
-// unknown whether the tenant has used up its quota.
+// UnreachableError is returned when no keeper of the tenant's quota could be reached. It is
+// then unknown whether the tenant has used up its quota.
 type UnreachableError struct {
 	Decision
 	Tenant identity.Tenant
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -30,8 +30,8 @@
 
 var settings = quota.Settings{Window: windowLength, ToleranceShare: 0.1, ToleranceRequests: toleranceRequests, Parts: quota.DefaultParts}
 
-func request(underWay bool) quota.Request {
-	return quota.Request{Tenant: "t", Quota: tenant.Quota{PerSecond: perSecond, Burst: burst}, Continuation: underWay}
+func request(continuation bool) quota.Request {
+	return quota.Request{Tenant: "t", Quota: tenant.Quota{PerSecond: perSecond, Burst: burst}, Continuation: continuation}
 }
 
 var _ = Describe("Limiter", func() {
@@ -106,11 +106,11 @@
 	It("gives back a permit only once if the request was not run", func() {
 		var permits []*quota.Permit
 		for {
-			taken, err := take(0, request(true))
+			permit, err := take(0, request(true))
 			if err != nil {
 				break
 			}
-			permits = append(permits, taken)
+			permits = append(permits, permit)
 		}
 		permits[0].Release()
 		permits[0].Release()
@@ -156,9 +156,9 @@
 		alone.soleKeeper = alone.daemons[1]
 		alone.daemons[1].unreachable = true
 		_, err = alone.daemons[0].limiter.Acquire(context.Background(), request(true))
-		var unreached *quota.UnreachableError
-		Expect(errors.As(err, &unreached)).To(BeTrue())
-		Expect(unreached.Unreachable).To(Equal(quota.DefaultParts))
+		var unreachable *quota.UnreachableError
+		Expect(errors.As(err, &unreachable)).To(BeTrue())
+		Expect(unreachable.Unreachable).To(Equal(quota.DefaultParts))
 	})
 
 	It("starts with an empty bucket after a keeper restarts, and refills at the steady rate", func() {
@@ -180,8 +180,8 @@
 			req.Revision++
 			if suspended {
 				_, err := take(0, req)
-				var unreached *quota.UnreachableError
-				Expect(errors.As(err, &unreached)).To(BeTrue())
+				var unreachable *quota.UnreachableError
+				Expect(errors.As(err, &unreachable)).To(BeTrue())
 			} else {
 				Expect(takeAll(req)).To(BeZero())
 			}
@@ -190,14 +190,14 @@
 	})
 
 	It("does not take back a permit that an earlier process issued", func() {
-		taken, err := take(0, request(true))
+		permit, err := take(0, request(true))
 		Expect(err).NotTo(HaveOccurred())
 		for _, daemon := range fleet.daemons {
 			daemon.start()
 		}
 		fleet.advanceBy(2 * windowLength)
 		whole := takeAll(request(true))
-		taken.Release()
+		permit.Release()
 		req := request(true)
 		req.Revision++
 		Consistently(func() int { return takeAll(req) }, 20*time.Millisecond).Should(BeZero())
--- a/internal/quota/standalone.go
+++ b/internal/quota/standalone.go
@@ -9,7 +9,7 @@
 	"github.com/thymeloft/thymeloft/internal/members"
 )
 
-// standalone implements Directory and Standing for a single daemon that has owned all
+// standalone implements Directory and Ownership for a single daemon that has owned all
 // parts since the given time.
 type standalone struct{ since time.Time }
 
@@ -28,15 +28,15 @@
 // Self implements Directory.
 func (standalone) Self() identity.Process { return identity.Process{} }
 
-// OwnsShard implements Standing.
+// OwnsShard implements Ownership.
 func (a standalone) OwnsShard(string, int) (time.Time, bool) { return a.since, true }
 
 // standaloneAge is how long a standalone daemon is assumed to have owned its parts. It is
 // long enough to fill the bucket of any practical quota.
 const standaloneAge = 10 * 365 * 24 * time.Hour
 
-// NewStandalone returns a limiter for a single daemon. Each quota consists of one part, which
-// is full at the start.
+// NewStandalone returns a limiter for a single daemon. Each quota consists of one part,
+// which is full at the start.
 func NewStandalone(settings Settings, now func() time.Time) *Limiter {
 	settings.Parts = 1
 	directory := standalone{since: now().Add(-standaloneAge)}
--- a/internal/quota/test_fleet_test.go
+++ b/internal/quota/test_fleet_test.go
@@ -80,7 +80,9 @@
 }
 
 // IsZoneSilent implements quota.Directory.
-func (d *testDaemon) IsZoneSilent(keeper members.Member) bool { return d.silentZones[keeper.Process.Zone] }
+func (d *testDaemon) IsZoneSilent(keeper members.Member) bool {
+	return d.silentZones[keeper.Process.Zone]
+}
 
 // RecordMiss implements quota.Directory.
 func (d *testDaemon) RecordMiss(members.Member) {}
@@ -96,7 +98,7 @@
 	return members.Member{Process: d.fleet.keeperOf(owner, part).process}, true
 }
 
-// OwnsShard implements quota.Standing.
+// OwnsShard implements quota.Ownership.
 func (d *testDaemon) OwnsShard(owner string, part int) (time.Time, bool) {
 	return d.since, !d.suspended && d.fleet.keeperOf(owner, part) == d
 }
@@ -147,13 +149,13 @@
 	}
 }
 
-func (f *testFleet) take(daemon int, request quota.Request) (after time.Duration, admitted bool) {
-	taken, err := f.daemons[daemon].limiter.Acquire(context.Background(), request)
+func (f *testFleet) take(daemon int, request quota.Request) (retryAfter time.Duration, admitted bool) {
+	permit, err := f.daemons[daemon].limiter.Acquire(context.Background(), request)
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
 		return exceeded.RetryAfter, false
 	}
-	return 0, taken != nil
+	return 0, permit != nil
 }
 
 func (f *testFleet) advance(to time.Time) { f.clock.Store(to.UnixNano()) }
--- a/internal/quota/zones_test.go
+++ b/internal/quota/zones_test.go
@@ -56,10 +56,10 @@
 				}
 				mixed++
 				for range 5 {
-					taken, err := daemon.limiter.Acquire(context.Background(), quota.Request{Tenant: name, Quota: declared, Continuation: true})
+					permit, err := daemon.limiter.Acquire(context.Background(), quota.Request{Tenant: name, Quota: declared, Continuation: true})
 					Expect(err).NotTo(HaveOccurred())
-					Expect(taken.Keeper).To(Equal(string(daemon.process.Machine)))
-					Expect(taken.Asked).To(Equal(1))
+					Expect(permit.Keeper).To(Equal(string(daemon.process.Machine)))
+					Expect(permit.Asked).To(Equal(1))
 				}
 			}
 		}
@@ -76,9 +76,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		local.silentZones = map[identity.Zone]bool{"cut off": true}
 		_, err = local.limiter.Acquire(context.Background(), request(true))
-		var unreached *quota.UnreachableError
-		Expect(errors.As(err, &unreached)).To(BeTrue())
-		Expect(unreached.Asked).To(BeZero())
-		Expect(unreached.Unreachable).To(Equal(quota.DefaultParts))
+		var unreachable *quota.UnreachableError
+		Expect(errors.As(err, &unreachable)).To(BeTrue())
+		Expect(unreachable.Asked).To(BeZero())
+		Expect(unreachable.Unreachable).To(Equal(quota.DefaultParts))
 	})
 })
--- a/internal/reach/monitor.go
+++ b/internal/reach/monitor.go
@@ -36,8 +36,8 @@
 	// ProbeStore sends a small request to the store. The next observations show whether the store
 	// answered.
 	ProbeStore func(ctx context.Context)
-	// RerouteDelay is the time from when daemons report that they are not ready until callers are routed
-	// to other zones.
+	// RerouteDelay is the time from when daemons report that they are not ready until callers are
+	// routed to other zones.
 	RerouteDelay time.Duration
 	// OnChange is called after each change of CutOff, unless it is nil.
 	OnChange func(cutOff bool)
@@ -46,8 +46,8 @@
 }
 
 // Monitor watches whether this daemon is cut off. It is safe for concurrent use; CutOff, Connected
-// and Back take no locks. CutOff and Connected may be called on a nil Monitor, which is never cut
-// off.
+// and RetryAfter take no locks. CutOff and Connected may be called on a nil Monitor, which is never
+// cut off.
 type Monitor struct {
 	options     Options
 	detector    detector
@@ -137,9 +137,9 @@
 	return m.connected.Load().ctx
 }
 
-// RetryAfter returns the delay after which a refused caller is likely to reach a daemon of another zone:
-// the rest of Options.Moved but at least minRetryAfter, plus a random part so that callers don't
-// all retry at once.
+// RetryAfter returns the delay after which a refused caller is likely to reach a daemon of another
+// zone: the rest of Options.RerouteDelay but at least minRetryAfter, plus a random part so that
+// callers don't all retry at once.
 func (m *Monitor) RetryAfter() time.Duration {
 	lasted := m.options.Now().Sub(time.Unix(0, m.cutOffSince.Load()))
 	delay := max(m.options.RerouteDelay-lasted, minRetryAfter)
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -96,12 +96,12 @@
 		probes := make(chan struct{}, 100) // local to this spec, since a probe may outlive the spec
 		env, changes, probed = newTestEnvironment(), nil, probes
 		monitor = NewMonitor(Options{
-			Observe:  func() Observation { return env.observation },
-			ProbeStore: func(context.Context) { probes <- struct{}{} },
-			RerouteDelay:    2 * time.Second,
-			OnChange: func(cutOff bool) { changes = append(changes, cutOff) },
-			Now:      func() time.Time { return env.now },
-			Log:      zap.NewNop(),
+			Observe:      func() Observation { return env.observation },
+			ProbeStore:   func(context.Context) { probes <- struct{}{} },
+			RerouteDelay: 2 * time.Second,
+			OnChange:     func(cutOff bool) { changes = append(changes, cutOff) },
+			Now:          func() time.Time { return env.now },
+			Log:          zap.NewNop(),
 		})
 	})
 
--- a/internal/retention/retention.go
+++ b/internal/retention/retention.go
@@ -51,8 +51,8 @@
 	return &Queue{store: store, now: now, log: log, wake: make(chan struct{}, 1), interval: defaultQueueInterval}
 }
 
-// TriggerRemoval makes Run remove due rows soon instead of after the full interval, for example because
-// the store is full. It does not block.
+// TriggerRemoval makes Run remove due rows soon instead of after the full interval, for example
+// because the store is full. It does not block.
 func (q *Queue) TriggerRemoval() {
 	select {
 	case q.wake <- struct{}{}:
@@ -124,11 +124,11 @@
 
 const (
 	defaultQueueInterval = 5 * time.Second
-	minQueueInterval     = 250 * time.Millisecond // limits the load on the store when all daemons call Hurry
+	minQueueInterval     = 250 * time.Millisecond // limits the load on the store when all daemons call TriggerRemoval
 	removalTimeout       = 20 * time.Second
 )
 
-// Run removes due rows in intervals, and soon after Hurry, until the context ends.
+// Run removes due rows in intervals, and soon after TriggerRemoval, until the context ends.
 func (q *Queue) Run(ctx context.Context) {
 	for q.wait(ctx) {
 		timeoutCtx, cancel := context.WithTimeout(ctx, removalTimeout)
--- a/internal/retention/retention_test.go
+++ b/internal/retention/retention_test.go
@@ -62,7 +62,7 @@
 		Expect(store.Calls("commit") - before).To(Equal(3))
 	})
 
-	It("trigger the Removed callback after their removal, which uses the sweep class", func(ctx SpecContext) {
+	It("trigger the OnRemoved callback after their removal, which uses the sweep class", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		removed := 0
 		for number := range 250 {
@@ -81,7 +81,7 @@
 		Expect(classes).To(HaveEach(state.ClassSweep))
 	})
 
-	It("are removed soon after Hurry, without waiting for the interval", func(ctx SpecContext) {
+	It("are removed soon after TriggerRemoval, without waiting for the interval", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		queue.SetInterval(time.Hour)
 		queue.Add(0, key(0))
--- a/internal/retention/sweep.go
+++ b/internal/retention/sweep.go
@@ -19,13 +19,13 @@
 	OwnsPartition func(partition string) bool
 	// IsExpired reports whether a row has expired.
 	IsExpired func(row state.Row) bool
-	Log  *zap.Logger
+	Log       *zap.Logger
 	// PassDuration is the duration of a pass over all partitions; 0 means one hour.
 	PassDuration time.Duration
 }
 
-// defaultPassDuration is the duration of a pass if Every is not set. It suits tables whose rows
-// are normally removed by their writers, or whose expired rows may stay for long.
+// defaultPassDuration is the duration of a pass if PassDuration is not set. It suits tables
+// whose rows are normally removed by their writers, or whose expired rows may stay for long.
 const defaultPassDuration = time.Hour
 
 // Run sweeps one partition after another, spread evenly over a pass, until the context ends.
@@ -53,8 +53,8 @@
 	}
 }
 
-// SweepPartition sweeps one partition and returns the number of removed rows. It does not remove a
-// row that changed after it was read.
+// SweepPartition sweeps one partition and returns the number of removed rows. It does not remove
+// a row that changed after it was read.
 func (s *Sweep) SweepPartition(ctx context.Context, partition string) (int, error) {
 	removed := 0
 	start := ""
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -16,7 +16,7 @@
 // RepeatPolicy says whether a request may run more than once.
 type RepeatPolicy uint8
 
-// The values of Repeat.
+// The values of RepeatPolicy.
 const (
 	// RepeatNever means that a request runs at most once.
 	RepeatNever RepeatPolicy = iota
@@ -27,22 +27,22 @@
 // Route declares how to serve requests whose host is Host and whose path begins
 // with Prefix.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Repeat      RepeatPolicy
-	Streaming   bool
-	Resumable   bool          // a stream may be continued on another engine
-	Recorded    bool          // turns are stored, so that later requests can continue them
-	Retention   time.Duration // how long recorded turns are kept
-	Timeout     time.Duration
-	LatencyTarget      time.Duration // maximum latency of an answer that counts as in time
-	MaxStreamGap    time.Duration // longest gap in a stream before callers give up
-	MaxAttempts int
-	Priority    int // 0 is the highest
+	Name          string
+	Host          string
+	Prefix        string // begins and ends with a slash
+	Repeat        RepeatPolicy
+	Streaming     bool
+	Resumable     bool          // a stream may be continued on another engine
+	Recorded      bool          // turns are stored, so that later requests can continue them
+	Retention     time.Duration // how long recorded turns are kept
+	Timeout       time.Duration
+	LatencyTarget time.Duration // maximum latency of an answer that counts as in time
+	MaxStreamGap  time.Duration // longest gap in a stream before callers give up
+	MaxAttempts   int
+	Priority      int // 0 is the highest
 	// Public means that requests need no key.
 	Public   bool
-	Services    []WeightedService
+	Services []WeightedService
 	balancer *balancer
 }
 
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -47,7 +47,7 @@
 }
 
 // route tries the operation until a daemon decides on it. It gives up when ctx
-// ends, when Options.Patience plus the operation's wait have passed, or
+// ends, when Options.RouteTimeout plus the operation's wait have passed, or
 // maxRefusalRetry after the first refusal. The reply then holds a problem.
 func route[Arguments, Reply any](ctx context.Context, r *Router, operation operation[Arguments, Reply]) Reply {
 	started := time.Now()
--- a/internal/rowset/rowset.go
+++ b/internal/rowset/rowset.go
@@ -2,7 +2,8 @@
 // into rows of one partition, which are written by one commit and read by one read. Each row
 // contains its expiry time, so that expired rows can be removed without decoding the value.
 //
-// Join returns exactly the value that was passed to Cut, or one of the errors of this package.
+// Join returns exactly the value that was passed to Split, or one of the errors of this
+// package.
 package rowset
 
 import (
@@ -17,14 +18,14 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Errors of Join and Cut.
+// Errors of Join and Split.
 var (
 	// ErrNotFound means that the first row of the value does not exist.
 	ErrNotFound = errors.New("the value does not exist")
 	// ErrInconsistent means that rows of the value are missing or belong to another value.
 	ErrInconsistent = errors.New("rows of the value are missing or do not match")
-	// ErrUnknownFormat means that a row cannot be decoded: another program wrote it, or it has a
-	// format that this version does not know.
+	// ErrUnknownFormat means that a row cannot be decoded: another program wrote it, or it has
+	// a format that this version does not know.
 	ErrUnknownFormat = errors.New("the row has an unknown format")
 	// ErrTooLarge means that the value does not fit into one commit.
 	ErrTooLarge = errors.New("the value does not fit into one commit")
@@ -38,9 +39,9 @@
 	maxRows          = 11 // rows of one value; 11 rows of 64 KiB, encoded as base64, fit into a commit of 1 MB
 	separator        = "/"
 	rangeEndSuffix   = "0" // the character after the separator; ends the range of a value's rows
-	// PartitionCount is the number of partitions over which values are spread. The store executes
-	// commits of different partitions in parallel, but those of one partition one after
-	// another.
+	// PartitionCount is the number of partitions over which values are spread. The store
+	// executes commits of different partitions in parallel, but those of one partition one
+	// after another.
 	PartitionCount = 256
 	// partitionsPerValue is the number of partitions in which a value may be stored. A value is
 	// stored in the first of them that accepts it, so that it can be written even if some of
@@ -60,17 +61,17 @@
 
 // Value is a value that Join read.
 type Value struct {
-	Bytes   []byte
+	Bytes     []byte
 	ExpiresAt int64 // Unix time in seconds from which the value may be removed
-	RowCount    int   // number of rows that hold the value
+	RowCount  int   // number of rows that hold the value
 }
 
 // Capacity returns the size in bytes of the largest value that fits into one commit, if a row
 // holds at most rowBytes bytes.
 func Capacity(rowBytes int) int { return maxRows * (rowBytes - maxEnvelopeBytes) }
 
-// Split splits a value into rows of at most rowBytes bytes, named NAME, NAME/1, NAME/2 and so on.
-// expires is the Unix time in seconds from which the rows may be removed. Cut returns
+// Split splits a value into rows of at most rowBytes bytes, named NAME, NAME/1, NAME/2 and so
+// on. expires is the Unix time in seconds from which the rows may be removed. Split returns
 // ErrTooLarge if the value does not fit into one commit.
 func Split(key state.Key, value []byte, expires int64, rowBytes int) ([]state.Put, error) {
 	if len(value) > Capacity(rowBytes) {
@@ -148,15 +149,15 @@
 	return decoded, nil
 }
 
-// Expires returns the Unix time in seconds from which a row may be removed. The second result
+// ExpiryOf returns the Unix time in seconds from which a row may be removed. The second result
 // is false if the row was not written by this package.
 func ExpiryOf(row state.Row) (int64, bool) {
 	decoded, err := decodeRow(row)
 	return decoded.Expires, err == nil
 }
 
-// PartitionsOf returns the names of the partitions in which the value with the name may be stored,
-// the most likely one first.
+// PartitionsOf returns the names of the partitions in which the value with the name may be
+// stored, the most likely one first.
 func PartitionsOf(name string) []string {
 	hash := xxhash.Sum64String(name)
 	home, step := hash%PartitionCount, 2*(hash>>32%(PartitionCount/2))+1
--- a/internal/rowset/rowset_test.go
+++ b/internal/rowset/rowset_test.go
@@ -37,7 +37,7 @@
 				t.Fatalf("a row of %d bytes, more than %d", len(row.Value), rowBytes)
 			}
 			if expires, ours := rowset.ExpiryOf(row); !ours || expires != 1<<40 {
-				t.Fatalf("Expires of row %s is wrong or unknown", row.Key.Name)
+				t.Fatalf("ExpiryOf(%s) is wrong or unknown", row.Key.Name)
 			}
 		}
 		joined, err := rowset.Join("name", rows)
@@ -68,14 +68,14 @@
 	}
 	rows := rowsOf(append(newer[:1], older[1:]...))
 	if _, err := rowset.Join("name", rows); !errors.Is(err, rowset.ErrInconsistent) {
-		t.Fatalf("Join of rows of two values returned %v, want ErrTorn", err)
+		t.Fatalf("Join of rows of two values returned %v, want ErrInconsistent", err)
 	}
 	if _, err := rowset.Join("another", rows); !errors.Is(err, rowset.ErrNotFound) {
-		t.Fatalf("Join of a value that does not exist returned %v, want ErrAbsent", err)
+		t.Fatalf("Join of a value that does not exist returned %v, want ErrNotFound", err)
 	}
 }
 
-func TestCutRejectsValueLargerThanOneCommit(t *testing.T) {
+func TestSplitRejectsValueLargerThanOneCommit(t *testing.T) {
 	const rowBytes = 100
 	if _, err := rowset.Split(state.Key{}, make([]byte, rowset.Capacity(rowBytes)+1), 1, rowBytes); !errors.Is(err, rowset.ErrTooLarge) {
 		t.Fatalf("cut: %v", err)
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-func BenchmarkBuild(b *testing.B) {
+func BenchmarkNewSnapshot(b *testing.B) {
 	for _, count := range []int{10, 100, 1000, 3400} {
 		b.Run(fmt.Sprintf("engines=%d", count), func(b *testing.B) {
 			engines := fleet(count)
--- a/internal/scheduling/budget.go
+++ b/internal/scheduling/budget.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// TokenBucket is an immutable token bucket: its methods take the current time and
-// return the changed bucket. It is used for rate limits and retry budgets.
+// TokenBucket is an immutable token bucket: its methods take the current time
+// and return the changed bucket. It is used for rate limits and retry budgets.
 type TokenBucket struct {
-	Rate   float64       // tokens added per second
-	Burst  float64       // capacity in tokens
-	Tokens  float64       // tokens in the bucket at the last update
+	Rate       float64       // tokens added per second
+	Burst      float64       // capacity in tokens
+	Tokens     float64       // tokens in the bucket at the last update
 	LastUpdate time.Duration // time of the last update
 }
 
@@ -51,7 +51,7 @@
 
 // RetryBudget limits retries to a share of first attempts plus a constant rate,
 // so that retries do not multiply the load during an outage. It is immutable
-// like Bucket.
+// like TokenBucket.
 type RetryBudget struct {
 	share  float64
 	bucket TokenBucket
@@ -71,8 +71,8 @@
 	return r
 }
 
-// TakeRetry takes one retry from the budget. If less than one is left, allowed is
-// false, and wait is the same as that of Bucket.Take.
+// TakeRetry takes one retry from the budget. If less than one is left, allowed
+// is false, and wait is the same as that of TokenBucket.Take.
 func (r RetryBudget) TakeRetry(now time.Duration) (next RetryBudget, allowed bool, wait time.Duration) {
 	next = r
 	next.bucket, allowed, wait = r.bucket.Take(1, now)
--- a/internal/scheduling/policy.go
+++ b/internal/scheduling/policy.go
@@ -60,7 +60,7 @@
 	}
 	return Decision{
 		Action:       ActionPlace,
-		EngineIndex:       best.engine,
+		EngineIndex:  best.engine,
 		CachedTokens: best.cachedTokens,
 		TransferFrom: best.transferFrom,
 		Cost:         secondsToDuration(best.firstToken),
@@ -84,7 +84,7 @@
 		Action:       ActionWait,
 		TransferFrom: noEngine,
 		Cost:         secondsToDuration(expected),
-		RetryAfter:        min(max(secondsToDuration(slotInterval), time.Millisecond), p.settings.MaxRecheckInterval),
+		RetryAfter:   min(max(secondsToDuration(slotInterval), time.Millisecond), p.settings.MaxRecheckInterval),
 		Reason:       reason,
 	}
 }
@@ -109,8 +109,8 @@
 }
 
 // refuse rejects the call. expected is the estimated wait in seconds. The retry
-// delay is this wait, but at least Settings.Comeback, plus up to half of it as
-// jitter, so that callers do not all return at the same time.
+// delay is this wait, but at least Settings.MinRetryAfter, plus up to half of it
+// as jitter, so that callers do not all return at the same time.
 func (p *costPolicy) refuse(request *Request, reason Reason, expected float64) Decision {
 	retry := max(secondsToDuration(expected), p.settings.MinRetryAfter, time.Millisecond)
 	jitter := time.Duration(mix(request.Seed) % uint64(retry/2+1))
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -133,26 +133,26 @@
 	}
 }
 
-func TestSketchIsBoundedAndExpires(t *testing.T) {
+func TestPrefixIndexIsBoundedAndExpires(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	snapshot := scheduling.NewSnapshot([]scheduling.Engine{engine("a"), engine("b"), engine("c")}, nil)
-	sketch := scheduling.NewPrefixIndex(2, 2, time.Minute)
+	index := scheduling.NewPrefixIndex(2, 2, time.Minute)
 	runs := []scheduling.PromptPrefix{{Hash: 1, Tokens: 1000}, {Hash: 2, Tokens: 5000}}
-	sketch.Record(runs, "a", 0)
-	sketch.Record(runs[:1], "b", time.Second)
-	found := sketch.AppendHolders(nil, runs, snapshot, time.Second)
+	index.Record(runs, "a", 0)
+	index.Record(runs[:1], "b", time.Second)
+	found := index.AppendHolders(nil, runs, snapshot, time.Second)
 	expect.Expect(found).To(gomega.ConsistOf(
 		scheduling.PrefixHolder{EngineIndex: 0, Tokens: 5000}, scheduling.PrefixHolder{EngineIndex: 1, Tokens: 1000}))
 
-	sketch.Record(runs[:1], "c", 2*time.Second)
-	found = sketch.AppendHolders(nil, runs[:1], snapshot, 2*time.Second)
+	index.Record(runs[:1], "c", 2*time.Second)
+	found = index.AppendHolders(nil, runs[:1], snapshot, 2*time.Second)
 	expect.Expect(found).To(gomega.HaveLen(2), "at most two holders per prefix")
-	sketch.Record([]scheduling.PromptPrefix{{Hash: 3, Tokens: 10}}, "a", 3*time.Second)
-	expect.Expect(sketch.AppendHolders(nil, runs[1:], snapshot, 3*time.Second)).To(gomega.BeEmpty(), "at most two prefixes")
-	sketch.RemoveEngine("b")
-	found = sketch.AppendHolders(nil, runs[:1], snapshot, 3*time.Second)
+	index.Record([]scheduling.PromptPrefix{{Hash: 3, Tokens: 10}}, "a", 3*time.Second)
+	expect.Expect(index.AppendHolders(nil, runs[1:], snapshot, 3*time.Second)).To(gomega.BeEmpty(), "at most two prefixes")
+	index.RemoveEngine("b")
+	found = index.AppendHolders(nil, runs[:1], snapshot, 3*time.Second)
 	expect.Expect(found).To(gomega.Equal([]scheduling.PrefixHolder{{EngineIndex: 2, Tokens: 1000}}))
-	expect.Expect(sketch.AppendHolders(nil, runs[:1], snapshot, time.Hour)).To(gomega.BeEmpty(), "expired")
+	expect.Expect(index.AppendHolders(nil, runs[:1], snapshot, time.Hour)).To(gomega.BeEmpty(), "expired")
 }
 
 func TestRefuseSpreadsRetries(t *testing.T) {
--- a/internal/scheduling/properties_test.go
+++ b/internal/scheduling/properties_test.go
@@ -96,10 +96,10 @@
 
 		unprepared := &scheduling.Snapshot{Engines: engines, ByModel: snapshot.ByModel, SharedPrefixes: shared}
 		if other := policy.Decide(unprepared, &call); other != decision {
-			t.Fatalf("decided %+v on a snapshot from Build, %+v on an unprepared one", decision, other)
+			t.Fatalf("decided %+v on a snapshot from NewSnapshot, %+v on an unprepared one", decision, other)
 		}
 		if other := policy.Decide(refreshed(engines, shared), &call); other != decision {
-			t.Fatalf("decided %+v on a snapshot from Build, %+v on one from Refresh", decision, other)
+			t.Fatalf("decided %+v on a snapshot from NewSnapshot, %+v on one from Refresh", decision, other)
 		}
 		checkDecision(t, engines, call, decision)
 	})
@@ -163,10 +163,10 @@
 
 func drawItem(t *rapid.T, label string) scheduling.QueueItem {
 	return scheduling.QueueItem{
-		Class:    scheduling.Class(rapid.IntRange(0, 4).Draw(t, label+" class")),
+		Class:           scheduling.Class(rapid.IntRange(0, 4).Draw(t, label+" class")),
 		AttainedService: time.Duration(rapid.Int64Range(-1, 300).Draw(t, label+" attained")) * time.Second,
-		Enqueued: time.Duration(rapid.Int64Range(0, 100).Draw(t, label+" enqueued")) * time.Second,
-		Sequence: rapid.Uint64Range(0, 3).Draw(t, label+" sequence"),
+		Enqueued:        time.Duration(rapid.Int64Range(0, 100).Draw(t, label+" enqueued")) * time.Second,
+		Sequence:        rapid.Uint64Range(0, 3).Draw(t, label+" sequence"),
 	}
 }
 
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -7,10 +7,10 @@
 
 // QueueItem holds the properties of a waiting call that determine its order.
 type QueueItem struct {
-	Class    Class
+	Class           Class
 	AttainedService time.Duration // service time that the program has received so far
-	Enqueued time.Duration // when the call was queued, relative to an epoch shared by all items
-	Sequence uint64        // order of arrival; breaks ties
+	Enqueued        time.Duration // when the call was queued, relative to an epoch shared by all items
+	Sequence        uint64        // order of arrival; breaks ties
 }
 
 // Each class has a head start over the next one. If two programs have received
--- a/internal/scheduling/settings.go
+++ b/internal/scheduling/settings.go
@@ -38,9 +38,11 @@
 	// StartedFactor multiplies MaxWait for programs that have been served
 	// before, because refusing them wastes the work already done for them.
 	StartedFactor float64
-	// MinRetryAfter is the minimum time after which a refused call may be retried.
+	// MinRetryAfter is the minimum time after which a refused call may be
+	// retried.
 	MinRetryAfter time.Duration
-	// MaxRecheckInterval is the maximum time until the policy decides on a waiting call again.
+	// MaxRecheckInterval is the maximum time until the policy decides on a
+	// waiting call again.
 	MaxRecheckInterval time.Duration
 	// WorkingSet is the share of the accepting engines' caches that prefixes of
 	// live programs may fill. Beyond it, new programs have to wait. A negative
@@ -62,21 +64,21 @@
 // DefaultSettings returns the values that replace zero fields of Settings.
 func DefaultSettings() Settings {
 	return Settings{
-		ExpectedOutput:  100,
-		BatchSlowdown:   1,
-		InflictedWeight: 0.5,
-		WasteWeight:     2,
-		EvictionWeight:  2,
-		ZonePenalty:     4 * time.Millisecond,
-		StaleAfter:      2 * time.Second,
-		HolderQueue:     16,
-		MaxWait:         [ClassCount]time.Duration{20 * time.Second, time.Minute, 5 * time.Minute},
-		StartedFactor:   3,
-		MinRetryAfter:        time.Second,
-		MaxRecheckInterval:            250 * time.Millisecond,
-		WorkingSet:      0.5,
-		ScanLimit:       128,
-		SampleSize:      48,
+		ExpectedOutput:     100,
+		BatchSlowdown:      1,
+		InflictedWeight:    0.5,
+		WasteWeight:        2,
+		EvictionWeight:     2,
+		ZonePenalty:        4 * time.Millisecond,
+		StaleAfter:         2 * time.Second,
+		HolderQueue:        16,
+		MaxWait:            [ClassCount]time.Duration{20 * time.Second, time.Minute, 5 * time.Minute},
+		StartedFactor:      3,
+		MinRetryAfter:      time.Second,
+		MaxRecheckInterval: 250 * time.Millisecond,
+		WorkingSet:         0.5,
+		ScanLimit:          128,
+		SampleSize:         48,
 	}
 }
 
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -35,8 +35,8 @@
 	defaultMaxRunning = 1
 )
 
-// NewSnapshot returns a snapshot of the engines and computes in advance what decisions
-// read. It takes ownership of the slice and the map.
+// NewSnapshot returns a snapshot of the engines and computes in advance what
+// decisions read. It takes ownership of the slice and the map.
 func NewSnapshot(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	snapshot := &Snapshot{
 		Engines:        engines,
@@ -56,10 +56,10 @@
 }
 
 // Refresh returns a snapshot of newer states of the same engines. It is faster
-// than Build because both snapshots share their indexes. If the number, order,
-// IDs, models, zones or adapters of the engines have changed, or if s was made
-// without Build and Refresh, it does the same as Build. It takes ownership of
-// the slice and the map.
+// than NewSnapshot because both snapshots share their indexes. If the number,
+// order, IDs, models, zones or adapters of the engines have changed, or if s was
+// made without NewSnapshot and Refresh, it does the same as NewSnapshot. It takes
+// ownership of the slice and the map.
 func (s *Snapshot) Refresh(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	if s.prepared == nil || !s.hasSameEngines(engines) {
 		return NewSnapshot(engines, sharedPrefixes)
--- a/internal/server/collaboration.go
+++ b/internal/server/collaboration.go
@@ -102,8 +102,8 @@
 	storeOptions := state.ClientOptions{
 		Store: s.Store, Availability: c.availability, DisableHedging: disabled.Has(mechanism.HedgedCalls),
 		Probe: state.KeyRange(s.Rows.ConfigurationKey()), OnFailure: s.logFailedCall,
-		Limiter: state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), MemberCount: c.members.Count, OnRateLowered: s.logLoweredRate}),
-		SpaceTracker:    state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreRoom, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
+		Limiter:      state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), MemberCount: c.members.Count, OnRateLowered: s.logLoweredRate}),
+		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreRoom, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
 	}
 	if !disabled.Has(mechanism.StoreRelay) {
 		storeOptions.Alternative = storerelay.NewRelay(c.members, c.peerPool, s.Settings.Seeds)
--- a/internal/server/reaching.go
+++ b/internal/server/reaching.go
@@ -21,10 +21,10 @@
 			// last answer from c.availability.
 			_, _ = c.client.Read(ctx, state.KeyRange(s.Rows.ConfigurationKey()))
 		},
-		RerouteDelay:    unreadyDelay,
-		OnChange: func(cutOff bool) { s.callerServer.SetDiverting(cutOff) },
-		Now:      time.Now,
-		Log:      s.Log,
+		RerouteDelay: unreadyDelay,
+		OnChange:     func(cutOff bool) { s.callerServer.SetDiverting(cutOff) },
+		Now:          time.Now,
+		Log:          s.Log,
 	})
 	return s.reach.RegisterMetrics(s.Registry)
 }
--- a/internal/shards/leading.go
+++ b/internal/shards/acquire.go
@@ -15,8 +15,8 @@
 )
 
 // reconcile starts acquiring the shards that this daemon should lead, and hands over at most
-// one shard that another daemon should lead. It does nothing after Retire, or while the number
-// of shards is not known.
+// one shard that another daemon should lead. It does nothing after StopAcquiring, or while the
+// number of shards is not known.
 func (n *Node) reconcile(ctx context.Context) {
 	current := n.Current()
 	if current == nil || n.retired.Load() {
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -27,20 +27,21 @@
 	// Caller and Registrar are used to probe leaders. If either is nil, leaders are not probed.
 	Caller    peer.Caller
 	Registrar peer.Registrar
-	// NewStateMachine returns an empty state machine for a shard that this daemon is about to lead.
+	// NewStateMachine returns an empty state machine for a shard that this daemon is about to
+	// lead.
 	NewStateMachine func(identity.Shard) StateMachine
-	// IsIdle returns true if this daemon has no work in progress for the shard, so that the shard
-	// may be handed over to balance the load. nil: no shard is handed over for balance.
-	IsIdle     func(identity.Shard) bool
-	ShardCount   uint32 // number of shards; ignored if the store already has a number
-	MinDaemons   int    // daemons that must be alive before shards get their first leaders
+	// IsIdle returns true if this daemon has no work in progress for the shard, so that the
+	// shard may be handed over to balance the load. nil: no shard is handed over for balance.
+	IsIdle      func(identity.Shard) bool
+	ShardCount  uint32 // number of shards; ignored if the store already has a number
+	MinDaemons  int    // daemons that must be alive before shards get their first leaders
 	MaxRowBytes int    // maximum size of a row's value in bytes
-	// A snapshot is written when the log has grown by more than SnapshotThresholdBytes bytes plus the
-	// size of the last snapshot, or by more than 2048 batches. 0: 1 MiB.
+	// A snapshot is written when the log has grown by more than SnapshotThresholdBytes bytes
+	// plus the size of the last snapshot, or by more than 2048 batches. 0: 1 MiB.
 	SnapshotThresholdBytes int
-	Logger           *zap.Logger
-	Registerer      prometheus.Registerer // nil: metrics are counted but not registered
-	ReconcileInterval     time.Duration         // interval at which leaderships are reconciled; 0: 200 ms
+	Logger                 *zap.Logger
+	Registerer             prometheus.Registerer // nil: metrics are counted but not registered
+	ReconcileInterval      time.Duration         // interval at which leaderships are reconciled; 0: 200 ms
 }
 
 const (
@@ -68,7 +69,7 @@
 }
 
 var (
-	_ Groups = (*Node)(nil)
+	_ Groups    = (*Node)(nil)
 	_ MapSource = (*Node)(nil)
 )
 
@@ -76,7 +77,7 @@
 // set, it registers the RPC receiver for probes.
 func NewNode(options Options) (*Node, error) {
 	if options.Store == nil || options.Directory == nil || options.NewStateMachine == nil || options.MaxRowBytes <= 0 {
-		return nil, eris.New("shards: store, directory, NewMachine and RowBytes are required")
+		return nil, eris.New("shards: store, directory, NewStateMachine and MaxRowBytes are required")
 	}
 	if options.Logger == nil {
 		options.Logger = zap.NewNop()
@@ -149,7 +150,7 @@
 	}
 }
 
-// Current implements Source. It returns nil until the number of shards is known.
+// Current implements MapSource. It returns nil until the number of shards is known.
 func (n *Node) Current() *Map {
 	current := n.current.Load()
 	if current == nil || current.ShardCount == 0 {
@@ -225,12 +226,12 @@
 	}
 }
 
-// StopAcquiring stops the node from acquiring shards, in preparation for a planned stop. Shards that it
-// leads are kept until they are handed over.
+// StopAcquiring stops the node from acquiring shards, in preparation for a planned stop. Shards
+// that it leads are kept until they are handed over.
 func (n *Node) StopAcquiring() { n.retired.Store(true) }
 
-// RemainingShards returns the number of shards that this process leads, plus those that it has given up
-// and that no other daemon leads yet.
+// RemainingShards returns the number of shards that this process leads, plus those that it has
+// given up and that no other daemon leads yet.
 func (n *Node) RemainingShards() int {
 	left := 0
 	current := n.Current()
--- a/internal/shards/reach.go
+++ b/internal/shards/probe.go
@@ -78,14 +78,14 @@
 type ProbeReceiver struct{ prober *prober }
 
 // Ping returns the incarnation of this process.
-func (a *ProbeReceiver) Ping(_ PingRequest, reply *PingReply) error {
-	reply.Incarnation = a.prober.self.Incarnation
+func (p *ProbeReceiver) Ping(_ PingRequest, reply *PingReply) error {
+	reply.Incarnation = p.prober.self.Incarnation
 	return nil
 }
 
 // Ask pings the requested process and reports whether it answered.
-func (a *ProbeReceiver) Ask(request ProbeRequest, reply *ProbeReply) error {
-	reply.Reached = a.prober.ping(context.Background(), request.Process) == nil
+func (p *ProbeReceiver) Ask(request ProbeRequest, reply *ProbeReply) error {
+	reply.Reached = p.prober.ping(context.Background(), request.Process) == nil
 	return nil
 }
 
--- a/internal/shards/reach_test.go
+++ b/internal/shards/probe_test.go
@@ -18,7 +18,7 @@
 // ones.
 type memoryNetwork struct {
 	services map[string]*ProbeReceiver // key: address
-	isolated []string                 // machines that cannot exchange calls with any other machine
+	isolated []string                  // machines that cannot exchange calls with any other machine
 }
 
 // memoryCaller makes the calls of one daemon.
--- a/internal/state/breakers.go
+++ b/internal/state/breakers.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// enter waits until a call to the partition may be sent. It returns ErrNotExecuted if ctx ends
-// first.
-func (b *breakers) enter(ctx context.Context, partition string) error {
+// waitBeforeCall waits until a call to the partition may be sent. It returns ErrNotExecuted if
+// ctx ends first.
+func (b *breakers) waitBeforeCall(ctx context.Context, partition string) error {
 	for {
 		wait, wake := b.admit(partition)
 		if wait <= 0 {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -23,7 +23,7 @@
 	alternative  Store // a second route to the same store, or nil
 	directHealth routeHealth
 	availability *Availability
-	room         *SpaceTracker
+	spaceTracker *SpaceTracker
 	limiter      *Limiter
 	batcher      commitBatcher
 	metrics      *clientMetrics
@@ -34,10 +34,10 @@
 
 // Failure describes a call for whose error IsTransient is true.
 type Failure struct {
-	Op string // "commit", "read" or "feed"
-	Key  Key    // first key of the call
+	Op       string // "commit", "read" or "feed"
+	Key      Key    // first key of the call
 	Duration time.Duration
-	Err  error
+	Err      error
 }
 
 // ClientOptions configures a Client.
@@ -46,7 +46,8 @@
 	// Alternative is a second route to the same store. It is nil if there is none.
 	Alternative  Store
 	Availability *Availability
-	// SpaceTracker tracks whether the store has space. If Room is nil, the client creates its own.
+	// SpaceTracker tracks whether the store has space. If it is nil, the client creates its
+	// own.
 	SpaceTracker *SpaceTracker
 	// Limiter limits the rate of the calls. If Limiter is nil, the client creates one without
 	// declared rates, which lowers its rate only after throttled calls.
@@ -68,15 +69,15 @@
 		direct:       options.Store,
 		alternative:  options.Alternative,
 		availability: options.Availability,
-		room:         options.SpaceTracker,
+		spaceTracker: options.SpaceTracker,
 		limiter:      options.Limiter,
 		metrics:      newClientMetrics(),
 		probe:        options.Probe,
 		onFailure:    options.OnFailure,
 	}
 	client.hedger.disabled = options.DisableHedging
-	if client.room == nil {
-		client.room = NewSpaceTracker(SpaceTrackerOptions{})
+	if client.spaceTracker == nil {
+		client.spaceTracker = NewSpaceTracker(SpaceTrackerOptions{})
 	}
 	if client.limiter == nil {
 		client.limiter = NewLimiter(LimiterOptions{})
@@ -105,29 +106,29 @@
 )
 
 // Commit implements Store. While the store is full, it handles commits by class. A commit of
-// ClassTurn is sent at once. While it fails with ErrFull, it is sent again each time Room lets
-// it probe, until ctx ends. A commit of ClassReservation, ClassSettlement, ClassSweep or
-// ClassFollow fails with ErrFull unless Room lets it probe. All other commits, and commits
-// without puts, are sent.
+// ClassTurn is sent at once. While it fails with ErrFull, it is sent again each time the
+// SpaceTracker lets it probe, until ctx ends. A commit of ClassReservation, ClassSettlement,
+// ClassSweep or ClassFollow fails with ErrFull unless the SpaceTracker lets it probe. All other
+// commits, and commits without puts, are sent.
 func (c *Client) Commit(ctx context.Context, commit Commit) (Version, error) {
 	version, err := c.commitRetryingWhenFull(ctx, commit)
 	c.metrics.recordCall(commit.Class, err)
 	return version, err
 }
 
-// commitRetryingWhenFull sends a commit that Room admits. It sends a commit of ClassTurn again
-// while the store is full.
+// commitRetryingWhenFull sends a commit that the SpaceTracker admits. It sends a commit of
+// ClassTurn again while the store is full.
 func (c *Client) commitRetryingWhenFull(ctx context.Context, commit Commit) (Version, error) {
 	if ctx.Err() != nil {
 		return 0, eris.Wrapf(ErrNotExecuted, "commit not sent: %v", ctx.Err())
 	}
 	for isRetry := false; ; isRetry = true {
-		if err := c.room.admit(ctx, commit, isRetry); err != nil {
+		if err := c.spaceTracker.admit(ctx, commit, isRetry); err != nil {
 			return 0, err
 		}
-		sent := c.room.options.Now()
+		sent := c.spaceTracker.options.Now()
 		version, err := c.commit(ctx, commit)
-		c.room.recordResult(commit, sent, err)
+		c.spaceTracker.recordResult(commit, sent, err)
 		if !errors.Is(err, ErrFull) || commit.Class != ClassTurn || ctx.Err() != nil {
 			return version, err
 		}
@@ -212,23 +213,25 @@
 	}
 	start := time.Now()
 	route, report := c.chooseRoute(0, CallFeed)
-	change, err := route.Feed(ctx, table, after, wait)
+	result, err := route.Feed(ctx, table, after, wait)
 	report(ctx, err)
 	c.metrics.recordCall(ClassFollow, err)
 	c.recordOutcome(ctx, Failure{Op: "feed", Key: Key{Table: table}, Duration: time.Since(start), Err: err})
-	return change, err
+	return result, err
 }
 
 // Available reports whether the store is considered available.
 func (c *Client) Available() bool { return c.availability.Available() }
 
-// HealthyFirst returns the partitions in the same order, except that those which failed and have not
-// answered since are moved to the end.
-func (c *Client) HealthyFirst(partitions []string) []string { return c.availability.HealthyFirst(partitions) }
+// HealthyFirst returns the partitions in the same order, except that those which failed and
+// have not answered since are moved to the end.
+func (c *Client) HealthyFirst(partitions []string) []string {
+	return c.availability.HealthyFirst(partitions)
+}
 
-// Retry calls the function until ctx ends or IsTransient is false for its error, and returns the
-// last error. Between the calls Repeat backs off exponentially. While the store is down, Repeat
-// waits until the store is available again.
+// Retry calls the function until ctx ends or IsTransient is false for its error, and returns
+// the last error. Between the calls Retry backs off exponentially. While the store is down,
+// Retry waits until the store is available again.
 func (c *Client) Retry(ctx context.Context, call func() error) error {
 	schedule := pause.NewBackoff(initialRetryDelay, maxRetryDelay)
 	for {
@@ -239,7 +242,7 @@
 	}
 }
 
-// waitAfter waits before the next call of Repeat's function. It returns false if ctx ended
+// waitAfter waits before the next call of Retry's function. It returns false if ctx ended
 // first.
 func (c *Client) waitAfter(ctx context.Context, schedule *backoff.ExponentialBackOff) bool {
 	if !c.availability.Available() {
@@ -281,11 +284,11 @@
 }
 
 // SpaceTracker returns the tracker of the store's free space.
-func (c *Client) SpaceTracker() *SpaceTracker { return c.room }
+func (c *Client) SpaceTracker() *SpaceTracker { return c.spaceTracker }
 
-// IsTransient reports whether err is ErrNotExecuted, which includes ErrThrottled, or ErrUnknownOutcome. Such
-// a call may be repeated, since calls are idempotent. IsTransient returns false for nil and for
-// all other errors.
+// IsTransient reports whether err is ErrNotExecuted, which includes ErrThrottled, or
+// ErrUnknownOutcome. Such a call may be repeated, since calls are idempotent. IsTransient
+// returns false for nil and for all other errors.
 func IsTransient(err error) bool {
 	return errors.Is(err, ErrNotExecuted) || errors.Is(err, ErrUnknownOutcome)
 }
--- a/internal/state/commitbatcher.go
+++ b/internal/state/commitbatcher.go
@@ -13,9 +13,9 @@
 // the store. It batches only commits of ClassTurn without conditions, and only while no rate
 // slot is free. All other commits are sent one by one.
 //
-// Each commit gets the result of the call that contained it. If a batch ends with ErrUnknownOutcome,
-// all of its commits do. If the store refused a batch and a single commit may be the cause, the
-// commits are sent again one by one.
+// Each commit gets the result of the call that contained it. If a batch ends with
+// ErrUnknownOutcome, all of its commits do. If the store refused a batch and a single commit
+// may be the cause, the commits are sent again one by one.
 type commitBatcher struct {
 	slots rateSlots
 	send  func(ctx context.Context, commit Commit, commitCount int) (Version, error)
@@ -58,8 +58,8 @@
 	batchTimeout = 3 * time.Second
 )
 
-// commit sends the commit, alone or in a batch, and returns its result. It returns ErrUnknownOutcome
-// if ctx ends after the commit was put into a batch.
+// commit sends the commit, alone or in a batch, and returns its result. It returns
+// ErrUnknownOutcome if ctx ends after the commit was put into a batch.
 func (b *commitBatcher) commit(ctx context.Context, commit Commit) (Version, error) {
 	if b.slots.free() {
 		return b.send(ctx, commit, 1)
--- a/internal/state/limiter.go
+++ b/internal/state/limiter.go
@@ -30,9 +30,9 @@
 type LimiterOptions struct {
 	Rates Rates
 	// MemberCount returns the number of processes that share the limits, as far as this process
-	// knows. If Members is nil or returns at most 1, the limiter assumes a large fleet.
+	// knows. If MemberCount is nil or returns at most 1, the limiter assumes a large fleet.
 	MemberCount func() int
-	Now     func() time.Time
+	Now         func() time.Time
 	// OnRateLowered is called after the rate for a kind of call was lowered. allowed is the new
 	// rate in calls per second.
 	OnRateLowered func(kind CallKind, allowed float64)
--- a/internal/state/metrics.go
+++ b/internal/state/metrics.go
@@ -63,12 +63,12 @@
 	}
 }
 
-// RegisterMetrics registers the client's metrics: calls and rate-limit waits by class, commits per
-// call, the rates that are allowed now, and how long the store has been full.
+// RegisterMetrics registers the client's metrics: calls and rate-limit waits by class,
+// commits per call, the rates that are allowed now, and how long the store has been full.
 func (c *Client) RegisterMetrics(registerer prometheus.Registerer) error {
 	full := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_store_full_seconds", Help: "Time since the store became full; 0 if it is not full.",
-	}, func() float64 { return c.room.FullDuration().Seconds() })
+	}, func() float64 { return c.spaceTracker.FullDuration().Seconds() })
 	collectors := []prometheus.Collector{c.metrics.calls, c.metrics.waits, c.metrics.commitsPerCall, full}
 	for kind, name := range map[CallKind]string{CallCommit: "writing", CallRead: "reading"} {
 		collectors = append(collectors, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
