--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -5,9 +5,9 @@
 //
 // A Store guarantees that an acknowledged commit is never lost, that a commit is applied
 // completely or not at all, and that conditions are checked against the latest committed rows.
-// A commit that ended with ErrUnknownOutcome may have been applied, or may still be applied later if
-// its conditions hold then. Callers therefore make every commit idempotent through its keys and
-// conditions.
+// A commit that ended with ErrUnknownOutcome may have been applied, or may still be applied
+// later if its conditions hold then. Callers therefore make every commit idempotent through its
+// keys and conditions.
 package state
 
 import (
@@ -105,8 +105,8 @@
 	// Read returns the selected rows from one snapshot.
 	Read(ctx context.Context, selected Range) (Page, error)
 	// Feed waits for a change of the table after the given version. If there is none in the
-	// given time, Feed returns a Change without rows. It returns ErrHistoryLost if the store no
-	// longer knows what changed since that version.
+	// given time, Feed returns a FeedResult without rows. It returns ErrHistoryLost if the
+	// store no longer knows what changed since that version.
 	Feed(ctx context.Context, table string, after Version, wait time.Duration) (FeedResult, error)
 }
 
@@ -114,7 +114,8 @@
 var (
 	// ErrNotExecuted means that the call had no effect and will have none.
 	ErrNotExecuted = errors.New("the store did not execute the call")
-	// ErrUnknownOutcome means that the commit may have been applied, or may still be applied later.
+	// ErrUnknownOutcome means that the commit may have been applied, or may still be applied
+	// later.
 	ErrUnknownOutcome = errors.New("the store did not answer")
 	// ErrHistoryLost means that a feed has to start again from a read.
 	ErrHistoryLost = errors.New("the store no longer has the requested history")
@@ -146,7 +147,8 @@
 	return Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + "\x00", Limit: 1}
 }
 
-// PartitionNames returns the names of count partitions: the hexadecimal numbers from 0 to count-1.
+// PartitionNames returns the names of count partitions: the hexadecimal numbers from 0 to
+// count-1.
 func PartitionNames(count int) []string {
 	names := make([]string, 0, count)
 	for number := range count {
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -227,8 +227,8 @@
 }
 
 // call sends the request to one other daemon, which differs from call to call. It returns
-// ErrNotExecuted if the request was not sent, and ErrUnknownOutcome if it may have been sent but got no
-// reply.
+// ErrNotExecuted if the request was not sent, and ErrUnknownOutcome if it may have been sent
+// but got no reply.
 func (r *Relay) call(ctx context.Context, method string, timeout time.Duration, request, reply any) error {
 	address, reportFailure := r.chooseDaemon(method)
 	if address == "" {
--- a/internal/turn/broken.go
+++ b/internal/turn/broken.go
@@ -7,8 +7,8 @@
 
 // Causes of a BrokenError. An error of package rowset or piece may be the cause as well.
 var (
-	// ErrMissingAncestor means that an earlier turn is missing, or that a turn is not the one that another
-	// turn or a request names.
+	// ErrMissingAncestor means that an earlier turn is missing, or that a turn is not the one
+	// that another turn or a request names.
 	ErrMissingAncestor = errors.New("an earlier turn is missing")
 	// ErrCycle means that a turn is named as its own ancestor.
 	ErrCycle = errors.New("a turn is its own ancestor")
@@ -18,12 +18,12 @@
 	ErrDigestMismatch = errors.New("the bytes differ from what was recorded")
 )
 
-// BrokenError means that a recorded conversation cannot be reassembled. It matches ErrUncertain in
-// errors.Is, since the turn exists but its content is uncertain.
+// BrokenError means that a recorded conversation cannot be reassembled. It matches ErrUncertain
+// in errors.Is, since the turn exists but its content is uncertain.
 type BrokenError struct {
-	Turn  string // identifier of the requested turn
-	FaultyTurn    string // identifier of the turn whose rows show the fault
-	Cause error
+	Turn       string // identifier of the requested turn
+	FaultyTurn string // identifier of the turn whose rows show the fault
+	Cause      error
 }
 
 // Error implements error.
--- a/internal/turn/broken_test.go
+++ b/internal/turn/broken_test.go
@@ -36,18 +36,18 @@
 		store = memorystore.New()
 		options := typicalOptions(store)
 		options.MaxRowBytes = 2000
-		records := turn.NewRepository(options)
+		repository := turn.NewRepository(options)
 		common := string(make([]byte, 4000))
-		Expect(records.Save(ctx, "other", firstTurn(common+"other"), time.Minute)).To(Succeed())
+		Expect(repository.Save(ctx, "other", firstTurn(common+"other"), time.Minute)).To(Succeed())
 		var previous *turn.Turn
 		for _, name := range []string{"a", "b", "c"} {
 			added := turn.Addition{Previous: previous, Tenant: "tenant", Input: []byte(name)}
 			if previous == nil {
 				added.Input = []byte(common + "first")
 			}
-			Expect(records.Save(ctx, name, added, time.Minute)).To(Succeed())
+			Expect(repository.Save(ctx, name, added, time.Minute)).To(Succeed())
 			var err error
-			previous, err = records.Load(ctx, name, "")
+			previous, err = repository.Load(ctx, name, "")
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Expect(historyOf(previous)).To(Equal(common + "firstbc"))
@@ -83,7 +83,7 @@
 
 	DescribeTable("is reported as unsure, never as absent and never with wrong content", func(ctx SpecContext, damage func(ctx SpecContext), at string, cause error) {
 		damage(ctx)
-		_, err := newRecords(store).Load(ctx, "c", "")
+		_, err := newRepository(store).Load(ctx, "c", "")
 		Expect(err).To(MatchError(turn.ErrUncertain))
 		Expect(err).NotTo(MatchError(turn.ErrNotFound))
 		Expect(err).To(MatchError(cause))
@@ -135,18 +135,18 @@
 			}
 			return memorystore.None
 		})
-		loaded, err := newRecords(store).Load(ctx, "c", "")
+		loaded, err := newRepository(store).Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(HaveSuffix("firstbc"))
 		Expect(refused).To(Equal(4))
 	})
 
 	It("is loaded from a daemon that has it in memory", func(ctx SpecContext) {
-		first := newRecords(store)
+		first := newRepository(store)
 		_, err := first.Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
 		store.Remove(keyOf("b"))
-		loaded, err := newRecordsWithPeer(store, serve(first)).Load(ctx, "c", "")
+		loaded, err := newRepositoryWithPeer(store, serve(first)).Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(HaveSuffix("firstbc"))
 	})
@@ -158,7 +158,7 @@
 		moved.Partition = rowset.PartitionsOf("b")[1]
 		store.Write(state.Put{Key: moved, Value: page.Rows[0].Value})
 		store.Write(state.Put{Key: keyOf("b"), Value: []byte("no row of ours")})
-		loaded, err := newRecords(store).Load(ctx, "c", "")
+		loaded, err := newRepository(store).Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(HaveSuffix("firstbc"))
 	})
@@ -191,7 +191,7 @@
 
 	BeforeEach(func(ctx SpecContext) {
 		store = memorystore.New()
-		first = newRecords(store)
+		first = newRepository(store)
 		Expect(first.Save(ctx, "a", firstTurn("A"), time.Minute)).To(Succeed())
 		previous, err := first.Load(ctx, "a", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -200,14 +200,14 @@
 
 	It("is loaded from that daemon without reading the store", func(ctx SpecContext) {
 		address := serve(first)
-		second := newRecordsWithPeer(store, address)
+		second := newRepositoryWithPeer(store, address)
 		loaded, err := second.Load(ctx, "b", address)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("AB"))
 		Expect(loaded.Engine()).To(Equal("e"))
 		Expect(store.Calls("read")).To(BeZero())
 		Expect(second.Save(ctx, "c", turn.Addition{Previous: loaded, Input: []byte("C")}, time.Minute)).To(Succeed())
-		afterwards, err := newRecords(store).Load(ctx, "c", "")
+		afterwards, err := newRepository(store).Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(afterwards)).To(Equal("ABC"))
 	})
@@ -217,9 +217,9 @@
 		options := optionsOf(store)
 		list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
 		options.Peers = &turn.Peers{List: list, Caller: caller, Log: zap.NewNop()}
-		records := turn.NewRepository(options)
+		repository := turn.NewRepository(options)
 		for _, name := range []string{"a", "b"} {
-			_, err := records.Load(ctx, name, "silent:1")
+			_, err := repository.Load(ctx, name, "silent:1")
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Expect(caller.calls).To(Equal(1))
@@ -235,15 +235,15 @@
 			Expect(err).NotTo(HaveOccurred())
 			DeferCleanup(server.Close)
 			Expect(server.Register(turn.ServiceName, &fixedChainService{falseReply})).To(Succeed())
-			loaded, err := newRecordsWithPeer(store, server.Address()).Load(ctx, "b", server.Address())
+			loaded, err := newRepositoryWithPeer(store, server.Address()).Load(ctx, "b", server.Address())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(historyOf(loaded)).To(Equal("AB"))
 		}
 	})
 
 	It("is read from the store if that daemon no longer has it or does not answer", func(ctx SpecContext) {
-		for _, address := range []string{serve(newRecords(store)), "127.0.0.1:1"} {
-			loaded, err := newRecordsWithPeer(store, address).Load(ctx, "b", address)
+		for _, address := range []string{serve(newRepository(store)), "127.0.0.1:1"} {
+			loaded, err := newRepositoryWithPeer(store, address).Load(ctx, "b", address)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(historyOf(loaded)).To(Equal("AB"))
 		}
--- a/internal/turn/reading.go
+++ b/internal/turn/chain_reader.go
@@ -22,7 +22,7 @@
 // chainReader loads one conversation from the store. Rows that were read are kept for the next
 // attempt if an attempt fails.
 type chainReader struct {
-	records     *Repository
+	repository  *Repository
 	identifier  string       // of the requested turn
 	reads       atomic.Int64 // store reads of turns' rows so far
 	isFromOther bool         // whether the turn came from another daemon
@@ -66,7 +66,7 @@
 func (r *chainReader) readOwnRow(ctx context.Context) (row, error) {
 	found, err := r.findRow(ctx, r.identifier)
 	if errors.Is(err, ErrNotFound) {
-		return row{}, r.records.confirmAbsence(ctx, r.identifier)
+		return row{}, r.repository.confirmAbsence(ctx, r.identifier)
 	}
 	return found, err
 }
@@ -86,7 +86,7 @@
 // that one, and the turn. If no turn is in memory, it returns all names and nil.
 func (r *chainReader) untilCached(names []string) ([]string, *Turn) {
 	for index, name := range names {
-		if known := r.records.cache.peek(name); known != nil {
+		if known := r.repository.cache.peek(name); known != nil {
 			return names[:index], known
 		}
 	}
@@ -125,7 +125,7 @@
 		return known, nil
 	}
 	var unanswered, broken error
-	for _, partition := range r.records.options.Store.HealthyFirst(rowset.PartitionsOf(name)) {
+	for _, partition := range r.repository.options.Store.HealthyFirst(rowset.PartitionsOf(name)) {
 		read, err := r.readPartition(ctx, name, partition)
 		switch {
 		case err == nil:
@@ -155,7 +155,7 @@
 	r.reads.Add(1)
 	selected := rowset.RangeOf(state.Key{Table: table, Partition: partition, Name: name})
 	selected.Class = state.ClassTurn
-	page, err := r.records.options.Store.Read(ctx, selected)
+	page, err := r.repository.options.Store.Read(ctx, selected)
 	if err != nil {
 		return row{}, eris.Wrap(err, "read turn")
 	}
@@ -236,7 +236,7 @@
 	group.SetLimit(maxConcurrentReads)
 	for reference, name := range namedBy {
 		group.Go(func() error {
-			stored, err := r.records.pieces.Load(ctx, reference)
+			stored, err := r.repository.pieces.Load(ctx, reference)
 			if err != nil && !state.IsTransient(err) && ctx.Err() == nil {
 				return r.brokenError(name, err)
 			}
--- a/internal/turn/conversation_test.go
+++ b/internal/turn/conversation_test.go
@@ -51,17 +51,17 @@
 	history := ""
 	var previous *turn.Turn
 	for number := range turns {
-		records := daemons[number%len(daemons)]
+		repository := daemons[number%len(daemons)]
 		if number > 0 {
 			var err error
-			previous, err = records.Load(ctx, fmt.Sprint(name, "-", number-1), "")
+			previous, err = repository.Load(ctx, fmt.Sprint(name, "-", number-1), "")
 			Expect(err).NotTo(HaveOccurred())
 		}
 		added := turn.Addition{Previous: previous, Engine: "e", Input: randomText(random, turnBytes-500), Output: randomText(random, 500)}
 		if number == 0 {
 			added.Input = append(append([]byte(nil), common...), randomText(random, firstOwnBytes)...)
 		}
-		Expect(records.Save(ctx, fmt.Sprint(name, "-", number), added, time.Minute)).To(Succeed())
+		Expect(repository.Save(ctx, fmt.Sprint(name, "-", number), added, time.Minute)).To(Succeed())
 		history += string(added.Input) + string(added.Output)
 	}
 	return history
@@ -101,16 +101,16 @@
 
 	It("take a constant number of bytes for each turn beyond maxAncestors turns", func(ctx SpecContext) {
 		store := memorystore.New()
-		records := turn.NewRepository(typicalOptions(store))
+		repository := turn.NewRepository(typicalOptions(store))
 		var previous *turn.Turn
 		var sizes []int
 		for number := range 200 {
 			before := store.Bytes()
 			name := fmt.Sprintf("turn-%03d", number)
-			Expect(records.Save(ctx, name, turn.Addition{Previous: previous, Input: []byte("x")}, time.Minute)).To(Succeed())
+			Expect(repository.Save(ctx, name, turn.Addition{Previous: previous, Input: []byte("x")}, time.Minute)).To(Succeed())
 			sizes = append(sizes, store.Bytes()-before)
 			var err error
-			previous, err = records.Load(ctx, name, "")
+			previous, err = repository.Load(ctx, name, "")
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Expect(sizes[199]).To(Equal(sizes[40]))
@@ -133,7 +133,7 @@
 
 	BeforeEach(func() { store, now = memorystore.New(), time.Unix(1000000, 0) })
 
-	// newDaemon returns the Records of a new daemon whose clock shows the variable now.
+	// newDaemon returns the Repository of a new daemon whose clock shows the variable now.
 	newDaemon := func() *turn.Repository {
 		options := typicalOptions(store)
 		options.Now = func() time.Time { return now }
@@ -143,14 +143,14 @@
 	// if previous is empty.
 	save := func(ctx context.Context, previous, identifier, content string) {
 		GinkgoHelper()
-		records := newDaemon()
+		repository := newDaemon()
 		added := turn.Addition{Input: []byte(content)}
 		if previous != "" {
 			var err error
-			added.Previous, err = records.Load(ctx, previous, "")
+			added.Previous, err = repository.Load(ctx, previous, "")
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(records.Save(ctx, identifier, added, time.Minute)).To(Succeed())
+		Expect(repository.Save(ctx, identifier, added, time.Minute)).To(Succeed())
 	}
 	// load returns the whole conversation as a new daemon loads it.
 	load := func(ctx context.Context, identifier string) string {
@@ -239,24 +239,24 @@
 	})
 
 	It("is in memory once, however many turns continue it", func(ctx SpecContext) {
-		records := newDaemon()
-		Expect(records.Save(ctx, "a", firstTurn(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
-		previous, err := records.Load(ctx, "a", "")
+		repository := newDaemon()
+		Expect(repository.Save(ctx, "a", firstTurn(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
+		previous, err := repository.Load(ctx, "a", "")
 		Expect(err).NotTo(HaveOccurred())
 		for number := range 200 { // copies would take 200 MiB, and the cache is limited to 12 MiB
-			Expect(records.Save(ctx, fmt.Sprint("b", number), turn.Addition{Previous: previous, Input: []byte("y")}, time.Minute)).To(Succeed())
+			Expect(repository.Save(ctx, fmt.Sprint("b", number), turn.Addition{Previous: previous, Input: []byte("y")}, time.Minute)).To(Succeed())
 		}
-		Expect(records.IsCached("a")).To(BeTrue())
-		Expect(records.IsCached("b0")).To(BeTrue())
+		Expect(repository.IsCached("a")).To(BeTrue())
+		Expect(repository.IsCached("b0")).To(BeTrue())
 	})
 
 	It("is dropped from memory when newer turns exceed the limit of the cache", func(ctx SpecContext) {
-		records := newDaemon()
+		repository := newDaemon()
 		for number := range 30 {
-			Expect(records.Save(ctx, fmt.Sprint("a", number), firstTurn(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
-			Expect(records.CachedBytes()).To(BeNumerically("<=", 12<<20))
+			Expect(repository.Save(ctx, fmt.Sprint("a", number), firstTurn(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
+			Expect(repository.CachedBytes()).To(BeNumerically("<=", 12<<20))
 		}
-		Expect(records.IsCached("a0")).To(BeFalse())
-		Expect(records.IsCached("a29")).To(BeTrue())
+		Expect(repository.IsCached("a0")).To(BeFalse())
+		Expect(repository.IsCached("a29")).To(BeTrue())
 	})
 })
--- a/internal/turn/load.go
+++ b/internal/turn/load.go
@@ -22,12 +22,12 @@
 // cache, then asks the daemon at the address keptAt, and then reads the store. keptAt is the
 // daemon expected to have the turn in memory, or empty if none is known. The error is
 // ErrNotFound, ErrUncertain, a *BrokenError, or an error of the store or of the context.
-func (r *Repository) Load(ctx context.Context, identifier, keptAt string) (*Turn, error) {
+func (r *Repository) Load(ctx context.Context, identifier, recorderAddress string) (*Turn, error) {
 	if known := r.cache.get(identifier); known != nil {
 		r.metrics.read(fromMemory)
 		return known, nil
 	}
-	if received := r.askDaemon(ctx, keptAt, identifier); received != nil {
+	if received := r.askDaemon(ctx, recorderAddress, identifier); received != nil {
 		r.metrics.read(fromOtherDaemon)
 		r.addToCache(received)
 		return received, nil
@@ -43,7 +43,7 @@
 // loadFromStore loads the turn from the store, or from other daemons if the store gives no certain
 // answer. It retries while the store does not answer, until the context ends.
 func (r *Repository) loadFromStore(ctx context.Context, identifier string) (*Turn, error) {
-	current := &chainReader{records: r, identifier: identifier, rows: map[string]row{}}
+	current := &chainReader{repository: r, identifier: identifier, rows: map[string]row{}}
 	var read *Turn
 	err := r.options.Store.Retry(ctx, func() error {
 		var err error
@@ -67,43 +67,43 @@
 // recently, load asks the other daemons first and reads the store only if none has the turn.
 func (r *chainReader) load(ctx context.Context) (*Turn, error) {
 	partitions := rowset.PartitionsOf(r.identifier)
-	isFirstPartitionDown := r.records.options.Store.HealthyFirst(partitions)[0] != partitions[0]
+	isFirstPartitionDown := r.repository.options.Store.HealthyFirst(partitions)[0] != partitions[0]
 	if isFirstPartitionDown {
-		if received := r.askOthers(ctx); received != nil {
+		if received := r.askPeers(ctx); received != nil {
 			return received, nil
 		}
 	}
 	read, err := r.readChain(ctx)
 	if !isFirstPartitionDown && (state.IsTransient(err) || errors.Is(err, ErrUncertain)) {
-		if received := r.askOthers(ctx); received != nil {
+		if received := r.askPeers(ctx); received != nil {
 			return received, nil
 		}
 	}
 	return read, err
 }
 
-// askOthers returns the turn if another daemon has it in memory, and nil otherwise.
-func (r *chainReader) askOthers(ctx context.Context) *Turn {
-	if r.records.options.Peers == nil {
+// askPeers returns the turn if another daemon has it in memory, and nil otherwise.
+func (r *chainReader) askPeers(ctx context.Context) *Turn {
+	if r.repository.options.Peers == nil {
 		return nil
 	}
-	received := r.records.options.Peers.search(ctx, r.identifier, r.records.restore)
+	received := r.repository.options.Peers.search(ctx, r.identifier, r.repository.restore)
 	if received != nil {
 		r.isFromOther = true
-		r.records.metrics.read(fromOtherDaemon)
+		r.repository.metrics.read(fromOtherDaemon)
 	}
 	return received
 }
 
 // askDaemon asks the daemon at the address keptAt for a turn. It returns nil if keptAt is empty or
 // if the daemon does not return the turn.
-func (r *Repository) askDaemon(ctx context.Context, keptAt, identifier string) *Turn {
-	if r.options.Peers == nil || keptAt == "" {
+func (r *Repository) askDaemon(ctx context.Context, recorderAddress, identifier string) *Turn {
+	if r.options.Peers == nil || recorderAddress == "" {
 		return nil
 	}
-	received, err := r.options.Peers.ask(ctx, keptAt, identifier, r.restore)
+	received, err := r.options.Peers.ask(ctx, recorderAddress, identifier, r.restore)
 	if err != nil {
-		r.options.Log.Info("turn: the daemon expected to have it in memory did not return it.", zap.String("turn", identifier), zap.String("daemon", keptAt), zap.String("cause", err.Error()))
+		r.options.Log.Info("turn: the daemon expected to have it in memory did not return it.", zap.String("turn", identifier), zap.String("daemon", recorderAddress), zap.String("cause", err.Error()))
 		return nil
 	}
 	return received
--- a/internal/turn/metrics.go
+++ b/internal/turn/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// metrics are the metrics of Records.
+// metrics are the metrics of a Repository.
 type metrics struct {
 	keptBytes    prometheus.Gauge       // bytes of turns that this daemon wrote and has not removed
 	pieceBytes   prometheus.Counter     // bytes of pieces written
@@ -43,7 +43,8 @@
 // read counts a loaded turn by where it was loaded from.
 func (m *metrics) read(from string) { m.reads.WithLabelValues(from).Inc() }
 
-// RegisterMetrics registers the metrics of the Records. It fails if some are registered already.
+// RegisterMetrics registers the metrics of the Repository. It fails if some are
+// registered already.
 func (r *Repository) RegisterMetrics(registerer prometheus.Registerer) error {
 	cached := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_turn_cached_bytes", Help: "Bytes of turns in memory, without shared pieces.",
--- a/internal/turn/metrics_test.go
+++ b/internal/turn/metrics_test.go
@@ -20,9 +20,9 @@
 		options := optionsOf(store)
 		options.Now = clock
 		options.RemovalQueue = retention.NewQueue(options.Store, clock, zap.NewNop())
-		records := turn.NewRepository(options)
+		repository := turn.NewRepository(options)
 		registry := prometheus.NewRegistry()
-		Expect(records.RegisterMetrics(registry)).To(Succeed())
+		Expect(repository.RegisterMetrics(registry)).To(Succeed())
 		keptBytes := func() float64 {
 			GinkgoHelper()
 			families, err := registry.Gather()
@@ -36,7 +36,7 @@
 			return 0
 		}
 		for _, name := range []string{"a", "b"} {
-			Expect(records.Save(ctx, name, firstTurn("content"), time.Minute)).To(Succeed())
+			Expect(repository.Save(ctx, name, firstTurn("content"), time.Minute)).To(Succeed())
 		}
 		Expect(keptBytes()).To(BeNumerically(">", 0))
 		Expect(keptBytes()).To(BeNumerically("<=", store.Bytes()))
--- a/internal/turn/others.go
+++ b/internal/turn/peers.go
@@ -43,10 +43,10 @@
 }
 
 // Service is the RPC service that returns turns in memory to other daemons.
-type Service struct{ records *Repository }
+type Service struct{ repository *Repository }
 
-// NewService returns the RPC service for the turns that records has in memory.
-func NewService(records *Repository) *Service { return &Service{records: records} }
+// NewService returns the RPC service for the turns that repository has in memory.
+func NewService(repository *Repository) *Service { return &Service{repository: repository} }
 
 // maxReplyBytes is the maximum size of a conversation in a reply. It is a quarter of the size limit
 // of messages between daemons. Sending a reply of this size takes less time than reading the
@@ -57,7 +57,7 @@
 // is not in memory or the conversation is longer than maxReplyBytes. A cached turn is as
 // reliable as one read from the store, since only turns that the store acknowledged are cached.
 func (s *Service) Chain(request ChainRequest, reply *ChainReply) error {
-	known := s.records.cache.peek(request.Identifier)
+	known := s.repository.cache.peek(request.Identifier)
 	if known == nil || known.length > maxReplyBytes {
 		return nil
 	}
@@ -126,40 +126,40 @@
 	maxSilentDaemons = 4096
 )
 
-// restoreFunc builds the turn with the given identifier from a reply; see Records.restore.
+// restoreFunc builds the turn with the given identifier from a reply; see Repository.restore.
 type restoreFunc func(identifier string, reply ChainReply) (*Turn, error)
 
 // ask asks the daemon at the address for a turn. It returns nil and no error if that daemon does
 // not have the turn, is this daemon, or is skipped because it recently did not answer.
-func (o *Peers) ask(ctx context.Context, address, identifier string, restore restoreFunc) (*Turn, error) {
-	if address == o.List.Self().Address || o.isSilent(address) {
+func (p *Peers) ask(ctx context.Context, address, identifier string, restore restoreFunc) (*Turn, error) {
+	if address == p.List.Self().Address || p.isSilent(address) {
 		return nil, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var reply ChainReply
-	if err := o.Caller.Call(ctx, address, peer.Data, methodChain, ChainRequest{Identifier: identifier}, &reply); err != nil {
-		o.noteSilent(address)
+	if err := p.Caller.Call(ctx, address, peer.Data, methodChain, ChainRequest{Identifier: identifier}, &reply); err != nil {
+		p.noteSilent(address)
 		return nil, eris.Wrap(err, "ask for a turn")
 	}
 	return restore(identifier, reply)
 }
 
 // isSilent reports whether ask must skip the daemon because it recently did not answer.
-func (o *Peers) isSilent(address string) bool {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	return time.Now().Before(o.skippedUntil[address])
+func (p *Peers) isSilent(address string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return time.Now().Before(p.skippedUntil[address])
 }
 
 // noteSilent notes that the daemon did not answer just now.
-func (o *Peers) noteSilent(address string) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.skippedUntil == nil || len(o.skippedUntil) >= maxSilentDaemons {
-		o.skippedUntil = map[string]time.Time{}
+func (p *Peers) noteSilent(address string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.skippedUntil == nil || len(p.skippedUntil) >= maxSilentDaemons {
+		p.skippedUntil = map[string]time.Time{}
 	}
-	o.skippedUntil[address] = time.Now().Add(skipSilentFor)
+	p.skippedUntil[address] = time.Now().Add(skipSilentFor)
 }
 
 // answer is the result of a call to one daemon.
@@ -171,15 +171,15 @@
 // search asks up to maxAskedDaemons daemons for a turn at the same time, and prefers daemons of
 // this zone. It returns the first turn received, or nil if none is received within
 // searchTimeout.
-func (o *Peers) search(ctx context.Context, identifier string, restore restoreFunc) *Turn {
+func (p *Peers) search(ctx context.Context, identifier string, restore restoreFunc) *Turn {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
-	asked := o.List.OtherMembers(identifier, maxAskedDaemons)
+	asked := p.List.OtherMembers(identifier, maxAskedDaemons)
 	answers := make(chan answer, len(asked))
 	for _, member := range asked {
 		go func() {
 			var received answer
-			received.err = o.Caller.Call(ctx, member.Process.Address, peer.Data, methodChain, ChainRequest{Identifier: identifier}, &received.reply)
+			received.err = p.Caller.Call(ctx, member.Process.Address, peer.Data, methodChain, ChainRequest{Identifier: identifier}, &received.reply)
 			answers <- received
 		}()
 	}
@@ -196,7 +196,7 @@
 		}
 	}
 	if failure != nil {
-		o.Log.Info("turn: no daemon returned it, and some calls failed.", zap.String("turn", identifier), zap.Int("asked", len(asked)), zap.Int("silent", failed), zap.String("cause", failure.Error()))
+		p.Log.Info("turn: no daemon returned it, and some calls failed.", zap.String("turn", identifier), zap.Int("asked", len(asked)), zap.Int("silent", failed), zap.String("cause", failure.Error()))
 	}
 	return nil
 }
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -40,16 +40,16 @@
 // table is the store's table for turns.
 const table = "turns"
 
-// Options are the dependencies and limits of a Records.
+// Options are the dependencies and limits of a Repository.
 type Options struct {
-	Store        *state.Client
-	MaxRowBytes     int              // maximum size of a row's value in bytes
-	MaxCacheEntries int              // maximum number of cached turns, without ancestors that only they keep in memory
-	MaxCacheBytes   int              // maximum bytes of cached turns and their ancestors
-	CacheIdleTimeout     time.Duration    // how long an unused turn stays cached
-	MaxPieceCacheBytes   int              // maximum bytes of shared pieces in memory
-	Now          func() time.Time // current time
-	Log          *zap.Logger      // nil means that nothing is logged
+	Store              *state.Client
+	MaxRowBytes        int              // maximum size of a row's value in bytes
+	MaxCacheEntries    int              // maximum number of cached turns, without ancestors that only they keep in memory
+	MaxCacheBytes      int              // maximum bytes of cached turns and their ancestors
+	CacheIdleTimeout   time.Duration    // how long an unused turn stays cached
+	MaxPieceCacheBytes int              // maximum bytes of shared pieces in memory
+	Now                func() time.Time // current time
+	Log                *zap.Logger      // nil means that nothing is logged
 	// Peers asks other daemons for a turn in memory: the daemon that the caller of Load names,
 	// and several others if the store gives no certain answer. If nil, no daemon is asked.
 	Peers *Peers
@@ -66,7 +66,7 @@
 	metrics  *metrics
 }
 
-// NewRepository returns a Records with empty caches.
+// NewRepository returns a Repository with empty caches.
 func NewRepository(options Options) *Repository {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -32,19 +32,20 @@
 	Table string
 	// Partition is the store partition that holds all rows of the table.
 	Partition string
-	// MaxWait is the longest time that a feed call may wait for a change before the store is called
-	// again. It bounds how long a dead connection goes unnoticed.
+	// MaxWait is the longest time that a feed call may wait for a change before the store is
+	// called again. It bounds how long a dead connection goes unnoticed.
 	MaxWait time.Duration
-	// Due, if set, returns the time within which the next answer is needed, which limits the wait
-	// of the next feed call if it is shorter than Wait. If Due returns zero or less, Wait applies.
+	// AnswerDue, if set, returns the time within which the next answer is needed, which limits the
+	// wait of the next feed call if it is shorter than MaxWait. If AnswerDue returns zero or less,
+	// MaxWait applies.
 	AnswerDue func() time.Duration
-	// MinBatchInterval is the minimum time between two batches of changes. A longer pause makes batches
-	// larger.
+	// MinBatchInterval is the minimum time between two batches of changes. A longer pause makes
+	// batches larger.
 	MinBatchInterval time.Duration
 	// OnAnswer, if set, is called after each feed answer and each complete reading, once the
 	// follower has applied it. It isn't called after a stale reading, which is discarded.
 	OnAnswer func()
-	Log     *zap.Logger
+	Log      *zap.Logger
 }
 
 const (
@@ -85,16 +86,16 @@
 	if !w.hasRead {
 		return w.readAll(ctx)
 	}
-	change, err := w.Store.Feed(ctx, w.Table, w.version, w.feedWait())
+	result, err := w.Store.Feed(ctx, w.Table, w.version, w.feedWait())
 	if err != nil {
 		return err
 	}
-	w.version = max(w.version, change.Version)
-	if len(change.Rows) == 0 {
+	w.version = max(w.version, result.Version)
+	if len(result.Rows) == 0 {
 		w.OnAnswer()
 		return nil
 	}
-	w.follower.Apply(change.Rows)
+	w.follower.Apply(result.Rows)
 	w.OnAnswer()
 	pause.Sleep(ctx, w.MinBatchInterval)
 	return nil
--- a/internal/writebehind/conn.go
+++ b/internal/writebehind/conn.go
@@ -4,8 +4,8 @@
 //
 // The peer receives all bytes in order and exactly once, or the connection is reset. Buffers
 // are counted in the account before they are allocated. Write blocks only while the account has
-// no space, and at most for Options.Pause. While the peer keeps up, Write is one system call
-// and needs no copy and no goroutine.
+// no space, and at most for Options.MaxWriteWait. While the peer keeps up, Write is one system
+// call and needs no copy and no goroutine.
 package writebehind
 
 import (
@@ -44,12 +44,12 @@
 	mutex               sync.Mutex
 	changed             sync.Cond // signalled after each block, and when writing ends or fails
 	owner               memory.Owner
-	holding             *memory.Reservation // counts the blocks; nil while nothing is buffered
-	blocks              [][]byte        // buffered bytes that no goroutine is writing yet
-	draining            bool            // a goroutine writes the blocks
-	failure             error           // returned by all further writes
-	closeRequested      bool            // Close was called while draining
-	closeWriteRequested bool            // CloseWrite was called
+	reservation         *memory.Reservation // counts the blocks; nil while nothing is buffered
+	blocks              [][]byte            // buffered bytes that no goroutine is writing yet
+	draining            bool                // a goroutine writes the blocks
+	failure             error               // returned by all further writes
+	closeRequested      bool                // Close was called while draining
+	closeWriteRequested bool                // CloseWrite was called
 }
 
 // tryWrite writes as many bytes as the kernel accepts without blocking.
@@ -69,7 +69,7 @@
 	}
 }
 
-// Write implements net.Conn. It waits for buffer space for at most Options.Pause.
+// Write implements net.Conn. It waits for buffer space for at most Options.MaxWriteWait.
 func (c *Conn) Write(content []byte) (int, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -100,8 +100,8 @@
 	return c.tryCount, err
 }
 
-// buffer copies the bytes into blocks, and waits for at most Options.Pause in total if the
-// account has no space.
+// buffer copies the bytes into blocks, and waits for at most Options.MaxWriteWait in total if
+// the account has no space.
 func (c *Conn) buffer(content []byte) (int, error) {
 	buffered := 0
 	var deadline time.Time // end of the wait; zero: not waiting yet
@@ -143,10 +143,10 @@
 	if last >= 0 && len(c.blocks[last]) < cap(c.blocks[last]) {
 		return true
 	}
-	if c.holding == nil {
-		c.holding = c.group.options.Account.NewReservation(c.owner)
+	if c.reservation == nil {
+		c.reservation = c.group.options.Account.NewReservation(c.owner)
 	}
-	if c.holding.Grow(memory.Answer, blockBytes) != nil {
+	if c.reservation.Grow(memory.Answer, blockBytes) != nil {
 		return false
 	}
 	c.blocks = append(c.blocks, make([]byte, 0, blockBytes))
@@ -169,8 +169,8 @@
 	return count, c.failure
 }
 
-// writeUntil writes the content. It returns ErrSlowPeer if the peer did not accept all of it before
-// the deadline.
+// writeUntil writes the content. It returns ErrSlowPeer if the peer did not accept all of it
+// before the deadline.
 func (c *Conn) writeUntil(content []byte, deadline time.Time) (int, error) {
 	if err := c.SetWriteDeadline(deadline); err != nil {
 		return 0, err
@@ -225,7 +225,7 @@
 }
 
 // SetOwner sets the owner for which buffered bytes are counted. The new owner takes effect once
-// nothing is buffered. Own does nothing if the Conn is nil.
+// nothing is buffered. SetOwner does nothing if the Conn is nil.
 func (c *Conn) SetOwner(owner memory.Owner) {
 	if c == nil {
 		return
--- a/internal/writebehind/conn_test.go
+++ b/internal/writebehind/conn_test.go
@@ -55,11 +55,11 @@
 // newTestConn returns a Conn whose account has the given limit, the TCP connection of its peer,
 // and its group. A cleanup function closes both connections after the test and checks that all
 // memory was given back to the account.
-func newTestConn(limit int64, silence, pause time.Duration) (*Conn, *net.TCPConn, *Group) {
+func newTestConn(limit int64, stallTimeout, maxWriteWait time.Duration) (*Conn, *net.TCPConn, *Group) {
 	GinkgoHelper()
 	near, far, err := connectedPair()
 	Expect(err).NotTo(HaveOccurred())
-	group := NewGroup(Options{Account: memory.NewAccount(limit), StallTimeout: silence, MaxWriteWait: pause})
+	group := NewGroup(Options{Account: memory.NewAccount(limit), StallTimeout: stallTimeout, MaxWriteWait: maxWriteWait})
 	conn := group.Wrap(near).(*Conn)
 	DeferCleanup(func() {
 		_ = far.Close()
@@ -158,7 +158,7 @@
 		Expect(group.pausedWrites.Load()).To(BeZero())
 	})
 
-	It("is reset with ErrSlow if its peer reads nothing, and returns its memory", func() {
+	It("is reset with ErrSlowPeer if its peer reads nothing, and returns its memory", func() {
 		const soon = 50 * time.Millisecond
 		conn, far, group := newTestConn(limit, soon, forever)
 		Expect(fill(conn)).To(MatchError(ErrSlowPeer))
@@ -169,7 +169,7 @@
 		Expect(err).To(HaveOccurred(), "the peer must see that the data is incomplete")
 	})
 
-	It("delays a write by at most Options.Pause if there is no buffer space", func() {
+	It("delays a write by at most Options.MaxWriteWait if there is no buffer space", func() {
 		const soon = 50 * time.Millisecond
 		conn, _, group := newTestConn(8*blockBytes, forever, soon)
 		Expect(fill(conn)).To(MatchError(ErrSlowPeer))
--- a/internal/writebehind/group.go
+++ b/internal/writebehind/group.go
@@ -20,23 +20,23 @@
 	// Account counts the buffered bytes. If it is nil or has no limit, connections are not
 	// buffered.
 	Account *memory.Account
-	// StallTimeout is the time after which a connection is reset if bytes are buffered for its peer
-	// and the peer accepts none. The reset may come up to the same time later.
+	// StallTimeout is the time after which a connection is reset if bytes are buffered for its
+	// peer and the peer accepts none. The reset may come up to the same time later.
 	StallTimeout time.Duration
-	// MaxWriteWait is the longest time for which a Write waits for buffer space. During that time the
-	// engine that produces the data has to wait too.
+	// MaxWriteWait is the longest time for which a Write waits for buffer space. During that
+	// time the engine that produces the data has to wait too.
 	MaxWriteWait time.Duration
-	Log   *zap.Logger // may be nil
+	Log          *zap.Logger // may be nil
 }
 
 // Default values for Options.
 const (
-	// DefaultStallTimeout is the default for Options.Silence. It is longer than three retransmissions
-	// of a lost TCP segment (after 0.2, 0.4 and 0.8 s) and shorter than the time that clients
-	// allow for an answer.
+	// DefaultStallTimeout is the default for Options.StallTimeout. It is longer than three
+	// retransmissions of a lost TCP segment (after 0.2, 0.4 and 0.8 s) and shorter than the
+	// time that clients allow for an answer.
 	DefaultStallTimeout = 2500 * time.Millisecond
-	// DefaultMaxWriteWait is the default for Options.Pause. It is shorter than the time after which
-	// engines cancel an answer that is not read.
+	// DefaultMaxWriteWait is the default for Options.MaxWriteWait. It is shorter than the time
+	// after which engines cancel an answer that is not read.
 	DefaultMaxWriteWait = 1500 * time.Millisecond
 )
 
@@ -46,7 +46,7 @@
 	options       Options
 	drainingConns atomic.Int64 // connections with buffered bytes
 	pausedWrites  atomic.Int64 // writes that waited for buffer space, in total
-	slowConns     atomic.Int64 // connections reset with ErrSlow, in total
+	slowConns     atomic.Int64 // connections reset with ErrSlowPeer, in total
 	lastLogged    atomic.Int64 // Unix time in nanoseconds of the last log line about a slow peer
 }
 
