--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -21,14 +21,16 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// warmUp is the age from which an engine's report counts for nothing: until
-// then a daemon that just started may still hear of engines.
+// warmUp is the time after its start during which a daemon does not refuse a
+// call because no engine is known: reports about the engines may still be on
+// their way. It equals the default age at which an engine's report is too old.
 const warmUp = 8 * time.Second
 
-// assemble makes the parts, from the failure detector up to the router. Each
-// part gets those below it; what must call upwards gets a function.
+// assemble creates all components. Each component is given the components it
+// depends on; where that would be a cycle, it gets a function that calls the
+// component created later.
 func (d *Daemon) assemble() error {
-	d.platform = newPlatform(d.settings.Platform)
+	d.platform = newPlatformServices(d.settings.Platform)
 	d.closers = append(d.closers, d.platform.close)
 	for _, step := range []func() error{
 		d.assembleStore,
@@ -47,22 +49,25 @@
 	return nil
 }
 
-// shortestRenewal makes a lease end two to three seconds after its daemon died:
-// others then lead its shards.
-const shortestRenewal = 500 * time.Millisecond
+// minLeaseRenewalInterval is the shortest time between two renewals of a
+// daemon's lease. In a small fleet, a lease then expires two to three seconds
+// after its daemon died, and other daemons take over its shards.
+const minLeaseRenewalInterval = 500 * time.Millisecond
 
-// membersWait is how long the list's feed may be silent before it is asked again.
-const membersWait = 2 * time.Second
+// memberFeedTimeout is the longest time that one read of the member list's
+// change feed waits for a change.
+const memberFeedTimeout = 2 * time.Second
 
 func (d *Daemon) assembleMembers() error {
-	self := members.Member{Process: d.self, CallerAddress: firstSet(d.settings.AdvertiseCaller, d.caller.Address())}
+	self := members.Member{Process: d.self, CallerAddress: firstNonEmpty(d.settings.AdvertiseCaller, d.caller.Address())}
 	d.directory = members.NewList(self, time.Now, d.logger)
-	d.lease = &members.Lease{List: d.directory, Store: d.store, ShortestRenewal: shortestRenewal, Log: d.logger}
-	return eris.Wrap(d.directory.Measure(d.registry), "measure members")
+	d.lease = &members.Lease{List: d.directory, Store: d.store, ShortestRenewal: minLeaseRenewalInterval, Log: d.logger}
+	return eris.Wrap(d.directory.Measure(d.registry), "register metrics of members")
 }
 
-// assembleStore makes the client of the transactional store: one probe while
-// it is down, and no storm of calls at partitions that failed.
+// assembleStore creates the client of the transactional store. The client
+// probes the store while it is unavailable, and limits the calls to partitions
+// that failed.
 func (d *Daemon) assembleStore() error {
 	availability := state.NewAvailability(time.Now, func(available bool, lasted time.Duration) {
 		if available {
@@ -78,21 +83,22 @@
 	return nil
 }
 
-// storeProbeTable is read to learn whether the store answers again.
+// storeProbeTable is the table that a probe reads to find out whether the
+// store is available again.
 const storeProbeTable = "shard-leaders"
 
 func (d *Daemon) assembleConfiguration() error {
 	var err error
 	d.configuration, err = stored.New(stored.Options{
-		Store: d.store, RowBytes: rowBytes, ConfirmBound: d.settings.ConfirmBound,
+		Store: d.store, RowBytes: maxRowBytes, ConfirmBound: d.settings.ConfirmBound,
 		Log: d.logger, Registry: d.registry,
 		OnRevision: func(revision uint64) { d.lease.Revision.Store(revision) },
 	})
-	return eris.Wrap(err, "make the configuration")
+	return eris.Wrap(err, "create the configuration service")
 }
 
-// rowBytes is the most that a value of the store holds.
-const rowBytes = 64 << 10
+// maxRowBytes is the largest size of a row's value in the store.
+const maxRowBytes = 64 << 10
 
 func (d *Daemon) assembleShards() error {
 	var err error
@@ -102,11 +108,11 @@
 		Idle:       func(shard identity.Shard) bool { return d.execution.Idle(shard) },
 		Shards:     d.settings.Shards,
 		Expect:     d.settings.BootstrapExpect,
-		RowBytes:   rowBytes,
+		RowBytes:   maxRowBytes,
 		Log:        d.logger,
 		Registry:   d.registry,
 	})
-	return eris.Wrap(err, "make the shards")
+	return eris.Wrap(err, "create the shard node")
 }
 
 func (d *Daemon) assembleFleet() error {
@@ -126,7 +132,7 @@
 		Registerer: d.registry,
 		Settings:   engineSettings(&d.settings.Engines),
 	})
-	return eris.Wrap(err, "make the supervision of engines")
+	return eris.Wrap(err, "create the engine service")
 }
 
 func (d *Daemon) assembleExecution() error {
@@ -147,7 +153,7 @@
 		Registerer:    d.registry,
 		Limits:        executionLimits(&d.settings),
 	})
-	return eris.Wrap(err, "make execution")
+	return eris.Wrap(err, "create the execution service")
 }
 
 func (d *Daemon) assembleRouter() error {
@@ -162,7 +168,7 @@
 		Logger:     d.logger,
 		Registerer: d.registry,
 	})
-	return eris.Wrap(err, "make routing")
+	return eris.Wrap(err, "create the router")
 }
 
 func (d *Daemon) assembleHandlers() error {
@@ -180,7 +186,7 @@
 		},
 		Logger:     d.logger,
 		Registerer: d.registry,
-		Draining:   d.life.Draining,
+		Draining:   d.lifecycle.Draining,
 	})
 	d.operators = operatorapi.NewHandler(operatorapi.Options{
 		Administrator: d.configuration,
@@ -192,7 +198,7 @@
 		Keys:          d.settings.OperatorKeyHashes,
 		Logger:        d.logger,
 		Registerer:    d.registry,
-		Draining:      d.life.Draining,
+		Draining:      d.lifecycle.Draining,
 	})
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,5 @@
-// Package daemon wires all parts of a daemon by the table of constructors in
-// docs/ARCHITECTURE.md, and leads it through its life: starting, serving,
-// draining, stopped.
+// Package daemon assembles the components of a daemon and runs them. A daemon
+// goes through the states starting, serving, draining and stopped.
 package daemon
 
 import (
@@ -27,13 +26,14 @@
 	"github.com/thymeloft/thymeloft/internal/telemetry"
 )
 
-// Daemon is one daemon. Make it with New, then call Run once.
+// Daemon is one daemon process. Create it with New, then call Run once, or
+// Close if it is not to run.
 type Daemon struct {
-	settings settings.Settings
-	self     identity.Process
-	logger   *zap.Logger
-	registry *prometheus.Registry
-	life     *process.Life
+	settings  settings.Settings
+	self      identity.Process
+	logger    *zap.Logger
+	registry  *prometheus.Registry
+	lifecycle *process.Life
 
 	caller   *process.Endpoint
 	operator *process.Endpoint
@@ -55,13 +55,14 @@
 	operators http.Handler
 
 	newStore NewStore
-	closers  []func() // in the order of opening
+	closers  []func() // called by Close, last added first
 }
 
-// NewStore makes the client of the transactional store at the address.
+// NewStore creates a client of the transactional store at an address ("ip:port")
+// and registers its metrics with the registry.
 type NewStore func(address string, registry prometheus.Registerer) state.Store
 
-// Addresses are where the daemon listens, each "ip:port".
+// Addresses are the listeners' addresses, each "ip:port".
 type Addresses struct {
 	Caller   string
 	Operator string
@@ -69,9 +70,9 @@
 	Metrics  string
 }
 
-// Run makes a daemon and runs it until the context ends and it is drained. An
-// error means that it could not start, that a part failed, or that the drain
-// cut something off.
+// Run creates a daemon, runs it until the context ends, and then drains it. It
+// returns an error if the daemon could not start, if a component failed, or if
+// the drain did not finish within the configured timeout.
 func Run(ctx context.Context, configured settings.Settings, newStore NewStore) error {
 	logger, err := telemetry.NewLogger(configured.Log.Level, configured.Log.Format, os.Stderr)
 	if err != nil {
@@ -84,14 +85,15 @@
 	return created.Run(ctx)
 }
 
-// New opens the listeners and makes all parts; nothing is answered before Run.
+// New checks the settings, opens the listeners and creates all components. No
+// request is served before Run is called.
 func New(configured settings.Settings, newStore NewStore, logger *zap.Logger) (*Daemon, error) {
 	if err := configured.Check(); err != nil {
 		return nil, err
 	}
 	d := &Daemon{settings: configured, newStore: newStore, registry: telemetry.NewRegistry()}
 	d.logger = logger.With(zap.String("machine", configured.Machine), zap.String("zone", configured.Zone))
-	d.life = process.NewLife("daemon", d.logger.Named("daemon"))
+	d.lifecycle = process.NewLife("daemon", d.logger.Named("daemon"))
 	for _, step := range []func() error{d.openListeners, d.assemble} {
 		if err := step(); err != nil {
 			d.Close()
@@ -101,7 +103,8 @@
 	return d, nil
 }
 
-// Addresses gives the listeners' real addresses.
+// Addresses returns the addresses that the listeners are bound to, with the
+// actual port where the settings say port 0.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
 		Caller:   d.caller.Address(),
@@ -111,10 +114,10 @@
 	}
 }
 
-// Metrics are all metrics of the daemon's parts, to describe or to gather.
+// Metrics returns the registry that holds the daemon's metrics.
 func (d *Daemon) Metrics() *prometheus.Registry { return d.registry }
 
-// Self is this process.
+// Self returns the identity of this process.
 func (d *Daemon) Self() identity.Process { return d.self }
 
 func (d *Daemon) openListeners() error {
@@ -129,7 +132,7 @@
 	if d.metrics, err = d.listen("metrics", d.settings.Listen.Metrics, files.Metrics, limits); err != nil {
 		return err
 	}
-	return d.openPeer(files.Peer)
+	return d.openPeerListener(files.Peer)
 }
 
 func (d *Daemon) listen(name, address string, files settings.TLSFiles, limits settings.Limits) (*process.Endpoint, error) {
@@ -137,7 +140,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for %s", name)
 	}
-	opened, err := process.Listen(process.EndpointOptions{
+	endpoint, err := process.Listen(process.EndpointOptions{
 		Name: name, Address: address, TLS: configuration, Log: d.logger,
 		Limits: process.EndpointLimits{
 			HeaderTimeout: limits.HeaderTimeout, ReadTimeout: limits.ReadTimeout, IdleTimeout: limits.IdleTimeout,
@@ -147,11 +150,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d.closers = append(d.closers, opened.Close)
-	return opened, nil
+	d.closers = append(d.closers, endpoint.Close)
+	return endpoint, nil
 }
 
-func (d *Daemon) openPeer(files settings.TLSFiles) error {
+func (d *Daemon) openPeerListener(files settings.TLSFiles) error {
 	serverTLS, err := files.ServerConfig()
 	if err != nil {
 		return eris.Wrap(err, "listen for peers")
@@ -170,21 +173,23 @@
 	d.self = identity.Process{
 		Machine:     identity.Machine(d.settings.Machine),
 		Incarnation: identity.Incarnation(time.Now().UnixNano()),
-		Address:     firstSet(d.settings.Advertise, d.server.Address()),
+		Address:     firstNonEmpty(d.settings.Advertise, d.server.Address()),
 		Zone:        identity.Zone(d.settings.Zone),
 		Region:      identity.Region(d.settings.Region),
 	}
 	return nil
 }
 
-func firstSet(first, second string) string {
+// firstNonEmpty returns first, or second if first is empty.
+func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
 	}
 	return second
 }
 
-// Close releases what New opened, the last first. Run does so by itself.
+// Close closes everything that New opened, in reverse order. Run calls it
+// before it returns.
 func (d *Daemon) Close() {
 	for i := len(d.closers) - 1; i >= 0; i-- {
 		d.closers[i]()
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -13,36 +13,39 @@
 )
 
 const (
-	// replaceTimeout bounds the wait for others to lead what this daemon led.
-	replaceTimeout  = 20 * time.Second
-	replaceInterval = 20 * time.Millisecond
-	// tellEndTimeout bounds the last call to the store.
-	tellEndTimeout = 500 * time.Millisecond
+	// takeoverTimeout limits how long a draining daemon waits until other
+	// daemons lead its shards.
+	takeoverTimeout      = 20 * time.Second
+	takeoverPollInterval = 20 * time.Millisecond
+	// announceExitTimeout limits the last write to the store.
+	announceExitTimeout = 500 * time.Millisecond
 )
 
-// drain is a planned stop: it takes no new work, lets calls under way end,
-// hands its shards over, leaves, waits until others lead them and its streams
-// have ended. It returns nil when nothing was cut off. Leaving comes after the
-// calls: the shards are taken from a daemon that leaves, and the attempts of
-// calls under way with them.
+// drain performs a planned stop. The daemon accepts no new work, lets running
+// calls finish, hands over its shards, marks itself as leaving in the member
+// list, and waits until other daemons lead the shards and open requests have
+// ended. It returns an error if that takes longer than the configured drain
+// timeout. The daemon marks itself as leaving only after its calls have ended:
+// other daemons take over the shards of a leaving daemon, and with them the
+// running calls.
 func (d *Daemon) drain() error {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
-	d.life.Drain()
+	d.lifecycle.Drain()
 	d.node.Retire()
 	if err := d.execution.Drain(ctx); err != nil && ctx.Err() == nil {
-		// Others take it once this process has ended; no call is under way here.
-		d.logger.Warn("daemon: a shard was not handed over.", zap.Error(err))
+		// Another daemon takes over the shard once this process has exited; no call runs here any more.
+		d.logger.Warn("daemon: cannot hand over a shard.", zap.Error(err))
 	}
 	if err := d.lease.Leave(ctx); err != nil {
-		d.logger.Warn("daemon: leaving was not told; others learn of it at the end.", zap.Error(err))
+		d.logger.Warn("daemon: cannot mark this daemon as leaving; other daemons learn of the stop when it exits.", zap.Error(err))
 	}
-	d.awaitReplaced(ctx)
-	var closing sync.WaitGroup
-	closing.Go(func() { d.caller.Shutdown(ctx) })
-	closing.Go(func() { d.operator.Shutdown(ctx) })
-	closing.Wait()
+	d.awaitTakeover(ctx)
+	var shutdowns sync.WaitGroup
+	shutdowns.Go(func() { d.caller.Shutdown(ctx) })
+	shutdowns.Go(func() { d.operator.Shutdown(ctx) })
+	shutdowns.Wait()
 	if err := ctx.Err(); err != nil {
 		d.logger.Error("daemon: the drain was cut off.", zap.Duration("after", time.Since(started)), zap.Error(err))
 		return eris.Wrapf(err, "drain within %s", d.settings.DrainTimeout)
@@ -51,40 +54,42 @@
 	return nil
 }
 
-// awaitReplaced waits until other daemons lead what this one led, so that
-// callers find them at once.
-func (d *Daemon) awaitReplaced(parent context.Context) {
-	ctx, cancel := context.WithTimeout(parent, replaceTimeout)
+// awaitTakeover waits until other daemons lead the shards that this daemon led,
+// so that requests to those shards reach the new leaders. It gives up after
+// takeoverTimeout, when the context ends, or when no other daemon is alive.
+func (d *Daemon) awaitTakeover(parent context.Context) {
+	ctx, cancel := context.WithTimeout(parent, takeoverTimeout)
 	defer cancel()
-	ticker := time.NewTicker(replaceInterval)
+	ticker := time.NewTicker(takeoverPollInterval)
 	defer ticker.Stop()
-	for d.othersAlive() {
-		left := d.node.Left()
-		if left == 0 {
+	for d.hasOtherAliveDaemon() {
+		remaining := d.node.Left()
+		if remaining == 0 {
 			return
 		}
 		select {
 		case <-ctx.Done():
-			d.logger.Warn("daemon: shards are not led by others yet.", zap.Int("shards", left))
+			d.logger.Warn("daemon: other daemons do not lead all shards of this daemon yet.", zap.Int("shards", remaining))
 			return
 		case <-ticker.C:
 		}
 	}
-	d.logger.Warn("daemon: no other daemon is left to take over.")
+	d.logger.Warn("daemon: no other daemon is alive to take over.")
 }
 
-// tellEnd tells the others that this process is over, so that they need not wait
-// until its lease runs out.
-func (d *Daemon) tellEnd() {
-	ctx, cancel := context.WithTimeout(context.Background(), tellEndTimeout)
+// announceExit marks this process as dead in the member list, so that other
+// daemons need not wait until its lease expires.
+func (d *Daemon) announceExit() {
+	ctx, cancel := context.WithTimeout(context.Background(), announceExitTimeout)
 	defer cancel()
 	if err := d.lease.End(ctx); err != nil {
-		d.logger.Warn("daemon: the end was not told; the lease runs out by itself.", zap.Error(err))
+		d.logger.Warn("daemon: cannot announce the exit; the lease will expire.", zap.Error(err))
 	}
 }
 
-// othersAlive says whether any other daemon takes work.
-func (d *Daemon) othersAlive() bool {
+// hasOtherAliveDaemon reports whether the member list has another daemon that
+// is alive.
+func (d *Daemon) hasOtherAliveDaemon() bool {
 	return slices.ContainsFunc(d.directory.View().Members, func(member members.Member) bool {
 		return member.Process != d.self && member.State == members.StateAlive
 	})
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -35,42 +35,43 @@
 )
 
 const (
-	callerKey   = "caller-key"
-	operatorKey = "operator-key"
-	modelName   = "assess"
-	serviceName = "ledger"
-	fleetShards = 4
+	callerKey     = "caller-key"
+	operatorKey   = "operator-key"
+	modelName     = "assess"
+	serviceName   = "ledger"
+	clusterShards = 4
 )
 
-func hashOf(key string) string {
+func hashKey(key string) string {
 	digest := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(digest[:])
 }
 
-// member is one daemon of the fleet under test, in this process.
+// member is one daemon of the cluster under test; it runs in the test process.
 type member struct {
 	*daemon.Daemon
-	client *http.Client
-	scheme string
-	stop   context.CancelFunc
-	ended  chan error
+	client    *http.Client
+	scheme    string
+	stop      context.CancelFunc
+	runResult chan error
 }
 
-// fleet is some daemons with stand-ins of back ends and of the table.
-type fleet struct {
+// cluster is a set of daemons with stand-ins for the engine, the application
+// service and the store.
+type cluster struct {
 	members []*member
 	engine  *modelengine.Engine
 	service *appservice.Service
 	urls    map[string]string
-	secrets *secrets // nil: without TLS
+	tls     *tlsCredentials // nil if the listeners do not use TLS
 }
 
-func (f *fleet) serve(name string, handler http.Handler) {
+func (c *cluster) serve(name string, handler http.Handler) {
 	GinkgoHelper()
 	server, err := standin.Start("127.0.0.1:0", handler)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(server.Close)
-	f.urls[name] = server.URL()
+	c.urls[name] = server.URL()
 }
 
 func logger() *zap.Logger {
@@ -78,103 +79,108 @@
 	return zap.New(zapcore.NewCore(encoder, zapcore.AddSync(GinkgoWriter), zapcore.DebugLevel))
 }
 
-// newFleet starts daemons in as many zones and waits until all are ready.
-func newFleet(count int) *fleet { return newFleetWith(count, nil) }
+// newCluster starts count daemons without TLS, each in a zone of its own, and
+// waits until all are ready.
+func newCluster(count int) *cluster { return startCluster(count, nil) }
 
-// newFleetWith starts daemons that speak TLS on every listener, if there are secrets.
-func newFleetWith(count int, used *secrets) *fleet {
+// startCluster starts count daemons, each in a zone of its own, and waits until
+// all are ready. With credentials, every listener uses TLS; nil means no TLS.
+func startCluster(count int, credentials *tlsCredentials) *cluster {
 	GinkgoHelper()
-	f := &fleet{urls: map[string]string{}, secrets: used}
-	f.engine = modelengine.New(modelengine.Options{Name: "engine-1", Model: modelName, Version: "1", TimeScale: 0.05})
-	DeferCleanup(f.engine.Close)
-	f.service = appservice.New(appservice.Options{Name: "ledger-1"})
-	f.serve("engine", f.engine)
-	f.serve("service", f.service)
-	f.serve("store", platformstore.New(platformstore.Options{}))
+	c := &cluster{urls: map[string]string{}, tls: credentials}
+	c.engine = modelengine.New(modelengine.Options{Name: "engine-1", Model: modelName, Version: "1", TimeScale: 0.05})
+	DeferCleanup(c.engine.Close)
+	c.service = appservice.New(appservice.Options{Name: "ledger-1"})
+	c.serve("engine", c.engine)
+	c.serve("service", c.service)
+	c.serve("store", platformstore.New(platformstore.Options{}))
 	for number := range count {
-		f.startMember(number, count)
+		c.startMember(number, count)
 	}
-	for _, started := range f.members {
+	for _, started := range c.members {
 		Eventually(started.Ready).Should(BeTrue())
 	}
-	return f
+	return c
 }
 
-// settingsOf gives the settings of one daemon of a fleet; all ports are the kernel's choice.
-func settingsOf(number, count int, store string) settings.Settings {
+// settingsForMember returns the settings of daemon number of a cluster of count
+// daemons. The kernel picks the ports of all listeners.
+func settingsForMember(number, count int, store string) settings.Settings {
 	configured := settings.Default()
 	configured.Machine = fmt.Sprintf("m%d", number)
 	configured.Zone = fmt.Sprintf("zone-%d", number)
 	configured.Region = "region"
 	configured.Listen = settings.Listen{Caller: "127.0.0.1:0", Operator: "127.0.0.1:0", Peer: "127.0.0.1:0", Metrics: "127.0.0.1:0"}
 	configured.Platform.Store = strings.TrimPrefix(store, "http://")
-	configured.OperatorKeyHashes = []string{hashOf(operatorKey)}
-	configured.Shards = fleetShards
+	configured.OperatorKeyHashes = []string{hashKey(operatorKey)}
+	configured.Shards = clusterShards
 	configured.BootstrapExpect = count
 	return configured
 }
 
-// newStore makes a client of the stand-in of the store.
+// newStore creates a client of the stand-in for the store.
 func newStore(address string, registry prometheus.Registerer) state.Store {
 	calls := server.NewStoreCalls(registry)
 	return platform.NewStore(platform.StoreOptions{Address: address, Patience: time.Second, Observe: calls.Observe})
 }
 
-func (f *fleet) startMember(number, count int) *member {
+func (c *cluster) startMember(number, count int) *member {
 	GinkgoHelper()
-	configured := settingsOf(number, count, f.urls["store"])
+	configured := settingsForMember(number, count, c.urls["store"])
 	client, scheme := http.DefaultClient, "http"
-	if f.secrets != nil {
-		configured.TLS = f.secrets.settings()
-		client, scheme = f.secrets.client(), "https"
+	if c.tls != nil {
+		configured.TLS = c.tls.settings()
+		client, scheme = c.tls.client(), "https"
 	}
 	created, err := daemon.New(configured, newStore, logger())
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
-	started := &member{Daemon: created, client: client, scheme: scheme, stop: cancel, ended: make(chan error, 1)}
-	go func() { started.ended <- created.Run(ctx) }()
+	started := &member{Daemon: created, client: client, scheme: scheme, stop: cancel, runResult: make(chan error, 1)}
+	go func() { started.runResult <- created.Run(ctx) }()
 	DeferCleanup(func() {
 		cancel()
-		Eventually(started.ended).Should(Receive())
+		Eventually(started.runResult).Should(Receive())
 	})
-	f.members = append(f.members, started)
+	c.members = append(c.members, started)
 	return started
 }
 
-// declare applies the configuration at one daemon and waits until it is in force at all.
-func (f *fleet) declare() {
+// applyConfiguration applies a configuration through one daemon and waits until
+// every daemon reports that the engine accepts calls.
+func (c *cluster) applyConfiguration() {
 	GinkgoHelper()
 	document := configuration.Document{
-		Tenants:  []configuration.Tenant{{Name: "brackenlaw", KeyHashes: []string{hashOf(callerKey)}, TokenBudget: 100_000, MaxTurns: 100, Idle: time.Hour, Lifetime: time.Hour}},
+		Tenants:  []configuration.Tenant{{Name: "brackenlaw", KeyHashes: []string{hashKey(callerKey)}, TokenBudget: 100_000, MaxTurns: 100, Idle: time.Hour, Lifetime: time.Hour}},
 		Models:   []configuration.Model{{Name: modelName, Version: "1"}},
-		Engines:  []configuration.Engine{{Name: "engine-1", Address: f.urls["engine"], Zone: "zone-0"}},
+		Engines:  []configuration.Engine{{Name: "engine-1", Address: c.urls["engine"], Zone: "zone-0"}},
 		Pools:    []configuration.Pool{{Name: "pool", Model: modelName, Engines: []string{"engine-1"}}},
-		Services: []configuration.Service{{Name: serviceName, Kind: "service", Addresses: []string{f.urls["service"]}}},
+		Services: []configuration.Service{{Name: serviceName, Kind: "service", Addresses: []string{c.urls["service"]}}},
 	}
-	response, err := f.members[0].operator().ApplyConfiguration(context.Background(), asOperator(&operatorv1.ApplyConfigurationRequest{
+	response, err := c.members[0].operatorClient().ApplyConfiguration(context.Background(), withOperatorKey(&operatorv1.ApplyConfigurationRequest{
 		ChangeIdentifier: "first",
 		Content:          &operatorv1.ApplyConfigurationRequest_Document{Document: convert.Document(&document)},
 	}))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(response.Msg.GetRevision()).To(BeEquivalentTo(1))
-	for _, member := range f.members {
-		Eventually(member.acceptingEngines).Should(Equal(1))
+	for _, member := range c.members {
+		Eventually(member.acceptingEngineCount).Should(Equal(1))
 	}
 }
 
-func (m *member) operator() operatorv1connect.OperatorServiceClient {
+func (m *member) operatorClient() operatorv1connect.OperatorServiceClient {
 	return operatorv1connect.NewOperatorServiceClient(m.client, m.scheme+"://"+m.Addresses().Operator)
 }
 
-func asOperator[T any](message *T) *connect.Request[T] {
+func withOperatorKey[T any](message *T) *connect.Request[T] {
 	request := connect.NewRequest(message)
 	request.Header().Set("Authorization", "Bearer "+operatorKey)
 	return request
 }
 
-// acceptingEngines counts the engines that take calls, as seen by the daemon.
-func (m *member) acceptingEngines() int {
-	response, err := m.operator().GetStatus(context.Background(), asOperator(&operatorv1.GetStatusRequest{}))
+// acceptingEngineCount returns the number of engines that accept calls according
+// to this daemon, or 0 if it does not return its status.
+func (m *member) acceptingEngineCount() int {
+	response, err := m.operatorClient().GetStatus(context.Background(), withOperatorKey(&operatorv1.GetStatusRequest{}))
 	if err != nil {
 		return 0
 	}
@@ -200,14 +206,15 @@
 
 func (m *member) send(method, path, body string) reply {
 	GinkgoHelper()
-	answered, err := m.try(method, path, body)
+	received, err := m.trySend(method, path, body)
 	Expect(err).NotTo(HaveOccurred())
-	return answered
+	return received
 }
 
-// try sends a request. The status is zero when no reply began; an error with
-// a status means that a reply was cut off.
-func (m *member) try(method, path, body string) (reply, error) {
+// trySend sends a caller's request. If it returns an error, a status of zero
+// means that no reply was received, and any other status that the reply's body
+// was cut off.
+func (m *member) trySend(method, path, body string) (reply, error) {
 	request, err := http.NewRequest(method, m.scheme+"://"+m.Addresses().Caller+path, strings.NewReader(body))
 	if err != nil {
 		return reply{}, err
--- a/internal/daemon/health.go
+++ b/internal/daemon/health.go
@@ -12,18 +12,20 @@
 
 // Paths of the metrics listener.
 const (
-	pathLive    = "/healthz"
-	pathReady   = "/readyz"
-	pathMetrics = "/metrics"
+	livenessPath  = "/healthz"
+	readinessPath = "/readyz"
+	metricsPath   = "/metrics"
 )
 
-// healthHandler serves liveness, readiness and metrics.
+// healthHandler returns the handler of the metrics listener. It serves the
+// metrics of the registry, a liveness check that always succeeds, and a
+// readiness check that succeeds while all conditions hold.
 func healthHandler(registry *prometheus.Registry, conditions process.Conditions) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle(pathMetrics, telemetry.Handler(registry))
-	mux.HandleFunc(pathLive, func(writer http.ResponseWriter, _ *http.Request) {
+	mux.Handle(metricsPath, telemetry.Handler(registry))
+	mux.HandleFunc(livenessPath, func(writer http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintln(writer, "live")
 	})
-	mux.Handle(pathReady, conditions)
+	mux.Handle(readinessPath, conditions)
 	return mux
 }
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	platformTimeout     = 5 * time.Second
-	platformConnections = 4 // kept for each service
+	platformTimeout            = 5 * time.Second
+	maxIdlePlatformConnections = 4 // per host
 )
 
-// platformServices are the clients of the platform. One that has no URL in
-// the settings is nil: the daemon goes on without it.
+// platformServices are the clients of the platform's services. A client is nil
+// if the settings have no URL for its service.
 type platformServices struct {
 	machines platform.Machines
 	weights  platform.Weights
 	http     *http.Client
 }
 
-func newPlatform(urls settings.Platform) *platformServices {
+func newPlatformServices(urls settings.Platform) *platformServices {
 	services := &platformServices{http: &http.Client{
 		Timeout:   platformTimeout,
-		Transport: &http.Transport{MaxIdleConnsPerHost: platformConnections, IdleConnTimeout: time.Minute},
+		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePlatformConnections, IdleConnTimeout: time.Minute},
 	}}
 	if urls.Machines != "" {
 		services.machines = client.NewMachines(urls.Machines, services.http)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -13,95 +13,102 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// readyInterval is the time between two looks at readiness before the first time.
-const readyInterval = 50 * time.Millisecond
+// readinessPollInterval is the time between two checks for the daemon becoming
+// ready after its start.
+const readinessPollInterval = 50 * time.Millisecond
 
-// errPartEnded means that a part ended though nobody asked it to.
-var errPartEnded = errors.New("a part ended by itself")
+// errComponentStopped is the error of a component that returned without an
+// error although the daemon was not stopping.
+var errComponentStopped = errors.New("component stopped unexpectedly")
 
-// Run serves until the context ends, then drains and stops. It returns nil
-// after a whole drain.
+// Run serves until the context ends, then drains and stops. It returns nil if
+// the drain finished in time and no component failed.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.Close()
-	defer d.life.Stop()
+	defer d.lifecycle.Stop()
 	d.logger.Info("daemon: listening.", d.addressFields()...)
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	parts, failed := errgroup.WithContext(work)
-	d.start(failed, parts)
-	go d.awaitReady(failed)
+	components, componentContext := errgroup.WithContext(workContext)
+	d.start(componentContext, components)
+	go d.awaitReady(componentContext)
 	select {
 	case <-ctx.Done():
-	case <-failed.Done():
-		d.closeEndpoints() // their parts end with them, not with the context
-		return eris.Wrap(parts.Wait(), "run the daemon")
+	case <-componentContext.Done():
+		d.closeEndpoints() // the components that serve them ignore the context
+		return eris.Wrap(components.Wait(), "run the daemon")
 	}
-	drained := d.drain()
+	drainError := d.drain()
 	stop()
 	d.metrics.Close()
-	ended := parts.Wait()
-	d.tellEnd()
-	return errors.Join(drained, ended)
+	componentError := components.Wait()
+	d.announceExit()
+	return errors.Join(drainError, componentError)
 }
 
 func (d *Daemon) closeEndpoints() {
-	for _, each := range []*process.Endpoint{d.caller, d.operator, d.metrics} {
-		each.Close()
+	for _, endpoint := range []*process.Endpoint{d.caller, d.operator, d.metrics} {
+		endpoint.Close()
 	}
 }
 
-// start runs all parts; the first that fails ends the daemon.
-func (d *Daemon) start(ctx context.Context, parts *errgroup.Group) {
-	run := func(name string, part func(context.Context) error) {
-		parts.Go(func() error {
-			err := part(ctx)
-			if d.stopping(ctx) {
+// start starts all components in the group. The first component that fails
+// cancels the group's context, which stops the daemon.
+func (d *Daemon) start(ctx context.Context, components *errgroup.Group) {
+	startComponent := func(name string, component func(context.Context) error) {
+		components.Go(func() error {
+			err := component(ctx)
+			if d.isStopping(ctx) {
 				return nil
 			}
 			if err == nil {
-				err = errPartEnded
+				err = errComponentStopped
 			}
 			return eris.Wrap(err, name)
 		})
 	}
-	run("metrics", func(context.Context) error { return d.metrics.Serve(healthHandler(d.registry, d.conditions())) })
-	run("members", func(ctx context.Context) error {
-		watch.Run(ctx, d.directory.Watch(d.store, membersWait), d.directory)
+	startComponent("metrics", func(context.Context) error {
+		return d.metrics.Serve(healthHandler(d.registry, d.readinessConditions()))
+	})
+	startComponent("members", func(ctx context.Context) error {
+		watch.Run(ctx, d.directory.Watch(d.store, memberFeedTimeout), d.directory)
 		return nil
 	})
-	run("lease", func(ctx context.Context) error {
+	startComponent("lease", func(ctx context.Context) error {
 		d.lease.Run(ctx)
 		return nil
 	})
-	run("configuration", d.configuration.Run)
-	run("shards", d.node.Run)
-	run("engine", d.fleet.Run)
-	run("execution", d.execution.Run)
-	run("callers", func(context.Context) error { return d.caller.Serve(d.callers) })
-	run("operators", func(context.Context) error { return d.operator.Serve(d.operators) })
+	startComponent("configuration", d.configuration.Run)
+	startComponent("shards", d.node.Run)
+	startComponent("engine", d.fleet.Run)
+	startComponent("execution", d.execution.Run)
+	startComponent("callers", func(context.Context) error { return d.caller.Serve(d.callers) })
+	startComponent("operators", func(context.Context) error { return d.operator.Serve(d.operators) })
 }
 
-// stopping says whether parts may end.
-func (d *Daemon) stopping(ctx context.Context) bool {
-	return ctx.Err() != nil || d.life.Draining()
+// isStopping reports whether components are expected to return.
+func (d *Daemon) isStopping(ctx context.Context) bool {
+	return ctx.Err() != nil || d.lifecycle.Draining()
 }
 
-// conditions are what readiness asks for.
-func (d *Daemon) conditions() process.Conditions {
+// readinessConditions returns the conditions under which the daemon is ready.
+func (d *Daemon) readinessConditions() process.Conditions {
 	return process.Conditions{
-		{Unmet: "the store was not heard yet", Holds: d.configuration.Heard},
+		{Unmet: "the store has not answered yet", Holds: d.configuration.Heard},
 		{Unmet: "the shard map is not known", Holds: func() bool { return d.node.Current() != nil }},
 		{Unmet: "the configuration is not confirmed", Holds: d.configuration.Confirmed},
-		{Unmet: "draining", Holds: func() bool { return !d.life.Draining() }},
+		{Unmet: "draining", Holds: func() bool { return !d.lifecycle.Draining() }},
 	}
 }
 
-// Ready says whether the daemon takes work.
-func (d *Daemon) Ready() bool { return d.conditions().Hold() }
+// Ready reports whether the daemon accepts new work.
+func (d *Daemon) Ready() bool { return d.readinessConditions().Hold() }
 
-// awaitReady logs the first moment of readiness.
+// awaitReady waits until the daemon is ready for the first time, then moves it
+// to the serving state and logs its addresses. It returns early if the context
+// ends.
 func (d *Daemon) awaitReady(ctx context.Context) {
-	ticker := time.NewTicker(readyInterval)
+	ticker := time.NewTicker(readinessPollInterval)
 	defer ticker.Stop()
 	for !d.Ready() {
 		select {
@@ -110,7 +117,7 @@
 		case <-ticker.C:
 		}
 	}
-	d.life.Serve()
+	d.lifecycle.Serve()
 	d.logger.Info("daemon: ready.", d.addressFields()...)
 }
 
--- a/internal/daemon/suite_test.go
+++ b/internal/daemon/suite_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// patience bounds the wait for a state; nothing is measured by it.
-const patience = time.Minute
+// eventuallyTimeout is the default timeout of Eventually.
+const eventuallyTimeout = time.Minute
 
 func TestDaemon(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(eventuallyTimeout)
 	SetDefaultEventuallyPollingInterval(20 * time.Millisecond)
 	RunSpecs(t, "daemon")
 }
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -22,17 +22,18 @@
 	"github.com/thymeloft/thymeloft/internal/settings"
 )
 
-// secrets are an authority, and a certificate of it for the loopback address.
-type secrets struct {
+// tlsCredentials hold a certificate authority, and a certificate for the
+// loopback address that the authority signed.
+type tlsCredentials struct {
 	files settings.TLSFiles
 	pool  *x509.CertPool
 }
 
-func newSecrets() *secrets {
+func newTLSCredentials() *tlsCredentials {
 	GinkgoHelper()
 	directory := GinkgoT().TempDir()
-	authority, authorityKey := certificate(1, nil, nil)
-	leaf, leafKey := certificate(2, authority, authorityKey)
+	authority, authorityKey := issueCertificate(1, nil, nil)
+	leaf, leafKey := issueCertificate(2, authority, authorityKey)
 	encodedKey, err := x509.MarshalPKCS8PrivateKey(leafKey)
 	Expect(err).NotTo(HaveOccurred())
 	write := func(name, kind string, content []byte) string {
@@ -40,18 +41,19 @@
 		Expect(os.WriteFile(path, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: content}), 0o600)).To(Succeed())
 		return path
 	}
-	made := &secrets{pool: x509.NewCertPool()}
-	made.pool.AddCert(authority)
-	made.files = settings.TLSFiles{
+	credentials := &tlsCredentials{pool: x509.NewCertPool()}
+	credentials.pool.AddCert(authority)
+	credentials.files = settings.TLSFiles{
 		Certificate: write("certificate.pem", "CERTIFICATE", leaf.Raw),
 		Key:         write("key.pem", "PRIVATE KEY", encodedKey),
 		Authority:   write("authority.pem", "CERTIFICATE", authority.Raw),
 	}
-	return made
+	return credentials
 }
 
-// certificate makes one that the parent signs, or an authority without a parent.
-func certificate(serial int64, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
+// issueCertificate returns a new certificate signed by the parent, and its key.
+// Without a parent, it returns a self-signed certificate of an authority.
+func issueCertificate(serial int64, parent *x509.Certificate, parentKey *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
 	GinkgoHelper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
@@ -74,31 +76,32 @@
 	return parsed, key
 }
 
-// settings has callers show no certificate; operators and peers must.
-func (s *secrets) settings() settings.TLS {
-	open := s.files
-	open.Authority = ""
-	return settings.TLS{Caller: open, Operator: s.files, Peer: s.files, Metrics: open}
+// settings returns TLS settings with which the operator and peer listeners
+// require a client certificate, and the caller and metrics listeners do not.
+func (c *tlsCredentials) settings() settings.TLS {
+	withoutAuthority := c.files
+	withoutAuthority.Authority = ""
+	return settings.TLS{Caller: withoutAuthority, Operator: c.files, Peer: c.files, Metrics: withoutAuthority}
 }
 
-func (s *secrets) client() *http.Client {
+func (c *tlsCredentials) client() *http.Client {
 	GinkgoHelper()
-	own, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
+	certificate, err := tls.LoadX509KeyPair(c.files.Certificate, c.files.Key)
 	Expect(err).NotTo(HaveOccurred())
-	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: s.pool, Certificates: []tls.Certificate{own}}}}
+	return &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: c.pool, Certificates: []tls.Certificate{certificate}}}}
 }
 
-var _ = Describe("TLS on every listener", func() {
-	It("serves callers, operators, peers and metrics, and refuses strangers", func() {
-		used := newSecrets()
-		f := newFleetWith(3, used)
-		f.declare()
-		for turn, member := range f.members {
-			path := fmt.Sprintf("/v1/programs/%s/calls/%d", member.create("one").Program, turn+1)
+var _ = Describe("a cluster with TLS on every listener", func() {
+	It("serves callers, operators, peers and metrics, and rejects operators without a certificate", func() {
+		used := newTLSCredentials()
+		c := startCluster(3, used)
+		c.applyConfiguration()
+		for turn, member := range c.members {
+			path := fmt.Sprintf("/v1/programs/%s/calls/%d", member.createProgram("one").Program, turn+1)
 			answered := member.send("POST", path, fmt.Sprintf(modelCall, turn, ""))
 			Expect(answered.status).To(Equal(http.StatusOK), answered.body)
 		}
-		addresses := f.members[0].Addresses()
+		addresses := c.members[0].Addresses()
 		stranger := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: used.pool}}}
 		response, err := stranger.Get("https://" + addresses.Metrics + "/healthz")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/daemon/tuning.go
+++ b/internal/daemon/tuning.go
@@ -8,66 +8,67 @@
 	"github.com/thymeloft/thymeloft/internal/settings"
 )
 
-// orOff turns a zero, which an operator means, into what the scheduler takes
-// for a part that is switched off.
-func orOff[T int | float64](value T) T {
+// negativeIfZero returns -1 for zero, and any other value unchanged. In the
+// daemon's settings zero switches a feature off. The packages that use these
+// settings expect a negative value for that, as zero selects their default.
+func negativeIfZero[T int | float64](value T) T {
 	if value == 0 {
 		return -1
 	}
 	return value
 }
 
-func schedulingSettings(told *settings.Scheduling) scheduling.Settings {
+func schedulingSettings(configured *settings.Scheduling) scheduling.Settings {
 	result := scheduling.Settings{
-		ExpectedOutput:  told.ExpectedOutput,
-		InflictedWeight: orOff(told.InflictedWeight),
-		WasteWeight:     orOff(told.WasteWeight),
-		EvictionWeight:  orOff(told.EvictionWeight),
-		HolderQueue:     orOff(told.HolderQueue),
-		WorkingSet:      orOff(told.WorkingSet),
-		StaleAfter:      told.StaleAfter,
+		ExpectedOutput:  configured.ExpectedOutput,
+		InflictedWeight: negativeIfZero(configured.InflictedWeight),
+		WasteWeight:     negativeIfZero(configured.WasteWeight),
+		EvictionWeight:  negativeIfZero(configured.EvictionWeight),
+		HolderQueue:     negativeIfZero(configured.HolderQueue),
+		WorkingSet:      negativeIfZero(configured.WorkingSet),
+		StaleAfter:      configured.StaleAfter,
 	}
-	result.MaxWait[scheduling.ClassInteractive] = told.WaitInteractive
-	result.MaxWait[scheduling.ClassStandard] = told.WaitStandard
-	result.MaxWait[scheduling.ClassBatch] = told.WaitBatch
+	result.MaxWait[scheduling.ClassInteractive] = configured.WaitInteractive
+	result.MaxWait[scheduling.ClassStandard] = configured.WaitStandard
+	result.MaxWait[scheduling.ClassBatch] = configured.WaitBatch
 	return result
 }
 
-func executionLimits(told *settings.Settings) execution.Limits {
+func executionLimits(configured *settings.Settings) execution.Limits {
 	return execution.Limits{
-		ProposeTimeout:   told.CommitTimeout,
-		MaxQueued:        told.Scheduling.Waiting,
-		HoldPrefix:       told.Scheduling.HoldPrefix,
-		RetryShare:       orOff(told.Retries.Share),
-		RetriesPerSecond: orOff(told.Retries.PerSecond),
-		RetryBurst:       told.Retries.Burst,
+		ProposeTimeout:   configured.CommitTimeout,
+		MaxQueued:        configured.Scheduling.Waiting,
+		HoldPrefix:       configured.Scheduling.HoldPrefix,
+		RetryShare:       negativeIfZero(configured.Retries.Share),
+		RetriesPerSecond: negativeIfZero(configured.Retries.PerSecond),
+		RetryBurst:       configured.Retries.Burst,
 		WarmUp:           warmUp,
 	}
 }
 
-func engineSettings(told *settings.Engines) engine.Settings {
+func engineSettings(configured *settings.Engines) engine.Settings {
 	return engine.Settings{
-		PollInterval:         told.PollInterval,
-		SpreadInterval:       told.SpreadInterval,
-		SpreadBytesPerSecond: told.SpreadBytesPerSecond,
-		RefreshInterval:      told.RefreshInterval,
-		DigestTooOld:         told.ReportTooOld,
-		EjectAfterFailures:   told.EjectAfterFailures,
-		EjectErrorRate:       told.EjectErrorRate,
-		EjectSlowFactor:      told.EjectSlowFactor,
-		EjectFor:             told.EjectFor,
-		EjectShare:           told.EjectShare,
-		ParallelLoads:        told.ParallelLoads,
-		DrainBound:           told.DrainBound,
-		WeightBytesPerSecond: told.WeightBytesPerSecond,
+		PollInterval:         configured.PollInterval,
+		SpreadInterval:       configured.SpreadInterval,
+		SpreadBytesPerSecond: configured.SpreadBytesPerSecond,
+		RefreshInterval:      configured.RefreshInterval,
+		DigestTooOld:         configured.ReportTooOld,
+		EjectAfterFailures:   configured.EjectAfterFailures,
+		EjectErrorRate:       configured.EjectErrorRate,
+		EjectSlowFactor:      configured.EjectSlowFactor,
+		EjectFor:             configured.EjectFor,
+		EjectShare:           configured.EjectShare,
+		ParallelLoads:        configured.ParallelLoads,
+		DrainBound:           configured.DrainBound,
+		WeightBytesPerSecond: configured.WeightBytesPerSecond,
 	}
 }
 
-func dispatchOptions(told *settings.Engines) dispatch.Options {
+func dispatchOptions(configured *settings.Engines) dispatch.Options {
 	return dispatch.Options{
-		MaxConnectionsPerHost: told.Connections,
-		DialTimeout:           told.DialTimeout,
-		IdleStream:            told.IdleStream,
-		MaxAttempt:            told.MaxAttempt,
+		MaxConnectionsPerHost: configured.Connections,
+		DialTimeout:           configured.DialTimeout,
+		IdleStream:            configured.IdleStream,
+		MaxAttempt:            configured.MaxAttempt,
 	}
 }
