--- a/internal/operatorapi/change.go
+++ b/internal/operatorapi/change.go
@@ -13,13 +13,14 @@
 	"github.com/thymeloft/thymeloft/internal/operatorapi/convert"
 )
 
-// Bounds of texts that are kept in the history.
+// Limits of the texts of a change, which the configuration history keeps.
 const (
 	maxIdentifierBytes = 128
 	maxCommentBytes    = 1024
 )
 
-// ApplyConfiguration makes a change; see the schema for its errors.
+// ApplyConfiguration applies a change of the configuration. The errors are
+// described in operator.proto.
 func (s *service) ApplyConfiguration(ctx context.Context, request *connect.Request[operatorv1.ApplyConfigurationRequest]) (*connect.Response[operatorv1.ApplyConfigurationResponse], error) {
 	message := request.Msg
 	change := configuration.Change{
@@ -31,33 +32,33 @@
 	case *operatorv1.ApplyConfigurationRequest_Document:
 		change.Document = convert.DocumentFrom(content.Document)
 		if faults := configuration.Validate(&change.Document); len(faults) > 0 {
-			return nil, invalid(faults...) // The group would say the same, whatever its revision.
+			return nil, invalidChangeError(faults...) // Validity does not depend on the current revision.
 		}
 	case *operatorv1.ApplyConfigurationRequest_Partial:
 		partial := convert.DifferenceFrom(content.Partial)
 		change.Partial = &partial
 	default:
-		return nil, invalid("the change has no content: neither document nor partial is set")
+		return nil, invalidChangeError("the change has no content: neither document nor partial is set")
 	}
 	change = s.Administrator.Current().Reduced(change)
-	result, err := s.change(ctx, &change)
+	result, err := s.applyChange(ctx, &change)
 	if err := changeError(&change, result, err); err != nil {
 		return nil, err
 	}
 	return connect.NewResponse(&operatorv1.ApplyConfigurationResponse{Revision: result.Revision}), nil
 }
 
-// change checks what is not part of the document, fills in who and when, and
-// passes the change on.
-func (s *service) change(ctx context.Context, change *configuration.Change) (configuration.ChangeResult, error) {
-	if faults := checkTexts(change); len(faults) > 0 {
+// applyChange validates the change's identifier and comment, sets its operator
+// and time, and passes it to the administrator. It logs and counts the result.
+func (s *service) applyChange(ctx context.Context, change *configuration.Change) (configuration.ChangeResult, error) {
+	if faults := validateTexts(change); len(faults) > 0 {
 		return configuration.ChangeResult{Faults: faults}, nil
 	}
 	change.Operator = operatorOf(ctx)
 	change.At = time.Now()
 	result, err := s.Administrator.Change(ctx, *change)
-	s.metrics.changed(result, err)
-	s.logger.Info("operatorapi: change decided.",
+	s.metrics.observeChange(result, err)
+	s.logger.Info("operatorapi: configuration change processed.",
 		zap.String("change", change.Identifier), zap.String("operator", change.Operator),
 		zap.Uint64("base", change.BaseRevision), zap.Uint64("revision", result.Revision),
 		zap.Bool("accepted", result.Accepted), zap.Bool("conflict", result.Conflict),
@@ -65,13 +66,14 @@
 	return result, err
 }
 
-func checkTexts(change *configuration.Change) []string {
+// validateTexts returns what is wrong with the change's identifier and comment.
+func validateTexts(change *configuration.Change) []string {
 	var faults []string
 	if change.Identifier == "" || len(change.Identifier) > maxIdentifierBytes {
-		faults = append(faults, fmt.Sprintf("change_identifier has 1 to %d bytes", maxIdentifierBytes))
+		faults = append(faults, fmt.Sprintf("change_identifier must have 1 to %d bytes", maxIdentifierBytes))
 	}
 	if len(change.Comment) > maxCommentBytes {
-		faults = append(faults, fmt.Sprintf("comment has at most %d bytes", maxCommentBytes))
+		faults = append(faults, fmt.Sprintf("comment must have at most %d bytes", maxCommentBytes))
 	}
 	return faults
 }
--- a/internal/operatorapi/convert/document.go
+++ b/internal/operatorapi/convert/document.go
@@ -1,7 +1,7 @@
-// Package convert translates between the configuration's types and those of
-// the operators' schema. It loses nothing: an enumeration value that this
-// version does not know becomes text that validation refuses, and unknown text
-// becomes such a value.
+// Package convert converts between the types of package configuration and the
+// messages of the operator API (api/operator/v1). An enum value that has no name
+// here becomes its number as text, which configuration.Validate rejects. A name
+// that is not known becomes an enum value that has no name.
 package convert
 
 import (
@@ -35,15 +35,17 @@
 	operatorv1.ServiceKind_SERVICE_KIND_TOOL:        "tool",
 }
 
-// unknownValue is no value of any enumeration of the schema.
-const unknownValue = -1
+// unknownEnumValue is a number that no enum of the API uses.
+const unknownEnumValue = -1
 
-// Class gives the schema's value of a class.
+// Class converts the name of a priority class to its enum value.
 func Class(name string) operatorv1.PriorityClass { return valueOf(classNames, name) }
 
-// ClassName gives the class as configurations and logs write it.
+// ClassName converts the enum value of a priority class to its name, such as
+// "batch".
 func ClassName(class operatorv1.PriorityClass) string { return nameOf(classNames, class) }
 
+// nameOf returns the name of an enum value, or its number as text if it has none.
 func nameOf[E ~int32](names map[E]string, value E) string {
 	if name, known := names[value]; known {
 		return name
@@ -51,16 +53,17 @@
 	return strconv.Itoa(int(value))
 }
 
+// valueOf returns the enum value with the name, or unknownEnumValue.
 func valueOf[E ~int32](names map[E]string, name string) E {
 	for value, known := range names {
 		if known == name {
 			return value
 		}
 	}
-	return unknownValue
+	return unknownEnumValue
 }
 
-// Duration gives the schema's duration; zero is left out.
+// Duration converts a duration to its message; zero becomes nil.
 func Duration(duration time.Duration) *durationpb.Duration {
 	if duration == 0 {
 		return nil
@@ -68,31 +71,32 @@
 	return durationpb.New(duration)
 }
 
-// Document translates the whole configuration to the schema.
+// Document converts a whole configuration to its message.
 func Document(document *configuration.Document) *operatorv1.Document {
 	return &operatorv1.Document{
-		Tenants:  mapped(document.Tenants, tenantToSchema),
-		Models:   mapped(document.Models, modelToSchema),
-		Pools:    mapped(document.Pools, poolToSchema),
-		Engines:  mapped(document.Engines, engineToSchema),
-		Services: mapped(document.Services, serviceToSchema),
+		Tenants:  convertAll(document.Tenants, tenantToSchema),
+		Models:   convertAll(document.Models, modelToSchema),
+		Pools:    convertAll(document.Pools, poolToSchema),
+		Engines:  convertAll(document.Engines, engineToSchema),
+		Services: convertAll(document.Services, serviceToSchema),
 		Drains:   document.Drains,
 	}
 }
 
-// DocumentFrom translates the whole configuration from the schema.
+// DocumentFrom converts the message to a whole configuration.
 func DocumentFrom(document *operatorv1.Document) configuration.Document {
 	return configuration.Document{
-		Tenants:  mapped(document.GetTenants(), tenantFromSchema),
-		Models:   mapped(document.GetModels(), modelFromSchema),
-		Pools:    mapped(document.GetPools(), poolFromSchema),
-		Engines:  mapped(document.GetEngines(), engineFromSchema),
-		Services: mapped(document.GetServices(), serviceFromSchema),
+		Tenants:  convertAll(document.GetTenants(), tenantFromSchema),
+		Models:   convertAll(document.GetModels(), modelFromSchema),
+		Pools:    convertAll(document.GetPools(), poolFromSchema),
+		Engines:  convertAll(document.GetEngines(), engineFromSchema),
+		Services: convertAll(document.GetServices(), serviceFromSchema),
 		Drains:   document.GetDrains(),
 	}
 }
 
-// Difference translates a difference to the schema.
+// Difference converts a difference to its message, which does not have the
+// revisions From and To.
 func Difference(difference *configuration.Difference) *operatorv1.Difference {
 	deletes := difference.Deletes
 	return &operatorv1.Difference{
@@ -108,7 +112,8 @@
 	}
 }
 
-// DifferenceFrom translates a difference from the schema.
+// DifferenceFrom converts the message to a difference. Its revisions From and To
+// are zero.
 func DifferenceFrom(difference *operatorv1.Difference) configuration.Difference {
 	deletes := difference.GetDeletes()
 	return configuration.Difference{
@@ -124,28 +129,29 @@
 	}
 }
 
-// Changes translates a list of changes for display.
+// Changes converts a list of changed items to their messages.
 func Changes(changes []configuration.ItemChange) []*operatorv1.ItemChange {
-	translated := make([]*operatorv1.ItemChange, 0, len(changes))
+	converted := make([]*operatorv1.ItemChange, 0, len(changes))
 	for _, change := range changes {
 		item := &operatorv1.ItemChange{Kind: change.Kind, Name: change.Name, Action: string(change.Action)}
 		for _, field := range change.Fields {
 			item.Fields = append(item.Fields, &operatorv1.FieldChange{Name: field.Name, From: field.From, To: field.To})
 		}
-		translated = append(translated, item)
+		converted = append(converted, item)
 	}
-	return translated
+	return converted
 }
 
-func mapped[From, To any](list []From, translate func(*From) To) []To {
-	if len(list) == 0 {
+// convertAll converts each item of a slice. It returns nil for an empty slice.
+func convertAll[From, To any](items []From, convert func(*From) To) []To {
+	if len(items) == 0 {
 		return nil
 	}
-	translated := make([]To, len(list))
-	for i := range list {
-		translated[i] = translate(&list[i])
+	converted := make([]To, len(items))
+	for i := range items {
+		converted[i] = convert(&items[i])
 	}
-	return translated
+	return converted
 }
 
 func tenantToSchema(tenant *configuration.Tenant) *operatorv1.Tenant {
--- a/internal/operatorapi/convert/document_test.go
+++ b/internal/operatorapi/convert/document_test.go
@@ -11,9 +11,10 @@
 	"github.com/thymeloft/thymeloft/internal/operatorapi/convert"
 )
 
-// TestNothingIsLost fills every field of a difference, also those that are
-// added to the types later, and translates it there and back.
-func TestNothingIsLost(t *testing.T) {
+// TestDifferenceRoundTrip checks that no field is lost when a difference is
+// converted to its message and back. It sets the fields by reflection, so that
+// fields added later are covered.
+func TestDifferenceRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	var difference configuration.Difference
 	fill(reflect.ValueOf(&difference).Elem())
@@ -28,6 +29,7 @@
 	g.Expect(configuration.Validate(&received.Upserts)).To(ContainElement(ContainSubstring("class")))
 }
 
+// fill sets the value, or all fields of a struct, to something other than zero.
 func fill(value reflect.Value) {
 	switch value.Kind() {
 	case reflect.Struct:
--- a/internal/operatorapi/drains.go
+++ b/internal/operatorapi/drains.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// maxDrainAttempts bounds how often a drain is made again after a conflict.
+	// maxDrainAttempts is how often SetDrains tries to apply a change, first
+	// attempt included, while other changes conflict with it.
 	maxDrainAttempts = 5
-	// catchUpInterval is the time between two looks whether a revision arrived here.
-	catchUpInterval = 20 * time.Millisecond
+	// revisionPollInterval is the time between two checks of this daemon's revision.
+	revisionPollInterval = 20 * time.Millisecond
 )
 
 // SetDrains adds and removes drains. Drains do not depend on the rest of the
-// configuration, so that a conflict is tried again on the newer revision
-// unless the operator named one.
+// configuration. After a conflict, SetDrains therefore tries again with the
+// newer revision, unless the request names a base revision.
 func (s *service) SetDrains(ctx context.Context, request *connect.Request[operatorv1.SetDrainsRequest]) (*connect.Response[operatorv1.SetDrainsResponse], error) {
 	message := request.Msg
 	if len(message.GetAdd())+len(message.GetRemove()) == 0 {
-		return nil, invalid("neither add nor remove names anything")
+		return nil, invalidChangeError("both add and remove are empty")
 	}
 	for attempt := 1; ; attempt++ {
 		current := s.Administrator.Current()
-		change := drainChange(message, current, attempt)
-		result, err := s.change(ctx, &change)
+		change := newDrainChange(message, current, attempt)
+		result, err := s.applyChange(ctx, &change)
 		if err == nil && result.Accepted {
-			return s.drainsSet(ctx, result.Revision)
+			return s.drainsResponse(ctx, result.Revision)
 		}
-		retried := err == nil && result.Conflict && message.BaseRevision == nil && attempt < maxDrainAttempts
-		if !retried {
+		retry := err == nil && result.Conflict && message.BaseRevision == nil && attempt < maxDrainAttempts
+		if !retry {
 			return nil, changeError(&change, result, err)
 		}
 		if err := s.awaitRevision(ctx, result.Revision); err != nil {
@@ -44,10 +45,11 @@
 	}
 }
 
-// drainChange makes the change against the revision. Each attempt has its own
-// identifier, in a fixed row, so that a repeat of the call finds the attempt
-// that was accepted.
-func drainChange(message *operatorv1.SetDrainsRequest, current *configuration.Snapshot, attempt int) configuration.Change {
+// newDrainChange returns the change for one attempt. Its base is the current
+// revision, unless the request names another. The identifier of the change
+// depends only on the request's identifier and the attempt's number, so a
+// repeated request finds the attempt that was accepted before.
+func newDrainChange(message *operatorv1.SetDrainsRequest, current *configuration.Snapshot, attempt int) configuration.Change {
 	change := configuration.Change{
 		Identifier:   message.GetChangeIdentifier(),
 		BaseRevision: current.Revision,
@@ -69,8 +71,10 @@
 	return change
 }
 
-// drainsSet answers with the drains of the revision or a later one.
-func (s *service) drainsSet(ctx context.Context, revision uint64) (*connect.Response[operatorv1.SetDrainsResponse], error) {
+// drainsResponse waits until the revision is in force at this daemon and returns
+// the drains of that revision or a later one. If the context ends first, the
+// response has the revision's number but no drains.
+func (s *service) drainsResponse(ctx context.Context, revision uint64) (*connect.Response[operatorv1.SetDrainsResponse], error) {
 	response := &operatorv1.SetDrainsResponse{Revision: revision}
 	if err := s.awaitRevision(ctx, revision); err == nil {
 		current := s.Administrator.Current()
@@ -81,9 +85,10 @@
 	return connect.NewResponse(response), nil
 }
 
-// awaitRevision waits until the revision, or a later one, is in force here.
+// awaitRevision waits until the revision, or a later one, is in force at this
+// daemon. It returns the context's error if the context ends first.
 func (s *service) awaitRevision(ctx context.Context, revision uint64) error {
-	ticker := time.NewTicker(catchUpInterval)
+	ticker := time.NewTicker(revisionPollInterval)
 	defer ticker.Stop()
 	for s.Administrator.Current().Revision < revision {
 		select {
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -15,8 +15,8 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// withDetail makes an error with a typed detail.
-func withDetail(code connect.Code, detail proto.Message, format string, arguments ...any) *connect.Error {
+// errorWithDetail returns a Connect error with the message as its detail.
+func errorWithDetail(code connect.Code, detail proto.Message, format string, arguments ...any) *connect.Error {
 	failure := connect.NewError(code, fmt.Errorf(format, arguments...))
 	if encoded, err := connect.NewErrorDetail(detail); err == nil {
 		failure.AddDetail(encoded)
@@ -24,32 +24,34 @@
 	return failure
 }
 
-// invalid is the error of a change with faults.
-func invalid(faults ...string) *connect.Error {
-	return withDetail(connect.CodeInvalidArgument, &operatorv1.Faults{Faults: faults},
+// invalidChangeError returns the error for a change with the given faults.
+func invalidChangeError(faults ...string) *connect.Error {
+	return errorWithDetail(connect.CodeInvalidArgument, &operatorv1.Faults{Faults: faults},
 		"the change is invalid and nothing was changed: %s", strings.Join(faults, "; "))
 }
 
-// changeError turns the outcome of a change into an error, or nil if it was accepted.
+// changeError returns the error for the outcome of a change, or nil if the change
+// was accepted.
 func changeError(change *configuration.Change, result configuration.ChangeResult, err error) error {
 	switch {
-	case err != nil && mayBeAccepted(err):
-		return withDetail(connect.CodeUnavailable, &operatorv1.Uncertain{ChangeIdentifier: change.Identifier},
+	case err != nil && isUncertain(err):
+		return errorWithDetail(connect.CodeUnavailable, &operatorv1.Uncertain{ChangeIdentifier: change.Identifier},
 			"the change may or may not have been accepted; repeat it with the same change identifier: %w", err)
 	case err != nil:
-		return connect.NewError(connect.CodeUnavailable, fmt.Errorf("the change was not made; try again: %w", err))
+		return connect.NewError(connect.CodeUnavailable, fmt.Errorf("the change was not applied; try again: %w", err))
 	case result.Conflict:
-		return withDetail(connect.CodeAborted, &operatorv1.Conflict{CurrentRevision: result.Revision},
-			"the change was made against revision %d, but the current one is %d; nothing was changed",
+		return errorWithDetail(connect.CodeAborted, &operatorv1.Conflict{CurrentRevision: result.Revision},
+			"the change is based on revision %d, but the current revision is %d; nothing was changed",
 			change.BaseRevision, result.Revision)
 	case !result.Accepted:
-		return invalid(result.Faults...)
+		return invalidChangeError(result.Faults...)
 	}
 	return nil
 }
 
-// mayBeAccepted treats an expired call as uncertain even where it is not marked so.
-func mayBeAccepted(err error) bool {
+// isUncertain reports whether the change may have been accepted in spite of the
+// error. It counts a cancelled or expired context as uncertain.
+func isUncertain(err error) bool {
 	return errors.Is(err, configuration.ErrChangeUncertain) ||
 		errors.Is(err, context.DeadlineExceeded) ||
 		errors.Is(err, context.Canceled)
@@ -78,29 +80,32 @@
 	problem.KindInternal:         connect.CodeInternal,
 }
 
-// programError turns the outcome of a call on a program into an error, or nil.
-func programError(found *problem.Problem, err error) error {
-	if found == nil && err == nil {
+// programError returns the error for the outcome of a request about a program, or
+// nil if the request succeeded. callProblem is the problem in the reply, and err
+// the error of a request that got no reply; each may be nil.
+func programError(callProblem *problem.Problem, err error) error {
+	if callProblem == nil && err == nil {
 		return nil
 	}
-	if found == nil {
-		return connect.NewError(connect.CodeUnavailable, fmt.Errorf("the program's leader was not reached; try again: %w", err))
+	if callProblem == nil {
+		return connect.NewError(connect.CodeUnavailable, fmt.Errorf("cannot reach the daemon that leads the program's shard; try again: %w", err))
 	}
-	code, known := problemCodes[found.Kind]
+	code, known := problemCodes[callProblem.Kind]
 	if !known {
 		code = connect.CodeInternal
 	}
-	return withDetail(code, programProblem(found), "%w", found)
+	return errorWithDetail(code, problemToSchema(callProblem), "%w", callProblem)
 }
 
-func programProblem(found *problem.Problem) *operatorv1.ProgramProblem {
-	if found == nil {
+// problemToSchema returns nil for nil.
+func problemToSchema(callProblem *problem.Problem) *operatorv1.ProgramProblem {
+	if callProblem == nil {
 		return nil
 	}
 	return &operatorv1.ProgramProblem{
-		Kind:       string(found.Kind),
-		Outcome:    string(found.Outcome),
-		Detail:     found.Detail,
-		RetryAfter: convert.Duration(found.RetryAfter),
+		Kind:       string(callProblem.Kind),
+		Outcome:    string(callProblem.Outcome),
+		Detail:     callProblem.Detail,
+		RetryAfter: convert.Duration(callProblem.RetryAfter),
 	}
 }
--- a/internal/operatorapi/gate.go
+++ b/internal/operatorapi/gate.go
@@ -12,47 +12,53 @@
 	"github.com/thymeloft/thymeloft/api/operator/v1/operatorv1connect"
 )
 
-// gate lets requests with an operator's key through, a bounded number at once.
-type gate struct {
-	keys  []key
-	slots chan struct{}
-	next  http.Handler
+// authHandler passes requests with a known operator key to the next handler. It
+// limits the number of concurrent calls; WatchConfiguration streams have a limit
+// of their own.
+type authHandler struct {
+	keys      []hashedKey
+	callSlots chan struct{} // holds one element for each running call
+	next      http.Handler
 }
 
-type operatorKey struct{}
+// operatorContextKey is the context key of the operator's name.
+type operatorContextKey struct{}
 
-// operatorOf gives the name of the operator whose key the request carried.
+// operatorOf returns the name of the operator who sent the request, or "" if the
+// context is not that of a request.
 func operatorOf(ctx context.Context) string {
-	name, _ := ctx.Value(operatorKey{}).(string)
+	name, _ := ctx.Value(operatorContextKey{}).(string)
 	return name
 }
 
-// ServeHTTP refuses requests without a known key before it reads their body.
-func (g *gate) ServeHTTP(response http.ResponseWriter, request *http.Request) {
+// ServeHTTP implements http.Handler. It rejects a request without a known key
+// before it reads the body.
+func (h *authHandler) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	presented, bearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
-	operator, known := matchKey(g.keys, presented)
+	operator, known := matchKey(h.keys, presented)
 	if !bearer || !known {
-		refuse(response, request, connect.CodeUnauthenticated, "a known operator's key is needed: Authorization: Bearer <key>")
+		writeError(response, request, connect.CodeUnauthenticated, "operator key is missing or unknown; send it as Authorization: Bearer <key>")
 		return
 	}
-	request = request.WithContext(context.WithValue(request.Context(), operatorKey{}, operator))
+	request = request.WithContext(context.WithValue(request.Context(), operatorContextKey{}, operator))
 	if request.URL.Path == operatorv1connect.OperatorServiceWatchConfigurationProcedure {
-		// A stream outlives the listener's write timeout; its number is bounded by the watchers' slots.
-		// A writer without deadlines needs none taken off.
+		// A stream may last longer than the listener's write timeout. The error is ignored:
+		// a response writer that does not support deadlines has none to remove.
 		_ = http.NewResponseController(response).SetWriteDeadline(time.Time{})
-		g.next.ServeHTTP(response, request)
+		h.next.ServeHTTP(response, request)
 		return
 	}
 	select {
-	case g.slots <- struct{}{}:
-		defer func() { <-g.slots }()
-		g.next.ServeHTTP(response, request)
+	case h.callSlots <- struct{}{}:
+		defer func() { <-h.callSlots }()
+		h.next.ServeHTTP(response, request)
 	default:
-		refuse(response, request, connect.CodeResourceExhausted, "too many operators' calls under way; try again in a second")
+		writeError(response, request, connect.CodeResourceExhausted, "too many concurrent operator calls; try again in a second")
 	}
 }
 
-func refuse(response http.ResponseWriter, request *http.Request, code connect.Code, text string) {
-	// Fails only when the operator's connection is gone, and then nobody waits for it.
+// writeError writes an error response with the code and text.
+func writeError(response http.ResponseWriter, request *http.Request, code connect.Code, text string) {
+	// An error means that the operator's connection is closed, so nobody can receive the response.
 	_ = connect.NewErrorWriter().Write(response, request, connect.NewError(code, errors.New(text)))
 }
--- a/internal/operatorapi/handler.go
+++ b/internal/operatorapi/handler.go
@@ -1,6 +1,6 @@
-// Package operatorapi serves the operators' calls (api/operator/v1) over HTTP.
-// It checks the operator's key before it reads a request, bounds size, number
-// and time of requests, and turns results into typed errors.
+// Package operatorapi serves the operator API (api/operator/v1) over HTTP. It
+// checks the operator's key before it reads a request's body, limits the size,
+// number and duration of requests, and returns errors with typed details.
 package operatorapi
 
 import (
@@ -21,16 +21,18 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// Limits bound what operators may ask for; zero fields take the default.
+// Limits are the limits of a handler. A field that is zero or negative takes its
+// value from DefaultLimits.
 type Limits struct {
-	MaxRequestBytes int           // of one request
-	MaxConcurrent   int           // calls under way, besides watchers
-	MaxWatchers     int           // open WatchConfiguration streams
-	CallTimeout     time.Duration // of one call, besides watchers
-	WatchInterval   time.Duration // between two looks at the revision in force
+	MaxRequestBytes int           // largest size of a request message, in bytes
+	MaxConcurrent   int           // concurrent calls, except WatchConfiguration
+	MaxWatchers     int           // concurrent WatchConfiguration streams
+	CallTimeout     time.Duration // longest duration of a call, except WatchConfiguration
+	WatchInterval   time.Duration // how often a WatchConfiguration stream checks for a new revision
 }
 
-// DefaultLimits hold a whole configuration of 15,000 tenants in one request.
+// DefaultLimits are the default values of Limits. They allow requests with a
+// configuration of 15,000 tenants.
 var DefaultLimits = Limits{
 	MaxRequestBytes: 32 << 20,
 	MaxConcurrent:   64,
@@ -39,47 +41,51 @@
 	WatchInterval:   100 * time.Millisecond,
 }
 
-// Options are what the handler works on; all up to Keys are needed.
+// Options configure a handler. The fields from Administrator to Fleet are
+// required.
 type Options struct {
 	Administrator configuration.Administrator
 	Programs      execution.Programs
 	Directory     members.Directory
-	// Revisions reads which configuration each daemon last said to be in force.
+	// Revisions returns the configuration revision that each daemon last
+	// recorded in the store as in force.
 	Revisions func(context.Context) (map[identity.Machine]uint64, error)
 	Groups    shards.Groups
 	Fleet     engine.Fleet
-	// Keys are the operators' bearer keys, each as 64 hex digits of its
-	// SHA-256 or as "name:" and the digits. An empty list refuses all calls.
+	// Keys are the SHA-256 hashes of the operators' bearer keys, each as 64 hex
+	// digits or as "NAME:" and the digits. If there are none, all calls are
+	// rejected.
 	Keys   []string
 	Limits Limits
 	Logger *zap.Logger
-	// Registerer takes the metrics; nil: they are not shown.
+	// Registerer registers the metrics. If it is nil, they are not exposed.
 	Registerer prometheus.Registerer
-	// Draining says that the daemon stops as planned: watchers are sent away,
-	// so that they do not hold up the stop. nil: never.
+	// Draining reports whether the daemon is draining. WatchConfiguration
+	// streams then end, so that they do not delay the stop. Nil means never.
 	Draining func() bool
 }
 
-// NewHandler returns the handler of all paths under /operator.v1.OperatorService/.
-// A malformed key in Options.Keys never matches; see CheckKeys.
+// NewHandler returns a handler for all paths under
+// /operator.v1.OperatorService/. It ignores malformed entries of Options.Keys;
+// CheckKeys finds them.
 func NewHandler(options Options) http.Handler {
 	service := newService(options)
 	path, calls := operatorv1connect.NewOperatorServiceHandler(service,
 		connect.WithReadMaxBytes(service.limits.MaxRequestBytes),
-		connect.WithInterceptors(connect.UnaryInterceptorFunc(service.bounded)),
+		connect.WithInterceptors(connect.UnaryInterceptorFunc(service.interceptCall)),
 	)
 	mux := http.NewServeMux()
 	mux.Handle(path, calls)
-	return &gate{keys: parseKeys(options.Keys), slots: make(chan struct{}, service.limits.MaxConcurrent), next: mux}
+	return &authHandler{keys: parseKeys(options.Keys), callSlots: make(chan struct{}, service.limits.MaxConcurrent), next: mux}
 }
 
 // service implements operatorv1connect.OperatorServiceHandler.
 type service struct {
 	Options
-	limits   Limits
-	logger   *zap.Logger
-	metrics  *metrics
-	watchers chan struct{} // one slot for each open stream
+	limits     Limits
+	logger     *zap.Logger
+	metrics    *metrics
+	watchSlots chan struct{} // holds one element for each open stream
 }
 
 func newService(options Options) *service {
@@ -92,11 +98,11 @@
 	}
 	limits := options.Limits.withDefaults()
 	return &service{
-		Options:  options,
-		limits:   limits,
-		logger:   logger.Named("operatorapi"),
-		metrics:  newMetrics(options.Registerer),
-		watchers: make(chan struct{}, limits.MaxWatchers),
+		Options:    options,
+		limits:     limits,
+		logger:     logger.Named("operatorapi"),
+		metrics:    newMetrics(options.Registerer),
+		watchSlots: make(chan struct{}, limits.MaxWatchers),
 	}
 }
 
@@ -109,22 +115,23 @@
 	return l
 }
 
-func orDefault[T int | time.Duration](value, standard T) T {
+func orDefault[T int | time.Duration](value, fallback T) T {
 	if value <= 0 {
-		return standard
+		return fallback
 	}
 	return value
 }
 
-// bounded bounds every call by the limit, or earlier if the operator asked so,
-// and counts it.
-func (s *service) bounded(next connect.UnaryFunc) connect.UnaryFunc {
+// interceptCall limits the duration of a unary call to Limits.CallTimeout, or to
+// the client's deadline if that is earlier, and records the call's duration in
+// the metrics.
+func (s *service) interceptCall(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
 		ctx, cancel := context.WithTimeout(ctx, s.limits.CallTimeout)
 		defer cancel()
 		started := time.Now()
 		response, err := next(ctx, request)
-		s.metrics.called(request.Spec(), err, started)
+		s.metrics.observeCall(request.Spec(), err, started)
 		return response, err
 	}
 }
--- a/internal/operatorapi/keys.go
+++ b/internal/operatorapi/keys.go
@@ -8,16 +8,18 @@
 	"strings"
 )
 
-// shownDigits is how much of a hash stands for an operator without a name.
-const shownDigits = 8
+// hashPrefixDigits is the number of hex digits of a key's hash in the name of an
+// operator whose key has no name.
+const hashPrefixDigits = 8
 
-// key is one operator's key by hash.
-type key struct {
+// hashedKey is the hash of an operator's key, and the operator's name.
+type hashedKey struct {
 	operator string
 	hash     [sha256.Size]byte
 }
 
-// CheckKeys lists what is wrong with keys as Options.Keys takes them.
+// CheckKeys returns one text for each malformed key. The keys have the format of
+// Options.Keys.
 func CheckKeys(texts []string) []string {
 	var faults []string
 	for i, text := range texts {
@@ -28,9 +30,9 @@
 	return faults
 }
 
-// parseKeys leaves malformed keys out: nothing can match them.
-func parseKeys(texts []string) []key {
-	keys := make([]key, 0, len(texts))
+// parseKeys returns the well-formed keys and ignores the others.
+func parseKeys(texts []string) []hashedKey {
+	keys := make([]hashedKey, 0, len(texts))
 	for _, text := range texts {
 		if parsed, err := parseKey(text); err == nil {
 			keys = append(keys, parsed)
@@ -39,25 +41,26 @@
 	return keys
 }
 
-func parseKey(text string) (key, error) {
-	operator, digits, named := strings.Cut(text, ":")
-	if !named {
-		operator, digits = "", text
+func parseKey(text string) (hashedKey, error) {
+	operator, hexHash, hasName := strings.Cut(text, ":")
+	if !hasName {
+		operator, hexHash = "", text
 	}
-	decoded, err := hex.DecodeString(digits)
+	decoded, err := hex.DecodeString(hexHash)
 	if err != nil || len(decoded) != sha256.Size {
-		return key{}, fmt.Errorf("it is not the SHA-256 of a key in %d hex digits", 2*sha256.Size)
+		return hashedKey{}, fmt.Errorf("the hash must be a SHA-256 in %d hex digits", 2*sha256.Size)
 	}
 	if operator == "" {
-		operator = "key-" + digits[:shownDigits]
+		operator = "key-" + hexHash[:hashPrefixDigits]
 	}
-	parsed := key{operator: operator}
+	parsed := hashedKey{operator: operator}
 	copy(parsed.hash[:], decoded)
 	return parsed, nil
 }
 
-// matchKey looks at every key in a time that does not depend on which matches.
-func matchKey(keys []key, presented string) (operator string, known bool) {
+// matchKey returns the name of the operator whose key was presented. The time it
+// takes does not depend on which key matches.
+func matchKey(keys []hashedKey, presented string) (operator string, known bool) {
 	hash := sha256.Sum256([]byte(presented))
 	for i := range keys {
 		if subtle.ConstantTimeCompare(hash[:], keys[i].hash[:]) == 1 {
--- a/internal/operatorapi/metrics.go
+++ b/internal/operatorapi/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// Results of changes, as labels.
+// Values of the label "result" for changes of the configuration.
 const (
 	resultAccepted  = "accepted"
 	resultConflict  = "conflict"
@@ -19,7 +19,7 @@
 	resultNotMade   = "not-made"
 )
 
-// codeOK is the label of calls without an error.
+// codeOK is the value of the label "code" for calls without an error.
 const codeOK = "ok"
 
 type metrics struct {
@@ -31,12 +31,12 @@
 	m := &metrics{
 		calls: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "thymeloft_operatorapi_call_seconds",
-			Help:    "Time of operators' calls, besides watchers.",
+			Help:    "Duration of operator calls, except WatchConfiguration streams.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 4, 8),
 		}, []string{"call", "code"}),
 		changes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "thymeloft_operatorapi_changes_total",
-			Help: "Changes of the configuration asked for here, by result.",
+			Help: "Configuration changes requested at this daemon, by result.",
 		}, []string{"result"}),
 	}
 	if registerer != nil {
@@ -45,7 +45,7 @@
 	return m
 }
 
-func (m *metrics) called(spec connect.Spec, err error, started time.Time) {
+func (m *metrics) observeCall(spec connect.Spec, err error, started time.Time) {
 	code := codeOK
 	if err != nil {
 		code = connect.CodeOf(err).String()
@@ -53,10 +53,10 @@
 	m.calls.WithLabelValues(path.Base(spec.Procedure), code).Observe(time.Since(started).Seconds())
 }
 
-func (m *metrics) changed(result configuration.ChangeResult, err error) {
+func (m *metrics) observeChange(result configuration.ChangeResult, err error) {
 	label := resultInvalid
 	switch {
-	case err != nil && mayBeAccepted(err):
+	case err != nil && isUncertain(err):
 		label = resultUncertain
 	case err != nil:
 		label = resultNotMade
--- a/internal/operatorapi/programs.go
+++ b/internal/operatorapi/programs.go
@@ -29,9 +29,9 @@
 	program.CallUnknown:    operatorv1.CallState_CALL_STATE_OUTCOME_UNKNOWN,
 }
 
-// GetProgram reads a program of any tenant.
+// GetProgram returns a program of any tenant.
 func (s *service) GetProgram(ctx context.Context, request *connect.Request[operatorv1.GetProgramRequest]) (*connect.Response[operatorv1.GetProgramResponse], error) {
-	identifier, err := programIdentifier(request.Msg.GetProgram())
+	identifier, err := parseProgramIdentifier(request.Msg.GetProgram())
 	if err != nil {
 		return nil, err
 	}
@@ -48,7 +48,7 @@
 
 // EndProgram ends a program of any tenant. Ending an ended program succeeds.
 func (s *service) EndProgram(ctx context.Context, request *connect.Request[operatorv1.EndProgramRequest]) (*connect.Response[operatorv1.EndProgramResponse], error) {
-	identifier, err := programIdentifier(request.Msg.GetProgram())
+	identifier, err := parseProgramIdentifier(request.Msg.GetProgram())
 	if err != nil {
 		return nil, err
 	}
@@ -60,10 +60,10 @@
 	return connect.NewResponse(&operatorv1.EndProgramResponse{}), nil
 }
 
-func programIdentifier(text string) (identity.Program, error) {
+func parseProgramIdentifier(text string) (identity.Program, error) {
 	identifier := identity.Program(text)
 	if _, err := identifier.Shard(); err != nil {
-		return "", programError(problem.New(problem.KindMalformed, "read identifier", "%q is no identifier of a program", text), nil)
+		return "", programError(problem.New(problem.KindMalformed, "read identifier", "%q is not a program identifier", text), nil)
 	}
 	return identifier, nil
 }
@@ -98,7 +98,7 @@
 		State:         callStates[call.State],
 		AcceptedAt:    timestamp(call.AcceptedAt),
 		NotRepeatable: call.Spec.NotRepeatable,
-		Problem:       programProblem(call.Problem),
+		Problem:       problemToSchema(call.Problem),
 	}
 	for _, attempt := range call.Attempts {
 		translated.Attempts = append(translated.Attempts, &operatorv1.Attempt{
@@ -128,7 +128,7 @@
 	return translated
 }
 
-// timestamp leaves the zero time out.
+// timestamp returns nil for the zero time.
 func timestamp(at time.Time) *timestamppb.Timestamp {
 	if at.IsZero() {
 		return nil
--- a/internal/operatorapi/read.go
+++ b/internal/operatorapi/read.go
@@ -14,41 +14,45 @@
 	"github.com/thymeloft/thymeloft/internal/operatorapi/convert"
 )
 
+// Numbers of revisions that ListRevisions returns.
 const (
-	defaultRevisions = 20
-	maxRevisions     = 200
+	defaultRevisionCount = 20 // if the request names none
+	maxRevisionCount     = 200
 )
 
-// GetConfiguration returns the revision in force here, or an earlier one.
+// GetConfiguration returns the configuration of the requested revision. If the
+// request names none, it returns the revision in force at this daemon.
 func (s *service) GetConfiguration(ctx context.Context, request *connect.Request[operatorv1.GetConfigurationRequest]) (*connect.Response[operatorv1.GetConfigurationResponse], error) {
 	current := s.Administrator.Current()
 	response := &operatorv1.GetConfigurationResponse{Revision: current.Revision, Confirmed: s.Administrator.Confirmed()}
 	document := current.Document
 	if request.Msg.Revision != nil && request.Msg.GetRevision() != current.Revision {
-		past, err := s.past(ctx, request.Msg.GetRevision())
+		earlier, err := s.documentAt(ctx, request.Msg.GetRevision())
 		if err != nil {
 			return nil, err
 		}
-		response.Revision, document = request.Msg.GetRevision(), past
+		response.Revision, document = request.Msg.GetRevision(), earlier
 	}
 	response.Document = convert.Document(&document)
 	return connect.NewResponse(response), nil
 }
 
-// past finds the document of an earlier revision by the leader's history.
-func (s *service) past(ctx context.Context, revision uint64) (configuration.Document, error) {
+// documentAt returns the configuration of an earlier revision. It computes it
+// from the current configuration and the history of changes.
+func (s *service) documentAt(ctx context.Context, revision uint64) (configuration.Document, error) {
 	revisions, err := s.Administrator.History(ctx, configuration.HistoryRevisions)
 	if err != nil {
-		return configuration.Document{}, connect.NewError(connect.CodeUnavailable, fmt.Errorf("the history was not read; try again: %w", err))
+		return configuration.Document{}, connect.NewError(connect.CodeUnavailable, fmt.Errorf("cannot read the configuration history; try again: %w", err))
 	}
 	document, found := s.Administrator.Current().Past(revision, revisions)
 	if !found {
-		return configuration.Document{}, connect.NewError(connect.CodeNotFound, fmt.Errorf("revision %d is not kept any more, or not made yet", revision))
+		return configuration.Document{}, connect.NewError(connect.CodeNotFound, fmt.Errorf("revision %d does not exist or is no longer kept", revision))
 	}
 	return document, nil
 }
 
-// ValidateConfiguration checks a change against the revision in force here.
+// ValidateConfiguration checks a change against the revision in force at this
+// daemon, without applying it.
 func (s *service) ValidateConfiguration(_ context.Context, request *connect.Request[operatorv1.ValidateConfigurationRequest]) (*connect.Response[operatorv1.ValidateConfigurationResponse], error) {
 	current := s.Administrator.Current()
 	var document configuration.Document
@@ -61,7 +65,7 @@
 		partial := convert.DifferenceFrom(content.Partial)
 		document, faults = current.Preview(&partial)
 	default:
-		return nil, invalid("the change has no content: neither document nor partial is set")
+		return nil, invalidChangeError("the change has no content: neither document nor partial is set")
 	}
 	response := &operatorv1.ValidateConfigurationResponse{Revision: current.Revision, Faults: faults}
 	if len(faults) == 0 {
@@ -70,15 +74,15 @@
 	return connect.NewResponse(response), nil
 }
 
-// ListRevisions returns the history, newest first.
+// ListRevisions returns the latest revisions, newest first.
 func (s *service) ListRevisions(ctx context.Context, request *connect.Request[operatorv1.ListRevisionsRequest]) (*connect.Response[operatorv1.ListRevisionsResponse], error) {
 	limit := int(request.Msg.GetPageSize())
 	if limit == 0 {
-		limit = defaultRevisions
+		limit = defaultRevisionCount
 	}
-	revisions, err := s.Administrator.History(ctx, min(limit, maxRevisions))
+	revisions, err := s.Administrator.History(ctx, min(limit, maxRevisionCount))
 	if err != nil {
-		return nil, connect.NewError(connect.CodeUnavailable, fmt.Errorf("the history was not read; try again: %w", err))
+		return nil, connect.NewError(connect.CodeUnavailable, fmt.Errorf("cannot read the configuration history; try again: %w", err))
 	}
 	response := &operatorv1.ListRevisionsResponse{}
 	for i := range revisions {
@@ -98,18 +102,18 @@
 	}
 }
 
-// WatchConfiguration streams revisions as they come into force here, until the
-// operator goes away or the daemon stops.
+// WatchConfiguration streams the revisions that come into force at this daemon.
+// The stream ends when the client closes it or the daemon drains.
 func (s *service) WatchConfiguration(ctx context.Context, request *connect.Request[operatorv1.WatchConfigurationRequest], stream *connect.ServerStream[operatorv1.WatchConfigurationResponse]) error {
 	select {
-	case s.watchers <- struct{}{}:
-		defer func() { <-s.watchers }()
+	case s.watchSlots <- struct{}{}:
+		defer func() { <-s.watchSlots }()
 	default:
-		return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("%d watchers are open; that is the most", s.limits.MaxWatchers))
+		return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("the limit of %d concurrent WatchConfiguration streams is reached", s.limits.MaxWatchers))
 	}
 	sent := s.Administrator.Current()
 	if sent.Revision != request.Msg.GetKnownRevision() {
-		if err := stream.Send(wholeRevision(sent)); err != nil {
+		if err := stream.Send(documentMessage(sent)); err != nil {
 			return err
 		}
 	}
@@ -122,27 +126,30 @@
 		case <-ticker.C:
 		}
 		if s.Draining() {
-			return connect.NewError(connect.CodeUnavailable, errors.New("this daemon stops as planned; watch another"))
+			return connect.NewError(connect.CodeUnavailable, errors.New("this daemon is draining; watch the configuration at another daemon"))
 		}
 		current := s.Administrator.Current()
 		if current.Revision == sent.Revision {
 			continue
 		}
-		if err := stream.Send(changedRevision(sent, current)); err != nil {
+		if err := stream.Send(differenceMessage(sent, current)); err != nil {
 			return err
 		}
 		sent = current
 	}
 }
 
-func wholeRevision(snapshot *configuration.Snapshot) *operatorv1.WatchConfigurationResponse {
+// documentMessage returns the stream message with a whole configuration.
+func documentMessage(snapshot *configuration.Snapshot) *operatorv1.WatchConfigurationResponse {
 	return &operatorv1.WatchConfigurationResponse{
 		Revision: snapshot.Revision,
 		Content:  &operatorv1.WatchConfigurationResponse_Document{Document: convert.Document(&snapshot.Document)},
 	}
 }
 
-func changedRevision(from, to *configuration.Snapshot) *operatorv1.WatchConfigurationResponse {
+// differenceMessage returns the stream message with the changes between two
+// snapshots.
+func differenceMessage(from, to *configuration.Snapshot) *operatorv1.WatchConfigurationResponse {
 	difference := configuration.Compare(&from.Document, &to.Document)
 	return &operatorv1.WatchConfigurationResponse{
 		Revision: to.Revision,
--- a/internal/operatorapi/status.go
+++ b/internal/operatorapi/status.go
@@ -15,9 +15,9 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// revisionsWait bounds the reading of other daemons' revisions; a status is of
-// most use while the store does not answer.
-const revisionsWait = time.Second
+// revisionsTimeout limits the time to read the revisions of all daemons from the
+// store. It is short because a status is needed most while the store is down.
+const revisionsTimeout = time.Second
 
 var memberStates = map[members.State]operatorv1.MemberState{
 	members.StateAlive:   operatorv1.MemberState_MEMBER_STATE_ALIVE,
@@ -25,8 +25,9 @@
 	members.StateDead:    operatorv1.MemberState_MEMBER_STATE_DEAD,
 }
 
-// GetStatus returns what this daemon knows, and the revisions that the others
-// told the store with their leases. It asks no other daemon.
+// GetStatus returns this daemon's view of the members, shards and engines. The
+// members' configuration revisions are read from the store. It sends no request
+// to other daemons.
 func (s *service) GetStatus(ctx context.Context, _ *connect.Request[operatorv1.GetStatusRequest]) (*connect.Response[operatorv1.GetStatusResponse], error) {
 	current := s.Administrator.Current()
 	response := &operatorv1.GetStatusResponse{
@@ -35,16 +36,16 @@
 		ConfigurationRevision:  current.Revision,
 		ConfigurationConfirmed: s.Administrator.Confirmed(),
 	}
-	reading, cancel := context.WithTimeout(ctx, revisionsWait)
+	readContext, cancel := context.WithTimeout(ctx, revisionsTimeout)
 	defer cancel()
-	revisions, err := s.Revisions(reading)
+	revisions, err := s.Revisions(readContext)
 	if err != nil {
-		s.Logger.Warn("operatorapi: revisions of other daemons not read; they are shown as 0.", zap.Error(err))
+		s.Logger.Warn("operatorapi: cannot read the configuration revisions of the members; the status shows them as 0.", zap.Error(err))
 	}
-	listed := s.Directory.View().Members
-	for i := range listed {
-		member := memberToSchema(&listed[i])
-		member.ConfigurationRevision = revisions[listed[i].Process.Machine]
+	memberList := s.Directory.View().Members
+	for i := range memberList {
+		member := memberToSchema(&memberList[i])
+		member.ConfigurationRevision = revisions[memberList[i].Process.Machine]
 		response.Members = append(response.Members, member)
 	}
 	for _, status := range s.Groups.Status() {
--- a/internal/operatorapi/suite_test.go
+++ b/internal/operatorapi/suite_test.go
@@ -32,36 +32,37 @@
 	RunSpecs(t, "operatorapi")
 }
 
-const operatorsKey = "a key of ailsa"
+const testOperatorKey = "a key of ailsa"
 
-func hashOf(key string) string {
+func hashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// administrator is a configuration group of one, with faults to order.
+// administrator is an in-memory configuration.Administrator whose changes can be
+// made to fail.
 type administrator struct {
 	configuration.Administrator
-	machine *configuration.Machine
-	before  func()                 // runs once, before the next change
-	failure error                  // of the next change, after it was applied
-	seen    []configuration.Change // in order of arrival
+	machine      *configuration.Machine
+	beforeChange func()                 // called once, before the next change
+	nextError    error                  // returned by the next change, which is applied nevertheless
+	received     []configuration.Change // in order of arrival
 }
 
 func (a *administrator) Current() *configuration.Snapshot { return a.machine.Current() }
 func (a *administrator) Confirmed() bool                  { return true }
 
 func (a *administrator) Change(_ context.Context, change configuration.Change) (configuration.ChangeResult, error) {
-	if before := a.before; before != nil {
-		a.before = nil
+	if before := a.beforeChange; before != nil {
+		a.beforeChange = nil
 		before()
 	}
-	a.seen = append(a.seen, change)
+	a.received = append(a.received, change)
 	command, err := configuration.EncodeChange(change)
 	Expect(err).NotTo(HaveOccurred())
 	result := *a.machine.Apply(0, command).(*configuration.ChangeResult)
-	if failure := a.failure; failure != nil {
-		a.failure = nil
+	if failure := a.nextError; failure != nil {
+		a.nextError = nil
 		return configuration.ChangeResult{}, failure
 	}
 	return result, nil
@@ -71,11 +72,11 @@
 	return a.machine.History(limit), nil
 }
 
-// programs knows one program.
+// programs is an execution.Programs with one program.
 type programs struct {
 	execution.Programs
-	known identity.Program
-	ended program.EndReason
+	known     identity.Program
+	endReason program.EndReason
 }
 
 func (p *programs) History(_ context.Context, arguments execution.HistoryArguments) (execution.HistoryReply, error) {
@@ -93,10 +94,10 @@
 }
 
 func (p *programs) End(_ context.Context, arguments execution.EndArguments) (execution.EndReply, error) {
-	if p.ended != "" {
+	if p.endReason != "" {
 		return execution.EndReply{Problem: problem.New(problem.KindProgramEnded, "end", "ended already")}, nil
 	}
-	p.ended = arguments.Reason
+	p.endReason = arguments.Reason
 	return execution.EndReply{}, nil
 }
 
@@ -124,8 +125,9 @@
 	return &scheduling.Snapshot{Engines: []scheduling.Engine{{ID: "e1", Model: "assess", Running: 5, Accepting: true}}}
 }
 
-// world is a handler behind a test server, with a client that has the key.
-type world struct {
+// testServer is an HTTP server with the handler under test, and a client that
+// sends a known key.
+type testServer struct {
 	administrator *administrator
 	programs      *programs
 	registry      *prometheus.Registry
@@ -134,34 +136,34 @@
 	client        operatorv1connect.OperatorServiceClient
 }
 
-func newWorld(limits operatorapi.Limits) *world {
-	created := &world{
+func newTestServer(limits operatorapi.Limits) *testServer {
+	s := &testServer{
 		administrator: &administrator{machine: configuration.NewMachine()},
 		programs:      &programs{known: identity.NewProgram(7)},
 		registry:      prometheus.NewRegistry(),
 	}
-	created.server = httptest.NewServer(operatorapi.NewHandler(operatorapi.Options{
-		Administrator: created.administrator,
-		Programs:      created.programs,
+	s.server = httptest.NewServer(operatorapi.NewHandler(operatorapi.Options{
+		Administrator: s.administrator,
+		Programs:      s.programs,
 		Directory:     directory{},
 		Revisions: func(context.Context) (map[identity.Machine]uint64, error) {
 			return map[identity.Machine]uint64{"m1": 4}, nil
 		},
 		Groups:     groups{},
 		Fleet:      fleet{},
-		Keys:       []string{"ailsa:" + hashOf(operatorsKey)},
+		Keys:       []string{"ailsa:" + hashKey(testOperatorKey)},
 		Limits:     limits,
-		Registerer: created.registry,
-		Draining:   created.draining.Load,
+		Registerer: s.registry,
+		Draining:   s.draining.Load,
 	}))
-	DeferCleanup(created.server.Close)
-	created.client = created.withKey(operatorsKey)
-	return created
+	DeferCleanup(s.server.Close)
+	s.client = s.withKey(testOperatorKey)
+	return s
 }
 
-// changes gives the counted changes by result.
-func (w *world) changes() map[string]float64 {
-	families, err := w.registry.Gather()
+// changeCounts returns the values of the counter of changes, by result.
+func (s *testServer) changeCounts() map[string]float64 {
+	families, err := s.registry.Gather()
 	Expect(err).NotTo(HaveOccurred())
 	counts := map[string]float64{}
 	for _, family := range families {
@@ -175,13 +177,13 @@
 	return counts
 }
 
-// withKey gives a client that presents the key.
-func (w *world) withKey(key string) operatorv1connect.OperatorServiceClient {
+// withKey returns a client that sends the key.
+func (s *testServer) withKey(key string) operatorv1connect.OperatorServiceClient {
 	present := connect.WithInterceptors(bearer(key))
-	return operatorv1connect.NewOperatorServiceClient(http.DefaultClient, w.server.URL, present)
+	return operatorv1connect.NewOperatorServiceClient(http.DefaultClient, s.server.URL, present)
 }
 
-// bearer puts the key on unary calls and streams.
+// bearer is a client interceptor that adds the key to unary calls and streams.
 type bearer string
 
 func (b bearer) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
