--- a/internal/commandline/caller.go
+++ b/internal/commandline/caller.go
@@ -15,31 +15,32 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// caller is a client of the callers' endpoint.
-type caller struct {
-	client *http.Client
-	base   string
-	key    string
+// callerClient is a client of a daemon's caller endpoint.
+type callerClient struct {
+	client  *http.Client
+	baseURL string
+	key     string
 }
 
-func (s *session) caller() (*caller, error) {
-	if err := checkURL("--caller-url or THYMELOFT_CALLER_URL", s.line.CallerURL); err != nil {
+func (s *session) newCallerClient() (*callerClient, error) {
+	if err := checkURL("--caller-url or THYMELOFT_CALLER_URL", s.flags.CallerURL); err != nil {
 		return nil, err
 	}
-	if s.line.CallerKey == "" {
-		return nil, usage(errors.New("no caller's key: set THYMELOFT_CALLER_KEY"))
+	if s.flags.CallerKey == "" {
+		return nil, usageError(errors.New("no caller key: set THYMELOFT_CALLER_KEY"))
 	}
 	client, err := s.httpClient()
 	if err != nil {
 		return nil, err
 	}
-	return &caller{client: client, base: strings.TrimSuffix(s.line.CallerURL, "/"), key: s.line.CallerKey}, nil
+	return &callerClient{client: client, baseURL: strings.TrimSuffix(s.flags.CallerURL, "/"), key: s.flags.CallerKey}, nil
 }
 
-// call sends a request and reads the answer into reply, unless that is nil.
-// Problems that the daemon tells come back with their advice. An error of the
-// connection says nothing about whether the request was taken.
-func (c *caller) call(ctx context.Context, method, path string, body, reply any) error {
+// call sends a request and decodes the response into reply, unless reply is nil.
+// A problem that the daemon reports is returned as a failure with advice. If
+// there is no complete response, the failure has the code ExitUncertain, since
+// the daemon may have processed the request.
+func (c *callerClient) call(ctx context.Context, method, path string, body, reply any) error {
 	request, err := c.request(ctx, method, path, body)
 	if err != nil {
 		return err
@@ -62,14 +63,14 @@
 	return json.Unmarshal(data, reply)
 }
 
-func (c *caller) request(ctx context.Context, method, path string, body any) (*http.Request, error) {
+func (c *callerClient) request(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(encoded))
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(encoded))
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	request.Header.Set("Authorization", bearer(c.key).header())
 	request.Header.Set("Content-Type", "application/json")
@@ -77,33 +78,33 @@
 }
 
 func problemError(status int, data []byte) error {
-	var found callerapi.Problem
-	if err := json.Unmarshal(data, &found); err != nil || found.Title == "" {
-		return &failure{code: ExitFailed, cause: fmt.Errorf("HTTP status %d without a problem", status),
+	var reported callerapi.Problem
+	if err := json.Unmarshal(data, &reported); err != nil || reported.Title == "" {
+		return &failure{code: ExitFailed, cause: fmt.Errorf("HTTP status %d without problem details", status),
 			advice: "Is this the address of a daemon's callers' endpoint?"}
 	}
 	return &failure{
-		code:   exitOfOutcome(found.Outcome, found.Title),
-		cause:  errors.New(problemText(&found)),
-		advice: problemAdvice(&found),
+		code:   exitCodeOf(reported.Outcome, reported.Title),
+		cause:  errors.New(problemText(&reported)),
+		advice: problemAdvice(&reported),
 	}
 }
 
-func problemText(found *callerapi.Problem) string {
-	text := string(found.Title)
-	if found.Outcome != problem.OutcomeNone {
-		text += " (" + string(found.Outcome) + ")"
+func problemText(reported *callerapi.Problem) string {
+	text := string(reported.Title)
+	if reported.Outcome != problem.OutcomeNone {
+		text += " (" + string(reported.Outcome) + ")"
 	}
-	return text + ": " + found.Detail
+	return text + ": " + reported.Detail
 }
 
-func problemAdvice(found *callerapi.Problem) string {
-	lines := []string{Advice(found.Title)}
-	if found.RetryAfterSeconds > 0 {
-		lines = append(lines, "Come back after "+strconv.FormatInt(found.RetryAfterSeconds, 10)+" s.")
+func problemAdvice(reported *callerapi.Problem) string {
+	lines := []string{Advice(reported.Title)}
+	if reported.RetryAfterSeconds > 0 {
+		lines = append(lines, "Try again after "+strconv.FormatInt(reported.RetryAfterSeconds, 10)+" s.")
 	}
-	if found.ReadAt != "" {
-		lines = append(lines, "The call's state can be read at "+found.ReadAt+".")
+	if reported.ReadAt != "" {
+		lines = append(lines, "The call's state can be read at "+reported.ReadAt+".")
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/commandline/client.go
+++ b/internal/commandline/client.go
@@ -19,42 +19,42 @@
 )
 
 const (
-	// maxResponseBytes bounds what the command reads from a daemon.
+	// maxResponseBytes limits how much the command reads of one response.
 	maxResponseBytes = 64 << 20
-	// changeAttempts bounds how often a change is repeated with its identifier.
-	changeAttempts = 4
-	firstRetry     = 200 * time.Millisecond
+	// maxChangeAttempts limits how often a change is sent, first attempt included.
+	maxChangeAttempts = 4
+	firstRetryDelay   = 200 * time.Millisecond
 )
 
-// operator makes a client of the operators' endpoint.
-func (s *session) operator() (operatorv1connect.OperatorServiceClient, error) {
-	if err := checkURL("--operator-url or THYMELOFT_OPERATOR_URL", s.line.OperatorURL); err != nil {
+// newOperatorClient creates a client of the operator endpoint from the flags.
+func (s *session) newOperatorClient() (operatorv1connect.OperatorServiceClient, error) {
+	if err := checkURL("--operator-url or THYMELOFT_OPERATOR_URL", s.flags.OperatorURL); err != nil {
 		return nil, err
 	}
-	if s.line.OperatorKey == "" {
-		return nil, usage(errors.New("no operator's key: set THYMELOFT_OPERATOR_KEY"))
+	if s.flags.OperatorKey == "" {
+		return nil, usageError(errors.New("no operator key: set THYMELOFT_OPERATOR_KEY"))
 	}
 	client, err := s.httpClient()
 	if err != nil {
 		return nil, err
 	}
-	return operatorv1connect.NewOperatorServiceClient(client, s.line.OperatorURL,
-		connect.WithInterceptors(bearer(s.line.OperatorKey)),
+	return operatorv1connect.NewOperatorServiceClient(client, s.flags.OperatorURL,
+		connect.WithInterceptors(bearer(s.flags.OperatorKey)),
 		connect.WithReadMaxBytes(maxResponseBytes),
 	), nil
 }
 
 func (s *session) httpClient() (*http.Client, error) {
-	if s.line.Authority == "" {
+	if s.flags.Authority == "" {
 		return &http.Client{}, nil
 	}
-	data, err := os.ReadFile(s.line.Authority)
+	data, err := os.ReadFile(s.flags.Authority)
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(data) {
-		return nil, usage(fmt.Errorf("--authority: %s holds no certificate", s.line.Authority))
+		return nil, usageError(fmt.Errorf("--authority: %s contains no certificate", s.flags.Authority))
 	}
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.TLSClientConfig = &tls.Config{RootCAs: authorities, MinVersion: tls.VersionTLS12}
@@ -64,12 +64,12 @@
 func checkURL(name, text string) error {
 	parsed, err := url.Parse(text)
 	if err != nil || (parsed.Scheme != "http" && parsed.Scheme != "https") || parsed.Host == "" {
-		return usage(fmt.Errorf("%s is not set to a base URL such as http://10.0.0.7:7102", name))
+		return usageError(fmt.Errorf("%s is not set to a base URL such as http://10.0.0.7:7102", name))
 	}
 	return nil
 }
 
-// bearer presents the key on unary calls and streams.
+// bearer is a client interceptor that adds the key to unary calls and streams.
 type bearer string
 
 func (b bearer) header() string { return "Bearer " + string(b) }
@@ -93,29 +93,31 @@
 	return next
 }
 
-// repeated makes a change, and again with the same identifier while the daemon
-// is not available or the outcome is not known: the identifier makes that safe.
-// The error says that the change is uncertain if any attempt may have made it.
-func repeated[T any](ctx context.Context, identifier string, change func() (T, error)) (T, error) {
-	mayBeMade := false
+// retryChange sends a change, and sends it again while the daemon is unavailable
+// or the outcome is unknown, up to maxChangeAttempts times. That is safe because
+// all attempts have the same change identifier. If the last error is of this
+// kind and any attempt may have applied the change, the returned error says that
+// the outcome is uncertain.
+func retryChange[T any](ctx context.Context, identifier string, change func() (T, error)) (T, error) {
+	mayBeApplied := false
 	attempt := func() (T, error) {
 		result, err := change()
-		if err != nil && !retryable(err) {
+		if err != nil && !isRetryable(err) {
 			return result, backoff.Permanent(err)
 		}
-		mayBeMade = mayBeMade || (err != nil && !certainlyNotMade(err))
+		mayBeApplied = mayBeApplied || (err != nil && !isCertainlyNotApplied(err))
 		return result, err
 	}
-	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = firstRetry
-	result, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(wait), backoff.WithMaxTries(changeAttempts))
-	if err != nil && mayBeMade && retryable(err) {
-		return result, uncertain(err, identifier)
+	delays := backoff.NewExponentialBackOff()
+	delays.InitialInterval = firstRetryDelay
+	result, err := backoff.Retry(ctx, attempt, backoff.WithBackOff(delays), backoff.WithMaxTries(maxChangeAttempts))
+	if err != nil && mayBeApplied && isRetryable(err) {
+		return result, uncertainError(err, identifier)
 	}
 	return result, err
 }
 
-func retryable(err error) bool {
+func isRetryable(err error) bool {
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		return true
 	}
@@ -123,9 +125,10 @@
 	return code == connect.CodeUnavailable || code == connect.CodeDeadlineExceeded
 }
 
-// certainlyNotMade holds for a refusal by the daemon itself that does not call
-// the change uncertain, and for a connection that never came about.
-func certainlyNotMade(err error) bool {
+// isCertainlyNotApplied reports whether the error proves that the change was not
+// applied: either no connection was established, or the daemon answered
+// "unavailable" without marking the outcome as uncertain.
+func isCertainlyNotApplied(err error) bool {
 	var connection *net.OpError
 	if errors.As(err, &connection) && connection.Op == "dial" {
 		return true
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -1,6 +1,6 @@
-// Package commandline is the thymeloft command: it reads flags, calls the
-// operators' or the callers' endpoint of any daemon, and prints tables or JSON.
-// Errors go to the error stream with what to do, and set the exit code.
+// Package commandline implements the thymeloft command. It parses flags, calls
+// the operator or caller endpoint of a daemon, and prints tables or JSON. An
+// error is printed to the error stream with advice, and sets the exit code.
 package commandline
 
 import (
@@ -20,110 +20,113 @@
 	Err io.Writer
 }
 
-// commands is the whole command line.
+// commands are the flags and subcommands of the command line, as kong parses
+// them.
 type commands struct {
 	Connection `embed:""`
-	Output     string `enum:"table,json" default:"table" short:"o" help:"Form of what is printed: table or json."`
+	Output     string `enum:"table,json" default:"table" short:"o" help:"Output format: table or json."`
 
 	Config  configCommands  `cmd:"" help:"Read and change the configuration."`
 	Status  statusCommand   `cmd:"" help:"Show members, groups and engines as one daemon sees them."`
-	Drain   drainCommands   `cmd:"" help:"Take back ends or machines out of new work, and back."`
-	Explain explainCommand  `cmd:"" help:"Tell from logs why a request ended as it did."`
+	Drain   drainCommands   `cmd:"" help:"Drain back ends or machines, or return them to service."`
+	Explain explainCommand  `cmd:"" help:"Explain from logs why a request ended as it did."`
 	Program programCommands `cmd:"" help:"Create, call, read and end programs."`
 	Version versionCommand  `cmd:"" help:"Print the version."`
 }
 
-// Connection says where the daemons are and which keys to present.
+// Connection has the flags for reaching the daemons: endpoints, keys and timeout.
 type Connection struct {
 	OperatorURL string        `name:"operator-url" env:"THYMELOFT_OPERATOR_URL" placeholder:"URL" help:"Operators' endpoint of any daemon."`
 	OperatorKey string        `name:"operator-key" env:"THYMELOFT_OPERATOR_KEY" placeholder:"KEY" help:"Operator's bearer key; better set in the environment."`
 	CallerURL   string        `name:"caller-url" env:"THYMELOFT_CALLER_URL" placeholder:"URL" help:"Callers' endpoint of any daemon."`
 	CallerKey   string        `name:"caller-key" env:"THYMELOFT_CALLER_KEY" placeholder:"KEY" help:"Caller's bearer key; better set in the environment."`
 	Authority   string        `name:"authority" env:"THYMELOFT_AUTHORITY" placeholder:"FILE" help:"PEM file of the authorities that sign the daemons' certificates."`
-	Timeout     time.Duration `name:"timeout" default:"30s" help:"Longest time of the whole command, besides watch."`
+	Timeout     time.Duration `name:"timeout" default:"30s" help:"Timeout of the whole command, except config watch."`
 }
 
-// session is what a command works with.
+// session is the context, streams and flags of one run of the command.
 type session struct {
 	ctx     context.Context
 	streams Streams
-	line    *commands
+	flags   *commands
 }
 
-// exited carries the exit code out of kong, which exits after --help.
-type exited struct{ code int }
+// exitPanic is the panic value that carries the exit code when kong asks to exit,
+// as it does after --help. Run recovers it.
+type exitPanic struct{ code int }
 
-const description = `Operators' and callers' command line of thymeloft.
+const programDescription = `Operators' and callers' command line of thymeloft.
 
-Exit codes: 0 done; 1 failed; 2 wrong use; 3 invalid, nothing was changed;
+Exit codes: 0 done; 1 failed; 2 usage error; 3 invalid, nothing was changed;
 4 conflict with a newer revision, nothing was changed; 5 the outcome is not
 known, repeat with the same identifier; 6 not done, try again later;
 7 key not accepted; 8 not found; 9 differences (config diff --exit-code).`
 
-// Run runs one command and returns its exit code.
+// Run runs the command with the arguments, which do not include the program's
+// name, and returns its exit code.
 func Run(ctx context.Context, arguments []string, streams Streams) (code ExitCode) {
-	var line commands
-	parser, err := kong.New(&line,
+	var flags commands
+	parser, err := kong.New(&flags,
 		kong.Name("thymeloft"),
-		kong.Description(description),
+		kong.Description(programDescription),
 		kong.Writers(streams.Out, streams.Err),
-		kong.Exit(func(code int) { panic(exited{code}) }),
+		kong.Exit(func(code int) { panic(exitPanic{code}) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true, WrapUpperBound: 100}),
 	)
 	if err != nil {
 		return report(streams.Err, err)
 	}
 	defer func() {
-		if stopped := recover(); stopped != nil {
-			early, expected := stopped.(exited)
+		if recovered := recover(); recovered != nil {
+			exit, expected := recovered.(exitPanic)
 			if !expected {
-				panic(stopped)
+				panic(recovered)
 			}
-			code = ExitCode(early.code)
+			code = ExitCode(exit.code)
 		}
 	}()
 	parsed, err := parser.Parse(arguments)
 	if err != nil {
-		return report(streams.Err, usage(err))
+		return report(streams.Err, usageError(err))
 	}
-	return report(streams.Err, parsed.Run(&session{ctx: ctx, streams: streams, line: &line}))
+	return report(streams.Err, parsed.Run(&session{ctx: ctx, streams: streams, flags: &flags}))
 }
 
-// bounded gives the command's context with its deadline.
-func (s *session) bounded() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(s.ctx, s.line.Timeout)
+// withTimeout returns the command's context with the deadline of --timeout.
+func (s *session) withTimeout() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(s.ctx, s.flags.Timeout)
 }
 
-func (s *session) json() bool { return s.line.Output == "json" }
+func (s *session) isJSON() bool { return s.flags.Output == "json" }
 
 func (s *session) printf(format string, arguments ...any) {
-	// As usual for a command: a reader that stops reading ends the process by its signal.
+	// The error is ignored: if the reader of a pipe has gone, SIGPIPE ends the process.
 	_, _ = fmt.Fprintf(s.streams.Out, format, arguments...)
 }
 
 type versionCommand struct{}
 
-// Run prints the version of the module and of the source it was built from.
+// Run prints the module version and the source revision of the binary.
 func (versionCommand) Run(s *session) error {
 	version := versionOf(debug.ReadBuildInfo())
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(version)
 	}
 	s.printf("thymeloft %s %s\n", version.Version, version.Revision)
 	return nil
 }
 
-type versionDocument struct {
+type versionInfo struct {
 	Version  string `json:"version"`
 	Revision string `json:"revision,omitempty"`
 	Go       string `json:"go"`
 }
 
-func versionOf(build *debug.BuildInfo, known bool) versionDocument {
+func versionOf(build *debug.BuildInfo, known bool) versionInfo {
 	if !known {
-		return versionDocument{Version: "unknown"}
+		return versionInfo{Version: "unknown"}
 	}
-	version := versionDocument{Version: build.Main.Version, Go: build.GoVersion}
+	version := versionInfo{Version: build.Main.Version, Go: build.GoVersion}
 	for _, setting := range build.Settings {
 		if setting.Key == "vcs.revision" {
 			version.Revision = setting.Value
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -32,10 +32,10 @@
 	RunSpecs(t, "commandline")
 }
 
-const secret = "a-secret-key"
+const testKey = "a-secret-key"
 
-// administrator is a configuration group of one; its failures are taken in order,
-// each after the change was applied.
+// administrator is an in-memory configuration.Administrator. Each change is
+// applied, and then returns the next of the failures while there are any.
 type administrator struct {
 	configuration.Administrator
 	mutex    sync.Mutex
@@ -66,29 +66,29 @@
 	return a.machine.History(limit), nil
 }
 
-// outcome is what a command left behind.
-type outcome struct {
+// commandResult is the exit code and the output of a command.
+type commandResult struct {
 	code commandline.ExitCode
 	out  string
 	err  string
 }
 
-func run(input string, arguments ...string) outcome {
+func run(input string, arguments ...string) commandResult {
 	var out, errors bytes.Buffer
 	code := commandline.Run(context.Background(), arguments, commandline.Streams{In: strings.NewReader(input), Out: &out, Err: &errors})
-	Expect(out.String() + errors.String()).NotTo(ContainSubstring(secret))
-	return outcome{code: code, out: out.String(), err: errors.String()}
+	Expect(out.String() + errors.String()).NotTo(ContainSubstring(testKey))
+	return commandResult{code: code, out: out.String(), err: errors.String()}
 }
 
 var _ = Describe("config and drain", func() {
 	var group *administrator
 	var url string
-	operator := func(input string, arguments ...string) outcome {
-		return run(input, append(arguments, "--operator-url", url, "--operator-key", secret)...)
+	operator := func(input string, arguments ...string) commandResult {
+		return run(input, append(arguments, "--operator-url", url, "--operator-key", testKey)...)
 	}
 	BeforeEach(func() {
 		group = &administrator{machine: configuration.NewMachine()}
-		hash := sha256.Sum256([]byte(secret))
+		hash := sha256.Sum256([]byte(testKey))
 		server := httptest.NewServer(operatorapi.NewHandler(operatorapi.Options{
 			Administrator: group, Keys: []string{"ailsa:" + hex.EncodeToString(hash[:])},
 		}))
@@ -118,7 +118,7 @@
 		Expect(stale.err).To(ContainSubstring("Read revision 2"))
 	})
 
-	It("applies parts of a configuration", func() {
+	It("applies partial changes", func() {
 		Expect(operator("models:\n- name: b\n  version: \"1\"\n", "config", "apply", "--partial", "-", "--base", "0").code).To(Equal(commandline.ExitDone))
 		deleted := operator("", "config", "apply", "--partial", "--delete", "model/b", "--base", "1", "-o", "json")
 		Expect(deleted.out).To(MatchJSON(`{"revision": "2"}`))
@@ -127,16 +127,16 @@
 		Expect(operator("", "config", "apply", "--delete", "model/b", "--base", "2").code).To(Equal(commandline.ExitUsage))
 	})
 
-	It("repeats a change whose answer was lost, which is made once", func() {
+	It("repeats a change whose response was lost, and applies it once", func() {
 		group.failures = []error{configuration.ErrChangeUncertain, errors.New("no leader")}
 		applied := operator("", "drain", "add", "e1")
 		Expect(applied.code).To(Equal(commandline.ExitDone))
 		Expect(applied.out).To(Equal("revision 1, 1 drained\ne1\n"))
-		Expect(applied.err).To(ContainSubstring("note: e1 is no declared back end"))
+		Expect(applied.err).To(ContainSubstring("note: e1 is not a declared back end"))
 		Expect(operator("", "drain", "remove", "e1").out).To(Equal("revision 2, 0 drained\n"))
 	})
 
-	It("says with which identifier to repeat a change that stays uncertain", func() {
+	It("prints the identifier to repeat a change whose outcome stays uncertain", func() {
 		for range 9 {
 			group.failures = append(group.failures, configuration.ErrChangeUncertain)
 		}
@@ -145,14 +145,14 @@
 		Expect(lost.err).To(ContainSubstring("--change-id mine"))
 	})
 
-	It("lists all faults, names the line, and needs a base revision", func() {
+	It("lists all faults, reports the line of a syntax error, and requires a base revision", func() {
 		bad := "tenants:\n- name: a\n  burst: -1\n  class: golden\n"
 		invalid := operator(bad, "config", "apply", "-", "--base", "0")
 		Expect(invalid.code).To(Equal(commandline.ExitInvalid))
 		Expect(invalid.err).To(And(ContainSubstring("burst"), ContainSubstring("golden")))
 		partial := operator(bad, "config", "apply", "--partial", "-", "--base", "0")
 		Expect(partial.code).To(Equal(commandline.ExitInvalid))
-		Expect(partial.err).To(ContainSubstring("class"), "text that the schema does not know is refused too")
+		Expect(partial.err).To(ContainSubstring("class"), "an unknown class must be rejected in a partial change too")
 		Expect(run(bad, "config", "validate", "-").code).To(Equal(commandline.ExitInvalid))
 
 		unknown := run("models:\n- nam: a\n", "config", "validate", "-")
@@ -161,16 +161,16 @@
 		Expect(operator("models: []", "config", "apply", "-").code).To(Equal(commandline.ExitUsage))
 	})
 
-	It("refuses a wrong key and tells how to set it", func() {
+	It("rejects a wrong key and prints how to set it", func() {
 		refused := run("", "config", "get", "--operator-url", url, "--operator-key", "guessed")
 		Expect(refused.code).To(Equal(commandline.ExitUnauthenticated))
 		Expect(refused.err).To(ContainSubstring("THYMELOFT_OPERATOR_KEY"))
 		Expect(run("", "config", "get", "--operator-url", url).code).To(Equal(commandline.ExitUsage))
-		Expect(run("", "config", "get", "--operator-key", secret).code).To(Equal(commandline.ExitUsage))
+		Expect(run("", "config", "get", "--operator-key", testKey).code).To(Equal(commandline.ExitUsage))
 	})
 
-	It("trusts the authorities that it is given", func() {
-		hash := sha256.Sum256([]byte(secret))
+	It("trusts the authorities of --authority", func() {
+		hash := sha256.Sum256([]byte(testKey))
 		server := httptest.NewTLSServer(operatorapi.NewHandler(operatorapi.Options{
 			Administrator: group, Keys: []string{hex.EncodeToString(hash[:])},
 		}))
@@ -178,20 +178,20 @@
 		authority := filepath.Join(GinkgoT().TempDir(), "authority.pem")
 		certificate := pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: server.Certificate().Raw})
 		Expect(os.WriteFile(authority, certificate, 0o600)).To(Succeed())
-		get := []string{"config", "get", "--operator-url", server.URL, "--operator-key", secret}
+		get := []string{"config", "get", "--operator-url", server.URL, "--operator-key", testKey}
 		Expect(run("", get...).code).To(Equal(commandline.ExitUnavailable))
 		Expect(run("", append(get, "--authority", authority)...).code).To(Equal(commandline.ExitDone))
 	})
 
-	It("exits with 6 when no daemon is there", func() {
+	It("exits with 6 when no daemon is reachable", func() {
 		closed := httptest.NewServer(http.NotFoundHandler())
 		closed.Close()
-		gone := run("", "drain", "add", "e1", "--operator-url", closed.URL, "--operator-key", secret)
+		gone := run("", "drain", "add", "e1", "--operator-url", closed.URL, "--operator-key", testKey)
 		Expect(gone.code).To(Equal(commandline.ExitUnavailable))
 	})
 
-	It("never prints a key that the environment holds", func() {
-		GinkgoT().Setenv("THYMELOFT_OPERATOR_KEY", secret)
+	It("does not print a key from the environment", func() {
+		GinkgoT().Setenv("THYMELOFT_OPERATOR_KEY", testKey)
 		help := run("", "config", "apply", "--help")
 		Expect(help.code).To(Equal(commandline.ExitDone))
 		Expect(help.out).To(ContainSubstring("--change-id"))
@@ -203,15 +203,15 @@
 	var status int
 	var answer any
 	var url string
-	caller := func(arguments ...string) outcome {
-		return run("", append(arguments, "--caller-url", url, "--caller-key", secret)...)
+	caller := func(arguments ...string) commandResult {
+		return run("", append(arguments, "--caller-url", url, "--caller-key", testKey)...)
 	}
 	BeforeEach(func() {
 		seen, status = nil, http.StatusOK
 		server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			body, _ := io.ReadAll(request.Body)
 			seen = append(seen, request.Method+" "+request.URL.RequestURI()+" "+string(body))
-			Expect(request.Header.Get("Authorization")).To(Equal("Bearer " + secret))
+			Expect(request.Header.Get("Authorization")).To(Equal("Bearer " + testKey))
 			writer.WriteHeader(status)
 			_ = json.NewEncoder(writer).Encode(answer)
 		}))
@@ -219,7 +219,7 @@
 		url = server.URL
 	})
 
-	It("creates, calls, reads and ends through the callers' paths", func() {
+	It("creates, calls, reads and ends programs through the caller API", func() {
 		answer = callerapi.CreateReply{Program: "p0001-x"}
 		Expect(caller("program", "create", "--creation-key", "k", "--idle", "90s").out).To(Equal("p0001-x\n"))
 		answer = callerapi.CallReply{State: "answered", Answer: &callerapi.Answer{Content: "all paid", Engine: "e1"}}
@@ -240,7 +240,7 @@
 		}))
 	})
 
-	DescribeTable("tells the outcome of a problem in its exit code",
+	DescribeTable("reports the outcome of a problem in the exit code",
 		func(kind problem.Kind, outcome problem.Outcome, code commandline.ExitCode, part string) {
 			status = http.StatusBadGateway
 			answer = callerapi.Problem{Title: kind, Outcome: outcome, Detail: "told so", RetryAfterSeconds: 3, ReadAt: "/v1/there"}
@@ -255,7 +255,7 @@
 		Entry(nil, problem.KindUnknownProgram, problem.OutcomeNone, commandline.ExitNotFound, "Do not create"),
 	)
 
-	It("needs exactly one target, and a daemon at the other end", func() {
+	It("requires exactly one target, and recognizes a server that is not a daemon", func() {
 		Expect(caller("program", "call", "p0001-x", "1", "--model", "a", "--tool", "b").code).To(Equal(commandline.ExitUsage))
 		Expect(caller("program", "call", "p0001-x", "1").code).To(Equal(commandline.ExitUsage))
 		status, answer = http.StatusNotFound, "no page"
--- a/internal/commandline/config.go
+++ b/internal/commandline/config.go
@@ -18,57 +18,57 @@
 )
 
 type configCommands struct {
-	Validate validateCommand `cmd:"" help:"Check a file, without a daemon."`
-	Diff     diffCommand     `cmd:"" help:"Show what a file would change."`
-	Apply    applyCommand    `cmd:"" help:"Make the file the configuration, or change some items of it."`
-	Get      getCommand      `cmd:"" help:"Print the revision in force, or an earlier one, as a file that apply takes."`
-	History  historyCommand  `cmd:"" help:"List the latest revisions, newest first."`
-	Watch    watchCommand    `cmd:"" help:"Print revisions as they come into force, until interrupted."`
+	Validate configValidateCommand `cmd:"" help:"Check a file, without a daemon."`
+	Diff     configDiffCommand     `cmd:"" help:"Show what a file would change."`
+	Apply    configApplyCommand    `cmd:"" help:"Replace the configuration by the file, or change some of its items."`
+	Get      configGetCommand      `cmd:"" help:"Print the revision in force, or an earlier one, in the format that apply reads."`
+	History  configHistoryCommand  `cmd:"" help:"List the latest revisions, newest first."`
+	Watch    configWatchCommand    `cmd:"" help:"Print revisions as they come into force, until interrupted."`
 }
 
-type validateCommand struct {
+type configValidateCommand struct {
 	File string `arg:"" help:"YAML file; - for standard input."`
 }
 
-// Run checks the file and lists all its faults.
-func (c *validateCommand) Run(s *session) error {
+// Run validates the file without a daemon. Its error lists all faults.
+func (c *configValidateCommand) Run(s *session) error {
 	document, _, err := s.readFile(c.File)
 	if err != nil {
 		return err
 	}
 	if faults := configuration.Validate(&document); len(faults) > 0 {
-		return &failure{code: ExitInvalid, cause: faultsError(faults)}
+		return &failure{code: ExitInvalid, cause: invalidConfigurationError(faults)}
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(map[string]any{"valid": true, "items": document.Items()})
 	}
 	s.printf("valid: %d items\n", document.Items())
 	return nil
 }
 
-type diffCommand struct {
-	changeContent
+type configDiffCommand struct {
+	changeFlags
 	ExitCode bool `help:"Exit with 9 when there are differences."`
 }
 
-// Run compares the file with the revision in force.
-func (c *diffCommand) Run(s *session) error {
+// Run prints what the file would change in the revision in force.
+func (c *configDiffCommand) Run(s *session) error {
 	content, err := c.read(s)
 	if err != nil {
 		return err
 	}
-	client, err := s.operator()
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.ValidateConfiguration(ctx, connect.NewRequest(content.validateRequest()))
 	if err != nil {
 		return err
 	}
 	if faults := response.Msg.GetFaults(); len(faults) > 0 {
-		return &failure{code: ExitInvalid, cause: faultsError(faults)}
+		return &failure{code: ExitInvalid, cause: invalidConfigurationError(faults)}
 	}
 	if err := s.printChanges(response.Msg); err != nil {
 		return err
@@ -80,7 +80,7 @@
 }
 
 func (s *session) printChanges(response *operatorv1.ValidateConfigurationResponse) error {
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(response)
 	}
 	signs := map[string]string{
@@ -98,96 +98,101 @@
 	return nil
 }
 
-type applyCommand struct {
-	changeContent
+type configApplyCommand struct {
+	changeFlags
 	Base     *uint64 `help:"Revision that the change was made against; default: the one in the file's first line, as config get writes it."`
-	ChangeID string  `name:"change-id" help:"Identifier of the change; default: a new one. A repeat with the same finds the first result."`
-	Comment  string  `short:"m" help:"For the history."`
+	ChangeID string  `name:"change-id" help:"Identifier of the change; default: a new one. Repeating the command with the same identifier returns the first result."`
+	Comment  string  `short:"m" help:"Comment for the history."`
 }
 
-// Run makes the change, and repeats it while its outcome is not known.
-func (c *applyCommand) Run(s *session) error {
+// Run applies the change. It retries while the daemon is unavailable or the
+// outcome is unknown.
+func (c *configApplyCommand) Run(s *session) error {
 	content, err := c.read(s)
 	if err != nil {
 		return err
 	}
-	base, err := c.base(content)
+	base, err := c.baseRevision(content)
 	if err != nil {
 		return err
 	}
-	client, err := s.operator()
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
 	request := content.applyRequest()
-	request.ChangeIdentifier = identifierOr(c.ChangeID)
+	request.ChangeIdentifier = identifierOrNew(c.ChangeID)
 	request.BaseRevision = base
 	request.Comment = c.Comment
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	response, err := repeated(ctx, request.GetChangeIdentifier(), func() (*connect.Response[operatorv1.ApplyConfigurationResponse], error) {
+	response, err := retryChange(ctx, request.GetChangeIdentifier(), func() (*connect.Response[operatorv1.ApplyConfigurationResponse], error) {
 		return client.ApplyConfiguration(ctx, connect.NewRequest(request))
 	})
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(response.Msg)
 	}
 	s.printf("accepted as revision %d\n", response.Msg.GetRevision())
 	return nil
 }
 
-func (c *applyCommand) base(content *content) (uint64, error) {
+// baseRevision returns the base revision from --base, or else from the file.
+func (c *configApplyCommand) baseRevision(content *changeContent) (uint64, error) {
 	if c.Base != nil {
 		return *c.Base, nil
 	}
-	if content.hasBase {
-		return content.base, nil
+	if content.hasBaseRevision {
+		return content.baseRevision, nil
 	}
-	return 0, usage(errors.New("no base revision: give --base, or begin the file with \"# revision: N\" as config get does"))
+	return 0, usageError(errors.New("no base revision: give --base, or begin the file with \"# revision: N\" as config get does"))
 }
 
-func identifierOr(given string) string {
+// identifierOrNew returns the given identifier, or a new one if it is empty.
+func identifierOrNew(given string) string {
 	if given != "" {
 		return given
 	}
 	return ulid.Make().String()
 }
 
-type getCommand struct {
+type configGetCommand struct {
 	Revision *uint64 `help:"An earlier revision; default: the one in force."`
 }
 
-// Run prints the revision; the first line names it for apply.
-func (c *getCommand) Run(s *session) error {
-	client, err := s.operator()
+// Run prints the revision's configuration as YAML, after a comment line with the
+// revision's number, which config apply uses as base revision.
+func (c *configGetCommand) Run(s *session) error {
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.GetConfiguration(ctx, connect.NewRequest(&operatorv1.GetConfigurationRequest{Revision: c.Revision}))
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(response.Msg)
 	}
 	text, err := configuration.FormatYAML(convert.DocumentFrom(response.Msg.GetDocument()))
 	if err != nil {
 		return err
 	}
-	s.printf("%s%d\n%s", revisionLine, response.Msg.GetRevision(), text)
+	s.printf("%s%d\n%s", revisionPrefix, response.Msg.GetRevision(), text)
 	return nil
 }
 
-// revisionLine begins a file that config get wrote.
-const revisionLine = "# revision: "
+// revisionPrefix is the start of the first line that config get prints.
+const revisionPrefix = "# revision: "
 
 var revisionPattern = regexp.MustCompile(`^# revision: ([0-9]+)\s*(\n|$)`)
 
-// readFile reads a document and, where its first line names it, the revision.
+// readFile reads a YAML file, or standard input for "-". It returns the document
+// and the revision that the first line names, or nil if it names none.
 func (s *session) readFile(name string) (configuration.Document, *uint64, error) {
 	data, err := s.readBytes(name, configuration.MaxYAMLBytes)
 	if err != nil {
@@ -203,34 +208,36 @@
 	}
 	revision, err := strconv.ParseUint(string(match[1]), 10, 64)
 	if err != nil {
-		return configuration.Document{}, nil, usage(fmt.Errorf("%s: first line: %w", name, err))
+		return configuration.Document{}, nil, usageError(fmt.Errorf("%s: first line: %w", name, err))
 	}
 	return document, &revision, nil
 }
 
-// readBytes reads a file or, for "-", standard input, up to the limit.
+// readBytes reads a file, or standard input for "-". It fails if there are more
+// bytes than the limit.
 func (s *session) readBytes(name string, limit int64) ([]byte, error) {
 	source := s.streams.In
 	if name != "-" {
 		file, err := os.Open(name)
 		if err != nil {
-			return nil, usage(err)
+			return nil, usageError(err)
 		}
-		defer func() { _ = file.Close() }() // It was only read.
+		defer func() { _ = file.Close() }() // Closing a file after reading loses no data.
 		source = file
 	}
 	data, err := io.ReadAll(io.LimitReader(source, limit+1))
 	if err != nil {
-		return nil, usage(err)
+		return nil, usageError(err)
 	}
 	if int64(len(data)) > limit {
-		return nil, usage(fmt.Errorf("%s: more than %d bytes", name, limit))
+		return nil, usageError(fmt.Errorf("%s: more than %d bytes", name, limit))
 	}
 	return data, nil
 }
 
-// namesFrom sorts "kind/name" into names by kind.
-func namesFrom(texts []string) (configuration.Names, error) {
+// parseDeletes parses the values of --delete, each "KIND/NAME", into names by
+// kind.
+func parseDeletes(deletes []string) (configuration.Names, error) {
 	var names configuration.Names
 	lists := map[string]*[]string{
 		"tenant":  &names.Tenants,
@@ -240,11 +247,11 @@
 		"service": &names.Services,
 		"drain":   &names.Drains,
 	}
-	for _, text := range texts {
+	for _, text := range deletes {
 		kind, name, _ := strings.Cut(text, "/")
 		list, known := lists[kind]
 		if !known || name == "" {
-			return names, usage(fmt.Errorf("--delete %q is not KIND/NAME with KIND tenant, model, pool, engine, service or drain", text))
+			return names, usageError(fmt.Errorf("--delete %q is not KIND/NAME with KIND tenant, model, pool, engine, service or drain", text))
 		}
 		*list = append(*list, name)
 	}
--- a/internal/commandline/content.go
+++ b/internal/commandline/content.go
@@ -8,27 +8,31 @@
 	"github.com/thymeloft/thymeloft/internal/operatorapi/convert"
 )
 
-// changeContent are the flags that say what is changed.
-type changeContent struct {
-	File    string   `arg:"" optional:"" help:"YAML file; - for standard input. Only with --partial it may be left out."`
-	Partial bool     `help:"The file holds only items to add or replace; all others stay."`
-	Delete  []string `placeholder:"KIND/NAME" help:"With --partial: take this item away; may be given often."`
+// changeFlags are the flags of config diff and config apply that define the
+// change.
+type changeFlags struct {
+	File    string   `arg:"" optional:"" help:"YAML file; - for standard input. Optional with --partial."`
+	Partial bool     `help:"The file contains only items to add or replace; all others stay."`
+	Delete  []string `placeholder:"KIND/NAME" help:"With --partial: delete this item; may be repeated."`
 }
 
-// content is a change as read, whole or partial.
-type content struct {
-	document *operatorv1.Document
-	partial  *operatorv1.Difference
-	base     uint64
-	hasBase  bool
+// changeContent is the change that the flags define: either document or partial
+// is set.
+type changeContent struct {
+	document        *operatorv1.Document
+	partial         *operatorv1.Difference
+	baseRevision    uint64
+	hasBaseRevision bool
 }
 
-func (c *changeContent) read(s *session) (*content, error) {
+// read checks the flags, reads the file and returns the change. It validates a
+// whole document, but not a partial change.
+func (c *changeFlags) read(s *session) (*changeContent, error) {
 	if err := c.check(); err != nil {
 		return nil, err
 	}
 	var document configuration.Document
-	read := &content{}
+	read := &changeContent{}
 	if c.File != "" {
 		parsed, base, err := s.readFile(c.File)
 		if err != nil {
@@ -36,17 +40,17 @@
 		}
 		document = parsed
 		if base != nil {
-			read.base, read.hasBase = *base, true
+			read.baseRevision, read.hasBaseRevision = *base, true
 		}
 	}
 	if !c.Partial {
 		if faults := configuration.Validate(&document); len(faults) > 0 {
-			return nil, &failure{code: ExitInvalid, cause: faultsError(faults)}
+			return nil, &failure{code: ExitInvalid, cause: invalidConfigurationError(faults)}
 		}
 		read.document = convert.Document(&document)
 		return read, nil
 	}
-	deletes, err := namesFrom(c.Delete)
+	deletes, err := parseDeletes(c.Delete)
 	if err != nil {
 		return nil, err
 	}
@@ -54,24 +58,25 @@
 	return read, nil
 }
 
-func (c *changeContent) check() error {
+// check returns a usage error if the flags contradict each other.
+func (c *changeFlags) check() error {
 	if !c.Partial && len(c.Delete) > 0 {
-		return usage(errors.New("--delete needs --partial: a whole file takes away what it leaves out"))
+		return usageError(errors.New("--delete needs --partial: without it, items that are not in the file are deleted"))
 	}
 	if c.File == "" && len(c.Delete) == 0 {
-		return usage(errors.New("no file is named"))
+		return usageError(errors.New("no file given"))
 	}
 	return nil
 }
 
-func (c *content) validateRequest() *operatorv1.ValidateConfigurationRequest {
+func (c *changeContent) validateRequest() *operatorv1.ValidateConfigurationRequest {
 	if c.partial != nil {
 		return &operatorv1.ValidateConfigurationRequest{Content: &operatorv1.ValidateConfigurationRequest_Partial{Partial: c.partial}}
 	}
 	return &operatorv1.ValidateConfigurationRequest{Content: &operatorv1.ValidateConfigurationRequest_Document{Document: c.document}}
 }
 
-func (c *content) applyRequest() *operatorv1.ApplyConfigurationRequest {
+func (c *changeContent) applyRequest() *operatorv1.ApplyConfigurationRequest {
 	if c.partial != nil {
 		return &operatorv1.ApplyConfigurationRequest{Content: &operatorv1.ApplyConfigurationRequest_Partial{Partial: c.partial}}
 	}
--- a/internal/commandline/documentation_test.go
+++ b/internal/commandline/documentation_test.go
@@ -15,8 +15,9 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// declaredKinds reads the constants of type Kind from the source.
-func declaredKinds() []problem.Kind {
+// problemKinds returns the values of all constants of type problem.Kind, which it
+// reads from the source code of the package.
+func problemKinds() []problem.Kind {
 	file, err := parser.ParseFile(token.NewFileSet(), "../problem/problem.go", nil, 0)
 	Expect(err).NotTo(HaveOccurred())
 	var kinds []problem.Kind
@@ -38,12 +39,12 @@
 }
 
 var _ = Describe("documentation", func() {
-	It("says of every kind of problem what to do, on the page and in the command", func() {
+	It("covers every kind of problem, on the errors page and in the command", func() {
 		page, err := os.ReadFile("../../docs/operations/errors.md")
 		Expect(err).NotTo(HaveOccurred())
 		_, table, found := strings.Cut(string(page), "## Kinds\n")
 		Expect(found).To(BeTrue())
-		kinds := declaredKinds()
+		kinds := problemKinds()
 		Expect(len(kinds)).To(BeNumerically(">=", 20))
 		for _, kind := range kinds {
 			Expect(commandline.Advice(kind)).NotTo(BeEmpty(), string(kind))
--- a/internal/commandline/drain.go
+++ b/internal/commandline/drain.go
@@ -10,71 +10,72 @@
 
 type drainCommands struct {
 	Add    drainAddCommand    `cmd:"" help:"Give no new work to these back ends or machines."`
-	Remove drainRemoveCommand `cmd:"" help:"Give work to these again."`
-	List   drainListCommand   `cmd:"" help:"List what is drained."`
+	Remove drainRemoveCommand `cmd:"" help:"Give new work to these back ends or machines again."`
+	List   drainListCommand   `cmd:"" help:"List the drained back ends and machines."`
 }
 
-// drainChange are the flags of a change of drains.
-type drainChange struct {
+// drainFlags are the flags of drain add and drain remove.
+type drainFlags struct {
 	Names    []string `arg:"" help:"Names of engines, services or machines."`
-	ChangeID string   `name:"change-id" help:"Identifier of the change; default: a new one. A repeat with the same finds the first result."`
-	Comment  string   `short:"m" help:"For the history."`
+	ChangeID string   `name:"change-id" help:"Identifier of the change; default: a new one. Repeating the command with the same identifier returns the first result."`
+	Comment  string   `short:"m" help:"Comment for the history."`
 }
 
-type drainAddCommand struct{ drainChange }
+type drainAddCommand struct{ drainFlags }
 
-// Run adds drains.
+// Run drains the named back ends or machines.
 func (c *drainAddCommand) Run(s *session) error {
-	return c.set(s, &operatorv1.SetDrainsRequest{Add: c.Names})
+	return c.setDrains(s, &operatorv1.SetDrainsRequest{Add: c.Names})
 }
 
-type drainRemoveCommand struct{ drainChange }
+type drainRemoveCommand struct{ drainFlags }
 
-// Run removes drains.
+// Run ends the drains of the named back ends or machines.
 func (c *drainRemoveCommand) Run(s *session) error {
-	return c.set(s, &operatorv1.SetDrainsRequest{Remove: c.Names})
+	return c.setDrains(s, &operatorv1.SetDrainsRequest{Remove: c.Names})
 }
 
-func (c *drainChange) set(s *session, request *operatorv1.SetDrainsRequest) error {
-	client, err := s.operator()
+// setDrains completes the request from the flags, sends it and prints the result.
+func (c *drainFlags) setDrains(s *session, request *operatorv1.SetDrainsRequest) error {
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
-	request.ChangeIdentifier = identifierOr(c.ChangeID)
+	request.ChangeIdentifier = identifierOrNew(c.ChangeID)
 	request.Comment = c.Comment
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	response, err := repeated(ctx, request.GetChangeIdentifier(), func() (*connect.Response[operatorv1.SetDrainsResponse], error) {
+	response, err := retryChange(ctx, request.GetChangeIdentifier(), func() (*connect.Response[operatorv1.SetDrainsResponse], error) {
 		return client.SetDrains(ctx, connect.NewRequest(request))
 	})
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(response.Msg)
 	}
 	for _, name := range response.Msg.GetWithoutEffect() {
-		_, _ = fmt.Fprintf(s.streams.Err, "note: %s is no declared back end, and no host of one: is it misspelt?\n", name)
+		_, _ = fmt.Fprintf(s.streams.Err, "note: %s is not a declared back end or the host of one; check the spelling\n", name)
 	}
 	return s.printDrains(response.Msg.GetRevision(), response.Msg.GetDrains())
 }
 
 type drainListCommand struct{}
 
-// Run lists the drains in force at the daemon.
+// Run lists the drains in force at one daemon.
 func (drainListCommand) Run(s *session) error {
-	client, err := s.operator()
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.GetConfiguration(ctx, connect.NewRequest(&operatorv1.GetConfigurationRequest{}))
 	if err != nil {
 		return err
 	}
 	drains := response.Msg.GetDocument().GetDrains()
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(&operatorv1.SetDrainsResponse{Revision: response.Msg.GetRevision(), Drains: drains})
 	}
 	return s.printDrains(response.Msg.GetRevision(), drains)
--- a/internal/commandline/exit.go
+++ b/internal/commandline/exit.go
@@ -13,24 +13,25 @@
 	"github.com/thymeloft/thymeloft/internal/problem"
 )
 
-// ExitCode is what the command tells its caller; the codes are stable.
+// ExitCode is the exit code of the command. The meaning of a code does not change
+// between versions.
 type ExitCode int
 
-// The exit codes.
+// Exit codes.
 const (
 	ExitDone            ExitCode = 0
 	ExitFailed          ExitCode = 1
 	ExitUsage           ExitCode = 2 // wrong flags or an unreadable file
-	ExitInvalid         ExitCode = 3 // faults; nothing was changed
+	ExitInvalid         ExitCode = 3 // the input has faults; nothing was changed
 	ExitConflict        ExitCode = 4 // a newer revision exists; nothing was changed
-	ExitUncertain       ExitCode = 5 // it may have been done; repeat with the same identifier
+	ExitUncertain       ExitCode = 5 // the outcome is unknown; repeat with the same identifier
 	ExitUnavailable     ExitCode = 6 // not done; try again later
 	ExitUnauthenticated ExitCode = 7
 	ExitNotFound        ExitCode = 8
 	ExitDifferent       ExitCode = 9 // config diff --exit-code found differences
 )
 
-// failure is an error with its exit code and what the user may do about it.
+// failure is an error with an exit code and advice to the user.
 type failure struct {
 	code   ExitCode
 	cause  error
@@ -41,14 +42,17 @@
 
 func (f *failure) Unwrap() error { return f.cause }
 
-func usage(err error) error {
+// usageError returns a failure with the exit code ExitUsage.
+func usageError(err error) error {
 	return &failure{code: ExitUsage, cause: err, advice: "See thymeloft --help."}
 }
 
-// errDifferent ends config diff --exit-code quietly.
+// errDifferent sets the exit code of config diff --exit-code without printing an
+// error.
 var errDifferent = &failure{code: ExitDifferent}
 
-// report prints an error with its advice and gives the exit code.
+// report prints an error with its advice and returns the exit code. A nil error
+// is ExitDone.
 func report(stream io.Writer, err error) ExitCode {
 	if err == nil {
 		return ExitDone
@@ -64,7 +68,7 @@
 	return failed.code
 }
 
-// classify finds the exit code and the advice of an error.
+// classify returns the error as a failure with its exit code and advice.
 func classify(err error) *failure {
 	var known *failure
 	if errors.As(err, &known) {
@@ -72,7 +76,7 @@
 	}
 	var remote *connect.Error
 	if errors.As(err, &remote) {
-		return classifyRemote(remote)
+		return classifyConnectError(remote)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		return &failure{code: ExitUnavailable, cause: err, advice: "Try again, with a longer --timeout or another daemon."}
@@ -80,7 +84,7 @@
 	return &failure{code: ExitFailed, cause: err}
 }
 
-func classifyRemote(remote *connect.Error) *failure {
+func classifyConnectError(remote *connect.Error) *failure {
 	for _, detail := range remote.Details() {
 		value, err := detail.Value()
 		if err != nil {
@@ -89,11 +93,11 @@
 		switch typed := value.(type) {
 		case *operatorv1.Conflict:
 			return &failure{code: ExitConflict, cause: remote, advice: fmt.Sprintf(
-				"Read revision %d with thymeloft config get, bring the change to it, and apply it against that.", typed.GetCurrentRevision())}
+				"Read revision %d with thymeloft config get, make the change on it, and apply it again.", typed.GetCurrentRevision())}
 		case *operatorv1.Faults:
-			return &failure{code: ExitInvalid, cause: faultsError(typed.GetFaults()), advice: "Nothing was changed. Mend the faults and try again."}
+			return &failure{code: ExitInvalid, cause: invalidConfigurationError(typed.GetFaults()), advice: "Nothing was changed. Correct the faults and try again."}
 		case *operatorv1.Uncertain:
-			return uncertain(remote, typed.GetChangeIdentifier())
+			return uncertainError(remote, typed.GetChangeIdentifier())
 		case *operatorv1.ProgramProblem:
 			return &failure{code: ExitOfKind(problem.Kind(typed.GetKind())), cause: remote, advice: Advice(problem.Kind(typed.GetKind()))}
 		}
@@ -101,9 +105,9 @@
 	return classifyCode(remote)
 }
 
-func uncertain(cause error, identifier string) *failure {
+func uncertainError(cause error, identifier string) *failure {
 	return &failure{code: ExitUncertain, cause: cause, advice: fmt.Sprintf(
-		"Repeat the same command with --change-id %s: the result of the first is found, or the change is made once.", identifier)}
+		"Repeat the same command with --change-id %s: it returns the first result, or makes the change once.", identifier)}
 }
 
 func classifyCode(remote *connect.Error) *failure {
@@ -122,6 +126,6 @@
 	return &failure{code: ExitFailed, cause: remote}
 }
 
-func faultsError(faults []string) error {
+func invalidConfigurationError(faults []string) error {
 	return fmt.Errorf("the configuration is invalid:\n  %s", strings.Join(faults, "\n  "))
 }
--- a/internal/commandline/explain.go
+++ b/internal/commandline/explain.go
@@ -9,14 +9,16 @@
 	"github.com/thymeloft/thymeloft/internal/explain"
 )
 
-// explainCommand tells from logs why a request ended as it did, or where a
-// program's time went.
+// explainCommand explains from logs why a request ended as it did, or what a
+// program spent its time on.
 type explainCommand struct {
 	Request string   `arg:"" help:"Identifier of the request, or of a program."`
-	Logs    []string `arg:"" type:"existingfile" help:"Logs of the daemons of its time."`
+	Logs    []string `arg:"" type:"existingfile" help:"Log files of the daemons from the time of the request."`
 }
 
-// Run merges the logs and prints the way of the request and the cause.
+// Run merges the logs and prints the log lines of the request and the cause of
+// its outcome. If no line shows how a request with the identifier ended, it
+// explains the program with that identifier instead.
 func (c *explainCommand) Run(s *session) error {
 	var lines []explain.Line
 	for _, name := range c.Logs {
@@ -34,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(explained)
 	}
 	return explained.Print(s.streams.Out)
@@ -45,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(explained)
 	}
 	return explained.Print(s.streams.Out)
--- a/internal/commandline/print.go
+++ b/internal/commandline/print.go
@@ -21,8 +21,8 @@
 	return encoder.Encode(value)
 }
 
-// printMessage prints a message of the schema as indented JSON, with the
-// field names of the schema and with empty fields.
+// printMessage prints a protobuf message as indented JSON. The JSON has the field
+// names of the .proto file and includes empty fields.
 func (s *session) printMessage(message proto.Message) error {
 	encoded, err := messageJSON(message)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// printMessageLine prints a message as one line of JSON.
+// printMessageLine prints a protobuf message as one line of JSON.
 func (s *session) printMessageLine(message proto.Message) error {
 	encoded, err := messageJSON(message)
 	if err != nil {
@@ -54,19 +54,20 @@
 	return protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(message)
 }
 
-// table prints rows in columns; the first row is the heading.
+// table writes rows with aligned columns. The first row is the heading. Empty
+// cells are shown as "-".
 type table struct {
 	writer *tabwriter.Writer
 }
 
-func (s *session) table(heading ...any) *table {
+func (s *session) newTable(heading ...any) *table {
 	const padding = 2
 	created := &table{writer: tabwriter.NewWriter(s.streams.Out, 0, 0, padding, ' ', 0)}
-	created.row(heading...)
+	created.addRow(heading...)
 	return created
 }
 
-func (t *table) row(cells ...any) {
+func (t *table) addRow(cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
 		texts[i] = fmt.Sprint(cell)
@@ -77,7 +78,8 @@
 	_, _ = fmt.Fprintln(t.writer, strings.Join(texts, "\t"))
 }
 
-func (t *table) print() error { return t.writer.Flush() }
+// flush writes the table to the output; no rows may be added after it.
+func (t *table) flush() error { return t.writer.Flush() }
 
 func yesNo(value bool) string {
 	if value {
@@ -86,8 +88,9 @@
 	return "no"
 }
 
-// enumText makes "alive" of MEMBER_STATE_ALIVE.
-func enumText(value fmt.Stringer, prefix string) string {
+// enumName returns the name of a protobuf enum value as it is shown to users, such
+// as "alive" for MEMBER_STATE_ALIVE with the prefix "MEMBER_STATE_".
+func enumName(value fmt.Stringer, prefix string) string {
 	text := strings.TrimPrefix(value.String(), prefix)
 	return strings.ReplaceAll(strings.ToLower(text), "_", "-")
 }
--- a/internal/commandline/program.go
+++ b/internal/commandline/program.go
@@ -15,35 +15,35 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// maxPayloadBytes bounds a payload read from a file.
+// maxPayloadBytes is the largest size of a payload file.
 const maxPayloadBytes = 8 << 20
 
 type programCommands struct {
-	Create  createCommand         `cmd:"" help:"Create a program and print its identifier."`
-	Call    callCommand           `cmd:"" help:"Submit a call and print its answer."`
-	Get     callGetCommand        `cmd:"" help:"Read a call's answer, or how far it is."`
+	Create  programCreateCommand  `cmd:"" help:"Create a program and print its identifier."`
+	Call    programCallCommand    `cmd:"" help:"Submit a call and print its answer."`
+	Get     programGetCommand     `cmd:"" help:"Print a call's answer, or its state if it has none."`
 	History programHistoryCommand `cmd:"" help:"Show a program's calls and messages."`
-	End     endCommand            `cmd:"" help:"End a program."`
+	End     programEndCommand     `cmd:"" help:"End a program."`
 }
 
-type createCommand struct {
-	CreationKey string        `help:"The caller's own key of the creation; a repeat with it finds the first program. Default: a new one."`
+type programCreateCommand struct {
+	CreationKey string        `help:"Key of the creation; repeating the command with the same key returns the first program. Default: a new one."`
 	Parent      string        `help:"Parent program."`
 	Class       string        `enum:",interactive,standard,batch" default:"" help:"Priority class; default: the tenant's."`
-	TokenBudget int64         `help:"Most generated tokens, children included."`
-	MaxTurns    uint64        `help:"Most calls."`
-	Idle        time.Duration `help:"Longest time without a call under way."`
-	Lifetime    time.Duration `help:"Longest time since the creation."`
+	TokenBudget int64         `help:"Maximum number of generated tokens, including child programs."`
+	MaxTurns    uint64        `help:"Maximum number of calls."`
+	Idle        time.Duration `help:"Maximum time without a running call."`
+	Lifetime    time.Duration `help:"Maximum time since the creation."`
 }
 
-// Run creates the program.
-func (c *createCommand) Run(s *session) error {
-	client, err := s.caller()
+// Run creates a program and prints its identifier.
+func (c *programCreateCommand) Run(s *session) error {
+	client, err := s.newCallerClient()
 	if err != nil {
 		return err
 	}
 	request := callerapi.CreateRequest{
-		CreationKey:     identifierOr(c.CreationKey),
+		CreationKey:     identifierOrNew(c.CreationKey),
 		Parent:          identity.Program(c.Parent),
 		Class:           c.Class,
 		TokenBudget:     c.TokenBudget,
@@ -51,20 +51,21 @@
 		IdleSeconds:     c.Idle.Seconds(),
 		LifetimeSeconds: c.Lifetime.Seconds(),
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	var reply callerapi.CreateReply
 	if err := client.call(ctx, http.MethodPost, callerapi.PathPrograms, request, &reply); err != nil {
 		return withCreationKey(err, request.CreationKey)
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(reply)
 	}
 	s.printf("%s\n", reply.Program)
 	return nil
 }
 
-// withCreationKey tells how to repeat a creation whose outcome is not known.
+// withCreationKey returns the error of a creation. If the outcome is unknown, it
+// replaces the advice by one that names the creation key.
 func withCreationKey(err error, key string) error {
 	var failed *failure
 	if errors.As(err, &failed) && failed.code == ExitUncertain {
@@ -73,32 +74,33 @@
 	return err
 }
 
-type callCommand struct {
+type programCallCommand struct {
 	Program       string        `arg:"" help:"Identifier of the program."`
 	Sequence      uint64        `arg:"" help:"Number of the call, from 1."`
 	Model         string        `xor:"target" required:"" help:"Model to call."`
 	Service       string        `xor:"target" required:"" help:"Application service to call."`
 	Tool          string        `xor:"target" required:"" help:"Tool to call."`
 	Adapter       string        `help:"Adapter of the model."`
-	Message       []string      `short:"m" sep:"none" help:"What the user says to the model; may be given often."`
-	MaxTokens     int64         `default:"256" help:"Most tokens that a model may generate."`
+	Message       []string      `short:"m" sep:"none" help:"User message to the model; may be repeated."`
+	MaxTokens     int64         `default:"256" help:"Maximum number of tokens that the model may generate."`
 	Operation     string        `help:"Operation of the service or tool."`
 	PayloadFile   string        `placeholder:"FILE" help:"Payload for the service or tool; - for standard input."`
 	NotRepeatable bool          `help:"Run at most once, whatever fails."`
-	Deadline      time.Duration `help:"Longest time of the call; default: the daemon's."`
+	Deadline      time.Duration `help:"Maximum duration of the call; default: the daemon's."`
 }
 
-// Run submits the call; a repeat of the same call joins the first.
-func (c *callCommand) Run(s *session) error {
+// Run submits the call and prints its answer. Submitting the same call again
+// joins the first submission.
+func (c *programCallCommand) Run(s *session) error {
 	request, err := c.request(s)
 	if err != nil {
 		return err
 	}
-	client, err := s.caller()
+	client, err := s.newCallerClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	var reply callerapi.CallReply
 	if err := client.call(ctx, http.MethodPost, callPath(c.Program, c.Sequence), request, &reply); err != nil {
@@ -107,7 +109,7 @@
 	return s.printCall(&reply)
 }
 
-func (c *callCommand) request(s *session) (*callerapi.CallRequest, error) {
+func (c *programCallCommand) request(s *session) (*callerapi.CallRequest, error) {
 	request := &callerapi.CallRequest{
 		Operation:     c.Operation,
 		NotRepeatable: c.NotRepeatable,
@@ -133,19 +135,19 @@
 	return request, err
 }
 
-type callGetCommand struct {
+type programGetCommand struct {
 	Program  string        `arg:"" help:"Identifier of the program."`
 	Sequence uint64        `arg:"" help:"Number of the call."`
-	Wait     time.Duration `help:"Wait so long for the answer."`
+	Wait     time.Duration `help:"Maximum time to wait for the answer."`
 }
 
-// Run reads the call.
-func (c *callGetCommand) Run(s *session) error {
-	client, err := s.caller()
+// Run prints the call's answer, or its state if it has none.
+func (c *programGetCommand) Run(s *session) error {
+	client, err := s.newCallerClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	path := fmt.Sprintf("%s?wait_ms=%d", callPath(c.Program, c.Sequence), c.Wait.Milliseconds())
 	var reply callerapi.CallReply
@@ -156,7 +158,7 @@
 }
 
 func (s *session) printCall(reply *callerapi.CallReply) error {
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(reply)
 	}
 	if reply.Answer == nil {
@@ -174,35 +176,36 @@
 	return nil
 }
 
-type endCommand struct {
+type programEndCommand struct {
 	Program    string `arg:"" help:"Identifier of the program."`
 	AsOperator bool   `help:"End it through the operators' endpoint, whatever its tenant."`
 }
 
-// Run ends the program.
-func (c *endCommand) Run(s *session) error {
-	ctx, cancel := s.bounded()
+// Run ends the program through the caller endpoint or, with --as-operator, the
+// operator endpoint.
+func (c *programEndCommand) Run(s *session) error {
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	if c.AsOperator {
-		client, err := s.operator()
+		client, err := s.newOperatorClient()
 		if err != nil {
 			return err
 		}
 		_, err = client.EndProgram(ctx, connect.NewRequest(&operatorv1.EndProgramRequest{Program: c.Program}))
-		return s.ended(c.Program, err)
+		return s.printEnded(c.Program, err)
 	}
-	client, err := s.caller()
+	client, err := s.newCallerClient()
 	if err != nil {
 		return err
 	}
-	return s.ended(c.Program, client.call(ctx, http.MethodDelete, programPath(c.Program), nil, nil))
+	return s.printEnded(c.Program, client.call(ctx, http.MethodDelete, programPath(c.Program), nil, nil))
 }
 
-func (s *session) ended(identifier string, err error) error {
+func (s *session) printEnded(identifier string, err error) error {
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(map[string]string{"program": identifier, "state": string(program.ProgramEnded)})
 	}
 	s.printf("ended\n")
--- a/internal/commandline/program_history.go
+++ b/internal/commandline/program_history.go
@@ -14,40 +14,41 @@
 
 type programHistoryCommand struct {
 	Program    string `arg:"" help:"Identifier of the program."`
-	Messages   bool   `help:"Show the conversation too."`
+	Messages   bool   `help:"Also show the conversation."`
 	AsOperator bool   `help:"Read it through the operators' endpoint, whatever its tenant."`
 }
 
-// Run shows the program.
+// Run prints the program's state and calls and, with --messages, its
+// conversation.
 func (c *programHistoryCommand) Run(s *session) error {
 	if c.AsOperator {
-		return c.asOperator(s)
+		return c.runAsOperator(s)
 	}
-	client, err := s.caller()
+	client, err := s.newCallerClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	var history callerapi.History
 	if err := client.call(ctx, http.MethodGet, programPath(c.Program)+"/history", nil, &history); err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printJSON(history)
 	}
 	s.printf("%s, tokens spent %d of %d, reserved %d\n\n",
-		words(string(history.State), string(history.EndReason), history.Class), history.SpentTokens, history.TokenBudget, history.ReservedTokens)
-	table := s.table(callHeading...)
+		joinNonEmpty(string(history.State), string(history.EndReason), history.Class), history.SpentTokens, history.TokenBudget, history.ReservedTokens)
+	table := s.newTable(callColumns...)
 	for i := range history.Calls {
 		call := &history.Calls[i]
 		engine, generated := "", int64(0)
 		if call.Answer != nil {
 			engine, generated = call.Answer.Engine, call.Answer.CompletionTokens
 		}
-		table.row(call.Sequence, call.State, call.Target, call.Name, call.AcceptedAt.Format(time.RFC3339), call.Attempts, engine, generated)
+		table.addRow(call.Sequence, call.State, call.Target, call.Name, call.AcceptedAt.Format(time.RFC3339), call.Attempts, engine, generated)
 	}
-	if err := table.print(); err != nil {
+	if err := table.flush(); err != nil {
 		return err
 	}
 	for _, message := range history.Messages {
@@ -56,14 +57,14 @@
 	return nil
 }
 
-var callHeading = []any{"CALL", "STATE", "TARGET", "NAME", "ACCEPTED", "ATTEMPTS", "BY", "GENERATED"}
+var callColumns = []any{"CALL", "STATE", "TARGET", "NAME", "ACCEPTED", "ATTEMPTS", "BY", "GENERATED"}
 
-func (c *programHistoryCommand) asOperator(s *session) error {
-	client, err := s.operator()
+func (c *programHistoryCommand) runAsOperator(s *session) error {
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.GetProgram(ctx, connect.NewRequest(&operatorv1.GetProgramRequest{
 		Program: c.Program, IncludeMessages: c.Messages,
@@ -71,18 +72,18 @@
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(response.Msg)
 	}
 	found := response.Msg.GetProgram()
 	s.printf("tenant %s, %s, tokens spent %d of %d, reserved %d\n\n", found.GetTenant(),
-		words(enumText(found.GetState(), "PROGRAM_STATE_"), found.GetEndReason()), found.GetSpent(), found.GetTokenBudget(), found.GetReserved())
-	table := s.table(callHeading...)
+		joinNonEmpty(enumName(found.GetState(), "PROGRAM_STATE_"), found.GetEndReason()), found.GetSpent(), found.GetTokenBudget(), found.GetReserved())
+	table := s.newTable(callColumns...)
 	for _, call := range found.GetCalls() {
-		table.row(call.GetSequence(), enumText(call.GetState(), "CALL_STATE_"), call.GetTarget(), call.GetName(),
+		table.addRow(call.GetSequence(), enumName(call.GetState(), "CALL_STATE_"), call.GetTarget(), call.GetName(),
 			call.GetAcceptedAt().AsTime().Format(time.RFC3339), len(call.GetAttempts()), call.GetEngine(), call.GetCompletionTokens())
 	}
-	if err := table.print(); err != nil {
+	if err := table.flush(); err != nil {
 		return err
 	}
 	for _, message := range found.GetMessages() {
@@ -91,8 +92,8 @@
 	return nil
 }
 
-// words joins those that are not empty.
-func words(texts ...string) string {
+// joinNonEmpty joins the texts that are not empty with spaces.
+func joinNonEmpty(texts ...string) string {
 	return strings.Join(slices.DeleteFunc(texts, func(text string) bool { return text == "" }), " ")
 }
 
--- a/internal/commandline/revisions.go
+++ b/internal/commandline/revisions.go
@@ -10,44 +10,45 @@
 	"github.com/thymeloft/thymeloft/internal/operatorapi/convert"
 )
 
-type historyCommand struct {
-	Limit uint32 `default:"20" help:"Most revisions to list."`
+type configHistoryCommand struct {
+	Limit uint32 `default:"20" help:"Maximum number of revisions to list."`
 }
 
-// Run lists the latest revisions.
-func (c *historyCommand) Run(s *session) error {
-	client, err := s.operator()
+// Run prints the latest revisions, newest first.
+func (c *configHistoryCommand) Run(s *session) error {
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.ListRevisions(ctx, connect.NewRequest(&operatorv1.ListRevisionsRequest{PageSize: c.Limit}))
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(response.Msg)
 	}
-	table := s.table("REVISION", "ACCEPTED", "OPERATOR", "ITEMS", "CHANGE", "COMMENT")
+	table := s.newTable("REVISION", "ACCEPTED", "OPERATOR", "ITEMS", "CHANGE", "COMMENT")
 	for _, revision := range response.Msg.GetRevisions() {
 		accepted := revision.GetAcceptedAt().AsTime().Format(time.RFC3339)
-		table.row(revision.GetNumber(), accepted, revision.GetOperator(), items(revision.GetDifference()),
+		table.addRow(revision.GetNumber(), accepted, revision.GetOperator(), itemCount(revision.GetDifference()),
 			revision.GetChangeIdentifier(), revision.GetComment())
 	}
-	return table.print()
+	return table.flush()
 }
 
-func items(difference *operatorv1.Difference) int {
+func itemCount(difference *operatorv1.Difference) int {
 	translated := convert.DifferenceFrom(difference)
 	return translated.Items()
 }
 
-type watchCommand struct{}
+type configWatchCommand struct{}
 
-// Run prints revisions until the user interrupts it.
-func (watchCommand) Run(s *session) error {
-	client, err := s.operator()
+// Run prints each revision that comes into force, until the user interrupts it or
+// the daemon ends the stream.
+func (configWatchCommand) Run(s *session) error {
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
@@ -67,11 +68,11 @@
 	if err := stream.Err(); err != nil {
 		return err
 	}
-	return &failure{code: ExitUnavailable, cause: fmt.Errorf("the daemon ended the stream"), advice: "Start again, at this or another daemon."}
+	return &failure{code: ExitUnavailable, cause: fmt.Errorf("the daemon ended the stream"), advice: "Run the command again, at this or another daemon."}
 }
 
 func (s *session) printRevision(message *operatorv1.WatchConfigurationResponse) error {
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessageLine(message)
 	}
 	if document := message.GetDocument(); document != nil {
@@ -79,6 +80,6 @@
 		s.printf("revision %d: %d items\n", message.GetRevision(), whole.Items())
 		return nil
 	}
-	s.printf("revision %d: %d items changed\n", message.GetRevision(), items(message.GetDifference()))
+	s.printf("revision %d: %d items changed\n", message.GetRevision(), itemCount(message.GetDifference()))
 	return nil
 }
--- a/internal/commandline/status.go
+++ b/internal/commandline/status.go
@@ -11,19 +11,19 @@
 
 type statusCommand struct{}
 
-// Run shows what one daemon knows.
+// Run prints the status of the fleet as one daemon sees it.
 func (statusCommand) Run(s *session) error {
-	client, err := s.operator()
+	client, err := s.newOperatorClient()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.bounded()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	response, err := client.GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{}))
 	if err != nil {
 		return err
 	}
-	if s.json() {
+	if s.isJSON() {
 		return s.printMessage(response.Msg)
 	}
 	return s.printStatus(response.Msg)
@@ -32,42 +32,43 @@
 func (s *session) printStatus(status *operatorv1.GetStatusResponse) error {
 	s.printf("as seen by %s: revision %d in force, confirmed: %s\n\n",
 		status.GetMachine(), status.GetConfigurationRevision(), yesNo(status.GetConfigurationConfirmed()))
-	members := s.table("MACHINE", "STATE", "ZONE", "REGION", "PEER", "CALLERS", "REVISION", "MAP")
+	members := s.newTable("MACHINE", "STATE", "ZONE", "REGION", "PEER", "CALLERS", "REVISION", "MAP")
 	for _, member := range status.GetMembers() {
-		members.row(member.GetMachine(), enumText(member.GetState(), "MEMBER_STATE_"), member.GetZone(), member.GetRegion(),
-			member.GetPeerAddress(), member.GetCallerAddress(), member.GetConfigurationRevision(), numbered(member.GetShardMapVersion()))
+		members.addRow(member.GetMachine(), enumName(member.GetState(), "MEMBER_STATE_"), member.GetZone(), member.GetRegion(),
+			member.GetPeerAddress(), member.GetCallerAddress(), member.GetConfigurationRevision(), formatEpoch(member.GetShardMapVersion()))
 	}
-	if err := members.print(); err != nil {
+	if err := members.flush(); err != nil {
 		return err
 	}
 	s.printf("\n")
-	groups := s.table("GROUP", "EPOCH", "VIEW", "LEADER", "REPLICAS", "COMMITTED", "NORMAL")
+	groups := s.newTable("GROUP", "EPOCH", "VIEW", "LEADER", "REPLICAS", "COMMITTED", "NORMAL")
 	for _, group := range status.GetGroups() {
-		groups.row(group.GetShard(), numbered(group.GetEpoch()), group.GetView(), group.GetLeader(),
+		groups.addRow(group.GetShard(), formatEpoch(group.GetEpoch()), group.GetView(), group.GetLeader(),
 			strings.Join(group.GetReplicas(), ","), group.GetCommitted(), yesNo(group.GetNormal()))
 	}
-	if err := groups.print(); err != nil {
+	if err := groups.flush(); err != nil {
 		return err
 	}
 	s.printf("\n")
-	engines := s.table("ENGINE", "ZONE", "MODEL", "VERSION", "RUNNING", "WAITING", "CACHE", "ERRORS", "STATE")
+	engines := s.newTable("ENGINE", "ZONE", "MODEL", "VERSION", "RUNNING", "WAITING", "CACHE", "ERRORS", "STATE")
 	for _, engine := range status.GetEngines() {
-		engines.row(engine.GetName(), engine.GetZone(), engine.GetModel(), engine.GetVersion(), engine.GetRunning(),
-			engine.GetWaiting(), share(engine.GetCacheUsed(), engine.GetCacheCapacity()),
-			percent(engine.GetErrorRate()), engineState(engine))
+		engines.addRow(engine.GetName(), engine.GetZone(), engine.GetModel(), engine.GetVersion(), engine.GetRunning(),
+			engine.GetWaiting(), formatShare(engine.GetCacheUsed(), engine.GetCacheCapacity()),
+			formatPercent(engine.GetErrorRate()), engineState(engine))
 	}
-	return engines.print()
+	return engines.flush()
 }
 
-// numbered shows an epoch or a version of the shard map. The upper half counts
-// foundings, after which the lower half begins anew; it is shown when not zero.
-func numbered(number uint64) string {
+// formatEpoch formats an epoch or a version of the shard map. The upper 32 bits
+// count how often the fleet was bootstrapped again; they are shown before a dot
+// if they are not zero. The lower 32 bits count from zero after each bootstrap.
+func formatEpoch(epoch uint64) string {
 	const foundingBits = 32
-	founding, within := number>>foundingBits, uint32(number)
-	if founding == 0 {
-		return fmt.Sprint(within)
+	bootstraps, counter := epoch>>foundingBits, uint32(epoch)
+	if bootstraps == 0 {
+		return fmt.Sprint(counter)
 	}
-	return fmt.Sprintf("%d.%d", founding, within)
+	return fmt.Sprintf("%d.%d", bootstraps, counter)
 }
 
 func engineState(engine *operatorv1.EngineStatus) string {
@@ -82,11 +83,13 @@
 	return "not accepting"
 }
 
-func share(used, capacity int64) string {
+// formatShare formats used/capacity as a percentage, or "" without a capacity.
+func formatShare(used, capacity int64) string {
 	if capacity <= 0 {
 		return ""
 	}
-	return percent(float64(used) / float64(capacity))
+	return formatPercent(float64(used) / float64(capacity))
 }
 
-func percent(share float64) string { return fmt.Sprintf("%.0f%%", 100*share) }
+// formatPercent formats a share from 0 to 1 as a percentage.
+func formatPercent(share float64) string { return fmt.Sprintf("%.0f%%", 100*share) }
