--- a/cmd/thymeloft-gateway/main.go
+++ b/cmd/thymeloft-gateway/main.go
@@ -1,5 +1,5 @@
-// Command thymeloft-gateway is the daemon that serves callers on a platform
-// with a shared store; it keeps nothing itself that must last.
+// Command thymeloft-gateway is the daemon that serves callers on a platform with
+// a shared store. All of its durable state is in that store.
 package main
 
 import (
@@ -23,47 +23,49 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1
-	exitSettings = 2
+	exitFailed   = 1 // the gateway could not start, or failed while running
+	exitSettings = 2 // the settings are invalid
 )
 
-type arguments struct {
-	Settings string `help:"Settings file." required:"" type:"path"`
+type commandLine struct {
+	Settings string `help:"Settings file in YAML." required:"" type:"path"`
 	Check    bool   `help:"Check the settings and exit."`
 }
 
 func main() {
-	var given arguments
-	kong.Parse(&given, kong.Name("thymeloft-gateway"), kong.Description("Serves callers on a platform with a shared store."))
-	settings, err := server.Load(given.Settings)
+	var flags commandLine
+	kong.Parse(&flags, kong.Name("thymeloft-gateway"), kong.Description("Serves callers on a platform with a shared store."))
+	settings, err := server.Load(flags.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "thymeloft-gateway:", err)
 		os.Exit(exitSettings)
 	}
-	if given.Check {
+	if flags.Check {
 		return
 	}
-	if err := run(given.Settings, settings); err != nil {
+	if err := run(flags.Settings, settings); err != nil {
 		fmt.Fprintln(os.Stderr, "thymeloft-gateway:", err)
 		os.Exit(exitFailed)
 	}
 }
 
+// run serves until SIGINT or SIGTERM. It reloads the settings file when the file
+// changes.
 func run(path string, settings server.Settings) error {
 	if settings.MemoryMB > 0 {
-		divided := memory.Divide(settings.MemoryMB)
-		debug.SetMemoryLimit(divided.Runtime)
-		debug.SetGCPercent(divided.Growth)
+		division := memory.Divide(settings.MemoryMB)
+		debug.SetMemoryLimit(division.Runtime)
+		debug.SetGCPercent(division.Growth)
 	}
 	registry := prometheus.NewRegistry()
 	log, closeLog := telemetry.NewBounded(os.Stdout, settings.LogSuccessesPerSecond, registry)
 	defer closeLog()
 	log = log.With(zap.String("machine", settings.Machine))
-	const storePatience = time.Second
+	const storeCallTimeout = time.Second
 	calls := server.NewStoreCalls(registry)
-	made := server.New(server.Options{
+	gateway := server.New(server.Options{
 		Settings:  settings,
-		Store:     platform.NewStore(platform.StoreOptions{Address: settings.Store.Address, Patience: storePatience, Observe: calls.Observe}),
+		Store:     platform.NewStore(platform.StoreOptions{Address: settings.Store.Address, Patience: storeCallTimeout, Observe: calls.Observe}),
 		Wire:      platform.Headers{},
 		Rows:      platform.Rows{},
 		ReadyPath: platform.ReadyPath,
@@ -72,7 +74,7 @@
 	})
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	go server.NewReloader(path, settings, made.Reload, log).Run(ctx)
+	go server.NewReloader(path, settings, gateway.Reload, log).Run(ctx)
 	go calls.Summarize(ctx, log)
-	return made.Run(ctx)
+	return gateway.Run(ctx)
 }
--- a/cmd/thymeloft-lab/main.go
+++ b/cmd/thymeloft-lab/main.go
@@ -1,5 +1,6 @@
-// Command thymeloft-lab serves stand-ins of the platform and the back ends as
-// processes, runs the demo, and replays recorded traces.
+// Command thymeloft-lab is the test bench of thymeloft. It serves stand-ins for
+// the platform's services and the back ends, runs the demo, records and replays
+// traces, compares scheduling strategies, and runs soak tests.
 package main
 
 import (
@@ -13,11 +14,11 @@
 )
 
 type commands struct {
-	Demo       demoCommand        `cmd:"" help:"Run programs end to end over daemons in three zones."`
-	Replay     replayCommand      `cmd:"" help:"Replay recorded traces against their stated outcomes."`
-	Record     recordCommand      `cmd:"" help:"Record callers' programs at a daemon as a trace."`
+	Demo       demoCommand        `cmd:"" help:"Run sample programs on daemons in three zones."`
+	Replay     replayCommand      `cmd:"" help:"Replay recorded traces and check their outcomes."`
+	Record     recordCommand      `cmd:"" help:"Record the programs of a daemon's callers as a trace."`
 	Experiment experiment.Command `cmd:"" help:"Compare scheduling strategies on emulated fleets."`
-	Soak       soakCommand        `cmd:"" help:"Run gateways as processes under random faults and check the promises."`
+	Soak       soakCommand        `cmd:"" help:"Run gateways under random faults and check their guarantees."`
 	Engine     engineCommand      `cmd:"" help:"Serve a model engine."`
 	Service    serviceCommand     `cmd:"" help:"Serve an application service."`
 	Tool       toolCommand        `cmd:"" help:"Serve a tool."`
--- a/cmd/thymeloft-lab/record.go
+++ b/cmd/thymeloft-lab/record.go
@@ -11,14 +11,14 @@
 )
 
 type recordCommand struct {
-	listen
-	Target     string `required:"" placeholder:"URL" help:"Base URL of the daemon that callers' requests are passed to."`
-	Deployment string `required:"" type:"existingfile" placeholder:"FILE" help:"Trace whose deployment the recording shall be replayed on."`
+	listenFlag
+	Target     string `required:"" placeholder:"URL" help:"Base URL of the daemon that requests are forwarded to."`
+	Deployment string `required:"" type:"existingfile" placeholder:"FILE" help:"Trace file whose deployment is copied into the recording."`
 	Name       string `default:"recorded" help:"Name of the trace."`
-	Output     string `required:"" placeholder:"FILE" help:"Where the trace is written at the end."`
+	Output     string `required:"" placeholder:"FILE" help:"File to write the trace to at the end."`
 }
 
-// Run records until the process is asked to end, then writes the trace.
+// Run records until the context ends, then writes the trace.
 func (c *recordCommand) Run(ctx context.Context) error {
 	base, err := replay.Load(c.Deployment)
 	if err != nil {
--- a/cmd/thymeloft-lab/replay.go
+++ b/cmd/thymeloft-lab/replay.go
@@ -17,37 +17,40 @@
 )
 
 //go:embed demo.yaml
-var demoTrace []byte
+var demoTraceYAML []byte
 
-// daemonBinary is where the daemon is; by default beside this program.
-type daemonBinary struct {
-	DaemonBinary string `type:"existingfile" placeholder:"FILE" help:"The daemon's binary; by default thymeloftd beside this program."`
-	Logs         string `type:"existingdir" placeholder:"DIRECTORY" help:"Where the daemons' logs are kept; by default they are removed."`
+// daemonFlags are the flags for the daemons that a command starts.
+type daemonFlags struct {
+	DaemonBinary string `type:"existingfile" placeholder:"FILE" help:"Binary of the daemon; by default thymeloftd in the directory of this program."`
+	Logs         string `type:"existingdir" placeholder:"DIRECTORY" help:"Directory for the daemons' logs; by default the logs are removed."`
 }
 
-func (d *daemonBinary) options() (replay.Options, error) {
+// options returns replay options that print progress to standard error. The
+// daemon's binary is thymeloftd in the directory of this program, unless a flag
+// names another.
+func (d *daemonFlags) options() (replay.Options, error) {
 	options := replay.Options{Daemon: d.DaemonBinary, Directory: d.Logs}
 	options.Progress = func(format string, arguments ...any) { fmt.Fprintf(os.Stderr, format+"\n", arguments...) }
 	if options.Daemon != "" {
 		return options, nil
 	}
-	own, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return options, eris.Wrap(err, "find the daemon's binary")
 	}
-	options.Daemon = filepath.Join(filepath.Dir(own), "thymeloftd")
+	options.Daemon = filepath.Join(filepath.Dir(executable), "thymeloftd")
 	return options, nil
 }
 
-type demoCommand struct{ daemonBinary }
+type demoCommand struct{ daemonFlags }
 
-// Run starts the demo's fleet, plays its programs and prints what came of them.
+// Run starts the daemons of the demo, runs its programs and prints their outcomes.
 func (c *demoCommand) Run(ctx context.Context) error {
 	options, err := c.options()
 	if err != nil {
 		return err
 	}
-	trace, err := replay.Parse("demo", demoTrace)
+	trace, err := replay.Parse("demo", demoTraceYAML)
 	if err != nil {
 		return err
 	}
@@ -56,17 +59,18 @@
 		return err
 	}
 	printPrograms(os.Stdout, verdict)
-	return conclude(verdict)
+	return checkVerdict(verdict)
 }
 
 type replayCommand struct {
-	daemonBinary
+	daemonFlags
 	Traces []string `arg:"" optional:"" type:"existingfile" help:"Trace files."`
-	Seeds  []uint64 `help:"Seeds of random traces to replay besides." placeholder:"N"`
-	Times  int      `default:"1" help:"How often each is replayed; the verdicts must be the same."`
+	Seeds  []uint64 `help:"Seeds of random traces to replay as well." placeholder:"N"`
+	Times  int      `default:"1" help:"How often each trace is replayed; all verdicts must be equal."`
 }
 
-// Run replays each trace and prints its verdict.
+// Run replays each trace and prints its verdict. It stops at the first trace that
+// fails.
 func (c *replayCommand) Run(ctx context.Context) error {
 	options, err := c.options()
 	if err != nil {
@@ -89,46 +93,49 @@
 	return nil
 }
 
+// replay replays one trace as often as the flags say. It returns an error if a
+// guarantee was broken, or if two replays have different verdicts.
 func (c *replayCommand) replay(ctx context.Context, trace replay.Trace, options replay.Options) error {
-	first := ""
+	firstVerdict := ""
 	for number := range max(1, c.Times) {
 		verdict, err := replay.Run(ctx, trace, options)
 		if err != nil {
 			return err
 		}
 		printPrograms(os.Stderr, verdict)
-		if err := conclude(verdict); err != nil {
+		if err := checkVerdict(verdict); err != nil {
 			return err
 		}
-		if number > 0 && verdict.String() != first {
-			return eris.Errorf("trace %s: two replays came to different verdicts", trace.Name)
+		if number > 0 && verdict.String() != firstVerdict {
+			return eris.Errorf("trace %s: two replays have different verdicts", trace.Name)
 		}
-		first = verdict.String()
+		firstVerdict = verdict.String()
 	}
 	return nil
 }
 
-// conclude prints the verdict; a broken promise is an error.
-func conclude(verdict *replay.Verdict) error {
+// checkVerdict prints the verdict. It returns an error if a guarantee was broken.
+func checkVerdict(verdict *replay.Verdict) error {
 	fmt.Print(verdict.String())
 	if !verdict.Held() {
-		return eris.Errorf("promises were broken:\n%s", verdict.Findings())
+		return eris.Errorf("guarantees were broken:\n%s", verdict.Findings())
 	}
 	return nil
 }
 
-// printPrograms prints one line for each program.
+// printPrograms prints a table with one line for each program.
 func printPrograms(output io.Writer, verdict *replay.Verdict) {
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "PROGRAM\tTENANT\tCALLS\tOUTCOMES\tLATENCY\tCACHE HITS\tENGINES")
 	for _, program := range verdict.Programs {
 		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d ms\t%s\t%s\n", program.Name, program.Tenant, program.Calls,
-			outcomes(program.Outcomes), program.Elapsed.Milliseconds(), hits(program), strings.Join(program.Engines, ", "))
+			formatOutcomes(program.Outcomes), program.Elapsed.Milliseconds(), cacheHits(program), strings.Join(program.Engines, ", "))
 	}
 	_ = table.Flush()
 }
 
-func outcomes(counts map[string]int) string {
+// formatOutcomes returns the counts sorted as text, such as "1 failed, 3 answered".
+func formatOutcomes(counts map[string]int) string {
 	var parts []string
 	for outcome, count := range counts {
 		parts = append(parts, fmt.Sprintf("%d %s", count, outcome))
@@ -137,7 +144,9 @@
 	return strings.Join(parts, ", ")
 }
 
-func hits(program replay.ProgramResult) string {
+// cacheHits returns the share of the program's prompt tokens that were cached, as
+// a percentage, or "-" if it had no prompt tokens.
+func cacheHits(program replay.ProgramResult) string {
 	if program.PromptTokens == 0 {
 		return "-"
 	}
--- a/cmd/thymeloft-lab/serve.go
+++ b/cmd/thymeloft-lab/serve.go
@@ -14,30 +14,30 @@
 	"github.com/thymeloft/thymeloft/internal/lab/weightstore"
 )
 
-// listen is the address of a stand-in.
-type listen struct {
+// listenFlag is the flag for the listen address of a stand-in.
+type listenFlag struct {
 	Listen string `default:"127.0.0.1:0" help:"Address to listen on; port 0 takes any free port. The address is printed as one JSON line."`
 }
 
-// limit is the rate limit of a stand-in.
-type limit struct {
-	RequestsPerSecond float64 `help:"Rate limit; 0: none."`
-	Burst             int     `default:"20" help:"Requests above the rate at once."`
+// rateLimitFlags are the flags for the rate limit of a stand-in.
+type rateLimitFlags struct {
+	RequestsPerSecond float64 `help:"Rate limit; 0: no limit."`
+	Burst             int     `default:"20" help:"Requests allowed at once above the rate."`
 }
 
 type engineCommand struct {
-	listen
-	Name        string        `default:"engine" help:"Name that it reports."`
+	listenFlag
+	Name        string        `default:"engine" help:"Name that the engine reports."`
 	Generation  string        `default:"new" enum:"old,new" help:"Generation of hardware."`
 	Model       string        `help:"Model loaded at the start."`
 	Version     string        `help:"Version loaded at the start."`
 	Adapters    []string      `help:"Adapters loaded at the start."`
-	TimeScale   float64       `default:"1" help:"Wall-clock time for each unit of modelled time."`
+	TimeScale   float64       `default:"1" help:"Wall-clock time per unit of modelled time."`
 	CacheTokens int64         `default:"60000" help:"Capacity of the prefix cache."`
-	LoadTime    time.Duration `default:"8s" help:"Modelled time of loading a version."`
-	ReportLag   time.Duration `default:"500ms" help:"Age up to which the same state is reported."`
+	LoadTime    time.Duration `default:"8s" help:"Modelled time to load a version."`
+	ReportLag   time.Duration `default:"500ms" help:"Age up to which the engine reports the same state again."`
 	EventLag    time.Duration `default:"200ms" help:"Delay of cache events."`
-	EventGap    uint64        `default:"17" help:"Every so many cache events one is lost; 0: none."`
+	EventGap    uint64        `default:"17" help:"Lose every Nth cache event; 0: none."`
 }
 
 // Run serves until the process is asked to end.
@@ -60,7 +60,7 @@
 }
 
 type serviceCommand struct {
-	listen
+	listenFlag
 	Name  string        `default:"service" help:"Name in its records."`
 	Delay time.Duration `default:"5ms" help:"Time of each execution."`
 }
@@ -72,7 +72,7 @@
 }
 
 type toolCommand struct {
-	listen
+	listenFlag
 	Name  string        `default:"tool" help:"Name in its records."`
 	Delay time.Duration `default:"5ms" help:"Time of each execution."`
 }
@@ -84,8 +84,8 @@
 }
 
 type storeCommand struct {
-	listen
-	limit
+	listenFlag
+	rateLimitFlags
 }
 
 // Run serves until the process is asked to end.
@@ -95,9 +95,9 @@
 }
 
 type weightsCommand struct {
-	listen
-	limit
-	DefaultBytes int64 `default:"1000000000" help:"Size of versions that are not listed."`
+	listenFlag
+	rateLimitFlags
+	DefaultBytes int64 `default:"1000000000" help:"Size of a version's weights, in bytes."`
 }
 
 // Run serves until the process is asked to end.
@@ -111,8 +111,8 @@
 }
 
 type machinesCommand struct {
-	listen
-	Lag time.Duration `default:"2s" help:"From a change to its being seen."`
+	listenFlag
+	Lag time.Duration `default:"2s" help:"Time until a change of the list becomes visible."`
 }
 
 // Run serves until the process is asked to end.
--- a/cmd/thymeloft-lab/soak.go
+++ b/cmd/thymeloft-lab/soak.go
@@ -14,43 +14,45 @@
 	"github.com/thymeloft/thymeloft/internal/lab/soak"
 )
 
-// soakCommand runs gateways as processes under random faults.
+// soakCommand is the soak test: it runs gateway processes under random faults and
+// checks their guarantees.
 type soakCommand struct {
-	GatewayBinary string        `type:"existingfile" placeholder:"FILE" help:"The gateway's binary; by default thymeloft-gateway beside this program."`
-	Logs          string        `type:"existingdir" placeholder:"DIRECTORY" help:"Where settings and logs are kept; by default they are kept only if a promise was broken."`
-	Seeds         []uint64      `help:"Seeds to play, one after the other; by default one from the clock." placeholder:"N"`
+	GatewayBinary string        `type:"existingfile" placeholder:"FILE" help:"Binary of the gateway; by default thymeloft-gateway in the directory of this program."`
+	Logs          string        `type:"existingdir" placeholder:"DIRECTORY" help:"Directory for settings and logs; by default they are kept only if a guarantee was broken."`
+	Seeds         []uint64      `help:"Random seeds, run one after the other; by default one from the clock." placeholder:"N"`
 	Duration      time.Duration `default:"60s" help:"How long faults are injected for each seed."`
-	Gateways      int           `default:"4" help:"Gateways at the same time."`
-	Callers       int           `default:"10" help:"Callers that play programs at the same time."`
-	Kinds         []string      `help:"Only these kinds of faults." placeholder:"KIND"`
-	Quiet         bool          `help:"Do not print the faults as they come."`
+	Gateways      int           `default:"4" help:"Number of gateways."`
+	Callers       int           `default:"10" help:"Number of concurrent callers."`
+	Kinds         []string      `help:"Kinds of faults to inject; by default all." placeholder:"KIND"`
+	Quiet         bool          `help:"Do not print faults as they are injected."`
 }
 
-// Run plays each seed and fails if a promise was broken in any.
+// Run runs each seed and prints its verdict. It returns an error if a guarantee
+// was broken with any seed.
 func (c *soakCommand) Run(ctx context.Context) error {
 	if c.GatewayBinary == "" {
-		own, err := os.Executable()
+		executable, err := os.Executable()
 		if err != nil {
 			return eris.Wrap(err, "find the gateway's binary")
 		}
-		c.GatewayBinary = filepath.Join(filepath.Dir(own), "thymeloft-gateway")
+		c.GatewayBinary = filepath.Join(filepath.Dir(executable), "thymeloft-gateway")
 	}
 	if len(c.Seeds) == 0 {
 		c.Seeds = []uint64{uint64(time.Now().UnixNano())}
 	}
-	broken := 0
+	failedSeeds := 0
 	for _, seed := range c.Seeds {
 		report, err := soak.Run(ctx, c.options(seed))
 		if err != nil {
 			return err
 		}
-		printVerdict(report)
+		printSoakVerdict(report)
 		if len(report.Findings) > 0 {
-			broken++
+			failedSeeds++
 		}
 	}
-	if broken > 0 {
-		return eris.Errorf("promises were broken with %d of %d seeds", broken, len(c.Seeds))
+	if failedSeeds > 0 {
+		return eris.Errorf("guarantees were broken with %d of %d seeds", failedSeeds, len(c.Seeds))
 	}
 	return nil
 }
@@ -66,7 +68,7 @@
 	return options
 }
 
-func printVerdict(report *soak.Verdict) {
+func printSoakVerdict(report *soak.Verdict) {
 	total := 0
 	for _, count := range report.Attempts {
 		total += count
--- a/cmd/thymeloft/main.go
+++ b/cmd/thymeloft/main.go
@@ -1,4 +1,4 @@
-// Command thymeloft is the operators' and callers' command line.
+// Command thymeloft is the command-line client for operators and callers.
 package main
 
 import (
--- a/cmd/thymeloftd/main.go
+++ b/cmd/thymeloftd/main.go
@@ -1,4 +1,5 @@
-// Command thymeloftd is the one daemon of thymeloft, the same on every machine.
+// Command thymeloftd is the daemon of thymeloft. Every machine of a fleet runs the
+// same daemon.
 package main
 
 import (
@@ -22,12 +23,12 @@
 
 // Exit codes.
 const (
-	exitFailed   = 1 // could not start, or was cut off
-	exitSettings = 2 // the settings are wrong
+	exitFailed   = 1 // could not start, failed while running, or was stopped before the drain finished
+	exitSettings = 2 // the settings are invalid
 )
 
 func main() {
-	loaded, err := settings.Load(os.Args[1:], version(), os.Stdout)
+	configured, err := settings.Load(os.Args[1:], version(), os.Stdout)
 	if errors.Is(err, settings.ErrVersion) {
 		return
 	}
@@ -35,14 +36,15 @@
 		fmt.Fprintln(os.Stderr, "thymeloftd:", err)
 		os.Exit(exitSettings)
 	}
-	if err := run(loaded); err != nil {
+	if err := run(configured); err != nil {
 		fmt.Fprintln(os.Stderr, "thymeloftd:", err)
 		os.Exit(exitFailed)
 	}
 }
 
-// run drains on the first SIGTERM or interrupt; a second one ends the process at once.
-func run(loaded settings.Settings) error {
+// run serves until the first SIGTERM or interrupt, then drains. A second signal
+// ends the process at once.
+func run(configured settings.Settings) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	signals := make(chan os.Signal, 2)
@@ -51,19 +53,21 @@
 		<-signals
 		cancel()
 		<-signals
-		fmt.Fprintln(os.Stderr, "thymeloftd: stopped by a second signal before the drain was over")
+		fmt.Fprintln(os.Stderr, "thymeloftd: stopped by a second signal before the drain finished")
 		os.Exit(exitFailed)
 	}()
-	return daemon.Run(ctx, loaded, newStore)
+	return daemon.Run(ctx, configured, newStore)
 }
 
-// newStore makes the client of the platform's store.
+// newStore creates a client of the platform's store at the address ("ip:port") and
+// registers metrics of its calls.
 func newStore(address string, registry prometheus.Registerer) state.Store {
-	const patience = time.Second
+	const callTimeout = time.Second
 	calls := server.NewStoreCalls(registry)
-	return platform.NewStore(platform.StoreOptions{Address: address, Patience: patience, Observe: calls.Observe})
+	return platform.NewStore(platform.StoreOptions{Address: address, Patience: callTimeout, Observe: calls.Observe})
 }
 
+// version returns the program's name and its module version.
 func version() string {
 	build, known := debug.ReadBuildInfo()
 	if !known {
--- a/cmd/thymeloftd/main_test.go
+++ b/cmd/thymeloftd/main_test.go
@@ -19,12 +19,12 @@
 	"github.com/thymeloft/thymeloft/internal/lab/platformstore"
 )
 
-// patience bounds the wait for a state; nothing is measured by it.
-const patience = time.Minute
+// eventuallyTimeout is the default timeout of Eventually.
+const eventuallyTimeout = time.Minute
 
 func TestThymeloftd(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(eventuallyTimeout)
 	RunSpecs(t, "thymeloftd")
 }
 
@@ -53,17 +53,17 @@
 		"--listen-caller=127.0.0.1:0", "--listen-operator=127.0.0.1:0", "--listen-peer=127.0.0.1:0", "--listen-metrics=127.0.0.1:0",
 	}
 
-	It("lists all faults of its settings and does not start", func() {
+	It("reports all faults of its settings and does not start", func() {
 		session := start("--machine=M 1", "--shards=0")
 		Eventually(session).Should(gexec.Exit(2))
 		Expect(string(session.Err.Contents())).To(And(
 			ContainSubstring("machine:"), ContainSubstring("zone: missing"), ContainSubstring("shards: 0")))
 	})
 
-	It("tells its addresses, becomes ready, and exits with 0 after a drain", func() {
+	It("logs its addresses, becomes ready, and exits with 0 after a drain", func() {
 		session := start(alone...)
 		Eventually(session.Err).Should(gbytes.Say(`daemon: ready\.`))
-		metrics := addressIn(session, "metrics")
+		metrics := listenerAddress(session, "metrics")
 		for path, expected := range map[string]int{"/healthz": 200, "/readyz": 200, "/metrics": 200, "/other": 404} {
 			response, err := http.Get("http://" + metrics + path)
 			Expect(err).NotTo(HaveOccurred())
@@ -75,11 +75,11 @@
 		Expect(session.Err).To(gbytes.Say(`daemon: drained\.`))
 	})
 
-	It("ends at once at a second signal", func() {
+	It("exits at once on a second signal", func() {
 		session := start(alone...)
 		Eventually(session.Err).Should(gbytes.Say(`daemon: ready\.`))
-		// A request whose header never ends holds the drain up.
-		connection, err := net.Dial("tcp", addressIn(session, "caller"))
+		// A request with an unfinished header delays the drain.
+		connection, err := net.Dial("tcp", listenerAddress(session, "caller"))
 		Expect(err).NotTo(HaveOccurred())
 		defer connection.Close()
 		_, err = connection.Write([]byte("GET / HTTP/1.1\r\n"))
@@ -92,8 +92,9 @@
 	})
 })
 
-// addressIn reads an address out of the line that tells readiness.
-func addressIn(session *gexec.Session, name string) string {
+// listenerAddress returns the address of the named listener from the log line of
+// the session that says that the daemon is ready.
+func listenerAddress(session *gexec.Session, name string) string {
 	GinkgoHelper()
 	for line := range strings.SplitSeq(string(session.Err.Contents()), "\n") {
 		var entry map[string]any
@@ -101,6 +102,6 @@
 			return entry[name].(string)
 		}
 	}
-	Fail("no line tells readiness")
+	Fail("no log line says that the daemon is ready")
 	return ""
 }
