--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -21,14 +21,15 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// warmUp is the time after its start during which a daemon does not refuse a
-// call because no engine is known: reports about the engines may still be on
-// their way. It equals the default age at which an engine's report is too old.
+// warmUp is the time after the start of a daemon in which a call waits, instead of
+// failing, if the daemon knows no engine for it. Until then, the daemon may not
+// have received the reports of all engines. The value is the default of the
+// setting engines.report_too_old.
 const warmUp = 8 * time.Second
 
-// assemble creates all components. Each component is given the components it
-// depends on; where that would be a cycle, it gets a function that calls the
-// component created later.
+// assemble creates all components. Each component gets the components that it
+// depends on. If one of these is created later, it gets a function that calls
+// that component instead.
 func (d *Daemon) assemble() error {
 	d.platform = newPlatformServices(d.settings.Platform)
 	d.closers = append(d.closers, d.platform.close)
--- a/internal/daemon/metrics_page_test.go
+++ b/internal/daemon/metrics_page_test.go
@@ -22,8 +22,8 @@
 
 var descriptorPattern = regexp.MustCompile(`fqName: "(thymeloft_[a-z_]+)", help: "(.*?)", .*variableLabels: {(.*?)}`)
 
-// metricRows returns a sorted table row for each metric of the collector whose
-// name begins with "thymeloft_".
+// metricRows returns the rows of the page's table in order: one row for each
+// metric of the collector whose name begins with "thymeloft_".
 func metricRows(collector prometheus.Collector) []string {
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
