--- a/internal/operatorapi/change.go
+++ b/internal/operatorapi/change.go
@@ -13,7 +13,7 @@
 	"github.com/thymeloft/thymeloft/internal/operatorapi/convert"
 )
 
-// Limits of the texts of a change, which the configuration history keeps.
+// Limits of the texts that the configuration history keeps.
 const (
 	maxIdentifierBytes = 128
 	maxCommentBytes    = 1024
@@ -32,7 +32,7 @@
 	case *operatorv1.ApplyConfigurationRequest_Document:
 		change.Document = convert.DocumentFrom(content.Document)
 		if faults := configuration.Validate(&change.Document); len(faults) > 0 {
-			return nil, invalidChangeError(faults...) // Validity does not depend on the current revision.
+			return nil, invalidChangeError(faults...) // An invalid document is invalid at any revision.
 		}
 	case *operatorv1.ApplyConfigurationRequest_Partial:
 		partial := convert.DifferenceFrom(content.Partial)
--- a/internal/operatorapi/convert/document_test.go
+++ b/internal/operatorapi/convert/document_test.go
@@ -13,7 +13,8 @@
 
 // TestDifferenceRoundTrip checks that no field is lost when a difference is
 // converted to its message and back. It sets the fields by reflection, so that
-// fields added later are covered.
+// fields added later are covered. It also checks that an unknown class is still
+// invalid after the conversion.
 func TestDifferenceRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	var difference configuration.Difference
--- a/internal/operatorapi/drains.go
+++ b/internal/operatorapi/drains.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxDrainAttempts is how often SetDrains tries to apply a change, first
-	// attempt included, while other changes conflict with it.
+	// maxDrainAttempts limits how often SetDrains tries to apply a change,
+	// including the first attempt, if other changes conflict with it.
 	maxDrainAttempts = 5
 	// revisionPollInterval is the time between two checks of this daemon's revision.
 	revisionPollInterval = 20 * time.Millisecond
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -97,7 +97,7 @@
 	return errorWithDetail(code, problemToSchema(callProblem), "%w", callProblem)
 }
 
-// problemToSchema returns nil for nil.
+// problemToSchema converts a problem to its message; nil stays nil.
 func problemToSchema(callProblem *problem.Problem) *operatorv1.ProgramProblem {
 	if callProblem == nil {
 		return nil
--- a/internal/operatorapi/gate.go
+++ b/internal/operatorapi/gate.go
@@ -25,7 +25,7 @@
 type operatorContextKey struct{}
 
 // operatorOf returns the name of the operator who sent the request, or "" if the
-// context is not that of a request.
+// context does not belong to an authenticated request.
 func operatorOf(ctx context.Context) string {
 	name, _ := ctx.Value(operatorContextKey{}).(string)
 	return name
