--- a/internal/commandline/advice.go
+++ b/internal/commandline/advice.go
@@ -2,8 +2,8 @@
 
 import "github.com/thymeloft/thymeloft/internal/problem"
 
-// kindInfo is the exit code of the command for a kind of problem, and advice to
-// its user.
+// kindInfo is the command's exit code for a kind of problem, and advice for the
+// user.
 type kindInfo struct {
 	code   ExitCode
 	advice string
--- a/internal/commandline/client.go
+++ b/internal/commandline/client.go
@@ -19,9 +19,11 @@
 )
 
 const (
-	// maxResponseBytes limits how much the command reads of one response.
+	// maxResponseBytes is the number of bytes that the command reads of a
+	// response at most.
 	maxResponseBytes = 64 << 20
-	// maxChangeAttempts limits how often a change is sent, first attempt included.
+	// maxChangeAttempts limits how often a change is sent, including the first
+	// attempt.
 	maxChangeAttempts = 4
 	firstRetryDelay   = 200 * time.Millisecond
 )
@@ -93,11 +95,11 @@
 	return next
 }
 
-// retryChange sends a change, and sends it again while the daemon is unavailable
-// or the outcome is unknown, up to maxChangeAttempts times. That is safe because
-// all attempts have the same change identifier. If the last error is of this
-// kind and any attempt may have applied the change, the returned error says that
-// the outcome is uncertain.
+// retryChange calls change until it neither finds the daemon unavailable nor
+// leaves the outcome unknown, at most maxChangeAttempts times. Repeating a change
+// is safe because each attempt has the same change identifier. If the last
+// attempt fails in this way too and any attempt may have applied the change, the
+// returned error says that the outcome is uncertain.
 func retryChange[T any](ctx context.Context, identifier string, change func() (T, error)) (T, error) {
 	mayBeApplied := false
 	attempt := func() (T, error) {
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -92,7 +92,7 @@
 	return report(streams.Err, parsed.Run(&session{ctx: ctx, streams: streams, flags: &flags}))
 }
 
-// withTimeout returns the command's context with the deadline of --timeout.
+// withTimeout returns the command's context, which ends after --timeout.
 func (s *session) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(s.ctx, s.flags.Timeout)
 }
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -34,8 +34,9 @@
 
 const testKey = "a-secret-key"
 
-// administrator is an in-memory configuration.Administrator. Each change is
-// applied, and then returns the next of the failures while there are any.
+// administrator is an in-memory configuration.Administrator. It applies every
+// change. While it has failures, each change also removes the first failure and
+// returns it as its error.
 type administrator struct {
 	configuration.Administrator
 	mutex    sync.Mutex
--- a/internal/commandline/config.go
+++ b/internal/commandline/config.go
@@ -222,7 +222,7 @@
 		if err != nil {
 			return nil, usageError(err)
 		}
-		defer func() { _ = file.Close() }() // Closing a file after reading loses no data.
+		defer func() { _ = file.Close() }() // The error is ignored because the file was only read.
 		source = file
 	}
 	data, err := io.ReadAll(io.LimitReader(source, limit+1))
@@ -235,8 +235,8 @@
 	return data, nil
 }
 
-// parseDeletes parses the values of --delete, each "KIND/NAME", into names by
-// kind.
+// parseDeletes returns the names in the values of --delete, each "KIND/NAME",
+// grouped by kind.
 func parseDeletes(deletes []string) (configuration.Names, error) {
 	var names configuration.Names
 	lists := map[string]*[]string{
--- a/internal/commandline/content.go
+++ b/internal/commandline/content.go
@@ -58,7 +58,7 @@
 	return read, nil
 }
 
-// check returns a usage error if the flags contradict each other.
+// check returns a usage error if the flags do not define a change.
 func (c *changeFlags) check() error {
 	if !c.Partial && len(c.Delete) > 0 {
 		return usageError(errors.New("--delete needs --partial: without it, items that are not in the file are deleted"))
--- a/internal/commandline/drain.go
+++ b/internal/commandline/drain.go
@@ -30,7 +30,7 @@
 
 type drainRemoveCommand struct{ drainFlags }
 
-// Run ends the drains of the named back ends or machines.
+// Run returns the named back ends or machines to service.
 func (c *drainRemoveCommand) Run(s *session) error {
 	return c.setDrains(s, &operatorv1.SetDrainsRequest{Remove: c.Names})
 }
--- a/internal/commandline/program.go
+++ b/internal/commandline/program.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// withCreationKey returns the error of a creation. If the outcome is unknown, it
-// replaces the advice by one that names the creation key.
+// withCreationKey returns the error of a failed creation. If the outcome is
+// unknown, its advice says how to repeat the command with the creation key.
 func withCreationKey(err error, key string) error {
 	var failed *failure
 	if errors.As(err, &failed) && failed.code == ExitUncertain {
--- a/internal/commandline/program_history.go
+++ b/internal/commandline/program_history.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// joinNonEmpty joins the texts that are not empty with spaces.
+// joinNonEmpty joins the non-empty texts with spaces.
 func joinNonEmpty(texts ...string) string {
 	return strings.Join(slices.DeleteFunc(texts, func(text string) bool { return text == "" }), " ")
 }
