--- a/cmd/thymeloft-lab/serve.go
+++ b/cmd/thymeloft-lab/serve.go
@@ -40,7 +40,7 @@
 	EventGap    uint64        `default:"17" help:"Lose every Nth cache event; 0: none."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for a model engine until the context ends.
 func (c *engineCommand) Run(ctx context.Context) error {
 	engine := modelengine.New(modelengine.Options{
 		Name:        c.Name,
@@ -65,7 +65,7 @@
 	Delay time.Duration `default:"5ms" help:"Time of each execution."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for an application service until the context ends.
 func (c *serviceCommand) Run(ctx context.Context) error {
 	service := appservice.New(appservice.Options{Name: c.Name, Delay: c.Delay})
 	return standin.Run(ctx, "service", c.Listen, service, os.Stdout)
@@ -77,7 +77,7 @@
 	Delay time.Duration `default:"5ms" help:"Time of each execution."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for a tool until the context ends.
 func (c *toolCommand) Run(ctx context.Context) error {
 	tool := toolservice.New(toolservice.Options{Name: c.Name, Delay: c.Delay})
 	return standin.Run(ctx, "tool", c.Listen, tool, os.Stdout)
@@ -88,7 +88,7 @@
 	rateLimitFlags
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for the transactional store until the context ends.
 func (c *storeCommand) Run(ctx context.Context) error {
 	store := platformstore.New(platformstore.Options{RequestsPerSecond: c.RequestsPerSecond, Burst: c.Burst})
 	return standin.Run(ctx, "store", c.Listen, store, os.Stdout)
@@ -100,7 +100,7 @@
 	DefaultBytes int64 `default:"1000000000" help:"Size of a version's weights, in bytes."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for the weight store until the context ends.
 func (c *weightsCommand) Run(ctx context.Context) error {
 	store := weightstore.New(weightstore.Options{
 		DefaultBytes:      c.DefaultBytes,
@@ -115,7 +115,7 @@
 	Lag time.Duration `default:"2s" help:"Time until a change of the list becomes visible."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for the machine list until the context ends.
 func (c *machinesCommand) Run(ctx context.Context) error {
 	return standin.Run(ctx, "machines", c.Listen, machinelist.New(machinelist.Options{Lag: c.Lag}), os.Stdout)
 }
