--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -28,8 +28,8 @@
 const warmUp = 8 * time.Second
 
 // assemble creates all components. Each component gets the components that it
-// depends on. If one of these is created later, it gets a function that calls
-// that component instead.
+// depends on. A component that depends on one that is created later gets a
+// function that calls it.
 func (d *Daemon) assemble() error {
 	d.platform = newPlatformServices(d.settings.Platform)
 	d.closers = append(d.closers, d.platform.close)
@@ -52,7 +52,7 @@
 
 // minLeaseRenewalInterval is the shortest time between two renewals of a
 // daemon's lease. In a small fleet, a lease then expires two to three seconds
-// after its daemon died, and other daemons take over its shards.
+// after its daemon died, and other daemons take over that daemon's shards.
 const minLeaseRenewalInterval = 500 * time.Millisecond
 
 // memberFeedTimeout is the longest time that one read of the member list's
@@ -60,10 +60,10 @@
 const memberFeedTimeout = 2 * time.Second
 
 func (d *Daemon) assembleMembers() error {
-	self := members.Member{Process: d.self, CallerAddress: firstNonEmpty(d.settings.AdvertiseCaller, d.caller.Address())}
-	d.directory = members.NewList(self, time.Now, d.logger)
-	d.lease = &members.Lease{List: d.directory, Store: d.store, ShortestRenewal: minLeaseRenewalInterval, Log: d.logger}
-	return eris.Wrap(d.directory.Measure(d.registry), "register metrics of members")
+	self := members.Member{Process: d.self, CallerAddress: firstNonEmpty(d.settings.AdvertiseCaller, d.callerEndpoint.Address())}
+	d.memberList = members.NewList(self, time.Now, d.logger)
+	d.lease = &members.Lease{List: d.memberList, Store: d.store, ShortestRenewal: minLeaseRenewalInterval, Log: d.logger}
+	return eris.Wrap(d.memberList.Measure(d.registry), "register metrics of members")
 }
 
 // assembleStore creates the client of the transactional store. The client
@@ -103,8 +103,8 @@
 
 func (d *Daemon) assembleShards() error {
 	var err error
-	d.node, err = shards.NewNode(shards.Options{
-		Self: d.self, Store: d.store, Directory: d.directory, Caller: d.pool, Registrar: d.server,
+	d.shardNode, err = shards.NewNode(shards.Options{
+		Self: d.self, Store: d.store, Directory: d.memberList, Caller: d.peerPool, Registrar: d.peerServer,
 		NewMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
 		Idle:       func(shard identity.Shard) bool { return d.execution.Idle(shard) },
 		Shards:     d.settings.Shards,
@@ -118,12 +118,12 @@
 
 func (d *Daemon) assembleFleet() error {
 	var err error
-	d.fleet, err = engine.New(engine.Options{
+	d.engines, err = engine.New(engine.Options{
 		Self:          d.self,
 		Configuration: d.configuration,
-		Directory:     d.directory,
-		Caller:        d.pool,
-		Registrar:     d.server,
+		Directory:     d.memberList,
+		Caller:        d.peerPool,
+		Registrar:     d.peerServer,
 		Machines:      d.platform.machines,
 		Weights:       d.platform.weights,
 		EndedOrUnknown: func(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
@@ -143,13 +143,13 @@
 	var err error
 	d.execution, err = execution.New(execution.Options{
 		Self:          d.self,
-		Groups:        d.node,
-		ShardMap:      d.node,
+		Groups:        d.shardNode,
+		ShardMap:      d.shardNode,
 		Dispatcher:    dispatcher,
-		Fleet:         d.fleet,
+		Fleet:         d.engines,
 		Policy:        scheduling.NewPolicy(schedulingSettings(&d.settings.Scheduling)),
 		Configuration: d.configuration,
-		Leaving:       d.fleet.Leaving,
+		Leaving:       d.engines.Leaving,
 		Logger:        d.logger,
 		Registerer:    d.registry,
 		Limits:        executionLimits(&d.settings),
@@ -162,10 +162,10 @@
 	d.router, err = routing.New(routing.Options{
 		Self:       d.self,
 		Local:      d.execution,
-		Groups:     d.node,
-		Map:        d.node,
-		Caller:     d.pool,
-		Registrar:  d.server,
+		Groups:     d.shardNode,
+		Map:        d.shardNode,
+		Caller:     d.peerPool,
+		Registrar:  d.peerServer,
 		Logger:     d.logger,
 		Registerer: d.registry,
 	})
@@ -174,7 +174,7 @@
 
 func (d *Daemon) assembleHandlers() error {
 	limits := d.settings.Limits
-	d.callers = callerapi.NewHandler(callerapi.Options{
+	d.callerHandler = callerapi.NewHandler(callerapi.Options{
 		Programs:      d.router,
 		Configuration: d.configuration,
 		Limits: callerapi.Limits{
@@ -189,13 +189,13 @@
 		Registerer: d.registry,
 		Draining:   d.lifecycle.Draining,
 	})
-	d.operators = operatorapi.NewHandler(operatorapi.Options{
+	d.operatorHandler = operatorapi.NewHandler(operatorapi.Options{
 		Administrator: d.configuration,
 		Programs:      d.router,
-		Directory:     d.directory,
+		Directory:     d.memberList,
 		Revisions:     d.lease.Revisions,
-		Groups:        d.node,
-		Fleet:         d.fleet,
+		Groups:        d.shardNode,
+		Fleet:         d.engines,
 		Keys:          d.settings.OperatorKeyHashes,
 		Logger:        d.logger,
 		Registerer:    d.registry,
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,8 +26,8 @@
 	"github.com/thymeloft/thymeloft/internal/telemetry"
 )
 
-// Daemon is one daemon process. Create it with New, then call Run once, or
-// Close if it is not to run.
+// Daemon is one daemon process. Create it with New, then call Run once. If Run is
+// not called, call Close.
 type Daemon struct {
 	settings  settings.Settings
 	self      identity.Process
@@ -35,24 +35,24 @@
 	registry  *prometheus.Registry
 	lifecycle *process.Life
 
-	caller   *process.Endpoint
-	operator *process.Endpoint
-	metrics  *process.Endpoint
-	server   *peer.Server
-	pool     *peer.Pool
+	callerEndpoint   *process.Endpoint
+	operatorEndpoint *process.Endpoint
+	metricsEndpoint  *process.Endpoint
+	peerServer       *peer.Server
+	peerPool         *peer.Pool
 
 	platform      *platformServices
-	directory     *members.List
+	memberList    *members.List
 	lease         *members.Lease
 	store         *state.Client
 	configuration *stored.Service
-	node          *shards.Node
-	fleet         *engine.Service
+	shardNode     *shards.Node
+	engines       *engine.Service
 	execution     *execution.Service
 	router        *routing.Router
 
-	callers   http.Handler
-	operators http.Handler
+	callerHandler   http.Handler
+	operatorHandler http.Handler
 
 	newStore NewStore
 	closers  []func() // called by Close, last added first
@@ -78,11 +78,11 @@
 	if err != nil {
 		return err
 	}
-	created, err := New(configured, newStore, logger)
+	daemon, err := New(configured, newStore, logger)
 	if err != nil {
 		return err
 	}
-	return created.Run(ctx)
+	return daemon.Run(ctx)
 }
 
 // New checks the settings, opens the listeners and creates all components. No
@@ -107,10 +107,10 @@
 // actual port where the settings say port 0.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
-		Caller:   d.caller.Address(),
-		Operator: d.operator.Address(),
-		Peer:     d.server.Address(),
-		Metrics:  d.metrics.Address(),
+		Caller:   d.callerEndpoint.Address(),
+		Operator: d.operatorEndpoint.Address(),
+		Peer:     d.peerServer.Address(),
+		Metrics:  d.metricsEndpoint.Address(),
 	}
 }
 
@@ -123,13 +123,13 @@
 func (d *Daemon) openListeners() error {
 	var err error
 	files, limits := d.settings.TLS, d.settings.Limits
-	if d.caller, err = d.listen("callers", d.settings.Listen.Caller, files.Caller, limits); err != nil {
+	if d.callerEndpoint, err = d.listen("callers", d.settings.Listen.Caller, files.Caller, limits); err != nil {
 		return err
 	}
-	if d.operator, err = d.listen("operators", d.settings.Listen.Operator, files.Operator, limits); err != nil {
+	if d.operatorEndpoint, err = d.listen("operators", d.settings.Listen.Operator, files.Operator, limits); err != nil {
 		return err
 	}
-	if d.metrics, err = d.listen("metrics", d.settings.Listen.Metrics, files.Metrics, limits); err != nil {
+	if d.metricsEndpoint, err = d.listen("metrics", d.settings.Listen.Metrics, files.Metrics, limits); err != nil {
 		return err
 	}
 	return d.openPeerListener(files.Peer)
@@ -163,17 +163,17 @@
 	if err != nil {
 		return eris.Wrap(err, "prepare calls to peers")
 	}
-	d.server, err = peer.Listen(d.settings.Listen.Peer, peer.Options{TLS: serverTLS, Logger: d.logger, Registerer: d.registry})
+	d.peerServer, err = peer.Listen(d.settings.Listen.Peer, peer.Options{TLS: serverTLS, Logger: d.logger, Registerer: d.registry})
 	if err != nil {
 		return err
 	}
-	d.closers = append(d.closers, func() { _ = d.server.Close() })
-	d.pool = peer.NewPool(peer.Options{TLS: clientTLS, Logger: d.logger, Registerer: d.registry})
-	d.closers = append(d.closers, func() { _ = d.pool.Close() })
+	d.closers = append(d.closers, func() { _ = d.peerServer.Close() })
+	d.peerPool = peer.NewPool(peer.Options{TLS: clientTLS, Logger: d.logger, Registerer: d.registry})
+	d.closers = append(d.closers, func() { _ = d.peerPool.Close() })
 	d.self = identity.Process{
 		Machine:     identity.Machine(d.settings.Machine),
 		Incarnation: identity.Incarnation(time.Now().UnixNano()),
-		Address:     firstNonEmpty(d.settings.Advertise, d.server.Address()),
+		Address:     firstNonEmpty(d.settings.Advertise, d.peerServer.Address()),
 		Zone:        identity.Zone(d.settings.Zone),
 		Region:      identity.Region(d.settings.Region),
 	}
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -33,9 +33,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
 	d.lifecycle.Drain()
-	d.node.Retire()
+	d.shardNode.Retire()
 	if err := d.execution.Drain(ctx); err != nil && ctx.Err() == nil {
-		// Another daemon takes over the shard once this process has exited; no call runs here any more.
+		// The error is not fatal: no call runs here any more, and another daemon takes
+		// over the shard when this daemon leaves or exits.
 		d.logger.Warn("daemon: cannot hand over a shard.", zap.Error(err))
 	}
 	if err := d.lease.Leave(ctx); err != nil {
@@ -43,11 +44,11 @@
 	}
 	d.awaitTakeover(ctx)
 	var shutdowns sync.WaitGroup
-	shutdowns.Go(func() { d.caller.Shutdown(ctx) })
-	shutdowns.Go(func() { d.operator.Shutdown(ctx) })
+	shutdowns.Go(func() { d.callerEndpoint.Shutdown(ctx) })
+	shutdowns.Go(func() { d.operatorEndpoint.Shutdown(ctx) })
 	shutdowns.Wait()
 	if err := ctx.Err(); err != nil {
-		d.logger.Error("daemon: the drain was cut off.", zap.Duration("after", time.Since(started)), zap.Error(err))
+		d.logger.Error("daemon: the drain timed out.", zap.Duration("after", time.Since(started)), zap.Error(err))
 		return eris.Wrapf(err, "drain within %s", d.settings.DrainTimeout)
 	}
 	d.logger.Info("daemon: drained.", zap.Duration("after", time.Since(started)))
@@ -63,7 +64,7 @@
 	ticker := time.NewTicker(takeoverPollInterval)
 	defer ticker.Stop()
 	for d.hasOtherAliveDaemon() {
-		remaining := d.node.Left()
+		remaining := d.shardNode.Left()
 		if remaining == 0 {
 			return
 		}
@@ -90,7 +91,7 @@
 // hasOtherAliveDaemon reports whether the member list has another daemon that
 // is alive.
 func (d *Daemon) hasOtherAliveDaemon() bool {
-	return slices.ContainsFunc(d.directory.View().Members, func(member members.Member) bool {
+	return slices.ContainsFunc(d.memberList.View().Members, func(member members.Member) bool {
 		return member.Process != d.self && member.State == members.StateAlive
 	})
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -211,8 +211,8 @@
 	return received
 }
 
-// trySend sends a caller's request. If it returns an error, a status of zero
-// means that no reply was received, and any other status that the reply's body
+// trySend sends a caller's request. If it returns an error, the reply's status is
+// zero if no reply was received. Otherwise the status was received, but the body
 // was cut off.
 func (m *member) trySend(method, path, body string) (reply, error) {
 	request, err := http.NewRequest(method, m.scheme+"://"+m.Addresses().Caller+path, strings.NewReader(body))
--- a/internal/daemon/rolling_test.go
+++ b/internal/daemon/rolling_test.go
@@ -122,7 +122,8 @@
 })
 
 // restart stops one daemon and starts a new one with the same machine name.
-// Callers send requests to the old daemon too until the new one is ready.
+// Callers send requests to the old daemon too until the new one is ready, so some
+// of their requests fail and are sent to another daemon.
 func (c *cluster) restart(l *loadGenerator, number int) {
 	GinkgoHelper()
 	leaving := c.members[number]
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -13,8 +13,8 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// readinessPollInterval is the time between two checks for the daemon becoming
-// ready after its start.
+// readinessPollInterval is how often the daemon checks, after its start, whether
+// it is ready.
 const readinessPollInterval = 50 * time.Millisecond
 
 // errComponentStopped is the error of a component that returned without an
@@ -35,19 +35,19 @@
 	select {
 	case <-ctx.Done():
 	case <-componentContext.Done():
-		d.closeEndpoints() // the components that serve them ignore the context
+		d.closeEndpoints() // the components that serve the endpoints do not stop when the context ends
 		return eris.Wrap(components.Wait(), "run the daemon")
 	}
 	drainError := d.drain()
 	stop()
-	d.metrics.Close()
+	d.metricsEndpoint.Close()
 	componentError := components.Wait()
 	d.announceExit()
 	return errors.Join(drainError, componentError)
 }
 
 func (d *Daemon) closeEndpoints() {
-	for _, endpoint := range []*process.Endpoint{d.caller, d.operator, d.metrics} {
+	for _, endpoint := range []*process.Endpoint{d.callerEndpoint, d.operatorEndpoint, d.metricsEndpoint} {
 		endpoint.Close()
 	}
 }
@@ -68,10 +68,10 @@
 		})
 	}
 	startComponent("metrics", func(context.Context) error {
-		return d.metrics.Serve(healthHandler(d.registry, d.readinessConditions()))
+		return d.metricsEndpoint.Serve(healthHandler(d.registry, d.readinessConditions()))
 	})
 	startComponent("members", func(ctx context.Context) error {
-		watch.Run(ctx, d.directory.Watch(d.store, memberFeedTimeout), d.directory)
+		watch.Run(ctx, d.memberList.Watch(d.store, memberFeedTimeout), d.memberList)
 		return nil
 	})
 	startComponent("lease", func(ctx context.Context) error {
@@ -79,11 +79,11 @@
 		return nil
 	})
 	startComponent("configuration", d.configuration.Run)
-	startComponent("shards", d.node.Run)
-	startComponent("engine", d.fleet.Run)
+	startComponent("shards", d.shardNode.Run)
+	startComponent("engine", d.engines.Run)
 	startComponent("execution", d.execution.Run)
-	startComponent("callers", func(context.Context) error { return d.caller.Serve(d.callers) })
-	startComponent("operators", func(context.Context) error { return d.operator.Serve(d.operators) })
+	startComponent("callers", func(context.Context) error { return d.callerEndpoint.Serve(d.callerHandler) })
+	startComponent("operators", func(context.Context) error { return d.operatorEndpoint.Serve(d.operatorHandler) })
 }
 
 // isStopping reports whether components are expected to return.
@@ -95,7 +95,7 @@
 func (d *Daemon) readinessConditions() process.Conditions {
 	return process.Conditions{
 		{Unmet: "the store has not answered yet", Holds: d.configuration.Heard},
-		{Unmet: "the shard map is not known", Holds: func() bool { return d.node.Current() != nil }},
+		{Unmet: "the shard map is not known", Holds: func() bool { return d.shardNode.Current() != nil }},
 		{Unmet: "the configuration is not confirmed", Holds: d.configuration.Confirmed},
 		{Unmet: "draining", Holds: func() bool { return !d.lifecycle.Draining() }},
 	}
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -92,9 +92,9 @@
 }
 
 var _ = Describe("a cluster with TLS on every listener", func() {
-	It("serves callers, operators, peers and metrics, and rejects operators without a certificate", func() {
-		used := newTLSCredentials()
-		c := startCluster(3, used)
+	It("serves callers, operators, peers and metrics, and rejects operators without a certificate and callers that do not trust the authority", func() {
+		credentials := newTLSCredentials()
+		c := startCluster(3, credentials)
 		c.applyConfiguration()
 		for turn, member := range c.members {
 			path := fmt.Sprintf("/v1/programs/%s/calls/%d", member.createProgram("one").Program, turn+1)
@@ -102,11 +102,11 @@
 			Expect(answered.status).To(Equal(http.StatusOK), answered.body)
 		}
 		addresses := c.members[0].Addresses()
-		stranger := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: used.pool}}}
-		response, err := stranger.Get("https://" + addresses.Metrics + "/healthz")
+		clientWithoutCertificate := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: credentials.pool}}}
+		response, err := clientWithoutCertificate.Get("https://" + addresses.Metrics + "/healthz")
 		Expect(err).NotTo(HaveOccurred())
 		response.Body.Close()
-		_, err = stranger.Get("https://" + addresses.Operator)
+		_, err = clientWithoutCertificate.Get("https://" + addresses.Operator)
 		Expect(err).To(MatchError(ContainSubstring("certificate required")))
 		_, err = http.Get("https://" + addresses.Caller)
 		Expect(err).To(MatchError(ContainSubstring("unknown authority")))
