--- a/internal/operatorapi/convert/document.go
+++ b/internal/operatorapi/convert/document.go
@@ -74,11 +74,11 @@
 // Document converts a whole configuration to its message.
 func Document(document *configuration.Document) *operatorv1.Document {
 	return &operatorv1.Document{
-		Tenants:  convertAll(document.Tenants, tenantToSchema),
-		Models:   convertAll(document.Models, modelToSchema),
-		Pools:    convertAll(document.Pools, poolToSchema),
-		Engines:  convertAll(document.Engines, engineToSchema),
-		Services: convertAll(document.Services, serviceToSchema),
+		Tenants:  convertAll(document.Tenants, tenantToProto),
+		Models:   convertAll(document.Models, modelToProto),
+		Pools:    convertAll(document.Pools, poolToProto),
+		Engines:  convertAll(document.Engines, engineToProto),
+		Services: convertAll(document.Services, serviceToProto),
 		Drains:   document.Drains,
 	}
 }
@@ -86,11 +86,11 @@
 // DocumentFrom converts the message to a whole configuration.
 func DocumentFrom(document *operatorv1.Document) configuration.Document {
 	return configuration.Document{
-		Tenants:  convertAll(document.GetTenants(), tenantFromSchema),
-		Models:   convertAll(document.GetModels(), modelFromSchema),
-		Pools:    convertAll(document.GetPools(), poolFromSchema),
-		Engines:  convertAll(document.GetEngines(), engineFromSchema),
-		Services: convertAll(document.GetServices(), serviceFromSchema),
+		Tenants:  convertAll(document.GetTenants(), tenantFromProto),
+		Models:   convertAll(document.GetModels(), modelFromProto),
+		Pools:    convertAll(document.GetPools(), poolFromProto),
+		Engines:  convertAll(document.GetEngines(), engineFromProto),
+		Services: convertAll(document.GetServices(), serviceFromProto),
 		Drains:   document.GetDrains(),
 	}
 }
@@ -154,7 +154,7 @@
 	return converted
 }
 
-func tenantToSchema(tenant *configuration.Tenant) *operatorv1.Tenant {
+func tenantToProto(tenant *configuration.Tenant) *operatorv1.Tenant {
 	return &operatorv1.Tenant{
 		Name:              string(tenant.Name),
 		KeyHashes:         tenant.KeyHashes,
@@ -169,7 +169,7 @@
 	}
 }
 
-func tenantFromSchema(tenant **operatorv1.Tenant) configuration.Tenant {
+func tenantFromProto(tenant **operatorv1.Tenant) configuration.Tenant {
 	from := *tenant
 	return configuration.Tenant{
 		Name:              identity.Tenant(from.GetName()),
@@ -185,16 +185,16 @@
 	}
 }
 
-func modelToSchema(model *configuration.Model) *operatorv1.Model {
+func modelToProto(model *configuration.Model) *operatorv1.Model {
 	return &operatorv1.Model{Name: model.Name, Version: model.Version, Adapters: model.Adapters}
 }
 
-func modelFromSchema(model **operatorv1.Model) configuration.Model {
+func modelFromProto(model **operatorv1.Model) configuration.Model {
 	from := *model
 	return configuration.Model{Name: from.GetName(), Version: from.GetVersion(), Adapters: from.GetAdapters()}
 }
 
-func poolToSchema(pool *configuration.Pool) *operatorv1.Pool {
+func poolToProto(pool *configuration.Pool) *operatorv1.Pool {
 	return &operatorv1.Pool{
 		Name:           pool.Name,
 		Model:          pool.Model,
@@ -204,7 +204,7 @@
 	}
 }
 
-func poolFromSchema(pool **operatorv1.Pool) configuration.Pool {
+func poolFromProto(pool **operatorv1.Pool) configuration.Pool {
 	from := *pool
 	return configuration.Pool{
 		Name:           from.GetName(),
@@ -215,7 +215,7 @@
 	}
 }
 
-func engineToSchema(engine *configuration.Engine) *operatorv1.Engine {
+func engineToProto(engine *configuration.Engine) *operatorv1.Engine {
 	return &operatorv1.Engine{
 		Name:       engine.Name,
 		Address:    engine.Address,
@@ -224,7 +224,7 @@
 	}
 }
 
-func engineFromSchema(engine **operatorv1.Engine) configuration.Engine {
+func engineFromProto(engine **operatorv1.Engine) configuration.Engine {
 	from := *engine
 	return configuration.Engine{
 		Name:       from.GetName(),
@@ -234,7 +234,7 @@
 	}
 }
 
-func serviceToSchema(service *configuration.Service) *operatorv1.Service {
+func serviceToProto(service *configuration.Service) *operatorv1.Service {
 	return &operatorv1.Service{
 		Name:      service.Name,
 		Kind:      valueOf(kindNames, service.Kind),
@@ -243,7 +243,7 @@
 	}
 }
 
-func serviceFromSchema(service **operatorv1.Service) configuration.Service {
+func serviceFromProto(service **operatorv1.Service) configuration.Service {
 	from := *service
 	return configuration.Service{
 		Name:      from.GetName(),
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -94,11 +94,11 @@
 	if !known {
 		code = connect.CodeInternal
 	}
-	return errorWithDetail(code, problemToSchema(callProblem), "%w", callProblem)
+	return errorWithDetail(code, problemToProto(callProblem), "%w", callProblem)
 }
 
-// problemToSchema converts a problem to its message; nil stays nil.
-func problemToSchema(callProblem *problem.Problem) *operatorv1.ProgramProblem {
+// problemToProto converts a problem to its message; nil stays nil.
+func problemToProto(callProblem *problem.Problem) *operatorv1.ProgramProblem {
 	if callProblem == nil {
 		return nil
 	}
--- a/internal/operatorapi/gate.go
+++ b/internal/operatorapi/gate.go
@@ -42,8 +42,8 @@
 	}
 	request = request.WithContext(context.WithValue(request.Context(), operatorContextKey{}, operator))
 	if request.URL.Path == operatorv1connect.OperatorServiceWatchConfigurationProcedure {
-		// A stream may last longer than the listener's write timeout. The error is ignored:
-		// a response writer that does not support deadlines has none to remove.
+		// Remove the write deadline, since a stream may last longer than the listener's write
+		// timeout. The error is ignored: a response writer without deadlines needs no change.
 		_ = http.NewResponseController(response).SetWriteDeadline(time.Time{})
 		h.next.ServeHTTP(response, request)
 		return
@@ -59,6 +59,6 @@
 
 // writeError writes an error response with the code and text.
 func writeError(response http.ResponseWriter, request *http.Request, code connect.Code, text string) {
-	// An error means that the operator's connection is closed, so nobody can receive the response.
+	// The error is ignored: it means that the operator's connection is closed.
 	_ = connect.NewErrorWriter().Write(response, request, connect.NewError(code, errors.New(text)))
 }
--- a/internal/operatorapi/handler.go
+++ b/internal/operatorapi/handler.go
@@ -25,10 +25,10 @@
 // value from DefaultLimits.
 type Limits struct {
 	MaxRequestBytes int           // largest size of a request message, in bytes
-	MaxConcurrent   int           // concurrent calls, except WatchConfiguration
-	MaxWatchers     int           // concurrent WatchConfiguration streams
+	MaxConcurrent   int           // largest number of concurrent calls, not counting WatchConfiguration
+	MaxWatchers     int           // largest number of concurrent WatchConfiguration streams
 	CallTimeout     time.Duration // longest duration of a call, except WatchConfiguration
-	WatchInterval   time.Duration // how often a WatchConfiguration stream checks for a new revision
+	WatchInterval   time.Duration // time between two checks for a new revision in a WatchConfiguration stream
 }
 
 // DefaultLimits are the default values of Limits. They allow requests with a
@@ -47,8 +47,8 @@
 	Administrator configuration.Administrator
 	Programs      execution.Programs
 	Directory     members.Directory
-	// Revisions returns the configuration revision that each daemon last
-	// recorded in the store as in force.
+	// Revisions returns, for each machine, the configuration revision that its
+	// daemon last recorded in the store as in force.
 	Revisions func(context.Context) (map[identity.Machine]uint64, error)
 	Groups    shards.Groups
 	Fleet     engine.Fleet
--- a/internal/operatorapi/keys.go
+++ b/internal/operatorapi/keys.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// hashPrefixDigits is the number of hex digits of a key's hash in the name of an
-// operator whose key has no name.
+// hashPrefixDigits is the length of the hash prefix, in hex digits, that names an
+// operator if the key has no name.
 const hashPrefixDigits = 8
 
 // hashedKey is the hash of an operator's key, and the operator's name.
@@ -18,8 +18,8 @@
 	hash     [sha256.Size]byte
 }
 
-// CheckKeys returns one text for each malformed key. The keys have the format of
-// Options.Keys.
+// CheckKeys returns a description of each malformed key. The format of a key is
+// described at Options.Keys.
 func CheckKeys(texts []string) []string {
 	var faults []string
 	for i, text := range texts {
--- a/internal/operatorapi/programs.go
+++ b/internal/operatorapi/programs.go
@@ -39,11 +39,11 @@
 	if err := programError(reply.Problem, err); err != nil {
 		return nil, err
 	}
-	translated := programToSchema(&reply)
+	message := programToProto(&reply)
 	if request.Msg.GetIncludeMessages() {
-		translated.Messages = messagesToSchema(reply.Messages)
+		message.Messages = messagesToProto(reply.Messages)
 	}
-	return connect.NewResponse(&operatorv1.GetProgramResponse{Program: translated}), nil
+	return connect.NewResponse(&operatorv1.GetProgramResponse{Program: message}), nil
 }
 
 // EndProgram ends a program of any tenant. Ending an ended program succeeds.
@@ -68,8 +68,8 @@
 	return identifier, nil
 }
 
-func programToSchema(reply *execution.HistoryReply) *operatorv1.Program {
-	translated := &operatorv1.Program{
+func programToProto(reply *execution.HistoryReply) *operatorv1.Program {
+	message := &operatorv1.Program{
 		Identifier:  string(reply.Program),
 		Parent:      string(reply.Parent),
 		Tenant:      string(reply.Tenant),
@@ -85,23 +85,23 @@
 		Reserved:    reply.Reserved,
 	}
 	for i := range reply.Calls {
-		translated.Calls = append(translated.Calls, callToSchema(&reply.Calls[i]))
+		message.Calls = append(message.Calls, callToProto(&reply.Calls[i]))
 	}
-	return translated
+	return message
 }
 
-func callToSchema(call *program.Call) *operatorv1.Call {
-	translated := &operatorv1.Call{
+func callToProto(call *program.Call) *operatorv1.Call {
+	message := &operatorv1.Call{
 		Sequence:      call.Spec.Sequence,
 		Target:        string(call.Spec.Target),
 		Name:          call.Spec.Name,
 		State:         callStates[call.State],
 		AcceptedAt:    timestamp(call.AcceptedAt),
 		NotRepeatable: call.Spec.NotRepeatable,
-		Problem:       problemToSchema(call.Problem),
+		Problem:       problemToProto(call.Problem),
 	}
 	for _, attempt := range call.Attempts {
-		translated.Attempts = append(translated.Attempts, &operatorv1.Attempt{
+		message.Attempts = append(message.Attempts, &operatorv1.Attempt{
 			Number:   attempt.Number,
 			Machine:  string(attempt.Process.Machine),
 			BackEnd:  attempt.BackEnd,
@@ -110,22 +110,22 @@
 		})
 	}
 	if answer := call.Answer; answer != nil {
-		translated.Engine = answer.Engine
-		translated.PromptTokens = answer.PromptTokens
-		translated.CachedTokens = answer.CachedTokens
-		translated.CompletionTokens = answer.CompletionTokens
-		translated.FirstToken = convert.Duration(answer.FirstToken)
-		translated.Elapsed = convert.Duration(answer.Elapsed)
+		message.Engine = answer.Engine
+		message.PromptTokens = answer.PromptTokens
+		message.CachedTokens = answer.CachedTokens
+		message.CompletionTokens = answer.CompletionTokens
+		message.FirstToken = convert.Duration(answer.FirstToken)
+		message.Elapsed = convert.Duration(answer.Elapsed)
 	}
-	return translated
+	return message
 }
 
-func messagesToSchema(messages []program.Message) []*operatorv1.Message {
-	translated := make([]*operatorv1.Message, 0, len(messages))
+func messagesToProto(messages []program.Message) []*operatorv1.Message {
+	converted := make([]*operatorv1.Message, 0, len(messages))
 	for _, message := range messages {
-		translated = append(translated, &operatorv1.Message{Role: message.Role, Content: message.Content})
+		converted = append(converted, &operatorv1.Message{Role: message.Role, Content: message.Content})
 	}
-	return translated
+	return converted
 }
 
 // timestamp returns nil for the zero time.
--- a/internal/operatorapi/read.go
+++ b/internal/operatorapi/read.go
@@ -86,12 +86,12 @@
 	}
 	response := &operatorv1.ListRevisionsResponse{}
 	for i := range revisions {
-		response.Revisions = append(response.Revisions, revisionToSchema(&revisions[i]))
+		response.Revisions = append(response.Revisions, revisionToProto(&revisions[i]))
 	}
 	return connect.NewResponse(response), nil
 }
 
-func revisionToSchema(revision *configuration.Revision) *operatorv1.Revision {
+func revisionToProto(revision *configuration.Revision) *operatorv1.Revision {
 	return &operatorv1.Revision{
 		Number:           revision.Number,
 		ChangeIdentifier: revision.Identifier,
--- a/internal/operatorapi/status.go
+++ b/internal/operatorapi/status.go
@@ -44,21 +44,21 @@
 	}
 	memberList := s.Directory.View().Members
 	for i := range memberList {
-		member := memberToSchema(&memberList[i])
+		member := memberToProto(&memberList[i])
 		member.ConfigurationRevision = revisions[memberList[i].Process.Machine]
 		response.Members = append(response.Members, member)
 	}
 	for _, status := range s.Groups.Status() {
-		response.Groups = append(response.Groups, groupToSchema(&status))
+		response.Groups = append(response.Groups, groupToProto(&status))
 	}
 	engines := s.Fleet.Snapshot().Engines
 	for i := range engines {
-		response.Engines = append(response.Engines, engineToSchema(&engines[i], current))
+		response.Engines = append(response.Engines, engineToProto(&engines[i], current))
 	}
 	return connect.NewResponse(response), nil
 }
 
-func memberToSchema(member *members.Member) *operatorv1.Member {
+func memberToProto(member *members.Member) *operatorv1.Member {
 	return &operatorv1.Member{
 		Machine:       string(member.Process.Machine),
 		Incarnation:   uint64(member.Process.Incarnation),
@@ -70,7 +70,7 @@
 	}
 }
 
-func groupToSchema(status *shards.Status) *operatorv1.Group {
+func groupToProto(status *shards.Status) *operatorv1.Group {
 	group := &operatorv1.Group{
 		Shard:     uint32(status.Shard),
 		Epoch:     uint64(status.Term),
@@ -85,7 +85,7 @@
 	return group
 }
 
-func engineToSchema(engine *scheduling.Engine, current *configuration.Snapshot) *operatorv1.EngineStatus {
+func engineToProto(engine *scheduling.Engine, current *configuration.Snapshot) *operatorv1.EngineStatus {
 	return &operatorv1.EngineStatus{
 		Name:          engine.ID,
 		Address:       engine.Address,
--- a/internal/operatorapi/suite_test.go
+++ b/internal/operatorapi/suite_test.go
@@ -179,8 +179,8 @@
 
 // withKey returns a client that sends the key.
 func (s *testServer) withKey(key string) operatorv1connect.OperatorServiceClient {
-	present := connect.WithInterceptors(bearer(key))
-	return operatorv1connect.NewOperatorServiceClient(http.DefaultClient, s.server.URL, present)
+	withBearer := connect.WithInterceptors(bearer(key))
+	return operatorv1connect.NewOperatorServiceClient(http.DefaultClient, s.server.URL, withBearer)
 }
 
 // bearer is a client interceptor that adds the key to unary calls and streams.
