--- a/internal/commandline/advice.go
+++ b/internal/commandline/advice.go
@@ -45,9 +45,9 @@
 	return ExitFailed
 }
 
-// exitCodeOf returns the exit code for a problem of a call. The outcome of the
+// exitCodeForProblem returns the exit code for a problem of a call. The outcome of the
 // call takes precedence over the kind of the problem.
-func exitCodeOf(outcome problem.Outcome, kind problem.Kind) ExitCode {
+func exitCodeForProblem(outcome problem.Outcome, kind problem.Kind) ExitCode {
 	code := ExitOfKind(kind)
 	switch {
 	case outcome == problem.OutcomeUnknown:
--- a/internal/commandline/caller.go
+++ b/internal/commandline/caller.go
@@ -47,12 +47,12 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return &failure{code: ExitUncertain, cause: err, advice: "Repeat the same command: a repeat joins the first, at any daemon."}
+		return &failure{code: ExitUncertain, cause: err, advice: "Repeat the same command, at any daemon; it joins the first one."}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return &failure{code: ExitUncertain, cause: err, advice: "Repeat the same command: a repeat joins the first, at any daemon."}
+		return &failure{code: ExitUncertain, cause: err, advice: "Repeat the same command, at any daemon; it joins the first one."}
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		return problemError(response.StatusCode, data)
@@ -81,10 +81,10 @@
 	var reported callerapi.Problem
 	if err := json.Unmarshal(data, &reported); err != nil || reported.Title == "" {
 		return &failure{code: ExitFailed, cause: fmt.Errorf("HTTP status %d without problem details", status),
-			advice: "Is this the address of a daemon's callers' endpoint?"}
+			advice: "Is this the address of a daemon's caller endpoint?"}
 	}
 	return &failure{
-		code:   exitCodeOf(reported.Outcome, reported.Title),
+		code:   exitCodeForProblem(reported.Outcome, reported.Title),
 		cause:  errors.New(problemText(&reported)),
 		advice: problemAdvice(&reported),
 	}
--- a/internal/commandline/client.go
+++ b/internal/commandline/client.go
@@ -19,8 +19,7 @@
 )
 
 const (
-	// maxResponseBytes is the number of bytes that the command reads of a
-	// response at most.
+	// maxResponseBytes is the largest size of a response that the command reads.
 	maxResponseBytes = 64 << 20
 	// maxChangeAttempts limits how often a change is sent, including the first
 	// attempt.
@@ -95,11 +94,11 @@
 	return next
 }
 
-// retryChange calls change until it neither finds the daemon unavailable nor
-// leaves the outcome unknown, at most maxChangeAttempts times. Repeating a change
+// retryChange calls change, and calls it again while the daemon is unavailable or
+// the outcome is unknown, up to maxChangeAttempts calls in all. Repeating a change
 // is safe because each attempt has the same change identifier. If the last
-// attempt fails in this way too and any attempt may have applied the change, the
-// returned error says that the outcome is uncertain.
+// attempt fails too, and any attempt may have applied the change, the returned
+// error says that the outcome is uncertain.
 func retryChange[T any](ctx context.Context, identifier string, change func() (T, error)) (T, error) {
 	mayBeApplied := false
 	attempt := func() (T, error) {
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -36,10 +36,10 @@
 
 // Connection has the flags for reaching the daemons: endpoints, keys and timeout.
 type Connection struct {
-	OperatorURL string        `name:"operator-url" env:"THYMELOFT_OPERATOR_URL" placeholder:"URL" help:"Operators' endpoint of any daemon."`
-	OperatorKey string        `name:"operator-key" env:"THYMELOFT_OPERATOR_KEY" placeholder:"KEY" help:"Operator's bearer key; better set in the environment."`
-	CallerURL   string        `name:"caller-url" env:"THYMELOFT_CALLER_URL" placeholder:"URL" help:"Callers' endpoint of any daemon."`
-	CallerKey   string        `name:"caller-key" env:"THYMELOFT_CALLER_KEY" placeholder:"KEY" help:"Caller's bearer key; better set in the environment."`
+	OperatorURL string        `name:"operator-url" env:"THYMELOFT_OPERATOR_URL" placeholder:"URL" help:"URL of the operator endpoint of any daemon."`
+	OperatorKey string        `name:"operator-key" env:"THYMELOFT_OPERATOR_KEY" placeholder:"KEY" help:"Operator key; better set in the environment."`
+	CallerURL   string        `name:"caller-url" env:"THYMELOFT_CALLER_URL" placeholder:"URL" help:"URL of the caller endpoint of any daemon."`
+	CallerKey   string        `name:"caller-key" env:"THYMELOFT_CALLER_KEY" placeholder:"KEY" help:"Caller key; better set in the environment."`
 	Authority   string        `name:"authority" env:"THYMELOFT_AUTHORITY" placeholder:"FILE" help:"PEM file of the authorities that sign the daemons' certificates."`
 	Timeout     time.Duration `name:"timeout" default:"30s" help:"Timeout of the whole command, except config watch."`
 }
@@ -55,7 +55,7 @@
 // as it does after --help. Run recovers it.
 type exitPanic struct{ code int }
 
-const programDescription = `Operators' and callers' command line of thymeloft.
+const programDescription = `Command-line client of thymeloft for operators and callers.
 
 Exit codes: 0 done; 1 failed; 2 usage error; 3 invalid, nothing was changed;
 4 conflict with a newer revision, nothing was changed; 5 the outcome is not
@@ -92,7 +92,7 @@
 	return report(streams.Err, parsed.Run(&session{ctx: ctx, streams: streams, flags: &flags}))
 }
 
-// withTimeout returns the command's context, which ends after --timeout.
+// withTimeout returns the command's context with a deadline set by --timeout.
 func (s *session) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(s.ctx, s.flags.Timeout)
 }
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -35,8 +35,8 @@
 const testKey = "a-secret-key"
 
 // administrator is an in-memory configuration.Administrator. It applies every
-// change. While it has failures, each change also removes the first failure and
-// returns it as its error.
+// change. While there are failures, each change removes the first of them and
+// returns it as an error.
 type administrator struct {
 	configuration.Administrator
 	mutex    sync.Mutex
@@ -82,16 +82,16 @@
 }
 
 var _ = Describe("config and drain", func() {
-	var group *administrator
+	var admin *administrator
 	var url string
 	operator := func(input string, arguments ...string) commandResult {
 		return run(input, append(arguments, "--operator-url", url, "--operator-key", testKey)...)
 	}
 	BeforeEach(func() {
-		group = &administrator{machine: configuration.NewMachine()}
+		admin = &administrator{machine: configuration.NewMachine()}
 		hash := sha256.Sum256([]byte(testKey))
 		server := httptest.NewServer(operatorapi.NewHandler(operatorapi.Options{
-			Administrator: group, Keys: []string{"ailsa:" + hex.EncodeToString(hash[:])},
+			Administrator: admin, Keys: []string{"ailsa:" + hex.EncodeToString(hash[:])},
 		}))
 		DeferCleanup(server.Close)
 		url = server.URL
@@ -123,13 +123,13 @@
 		Expect(operator("models:\n- name: b\n  version: \"1\"\n", "config", "apply", "--partial", "-", "--base", "0").code).To(Equal(commandline.ExitDone))
 		deleted := operator("", "config", "apply", "--partial", "--delete", "model/b", "--base", "1", "-o", "json")
 		Expect(deleted.out).To(MatchJSON(`{"revision": "2"}`))
-		Expect(group.Current().Document.Models).To(BeEmpty())
+		Expect(admin.Current().Document.Models).To(BeEmpty())
 		Expect(operator("", "config", "apply", "--partial", "--delete", "modules/b", "--base", "2").code).To(Equal(commandline.ExitUsage))
 		Expect(operator("", "config", "apply", "--delete", "model/b", "--base", "2").code).To(Equal(commandline.ExitUsage))
 	})
 
 	It("repeats a change whose response was lost, and applies it once", func() {
-		group.failures = []error{configuration.ErrChangeUncertain, errors.New("no leader")}
+		admin.failures = []error{configuration.ErrChangeUncertain, errors.New("no leader")}
 		applied := operator("", "drain", "add", "e1")
 		Expect(applied.code).To(Equal(commandline.ExitDone))
 		Expect(applied.out).To(Equal("revision 1, 1 drained\ne1\n"))
@@ -139,14 +139,14 @@
 
 	It("prints the identifier to repeat a change whose outcome stays uncertain", func() {
 		for range 9 {
-			group.failures = append(group.failures, configuration.ErrChangeUncertain)
+			admin.failures = append(admin.failures, configuration.ErrChangeUncertain)
 		}
 		lost := operator("models: []", "config", "apply", "-", "--base", "0", "--change-id", "mine")
 		Expect(lost.code).To(Equal(commandline.ExitUncertain))
 		Expect(lost.err).To(ContainSubstring("--change-id mine"))
 	})
 
-	It("lists all faults, reports the line of a syntax error, and requires a base revision", func() {
+	It("lists all faults, reports the line of an unknown field, and requires a base revision", func() {
 		bad := "tenants:\n- name: a\n  burst: -1\n  class: golden\n"
 		invalid := operator(bad, "config", "apply", "-", "--base", "0")
 		Expect(invalid.code).To(Equal(commandline.ExitInvalid))
@@ -173,7 +173,7 @@
 	It("trusts the authorities of --authority", func() {
 		hash := sha256.Sum256([]byte(testKey))
 		server := httptest.NewTLSServer(operatorapi.NewHandler(operatorapi.Options{
-			Administrator: group, Keys: []string{hex.EncodeToString(hash[:])},
+			Administrator: admin, Keys: []string{hex.EncodeToString(hash[:])},
 		}))
 		DeferCleanup(server.Close)
 		authority := filepath.Join(GinkgoT().TempDir(), "authority.pem")
@@ -260,6 +260,6 @@
 		Expect(caller("program", "call", "p0001-x", "1", "--model", "a", "--tool", "b").code).To(Equal(commandline.ExitUsage))
 		Expect(caller("program", "call", "p0001-x", "1").code).To(Equal(commandline.ExitUsage))
 		status, answer = http.StatusNotFound, "no page"
-		Expect(caller("program", "history", "p0001-x").err).To(ContainSubstring("callers' endpoint"))
+		Expect(caller("program", "history", "p0001-x").err).To(ContainSubstring("caller endpoint"))
 	})
 })
--- a/internal/commandline/content.go
+++ b/internal/commandline/content.go
@@ -32,7 +32,7 @@
 		return nil, err
 	}
 	var document configuration.Document
-	read := &changeContent{}
+	content := &changeContent{}
 	if c.File != "" {
 		parsed, base, err := s.readFile(c.File)
 		if err != nil {
@@ -40,22 +40,22 @@
 		}
 		document = parsed
 		if base != nil {
-			read.baseRevision, read.hasBaseRevision = *base, true
+			content.baseRevision, content.hasBaseRevision = *base, true
 		}
 	}
 	if !c.Partial {
 		if faults := configuration.Validate(&document); len(faults) > 0 {
 			return nil, &failure{code: ExitInvalid, cause: invalidConfigurationError(faults)}
 		}
-		read.document = convert.Document(&document)
-		return read, nil
+		content.document = convert.Document(&document)
+		return content, nil
 	}
 	deletes, err := parseDeletes(c.Delete)
 	if err != nil {
 		return nil, err
 	}
-	read.partial = convert.Difference(&configuration.Difference{Upserts: document, Deletes: deletes})
-	return read, nil
+	content.partial = convert.Difference(&configuration.Difference{Upserts: document, Deletes: deletes})
+	return content, nil
 }
 
 // check returns a usage error if the flags do not define a change.
--- a/internal/commandline/exit.go
+++ b/internal/commandline/exit.go
@@ -21,7 +21,7 @@
 const (
 	ExitDone            ExitCode = 0
 	ExitFailed          ExitCode = 1
-	ExitUsage           ExitCode = 2 // wrong flags or an unreadable file
+	ExitUsage           ExitCode = 2 // wrong flags, an unreadable file or a malformed request
 	ExitInvalid         ExitCode = 3 // the input has faults; nothing was changed
 	ExitConflict        ExitCode = 4 // a newer revision exists; nothing was changed
 	ExitUncertain       ExitCode = 5 // the outcome is unknown; repeat with the same identifier
@@ -93,7 +93,7 @@
 		switch typed := value.(type) {
 		case *operatorv1.Conflict:
 			return &failure{code: ExitConflict, cause: remote, advice: fmt.Sprintf(
-				"Read revision %d with thymeloft config get, make the change on it, and apply it again.", typed.GetCurrentRevision())}
+				"Read revision %d with thymeloft config get, make your change to it, and apply it.", typed.GetCurrentRevision())}
 		case *operatorv1.Faults:
 			return &failure{code: ExitInvalid, cause: invalidConfigurationError(typed.GetFaults()), advice: "Nothing was changed. Correct the faults and try again."}
 		case *operatorv1.Uncertain:
@@ -107,13 +107,13 @@
 
 func uncertainError(cause error, identifier string) *failure {
 	return &failure{code: ExitUncertain, cause: cause, advice: fmt.Sprintf(
-		"Repeat the same command with --change-id %s: it returns the first result, or makes the change once.", identifier)}
+		"Repeat the same command with --change-id %s: if the change was accepted, it returns the first result; otherwise it applies the change.", identifier)}
 }
 
 func classifyCode(remote *connect.Error) *failure {
 	switch remote.Code() {
 	case connect.CodeUnauthenticated, connect.CodePermissionDenied:
-		return &failure{code: ExitUnauthenticated, cause: remote, advice: "Set the operator's key in THYMELOFT_OPERATOR_KEY."}
+		return &failure{code: ExitUnauthenticated, cause: remote, advice: "Set the operator key in THYMELOFT_OPERATOR_KEY."}
 	case connect.CodeInvalidArgument:
 		return &failure{code: ExitInvalid, cause: remote}
 	case connect.CodeNotFound:
@@ -121,7 +121,7 @@
 	case connect.CodeUnavailable, connect.CodeResourceExhausted, connect.CodeDeadlineExceeded:
 		return &failure{code: ExitUnavailable, cause: remote, advice: "Try again, or ask another daemon."}
 	case connect.CodeUnimplemented:
-		return &failure{code: ExitFailed, cause: remote, advice: "Is this the address of a daemon's operators' endpoint?"}
+		return &failure{code: ExitFailed, cause: remote, advice: "Is this the address of a daemon's operator endpoint?"}
 	}
 	return &failure{code: ExitFailed, cause: remote}
 }
--- a/internal/commandline/program.go
+++ b/internal/commandline/program.go
@@ -178,7 +178,7 @@
 
 type programEndCommand struct {
 	Program    string `arg:"" help:"Identifier of the program."`
-	AsOperator bool   `help:"End it through the operators' endpoint, whatever its tenant."`
+	AsOperator bool   `help:"End the program through the operator endpoint, whichever tenant owns it."`
 }
 
 // Run ends the program through the caller endpoint or, with --as-operator, the
--- a/internal/commandline/program_history.go
+++ b/internal/commandline/program_history.go
@@ -15,7 +15,7 @@
 type programHistoryCommand struct {
 	Program    string `arg:"" help:"Identifier of the program."`
 	Messages   bool   `help:"Also show the conversation."`
-	AsOperator bool   `help:"Read it through the operators' endpoint, whatever its tenant."`
+	AsOperator bool   `help:"Read the program through the operator endpoint, whichever tenant owns it."`
 }
 
 // Run prints the program's state and calls and, with --messages, its
--- a/internal/commandline/revisions.go
+++ b/internal/commandline/revisions.go
@@ -39,8 +39,8 @@
 }
 
 func itemCount(difference *operatorv1.Difference) int {
-	translated := convert.DifferenceFrom(difference)
-	return translated.Items()
+	converted := convert.DifferenceFrom(difference)
+	return converted.Items()
 }
 
 type configWatchCommand struct{}
--- a/internal/commandline/status.go
+++ b/internal/commandline/status.go
@@ -63,8 +63,8 @@
 // count how often the fleet was bootstrapped again; they are shown before a dot
 // if they are not zero. The lower 32 bits count from zero after each bootstrap.
 func formatEpoch(epoch uint64) string {
-	const foundingBits = 32
-	bootstraps, counter := epoch>>foundingBits, uint32(epoch)
+	const counterBits = 32
+	bootstraps, counter := epoch>>counterBits, uint32(epoch)
 	if bootstraps == 0 {
 		return fmt.Sprint(counter)
 	}
