--- a/cmd/thymeloft-lab/main.go
+++ b/cmd/thymeloft-lab/main.go
@@ -18,7 +18,7 @@
 	Replay     replayCommand      `cmd:"" help:"Replay recorded traces and check their outcomes."`
 	Record     recordCommand      `cmd:"" help:"Record the programs of a daemon's callers as a trace."`
 	Experiment experiment.Command `cmd:"" help:"Compare scheduling strategies on emulated fleets."`
-	Soak       soakCommand        `cmd:"" help:"Run gateways under random faults and check their guarantees."`
+	Soak       soakCommand        `cmd:"" help:"Run gateway processes under random faults and check their guarantees."`
 	Engine     engineCommand      `cmd:"" help:"Serve a model engine."`
 	Service    serviceCommand     `cmd:"" help:"Serve an application service."`
 	Tool       toolCommand        `cmd:"" help:"Serve a tool."`
--- a/cmd/thymeloft-lab/replay.go
+++ b/cmd/thymeloft-lab/replay.go
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// replay replays one trace as often as the flags say. It returns an error if a
+// replay replays one trace as often as --times says. It returns an error if a
 // guarantee was broken, or if two replays have different verdicts.
 func (c *replayCommand) replay(ctx context.Context, trace replay.Trace, options replay.Options) error {
 	firstVerdict := ""
@@ -134,7 +134,8 @@
 	_ = table.Flush()
 }
 
-// formatOutcomes returns the counts sorted as text, such as "1 failed, 3 answered".
+// formatOutcomes returns the numbers of outcomes as text, in sorted order, such as
+// "1 failed, 3 answered".
 func formatOutcomes(counts map[string]int) string {
 	var parts []string
 	for outcome, count := range counts {
--- a/cmd/thymeloft-lab/serve.go
+++ b/cmd/thymeloft-lab/serve.go
@@ -35,7 +35,7 @@
 	TimeScale   float64       `default:"1" help:"Wall-clock time per unit of modelled time."`
 	CacheTokens int64         `default:"60000" help:"Capacity of the prefix cache."`
 	LoadTime    time.Duration `default:"8s" help:"Modelled time to load a version."`
-	ReportLag   time.Duration `default:"500ms" help:"Age up to which the engine reports the same state again."`
+	ReportLag   time.Duration `default:"500ms" help:"Time for which the engine repeats the same report."`
 	EventLag    time.Duration `default:"200ms" help:"Delay of cache events."`
 	EventGap    uint64        `default:"17" help:"Lose every Nth cache event; 0: none."`
 }
--- a/cmd/thymeloftd/main_test.go
+++ b/cmd/thymeloftd/main_test.go
@@ -47,7 +47,7 @@
 	}
 	store := httptest.NewServer(platformstore.New(platformstore.Options{}))
 	AfterAll(store.Close)
-	alone := []string{
+	singleDaemonFlags := []string{
 		"--machine=m1", "--zone=z1", "--region=r1", "--shards=2", "--bootstrap-expect=1",
 		"--platform-store=" + strings.TrimPrefix(store.URL, "http://"),
 		"--listen-caller=127.0.0.1:0", "--listen-operator=127.0.0.1:0", "--listen-peer=127.0.0.1:0", "--listen-metrics=127.0.0.1:0",
@@ -61,7 +61,7 @@
 	})
 
 	It("logs its addresses, becomes ready, and exits with 0 after a drain", func() {
-		session := start(alone...)
+		session := start(singleDaemonFlags...)
 		Eventually(session.Err).Should(gbytes.Say(`daemon: ready\.`))
 		metrics := listenerAddress(session, "metrics")
 		for path, expected := range map[string]int{"/healthz": 200, "/readyz": 200, "/metrics": 200, "/other": 404} {
@@ -76,7 +76,7 @@
 	})
 
 	It("exits at once on a second signal", func() {
-		session := start(alone...)
+		session := start(singleDaemonFlags...)
 		Eventually(session.Err).Should(gbytes.Say(`daemon: ready\.`))
 		// A request with an unfinished header delays the drain.
 		connection, err := net.Dial("tcp", listenerAddress(session, "caller"))
@@ -92,8 +92,8 @@
 	})
 })
 
-// listenerAddress returns the address of the named listener from the log line of
-// the session that says that the daemon is ready.
+// listenerAddress returns the address of a listener. It reads it from the
+// session's log line "daemon: ready.".
 func listenerAddress(session *gexec.Session, name string) string {
 	GinkgoHelper()
 	for line := range strings.SplitSeq(string(session.Err.Contents()), "\n") {
@@ -102,6 +102,6 @@
 			return entry[name].(string)
 		}
 	}
-	Fail("no log line says that the daemon is ready")
+	Fail("the daemon did not log that it is ready")
 	return ""
 }
