--- a/api/engine/v1/engine.go
+++ b/api/engine/v1/engine.go
@@ -27,7 +27,7 @@
 // Names of HTTP headers.
 const (
 	HeaderNeverStarted = "Thymeloft-Never-Started" // "true" in an error reply means that the request did not start
-	HeaderFence        = "Thymeloft-Fence"         // not used
+	HeaderFence        = "Thymeloft-Fence"         // not sent by thymeloft or the stand-ins
 )
 
 // Message is one message of a conversation with a model.
@@ -125,7 +125,7 @@
 // that were lost.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
-	Latest uint64       `json:"latest"` // sequence number after which the next page starts
+	Latest uint64       `json:"latest"` // value of "after" for the next page
 }
 
 // Held is the cache memory that an engine holds for a program.
