--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -17,7 +17,8 @@
 	// daemons lead its shards.
 	takeoverTimeout      = 20 * time.Second
 	takeoverPollInterval = 20 * time.Millisecond
-	// announceExitTimeout limits the last write to the store.
+	// announceExitTimeout limits the duration of the last write to the store,
+	// which announces the exit.
 	announceExitTimeout = 500 * time.Millisecond
 )
 
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -92,7 +92,7 @@
 }
 
 var _ = Describe("a cluster with TLS on every listener", func() {
-	It("serves callers, operators, peers and metrics, and rejects operators without a certificate and callers that do not trust the authority", func() {
+	It("serves callers, operators, peers and metrics, rejects operators without a certificate, and is not trusted by clients without the authority", func() {
 		credentials := newTLSCredentials()
 		c := startCluster(3, credentials)
 		c.applyConfiguration()
