--- a/internal/operatorapi/read.go
+++ b/internal/operatorapi/read.go
@@ -16,7 +16,7 @@
 
 // Numbers of revisions that ListRevisions returns.
 const (
-	defaultRevisionCount = 20 // if the request names none
+	defaultRevisionCount = 20 // used if the request has no page size
 	maxRevisionCount     = 200
 )
 
@@ -37,8 +37,8 @@
 	return connect.NewResponse(response), nil
 }
 
-// documentAt returns the configuration of an earlier revision. It computes it
-// from the current configuration and the history of changes.
+// documentAt returns the configuration of an earlier revision. The configuration
+// is computed from the current one and the history of changes.
 func (s *service) documentAt(ctx context.Context, revision uint64) (configuration.Document, error) {
 	revisions, err := s.Administrator.History(ctx, configuration.HistoryRevisions)
 	if err != nil {
