--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -24,24 +24,24 @@
 // them.
 type commands struct {
 	Connection `embed:""`
-	Output     string `enum:"table,json" default:"table" short:"o" help:"Output format: table or json."`
+	Output     string `enum:"table,json" default:"table" short:"o" help:"Form of what is printed: table or json."`
 
 	Config  configCommands  `cmd:"" help:"Read and change the configuration."`
 	Status  statusCommand   `cmd:"" help:"Show members, groups and engines as one daemon sees them."`
-	Drain   drainCommands   `cmd:"" help:"Drain back ends or machines, or return them to service."`
-	Explain explainCommand  `cmd:"" help:"Explain from logs why a request ended as it did."`
+	Drain   drainCommands   `cmd:"" help:"Take back ends or machines out of new work, and back."`
+	Explain explainCommand  `cmd:"" help:"Tell from logs why a request ended as it did."`
 	Program programCommands `cmd:"" help:"Create, call, read and end programs."`
 	Version versionCommand  `cmd:"" help:"Print the version."`
 }
 
 // Connection has the flags for reaching the daemons: endpoints, keys and timeout.
 type Connection struct {
-	OperatorURL string        `name:"operator-url" env:"THYMELOFT_OPERATOR_URL" placeholder:"URL" help:"URL of the operator endpoint of any daemon."`
-	OperatorKey string        `name:"operator-key" env:"THYMELOFT_OPERATOR_KEY" placeholder:"KEY" help:"Operator key; better set in the environment."`
-	CallerURL   string        `name:"caller-url" env:"THYMELOFT_CALLER_URL" placeholder:"URL" help:"URL of the caller endpoint of any daemon."`
-	CallerKey   string        `name:"caller-key" env:"THYMELOFT_CALLER_KEY" placeholder:"KEY" help:"Caller key; better set in the environment."`
+	OperatorURL string        `name:"operator-url" env:"THYMELOFT_OPERATOR_URL" placeholder:"URL" help:"Operators' endpoint of any daemon."`
+	OperatorKey string        `name:"operator-key" env:"THYMELOFT_OPERATOR_KEY" placeholder:"KEY" help:"Operator's bearer key; better set in the environment."`
+	CallerURL   string        `name:"caller-url" env:"THYMELOFT_CALLER_URL" placeholder:"URL" help:"Callers' endpoint of any daemon."`
+	CallerKey   string        `name:"caller-key" env:"THYMELOFT_CALLER_KEY" placeholder:"KEY" help:"Caller's bearer key; better set in the environment."`
 	Authority   string        `name:"authority" env:"THYMELOFT_AUTHORITY" placeholder:"FILE" help:"PEM file of the authorities that sign the daemons' certificates."`
-	Timeout     time.Duration `name:"timeout" default:"30s" help:"Timeout of the whole command, except config watch."`
+	Timeout     time.Duration `name:"timeout" default:"30s" help:"Longest time of the whole command, besides watch."`
 }
 
 // session is the context, streams and flags of one run of the command.
--- a/internal/commandline/config.go
+++ b/internal/commandline/config.go
@@ -20,8 +20,8 @@
 type configCommands struct {
 	Validate configValidateCommand `cmd:"" help:"Check a file, without a daemon."`
 	Diff     configDiffCommand     `cmd:"" help:"Show what a file would change."`
-	Apply    configApplyCommand    `cmd:"" help:"Replace the configuration by the file, or change some of its items."`
-	Get      configGetCommand      `cmd:"" help:"Print the revision in force, or an earlier one, in the format that apply reads."`
+	Apply    configApplyCommand    `cmd:"" help:"Make the file the configuration, or change some items of it."`
+	Get      configGetCommand      `cmd:"" help:"Print the revision in force, or an earlier one, as a file that apply takes."`
 	History  configHistoryCommand  `cmd:"" help:"List the latest revisions, newest first."`
 	Watch    configWatchCommand    `cmd:"" help:"Print revisions as they come into force, until interrupted."`
 }
@@ -101,8 +101,8 @@
 type configApplyCommand struct {
 	changeFlags
 	Base     *uint64 `help:"Revision that the change was made against; default: the one in the file's first line, as config get writes it."`
-	ChangeID string  `name:"change-id" help:"Identifier of the change; default: a new one. Repeating the command with the same identifier returns the first result."`
-	Comment  string  `short:"m" help:"Comment for the history."`
+	ChangeID string  `name:"change-id" help:"Identifier of the change; default: a new one. A repeat with the same finds the first result."`
+	Comment  string  `short:"m" help:"For the history."`
 }
 
 // Run applies the change. It retries while the daemon is unavailable or the
--- a/internal/commandline/content.go
+++ b/internal/commandline/content.go
@@ -11,9 +11,9 @@
 // changeFlags are the flags of config diff and config apply that define the
 // change.
 type changeFlags struct {
-	File    string   `arg:"" optional:"" help:"YAML file; - for standard input. Optional with --partial."`
-	Partial bool     `help:"The file contains only items to add or replace; all others stay."`
-	Delete  []string `placeholder:"KIND/NAME" help:"With --partial: delete this item; may be repeated."`
+	File    string   `arg:"" optional:"" help:"YAML file; - for standard input. Only with --partial it may be left out."`
+	Partial bool     `help:"The file holds only items to add or replace; all others stay."`
+	Delete  []string `placeholder:"KIND/NAME" help:"With --partial: take this item away; may be given often."`
 }
 
 // changeContent is the change that the flags define: either document or partial
--- a/internal/commandline/drain.go
+++ b/internal/commandline/drain.go
@@ -10,15 +10,15 @@
 
 type drainCommands struct {
 	Add    drainAddCommand    `cmd:"" help:"Give no new work to these back ends or machines."`
-	Remove drainRemoveCommand `cmd:"" help:"Give new work to these back ends or machines again."`
-	List   drainListCommand   `cmd:"" help:"List the drained back ends and machines."`
+	Remove drainRemoveCommand `cmd:"" help:"Give work to these again."`
+	List   drainListCommand   `cmd:"" help:"List what is drained."`
 }
 
 // drainFlags are the flags of drain add and drain remove.
 type drainFlags struct {
 	Names    []string `arg:"" help:"Names of engines, services or machines."`
-	ChangeID string   `name:"change-id" help:"Identifier of the change; default: a new one. Repeating the command with the same identifier returns the first result."`
-	Comment  string   `short:"m" help:"Comment for the history."`
+	ChangeID string   `name:"change-id" help:"Identifier of the change; default: a new one. A repeat with the same finds the first result."`
+	Comment  string   `short:"m" help:"For the history."`
 }
 
 type drainAddCommand struct{ drainFlags }
--- a/internal/commandline/explain.go
+++ b/internal/commandline/explain.go
@@ -13,7 +13,7 @@
 // program spent its time on.
 type explainCommand struct {
 	Request string   `arg:"" help:"Identifier of the request, or of a program."`
-	Logs    []string `arg:"" type:"existingfile" help:"Log files of the daemons from the time of the request."`
+	Logs    []string `arg:"" type:"existingfile" help:"Logs of the daemons of its time."`
 }
 
 // Run merges the logs and prints the log lines of the request and the cause of
--- a/internal/commandline/program.go
+++ b/internal/commandline/program.go
@@ -21,19 +21,19 @@
 type programCommands struct {
 	Create  programCreateCommand  `cmd:"" help:"Create a program and print its identifier."`
 	Call    programCallCommand    `cmd:"" help:"Submit a call and print its answer."`
-	Get     programGetCommand     `cmd:"" help:"Print a call's answer, or its state if it has none."`
+	Get     programGetCommand     `cmd:"" help:"Read a call's answer, or how far it is."`
 	History programHistoryCommand `cmd:"" help:"Show a program's calls and messages."`
 	End     programEndCommand     `cmd:"" help:"End a program."`
 }
 
 type programCreateCommand struct {
-	CreationKey string        `help:"Key of the creation; repeating the command with the same key returns the first program. Default: a new one."`
+	CreationKey string        `help:"The caller's own key of the creation; a repeat with it finds the first program. Default: a new one."`
 	Parent      string        `help:"Parent program."`
 	Class       string        `enum:",interactive,standard,batch" default:"" help:"Priority class; default: the tenant's."`
-	TokenBudget int64         `help:"Maximum number of generated tokens, including child programs."`
-	MaxTurns    uint64        `help:"Maximum number of calls."`
-	Idle        time.Duration `help:"Maximum time without a running call."`
-	Lifetime    time.Duration `help:"Maximum time since the creation."`
+	TokenBudget int64         `help:"Most generated tokens, children included."`
+	MaxTurns    uint64        `help:"Most calls."`
+	Idle        time.Duration `help:"Longest time without a call under way."`
+	Lifetime    time.Duration `help:"Longest time since the creation."`
 }
 
 // Run creates a program and prints its identifier.
@@ -81,12 +81,12 @@
 	Service       string        `xor:"target" required:"" help:"Application service to call."`
 	Tool          string        `xor:"target" required:"" help:"Tool to call."`
 	Adapter       string        `help:"Adapter of the model."`
-	Message       []string      `short:"m" sep:"none" help:"User message to the model; may be repeated."`
-	MaxTokens     int64         `default:"256" help:"Maximum number of tokens that the model may generate."`
+	Message       []string      `short:"m" sep:"none" help:"What the user says to the model; may be given often."`
+	MaxTokens     int64         `default:"256" help:"Most tokens that a model may generate."`
 	Operation     string        `help:"Operation of the service or tool."`
 	PayloadFile   string        `placeholder:"FILE" help:"Payload for the service or tool; - for standard input."`
 	NotRepeatable bool          `help:"Run at most once, whatever fails."`
-	Deadline      time.Duration `help:"Maximum duration of the call; default: the daemon's."`
+	Deadline      time.Duration `help:"Longest time of the call; default: the daemon's."`
 }
 
 // Run submits the call and prints its answer. Submitting the same call again
@@ -138,7 +138,7 @@
 type programGetCommand struct {
 	Program  string        `arg:"" help:"Identifier of the program."`
 	Sequence uint64        `arg:"" help:"Number of the call."`
-	Wait     time.Duration `help:"Maximum time to wait for the answer."`
+	Wait     time.Duration `help:"Wait so long for the answer."`
 }
 
 // Run prints the call's answer, or its state if it has none.
@@ -178,7 +178,7 @@
 
 type programEndCommand struct {
 	Program    string `arg:"" help:"Identifier of the program."`
-	AsOperator bool   `help:"End the program through the operator endpoint, whichever tenant owns it."`
+	AsOperator bool   `help:"End it through the operators' endpoint, whatever its tenant."`
 }
 
 // Run ends the program through the caller endpoint or, with --as-operator, the
--- a/internal/commandline/program_history.go
+++ b/internal/commandline/program_history.go
@@ -14,8 +14,8 @@
 
 type programHistoryCommand struct {
 	Program    string `arg:"" help:"Identifier of the program."`
-	Messages   bool   `help:"Also show the conversation."`
-	AsOperator bool   `help:"Read the program through the operator endpoint, whichever tenant owns it."`
+	Messages   bool   `help:"Show the conversation too."`
+	AsOperator bool   `help:"Read it through the operators' endpoint, whatever its tenant."`
 }
 
 // Run prints the program's state and calls and, with --messages, its
--- a/internal/commandline/revisions.go
+++ b/internal/commandline/revisions.go
@@ -11,7 +11,7 @@
 )
 
 type configHistoryCommand struct {
-	Limit uint32 `default:"20" help:"Maximum number of revisions to list."`
+	Limit uint32 `default:"20" help:"Most revisions to list."`
 }
 
 // Run prints the latest revisions, newest first.
