--- a/cmd/thymeloft-gateway/main.go
+++ b/cmd/thymeloft-gateway/main.go
@@ -28,7 +28,7 @@
 )
 
 type commandLine struct {
-	Settings string `help:"Settings file in YAML." required:"" type:"path"`
+	Settings string `help:"Settings file." required:"" type:"path"`
 	Check    bool   `help:"Check the settings and exit."`
 }
 
--- a/cmd/thymeloft-lab/main.go
+++ b/cmd/thymeloft-lab/main.go
@@ -14,11 +14,11 @@
 )
 
 type commands struct {
-	Demo       demoCommand        `cmd:"" help:"Run sample programs on daemons in three zones."`
-	Replay     replayCommand      `cmd:"" help:"Replay recorded traces and check their outcomes."`
-	Record     recordCommand      `cmd:"" help:"Record the programs of a daemon's callers as a trace."`
+	Demo       demoCommand        `cmd:"" help:"Run programs end to end over daemons in three zones."`
+	Replay     replayCommand      `cmd:"" help:"Replay recorded traces against their stated outcomes."`
+	Record     recordCommand      `cmd:"" help:"Record callers' programs at a daemon as a trace."`
 	Experiment experiment.Command `cmd:"" help:"Compare scheduling strategies on emulated fleets."`
-	Soak       soakCommand        `cmd:"" help:"Run gateway processes under random faults and check their guarantees."`
+	Soak       soakCommand        `cmd:"" help:"Run gateways as processes under random faults and check the promises."`
 	Engine     engineCommand      `cmd:"" help:"Serve a model engine."`
 	Service    serviceCommand     `cmd:"" help:"Serve an application service."`
 	Tool       toolCommand        `cmd:"" help:"Serve a tool."`
--- a/cmd/thymeloft-lab/record.go
+++ b/cmd/thymeloft-lab/record.go
@@ -12,10 +12,10 @@
 
 type recordCommand struct {
 	listenFlag
-	Target     string `required:"" placeholder:"URL" help:"Base URL of the daemon that requests are forwarded to."`
-	Deployment string `required:"" type:"existingfile" placeholder:"FILE" help:"Trace file whose deployment is copied into the recording."`
+	Target     string `required:"" placeholder:"URL" help:"Base URL of the daemon that callers' requests are passed to."`
+	Deployment string `required:"" type:"existingfile" placeholder:"FILE" help:"Trace whose deployment the recording shall be replayed on."`
 	Name       string `default:"recorded" help:"Name of the trace."`
-	Output     string `required:"" placeholder:"FILE" help:"File to write the trace to at the end."`
+	Output     string `required:"" placeholder:"FILE" help:"Where the trace is written at the end."`
 }
 
 // Run records until the context ends, then writes the trace.
--- a/cmd/thymeloft-lab/replay.go
+++ b/cmd/thymeloft-lab/replay.go
@@ -21,8 +21,8 @@
 
 // daemonFlags are the flags for the daemons that a command starts.
 type daemonFlags struct {
-	DaemonBinary string `type:"existingfile" placeholder:"FILE" help:"Binary of the daemon; by default thymeloftd in the directory of this program."`
-	Logs         string `type:"existingdir" placeholder:"DIRECTORY" help:"Directory for the daemons' logs; by default the logs are removed."`
+	DaemonBinary string `type:"existingfile" placeholder:"FILE" help:"The daemon's binary; by default thymeloftd beside this program."`
+	Logs         string `type:"existingdir" placeholder:"DIRECTORY" help:"Where the daemons' logs are kept; by default they are removed."`
 }
 
 // options returns replay options that print progress to standard error. The
@@ -65,8 +65,8 @@
 type replayCommand struct {
 	daemonFlags
 	Traces []string `arg:"" optional:"" type:"existingfile" help:"Trace files."`
-	Seeds  []uint64 `help:"Seeds of random traces to replay as well." placeholder:"N"`
-	Times  int      `default:"1" help:"How often each trace is replayed; all verdicts must be equal."`
+	Seeds  []uint64 `help:"Seeds of random traces to replay besides." placeholder:"N"`
+	Times  int      `default:"1" help:"How often each is replayed; the verdicts must be the same."`
 }
 
 // Run replays each trace and prints its verdict. It stops at the first trace that
@@ -145,8 +145,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// cacheHits returns the share of the program's prompt tokens that were cached, as
-// a percentage, or "-" if it had no prompt tokens.
+// cacheHits returns the share of the program's prompt tokens that were cached,
+// such as "37% of 1200 tokens", or "-" if it had no prompt tokens.
 func cacheHits(program replay.ProgramResult) string {
 	if program.PromptTokens == 0 {
 		return "-"
--- a/cmd/thymeloft-lab/serve.go
+++ b/cmd/thymeloft-lab/serve.go
@@ -21,23 +21,23 @@
 
 // rateLimitFlags are the flags for the rate limit of a stand-in.
 type rateLimitFlags struct {
-	RequestsPerSecond float64 `help:"Rate limit; 0: no limit."`
-	Burst             int     `default:"20" help:"Requests allowed at once above the rate."`
+	RequestsPerSecond float64 `help:"Rate limit; 0: none."`
+	Burst             int     `default:"20" help:"Requests above the rate at once."`
 }
 
 type engineCommand struct {
 	listenFlag
-	Name        string        `default:"engine" help:"Name that the engine reports."`
+	Name        string        `default:"engine" help:"Name that it reports."`
 	Generation  string        `default:"new" enum:"old,new" help:"Generation of hardware."`
 	Model       string        `help:"Model loaded at the start."`
 	Version     string        `help:"Version loaded at the start."`
 	Adapters    []string      `help:"Adapters loaded at the start."`
-	TimeScale   float64       `default:"1" help:"Wall-clock time per unit of modelled time."`
+	TimeScale   float64       `default:"1" help:"Wall-clock time for each unit of modelled time."`
 	CacheTokens int64         `default:"60000" help:"Capacity of the prefix cache."`
-	LoadTime    time.Duration `default:"8s" help:"Modelled time to load a version."`
-	ReportLag   time.Duration `default:"500ms" help:"Time for which the engine repeats the same report."`
+	LoadTime    time.Duration `default:"8s" help:"Modelled time of loading a version."`
+	ReportLag   time.Duration `default:"500ms" help:"Age up to which the same state is reported."`
 	EventLag    time.Duration `default:"200ms" help:"Delay of cache events."`
-	EventGap    uint64        `default:"17" help:"Lose every Nth cache event; 0: none."`
+	EventGap    uint64        `default:"17" help:"Every so many cache events one is lost; 0: none."`
 }
 
 // Run serves a stand-in for a model engine until the context ends.
@@ -97,7 +97,7 @@
 type weightsCommand struct {
 	listenFlag
 	rateLimitFlags
-	DefaultBytes int64 `default:"1000000000" help:"Size of a version's weights, in bytes."`
+	DefaultBytes int64 `default:"1000000000" help:"Size of versions that are not listed."`
 }
 
 // Run serves a stand-in for the weight store until the context ends.
@@ -112,7 +112,7 @@
 
 type machinesCommand struct {
 	listenFlag
-	Lag time.Duration `default:"2s" help:"Time until a change of the list becomes visible."`
+	Lag time.Duration `default:"2s" help:"From a change to its being seen."`
 }
 
 // Run serves a stand-in for the machine list until the context ends.
--- a/cmd/thymeloft-lab/soak.go
+++ b/cmd/thymeloft-lab/soak.go
@@ -17,14 +17,14 @@
 // soakCommand is the soak test: it runs gateway processes under random faults and
 // checks their guarantees.
 type soakCommand struct {
-	GatewayBinary string        `type:"existingfile" placeholder:"FILE" help:"Binary of the gateway; by default thymeloft-gateway in the directory of this program."`
-	Logs          string        `type:"existingdir" placeholder:"DIRECTORY" help:"Directory for settings and logs; by default they are kept only if a guarantee was broken."`
-	Seeds         []uint64      `help:"Random seeds, run one after the other; by default one from the clock." placeholder:"N"`
+	GatewayBinary string        `type:"existingfile" placeholder:"FILE" help:"The gateway's binary; by default thymeloft-gateway beside this program."`
+	Logs          string        `type:"existingdir" placeholder:"DIRECTORY" help:"Where settings and logs are kept; by default they are kept only if a promise was broken."`
+	Seeds         []uint64      `help:"Seeds to play, one after the other; by default one from the clock." placeholder:"N"`
 	Duration      time.Duration `default:"60s" help:"How long faults are injected for each seed."`
-	Gateways      int           `default:"4" help:"Number of gateways."`
-	Callers       int           `default:"10" help:"Number of concurrent callers."`
-	Kinds         []string      `help:"Kinds of faults to inject; by default all." placeholder:"KIND"`
-	Quiet         bool          `help:"Do not print faults as they are injected."`
+	Gateways      int           `default:"4" help:"Gateways at the same time."`
+	Callers       int           `default:"10" help:"Callers that play programs at the same time."`
+	Kinds         []string      `help:"Only these kinds of faults." placeholder:"KIND"`
+	Quiet         bool          `help:"Do not print the faults as they come."`
 }
 
 // Run runs each seed and prints its verdict. It returns an error if a guarantee
