--- a/internal/execution/admission_test.go
+++ b/internal/execution/admission_test.go
@@ -10,17 +10,17 @@
 	"github.com/thymeloft/thymeloft/internal/quota"
 )
 
-func TestALeaderAllowsItsPartOfTheRate(t *testing.T) {
+func TestAdmissionLimitsRateToShardShare(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	share := 0.25
 	now := time.Unix(1000, 0)
-	bounded := newAdmission(func() float64 { return share })
-	bounded.limiter = quota.NewAlone(quota.Settings{Window: rateWindow}, func() time.Time { return now })
+	limited := newAdmission(func() float64 { return share })
+	limited.limiter = quota.NewAlone(quota.Settings{Window: rateWindow}, func() time.Time { return now })
 	tenant := &configuration.Tenant{Name: "tenant", RequestsPerSecond: 40, Burst: 40}
 	admitted := func() int {
 		count := 0
 		for {
-			wait, ok := bounded.admit(tenant)
+			wait, ok := limited.admit(tenant)
 			if !ok {
 				expect.Expect(wait).To(gomega.BeNumerically(">", 0))
 				return count
@@ -30,7 +30,7 @@
 	}
 	expect.Expect(admitted()).To(gomega.Equal(10))
 	share = 1
-	expect.Expect(admitted()).To(gomega.Equal(30), "when it leads all shards, less what it took")
+	expect.Expect(admitted()).To(gomega.Equal(30), "the whole burst minus the requests already admitted")
 	now = now.Add(rateWindow + rateWindow/10)
-	expect.Expect(admitted()).To(gomega.Equal(40), "the steady rate filled it up again")
+	expect.Expect(admitted()).To(gomega.Equal(40), "the rate has refilled the whole burst")
 }
--- a/internal/execution/daemon_test.go
+++ b/internal/execution/daemon_test.go
@@ -20,19 +20,20 @@
 	tenant identity.Tenant = "tenant"
 )
 
-// site is some daemons of one replica group, with one world of back ends.
-type site struct {
+// testCluster is a set of daemons of one replica group that share the same fake
+// back ends, engines and configuration.
+type testCluster struct {
 	log           *fakeLog
 	backEnd       *backEnd
 	fleet         *fakeFleet
 	policy        *fakePolicy
 	configuration *fakeConfiguration
 	limits        execution.Limits
-	shards        uint32 // of the map; one is led
+	shards        uint32 // number of shards in the shard map; the daemons replicate only one of them
 	daemons       []*daemon
 }
 
-// daemon is one of them.
+// daemon is one daemon of a testCluster.
 type daemon struct {
 	*execution.Service
 	groups  *fakeGroups
@@ -40,7 +41,8 @@
 	stop    func()
 }
 
-// waitingCalls reads the gauge of calls that wait for an engine.
+// waitingCalls returns the metric value for calls that wait for an engine, or -1
+// if the metric is missing.
 func (d *daemon) waitingCalls() float64 {
 	families, err := d.metrics.Gather()
 	Expect(err).NotTo(HaveOccurred())
@@ -52,8 +54,8 @@
 	return -1
 }
 
-func newSite() *site {
-	return &site{
+func newTestCluster() *testCluster {
+	return &testCluster{
 		log:           &fakeLog{},
 		backEnd:       &backEnd{executions: make(map[string]int)},
 		fleet:         newFakeFleet(),
@@ -63,13 +65,14 @@
 	}
 }
 
-func (s *site) start(name string) *daemon {
+// start starts a daemon that does not lead, and stops it when the test ends.
+func (c *testCluster) start(name string) *daemon {
 	self := identity.Process{Machine: identity.Machine(name), Incarnation: 1, Address: name}
-	groups := s.log.join(self)
+	groups := c.log.join(self)
 	metrics := prometheus.NewRegistry()
 	service, err := execution.New(execution.Options{
-		Registerer: metrics, Self: self, Groups: groups, ShardMap: fakeMap{s.shards}, Dispatcher: s.backEnd, Fleet: s.fleet,
-		Policy: s.policy, Configuration: s.configuration, Limits: s.limits,
+		Registerer: metrics, Self: self, Groups: groups, ShardMap: fakeMap{c.shards}, Dispatcher: c.backEnd, Fleet: c.fleet,
+		Policy: c.policy, Configuration: c.configuration, Limits: c.limits,
 	})
 	Expect(err).NotTo(HaveOccurred())
 	groups.machine = service.NewShard(shard)
@@ -84,15 +87,15 @@
 		cancel()
 		<-done
 	}}
-	s.daemons = append(s.daemons, started)
+	c.daemons = append(c.daemons, started)
 	DeferCleanup(started.stop)
 	return started
 }
 
-// leading gives the daemon that leads by the log.
-func (s *site) leading() *daemon {
-	leader, _ := s.daemons[0].groups.Leader(shard)
-	for _, candidate := range s.daemons {
+// leadingDaemon returns the daemon that is the leader according to the log.
+func (c *testCluster) leadingDaemon() *daemon {
+	leader, _ := c.daemons[0].groups.Leader(shard)
+	for _, candidate := range c.daemons {
 		if candidate.groups.self == leader {
 			return candidate
 		}
@@ -100,10 +103,11 @@
 	return nil
 }
 
-// startLeader starts a daemon and waits until it serves.
-func (s *site) startLeader(name string) *daemon {
-	started := s.start(name)
-	s.log.lead(started.groups)
+// startLeader starts a daemon, makes it the leader and waits until it serves
+// requests.
+func (c *testCluster) startLeader(name string) *daemon {
+	started := c.start(name)
+	c.log.setLeader(started.groups)
 	started.awaitLeading()
 	return started
 }
@@ -142,7 +146,8 @@
 	return reply
 }
 
-// follow reads until the end and gives the content as pieced together.
+// follow reads a call until it is final or the request fails. It returns the
+// content assembled from all replies, and the last reply.
 func (d *daemon) follow(identifier identity.Program, sequence uint64) (string, execution.FollowReply) {
 	var content strings.Builder
 	arguments := execution.FollowArguments{Tenant: tenant, Program: identifier, Sequence: sequence, Wait: time.Second}
--- a/internal/members/layout.go
+++ b/internal/members/layout.go
@@ -10,110 +10,120 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// layout says which zones hold the parts of what is kept in parts (keeper.go). It is one row of the
-// store, since a process that starts must know it at once, and whether a change of it is under way.
+// layout assigns shards (see keeper.go) to zones. It is stored in a single row, so that a starting
+// process reads it at once, together with any change in progress.
 //
-// A change takes two commits. The first announces it: from then on nobody keeps a part that is to move to
-// another zone. The second, movingTime later, puts it in force. Any list that is believed shows the
-// same row as the row in the store or the one before, and of two such rows each part has a keeper by one at most.
+// A change takes two commits. The first one announces the change: from then on, shards that move to
+// another zone have no owner. The second one, layoutChangeDelay later, puts the change in force. By
+// then, each list that daemons still use shows the announcement. The stored layout and the one
+// before it never give a shard two different owners.
 //
-// It buys: a zone that is cut off still reaches its part of each owner's places, and the others reach theirs.
-// It costs: parts that move have no keeper for movingTime, when a zone comes or goes (TestPartsThatMove).
+// Because a key's shards are spread over the zones, a zone that is cut off still reaches those
+// assigned to it, and the other zones still reach theirs. The cost is that shards that move have no
+// owner for at least layoutChangeDelay when a zone is added or removed.
 type layout struct {
-	Zones  []identity.Zone `cbor:"z,omitempty"` // in force; none: all members are one group
-	Moving bool            `cbor:"m,omitempty"` // Next is announced
+	Zones  []identity.Zone `cbor:"z,omitempty"` // in force; empty: all members form one group
+	Moving bool            `cbor:"m,omitempty"` // a change to Next is announced
 	Next   []identity.Zone `cbor:"n,omitempty"`
 }
 
 const (
-	// movingTime is how long a change stands announced: by then no list is believed any more that
-	// does not show it. The rest lets a process that was started a moment ago take its start for
-	// the time since which nobody else kept (List.setSince).
-	movingTime = settlingTime + releaseEndedAfter
-	// laidShare: a zone gets parts once it has so much of the mean zone's members with claims, as a
-	// divisor, so that a few members do not carry a whole zone's parts; it keeps them while it has any.
-	laidShare = 2
+	// layoutChangeDelay is the time between the announcement of a change and the commit that puts
+	// it in force. After settlingDuration, no daemon uses a list without the announcement. The
+	// additional endedReleaseDelay allows currentOwnersSince to return the start time of a process
+	// that started less than endedReleaseDelay ago.
+	layoutChangeDelay = settlingDuration + endedReleaseDelay
+	// minZoneSizeDivisor determines the minimum size of a zone that receives shards: the mean
+	// number of members with claims per zone, divided by minZoneSizeDivisor. It prevents a few
+	// members from carrying all shards of a zone. A zone that has shards retains them as long as it
+	// has any members with claims.
+	minZoneSizeDivisor = 2
 )
 
-// share is a part of what an owner has. It is kept by one member.
-type share struct {
-	owner uint64 // the digest of its name
-	part  int
+// shard identifies one of the shards of a key. Each shard is owned by at most one member.
+type shard struct {
+	key    uint64 // hash of the key
+	number int
 }
 
-// digest mixes both, for the claims on the part.
-func (s share) digest() uint64 { return claim(s.owner, uint64(s.part)+1) } //nolint:gosec // parts are counted from 0
+// hash returns the hash of the shard, from which the scores of zones and members are computed.
+func (s shard) hash() uint64 { return score(s.key, uint64(s.number)+1) } //nolint:gosec // parts are counted from 0
 
-// group are the members that may keep a part: those of a zone, or all.
-type group struct {
-	zone  identity.Zone
-	whole bool
+// zoneGroup is the set of members that may own a shard: those of one zone, or all members.
+type zoneGroup struct {
+	zone        identity.Zone
+	isEveryZone bool
 }
 
-func (g group) has(member *Member) bool { return g.whole || member.claimZone() == g.zone }
+func (g zoneGroup) has(member *Member) bool { return g.isEveryZone || member.claimZone() == g.zone }
 
-// holder is the group that keeps a part; false while the part moves.
-func (l *layout) holder(kept share) (group, bool) {
-	holder := holderAmong(l.Zones, kept)
-	return holder, !l.Moving || holderAmong(l.Next, kept) == holder
+// groupOf returns the group to which a shard is assigned. It returns false while the shard moves to
+// another group, during which it has no owner.
+func (l *layout) groupOf(wanted shard) (zoneGroup, bool) {
+	current := assignZone(l.Zones, wanted)
+	return current, !l.Moving || assignZone(l.Next, wanted) == current
 }
 
-// holderAmong lets each part of an owner in turn choose the zone with the first claim on it among those
-// that no part has chosen yet, and among all again once each has a part. So each zone
-// has a part if there are enough, and a zone that comes moves few.
-func holderAmong(zones []identity.Zone, kept share) group {
+// assignZone returns the zone to which a shard is assigned, or the group of all members if zones is
+// empty. The shards of a key choose zones in order: each takes the zone with the highest score for
+// it among those not yet chosen. Once all zones are chosen, all are available again. So each zone
+// has a shard if the key has enough shards, and few shards move when a zone is added.
+func assignZone(zones []identity.Zone, wanted shard) zoneGroup {
 	if len(zones) == 0 {
-		return group{whole: true}
+		return zoneGroup{isEveryZone: true}
 	}
 	var left []identity.Zone
-	for part := 0; ; part++ {
+	for number := 0; ; number++ {
 		if len(left) == 0 {
 			left = slices.Clone(zones)
 		}
-		chosen := firstZone(left, share{kept.owner, part}.digest())
-		if part == kept.part {
-			return group{zone: left[chosen]}
+		chosen := highestScoringZone(left, shard{wanted.key, number}.hash())
+		if number == wanted.number {
+			return zoneGroup{zone: left[chosen]}
 		}
 		left = slices.Delete(left, chosen, chosen+1)
 	}
 }
 
-func firstZone(zones []identity.Zone, key uint64) int {
-	first, most := 0, uint64(0)
-	for place, zone := range zones {
-		if claimed := claim(digestOf(string(zone)), key); place == 0 || claimed > most {
-			first, most = place, claimed
+func highestScoringZone(zones []identity.Zone, key uint64) int {
+	best, highest := 0, uint64(0)
+	for index, zone := range zones {
+		if zoneScore := score(hashOf(string(zone)), key); index == 0 || zoneScore > highest {
+			best, highest = index, zoneScore
 		}
 	}
-	return first
+	return best
 }
 
-// next is the layout that is to follow one that was seen for so long, if another is to.
-func (l *layout) next(claims map[identity.Zone]int, seenFor time.Duration) (layout, bool) {
+// next returns the layout that should follow l, and whether it is due. members holds the number of
+// members with claims in each zone; seenFor is how long this daemon has seen l as the stored
+// layout.
+func (l *layout) next(members map[identity.Zone]int, seenFor time.Duration) (layout, bool) {
 	if l.Moving {
-		return layout{Zones: l.Next}, seenFor > movingTime
+		return layout{Zones: l.Next}, seenFor > layoutChangeDelay
 	}
-	wanted := laidZones(claims, l.Zones)
+	wanted := zonesWithShards(members, l.Zones)
 	if len(wanted) == 0 || slices.Equal(wanted, l.Zones) {
 		return layout{}, false
 	}
 	return layout{Zones: l.Zones, Moving: true, Next: wanted}, true
 }
 
-// laidZones are the zones that are to hold parts, by how many members with claims each has, in order.
-func laidZones(claims map[identity.Zone]int, inForce []identity.Zone) []identity.Zone {
+// zonesWithShards returns the zones that should have shards, in order of name. members holds the
+// number of members with claims in each zone; inForce are the zones that have shards now.
+func zonesWithShards(members map[identity.Zone]int, inForce []identity.Zone) []identity.Zone {
 	total := 0
-	for _, count := range claims {
+	for _, count := range members {
 		total += count
 	}
-	var laid []identity.Zone
-	for zone, count := range claims {
-		if slices.Contains(inForce, zone) || count*len(claims)*laidShare >= total {
-			laid = append(laid, zone)
+	var selected []identity.Zone
+	for zone, count := range members {
+		if slices.Contains(inForce, zone) || count*len(members)*minZoneSizeDivisor >= total {
+			selected = append(selected, zone)
 		}
 	}
-	slices.Sort(laid)
-	return laid
+	slices.Sort(selected)
+	return selected
 }
 
 func (l *layout) encode() ([]byte, error) {
--- a/internal/members/lease.go
+++ b/internal/members/lease.go
@@ -17,68 +17,68 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// LeaseTable holds a row for each member that lives, by its machine's name. It
-// is not followed: each daemon reads the few rows that it watches.
+// LeaseTable is the store table with one row per member that isn't marked dead, keyed by machine
+// name. Daemons don't follow it; each reads the few rows that it checks.
 const LeaseTable = "member-leases"
 
-// How leases are kept.
+// Timing of leases.
 const (
-	// renewalShare is the part of all renewals' time that each member takes, so
-	// that all daemons together renew 20 times a second at any size above
-	// shortestRenewal / renewalShare: a fifteenth of what one partition of the
-	// users' stores takes (300 commits a second).
-	renewalShare = 50 * time.Millisecond
-	// termInRenewals is how many renewals may fail in a row before a lease ends.
-	termInRenewals = 4
-	// commitWait bounds a registration and each commit; they are tried again.
-	commitWait = 2 * time.Second
-	// lookWait bounds a look at the leases of others.
-	lookWait = 2 * time.Second
-	// registrationSpread is the time over which the daemons of a fleet that starts at
-	// once register: 300 of them take one partition of the store a second. Until then
-	// others go by the row of this machine's former process, if there was one. It is
-	// also at most a part of the shortest renewal, as a divisor.
-	registrationSpread = time.Second
-	registrationShare  = 10
-	// registerAgain is the pause before a registration that failed is tried again.
-	registerAgain = 250 * time.Millisecond
-	// jitterShare spreads renewals, as a divisor of the interval.
-	jitterShare = 8
-	// deadKeptFor is how long a dead member stays listed: its last moment as a
-	// lender (lenderContact after its list was last heard, and readings that are
-	// behind by less than a minute), and then the time in which its programs may
-	// come again.
-	deadKeptFor = memoryOfPrograms + 2*lenderContact
+	// renewalIntervalPerMember is multiplied by the number of members to get the renewal interval,
+	// unless ShortestRenewal is longer. So a large fleet makes about 20 renewals a second in
+	// total, of the 300 commits a second that one store partition takes.
+	renewalIntervalPerMember = 50 * time.Millisecond
+	// renewalsPerTerm is the term of a lease in renewal intervals.
+	renewalsPerTerm = 4
+	// commitTimeout bounds each commit and each attempt to register.
+	commitTimeout = 2 * time.Second
+	// leaseReadTimeout bounds one check of the leases of other members.
+	leaseReadTimeout = 2 * time.Second
+	// maxRegistrationDelay is the interval over which daemons that start together spread their
+	// registrations, since one store partition takes 300 of them a second. For a short renewal
+	// interval it is reduced to ShortestRenewal divided by registrationDelayDivisor.
+	maxRegistrationDelay     = time.Second
+	registrationDelayDivisor = 10
+	// registrationRetryDelay is the delay before a failed registration is retried.
+	registrationRetryDelay = 250 * time.Millisecond
+	// renewalJitterDivisor determines the jitter: each wait of Run is shortened by a random time of
+	// up to the wait divided by renewalJitterDivisor.
+	renewalJitterDivisor = 8
+	// deadRetention is how long a dead member stays listed. A member may lend until
+	// maxLenderListAge after the store last confirmed its list. The second maxLenderListAge allows
+	// for the age of the list's contents at that confirmation (up to maxListDelay). The member's
+	// programs may return for programReuseWindow after that.
+	deadRetention = programReuseWindow + 2*maxLenderListAge
 )
 
-// Lease keeps this daemon's lease, and ends the leases of others that ran out.
+// Lease maintains this daemon's lease. It also ends expired leases of other members, releases
+// claims, updates the layout and removes dead members. It is safe for concurrent use.
 type Lease struct {
 	List  *List
 	Store *state.Client
-	// FirstStart tells that the whole system was never started before, as far as
-	// this process was told.
+	// FirstStart reports whether this process was told that the system is being started for the
+	// first time.
 	FirstStart bool
-	// ShortestRenewal is the least time between two renewals, which fleets have
-	// that are small.
+	// ShortestRenewal is the minimum renewal interval; it applies to small fleets.
 	ShortestRenewal time.Duration
 	Log             *zap.Logger
-	// Revision is the configuration in force here, told with each renewal.
+	// Revision is the configuration revision in force at this daemon. Each registration and renewal
+	// writes it to the lease.
 	Revision atomic.Uint64
 
-	mutex      sync.Mutex // of what follows
-	registered bool
-	version    state.Version // of the own row in LeaseTable
-	claimZone  identity.Zone // that the own row names
-	leaving    bool          // Leave was called
-	superseded bool          // a later process of this machine has registered
-	finished   bool          // this process ends
-	watched    watchedLeases
+	mutex         sync.Mutex // guards the fields below
+	isRegistered  bool
+	version       state.Version // of this daemon's row in LeaseTable, as last written by this process
+	claimZone     identity.Zone // ClaimZone of this daemon's row in Table
+	isLeaving     bool          // set by Leave
+	isSuperseded  bool          // a later process of this machine has registered
+	hasEnded      bool          // set by End
+	watchedLeases watchedLeases
 }
 
-// leaseRow is the value of a row in LeaseTable.
+// leaseRow is the encoded value of a row in LeaseTable.
 type leaseRow struct {
 	Incarnation identity.Incarnation `cbor:"i"`
-	Term        time.Duration        `cbor:"t"` // without a renewal for so long the lease is over
+	Term        time.Duration        `cbor:"t"` // the lease expires after this time without a renewal
 	Revision    uint64               `cbor:"r"` // of the configuration in force
 }
 
@@ -86,93 +86,95 @@
 	return state.Key{Table: table, Partition: partition, Name: string(machine)}
 }
 
-// removedKey is written with the removal of a dead member's row. Where it stands,
-// an absent row does not tell that no process of that name was there before, so
-// that nobody counts as a founder any more.
+// removedKey is a row that is written when a dead member's row is removed. Once it exists, the
+// absence of a machine's row no longer proves that no process of the machine existed before, so no
+// new process counts as a founder.
 var removedKey = state.Key{Table: "members-removed", Partition: partition, Name: "any"}
 
-// partition holds all tables, since they are committed together; it is apart
-// from what operators write.
+// partition is the store partition that holds all tables of this package, because their rows are
+// committed together. It is separate from the rows that operators write.
 const partition = "members"
 
-// renewal is the time between two renewals.
-func (l *Lease) renewal() time.Duration {
-	return max(l.ShortestRenewal, time.Duration(l.List.Count())*renewalShare)
+func (l *Lease) renewalInterval() time.Duration {
+	return max(l.ShortestRenewal, time.Duration(l.List.Count())*renewalIntervalPerMember)
 }
 
-// Run keeps the lease until the context ends.
+// Run registers this daemon and renews its lease until the context ends.
 func (l *Lease) Run(ctx context.Context) {
-	spread := min(registrationSpread, l.ShortestRenewal/registrationShare)
+	spread := min(maxRegistrationDelay, l.ShortestRenewal/registrationDelayDivisor)
 	pause.For(ctx, time.Duration(rand.Int64N(int64(spread)+1)))
 	for ctx.Err() == nil {
-		wait := l.renewal() // also after a renewal that failed: a term is several of them
+		wait := l.renewalInterval() // also after a failed renewal: a term spans several intervals
 		if !l.Step(ctx) {
-			wait = registerAgain
+			wait = registrationRetryDelay
 		}
-		wait -= time.Duration(rand.Int64N(int64(wait)/jitterShare + 1))
-		if soon, settles := l.List.untilFounderSettles(); settles {
-			wait = min(wait, soon+time.Duration(rand.Int64N(int64(spread)+1)))
+		wait -= time.Duration(rand.Int64N(int64(wait)/renewalJitterDivisor + 1))
+		if untilOwner, pending := l.List.untilFounderOwns(); pending {
+			wait = min(wait, untilOwner+time.Duration(rand.Int64N(int64(spread)+1)))
 		}
 		pause.For(ctx, wait)
 	}
 }
 
-// Step registers this daemon or renews its lease, and then looks after the
-// leases of others. It tells whether this daemon is registered.
+// Step registers this daemon or renews its lease and, if that succeeds, checks the other members.
+// It reports whether this daemon is registered; once this process has ended or was superseded, it
+// does nothing and returns true.
 func (l *Lease) Step(ctx context.Context) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.superseded || l.finished {
+	if l.isSuperseded || l.hasEnded {
 		return true
 	}
-	if err := l.keep(ctx); err != nil {
-		l.watched.forget() // others may not have reached the store either
+	if err := l.registerOrRenew(ctx); err != nil {
+		l.watchedLeases.reset() // the cause may have kept other members from renewing, too
 		if ctx.Err() == nil {
-			l.Log.Warn("members: lease not kept.", zap.Bool("registered", l.registered), zap.String("error", err.Error()))
+			l.Log.Warn("members: lease not registered or renewed.", zap.Bool("registered", l.isRegistered), zap.String("error", err.Error()))
 		}
-		return l.registered
+		return l.isRegistered
 	}
-	l.endFounding(ctx)
-	l.lookAfterOthers(ctx)
+	l.endBootstrap(ctx)
+	l.checkOthers(ctx)
 	return true
 }
 
-func (l *Lease) keep(parent context.Context) error {
-	if !l.registered {
+func (l *Lease) registerOrRenew(parent context.Context) error {
+	if !l.isRegistered {
 		return l.register(parent)
 	}
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	err := l.renew(ctx)
-	if !errors.Is(err, errLeaseEnded) {
+	if !errors.Is(err, errLeaseLost) {
 		return err
 	}
-	l.registered = false
-	l.List.seasoning.ended()
-	l.Log.Warn("members: lease was ended by another daemon.", zap.Uint64("version", uint64(l.version)))
+	l.isRegistered = false
+	l.List.localStatus.endMembership()
+	l.Log.Warn("members: lease was removed or overwritten; registering again.", zap.Uint64("version", uint64(l.version)))
 	return l.register(parent)
 }
 
-// register writes this daemon's rows, whatever a former process of this machine left.
+// register writes this daemon's rows, replacing any rows that the machine already has.
 func (l *Lease) register(parent context.Context) error {
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
-	registration := registration{lease: l, row: keyOf(Table, l.List.self.Process.Machine), newcomer: true}
-	if err := l.Store.Repeat(ctx, func() error { return registration.try(ctx) }); err != nil {
+	attempt := registration{lease: l, memberKey: keyOf(Table, l.List.self.Process.Machine), isNewcomer: true}
+	if err := l.Store.Repeat(ctx, func() error { return attempt.try(ctx) }); err != nil {
 		return err
 	}
-	l.registered = true
-	l.List.noteRegistered(registration.newcomer && l.FirstStart)
-	l.claimZone = registration.claimZone
-	l.List.noteStanding(registration.standing, l.claimZone)
-	l.Log.Info("members: registered.", zap.Uint64("version", uint64(l.version)), zap.Bool("newcomer", registration.newcomer),
-		zap.Uint8("standing", uint8(registration.standing)))
+	l.isRegistered = true
+	l.List.recordRegistration(attempt.isNewcomer && l.FirstStart)
+	l.claimZone = attempt.claimZone
+	l.List.recordStanding(attempt.standing, l.claimZone)
+	l.Log.Info("members: registered.", zap.Uint64("version", uint64(l.version)), zap.Bool("newcomer", attempt.isNewcomer),
+		zap.Uint8("standing", uint8(attempt.standing)))
 	return nil
 }
 
-var errLeaseEnded = errors.New("the lease was ended")
+var errLeaseLost = errors.New("lease was removed or overwritten")
 
-// renew writes the own lease on condition that it is still there.
+// renew renews this daemon's lease, and writes the next standing if it differs from the current
+// one. It returns errLeaseLost if the lease was removed or was overwritten by a former process. If
+// a later process has written the lease, renew sets isSuperseded and returns nil.
 func (l *Lease) renew(ctx context.Context) error {
 	value, err := l.encodeLease()
 	if err != nil {
@@ -197,7 +199,7 @@
 	if err == nil {
 		l.version = version
 		if advances {
-			l.List.noteStanding(standing, l.claimZone)
+			l.List.recordStanding(standing, l.claimZone)
 			l.Log.Info("members: standing changed.", zap.Uint8("standing", uint8(standing)), zap.Uint64("version", uint64(version)))
 		}
 		return nil
@@ -208,7 +210,7 @@
 	}
 	found, exists := conflict.Find(key)
 	if !exists {
-		return errLeaseEnded
+		return errLeaseLost
 	}
 	lease, err := decodeLease(found)
 	if err != nil {
@@ -216,29 +218,29 @@
 	}
 	switch own := l.List.self.Process.Incarnation; {
 	case lease.Incarnation > own:
-		l.superseded = true
-		l.List.seasoning.ended()
+		l.isSuperseded = true
+		l.List.localStatus.endMembership()
 		l.Log.Error("members: a later process runs on this machine.", zap.Uint64("incarnation", uint64(lease.Incarnation)))
 		return nil
 	case lease.Incarnation < own:
-		return errLeaseEnded // a registration of a former process was done late
+		return errLeaseLost // a delayed registration of a former process overwrote the lease
 	}
-	l.version = found.Version // an earlier renewal without an answer was done
+	l.version = found.Version // an earlier renewal was committed, but its answer was lost
 	return nil
 }
 
-// member is this daemon as its row says.
+// member returns the Member to write to this daemon's row, with the given standing.
 func (l *Lease) member(standing Standing) Member {
 	member := l.List.self
 	member.Standing, member.ClaimZone = standing, l.claimZone
-	if l.leaving {
+	if l.isLeaving {
 		member.State = StateLeaving
 	}
 	return member
 }
 
 func (l *Lease) encodeLease() ([]byte, error) {
-	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: termInRenewals * l.renewal(), Revision: l.Revision.Load()}
+	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: renewalsPerTerm * l.renewalInterval(), Revision: l.Revision.Load()}
 	value, err := cbor.Marshal(row)
 	return value, eris.Wrap(err, "encode lease")
 }
@@ -248,36 +250,38 @@
 	return lease, eris.Wrapf(cbor.Unmarshal(row.Value, &lease), "decode lease of %s", row.Key.Name)
 }
 
-// Leave tells the others that this daemon takes no new work.
+// Leave writes that this daemon is leaving, so that other daemons give it no new work.
 func (l *Lease) Leave(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.leaving = true
+	l.isLeaving = true
 	l.List.markLeaving()
 	return l.writeState(ctx, StateLeaving, state.Commit{})
 }
 
-// End tells the others that this process is over, so that nobody has to wait
-// until its lease runs out.
+// End writes that this process has ended, so that other daemons don't have to wait until its lease
+// expires.
 func (l *Lease) End(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.finished = true
-	l.List.seasoning.ended()
-	leased := keyOf(LeaseTable, l.List.self.Process.Machine)
-	return l.writeState(ctx, StateDead, state.Commit{Removals: []state.Key{leased}})
+	l.hasEnded = true
+	l.List.localStatus.endMembership()
+	leaseKey := keyOf(LeaseTable, l.List.self.Process.Machine)
+	return l.writeState(ctx, StateDead, state.Commit{Removals: []state.Key{leaseKey}})
 }
 
-// writeState writes this daemon's state, if its lease still stands; the lock is held.
+// writeState commits this daemon's new state together with the given commit, on condition that its
+// lease is unchanged. It does nothing if this process isn't registered or if a later process of
+// this machine has registered. The caller holds the lock.
 func (l *Lease) writeState(parent context.Context, next State, commit state.Commit) error {
-	if !l.registered || l.superseded {
+	if !l.isRegistered || l.isSuperseded {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(parent, commitWait)
+	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	standing := l.List.standing()
 	if next == StateDead && standing == StandingKeeps {
-		standing = StandingEnded // this process keeps nothing since it is finished
+		standing = StandingEnded // an ended process owns no shards any more
 	}
 	member := l.member(standing)
 	member.State = next
@@ -290,5 +294,5 @@
 	commit.Conditions = []state.Condition{{Key: keyOf(LeaseTable, machine), Version: l.version}}
 	commit.Puts = []state.Put{{Key: keyOf(Table, machine), Value: value}}
 	_, err = l.Store.Commit(ctx, commit)
-	return eris.Wrapf(err, "tell that this daemon is %s", next)
+	return eris.Wrapf(err, "write state %s of this daemon", next)
 }
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -14,177 +14,182 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// TestQuotasUnderFaults plays fleets of 84 and 390 daemons whose tenants ask for up to ten times their limit, while daemons are
-// killed and started again, cut off, lose answers after they gave a place, may not keep for a while, while claims move to others, quotas change and are
-// known here and not there, and places are given back at any time. In each window no more requests run than the users' bound allows.
+// TestQuotasUnderFaults checks that in no window more requests are admitted than the quota allows,
+// with 1 to 390 daemons and a load of up to ten times the quota. Meanwhile daemons restart, become
+// unreachable, lose replies, stop keeping their parts, and disagree on the current quota; parts
+// move to other keepers; and permits are given back at any time.
 func TestQuotasUnderFaults(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { newFaultyPlay(t).run() })
+	rapid.Check(t, func(t *rapid.T) { newFaultSimulation(t).run() })
 }
 
-// faultyPlay is one play. What a draw picks is drawn by rapid; requests come by a seed, since there are many.
-type faultyPlay struct {
-	*keptFleet
-	t        *rapid.T
-	random   *rand.Rand
-	quotas   []declaredQuota // the newest last
-	knows    []int           // by daemon: the quota that it goes by
-	pressed  float64
-	places   []*givenPlace
-	finished int // of places: they cannot be given back any more
+// faultSimulation is one run of TestQuotasUnderFaults. Rapid draws the faults. The requests come
+// from a seeded generator, because there are too many to draw.
+type faultSimulation struct {
+	*testFleet
+	t          *rapid.T
+	random     *rand.Rand
+	declared   []declaredQuota // oldest first
+	knownQuota []int           // by daemon: index in declared of the quota that it uses
+	loadFactor float64
+	permits    []*issuedPermit
+	expired    int // number of leading entries of permits that are too old to be given back
 }
 
-// declaredQuota is a quota and when it stopped to be the newest.
+// declaredQuota is a quota and the time at which the last daemon stopped using it.
 type declaredQuota struct {
 	tenant.Quota
-	until time.Time // zero: it is the newest, or some daemon goes by it
+	until time.Time // zero: it is the newest quota, or a daemon still uses it
 }
 
-// givenPlace is a place that a daemon got.
-type givenPlace struct {
+// issuedPermit is a permit that a daemon got.
+type issuedPermit struct {
 	at       time.Time
-	daemon   identity.Machine // that took it
+	daemon   identity.Machine // that requested it
 	taken    *quota.Taken
 	returned bool
 }
 
-var playedQuotas = []tenant.Quota{{PerSecond: 7, Burst: 7}, {PerSecond: 1, Burst: 0}, {PerSecond: 60, Burst: 60}, {PerSecond: 0.2, Burst: 1}, {PerSecond: 20, Burst: 100}}
+var testQuotas = []tenant.Quota{{PerSecond: 7, Burst: 7}, {PerSecond: 1, Burst: 0}, {PerSecond: 60, Burst: 60}, {PerSecond: 0.2, Burst: 1}, {PerSecond: 20, Burst: 100}}
 
-func newFaultyPlay(t *rapid.T) *faultyPlay {
+func newFaultSimulation(t *rapid.T) *faultSimulation {
 	daemons := rapid.SampledFrom([]int{1, 3, 84, 390}).Draw(t, "daemons")
-	made := &faultyPlay{
-		keptFleet: newKeptFleet(daemons, time.Unix(1000, 0)), t: t, knows: make([]int, daemons),
-		random:  rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
-		quotas:  []declaredQuota{{Quota: rapid.SampledFrom(playedQuotas).Draw(t, "quota")}},
-		pressed: rapid.SampledFrom([]float64{0.5, 1, 3, 10}).Draw(t, "pressed"),
+	simulation := &faultSimulation{
+		testFleet: newTestFleet(daemons, time.Unix(1000, 0)), t: t, knownQuota: make([]int, daemons),
+		random:     rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)),
+		declared:   []declaredQuota{{Quota: rapid.SampledFrom(testQuotas).Draw(t, "quota")}},
+		loadFactor: rapid.SampledFrom([]float64{0.5, 1, 3, 10}).Draw(t, "pressed"),
 	}
-	made.pass(time.Duration(rapid.IntRange(0, 20).Draw(t, "has run for")) * time.Second)
-	return made
+	simulation.advanceBy(time.Duration(rapid.IntRange(0, 20).Draw(t, "has run for")) * time.Second)
+	return simulation
 }
 
-func (p *faultyPlay) run() {
-	for step := range rapid.IntRange(1, 60).Draw(p.t, "steps") {
-		p.pass(time.Duration(rapid.SampledFrom([]int{0, 1, 20, 100, 300, 1000, 4000}).Draw(p.t, fmt.Sprint("pause ", step))) * time.Millisecond)
-		switch rapid.IntRange(0, 9).Draw(p.t, fmt.Sprint("action ", step)) {
+func (s *faultSimulation) run() {
+	for step := range rapid.IntRange(1, 60).Draw(s.t, "steps") {
+		s.advanceBy(time.Duration(rapid.SampledFrom([]int{0, 1, 20, 100, 300, 1000, 4000}).Draw(s.t, fmt.Sprint("pause ", step))) * time.Millisecond)
+		switch rapid.IntRange(0, 9).Draw(s.t, fmt.Sprint("action ", step)) {
 		case 0:
-			p.change(p.daemon(step).start)
+			s.locked(s.drawDaemon(step).start)
 		case 1:
-			chosen := p.daemon(step)
-			p.change(func() { chosen.silent = !chosen.silent })
+			chosen := s.drawDaemon(step)
+			s.locked(func() { chosen.unreachable = !chosen.unreachable })
 		case 2:
-			chosen := p.daemon(step)
-			loses := rapid.IntRange(1, 5).Draw(p.t, fmt.Sprint("loses ", step))
-			p.change(func() { chosen.loses = loses })
+			chosen := s.drawDaemon(step)
+			loses := rapid.IntRange(1, 5).Draw(s.t, fmt.Sprint("loses ", step))
+			s.locked(func() { chosen.lostReplies = loses })
 		case 3:
-			p.change(p.moveClaims)
+			s.locked(s.moveClaims)
 		case 4:
-			p.declare(step)
+			s.declare(step)
 		case 5:
-			p.giveBack(rapid.IntRange(1, 30).Draw(p.t, fmt.Sprint("gives back ", step)))
+			s.giveBack(rapid.IntRange(1, 30).Draw(s.t, fmt.Sprint("gives back ", step)))
 		case 6:
-			chosen := p.daemon(step)
-			p.change(func() { chosen.suspended = !chosen.suspended })
+			chosen := s.drawDaemon(step)
+			s.locked(func() { chosen.suspended = !chosen.suspended })
 		default:
-			p.ask(step)
+			s.ask(step)
 		}
 	}
 }
 
-func (p *faultyPlay) daemon(step int) *keptDaemon {
-	return p.daemons[rapid.IntRange(0, len(p.daemons)-1).Draw(p.t, fmt.Sprint("daemon ", step))]
+func (s *faultSimulation) drawDaemon(step int) *testDaemon {
+	return s.daemons[rapid.IntRange(0, len(s.daemons)-1).Draw(s.t, fmt.Sprint("daemon ", step))]
 }
 
-// moveClaims gives all parts to other keepers; each knows that nobody else keeps them from now on.
-func (p *faultyPlay) moveClaims() {
-	p.salt++
-	for _, each := range p.daemons {
-		each.since = p.now()
+// moveClaims reassigns the parts. Each new keeper is the only keeper of its parts from now on.
+func (s *faultSimulation) moveClaims() {
+	s.assignment++
+	for _, daemon := range s.daemons {
+		daemon.since = s.now()
 	}
 }
 
-// declare makes a quota the newest; daemons hear of it one after the other.
-func (p *faultyPlay) declare(step int) {
-	p.quotas = append(p.quotas, declaredQuota{Quota: rapid.SampledFrom(playedQuotas).Draw(p.t, fmt.Sprint("quota ", step))})
+// declare adds a new quota. Daemons learn of it one after the other.
+func (s *faultSimulation) declare(step int) {
+	s.declared = append(s.declared, declaredQuota{Quota: rapid.SampledFrom(testQuotas).Draw(s.t, fmt.Sprint("quota ", step))})
 }
 
-// hear lets a daemon hear of the newest quota; a quota that no daemon goes by any more has ended.
-func (p *faultyPlay) hear(daemon int) {
-	p.knows[daemon] = len(p.quotas) - 1
-	used := make([]bool, len(p.quotas))
-	for _, known := range p.knows {
-		used[known] = true
+// learnQuota makes a daemon use the newest quota, and records the time at which no daemon uses an
+// older quota any more.
+func (s *faultSimulation) learnQuota(daemon int) {
+	s.knownQuota[daemon] = len(s.declared) - 1
+	used := make([]bool, len(s.declared))
+	for _, index := range s.knownQuota {
+		used[index] = true
 	}
-	for number := range p.quotas[:len(p.quotas)-1] {
-		if !used[number] && p.quotas[number].until.IsZero() {
-			p.quotas[number].until = p.now()
+	for number := range s.declared[:len(s.declared)-1] {
+		if !used[number] && s.declared[number].until.IsZero() {
+			s.declared[number].until = s.now()
 		}
 	}
 }
 
-// ask lets as many requests come at once as in a tenth of a second, or one second.
-func (p *faultyPlay) ask(step int) {
-	lasting := rapid.SampledFrom([]float64{0.1, 1}).Draw(p.t, fmt.Sprint("lasting ", step))
-	newest := p.quotas[len(p.quotas)-1]
-	for range 1 + int(newest.PerSecond*p.pressed*lasting) {
-		daemon := p.random.IntN(len(p.daemons))
-		if p.random.IntN(3) == 0 {
-			p.hear(daemon)
+// ask sends the requests that arrive in 0.1 s or 1 s, as drawn by rapid, and calls check.
+func (s *faultSimulation) ask(step int) {
+	seconds := rapid.SampledFrom([]float64{0.1, 1}).Draw(s.t, fmt.Sprint("lasting ", step))
+	newest := s.declared[len(s.declared)-1]
+	for range 1 + int(newest.PerSecond*s.loadFactor*seconds) {
+		daemon := s.random.IntN(len(s.daemons))
+		if s.random.IntN(3) == 0 {
+			s.learnQuota(daemon)
 		}
-		known := p.knows[daemon]
-		asked := quota.Request{Tenant: "t", Quota: p.quotas[known].Quota, Revision: uint64(known), UnderWay: p.random.IntN(5) > 0}
-		if taken, err := p.daemons[daemon].limiter.Take(context.Background(), asked); err == nil {
-			p.places = append(p.places, &givenPlace{at: p.now(), daemon: p.daemons[daemon].process.Machine, taken: taken})
+		index := s.knownQuota[daemon]
+		req := quota.Request{Tenant: "t", Quota: s.declared[index].Quota, Revision: uint64(index), UnderWay: s.random.IntN(5) > 0}
+		if taken, err := s.daemons[daemon].limiter.Take(context.Background(), req); err == nil {
+			s.permits = append(s.permits, &issuedPermit{at: s.now(), daemon: s.daemons[daemon].process.Machine, taken: taken})
 		}
-		p.pass(time.Duration(float64(time.Second) * lasting / (1 + newest.PerSecond*p.pressed)))
+		s.advanceBy(time.Duration(float64(time.Second) * seconds / (1 + newest.PerSecond*s.loadFactor)))
 	}
-	p.check()
+	s.check()
 }
 
-// giveBack gives back some of the places of the last two windows.
-func (p *faultyPlay) giveBack(most int) {
-	for p.finished < len(p.places) && p.now().Sub(p.places[p.finished].at) > 2*length {
-		p.finished++
+// giveBack gives back up to count random permits of the last two windows.
+func (s *faultSimulation) giveBack(count int) {
+	for s.expired < len(s.permits) && s.now().Sub(s.permits[s.expired].at) > 2*windowLength {
+		s.expired++
 	}
-	for range most {
-		if p.finished == len(p.places) {
+	for range count {
+		if s.expired == len(s.permits) {
 			return
 		}
-		chosen := p.places[p.finished+p.random.IntN(len(p.places)-p.finished)]
+		chosen := s.permits[s.expired+s.random.IntN(len(s.permits)-s.expired)]
 		if !chosen.returned {
 			chosen.returned = true
 			chosen.taken.Return()
 			if chosen.taken.Keeper != string(chosen.daemon) {
-				<-p.gaveBack
+				<-s.gaveBack
 			}
 		}
 	}
 }
 
-// check counts what ran in each window that ends now or ended lately.
-func (p *faultyPlay) check() {
-	var ran []time.Time
-	for _, place := range p.places {
-		if !place.returned {
-			ran = append(ran, place.at)
+// check fails the test if more requests were admitted in any window than maxRequestsSince allows.
+// Requests whose permit was given back do not count.
+func (s *faultSimulation) check() {
+	var admitted []time.Time
+	for _, permit := range s.permits {
+		if !permit.returned {
+			admitted = append(admitted, permit.at)
 		}
 	}
-	first := 0
-	for last := range ran {
-		for ran[last].Sub(ran[first]) > length {
-			first++
+	oldest := 0
+	for newest := range admitted {
+		for admitted[newest].Sub(admitted[oldest]) > windowLength {
+			oldest++
 		}
-		if count, bound := last-first+1, p.bound(ran[first]); count > bound {
-			p.t.Fatalf("%d requests ran from %v to %v, at most %d may", count, ran[first], ran[last], bound)
+		if count, bound := newest-oldest+1, s.maxRequestsSince(admitted[oldest]); count > bound {
+			s.t.Fatalf("%d requests were admitted from %v to %v, want at most %d", count, admitted[oldest], admitted[newest], bound)
 		}
 	}
 }
 
-// bound is the users' bound by the highest quota that any daemon went by since a moment.
-func (p *faultyPlay) bound(since time.Time) int {
-	most := 0
-	for _, declared := range p.quotas {
+// maxRequestsSince returns maxRequests for the highest quota that a daemon may have used since the
+// given time.
+func (s *faultSimulation) maxRequestsSince(since time.Time) int {
+	maximum := 0
+	for _, declared := range s.declared {
 		if declared.until.IsZero() || declared.until.After(since) {
-			most = max(most, usersBound(declared.Quota))
+			maximum = max(maximum, maxRequests(declared.Quota))
 		}
 	}
-	return most
+	return maximum
 }
--- /dev/null
+++ b/internal/quota/standalone.go
@@ -0,0 +1,46 @@
+package quota
+
+import (
+	"time"
+
+	"go.uber.org/zap"
+
+	"github.com/thymeloft/thymeloft/internal/identity"
+	"github.com/thymeloft/thymeloft/internal/members"
+)
+
+// standalone implements Directory and Standing for a single daemon that has owned all
+// parts since the given time.
+type standalone struct{ since time.Time }
+
+// Keeper implements Directory.
+func (standalone) Keeper(string, int) (members.Member, bool) { return members.Member{}, true }
+
+// Silent implements Directory.
+func (standalone) Silent(members.Member) bool { return false }
+
+// Missed implements Directory.
+func (standalone) Missed(members.Member) {}
+
+// Answered implements Directory.
+func (standalone) Answered(members.Member) {}
+
+// Self implements Directory.
+func (standalone) Self() identity.Process { return identity.Process{} }
+
+// Keeps implements Standing.
+func (a standalone) Keeps(string, int) (time.Time, bool) { return a.since, true }
+
+// standaloneAge is how long a standalone daemon is assumed to have owned its parts. It is
+// long enough to fill the bucket of any practical quota.
+const standaloneAge = 10 * 365 * 24 * time.Hour
+
+// NewAlone returns a limiter for a single daemon. Each quota consists of one part, which
+// is full at the start.
+func NewAlone(settings Settings, now func() time.Time) *Limiter {
+	settings.Parts = 1
+	directory := standalone{since: now().Add(-standaloneAge)}
+	return NewLimiter(Options{
+		Settings: settings, Keeper: NewKeeper(settings, directory, now), Directory: directory, Now: now, Log: zap.NewNop(),
+	})
+}
--- a/internal/scheduling/sketch.go
+++ b/internal/scheduling/sketch.go
@@ -5,81 +5,88 @@
 	"time"
 )
 
-// PrefixRun is a part of a prompt that several programs may share. Its hash
-// covers everything before it too; Tokens count from the start of the prompt.
+// PrefixRun identifies a prefix of a prompt that several programs may share.
+// Hash and Tokens cover everything from the start of the prompt.
 type PrefixRun struct {
 	Hash   uint64
 	Tokens int64
 }
 
-// Sketch remembers which engines were lately given a shared prefix, so that
-// no global index of caches is needed: each daemon learns from its own
-// placements. It is bounded in prefixes and holders; what is remembered
-// wrongly costs a prefill, never correctness. It is not safe for concurrent use.
+// Sketch records which engines recently received which shared prefixes. Each
+// daemon records its own placements, so no global index of caches is needed. The
+// number of prefixes and of engines per prefix is bounded. A wrong record costs
+// a prefill but does not affect correctness. A Sketch is not safe for concurrent
+// use.
 type Sketch struct {
-	limit   int
-	holders int
-	expiry  time.Duration
-	known   map[uint64]*list.Element
-	recent  *list.List // of *sketched, most recently used first
+	maxPrefixes int
+	maxHolders  int
+	expiry      time.Duration
+	elements    map[uint64]*list.Element
+	lru         *list.List // of *prefixEntry, most recently used first
 }
 
-type sketched struct {
+type prefixEntry struct {
 	run     PrefixRun
-	engines []sketchedHolder
+	engines []recentEngine
 }
 
-type sketchedHolder struct {
-	engine string
-	used   time.Duration
+type recentEngine struct {
+	engine   string
+	lastUsed time.Duration
 }
 
-// NewSketch remembers at most limit prefixes with holders engines each, and
-// a holder no longer than expiry after its last use.
-func NewSketch(limit, holders int, expiry time.Duration) *Sketch {
+// NewSketch returns a Sketch of at most maxPrefixes prefixes with at most
+// maxHolders engines each; a limit below one counts as one. An engine counts as
+// a holder of a prefix until the expiry time has passed since it last received
+// the prefix.
+func NewSketch(maxPrefixes, maxHolders int, expiry time.Duration) *Sketch {
 	return &Sketch{
-		limit: max(limit, 1), holders: max(holders, 1), expiry: expiry,
-		known: make(map[uint64]*list.Element), recent: list.New(),
+		maxPrefixes: max(maxPrefixes, 1), maxHolders: max(maxHolders, 1), expiry: expiry,
+		elements: make(map[uint64]*list.Element), lru: list.New(),
 	}
 }
 
-// Record notes that the engine was given a prompt that begins with the runs.
+// Record notes that the engine received a prompt that begins with each of the
+// given prefixes. now is relative to an epoch shared by all calls.
 func (s *Sketch) Record(runs []PrefixRun, engine string, now time.Duration) {
 	for _, run := range runs {
-		s.entry(run).use(engine, now, s.holders)
+		s.findOrAdd(run).recordUse(engine, now, s.maxHolders)
 	}
 }
 
-// Forget drops an engine, whose cache is known to be lost.
+// Forget removes the engine from all prefixes. It is for an engine whose cache
+// is lost.
 func (s *Sketch) Forget(engine string) {
-	for element := s.recent.Front(); element != nil; element = element.Next() {
-		element.Value.(*sketched).forget(engine)
+	for element := s.lru.Front(); element != nil; element = element.Next() {
+		element.Value.(*prefixEntry).removeEngine(engine)
 	}
 }
 
-// Holders appends to found the engines that hold the longest remembered part
-// of the runs, each engine once, by index in the snapshot.
-func (s *Sketch) Holders(found []PrefixHolder, runs []PrefixRun, snapshot *Snapshot, now time.Duration) []PrefixHolder {
+// Holders appends to holders the engines of the snapshot that hold any of the
+// prefixes in runs, each with the longest prefix that it holds, and returns the
+// extended slice. Engines that the slice already contains are not appended
+// again. The prefixes must be ordered by increasing length.
+func (s *Sketch) Holders(holders []PrefixHolder, runs []PrefixRun, snapshot *Snapshot, now time.Duration) []PrefixHolder {
 	for index := len(runs) - 1; index >= 0; index-- {
-		element, ok := s.known[runs[index].Hash]
+		element, ok := s.elements[runs[index].Hash]
 		if !ok {
 			continue
 		}
-		for _, holder := range element.Value.(*sketched).engines {
-			if now-holder.used > s.expiry {
+		for _, holder := range element.Value.(*prefixEntry).engines {
+			if now-holder.lastUsed > s.expiry {
 				continue
 			}
 			engine, exists := snapshot.Find(holder.engine)
-			if exists && !holds(found, engine) {
-				found = append(found, PrefixHolder{Engine: engine, Tokens: runs[index].Tokens})
+			if exists && !containsEngine(holders, engine) {
+				holders = append(holders, PrefixHolder{Engine: engine, Tokens: runs[index].Tokens})
 			}
 		}
 	}
-	return found
+	return holders
 }
 
-func holds(found []PrefixHolder, engine int) bool {
-	for _, holder := range found {
+func containsEngine(holders []PrefixHolder, engine int) bool {
+	for _, holder := range holders {
 		if holder.Engine == engine {
 			return true
 		}
@@ -87,47 +94,50 @@
 	return false
 }
 
-// entry finds or makes the entry of a run, dropping the least recently used.
-func (s *Sketch) entry(run PrefixRun) *sketched {
-	if element, ok := s.known[run.Hash]; ok {
-		s.recent.MoveToFront(element)
-		return element.Value.(*sketched)
+// findOrAdd returns the entry of a prefix and marks the entry as most recently
+// used. If the prefix has no entry, one is added; if the sketch is full, this
+// drops the least recently used entry.
+func (s *Sketch) findOrAdd(run PrefixRun) *prefixEntry {
+	if element, ok := s.elements[run.Hash]; ok {
+		s.lru.MoveToFront(element)
+		return element.Value.(*prefixEntry)
 	}
-	if s.recent.Len() >= s.limit {
-		oldest := s.recent.Back()
-		delete(s.known, oldest.Value.(*sketched).run.Hash)
-		s.recent.Remove(oldest)
+	if s.lru.Len() >= s.maxPrefixes {
+		oldest := s.lru.Back()
+		delete(s.elements, oldest.Value.(*prefixEntry).run.Hash)
+		s.lru.Remove(oldest)
 	}
-	added := &sketched{run: run}
-	s.known[run.Hash] = s.recent.PushFront(added)
+	added := &prefixEntry{run: run}
+	s.elements[run.Hash] = s.lru.PushFront(added)
 	return added
 }
 
-// use notes a holder, in place of the one unused for longest when full.
-func (s *sketched) use(engine string, now time.Duration, limit int) {
+// recordUse adds the engine or updates its last use. If the entry already has
+// maxHolders other engines, the new one replaces the least recently used.
+func (e *prefixEntry) recordUse(engine string, now time.Duration, maxHolders int) {
 	oldest := 0
-	for index := range s.engines {
-		if s.engines[index].engine == engine {
-			s.engines[index].used = now
+	for index := range e.engines {
+		if e.engines[index].engine == engine {
+			e.engines[index].lastUsed = now
 			return
 		}
-		if s.engines[index].used < s.engines[oldest].used {
+		if e.engines[index].lastUsed < e.engines[oldest].lastUsed {
 			oldest = index
 		}
 	}
-	if len(s.engines) < limit {
-		s.engines = append(s.engines, sketchedHolder{engine: engine, used: now})
+	if len(e.engines) < maxHolders {
+		e.engines = append(e.engines, recentEngine{engine: engine, lastUsed: now})
 		return
 	}
-	s.engines[oldest] = sketchedHolder{engine: engine, used: now}
+	e.engines[oldest] = recentEngine{engine: engine, lastUsed: now}
 }
 
-func (s *sketched) forget(engine string) {
-	kept := s.engines[:0]
-	for _, holder := range s.engines {
+func (e *prefixEntry) removeEngine(engine string) {
+	kept := e.engines[:0]
+	for _, holder := range e.engines {
 		if holder.engine != engine {
 			kept = append(kept, holder)
 		}
 	}
-	s.engines = kept
+	e.engines = kept
 }
