--- a/cmd/thymeloft-gateway/main.go
+++ b/cmd/thymeloft-gateway/main.go
@@ -53,9 +53,9 @@
 // changes.
 func run(path string, settings server.Settings) error {
 	if settings.MemoryMB > 0 {
-		division := memory.Divide(settings.MemoryMB)
-		debug.SetMemoryLimit(division.Runtime)
-		debug.SetGCPercent(division.Growth)
+		division := memory.LimitsFor(settings.MemoryMB)
+		debug.SetMemoryLimit(division.MemoryLimit)
+		debug.SetGCPercent(division.GCPercent)
 	}
 	registry := prometheus.NewRegistry()
 	log, closeLog := telemetry.NewBounded(os.Stdout, settings.LogSuccessesPerSecond, registry)
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -62,8 +62,8 @@
 func (d *Daemon) assembleMembers() error {
 	self := members.Member{Process: d.self, CallerAddress: firstNonEmpty(d.settings.AdvertiseCaller, d.callerEndpoint.Address())}
 	d.memberList = members.NewList(self, time.Now, d.logger)
-	d.lease = &members.Lease{List: d.memberList, Store: d.store, ShortestRenewal: minLeaseRenewalInterval, Log: d.logger}
-	return eris.Wrap(d.memberList.Measure(d.registry), "register metrics of members")
+	d.lease = &members.Lease{List: d.memberList, Store: d.store, MinRenewalInterval: minLeaseRenewalInterval, Log: d.logger}
+	return eris.Wrap(d.memberList.RegisterMetrics(d.registry), "register metrics of members")
 }
 
 // assembleStore creates the client of the transactional store. The client
@@ -93,7 +93,7 @@
 	d.configuration, err = stored.New(stored.Options{
 		Store: d.store, RowBytes: maxRowBytes, ConfirmBound: d.settings.ConfirmBound,
 		Log: d.logger, Registry: d.registry,
-		OnRevision: func(revision uint64) { d.lease.Revision.Store(revision) },
+		OnRevision: func(revision uint64) { d.lease.ConfigRevision.Store(revision) },
 	})
 	return eris.Wrap(err, "create the configuration service")
 }
@@ -105,13 +105,13 @@
 	var err error
 	d.shardNode, err = shards.NewNode(shards.Options{
 		Self: d.self, Store: d.store, Directory: d.memberList, Caller: d.peerPool, Registrar: d.peerServer,
-		NewMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
-		Idle:       func(shard identity.Shard) bool { return d.execution.Idle(shard) },
-		Shards:     d.settings.Shards,
-		Expect:     d.settings.BootstrapExpect,
-		RowBytes:   maxRowBytes,
-		Log:        d.logger,
-		Registry:   d.registry,
+		NewStateMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
+		IsIdle:          func(shard identity.Shard) bool { return d.execution.IsShardIdle(shard) },
+		ShardCount:      d.settings.Shards,
+		MinDaemons:      d.settings.BootstrapExpect,
+		MaxRowBytes:     maxRowBytes,
+		Logger:          d.logger,
+		Registerer:      d.registry,
 	})
 	return eris.Wrap(err, "create the shard node")
 }
@@ -124,9 +124,9 @@
 		Directory:     d.memberList,
 		Caller:        d.peerPool,
 		Registrar:     d.peerServer,
-		Machines:      d.platform.machines,
-		Weights:       d.platform.weights,
-		EndedOrUnknown: func(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
+		MachineList:   d.platform.machines,
+		WeightStore:   d.platform.weights,
+		FilterEnded: func(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
 			return d.router.EndedOrUnknown(ctx, programs)
 		},
 		Logger:     d.logger,
@@ -149,7 +149,7 @@
 		Fleet:         d.engines,
 		Policy:        scheduling.NewPolicy(schedulingSettings(&d.settings.Scheduling)),
 		Configuration: d.configuration,
-		Leaving:       d.engines.Leaving,
+		IsLeaving:     d.engines.IsLeaving,
 		Logger:        d.logger,
 		Registerer:    d.registry,
 		Limits:        executionLimits(&d.settings),
@@ -163,7 +163,7 @@
 		Self:       d.self,
 		Local:      d.execution,
 		Groups:     d.shardNode,
-		Map:        d.shardNode,
+		ShardMap:   d.shardNode,
 		Caller:     d.peerPool,
 		Registrar:  d.peerServer,
 		Logger:     d.logger,
@@ -193,7 +193,7 @@
 		Administrator: d.configuration,
 		Programs:      d.router,
 		Directory:     d.memberList,
-		Revisions:     d.lease.Revisions,
+		Revisions:     d.lease.ConfigRevisions,
 		Groups:        d.shardNode,
 		Fleet:         d.engines,
 		Keys:          d.settings.OperatorKeyHashes,
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -34,7 +34,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
 	d.lifecycle.Drain()
-	d.shardNode.Retire()
+	d.shardNode.StopAcquiring()
 	if err := d.execution.Drain(ctx); err != nil && ctx.Err() == nil {
 		// The error is not fatal: no call runs here any more, and another daemon takes
 		// over the shard when this daemon leaves or exits.
@@ -65,7 +65,7 @@
 	ticker := time.NewTicker(takeoverPollInterval)
 	defer ticker.Stop()
 	for d.hasOtherAliveDaemon() {
-		remaining := d.shardNode.Left()
+		remaining := d.shardNode.RemainingShards()
 		if remaining == 0 {
 			return
 		}
@@ -84,7 +84,7 @@
 func (d *Daemon) announceExit() {
 	ctx, cancel := context.WithTimeout(context.Background(), announceExitTimeout)
 	defer cancel()
-	if err := d.lease.End(ctx); err != nil {
+	if err := d.lease.WriteEnded(ctx); err != nil {
 		d.logger.Warn("daemon: cannot announce the exit; the lease will expire.", zap.Error(err))
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -71,7 +71,7 @@
 		return d.metricsEndpoint.Serve(healthHandler(d.registry, d.readinessConditions()))
 	})
 	startComponent("members", func(ctx context.Context) error {
-		watch.Run(ctx, d.memberList.Watch(d.store, memberFeedTimeout), d.memberList)
+		watch.Run(ctx, d.memberList.WatchOptions(d.store, memberFeedTimeout), d.memberList)
 		return nil
 	})
 	startComponent("lease", func(ctx context.Context) error {
--- a/internal/daemon/tuning.go
+++ b/internal/daemon/tuning.go
@@ -38,29 +38,29 @@
 	return execution.Limits{
 		ProposeTimeout:   configured.CommitTimeout,
 		MaxQueued:        configured.Scheduling.Waiting,
-		HoldPrefix:       configured.Scheduling.HoldPrefix,
-		RetryShare:       negativeIfZero(configured.Retries.Share),
+		MaxPrefixLease:   configured.Scheduling.HoldPrefix,
+		RetryRatio:       negativeIfZero(configured.Retries.Share),
 		RetriesPerSecond: negativeIfZero(configured.Retries.PerSecond),
 		RetryBurst:       configured.Retries.Burst,
-		WarmUp:           warmUp,
+		WarmUpPeriod:     warmUp,
 	}
 }
 
 func engineSettings(configured *settings.Engines) engine.Settings {
 	return engine.Settings{
-		PollInterval:         configured.PollInterval,
-		SpreadInterval:       configured.SpreadInterval,
-		SpreadBytesPerSecond: configured.SpreadBytesPerSecond,
-		RefreshInterval:      configured.RefreshInterval,
-		DigestTooOld:         configured.ReportTooOld,
-		EjectAfterFailures:   configured.EjectAfterFailures,
-		EjectErrorRate:       configured.EjectErrorRate,
-		EjectSlowFactor:      configured.EjectSlowFactor,
-		EjectFor:             configured.EjectFor,
-		EjectShare:           configured.EjectShare,
-		ParallelLoads:        configured.ParallelLoads,
-		DrainBound:           configured.DrainBound,
-		WeightBytesPerSecond: configured.WeightBytesPerSecond,
+		PollInterval:          configured.PollInterval,
+		DigestInterval:        configured.SpreadInterval,
+		DigestBytesPerSecond:  configured.SpreadBytesPerSecond,
+		DigestRefreshInterval: configured.RefreshInterval,
+		MaxDigestAge:          configured.ReportTooOld,
+		EjectAfterFailures:    configured.EjectAfterFailures,
+		EjectErrorRate:        configured.EjectErrorRate,
+		EjectSlowFactor:       configured.EjectSlowFactor,
+		BaseEjectionTime:      configured.EjectFor,
+		MaxEjectedShare:       configured.EjectShare,
+		MaxParallelOrders:     configured.ParallelLoads,
+		MaxDrainTime:          configured.DrainBound,
+		WeightBytesPerSecond:  configured.WeightBytesPerSecond,
 	}
 }
 
@@ -68,7 +68,7 @@
 	return dispatch.Options{
 		MaxConnectionsPerHost: configured.Connections,
 		DialTimeout:           configured.DialTimeout,
-		IdleStream:            configured.IdleStream,
-		MaxAttempt:            configured.MaxAttempt,
+		StreamIdleTimeout:     configured.IdleStream,
+		AttemptTimeout:        configured.MaxAttempt,
 	}
 }
--- a/internal/lab/acquaintance/acquaintance.go
+++ b/internal/lab/acquaintance/acquaintance.go
@@ -25,6 +25,6 @@
 // RowOf is the row of a member as the store has it.
 func RowOf(member members.Member) (state.Row, error) {
 	value, err := members.Encode(member)
-	key := state.Key{Table: members.Table, Name: string(member.Process.Machine)}
+	key := state.Key{Table: members.MemberTable, Name: string(member.Process.Machine)}
 	return state.Row{Key: key, Value: value, Version: 1}, err
 }
--- a/internal/lab/experiment/baselines.go
+++ b/internal/lab/experiment/baselines.go
@@ -110,7 +110,7 @@
 }
 
 func calls(view scheduling.Engine) int {
-	return view.Running + view.Waiting + view.PlacedSince
+	return view.Running + view.Waiting + view.PlacedSinceReport
 }
 
 // firstCome keeps one line and gives its first call to the first engine with
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -94,7 +94,7 @@
 	}
 	for _, outstanding := range d.placed[index] {
 		if outstanding.placed+zoneDelay > seen.at {
-			view.PlacedSince++
+			view.PlacedSinceReport++
 			view.PlacedTokens += outstanding.expected
 		}
 	}
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -26,7 +26,7 @@
 	queue    *scheduling.Queue[*call] // of started programs
 	entry    *scheduling.Queue[*call] // first calls of programs
 	live     int64                    // own tokens of live programs
-	sketch   *scheduling.Sketch
+	sketch   *scheduling.PrefixIndex
 	pauses   map[string]*pauseMemory // by kind of program
 	sequence uint64
 	waking   bool
@@ -45,7 +45,7 @@
 		policy:   scheduling.NewPolicy(settings.Scheduling),
 		queue:    scheduling.NewQueue[*call](queueLimit),
 		entry:    scheduling.NewQueue[*call](queueLimit),
-		sketch:   scheduling.NewSketch(sketchPrefixes, sketchHolders, sketchExpiry),
+		sketch:   scheduling.NewPrefixIndex(sketchPrefixes, sketchHolders, sketchExpiry),
 		pauses:   make(map[string]*pauseMemory),
 	}
 }
@@ -58,10 +58,10 @@
 	t.notePause(received)
 	t.sequence++
 	item := scheduling.QueueItem{
-		Class:    received.program.Class,
-		Attained: received.program.attained,
-		Enqueued: t.daemon.run.clock.now,
-		Sequence: t.sequence,
+		Class:           received.program.Class,
+		AttainedService: received.program.attained,
+		Enqueued:        t.daemon.run.clock.now,
+		Sequence:        t.sequence,
 	}
 	queue := t.queue
 	if received.program.started() == 0 {
@@ -70,7 +70,7 @@
 	if queue.Len() > 0 {
 		decision := t.decide(received, queue.Len())
 		if decision.Action == scheduling.ActionRefuse {
-			t.daemon.run.refused(received, decision.Retry)
+			t.daemon.run.refused(received, decision.RetryAfter)
 			return
 		}
 	}
@@ -96,11 +96,11 @@
 		decision := t.decide(first, 0)
 		switch decision.Action {
 		case scheduling.ActionWait:
-			t.wake(decision.Retry)
+			t.wake(decision.RetryAfter)
 			return
 		case scheduling.ActionRefuse:
 			queue.Pop()
-			t.daemon.run.refused(first, decision.Retry)
+			t.daemon.run.refused(first, decision.RetryAfter)
 		case scheduling.ActionPlace:
 			queue.Pop()
 			t.place(first, int(item.Class), decision)
@@ -126,14 +126,14 @@
 	for index := range engines {
 		engines[index] = t.daemon.view(index)
 	}
-	snapshot := scheduling.Build(engines, nil)
+	snapshot := scheduling.NewSnapshot(engines, nil)
 	request := scheduling.Request{
 		Tenant: waiting.program.Tenant, Class: waiting.program.Class, Model: t.daemon.run.trace.Model,
 		Zone: t.daemon.zone, PromptTokens: waiting.promptTokens,
 		MaxOutputTokens: 0, // callers rarely say
-		Attained:        waiting.program.started(),
+		AttainedService: waiting.program.started(),
 		LiveTokens:      t.live,
-		FleetShare:      1 / float64(len(t.daemon.run.daemons)),
+		CacheShare:      1 / float64(len(t.daemon.run.daemons)),
 		Waited:          now - waiting.received,
 		QueuedAhead:     ahead,
 		Seed:            uint64(waiting.program.Index)<<16 + uint64(waiting.turn),
@@ -149,37 +149,37 @@
 }
 
 // holders finds the engines that hold a shared prefix of the call.
-func (t *thymeloft) holders(waiting *call, runs []scheduling.PrefixRun, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
+func (t *thymeloft) holders(waiting *call, runs []scheduling.PromptPrefix, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
 	if t.settings.NoSketch {
 		return nil
 	}
 	if !t.settings.GlobalIndex {
-		return t.sketch.Holders(nil, runs, snapshot, t.daemon.run.clock.now)
+		return t.sketch.AppendHolders(nil, runs, snapshot, t.daemon.run.clock.now)
 	}
 	var found []scheduling.PrefixHolder
 	for index, engine := range t.daemon.run.engines {
 		if _, tokens := engine.cache.match(waiting.path); tokens > 0 {
-			found = append(found, scheduling.PrefixHolder{Engine: index, Tokens: tokens})
+			found = append(found, scheduling.PrefixHolder{EngineIndex: index, Tokens: tokens})
 		}
 	}
 	return found
 }
 
-func prefixRuns(of *call) []scheduling.PrefixRun {
-	runs := make([]scheduling.PrefixRun, 0, len(of.program.Prefix))
+func prefixRuns(of *call) []scheduling.PromptPrefix {
+	runs := make([]scheduling.PromptPrefix, 0, len(of.program.Prefix))
 	tokens := int64(0)
 	for _, part := range of.program.Prefix {
 		tokens += part.Tokens
-		runs = append(runs, scheduling.PrefixRun{Hash: part.Hash, Tokens: tokens})
+		runs = append(runs, scheduling.PromptPrefix{Hash: part.Hash, Tokens: tokens})
 	}
 	return runs
 }
 
 func (t *thymeloft) place(placed *call, priority int, decision scheduling.Decision) {
-	engine := t.daemon.run.engines[decision.Engine]
+	engine := t.daemon.run.engines[decision.EngineIndex]
 	t.sketch.Record(prefixRuns(placed), engine.ID, t.daemon.run.clock.now)
 	t.daemon.run.measures.reasons[string(decision.Reason)]++
-	t.daemon.place(placed, decision.Engine, priority, placed.promptTokens-decision.CachedTokens)
+	t.daemon.place(placed, decision.EngineIndex, priority, placed.promptTokens-decision.CachedTokens)
 }
 
 // answered holds the prefix through the pause for as long as it pays.
@@ -190,7 +190,7 @@
 	last := program.turn+1 == len(program.Turns)
 	memory.goingOn += pauseSmoothing * (truth(!last) - memory.goingOn)
 	seen := t.daemon.reports[done.engine.index]
-	lease := scheduling.HoldLease(program.tokens,
+	lease := scheduling.LeaseDuration(program.tokens,
 		scheduling.PauseEstimate{Mean: fromSeconds(memory.mean), ReuseChance: memory.goingOn},
 		scheduling.CachePrice{
 			HitsPerToken: seen.hitsPerToken,
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -147,7 +147,7 @@
 	defer s.mutex.Unlock()
 	version, err := s.do(commit)
 	if fault == Lost {
-		return 0, eris.Wrap(state.ErrUnknown, "memory store")
+		return 0, eris.Wrap(state.ErrUnknownOutcome, "memory store")
 	}
 	return version, err
 }
@@ -222,14 +222,14 @@
 }
 
 // Feed implements state.Store.
-func (s *Store) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.Change, error) {
+func (s *Store) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.FeedResult, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	s.mutex.Lock()
 	fault := s.begin(Call{Name: "feed", Table: table})
 	s.mutex.Unlock()
 	if fault != None {
-		return state.Change{}, fail(ctx, fault)
+		return state.FeedResult{}, fail(ctx, fault)
 	}
 	for {
 		change, wake, err := s.since(table, after)
@@ -241,18 +241,18 @@
 		case <-timer.C:
 			return change, nil
 		case <-ctx.Done():
-			return state.Change{}, eris.Wrap(state.ErrUnknown, "memory store")
+			return state.FeedResult{}, eris.Wrap(state.ErrUnknownOutcome, "memory store")
 		}
 	}
 }
 
-func (s *Store) since(table string, after state.Version) (state.Change, <-chan struct{}, error) {
+func (s *Store) since(table string, after state.Version) (state.FeedResult, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if after < s.trimmed {
-		return state.Change{}, nil, eris.Wrap(state.ErrHistoryLost, "memory store")
+		return state.FeedResult{}, nil, eris.Wrap(state.ErrHistoryLost, "memory store")
 	}
-	change := state.Change{Version: s.version}
+	change := state.FeedResult{Version: s.version}
 	for _, row := range s.history {
 		if row.Key.Table == table && row.Version > after {
 			change.Rows = append(change.Rows, row)
@@ -265,7 +265,7 @@
 func fail(ctx context.Context, fault Fault) error {
 	switch fault {
 	case Refused:
-		return eris.Wrap(state.ErrNotDone, "memory store")
+		return eris.Wrap(state.ErrNotExecuted, "memory store")
 	case Full:
 		return eris.Wrap(state.ErrFull, "memory store")
 	case Throttled:
@@ -273,7 +273,7 @@
 	case Silent:
 		<-ctx.Done()
 	}
-	return eris.Wrap(state.ErrUnknown, "memory store")
+	return eris.Wrap(state.ErrUnknownOutcome, "memory store")
 }
 
 // Write puts a row past all scripts: others than the system write too.
--- a/internal/lab/platformstore/platformstore.go
+++ b/internal/lab/platformstore/platformstore.go
@@ -134,7 +134,7 @@
 		writer.WriteHeader(http.StatusInsufficientStorage)
 	case errors.Is(err, state.ErrThrottled):
 		writer.WriteHeader(http.StatusTooManyRequests)
-	case errors.Is(err, state.ErrNotDone):
+	case errors.Is(err, state.ErrNotExecuted):
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		panic(http.ErrAbortHandler)
