--- a/cmd/thymeloft-lab/main.go
+++ b/cmd/thymeloft-lab/main.go
@@ -1,5 +1,6 @@
-// Command thymeloft-lab serves stand-ins of the platform and the back ends as
-// processes, runs the demo, and replays recorded traces.
+// Command thymeloft-lab is the test bench of thymeloft. It serves stand-ins for
+// the platform's services and the back ends, runs the demo, records and replays
+// traces, compares scheduling strategies, and runs soak tests.
 package main
 
 import (
--- a/cmd/thymeloft-lab/serve.go
+++ b/cmd/thymeloft-lab/serve.go
@@ -14,19 +14,19 @@
 	"github.com/thymeloft/thymeloft/internal/lab/weightstore"
 )
 
-// listen is the address of a stand-in.
-type listen struct {
+// listenFlag is the flag for the listen address of a stand-in.
+type listenFlag struct {
 	Listen string `default:"127.0.0.1:0" help:"Address to listen on; port 0 takes any free port. The address is printed as one JSON line."`
 }
 
-// limit is the rate limit of a stand-in.
-type limit struct {
+// rateLimitFlags are the flags for the rate limit of a stand-in.
+type rateLimitFlags struct {
 	RequestsPerSecond float64 `help:"Rate limit; 0: none."`
 	Burst             int     `default:"20" help:"Requests above the rate at once."`
 }
 
 type engineCommand struct {
-	listen
+	listenFlag
 	Name        string        `default:"engine" help:"Name that it reports."`
 	Generation  string        `default:"new" enum:"old,new" help:"Generation of hardware."`
 	Model       string        `help:"Model loaded at the start."`
@@ -40,7 +40,7 @@
 	EventGap    uint64        `default:"17" help:"Every so many cache events one is lost; 0: none."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for a model engine until the context ends.
 func (c *engineCommand) Run(ctx context.Context) error {
 	engine := modelengine.New(modelengine.Options{
 		Name:        c.Name,
@@ -60,47 +60,47 @@
 }
 
 type serviceCommand struct {
-	listen
+	listenFlag
 	Name  string        `default:"service" help:"Name in its records."`
 	Delay time.Duration `default:"5ms" help:"Time of each execution."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for an application service until the context ends.
 func (c *serviceCommand) Run(ctx context.Context) error {
 	service := appservice.New(appservice.Options{Name: c.Name, Delay: c.Delay})
 	return standin.Run(ctx, "service", c.Listen, service, os.Stdout)
 }
 
 type toolCommand struct {
-	listen
+	listenFlag
 	Name  string        `default:"tool" help:"Name in its records."`
 	Delay time.Duration `default:"5ms" help:"Time of each execution."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for a tool until the context ends.
 func (c *toolCommand) Run(ctx context.Context) error {
 	tool := toolservice.New(toolservice.Options{Name: c.Name, Delay: c.Delay})
 	return standin.Run(ctx, "tool", c.Listen, tool, os.Stdout)
 }
 
 type storeCommand struct {
-	listen
-	limit
+	listenFlag
+	rateLimitFlags
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for the transactional store until the context ends.
 func (c *storeCommand) Run(ctx context.Context) error {
 	store := platformstore.New(platformstore.Options{RequestsPerSecond: c.RequestsPerSecond, Burst: c.Burst})
 	return standin.Run(ctx, "store", c.Listen, store, os.Stdout)
 }
 
 type weightsCommand struct {
-	listen
-	limit
+	listenFlag
+	rateLimitFlags
 	DefaultBytes int64 `default:"1000000000" help:"Size of versions that are not listed."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for the weight store until the context ends.
 func (c *weightsCommand) Run(ctx context.Context) error {
 	store := weightstore.New(weightstore.Options{
 		DefaultBytes:      c.DefaultBytes,
@@ -111,11 +111,11 @@
 }
 
 type machinesCommand struct {
-	listen
+	listenFlag
 	Lag time.Duration `default:"2s" help:"From a change to its being seen."`
 }
 
-// Run serves until the process is asked to end.
+// Run serves a stand-in for the machine list until the context ends.
 func (c *machinesCommand) Run(ctx context.Context) error {
 	return standin.Run(ctx, "machines", c.Listen, machinelist.New(machinelist.Options{Lag: c.Lag}), os.Stdout)
 }
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -21,14 +21,17 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// warmUp is the age from which an engine's report counts for nothing: until
-// then a daemon that just started may still hear of engines.
+// warmUp is the time after the start of a daemon in which a call waits, instead of
+// failing, if the daemon knows no engine for it. Until then, the daemon may not
+// have received the reports of all engines. The value is the default of the
+// setting engines.report_too_old.
 const warmUp = 8 * time.Second
 
-// assemble makes the parts, from the failure detector up to the router. Each
-// part gets those below it; what must call upwards gets a function.
+// assemble creates all components. Each component gets the components that it
+// depends on. A component that depends on one that is created later gets a
+// function that calls it.
 func (d *Daemon) assemble() error {
-	d.platform = newPlatform(d.settings.Platform)
+	d.platform = newPlatformServices(d.settings.Platform)
 	d.closers = append(d.closers, d.platform.close)
 	for _, step := range []func() error{
 		d.assembleStore,
@@ -47,22 +50,25 @@
 	return nil
 }
 
-// shortestRenewal makes a lease end two to three seconds after its daemon died:
-// others then lead its shards.
-const shortestRenewal = 500 * time.Millisecond
+// minLeaseRenewalInterval is the shortest time between two renewals of a
+// daemon's lease. In a small fleet, a lease then expires two to three seconds
+// after its daemon died, and other daemons take over that daemon's shards.
+const minLeaseRenewalInterval = 500 * time.Millisecond
 
-// membersWait is how long the list's feed may be silent before it is asked again.
-const membersWait = 2 * time.Second
+// memberFeedTimeout is the longest time that one read of the member list's
+// change feed waits for a change.
+const memberFeedTimeout = 2 * time.Second
 
 func (d *Daemon) assembleMembers() error {
-	self := members.Member{Process: d.self, CallerAddress: firstSet(d.settings.AdvertiseCaller, d.caller.Address())}
-	d.directory = members.NewList(self, time.Now, d.logger)
-	d.lease = &members.Lease{List: d.directory, Store: d.store, MinRenewalInterval: shortestRenewal, Log: d.logger}
-	return eris.Wrap(d.directory.RegisterMetrics(d.registry), "measure members")
+	self := members.Member{Process: d.self, CallerAddress: firstNonEmpty(d.settings.AdvertiseCaller, d.callerEndpoint.Address())}
+	d.memberList = members.NewList(self, time.Now, d.logger)
+	d.lease = &members.Lease{List: d.memberList, Store: d.store, MinRenewalInterval: minLeaseRenewalInterval, Log: d.logger}
+	return eris.Wrap(d.memberList.RegisterMetrics(d.registry), "register metrics of members")
 }
 
-// assembleStore makes the client of the transactional store: one probe while
-// it is down, and no storm of calls at partitions that failed.
+// assembleStore creates the client of the transactional store. The client
+// probes the store while it is unavailable, and limits the calls to partitions
+// that failed.
 func (d *Daemon) assembleStore() error {
 	availability := state.NewAvailability(time.Now, func(available bool, lasted time.Duration) {
 		if available {
@@ -78,45 +84,46 @@
 	return nil
 }
 
-// storeProbeTable is read to learn whether the store answers again.
+// storeProbeTable is the table that a probe reads to find out whether the
+// store is available again.
 const storeProbeTable = "shard-leaders"
 
 func (d *Daemon) assembleConfiguration() error {
 	var err error
 	d.configuration, err = stored.New(stored.Options{
-		Store: d.store, RowBytes: rowBytes, ConfirmBound: d.settings.ConfirmBound,
+		Store: d.store, RowBytes: maxRowBytes, ConfirmBound: d.settings.ConfirmBound,
 		Log: d.logger, Registry: d.registry,
 		OnRevision: func(revision uint64) { d.lease.ConfigRevision.Store(revision) },
 	})
-	return eris.Wrap(err, "make the configuration")
+	return eris.Wrap(err, "create the configuration service")
 }
 
-// rowBytes is the most that a value of the store holds.
-const rowBytes = 64 << 10
+// maxRowBytes is the largest size of a row's value in the store.
+const maxRowBytes = 64 << 10
 
 func (d *Daemon) assembleShards() error {
 	var err error
-	d.node, err = shards.NewNode(shards.Options{
-		Self: d.self, Store: d.store, Directory: d.directory, Caller: d.pool, Registrar: d.server,
+	d.shardNode, err = shards.NewNode(shards.Options{
+		Self: d.self, Store: d.store, Directory: d.memberList, Caller: d.peerPool, Registrar: d.peerServer,
 		NewStateMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
 		IsIdle:          func(shard identity.Shard) bool { return d.execution.IsShardIdle(shard) },
 		ShardCount:      d.settings.Shards,
 		MinDaemons:      d.settings.BootstrapExpect,
-		MaxRowBytes:     rowBytes,
+		MaxRowBytes:     maxRowBytes,
 		Logger:          d.logger,
 		Registerer:      d.registry,
 	})
-	return eris.Wrap(err, "make the shards")
+	return eris.Wrap(err, "create the shard node")
 }
 
 func (d *Daemon) assembleFleet() error {
 	var err error
-	d.fleet, err = engine.New(engine.Options{
+	d.engines, err = engine.New(engine.Options{
 		Self:          d.self,
 		Configuration: d.configuration,
-		Directory:     d.directory,
-		Caller:        d.pool,
-		Registrar:     d.server,
+		Directory:     d.memberList,
+		Caller:        d.peerPool,
+		Registrar:     d.peerServer,
 		MachineList:   d.platform.machines,
 		WeightStore:   d.platform.weights,
 		FilterEnded: func(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
@@ -126,7 +133,7 @@
 		Registerer: d.registry,
 		Settings:   engineSettings(&d.settings.Engines),
 	})
-	return eris.Wrap(err, "make the supervision of engines")
+	return eris.Wrap(err, "create the engine service")
 }
 
 func (d *Daemon) assembleExecution() error {
@@ -136,18 +143,18 @@
 	var err error
 	d.execution, err = execution.New(execution.Options{
 		Self:          d.self,
-		Groups:        d.node,
-		ShardMap:      d.node,
+		Groups:        d.shardNode,
+		ShardMap:      d.shardNode,
 		Dispatcher:    dispatcher,
-		Fleet:         d.fleet,
+		Fleet:         d.engines,
 		Policy:        scheduling.NewPolicy(schedulingSettings(&d.settings.Scheduling)),
 		Configuration: d.configuration,
-		IsLeaving:     d.fleet.IsLeaving,
+		IsLeaving:     d.engines.IsLeaving,
 		Logger:        d.logger,
 		Registerer:    d.registry,
 		Limits:        executionLimits(&d.settings),
 	})
-	return eris.Wrap(err, "make execution")
+	return eris.Wrap(err, "create the execution service")
 }
 
 func (d *Daemon) assembleRouter() error {
@@ -155,19 +162,19 @@
 	d.router, err = routing.New(routing.Options{
 		Self:       d.self,
 		Local:      d.execution,
-		Groups:     d.node,
-		ShardMap:   d.node,
-		Caller:     d.pool,
-		Registrar:  d.server,
+		Groups:     d.shardNode,
+		ShardMap:   d.shardNode,
+		Caller:     d.peerPool,
+		Registrar:  d.peerServer,
 		Logger:     d.logger,
 		Registerer: d.registry,
 	})
-	return eris.Wrap(err, "make routing")
+	return eris.Wrap(err, "create the router")
 }
 
 func (d *Daemon) assembleHandlers() error {
 	limits := d.settings.Limits
-	d.callers = callerapi.NewHandler(callerapi.Options{
+	d.callerHandler = callerapi.NewHandler(callerapi.Options{
 		Programs:      d.router,
 		Configuration: d.configuration,
 		Limits: callerapi.Limits{
@@ -180,19 +187,19 @@
 		},
 		Logger:     d.logger,
 		Registerer: d.registry,
-		Draining:   d.life.Draining,
+		Draining:   d.lifecycle.Draining,
 	})
-	d.operators = operatorapi.NewHandler(operatorapi.Options{
+	d.operatorHandler = operatorapi.NewHandler(operatorapi.Options{
 		Administrator: d.configuration,
 		Programs:      d.router,
-		Directory:     d.directory,
+		Directory:     d.memberList,
 		Revisions:     d.lease.ConfigRevisions,
-		Groups:        d.node,
-		Fleet:         d.fleet,
+		Groups:        d.shardNode,
+		Fleet:         d.engines,
 		Keys:          d.settings.OperatorKeyHashes,
 		Logger:        d.logger,
 		Registerer:    d.registry,
-		Draining:      d.life.Draining,
+		Draining:      d.lifecycle.Draining,
 	})
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,5 @@
-// Package daemon wires all parts of a daemon by the table of constructors in
-// docs/ARCHITECTURE.md, and leads it through its life: starting, serving,
-// draining, stopped.
+// Package daemon assembles the components of a daemon and runs them. A daemon
+// goes through the states starting, serving, draining and stopped.
 package daemon
 
 import (
@@ -27,41 +26,43 @@
 	"github.com/thymeloft/thymeloft/internal/telemetry"
 )
 
-// Daemon is one daemon. Make it with New, then call Run once.
+// Daemon is one daemon process. Create it with New, then call Run once. If Run is
+// not called, call Close.
 type Daemon struct {
-	settings settings.Settings
-	self     identity.Process
-	logger   *zap.Logger
-	registry *prometheus.Registry
-	life     *process.Life
-
-	caller   *process.Endpoint
-	operator *process.Endpoint
-	metrics  *process.Endpoint
-	server   *peer.Server
-	pool     *peer.Pool
+	settings  settings.Settings
+	self      identity.Process
+	logger    *zap.Logger
+	registry  *prometheus.Registry
+	lifecycle *process.Life
+
+	callerEndpoint   *process.Endpoint
+	operatorEndpoint *process.Endpoint
+	metricsEndpoint  *process.Endpoint
+	peerServer       *peer.Server
+	peerPool         *peer.Pool
 
 	platform      *platformServices
-	directory     *members.List
+	memberList    *members.List
 	lease         *members.Lease
 	store         *state.Client
 	configuration *stored.Service
-	node          *shards.Node
-	fleet         *engine.Service
+	shardNode     *shards.Node
+	engines       *engine.Service
 	execution     *execution.Service
 	router        *routing.Router
 
-	callers   http.Handler
-	operators http.Handler
+	callerHandler   http.Handler
+	operatorHandler http.Handler
 
 	newStore NewStore
-	closers  []func() // in the order of opening
+	closers  []func() // called by Close, last added first
 }
 
-// NewStore makes the client of the transactional store at the address.
+// NewStore creates a client of the transactional store at an address ("ip:port")
+// and registers its metrics with the registry.
 type NewStore func(address string, registry prometheus.Registerer) state.Store
 
-// Addresses are where the daemon listens, each "ip:port".
+// Addresses are the listeners' addresses, each "ip:port".
 type Addresses struct {
 	Caller   string
 	Operator string
@@ -69,29 +70,30 @@
 	Metrics  string
 }
 
-// Run makes a daemon and runs it until the context ends and it is drained. An
-// error means that it could not start, that a part failed, or that the drain
-// cut something off.
+// Run creates a daemon, runs it until the context ends, and then drains it. It
+// returns an error if the daemon could not start, if a component failed, or if
+// the drain did not finish within the configured timeout.
 func Run(ctx context.Context, configured settings.Settings, newStore NewStore) error {
 	logger, err := telemetry.NewLogger(configured.Log.Level, configured.Log.Format, os.Stderr)
 	if err != nil {
 		return err
 	}
-	created, err := New(configured, newStore, logger)
+	daemon, err := New(configured, newStore, logger)
 	if err != nil {
 		return err
 	}
-	return created.Run(ctx)
+	return daemon.Run(ctx)
 }
 
-// New opens the listeners and makes all parts; nothing is answered before Run.
+// New checks the settings, opens the listeners and creates all components. No
+// request is served before Run is called.
 func New(configured settings.Settings, newStore NewStore, logger *zap.Logger) (*Daemon, error) {
 	if err := configured.Check(); err != nil {
 		return nil, err
 	}
 	d := &Daemon{settings: configured, newStore: newStore, registry: telemetry.NewRegistry()}
 	d.logger = logger.With(zap.String("machine", configured.Machine), zap.String("zone", configured.Zone))
-	d.life = process.NewLife("daemon", d.logger.Named("daemon"))
+	d.lifecycle = process.NewLife("daemon", d.logger.Named("daemon"))
 	for _, step := range []func() error{d.openListeners, d.assemble} {
 		if err := step(); err != nil {
 			d.Close()
@@ -101,35 +103,36 @@
 	return d, nil
 }
 
-// Addresses gives the listeners' real addresses.
+// Addresses returns the addresses that the listeners are bound to, with the
+// actual port where the settings say port 0.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
-		Caller:   d.caller.Address(),
-		Operator: d.operator.Address(),
-		Peer:     d.server.Address(),
-		Metrics:  d.metrics.Address(),
+		Caller:   d.callerEndpoint.Address(),
+		Operator: d.operatorEndpoint.Address(),
+		Peer:     d.peerServer.Address(),
+		Metrics:  d.metricsEndpoint.Address(),
 	}
 }
 
-// Metrics are all metrics of the daemon's parts, to describe or to gather.
+// Metrics returns the registry that holds the daemon's metrics.
 func (d *Daemon) Metrics() *prometheus.Registry { return d.registry }
 
-// Self is this process.
+// Self returns the identity of this process.
 func (d *Daemon) Self() identity.Process { return d.self }
 
 func (d *Daemon) openListeners() error {
 	var err error
 	files, limits := d.settings.TLS, d.settings.Limits
-	if d.caller, err = d.listen("callers", d.settings.Listen.Caller, files.Caller, limits); err != nil {
+	if d.callerEndpoint, err = d.listen("callers", d.settings.Listen.Caller, files.Caller, limits); err != nil {
 		return err
 	}
-	if d.operator, err = d.listen("operators", d.settings.Listen.Operator, files.Operator, limits); err != nil {
+	if d.operatorEndpoint, err = d.listen("operators", d.settings.Listen.Operator, files.Operator, limits); err != nil {
 		return err
 	}
-	if d.metrics, err = d.listen("metrics", d.settings.Listen.Metrics, files.Metrics, limits); err != nil {
+	if d.metricsEndpoint, err = d.listen("metrics", d.settings.Listen.Metrics, files.Metrics, limits); err != nil {
 		return err
 	}
-	return d.openPeer(files.Peer)
+	return d.openPeerListener(files.Peer)
 }
 
 func (d *Daemon) listen(name, address string, files settings.TLSFiles, limits settings.Limits) (*process.Endpoint, error) {
@@ -137,7 +140,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for %s", name)
 	}
-	opened, err := process.Listen(process.EndpointOptions{
+	endpoint, err := process.Listen(process.EndpointOptions{
 		Name: name, Address: address, TLS: configuration, Log: d.logger,
 		Limits: process.EndpointLimits{
 			HeaderTimeout: limits.HeaderTimeout, ReadTimeout: limits.ReadTimeout, IdleTimeout: limits.IdleTimeout,
@@ -147,11 +150,11 @@
 	if err != nil {
 		return nil, err
 	}
-	d.closers = append(d.closers, opened.Close)
-	return opened, nil
+	d.closers = append(d.closers, endpoint.Close)
+	return endpoint, nil
 }
 
-func (d *Daemon) openPeer(files settings.TLSFiles) error {
+func (d *Daemon) openPeerListener(files settings.TLSFiles) error {
 	serverTLS, err := files.ServerConfig()
 	if err != nil {
 		return eris.Wrap(err, "listen for peers")
@@ -160,31 +163,33 @@
 	if err != nil {
 		return eris.Wrap(err, "prepare calls to peers")
 	}
-	d.server, err = peer.Listen(d.settings.Listen.Peer, peer.Options{TLS: serverTLS, Logger: d.logger, Registerer: d.registry})
+	d.peerServer, err = peer.Listen(d.settings.Listen.Peer, peer.Options{TLS: serverTLS, Logger: d.logger, Registerer: d.registry})
 	if err != nil {
 		return err
 	}
-	d.closers = append(d.closers, func() { _ = d.server.Close() })
-	d.pool = peer.NewPool(peer.Options{TLS: clientTLS, Logger: d.logger, Registerer: d.registry})
-	d.closers = append(d.closers, func() { _ = d.pool.Close() })
+	d.closers = append(d.closers, func() { _ = d.peerServer.Close() })
+	d.peerPool = peer.NewPool(peer.Options{TLS: clientTLS, Logger: d.logger, Registerer: d.registry})
+	d.closers = append(d.closers, func() { _ = d.peerPool.Close() })
 	d.self = identity.Process{
 		Machine:     identity.Machine(d.settings.Machine),
 		Incarnation: identity.Incarnation(time.Now().UnixNano()),
-		Address:     firstSet(d.settings.Advertise, d.server.Address()),
+		Address:     firstNonEmpty(d.settings.Advertise, d.peerServer.Address()),
 		Zone:        identity.Zone(d.settings.Zone),
 		Region:      identity.Region(d.settings.Region),
 	}
 	return nil
 }
 
-func firstSet(first, second string) string {
+// firstNonEmpty returns first, or second if first is empty.
+func firstNonEmpty(first, second string) string {
 	if first != "" {
 		return first
 	}
 	return second
 }
 
-// Close releases what New opened, the last first. Run does so by itself.
+// Close closes everything that New opened, in reverse order. Run calls it
+// before it returns.
 func (d *Daemon) Close() {
 	for i := len(d.closers) - 1; i >= 0; i-- {
 		d.closers[i]()
