--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -1,5 +1,6 @@
-// Package standin holds what all stand-ins of the lab share: faults that are
-// set over HTTP, JSON over HTTP, and serving as a process.
+// Package standin has the common parts of the lab's stand-ins: HTTP servers
+// that replace an external service in tests. It injects faults that are
+// configured over HTTP, limits request rates, and reads and writes JSON bodies.
 package standin
 
 import (
@@ -12,75 +13,78 @@
 	"time"
 )
 
-// PathFaults takes a FaultList by POST, which replaces all rules, and gives
-// the present rules by GET.
+// PathFaults is the path of the fault rules. POST replaces all rules by those
+// of a FaultList; GET returns the current FaultList.
 const PathFaults = "/lab/faults"
 
-// PathRecords gives a stand-in's own records by GET.
+// PathRecords is the path at which GET returns what a stand-in recorded.
 const PathRecords = "/lab/records"
 
-// Point is the place in a request's life at which a rule applies.
+// Point is the stage of a request at which a rule applies.
 type Point string
 
-// The points.
+// The stages of a request.
 const (
-	PointBefore Point = "before" // nothing was done yet
-	PointStream Point = "stream" // after AfterChunks chunks of a stream
-	PointAfter  Point = "after"  // done, the answer not yet given
+	PointBefore Point = "before" // before the request is processed
+	PointStream Point = "stream" // after AfterChunks chunks of a streamed response
+	PointAfter  Point = "after"  // after processing, before the response is sent
 )
 
-// Action is what a rule does.
+// Action is what a rule does to a request.
 type Action string
 
 // The actions.
 const (
-	ActionDelay  Action = "delay"  // wait DelayMS, then go on
-	ActionHold   Action = "hold"   // wait until the rule is taken away, then go on
-	ActionLose   Action = "lose"   // close the connection without an answer
-	ActionRefuse Action = "refuse" // 503, certainly not started
-	ActionFail   Action = "fail"   // 500
+	ActionDelay  Action = "delay"  // wait for DelayMS, then continue
+	ActionHold   Action = "hold"   // wait until the rule is removed, then continue
+	ActionLose   Action = "lose"   // close the connection without a response
+	ActionRefuse Action = "refuse" // respond with 503 and the header that says the request was not started
+	ActionFail   Action = "fail"   // respond with 500
 )
 
-// Rule is one fault.
+// Rule injects a fault into the requests that it matches.
 type Rule struct {
 	Name        string `json:"name"`
 	Point       Point  `json:"point"`
-	Match       string `json:"match,omitempty"` // substring of the request's key; empty: every request
+	Match       string `json:"match,omitempty"` // substring of the request key; empty matches every request
 	Action      Action `json:"action"`
-	DelayMS     int    `json:"delay_ms,omitempty"`
-	AfterChunks int    `json:"after_chunks,omitempty"`
-	Times       int    `json:"times,omitempty"` // 0: every time
+	DelayMS     int    `json:"delay_ms,omitempty"`     // for ActionDelay, in milliseconds
+	AfterChunks int    `json:"after_chunks,omitempty"` // for PointStream: chunks sent before the rule applies
+	Times       int    `json:"times,omitempty"`        // number of requests to match; 0 means no limit
 }
 
-// RuleState is a rule and what became of it.
+// RuleState is a rule with its counters.
 type RuleState struct {
 	Rule
-	Met     int `json:"met"`     // requests that it was applied to
-	Holding int `json:"holding"` // requests that wait at it now
+	Met     int `json:"met"`     // requests that the rule matched
+	Holding int `json:"holding"` // requests that ActionHold blocks now
 }
 
-// FaultList is the body of PathFaults.
+// FaultList is the request and response body of PathFaults. The counters in a
+// request are ignored.
 type FaultList struct {
 	Rules []RuleState `json:"rules"`
 }
 
+// activeRule is a rule that has not been removed; its removal closes removed.
 type activeRule struct {
 	state   RuleState
 	removed chan struct{}
 }
 
-// Faults are the rules of one stand-in. Safe for concurrent use.
+// Faults are the fault rules of one stand-in, applied in the order in which
+// they were added. Safe for concurrent use.
 type Faults struct {
 	mutex sync.Mutex
 	rules []*activeRule
 }
 
-// Set replaces all rules; requests held by the former ones go on.
+// Set replaces all rules. Requests that wait because of a replaced rule continue.
 func (f *Faults) Set(rules []Rule) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	for _, former := range f.rules {
-		close(former.removed)
+	for _, replaced := range f.rules {
+		close(replaced.removed)
 	}
 	f.rules = nil
 	for _, rule := range rules {
@@ -88,7 +92,7 @@
 	}
 }
 
-// Add adds a rule.
+// Add appends a rule after the existing ones.
 func (f *Faults) Add(rule Rule) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -99,7 +103,8 @@
 	f.rules = append(f.rules, &activeRule{state: RuleState{Rule: rule}, removed: make(chan struct{})})
 }
 
-// Remove takes the rules with the name away; requests held by them go on.
+// Remove removes all rules with this name. Requests that wait because of them
+// continue.
 func (f *Faults) Remove(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -112,7 +117,7 @@
 	})
 }
 
-// List gives the present rules.
+// List returns the current rules with their counters.
 func (f *Faults) List() FaultList {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -123,19 +128,19 @@
 	return list
 }
 
-// Meet applies the rules for the point to a request with this key. It blocks
-// for delays and holds, and returns the action left to the stand-in: lose,
-// refuse, fail, or none. Chunks counts the chunks sent, for PointStream. An
-// answer that will be lost is held by the later rules before: it is lost after
-// that moment.
+// Meet applies the rules that match the point and the request key. It blocks
+// for ActionDelay and ActionHold until ctx ends at the latest, and returns the
+// action that the caller must carry out, or "" for none. ActionRefuse and
+// ActionFail skip the remaining rules; after ActionLose they still apply.
+// The chunks parameter is the number of chunks sent so far, for PointStream.
 func (f *Faults) Meet(ctx context.Context, point Point, key string, chunks int) Action {
 	var lost Action
-	for _, rule := range f.applicable(point, key, chunks) {
+	for _, rule := range f.matchRules(point, key, chunks) {
 		switch rule.state.Action {
 		case ActionDelay:
-			wait(ctx, time.Duration(rule.state.DelayMS)*time.Millisecond, rule.removed)
+			waitFor(ctx, time.Duration(rule.state.DelayMS)*time.Millisecond, rule.removed)
 		case ActionHold:
-			f.hold(ctx, rule)
+			f.waitUntilRemoved(ctx, rule)
 		case ActionLose:
 			lost = ActionLose
 		default:
@@ -145,41 +150,42 @@
 	return lost
 }
 
-func (f *Faults) applicable(point Point, key string, chunks int) []*activeRule {
+// matchRules returns the matching rules and counts the request in each of them.
+func (f *Faults) matchRules(point Point, key string, chunks int) []*activeRule {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	var found []*activeRule
+	var matched []*activeRule
 	for _, rule := range f.rules {
 		state := &rule.state
-		spent := state.Times > 0 && state.Met >= state.Times
-		if state.Point != point || spent || !strings.Contains(key, state.Match) {
+		exhausted := state.Times > 0 && state.Met >= state.Times
+		if state.Point != point || exhausted || !strings.Contains(key, state.Match) {
 			continue
 		}
 		if point == PointStream && chunks != state.AfterChunks {
 			continue
 		}
 		state.Met++
-		found = append(found, rule)
+		matched = append(matched, rule)
 	}
-	return found
+	return matched
 }
 
-func (f *Faults) hold(ctx context.Context, rule *activeRule) {
-	f.count(rule, 1)
-	defer f.count(rule, -1)
+func (f *Faults) waitUntilRemoved(ctx context.Context, rule *activeRule) {
+	f.addHolding(rule, 1)
+	defer f.addHolding(rule, -1)
 	select {
 	case <-rule.removed:
 	case <-ctx.Done():
 	}
 }
 
-func (f *Faults) count(rule *activeRule, change int) {
+func (f *Faults) addHolding(rule *activeRule, change int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	rule.state.Holding += change
 }
 
-func wait(ctx context.Context, duration time.Duration, removed <-chan struct{}) {
+func waitFor(ctx context.Context, duration time.Duration, removed <-chan struct{}) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -189,7 +195,7 @@
 	}
 }
 
-// ServeHTTP is the handler of PathFaults.
+// ServeHTTP implements http.Handler for PathFaults.
 func (f *Faults) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPost {
 		var list FaultList
--- a/internal/lab/standin/faults_test.go
+++ b/internal/lab/standin/faults_test.go
@@ -9,7 +9,7 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-func TestAnswerThatWillBeLostIsHeldBefore(t *testing.T) {
+func TestHoldRuleBlocksBeforeResponseIsLost(t *testing.T) {
 	RegisterTestingT(t)
 	faults := &standin.Faults{}
 	faults.Add(standin.Rule{Name: "lose", Point: standin.PointAfter, Action: standin.ActionLose, Times: 1})
@@ -20,5 +20,5 @@
 	Expect(action).NotTo(Receive())
 	faults.Remove("hold")
 	Eventually(action).Should(Receive(Equal(standin.ActionLose)))
-	Expect(faults.Meet(context.Background(), standin.PointAfter, "call", 0)).To(BeEmpty(), "it loses one answer")
+	Expect(faults.Meet(context.Background(), standin.PointAfter, "call", 0)).To(BeEmpty(), "the rule applies once")
 }
--- a/internal/lab/standin/limit.go
+++ b/internal/lab/standin/limit.go
@@ -6,7 +6,8 @@
 	"golang.org/x/time/rate"
 )
 
-// Limit answers 429 above the rate; a rate of 0 is no limit.
+// Limit wraps next with a rate limit that all clients share. Requests above it
+// get status 429. A rate of 0 means no limit; a burst below 1 counts as 1.
 func Limit(requestsPerSecond float64, burst int, next http.Handler) http.Handler {
 	if requestsPerSecond == 0 {
 		return next
--- a/internal/lab/standin/mount.go
+++ b/internal/lab/standin/mount.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// Mount makes the handler of a stand-in: the service, and beside it
-// the paths of the lab, which neither limit nor fault touches. The service
-// comes with its faults around it. Nil records leave PathRecords out.
+// Mount returns a mux with the service at "/", PathFaults and PathRecords. It
+// applies no faults or rate limits itself: the service must already be wrapped
+// in them. If records is nil, PathRecords is not registered.
 func Mount(service http.Handler, faults *Faults, records func() any) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("/", service)
--- a/internal/lab/standin/reply.go
+++ b/internal/lab/standin/reply.go
@@ -5,27 +5,28 @@
 	"net/http"
 )
 
-// heldReply keeps a reply until it may be passed on.
-type heldReply struct {
+// bufferedResponse is an http.ResponseWriter that stores the response until
+// writeTo is called. Not safe for concurrent use.
+type bufferedResponse struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func newHeldReply() *heldReply {
-	return &heldReply{header: http.Header{}, status: http.StatusOK}
+func newBufferedResponse() *bufferedResponse {
+	return &bufferedResponse{header: http.Header{}, status: http.StatusOK}
 }
 
-func (h *heldReply) Header() http.Header { return h.header }
+func (b *bufferedResponse) Header() http.Header { return b.header }
 
-func (h *heldReply) WriteHeader(status int) { h.status = status }
+func (b *bufferedResponse) WriteHeader(status int) { b.status = status }
 
-func (h *heldReply) Write(part []byte) (int, error) { return h.body.Write(part) }
+func (b *bufferedResponse) Write(data []byte) (int, error) { return b.body.Write(data) }
 
-func (h *heldReply) passTo(w http.ResponseWriter) {
-	for name, values := range h.header {
+func (b *bufferedResponse) writeTo(w http.ResponseWriter) {
+	for name, values := range b.header {
 		w.Header()[name] = values
 	}
-	w.WriteHeader(h.status)
-	_, _ = w.Write(h.body.Bytes())
+	w.WriteHeader(b.status)
+	_, _ = w.Write(b.body.Bytes())
 }
--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -16,22 +16,23 @@
 
 const headerTimeout = 10 * time.Second
 
-// maxBody bounds a request's body, in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes limits a request body that ReadJSON decodes.
+const maxBodyBytes = 64 << 20
 
-// Announcement is the line that a stand-in prints when it serves.
+// Announcement is the JSON line that a stand-in prints when it starts to serve.
 type Announcement struct {
-	Kind    string `json:"kind"`
+	Kind    string `json:"kind"`    // of the stand-in, as passed to Run
 	Address string `json:"address"` // "ip:port"
 }
 
-// Server is a stand-in that listens.
+// Server is a running HTTP server of a stand-in.
 type Server struct {
 	Address string // "ip:port"
 	server  *http.Server
 }
 
-// Start serves the handler on the address; port 0 takes any free port.
+// Start listens on the address ("ip:port") and serves the handler in the
+// background until Close. Port 0 selects a free port.
 func Start(address string, handler http.Handler) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -42,13 +43,14 @@
 	return &Server{Address: listener.Addr().String(), server: server}, nil
 }
 
-// URL is the base URL.
+// URL returns the base URL, without a trailing slash.
 func (s *Server) URL() string { return "http://" + s.Address }
 
-// Close ends the listener and all connections at once.
+// Close closes the listener and all connections without waiting for requests.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// Run serves until the context ends and prints one Announcement to output.
+// Run serves the handler on the address until ctx ends. Once it listens, it
+// writes one line with an Announcement to output.
 func Run(ctx context.Context, kind, address string, handler http.Handler, output io.Writer) error {
 	server, err := Start(address, handler)
 	if err != nil {
@@ -64,16 +66,17 @@
 	return nil
 }
 
-// WriteJSON answers with the status and the value.
+// WriteJSON writes a response with the status and the value encoded as JSON.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// ReadJSON decodes the body into target, or answers 400 and returns false.
+// ReadJSON decodes the JSON body into target. If that fails, it responds with
+// status 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, target any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(target)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(target)
 	if err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return false
@@ -81,43 +84,47 @@
 	return true
 }
 
-// Refuse answers that the request certainly did not start.
+// Refuse writes an error response with the header that says that the request
+// was not started.
 func Refuse(w http.ResponseWriter, status int, detail string) {
 	w.Header().Set(enginev1.HeaderNeverStarted, "true")
 	http.Error(w, detail, status)
 }
 
-// Carry does what Meet left to the stand-in. It returns false for no action.
+// Carry carries out an action that Meet returned: it writes the error response
+// or, for ActionLose, panics with http.ErrAbortHandler. It returns false if the
+// action is "", and then writes nothing.
 func Carry(w http.ResponseWriter, action Action) bool {
 	switch action {
 	case ActionLose:
-		panic(http.ErrAbortHandler) // net/http closes the connection without a reply.
+		panic(http.ErrAbortHandler) // net/http closes the connection without a response.
 	case ActionRefuse:
-		Refuse(w, http.StatusServiceUnavailable, "refused by a fault")
+		Refuse(w, http.StatusServiceUnavailable, "refused by a fault rule")
 	case ActionFail:
-		http.Error(w, "failed by a fault", http.StatusInternalServerError)
+		http.Error(w, "failed by a fault rule", http.StatusInternalServerError)
 	default:
 		return false
 	}
 	return true
 }
 
-// Around applies the rules before and after a handler whose whole effect
-// happens in one call; key names the request.
+// Around wraps a handler with the rules of PointBefore and PointAfter. The
+// response is buffered until the PointAfter rules have been applied, so next
+// must not stream. The key function returns the request key for Rule.Match.
 func (f *Faults) Around(key func(*http.Request) string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		name := key(r)
-		if Carry(w, f.Meet(r.Context(), PointBefore, name, 0)) {
+		requestKey := key(r)
+		if Carry(w, f.Meet(r.Context(), PointBefore, requestKey, 0)) {
 			return
 		}
-		held := newHeldReply()
-		next.ServeHTTP(held, r)
-		if Carry(w, f.Meet(r.Context(), PointAfter, name, 0)) {
+		response := newBufferedResponse()
+		next.ServeHTTP(response, r)
+		if Carry(w, f.Meet(r.Context(), PointAfter, requestKey, 0)) {
 			return
 		}
-		held.passTo(w)
+		response.writeTo(w)
 	})
 }
 
-// MethodAndPath is the usual key of Around.
+// MethodAndPath returns a request key for Around, such as "GET /lab?x=1".
 func MethodAndPath(r *http.Request) string { return r.Method + " " + r.URL.RequestURI() }
