--- a/internal/lab/modelengine/administration.go
+++ b/internal/lab/modelengine/administration.go
@@ -10,16 +10,18 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// roleServe is the one role that takes completions.
+// roleServe is the role of engines that accept completions. All others refuse
+// them.
 const roleServe = "serve"
 
-// transfer is the body of the KV paths: what moves is the blocks' hashes.
-type transfer struct {
+// kvTransfer is the body of a KV export or import. It has the hashes of the
+// blocks in place of their content.
+type kvTransfer struct {
 	Program string   `json:"program"`
 	Blocks  []uint64 `json:"blocks"`
 }
 
-func (e *Engine) handler() http.Handler {
+func (e *Engine) newHandler() http.Handler {
 	administration := http.NewServeMux()
 	administration.HandleFunc("DELETE "+enginev1.PathRequests+"{id...}", func(w http.ResponseWriter, r *http.Request) {
 		status, found := e.cancel(r.PathValue("id"))
@@ -30,26 +32,27 @@
 		standin.WriteJSON(w, http.StatusOK, status)
 	})
 	administration.HandleFunc("GET "+enginev1.PathState, func(w http.ResponseWriter, _ *http.Request) {
-		standin.WriteJSON(w, http.StatusOK, e.state())
+		standin.WriteJSON(w, http.StatusOK, e.currentReport())
 	})
-	administration.HandleFunc("POST "+enginev1.PathOrders, e.orders)
-	administration.HandleFunc("GET "+enginev1.PathCacheEvents, e.cacheEvents)
+	administration.HandleFunc("POST "+enginev1.PathOrders, e.handleOrder)
+	administration.HandleFunc("GET "+enginev1.PathCacheEvents, e.handleCacheEvents)
 	administration.HandleFunc("GET "+enginev1.PathHeld, func(w http.ResponseWriter, _ *http.Request) {
 		standin.WriteJSON(w, http.StatusOK, enginev1.HeldList{Held: e.Held()})
 	})
-	administration.HandleFunc("POST "+enginev1.PathRelease, e.release)
-	administration.HandleFunc("POST "+enginev1.PathHold, e.hold)
-	administration.HandleFunc("GET "+enginev1.PathKV+"{program}", e.exportKV)
-	administration.HandleFunc("PUT "+enginev1.PathKV+"{program}", e.importKV)
+	administration.HandleFunc("POST "+enginev1.PathRelease, e.handleRelease)
+	administration.HandleFunc("POST "+enginev1.PathHold, e.handleHold)
+	administration.HandleFunc("GET "+enginev1.PathKV+"{program}", e.handleExportKV)
+	administration.HandleFunc("PUT "+enginev1.PathKV+"{program}", e.handleImportKV)
 
 	mux := standin.Mount(e.Faults.Around(standin.MethodAndPath, administration), e.Faults, func() any { return e.Records() })
-	mux.HandleFunc("POST "+enginev1.PathCompletions, e.complete)
-	mux.HandleFunc("GET "+enginev1.PathRequests+"{id...}", e.resume)
+	mux.HandleFunc("POST "+enginev1.PathCompletions, e.handleCompletion)
+	mux.HandleFunc("GET "+enginev1.PathRequests+"{id...}", e.handleResume)
 	return mux
 }
 
-// orders takes a fenced order; a load goes on in the background.
-func (e *Engine) orders(w http.ResponseWriter, r *http.Request) {
+// handleOrder carries out an order, or responds with status 409 if a greater
+// fence was seen before. A load continues in the background.
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var order enginev1.Order
 	if !standin.ReadJSON(w, r, &order) {
 		return
@@ -57,7 +60,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence < e.fence {
-		standin.WriteJSON(w, http.StatusConflict, e.stateNow(time.Now()))
+		standin.WriteJSON(w, http.StatusConflict, e.buildReport(time.Now()))
 		return
 	}
 	e.fence = order.Fence
@@ -66,30 +69,33 @@
 	case "role":
 		e.role = order.Role
 	case "load":
-		e.load(order)
+		e.startLoad(order)
 	default:
 		http.Error(w, "unknown kind of order: "+order.Kind, http.StatusBadRequest)
 		return
 	}
-	standin.WriteJSON(w, http.StatusOK, e.stateNow(time.Now()))
+	standin.WriteJSON(w, http.StatusOK, e.buildReport(time.Now()))
 }
 
-// load does nothing when all is loaded already. Other adapters of the same
-// version are at hand at once; another model or version takes LoadTime.
-func (e *Engine) load(order enginev1.Order) {
+// startLoad sets the adapters at once if the model and its version are already
+// loaded. Otherwise it loads them in the background, which takes
+// Options.LoadTime; until then the engine refuses completions.
+func (e *Engine) startLoad(order enginev1.Order) {
 	if order.Model == e.model && order.Version == e.version {
 		e.adapters = order.Adapters
 		return
 	}
 	e.loading = true
-	time.AfterFunc(e.scaled(e.options.LoadTime), func() { e.loaded(order) })
+	time.AfterFunc(e.scaleTime(e.options.LoadTime), func() { e.finishLoad(order) })
 }
 
-func (e *Engine) loaded(order enginev1.Order) {
+// finishLoad puts the loaded model into service with an empty cache. It discards
+// the load if an order with a greater fence has come since.
+func (e *Engine) finishLoad(order enginev1.Order) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence < e.fence {
-		e.loading = false // a later order goes before.
+		e.loading = false // a later order supersedes this one
 		return
 	}
 	e.model = order.Model
@@ -99,21 +105,21 @@
 	e.cache = newPrefixCache(e.options.CacheTokens, e.emit)
 }
 
-func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // absent: from the start
+func (e *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0 if absent: all events
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	standin.WriteJSON(w, http.StatusOK, e.events.after(after, time.Now()))
 }
 
-// Held lists what the engine holds for programs now.
+// Held returns the cached tokens of each program now, sorted by program.
 func (e *Engine) Held() []enginev1.Held {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.cache.list(time.Now())
+	return e.cache.listPrograms(time.Now())
 }
 
-func (e *Engine) release(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleRelease(w http.ResponseWriter, r *http.Request) {
 	var request enginev1.ReleaseRequest
 	if !standin.ReadJSON(w, r, &request) {
 		return
@@ -125,7 +131,7 @@
 	}
 }
 
-func (e *Engine) hold(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleHold(w http.ResponseWriter, r *http.Request) {
 	var request enginev1.HoldRequest
 	if !standin.ReadJSON(w, r, &request) {
 		return
@@ -135,22 +141,24 @@
 	e.cache.pin(request.Program, time.Now().Add(time.Duration(request.LeaseMS)*time.Millisecond))
 }
 
-func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleExportKV(w http.ResponseWriter, r *http.Request) {
 	program := r.PathValue("program")
 	e.mutex.Lock()
-	exported := transfer{Program: program, Blocks: e.cache.exported(program)}
+	exported := kvTransfer{Program: program, Blocks: e.cache.blocksOf(program)}
 	e.mutex.Unlock()
 	standin.WriteJSON(w, http.StatusOK, exported)
 }
 
-func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
-	var imported transfer
+// handleImportKV adds the blocks to the program's cache after the modelled time of
+// their transfer.
+func (e *Engine) handleImportKV(w http.ResponseWriter, r *http.Request) {
+	var imported kvTransfer
 	if err := json.NewDecoder(r.Body).Decode(&imported); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	tokens := float64(len(imported.Blocks) * blockTokens)
-	time.Sleep(e.scaled(time.Duration(tokens / transferPerSec * float64(time.Second))))
+	time.Sleep(e.scaleTime(time.Duration(tokens / transferTokensPerSec * float64(time.Second))))
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.cache.store(r.PathValue("program"), imported.Blocks, time.Now())
--- a/internal/lab/modelengine/answer.go
+++ b/internal/lab/modelengine/answer.go
@@ -12,19 +12,22 @@
 )
 
 const (
-	bytesPerToken  = 4
-	shortestAnswer = 8  // tokens
-	answerSpread   = 24 // tokens
-	tokenMask      = 0xfff
+	bytesPerToken    = 4
+	minAnswerTokens  = 8
+	answerTokenRange = 24    // answers have from minAnswerTokens to minAnswerTokens+23 tokens
+	tokenMask        = 0xfff // three hexadecimal digits, which make a token with the space after them
 )
 
-// wantedTokens is the mark by which a prompt sets the length of its answer.
-var wantedTokens = regexp.MustCompile(`tokens=(\d+)`)
+// answerLengthPattern matches the text in the last message that sets the length
+// of the answer in tokens.
+var answerLengthPattern = regexp.MustCompile(`tokens=(\d+)`)
 
-// Answer is the whole text and finish reason that any engine gives for the
-// prompt: limit tokens of four bytes each at most.
+// Answer returns the whole text and the finish reason that every engine
+// generates for the prompt. The text depends on the arguments alone and has at
+// most limit tokens of four bytes each. The finish reason is "length" if the
+// limit cut the text off, otherwise "stop".
 func Answer(model, adapter string, messages []enginev1.Message, limit int64) (content, finishReason string) {
-	seed := xxhash.Sum64String(model + "\x00" + adapter + "\x00" + render(messages))
+	seed := xxhash.Sum64String(model + "\x00" + adapter + "\x00" + renderPrompt(messages))
 	length := answerLength(seed, messages)
 	finishReason = "stop"
 	if length > limit {
@@ -40,16 +43,16 @@
 
 func answerLength(seed uint64, messages []enginev1.Message) int64 {
 	if len(messages) > 0 {
-		found := wantedTokens.FindStringSubmatch(messages[len(messages)-1].Content)
-		if found != nil {
-			length, _ := strconv.ParseInt(found[1], 10, 32)
+		match := answerLengthPattern.FindStringSubmatch(messages[len(messages)-1].Content)
+		if match != nil {
+			length, _ := strconv.ParseInt(match[1], 10, 32)
 			return length
 		}
 	}
-	return shortestAnswer + int64(seed%answerSpread)
+	return minAnswerTokens + int64(seed%answerTokenRange)
 }
 
-// token is the text of one generated token.
+// token returns the text of the generated token with this index.
 func token(seed uint64, index int64) string {
 	var buffer [16]byte
 	text := strconv.AppendUint(buffer[:0], seed, 16)
@@ -57,9 +60,9 @@
 	return fmt.Sprintf("%03x ", xxhash.Sum64(text)&tokenMask)
 }
 
-// render gives the prompt as one text, whose beginning is the same for all
-// prompts that begin with the same messages.
-func render(messages []enginev1.Message) string {
+// renderPrompt returns the messages as one text. Prompts that begin with the
+// same messages have texts that begin with the same bytes.
+func renderPrompt(messages []enginev1.Message) string {
 	var text strings.Builder
 	for _, message := range messages {
 		text.WriteString(message.Role)
@@ -70,6 +73,7 @@
 	return text.String()
 }
 
+// countTokens counts a partial token at the end as one.
 func countTokens(text string) int64 {
 	return int64((len(text) + bytesPerToken - 1) / bytesPerToken)
 }
--- a/internal/lab/modelengine/batch.go
+++ b/internal/lab/modelengine/batch.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// shortestSleep bounds how often the loop sleeps; shorter steps are run
-// together and slept for at once.
-const shortestSleep = time.Millisecond
+// minSleep is the shortest sleep of the batch loop. Modelled times of shorter
+// steps are added up until they reach it.
+const minSleep = time.Millisecond
 
-// runBatches runs steps while there is work, and sleeps for their modelled time.
+// runBatches runs batch steps while there are requests, and sleeps for their
+// scaled modelled time. It returns after Close.
 func (e *Engine) runBatches() {
-	var ahead time.Duration // modelled time not yet slept
+	var unslept time.Duration // scaled modelled time for which the loop has not slept yet
 	for {
 		step, busy := e.step()
-		ahead += e.scaled(step)
+		unslept += e.scaleTime(step)
 		if !busy {
-			ahead = 0
+			unslept = 0
 			select {
 			case <-e.wake:
 				continue
@@ -24,25 +25,26 @@
 				return
 			}
 		}
-		if ahead < shortestSleep {
+		if unslept < minSleep {
 			continue
 		}
-		before := time.Now()
+		sleepStart := time.Now()
 		select {
-		case <-time.After(ahead):
-			ahead -= time.Since(before)
+		case <-time.After(unslept):
+			unslept -= time.Since(sleepStart)
 		case <-e.stopped:
 			return
 		}
 	}
 }
 
-// step runs one step of the batch and returns its modelled time.
+// step runs one batch step and returns its modelled time, not scaled. It
+// returns false if no request is running.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Now()
-	e.dropEnded(now)
+	e.removeEnded(now)
 	e.admit()
 	if len(e.running) == 0 {
 		return 0, false
@@ -56,58 +58,62 @@
 	return time.Duration(seconds * float64(time.Second)), true
 }
 
-// dropEnded removes cancelled requests and fails those past their deadline.
-func (e *Engine) dropEnded(now time.Time) {
+// removeEnded fails the requests that are past their deadline, and removes all
+// requests in a final state from the queue and the batch.
+func (e *Engine) removeEnded(now time.Time) {
 	ended := func(candidate *request) bool {
-		if !candidate.final() && !candidate.expires.IsZero() && now.After(candidate.expires) {
+		if !candidate.isFinal() && !candidate.deadline.IsZero() && now.After(candidate.deadline) {
 			candidate.end(stateFailed, "deadline exceeded")
 		}
-		return candidate.final()
+		return candidate.isFinal()
 	}
 	e.waiting = slices.DeleteFunc(e.waiting, ended)
 	e.running = slices.DeleteFunc(e.running, ended)
 }
 
-// admit fills the batch from the waiting requests, by priority.
+// admit moves waiting requests into the batch while it has room, in the order
+// of request.isBefore.
 func (e *Engine) admit() {
 	for len(e.running) < e.speed.MaxRunning && len(e.waiting) > 0 {
 		first := 0
 		for index, candidate := range e.waiting {
-			if candidate.goesBefore(e.waiting[first]) {
+			if candidate.isBefore(e.waiting[first]) {
 				first = index
 			}
 		}
 		admitted := e.waiting[first]
 		e.waiting = slices.Delete(e.waiting, first, first+1)
 		admitted.state = stateRunning
-		admitted.usage.CachedTokens = e.cache.match(admitted.hashes)
-		admitted.prefill = admitted.usage.PromptTokens - admitted.usage.CachedTokens
+		admitted.usage.CachedTokens = e.cache.matchPrefix(admitted.hashes)
+		admitted.prefillLeft = admitted.usage.PromptTokens - admitted.usage.CachedTokens
 		e.running = append(e.running, admitted)
 	}
 }
 
-// prefillStep works on one chunk of the prompts that are not yet prefilled.
+// prefillStep prefills up to prefillChunkTokens prompt tokens, in batch order,
+// and returns their number. It caches each prompt that it completes.
 func (e *Engine) prefillStep(now time.Time) int64 {
-	var done int64
+	var prefilled int64
 	for _, running := range e.running {
-		part := min(running.prefill, prefillChunk-done)
-		if part <= 0 {
+		chunk := min(running.prefillLeft, prefillChunkTokens-prefilled)
+		if chunk <= 0 {
 			continue
 		}
-		running.prefill -= part
-		done += part
-		if running.prefill == 0 {
+		running.prefillLeft -= chunk
+		prefilled += chunk
+		if running.prefillLeft == 0 {
 			e.cache.store(running.wire.Program, running.hashes, now)
 		}
 	}
-	return done
+	return prefilled
 }
 
-// decodeStep generates one token for each sequence whose prompt is prefilled.
+// decodeStep generates one token for each request whose prompt is prefilled,
+// and returns the number of these requests.
 func (e *Engine) decodeStep(now time.Time) int {
 	decoding := 0
 	for _, running := range e.running {
-		if running.prefill > 0 {
+		if running.prefillLeft > 0 {
 			continue
 		}
 		decoding++
@@ -119,7 +125,8 @@
 	return decoding
 }
 
-// historyAfter is the prompt with the answer, as the next turn will send it.
+// historyAfter returns the prompt followed by the answer, rendered as the
+// beginning of the next turn's prompt.
 func historyAfter(ended *request) string {
 	return ended.prompt + "assistant\x01" + ended.answer + "\x02"
 }
--- a/internal/lab/modelengine/cache.go
+++ b/internal/lab/modelengine/cache.go
@@ -14,26 +14,27 @@
 const (
 	blockTokens  = 16
 	blockBytes   = blockTokens * bytesPerToken
-	prefixBlocks = 4 // blocks whose hash names a prefix in cache events
+	prefixBlocks = 4 // blocks at the start of a prompt that cache events identify by a hash
 )
 
-// hashBlocks gives the chained hashes of the whole blocks of a text: a block
-// is the same only where all before it is the same.
+// hashBlocks returns the hashes of the full blocks of a text. Each hash covers
+// the text from the start to the end of its block.
 func hashBlocks(text string) []uint64 {
 	hashes := make([]uint64, 0, len(text)/blockBytes)
-	var former [8]byte
+	var previous [8]byte
 	for start := 0; start+blockBytes <= len(text); start += blockBytes {
 		digest := xxhash.New()
-		_, _ = digest.Write(former[:])
+		_, _ = digest.Write(previous[:])
 		_, _ = digest.WriteString(text[start : start+blockBytes])
 		hash := digest.Sum64()
 		hashes = append(hashes, hash)
-		binary.LittleEndian.PutUint64(former[:], hash)
+		binary.LittleEndian.PutUint64(previous[:], hash)
 	}
 	return hashes
 }
 
-// prefixHash names the prefix of a prompt; 0 when it is too short.
+// prefixHash returns the hash of the first prefixBlocks blocks of a prompt, or 0
+// if the prompt is shorter.
 func prefixHash(hashes []uint64) uint64 {
 	if len(hashes) < prefixBlocks {
 		return 0
@@ -41,20 +42,21 @@
 	return hashes[prefixBlocks-1]
 }
 
-// block is 16 tokens of KV cache. It stays while a program holds it, or as a
-// prefix that several programs shared, until it is evicted.
+// block is the KV cache of blockTokens tokens. When its last program is
+// released, the block is deleted, unless it was shared: then it stays until it
+// is evicted.
 type block struct {
-	hash    uint64
-	holders map[string]struct{}
-	shared  bool
-	element *list.Element
+	hash     uint64
+	programs map[string]struct{} // those that use the block
+	shared   bool                // several programs used the block at the same time
+	element  *list.Element       // in prefixCache.recent
 }
 
-// holding is what one program holds.
-type holding struct {
-	blocks     map[uint64]int // by hash: the place in the prompt
-	prefix     uint64
-	leaseUntil time.Time
+// programEntry lists the cached blocks of one program.
+type programEntry struct {
+	blocks     map[uint64]int // position in the prompt by block hash
+	prefixHash uint64
+	leaseUntil time.Time // the blocks are not evicted before; zero for no lease
 }
 
 // prefixCache is a least-recently-used cache of blocks. Not safe for concurrent use.
@@ -62,8 +64,8 @@
 	capacity int // blocks
 	blocks   map[uint64]*block
 	recent   *list.List // of *block; front: most recently used
-	programs map[string]*holding
-	emit     func(kind, program string, prefix uint64, tokens int64)
+	programs map[string]*programEntry
+	emit     func(kind, program string, prefix uint64, tokens int64) // reports a cache event; tokens is what the program has cached after it
 }
 
 func newPrefixCache(tokens int64, emit func(kind, program string, prefix uint64, tokens int64)) *prefixCache {
@@ -71,13 +73,14 @@
 		capacity: int(tokens / blockTokens),
 		blocks:   map[uint64]*block{},
 		recent:   list.New(),
-		programs: map[string]*holding{},
+		programs: map[string]*programEntry{},
 		emit:     emit,
 	}
 }
 
-// match counts the leading tokens that are cached, and marks them as used.
-func (c *prefixCache) match(hashes []uint64) int64 {
+// matchPrefix returns the number of leading tokens that are cached, and marks
+// their blocks as recently used.
+func (c *prefixCache) matchPrefix(hashes []uint64) int64 {
 	var found int64
 	for _, hash := range hashes {
 		cached, ok := c.blocks[hash]
@@ -90,66 +93,71 @@
 	return found
 }
 
-// store keeps the blocks for the program, evicting what was used least recently.
+// store adds the blocks to the program, and evicts the least recently used
+// blocks if the cache is full. It stops at the first block for which there is no
+// room because all cached blocks are pinned.
 func (c *prefixCache) store(program string, hashes []uint64, now time.Time) {
-	held := c.holding(program)
-	held.prefix = prefixHash(hashes)
-	for place, hash := range hashes {
+	entry := c.entryOf(program)
+	entry.prefixHash = prefixHash(hashes)
+	for position, hash := range hashes {
 		if !c.storeBlock(program, hash, now) {
 			break
 		}
-		held.blocks[hash] = place
+		entry.blocks[hash] = position
 	}
-	if len(held.blocks) == 0 {
+	if len(entry.blocks) == 0 {
 		delete(c.programs, program)
 		return
 	}
-	c.emit("stored", program, held.prefix, int64(len(held.blocks))*blockTokens)
+	c.emit("stored", program, entry.prefixHash, int64(len(entry.blocks))*blockTokens)
 }
 
-func (c *prefixCache) holding(program string) *holding {
-	held, found := c.programs[program]
+// entryOf returns the entry of the program and creates it if needed.
+func (c *prefixCache) entryOf(program string) *programEntry {
+	entry, found := c.programs[program]
 	if !found {
-		held = &holding{blocks: map[uint64]int{}}
-		c.programs[program] = held
+		entry = &programEntry{blocks: map[uint64]int{}}
+		c.programs[program] = entry
 	}
-	return held
+	return entry
 }
 
+// storeBlock returns false if there is no room for the block.
 func (c *prefixCache) storeBlock(program string, hash uint64, now time.Time) bool {
 	if cached, found := c.blocks[hash]; found {
-		cached.holders[program] = struct{}{}
-		cached.shared = cached.shared || len(cached.holders) > 1
+		cached.programs[program] = struct{}{}
+		cached.shared = cached.shared || len(cached.programs) > 1
 		c.recent.MoveToFront(cached.element)
 		return true
 	}
 	if len(c.blocks) >= c.capacity && !c.evictOne(now) {
 		return false
 	}
-	added := &block{hash: hash, holders: map[string]struct{}{program: {}}}
+	added := &block{hash: hash, programs: map[string]struct{}{program: {}}}
 	added.element = c.recent.PushFront(added)
 	c.blocks[hash] = added
 	return true
 }
 
-// evictOne drops the least recently used block that no lease pins.
+// evictOne deletes the least recently used block that no lease pins. It returns
+// false if all blocks are pinned.
 func (c *prefixCache) evictOne(now time.Time) bool {
 	for element := c.recent.Back(); element != nil; element = element.Prev() {
 		candidate := element.Value.(*block)
-		if c.pinned(candidate, now) {
+		if c.isPinned(candidate, now) {
 			continue
 		}
-		for program := range candidate.holders {
-			c.unhold(program, candidate.hash)
+		for program := range candidate.programs {
+			c.removeFromProgram(program, candidate.hash)
 		}
-		c.drop(candidate)
+		c.deleteBlock(candidate)
 		return true
 	}
 	return false
 }
 
-func (c *prefixCache) pinned(candidate *block, now time.Time) bool {
-	for program := range candidate.holders {
+func (c *prefixCache) isPinned(candidate *block, now time.Time) bool {
+	for program := range candidate.programs {
 		if c.programs[program].leaseUntil.After(now) {
 			return true
 		}
@@ -157,67 +165,70 @@
 	return false
 }
 
-// unhold notes that the program lost a block, and tells it once for each prefix.
-func (c *prefixCache) unhold(program string, hash uint64) {
-	held := c.programs[program]
-	delete(held.blocks, hash)
-	c.emit("evicted", program, held.prefix, int64(len(held.blocks))*blockTokens)
-	if len(held.blocks) == 0 {
+// removeFromProgram removes an evicted block from the program's entry, and the
+// entry with its last block.
+func (c *prefixCache) removeFromProgram(program string, hash uint64) {
+	entry := c.programs[program]
+	delete(entry.blocks, hash)
+	c.emit("evicted", program, entry.prefixHash, int64(len(entry.blocks))*blockTokens)
+	if len(entry.blocks) == 0 {
 		delete(c.programs, program)
 	}
 }
 
-func (c *prefixCache) drop(dropped *block) {
-	c.recent.Remove(dropped.element)
-	delete(c.blocks, dropped.hash)
+func (c *prefixCache) deleteBlock(deleted *block) {
+	c.recent.Remove(deleted.element)
+	delete(c.blocks, deleted.hash)
 }
 
-// release gives up all that the program holds; a prefix that was shared stays
-// as cache that belongs to no program.
+// release removes the program. Blocks that no other program uses are deleted,
+// except those that were shared.
 func (c *prefixCache) release(program string) {
-	held, found := c.programs[program]
+	entry, found := c.programs[program]
 	if !found {
 		return
 	}
-	for hash := range held.blocks {
+	for hash := range entry.blocks {
 		cached := c.blocks[hash]
-		delete(cached.holders, program)
-		if len(cached.holders) == 0 && !cached.shared {
-			c.drop(cached)
+		delete(cached.programs, program)
+		if len(cached.programs) == 0 && !cached.shared {
+			c.deleteBlock(cached)
 		}
 	}
 	delete(c.programs, program)
-	c.emit("evicted", program, held.prefix, 0)
+	c.emit("evicted", program, entry.prefixHash, 0)
 }
 
-// pin keeps the program's blocks until the time.
+// pin protects the program's blocks from eviction until the given time, if the
+// program has any.
 func (c *prefixCache) pin(program string, until time.Time) {
-	if held, found := c.programs[program]; found {
-		held.leaseUntil = until
+	if entry, found := c.programs[program]; found {
+		entry.leaseUntil = until
 	}
 }
 
-// exported gives the program's blocks in the order of its prompt.
-func (c *prefixCache) exported(program string) []uint64 {
+// blocksOf returns the hashes of the program's blocks in prompt order.
+func (c *prefixCache) blocksOf(program string) []uint64 {
 	hashes := []uint64{}
-	held, found := c.programs[program]
+	entry, found := c.programs[program]
 	if !found {
 		return hashes
 	}
-	for hash := range held.blocks {
+	for hash := range entry.blocks {
 		hashes = append(hashes, hash)
 	}
-	sort.Slice(hashes, func(i, j int) bool { return held.blocks[hashes[i]] < held.blocks[hashes[j]] })
+	sort.Slice(hashes, func(i, j int) bool { return entry.blocks[hashes[i]] < entry.blocks[hashes[j]] })
 	return hashes
 }
 
-// list tells what is held for each program, ordered by program.
-func (c *prefixCache) list(now time.Time) []enginev1.Held {
+// listPrograms returns the cached tokens and the lease of each program, sorted
+// by program.
+func (c *prefixCache) listPrograms(now time.Time) []enginev1.Held {
 	listed := make([]enginev1.Held, 0, len(c.programs))
-	for program, held := range c.programs {
-		entry := enginev1.Held{Program: program, Tokens: int64(len(held.blocks)) * blockTokens}
-		if left := held.leaseUntil.Sub(now); left > 0 {
-			entry.LeaseLeftMS = left.Milliseconds()
+	for program, stored := range c.programs {
+		entry := enginev1.Held{Program: program, Tokens: int64(len(stored.blocks)) * blockTokens}
+		if leaseLeft := stored.leaseUntil.Sub(now); leaseLeft > 0 {
+			entry.LeaseLeftMS = leaseLeft.Milliseconds()
 		}
 		listed = append(listed, entry)
 	}
@@ -225,4 +236,4 @@
 	return listed
 }
 
-func (c *prefixCache) used() int64 { return int64(len(c.blocks)) * blockTokens }
+func (c *prefixCache) usedTokens() int64 { return int64(len(c.blocks)) * blockTokens }
--- a/internal/lab/modelengine/engine.go
+++ b/internal/lab/modelengine/engine.go
@@ -9,72 +9,74 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// Engine is the stand-in.
+// Engine is a simulated model engine and its HTTP handler. Safe for concurrent
+// use.
 type Engine struct {
 	http.Handler
-	Faults  *standin.Faults
-	options Options
-	speed   Speed
-	started uint64
+	Faults      *standin.Faults
+	options     Options
+	speed       Speed
+	incarnation uint64 // start time in Unix nanoseconds
 
-	mutex    sync.Mutex
-	wake     chan struct{} // one token: there is work
-	stopped  chan struct{}
-	arrivals uint64
-	requests map[string]*request
-	order    []*request
-	waiting  []*request
-	running  []*request
-	cache    *prefixCache
-	events   eventLog
-	model    string
-	version  string
-	adapters []string
-	role     string
-	loading  bool
-	fence    uint64
-	reported enginev1.EngineState
+	mutex        sync.Mutex
+	wake         chan struct{} // of capacity 1; a value means that there are new requests
+	stopped      chan struct{}
+	arrivals     uint64
+	requests     map[string]*request
+	byArrival    []*request
+	waiting      []*request
+	running      []*request
+	cache        *prefixCache
+	events       eventLog
+	model        string
+	version      string
+	adapters     []string
+	role         string
+	loading      bool
+	fence        uint64 // greatest fence of an order so far
+	lastReported enginev1.EngineState
 }
 
-// New starts an engine; Close ends it.
+// New starts an engine. The caller must close it.
 func New(options Options) *Engine {
 	options = options.withDefaults()
 	engine := &Engine{
-		Faults:   &standin.Faults{},
-		options:  options,
-		speed:    speeds[options.Generation],
-		started:  uint64(time.Now().UnixNano()),
-		wake:     make(chan struct{}, 1),
-		stopped:  make(chan struct{}),
-		requests: map[string]*request{},
-		events:   eventLog{lag: options.EventLag, gap: options.EventGap},
-		model:    options.Model,
-		version:  options.Version,
-		adapters: options.Adapters,
-		role:     options.Role,
+		Faults:      &standin.Faults{},
+		options:     options,
+		speed:       speeds[options.Generation],
+		incarnation: uint64(time.Now().UnixNano()),
+		wake:        make(chan struct{}, 1),
+		stopped:     make(chan struct{}),
+		requests:    map[string]*request{},
+		events:      eventLog{lag: options.EventLag, dropInterval: options.EventGap},
+		model:       options.Model,
+		version:     options.Version,
+		adapters:    options.Adapters,
+		role:        options.Role,
 	}
 	engine.cache = newPrefixCache(options.CacheTokens, engine.emit)
-	engine.Handler = engine.handler()
+	engine.Handler = engine.newHandler()
 	go engine.runBatches()
 	return engine
 }
 
-// Close ends the engine's work; streams get no more.
+// Close stops the engine. Open streams end without a final event. It must be
+// called once.
 func (e *Engine) Close() { close(e.stopped) }
 
 func (e *Engine) emit(kind, program string, prefix uint64, tokens int64) {
 	e.events.add(time.Now(), enginev1.CacheEvent{Kind: kind, Program: program, Prefix: prefix, Tokens: tokens})
 }
 
-// scaled turns the hardware's time into the wall clock's.
-func (e *Engine) scaled(duration time.Duration) time.Duration {
+// scaleTime converts a modelled time to real time.
+func (e *Engine) scaleTime(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration) * e.options.TimeScale)
 }
 
-// submit takes a request, or joins the one with the same identifier. The
-// refusal is not empty when the request certainly did not start.
+// submit adds a request, or returns the existing one with the same request ID.
+// If the refusal is not empty, it is the reason why the request was not added.
 func (e *Engine) submit(wire enginev1.CompletionRequest) (found *request, refusal string) {
-	added := newRequest(wire) // long answers take long to make: not under the lock
+	added := newRequest(wire) // outside the lock, since long answers take long to generate
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if known, ok := e.requests[wire.RequestID]; ok {
@@ -84,20 +86,21 @@
 		return nil, refusal
 	}
 	e.arrivals++
-	added.accept(e.arrivals, time.Now())
+	added.setArrival(e.arrivals, time.Now())
 	e.requests[wire.RequestID] = added
-	e.order = append(e.order, added)
+	e.byArrival = append(e.byArrival, added)
 	e.waiting = append(e.waiting, added)
-	e.signal()
+	e.wakeLoop()
 	return added, ""
 }
 
+// refusal returns why the engine can't run the request now, or "".
 func (e *Engine) refusal(wire enginev1.CompletionRequest) string {
 	switch {
 	case e.role != roleServe:
 		return "role is " + e.role
 	case e.loading:
-		return "an order is under way"
+		return "a load order is in progress"
 	case wire.Model != e.model:
 		return "model is not loaded: " + wire.Model
 	case wire.Adapter != "" && !e.hasAdapter(wire.Adapter):
@@ -116,15 +119,17 @@
 	return false
 }
 
-func (e *Engine) signal() {
+// wakeLoop makes runBatches continue if it waits for requests.
+func (e *Engine) wakeLoop() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// cancel ends a request. One that is unknown may still arrive, and will then
-// run: the engine keeps no note of cancellations.
+// cancel ends the request and returns its status, or false if the request is
+// unknown. The engine doesn't remember the ID then: a request that arrives with
+// it later will run.
 func (e *Engine) cancel(id string) (status enginev1.RequestStatus, found bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -132,24 +137,26 @@
 	if !found {
 		return enginev1.RequestStatus{}, false
 	}
-	if !known.final() {
+	if !known.isFinal() {
 		known.end(stateCancelled, "cancelled")
 	}
 	return enginev1.RequestStatus{RequestID: id, State: known.state, Usage: known.usage}, true
 }
 
-// state is what the engine reports: as of some time ago, up to its lag.
-func (e *Engine) state() enginev1.EngineState {
+// currentReport returns the state as reported to clients, which is less than
+// Options.ReportLag old.
+func (e *Engine) currentReport() enginev1.EngineState {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Now()
-	if now.UnixMilli()-e.reported.AsOfUnixMS >= e.options.ReportLag.Milliseconds() {
-		e.reported = e.stateNow(now)
+	if now.UnixMilli()-e.lastReported.AsOfUnixMS >= e.options.ReportLag.Milliseconds() {
+		e.lastReported = e.buildReport(now)
 	}
-	return e.reported
+	return e.lastReported
 }
 
-func (e *Engine) stateNow(now time.Time) enginev1.EngineState {
+// buildReport returns the present state. The caller must have locked the mutex.
+func (e *Engine) buildReport(now time.Time) enginev1.EngineState {
 	var waitingTokens int64
 	for _, waiting := range e.waiting {
 		waitingTokens += waiting.usage.PromptTokens
@@ -168,10 +175,10 @@
 		WaitingTokens: waitingTokens,
 		MaxRunning:    e.speed.MaxRunning,
 		CacheTokens:   e.options.CacheTokens,
-		CacheUsed:     e.cache.used(),
+		CacheUsed:     e.cache.usedTokens(),
 		PrefillPerSec: e.speed.PrefillPerSec / e.options.TimeScale,
 		DecodePerSec:  e.speed.DecodePerSec / e.options.TimeScale,
 		AsOfUnixMS:    now.UnixMilli(),
-		Incarnation:   e.started,
+		Incarnation:   e.incarnation,
 	}
 }
--- a/internal/lab/modelengine/events.go
+++ b/internal/lab/modelengine/events.go
@@ -7,37 +7,42 @@
 )
 
 type timedEvent struct {
-	at    time.Time
-	event enginev1.CacheEvent
+	addedAt time.Time
+	event   enginev1.CacheEvent
 }
 
-// eventLog delivers cache events late and with gaps. Not safe for concurrent use.
+// eventLog keeps cache events. It delivers them late and omits some, as real
+// engines may. Not safe for concurrent use.
 type eventLog struct {
-	lag    time.Duration
-	gap    uint64
-	latest uint64
-	kept   []timedEvent
+	lag          time.Duration
+	dropInterval uint64
+	lastSequence uint64
+	events       []timedEvent
 }
 
+// add gives the event the next sequence number and keeps it, unless it is one of
+// those to omit.
 func (l *eventLog) add(now time.Time, event enginev1.CacheEvent) {
-	l.latest++
-	event.Sequence = l.latest
-	if l.gap > 0 && l.latest%l.gap == 0 {
+	l.lastSequence++
+	event.Sequence = l.lastSequence
+	if l.dropInterval > 0 && l.lastSequence%l.dropInterval == 0 {
 		return
 	}
-	l.kept = append(l.kept, timedEvent{at: now, event: event})
-	if len(l.kept) > defaultEvents {
-		l.kept = append([]timedEvent(nil), l.kept[len(l.kept)-defaultEvents/2:]...)
+	l.events = append(l.events, timedEvent{addedAt: now, event: event})
+	if len(l.events) > maxEvents {
+		l.events = append([]timedEvent(nil), l.events[len(l.events)-maxEvents/2:]...)
 	}
 }
 
+// after returns the kept events with greater sequence numbers, up to the first
+// one that is more recent than the lag.
 func (l *eventLog) after(sequence uint64, now time.Time) enginev1.CacheEvents {
 	page := enginev1.CacheEvents{Events: []enginev1.CacheEvent{}, Latest: sequence}
-	for _, kept := range l.kept {
+	for _, kept := range l.events {
 		if kept.event.Sequence <= sequence {
 			continue
 		}
-		if now.Sub(kept.at) < l.lag {
+		if now.Sub(kept.addedAt) < l.lag {
 			break
 		}
 		page.Events = append(page.Events, kept.event)
--- a/internal/lab/modelengine/modelengine_test.go
+++ b/internal/lab/modelengine/modelengine_test.go
@@ -28,7 +28,8 @@
 		engine *modelengine.Engine
 		base   string
 	)
-	// start serves an engine at a pace; 0.01 is a hundred times that of the hardware.
+	// start serves an engine with the time scale; 0.01 is 100 times faster than the
+	// modelled hardware.
 	start := func(timeScale float64) {
 		GinkgoHelper()
 		engine = modelengine.New(modelengine.Options{
@@ -52,7 +53,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		return response
 	}
-	// read follows a stream to its end.
+	// read reads a stream to its end and returns its text and its last chunk.
 	read := func(response *http.Response) (content string, last enginev1.CompletionChunk) {
 		defer response.Body.Close()
 		lines := bufio.NewScanner(response.Body)
@@ -80,7 +81,7 @@
 		return read(send(http.MethodPost, enginev1.PathCompletions, request))
 	}
 
-	It("runs an identifier once, and gives the same answer again and from an offset", func() {
+	It("runs a request ID once, and returns the same answer again and from an offset", func() {
 		request := completion("p", 1, say("hello tokens=12"))
 		first, last := complete(request)
 		wanted, _ := modelengine.Answer("m", "", request.Messages, 64)
@@ -93,7 +94,7 @@
 		Expect(engine.Records().Requests).To(HaveLen(1))
 	})
 
-	It("finds the prefix of the next turn in its cache until the program is released", func() {
+	It("finds the prefix of the next turn in the cache until the program is released", func() {
 		opening := say(strings.Repeat("a long opening. ", 30))
 		content, _ := complete(completion("p", 1, opening))
 		turns := []enginev1.Message{opening, {Role: "assistant", Content: content}, say("and then?")}
@@ -106,7 +107,7 @@
 		Expect(last.Usage.CachedTokens).To(BeZero())
 	})
 
-	It("evicts what was used least recently, but nothing that a lease pins", func() {
+	It("evicts the least recently used blocks, but none that a lease pins", func() {
 		pinned, other := strings.Repeat("pinned words go", 70), strings.Repeat("other words stay", 70)
 		complete(completion("pinned", 1, say(pinned)))
 		send(http.MethodPost, enginev1.PathHold, enginev1.HoldRequest{Program: "pinned", LeaseMS: 60000}).Body.Close()
@@ -124,10 +125,10 @@
 	})
 
 	It("cancels a stream at a held moment and tells what it generated", func() {
-		// A hold stops the reader, not the engine: at the other specs' pace it ends
-		// its 64 tokens 14 ms later, at this one 7 s later.
-		const slow = 5
-		start(slow)
+		// The hold rule stops the stream, not the engine, which generates its 64
+		// tokens in 14 ms with the other specs' time scale and in 7 s with this one.
+		const slowTimeScale = 5
+		start(slowTimeScale)
 		engine.Faults.Set([]standin.Rule{{Point: standin.PointStream, Match: "p/1", AfterChunks: 3, Action: standin.ActionHold}})
 		ended := make(chan enginev1.CompletionChunk, 1)
 		go func() {
@@ -146,8 +147,8 @@
 		Expect(engine.Records().Requests[0].Generated).To(Equal(status.Usage.CompletionTokens))
 	})
 
-	It("refuses smaller fences, and takes no completion while it loads", func() {
-		start(1) // the load takes a second: longer than a busy machine holds the completion back
+	It("refuses orders with a smaller fence, and refuses completions during a load", func() {
+		start(1) // the load takes 1 s: longer than a busy machine delays the completion request
 		order := func(fence uint64, kind, version string) int {
 			response := send(http.MethodPost, enginev1.PathOrders, enginev1.Order{Fence: fence, Kind: kind, Model: "m", Version: version})
 			response.Body.Close()
--- a/internal/lab/modelengine/options.go
+++ b/internal/lab/modelengine/options.go
@@ -1,55 +1,56 @@
-// Package modelengine stands in for a model engine: continuous batching in a
-// model of time, a prefix cache in limited memory, priorities, resumable and
-// cancellable streams, and fenced orders. Its answers are deterministic texts
-// that depend on the whole prompt, so that a lost or mixed history shows.
+// Package modelengine simulates a model engine over HTTP: continuous batching
+// with modelled step times, a prefix cache of limited size, priorities, streams
+// that can be resumed and cancelled, and fenced orders. An answer is a
+// deterministic text that depends on the whole prompt, so that a lost or mixed
+// up history changes it.
 package modelengine
 
 import "time"
 
-// Speed is the speed of a generation of hardware.
+// Speed is the modelled speed of a hardware generation.
 type Speed struct {
-	PrefillPerSec float64 // prompt tokens a second
-	DecodePerSec  float64 // generated tokens a second and stream, alone in the batch
-	MaxRunning    int     // sequences in a batch
+	PrefillPerSec float64 // prompt tokens per second
+	DecodePerSec  float64 // generated tokens per second of a request that is alone in the batch
+	MaxRunning    int     // maximum number of requests in the batch
 }
 
-// The generations of hardware.
+// The hardware generations.
 const (
 	GenerationOld = "old"
 	GenerationNew = "new"
 )
 
-// speeds by generation of hardware.
+// speeds maps a hardware generation to its speed.
 var speeds = map[string]Speed{
 	GenerationOld: {PrefillPerSec: 3000, DecodePerSec: 22, MaxRunning: 12},
 	GenerationNew: {PrefillPerSec: 10000, DecodePerSec: 45, MaxRunning: 32},
 }
 
 const (
-	batchSlowdown    = 0.015 // each further sequence in the batch lengthens a step by this part
-	prefillChunk     = 512   // prompt tokens a step
-	transferPerSec   = 40000 // KV tokens moved a second
-	defaultCache     = 60000 // tokens
-	defaultEvents    = 4096  // cache events kept
-	defaultLoadTime  = 8 * time.Second
-	defaultReportLag = 500 * time.Millisecond
+	batchSlowdown        = 0.015 // time that each further decoding request adds to a step, as a fraction of the time for one
+	prefillChunkTokens   = 512   // maximum number of prompt tokens per step
+	transferTokensPerSec = 40000 // tokens of KV cache imported per second
+	defaultCacheTokens   = 60000
+	maxEvents            = 4096 // cache events to keep; the older half is dropped when there are more
+	defaultLoadTime      = 8 * time.Second
+	defaultReportLag     = 500 * time.Millisecond
 )
 
-// Options of an engine. Times are those of the modelled hardware; TimeScale
-// turns them into the wall clock's (0.02: fifty times faster).
+// Options configure an engine. LoadTime and the step times are times of the
+// modelled hardware; TimeScale converts them to real time.
 type Options struct {
 	Name        string
-	Generation  string // GenerationNew by default
+	Generation  string // hardware generation; GenerationNew by default
 	Model       string
 	Version     string
 	Adapters    []string
-	Role        string // "serve" by default
-	TimeScale   float64
-	CacheTokens int64         // capacity of the prefix cache
-	LoadTime    time.Duration // of a load order
-	ReportLag   time.Duration // wall clock: age up to which the same state is reported
-	EventLag    time.Duration // wall clock: cache events are delivered this late
-	EventGap    uint64        // every so many events one is never delivered; 0: no gaps
+	Role        string        // "serve" by default
+	TimeScale   float64       // real time per modelled time, so 0.02 is 50 times faster; 1 by default
+	CacheTokens int64         // capacity of the prefix cache in tokens; 60000 by default
+	LoadTime    time.Duration // modelled time that a load order takes; 8 s by default
+	ReportLag   time.Duration // age in real time below which a state report is repeated; 500 ms by default
+	EventLag    time.Duration // real time by which cache events are delivered late
+	EventGap    uint64        // if not 0, every EventGap-th cache event is never delivered
 }
 
 func (o Options) withDefaults() Options {
@@ -63,7 +64,7 @@
 		o.TimeScale = 1
 	}
 	if o.CacheTokens == 0 {
-		o.CacheTokens = defaultCache
+		o.CacheTokens = defaultCacheTokens
 	}
 	if o.LoadTime == 0 {
 		o.LoadTime = defaultLoadTime
--- a/internal/lab/modelengine/records.go
+++ b/internal/lab/modelengine/records.go
@@ -9,7 +9,7 @@
 	enginev1 "github.com/thymeloft/thymeloft/api/engine/v1"
 )
 
-// Record is what the engine really did for one request.
+// Record is what the engine actually did for one request.
 type Record struct {
 	RequestID    string `json:"request_id"`
 	Program      string `json:"program"`
@@ -22,24 +22,24 @@
 	ArrivedMS    int64  `json:"arrived_unix_ms"`
 }
 
-// PromptHash names a whole prompt, as in the records.
-func PromptHash(messages []enginev1.Message) string { return hashText(render(messages)) }
+// PromptHash returns the hash of the prompt as it stands in Record.PromptHash.
+func PromptHash(messages []enginev1.Message) string { return hashText(renderPrompt(messages)) }
 
 func hashText(text string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(text)) }
 
-// Records is the body of standin.PathRecords.
+// Records is the response body of standin.PathRecords.
 type Records struct {
 	Name     string          `json:"name"`
 	Requests []Record        `json:"requests"` // in order of arrival
-	Held     []enginev1.Held `json:"held"`
+	Held     []enginev1.Held `json:"held"`     // cached tokens by program
 }
 
-// Records gives all requests and what is held now.
+// Records returns all requests since the start, and what is in the cache now.
 func (e *Engine) Records() Records {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	records := Records{Name: e.options.Name, Requests: []Record{}, Held: e.cache.list(time.Now())}
-	for _, known := range e.order {
+	records := Records{Name: e.options.Name, Requests: []Record{}, Held: e.cache.listPrograms(time.Now())}
+	for _, known := range e.byArrival {
 		records.Requests = append(records.Requests, Record{
 			RequestID:    known.wire.RequestID,
 			Program:      known.wire.Program,
@@ -49,7 +49,7 @@
 			PromptTokens: known.usage.PromptTokens,
 			CachedTokens: known.usage.CachedTokens,
 			PromptHash:   hashText(known.prompt),
-			ArrivedMS:    known.arrived.UnixMilli(),
+			ArrivedMS:    known.arrivedAt.UnixMilli(),
 		})
 	}
 	return records
--- a/internal/lab/modelengine/stream.go
+++ b/internal/lab/modelengine/stream.go
@@ -11,7 +11,7 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleCompletion(w http.ResponseWriter, r *http.Request) {
 	var wire enginev1.CompletionRequest
 	if !standin.ReadJSON(w, r, &wire) {
 		return
@@ -24,10 +24,10 @@
 		standin.Refuse(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
-	e.stream(w, r, found, 0)
+	e.streamAnswer(w, r, found, 0)
 }
 
-func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointBefore, "resume "+id, 0)) {
 		return
@@ -44,54 +44,56 @@
 		http.Error(w, "offset: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.stream(w, r, found, max(offset, 0))
+	e.streamAnswer(w, r, found, max(offset, 0))
 }
 
-// progress is what a stream sees of a request at one moment.
+// progress is a snapshot of a request for a stream.
 type progress struct {
-	content string
-	final   bool
-	failure string
-	finish  string
-	usage   enginev1.Usage
-	changed <-chan struct{}
+	content      string // generated so far
+	isFinal      bool
+	failure      string
+	finishReason string
+	usage        enginev1.Usage
+	changed      <-chan struct{} // closed at the next change
 }
 
-func (e *Engine) progressOf(found *request) progress {
+func (e *Engine) progressOf(of *request) progress {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return progress{
-		content: found.answer[:found.produced],
-		final:   found.final(),
-		failure: found.failure,
-		finish:  found.finish,
-		usage:   found.usage,
-		changed: found.changed,
+		content:      of.answer[:of.producedBytes],
+		isFinal:      of.isFinal(),
+		failure:      of.failure,
+		finishReason: of.finishReason,
+		usage:        of.usage,
+		changed:      of.changed,
 	}
 }
 
-// stream sends one event for each token from the offset on, then the end.
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, found *request, offset int) {
+// streamAnswer sends an event for each token from the byte offset on, and at the
+// end the final events. It blocks until then, or until the client disconnects or
+// the engine is closed.
+func (e *Engine) streamAnswer(w http.ResponseWriter, r *http.Request, found *request, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	events := &eventWriter{writer: w, id: found.wire.RequestID, offset: offset}
 	for {
-		seen := e.progressOf(found)
-		for events.offset < len(seen.content) {
+		current := e.progressOf(found)
+		for events.offset < len(current.content) {
 			if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointStream, found.wire.RequestID, events.sent)) {
 				return
 			}
-			events.token(seen.content)
+			events.writeToken(current.content)
 		}
-		if seen.final {
+		if current.isFinal {
 			if !standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointAfter, found.wire.RequestID, 0)) {
-				events.end(seen)
+				events.writeEnd(current)
 			}
 			return
 		}
 		events.flush()
 		select {
-		case <-seen.changed:
+		case <-current.changed:
 		case <-r.Context().Done():
 			return
 		case <-e.stopped:
@@ -100,41 +102,42 @@
 	}
 }
 
-// eventWriter writes server-sent events.
+// eventWriter writes the server-sent events of one stream.
 type eventWriter struct {
 	writer http.ResponseWriter
 	id     string
-	offset int
-	sent   int // chunks
+	offset int // byte offset in the answer of the next token
+	sent   int // number of token events written
 }
 
-func (w *eventWriter) token(content string) {
+// writeToken writes the next token of the content, which ends with a space.
+func (w *eventWriter) writeToken(content string) {
 	rest := content[w.offset:]
 	end := strings.IndexByte(rest, ' ') + 1
 	if end == 0 {
 		end = len(rest)
 	}
-	w.write(enginev1.CompletionChunk{
+	w.writeChunk(enginev1.CompletionChunk{
 		Choices: []enginev1.Choice{{Delta: enginev1.Message{Role: "assistant", Content: rest[:end]}}},
 	})
 	w.offset += end
 	w.sent++
 }
 
-func (w *eventWriter) end(seen progress) {
-	last := enginev1.CompletionChunk{Usage: &seen.usage, Error: seen.failure}
-	if seen.failure == "" {
-		last.Choices = []enginev1.Choice{{FinishReason: seen.finish}}
+func (w *eventWriter) writeEnd(final progress) {
+	last := enginev1.CompletionChunk{Usage: &final.usage, Error: final.failure}
+	if final.failure == "" {
+		last.Choices = []enginev1.Choice{{FinishReason: final.finishReason}}
 	}
-	w.write(last)
+	w.writeChunk(last)
 	fmt.Fprint(w.writer, "data: [DONE]\n\n")
 	w.flush()
 }
 
-func (w *eventWriter) write(chunk enginev1.CompletionChunk) {
+func (w *eventWriter) writeChunk(chunk enginev1.CompletionChunk) {
 	chunk.ID = w.id
 	chunk.Offset = w.offset
-	encoded, _ := json.Marshal(chunk) // a struct of plain fields always encodes.
+	encoded, _ := json.Marshal(chunk) // cannot fail: all fields are of plain types
 	fmt.Fprintf(w.writer, "data: %s\n\n", encoded)
 }
 
