--- a/internal/lab/platformengine/platformengine.go
+++ b/internal/lab/platformengine/platformengine.go
@@ -1,5 +1,5 @@
-// Package platformengine is a stand-in of the platform's engines and services
-// that speaks their published protocol over HTTP and misbehaves on demand.
+// Package platformengine provides a stand-in for the platform's engines and
+// services. It serves their published HTTP protocol, and tests can make it fail.
 package platformengine
 
 import (
@@ -13,37 +13,41 @@
 	"time"
 )
 
-// Run is one request that an engine began to work on.
+// Run is one request that an engine started to execute.
 type Run struct {
 	ID       string
 	Body     string
 	Header   http.Header
-	Target   string
-	Canceled bool
+	Target   string // request URI
+	Canceled bool   // the caller disconnected while the run was blocked
 }
 
-// Behaviour is how an engine treats a request.
+// Behaviour says how an engine treats a request. The zero value is success.
 type Behaviour struct {
-	// Reject answers with this status, and did not run the request.
+	// Reject is a status to respond with, without executing the request.
 	Reject int
-	// Fail answers with this status of its own after the run.
+	// Fail is a status to respond with after the run, in the engine's own name.
 	Fail int
-	// DropAnswer closes the connection after the run without an answer.
+	// DropAnswer closes the connection after the run without a response.
 	DropAnswer bool
-	// CutAfter closes the connection within the event after so many; 0: never.
+	// CutAfter is the number of events after which the connection is closed, in
+	// the middle of the next event; 0 means never.
 	CutAfter int
-	// Hold blocks the run until the channel is closed; nil: it runs at once.
+	// Hold blocks the run until the channel is closed; nil means no wait.
 	Hold chan struct{}
-	// HoldAfterFirst blocks after the first event.
+	// HoldAfterFirst blocks a stream after its first event until the channel is
+	// closed; nil means no wait.
 	HoldAfterFirst chan struct{}
 }
 
-// Engine is one instance.
+// Engine is one running engine instance. Safe for concurrent use; the exported
+// fields must not change once it serves requests.
 type Engine struct {
 	ID      string
 	Service string
 	Zone    string
-	// Events are the data of a stream's events; empty: plain answers.
+	// Events are the data of the events that each run streams. If empty, the
+	// response is plain text.
 	Events []string
 
 	server    *httptest.Server
@@ -52,43 +56,45 @@
 	behaviour func(request *http.Request) Behaviour
 }
 
-// New starts an engine; Close ends it.
+// New starts an engine in zone "z". The caller must close it.
 func New(id, service string, events ...string) *Engine {
 	engine := &Engine{ID: id, Service: service, Zone: "z", Events: events}
 	engine.server = httptest.NewServer(engine)
 	return engine
 }
 
-// Close ends the engine and its connections.
+// Close closes all connections and stops the engine.
 func (e *Engine) Close() {
 	e.server.CloseClientConnections()
 	e.server.Close()
 }
 
-// Address is where the engine listens.
+// Address returns the address ("ip:port") at which the engine listens.
 func (e *Engine) Address() string { return e.server.Listener.Addr().String() }
 
-// Declaration is the entry that the engine keeps in the store.
+// Declaration returns the value of the row in which the engine announces itself
+// in the store, with the given state.
 func (e *Engine) Declaration(state string) []byte {
 	return fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"version":"v1","slots":12,"state":%q,"cold_remaining_ms":0,"sequence":1}`,
 		e.Service, e.Address(), e.Zone, state)
 }
 
-// Behave puts a behaviour in force; nil: all goes well.
+// Behave sets the function that decides the behaviour for each request; with nil
+// every request succeeds. The function must not call the engine.
 func (e *Engine) Behave(behaviour func(request *http.Request) Behaviour) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.behaviour = behaviour
 }
 
-// Behaviour returns the behaviour in force, so that engines may share one.
+// Behaviour returns the function set by Behave, so that engines may share it.
 func (e *Engine) Behaviour() func(request *http.Request) Behaviour {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.behaviour
 }
 
-// Runs returns copies of what the engine ran.
+// Runs returns copies of all runs so far, in order of arrival.
 func (e *Engine) Runs() []Run {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -117,18 +123,18 @@
 		writer.WriteHeader(behaviour.Reject)
 		return
 	}
-	run := e.begin(request, string(body))
-	e.wait(run, request, behaviour.Hold)
+	run := e.recordRun(request, string(body))
+	e.waitUntilClosed(run, request, behaviour.Hold)
 	switch {
 	case behaviour.DropAnswer:
 		panic(http.ErrAbortHandler)
 	case behaviour.Fail != 0:
-		e.sign(writer)
+		e.setServerStamp(writer)
 		writer.WriteHeader(behaviour.Fail)
 	case len(e.Events) > 0:
 		e.stream(writer, request, run, behaviour)
 	default:
-		e.sign(writer)
+		e.setServerStamp(writer)
 		_, _ = io.WriteString(writer, "from "+e.ID)
 	}
 }
@@ -142,7 +148,7 @@
 	return e.behaviour(request)
 }
 
-func (e *Engine) begin(request *http.Request, body string) *Run {
+func (e *Engine) recordRun(request *http.Request, body string) *Run {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	run := &Run{ID: request.Header.Get("Request-Id"), Body: body, Header: request.Header.Clone(), Target: request.RequestURI}
@@ -150,13 +156,15 @@
 	return run
 }
 
-// wait blocks until the channel is closed or the caller left.
-func (e *Engine) wait(run *Run, request *http.Request, hold chan struct{}) {
-	if hold == nil {
+// waitUntilClosed blocks until release is closed, or returns at once if it is
+// nil. If the caller disconnects first, it marks the run as canceled and aborts
+// the response.
+func (e *Engine) waitUntilClosed(run *Run, request *http.Request, release chan struct{}) {
+	if release == nil {
 		return
 	}
 	select {
-	case <-hold:
+	case <-release:
 	case <-request.Context().Done():
 		e.mutex.Lock()
 		run.Canceled = true
@@ -165,12 +173,12 @@
 	}
 }
 
-func (e *Engine) sign(writer http.ResponseWriter) {
+func (e *Engine) setServerStamp(writer http.ResponseWriter) {
 	writer.Header().Set("Server-Stamp", "stamp-of-"+e.ID)
 }
 
 func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, run *Run, behaviour Behaviour) {
-	e.sign(writer)
+	e.setServerStamp(writer)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	for number, data := range e.Events {
@@ -182,12 +190,12 @@
 		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number+1, data)
 		_ = controller.Flush()
 		if number == 0 {
-			e.wait(run, request, behaviour.HoldAfterFirst)
+			e.waitUntilClosed(run, request, behaviour.HoldAfterFirst)
 		}
 	}
 }
 
-// Unreachable is an address at which nobody listens.
+// Unreachable returns a local address ("ip:port") at which nothing listens.
 func Unreachable() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -196,5 +204,5 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// Patience bounds the waits for a state in tests that use the stand-ins.
+// Patience is how long tests wait at most for a state to be reached.
 const Patience = time.Minute
