--- a/internal/lab/platformstore/platformstore.go
+++ b/internal/lab/platformstore/platformstore.go
@@ -1,5 +1,5 @@
-// Package platformstore is a stand-in of the platform's store that speaks its
-// published protocol over HTTP, on rows kept in memory.
+// Package platformstore provides a stand-in for the platform's store. It serves
+// the store's published HTTP protocol and keeps the rows in memory.
 package platformstore
 
 import (
@@ -13,10 +13,11 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Handler serves the protocol of the store.
+// Handler serves the store's HTTP protocol.
 type Handler struct {
 	Store *memorystore.Store
-	// Throttled tells which callers, by their address, get 429 in place of an answer.
+	// Throttled reports whether a request from the remote address ("ip:port")
+	// gets status 429; nil throttles no one.
 	Throttled func(remote string) bool
 }
 
@@ -36,7 +37,7 @@
 	Across     bool  `json:"across"`
 }
 
-type answer struct {
+type response struct {
 	Rows    []row  `json:"rows"`
 	More    bool   `json:"more"`
 	Version uint64 `json:"ver"`
@@ -51,11 +52,11 @@
 	}
 	switch request.Method + " " + request.URL.Path {
 	case "POST /api/rows-tx":
-		h.commit(writer, request)
+		h.handleCommit(writer, request)
 	case "GET /api/rows-get":
-		h.read(writer, request)
+		h.handleRead(writer, request)
 	case "GET /api/rows-feed":
-		h.feed(writer, request)
+		h.handleFeed(writer, request)
 	default:
 		writer.WriteHeader(http.StatusNotFound)
 	}
@@ -65,7 +66,9 @@
 	return state.Key{Table: r.Table, Partition: r.Partition, Name: r.Name}
 }
 
-func (t transaction) commit() (state.Commit, bool) {
+// toCommit converts the transaction to a commit. It returns false if the
+// transaction has rows of several partitions without permission for that.
+func (t transaction) toCommit() (state.Commit, bool) {
 	var commit state.Commit
 	partitions := map[string]bool{}
 	for _, condition := range t.Conditions {
@@ -83,13 +86,13 @@
 	return commit, len(partitions) <= 1 || t.Across
 }
 
-func (h *Handler) commit(writer http.ResponseWriter, request *http.Request) {
-	var sent transaction
-	if err := json.NewDecoder(request.Body).Decode(&sent); err != nil {
+func (h *Handler) handleCommit(writer http.ResponseWriter, request *http.Request) {
+	var received transaction
+	if err := json.NewDecoder(request.Body).Decode(&received); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	commit, allowed := sent.commit()
+	commit, allowed := received.toCommit()
 	if !allowed {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
@@ -97,23 +100,23 @@
 	version, err := h.Store.Commit(request.Context(), commit)
 	var conflict *state.ConflictError
 	if errors.As(err, &conflict) {
-		reply(writer, http.StatusPreconditionFailed, answer{Rows: rowsOf(conflict.Rows)})
+		writeResponse(writer, http.StatusPreconditionFailed, response{Rows: encodeRows(conflict.Rows)})
 		return
 	}
-	h.finish(writer, err, answer{Version: uint64(version)})
+	h.writeResult(writer, err, response{Version: uint64(version)})
 }
 
-func (h *Handler) read(writer http.ResponseWriter, request *http.Request) {
+func (h *Handler) handleRead(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	limit, _ := strconv.Atoi(query.Get("limit"))
 	page, err := h.Store.Read(request.Context(), state.Range{
 		Table: query.Get("table"), Partition: query.Get("part"),
 		From: query.Get("from"), To: query.Get("target_version"), Limit: limit,
 	})
-	h.finish(writer, err, answer{Rows: rowsOf(page.Rows), More: page.More, Version: uint64(page.Version)})
+	h.writeResult(writer, err, response{Rows: encodeRows(page.Rows), More: page.More, Version: uint64(page.Version)})
 }
 
-func (h *Handler) feed(writer http.ResponseWriter, request *http.Request) {
+func (h *Handler) handleFeed(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
@@ -122,14 +125,15 @@
 		writer.WriteHeader(http.StatusGone)
 		return
 	}
-	h.finish(writer, err, answer{Rows: rowsOf(change.Rows), Version: uint64(change.Version)})
+	h.writeResult(writer, err, response{Rows: encodeRows(change.Rows), Version: uint64(change.Version)})
 }
 
-// finish answers, refuses, or closes the connection without an answer.
-func (h *Handler) finish(writer http.ResponseWriter, err error, content answer) {
+// writeResult writes the body if err is nil, an error status if the store
+// certainly did nothing, and otherwise closes the connection without a response.
+func (h *Handler) writeResult(writer http.ResponseWriter, err error, body response) {
 	switch {
 	case err == nil:
-		reply(writer, http.StatusOK, content)
+		writeResponse(writer, http.StatusOK, body)
 	case errors.Is(err, state.ErrFull):
 		writer.WriteHeader(http.StatusInsufficientStorage)
 	case errors.Is(err, state.ErrThrottled):
@@ -141,23 +145,23 @@
 	}
 }
 
-func reply(writer http.ResponseWriter, status int, content answer) {
-	content.Now = time.Now().UnixMilli()
-	if content.Rows == nil {
-		content.Rows = []row{}
+func writeResponse(writer http.ResponseWriter, status int, body response) {
+	body.Now = time.Now().UnixMilli()
+	if body.Rows == nil {
+		body.Rows = []row{}
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(content)
+	_ = json.NewEncoder(writer).Encode(body)
 }
 
-func rowsOf(rows []state.Row) []row {
-	var messages []row
+func encodeRows(rows []state.Row) []row {
+	var encoded []row
 	for _, each := range rows {
-		messages = append(messages, row{
+		encoded = append(encoded, row{
 			Table: each.Key.Table, Partition: each.Key.Partition, Name: each.Key.Name,
 			Value: each.Value, Version: uint64(each.Version), Gone: each.Removed,
 		})
 	}
-	return messages
+	return encoded
 }
--- a/internal/lab/platformstore/standin.go
+++ b/internal/lab/platformstore/standin.go
@@ -7,25 +7,25 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// Options of a stand-in.
+// Options configure a StandIn.
 type Options struct {
-	RequestsPerSecond float64 // 0: no limit
-	Burst             int
+	RequestsPerSecond float64 // rate limit for all clients together; 0 means none
+	Burst             int     // requests that may exceed the rate at once
 }
 
-// StandIn is the store as the lab's fleets use it: its protocol, faults that
-// are set over HTTP or by the lab itself, and a rate limit.
+// StandIn is a store with fault rules and a rate limit. The rules can be set
+// over HTTP at standin.PathFaults or through Faults.
 type StandIn struct {
 	http.Handler
 	Store  *memorystore.Store
 	Faults *standin.Faults
 }
 
-// New makes an empty store.
+// New returns a StandIn with an empty store.
 func New(options Options) *StandIn {
-	made := &StandIn{Store: memorystore.New(), Faults: &standin.Faults{}}
-	served := made.Faults.Around(standin.MethodAndPath, &Handler{Store: made.Store})
-	limited := standin.Limit(options.RequestsPerSecond, options.Burst, served)
-	made.Handler = standin.Mount(limited, made.Faults, func() any { return struct{}{} })
-	return made
+	created := &StandIn{Store: memorystore.New(), Faults: &standin.Faults{}}
+	service := created.Faults.Around(standin.MethodAndPath, &Handler{Store: created.Store})
+	limited := standin.Limit(options.RequestsPerSecond, options.Burst, service)
+	created.Handler = standin.Mount(limited, created.Faults, func() any { return struct{}{} })
+	return created
 }
