--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -1,6 +1,6 @@
-// Package memorystore is a stand-in of the transactional store in memory. It
-// keeps the guarantees of state.Store and misbehaves on demand: it refuses, is full,
-// loses answers, does commits late, is silent, and forgets its history.
+// Package memorystore implements state.Store in memory for tests. It keeps the
+// guarantees of state.Store, and a test can inject faults: refused, lost, late or
+// unanswered calls, a full store, an exceeded rate, and a lost history.
 package memorystore
 
 import (
@@ -15,74 +15,77 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Fault is how a call goes.
+// Fault is a way in which a call fails, or None.
 type Fault uint8
 
-// The faults.
+// The faults of a call. Those without an answer return state.ErrUnknown.
 const (
-	// None lets the call go well.
+	// None executes the call normally.
 	None Fault = iota
-	// Refused does nothing and says so.
+	// Refused does nothing and returns state.ErrNotDone.
 	Refused
-	// Lost does the call and gives no answer.
+	// Lost executes a commit and gives no answer. A read or feed gets no answer.
 	Lost
-	// Late gives no answer; a commit is done when Release is called, if its
-	// conditions still hold then.
+	// Late gives no answer. A commit is executed when Release is called, if its
+	// conditions hold then.
 	Late
-	// Silent does nothing and answers nothing until the caller gives up.
+	// Silent does nothing and blocks until the caller's context ends.
 	Silent
-	// Full does nothing, since there is no room.
+	// Full does nothing and returns state.ErrFull.
 	Full
-	// Throttled does nothing, since the rate is used up.
+	// Throttled does nothing and returns state.ErrThrottled.
 	Throttled
 )
 
-// Call tells a Script what is called.
+// Call describes a call to a Script.
 type Call struct {
-	Name   string // commit, read or feed
-	Commit state.Commit
-	Table  string
-	// Partition is that of a reading.
+	Name   string       // "commit", "read" or "feed"
+	Commit state.Commit // of a commit
+	Table  string       // of a read or feed
+	// Partition is set for a read only.
 	Partition string
 }
 
-// Script decides how a call goes. It must not call the store.
+// Script returns the fault of a call. It must not call the store.
 type Script func(call Call) Fault
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is a state.Store in memory. It is safe for concurrent use.
 type Store struct {
-	mutex   sync.Mutex
-	rows    map[state.Key]state.Row
-	version state.Version
-	history []state.Row
-	trimmed state.Version // changes up to here are forgotten
-	changed chan struct{}
-	script  Script
-	late    []state.Commit
-	calls   map[string]int
-	stale   *state.Page // readings answer this, if set
+	mutex            sync.Mutex
+	rows             map[state.Key]state.Row
+	version          state.Version
+	history          []state.Row   // all changes since forgottenVersion, oldest first
+	forgottenVersion state.Version // the history up to this version is lost
+	changed          chan struct{} // closed and replaced at each change
+	script           Script
+	lateCommits      []state.Commit
+	calls            map[string]int
+	fixedPage        *state.Page // returned by every read if not nil
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New() *Store {
 	return &Store{rows: map[state.Key]state.Row{}, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
-// Misbehave puts a script in force; nil ends it.
+// Misbehave sets the script that decides the fault of each call. With nil all
+// calls are executed normally.
 func (s *Store) Misbehave(script Script) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.script = script
 }
 
-// Calls counts the calls of a name so far.
+// Calls returns how many calls with this name ("commit", "read" or "feed") were
+// made so far.
 func (s *Store) Calls(name string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[name]
 }
 
-// Bytes counts the bytes of all values that the store holds now.
+// Bytes returns the total size in bytes of the values that the store holds now,
+// without their keys.
 func (s *Store) Bytes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -93,39 +96,44 @@
 	return bytes
 }
 
-// Release does the late commits whose conditions still hold.
+// Release executes the commits that were delayed by Late and whose conditions
+// still hold. The others are dropped.
 func (s *Store) Release() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, commit := range s.late {
-		_, _ = s.do(commit)
+	for _, commit := range s.lateCommits {
+		_, _ = s.apply(commit)
 	}
-	s.late = nil
+	s.lateCommits = nil
 }
 
-// ForgetHistory drops all changes so far; feeds must read anew.
+// ForgetHistory drops the history of changes. A feed from before the current
+// version then returns state.ErrHistoryLost.
 func (s *Store) ForgetHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.history = nil
-	s.trimmed = s.version
-	s.wake()
+	s.forgottenVersion = s.version
+	s.notifyFeeds()
 }
 
-// AnswerReadings makes readings answer this page until called with nil.
+// AnswerReadings makes every read return this page, whatever it selects. Calling
+// it with nil ends that.
 func (s *Store) AnswerReadings(page *state.Page) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.stale = page
+	s.fixedPage = page
 }
 
-func (s *Store) wake() {
+// notifyFeeds wakes the waiting feeds. The caller must have locked the mutex.
+func (s *Store) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// begin counts the call and asks the script.
-func (s *Store) begin(call Call) Fault {
+// nextFault counts the call and returns the fault that the script chooses. The
+// caller must have locked the mutex.
+func (s *Store) nextFault(call Call) Fault {
 	s.calls[call.Name]++
 	if s.script == nil {
 		return None
@@ -136,25 +144,26 @@
 // Commit implements state.Store.
 func (s *Store) Commit(ctx context.Context, commit state.Commit) (state.Version, error) {
 	s.mutex.Lock()
-	fault := s.begin(Call{Name: "commit", Commit: commit})
+	fault := s.nextFault(Call{Name: "commit", Commit: commit})
 	if fault == Late {
-		s.late = append(s.late, commit)
+		s.lateCommits = append(s.lateCommits, commit)
 	}
 	if fault != None && fault != Lost {
 		s.mutex.Unlock()
-		return 0, fail(ctx, fault)
+		return 0, faultError(ctx, fault)
 	}
 	defer s.mutex.Unlock()
-	version, err := s.do(commit)
+	version, err := s.apply(commit)
 	if fault == Lost {
 		return 0, eris.Wrap(state.ErrUnknown, "memory store")
 	}
 	return version, err
 }
 
-// do applies a commit whose conditions hold; the caller holds the mutex.
-func (s *Store) do(commit state.Commit) (state.Version, error) {
-	if conflict := s.conflict(commit); conflict != nil {
+// apply executes the commit, or returns a *state.ConflictError if one of its
+// conditions fails. The caller must have locked the mutex.
+func (s *Store) apply(commit state.Commit) (state.Version, error) {
+	if conflict := s.checkConditions(commit); conflict != nil {
 		return 0, conflict
 	}
 	if len(commit.Puts)+len(commit.Removals) == 0 {
@@ -162,32 +171,32 @@
 	}
 	s.version++
 	for _, put := range commit.Puts {
-		s.change(state.Row{Key: put.Key, Value: slices.Clone(put.Value), Version: s.version})
+		s.setRow(state.Row{Key: put.Key, Value: slices.Clone(put.Value), Version: s.version})
 	}
 	for _, key := range commit.Removals {
-		s.change(state.Row{Key: key, Version: s.version, Removed: true})
+		s.setRow(state.Row{Key: key, Version: s.version, Removed: true})
 	}
-	s.wake()
+	s.notifyFeeds()
 	return s.version, nil
 }
 
-func (s *Store) conflict(commit state.Commit) error {
-	holds := true
+func (s *Store) checkConditions(commit state.Commit) error {
+	allHold := true
 	var rows []state.Row
 	for _, condition := range commit.Conditions {
 		row, found := s.rows[condition.Key]
 		if found {
 			rows = append(rows, row)
 		}
-		holds = holds && row.Version == condition.Version
+		allHold = allHold && row.Version == condition.Version
 	}
-	if holds {
+	if allHold {
 		return nil
 	}
 	return &state.ConflictError{Rows: rows}
 }
 
-func (s *Store) change(row state.Row) {
+func (s *Store) setRow(row state.Row) {
 	s.history = append(s.history, row)
 	if row.Removed {
 		delete(s.rows, row.Key)
@@ -199,14 +208,14 @@
 // Read implements state.Store.
 func (s *Store) Read(ctx context.Context, selected state.Range) (state.Page, error) {
 	s.mutex.Lock()
-	fault := s.begin(Call{Name: "read", Table: selected.Table, Partition: selected.Partition})
+	fault := s.nextFault(Call{Name: "read", Table: selected.Table, Partition: selected.Partition})
 	if fault != None {
 		s.mutex.Unlock()
-		return state.Page{}, fail(ctx, fault)
+		return state.Page{}, faultError(ctx, fault)
 	}
 	defer s.mutex.Unlock()
-	if s.stale != nil {
-		return *s.stale, nil
+	if s.fixedPage != nil {
+		return *s.fixedPage, nil
 	}
 	page := state.Page{Version: s.version}
 	for key, row := range s.rows {
@@ -226,13 +235,13 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	s.mutex.Lock()
-	fault := s.begin(Call{Name: "feed", Table: table})
+	fault := s.nextFault(Call{Name: "feed", Table: table})
 	s.mutex.Unlock()
 	if fault != None {
-		return state.Change{}, fail(ctx, fault)
+		return state.Change{}, faultError(ctx, fault)
 	}
 	for {
-		change, wake, err := s.since(table, after)
+		change, wake, err := s.changesAfter(table, after)
 		if err != nil || len(change.Rows) > 0 {
 			return change, err
 		}
@@ -246,10 +255,10 @@
 	}
 }
 
-func (s *Store) since(table string, after state.Version) (state.Change, <-chan struct{}, error) {
+func (s *Store) changesAfter(table string, after state.Version) (state.Change, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if after < s.trimmed {
+	if after < s.forgottenVersion {
 		return state.Change{}, nil, eris.Wrap(state.ErrHistoryLost, "memory store")
 	}
 	change := state.Change{Version: s.version}
@@ -261,8 +270,9 @@
 	return change, s.changed, nil
 }
 
-// fail is the error of a call that got no verdict.
-func fail(ctx context.Context, fault Fault) error {
+// faultError returns the error of a call with a fault. For Silent it blocks until
+// ctx ends.
+func faultError(ctx context.Context, fault Fault) error {
 	switch fault {
 	case Refused:
 		return eris.Wrap(state.ErrNotDone, "memory store")
@@ -276,16 +286,17 @@
 	return eris.Wrap(state.ErrUnknown, "memory store")
 }
 
-// Write puts a row past all scripts: others than the system write too.
+// Write puts a row without asking the script, as a write by another client of
+// the store.
 func (s *Store) Write(put state.Put) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	_, _ = s.do(state.Commit{Puts: []state.Put{put}}) // it has no condition
+	_, _ = s.apply(state.Commit{Puts: []state.Put{put}}) // cannot fail without a condition
 }
 
-// Remove takes a row away past all scripts.
+// Remove removes a row without asking the script.
 func (s *Store) Remove(key state.Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	_, _ = s.do(state.Commit{Removals: []state.Key{key}}) // it has no condition
+	_, _ = s.apply(state.Commit{Removals: []state.Key{key}}) // cannot fail without a condition
 }
