--- a/internal/lab/network/diagnosis.go
+++ b/internal/lab/network/diagnosis.go
@@ -9,82 +9,87 @@
 	"github.com/rotisserie/eris"
 )
 
-// The kernel's interface for questions about one socket: sock_diag(7).
+// Constants of the sock_diag(7) netlink protocol. Offsets count from the end of
+// the message header.
 const (
-	netlinkSocketDiagnosis = 4
-	diagnoseByFamily       = 20
+	netlinkSockDiag  = 4
+	sockDiagByFamily = 20
 
-	headerBytes  = 16
-	requestBytes = 56
-	socketOffset = 8  // of the socket's ends in the request
-	endsOffset   = 4  // of the ends in the reply
-	inodeOffset  = 68 // in the reply
-	replyBytes   = 72
-	errorBytes   = 4
-	noCookie     = 0xff
+	messageHeaderBytes = 16
+	requestBytes       = 56   // without the message header
+	requestEndsOffset  = 8    // of the ports and addresses in the request
+	replyEndsOffset    = 4    // of the ports and addresses in the reply
+	replyInodeOffset   = 68   // of the inode in the reply
+	minReplyBytes      = 72   // without the message header
+	minErrorBytes      = 4    // without the message header
+	anyCookieByte      = 0xff // each byte of a cookie that matches every socket
 )
 
-// diagnosedInode asks the kernel for the inode of the TCP socket with these
-// IPv4 ends; empty: there is none. It costs the same however many sockets the machine has, which
-// reading the whole table does not.
-func diagnosedInode(local, remote netip.AddrPort) (string, error) {
-	socket, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, netlinkSocketDiagnosis)
+// sockDiagInode asks the kernel for the inode of the TCP socket with these IPv4
+// addresses, and returns "" if there is none. Unlike a search of /proc/net/tcp,
+// its cost does not grow with the number of sockets on the machine.
+func sockDiagInode(local, remote netip.AddrPort) (string, error) {
+	socket, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, netlinkSockDiag)
 	if err != nil {
 		return "", eris.Wrap(err, "open a netlink socket")
 	}
 	defer func() { _ = syscall.Close(socket) }()
-	request := diagnosisRequest(local, remote)
+	request := sockDiagRequest(local, remote)
 	if err := syscall.Sendto(socket, request, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
-		return "", eris.Wrap(err, "ask for a socket")
+		return "", eris.Wrap(err, "send the sock_diag request")
 	}
 	reply := make([]byte, syscall.Getpagesize())
 	count, _, err := syscall.Recvfrom(socket, reply, 0)
 	if err != nil {
-		return "", eris.Wrap(err, "read the answer about a socket")
+		return "", eris.Wrap(err, "receive the sock_diag reply")
 	}
-	return inodeOf(reply[:count], remote)
+	return parseInode(reply[:count], remote)
 }
 
-// inodeOf reads the answer. A listener stands for a socket that is gone.
-func inodeOf(reply []byte, remote netip.AddrPort) (string, error) {
-	if len(reply) < headerBytes+errorBytes {
-		return "", eris.Errorf("an answer of %d bytes about a socket", len(reply))
+// parseInode returns the inode in a sock_diag reply, or "" if there is no socket.
+// If the socket is gone, the kernel may return the listener at its local address;
+// the remote port tells them apart.
+func parseInode(reply []byte, remote netip.AddrPort) (string, error) {
+	if len(reply) < messageHeaderBytes+minErrorBytes {
+		return "", eris.Errorf("sock_diag reply of %d bytes is too short", len(reply))
 	}
-	found := reply[headerBytes:]
-	kind := binary.NativeEndian.Uint16(reply[4:])
-	if kind == syscall.NLMSG_ERROR {
-		number := syscall.Errno(-int32(binary.NativeEndian.Uint32(found))) //nolint:gosec // the kernel's negated errno
-		if number == syscall.ENOENT {
+	body := reply[messageHeaderBytes:]
+	messageType := binary.NativeEndian.Uint16(reply[4:])
+	if messageType == syscall.NLMSG_ERROR {
+		errno := syscall.Errno(-int32(binary.NativeEndian.Uint32(body))) //nolint:gosec // the kernel's negated errno
+		if errno == syscall.ENOENT {
 			return "", nil
 		}
-		return "", eris.Wrap(number, "ask for a socket")
+		return "", eris.Wrap(errno, "sock_diag request failed")
 	}
-	if kind != diagnoseByFamily || len(found) < replyBytes {
-		return "", eris.Errorf("an answer of kind %d about a socket", kind)
+	if messageType != sockDiagByFamily || len(body) < minReplyBytes {
+		return "", eris.Errorf("unexpected sock_diag reply of type %d", messageType)
 	}
-	if binary.BigEndian.Uint16(found[endsOffset+2:]) != remote.Port() {
+	if binary.BigEndian.Uint16(body[replyEndsOffset+2:]) != remote.Port() {
 		return "", nil
 	}
-	return strconv.FormatUint(uint64(binary.NativeEndian.Uint32(found[inodeOffset:])), 10), nil
+	return strconv.FormatUint(uint64(binary.NativeEndian.Uint32(body[replyInodeOffset:])), 10), nil
 }
 
-func diagnosisRequest(local, remote netip.AddrPort) []byte {
-	request := make([]byte, headerBytes+requestBytes)
+// sockDiagRequest returns a netlink message that asks for the TCP socket with
+// these IPv4 addresses.
+func sockDiagRequest(local, remote netip.AddrPort) []byte {
+	request := make([]byte, messageHeaderBytes+requestBytes)
 	binary.NativeEndian.PutUint32(request, uint32(len(request)))
-	binary.NativeEndian.PutUint16(request[4:], diagnoseByFamily)
+	binary.NativeEndian.PutUint16(request[4:], sockDiagByFamily)
 	binary.NativeEndian.PutUint16(request[6:], syscall.NLM_F_REQUEST)
-	body := request[headerBytes:]
+	body := request[messageHeaderBytes:]
 	body[0] = syscall.AF_INET
 	body[1] = syscall.IPPROTO_TCP
-	binary.NativeEndian.PutUint32(body[4:], ^uint32(0)) // in any state
-	ends := body[socketOffset:]
+	binary.NativeEndian.PutUint32(body[4:], ^uint32(0)) // sockets in any state
+	ends := body[requestEndsOffset:]
 	binary.BigEndian.PutUint16(ends, local.Port())
 	binary.BigEndian.PutUint16(ends[2:], remote.Port())
 	source, destination := local.Addr().Unmap().As4(), remote.Addr().Unmap().As4()
 	copy(ends[4:], source[:])
 	copy(ends[20:], destination[:])
 	for index := 40; index < 48; index++ {
-		ends[index] = noCookie
+		ends[index] = anyCookieByte
 	}
 	return request
 }
--- a/internal/lab/network/diagnosis_test.go
+++ b/internal/lab/network/diagnosis_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestKernelAndTableTellTheSameSocket(t *testing.T) {
+func TestSockDiagAndProcTableReturnSameInode(t *testing.T) {
 	RegisterTestingT(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -17,12 +17,12 @@
 	Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = dialled.Close() }()
 	local, remote := netip.MustParseAddrPort(dialled.LocalAddr().String()), netip.MustParseAddrPort(dialled.RemoteAddr().String())
-	inode, err := diagnosedInode(local, remote)
+	inode, err := sockDiagInode(local, remote)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(inode).To(Equal(socketInode(kernelAddress(dialled.LocalAddr()), kernelAddress(dialled.RemoteAddr()))))
-	_, err = diagnosedInode(remote, local)
-	Expect(err).NotTo(HaveOccurred(), "the accepted end")
-	inode, err = diagnosedInode(local, netip.AddrPortFrom(remote.Addr(), local.Port()))
+	Expect(inode).To(Equal(procInode(procAddress(dialled.LocalAddr()), procAddress(dialled.RemoteAddr()))))
+	_, err = sockDiagInode(remote, local)
+	Expect(err).NotTo(HaveOccurred(), "the accepted socket")
+	inode, err = sockDiagInode(local, netip.AddrPortFrom(remote.Addr(), local.Port()))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(inode).To(BeEmpty(), "no such socket")
 }
@@ -41,12 +41,12 @@
 	local, remote := netip.MustParseAddrPort(dialled.LocalAddr().String()), netip.MustParseAddrPort(dialled.RemoteAddr().String())
 	b.Run("kernel", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = diagnosedInode(local, remote)
+			_, _ = sockDiagInode(local, remote)
 		}
 	})
 	b.Run("table", func(b *testing.B) {
 		for b.Loop() {
-			_ = socketInode(kernelAddress(dialled.LocalAddr()), kernelAddress(dialled.RemoteAddr()))
+			_ = procInode(procAddress(dialled.LocalAddr()), procAddress(dialled.RemoteAddr()))
 		}
 	})
 }
--- a/internal/lab/network/link.go
+++ b/internal/lab/network/link.go
@@ -9,23 +9,25 @@
 )
 
 const (
-	partBytes   = 32 << 10
-	partsQueued = 256
+	readBytes       = 32 << 10 // maximum size of a chunk
+	maxQueuedChunks = 256      // for each direction of a connection
 )
 
-// Link is one address of the network behind which one process of a zone listens.
+// Link is an address that forwards connections to one process of a zone. Safe for
+// concurrent use.
 type Link struct {
-	Address string // "ip:port"; it never changes once NewLink returned
+	Address string // "ip:port"; constant once NewLink has returned
 	network *Network
 	zone    string
-	target  string
+	target  string // "ip:port"
 
 	mutex       sync.Mutex
-	listener    net.Listener
+	listener    net.Listener // nil while the link is down
 	connections map[net.Conn]struct{}
 }
 
-// NewLink opens an address that forwards to the target, a process in the zone.
+// NewLink listens at the address and forwards connections to the target, which
+// is in the zone. Both are "ip:port"; port 0 in the address selects a free port.
 func (n *Network) NewLink(address, target, zone string) (*Link, error) {
 	link := &Link{Address: address, network: n, zone: zone, target: target, connections: map[net.Conn]struct{}{}}
 	if err := link.Up(); err != nil {
@@ -38,10 +40,10 @@
 	return link, nil
 }
 
-// URL is the base URL of the link.
+// URL returns the base URL of the link, without a trailing slash.
 func (l *Link) URL() string { return "http://" + l.Address }
 
-// Up listens at the address, unless it does already.
+// Up listens at the address again after Down. It does nothing if the link is up.
 func (l *Link) Up() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -57,8 +59,8 @@
 	return nil
 }
 
-// Down closes the listener and all connections, as when the target's machine
-// ends: later dials are refused.
+// Down closes the listener and all connections, as if the target's machine had
+// failed. New connections are refused until Up.
 func (l *Link) Down() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -83,7 +85,8 @@
 	}
 }
 
-// track keeps the connection to close it in Down; false: the link is down.
+// track registers the connection so that Down closes it. If the link is already
+// down, it closes the connection and returns false.
 func (l *Link) track(connection net.Conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -95,6 +98,7 @@
 	return true
 }
 
+// untrack closes the connection and removes its registration.
 func (l *Link) untrack(connection net.Conn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -102,14 +106,14 @@
 	delete(l.connections, connection)
 }
 
-// forward carries one connection until both directions ended.
+// forward forwards one connection until both directions have ended.
 func (l *Link) forward(incoming net.Conn) {
 	if !l.track(incoming) {
 		return
 	}
 	defer l.untrack(incoming)
 	source := l.network.sourceZone(incoming)
-	if !l.network.passable(source, l.zone) {
+	if !l.network.waitReachable(source, l.zone) {
 		return
 	}
 	outgoing, err := net.Dial("tcp4", l.target)
@@ -123,21 +127,22 @@
 	both.Wait()
 }
 
-// part is some bytes and when they arrive.
-type part struct {
+// chunk is a piece of a byte stream and the time at which it is to be delivered.
+type chunk struct {
 	due   time.Time
 	bytes []byte
 }
 
-// pipe carries one direction, late by the delay and not through cuts.
+// pipe forwards one direction of a connection with the delay between the zones.
+// It holds bytes back while the zones are isolated from each other.
 func (n *Network) pipe(from, to net.Conn, fromZone, toZone string) {
-	parts := make(chan part, partsQueued)
-	broken := make(chan struct{})
-	go read(from, parts, broken, n.delay(fromZone, toZone))
-	defer close(broken)
-	for next := range parts {
+	chunks := make(chan chunk, maxQueuedChunks)
+	stopped := make(chan struct{})
+	go readChunks(from, chunks, stopped, n.delay(fromZone, toZone))
+	defer close(stopped)
+	for next := range chunks {
 		time.Sleep(time.Until(next.due))
-		if !n.passable(fromZone, toZone) {
+		if !n.waitReachable(fromZone, toZone) {
 			return
 		}
 		if _, err := to.Write(next.bytes); err != nil {
@@ -145,19 +150,21 @@
 			return
 		}
 	}
-	if n.passable(fromZone, toZone) {
+	if n.waitReachable(fromZone, toZone) {
 		_ = to.(*net.TCPConn).CloseWrite()
 	}
 }
 
-func read(from net.Conn, parts chan<- part, broken <-chan struct{}, delay time.Duration) {
-	defer close(parts)
+// readChunks queues what it reads, due after the delay, until the connection ends
+// or stopped is closed. It closes chunks at the end.
+func readChunks(from net.Conn, chunks chan<- chunk, broken <-chan struct{}, delay time.Duration) {
+	defer close(chunks)
 	for {
-		buffer := make([]byte, partBytes)
+		buffer := make([]byte, readBytes)
 		count, err := from.Read(buffer)
 		if count > 0 {
 			select {
-			case parts <- part{due: time.Now().Add(delay), bytes: buffer[:count]}:
+			case chunks <- chunk{due: time.Now().Add(delay), bytes: buffer[:count]}:
 			case <-broken:
 				return
 			}
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -1,8 +1,8 @@
-// Package network stands between the processes of a replay: it forwards TCP
-// with the delays of the deployment, and cuts zones off from each other as a
-// network does: bytes stop, connections stay. It finds out which process a
-// connection comes from by the kernel's own tables (Linux), so that the
-// product needs no setting for it.
+// Package network emulates the network between the zones of a deployment whose
+// processes run on one machine. It forwards TCP connections with a delay and can
+// isolate zones: bytes are then held back, but connections stay open. It finds
+// the process that opened a connection in the tables of the Linux kernel, so the
+// processes need no configuration for it.
 package network
 
 import (
@@ -10,28 +10,29 @@
 	"time"
 )
 
-// Clients is the zone of every process that is not registered: callers and operators.
+// Clients is the zone of every process that is not registered, such as callers
+// and operators.
 const Clients = "clients"
 
-// Options are the one-way delays.
+// Options configure the one-way delays of a network.
 type Options struct {
-	BetweenZones time.Duration
-	ToClients    time.Duration
+	BetweenZones time.Duration // between different zones other than Clients
+	ToClients    time.Duration // between Clients and any zone, in either direction
 }
 
-// Network knows zones and cuts. Safe for concurrent use.
+// Network forwards connections between zones. Safe for concurrent use.
 type Network struct {
 	options Options
 
 	mutex    sync.Mutex
-	zones    map[int]string // by process identifier
+	zones    map[int]string // by process ID
 	isolated map[string]bool
-	changed  chan struct{} // closed and replaced when a cut heals
-	closed   chan struct{}
+	changed  chan struct{} // closed and replaced when the isolation of a zone ends
+	closed   chan struct{} // closed by Close
 	links    []*Link
 }
 
-// New makes a network without cuts.
+// New returns a network without links or isolated zones.
 func New(options Options) *Network {
 	return &Network{
 		options:  options,
@@ -42,28 +43,30 @@
 	}
 }
 
-// Register tells the zone of a process.
+// Register sets the zone of the process with this process ID.
 func (n *Network) Register(process int, zone string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.zones[process] = zone
 }
 
-// Forget removes a process that ended.
+// Forget removes a process; connections that it opens then come from Clients.
 func (n *Network) Forget(process int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delete(n.zones, process)
 }
 
-// Isolate cuts the zone off from all other zones. Clients still reach it.
+// Isolate holds back all bytes between the zone and the other zones except
+// Clients, until Heal.
 func (n *Network) Isolate(zone string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.isolated[zone] = true
 }
 
-// Heal ends the cut of the zone; what was held back goes on.
+// Heal ends the isolation of the zone. Bytes that were held back are delivered,
+// unless the other zone is isolated as well.
 func (n *Network) Heal(zone string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -72,7 +75,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Close ends all links.
+// Close takes all links down for good. It must be called once.
 func (n *Network) Close() {
 	n.mutex.Lock()
 	links := n.links
@@ -83,6 +86,7 @@
 	}
 }
 
+// processes returns a copy of the zones by process ID.
 func (n *Network) processes() map[int]string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -93,6 +97,7 @@
 	return copied
 }
 
+// delay returns the one-way delay between two zones.
 func (n *Network) delay(from, to string) time.Duration {
 	switch {
 	case from == Clients || to == Clients:
@@ -104,12 +109,13 @@
 	}
 }
 
-// passable waits until the two zones reach each other; false: the network closed.
-func (n *Network) passable(from, to string) bool {
+// waitReachable blocks while one of two different zones is isolated from the
+// other. It returns false if the network was closed meanwhile.
+func (n *Network) waitReachable(from, to string) bool {
 	for {
 		n.mutex.Lock()
-		apart := from != to && from != Clients && to != Clients
-		cut := apart && (n.isolated[from] || n.isolated[to])
+		separate := from != to && from != Clients && to != Clients
+		cut := separate && (n.isolated[from] || n.isolated[to])
 		changed := n.changed
 		n.mutex.Unlock()
 		if !cut {
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "network")
 }
 
-// echo answers each line with the same line.
+// echo starts a server that sends every line back, and returns its address.
 func echo() string {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -42,10 +42,10 @@
 }
 
 var _ = Describe("Network", func() {
-	It("keeps its address while it goes down and up beside readers", func() {
-		wires := network.New(network.Options{})
-		DeferCleanup(wires.Close)
-		link, err := wires.NewLink("127.0.0.1:0", echo(), "a")
+	It("keeps the address of a link that goes down and up while its URL is read", func() {
+		testNetwork := network.New(network.Options{})
+		DeferCleanup(testNetwork.Close)
+		link, err := testNetwork.NewLink("127.0.0.1:0", echo(), "a")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(link.Down)
 		url := link.URL()
@@ -53,7 +53,7 @@
 		go func() {
 			defer close(reading)
 			for range 1000 {
-				_ = link.URL() // the race detector watches
+				_ = link.URL() // for the race detector
 			}
 		}()
 		for range 5 {
@@ -64,11 +64,11 @@
 		Expect(link.URL()).To(Equal(url))
 	})
 
-	It("carries bytes, holds them back during a cut and passes them on after it", func() {
-		cuttable := network.New(network.Options{BetweenZones: time.Millisecond})
-		DeferCleanup(cuttable.Close)
-		cuttable.Register(os.Getpid(), "here")
-		link, err := cuttable.NewLink("127.0.0.1:0", echo(), "there")
+	It("forwards bytes, holds them back while a zone is isolated, and delivers them afterwards", func() {
+		testNetwork := network.New(network.Options{BetweenZones: time.Millisecond})
+		DeferCleanup(testNetwork.Close)
+		testNetwork.Register(os.Getpid(), "here")
+		link, err := testNetwork.NewLink("127.0.0.1:0", echo(), "there")
 		Expect(err).NotTo(HaveOccurred())
 		connection, err := net.Dial("tcp4", link.Address)
 		Expect(err).NotTo(HaveOccurred())
@@ -87,10 +87,10 @@
 		}
 		say("before")
 		Eventually(replies).Should(Receive(Equal("before")))
-		cuttable.Isolate("there")
+		testNetwork.Isolate("there")
 		say("during")
 		Consistently(replies, "100ms").ShouldNot(Receive())
-		cuttable.Heal("there")
+		testNetwork.Heal("there")
 		Eventually(replies).Should(Receive(Equal("during")))
 		link.Down()
 		Eventually(replies).Should(BeClosed())
--- a/internal/lab/network/source.go
+++ b/internal/lab/network/source.go
@@ -9,44 +9,46 @@
 	"strings"
 )
 
-// The columns of /proc/net/tcp that are read.
+// Indices of columns in /proc/net/tcp.
 const (
 	columnLocal  = 1
 	columnRemote = 2
 	columnInode  = 9
 )
 
-// sourceZone finds the zone of the process that opened the connection.
+// sourceZone returns the zone of the registered process that opened the accepted
+// connection, or Clients if there is none.
 func (n *Network) sourceZone(accepted net.Conn) string {
 	inode := sourceInode(accepted)
 	if inode == "" {
 		return Clients
 	}
 	for process, zone := range n.processes() {
-		if holdsSocket(process, inode) {
+		if hasSocket(process, inode) {
 			return zone
 		}
 	}
 	return Clients
 }
 
-// sourceInode finds the socket at the other end of an accepted connection. The
-// table is read only where the kernel does not answer questions about one
-// socket.
+// sourceInode returns the inode of the socket at the other end of an accepted
+// connection, or "" if it is not found. It reads /proc/net/tcp only if the
+// sock_diag query fails.
 func sourceInode(accepted net.Conn) string {
 	local, localErr := netip.ParseAddrPort(accepted.RemoteAddr().String())
 	remote, remoteErr := netip.ParseAddrPort(accepted.LocalAddr().String())
 	if localErr == nil && remoteErr == nil {
-		if inode, err := diagnosedInode(local, remote); err == nil {
+		if inode, err := sockDiagInode(local, remote); err == nil {
 			return inode
 		}
 	}
-	return socketInode(kernelAddress(accepted.RemoteAddr()), kernelAddress(accepted.LocalAddr()))
+	return procInode(procAddress(accepted.RemoteAddr()), procAddress(accepted.LocalAddr()))
 }
 
-// kernelAddress writes an address as /proc/net/tcp does: the IPv4 address as
-// a little-endian number and the port, in hexadecimal digits.
-func kernelAddress(address net.Addr) string {
+// procAddress formats an address as in /proc/net/tcp: the IPv4 address as a
+// little-endian number, a colon and the port, all in hexadecimal digits. It
+// returns "" if the address is not valid.
+func procAddress(address net.Addr) string {
 	parsed, err := netip.ParseAddrPort(address.String())
 	if err != nil {
 		return ""
@@ -55,8 +57,9 @@
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", bytes[3], bytes[2], bytes[1], bytes[0], parsed.Port())
 }
 
-// socketInode finds the socket with these ends; empty: it is gone.
-func socketInode(local, remote string) string {
+// procInode returns the inode of the socket with these addresses, or "" if
+// /proc/net/tcp does not list it.
+func procInode(local, remote string) string {
 	table, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return ""
@@ -72,7 +75,9 @@
 	return ""
 }
 
-func holdsSocket(process int, inode string) bool {
+// hasSocket reports whether the process has a file descriptor of the socket with
+// this inode.
+func hasSocket(process int, inode string) bool {
 	directory := fmt.Sprintf("/proc/%d/fd", process)
 	entries, err := os.ReadDir(directory)
 	if err != nil {
