--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy forwards TCP between two ends on one machine and does to
-// the connections what networks do: it delays them, resets them, holds the
-// bytes of one way or of both back, and lets them go on later.
+// Package faultproxy forwards TCP connections to one target and injects network
+// faults: delays, resets, and bytes that are held back in one direction or both
+// and delivered later.
 package faultproxy
 
 import (
@@ -13,45 +13,48 @@
 	"github.com/rotisserie/eris"
 )
 
-// Condition is what a link does to its connections.
+// Condition is the set of faults that a link injects. The zero value is none.
 type Condition struct {
-	// Delay is added to the bytes of each way.
+	// Delay is how long each chunk of bytes is held before it is forwarded, in
+	// both directions.
 	Delay time.Duration
-	// HoldRequests keeps back what the dialling side sends, HoldAnswers what
-	// the other sends; nothing is lost, and it goes on when the condition ends.
+	// HoldRequests holds back what the dialling side sends, and HoldAnswers what
+	// the target sends. It is delivered when the condition changes.
 	HoldRequests bool
 	HoldAnswers  bool
-	// Refuse resets new connections.
+	// Refuse resets new connections, and ends the holding of bytes.
 	Refuse bool
 }
 
-// Link is one address that forwards to another one. It is safe for concurrent use.
+// Link is an address that forwards connections to a target. It is safe for
+// concurrent use.
 type Link struct {
-	target   string
+	target   string // "ip:port"
 	listener net.Listener
 
 	mutex       sync.Mutex
 	condition   Condition
-	changed     chan struct{} // closed and replaced with each condition
+	changed     chan struct{} // closed and replaced by Set
 	connections map[net.Conn]struct{}
 	closed      bool
 }
 
-// Listen opens a link at the address; port 0 lets the kernel choose.
+// Listen opens a link at the address that forwards to the target. Both are
+// "ip:port"; port 0 in the address selects a free port.
 func Listen(address, target string) (*Link, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
-		return nil, eris.Wrapf(err, "open a link to %s", target)
+		return nil, eris.Wrapf(err, "listen for a link to %s", target)
 	}
 	link := &Link{target: target, listener: listener, changed: make(chan struct{}), connections: map[net.Conn]struct{}{}}
 	go link.accept()
 	return link, nil
 }
 
-// Address is where the link listens.
+// Address returns the address ("ip:port") at which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set puts a condition in force, for connections that stand as well.
+// Set replaces the condition, also for open connections.
 func (l *Link) Set(condition Condition) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -60,7 +63,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Reset ends all connections that stand, with a reset.
+// Reset closes all open connections with a TCP reset.
 func (l *Link) Reset() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -69,7 +72,7 @@
 	}
 }
 
-// Close ends the link and its connections.
+// Close stops listening and resets all connections.
 func (l *Link) Close() error {
 	l.mutex.Lock()
 	l.closed = true
@@ -79,10 +82,11 @@
 	return l.listener.Close()
 }
 
-// reset closes so that the other end reads an error in place of an end.
+// reset closes the connection with a TCP reset, so that the peer reads an error
+// and not io.EOF.
 func reset(connection net.Conn) {
-	if plain, is := connection.(*net.TCPConn); is {
-		_ = plain.SetLinger(0)
+	if tcp, ok := connection.(*net.TCPConn); ok {
+		_ = tcp.SetLinger(0)
 	}
 	_ = connection.Close()
 }
@@ -102,6 +106,8 @@
 	}
 }
 
+// track registers an open connection. If the link is closed or refuses
+// connections, it resets the connection and returns false.
 func (l *Link) track(connection net.Conn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -119,7 +125,7 @@
 	delete(l.connections, connection)
 }
 
-// forward carries one connection until both ways ended.
+// forward forwards one connection until both directions have ended.
 func (l *Link) forward(incoming net.Conn) {
 	if !l.track(incoming) {
 		return
@@ -131,21 +137,22 @@
 		return
 	}
 	defer l.untrack(outgoing)
-	var ways sync.WaitGroup
-	ways.Go(func() { l.carry(incoming, outgoing, func(c Condition) bool { return c.HoldRequests }) })
-	ways.Go(func() { l.carry(outgoing, incoming, func(c Condition) bool { return c.HoldAnswers }) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { l.copyOneWay(incoming, outgoing, func(c Condition) bool { return c.HoldRequests }) })
+	directions.Go(func() { l.copyOneWay(outgoing, incoming, func(c Condition) bool { return c.HoldAnswers }) })
+	directions.Wait()
 	_ = incoming.Close()
 	_ = outgoing.Close()
 }
 
-// carry copies one way; an end is passed on as an end, an error as a reset.
-func (l *Link) carry(from, to net.Conn, held func(Condition) bool) {
-	const chunk = 16 << 10
-	buffer := make([]byte, chunk)
+// copyOneWay forwards one direction. It passes on an end of the stream as such,
+// and any other error as a reset.
+func (l *Link) copyOneWay(from, to net.Conn, isHeld func(Condition) bool) {
+	const bufferBytes = 16 << 10
+	buffer := make([]byte, bufferBytes)
 	for {
 		count, err := from.Read(buffer)
-		l.pass(held)
+		l.waitWhileHeld(isHeld)
 		if count > 0 {
 			if _, writeErr := to.Write(buffer[:count]); writeErr != nil {
 				reset(from)
@@ -153,8 +160,8 @@
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			if plain, is := to.(*net.TCPConn); is {
-				_ = plain.CloseWrite()
+			if tcp, ok := to.(*net.TCPConn); ok {
+				_ = tcp.CloseWrite()
 			}
 			return
 		}
@@ -165,13 +172,14 @@
 	}
 }
 
-// pass waits as the condition in force demands.
-func (l *Link) pass(held func(Condition) bool) {
+// waitWhileHeld blocks while the current condition holds this direction, then for
+// the condition's delay.
+func (l *Link) waitWhileHeld(isHeld func(Condition) bool) {
 	for {
 		l.mutex.Lock()
 		condition, changed := l.condition, l.changed
 		l.mutex.Unlock()
-		if !held(condition) || condition.Refuse {
+		if !isHeld(condition) || condition.Refuse {
 			time.Sleep(condition.Delay)
 			return
 		}
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -18,7 +18,7 @@
 	RunSpecs(t, "faultproxy")
 }
 
-// echo answers each byte with itself.
+// echo starts a server that sends every byte back, and returns its address.
 func echo() string {
 	GinkgoHelper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -36,7 +36,8 @@
 	return listener.Addr().String()
 }
 
-// follow tells each byte of the connection, and its end.
+// follow sends each byte that it reads to one channel, and the error that ends
+// the connection to the other.
 func follow(connection net.Conn, read chan<- byte, ended chan<- error) {
 	var one [1]byte
 	for {
@@ -71,26 +72,26 @@
 		Expect(err).NotTo(HaveOccurred())
 	}
 
-	It("forwards, and passes an end on", func() {
+	It("forwards bytes and the end of a stream", func() {
 		send("a")
 		Eventually(read).Should(Receive(Equal(byte('a'))))
 		Expect(connection.(*net.TCPConn).CloseWrite()).To(Succeed())
 		Eventually(ended).Should(Receive(MatchError(io.EOF)))
 	})
 
-	DescribeTable("holds a way back and loses nothing", func(condition faultproxy.Condition) {
+	DescribeTable("holds bytes back and loses none", func(condition faultproxy.Condition) {
 		link.Set(condition)
 		send("b")
 		Consistently(read, "30ms").ShouldNot(Receive())
 		link.Set(faultproxy.Condition{})
 		Eventually(read).Should(Receive(Equal(byte('b'))))
 	},
-		Entry("of requests", faultproxy.Condition{HoldRequests: true}),
-		Entry("of answers", faultproxy.Condition{HoldAnswers: true}),
+		Entry("requests", faultproxy.Condition{HoldRequests: true}),
+		Entry("answers", faultproxy.Condition{HoldAnswers: true}),
 		Entry("both", faultproxy.Condition{HoldRequests: true, HoldAnswers: true}),
 	)
 
-	It("resets what stands, and what is new while it refuses", func() {
+	It("resets open connections, and new ones while it refuses them", func() {
 		send("c")
 		Eventually(read).Should(Receive())
 		link.Set(faultproxy.Condition{Refuse: true})
