--- a/internal/lab/fleet/backends.go
+++ b/internal/lab/fleet/backends.go
@@ -15,7 +15,7 @@
 	"github.com/thymeloft/thymeloft/internal/lab/weightstore"
 )
 
-// Engine is a running model engine.
+// Engine is a simulated model engine of a fleet.
 type Engine struct {
 	*modelengine.Engine
 	Name       string
@@ -25,23 +25,24 @@
 	URL        string
 }
 
-// Replica is a running replica of an application service or tool.
+// Replica is a simulated replica of an application service or tool.
 type Replica struct {
 	*appservice.Service
-	Name string // of the replica
-	Of   string // the service
+	Name string // unique in the fleet
+	Of   string // name of the service
 	Zone string
 	URL  string
 }
 
-// Platform is the platform's services.
+// Platform has the stand-ins for the platform's services.
 type Platform struct {
 	Store    *platformstore.StandIn
 	Machines *machinelist.List
-	urls     map[string]string // by the flag that takes it; the store's is an address
+	urls     map[string]string // by daemon flag; that of the store is an address ("ip:port")
 }
 
-// serve puts a stand-in of a zone behind the network and returns its URL.
+// serve starts a server for the handler in the zone and returns the URL at which
+// the network forwards to it.
 func (f *Fleet) serve(handler http.Handler, zone string) (string, error) {
 	server, err := standin.Start("127.0.0.1:0", handler)
 	if err != nil {
@@ -66,11 +67,12 @@
 	return nil
 }
 
+// startEngine starts the engine with this number, counted from 0 for each model.
 func (f *Fleet) startEngine(model Model, number int) error {
 	engine := &Engine{
 		Name:       replicaName(model.Name, number),
 		Model:      model.Name,
-		Zone:       f.Deployment.spread(number),
+		Zone:       f.Deployment.zoneOf(number),
 		Generation: modelengine.GenerationNew,
 	}
 	if number < model.Old {
@@ -97,7 +99,7 @@
 func (f *Fleet) startServices() error {
 	for _, service := range f.Deployment.Services {
 		for number := range service.Replicas {
-			replica := &Replica{Name: replicaName(service.Name, number), Of: service.Name, Zone: f.Deployment.spread(number)}
+			replica := &Replica{Name: replicaName(service.Name, number), Of: service.Name, Zone: f.Deployment.zoneOf(number)}
 			replica.Service = newService(service, replica.Name)
 			url, err := f.serve(replica.Service, replica.Zone)
 			if err != nil {
@@ -120,7 +122,7 @@
 func (f *Fleet) startPlatform() error {
 	perSecond := f.Deployment.StoresPerSecond
 	f.Platform = Platform{
-		Store:    platformstore.New(platformstore.Options{RequestsPerSecond: perSecond, Burst: storeBurst}),
+		Store:    platformstore.New(platformstore.Options{RequestsPerSecond: perSecond, Burst: storeBurstRequests}),
 		Machines: machinelist.New(machinelist.Options{Lag: machineListLag, Machines: f.machines()}),
 		urls:     map[string]string{},
 	}
@@ -142,7 +144,8 @@
 
 const flagStore = "--platform-store"
 
-// machines lists everything that runs.
+// machines returns the platform's list of machines: all daemons, engines and
+// replicas.
 func (f *Fleet) machines() []platformv1.Machine {
 	var listed []platformv1.Machine
 	add := func(name, kind, address, zone string) {
@@ -153,7 +156,7 @@
 		listed = append(listed, platformv1.Machine{Name: name, Kind: kind, Address: address, Zone: zone, State: state})
 	}
 	for _, daemon := range f.Daemons {
-		add(daemon.Name, "daemon", daemon.peer.Address, daemon.Zone)
+		add(daemon.Name, "daemon", daemon.peerLink.Address, daemon.Zone)
 	}
 	for _, engine := range f.Engines {
 		add(engine.Name, "engine", engine.URL, engine.Zone)
@@ -164,8 +167,8 @@
 	return listed
 }
 
-// MarkLeaving lists the machine as leaving, besides those that were listed so
-// before; daemons see it after the list's lag.
+// MarkLeaving lists the machine as leaving, in addition to those marked before.
+// Daemons see the change after machineListLag. Safe for concurrent use.
 func (f *Fleet) MarkLeaving(name string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/lab/fleet/daemon.go
+++ b/internal/lab/fleet/daemon.go
@@ -15,8 +15,8 @@
 	"github.com/thymeloft/thymeloft/internal/lab/network"
 )
 
-// The ports of a daemon on its own loopback address. Others reach it at the
-// links' ports, which stand in the network.
+// The ports on the loopback address of a daemon. Callers, operators and other
+// daemons connect to the link ports, which forward through the network.
 const (
 	portCaller       = 8080
 	portOperator     = 8081
@@ -27,51 +27,53 @@
 	portPeerLink     = 9082
 )
 
-// Daemon is one machine's place for a daemon; processes come and go on it.
+// Daemon is a daemon of the fleet. Its process may be ended and started again;
+// its name, zone, addresses and log file stay the same. Safe for concurrent use.
 type Daemon struct {
 	Name string
 	Zone string
 
-	binary    string
-	arguments []string
-	logFile   string
-	network   *network.Network
-	caller    *network.Link
-	operator  *network.Link
-	peer      *network.Link
-
-	mutex    sync.Mutex
-	command  *exec.Cmd
-	exited   chan struct{}
-	exitCode int
-	frozen   bool
+	binary       string
+	arguments    []string
+	logFile      string
+	network      *network.Network
+	callerLink   *network.Link
+	operatorLink *network.Link
+	peerLink     *network.Link
+
+	mutex         sync.Mutex
+	command       *exec.Cmd
+	processExited chan struct{} // closed when the process has exited; nil before the first start
+	exitCode      int           // of the last process that has exited
+	frozen        bool          // by Freeze
 }
 
-// loopback gives each daemon an address of its own. The process identifier of
-// the lab keeps fleets on one machine apart.
-func loopback(number int) string {
+// loopbackAddress returns the IP address of the daemon with this number. It
+// depends on the ID of this process too, so that concurrent tests on one machine
+// rarely use the same addresses.
+func loopbackAddress(number int) string {
 	process := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+(process>>8)&0x3f, process&0xff, number+1)
 }
 
-func newDaemon(number int, zone, binary, directory string, wires *network.Network) (*Daemon, error) {
-	address := loopback(number)
-	daemon := &Daemon{Name: fmt.Sprintf("%s-%d", zone, number+1), Zone: zone, binary: binary, network: wires}
+func newDaemon(number int, zone, binary, directory string, fleetNetwork *network.Network) (*Daemon, error) {
+	address := loopbackAddress(number)
+	daemon := &Daemon{Name: fmt.Sprintf("%s-%d", zone, number+1), Zone: zone, binary: binary, network: fleetNetwork}
 	daemon.logFile = filepath.Join(directory, daemon.Name+".log")
-	for _, wanted := range []struct {
+	for _, port := range []struct {
 		link     **network.Link
 		from, to int
 	}{
-		{&daemon.caller, portCallerLink, portCaller},
-		{&daemon.operator, portOperatorLink, portOperator},
-		{&daemon.peer, portPeerLink, portPeer},
+		{&daemon.callerLink, portCallerLink, portCaller},
+		{&daemon.operatorLink, portOperatorLink, portOperator},
+		{&daemon.peerLink, portPeerLink, portPeer},
 	} {
-		link, err := wires.NewLink(fmt.Sprintf("%s:%d", address, wanted.from), fmt.Sprintf("%s:%d", address, wanted.to), zone)
+		link, err := fleetNetwork.NewLink(fmt.Sprintf("%s:%d", address, port.from), fmt.Sprintf("%s:%d", address, port.to), zone)
 		if err != nil {
 			return nil, err
 		}
 		link.Down() // until the process runs
-		*wanted.link = link
+		*port.link = link
 	}
 	daemon.arguments = []string{
 		"--machine=" + daemon.Name,
@@ -80,19 +82,19 @@
 		fmt.Sprintf("--listen-operator=%s:%d", address, portOperator),
 		fmt.Sprintf("--listen-peer=%s:%d", address, portPeer),
 		fmt.Sprintf("--listen-metrics=%s:%d", address, portMetrics),
-		"--advertise=" + daemon.peer.Address,
-		"--advertise-caller=" + daemon.caller.Address,
+		"--advertise=" + daemon.peerLink.Address,
+		"--advertise-caller=" + daemon.callerLink.Address,
 	}
 	return daemon, nil
 }
 
-// CallerURL is where callers reach the daemon.
-func (d *Daemon) CallerURL() string { return d.caller.URL() }
+// CallerURL returns the base URL of the caller API.
+func (d *Daemon) CallerURL() string { return d.callerLink.URL() }
 
-// OperatorURL is where operators reach the daemon.
-func (d *Daemon) OperatorURL() string { return d.operator.URL() }
+// OperatorURL returns the base URL of the operator API.
+func (d *Daemon) OperatorURL() string { return d.operatorLink.URL() }
 
-// Start runs a new process on the machine.
+// Start starts a new process. The previous one must have exited.
 func (d *Daemon) Start() error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -100,7 +102,7 @@
 	if err != nil {
 		return eris.Wrap(err, "open log")
 	}
-	defer func() { _ = output.Close() }() // the process has its own copy
+	defer func() { _ = output.Close() }() // the process has its own descriptor
 	command := exec.Command(d.binary, d.arguments...)
 	command.Stdout = output
 	command.Stderr = output
@@ -109,14 +111,14 @@
 	}
 	d.network.Register(command.Process.Pid, d.Zone)
 	d.command = command
-	d.exited = make(chan struct{})
+	d.processExited = make(chan struct{})
 	d.frozen = false
-	go d.await(command, d.exited)
+	go d.waitForExit(command, d.processExited)
 	return d.setLinks(true)
 }
 
-func (d *Daemon) await(command *exec.Cmd, exited chan struct{}) {
-	_ = command.Wait() // the exit code says it all
+func (d *Daemon) waitForExit(command *exec.Cmd, exited chan struct{}) {
+	_ = command.Wait() // an error is also seen in the exit code
 	d.network.Forget(command.Process.Pid)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -126,7 +128,7 @@
 }
 
 func (d *Daemon) setLinks(up bool) error {
-	for _, link := range []*network.Link{d.caller, d.operator, d.peer} {
+	for _, link := range []*network.Link{d.callerLink, d.operatorLink, d.peerLink} {
 		if !up {
 			link.Down()
 			continue
@@ -138,7 +140,8 @@
 	return nil
 }
 
-// signal returns what is closed when the process has ended.
+// signal sends a signal to the process. It returns a channel that is closed when
+// the process has exited.
 func (d *Daemon) signal(signal syscall.Signal) (<-chan struct{}, error) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -146,10 +149,10 @@
 		return nil, eris.Errorf("daemon %s was never started", d.Name)
 	}
 	d.frozen = signal == syscall.SIGSTOP
-	return d.exited, eris.Wrapf(d.command.Process.Signal(signal), "signal daemon %s", d.Name)
+	return d.processExited, eris.Wrapf(d.command.Process.Signal(signal), "signal daemon %s", d.Name)
 }
 
-// Kill ends the process at once (SIGKILL) and waits for its end.
+// Kill kills the process (SIGKILL) and waits until it has exited.
 func (d *Daemon) Kill() error {
 	exited, err := d.signal(syscall.SIGKILL)
 	if err != nil {
@@ -159,19 +162,20 @@
 	return nil
 }
 
-// Freeze stops the process without its knowing (SIGSTOP).
+// Freeze suspends the process (SIGSTOP) until Thaw or Kill.
 func (d *Daemon) Freeze() error {
 	_, err := d.signal(syscall.SIGSTOP)
 	return err
 }
 
-// Thaw lets a frozen process go on (SIGCONT).
+// Thaw resumes a frozen process (SIGCONT).
 func (d *Daemon) Thaw() error {
 	_, err := d.signal(syscall.SIGCONT)
 	return err
 }
 
-// Stop ends the process as planned (SIGTERM) and returns its exit code.
+// Stop asks the process to shut down (SIGTERM) and returns its exit code, or an
+// error if it has not exited within the timeout.
 func (d *Daemon) Stop(timeout time.Duration) (int, error) {
 	exited, err := d.signal(syscall.SIGTERM)
 	if err != nil {
@@ -185,7 +189,7 @@
 	}
 }
 
-// Alive says whether a process runs on the machine and is not frozen.
+// Alive reports whether the process is running and not frozen.
 func (d *Daemon) Alive() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -193,17 +197,17 @@
 		return false
 	}
 	select {
-	case <-d.exited:
+	case <-d.processExited:
 		return false
 	default:
 		return true
 	}
 }
 
-// end kills whatever process is left.
-func (d *Daemon) end() {
+// killIfRunning kills the process unless it has exited or was never started.
+func (d *Daemon) killIfRunning() {
 	d.mutex.Lock()
-	exited := d.exited
+	exited := d.processExited
 	d.mutex.Unlock()
 	if exited == nil {
 		return
@@ -215,7 +219,7 @@
 	}
 }
 
-// LogTail gives the last lines of the daemon's log.
+// LogTail returns the last lines of the daemon's log, or "" if it can't be read.
 func (d *Daemon) LogTail(lines int) string {
 	content, err := os.ReadFile(d.logFile)
 	if err != nil {
--- a/internal/lab/fleet/deployment.go
+++ b/internal/lab/fleet/deployment.go
@@ -1,6 +1,6 @@
-// Package fleet starts a whole deployment on one machine: the back ends and
-// the platform as stand-ins inside this process, the daemons as processes of
-// their own, and a network with zones between them.
+// Package fleet runs a whole deployment on one machine for tests. Engines,
+// services and the platform are stand-ins in the test's process; the daemons are
+// processes of their own. An emulated network with zones connects them.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Deployment describes what to start.
+// Deployment describes a fleet. Zero values stand for the defaults.
 type Deployment struct {
 	Region            string        `yaml:"region"`
 	Zones             []string      `yaml:"zones"`
@@ -18,32 +18,33 @@
 	DelayBetweenZones time.Duration `yaml:"delay_between_zones,omitempty"`
 	DelayToClients    time.Duration `yaml:"delay_to_clients,omitempty"`
 	Shards            int           `yaml:"shards,omitempty"`     // 4 by default
-	TimeScale         float64       `yaml:"time_scale,omitempty"` // of the engines; 0.02 by default
+	TimeScale         float64       `yaml:"time_scale,omitempty"` // real time per modelled engine time; 0.02 by default
 	Models            []Model       `yaml:"models"`
 	Services          []Service     `yaml:"services,omitempty"`
 	Tenants           []Tenant      `yaml:"tenants"`
-	StoresPerSecond   float64       `yaml:"stores_per_second,omitempty"` // rate limit of the store; 0: none
+	StoresPerSecond   float64       `yaml:"stores_per_second,omitempty"` // rate limit of the store in requests per second; 0 means none
 }
 
-// Model is a model and the engines that serve it, spread over the zones.
+// Model is a model and its engines, which are spread over the zones.
 type Model struct {
 	Name        string   `yaml:"name"`
 	Adapters    []string `yaml:"adapters,omitempty"`
 	Engines     int      `yaml:"engines"`
-	Old         int      `yaml:"old,omitempty"` // how many of them are of the older generation
-	CacheTokens int64    `yaml:"cache_tokens,omitempty"`
+	Old         int      `yaml:"old,omitempty"`          // number of the engines that have the older hardware generation
+	CacheTokens int64    `yaml:"cache_tokens,omitempty"` // prefix cache of each engine; 0 means the engine's default
 }
 
-// Service is an application service or tool with replicas spread over the zones.
+// Service is an application service or tool. Its replicas are spread over the
+// zones.
 type Service struct {
 	Name     string        `yaml:"name"`
 	Kind     string        `yaml:"kind"` // "service" or "tool"
 	Replicas int           `yaml:"replicas"`
-	Delay    time.Duration `yaml:"delay,omitempty"`
-	Timeout  time.Duration `yaml:"timeout,omitempty"`
+	Delay    time.Duration `yaml:"delay,omitempty"`   // of each execution
+	Timeout  time.Duration `yaml:"timeout,omitempty"` // in the configuration; 0 leaves it out
 }
 
-// Tenant is a customer; its bearer key follows from its name.
+// Tenant is a customer in the configuration. TenantKey returns its bearer key.
 type Tenant struct {
 	Name        string        `yaml:"name"`
 	TokenBudget int64         `yaml:"token_budget,omitempty"`
@@ -51,11 +52,10 @@
 	Idle        time.Duration `yaml:"idle,omitempty"`
 }
 
-// Defaults of a deployment.
 const (
 	defaultShards    = 4
 	defaultTimeScale = 0.02
-	modelVersion     = "1"
+	modelVersion     = "1" // of every model
 )
 
 func (d Deployment) withDefaults() Deployment {
@@ -71,18 +71,20 @@
 	return d
 }
 
-// operatorKey is the operators' bearer key of every fleet.
+// operatorKey is the bearer key for the operator API of every fleet.
 const operatorKey = "lab-operator"
 
-// TenantKey is the bearer key of a tenant.
+// TenantKey returns the bearer key of the tenant with this name.
 func TenantKey(tenant string) string { return "key-of-" + tenant }
 
+// keyHash returns the SHA-256 hash of the key in hexadecimal digits.
 func keyHash(key string) string {
 	digest := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(digest[:])
 }
 
-// spread gives the zone of the replica with this number.
-func (d Deployment) spread(number int) string { return d.Zones[number%len(d.Zones)] }
+// zoneOf returns the zone of the replica or daemon with this number, counted from
+// 0.
+func (d Deployment) zoneOf(number int) string { return d.Zones[number%len(d.Zones)] }
 
 func replicaName(name string, number int) string { return fmt.Sprintf("%s-%d", name, number+1) }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -14,42 +14,43 @@
 )
 
 const (
-	kindTool       = "tool"
-	engineEventLag = 50 * time.Millisecond
-	engineEventGap = 17
-	machineListLag = time.Second
-	storeBurst     = 20
-	weightBytes    = 1 << 30
-	pollInterval   = 50 * time.Millisecond
-	requestTimeout = 10 * time.Second
+	kindTool           = "tool"
+	engineEventLag     = 50 * time.Millisecond
+	engineEventGap     = 17 // every 17th cache event of an engine is not delivered
+	machineListLag     = time.Second
+	storeBurstRequests = 20      // requests that may exceed the store's rate limit at once
+	weightBytes        = 1 << 30 // size of the weights of every model
+	pollInterval       = 50 * time.Millisecond
+	requestTimeout     = 10 * time.Second
 )
 
-// Options say how to start a fleet.
+// Options configure the processes of a fleet.
 type Options struct {
-	Daemon    string   // path of the daemon's binary
-	Directory string   // for logs; empty: a temporary one that Close removes
-	Arguments []string // further arguments of every daemon
+	Daemon    string   // path of the daemon binary
+	Directory string   // for the logs of the daemons; if empty, a temporary one that Close removes
+	Arguments []string // appended to the arguments of every daemon
 }
 
-// Fleet is a running deployment.
+// Fleet is a running deployment. Its exported fields must not be changed.
 type Fleet struct {
 	Deployment Deployment
 	Network    *network.Network
 	Daemons    []*Daemon
 	Engines    []*Engine
-	Replicas   []*Replica
+	Replicas   []*Replica // of application services and tools
 	Platform   Platform
 	HTTP       *http.Client // for requests to the daemons
 
-	closers   []func()
-	temporary string
+	closers            []func()
+	temporaryDirectory string // for logs; "" if Options.Directory is set
 
 	mutex   sync.Mutex
-	leaving map[string]bool // machines listed as leaving
+	leaving map[string]bool // names of the machines that are listed as leaving
 }
 
-// Start starts all parts and waits until the configuration is in force at
-// every daemon. Close ends it.
+// Start starts all parts of the deployment, applies its configuration and waits
+// until every daemon is ready, for at most startTimeout. The caller must close
+// the fleet. After an error nothing is left running.
 func Start(ctx context.Context, deployment Deployment, options Options) (*Fleet, error) {
 	deployment = deployment.withDefaults()
 	fleet := &Fleet{
@@ -61,15 +62,15 @@
 	if options.Directory == "" {
 		directory, err := os.MkdirTemp("", "thymeloft-lab-")
 		if err != nil {
-			return nil, eris.Wrap(err, "make a directory for logs")
+			return nil, eris.Wrap(err, "create the log directory")
 		}
-		fleet.temporary = directory
+		fleet.temporaryDirectory = directory
 		options.Directory = directory
 	}
 	for _, start := range []func() error{
 		fleet.startEngines,
 		fleet.startServices,
-		func() error { return fleet.placeDaemons(options) },
+		func() error { return fleet.createDaemons(options) },
 		fleet.startPlatform,
 		func() error { return fleet.startDaemons(options.Arguments) },
 		func() error { return fleet.configure(ctx) },
@@ -82,9 +83,9 @@
 	return fleet, nil
 }
 
-func (f *Fleet) placeDaemons(options Options) error {
+func (f *Fleet) createDaemons(options Options) error {
 	for number := range len(f.Deployment.Zones) * f.Deployment.DaemonsPerZone {
-		daemon, err := newDaemon(number, f.Deployment.spread(number), options.Daemon, options.Directory, f.Network)
+		daemon, err := newDaemon(number, f.Deployment.zoneOf(number), options.Daemon, options.Directory, f.Network)
 		if err != nil {
 			return err
 		}
@@ -93,7 +94,7 @@
 	return nil
 }
 
-func (f *Fleet) startDaemons(further []string) error {
+func (f *Fleet) startDaemons(extraArguments []string) error {
 	common := []string{
 		"--region=" + f.Deployment.Region,
 		"--operator-key-hashes=" + keyHash(operatorKey),
@@ -104,7 +105,7 @@
 		common = append(common, flag+"="+url)
 	}
 	for _, daemon := range f.Daemons {
-		daemon.arguments = append(append(daemon.arguments, common...), further...)
+		daemon.arguments = append(append(daemon.arguments, common...), extraArguments...)
 		if err := daemon.Start(); err != nil {
 			return err
 		}
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// Daemon finds a daemon by name.
+// Daemon returns the daemon with this name, or nil.
 func (f *Fleet) Daemon(name string) *Daemon {
 	for _, daemon := range f.Daemons {
 		if daemon.Name == name {
@@ -122,23 +123,24 @@
 	return nil
 }
 
-// Close ends every process by its identifier, and all stand-ins.
+// Close kills the daemons and stops all stand-ins. It must be called once.
 func (f *Fleet) Close() {
 	for _, daemon := range f.Daemons {
-		daemon.end()
+		daemon.killIfRunning()
 	}
 	f.HTTP.CloseIdleConnections()
 	f.Network.Close()
 	for _, closer := range f.closers {
 		closer()
 	}
-	if f.temporary != "" {
-		_ = os.RemoveAll(f.temporary)
+	if f.temporaryDirectory != "" {
+		_ = os.RemoveAll(f.temporaryDirectory)
 	}
 }
 
-// until repeats the attempt until it returns nil or the context ends.
-func until(ctx context.Context, attempt func() error) error {
+// retry calls attempt every pollInterval until it returns nil. If ctx ends first,
+// it returns the last error of attempt.
+func retry(ctx context.Context, attempt func() error) error {
 	for {
 		err := attempt()
 		if err == nil {
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	startTimeout    = 60 * time.Second
-	firstIdentifier = "lab-first-configuration"
+	startTimeout          = 60 * time.Second
+	firstChangeIdentifier = "lab-first-configuration"
 )
 
-// Operator is a client of the operators' calls at one daemon.
+// Operator returns an authenticated client of the operator API of the daemon.
+// Each call has a timeout of requestTimeout.
 func (f *Fleet) Operator(daemon *Daemon) operatorv1connect.OperatorServiceClient {
 	key := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, request connect.AnyRequest) (connect.AnyResponse, error) {
@@ -32,7 +33,7 @@
 	return operatorv1connect.NewOperatorServiceClient(client, daemon.OperatorURL(), connect.WithInterceptors(key))
 }
 
-// Status is what a daemon knows of members, groups and engines.
+// Status returns what the daemon knows of members, groups and engines.
 func (f *Fleet) Status(ctx context.Context, daemon *Daemon) (*operatorv1.GetStatusResponse, error) {
 	reply, err := f.Operator(daemon).GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{}))
 	if err != nil {
@@ -41,19 +42,20 @@
 	return reply.Msg, nil
 }
 
-// Leader finds the daemon that leads the group.
+// Leader returns the daemon that leads the group of the shard, or an error if no
+// running daemon knows a leader.
 func (f *Fleet) Leader(ctx context.Context, shard uint32) (*Daemon, error) {
-	group, err := f.group(ctx, shard)
+	group, err := f.findGroup(ctx, shard)
 	if err != nil {
 		return nil, err
 	}
 	return f.Daemon(group.Leader), nil
 }
 
-// Successor finds a daemon that runs and does not lead the group: one of those
-// that may lead it next.
+// Successor returns a running daemon that doesn't lead the group of the shard and
+// so may lead it next.
 func (f *Fleet) Successor(ctx context.Context, shard uint32) (*Daemon, error) {
-	group, err := f.group(ctx, shard)
+	group, err := f.findGroup(ctx, shard)
 	if err != nil {
 		return nil, err
 	}
@@ -62,13 +64,13 @@
 			return daemon, nil
 		}
 	}
-	return nil, eris.Errorf("nobody but %s may lead group %d", group.Leader, shard)
+	return nil, eris.Errorf("no daemon but %s is running to lead group %d", group.Leader, shard)
 }
 
-// group finds the group's state, by asking those alive. The highest term is
-// believed.
-func (f *Fleet) group(ctx context.Context, shard uint32) (*operatorv1.Group, error) {
-	var best *operatorv1.Group
+// findGroup asks the running daemons for the group of the shard and returns the
+// answer with the highest epoch. Groups without a leader don't count.
+func (f *Fleet) findGroup(ctx context.Context, shard uint32) (*operatorv1.Group, error) {
+	var newest *operatorv1.Group
 	for _, daemon := range f.Daemons {
 		if !daemon.Alive() {
 			continue
@@ -78,42 +80,46 @@
 			continue
 		}
 		for _, group := range status.Groups {
-			if group.Shard == shard && group.Normal && group.Leader != "" && later(group, best) {
-				best = group
+			if group.Shard == shard && group.Normal && group.Leader != "" && isNewer(group, newest) {
+				newest = group
 			}
 		}
 	}
-	if best == nil || f.Daemon(best.Leader) == nil {
+	if newest == nil || f.Daemon(newest.Leader) == nil {
 		return nil, eris.Errorf("no leader of group %d is known", shard)
 	}
-	return best, nil
+	return newest, nil
 }
 
-func later(group, than *operatorv1.Group) bool { return than == nil || group.Epoch > than.Epoch }
+// isNewer reports whether the group has a higher epoch than the other one, which
+// may be nil.
+func isNewer(group, other *operatorv1.Group) bool { return other == nil || group.Epoch > other.Epoch }
 
-// configure applies the deployment's configuration and waits until every
-// daemon has it in force, leads or follows its groups and sees all engines.
+// configure applies the deployment's configuration and waits until checkReady
+// succeeds for every daemon, for at most startTimeout.
 func (f *Fleet) configure(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	var revision uint64
-	err := until(ctx, func() error {
+	err := retry(ctx, func() error {
 		var err error
-		revision, err = f.Apply(ctx, f.Daemons[0], firstIdentifier, 0, f.Document())
+		revision, err = f.Apply(ctx, f.Daemons[0], firstChangeIdentifier, 0, f.Document())
 		return err
 	})
 	if err != nil {
-		return f.explain(err)
+		return f.addLogs(err)
 	}
 	for _, daemon := range f.Daemons {
-		if err := until(ctx, func() error { return f.ready(ctx, daemon, revision) }); err != nil {
-			return f.explain(err)
+		if err := retry(ctx, func() error { return f.checkReady(ctx, daemon, revision) }); err != nil {
+			return f.addLogs(err)
 		}
 	}
 	return nil
 }
 
-// Apply makes a change of the whole document at a daemon.
+// Apply replaces the whole configuration document through the daemon and returns
+// the new revision. The identifier makes repeated calls one change; base is the
+// revision that the document replaces.
 func (f *Fleet) Apply(ctx context.Context, daemon *Daemon, identifier string, base uint64, document *operatorv1.Document) (uint64, error) {
 	reply, err := f.Operator(daemon).ApplyConfiguration(ctx, connect.NewRequest(&operatorv1.ApplyConfigurationRequest{
 		ChangeIdentifier: identifier,
@@ -126,13 +132,16 @@
 	return reply.Msg.Revision, nil
 }
 
-func (f *Fleet) ready(ctx context.Context, daemon *Daemon, revision uint64) error {
+// checkReady returns an error unless the daemon has confirmed the configuration
+// revision or a later one, sees all engines accept requests, and knows the leader
+// of each of its groups.
+func (f *Fleet) checkReady(ctx context.Context, daemon *Daemon, revision uint64) error {
 	status, err := f.Status(ctx, daemon)
 	if err != nil {
 		return err
 	}
 	if status.ConfigurationRevision < revision || !status.ConfigurationConfirmed {
-		return eris.Errorf("%s has revision %d, confirmed %t", daemon.Name, status.ConfigurationRevision, status.ConfigurationConfirmed)
+		return eris.Errorf("daemon %s has configuration revision %d (confirmed: %t)", daemon.Name, status.ConfigurationRevision, status.ConfigurationConfirmed)
 	}
 	accepting := 0
 	for _, engine := range status.Engines {
@@ -141,18 +150,18 @@
 		}
 	}
 	if accepting < len(f.Engines) {
-		return eris.Errorf("%s sees %d of %d engines accepting", daemon.Name, accepting, len(f.Engines))
+		return eris.Errorf("daemon %s sees %d of %d engines accept requests", daemon.Name, accepting, len(f.Engines))
 	}
 	for _, group := range status.Groups {
 		if !group.Normal || group.Leader == "" {
-			return eris.Errorf("%s has no leader for group %d", daemon.Name, group.Shard)
+			return eris.Errorf("daemon %s knows no leader of group %d", daemon.Name, group.Shard)
 		}
 	}
 	return nil
 }
 
-// explain adds the ends of the daemons' logs to an error.
-func (f *Fleet) explain(err error) error {
+// addLogs wraps the error with the last lines of each daemon's log.
+func (f *Fleet) addLogs(err error) error {
 	const lines = 15
 	for _, daemon := range f.Daemons {
 		err = eris.Wrapf(err, "log of %s:\n%s\n", daemon.Name, daemon.LogTail(lines))
@@ -160,7 +169,7 @@
 	return err
 }
 
-// Document is the configuration of the deployment.
+// Document returns the configuration document of the deployment.
 func (f *Fleet) Document() *operatorv1.Document {
 	document := &operatorv1.Document{}
 	for _, tenant := range f.Deployment.Tenants {
@@ -188,12 +197,12 @@
 		})
 	}
 	for _, service := range f.Deployment.Services {
-		document.Services = append(document.Services, f.service(service))
+		document.Services = append(document.Services, f.serviceDocument(service))
 	}
 	return document
 }
 
-func (f *Fleet) service(service Service) *operatorv1.Service {
+func (f *Fleet) serviceDocument(service Service) *operatorv1.Service {
 	described := &operatorv1.Service{Name: service.Name, Kind: operatorv1.ServiceKind_SERVICE_KIND_SERVICE}
 	if service.Kind == kindTool {
 		described.Kind = operatorv1.ServiceKind_SERVICE_KIND_TOOL
