--- a/internal/lab/workload/fleet.go
+++ b/internal/lab/workload/fleet.go
@@ -6,7 +6,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// generation is a kind of hardware; a fleet mixes them.
+// generation is the hardware generation of an engine. The fields have the units
+// of those of Engine.
 type generation struct {
 	name          string
 	prefillPerSec float64
@@ -21,8 +22,8 @@
 	generationNew    = generation{name: "g3", prefillPerSec: 14_000, decodePerSec: 75, maxRunning: 32, cacheTokens: 700_000}
 )
 
-// mixedFleet is four old engines, three of the middle and three new ones,
-// spread over the zones in turn.
+// mixedFleet returns ten engines, four of the old, three of the middle and three
+// of the new generation, which are assigned to the zones in turn.
 func mixedFleet(name string, zones []identity.Zone) []Engine {
 	generations := []generation{
 		generationOld, generationMiddle, generationNew, generationOld, generationMiddle,
--- a/internal/lab/workload/random.go
+++ b/internal/lab/workload/random.go
@@ -8,86 +8,93 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// source draws what the generators need from one seeded stream.
-type source struct {
+// randomSource draws random values from one seeded stream. Not safe for concurrent
+// use.
+type randomSource struct {
 	*rand.Rand
 }
 
-// newSource gives the stream with that name and number of a seed; streams
-// don't influence each other.
-func newSource(seed uint64, name string, number int) source {
+// newRandomSource returns the random stream with the given name and number.
+// Draws from one stream don't affect the others of the same seed.
+func newRandomSource(seed uint64, name string, number int) randomSource {
 	stream := xxhash.Sum64String(name) + uint64(number)
-	return source{rand.New(rand.NewPCG(seed, stream))}
+	return randomSource{rand.New(rand.NewPCG(seed, stream))}
 }
 
-// between draws a whole number, both ends included.
-func (s source) between(low, high int64) int64 {
+// uniformInt draws a whole number from low to high, both included, with equal
+// probabilities.
+func (s randomSource) uniformInt(low, high int64) int64 {
 	return low + s.Int64N(high-low+1)
 }
 
-// logNormal draws a duration around the median; spread is the standard
-// deviation of its logarithm. limit cuts off the tail.
-func (s source) logNormal(median time.Duration, spread float64, limit time.Duration) time.Duration {
+// logNormal draws a duration from a log-normal distribution with the given median.
+// The spread is the standard deviation of the natural logarithm. Values above
+// limit are replaced by it.
+func (s randomSource) logNormal(median time.Duration, spread float64, limit time.Duration) time.Duration {
 	drawn := time.Duration(float64(median) * math.Exp(s.NormFloat64()*spread))
 	return min(drawn, limit)
 }
 
-// logNormalCount draws a whole number like logNormal, at least low.
-func (s source) logNormalCount(median, spread float64, low, high int64) int64 {
+// logNormalCount draws a whole number like logNormal, at least low and at most
+// high.
+func (s randomSource) logNormalCount(median, spread float64, low, high int64) int64 {
 	drawn := int64(median * math.Exp(s.NormFloat64()*spread))
 	return min(max(drawn, low), high)
 }
 
-// chance is true with that probability.
-func (s source) chance(probability float64) bool {
+// bernoulli returns true with the given probability.
+func (s randomSource) bernoulli(probability float64) bool {
 	return s.Float64() < probability
 }
 
-// zipf draws an index below count; the first are the most frequent.
-func (s source) zipf(count int) int {
+// zipfIndex draws an index below count. The probability of an index is
+// proportional to 1/(index+1).
+func (s randomSource) zipfIndex(count int) int {
 	total := 0.0
 	for index := range count {
 		total += 1 / float64(index+1)
 	}
-	left := s.Float64() * total
+	remaining := s.Float64() * total
 	for index := range count {
-		left -= 1 / float64(index+1)
-		if left < 0 {
+		remaining -= 1 / float64(index+1)
+		if remaining < 0 {
 			return index
 		}
 	}
 	return count - 1
 }
 
-// shape is the rate of arrivals over a trace, relative to its base rate.
-type shape struct {
-	length   time.Duration
-	peakFrom time.Duration
-	peakTo   time.Duration
-	peak     float64
+// arrivalRate is the rate of arrivals over a trace, relative to a base rate: 1
+// outside the peak and peakFactor within.
+type arrivalRate struct {
+	length     time.Duration // of the trace
+	peakFrom   time.Duration // offset from the start of the trace
+	peakTo     time.Duration // offset from the start of the trace
+	peakFactor float64
 }
 
-func (s shape) at(moment time.Duration) float64 {
+func (s arrivalRate) relativeRate(moment time.Duration) float64 {
 	if moment >= s.peakFrom && moment < s.peakTo {
-		return s.peak
+		return s.peakFactor
 	}
 	return 1
 }
 
-// arrivals draws a Poisson process of the shape with the base rate a second.
-func (s shape) arrivals(random source, perSecond float64) []time.Duration {
+// arrivals draws the moments of a Poisson process whose rate is perSecond times
+// the relative rate, as offsets from the start in rising order.
+func (s arrivalRate) arrivals(random randomSource, perSecond float64) []time.Duration {
 	var moments []time.Duration
 	if !(perSecond > 0) {
-		return nil // also for a scale that is no number
+		return nil // also if perSecond is NaN
 	}
 	moment := time.Duration(0)
 	for {
-		gap := random.ExpFloat64() / (perSecond * s.peak)
+		gap := random.ExpFloat64() / (perSecond * s.peakFactor)
 		moment += time.Duration(gap * float64(time.Second))
 		if moment >= s.length {
 			return moments
 		}
-		if random.chance(s.at(moment) / s.peak) {
+		if random.bernoulli(s.relativeRate(moment) / s.peakFactor) {
 			moments = append(moments, moment)
 		}
 	}
--- a/internal/lab/workload/theorydesk.go
+++ b/internal/lab/workload/theorydesk.go
@@ -11,51 +11,53 @@
 )
 
 const (
-	theoryDeskSchools   = 16
-	theoryDeskPerSecond = 1.1 // sessions a second outside the peak, at scale 1
-	classesPerSecond    = 1.0 / 60
-	classSmallest       = 18
-	classLargest        = 28
-	classSpread         = 15 * time.Second
-	doubledChance       = 0.08
-	bookingShare        = 0.25
-	courses             = 4
-	modulesInCourse     = 9
-	sessionTurnsMost    = 36
-	thinkingMost        = 40 * time.Second
+	theoryDeskSchools  = 16
+	sessionsPerSecond  = 1.1      // mean rate of single sessions and bookings outside the peak, at scale 1
+	classesPerSecond   = 1.0 / 60 // mean rate of whole classes outside the peak, at scale 1
+	minClassSize       = 18
+	maxClassSize       = 28
+	classArrivalSpread = 15 * time.Second // within which the bookings of a class arrive
+	resendChance       = 0.08             // probability that the caller sends a call twice
+	bookingShare       = 0.25             // fraction of bookings among the single arrivals
+	courseCount        = 4
+	modulesPerCourse   = 9
+	maxSessionTurns    = 36
+	maxThinkingPause   = 40 * time.Second
 )
 
-// TheoryDesk generates fifteen minutes of an evening of the coaching service:
-// short interactive turns with thinking pauses, requests that impatient
-// callers send twice, and driving schools that book whole classes at once.
-// Scale multiplies the rate of arrivals.
+// TheoryDesk generates fifteen minutes of an evening at a coaching service for
+// learner drivers: coaching sessions of short interactive turns with pauses for
+// thinking, and bookings, which driving schools also make for whole classes at
+// once. Impatient callers send some calls twice. The scale multiplies the rate
+// of arrivals.
 func TheoryDesk(seed uint64, scale float64) Trace {
 	zones := []identity.Zone{"hall-a", "hall-b", "hall-c"}
-	evening := shape{length: 15 * time.Minute, peakFrom: 4 * time.Minute, peakTo: 12 * time.Minute, peak: 1.6}
+	evening := arrivalRate{length: 15 * time.Minute, peakFrom: 4 * time.Minute, peakTo: 12 * time.Minute, peakFactor: 1.6}
 	trace := Trace{
 		Deployment: "theory-desk", Seed: seed, Scale: scale, Length: evening.length,
 		PeakFrom: evening.peakFrom, PeakTo: evening.peakTo,
 		Zones: zones, Model: "tutor-llm", Engines: mixedFleet("tutor", zones),
 	}
-	single := evening.arrivals(newSource(seed, "theorydesk-arrivals", 0), theoryDeskPerSecond*scale)
-	classes := evening.arrivals(newSource(seed, "theorydesk-classes", 0), classesPerSecond*scale)
-	numberOfSingle, numberOfClass := 0, 0
-	for numberOfSingle < len(single) || numberOfClass < len(classes) {
-		if numberOfClass == len(classes) || numberOfSingle < len(single) && single[numberOfSingle] <= classes[numberOfClass] {
-			trace.addSession(newSource(seed, "session", numberOfSingle), single[numberOfSingle])
-			numberOfSingle++
+	single := evening.arrivals(newRandomSource(seed, "theorydesk-arrivals", 0), sessionsPerSecond*scale)
+	classes := evening.arrivals(newRandomSource(seed, "theorydesk-classes", 0), classesPerSecond*scale)
+	nextSingle, nextClass := 0, 0
+	for nextSingle < len(single) || nextClass < len(classes) {
+		if nextClass == len(classes) || nextSingle < len(single) && single[nextSingle] <= classes[nextClass] {
+			trace.addSession(newRandomSource(seed, "session", nextSingle), single[nextSingle])
+			nextSingle++
 			continue
 		}
-		trace.addClass(newSource(seed, "class", numberOfClass), classes[numberOfClass])
-		numberOfClass++
+		trace.addClass(newRandomSource(seed, "class", nextClass), classes[nextClass])
+		nextClass++
 	}
 	return trace
 }
 
-// addSession appends the coaching session of a learner, or a booking.
-func (t *Trace) addSession(random source, arrival time.Duration) {
+// addSession appends the coaching session of a learner or, with probability
+// bookingShare, a booking.
+func (t *Trace) addSession(random randomSource, arrival time.Duration) {
 	school := drawSchool(random)
-	if random.chance(bookingShare) {
+	if random.bernoulli(bookingShare) {
 		t.addBooking(random, arrival, school, scheduling.ClassStandard)
 		return
 	}
@@ -63,37 +65,37 @@
 		Index: len(t.Programs), Kind: "coaching", Tenant: school, Class: scheduling.ClassInteractive,
 		Arrival: arrival, Parent: NoParent, Prefix: coachingPrefix(random),
 	}
-	session.Turns = make([]Turn, random.logNormalCount(12, 0.45, 3, sessionTurnsMost))
+	session.Turns = make([]Turn, random.logNormalCount(12, 0.45, 3, maxSessionTurns))
 	for index := range session.Turns {
 		session.Turns[index] = Turn{
 			PromptTokens: random.logNormalCount(90, 0.7, 10, 600),
 			OutputTokens: random.logNormalCount(85, 0.5, 15, 300),
-			Pause:        random.logNormal(6*time.Second, 0.7, thinkingMost),
-			DoubledAfter: drawDoubled(random),
+			Pause:        random.logNormal(6*time.Second, 0.7, maxThinkingPause),
+			DoubledAfter: drawResendDelay(random),
 		}
 	}
 	session.Turns[len(session.Turns)-1].Pause = 0
 	t.Programs = append(t.Programs, session)
 }
 
-// addClass appends the bookings of a driving school for a whole class.
-func (t *Trace) addClass(random source, arrival time.Duration) {
+// addClass appends the bookings that a driving school makes for a whole class.
+func (t *Trace) addClass(random randomSource, arrival time.Duration) {
 	school := drawSchool(random)
-	for range random.between(classSmallest, classLargest) {
-		later := time.Duration(random.Int64N(int64(classSpread)))
-		t.addBooking(random, arrival+later, school, scheduling.ClassBatch)
+	for range random.uniformInt(minClassSize, maxClassSize) {
+		delay := time.Duration(random.Int64N(int64(classArrivalSpread)))
+		t.addBooking(random, arrival+delay, school, scheduling.ClassBatch)
 	}
 }
 
-// addBooking appends a booking: find a sitting, confirm, charge.
-func (t *Trace) addBooking(random source, arrival time.Duration, school identity.Tenant, class scheduling.Class) {
-	turns := make([]Turn, random.between(3, 5))
+// addBooking appends a booking of a test appointment. Its last turn charges for it.
+func (t *Trace) addBooking(random randomSource, arrival time.Duration, school identity.Tenant, class scheduling.Class) {
+	turns := make([]Turn, random.uniformInt(3, 5))
 	for index := range turns {
 		turns[index] = Turn{
 			PromptTokens: random.logNormalCount(160, 0.5, 30, 800),
 			OutputTokens: random.logNormalCount(60, 0.4, 15, 200),
-			Pause:        random.logNormal(700*time.Millisecond, 0.9, thinkingMost),
-			DoubledAfter: drawDoubled(random),
+			Pause:        random.logNormal(700*time.Millisecond, 0.9, maxThinkingPause),
+			DoubledAfter: drawResendDelay(random),
 		}
 	}
 	turns[len(turns)-1].Pause = 0
@@ -104,29 +106,32 @@
 	})
 }
 
-func drawSchool(random source) identity.Tenant {
-	return identity.Tenant(fmt.Sprintf("school-%02d", random.zipf(theoryDeskSchools)+1))
+func drawSchool(random randomSource) identity.Tenant {
+	return identity.Tenant(fmt.Sprintf("school-%02d", random.zipfIndex(theoryDeskSchools)+1))
 }
 
-// drawDoubled tells after what time a caller sends the same call again.
-func drawDoubled(random source) time.Duration {
-	if !random.chance(doubledChance) {
+// drawResendDelay returns the time after which the caller sends a call again, or
+// 0 for never.
+func drawResendDelay(random randomSource) time.Duration {
+	if !random.bernoulli(resendChance) {
 		return 0
 	}
-	return time.Duration(random.between(300, 2500)) * time.Millisecond
+	return time.Duration(random.uniformInt(300, 2500)) * time.Millisecond
 }
 
-// coachingPrefix is the course's instructions, then the module's questions.
-func coachingPrefix(random source) []PrefixPart {
-	course := fmt.Sprintf("course-%d", random.zipf(courses))
-	module := fmt.Sprintf("%s/module-%d", course, random.zipf(modulesInCourse))
+// coachingPrefix returns the instructions of a random course, followed by the
+// questions of one of its modules.
+func coachingPrefix(random randomSource) []PrefixPart {
+	course := fmt.Sprintf("course-%d", random.zipfIndex(courseCount))
+	module := fmt.Sprintf("%s/module-%d", course, random.zipfIndex(modulesPerCourse))
 	return []PrefixPart{
 		{Hash: xxhash.Sum64String(course), Tokens: 1800},
 		{Hash: xxhash.Sum64String(module), Tokens: 1500 + int64(xxhash.Sum64String(module)%2000)},
 	}
 }
 
-// bookingPrefix is the booking instructions, then the school's account.
+// bookingPrefix returns the booking instructions, followed by the account data of
+// the school.
 func bookingPrefix(school identity.Tenant) []PrefixPart {
 	return []PrefixPart{
 		{Hash: xxhash.Sum64String("booking"), Tokens: 1400},
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/lab/workload"
 )
 
-func TestTracesAreSoundAndRepeat(t *testing.T) {
+func TestTracesAreValidAndReproducible(t *testing.T) {
 	for _, generate := range []func(seed uint64, scale float64) workload.Trace{workload.Brackenlaw, workload.TheoryDesk} {
 		expect := gomega.NewWithT(t)
 		trace := generate(5, 0.5)
