--- a/internal/lab/experiment/baselines.go
+++ b/internal/lab/experiment/baselines.go
@@ -6,7 +6,7 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// Strategy names a way of placing calls.
+// Strategy is the name of a strategy for placing calls on engines.
 type Strategy string
 
 // The strategies that are compared.
@@ -19,47 +19,47 @@
 	Thymeloft   Strategy = "thymeloft"
 )
 
-// Strategies are all of them, in the order of reports.
+// Strategies returns all strategies in the order of the report.
 func Strategies() []Strategy {
 	return []Strategy{RoundRobin, LeastLoaded, PrefixHash, SessionHash, FirstCome, Thymeloft}
 }
 
-// traits are what comes with a strategy besides placement.
+// traits are the properties of a strategy besides placement.
 type traits struct {
-	joinsCopies bool // the same call sent again joins the first
+	joinsCopies bool // a call that is sent again is not run again
 }
 
 // strategy places the calls of one daemon.
 type strategy interface {
 	traits() traits
 	submit(received *call)
-	changed()                         // a report arrived or a placement ended
-	answered(done *call)              // the program pauses or ends now
-	programEnded(program *programRun) // the caller ended it
-	waiting() int
+	stateChanged()                    // called when a report arrives or a placement ends
+	callAnswered(done *call)          // called before the program pauses or ends
+	programEnded(program *programRun) // called when the program has ended or is abandoned
+	waitingCalls() int                // number of calls queued in the daemon
 }
 
 func newStrategy(d *daemon, choice Strategy, settings Settings) strategy {
-	own := balancer{daemon: d, joins: settings.JoinCopies}
+	base := balancer{daemon: d, joins: settings.JoinCopies}
 	switch choice {
 	case RoundRobin:
-		own.choose = roundRobin
+		base.choose = roundRobin
 	case LeastLoaded:
-		own.choose = leastLoaded
+		base.choose = leastLoaded
 	case PrefixHash:
-		own.choose = prefixHash
+		base.choose = prefixHash
 	case SessionHash:
-		own.choose = sessionHash
+		base.choose = sessionHash
 	case FirstCome:
-		return &firstCome{balancer: own}
+		return &firstCome{balancer: base}
 	default:
 		return newThymeloft(d, settings)
 	}
-	own.turn = d.index
-	return &own
+	base.turn = d.index
+	return &base
 }
 
-// balancer sends each call on at once; it waits in the engine's own line.
+// balancer places each call at once, so that calls wait in the engines' queues.
 type balancer struct {
 	daemon *daemon
 	joins  bool
@@ -68,10 +68,10 @@
 }
 
 func (b *balancer) traits() traits           { return traits{joinsCopies: b.joins} }
-func (b *balancer) changed()                 {}
-func (b *balancer) answered(*call)           {}
+func (b *balancer) stateChanged()            {}
+func (b *balancer) callAnswered(*call)       {}
 func (b *balancer) programEnded(*programRun) {}
-func (b *balancer) waiting() int             { return 0 }
+func (b *balancer) waitingCalls() int        { return 0 }
 
 func (b *balancer) submit(received *call) {
 	b.turn++
@@ -82,13 +82,13 @@
 	return turn % len(d.run.engines)
 }
 
-// leastLoaded takes the engine with the fewest calls, by the same corrected
-// reports that thymeloft sees; equal ones take turns.
+// leastLoaded chooses the engine with the fewest calls in daemon.view, which
+// thymeloft uses too. Engines with equally many calls are chosen in turn.
 func leastLoaded(d *daemon, turn int, _ *call) int {
 	best, least := 0, 0
 	for offset := range d.run.engines {
 		index := (turn + offset) % len(d.run.engines)
-		if load := calls(d.view(index)); offset == 0 || load < least {
+		if load := callCount(d.view(index)); offset == 0 || load < least {
 			best, least = index, load
 		}
 	}
@@ -109,41 +109,41 @@
 	return int(xxhash.Sum64(name[:]) % uint64(len(d.run.engines)))
 }
 
-func calls(view scheduling.Engine) int {
+func callCount(view scheduling.Engine) int {
 	return view.Running + view.Waiting + view.PlacedSince
 }
 
-// firstCome keeps one line and gives its first call to the first engine with
-// a free slot, the least loaded by share.
+// firstCome keeps one queue in order of arrival. It places a call when an engine
+// has a free slot, on the engine with the smallest share of its slots in use.
 type firstCome struct {
 	balancer
-	line []*call
+	queue []*call
 }
 
 func (f *firstCome) submit(received *call) {
-	f.line = append(f.line, received)
-	f.changed()
+	f.queue = append(f.queue, received)
+	f.stateChanged()
 }
 
-func (f *firstCome) waiting() int { return len(f.line) }
+func (f *firstCome) waitingCalls() int { return len(f.queue) }
 
-func (f *firstCome) changed() {
-	for len(f.line) > 0 {
-		engine, found := f.free()
+func (f *firstCome) stateChanged() {
+	for len(f.queue) > 0 {
+		engine, found := f.findFree()
 		if !found {
 			return
 		}
-		first := f.line[0]
-		f.line = f.line[1:]
+		first := f.queue[0]
+		f.queue = f.queue[1:]
 		f.daemon.place(first, engine, 0, first.promptTokens)
 	}
 }
 
-func (f *firstCome) free() (best int, found bool) {
+func (f *firstCome) findFree() (best int, found bool) {
 	least := 1.0
 	for index := range f.daemon.run.engines {
 		view := f.daemon.view(index)
-		if share := float64(calls(view)) / float64(view.MaxRunning); share < least {
+		if share := float64(callCount(view)) / float64(view.MaxRunning); share < least {
 			best, least, found = index, share, true
 		}
 	}
--- a/internal/lab/experiment/cache.go
+++ b/internal/lab/experiment/cache.go
@@ -5,46 +5,49 @@
 	"time"
 )
 
-// segment is a part of a prompt. Equal keys mean equal content and equal
-// content before it.
+// segment is a part of a prompt. Segments with equal keys have the same content,
+// and the same content before them.
 type segment struct {
 	key    segmentKey
 	tokens int64
 }
 
-// segmentKey names a shared part by its hash, or a turn of a program.
+// segmentKey identifies a shared part of a prompt by its hash, or a turn by its
+// program and index.
 type segmentKey struct {
-	shared  uint64
-	program int
-	turn    int
+	shared  uint64 // hash; 0 for a turn
+	program int    // index of the program plus 1; 0 for a shared part
+	turn    int    // index of the turn
 }
 
 // prefixCache is an engine's cache of prompt prefixes: a tree of segments in
-// limited memory, of which the least recently used leaf goes first. Running
-// sequences reserve memory in it and pin what they use.
+// limited memory, from which the least recently used leaf is evicted first.
+// Running sequences reserve memory in it and pin the segments that they use.
 type prefixCache struct {
-	capacity int64
-	cached   int64 // tokens in nodes
-	reserved int64 // tokens of running sequences that are not in nodes
-	nodes    map[segmentKey]*node
-	recent   *list.List // of *node, most recently used first
+	capacityTokens int64
+	cachedTokens   int64 // in nodes
+	reservedTokens int64 // of running sequences, not in nodes
+	nodes          map[segmentKey]*node
+	recent         *list.List // of *node, most recently used first
 }
 
+// node is a cached segment.
 type node struct {
 	segment
-	parent    *node
-	children  int
-	pins      int
-	heldUntil time.Duration
-	element   *list.Element
+	parent     *node         // nil for the root of a tree
+	children   int           // number of child nodes
+	pins       int           // number of running sequences that pin the node
+	leaseUntil time.Duration // evicted before only if nothing else is left to evict
+	element    *list.Element // in prefixCache.recent
 }
 
-func newPrefixCache(capacity int64) *prefixCache {
-	return &prefixCache{capacity: capacity, nodes: make(map[segmentKey]*node), recent: list.New()}
+func newPrefixCache(capacityTokens int64) *prefixCache {
+	return &prefixCache{capacityTokens: capacityTokens, nodes: make(map[segmentKey]*node), recent: list.New()}
 }
 
-// match returns the deepest cached node of a path and the tokens up to it.
-func (c *prefixCache) match(path []segment) (deepest *node, tokens int64) {
+// matchPrefix returns the deepest cached node of the path, or nil, and the number
+// of tokens from the start to its end.
+func (c *prefixCache) matchPrefix(path []segment) (deepest *node, tokens int64) {
 	for _, part := range path {
 		found, ok := c.nodes[part.key]
 		if !ok {
@@ -56,28 +59,30 @@
 	return deepest, tokens
 }
 
-// reserve takes memory for a sequence, evicting leaves as needed. It fails,
-// without effect on reservations, when pinned memory leaves too little.
+// reserve reserves memory for a sequence and evicts leaves as needed, leased ones
+// last. If the memory that is pinned or reserved leaves too little, it returns
+// false and reserves nothing, but what it evicted stays evicted.
 func (c *prefixCache) reserve(tokens int64, now time.Duration) bool {
-	for _, breakHolds := range []bool{false, true} {
-		for c.cached+c.reserved+tokens > c.capacity {
-			if !c.evictOne(now, breakHolds) {
+	for _, breakLeases := range []bool{false, true} {
+		for c.cachedTokens+c.reservedTokens+tokens > c.capacityTokens {
+			if !c.evictOne(now, breakLeases) {
 				break
 			}
 		}
 	}
-	if c.cached+c.reserved+tokens > c.capacity {
+	if c.cachedTokens+c.reservedTokens+tokens > c.capacityTokens {
 		return false
 	}
-	c.reserved += tokens
+	c.reservedTokens += tokens
 	return true
 }
 
-// unreserve gives memory back.
-func (c *prefixCache) unreserve(tokens int64) { c.reserved -= tokens }
+// unreserve ends the reservation of this number of tokens.
+func (c *prefixCache) unreserve(tokens int64) { c.reservedTokens -= tokens }
 
-// insert adds the missing nodes of a path, whose memory was reserved before,
-// and returns its deepest node.
+// insert adds the missing nodes of the path and returns its deepest node, or nil
+// for an empty path. The caller must have reserved the memory and must unreserve
+// it.
 func (c *prefixCache) insert(path []segment) *node {
 	var parent *node
 	for _, part := range path {
@@ -86,7 +91,7 @@
 			found = &node{segment: part, parent: parent}
 			found.element = c.recent.PushFront(found)
 			c.nodes[part.key] = found
-			c.cached += part.tokens
+			c.cachedTokens += part.tokens
 			if parent != nil {
 				parent.children++
 			}
@@ -97,22 +102,22 @@
 	return parent
 }
 
-// touch marks a node and all before it as used now, the root last.
+// touch marks the node and its ancestors as most recently used, the root last.
 func (c *prefixCache) touch(used *node) {
 	for ; used != nil; used = used.parent {
 		c.recent.MoveToFront(used.element)
 	}
 }
 
-// evictOne removes the least recently used leaf that is not in use, nor held
-// unless holds are to be broken. It reports whether there was one.
-func (c *prefixCache) evictOne(now time.Duration, breakHolds bool) bool {
+// evictOne removes the least recently used leaf that is not pinned and, unless
+// breakLeases is set, has no lease. It returns false if there is none.
+func (c *prefixCache) evictOne(now time.Duration, breakLeases bool) bool {
 	for element := c.recent.Back(); element != nil; element = element.Prev() {
 		candidate := element.Value.(*node)
 		if candidate.children > 0 || candidate.pins > 0 {
 			continue
 		}
-		if !breakHolds && candidate.heldUntil > now {
+		if !breakLeases && candidate.leaseUntil > now {
 			continue
 		}
 		c.remove(candidate)
@@ -121,7 +126,8 @@
 	return false
 }
 
-// release drops what is cached of a program by itself.
+// release removes the cached turns of the program, the last one first, as far as
+// they are not pinned and have no children.
 func (c *prefixCache) release(program, turns int) {
 	for turn := turns - 1; turn >= 0; turn-- {
 		found, ok := c.nodes[segmentKey{program: program, turn: turn}]
@@ -137,5 +143,5 @@
 	}
 	c.recent.Remove(leaf.element)
 	delete(c.nodes, leaf.key)
-	c.cached -= leaf.tokens
+	c.cachedTokens -= leaf.tokens
 }
--- a/internal/lab/experiment/clock.go
+++ b/internal/lab/experiment/clock.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// clock runs events in virtual time: in order of their moment, and of their
-// scheduling where moments are equal.
+// clock runs events in virtual time. Events of the same time run in the order in
+// which they were scheduled. Not safe for concurrent use.
 type clock struct {
-	now    time.Duration
-	next   uint64
-	events eventHeap
-	done   int
+	now          time.Duration
+	lastSequence uint64
+	events       eventHeap
+	executed     int // number of events run so far
 }
 
-// mostEvents bounds a run, so that an endless one is found out.
-const mostEvents = 20_000_000
+// maxEvents limits the number of events of a run, which could otherwise be endless.
+const maxEvents = 20_000_000
 
 type event struct {
 	at       time.Duration
@@ -23,20 +23,20 @@
 	run      func()
 }
 
-// after schedules run; a negative delay counts as none.
+// after schedules run after the delay. A negative delay counts as 0.
 func (c *clock) after(delay time.Duration, run func()) {
-	c.next++
-	heap.Push(&c.events, event{at: c.now + max(delay, 0), sequence: c.next, run: run})
+	c.lastSequence++
+	heap.Push(&c.events, event{at: c.now + max(delay, 0), sequence: c.lastSequence, run: run})
 }
 
-// run lets events happen until none is left or the limit is reached; it
-// reports whether none is left.
+// run runs the events until none is left. It returns false if the next one is later
+// than the limit or maxEvents were run.
 func (c *clock) run(limit time.Duration) bool {
 	for len(c.events) > 0 {
-		if c.events[0].at > limit || c.done == mostEvents {
+		if c.events[0].at > limit || c.executed == maxEvents {
 			return false
 		}
-		c.done++
+		c.executed++
 		first := heap.Pop(&c.events).(event)
 		c.now = first.at
 		first.run()
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -7,31 +7,32 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// daemon is the scheduler's process of one zone. It sees engines through
-// reports that lag, and knows its own placements.
+// daemon emulates the scheduler process of one zone. What it knows of the engines
+// are their reports, which arrive late, and its own placements.
 type daemon struct {
-	index    int
-	zone     identity.Zone
-	run      *run
-	strategy strategy
-	reports  []report
-	placed   [][]*call // outstanding placements by engine
-	departed [][]endedCall
-	received uint64
+	index       int
+	zone        identity.Zone
+	run         *run
+	strategy    strategy
+	reports     []report      // the latest by engine
+	outstanding [][]*call     // placements that have not ended, by engine
+	endedCalls  [][]endedCall // placements that ended since the last report, by engine
+	received    uint64        // number of calls received
 }
 
 // report is the load of an engine at a past moment.
 type report struct {
-	at            time.Duration
-	running       int
-	waiting       int
-	waitingTokens int64
-	cacheUsed     int64
-	hits          float64
-	hitsPerToken  float64 // a second, between the last two reports, smoothed
+	at              time.Duration
+	running         int
+	waiting         int
+	waitingTokens   int64
+	cacheUsed       int64
+	servedFromCache float64 // as in emulatedEngine
+	hitsPerToken    float64 // cached prompt tokens served per second and token of cache capacity, smoothed
 }
 
-// endedCall is a placement that ended, kept till a report has seen its end.
+// endedCall is a placement that ended. It is kept until a report from after its end
+// arrives.
 type endedCall struct {
 	placed time.Duration
 	ended  time.Duration
@@ -40,123 +41,129 @@
 func newDaemon(r *run, index int, zone identity.Zone, choice Strategy, settings Settings) *daemon {
 	created := &daemon{
 		index: index, zone: zone, run: r,
-		reports:  make([]report, len(r.engines)),
-		placed:   make([][]*call, len(r.engines)),
-		departed: make([][]endedCall, len(r.engines)),
+		reports:     make([]report, len(r.engines)),
+		outstanding: make([][]*call, len(r.engines)),
+		endedCalls:  make([][]endedCall, len(r.engines)),
 	}
 	created.strategy = newStrategy(created, choice, settings)
 	return created
 }
 
-// receive takes a call from its caller.
+// receive submits a call from a caller to the strategy, unless the program has
+// ended.
 func (d *daemon) receive(received *call) {
 	if received.program.ended {
 		return
 	}
 	d.received++
-	received.received = d.run.clock.now
+	received.receivedAt = d.run.clock.now
 	d.strategy.submit(received)
 }
 
-// place sends a call to an engine; priority matters to engines that are told it.
+// place sends a call to an engine, which admits calls of smaller priority numbers
+// first. It expects the prefill of expectedUncached tokens.
 func (d *daemon) place(placed *call, engine, priority int, expectedUncached int64) {
-	placed.placed = d.run.clock.now
-	placed.expected = expectedUncached
-	d.placed[engine] = append(d.placed[engine], placed)
+	placed.placedAt = d.run.clock.now
+	placed.expectedUncached = expectedUncached
+	d.outstanding[engine] = append(d.outstanding[engine], placed)
 	d.run.clock.after(zoneDelay, func() { d.run.engines[engine].accept(placed, priority) })
 }
 
-// ended notes the end of a placement and lets waiting calls try again.
-func (d *daemon) ended(done *call) {
+// callEnded records the end of a placement and lets the strategy place waiting
+// calls.
+func (d *daemon) callEnded(done *call) {
 	engine := done.engine.index
-	outstanding := d.placed[engine]
+	outstanding := d.outstanding[engine]
 	for index, candidate := range outstanding {
 		if candidate == done {
-			d.placed[engine] = append(outstanding[:index], outstanding[index+1:]...)
+			d.outstanding[engine] = append(outstanding[:index], outstanding[index+1:]...)
 			break
 		}
 	}
-	d.departed[engine] = append(d.departed[engine], endedCall{placed: done.placed, ended: d.run.clock.now})
-	d.strategy.changed()
+	d.endedCalls[engine] = append(d.endedCalls[engine], endedCall{placed: done.placedAt, ended: d.run.clock.now})
+	d.strategy.stateChanged()
 }
 
-// view is an engine as the daemon believes it to be: the last report,
-// corrected by its own placements and ends since.
+// view returns the state of an engine as the daemon estimates it: the last report,
+// corrected by the placements that the daemon has made or seen end since.
 func (d *daemon) view(index int) scheduling.Engine {
 	engine := d.run.engines[index]
-	seen := d.reports[index]
+	last := d.reports[index]
 	view := scheduling.Engine{
 		ID: engine.ID, Model: d.run.trace.Model, Zone: engine.Zone, Generation: engine.Generation,
 		PrefillPerSec: engine.PrefillPerSec, DecodePerSec: engine.DecodePerSec, MaxRunning: engine.MaxRunning,
-		Running: seen.running, Waiting: seen.waiting, WaitingTokens: seen.waitingTokens,
-		CacheTokens: engine.CacheTokens, CacheUsed: seen.cacheUsed,
-		ReportAge: d.run.clock.now - seen.at, Accepting: true,
+		Running: last.running, Waiting: last.waiting, WaitingTokens: last.waitingTokens,
+		CacheTokens: engine.CacheTokens, CacheUsed: last.cacheUsed,
+		ReportAge: d.run.clock.now - last.at, Accepting: true,
 	}
-	for _, outstanding := range d.placed[index] {
-		if outstanding.placed+zoneDelay > seen.at {
+	for _, placed := range d.outstanding[index] {
+		if placed.placedAt+zoneDelay > last.at {
 			view.PlacedSince++
-			view.PlacedTokens += outstanding.expected
+			view.PlacedTokens += placed.expectedUncached
 		}
 	}
-	for _, gone := range d.departed[index] {
-		if gone.placed+zoneDelay <= seen.at && gone.ended-zoneDelay > seen.at {
+	for _, ended := range d.endedCalls[index] {
+		if ended.placed+zoneDelay <= last.at && ended.ended-zoneDelay > last.at {
 			view.Running = max(view.Running-1, 0)
 		}
 	}
 	return view
 }
 
-// learn takes a report that arrived.
-func (d *daemon) learn(engine int, news report) {
-	before := d.reports[engine]
-	if elapsed := (news.at - before.at).Seconds(); elapsed > 0 {
-		rate := (news.hits - before.hits) / elapsed / float64(d.run.engines[engine].CacheTokens)
-		news.hitsPerToken = before.hitsPerToken + hitsSmoothing*(rate-before.hitsPerToken)
+// receiveReport replaces the last report of an engine and lets the strategy place
+// waiting calls.
+func (d *daemon) receiveReport(engine int, latest report) {
+	previous := d.reports[engine]
+	if elapsed := (latest.at - previous.at).Seconds(); elapsed > 0 {
+		rate := (latest.servedFromCache - previous.servedFromCache) / elapsed / float64(d.run.engines[engine].CacheTokens)
+		latest.hitsPerToken = previous.hitsPerToken + hitsSmoothing*(rate-previous.hitsPerToken)
 	}
-	d.reports[engine] = news
-	kept := d.departed[engine][:0]
-	for _, gone := range d.departed[engine] {
-		if gone.ended-zoneDelay > news.at {
-			kept = append(kept, gone)
+	d.reports[engine] = latest
+	kept := d.endedCalls[engine][:0]
+	for _, ended := range d.endedCalls[engine] {
+		if ended.ended-zoneDelay > latest.at {
+			kept = append(kept, ended)
 		}
 	}
-	d.departed[engine] = kept
-	d.strategy.changed()
+	d.endedCalls[engine] = kept
+	d.strategy.stateChanged()
 }
 
+// hitsSmoothing is the weight of the latest report in report.hitsPerToken.
 const hitsSmoothing = 0.05
 
-// report lets an engine report to every daemon, again and again while
-// programs are open.
-func (r *run) report(engine *emulatedEngine, delay time.Duration) {
+// scheduleReport makes the engine report to every daemon after the delay, and then
+// every reportInterval while programs are open.
+func (r *run) scheduleReport(engine *emulatedEngine, delay time.Duration) {
 	r.clock.after(delay, func() {
 		engine.advance()
-		news := report{
+		latest := report{
 			at: r.clock.now, running: len(engine.running), waiting: len(engine.waiting),
-			waitingTokens: engine.waitingTokens(), cacheUsed: engine.cache.cached + engine.cache.reserved, hits: engine.hits,
+			waitingTokens: engine.waitingTokens(), cacheUsed: engine.cache.cachedTokens + engine.cache.reservedTokens, servedFromCache: engine.servedFromCache,
 		}
 		r.clock.after(r.reportLag, func() {
 			for _, daemon := range r.daemons {
-				daemon.learn(engine.index, news)
+				daemon.receiveReport(engine.index, latest)
 			}
 		})
-		if r.measures.open > 0 {
-			r.report(engine, reportEvery)
+		if r.measures.openPrograms > 0 {
+			r.scheduleReport(engine, reportInterval)
 		}
 	})
 }
 
-// sample records the length of all queues, again and again.
-func (r *run) sample() {
+// sampleQueues records the number of waiting calls now, and then every
+// sampleInterval while programs are open.
+func (r *run) sampleQueues() {
 	waiting := 0
 	for _, engine := range r.engines {
 		waiting += len(engine.waiting)
 	}
 	for _, daemon := range r.daemons {
-		waiting += daemon.strategy.waiting()
+		waiting += daemon.strategy.waitingCalls()
 	}
-	r.measures.queue = append(r.measures.queue, float64(waiting))
-	if r.measures.open > 0 {
-		r.clock.after(sampleEvery, r.sample)
+	r.measures.queueSamples = append(r.measures.queueSamples, float64(waiting))
+	if r.measures.openPrograms > 0 {
+		r.clock.after(sampleInterval, r.sampleQueues)
 	}
 }
--- a/internal/lab/experiment/determinism_test.go
+++ b/internal/lab/experiment/determinism_test.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/lab/workload"
 )
 
-func TestSameSeedGivesTheSameVerdict(t *testing.T) {
+func TestSameSeedGivesSameVerdict(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	const load = 0.4
 	var verdicts [2]Verdict
@@ -30,26 +30,27 @@
 	expect.Expect(verdicts[0].WastedRatio).To(gomega.BeNumerically(">", 0))
 }
 
-// Whatever the strategy and however scarce the memory, an engine in the end
-// holds nothing for running sequences and never cached beyond its memory.
-func TestEnginesGiveBackTheirMemory(t *testing.T) {
+// At the end of a run, with any strategy and also with little memory, an engine
+// must have no sequences, no reserved memory, and not more cached than its
+// capacity.
+func TestEnginesReleaseMemory(t *testing.T) {
 	for _, choice := range Strategies() {
 		for _, share := range []float64{1, 0.1} {
 			expect := gomega.NewWithT(t)
 			trace := workload.TheoryDesk(4, 0.2)
 			r := newRun(&trace, choice, Settings{MemoryShare: share})
-			expect.Expect(r.finish(choice)).To(gomega.Succeed())
+			expect.Expect(r.runToEnd(choice)).To(gomega.Succeed())
 			for _, engine := range r.engines {
 				expect.Expect(engine.running).To(gomega.BeEmpty())
 				expect.Expect(engine.waiting).To(gomega.BeEmpty())
-				expect.Expect(engine.cache.reserved).To(gomega.BeZero())
-				expect.Expect(engine.cache.cached).To(gomega.BeNumerically("<=", engine.cache.capacity))
+				expect.Expect(engine.cache.reservedTokens).To(gomega.BeZero())
+				expect.Expect(engine.cache.cachedTokens).To(gomega.BeNumerically("<=", engine.cache.capacityTokens))
 				total := int64(0)
 				for _, cached := range engine.cache.nodes {
 					expect.Expect(cached.pins).To(gomega.BeZero())
 					total += cached.tokens
 				}
-				expect.Expect(total).To(gomega.Equal(engine.cache.cached))
+				expect.Expect(total).To(gomega.Equal(engine.cache.cachedTokens))
 			}
 		}
 	}
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -7,42 +7,41 @@
 	"github.com/thymeloft/thymeloft/internal/lab/workload"
 )
 
-// The emulated batch: with every slot taken, a stream takes batchSlowdown
-// times longer for each token in addition. While a prompt is prefilled,
-// streams go at a share of their speed, and prefill leaves them some of the step.
+// Parameters of the emulated batch.
 const (
-	batchSlowdown       = 1.0
-	decodeDuringPrefill = 0.5
-	prefillBesideDecode = 0.85
-	tokensDone          = 1e-6 // less than this left counts as done
+	batchSlowdown       = 1.0  // added time per token in a full batch, as a fraction of that of a lone sequence
+	decodeDuringPrefill = 0.5  // factor of the decode speed while a prompt is prefilled
+	prefillDuringDecode = 0.85 // factor of the prefill speed while other sequences decode
+	tokenTolerance      = 1e-6 // up to this number of tokens left counts as none
 )
 
-// sequence is one call inside an engine.
+// sequence is a call that waits or runs in an engine.
 type sequence struct {
-	call        *call
-	priority    int
-	arrived     uint64
-	deepest     *node // pinned
-	reserved    int64
-	prefillLeft float64
-	decodeLeft  float64
-	decoding    bool
+	call          *call
+	priority      int
+	arrivalNumber uint64
+	deepest       *node   // deepest cached node of the path, which the sequence pins
+	reserved      int64   // tokens of memory
+	prefillLeft   float64 // tokens
+	decodeLeft    float64 // tokens
+	decoding      bool    // false while the prompt is prefilled or waits for that
 }
 
-// emulatedEngine batches continuously: it admits waiting sequences as slots
-// and memory allow, prefills one prompt at a time and decodes all others.
+// emulatedEngine emulates continuous batching: it admits waiting sequences as slots
+// and memory allow, prefills one prompt at a time, and meanwhile decodes the
+// sequences that are prefilled.
 type emulatedEngine struct {
 	workload.Engine
-	index    int
-	clock    *clock
-	run      *run
-	cache    *prefixCache
-	running  []*sequence
-	waiting  []*sequence
-	advanced time.Duration // progress is accounted up to here
-	version  uint64        // tells outdated events apart
-	arrivals uint64
-	hits     float64 // cached prompt tokens served, for the price of memory
+	index           int
+	clock           *clock
+	run             *run
+	cache           *prefixCache
+	running         []*sequence
+	waiting         []*sequence
+	advancedTo      time.Duration // the progress of the sequences is up to date at this time
+	eventVersion    uint64        // of the scheduled step; events of earlier versions do nothing
+	arrivals        uint64
+	servedFromCache float64 // prompt tokens that were found in the cache so far
 }
 
 func newEmulatedEngine(r *run, index int, description workload.Engine) *emulatedEngine {
@@ -52,12 +51,12 @@
 	}
 }
 
-// accept takes a call into the waiting line; a smaller priority goes first.
+// accept queues a call by priority, smaller numbers first, and by arrival.
 func (e *emulatedEngine) accept(accepted *call, priority int) {
 	e.advance()
 	e.arrivals++
 	accepted.engine = e
-	incoming := &sequence{call: accepted, priority: priority, arrived: e.arrivals}
+	incoming := &sequence{call: accepted, priority: priority, arrivalNumber: e.arrivals}
 	position := len(e.waiting)
 	for position > 0 && e.waiting[position-1].priority > priority {
 		position--
@@ -69,7 +68,7 @@
 	e.schedule()
 }
 
-// admit starts waiting sequences in their order while there is room.
+// admit starts waiting sequences in order while there are slots and memory.
 func (e *emulatedEngine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.MaxRunning {
 		if !e.start(e.waiting[0]) {
@@ -79,10 +78,11 @@
 	}
 }
 
-// start reserves memory and begins the prefill of what is not cached.
+// start reserves memory for the sequence and starts the prefill of what is not
+// cached. It returns false if there is too little memory.
 func (e *emulatedEngine) start(starting *sequence) bool {
 	path := starting.call.path
-	deepest, cached := e.cache.match(path)
+	deepest, cached := e.cache.matchPrefix(path)
 	if deepest != nil {
 		deepest.pins++
 		e.cache.touch(deepest)
@@ -94,15 +94,15 @@
 			unpin(deepest)
 			return false
 		}
-		e.cache.reserved += needed // it alone is larger than the memory: it runs by itself
+		e.cache.reservedTokens += needed // larger than the whole memory: runs alone
 	}
 	starting.deepest = deepest
 	starting.reserved = needed
 	starting.prefillLeft = float64(uncached)
 	starting.decodeLeft = float64(starting.call.outputTokens)
-	e.hits += float64(cached)
+	e.servedFromCache += float64(cached)
 	e.running = append(e.running, starting)
-	e.run.started(starting.call, cached)
+	e.run.recordPrefillStart(starting.call, cached)
 	return true
 }
 
@@ -112,7 +112,8 @@
 	}
 }
 
-// rates gives the present speeds: of the prompt being prefilled and of each stream.
+// rates returns the sequence that is being prefilled, or nil, and the current speeds
+// in tokens per second: of its prefill and of each decoding sequence.
 func (e *emulatedEngine) rates() (prefilling *sequence, prefill, decode float64) {
 	streams := 0
 	for _, member := range e.running {
@@ -126,16 +127,16 @@
 	occupancy := float64(max(streams-1, 0)) / float64(max(e.MaxRunning-1, 1))
 	decode = e.DecodePerSec / (1 + batchSlowdown*occupancy)
 	if prefilling != nil && streams > 0 {
-		prefill *= prefillBesideDecode
+		prefill *= prefillDuringDecode
 		decode *= decodeDuringPrefill
 	}
 	return prefilling, prefill, decode
 }
 
-// advance accounts the progress since the last change.
+// advance updates the progress of the running sequences to the current time.
 func (e *emulatedEngine) advance() {
-	elapsed := (e.clock.now - e.advanced).Seconds()
-	e.advanced = e.clock.now
+	elapsed := (e.clock.now - e.advancedTo).Seconds()
+	e.advancedTo = e.clock.now
 	if elapsed <= 0 || len(e.running) == 0 {
 		return
 	}
@@ -150,9 +151,10 @@
 	}
 }
 
-// schedule sets the event of the next change.
+// schedule schedules step for the next time at which a sequence ends its prefill or
+// its decoding. It replaces what was scheduled before.
 func (e *emulatedEngine) schedule() {
-	e.version++
+	e.eventVersion++
 	prefilling, prefill, decode := e.rates()
 	soonest := math.Inf(1)
 	if prefilling != nil {
@@ -166,25 +168,26 @@
 	if math.IsInf(soonest, 1) {
 		return
 	}
-	version := e.version
+	version := e.eventVersion
 	delay := time.Duration(math.Ceil(max(soonest, 0) * float64(time.Second)))
 	e.clock.after(delay, func() {
-		if version == e.version {
+		if version == e.eventVersion {
 			e.step()
 		}
 	})
 }
 
-// step carries out the changes that are due.
+// step handles the sequences that have ended their prefill or decoding, and admits
+// others.
 func (e *emulatedEngine) step() {
 	e.advance()
 	var finished []*sequence
 	remaining := e.running[:0]
 	for _, member := range e.running {
-		if !member.decoding && member.prefillLeft <= tokensDone {
+		if !member.decoding && member.prefillLeft <= tokenTolerance {
 			e.beginDecoding(member)
 		}
-		if member.decoding && member.decodeLeft <= tokensDone {
+		if member.decoding && member.decodeLeft <= tokenTolerance {
 			finished = append(finished, member)
 			continue
 		}
@@ -199,31 +202,33 @@
 	e.schedule()
 }
 
-// beginDecoding puts the prompt into the cache and emits the first token.
+// beginDecoding caches the history before this turn, in place of reserved memory,
+// and records the first token.
 func (e *emulatedEngine) beginDecoding(member *sequence) {
 	member.decoding = true
-	before := e.cache.cached
+	before := e.cache.cachedTokens
 	deepest := e.cache.insert(member.call.path)
 	if deepest != nil {
 		deepest.pins++
 	}
 	unpin(member.deepest)
 	member.deepest = deepest
-	inserted := e.cache.cached - before
+	inserted := e.cache.cachedTokens - before
 	e.cache.unreserve(inserted)
 	member.reserved -= inserted
-	e.run.firstToken(member.call)
+	e.run.recordFirstToken(member.call)
 }
 
-// finish caches the whole turn and answers.
+// finish caches the history with this turn and delivers the answer.
 func (e *emulatedEngine) finish(member *sequence) {
 	e.cache.unreserve(member.reserved)
 	unpin(member.deepest)
 	e.cache.insert(member.call.pathAfter)
-	e.run.finished(member.call)
+	e.run.deliverAnswer(member.call)
 }
 
-// waitingTokens are prompt tokens not yet prefilled, as an engine reports them.
+// waitingTokens returns the number of prompt tokens that are still to be prefilled,
+// as reported to the daemons.
 func (e *emulatedEngine) waitingTokens() int64 {
 	total := 0.0
 	for _, member := range e.running {
@@ -232,7 +237,7 @@
 		}
 	}
 	for _, member := range e.waiting {
-		_, cached := e.cache.match(member.call.path)
+		_, cached := e.cache.matchPrefix(member.call.path)
 		total += float64(member.call.promptTokens - cached)
 	}
 	return int64(total)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -11,16 +11,16 @@
 	"github.com/thymeloft/thymeloft/internal/lab/workload"
 )
 
-// Options say what to run and where to write the report.
+// Options configure an experiment.
 type Options struct {
-	Output  string    // directory
-	Seed    uint64    // of the main traces
-	Seeds   int       // further seeds, to see how far figures vary
-	Loads   []float64 // of the sweep, growing
-	Workers int       // runs at a time
+	Output  string    // directory of the report
+	Seed    uint64    // of the main comparison
+	Seeds   int       // number of further seeds, which show how much the results vary
+	Loads   []float64 // scales of the traces in the sweep, in rising order
+	Workers int       // maximum number of concurrent runs; at least 1
 }
 
-// Command is the experiment subcommand of thymeloft-lab.
+// Command is the "experiment" subcommand of thymeloft-lab.
 type Command struct {
 	Output  string    `help:"Directory of the report." default:"docs/reports/scheduling"`
 	Seed    uint64    `help:"Seed of the main traces." default:"1"`
@@ -29,12 +29,12 @@
 	Workers int       `help:"Runs at a time." default:"3"`
 }
 
-// Run implements kong's command.
+// Run runs the experiment. It is called by kong.
 func (c *Command) Run() error {
 	return Run(Options(*c))
 }
 
-// deployment is a generator of traces.
+// deployment is a generator of traces and its name.
 type deployment struct {
 	name     string
 	generate func(seed uint64, scale float64) workload.Trace
@@ -47,7 +47,7 @@
 	}
 }
 
-// trial is one run that is to be made, and what it showed.
+// trial is one run. Its measures are nil before.
 type trial struct {
 	label    string
 	strategy Strategy
@@ -57,18 +57,19 @@
 	measures *measures
 }
 
-// study is all runs of one deployment.
+// study has all runs of one deployment and their comparison.
 type study struct {
 	deployment
-	engines  int
-	sweep    []*trial
-	knee     float64 // the load at which least-loaded's queue begins to grow
-	seeds    []*trial
-	variants []*trial
-	verdict  Verdict
+	engines      int
+	sweep        []*trial // all loads with all strategies
+	reportedLoad float64  // the smallest load at which the queue of least-loaded grows
+	seeds        []*trial // further seeds with the strategies of comparedBySeed
+	variants     []*trial // the variants at the loads of variantLoads
+	verdict      Verdict
 }
 
-// Run makes all runs and writes the report, its plots and the raw histograms.
+// Run runs the experiment and writes the report, its plots and the raw histograms
+// to the output directory.
 func Run(options Options) error {
 	var studies []*study
 	for _, chosen := range deployments() {
@@ -79,7 +80,7 @@
 		studies = append(studies, made)
 	}
 	if err := os.MkdirAll(options.Output, 0o755); err != nil {
-		return eris.Wrap(err, "experiment: make the report's directory")
+		return eris.Wrap(err, "experiment: create the report directory")
 	}
 	for _, made := range studies {
 		if err := writePlots(options.Output, made); err != nil {
@@ -96,28 +97,29 @@
 	if len(options.Loads) == 0 {
 		return nil, eris.New("experiment: no loads to run")
 	}
-	made := &study{deployment: chosen, engines: len(chosen.generate(options.Seed, options.Loads[0]).Engines)}
+	result := &study{deployment: chosen, engines: len(chosen.generate(options.Seed, options.Loads[0]).Engines)}
 	for _, load := range options.Loads {
 		for _, strategy := range Strategies() {
-			made.sweep = append(made.sweep, &trial{label: string(strategy), strategy: strategy, seed: options.Seed, load: load})
+			result.sweep = append(result.sweep, &trial{label: string(strategy), strategy: strategy, seed: options.Seed, load: load})
 		}
 	}
-	if err := runTrials(chosen, made.sweep, options.Workers); err != nil {
+	if err := runTrials(chosen, result.sweep, options.Workers); err != nil {
 		return nil, err
 	}
-	if err := made.findKnee(options.Loads); err != nil {
+	if err := result.findReportedLoad(options.Loads); err != nil {
 		return nil, err
 	}
-	made.addSeeds(options)
-	made.addVariants(options.Seed)
-	if err := runTrials(chosen, append(made.seeds[:len(made.seeds):len(made.seeds)], made.variants...), options.Workers); err != nil {
+	result.addSeeds(options)
+	result.addVariants(options.Seed)
+	if err := runTrials(chosen, append(result.seeds[:len(result.seeds):len(result.seeds)], result.variants...), options.Workers); err != nil {
 		return nil, err
 	}
-	made.verdict = made.judge()
-	return made, nil
+	result.verdict = result.computeVerdict()
+	return result, nil
 }
 
-// runTrials makes the runs, some at a time; each is by itself and deterministic.
+// runTrials runs the trials, up to the given number at a time. Each is deterministic
+// and does not depend on the others.
 func runTrials(chosen deployment, trials []*trial, workers int) error {
 	var group errgroup.Group
 	group.SetLimit(max(workers, 1))
@@ -132,18 +134,19 @@
 	return group.Wait()
 }
 
-// findKnee finds the least load of the sweep at which least-loaded's queue grows.
-func (s *study) findKnee(loads []float64) error {
+// findReportedLoad sets reportedLoad to the first of the loads at which the queue of
+// least-loaded grows. It returns an error if there is none.
+func (s *study) findReportedLoad(loads []float64) error {
 	for _, load := range loads {
-		if s.at(LeastLoaded, load).measures.queueGrows(s.engines) {
-			s.knee = load
+		if s.at(LeastLoaded, load).measures.isQueueGrowing(s.engines) {
+			s.reportedLoad = load
 			return nil
 		}
 	}
-	return eris.Errorf("experiment: %s: the queue of least-loaded grows at no load of the sweep", s.name)
+	return eris.Errorf("experiment: %s: the queue of least-loaded does not grow at any load of the sweep", s.name)
 }
 
-// at gives the run of the sweep.
+// at returns the trial of the sweep with this strategy and load, or nil.
 func (s *study) at(strategy Strategy, load float64) *trial {
 	for _, candidate := range s.sweep {
 		if candidate.strategy == strategy && cmp.Compare(candidate.load, load) == 0 {
@@ -153,43 +156,43 @@
 	return nil
 }
 
-// comparedBySeed are the strategies that run with further seeds, in this order.
+// comparedBySeed lists the strategies that run with further seeds, in the order of
+// study.seeds.
 var comparedBySeed = []Strategy{RoundRobin, LeastLoaded, Thymeloft, FirstCome}
 
-// addSeeds plans the main comparison with further seeds.
+// addSeeds adds trials of the main comparison with further seeds.
 func (s *study) addSeeds(options Options) {
 	for further := range options.Seeds {
 		for _, strategy := range comparedBySeed {
 			seed := options.Seed + uint64(further) + 1
-			s.seeds = append(s.seeds, &trial{label: string(strategy), strategy: strategy, seed: seed, load: s.knee})
+			s.seeds = append(s.seeds, &trial{label: string(strategy), strategy: strategy, seed: seed, load: s.reportedLoad})
 		}
 	}
 }
 
-// Verdict compares thymeloft with what was aimed at, at the load where the
-// queue of least-loaded begins to grow.
+// Verdict compares thymeloft with its targets at the reported load.
 type Verdict struct {
-	Load          float64
-	LatencyRatio  float64 // p95 program latency over least-loaded's; aimed at: at most AimedLatency
-	OwnTimeRatio  float64 // the same without the programs' own pauses
-	BestPossible  float64 // p95 of programs alone on the fastest engine over least-loaded's
-	WastedRatio   float64 // wasted prompt tokens over round-robin's; aimed at: at most AimedWaste
+	Load          float64 // smallest load at which the queue of least-loaded grows
+	LatencyRatio  float64 // p95 of program latency over that of least-loaded; the target is at most AimedLatency
+	OwnTimeRatio  float64 // LatencyRatio without the programs' own pauses
+	BestPossible  float64 // p95 of idealLatency over the p95 of program latency with least-loaded
+	WastedRatio   float64 // wasted prompt tokens over those of round-robin; the target is at most AimedWaste
 	LatencyIsMet  bool
 	WastedIsMet   bool
-	SeedsCompared int
-	SeedsMet      int // of SeedsCompared, how many met both
+	SeedsCompared int // number of further seeds
+	SeedsMet      int // number of further seeds with which both targets are met
 }
 
-// What was aimed at.
+// Targets of a Verdict.
 const (
-	AimedLatency = 0.5
-	AimedWaste   = 0.2
+	AimedLatency = 0.5 // maximum of LatencyRatio
+	AimedWaste   = 0.2 // maximum of WastedRatio
 )
 
-func (s *study) judge() Verdict {
-	verdict := compare(s.knee, s.at(RoundRobin, s.knee), s.at(LeastLoaded, s.knee), s.at(Thymeloft, s.knee))
+func (s *study) computeVerdict() Verdict {
+	verdict := compare(s.reportedLoad, s.at(RoundRobin, s.reportedLoad), s.at(LeastLoaded, s.reportedLoad), s.at(Thymeloft, s.reportedLoad))
 	for bySeed := range slices.Chunk(s.seeds, len(comparedBySeed)) {
-		other := compare(s.knee, bySeed[0], bySeed[1], bySeed[2])
+		other := compare(s.reportedLoad, bySeed[0], bySeed[1], bySeed[2])
 		verdict.SeedsCompared++
 		if other.LatencyIsMet && other.WastedIsMet {
 			verdict.SeedsMet++
@@ -198,19 +201,20 @@
 	return verdict
 }
 
-func compare(load float64, roundRobin, leastLoaded, own *trial) Verdict {
+func compare(load float64, roundRobin, leastLoaded, product *trial) Verdict {
 	verdict := Verdict{
 		Load:         load,
-		LatencyRatio: ratio(p95(own.measures.programs), p95(leastLoaded.measures.programs)),
-		OwnTimeRatio: ratio(p95(own.measures.scheduled), p95(leastLoaded.measures.scheduled)),
-		BestPossible: ratio(p95(own.measures.ideal), p95(leastLoaded.measures.programs)),
-		WastedRatio:  ratio(float64(own.measures.wastedTokens), float64(roundRobin.measures.wastedTokens)),
+		LatencyRatio: ratio(p95(product.measures.programs), p95(leastLoaded.measures.programs)),
+		OwnTimeRatio: ratio(p95(product.measures.ownTime), p95(leastLoaded.measures.ownTime)),
+		BestPossible: ratio(p95(product.measures.ideal), p95(leastLoaded.measures.programs)),
+		WastedRatio:  ratio(float64(product.measures.wastedTokens), float64(roundRobin.measures.wastedTokens)),
 	}
 	verdict.LatencyIsMet = verdict.LatencyRatio <= AimedLatency
 	verdict.WastedIsMet = verdict.WastedRatio <= AimedWaste
 	return verdict
 }
 
+// ratio returns 0 if whole is 0.
 func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/lab/experiment/measures.go
+++ b/internal/lab/experiment/measures.go
@@ -10,59 +10,62 @@
 	"github.com/thymeloft/thymeloft/internal/lab/workload"
 )
 
-// Histograms hold milliseconds from one to four hours with three digits.
+// Range and significant digits of the histograms. Values are in milliseconds.
 const (
-	histogramLeast  = 1
-	histogramMost   = int64(4 * time.Hour / time.Millisecond)
-	histogramDigits = 3
+	minHistogramMillis = 1
+	maxHistogramMillis = int64(4 * time.Hour / time.Millisecond)
+	histogramDigits    = 3
 )
 
-// measures are what one run showed.
+// measures are the results of one run.
 type measures struct {
-	programs      *hdrhistogram.Histogram // latency of whole root programs
-	scheduled     *hdrhistogram.Histogram // the same without their own pauses
-	ideal         *hdrhistogram.Histogram // latency of the same programs alone on the fastest engine
-	firstToken    *hdrhistogram.Histogram // of each call, since its caller sent it first
-	open          int
-	abandoned     int
-	refused       int
-	copiesRun     int
-	promptTokens  int64
-	cachedTokens  int64
-	wastedTokens  int64 // computed again although another engine had them cached
-	evictedTokens int64 // computed again, cached nowhere any more
-	reasons       map[string]int
-	slowdowns     map[identity.Tenant][]float64
-	queue         []float64  // calls waiting, sampled
-	peak          [2]float64 // mean of queue over both halves of the peak
-	fairness      float64    // Jain's index over the mean slowdown of tenants
-	worstTenant   float64    // mean slowdown of the worst tenant over that of the best
+	programs         *hdrhistogram.Histogram // latency of root programs
+	ownTime          *hdrhistogram.Histogram // latency of root programs without their own pauses
+	ideal            *hdrhistogram.Histogram // latency of the same programs as computed by idealLatency
+	firstToken       *hdrhistogram.Histogram // time from the first sending of each call to its first token
+	openPrograms     int                     // root programs that have not ended; 0 at the end
+	abandoned        int                     // root programs that their callers gave up
+	refused          int                     // refusals of calls
+	copiesRun        int                     // calls sent again that ran as well
+	promptTokens     int64
+	cachedTokens     int64
+	wastedTokens     int64                         // prompt tokens computed although another engine had them cached
+	evictedTokens    int64                         // prompt tokens computed again that no engine had cached any more
+	reasons          map[string]int                // number of placements by reason; of thymeloft only
+	slowdowns        map[identity.Tenant][]float64 // latency over ideal latency, for each root program
+	queueSamples     []float64                     // number of waiting calls, every sampleInterval
+	peakQueue        [2]float64                    // mean of queueSamples in the first and second half of the peak
+	fairness         float64                       // Jain's index of the tenants' mean slowdowns
+	worstTenantRatio float64                       // greatest mean slowdown of a tenant over the smallest
 }
 
+// prepare creates the histograms and maps.
 func (m *measures) prepare() {
-	for _, histogram := range []**hdrhistogram.Histogram{&m.programs, &m.scheduled, &m.ideal, &m.firstToken} {
-		*histogram = hdrhistogram.New(histogramLeast, histogramMost, histogramDigits)
+	for _, histogram := range []**hdrhistogram.Histogram{&m.programs, &m.ownTime, &m.ideal, &m.firstToken} {
+		*histogram = hdrhistogram.New(minHistogramMillis, maxHistogramMillis, histogramDigits)
 	}
 	m.reasons = make(map[string]int)
 	m.slowdowns = make(map[identity.Tenant][]float64)
 }
 
-// record adds a duration; those beyond the histogram count as its most.
+// record adds a duration. A value outside the range of the histogram is recorded as
+// the nearest bound.
 func record(histogram *hdrhistogram.Histogram, value time.Duration) {
-	milliseconds := min(max(value.Milliseconds(), histogramLeast), histogramMost)
-	_ = histogram.RecordValue(milliseconds) // in range by the line above
+	milliseconds := min(max(value.Milliseconds(), minHistogramMillis), maxHistogramMillis)
+	_ = histogram.RecordValue(milliseconds) // cannot fail for a value in range
 }
 
+// programEnded records the end of a root program that was not abandoned.
 func (m *measures) programEnded(trace *workload.Trace, program *programRun, latency time.Duration) {
 	record(m.programs, latency)
-	record(m.scheduled, latency-program.Pauses())
+	record(m.ownTime, latency-program.Pauses())
 	ideal := idealLatency(trace, program.Program)
 	record(m.ideal, ideal)
 	m.slowdowns[program.Tenant] = append(m.slowdowns[program.Tenant], latency.Seconds()/ideal.Seconds())
 }
 
-// idealLatency is that of a program alone on the fleet's fastest engine, with
-// only its first prompt not cached.
+// idealLatency returns the latency that a program would have if it were alone on
+// the fleet's fastest engine and each token of its history were prefilled once.
 func idealLatency(trace *workload.Trace, program *workload.Program) time.Duration {
 	fastest := trace.Engines[0]
 	for _, engine := range trace.Engines {
@@ -83,41 +86,42 @@
 	return ideal + time.Duration(total*float64(time.Second))
 }
 
-// complete works out what needs the whole run.
-func (m *measures) complete(r *run) {
-	m.peak = m.peakHalves(r.trace)
+// finish computes the measures that depend on the whole run.
+func (m *measures) finish(r *run) {
+	m.peakQueue = m.peakHalfMeans(r.trace)
 	var means []float64
 	for _, slowdowns := range m.slowdowns {
 		means = append(means, mean(slowdowns))
 	}
 	slices.Sort(means)
 	if len(means) > 0 {
-		m.fairness = jain(means)
-		m.worstTenant = means[len(means)-1] / means[0]
+		m.fairness = jainIndex(means)
+		m.worstTenantRatio = means[len(means)-1] / means[0]
 	}
 }
 
-// peakHalves is the mean count of waiting calls in both halves of the peak.
-func (m *measures) peakHalves(trace *workload.Trace) [2]float64 {
-	from := int(trace.PeakFrom / sampleEvery)
-	to := min(int(trace.PeakTo/sampleEvery), len(m.queue))
-	middle := min((from+int(trace.PeakTo/sampleEvery))/2, to)
+// peakHalfMeans returns the mean number of waiting calls in the first and second
+// half of the peak.
+func (m *measures) peakHalfMeans(trace *workload.Trace) [2]float64 {
+	from := int(trace.PeakFrom / sampleInterval)
+	to := min(int(trace.PeakTo/sampleInterval), len(m.queueSamples))
+	middle := min((from+int(trace.PeakTo/sampleInterval))/2, to)
 	if from >= to {
 		return [2]float64{}
 	}
-	return [2]float64{mean(m.queue[from:middle]), mean(m.queue[middle:to])}
+	return [2]float64{mean(m.queueSamples[from:middle]), mean(m.queueSamples[middle:to])}
 }
 
-// queueGrows tells whether calls wait at engines in general and ever more of
-// them: in the second half of the peak at least growth times the first, and
-// at least one for each two engines.
-func (m *measures) queueGrows(engines int) bool {
+// isQueueGrowing reports whether the queue grows during the peak: the mean number
+// of waiting calls in its second half is at least 1.5 times that in the first,
+// and at least one for every two engines.
+func (m *measures) isQueueGrowing(engines int) bool {
 	const growth = 1.5
-	return m.peak[1] >= growth*m.peak[0] && m.peak[1] >= float64(engines)/2
+	return m.peakQueue[1] >= growth*m.peakQueue[0] && m.peakQueue[1] >= float64(engines)/2
 }
 
-// jain is Jain's index of fairness: 1 when all values are equal.
-func jain(values []float64) float64 {
+// jainIndex returns Jain's fairness index, which is 1 if all values are equal.
+func jainIndex(values []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, value := range values {
 		sum += value
--- a/internal/lab/experiment/plots.go
+++ b/internal/lab/experiment/plots.go
@@ -11,20 +11,21 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Plots are small, so that they may be committed.
+// The plots are small because they are committed to the repository.
 const (
-	plotWidth  = 5.5 * vg.Inch
-	plotHeight = 3.2 * vg.Inch
-	legendRoom = 6 // factor above the greatest value of a logarithmic axis
+	plotWidth    = 5.5 * vg.Inch
+	plotHeight   = 3.2 * vg.Inch
+	legendFactor = 6 // factor by which a logarithmic axis is extended for the legend
 )
 
-// series is one line of a plot.
+// series is a labelled line of a plot.
 type series struct {
 	label  string
 	points plotter.XYs
 }
 
-// writePlots draws the plots of a study as "<deployment>-<name>.png".
+// writePlots writes the plots of a study to the directory, in files named
+// "<deployment>-<name>.png".
 func writePlots(directory string, s *study) error {
 	path := func(name string) string { return filepath.Join(directory, s.name+"-"+name+".png") }
 	if err := drawLines(path("latency-by-load"), "p95 of program latency", "load", "seconds (log)", true, s.latencyByLoad()); err != nil {
@@ -41,6 +42,8 @@
 	return drawWaste(path("waste"), s)
 }
 
+// latencyByLoad returns the p95 of program latency in seconds over the load, for
+// each strategy.
 func (s *study) latencyByLoad() []series {
 	var lines []series
 	for _, strategy := range Strategies() {
@@ -55,11 +58,12 @@
 	return lines
 }
 
-// distributions gives the cumulative distribution of each strategy at the knee.
+// distributions returns for each strategy the cumulative distribution, in seconds,
+// of the histogram that pick selects, at the reported load.
 func (s *study) distributions(pick func(m *measures) *hdrhistogram.Histogram) []series {
 	var lines []series
 	for _, strategy := range Strategies() {
-		histogram := pick(s.at(strategy, s.knee).measures)
+		histogram := pick(s.at(strategy, s.reportedLoad).measures)
 		line := series{label: string(strategy)}
 		for percent := 1; percent <= 99; percent++ {
 			line.points = append(line.points, plotter.XY{X: quantile(histogram, float64(percent)), Y: float64(percent) / 100})
@@ -69,47 +73,47 @@
 	return lines
 }
 
-// drawLines draws lines over one logarithmic axis: the upright one if
-// uprightLog, else the level one.
-func drawLines(path, title, level, upright string, uprightLog bool, lines []series) error {
-	drawn := plot.New()
-	drawn.Title.Text = title
-	drawn.X.Label.Text = level
-	drawn.Y.Label.Text = upright
-	logarithmic := &drawn.X
-	if uprightLog {
-		logarithmic = &drawn.Y
+// drawLines writes a plot of the lines to the path. The Y axis is logarithmic if
+// logY is set, otherwise the X axis is.
+func drawLines(path, title, xLabel, yLabel string, logY bool, lines []series) error {
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.X.Label.Text = xLabel
+	chart.Y.Label.Text = yLabel
+	logarithmic := &chart.X
+	if logY {
+		logarithmic = &chart.Y
 	}
 	logarithmic.Scale = plot.LogScale{}
 	logarithmic.Tick.Marker = plot.LogTicks{Prec: -1}
 	for index, line := range lines {
-		made, err := plotter.NewLine(line.points)
+		drawnLine, err := plotter.NewLine(line.points)
 		if err != nil {
 			return eris.Wrapf(err, "experiment: draw %s", path)
 		}
-		made.Color = plotutil.Color(index)
-		made.Width = vg.Points(1.5)
-		made.Dashes = plotutil.Dashes(index % 3)
-		drawn.Add(made)
-		drawn.Legend.Add(line.label, made)
+		drawnLine.Color = plotutil.Color(index)
+		drawnLine.Width = vg.Points(1.5)
+		drawnLine.Dashes = plotutil.Dashes(index % 3)
+		chart.Add(drawnLine)
+		chart.Legend.Add(line.label, drawnLine)
 	}
-	drawn.Legend.Top = uprightLog
-	drawn.Legend.Left = uprightLog
-	if uprightLog {
-		drawn.Y.Max *= legendRoom
+	chart.Legend.Top = logY
+	chart.Legend.Left = logY
+	if logY {
+		chart.Y.Max *= legendFactor
 	}
-	return eris.Wrapf(drawn.Save(plotWidth, plotHeight, path), "experiment: save %s", path)
+	return eris.Wrapf(chart.Save(plotWidth, plotHeight, path), "experiment: save %s", path)
 }
 
-// drawWaste draws bars of the wasted prompt tokens at the knee.
+// drawWaste writes a bar chart of the wasted prompt tokens at the reported load.
 func drawWaste(path string, s *study) error {
-	drawn := plot.New()
-	drawn.Title.Text = "Wasted prompt tokens at the reported load"
-	drawn.Y.Label.Text = "millions"
+	chart := plot.New()
+	chart.Title.Text = "Wasted prompt tokens at the reported load"
+	chart.Y.Label.Text = "millions"
 	var values plotter.Values
 	var names []string
 	for _, strategy := range Strategies() {
-		values = append(values, millions(s.at(strategy, s.knee).measures.wastedTokens))
+		values = append(values, millions(s.at(strategy, s.reportedLoad).measures.wastedTokens))
 		names = append(names, string(strategy))
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(28))
@@ -117,8 +121,8 @@
 		return eris.Wrapf(err, "experiment: draw %s", path)
 	}
 	bars.Color = plotutil.Color(0)
-	drawn.Add(bars)
-	drawn.NominalX(names...)
-	drawn.Y.Min = 0
-	return eris.Wrapf(drawn.Save(plotWidth, plotHeight, path), "experiment: save %s", path)
+	chart.Add(bars)
+	chart.NominalX(names...)
+	chart.Y.Min = 0
+	return eris.Wrapf(chart.Save(plotWidth, plotHeight, path), "experiment: save %s", path)
 }
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -11,6 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
+// quantile returns a percentile of the histogram in seconds.
 func quantile(histogram *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
@@ -19,7 +20,7 @@
 
 func millions(tokens int64) float64 { return float64(tokens) / 1e6 }
 
-// writeReport writes README.md.
+// writeReport writes README.md to the output directory.
 func writeReport(options Options, studies []*study) error {
 	var text strings.Builder
 	text.WriteString(introduction)
@@ -62,11 +63,11 @@
 
 func (s *study) writeSection(text *strings.Builder) {
 	fmt.Fprintf(text, "\n## %s\n\n", s.name)
-	fmt.Fprintf(text, "The queue of least-loaded begins to grow at load %.2f: the **reported load**.\n\n", s.knee)
+	fmt.Fprintf(text, "The queue of least-loaded begins to grow at load %.2f: the **reported load**.\n\n", s.reportedLoad)
 	s.writeVerdict(text)
 	writeHeader(text)
 	for _, strategy := range Strategies() {
-		writeRow(text, s.at(strategy, s.knee))
+		writeRow(text, s.at(strategy, s.reportedLoad))
 	}
 	s.writeWinners(text)
 	for _, name := range []string{"latency-by-load", "latency", "first-token", "waste"} {
@@ -78,7 +79,7 @@
 		fmt.Fprintf(text, "\n### Variants at %.0f times the reported load\n\n", multiple)
 		writeHeader(text)
 		for _, each := range s.variants {
-			if each.load == s.knee*multiple {
+			if each.load == s.reportedLoad*multiple {
 				writeRow(text, each)
 			}
 		}
@@ -102,13 +103,13 @@
 func writeRow(text *strings.Builder, t *trial) {
 	m := t.measures
 	fmt.Fprintf(text, "| %s | %.1f | %.1f | %.1f | %.1f | %.2f | %.2f | %.2f | %.2f | %.2f | %.0f%% | %.3f | %.2f | %.1f, %.1f | %d | %d | %d |\n",
-		t.label, quantile(m.programs, 50), p95(m.programs), quantile(m.programs, 99), p95(m.scheduled),
+		t.label, quantile(m.programs, 50), p95(m.programs), quantile(m.programs, 99), p95(m.ownTime),
 		quantile(m.firstToken, 50), p95(m.firstToken), quantile(m.firstToken, 99),
 		millions(m.wastedTokens), millions(m.evictedTokens), 100*ratio(float64(m.cachedTokens), float64(m.promptTokens)),
-		m.fairness, m.worstTenant, m.peak[0], m.peak[1], m.refused, m.abandoned, m.copiesRun)
+		m.fairness, m.worstTenantRatio, m.peakQueue[0], m.peakQueue[1], m.refused, m.abandoned, m.copiesRun)
 }
 
-// column is a measure that strategies may win.
+// column is a measure in which strategies are compared.
 type column struct {
 	name  string
 	value func(m *measures) float64 // smaller is better
@@ -129,13 +130,13 @@
 	}
 }
 
-// writeWinners names the measures in which a baseline is better.
+// writeWinners lists the measures in which a baseline is better than thymeloft.
 func (s *study) writeWinners(text *strings.Builder) {
-	own := s.at(Thymeloft, s.knee).measures
+	product := s.at(Thymeloft, s.reportedLoad).measures
 	var wins []string
 	for _, each := range columns() {
 		for _, strategy := range Strategies() {
-			if each.value(s.at(strategy, s.knee).measures) < each.value(own) {
+			if each.value(s.at(strategy, s.reportedLoad).measures) < each.value(product) {
 				wins = append(wins, fmt.Sprintf("%s in %s", strategy, each.name))
 			}
 		}
@@ -165,7 +166,7 @@
 			fmt.Fprintf(text, "\n| %.2f |", each.load)
 		}
 		grows := ""
-		if each.measures.queueGrows(s.engines) {
+		if each.measures.isQueueGrowing(s.engines) {
 			grows = "*"
 		}
 		fmt.Fprintf(text, " %.0f / %.1f%s |", p95(each.measures.programs), millions(each.measures.wastedTokens), grows)
@@ -177,29 +178,30 @@
 	text.WriteString("\n### Further seeds at the reported load\n\n")
 	text.WriteString("| seed | p95 over least-loaded's | own time | wasted over round-robin's | p95 over first-come's |\n|---|--:|--:|--:|--:|\n")
 	for bySeed := range slices.Chunk(s.seeds, len(comparedBySeed)) {
-		v := compare(s.knee, bySeed[0], bySeed[1], bySeed[2])
+		v := compare(s.reportedLoad, bySeed[0], bySeed[1], bySeed[2])
 		overFirstCome := ratio(p95(bySeed[2].measures.programs), p95(bySeed[3].measures.programs))
 		fmt.Fprintf(text, "| %d | %.2f | %.2f | %.3f | %.2f |\n", bySeed[0].seed, v.LatencyRatio, v.OwnTimeRatio, v.WastedRatio, overFirstCome)
 	}
 }
 
-// writeHistograms writes the raw histograms at the reported load: milliseconds,
-// HdrHistogram's compressed V2 encoding in base64.
+// writeHistograms writes the histograms at the reported load to histograms.csv.
+// Their values are milliseconds, in HdrHistogram's compressed V2 encoding as
+// base64.
 func writeHistograms(directory string, studies []*study) error {
 	var text strings.Builder
 	text.WriteString("deployment,strategy,load,measure,histogram\n")
 	for _, s := range studies {
 		for _, strategy := range Strategies() {
-			m := s.at(strategy, s.knee).measures
+			m := s.at(strategy, s.reportedLoad).measures
 			for _, each := range []struct {
 				name      string
 				histogram *hdrhistogram.Histogram
-			}{{"program", m.programs}, {"own-time", m.scheduled}, {"alone", m.ideal}, {"first-token", m.firstToken}} {
+			}{{"program", m.programs}, {"own-time", m.ownTime}, {"alone", m.ideal}, {"first-token", m.firstToken}} {
 				encoded, err := each.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 				if err != nil {
-					return eris.Wrapf(err, "experiment: encode the histogram %s of %s", each.name, strategy)
+					return eris.Wrapf(err, "experiment: encode histogram %s of strategy %s", each.name, strategy)
 				}
-				fmt.Fprintf(&text, "%s,%s,%.2f,%s,%s\n", s.name, strategy, s.knee, each.name, encoded)
+				fmt.Fprintf(&text, "%s,%s,%.2f,%s,%s\n", s.name, strategy, s.reportedLoad, each.name, encoded)
 			}
 		}
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -8,18 +8,18 @@
 	"github.com/thymeloft/thymeloft/internal/lab/workload"
 )
 
-// Delays and limits of the emulated deployment.
+// Delays, intervals and limits of the emulated deployment.
 const (
-	clientDelay = 3 * time.Millisecond
-	zoneDelay   = 1500 * time.Microsecond
-	reportEvery = 500 * time.Millisecond
-	reportLag   = 250 * time.Millisecond // till a report has reached the daemons
-	sampleEvery = time.Second
-	mostReturns = 12            // a caller that was refused more often gives the program up
-	drainMost   = 4 * time.Hour // virtual time after the last arrival till everything must have ended
+	clientDelay    = 3 * time.Millisecond    // one way, between caller and daemon
+	zoneDelay      = 1500 * time.Microsecond // one way, between daemon and engine
+	reportInterval = 500 * time.Millisecond
+	reportLag      = 250 * time.Millisecond // until a report has reached the daemons
+	sampleInterval = time.Second
+	maxRefusals    = 12            // a caller whose call is refused more often abandons the program
+	maxDrain       = 4 * time.Hour // virtual time after the end of the trace within which all programs must end
 )
 
-// run is one trace under one strategy.
+// run is the emulation of one trace with one strategy.
 type run struct {
 	clock     clock
 	trace     *workload.Trace
@@ -29,55 +29,57 @@
 	traits    traits
 	reportLag time.Duration
 	measures  measures
-	computed  map[segmentKey]bool // segments that any engine ever computed
+	computed  map[segmentKey]bool // segments that some engine has computed so far
 }
 
 // programRun is the progress of one program.
 type programRun struct {
 	*workload.Program
-	daemon       *daemon
-	began        time.Duration
-	turn         int
-	history      []segment
-	tokens       int64 // of the history
-	attained     time.Duration
-	holder       *emulatedEngine
-	childrenLeft int
-	parent       *programRun
-	ended        bool
+	daemon          *daemon
+	startedAt       time.Duration
+	turn            int             // index of the current turn
+	history         []segment       // the prompt so far, with the answers
+	historyTokens   int64           // length of history
+	attainedService time.Duration   // time that the program's calls ran in engines
+	lastEngine      *emulatedEngine // of the last answered call; nil before
+	openChildren    int             // sub-agents of the current turn that have not ended
+	parent          *programRun
+	ended           bool
 }
 
-// started is the service that the program or one it belongs to attained.
-func (p *programRun) started() time.Duration {
-	if p.attained == 0 && p.parent != nil {
-		return p.parent.started()
+// effectiveService returns the attained service of the program or, if it has none,
+// that of its nearest ancestor that has some.
+func (p *programRun) effectiveService() time.Duration {
+	if p.attainedService == 0 && p.parent != nil {
+		return p.parent.effectiveService()
 	}
-	return p.attained
+	return p.attainedService
 }
 
-// call is one model call, or the copy of one that a caller sent twice.
+// call is a model call, or the copy of one that a caller has sent again.
 type call struct {
-	program      *programRun
-	turn         int
-	copied       bool
-	path         []segment // the history; what may be cached
-	pathAfter    []segment // with this turn
-	promptTokens int64
-	outputTokens int64
-	sent         time.Duration // by the caller, at first
-	received     time.Duration // by the daemon, at last
-	placed       time.Duration
-	began        time.Duration
-	expected     int64 // uncached tokens as expected at placement
-	returns      int
-	answered     bool
-	engine       *emulatedEngine
+	program          *programRun
+	turn             int
+	isCopy           bool
+	path             []segment // segments of the prompt that may be cached: the history before this turn
+	pathAfter        []segment // path and the segment of this turn with its answer
+	promptTokens     int64
+	outputTokens     int64
+	sentAt           time.Duration // when the caller sent the call first
+	receivedAt       time.Duration // when the daemon received the call last
+	placedAt         time.Duration
+	prefillStart     time.Duration
+	expectedUncached int64 // prompt tokens expected at placement not to be cached
+	refusals         int   // how often the call was refused
+	answered         bool
+	engine           *emulatedEngine
 }
 
-// simulate runs the trace under the strategy until every program has ended.
+// simulate runs the trace with the strategy until every program has ended, and
+// returns the measures.
 func simulate(trace *workload.Trace, choice Strategy, settings Settings) (*measures, error) {
 	r := newRun(trace, choice, settings)
-	if err := r.finish(choice); err != nil {
+	if err := r.runToEnd(choice); err != nil {
 		return nil, err
 	}
 	return &r.measures, nil
@@ -102,20 +104,23 @@
 	return r
 }
 
-// finish lets the trace happen till its end.
-func (r *run) finish(choice Strategy) error {
+// runToEnd runs the trace until every program has ended. It returns an error if
+// that exceeds the limits of virtual time or events.
+func (r *run) runToEnd(choice Strategy) error {
 	r.addPrograms()
 	for index := range r.engines {
-		r.report(r.engines[index], time.Duration(index)*reportEvery/time.Duration(len(r.engines)))
+		r.scheduleReport(r.engines[index], time.Duration(index)*reportInterval/time.Duration(len(r.engines)))
 	}
-	r.sample()
-	if !r.clock.run(r.trace.Length + drainMost) {
-		return eris.Errorf("experiment: %s under %s did not end in virtual time", r.trace.Deployment, choice)
+	r.sampleQueues()
+	if !r.clock.run(r.trace.Length + maxDrain) {
+		return eris.Errorf("experiment: %s with strategy %s did not end within the limits of virtual time and events", r.trace.Deployment, choice)
 	}
-	r.measures.complete(r)
+	r.measures.finish(r)
 	return nil
 }
 
+// addPrograms schedules the arrival of all root programs and assigns programs to
+// daemons.
 func (r *run) addPrograms() {
 	for index := range r.trace.Programs {
 		description := &r.trace.Programs[index]
@@ -128,22 +133,23 @@
 		}
 		for _, part := range description.Prefix {
 			added.history = append(added.history, segment{key: segmentKey{shared: part.Hash}, tokens: part.Tokens})
-			added.tokens += part.Tokens
+			added.historyTokens += part.Tokens
 		}
 		r.programs = append(r.programs, added)
 		if added.parent == nil {
-			r.measures.open++
-			r.clock.after(description.Arrival, func() { r.begin(added) })
+			r.measures.openPrograms++
+			r.clock.after(description.Arrival, func() { r.startProgram(added) })
 		}
 	}
 }
 
-func (r *run) begin(beginning *programRun) {
-	beginning.began = r.clock.now
-	r.submitTurn(beginning)
+func (r *run) startProgram(program *programRun) {
+	program.startedAt = r.clock.now
+	r.submitTurn(program)
 }
 
-// submitTurn sends the next call of a program, and its copy if it is doubled.
+// submitTurn sends the next call of a program, and sends it again later if its
+// turn says so.
 func (r *run) submitTurn(of *programRun) {
 	turn := of.Turns[of.turn]
 	history := of.history[:len(of.history):len(of.history)]
@@ -153,7 +159,7 @@
 	}
 	sent := &call{
 		program: of, turn: of.turn, path: history, pathAfter: append(history, own),
-		promptTokens: of.tokens + turn.PromptTokens, outputTokens: turn.OutputTokens, sent: r.clock.now,
+		promptTokens: of.historyTokens + turn.PromptTokens, outputTokens: turn.OutputTokens, sentAt: r.clock.now,
 	}
 	r.clock.after(clientDelay, func() { of.daemon.receive(sent) })
 	if turn.DoubledAfter > 0 {
@@ -161,35 +167,36 @@
 	}
 }
 
-// sendCopy is a caller that has no answer yet and sends the call again. A
-// strategy that joins copies runs it once.
+// sendCopy sends a call again if it has no answer yet, unless the strategy doesn't
+// run copies.
 func (r *run) sendCopy(original *call) {
 	if original.answered || r.traits.joinsCopies || original.program.ended {
 		return
 	}
 	copied := *original
-	copied.copied = true
-	copied.returns = 0
+	copied.isCopy = true
+	copied.refusals = 0
 	copied.engine = nil
 	r.measures.copiesRun++
 	r.clock.after(clientDelay, func() { copied.program.daemon.receive(&copied) })
 }
 
-// refused lets the caller come back when it was told to, or give up.
-func (r *run) refused(refused *call, retry time.Duration) {
+// handleRefusal sends the call again after the retry delay, or abandons its program
+// after more than maxRefusals refusals. A refused copy is dropped.
+func (r *run) handleRefusal(refused *call, retry time.Duration) {
 	r.measures.refused++
-	if refused.copied {
+	if refused.isCopy {
 		return
 	}
-	refused.returns++
-	if refused.returns > mostReturns {
+	refused.refusals++
+	if refused.refusals > maxRefusals {
 		r.abandon(refused.program)
 		return
 	}
 	r.clock.after(clientDelay+retry+clientDelay, func() { refused.program.daemon.receive(refused) })
 }
 
-// abandon ends a program whose caller gave up, and its parents.
+// abandon ends a program whose caller gave up, and all its ancestors.
 func (r *run) abandon(program *programRun) {
 	for ; program != nil; program = program.parent {
 		if program.ended {
@@ -199,78 +206,83 @@
 		program.daemon.strategy.programEnded(program)
 		if program.parent == nil {
 			r.measures.abandoned++
-			r.measures.open--
+			r.measures.openPrograms--
 		}
 	}
 }
 
-// started accounts the prefill of a call: what is computed again, although
-// it lay in another engine's cache or had been evicted everywhere.
-func (r *run) started(starting *call, cached int64) {
-	starting.began = r.clock.now
-	most := cached
+// recordPrefillStart counts the prompt tokens of a call whose prefill starts: those
+// that its engine has cached, those that only another engine has cached, and those
+// that were computed before but that no engine has cached any more.
+func (r *run) recordPrefillStart(starting *call, cached int64) {
+	starting.prefillStart = r.clock.now
+	longest := cached
 	for _, engine := range r.engines {
-		_, found := engine.cache.match(starting.path)
-		most = max(most, found)
+		_, found := engine.cache.matchPrefix(starting.path)
+		longest = max(longest, found)
 	}
-	known := int64(0)
+	computedTokens := int64(0)
 	for _, part := range starting.path {
 		if !r.computed[part.key] {
 			break
 		}
-		known += part.tokens
+		computedTokens += part.tokens
 	}
 	r.measures.promptTokens += starting.promptTokens
 	r.measures.cachedTokens += cached
-	r.measures.wastedTokens += most - cached
-	r.measures.evictedTokens += max(known-most, 0)
+	r.measures.wastedTokens += longest - cached
+	r.measures.evictedTokens += max(computedTokens-longest, 0)
 }
 
-func (r *run) firstToken(of *call) {
+// recordFirstToken records the time to the first token and that the history before
+// this turn has been computed.
+func (r *run) recordFirstToken(of *call) {
 	for _, part := range of.path {
 		r.computed[part.key] = true
 	}
-	if !of.copied {
-		record(r.measures.firstToken, r.clock.now+zoneDelay+clientDelay-of.sent)
+	if !of.isCopy {
+		record(r.measures.firstToken, r.clock.now+zoneDelay+clientDelay-of.sentAt)
 	}
 }
 
-// finished carries the answer back to the daemon and the caller.
-func (r *run) finished(done *call) {
+// deliverAnswer sends the answer to the daemon and from there to the caller.
+func (r *run) deliverAnswer(done *call) {
 	r.computed[done.pathAfter[len(done.pathAfter)-1].key] = true
 	r.clock.after(zoneDelay, func() {
 		daemon := done.program.daemon
-		daemon.ended(done)
-		if done.copied || done.program.ended {
+		daemon.callEnded(done)
+		if done.isCopy || done.program.ended {
 			return
 		}
 		done.answered = true
-		done.program.attained += r.clock.now - done.began
-		done.program.holder = done.engine
+		done.program.attainedService += r.clock.now - done.prefillStart
+		done.program.lastEngine = done.engine
 		done.program.history = done.pathAfter
-		done.program.tokens = done.promptTokens + done.outputTokens
-		daemon.strategy.answered(done)
+		done.program.historyTokens = done.promptTokens + done.outputTokens
+		daemon.strategy.callAnswered(done)
 		r.clock.after(clientDelay, func() { r.afterAnswer(done.program) })
 	})
 }
 
-// afterAnswer starts sub-agents, or pauses and goes on.
+// afterAnswer starts the sub-agents of the turn or, if there are none, its pause.
 func (r *run) afterAnswer(program *programRun) {
 	turn := program.Turns[program.turn]
-	program.childrenLeft = len(turn.Children)
+	program.openChildren = len(turn.Children)
 	for _, child := range turn.Children {
-		r.begin(r.programs[child])
+		r.startProgram(r.programs[child])
 	}
-	if program.childrenLeft == 0 {
-		r.pause(program)
+	if program.openChildren == 0 {
+		r.pauseProgram(program)
 	}
 }
 
-func (r *run) pause(program *programRun) {
+// pauseProgram sends the next call after the pause of the current turn, or ends the
+// program after its last turn.
+func (r *run) pauseProgram(program *programRun) {
 	turn := program.Turns[program.turn]
 	program.turn++
 	if program.turn == len(program.Turns) {
-		r.end(program)
+		r.endProgram(program)
 		return
 	}
 	r.clock.after(turn.Pause, func() {
@@ -280,16 +292,17 @@
 	})
 }
 
-func (r *run) end(program *programRun) {
+// endProgram ends a program. The parent of the last open sub-agent continues.
+func (r *run) endProgram(program *programRun) {
 	program.ended = true
 	program.daemon.strategy.programEnded(program)
 	if program.parent != nil {
-		program.parent.childrenLeft--
-		if program.parent.childrenLeft == 0 && !program.parent.ended {
-			r.pause(program.parent)
+		program.parent.openChildren--
+		if program.parent.openChildren == 0 && !program.parent.ended {
+			r.pauseProgram(program.parent)
 		}
 		return
 	}
-	r.measures.open--
-	r.measures.programEnded(r.trace, program, r.clock.now-program.began)
+	r.measures.openPrograms--
+	r.measures.programEnded(r.trace, program, r.clock.now-program.startedAt)
 }
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -1,6 +1,7 @@
-// Package experiment replays generated traces in virtual time on emulated
-// engines, under baselines and under thymeloft's own policy, and reports what
-// it measures. The same seed gives the same figures on any machine.
+// Package experiment runs generated traces in virtual time on emulated engines,
+// with baseline strategies and with thymeloft's own scheduling policy, and
+// compares them in a report. The same options give the same results on any
+// machine.
 package experiment
 
 import (
@@ -9,19 +10,20 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// Settings are what a run may vary besides its trace and strategy.
+// Settings are the parameters of a run besides its trace and strategy.
 type Settings struct {
 	Scheduling scheduling.Settings
-	JoinCopies bool // baselines too run a call that is sent twice once
-	RunCopies  bool // thymeloft too runs copies
-	NoHold     bool // thymeloft holds no prefix through pauses
-	NoRelease  bool // thymeloft leaves the memory of ended programs to eviction
-	NoSketch   bool // thymeloft remembers no shared prefixes
-	// GlobalIndex gives thymeloft the true holders of shared prefixes, now
-	// and without delay, instead of its sketch.
+	JoinCopies bool // baselines run a call that is sent twice only once
+	RunCopies  bool // thymeloft runs a call that is sent twice both times
+	NoHold     bool // thymeloft leases no cached history during pauses
+	NoRelease  bool // thymeloft does not release the cache of ended programs, so it stays until evicted
+	NoSketch   bool // thymeloft does not know which engines hold shared prefixes
+	// GlobalIndex makes thymeloft use the actual holders of shared prefixes at
+	// the time of the decision, instead of its sketch.
 	GlobalIndex bool
-	// ReportLag is till a load report has reached the daemons; zero: 250 ms.
+	// ReportLag is the time until a load report has reached the daemons; 0 means
+	// 250 ms.
 	ReportLag time.Duration
-	// MemoryShare multiplies the memory of every engine; zero: 1.
+	// MemoryShare is the factor of the memory of every engine; 0 means 1.
 	MemoryShare float64
 }
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -6,87 +6,89 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// Bounds of a daemon's part in the emulation.
 const (
-	queueLimit     = 4096
-	sketchPrefixes = 1024
-	sketchHolders  = 8
-	sketchExpiry   = 5 * time.Minute
-	holdLimit      = time.Minute
-	pauseSmoothing = 0.05
-	firstPause     = 3 * time.Second
-	firstGoingOn   = 0.9
+	maxQueuedCalls       = 4096 // in each queue of a daemon
+	maxSketchPrefixes    = 1024
+	maxHoldersPerPrefix  = 8 // in the sketch
+	sketchExpiry         = 5 * time.Minute
+	maxLease             = time.Minute
+	pauseSmoothing       = 0.05 // weight of the latest observation in pauseStats
+	initialPause         = 3 * time.Second
+	initialContinueShare = 0.9
 )
 
-// thymeloft places calls by the product's policy, queue, sketch and leases.
+// thymeloft is the strategy that uses the product's own code: scheduling policy,
+// queue, sketch of shared prefixes, and leases.
 type thymeloft struct {
-	daemon   *daemon
-	settings Settings
-	policy   scheduling.Policy
-	queue    *scheduling.Queue[*call] // of started programs
-	entry    *scheduling.Queue[*call] // first calls of programs
-	live     int64                    // own tokens of live programs
-	sketch   *scheduling.Sketch
-	pauses   map[string]*pauseMemory // by kind of program
-	sequence uint64
-	waking   bool
+	daemon         *daemon
+	settings       Settings
+	policy         scheduling.Policy
+	startedQueue   *scheduling.Queue[*call] // calls of programs that have attained service
+	firstCallQueue *scheduling.Queue[*call] // calls of all other programs
+	liveTokens     int64                    // history tokens of live programs without their shared prefixes
+	sketch         *scheduling.Sketch
+	statsByKind    map[string]*pauseStats // by Program.Kind
+	sequence       uint64
+	retryScheduled bool // by scheduleRetry
 }
 
-// pauseMemory is what was seen of the pauses of a kind of program.
-type pauseMemory struct {
-	mean    float64 // seconds
-	goingOn float64 // share of answers after which the program goes on
+// pauseStats are smoothed averages for a kind of program.
+type pauseStats struct {
+	meanSeconds   float64 // of a pause
+	continueShare float64 // fraction of answers that are followed by another call
 }
 
 func newThymeloft(d *daemon, settings Settings) *thymeloft {
 	return &thymeloft{
-		daemon:   d,
-		settings: settings,
-		policy:   scheduling.NewPolicy(settings.Scheduling),
-		queue:    scheduling.NewQueue[*call](queueLimit),
-		entry:    scheduling.NewQueue[*call](queueLimit),
-		sketch:   scheduling.NewSketch(sketchPrefixes, sketchHolders, sketchExpiry),
-		pauses:   make(map[string]*pauseMemory),
+		daemon:         d,
+		settings:       settings,
+		policy:         scheduling.NewPolicy(settings.Scheduling),
+		startedQueue:   scheduling.NewQueue[*call](maxQueuedCalls),
+		firstCallQueue: scheduling.NewQueue[*call](maxQueuedCalls),
+		sketch:         scheduling.NewSketch(maxSketchPrefixes, maxHoldersPerPrefix, sketchExpiry),
+		statsByKind:    make(map[string]*pauseStats),
 	}
 }
 
-func (t *thymeloft) traits() traits { return traits{joinsCopies: !t.settings.RunCopies} }
-func (t *thymeloft) waiting() int   { return t.queue.Len() + t.entry.Len() }
+func (t *thymeloft) traits() traits    { return traits{joinsCopies: !t.settings.RunCopies} }
+func (t *thymeloft) waitingCalls() int { return t.startedQueue.Len() + t.firstCallQueue.Len() }
 
-// submit decides a call at once when nothing waits before it.
+// submit refuses the call if the policy does so because of the calls queued before
+// it. Otherwise it queues the call and decides the waiting calls.
 func (t *thymeloft) submit(received *call) {
-	t.notePause(received)
+	t.recordPause(received)
 	t.sequence++
 	item := scheduling.QueueItem{
 		Class:    received.program.Class,
-		Attained: received.program.attained,
+		Attained: received.program.attainedService,
 		Enqueued: t.daemon.run.clock.now,
 		Sequence: t.sequence,
 	}
-	queue := t.queue
-	if received.program.started() == 0 {
-		queue = t.entry
+	queue := t.startedQueue
+	if received.program.effectiveService() == 0 {
+		queue = t.firstCallQueue
 	}
 	if queue.Len() > 0 {
 		decision := t.decide(received, queue.Len())
 		if decision.Action == scheduling.ActionRefuse {
-			t.daemon.run.refused(received, decision.Retry)
+			t.daemon.run.handleRefusal(received, decision.Retry)
 			return
 		}
 	}
 	if displaced, full := queue.Push(item, received); full {
-		t.daemon.run.refused(displaced, time.Second)
+		t.daemon.run.handleRefusal(displaced, time.Second)
 	}
-	t.changed()
+	t.stateChanged()
 }
 
-// changed decides waiting calls, those of started programs first.
-func (t *thymeloft) changed() {
-	t.drain(t.queue)
-	t.drain(t.entry)
+// stateChanged decides the waiting calls, those of programs that have attained
+// service first.
+func (t *thymeloft) stateChanged() {
+	t.drain(t.startedQueue)
+	t.drain(t.firstCallQueue)
 }
 
-// drain decides the calls of a queue in their order until one has to wait on.
+// drain decides the calls of a queue in order until one must keep waiting.
 func (t *thymeloft) drain(queue *scheduling.Queue[*call]) {
 	for {
 		item, first, found := queue.Peek()
@@ -96,11 +98,11 @@
 		decision := t.decide(first, 0)
 		switch decision.Action {
 		case scheduling.ActionWait:
-			t.wake(decision.Retry)
+			t.scheduleRetry(decision.Retry)
 			return
 		case scheduling.ActionRefuse:
 			queue.Pop()
-			t.daemon.run.refused(first, decision.Retry)
+			t.daemon.run.handleRefusal(first, decision.Retry)
 		case scheduling.ActionPlace:
 			queue.Pop()
 			t.place(first, int(item.Class), decision)
@@ -108,18 +110,21 @@
 	}
 }
 
-// wake tries again after a time, at most once at a time.
-func (t *thymeloft) wake(retry time.Duration) {
-	if t.waking {
+// scheduleRetry decides the waiting calls again after the delay, unless a retry is
+// scheduled already.
+func (t *thymeloft) scheduleRetry(retry time.Duration) {
+	if t.retryScheduled {
 		return
 	}
-	t.waking = true
+	t.retryScheduled = true
 	t.daemon.run.clock.after(retry, func() {
-		t.waking = false
-		t.changed()
+		t.retryScheduled = false
+		t.stateChanged()
 	})
 }
 
+// decide returns the policy's decision for a call; ahead is the number of calls
+// queued before it.
 func (t *thymeloft) decide(waiting *call, ahead int) scheduling.Decision {
 	now := t.daemon.run.clock.now
 	engines := make([]scheduling.Engine, len(t.daemon.run.engines))
@@ -130,17 +135,17 @@
 	request := scheduling.Request{
 		Tenant: waiting.program.Tenant, Class: waiting.program.Class, Model: t.daemon.run.trace.Model,
 		Zone: t.daemon.zone, PromptTokens: waiting.promptTokens,
-		MaxOutputTokens: 0, // callers rarely say
-		Attained:        waiting.program.started(),
-		LiveTokens:      t.live,
+		MaxOutputTokens: 0, // unknown, as callers rarely set it
+		Attained:        waiting.program.effectiveService(),
+		LiveTokens:      t.liveTokens,
 		FleetShare:      1 / float64(len(t.daemon.run.daemons)),
-		Waited:          now - waiting.received,
+		Waited:          now - waiting.receivedAt,
 		QueuedAhead:     ahead,
 		Seed:            uint64(waiting.program.Index)<<16 + uint64(waiting.turn),
 	}
-	if holder := waiting.program.holder; holder != nil {
+	if holder := waiting.program.lastEngine; holder != nil {
 		request.HolderID = holder.ID
-		request.HolderTokens = waiting.program.tokens
+		request.HolderTokens = waiting.program.historyTokens
 	}
 	runs := prefixRuns(waiting)
 	request.SharedPrefix = runs[len(runs)-1].Hash
@@ -148,7 +153,8 @@
 	return t.policy.Decide(snapshot, &request)
 }
 
-// holders finds the engines that hold a shared prefix of the call.
+// holders returns the engines that hold a shared prefix of the call, according to
+// the sketch or, with Settings.GlobalIndex, in fact.
 func (t *thymeloft) holders(waiting *call, runs []scheduling.PrefixRun, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
 	if t.settings.NoSketch {
 		return nil
@@ -158,13 +164,15 @@
 	}
 	var found []scheduling.PrefixHolder
 	for index, engine := range t.daemon.run.engines {
-		if _, tokens := engine.cache.match(waiting.path); tokens > 0 {
+		if _, tokens := engine.cache.matchPrefix(waiting.path); tokens > 0 {
 			found = append(found, scheduling.PrefixHolder{Engine: index, Tokens: tokens})
 		}
 	}
 	return found
 }
 
+// prefixRuns returns the hash and the length of each shared prefix of a call, the
+// shortest first.
 func prefixRuns(of *call) []scheduling.PrefixRun {
 	runs := make([]scheduling.PrefixRun, 0, len(of.program.Prefix))
 	tokens := int64(0)
@@ -182,42 +190,45 @@
 	t.daemon.place(placed, decision.Engine, priority, placed.promptTokens-decision.CachedTokens)
 }
 
-// answered holds the prefix through the pause for as long as it pays.
-func (t *thymeloft) answered(done *call) {
+// callAnswered leases the program's cached history until the next call, if the
+// expected reuse is worth the memory.
+func (t *thymeloft) callAnswered(done *call) {
 	program := done.program
-	t.live += program.Turns[done.turn].PromptTokens + program.Turns[done.turn].OutputTokens
-	memory := t.memory(program.Kind)
+	t.liveTokens += program.Turns[done.turn].PromptTokens + program.Turns[done.turn].OutputTokens
+	stats := t.statsOf(program.Kind)
 	last := program.turn+1 == len(program.Turns)
-	memory.goingOn += pauseSmoothing * (truth(!last) - memory.goingOn)
+	stats.continueShare += pauseSmoothing * (boolToFloat(!last) - stats.continueShare)
 	seen := t.daemon.reports[done.engine.index]
-	lease := scheduling.HoldLease(program.tokens,
-		scheduling.PauseEstimate{Mean: fromSeconds(memory.mean), ReuseChance: memory.goingOn},
+	lease := scheduling.HoldLease(program.historyTokens,
+		scheduling.PauseEstimate{Mean: fromSeconds(stats.meanSeconds), ReuseChance: stats.continueShare},
 		scheduling.CachePrice{
 			HitsPerToken: seen.hitsPerToken,
 			Pressure:     float64(seen.cacheUsed) / float64(done.engine.CacheTokens),
-		}, holdLimit)
+		}, maxLease)
 	if t.settings.NoHold || lease <= 0 {
 		return
 	}
-	deepest, _ := done.engine.cache.match(done.pathAfter)
+	deepest, _ := done.engine.cache.matchPrefix(done.pathAfter)
 	if deepest != nil {
-		deepest.heldUntil = t.daemon.run.clock.now + lease
+		deepest.leaseUntil = t.daemon.run.clock.now + lease
 	}
 }
 
-// notePause learns how long programs of a kind pause.
-func (t *thymeloft) notePause(received *call) {
-	if received.turn == 0 || received.returns > 0 {
+// recordPause updates the mean pause of the kind of program with the pause before
+// the call.
+func (t *thymeloft) recordPause(received *call) {
+	if received.turn == 0 || received.refusals > 0 {
 		return
 	}
-	memory := t.memory(received.program.Kind)
+	stats := t.statsOf(received.program.Kind)
 	pause := received.program.Turns[received.turn-1].Pause.Seconds()
-	memory.mean += pauseSmoothing * (pause - memory.mean)
+	stats.meanSeconds += pauseSmoothing * (pause - stats.meanSeconds)
 }
 
-// programEnded releases what engines hold for the program alone.
+// programEnded releases what the engines have cached of the program, except its
+// shared prefix.
 func (t *thymeloft) programEnded(program *programRun) {
-	t.live -= program.tokens - program.SharedTokens()
+	t.liveTokens -= program.historyTokens - program.SharedTokens()
 	if t.settings.NoRelease {
 		return
 	}
@@ -226,16 +237,16 @@
 	}
 }
 
-func (t *thymeloft) memory(kind string) *pauseMemory {
-	known, ok := t.pauses[kind]
+func (t *thymeloft) statsOf(kind string) *pauseStats {
+	known, ok := t.statsByKind[kind]
 	if !ok {
-		known = &pauseMemory{mean: firstPause.Seconds(), goingOn: firstGoingOn}
-		t.pauses[kind] = known
+		known = &pauseStats{meanSeconds: initialPause.Seconds(), continueShare: initialContinueShare}
+		t.statsByKind[kind] = known
 	}
 	return known
 }
 
-func truth(value bool) float64 {
+func boolToFloat(value bool) float64 {
 	if value {
 		return 1
 	}
