--- a/internal/lab/acquaintance/acquaintance.go
+++ b/internal/lab/acquaintance/acquaintance.go
@@ -1,4 +1,5 @@
-// Package acquaintance makes daemons of a test known to each other without a store.
+// Package acquaintance fills the member lists of daemons in tests that have no
+// store.
 package acquaintance
 
 import (
@@ -6,7 +7,9 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Make tells each list of all members, as if it had read their rows.
+// Make replaces the content of each list by the processes of all lists, as living
+// members, as if it had been read from the store. It returns an error if a member
+// can't be encoded.
 func Make(lists ...*members.List) error {
 	var rows []state.Row
 	for _, list := range lists {
@@ -22,7 +25,7 @@
 	return nil
 }
 
-// RowOf is the row of a member as the store has it.
+// RowOf returns the row of a member as in the store, with version 1.
 func RowOf(member members.Member) (state.Row, error) {
 	value, err := members.Encode(member)
 	key := state.Key{Table: members.Table, Name: string(member.Process.Machine)}
