--- a/internal/lab/appservice/appservice.go
+++ b/internal/lab/appservice/appservice.go
@@ -1,6 +1,6 @@
-// Package appservice stands in for an application service: it executes an
-// operation each time it is asked, and counts every execution by call. It
-// refuses no repeat by itself, so that its records prove "at most once".
+// Package appservice simulates an application service over HTTP. It executes an
+// operation for each request, also for repeated ones, and counts the executions
+// of each call, so that tests can check that no call is executed twice.
 package appservice
 
 import (
@@ -15,73 +15,77 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// The states of an execution.
+// The states of a call.
 const (
 	stateRunning = "running"
 	stateDone    = "done"
 	stateFailed  = "failed"
 )
 
-// Options of a service.
+// Options configure a service.
 type Options struct {
 	Name  string
 	Delay time.Duration // of each execution
-	// Hangs tells which operations never end by themselves; nil: none.
+	// Hangs reports whether an operation runs until it is cancelled; nil means
+	// that none does.
 	Hangs func(operation string) bool
 }
 
-// Attempt is one arrival of a call.
+// Attempt is one request to execute a call.
 type Attempt struct {
 	ID        string `json:"id"`
 	ArrivedMS int64  `json:"arrived_unix_ms"`
 }
 
-// Execution is what the service knows of one call.
+// Execution is what the service has recorded of one call.
 type Execution struct {
-	CallID     string    `json:"call_id"`
-	Program    string    `json:"program"`
-	Operation  string    `json:"operation"`
-	Executions int       `json:"executions"`
-	Attempts   []Attempt `json:"attempts"` // those that arrived, executed or not
-	State      string    `json:"state"`
-	payload    []byte
-	cancel     chan struct{} // closed to cancel what runs now
+	CallID     string        `json:"call_id"`
+	Program    string        `json:"program"`
+	Operation  string        `json:"operation"`
+	Executions int           `json:"executions"` // number of completed executions
+	Attempts   []Attempt     `json:"attempts"`   // all that arrived, in order of arrival
+	State      string        `json:"state"`
+	payload    []byte        // of the last completed execution
+	cancel     chan struct{} // closed to cancel the executions that run now
 }
 
-// Records is the body of standin.PathRecords.
+// Records is the response body of standin.PathRecords.
 type Records struct {
 	Name       string      `json:"name"`
-	Executions []Execution `json:"executions"`
+	Executions []Execution `json:"executions"` // in order of the first arrival
 }
 
-// Service is the stand-in.
+// Service is a simulated application service and its HTTP handler. Safe for
+// concurrent use.
 type Service struct {
 	http.Handler
 	Faults  *standin.Faults
 	options Options
 
-	mutex sync.Mutex
-	calls map[string]*Execution
-	order []string
+	mutex     sync.Mutex
+	calls     map[string]*Execution
+	byArrival []string // call IDs
 }
 
-// New makes a service.
+// New returns a service without recorded calls.
 func New(options Options) *Service {
 	service := &Service{Faults: &standin.Faults{}, options: options, calls: map[string]*Execution{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+enginev1.PathExecute, service.execute)
-	mux.HandleFunc("GET "+enginev1.PathExecutions+"{id...}", service.lookUp)
-	mux.HandleFunc("DELETE "+enginev1.PathExecutions+"{id...}", service.cancel)
+	mux.HandleFunc("POST "+enginev1.PathExecute, service.handleExecute)
+	mux.HandleFunc("GET "+enginev1.PathExecutions+"{id...}", service.handleLookup)
+	mux.HandleFunc("DELETE "+enginev1.PathExecutions+"{id...}", service.handleCancel)
 	service.Handler = standin.Mount(mux, service.Faults, func() any { return service.Records() })
 	return service
 }
 
-// Answer is the payload that the operation gives: it depends on nothing else.
+// Answer returns the payload with which the service answers. It depends on the
+// arguments alone.
 func Answer(operation string, payload []byte) []byte {
 	return fmt.Appendf(nil, "%s done %016x", operation, xxhash.Sum64(payload))
 }
 
-func (s *Service) execute(w http.ResponseWriter, r *http.Request) {
+// handleExecute executes the call and responds when it has ended or is cancelled.
+func (s *Service) handleExecute(w http.ResponseWriter, r *http.Request) {
 	var request enginev1.ExecuteRequest
 	if !standin.ReadJSON(w, r, &request) {
 		return
@@ -89,27 +93,28 @@
 	if standin.Carry(w, s.Faults.Meet(r.Context(), standin.PointBefore, request.AttemptID, 0)) {
 		return
 	}
-	cancelled := s.arrive(request)
-	s.work(request.Operation, cancelled)
-	if !s.finish(request, cancelled) {
-		standin.WriteJSON(w, http.StatusOK, s.reply(request.CallID))
+	cancelled := s.recordAttempt(request)
+	s.waitForEnd(request.Operation, cancelled)
+	if !s.recordExecution(request, cancelled) {
+		standin.WriteJSON(w, http.StatusOK, s.replyFor(request.CallID))
 		return
 	}
 	if standin.Carry(w, s.Faults.Meet(r.Context(), standin.PointAfter, request.AttemptID, 0)) {
 		return
 	}
-	standin.WriteJSON(w, http.StatusOK, s.reply(request.CallID))
+	standin.WriteJSON(w, http.StatusOK, s.replyFor(request.CallID))
 }
 
-// arrive notes the attempt and returns what cancels it.
-func (s *Service) arrive(request enginev1.ExecuteRequest) <-chan struct{} {
+// recordAttempt records the attempt and returns a channel that is closed when it is
+// cancelled.
+func (s *Service) recordAttempt(request enginev1.ExecuteRequest) <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	call, found := s.calls[request.CallID]
 	if !found {
 		call = &Execution{CallID: request.CallID, Program: request.Program, Operation: request.Operation}
 		s.calls[request.CallID] = call
-		s.order = append(s.order, request.CallID)
+		s.byArrival = append(s.byArrival, request.CallID)
 	}
 	call.Attempts = append(call.Attempts, Attempt{ID: request.AttemptID, ArrivedMS: time.Now().UnixMilli()})
 	if call.State != stateRunning {
@@ -119,22 +124,24 @@
 	return call.cancel
 }
 
-// work takes the operation's time, or until it is cancelled.
-func (s *Service) work(operation string, cancelled <-chan struct{}) {
-	var done <-chan time.Time
+// waitForEnd blocks for the time that the operation takes, or until it is
+// cancelled.
+func (s *Service) waitForEnd(operation string, cancelled <-chan struct{}) {
+	var expired <-chan time.Time
 	if s.options.Hangs == nil || !s.options.Hangs(operation) {
 		timer := time.NewTimer(s.options.Delay)
 		defer timer.Stop()
-		done = timer.C
+		expired = timer.C
 	}
 	select {
-	case <-done:
+	case <-expired:
 	case <-cancelled:
 	}
 }
 
-// finish counts the execution, unless it was cancelled first; then it returns false.
-func (s *Service) finish(request enginev1.ExecuteRequest, cancelled <-chan struct{}) bool {
+// recordExecution counts the execution and sets its payload. It returns false and
+// does nothing if the execution was cancelled.
+func (s *Service) recordExecution(request enginev1.ExecuteRequest, cancelled <-chan struct{}) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	select {
@@ -149,7 +156,8 @@
 	return true
 }
 
-func (s *Service) reply(callID string) enginev1.ExecuteReply {
+// replyFor returns the current state of a known call.
+func (s *Service) replyFor(callID string) enginev1.ExecuteReply {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	call := s.calls[callID]
@@ -163,38 +171,38 @@
 	return reply
 }
 
-func (s *Service) lookUp(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleLookup(w http.ResponseWriter, r *http.Request) {
 	callID := r.PathValue("id")
 	if standin.Carry(w, s.Faults.Meet(r.Context(), standin.PointBefore, "lookup "+callID, 0)) {
 		return
 	}
-	if !s.knows(callID) {
+	if !s.hasCall(callID) {
 		http.Error(w, "the call never ran", http.StatusNotFound)
 		return
 	}
-	standin.WriteJSON(w, http.StatusOK, s.reply(callID))
+	standin.WriteJSON(w, http.StatusOK, s.replyFor(callID))
 }
 
-func (s *Service) knows(callID string) bool {
+func (s *Service) hasCall(callID string) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	_, found := s.calls[callID]
 	return found
 }
 
-// cancel ends what runs of the call. A call that is unknown may still arrive,
-// and will then run: the service keeps no note of cancellations.
-func (s *Service) cancel(w http.ResponseWriter, r *http.Request) {
+// handleCancel cancels the running executions of the call. The service doesn't
+// remember the ID of an unknown call: if the call arrives later, it is executed.
+func (s *Service) handleCancel(w http.ResponseWriter, r *http.Request) {
 	callID := r.PathValue("id")
-	if !s.knows(callID) {
+	if !s.hasCall(callID) {
 		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
-	s.stop(callID)
-	standin.WriteJSON(w, http.StatusOK, s.reply(callID))
+	s.cancelRunning(callID)
+	standin.WriteJSON(w, http.StatusOK, s.replyFor(callID))
 }
 
-func (s *Service) stop(callID string) {
+func (s *Service) cancelRunning(callID string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if call := s.calls[callID]; call.State == stateRunning {
@@ -203,12 +211,12 @@
 	}
 }
 
-// Records gives all calls in order of arrival.
+// Records returns all calls so far, in order of their first arrival.
 func (s *Service) Records() Records {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	records := Records{Name: s.options.Name, Executions: []Execution{}}
-	for _, callID := range s.order {
+	for _, callID := range s.byArrival {
 		records.Executions = append(records.Executions, *s.calls[callID])
 	}
 	return records
--- a/internal/lab/appservice/appservice_test.go
+++ b/internal/lab/appservice/appservice_test.go
@@ -41,7 +41,7 @@
 		return http.Post(server.URL+enginev1.PathExecute, "application/json", bytes.NewReader(body))
 	}
 
-	It("counts each execution, also when its answer is lost", func() {
+	It("counts each execution, also if its response is lost", func() {
 		service.Faults.Set([]standin.Rule{{Point: standin.PointAfter, Match: "p/1/1", Action: standin.ActionLose}})
 		_, err := execute("flag", "p/1/1")
 		Expect(err).To(HaveOccurred())
@@ -56,7 +56,7 @@
 		Expect(service.Records().Executions).To(ConsistOf(HaveField("Executions", 2)))
 	})
 
-	It("ends a hung operation on cancellation without having executed it", func() {
+	It("ends a hanging operation on cancellation and does not count it as executed", func() {
 		statuses := make(chan int, 1)
 		go func() {
 			defer GinkgoRecover()
