--- a/internal/lab/machinelist/machinelist.go
+++ b/internal/lab/machinelist/machinelist.go
@@ -1,4 +1,5 @@
-// Package machinelist stands in for the platform's lagging list of machines.
+// Package machinelist provides a stand-in for the platform's list of machines, in
+// which changes are visible only after a lag.
 package machinelist
 
 import (
@@ -10,63 +11,65 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// PathMachines takes the true list by POST; readers see it after the lag.
+// PathMachines is the path at which POST replaces the list, as Set does.
 const PathMachines = "/lab/machines"
 
-// Options of a list.
+// Options configure a list.
 type Options struct {
-	Lag      time.Duration // from a change to its being seen
-	Machines []platformv1.Machine
+	Lag      time.Duration        // time until a change is visible
+	Machines []platformv1.Machine // first content, visible at once
 }
 
-type version struct {
-	at       time.Time
+// listVersion is a content of the list and when it was set.
+type listVersion struct {
+	setAt    time.Time
 	machines platformv1.Machines
 }
 
-// List is the stand-in.
+// List is a list of machines and its HTTP handler. Safe for concurrent use.
 type List struct {
 	http.Handler
 	Faults *standin.Faults
 	lag    time.Duration
 
 	mutex    sync.Mutex
-	versions []version // oldest first; the first is always visible
+	versions []listVersion // oldest first; never empty; the first is visible
 }
 
-// New makes a list whose first content is seen at once.
+// New returns a list with the content of the options.
 func New(options Options) *List {
 	list := &List{Faults: &standin.Faults{}, lag: options.Lag}
-	list.versions = []version{{machines: platformv1.Machines{Machines: options.Machines}}}
+	list.versions = []listVersion{{machines: platformv1.Machines{Machines: options.Machines}}}
 	service := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		standin.WriteJSON(w, http.StatusOK, list.visible(time.Now()))
+		standin.WriteJSON(w, http.StatusOK, list.visibleAt(time.Now()))
 	})
 	mux := http.NewServeMux()
 	mux.Handle("GET "+platformv1.PathMachines, list.Faults.Around(standin.MethodAndPath, service))
 	mux.Handle(standin.PathFaults, list.Faults)
-	mux.HandleFunc("POST "+PathMachines, list.post)
+	mux.HandleFunc("POST "+PathMachines, list.handlePost)
 	list.Handler = mux
 	return list
 }
 
-// Set replaces the true list; readers see it after the lag.
+// Set replaces the content of the list. Readers see the change after the lag.
 func (l *List) Set(machines []platformv1.Machine) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.versions = append(l.versions, version{at: time.Now(), machines: platformv1.Machines{Machines: machines}})
+	l.versions = append(l.versions, listVersion{setAt: time.Now(), machines: platformv1.Machines{Machines: machines}})
 }
 
-func (l *List) post(w http.ResponseWriter, r *http.Request) {
+func (l *List) handlePost(w http.ResponseWriter, r *http.Request) {
 	var machines platformv1.Machines
 	if standin.ReadJSON(w, r, &machines) {
 		l.Set(machines.Machines)
 	}
 }
 
-func (l *List) visible(now time.Time) platformv1.Machines {
+// visibleAt returns the content that readers see now, and drops older ones.
+func (l *List) visibleAt(now time.Time) platformv1.Machines {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for len(l.versions) > 1 && now.Sub(l.versions[1].at) >= l.lag {
+	for len(l.versions) > 1 && now.Sub(l.versions[1].setAt) >= l.lag {
 		l.versions = l.versions[1:]
 	}
 	return l.versions[0].machines
