--- a/internal/lab/toolservice/toolservice.go
+++ b/internal/lab/toolservice/toolservice.go
@@ -1,5 +1,5 @@
-// Package toolservice stands in for a tool, such as a ledger query: an
-// application service with one operation, OperationHang, that never ends by itself.
+// Package toolservice simulates a tool, such as a ledger query. It is an
+// application service whose operation OperationHang runs until it is cancelled.
 package toolservice
 
 import (
@@ -11,16 +11,16 @@
 // OperationHang runs until it is cancelled.
 const OperationHang = "hang"
 
-// Options of a tool.
+// Options configure a tool.
 type Options struct {
 	Name  string
 	Delay time.Duration // of each execution
 }
 
-// Tool is the stand-in.
+// Tool is a simulated tool and its HTTP handler.
 type Tool struct{ *appservice.Service }
 
-// New makes a tool.
+// New returns a tool without recorded calls.
 func New(options Options) *Tool {
 	return &Tool{Service: appservice.New(appservice.Options{
 		Name:  options.Name,
