--- a/internal/lab/weightstore/weightstore.go
+++ b/internal/lab/weightstore/weightstore.go
@@ -1,4 +1,5 @@
-// Package weightstore stands in for the platform's rate-limited weight store.
+// Package weightstore provides a stand-in for the platform's store of model
+// weights, with a rate limit.
 package weightstore
 
 import (
@@ -8,35 +9,37 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-const streamPart = 1 << 16 // bytes
+const streamChunkBytes = 1 << 16
 
-// Options of a weight store.
+// Options configure a weight store.
 type Options struct {
-	Sizes             map[string]int64 // bytes by "model/version"
-	DefaultBytes      int64            // of versions that are not listed; 0: unknown ones are 404
-	RequestsPerSecond float64          // 0: no limit
-	Burst             int
+	Sizes             map[string]int64 // size in bytes by "model/version"
+	DefaultBytes      int64            // size of versions that are not in Sizes; with 0 they get status 404
+	RequestsPerSecond float64          // rate limit for all clients together; 0 means none
+	Burst             int              // requests that may exceed the rate at once
 }
 
-// Store is the stand-in.
+// Store is a store of model weights and its HTTP handler. Safe for concurrent use.
 type Store struct {
 	http.Handler
 	Faults  *standin.Faults
 	options Options
 }
 
-// New makes a store.
+// New returns a store. Its weights are zero bytes.
 func New(options Options) *Store {
 	store := &Store{Faults: &standin.Faults{}, options: options}
 	service := http.NewServeMux()
-	service.HandleFunc("GET "+platformv1.PathWeights+"{model}/{version}/size", store.size)
-	service.HandleFunc("GET "+platformv1.PathWeights+"{model}/{version}", store.stream)
+	service.HandleFunc("GET "+platformv1.PathWeights+"{model}/{version}/size", store.handleSize)
+	service.HandleFunc("GET "+platformv1.PathWeights+"{model}/{version}", store.handleStream)
 	limited := standin.Limit(options.RequestsPerSecond, options.Burst, store.Faults.Around(standin.MethodAndPath, service))
 	store.Handler = standin.Mount(limited, store.Faults, nil)
 	return store
 }
 
-func (s *Store) bytes(w http.ResponseWriter, r *http.Request) (int64, bool) {
+// sizeOf returns the size in bytes of the requested version. If there is none, it
+// responds with status 404 and returns false.
+func (s *Store) sizeOf(w http.ResponseWriter, r *http.Request) (int64, bool) {
 	size, found := s.options.Sizes[r.PathValue("model")+"/"+r.PathValue("version")]
 	if !found {
 		size = s.options.DefaultBytes
@@ -48,20 +51,20 @@
 	return size, true
 }
 
-func (s *Store) size(w http.ResponseWriter, r *http.Request) {
-	if size, found := s.bytes(w, r); found {
+func (s *Store) handleSize(w http.ResponseWriter, r *http.Request) {
+	if size, found := s.sizeOf(w, r); found {
 		standin.WriteJSON(w, http.StatusOK, platformv1.WeightSize{Bytes: size})
 	}
 }
 
-func (s *Store) stream(w http.ResponseWriter, r *http.Request) {
-	left, found := s.bytes(w, r)
-	part := make([]byte, streamPart)
-	for found && left > 0 {
-		count, err := w.Write(part[:min(left, streamPart)])
+func (s *Store) handleStream(w http.ResponseWriter, r *http.Request) {
+	remaining, found := s.sizeOf(w, r)
+	chunk := make([]byte, streamChunkBytes)
+	for found && remaining > 0 {
+		count, err := w.Write(chunk[:min(remaining, streamChunkBytes)])
 		if err != nil {
 			return
 		}
-		left -= int64(count)
+		remaining -= int64(count)
 	}
 }
