--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The two commands of the README are `make demo` and `make test`.
+# The README describes `make demo` and `make test`.
 BIN := bin
 
 .PHONY: build demo test lint generate
@@ -7,11 +7,12 @@
 	mkdir -p $(BIN)
 	go build -o $(BIN)/ ./cmd/...
 
-# Runs programs end to end over several daemons and embedded stand-ins.
+# Runs programs end to end on several daemons, with simulated engines and services.
 demo: build
 	$(BIN)/thymeloft-lab demo
 
-# Format, vet, and all tests under the race detector, with fixed seeds.
+# Checks the format, runs go vet, and runs all tests with the race detector. The
+# tests use fixed seeds.
 test: build
 	test -z "$$(gofmt -l .)"
 	go vet ./...
