--- a/internal/lab/appservice/appservice.go
+++ b/internal/lab/appservice/appservice.go
@@ -105,8 +105,8 @@
 	standin.WriteJSON(w, http.StatusOK, s.replyFor(request.CallID))
 }
 
-// recordAttempt records the attempt and returns a channel that is closed when it is
-// cancelled.
+// recordAttempt records the attempt and returns a channel that is closed when the
+// running executions of the call are cancelled.
 func (s *Service) recordAttempt(request enginev1.ExecuteRequest) <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/experiment/cache.go
+++ b/internal/lab/experiment/cache.go
@@ -37,7 +37,7 @@
 	parent     *node         // nil for the root of a tree
 	children   int           // number of child nodes
 	pins       int           // number of running sequences that pin the node
-	leaseUntil time.Duration // evicted before only if nothing else is left to evict
+	leaseUntil time.Duration // before this time, the node is evicted only if no other leaf can be
 	element    *list.Element // in prefixCache.recent
 }
 
@@ -81,8 +81,8 @@
 func (c *prefixCache) unreserve(tokens int64) { c.reservedTokens -= tokens }
 
 // insert adds the missing nodes of the path and returns its deepest node, or nil
-// for an empty path. The caller must have reserved the memory and must unreserve
-// it.
+// for an empty path. The caller must have reserved the memory of the new nodes,
+// and must end that reservation afterwards.
 func (c *prefixCache) insert(path []segment) *node {
 	var parent *node
 	for _, part := range path {
--- a/internal/lab/experiment/clock.go
+++ b/internal/lab/experiment/clock.go
@@ -29,8 +29,8 @@
 	heap.Push(&c.events, event{at: c.now + max(delay, 0), sequence: c.lastSequence, run: run})
 }
 
-// run runs the events until none is left. It returns false if the next one is later
-// than the limit or maxEvents were run.
+// run runs the events until none is left. It returns false if the next event
+// is later than the limit, or if it has run maxEvents.
 func (c *clock) run(limit time.Duration) bool {
 	for len(c.events) > 0 {
 		if c.events[0].at > limit || c.executed == maxEvents {
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -7,8 +7,8 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// daemon emulates the scheduler process of one zone. What it knows of the engines
-// are their reports, which arrive late, and its own placements.
+// daemon emulates the scheduler process of one zone. It knows the engines only by
+// their reports, which arrive late, and by its own placements.
 type daemon struct {
 	index       int
 	zone        identity.Zone
@@ -60,8 +60,9 @@
 	d.strategy.submit(received)
 }
 
-// place sends a call to an engine, which admits calls of smaller priority numbers
-// first. It expects the prefill of expectedUncached tokens.
+// place sends a call to an engine, which admits calls with smaller priority numbers
+// first. The parameter expectedUncached is the number of prompt tokens that the
+// engine is expected to prefill.
 func (d *daemon) place(placed *call, engine, priority int, expectedUncached int64) {
 	placed.placedAt = d.run.clock.now
 	placed.expectedUncached = expectedUncached
@@ -85,7 +86,8 @@
 }
 
 // view returns the state of an engine as the daemon estimates it: the last report,
-// corrected by the placements that the daemon has made or seen end since.
+// corrected by the placements that the daemon has made since, and by those that it
+// has seen end since.
 func (d *daemon) view(index int) scheduling.Engine {
 	engine := d.run.engines[index]
 	last := d.reports[index]
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -9,10 +9,10 @@
 
 // Parameters of the emulated batch.
 const (
-	batchSlowdown       = 1.0  // added time per token in a full batch, as a fraction of that of a lone sequence
+	batchSlowdown       = 1.0  // in a full batch, a token takes 1+batchSlowdown times as long as for a lone sequence
 	decodeDuringPrefill = 0.5  // factor of the decode speed while a prompt is prefilled
 	prefillDuringDecode = 0.85 // factor of the prefill speed while other sequences decode
-	tokenTolerance      = 1e-6 // up to this number of tokens left counts as none
+	tokenTolerance      = 1e-6 // a remainder of up to this number of tokens counts as 0
 )
 
 // sequence is a call that waits or runs in an engine.
@@ -24,7 +24,7 @@
 	reserved      int64   // tokens of memory
 	prefillLeft   float64 // tokens
 	decodeLeft    float64 // tokens
-	decoding      bool    // false while the prompt is prefilled or waits for that
+	decoding      bool    // false until the prompt is prefilled
 }
 
 // emulatedEngine emulates continuous batching: it admits waiting sequences as slots
@@ -38,7 +38,7 @@
 	cache           *prefixCache
 	running         []*sequence
 	waiting         []*sequence
-	advancedTo      time.Duration // the progress of the sequences is up to date at this time
+	advancedTo      time.Duration // time up to which the progress of the sequences is computed
 	eventVersion    uint64        // of the scheduled step; events of earlier versions do nothing
 	arrivals        uint64
 	servedFromCache float64 // prompt tokens that were found in the cache so far
@@ -79,7 +79,7 @@
 }
 
 // start reserves memory for the sequence and starts the prefill of what is not
-// cached. It returns false if there is too little memory.
+// cached. It returns false if there is too little memory and other sequences run.
 func (e *emulatedEngine) start(starting *sequence) bool {
 	path := starting.call.path
 	deepest, cached := e.cache.matchPrefix(path)
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -17,7 +17,7 @@
 	Seed    uint64    // of the main comparison
 	Seeds   int       // number of further seeds, which show how much the results vary
 	Loads   []float64 // scales of the traces in the sweep, in rising order
-	Workers int       // maximum number of concurrent runs; at least 1
+	Workers int       // maximum number of concurrent runs; values below 1 count as 1
 }
 
 // Command is the "experiment" subcommand of thymeloft-lab.
@@ -47,7 +47,7 @@
 	}
 }
 
-// trial is one run. Its measures are nil before.
+// trial is one run. Its measures are nil until the run has ended.
 type trial struct {
 	label    string
 	strategy Strategy
@@ -173,10 +173,10 @@
 // Verdict compares thymeloft with its targets at the reported load.
 type Verdict struct {
 	Load          float64 // smallest load at which the queue of least-loaded grows
-	LatencyRatio  float64 // p95 of program latency over that of least-loaded; the target is at most AimedLatency
-	OwnTimeRatio  float64 // LatencyRatio without the programs' own pauses
-	BestPossible  float64 // p95 of idealLatency over the p95 of program latency with least-loaded
-	WastedRatio   float64 // wasted prompt tokens over those of round-robin; the target is at most AimedWaste
+	LatencyRatio  float64 // p95 of program latency divided by that of least-loaded; the target is at most AimedLatency
+	OwnTimeRatio  float64 // like LatencyRatio, but without the programs' own pauses
+	BestPossible  float64 // p95 of idealLatency divided by the p95 of program latency with least-loaded
+	WastedRatio   float64 // wasted prompt tokens divided by those of round-robin; the target is at most AimedWaste
 	LatencyIsMet  bool
 	WastedIsMet   bool
 	SeedsCompared int // number of further seeds
--- a/internal/lab/experiment/measures.go
+++ b/internal/lab/experiment/measures.go
@@ -26,17 +26,17 @@
 	openPrograms     int                     // root programs that have not ended; 0 at the end
 	abandoned        int                     // root programs that their callers gave up
 	refused          int                     // refusals of calls
-	copiesRun        int                     // calls sent again that ran as well
+	copiesRun        int                     // copies of calls that callers sent and that were not joined
 	promptTokens     int64
 	cachedTokens     int64
 	wastedTokens     int64                         // prompt tokens computed although another engine had them cached
 	evictedTokens    int64                         // prompt tokens computed again that no engine had cached any more
-	reasons          map[string]int                // number of placements by reason; of thymeloft only
-	slowdowns        map[identity.Tenant][]float64 // latency over ideal latency, for each root program
+	reasons          map[string]int                // number of placements by reason; empty with baselines
+	slowdowns        map[identity.Tenant][]float64 // latency divided by idealLatency, for each completed root program
 	queueSamples     []float64                     // number of waiting calls, every sampleInterval
 	peakQueue        [2]float64                    // mean of queueSamples in the first and second half of the peak
 	fairness         float64                       // Jain's index of the tenants' mean slowdowns
-	worstTenantRatio float64                       // greatest mean slowdown of a tenant over the smallest
+	worstTenantRatio float64                       // greatest mean slowdown of a tenant divided by the smallest
 }
 
 // prepare creates the histograms and maps.
@@ -65,7 +65,8 @@
 }
 
 // idealLatency returns the latency that a program would have if it were alone on
-// the fleet's fastest engine and each token of its history were prefilled once.
+// the engine with the fastest decoding, and its history stayed cached between
+// turns.
 func idealLatency(trace *workload.Trace, program *workload.Program) time.Duration {
 	fastest := trace.Engines[0]
 	for _, engine := range trace.Engines {
--- a/internal/lab/experiment/plots.go
+++ b/internal/lab/experiment/plots.go
@@ -11,9 +11,8 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// The plots are small because they are committed to the repository.
 const (
-	plotWidth    = 5.5 * vg.Inch
+	plotWidth    = 5.5 * vg.Inch // small, since the plots are committed to the repository
 	plotHeight   = 3.2 * vg.Inch
 	legendFactor = 6 // factor by which a logarithmic axis is extended for the legend
 )
@@ -58,8 +57,9 @@
 	return lines
 }
 
-// distributions returns for each strategy the cumulative distribution, in seconds,
-// of the histogram that pick selects, at the reported load.
+// distributions returns, for each strategy, the cumulative distribution of the
+// histogram that pick selects at the reported load: the fraction of values over
+// seconds.
 func (s *study) distributions(pick func(m *measures) *hdrhistogram.Histogram) []series {
 	var lines []series
 	for _, strategy := range Strategies() {
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// addPrograms schedules the arrival of all root programs and assigns programs to
-// daemons.
+// addPrograms assigns all programs to daemons and schedules the arrival of the root
+// programs.
 func (r *run) addPrograms() {
 	for index := range r.trace.Programs {
 		description := &r.trace.Programs[index]
@@ -167,8 +167,8 @@
 	}
 }
 
-// sendCopy sends a call again if it has no answer yet, unless the strategy doesn't
-// run copies.
+// sendCopy sends a call again if it has no answer yet and the strategy does not
+// join copies.
 func (r *run) sendCopy(original *call) {
 	if original.answered || r.traits.joinsCopies || original.program.ended {
 		return
@@ -234,8 +234,8 @@
 	r.measures.evictedTokens += max(computedTokens-longest, 0)
 }
 
-// recordFirstToken records the time to the first token and that the history before
-// this turn has been computed.
+// recordFirstToken records the time to the first token, and marks the history
+// before this turn as computed.
 func (r *run) recordFirstToken(of *call) {
 	for _, part := range of.path {
 		r.computed[part.key] = true
@@ -245,7 +245,8 @@
 	}
 }
 
-// deliverAnswer sends the answer to the daemon and from there to the caller.
+// deliverAnswer sends the answer to the daemon and from there to the caller, and
+// updates the history of the program.
 func (r *run) deliverAnswer(done *call) {
 	r.computed[done.pathAfter[len(done.pathAfter)-1].key] = true
 	r.clock.after(zoneDelay, func() {
@@ -292,7 +293,8 @@
 	})
 }
 
-// endProgram ends a program. The parent of the last open sub-agent continues.
+// endProgram ends a program. If it was the last open sub-agent of its parent, the
+// parent continues with its pause.
 func (r *run) endProgram(program *programRun) {
 	program.ended = true
 	program.daemon.strategy.programEnded(program)
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -23,7 +23,7 @@
 	daemon         *daemon
 	settings       Settings
 	policy         scheduling.Policy
-	startedQueue   *scheduling.Queue[*call] // calls of programs that have attained service
+	startedQueue   *scheduling.Queue[*call] // calls of programs with effectiveService above 0
 	firstCallQueue *scheduling.Queue[*call] // calls of all other programs
 	liveTokens     int64                    // history tokens of live programs without their shared prefixes
 	sketch         *scheduling.Sketch
@@ -54,7 +54,7 @@
 func (t *thymeloft) waitingCalls() int { return t.startedQueue.Len() + t.firstCallQueue.Len() }
 
 // submit refuses the call if the policy does so because of the calls queued before
-// it. Otherwise it queues the call and decides the waiting calls.
+// it. Otherwise it queues the call and tries to place the waiting calls.
 func (t *thymeloft) submit(received *call) {
 	t.recordPause(received)
 	t.sequence++
@@ -81,14 +81,14 @@
 	t.stateChanged()
 }
 
-// stateChanged decides the waiting calls, those of programs that have attained
-// service first.
+// stateChanged tries to place the waiting calls, first those of startedQueue.
 func (t *thymeloft) stateChanged() {
 	t.drain(t.startedQueue)
 	t.drain(t.firstCallQueue)
 }
 
-// drain decides the calls of a queue in order until one must keep waiting.
+// drain places or refuses the calls of a queue in order, until the policy decides
+// that one must wait.
 func (t *thymeloft) drain(queue *scheduling.Queue[*call]) {
 	for {
 		item, first, found := queue.Peek()
@@ -110,8 +110,8 @@
 	}
 }
 
-// scheduleRetry decides the waiting calls again after the delay, unless a retry is
-// scheduled already.
+// scheduleRetry tries to place the waiting calls again after the delay, unless a
+// retry is scheduled already.
 func (t *thymeloft) scheduleRetry(retry time.Duration) {
 	if t.retryScheduled {
 		return
@@ -153,8 +153,8 @@
 	return t.policy.Decide(snapshot, &request)
 }
 
-// holders returns the engines that hold a shared prefix of the call, according to
-// the sketch or, with Settings.GlobalIndex, in fact.
+// holders returns the engines that hold a shared prefix of the call, as known from
+// the sketch or, with Settings.GlobalIndex, from the caches of the engines.
 func (t *thymeloft) holders(waiting *call, runs []scheduling.PrefixRun, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
 	if t.settings.NoSketch {
 		return nil
@@ -190,8 +190,8 @@
 	t.daemon.place(placed, decision.Engine, priority, placed.promptTokens-decision.CachedTokens)
 }
 
-// callAnswered leases the program's cached history until the next call, if the
-// expected reuse is worth the memory.
+// callAnswered updates the statistics and leases the program's cached history for
+// the expected pause, if the expected reuse is worth the memory.
 func (t *thymeloft) callAnswered(done *call) {
 	program := done.program
 	t.liveTokens += program.Turns[done.turn].PromptTokens + program.Turns[done.turn].OutputTokens
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -15,14 +15,14 @@
 
 // Condition is the set of faults that a link injects. The zero value is none.
 type Condition struct {
-	// Delay is how long each chunk of bytes is held before it is forwarded, in
-	// both directions.
+	// Delay is waited before each chunk of bytes is forwarded, in both directions.
 	Delay time.Duration
 	// HoldRequests holds back what the dialling side sends, and HoldAnswers what
-	// the target sends. It is delivered when the condition changes.
+	// the target sends. The bytes are delivered when the field is no longer set.
 	HoldRequests bool
 	HoldAnswers  bool
-	// Refuse resets new connections, and ends the holding of bytes.
+	// Refuse resets new connections. While it is set, HoldRequests and HoldAnswers
+	// have no effect.
 	Refuse bool
 }
 
@@ -172,8 +172,8 @@
 	}
 }
 
-// waitWhileHeld blocks while the current condition holds this direction, then for
-// the condition's delay.
+// waitWhileHeld blocks while the current condition holds back this direction, and
+// then for the condition's delay.
 func (l *Link) waitWhileHeld(isHeld func(Condition) bool) {
 	for {
 		l.mutex.Lock()
--- a/internal/lab/fleet/deployment.go
+++ b/internal/lab/fleet/deployment.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Deployment describes a fleet. Zero values stand for the defaults.
+// Deployment describes a fleet to start.
 type Deployment struct {
 	Region            string        `yaml:"region"`
 	Zones             []string      `yaml:"zones"`
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -68,7 +68,8 @@
 }
 
 // findGroup asks the running daemons for the group of the shard and returns the
-// answer with the highest epoch. Groups without a leader don't count.
+// answer with the highest epoch. It ignores answers in which the group is not
+// normal or has no leader.
 func (f *Fleet) findGroup(ctx context.Context, shard uint32) (*operatorv1.Group, error) {
 	var newest *operatorv1.Group
 	for _, daemon := range f.Daemons {
@@ -118,8 +119,8 @@
 }
 
 // Apply replaces the whole configuration document through the daemon and returns
-// the new revision. The identifier makes repeated calls one change; base is the
-// revision that the document replaces.
+// the new revision. Calls with the same identifier count as one change. The base
+// parameter is the revision that the document replaces.
 func (f *Fleet) Apply(ctx context.Context, daemon *Daemon, identifier string, base uint64, document *operatorv1.Document) (uint64, error) {
 	reply, err := f.Operator(daemon).ApplyConfiguration(ctx, connect.NewRequest(&operatorv1.ApplyConfigurationRequest{
 		ChangeIdentifier: identifier,
--- a/internal/lab/machinelist/machinelist.go
+++ b/internal/lab/machinelist/machinelist.go
@@ -20,7 +20,7 @@
 	Machines []platformv1.Machine // first content, visible at once
 }
 
-// listVersion is a content of the list and when it was set.
+// listVersion is one content of the list and the time at which it was set.
 type listVersion struct {
 	setAt    time.Time
 	machines platformv1.Machines
@@ -33,7 +33,7 @@
 	lag    time.Duration
 
 	mutex    sync.Mutex
-	versions []listVersion // oldest first; never empty; the first is visible
+	versions []listVersion // oldest first, never empty
 }
 
 // New returns a list with the content of the options.
@@ -65,7 +65,8 @@
 	}
 }
 
-// visibleAt returns the content that readers see now, and drops older ones.
+// visibleAt returns the content that readers see at the given time, and drops older
+// versions.
 func (l *List) visibleAt(now time.Time) platformv1.Machines {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -18,18 +18,20 @@
 // Fault is a way in which a call fails, or None.
 type Fault uint8
 
-// The faults of a call. Those without an answer return state.ErrUnknown.
+// The faults of a call.
 const (
 	// None executes the call normally.
 	None Fault = iota
 	// Refused does nothing and returns state.ErrNotDone.
 	Refused
-	// Lost executes a commit and gives no answer. A read or feed gets no answer.
+	// Lost executes a commit but returns state.ErrUnknown. A read or feed returns
+	// state.ErrUnknown too.
 	Lost
-	// Late gives no answer. A commit is executed when Release is called, if its
-	// conditions hold then.
+	// Late returns state.ErrUnknown. A commit is executed when Release is called,
+	// if its conditions hold then.
 	Late
-	// Silent does nothing and blocks until the caller's context ends.
+	// Silent does nothing, blocks until the caller's context ends, and returns
+	// state.ErrUnknown.
 	Silent
 	// Full does nothing and returns state.ErrFull.
 	Full
--- a/internal/lab/modelengine/answer.go
+++ b/internal/lab/modelengine/answer.go
@@ -73,7 +73,7 @@
 	return text.String()
 }
 
-// countTokens counts a partial token at the end as one.
+// countTokens returns the length of a text in tokens, rounded up.
 func countTokens(text string) int64 {
 	return int64((len(text) + bytesPerToken - 1) / bytesPerToken)
 }
--- a/internal/lab/modelengine/batch.go
+++ b/internal/lab/modelengine/batch.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minSleep is the shortest sleep of the batch loop. Modelled times of shorter
-// steps are added up until they reach it.
+// minSleep is the shortest sleep of the batch loop. Scaled times of
+// shorter steps are added up until they reach it.
 const minSleep = time.Millisecond
 
 // runBatches runs batch steps while there are requests, and sleeps for their
@@ -38,8 +38,8 @@
 	}
 }
 
-// step runs one batch step and returns its modelled time, not scaled. It
-// returns false if no request is running.
+// step runs one batch step and returns its modelled time, before scaling by
+// Options.TimeScale. It returns false if no request is running.
 func (e *Engine) step() (time.Duration, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/lab/modelengine/cache.go
+++ b/internal/lab/modelengine/cache.go
@@ -42,9 +42,9 @@
 	return hashes[prefixBlocks-1]
 }
 
-// block is the KV cache of blockTokens tokens. When its last program is
-// released, the block is deleted, unless it was shared: then it stays until it
-// is evicted.
+// block is the KV cache of blockTokens tokens. When the last program that uses the
+// block is released, the block is deleted, unless several programs have shared
+// it: then it stays until it is evicted.
 type block struct {
 	hash     uint64
 	programs map[string]struct{} // those that use the block
@@ -55,8 +55,8 @@
 // programEntry lists the cached blocks of one program.
 type programEntry struct {
 	blocks     map[uint64]int // position in the prompt by block hash
-	prefixHash uint64
-	leaseUntil time.Time // the blocks are not evicted before; zero for no lease
+	prefixHash uint64         // of the prompt stored last
+	leaseUntil time.Time      // the blocks can't be evicted before this time; zero for no lease
 }
 
 // prefixCache is a least-recently-used cache of blocks. Not safe for concurrent use.
@@ -65,7 +65,7 @@
 	blocks   map[uint64]*block
 	recent   *list.List // of *block; front: most recently used
 	programs map[string]*programEntry
-	emit     func(kind, program string, prefix uint64, tokens int64) // reports a cache event; tokens is what the program has cached after it
+	emit     func(kind, program string, prefix uint64, tokens int64) // reports a cache event with the number of tokens that the program then has cached
 }
 
 func newPrefixCache(tokens int64, emit func(kind, program string, prefix uint64, tokens int64)) *prefixCache {
@@ -140,7 +140,7 @@
 }
 
 // evictOne deletes the least recently used block that no lease pins. It returns
-// false if all blocks are pinned.
+// false if there is none.
 func (c *prefixCache) evictOne(now time.Time) bool {
 	for element := c.recent.Back(); element != nil; element = element.Prev() {
 		candidate := element.Value.(*block)
@@ -165,8 +165,8 @@
 	return false
 }
 
-// removeFromProgram removes an evicted block from the program's entry, and the
-// entry with its last block.
+// removeFromProgram removes an evicted block from the program's entry and emits an
+// event. If it was the last block, the entry is deleted.
 func (c *prefixCache) removeFromProgram(program string, hash uint64) {
 	entry := c.programs[program]
 	delete(entry.blocks, hash)
--- a/internal/lab/modelengine/engine.go
+++ b/internal/lab/modelengine/engine.go
@@ -128,8 +128,8 @@
 }
 
 // cancel ends the request and returns its status, or false if the request is
-// unknown. The engine doesn't remember the ID then: a request that arrives with
-// it later will run.
+// unknown. The engine doesn't remember unknown IDs: a request that arrives with
+// one later runs all the same.
 func (e *Engine) cancel(id string) (status enginev1.RequestStatus, found bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/lab/modelengine/events.go
+++ b/internal/lab/modelengine/events.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// after returns the kept events with greater sequence numbers, up to the first
-// one that is more recent than the lag.
+// after returns the kept events with sequence numbers greater than the given one.
+// It stops before the first event that is younger than the lag.
 func (l *eventLog) after(sequence uint64, now time.Time) enginev1.CacheEvents {
 	page := enginev1.CacheEvents{Events: []enginev1.CacheEvent{}, Latest: sequence}
 	for _, kept := range l.events {
--- a/internal/lab/modelengine/options.go
+++ b/internal/lab/modelengine/options.go
@@ -27,11 +27,11 @@
 }
 
 const (
-	batchSlowdown        = 0.015 // time that each further decoding request adds to a step, as a fraction of the time for one
+	batchSlowdown        = 0.015 // each further decoding request lengthens a step by this fraction of the decode time of one
 	prefillChunkTokens   = 512   // maximum number of prompt tokens per step
 	transferTokensPerSec = 40000 // tokens of KV cache imported per second
 	defaultCacheTokens   = 60000
-	maxEvents            = 4096 // cache events to keep; the older half is dropped when there are more
+	maxEvents            = 4096 // maximum number of kept cache events; above it the older half is dropped
 	defaultLoadTime      = 8 * time.Second
 	defaultReportLag     = 500 * time.Millisecond
 )
@@ -49,7 +49,7 @@
 	CacheTokens int64         // capacity of the prefix cache in tokens; 60000 by default
 	LoadTime    time.Duration // modelled time that a load order takes; 8 s by default
 	ReportLag   time.Duration // age in real time below which a state report is repeated; 500 ms by default
-	EventLag    time.Duration // real time by which cache events are delivered late
+	EventLag    time.Duration // real time after which a cache event is delivered
 	EventGap    uint64        // if not 0, every EventGap-th cache event is never delivered
 }
 
--- a/internal/lab/network/diagnosis.go
+++ b/internal/lab/network/diagnosis.go
@@ -47,8 +47,8 @@
 }
 
 // parseInode returns the inode in a sock_diag reply, or "" if there is no socket.
-// If the socket is gone, the kernel may return the listener at its local address;
-// the remote port tells them apart.
+// If the socket is gone, the kernel may return the listener at its local address,
+// which is recognized by its remote port.
 func parseInode(reply []byte, remote netip.AddrPort) (string, error) {
 	if len(reply) < messageHeaderBytes+minErrorBytes {
 		return "", eris.Errorf("sock_diag reply of %d bytes is too short", len(reply))
--- a/internal/lab/network/link.go
+++ b/internal/lab/network/link.go
@@ -155,9 +155,10 @@
 	}
 }
 
-// readChunks queues what it reads, due after the delay, until the connection ends
-// or stopped is closed. It closes chunks at the end.
-func readChunks(from net.Conn, chunks chan<- chunk, broken <-chan struct{}, delay time.Duration) {
+// readChunks reads from the connection and queues chunks that are due after the
+// delay. It closes the queue when the connection ends, and gives up when stopped is
+// closed.
+func readChunks(from net.Conn, chunks chan<- chunk, stopped <-chan struct{}, delay time.Duration) {
 	defer close(chunks)
 	for {
 		buffer := make([]byte, readBytes)
@@ -165,7 +166,7 @@
 		if count > 0 {
 			select {
 			case chunks <- chunk{due: time.Now().Add(delay), bytes: buffer[:count]}:
-			case <-broken:
+			case <-stopped:
 				return
 			}
 		}
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -50,7 +50,7 @@
 	n.zones[process] = zone
 }
 
-// Forget removes a process; connections that it opens then come from Clients.
+// Forget removes a process, so that its new connections count as those of Clients.
 func (n *Network) Forget(process int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -109,8 +109,9 @@
 	}
 }
 
-// waitReachable blocks while one of two different zones is isolated from the
-// other. It returns false if the network was closed meanwhile.
+// waitReachable blocks while one of the zones is isolated, unless they are the same
+// zone or one of them is Clients. It returns false if the network is closed
+// meanwhile.
 func (n *Network) waitReachable(from, to string) bool {
 	for {
 		n.mutex.Lock()
--- a/internal/lab/platformengine/platformengine.go
+++ b/internal/lab/platformengine/platformengine.go
@@ -24,9 +24,11 @@
 
 // Behaviour says how an engine treats a request. The zero value is success.
 type Behaviour struct {
-	// Reject is a status to respond with, without executing the request.
+	// Reject is a status to respond with, without executing the request. The
+	// response has the Not-Executed header.
 	Reject int
-	// Fail is a status to respond with after the run, in the engine's own name.
+	// Fail is a status to respond with after the run. The response has the
+	// Server-Stamp header of the engine.
 	Fail int
 	// DropAnswer closes the connection after the run without a response.
 	DropAnswer bool
@@ -72,8 +74,8 @@
 // Address returns the address ("ip:port") at which the engine listens.
 func (e *Engine) Address() string { return e.server.Listener.Addr().String() }
 
-// Declaration returns the value of the row in which the engine announces itself
-// in the store, with the given state.
+// Declaration returns the JSON value of the row by which the engine announces
+// itself in the store, with the given state.
 func (e *Engine) Declaration(state string) []byte {
 	return fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"version":"v1","slots":12,"state":%q,"cold_remaining_ms":0,"sequence":1}`,
 		e.Service, e.Address(), e.Zone, state)
@@ -204,5 +206,5 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// Patience is how long tests wait at most for a state to be reached.
+// Patience is the maximum time that tests wait for an expected state.
 const Patience = time.Minute
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// PathFaults is the path of the fault rules. POST replaces all rules by those
-// of a FaultList; GET returns the current FaultList.
+// PathFaults is the path of the fault rules. POST replaces all rules with
+// those of a FaultList; GET returns the current FaultList.
 const PathFaults = "/lab/faults"
 
 // PathRecords is the path at which GET returns what a stand-in recorded.
@@ -38,7 +38,7 @@
 	ActionDelay  Action = "delay"  // wait for DelayMS, then continue
 	ActionHold   Action = "hold"   // wait until the rule is removed, then continue
 	ActionLose   Action = "lose"   // close the connection without a response
-	ActionRefuse Action = "refuse" // respond with 503 and the header that says the request was not started
+	ActionRefuse Action = "refuse" // respond with 503 and enginev1.HeaderNeverStarted
 	ActionFail   Action = "fail"   // respond with 500
 )
 
@@ -66,10 +66,10 @@
 	Rules []RuleState `json:"rules"`
 }
 
-// activeRule is a rule that has not been removed; its removal closes removed.
+// activeRule is a rule in force.
 type activeRule struct {
 	state   RuleState
-	removed chan struct{}
+	removed chan struct{} // closed when the rule is removed
 }
 
 // Faults are the fault rules of one stand-in, applied in the order in which
@@ -128,11 +128,12 @@
 	return list
 }
 
-// Meet applies the rules that match the point and the request key. It blocks
-// for ActionDelay and ActionHold until ctx ends at the latest, and returns the
-// action that the caller must carry out, or "" for none. ActionRefuse and
-// ActionFail skip the remaining rules; after ActionLose they still apply.
-// The chunks parameter is the number of chunks sent so far, for PointStream.
+// Meet applies the rules that match the point and the request key, and returns
+// the action that the caller must carry out, or "" for none. It blocks for
+// ActionDelay and ActionHold until the wait is over, the rule is removed or ctx
+// ends. It returns at the first rule with ActionRefuse or ActionFail; after a
+// rule with ActionLose it first applies the remaining rules. The chunks parameter
+// is the number of chunks sent so far and matters for PointStream only.
 func (f *Faults) Meet(ctx context.Context, point Point, key string, chunks int) Action {
 	var lost Action
 	for _, rule := range f.matchRules(point, key, chunks) {
@@ -150,7 +151,7 @@
 	return lost
 }
 
-// matchRules returns the matching rules and counts the request in each of them.
+// matchRules returns the matching rules and increments their Met counters.
 func (f *Faults) matchRules(point Point, key string, chunks int) []*activeRule {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -84,8 +84,8 @@
 	return true
 }
 
-// Refuse writes an error response with the header that says that the request
-// was not started.
+// Refuse writes an error response with enginev1.HeaderNeverStarted, which says that
+// the request was not started.
 func Refuse(w http.ResponseWriter, status int, detail string) {
 	w.Header().Set(enginev1.HeaderNeverStarted, "true")
 	http.Error(w, detail, status)
@@ -126,5 +126,6 @@
 	})
 }
 
-// MethodAndPath returns a request key for Around, such as "GET /lab?x=1".
+// MethodAndPath returns the method, the path and the query as a request key for
+// Around, such as "GET /lab?x=1".
 func MethodAndPath(r *http.Request) string { return r.Method + " " + r.URL.RequestURI() }
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -23,8 +23,8 @@
 	Model      string
 	Engines    []Engine
 	// Programs has the root programs, each followed by the sub-agents that it
-	// spawns. Root programs are in order of arrival, except that the bookings of
-	// a class are together in random order.
+	// spawns. Root programs are sorted by arrival, except that the bookings of a
+	// whole class stand together in no particular order.
 	Programs []Program
 }
 
@@ -56,8 +56,8 @@
 // NoParent is the value of Program.Parent for root programs.
 const NoParent = -1
 
-// PrefixPart is a part of a prompt that several programs share. Its hash also
-// stands for the parts before it.
+// PrefixPart is a part of a prompt that several programs share. Equal hashes mean
+// that the parts before it are equal too.
 type PrefixPart struct {
 	Hash   uint64
 	Tokens int64
