--- a/internal/lab/experiment/determinism_test.go
+++ b/internal/lab/experiment/determinism_test.go
@@ -12,20 +12,20 @@
 	expect := gomega.NewWithT(t)
 	const load = 0.4
 	var verdicts [2]Verdict
-	var measured [2]map[Strategy]*trial
-	for round := range measured {
-		measured[round] = make(map[Strategy]*trial)
+	var trials [2]map[Strategy]*trial
+	for round := range trials {
+		trials[round] = make(map[Strategy]*trial)
 		for _, choice := range Strategies() {
 			trace := workload.Brackenlaw(3, load)
-			shown, err := simulate(&trace, choice, Settings{})
+			result, err := simulate(&trace, choice, Settings{})
 			expect.Expect(err).NotTo(gomega.HaveOccurred())
-			expect.Expect(int(shown.programs.TotalCount()) + shown.abandoned).To(gomega.Equal(trace.Roots()))
-			measured[round][choice] = &trial{label: string(choice), measures: shown}
+			expect.Expect(int(result.programs.TotalCount()) + result.abandoned).To(gomega.Equal(trace.Roots()))
+			trials[round][choice] = &trial{label: string(choice), measures: result}
 		}
-		by := measured[round]
-		verdicts[round] = compare(load, by[RoundRobin], by[LeastLoaded], by[Thymeloft])
+		strategies := trials[round]
+		verdicts[round] = compare(load, strategies[RoundRobin], strategies[LeastLoaded], strategies[Thymeloft])
 	}
-	expect.Expect(measured[0]).To(gomega.Equal(measured[1]))
+	expect.Expect(trials[0]).To(gomega.Equal(trials[1]))
 	expect.Expect(verdicts[0]).To(gomega.Equal(verdicts[1]))
 	expect.Expect(verdicts[0].WastedRatio).To(gomega.BeNumerically(">", 0))
 }
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -56,14 +56,14 @@
 	e.advance()
 	e.arrivals++
 	accepted.engine = e
-	incoming := &sequence{call: accepted, priority: priority, arrivalNumber: e.arrivals}
+	queued := &sequence{call: accepted, priority: priority, arrivalNumber: e.arrivals}
 	position := len(e.waiting)
 	for position > 0 && e.waiting[position-1].priority > priority {
 		position--
 	}
 	e.waiting = append(e.waiting, nil)
 	copy(e.waiting[position+1:], e.waiting[position:])
-	e.waiting[position] = incoming
+	e.waiting[position] = queued
 	e.admit()
 	e.schedule()
 }
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -150,18 +150,18 @@
 
 // submitTurn sends the next call of a program, and sends it again later if its
 // turn says so.
-func (r *run) submitTurn(of *programRun) {
-	turn := of.Turns[of.turn]
-	history := of.history[:len(of.history):len(of.history)]
-	own := segment{
-		key:    segmentKey{program: of.Index + 1, turn: of.turn},
+func (r *run) submitTurn(current *programRun) {
+	turn := current.Turns[current.turn]
+	history := current.history[:len(current.history):len(current.history)]
+	turnSegment := segment{
+		key:    segmentKey{program: current.Index + 1, turn: current.turn},
 		tokens: turn.PromptTokens + turn.OutputTokens,
 	}
 	sent := &call{
-		program: of, turn: of.turn, path: history, pathAfter: append(history, own),
-		promptTokens: of.historyTokens + turn.PromptTokens, outputTokens: turn.OutputTokens, sentAt: r.clock.now,
+		program: current, turn: current.turn, path: history, pathAfter: append(history, turnSegment),
+		promptTokens: current.historyTokens + turn.PromptTokens, outputTokens: turn.OutputTokens, sentAt: r.clock.now,
 	}
-	r.clock.after(clientDelay, func() { of.daemon.receive(sent) })
+	r.clock.after(clientDelay, func() { current.daemon.receive(sent) })
 	if turn.DoubledAfter > 0 {
 		r.clock.after(turn.DoubledAfter, func() { r.sendCopy(sent) })
 	}
@@ -236,12 +236,12 @@
 
 // recordFirstToken records the time to the first token, and marks the history
 // before this turn as computed.
-func (r *run) recordFirstToken(of *call) {
-	for _, part := range of.path {
+func (r *run) recordFirstToken(started *call) {
+	for _, part := range started.path {
 		r.computed[part.key] = true
 	}
-	if !of.isCopy {
-		record(r.measures.firstToken, r.clock.now+zoneDelay+clientDelay-of.sentAt)
+	if !started.isCopy {
+		record(r.measures.firstToken, r.clock.now+zoneDelay+clientDelay-started.sentAt)
 	}
 }
 
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -173,10 +173,10 @@
 
 // prefixRuns returns the hash and the length of each shared prefix of a call, the
 // shortest first.
-func prefixRuns(of *call) []scheduling.PrefixRun {
-	runs := make([]scheduling.PrefixRun, 0, len(of.program.Prefix))
+func prefixRuns(waiting *call) []scheduling.PrefixRun {
+	runs := make([]scheduling.PrefixRun, 0, len(waiting.program.Prefix))
 	tokens := int64(0)
-	for _, part := range of.program.Prefix {
+	for _, part := range waiting.program.Prefix {
 		tokens += part.Tokens
 		runs = append(runs, scheduling.PrefixRun{Hash: part.Hash, Tokens: tokens})
 	}
--- a/internal/lab/fleet/daemon.go
+++ b/internal/lab/fleet/daemon.go
@@ -100,7 +100,7 @@
 	defer d.mutex.Unlock()
 	output, err := os.OpenFile(d.logFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "open log")
+		return eris.Wrap(err, "open log file")
 	}
 	defer func() { _ = output.Close() }() // the process has its own descriptor
 	command := exec.Command(d.binary, d.arguments...)
@@ -149,7 +149,7 @@
 		return nil, eris.Errorf("daemon %s was never started", d.Name)
 	}
 	d.frozen = signal == syscall.SIGSTOP
-	return d.processExited, eris.Wrapf(d.command.Process.Signal(signal), "signal daemon %s", d.Name)
+	return d.processExited, eris.Wrapf(d.command.Process.Signal(signal), "send signal to daemon %s", d.Name)
 }
 
 // Kill kills the process (SIGKILL) and waits until it has exited.
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -37,7 +37,7 @@
 func (f *Fleet) Status(ctx context.Context, daemon *Daemon) (*operatorv1.GetStatusResponse, error) {
 	reply, err := f.Operator(daemon).GetStatus(ctx, connect.NewRequest(&operatorv1.GetStatusRequest{}))
 	if err != nil {
-		return nil, eris.Wrapf(err, "status of %s", daemon.Name)
+		return nil, eris.Wrapf(err, "get status of daemon %s", daemon.Name)
 	}
 	return reply.Msg, nil
 }
@@ -128,7 +128,7 @@
 		Content:          &operatorv1.ApplyConfigurationRequest_Document{Document: document},
 	}))
 	if err != nil {
-		return 0, eris.Wrapf(err, "apply configuration at %s", daemon.Name)
+		return 0, eris.Wrapf(err, "apply configuration at daemon %s", daemon.Name)
 	}
 	return reply.Msg.Revision, nil
 }
--- a/internal/lab/modelengine/stream.go
+++ b/internal/lab/modelengine/stream.go
@@ -41,7 +41,7 @@
 	}
 	offset, err := strconv.Atoi(r.URL.Query().Get("offset"))
 	if err != nil && r.URL.Query().Get("offset") != "" {
-		http.Error(w, "offset: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "invalid offset: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.streamAnswer(w, r, found, max(offset, 0))
@@ -57,16 +57,16 @@
 	changed      <-chan struct{} // closed at the next change
 }
 
-func (e *Engine) progressOf(of *request) progress {
+func (e *Engine) snapshotOf(req *request) progress {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return progress{
-		content:      of.answer[:of.producedBytes],
-		isFinal:      of.isFinal(),
-		failure:      of.failure,
-		finishReason: of.finishReason,
-		usage:        of.usage,
-		changed:      of.changed,
+		content:      req.answer[:req.producedBytes],
+		isFinal:      req.isFinal(),
+		failure:      req.failure,
+		finishReason: req.finishReason,
+		usage:        req.usage,
+		changed:      req.changed,
 	}
 }
 
@@ -78,7 +78,7 @@
 	w.WriteHeader(http.StatusOK)
 	events := &eventWriter{writer: w, id: found.wire.RequestID, offset: offset}
 	for {
-		current := e.progressOf(found)
+		current := e.snapshotOf(found)
 		for events.offset < len(current.content) {
 			if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointStream, found.wire.RequestID, events.sent)) {
 				return
--- a/internal/lab/network/link.go
+++ b/internal/lab/network/link.go
@@ -52,7 +52,7 @@
 	}
 	listener, err := net.Listen("tcp4", l.Address)
 	if err != nil {
-		return eris.Wrapf(err, "open link at %s", l.Address)
+		return eris.Wrapf(err, "listen for a link at %s", l.Address)
 	}
 	l.listener = listener
 	go l.accept(listener)
--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -78,7 +78,7 @@
 func ReadJSON(w http.ResponseWriter, r *http.Request, target any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(target)
 	if err != nil {
-		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "decode request body: "+err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
