--- a/internal/lab/acquaintance/acquaintance.go
+++ b/internal/lab/acquaintance/acquaintance.go
@@ -7,9 +7,8 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Make replaces the content of each list by the processes of all lists, as living
-// members, as if it had been read from the store. It returns an error if a member
-// can't be encoded.
+// Make puts the processes of all lists into each list, as members in state alive.
+// The effect is the same as if the lists had read the members from a store.
 func Make(lists ...*members.List) error {
 	var rows []state.Row
 	for _, list := range lists {
--- a/internal/lab/appservice/appservice.go
+++ b/internal/lab/appservice/appservice.go
@@ -177,7 +177,7 @@
 		return
 	}
 	if !s.hasCall(callID) {
-		http.Error(w, "the call never ran", http.StatusNotFound)
+		http.Error(w, "no such call", http.StatusNotFound)
 		return
 	}
 	standin.WriteJSON(w, http.StatusOK, s.replyFor(callID))
--- a/internal/lab/experiment/baselines.go
+++ b/internal/lab/experiment/baselines.go
@@ -26,15 +26,15 @@
 
 // traits are the properties of a strategy besides placement.
 type traits struct {
-	joinsCopies bool // a call that is sent again is not run again
+	joinsCopies bool // the copies of calls that callers send again are not run
 }
 
 // strategy places the calls of one daemon.
 type strategy interface {
 	traits() traits
-	submit(received *call)
+	submit(c *call)
 	stateChanged()                    // called when a report arrives or a placement ends
-	callAnswered(done *call)          // called before the program pauses or ends
+	callAnswered(c *call)             // called when the answer reaches the daemon
 	programEnded(program *programRun) // called when the program has ended or is abandoned
 	waitingCalls() int                // number of calls queued in the daemon
 }
@@ -64,7 +64,7 @@
 	daemon *daemon
 	joins  bool
 	turn   int
-	choose func(d *daemon, turn int, received *call) int
+	choose func(d *daemon, turn int, c *call) int
 }
 
 func (b *balancer) traits() traits           { return traits{joinsCopies: b.joins} }
@@ -73,9 +73,9 @@
 func (b *balancer) programEnded(*programRun) {}
 func (b *balancer) waitingCalls() int        { return 0 }
 
-func (b *balancer) submit(received *call) {
+func (b *balancer) submit(c *call) {
 	b.turn++
-	b.daemon.place(received, b.choose(b.daemon, b.turn, received), 0, received.promptTokens)
+	b.daemon.place(c, b.choose(b.daemon, b.turn, c), 0, c.promptTokens)
 }
 
 func roundRobin(d *daemon, turn int, _ *call) int {
@@ -95,13 +95,13 @@
 	return best
 }
 
-func prefixHash(d *daemon, _ int, received *call) int {
-	parts := received.program.Prefix
+func prefixHash(d *daemon, _ int, c *call) int {
+	parts := c.program.Prefix
 	return int(parts[len(parts)-1].Hash % uint64(len(d.run.engines)))
 }
 
-func sessionHash(d *daemon, _ int, received *call) int {
-	root := received.program
+func sessionHash(d *daemon, _ int, c *call) int {
+	root := c.program
 	for root.parent != nil {
 		root = root.parent
 	}
@@ -120,8 +120,8 @@
 	queue []*call
 }
 
-func (f *firstCome) submit(received *call) {
-	f.queue = append(f.queue, received)
+func (f *firstCome) submit(c *call) {
+	f.queue = append(f.queue, c)
 	f.stateChanged()
 }
 
--- a/internal/lab/experiment/cache.go
+++ b/internal/lab/experiment/cache.go
@@ -49,11 +49,11 @@
 // of tokens from the start to its end.
 func (c *prefixCache) matchPrefix(path []segment) (deepest *node, tokens int64) {
 	for _, part := range path {
-		found, ok := c.nodes[part.key]
+		n, ok := c.nodes[part.key]
 		if !ok {
 			return deepest, tokens
 		}
-		deepest = found
+		deepest = n
 		tokens += part.tokens
 	}
 	return deepest, tokens
@@ -81,31 +81,31 @@
 func (c *prefixCache) unreserve(tokens int64) { c.reservedTokens -= tokens }
 
 // insert adds the missing nodes of the path and returns its deepest node, or nil
-// for an empty path. The caller must have reserved the memory of the new nodes,
-// and must end that reservation afterwards.
+// for an empty path. The caller must have reserved memory for the new nodes and
+// must end that reservation itself.
 func (c *prefixCache) insert(path []segment) *node {
 	var parent *node
 	for _, part := range path {
-		found, ok := c.nodes[part.key]
+		n, ok := c.nodes[part.key]
 		if !ok {
-			found = &node{segment: part, parent: parent}
-			found.element = c.recent.PushFront(found)
-			c.nodes[part.key] = found
+			n = &node{segment: part, parent: parent}
+			n.element = c.recent.PushFront(n)
+			c.nodes[part.key] = n
 			c.cachedTokens += part.tokens
 			if parent != nil {
 				parent.children++
 			}
 		}
-		parent = found
+		parent = n
 	}
 	c.touch(parent)
 	return parent
 }
 
 // touch marks the node and its ancestors as most recently used, the root last.
-func (c *prefixCache) touch(used *node) {
-	for ; used != nil; used = used.parent {
-		c.recent.MoveToFront(used.element)
+func (c *prefixCache) touch(n *node) {
+	for ; n != nil; n = n.parent {
+		c.recent.MoveToFront(n.element)
 	}
 }
 
@@ -130,9 +130,9 @@
 // they are not pinned and have no children.
 func (c *prefixCache) release(program, turns int) {
 	for turn := turns - 1; turn >= 0; turn-- {
-		found, ok := c.nodes[segmentKey{program: program, turn: turn}]
-		if ok && found.children == 0 && found.pins == 0 {
-			c.remove(found)
+		n, ok := c.nodes[segmentKey{program: program, turn: turn}]
+		if ok && n.children == 0 && n.pins == 0 {
+			c.remove(n)
 		}
 	}
 }
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -51,37 +51,37 @@
 
 // receive submits a call from a caller to the strategy, unless the program has
 // ended.
-func (d *daemon) receive(received *call) {
-	if received.program.ended {
+func (d *daemon) receive(c *call) {
+	if c.program.ended {
 		return
 	}
 	d.received++
-	received.receivedAt = d.run.clock.now
-	d.strategy.submit(received)
+	c.receivedAt = d.run.clock.now
+	d.strategy.submit(c)
 }
 
 // place sends a call to an engine, which admits calls with smaller priority numbers
 // first. The parameter expectedUncached is the number of prompt tokens that the
 // engine is expected to prefill.
-func (d *daemon) place(placed *call, engine, priority int, expectedUncached int64) {
-	placed.placedAt = d.run.clock.now
-	placed.expectedUncached = expectedUncached
-	d.outstanding[engine] = append(d.outstanding[engine], placed)
-	d.run.clock.after(zoneDelay, func() { d.run.engines[engine].accept(placed, priority) })
+func (d *daemon) place(c *call, engine, priority int, expectedUncached int64) {
+	c.placedAt = d.run.clock.now
+	c.expectedUncached = expectedUncached
+	d.outstanding[engine] = append(d.outstanding[engine], c)
+	d.run.clock.after(zoneDelay, func() { d.run.engines[engine].accept(c, priority) })
 }
 
 // callEnded records the end of a placement and lets the strategy place waiting
 // calls.
-func (d *daemon) callEnded(done *call) {
-	engine := done.engine.index
+func (d *daemon) callEnded(c *call) {
+	engine := c.engine.index
 	outstanding := d.outstanding[engine]
 	for index, candidate := range outstanding {
-		if candidate == done {
+		if candidate == c {
 			d.outstanding[engine] = append(outstanding[:index], outstanding[index+1:]...)
 			break
 		}
 	}
-	d.endedCalls[engine] = append(d.endedCalls[engine], endedCall{placed: done.placedAt, ended: d.run.clock.now})
+	d.endedCalls[engine] = append(d.endedCalls[engine], endedCall{placed: c.placedAt, ended: d.run.clock.now})
 	d.strategy.stateChanged()
 }
 
@@ -98,10 +98,10 @@
 		CacheTokens: engine.CacheTokens, CacheUsed: last.cacheUsed,
 		ReportAge: d.run.clock.now - last.at, Accepting: true,
 	}
-	for _, placed := range d.outstanding[index] {
-		if placed.placedAt+zoneDelay > last.at {
+	for _, c := range d.outstanding[index] {
+		if c.placedAt+zoneDelay > last.at {
 			view.PlacedSince++
-			view.PlacedTokens += placed.expectedUncached
+			view.PlacedTokens += c.expectedUncached
 		}
 	}
 	for _, ended := range d.endedCalls[index] {
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -52,18 +52,18 @@
 }
 
 // accept queues a call by priority, smaller numbers first, and by arrival.
-func (e *emulatedEngine) accept(accepted *call, priority int) {
+func (e *emulatedEngine) accept(c *call, priority int) {
 	e.advance()
 	e.arrivals++
-	accepted.engine = e
-	queued := &sequence{call: accepted, priority: priority, arrivalNumber: e.arrivals}
+	c.engine = e
+	seq := &sequence{call: c, priority: priority, arrivalNumber: e.arrivals}
 	position := len(e.waiting)
 	for position > 0 && e.waiting[position-1].priority > priority {
 		position--
 	}
 	e.waiting = append(e.waiting, nil)
 	copy(e.waiting[position+1:], e.waiting[position:])
-	e.waiting[position] = queued
+	e.waiting[position] = seq
 	e.admit()
 	e.schedule()
 }
@@ -80,15 +80,15 @@
 
 // start reserves memory for the sequence and starts the prefill of what is not
 // cached. It returns false if there is too little memory and other sequences run.
-func (e *emulatedEngine) start(starting *sequence) bool {
-	path := starting.call.path
+func (e *emulatedEngine) start(seq *sequence) bool {
+	path := seq.call.path
 	deepest, cached := e.cache.matchPrefix(path)
 	if deepest != nil {
 		deepest.pins++
 		e.cache.touch(deepest)
 	}
-	uncached := starting.call.promptTokens - cached
-	needed := uncached + starting.call.outputTokens
+	uncached := seq.call.promptTokens - cached
+	needed := uncached + seq.call.outputTokens
 	if !e.cache.reserve(needed, e.clock.now) {
 		if len(e.running) > 0 {
 			unpin(deepest)
@@ -96,37 +96,37 @@
 		}
 		e.cache.reservedTokens += needed // larger than the whole memory: runs alone
 	}
-	starting.deepest = deepest
-	starting.reserved = needed
-	starting.prefillLeft = float64(uncached)
-	starting.decodeLeft = float64(starting.call.outputTokens)
+	seq.deepest = deepest
+	seq.reserved = needed
+	seq.prefillLeft = float64(uncached)
+	seq.decodeLeft = float64(seq.call.outputTokens)
 	e.servedFromCache += float64(cached)
-	e.running = append(e.running, starting)
-	e.run.recordPrefillStart(starting.call, cached)
+	e.running = append(e.running, seq)
+	e.run.recordPrefillStart(seq.call, cached)
 	return true
 }
 
-func unpin(pinned *node) {
-	if pinned != nil {
-		pinned.pins--
+func unpin(n *node) {
+	if n != nil {
+		n.pins--
 	}
 }
 
 // rates returns the sequence that is being prefilled, or nil, and the current speeds
 // in tokens per second: of its prefill and of each decoding sequence.
 func (e *emulatedEngine) rates() (prefilling *sequence, prefill, decode float64) {
-	streams := 0
-	for _, member := range e.running {
-		if member.decoding {
-			streams++
+	decodingCount := 0
+	for _, seq := range e.running {
+		if seq.decoding {
+			decodingCount++
 		} else if prefilling == nil {
-			prefilling = member
+			prefilling = seq
 		}
 	}
 	prefill = e.PrefillPerSec
-	occupancy := float64(max(streams-1, 0)) / float64(max(e.MaxRunning-1, 1))
+	occupancy := float64(max(decodingCount-1, 0)) / float64(max(e.MaxRunning-1, 1))
 	decode = e.DecodePerSec / (1 + batchSlowdown*occupancy)
-	if prefilling != nil && streams > 0 {
+	if prefilling != nil && decodingCount > 0 {
 		prefill *= prefillDuringDecode
 		decode *= decodeDuringPrefill
 	}
@@ -144,9 +144,9 @@
 	if prefilling != nil {
 		prefilling.prefillLeft -= elapsed * prefill
 	}
-	for _, member := range e.running {
-		if member.decoding {
-			member.decodeLeft -= elapsed * decode
+	for _, seq := range e.running {
+		if seq.decoding {
+			seq.decodeLeft -= elapsed * decode
 		}
 	}
 }
@@ -160,9 +160,9 @@
 	if prefilling != nil {
 		soonest = prefilling.prefillLeft / prefill
 	}
-	for _, member := range e.running {
-		if member.decoding {
-			soonest = min(soonest, member.decodeLeft/decode)
+	for _, seq := range e.running {
+		if seq.decoding {
+			soonest = min(soonest, seq.decodeLeft/decode)
 		}
 	}
 	if math.IsInf(soonest, 1) {
@@ -183,62 +183,63 @@
 	e.advance()
 	var finished []*sequence
 	remaining := e.running[:0]
-	for _, member := range e.running {
-		if !member.decoding && member.prefillLeft <= tokenTolerance {
-			e.beginDecoding(member)
+	for _, seq := range e.running {
+		if !seq.decoding && seq.prefillLeft <= tokenTolerance {
+			e.beginDecoding(seq)
 		}
-		if member.decoding && member.decodeLeft <= tokenTolerance {
-			finished = append(finished, member)
+		if seq.decoding && seq.decodeLeft <= tokenTolerance {
+			finished = append(finished, seq)
 			continue
 		}
-		remaining = append(remaining, member)
+		remaining = append(remaining, seq)
 	}
 	clear(e.running[len(remaining):])
 	e.running = remaining
-	for _, member := range finished {
-		e.finish(member)
+	for _, seq := range finished {
+		e.finish(seq)
 	}
 	e.admit()
 	e.schedule()
 }
 
-// beginDecoding caches the history before this turn, in place of reserved memory,
-// and records the first token.
-func (e *emulatedEngine) beginDecoding(member *sequence) {
-	member.decoding = true
+// beginDecoding inserts the history before this turn into the cache, ends the
+// reservation of the inserted tokens, and records the first token.
+func (e *emulatedEngine) beginDecoding(seq *sequence) {
+	seq.decoding = true
 	before := e.cache.cachedTokens
-	deepest := e.cache.insert(member.call.path)
+	deepest := e.cache.insert(seq.call.path)
 	if deepest != nil {
 		deepest.pins++
 	}
-	unpin(member.deepest)
-	member.deepest = deepest
+	unpin(seq.deepest)
+	seq.deepest = deepest
 	inserted := e.cache.cachedTokens - before
 	e.cache.unreserve(inserted)
-	member.reserved -= inserted
-	e.run.recordFirstToken(member.call)
+	seq.reserved -= inserted
+	e.run.recordFirstToken(seq.call)
 }
 
-// finish caches the history with this turn and delivers the answer.
-func (e *emulatedEngine) finish(member *sequence) {
-	e.cache.unreserve(member.reserved)
-	unpin(member.deepest)
-	e.cache.insert(member.call.pathAfter)
-	e.run.deliverAnswer(member.call)
+// finish ends the reservation of the sequence, inserts the history with this turn
+// into the cache, and delivers the answer.
+func (e *emulatedEngine) finish(seq *sequence) {
+	e.cache.unreserve(seq.reserved)
+	unpin(seq.deepest)
+	e.cache.insert(seq.call.pathAfter)
+	e.run.deliverAnswer(seq.call)
 }
 
 // waitingTokens returns the number of prompt tokens that are still to be prefilled,
 // as reported to the daemons.
 func (e *emulatedEngine) waitingTokens() int64 {
 	total := 0.0
-	for _, member := range e.running {
-		if !member.decoding {
-			total += member.prefillLeft
+	for _, seq := range e.running {
+		if !seq.decoding {
+			total += seq.prefillLeft
 		}
 	}
-	for _, member := range e.waiting {
-		_, cached := e.cache.matchPrefix(member.call.path)
-		total += float64(member.call.promptTokens - cached)
+	for _, seq := range e.waiting {
+		_, cached := e.cache.matchPrefix(seq.call.path)
+		total += float64(seq.call.promptTokens - cached)
 	}
 	return int64(total)
 }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -61,10 +61,10 @@
 type study struct {
 	deployment
 	engines      int
-	sweep        []*trial // all loads with all strategies
+	sweep        []*trial // trials of all loads with all strategies
 	reportedLoad float64  // the smallest load at which the queue of least-loaded grows
-	seeds        []*trial // further seeds with the strategies of comparedBySeed
-	variants     []*trial // the variants at the loads of variantLoads
+	seeds        []*trial // trials with further seeds, for the strategies of comparedBySeed
+	variants     []*trial // trials of the variants at the loads of variantLoads
 	verdict      Verdict
 }
 
@@ -72,18 +72,18 @@
 // to the output directory.
 func Run(options Options) error {
 	var studies []*study
-	for _, chosen := range deployments() {
-		made, err := runStudy(chosen, options)
+	for _, d := range deployments() {
+		result, err := runStudy(d, options)
 		if err != nil {
 			return err
 		}
-		studies = append(studies, made)
+		studies = append(studies, result)
 	}
 	if err := os.MkdirAll(options.Output, 0o755); err != nil {
 		return eris.Wrap(err, "experiment: create the report directory")
 	}
-	for _, made := range studies {
-		if err := writePlots(options.Output, made); err != nil {
+	for _, result := range studies {
+		if err := writePlots(options.Output, result); err != nil {
 			return err
 		}
 	}
@@ -93,17 +93,17 @@
 	return writeReport(options, studies)
 }
 
-func runStudy(chosen deployment, options Options) (*study, error) {
+func runStudy(d deployment, options Options) (*study, error) {
 	if len(options.Loads) == 0 {
 		return nil, eris.New("experiment: no loads to run")
 	}
-	result := &study{deployment: chosen, engines: len(chosen.generate(options.Seed, options.Loads[0]).Engines)}
+	result := &study{deployment: d, engines: len(d.generate(options.Seed, options.Loads[0]).Engines)}
 	for _, load := range options.Loads {
 		for _, strategy := range Strategies() {
 			result.sweep = append(result.sweep, &trial{label: string(strategy), strategy: strategy, seed: options.Seed, load: load})
 		}
 	}
-	if err := runTrials(chosen, result.sweep, options.Workers); err != nil {
+	if err := runTrials(d, result.sweep, options.Workers); err != nil {
 		return nil, err
 	}
 	if err := result.findReportedLoad(options.Loads); err != nil {
@@ -111,7 +111,7 @@
 	}
 	result.addSeeds(options)
 	result.addVariants(options.Seed)
-	if err := runTrials(chosen, append(result.seeds[:len(result.seeds):len(result.seeds)], result.variants...), options.Workers); err != nil {
+	if err := runTrials(d, append(result.seeds[:len(result.seeds):len(result.seeds)], result.variants...), options.Workers); err != nil {
 		return nil, err
 	}
 	result.verdict = result.computeVerdict()
@@ -120,14 +120,14 @@
 
 // runTrials runs the trials, up to the given number at a time. Each is deterministic
 // and does not depend on the others.
-func runTrials(chosen deployment, trials []*trial, workers int) error {
+func runTrials(d deployment, trials []*trial, workers int) error {
 	var group errgroup.Group
 	group.SetLimit(max(workers, 1))
-	for _, each := range trials {
+	for _, t := range trials {
 		group.Go(func() error {
-			trace := chosen.generate(each.seed, each.load)
-			measured, err := simulate(&trace, each.strategy, each.settings)
-			each.measures = measured
+			trace := d.generate(t.seed, t.load)
+			result, err := simulate(&trace, t.strategy, t.settings)
+			t.measures = result
 			return err
 		})
 	}
@@ -162,9 +162,9 @@
 
 // addSeeds adds trials of the main comparison with further seeds.
 func (s *study) addSeeds(options Options) {
-	for further := range options.Seeds {
+	for offset := range options.Seeds {
 		for _, strategy := range comparedBySeed {
-			seed := options.Seed + uint64(further) + 1
+			seed := options.Seed + uint64(offset) + 1
 			s.seeds = append(s.seeds, &trial{label: string(strategy), strategy: strategy, seed: seed, load: s.reportedLoad})
 		}
 	}
--- a/internal/lab/experiment/measures.go
+++ b/internal/lab/experiment/measures.go
@@ -24,9 +24,9 @@
 	ideal            *hdrhistogram.Histogram // latency of the same programs as computed by idealLatency
 	firstToken       *hdrhistogram.Histogram // time from the first sending of each call to its first token
 	openPrograms     int                     // root programs that have not ended; 0 at the end
-	abandoned        int                     // root programs that their callers gave up
+	abandoned        int                     // root programs that their callers abandoned
 	refused          int                     // refusals of calls
-	copiesRun        int                     // copies of calls that callers sent and that were not joined
+	copiesRun        int                     // copies of calls that were sent to the daemons
 	promptTokens     int64
 	cachedTokens     int64
 	wastedTokens     int64                         // prompt tokens computed although another engine had them cached
--- a/internal/lab/experiment/plots.go
+++ b/internal/lab/experiment/plots.go
@@ -41,15 +41,15 @@
 	return drawWaste(path("waste"), s)
 }
 
-// latencyByLoad returns the p95 of program latency in seconds over the load, for
-// each strategy.
+// latencyByLoad returns, for each strategy, the p95 of program latency in seconds
+// (Y) at each load (X).
 func (s *study) latencyByLoad() []series {
 	var lines []series
 	for _, strategy := range Strategies() {
 		line := series{label: string(strategy)}
-		for _, each := range s.sweep {
-			if each.strategy == strategy {
-				line.points = append(line.points, plotter.XY{X: each.load, Y: p95(each.measures.programs)})
+		for _, t := range s.sweep {
+			if t.strategy == strategy {
+				line.points = append(line.points, plotter.XY{X: t.load, Y: p95(t.measures.programs)})
 			}
 		}
 		lines = append(lines, line)
@@ -58,8 +58,8 @@
 }
 
 // distributions returns, for each strategy, the cumulative distribution of the
-// histogram that pick selects at the reported load: the fraction of values over
-// seconds.
+// histogram that pick selects at the reported load: the fraction of values (Y) up
+// to a number of seconds (X).
 func (s *study) distributions(pick func(m *measures) *hdrhistogram.Histogram) []series {
 	var lines []series
 	for _, strategy := range Strategies() {
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -25,8 +25,8 @@
 	var text strings.Builder
 	text.WriteString(introduction)
 	fmt.Fprintf(&text, "Seed %d, further seeds %d, loads %v.\n", options.Seed, options.Seeds, options.Loads)
-	for _, each := range studies {
-		each.writeSection(&text)
+	for _, s := range studies {
+		s.writeSection(&text)
 	}
 	path := filepath.Join(options.Output, "README.md")
 	return eris.Wrapf(os.WriteFile(path, []byte(text.String()), 0o644), "experiment: write %s", path)
@@ -78,9 +78,9 @@
 	for _, multiple := range variantLoads {
 		fmt.Fprintf(text, "\n### Variants at %.0f times the reported load\n\n", multiple)
 		writeHeader(text)
-		for _, each := range s.variants {
-			if each.load == s.reportedLoad*multiple {
-				writeRow(text, each)
+		for _, t := range s.variants {
+			if t.load == s.reportedLoad*multiple {
+				writeRow(text, t)
 			}
 		}
 	}
@@ -134,10 +134,10 @@
 func (s *study) writeWinners(text *strings.Builder) {
 	product := s.at(Thymeloft, s.reportedLoad).measures
 	var wins []string
-	for _, each := range columns() {
+	for _, col := range columns() {
 		for _, strategy := range Strategies() {
-			if each.value(s.at(strategy, s.reportedLoad).measures) < each.value(product) {
-				wins = append(wins, fmt.Sprintf("%s in %s", strategy, each.name))
+			if col.value(s.at(strategy, s.reportedLoad).measures) < col.value(product) {
+				wins = append(wins, fmt.Sprintf("%s in %s", strategy, col.name))
 			}
 		}
 	}
@@ -149,8 +149,8 @@
 
 func columnNames() string {
 	var names []string
-	for _, each := range columns() {
-		names = append(names, each.name)
+	for _, col := range columns() {
+		names = append(names, col.name)
 	}
 	return strings.Join(names, ", ")
 }
@@ -161,15 +161,15 @@
 		fmt.Fprintf(text, " %s |", strategy)
 	}
 	text.WriteString("\n|---|" + strings.Repeat("--:|", len(Strategies())))
-	for index, each := range s.sweep {
+	for index, t := range s.sweep {
 		if index%len(Strategies()) == 0 {
-			fmt.Fprintf(text, "\n| %.2f |", each.load)
+			fmt.Fprintf(text, "\n| %.2f |", t.load)
 		}
 		grows := ""
-		if each.measures.isQueueGrowing(s.engines) {
+		if t.measures.isQueueGrowing(s.engines) {
 			grows = "*"
 		}
-		fmt.Fprintf(text, " %.0f / %.1f%s |", p95(each.measures.programs), millions(each.measures.wastedTokens), grows)
+		fmt.Fprintf(text, " %.0f / %.1f%s |", p95(t.measures.programs), millions(t.measures.wastedTokens), grows)
 	}
 	text.WriteString("\n")
 }
@@ -193,15 +193,15 @@
 	for _, s := range studies {
 		for _, strategy := range Strategies() {
 			m := s.at(strategy, s.reportedLoad).measures
-			for _, each := range []struct {
+			for _, entry := range []struct {
 				name      string
 				histogram *hdrhistogram.Histogram
 			}{{"program", m.programs}, {"own-time", m.ownTime}, {"alone", m.ideal}, {"first-token", m.firstToken}} {
-				encoded, err := each.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+				encoded, err := entry.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 				if err != nil {
-					return eris.Wrapf(err, "experiment: encode histogram %s of strategy %s", each.name, strategy)
+					return eris.Wrapf(err, "experiment: encode histogram %s of strategy %s", entry.name, strategy)
 				}
-				fmt.Fprintf(&text, "%s,%s,%.2f,%s,%s\n", s.name, strategy, s.reportedLoad, each.name, encoded)
+				fmt.Fprintf(&text, "%s,%s,%.2f,%s,%s\n", s.name, strategy, s.reportedLoad, entry.name, encoded)
 			}
 		}
 	}
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -56,7 +56,7 @@
 	return p.attainedService
 }
 
-// call is a model call, or the copy of one that a caller has sent again.
+// call is a model call, or a copy of one that the caller has sent again.
 type call struct {
 	program          *programRun
 	turn             int
@@ -124,21 +124,21 @@
 func (r *run) addPrograms() {
 	for index := range r.trace.Programs {
 		description := &r.trace.Programs[index]
-		added := &programRun{Program: description}
+		program := &programRun{Program: description}
 		if description.Parent != workload.NoParent {
-			added.parent = r.programs[description.Parent]
-			added.daemon = added.parent.daemon
+			program.parent = r.programs[description.Parent]
+			program.daemon = program.parent.daemon
 		} else {
-			added.daemon = r.daemons[index%len(r.daemons)]
+			program.daemon = r.daemons[index%len(r.daemons)]
 		}
 		for _, part := range description.Prefix {
-			added.history = append(added.history, segment{key: segmentKey{shared: part.Hash}, tokens: part.Tokens})
-			added.historyTokens += part.Tokens
+			program.history = append(program.history, segment{key: segmentKey{shared: part.Hash}, tokens: part.Tokens})
+			program.historyTokens += part.Tokens
 		}
-		r.programs = append(r.programs, added)
-		if added.parent == nil {
+		r.programs = append(r.programs, program)
+		if program.parent == nil {
 			r.measures.openPrograms++
-			r.clock.after(description.Arrival, func() { r.startProgram(added) })
+			r.clock.after(description.Arrival, func() { r.startProgram(program) })
 		}
 	}
 }
@@ -148,8 +148,8 @@
 	r.submitTurn(program)
 }
 
-// submitTurn sends the next call of a program, and sends it again later if its
-// turn says so.
+// submitTurn sends the next call of a program. It schedules a copy of the call if
+// Turn.DoubledAfter is set.
 func (r *run) submitTurn(current *programRun) {
 	turn := current.Turns[current.turn]
 	history := current.history[:len(current.history):len(current.history)]
@@ -157,46 +157,46 @@
 		key:    segmentKey{program: current.Index + 1, turn: current.turn},
 		tokens: turn.PromptTokens + turn.OutputTokens,
 	}
-	sent := &call{
+	c := &call{
 		program: current, turn: current.turn, path: history, pathAfter: append(history, turnSegment),
 		promptTokens: current.historyTokens + turn.PromptTokens, outputTokens: turn.OutputTokens, sentAt: r.clock.now,
 	}
-	r.clock.after(clientDelay, func() { current.daemon.receive(sent) })
+	r.clock.after(clientDelay, func() { current.daemon.receive(c) })
 	if turn.DoubledAfter > 0 {
-		r.clock.after(turn.DoubledAfter, func() { r.sendCopy(sent) })
+		r.clock.after(turn.DoubledAfter, func() { r.sendCopy(c) })
 	}
 }
 
-// sendCopy sends a call again if it has no answer yet and the strategy does not
-// join copies.
+// sendCopy sends a copy of the call if the call has no answer yet and the strategy
+// runs copies.
 func (r *run) sendCopy(original *call) {
 	if original.answered || r.traits.joinsCopies || original.program.ended {
 		return
 	}
-	copied := *original
-	copied.isCopy = true
-	copied.refusals = 0
-	copied.engine = nil
+	duplicate := *original
+	duplicate.isCopy = true
+	duplicate.refusals = 0
+	duplicate.engine = nil
 	r.measures.copiesRun++
-	r.clock.after(clientDelay, func() { copied.program.daemon.receive(&copied) })
+	r.clock.after(clientDelay, func() { duplicate.program.daemon.receive(&duplicate) })
 }
 
 // handleRefusal sends the call again after the retry delay, or abandons its program
 // after more than maxRefusals refusals. A refused copy is dropped.
-func (r *run) handleRefusal(refused *call, retry time.Duration) {
+func (r *run) handleRefusal(c *call, retry time.Duration) {
 	r.measures.refused++
-	if refused.isCopy {
+	if c.isCopy {
 		return
 	}
-	refused.refusals++
-	if refused.refusals > maxRefusals {
-		r.abandon(refused.program)
+	c.refusals++
+	if c.refusals > maxRefusals {
+		r.abandon(c.program)
 		return
 	}
-	r.clock.after(clientDelay+retry+clientDelay, func() { refused.program.daemon.receive(refused) })
+	r.clock.after(clientDelay+retry+clientDelay, func() { c.program.daemon.receive(c) })
 }
 
-// abandon ends a program whose caller gave up, and all its ancestors.
+// abandon ends a program that its caller abandons, and all its ancestors.
 func (r *run) abandon(program *programRun) {
 	for ; program != nil; program = program.parent {
 		if program.ended {
@@ -214,21 +214,21 @@
 // recordPrefillStart counts the prompt tokens of a call whose prefill starts: those
 // that its engine has cached, those that only another engine has cached, and those
 // that were computed before but that no engine has cached any more.
-func (r *run) recordPrefillStart(starting *call, cached int64) {
-	starting.prefillStart = r.clock.now
+func (r *run) recordPrefillStart(c *call, cached int64) {
+	c.prefillStart = r.clock.now
 	longest := cached
 	for _, engine := range r.engines {
-		_, found := engine.cache.matchPrefix(starting.path)
+		_, found := engine.cache.matchPrefix(c.path)
 		longest = max(longest, found)
 	}
 	computedTokens := int64(0)
-	for _, part := range starting.path {
+	for _, part := range c.path {
 		if !r.computed[part.key] {
 			break
 		}
 		computedTokens += part.tokens
 	}
-	r.measures.promptTokens += starting.promptTokens
+	r.measures.promptTokens += c.promptTokens
 	r.measures.cachedTokens += cached
 	r.measures.wastedTokens += longest - cached
 	r.measures.evictedTokens += max(computedTokens-longest, 0)
@@ -236,32 +236,32 @@
 
 // recordFirstToken records the time to the first token, and marks the history
 // before this turn as computed.
-func (r *run) recordFirstToken(started *call) {
-	for _, part := range started.path {
+func (r *run) recordFirstToken(c *call) {
+	for _, part := range c.path {
 		r.computed[part.key] = true
 	}
-	if !started.isCopy {
-		record(r.measures.firstToken, r.clock.now+zoneDelay+clientDelay-started.sentAt)
+	if !c.isCopy {
+		record(r.measures.firstToken, r.clock.now+zoneDelay+clientDelay-c.sentAt)
 	}
 }
 
 // deliverAnswer sends the answer to the daemon and from there to the caller, and
 // updates the history of the program.
-func (r *run) deliverAnswer(done *call) {
-	r.computed[done.pathAfter[len(done.pathAfter)-1].key] = true
+func (r *run) deliverAnswer(c *call) {
+	r.computed[c.pathAfter[len(c.pathAfter)-1].key] = true
 	r.clock.after(zoneDelay, func() {
-		daemon := done.program.daemon
-		daemon.callEnded(done)
-		if done.isCopy || done.program.ended {
+		daemon := c.program.daemon
+		daemon.callEnded(c)
+		if c.isCopy || c.program.ended {
 			return
 		}
-		done.answered = true
-		done.program.attainedService += r.clock.now - done.prefillStart
-		done.program.lastEngine = done.engine
-		done.program.history = done.pathAfter
-		done.program.historyTokens = done.promptTokens + done.outputTokens
-		daemon.strategy.callAnswered(done)
-		r.clock.after(clientDelay, func() { r.afterAnswer(done.program) })
+		c.answered = true
+		c.program.attainedService += r.clock.now - c.prefillStart
+		c.program.lastEngine = c.engine
+		c.program.history = c.pathAfter
+		c.program.historyTokens = c.promptTokens + c.outputTokens
+		daemon.strategy.callAnswered(c)
+		r.clock.after(clientDelay, func() { r.afterAnswer(c.program) })
 	})
 }
 
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -13,8 +13,8 @@
 // Settings are the parameters of a run besides its trace and strategy.
 type Settings struct {
 	Scheduling scheduling.Settings
-	JoinCopies bool // baselines run a call that is sent twice only once
-	RunCopies  bool // thymeloft runs a call that is sent twice both times
+	JoinCopies bool // baselines do not run the copy of a call that the caller sends again
+	RunCopies  bool // thymeloft also runs the copies of calls that callers send again
 	NoHold     bool // thymeloft leases no cached history during pauses
 	NoRelease  bool // thymeloft does not release the cache of ended programs, so it stays until evicted
 	NoSketch   bool // thymeloft does not know which engines hold shared prefixes
@@ -24,6 +24,6 @@
 	// ReportLag is the time until a load report has reached the daemons; 0 means
 	// 250 ms.
 	ReportLag time.Duration
-	// MemoryShare is the factor of the memory of every engine; 0 means 1.
+	// MemoryShare multiplies the CacheTokens of every engine; 0 means 1.
 	MemoryShare float64
 }
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -25,7 +25,7 @@
 	policy         scheduling.Policy
 	startedQueue   *scheduling.Queue[*call] // calls of programs with effectiveService above 0
 	firstCallQueue *scheduling.Queue[*call] // calls of all other programs
-	liveTokens     int64                    // history tokens of live programs without their shared prefixes
+	liveTokens     int64                    // history tokens of the daemon's live programs, without their shared prefixes
 	sketch         *scheduling.Sketch
 	statsByKind    map[string]*pauseStats // by Program.Kind
 	sequence       uint64
@@ -53,29 +53,29 @@
 func (t *thymeloft) traits() traits    { return traits{joinsCopies: !t.settings.RunCopies} }
 func (t *thymeloft) waitingCalls() int { return t.startedQueue.Len() + t.firstCallQueue.Len() }
 
-// submit refuses the call if the policy does so because of the calls queued before
-// it. Otherwise it queues the call and tries to place the waiting calls.
-func (t *thymeloft) submit(received *call) {
-	t.recordPause(received)
+// submit refuses the call if the policy refuses it because of the calls queued
+// before it. Otherwise it queues the call and tries to place the waiting calls.
+func (t *thymeloft) submit(c *call) {
+	t.recordPause(c)
 	t.sequence++
 	item := scheduling.QueueItem{
-		Class:    received.program.Class,
-		Attained: received.program.attainedService,
+		Class:    c.program.Class,
+		Attained: c.program.attainedService,
 		Enqueued: t.daemon.run.clock.now,
 		Sequence: t.sequence,
 	}
 	queue := t.startedQueue
-	if received.program.effectiveService() == 0 {
+	if c.program.effectiveService() == 0 {
 		queue = t.firstCallQueue
 	}
 	if queue.Len() > 0 {
-		decision := t.decide(received, queue.Len())
+		decision := t.decide(c, queue.Len())
 		if decision.Action == scheduling.ActionRefuse {
-			t.daemon.run.handleRefusal(received, decision.Retry)
+			t.daemon.run.handleRefusal(c, decision.Retry)
 			return
 		}
 	}
-	if displaced, full := queue.Push(item, received); full {
+	if displaced, full := queue.Push(item, c); full {
 		t.daemon.run.handleRefusal(displaced, time.Second)
 	}
 	t.stateChanged()
@@ -91,21 +91,21 @@
 // that one must wait.
 func (t *thymeloft) drain(queue *scheduling.Queue[*call]) {
 	for {
-		item, first, found := queue.Peek()
+		item, c, found := queue.Peek()
 		if !found {
 			return
 		}
-		decision := t.decide(first, 0)
+		decision := t.decide(c, 0)
 		switch decision.Action {
 		case scheduling.ActionWait:
 			t.scheduleRetry(decision.Retry)
 			return
 		case scheduling.ActionRefuse:
 			queue.Pop()
-			t.daemon.run.handleRefusal(first, decision.Retry)
+			t.daemon.run.handleRefusal(c, decision.Retry)
 		case scheduling.ActionPlace:
 			queue.Pop()
-			t.place(first, int(item.Class), decision)
+			t.place(c, int(item.Class), decision)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 
 // decide returns the policy's decision for a call; ahead is the number of calls
 // queued before it.
-func (t *thymeloft) decide(waiting *call, ahead int) scheduling.Decision {
+func (t *thymeloft) decide(c *call, ahead int) scheduling.Decision {
 	now := t.daemon.run.clock.now
 	engines := make([]scheduling.Engine, len(t.daemon.run.engines))
 	for index := range engines {
@@ -133,82 +133,82 @@
 	}
 	snapshot := scheduling.Build(engines, nil)
 	request := scheduling.Request{
-		Tenant: waiting.program.Tenant, Class: waiting.program.Class, Model: t.daemon.run.trace.Model,
-		Zone: t.daemon.zone, PromptTokens: waiting.promptTokens,
+		Tenant: c.program.Tenant, Class: c.program.Class, Model: t.daemon.run.trace.Model,
+		Zone: t.daemon.zone, PromptTokens: c.promptTokens,
 		MaxOutputTokens: 0, // unknown, as callers rarely set it
-		Attained:        waiting.program.effectiveService(),
+		Attained:        c.program.effectiveService(),
 		LiveTokens:      t.liveTokens,
 		FleetShare:      1 / float64(len(t.daemon.run.daemons)),
-		Waited:          now - waiting.receivedAt,
+		Waited:          now - c.receivedAt,
 		QueuedAhead:     ahead,
-		Seed:            uint64(waiting.program.Index)<<16 + uint64(waiting.turn),
+		Seed:            uint64(c.program.Index)<<16 + uint64(c.turn),
 	}
-	if holder := waiting.program.lastEngine; holder != nil {
-		request.HolderID = holder.ID
-		request.HolderTokens = waiting.program.historyTokens
+	if lastEngine := c.program.lastEngine; lastEngine != nil {
+		request.HolderID = lastEngine.ID
+		request.HolderTokens = c.program.historyTokens
 	}
-	runs := prefixRuns(waiting)
+	runs := prefixRuns(c)
 	request.SharedPrefix = runs[len(runs)-1].Hash
-	snapshot.SharedPrefixes = map[uint64][]scheduling.PrefixHolder{request.SharedPrefix: t.holders(waiting, runs, snapshot)}
+	snapshot.SharedPrefixes = map[uint64][]scheduling.PrefixHolder{request.SharedPrefix: t.holders(c, runs, snapshot)}
 	return t.policy.Decide(snapshot, &request)
 }
 
 // holders returns the engines that hold a shared prefix of the call, as known from
 // the sketch or, with Settings.GlobalIndex, from the caches of the engines.
-func (t *thymeloft) holders(waiting *call, runs []scheduling.PrefixRun, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
+func (t *thymeloft) holders(c *call, runs []scheduling.PrefixRun, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
 	if t.settings.NoSketch {
 		return nil
 	}
 	if !t.settings.GlobalIndex {
 		return t.sketch.Holders(nil, runs, snapshot, t.daemon.run.clock.now)
 	}
-	var found []scheduling.PrefixHolder
+	var result []scheduling.PrefixHolder
 	for index, engine := range t.daemon.run.engines {
-		if _, tokens := engine.cache.matchPrefix(waiting.path); tokens > 0 {
-			found = append(found, scheduling.PrefixHolder{Engine: index, Tokens: tokens})
+		if _, tokens := engine.cache.matchPrefix(c.path); tokens > 0 {
+			result = append(result, scheduling.PrefixHolder{Engine: index, Tokens: tokens})
 		}
 	}
-	return found
+	return result
 }
 
 // prefixRuns returns the hash and the length of each shared prefix of a call, the
 // shortest first.
-func prefixRuns(waiting *call) []scheduling.PrefixRun {
-	runs := make([]scheduling.PrefixRun, 0, len(waiting.program.Prefix))
+func prefixRuns(c *call) []scheduling.PrefixRun {
+	runs := make([]scheduling.PrefixRun, 0, len(c.program.Prefix))
 	tokens := int64(0)
-	for _, part := range waiting.program.Prefix {
+	for _, part := range c.program.Prefix {
 		tokens += part.Tokens
 		runs = append(runs, scheduling.PrefixRun{Hash: part.Hash, Tokens: tokens})
 	}
 	return runs
 }
 
-func (t *thymeloft) place(placed *call, priority int, decision scheduling.Decision) {
+func (t *thymeloft) place(c *call, priority int, decision scheduling.Decision) {
 	engine := t.daemon.run.engines[decision.Engine]
-	t.sketch.Record(prefixRuns(placed), engine.ID, t.daemon.run.clock.now)
+	t.sketch.Record(prefixRuns(c), engine.ID, t.daemon.run.clock.now)
 	t.daemon.run.measures.reasons[string(decision.Reason)]++
-	t.daemon.place(placed, decision.Engine, priority, placed.promptTokens-decision.CachedTokens)
+	t.daemon.place(c, decision.Engine, priority, c.promptTokens-decision.CachedTokens)
 }
 
-// callAnswered updates the statistics and leases the program's cached history for
-// the expected pause, if the expected reuse is worth the memory.
-func (t *thymeloft) callAnswered(done *call) {
-	program := done.program
-	t.liveTokens += program.Turns[done.turn].PromptTokens + program.Turns[done.turn].OutputTokens
+// callAnswered updates the statistics, and leases the program's cached history if
+// scheduling.HoldLease returns a duration for that.
+func (t *thymeloft) callAnswered(c *call) {
+	program := c.program
+	t.liveTokens += program.Turns[c.turn].PromptTokens + program.Turns[c.turn].OutputTokens
 	stats := t.statsOf(program.Kind)
 	last := program.turn+1 == len(program.Turns)
 	stats.continueShare += pauseSmoothing * (boolToFloat(!last) - stats.continueShare)
-	seen := t.daemon.reports[done.engine.index]
+	lastReport := t.daemon.reports[c.engine.index]
 	lease := scheduling.HoldLease(program.historyTokens,
 		scheduling.PauseEstimate{Mean: fromSeconds(stats.meanSeconds), ReuseChance: stats.continueShare},
 		scheduling.CachePrice{
-			HitsPerToken: seen.hitsPerToken,
-			Pressure:     float64(seen.cacheUsed) / float64(done.engine.CacheTokens),
+			HitsPerToken: lastReport.hitsPerToken,
+			Pressure:     float64(lastReport.cacheUsed) / float64(c.engine.CacheTokens),
 		}, maxLease)
 	if t.settings.NoHold || lease <= 0 {
 		return
 	}
-	deepest, _ := done.engine.cache.matchPrefix(done.pathAfter)
+	deepest, _ := c.engine.cache.matchPrefix(c.pathAfter)
 	if deepest != nil {
 		deepest.leaseUntil = t.daemon.run.clock.now + lease
 	}
@@ -216,17 +216,17 @@
 
 // recordPause updates the mean pause of the kind of program with the pause before
 // the call.
-func (t *thymeloft) recordPause(received *call) {
-	if received.turn == 0 || received.refusals > 0 {
+func (t *thymeloft) recordPause(c *call) {
+	if c.turn == 0 || c.refusals > 0 {
 		return
 	}
-	stats := t.statsOf(received.program.Kind)
-	pause := received.program.Turns[received.turn-1].Pause.Seconds()
+	stats := t.statsOf(c.program.Kind)
+	pause := c.program.Turns[c.turn-1].Pause.Seconds()
 	stats.meanSeconds += pauseSmoothing * (pause - stats.meanSeconds)
 }
 
 // programEnded releases what the engines have cached of the program, except its
-// shared prefix.
+// shared prefix. With Settings.NoRelease it releases nothing.
 func (t *thymeloft) programEnded(program *programRun) {
 	t.liveTokens -= program.historyTokens - program.SharedTokens()
 	if t.settings.NoRelease {
@@ -238,12 +238,12 @@
 }
 
 func (t *thymeloft) statsOf(kind string) *pauseStats {
-	known, ok := t.statsByKind[kind]
+	stats, ok := t.statsByKind[kind]
 	if !ok {
-		known = &pauseStats{meanSeconds: initialPause.Seconds(), continueShare: initialContinueShare}
-		t.statsByKind[kind] = known
+		stats = &pauseStats{meanSeconds: initialPause.Seconds(), continueShare: initialContinueShare}
+		t.statsByKind[kind] = stats
 	}
-	return known
+	return stats
 }
 
 func boolToFloat(value bool) float64 {
--- a/internal/lab/experiment/variants.go
+++ b/internal/lab/experiment/variants.go
@@ -61,9 +61,9 @@
 
 func (s *study) addVariants(seed uint64) {
 	for _, multiple := range variantLoads {
-		for _, each := range variants() {
+		for _, v := range variants() {
 			s.variants = append(s.variants, &trial{
-				label: each.label, strategy: each.strategy, settings: each.settings,
+				label: v.label, strategy: v.strategy, settings: v.settings,
 				seed: seed, load: s.reportedLoad * multiple,
 			})
 		}
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -15,7 +15,8 @@
 
 // Condition is the set of faults that a link injects. The zero value is none.
 type Condition struct {
-	// Delay is waited before each chunk of bytes is forwarded, in both directions.
+	// Delay is the time to wait before each chunk of bytes is forwarded, in either
+	// direction.
 	Delay time.Duration
 	// HoldRequests holds back what the dialling side sends, and HoldAnswers what
 	// the target sends. The bytes are delivered when the field is no longer set.
@@ -145,8 +146,8 @@
 	_ = outgoing.Close()
 }
 
-// copyOneWay forwards one direction. It passes on an end of the stream as such,
-// and any other error as a reset.
+// copyOneWay forwards one direction. It passes on an end of the stream with
+// CloseWrite, and resets the other connection after any other error.
 func (l *Link) copyOneWay(from, to net.Conn, isHeld func(Condition) bool) {
 	const bufferBytes = 16 << 10
 	buffer := make([]byte, bufferBytes)
--- a/internal/lab/fleet/backends.go
+++ b/internal/lab/fleet/backends.go
@@ -147,13 +147,13 @@
 // machines returns the platform's list of machines: all daemons, engines and
 // replicas.
 func (f *Fleet) machines() []platformv1.Machine {
-	var listed []platformv1.Machine
+	var result []platformv1.Machine
 	add := func(name, kind, address, zone string) {
 		state := "live"
 		if f.leaving[name] {
 			state = "leaving"
 		}
-		listed = append(listed, platformv1.Machine{Name: name, Kind: kind, Address: address, Zone: zone, State: state})
+		result = append(result, platformv1.Machine{Name: name, Kind: kind, Address: address, Zone: zone, State: state})
 	}
 	for _, daemon := range f.Daemons {
 		add(daemon.Name, "daemon", daemon.peerLink.Address, daemon.Zone)
@@ -164,7 +164,7 @@
 	for _, replica := range f.Replicas {
 		add(replica.Name, "service", replica.URL, replica.Zone)
 	}
-	return listed
+	return result
 }
 
 // MarkLeaving lists the machine as leaving, in addition to those marked before.
--- a/internal/lab/fleet/daemon.go
+++ b/internal/lab/fleet/daemon.go
@@ -118,7 +118,7 @@
 }
 
 func (d *Daemon) waitForExit(command *exec.Cmd, exited chan struct{}) {
-	_ = command.Wait() // an error is also seen in the exit code
+	_ = command.Wait() // the result is read from ProcessState
 	d.network.Forget(command.Process.Pid)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/lab/fleet/deployment.go
+++ b/internal/lab/fleet/deployment.go
@@ -18,7 +18,7 @@
 	DelayBetweenZones time.Duration `yaml:"delay_between_zones,omitempty"`
 	DelayToClients    time.Duration `yaml:"delay_to_clients,omitempty"`
 	Shards            int           `yaml:"shards,omitempty"`     // 4 by default
-	TimeScale         float64       `yaml:"time_scale,omitempty"` // real time per modelled engine time; 0.02 by default
+	TimeScale         float64       `yaml:"time_scale,omitempty"` // real time divided by modelled engine time; 0.02 by default
 	Models            []Model       `yaml:"models"`
 	Services          []Service     `yaml:"services,omitempty"`
 	Tenants           []Tenant      `yaml:"tenants"`
@@ -41,7 +41,7 @@
 	Kind     string        `yaml:"kind"` // "service" or "tool"
 	Replicas int           `yaml:"replicas"`
 	Delay    time.Duration `yaml:"delay,omitempty"`   // of each execution
-	Timeout  time.Duration `yaml:"timeout,omitempty"` // in the configuration; 0 leaves it out
+	Timeout  time.Duration `yaml:"timeout,omitempty"` // written to the configuration unless 0
 }
 
 // Tenant is a customer in the configuration. TenantKey returns its bearer key.
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -64,7 +64,7 @@
 			return daemon, nil
 		}
 	}
-	return nil, eris.Errorf("no daemon but %s is running to lead group %d", group.Leader, shard)
+	return nil, eris.Errorf("no running daemon other than %s can lead group %d", group.Leader, shard)
 }
 
 // findGroup asks the running daemons for the group of the shard and returns the
@@ -134,15 +134,15 @@
 }
 
 // checkReady returns an error unless the daemon has confirmed the configuration
-// revision or a later one, sees all engines accept requests, and knows the leader
-// of each of its groups.
+// revision or a later one, reports all engines as accepting requests, and reports
+// each of its groups as normal with a leader.
 func (f *Fleet) checkReady(ctx context.Context, daemon *Daemon, revision uint64) error {
 	status, err := f.Status(ctx, daemon)
 	if err != nil {
 		return err
 	}
 	if status.ConfigurationRevision < revision || !status.ConfigurationConfirmed {
-		return eris.Errorf("daemon %s has configuration revision %d (confirmed: %t)", daemon.Name, status.ConfigurationRevision, status.ConfigurationConfirmed)
+		return eris.Errorf("daemon %s has not confirmed the configuration: it has revision %d (confirmed: %t)", daemon.Name, status.ConfigurationRevision, status.ConfigurationConfirmed)
 	}
 	accepting := 0
 	for _, engine := range status.Engines {
@@ -151,7 +151,7 @@
 		}
 	}
 	if accepting < len(f.Engines) {
-		return eris.Errorf("daemon %s sees %d of %d engines accept requests", daemon.Name, accepting, len(f.Engines))
+		return eris.Errorf("daemon %s reports %d of %d engines as accepting requests", daemon.Name, accepting, len(f.Engines))
 	}
 	for _, group := range status.Groups {
 		if !group.Normal || group.Leader == "" {
@@ -204,17 +204,17 @@
 }
 
 func (f *Fleet) serviceDocument(service Service) *operatorv1.Service {
-	described := &operatorv1.Service{Name: service.Name, Kind: operatorv1.ServiceKind_SERVICE_KIND_SERVICE}
+	document := &operatorv1.Service{Name: service.Name, Kind: operatorv1.ServiceKind_SERVICE_KIND_SERVICE}
 	if service.Kind == kindTool {
-		described.Kind = operatorv1.ServiceKind_SERVICE_KIND_TOOL
+		document.Kind = operatorv1.ServiceKind_SERVICE_KIND_TOOL
 	}
 	if service.Timeout > 0 {
-		described.Timeout = durationpb.New(service.Timeout)
+		document.Timeout = durationpb.New(service.Timeout)
 	}
 	for _, replica := range f.Replicas {
 		if replica.Of == service.Name {
-			described.Addresses = append(described.Addresses, replica.URL)
+			document.Addresses = append(document.Addresses, replica.URL)
 		}
 	}
-	return described
+	return document
 }
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -127,14 +127,14 @@
 	s.fixedPage = page
 }
 
-// notifyFeeds wakes the waiting feeds. The caller must have locked the mutex.
+// notifyFeeds wakes the waiting feeds. The caller must hold s.mutex.
 func (s *Store) notifyFeeds() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // nextFault counts the call and returns the fault that the script chooses. The
-// caller must have locked the mutex.
+// caller must hold s.mutex.
 func (s *Store) nextFault(call Call) Fault {
 	s.calls[call.Name]++
 	if s.script == nil {
@@ -163,7 +163,7 @@
 }
 
 // apply executes the commit, or returns a *state.ConflictError if one of its
-// conditions fails. The caller must have locked the mutex.
+// conditions fails. The caller must hold s.mutex.
 func (s *Store) apply(commit state.Commit) (state.Version, error) {
 	if conflict := s.checkConditions(commit); conflict != nil {
 		return 0, conflict
--- a/internal/lab/modelengine/administration.go
+++ b/internal/lab/modelengine/administration.go
@@ -10,8 +10,8 @@
 	"github.com/thymeloft/thymeloft/internal/lab/standin"
 )
 
-// roleServe is the role of engines that accept completions. All others refuse
-// them.
+// roleServe is the role of engines that accept completions. Engines with other
+// roles refuse them.
 const roleServe = "serve"
 
 // kvTransfer is the body of a KV export or import. It has the hashes of the
@@ -22,8 +22,8 @@
 }
 
 func (e *Engine) newHandler() http.Handler {
-	administration := http.NewServeMux()
-	administration.HandleFunc("DELETE "+enginev1.PathRequests+"{id...}", func(w http.ResponseWriter, r *http.Request) {
+	controlMux := http.NewServeMux()
+	controlMux.HandleFunc("DELETE "+enginev1.PathRequests+"{id...}", func(w http.ResponseWriter, r *http.Request) {
 		status, found := e.cancel(r.PathValue("id"))
 		if !found {
 			http.Error(w, "no such request", http.StatusNotFound)
@@ -31,20 +31,20 @@
 		}
 		standin.WriteJSON(w, http.StatusOK, status)
 	})
-	administration.HandleFunc("GET "+enginev1.PathState, func(w http.ResponseWriter, _ *http.Request) {
+	controlMux.HandleFunc("GET "+enginev1.PathState, func(w http.ResponseWriter, _ *http.Request) {
 		standin.WriteJSON(w, http.StatusOK, e.currentReport())
 	})
-	administration.HandleFunc("POST "+enginev1.PathOrders, e.handleOrder)
-	administration.HandleFunc("GET "+enginev1.PathCacheEvents, e.handleCacheEvents)
-	administration.HandleFunc("GET "+enginev1.PathHeld, func(w http.ResponseWriter, _ *http.Request) {
+	controlMux.HandleFunc("POST "+enginev1.PathOrders, e.handleOrder)
+	controlMux.HandleFunc("GET "+enginev1.PathCacheEvents, e.handleCacheEvents)
+	controlMux.HandleFunc("GET "+enginev1.PathHeld, func(w http.ResponseWriter, _ *http.Request) {
 		standin.WriteJSON(w, http.StatusOK, enginev1.HeldList{Held: e.Held()})
 	})
-	administration.HandleFunc("POST "+enginev1.PathRelease, e.handleRelease)
-	administration.HandleFunc("POST "+enginev1.PathHold, e.handleHold)
-	administration.HandleFunc("GET "+enginev1.PathKV+"{program}", e.handleExportKV)
-	administration.HandleFunc("PUT "+enginev1.PathKV+"{program}", e.handleImportKV)
+	controlMux.HandleFunc("POST "+enginev1.PathRelease, e.handleRelease)
+	controlMux.HandleFunc("POST "+enginev1.PathHold, e.handleHold)
+	controlMux.HandleFunc("GET "+enginev1.PathKV+"{program}", e.handleExportKV)
+	controlMux.HandleFunc("PUT "+enginev1.PathKV+"{program}", e.handleImportKV)
 
-	mux := standin.Mount(e.Faults.Around(standin.MethodAndPath, administration), e.Faults, func() any { return e.Records() })
+	mux := standin.Mount(e.Faults.Around(standin.MethodAndPath, controlMux), e.Faults, func() any { return e.Records() })
 	mux.HandleFunc("POST "+enginev1.PathCompletions, e.handleCompletion)
 	mux.HandleFunc("GET "+enginev1.PathRequests+"{id...}", e.handleResume)
 	return mux
@@ -144,22 +144,22 @@
 func (e *Engine) handleExportKV(w http.ResponseWriter, r *http.Request) {
 	program := r.PathValue("program")
 	e.mutex.Lock()
-	exported := kvTransfer{Program: program, Blocks: e.cache.blocksOf(program)}
+	body := kvTransfer{Program: program, Blocks: e.cache.blocksOf(program)}
 	e.mutex.Unlock()
-	standin.WriteJSON(w, http.StatusOK, exported)
+	standin.WriteJSON(w, http.StatusOK, body)
 }
 
 // handleImportKV adds the blocks to the program's cache after the modelled time of
 // their transfer.
 func (e *Engine) handleImportKV(w http.ResponseWriter, r *http.Request) {
-	var imported kvTransfer
-	if err := json.NewDecoder(r.Body).Decode(&imported); err != nil {
+	var body kvTransfer
+	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	tokens := float64(len(imported.Blocks) * blockTokens)
+	tokens := float64(len(body.Blocks) * blockTokens)
 	time.Sleep(e.scaleTime(time.Duration(tokens / transferTokensPerSec * float64(time.Second))))
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.cache.store(r.PathValue("program"), imported.Blocks, time.Now())
+	e.cache.store(r.PathValue("program"), body.Blocks, time.Now())
 }
--- a/internal/lab/modelengine/answer.go
+++ b/internal/lab/modelengine/answer.go
@@ -14,8 +14,8 @@
 const (
 	bytesPerToken    = 4
 	minAnswerTokens  = 8
-	answerTokenRange = 24    // answers have from minAnswerTokens to minAnswerTokens+23 tokens
-	tokenMask        = 0xfff // three hexadecimal digits, which make a token with the space after them
+	answerTokenRange = 24    // default lengths are from minAnswerTokens to minAnswerTokens+23
+	tokenMask        = 0xfff // three hexadecimal digits; a token is these and a space
 )
 
 // answerLengthPattern matches the text in the last message that sets the length
--- a/internal/lab/modelengine/batch.go
+++ b/internal/lab/modelengine/batch.go
@@ -81,12 +81,12 @@
 				first = index
 			}
 		}
-		admitted := e.waiting[first]
+		req := e.waiting[first]
 		e.waiting = slices.Delete(e.waiting, first, first+1)
-		admitted.state = stateRunning
-		admitted.usage.CachedTokens = e.cache.matchPrefix(admitted.hashes)
-		admitted.prefillLeft = admitted.usage.PromptTokens - admitted.usage.CachedTokens
-		e.running = append(e.running, admitted)
+		req.state = stateRunning
+		req.usage.CachedTokens = e.cache.matchPrefix(req.hashes)
+		req.prefillLeft = req.usage.PromptTokens - req.usage.CachedTokens
+		e.running = append(e.running, req)
 	}
 }
 
@@ -94,15 +94,15 @@
 // and returns their number. It caches each prompt that it completes.
 func (e *Engine) prefillStep(now time.Time) int64 {
 	var prefilled int64
-	for _, running := range e.running {
-		chunk := min(running.prefillLeft, prefillChunkTokens-prefilled)
+	for _, req := range e.running {
+		chunk := min(req.prefillLeft, prefillChunkTokens-prefilled)
 		if chunk <= 0 {
 			continue
 		}
-		running.prefillLeft -= chunk
+		req.prefillLeft -= chunk
 		prefilled += chunk
-		if running.prefillLeft == 0 {
-			e.cache.store(running.wire.Program, running.hashes, now)
+		if req.prefillLeft == 0 {
+			e.cache.store(req.wire.Program, req.hashes, now)
 		}
 	}
 	return prefilled
@@ -112,14 +112,14 @@
 // and returns the number of these requests.
 func (e *Engine) decodeStep(now time.Time) int {
 	decoding := 0
-	for _, running := range e.running {
-		if running.prefillLeft > 0 {
+	for _, req := range e.running {
+		if req.prefillLeft > 0 {
 			continue
 		}
 		decoding++
-		if running.generate() {
-			running.end(stateFinished, "")
-			e.cache.store(running.wire.Program, hashBlocks(historyAfter(running)), now)
+		if req.generate() {
+			req.end(stateFinished, "")
+			e.cache.store(req.wire.Program, hashBlocks(historyAfter(req)), now)
 		}
 	}
 	return decoding
@@ -127,6 +127,6 @@
 
 // historyAfter returns the prompt followed by the answer, rendered as the
 // beginning of the next turn's prompt.
-func historyAfter(ended *request) string {
-	return ended.prompt + "assistant\x01" + ended.answer + "\x02"
+func historyAfter(req *request) string {
+	return req.prompt + "assistant\x01" + req.answer + "\x02"
 }
--- a/internal/lab/modelengine/cache.go
+++ b/internal/lab/modelengine/cache.go
@@ -14,7 +14,7 @@
 const (
 	blockTokens  = 16
 	blockBytes   = blockTokens * bytesPerToken
-	prefixBlocks = 4 // blocks at the start of a prompt that cache events identify by a hash
+	prefixBlocks = 4 // number of blocks at the start of a prompt whose hash identifies it in cache events
 )
 
 // hashBlocks returns the hashes of the full blocks of a text. Each hash covers
@@ -224,16 +224,16 @@
 // listPrograms returns the cached tokens and the lease of each program, sorted
 // by program.
 func (c *prefixCache) listPrograms(now time.Time) []enginev1.Held {
-	listed := make([]enginev1.Held, 0, len(c.programs))
+	result := make([]enginev1.Held, 0, len(c.programs))
 	for program, stored := range c.programs {
 		entry := enginev1.Held{Program: program, Tokens: int64(len(stored.blocks)) * blockTokens}
 		if leaseLeft := stored.leaseUntil.Sub(now); leaseLeft > 0 {
 			entry.LeaseLeftMS = leaseLeft.Milliseconds()
 		}
-		listed = append(listed, entry)
+		result = append(result, entry)
 	}
-	sort.Slice(listed, func(i, j int) bool { return listed[i].Program < listed[j].Program })
-	return listed
+	sort.Slice(result, func(i, j int) bool { return result[i].Program < result[j].Program })
+	return result
 }
 
 func (c *prefixCache) usedTokens() int64 { return int64(len(c.blocks)) * blockTokens }
--- a/internal/lab/modelengine/engine.go
+++ b/internal/lab/modelengine/engine.go
@@ -76,22 +76,22 @@
 // submit adds a request, or returns the existing one with the same request ID.
 // If the refusal is not empty, it is the reason why the request was not added.
 func (e *Engine) submit(wire enginev1.CompletionRequest) (found *request, refusal string) {
-	added := newRequest(wire) // outside the lock, since long answers take long to generate
+	req := newRequest(wire) // outside the lock, since long answers take long to generate
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if known, ok := e.requests[wire.RequestID]; ok {
-		return known, ""
+	if existing, ok := e.requests[wire.RequestID]; ok {
+		return existing, ""
 	}
 	if refusal := e.refusal(wire); refusal != "" {
 		return nil, refusal
 	}
 	e.arrivals++
-	added.setArrival(e.arrivals, time.Now())
-	e.requests[wire.RequestID] = added
-	e.byArrival = append(e.byArrival, added)
-	e.waiting = append(e.waiting, added)
+	req.setArrival(e.arrivals, time.Now())
+	e.requests[wire.RequestID] = req
+	e.byArrival = append(e.byArrival, req)
+	e.waiting = append(e.waiting, req)
 	e.wakeLoop()
-	return added, ""
+	return req, ""
 }
 
 // refusal returns why the engine can't run the request now, or "".
@@ -133,14 +133,14 @@
 func (e *Engine) cancel(id string) (status enginev1.RequestStatus, found bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	known, found := e.requests[id]
+	req, found := e.requests[id]
 	if !found {
 		return enginev1.RequestStatus{}, false
 	}
-	if !known.isFinal() {
-		known.end(stateCancelled, "cancelled")
+	if !req.isFinal() {
+		req.end(stateCancelled, "cancelled")
 	}
-	return enginev1.RequestStatus{RequestID: id, State: known.state, Usage: known.usage}, true
+	return enginev1.RequestStatus{RequestID: id, State: req.state, Usage: req.usage}, true
 }
 
 // currentReport returns the state as reported to clients, which is less than
@@ -155,11 +155,11 @@
 	return e.lastReported
 }
 
-// buildReport returns the present state. The caller must have locked the mutex.
+// buildReport returns the present state. The caller must hold e.mutex.
 func (e *Engine) buildReport(now time.Time) enginev1.EngineState {
 	var waitingTokens int64
-	for _, waiting := range e.waiting {
-		waitingTokens += waiting.usage.PromptTokens
+	for _, req := range e.waiting {
+		waitingTokens += req.usage.PromptTokens
 	}
 	return enginev1.EngineState{
 		Name:          e.options.Name,
--- a/internal/lab/modelengine/events.go
+++ b/internal/lab/modelengine/events.go
@@ -11,7 +11,7 @@
 	event   enginev1.CacheEvent
 }
 
-// eventLog keeps cache events. It delivers them late and omits some, as real
+// eventLog keeps cache events. It delivers them late and drops some, as real
 // engines may. Not safe for concurrent use.
 type eventLog struct {
 	lag          time.Duration
@@ -20,8 +20,8 @@
 	events       []timedEvent
 }
 
-// add gives the event the next sequence number and keeps it, unless it is one of
-// those to omit.
+// add gives the event the next sequence number. It drops the event if that number is
+// a multiple of dropInterval.
 func (l *eventLog) add(now time.Time, event enginev1.CacheEvent) {
 	l.lastSequence++
 	event.Sequence = l.lastSequence
@@ -38,15 +38,15 @@
 // It stops before the first event that is younger than the lag.
 func (l *eventLog) after(sequence uint64, now time.Time) enginev1.CacheEvents {
 	page := enginev1.CacheEvents{Events: []enginev1.CacheEvent{}, Latest: sequence}
-	for _, kept := range l.events {
-		if kept.event.Sequence <= sequence {
+	for _, entry := range l.events {
+		if entry.event.Sequence <= sequence {
 			continue
 		}
-		if now.Sub(kept.addedAt) < l.lag {
+		if now.Sub(entry.addedAt) < l.lag {
 			break
 		}
-		page.Events = append(page.Events, kept.event)
-		page.Latest = kept.event.Sequence
+		page.Events = append(page.Events, entry.event)
+		page.Latest = entry.event.Sequence
 	}
 	return page
 }
--- a/internal/lab/modelengine/records.go
+++ b/internal/lab/modelengine/records.go
@@ -39,17 +39,17 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	records := Records{Name: e.options.Name, Requests: []Record{}, Held: e.cache.listPrograms(time.Now())}
-	for _, known := range e.byArrival {
+	for _, req := range e.byArrival {
 		records.Requests = append(records.Requests, Record{
-			RequestID:    known.wire.RequestID,
-			Program:      known.wire.Program,
-			State:        known.state,
-			Generated:    known.usage.CompletionTokens,
-			MaxTokens:    known.wire.MaxTokens,
-			PromptTokens: known.usage.PromptTokens,
-			CachedTokens: known.usage.CachedTokens,
-			PromptHash:   hashText(known.prompt),
-			ArrivedMS:    known.arrivedAt.UnixMilli(),
+			RequestID:    req.wire.RequestID,
+			Program:      req.wire.Program,
+			State:        req.state,
+			Generated:    req.usage.CompletionTokens,
+			MaxTokens:    req.wire.MaxTokens,
+			PromptTokens: req.usage.PromptTokens,
+			CachedTokens: req.usage.CachedTokens,
+			PromptHash:   hashText(req.prompt),
+			ArrivedMS:    req.arrivedAt.UnixMilli(),
 		})
 	}
 	return records
--- a/internal/lab/modelengine/request.go
+++ b/internal/lab/modelengine/request.go
@@ -34,12 +34,12 @@
 }
 
 func newRequest(wire enginev1.CompletionRequest) *request {
-	created := &request{wire: wire, state: stateWaiting, changed: make(chan struct{})}
-	created.prompt = renderPrompt(wire.Messages)
-	created.hashes = hashBlocks(created.prompt)
-	created.answer, created.finishReason = Answer(wire.Model, wire.Adapter, wire.Messages, wire.MaxTokens)
-	created.usage.PromptTokens = countTokens(created.prompt)
-	return created
+	req := &request{wire: wire, state: stateWaiting, changed: make(chan struct{})}
+	req.prompt = renderPrompt(wire.Messages)
+	req.hashes = hashBlocks(req.prompt)
+	req.answer, req.finishReason = Answer(wire.Model, wire.Adapter, wire.Messages, wire.MaxTokens)
+	req.usage.PromptTokens = countTokens(req.prompt)
+	return req
 }
 
 // setArrival sets the arrival number and time, and the deadline if there is one.
--- a/internal/lab/modelengine/stream.go
+++ b/internal/lab/modelengine/stream.go
@@ -19,12 +19,12 @@
 	if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointBefore, wire.RequestID, 0)) {
 		return
 	}
-	found, refusal := e.submit(wire)
+	req, refusal := e.submit(wire)
 	if refusal != "" {
 		standin.Refuse(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
-	e.streamAnswer(w, r, found, 0)
+	e.streamAnswer(w, r, req, 0)
 }
 
 func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 		return
 	}
 	e.mutex.Lock()
-	found, known := e.requests[id]
+	req, known := e.requests[id]
 	e.mutex.Unlock()
 	if !known {
 		http.Error(w, "no such request", http.StatusNotFound)
@@ -44,7 +44,7 @@
 		http.Error(w, "invalid offset: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.streamAnswer(w, r, found, max(offset, 0))
+	e.streamAnswer(w, r, req, max(offset, 0))
 }
 
 // progress is a snapshot of a request for a stream.
@@ -71,22 +71,22 @@
 }
 
 // streamAnswer sends an event for each token from the byte offset on, and at the
-// end the final events. It blocks until then, or until the client disconnects or
-// the engine is closed.
-func (e *Engine) streamAnswer(w http.ResponseWriter, r *http.Request, found *request, offset int) {
+// end the final events. It returns early if a fault rule ends the stream, the
+// client disconnects or the engine is closed.
+func (e *Engine) streamAnswer(w http.ResponseWriter, r *http.Request, req *request, offset int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
-	events := &eventWriter{writer: w, id: found.wire.RequestID, offset: offset}
+	events := &eventWriter{writer: w, id: req.wire.RequestID, offset: offset}
 	for {
-		current := e.snapshotOf(found)
+		current := e.snapshotOf(req)
 		for events.offset < len(current.content) {
-			if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointStream, found.wire.RequestID, events.sent)) {
+			if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointStream, req.wire.RequestID, events.sent)) {
 				return
 			}
 			events.writeToken(current.content)
 		}
 		if current.isFinal {
-			if !standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointAfter, found.wire.RequestID, 0)) {
+			if !standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointAfter, req.wire.RequestID, 0)) {
 				events.writeEnd(current)
 			}
 			return
--- a/internal/lab/network/diagnosis.go
+++ b/internal/lab/network/diagnosis.go
@@ -15,14 +15,14 @@
 	netlinkSockDiag  = 4
 	sockDiagByFamily = 20
 
-	messageHeaderBytes = 16
-	requestBytes       = 56   // without the message header
-	requestEndsOffset  = 8    // of the ports and addresses in the request
-	replyEndsOffset    = 4    // of the ports and addresses in the reply
-	replyInodeOffset   = 68   // of the inode in the reply
-	minReplyBytes      = 72   // without the message header
-	minErrorBytes      = 4    // without the message header
-	anyCookieByte      = 0xff // each byte of a cookie that matches every socket
+	messageHeaderBytes  = 16
+	requestBytes        = 56   // without the message header
+	requestSockIDOffset = 8    // of the ports and addresses in the request
+	replySockIDOffset   = 4    // of the ports and addresses in the reply
+	replyInodeOffset    = 68   // of the inode in the reply
+	minReplyBytes       = 72   // without the message header
+	minErrorBytes       = 4    // without the message header
+	anyCookieByte       = 0xff // each byte of a cookie that matches every socket
 )
 
 // sockDiagInode asks the kernel for the inode of the TCP socket with these IPv4
@@ -63,9 +63,9 @@
 		return "", eris.Wrap(errno, "sock_diag request failed")
 	}
 	if messageType != sockDiagByFamily || len(body) < minReplyBytes {
-		return "", eris.Errorf("unexpected sock_diag reply of type %d", messageType)
+		return "", eris.Errorf("malformed or unexpected sock_diag reply of type %d", messageType)
 	}
-	if binary.BigEndian.Uint16(body[replyEndsOffset+2:]) != remote.Port() {
+	if binary.BigEndian.Uint16(body[replySockIDOffset+2:]) != remote.Port() {
 		return "", nil
 	}
 	return strconv.FormatUint(uint64(binary.NativeEndian.Uint32(body[replyInodeOffset:])), 10), nil
@@ -82,14 +82,14 @@
 	body[0] = syscall.AF_INET
 	body[1] = syscall.IPPROTO_TCP
 	binary.NativeEndian.PutUint32(body[4:], ^uint32(0)) // sockets in any state
-	ends := body[requestEndsOffset:]
-	binary.BigEndian.PutUint16(ends, local.Port())
-	binary.BigEndian.PutUint16(ends[2:], remote.Port())
+	sockID := body[requestSockIDOffset:]
+	binary.BigEndian.PutUint16(sockID, local.Port())
+	binary.BigEndian.PutUint16(sockID[2:], remote.Port())
 	source, destination := local.Addr().Unmap().As4(), remote.Addr().Unmap().As4()
-	copy(ends[4:], source[:])
-	copy(ends[20:], destination[:])
+	copy(sockID[4:], source[:])
+	copy(sockID[20:], destination[:])
 	for index := 40; index < 48; index++ {
-		ends[index] = anyCookieByte
+		sockID[index] = anyCookieByte
 	}
 	return request
 }
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -1,8 +1,8 @@
 // Package network emulates the network between the zones of a deployment whose
 // processes run on one machine. It forwards TCP connections with a delay and can
-// isolate zones: bytes are then held back, but connections stay open. It finds
-// the process that opened a connection in the tables of the Linux kernel, so the
-// processes need no configuration for it.
+// isolate zones: bytes are then held back, but connections stay open. It asks
+// the Linux kernel which process opened a connection, so the processes need no
+// configuration for that.
 package network
 
 import (
@@ -75,7 +75,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Close takes all links down for good. It must be called once.
+// Close takes all links down. It must be called once.
 func (n *Network) Close() {
 	n.mutex.Lock()
 	links := n.links
@@ -86,15 +86,15 @@
 	}
 }
 
-// processes returns a copy of the zones by process ID.
-func (n *Network) processes() map[int]string {
+// zonesByProcess returns a copy of the map from process ID to zone.
+func (n *Network) zonesByProcess() map[int]string {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	copied := make(map[int]string, len(n.zones))
+	zones := make(map[int]string, len(n.zones))
 	for process, zone := range n.zones {
-		copied[process] = zone
+		zones[process] = zone
 	}
-	return copied
+	return zones
 }
 
 // delay returns the one-way delay between two zones.
--- a/internal/lab/network/source.go
+++ b/internal/lab/network/source.go
@@ -23,7 +23,7 @@
 	if inode == "" {
 		return Clients
 	}
-	for process, zone := range n.processes() {
+	for process, zone := range n.zonesByProcess() {
 		if hasSocket(process, inode) {
 			return zone
 		}
@@ -75,7 +75,7 @@
 	return ""
 }
 
-// hasSocket reports whether the process has a file descriptor of the socket with
+// hasSocket reports whether the process has a file descriptor for the socket with
 // this inode.
 func hasSocket(process int, inode string) bool {
 	directory := fmt.Sprintf("/proc/%d/fd", process)
--- a/internal/lab/platformstore/platformstore.go
+++ b/internal/lab/platformstore/platformstore.go
@@ -67,7 +67,7 @@
 }
 
 // toCommit converts the transaction to a commit. It returns false if the
-// transaction has rows of several partitions without permission for that.
+// transaction has rows of several partitions and Across is not set.
 func (t transaction) toCommit() (state.Commit, bool) {
 	var commit state.Commit
 	partitions := map[string]bool{}
@@ -87,12 +87,12 @@
 }
 
 func (h *Handler) handleCommit(writer http.ResponseWriter, request *http.Request) {
-	var received transaction
-	if err := json.NewDecoder(request.Body).Decode(&received); err != nil {
+	var tx transaction
+	if err := json.NewDecoder(request.Body).Decode(&tx); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	commit, allowed := received.toCommit()
+	commit, allowed := tx.toCommit()
 	if !allowed {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
@@ -157,10 +157,10 @@
 
 func encodeRows(rows []state.Row) []row {
 	var encoded []row
-	for _, each := range rows {
+	for _, r := range rows {
 		encoded = append(encoded, row{
-			Table: each.Key.Table, Partition: each.Key.Partition, Name: each.Key.Name,
-			Value: each.Value, Version: uint64(each.Version), Gone: each.Removed,
+			Table: r.Key.Table, Partition: r.Key.Partition, Name: r.Key.Name,
+			Value: r.Value, Version: uint64(r.Version), Gone: r.Removed,
 		})
 	}
 	return encoded
--- a/internal/lab/platformstore/standin.go
+++ b/internal/lab/platformstore/standin.go
@@ -23,9 +23,9 @@
 
 // New returns a StandIn with an empty store.
 func New(options Options) *StandIn {
-	created := &StandIn{Store: memorystore.New(), Faults: &standin.Faults{}}
-	service := created.Faults.Around(standin.MethodAndPath, &Handler{Store: created.Store})
+	standIn := &StandIn{Store: memorystore.New(), Faults: &standin.Faults{}}
+	service := standIn.Faults.Around(standin.MethodAndPath, &Handler{Store: standIn.Store})
 	limited := standin.Limit(options.RequestsPerSecond, options.Burst, service)
-	created.Handler = standin.Mount(limited, created.Faults, func() any { return struct{}{} })
-	return created
+	standIn.Handler = standin.Mount(limited, standIn.Faults, func() any { return struct{}{} })
+	return standIn
 }
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -20,10 +20,10 @@
 // PathRecords is the path at which GET returns what a stand-in recorded.
 const PathRecords = "/lab/records"
 
-// Point is the stage of a request at which a rule applies.
+// Point is the point in the handling of a request at which a rule applies.
 type Point string
 
-// The stages of a request.
+// The points at which rules apply.
 const (
 	PointBefore Point = "before" // before the request is processed
 	PointStream Point = "stream" // after AfterChunks chunks of a streamed response
--- a/internal/lab/toolservice/toolservice.go
+++ b/internal/lab/toolservice/toolservice.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/lab/appservice"
 )
 
-// OperationHang runs until it is cancelled.
+// OperationHang is the operation that runs until it is cancelled.
 const OperationHang = "hang"
 
 // Options configure a tool.
--- a/internal/lab/weightstore/weightstore.go
+++ b/internal/lab/weightstore/weightstore.go
@@ -26,7 +26,7 @@
 	options Options
 }
 
-// New returns a store. Its weights are zero bytes.
+// New returns a store. The weights that it streams are all null bytes.
 func New(options Options) *Store {
 	store := &Store{Faults: &standin.Faults{}, options: options}
 	service := http.NewServeMux()
--- a/internal/lab/workload/brackenlaw.go
+++ b/internal/lab/workload/brackenlaw.go
@@ -29,7 +29,7 @@
 	class         scheduling.Class
 	systemTokens  int64
 	turnsMedian   float64
-	notRepeatable bool // the last turn sets a funding flag, which must not happen twice
+	notRepeatable bool // the last turn sets a funding flag, which must not be repeated
 }
 
 var assessmentKinds = []assessmentKind{
@@ -40,8 +40,8 @@
 
 // Brackenlaw generates fifteen minutes at a month end of a factoring platform:
 // assessments, which are sequences of model calls with tool pauses and
-// sub-agents. The assessments of one client share a long prefix, and one client
-// causes about a third of the peak. The scale multiplies the rate of arrivals.
+// sub-agents. The assessments of one tenant share a long prefix, and one tenant
+// causes about a third of the arrivals in the peak. The scale multiplies the rate of arrivals.
 func Brackenlaw(seed uint64, scale float64) Trace {
 	zones := []identity.Zone{"leith-a", "leith-b", "govan-a", "govan-b"}
 	monthEnd := arrivalRate{length: 15 * time.Minute, peakFrom: 4 * time.Minute, peakTo: 12 * time.Minute, peakFactor: 1.8}
@@ -89,8 +89,8 @@
 		child.Arrival = 0
 		child.Turns = assessmentTurns(random, random.uniformInt(2, 5))
 		t.Programs = append(t.Programs, child)
-		spawning := &t.Programs[parent].Turns[turn]
-		spawning.Children = append(spawning.Children, child.Index)
+		parentTurn := &t.Programs[parent].Turns[turn]
+		parentTurn.Children = append(parentTurn.Children, child.Index)
 	}
 }
 
@@ -127,8 +127,8 @@
 	return identity.Tenant(fmt.Sprintf("client-%02d", random.zipfIndex(brackenlawTenants)+1))
 }
 
-// assessmentPrefix returns the instructions of the kind, which all clients share,
-// followed by the client's dossier.
+// assessmentPrefix returns the instructions of the kind, which all tenants share,
+// followed by the tenant's dossier.
 func assessmentPrefix(kind assessmentKind, tenant identity.Tenant) []PrefixPart {
 	system := xxhash.Sum64String(kind.name)
 	dossier := xxhash.Sum64String(kind.name + "/" + string(tenant))
--- a/internal/lab/workload/random.go
+++ b/internal/lab/workload/random.go
@@ -31,15 +31,15 @@
 // The spread is the standard deviation of the natural logarithm. Values above
 // limit are replaced by it.
 func (s randomSource) logNormal(median time.Duration, spread float64, limit time.Duration) time.Duration {
-	drawn := time.Duration(float64(median) * math.Exp(s.NormFloat64()*spread))
-	return min(drawn, limit)
+	value := time.Duration(float64(median) * math.Exp(s.NormFloat64()*spread))
+	return min(value, limit)
 }
 
 // logNormalCount draws a whole number like logNormal, at least low and at most
 // high.
 func (s randomSource) logNormalCount(median, spread float64, low, high int64) int64 {
-	drawn := int64(median * math.Exp(s.NormFloat64()*spread))
-	return min(max(drawn, low), high)
+	value := int64(median * math.Exp(s.NormFloat64()*spread))
+	return min(max(value, low), high)
 }
 
 // bernoulli returns true with the given probability.
--- a/internal/lab/workload/theorydesk.go
+++ b/internal/lab/workload/theorydesk.go
@@ -17,7 +17,7 @@
 	minClassSize       = 18
 	maxClassSize       = 28
 	classArrivalSpread = 15 * time.Second // within which the bookings of a class arrive
-	resendChance       = 0.08             // probability that the caller sends a call twice
+	resendChance       = 0.08             // probability that Turn.DoubledAfter is set
 	bookingShare       = 0.25             // fraction of bookings among the single arrivals
 	courseCount        = 4
 	modulesPerCourse   = 9
@@ -110,8 +110,7 @@
 	return identity.Tenant(fmt.Sprintf("school-%02d", random.zipfIndex(theoryDeskSchools)+1))
 }
 
-// drawResendDelay returns the time after which the caller sends a call again, or
-// 0 for never.
+// drawResendDelay returns a value for Turn.DoubledAfter.
 func drawResendDelay(random randomSource) time.Duration {
 	if !random.bernoulli(resendChance) {
 		return 0
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -1,7 +1,7 @@
 // Package workload generates traces of two example deployments: a fleet of
 // engines and the programs that arrive at it. The same seed and scale give the
-// same trace. Each program has a random stream of its own, which does not depend
-// on the scale.
+// same trace. Each arrival draws from a random stream of its own, which does not
+// depend on the scale.
 package workload
 
 import (
@@ -24,7 +24,7 @@
 	Engines    []Engine
 	// Programs has the root programs, each followed by the sub-agents that it
 	// spawns. Root programs are sorted by arrival, except that the bookings of a
-	// whole class stand together in no particular order.
+	// whole class are adjacent and not sorted.
 	Programs []Program
 }
 
