--- a/internal/lab/acquaintance/acquaintance.go
+++ b/internal/lab/acquaintance/acquaintance.go
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// RowOf returns the row of a member as in the store, with version 1.
+// RowOf returns the row by which the store represents a member, with version 1.
 func RowOf(member members.Member) (state.Row, error) {
 	value, err := members.Encode(member)
 	key := state.Key{Table: members.Table, Name: string(member.Process.Machine)}
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -85,9 +85,8 @@
 	d.strategy.stateChanged()
 }
 
-// view returns the state of an engine as the daemon estimates it: the last report,
-// corrected by the placements that the daemon has made since, and by those that it
-// has seen end since.
+// view returns the state of an engine as the daemon estimates it. It corrects the
+// last report by the daemon's placements that were made or have ended since then.
 func (d *daemon) view(index int) scheduling.Engine {
 	engine := d.run.engines[index]
 	last := d.reports[index]
--- a/internal/lab/modelengine/administration.go
+++ b/internal/lab/modelengine/administration.go
@@ -112,7 +112,8 @@
 	standin.WriteJSON(w, http.StatusOK, e.events.after(after, time.Now()))
 }
 
-// Held returns the cached tokens of each program now, sorted by program.
+// Held returns the number of cached tokens and the lease of each program, sorted by
+// program.
 func (e *Engine) Held() []enginev1.Held {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/lab/modelengine/cache.go
+++ b/internal/lab/modelengine/cache.go
@@ -61,11 +61,11 @@
 
 // prefixCache is a least-recently-used cache of blocks. Not safe for concurrent use.
 type prefixCache struct {
-	capacity int // blocks
+	capacity int // in blocks
 	blocks   map[uint64]*block
 	recent   *list.List // of *block; front: most recently used
 	programs map[string]*programEntry
-	emit     func(kind, program string, prefix uint64, tokens int64) // reports a cache event with the number of tokens that the program then has cached
+	emit     func(kind, program string, prefix uint64, tokens int64) // emits a cache event; the tokens parameter is what the program has cached after it
 }
 
 func newPrefixCache(tokens int64, emit func(kind, program string, prefix uint64, tokens int64)) *prefixCache {
--- a/internal/lab/platformengine/platformengine.go
+++ b/internal/lab/platformengine/platformengine.go
@@ -22,13 +22,14 @@
 	Canceled bool   // the caller disconnected while the run was blocked
 }
 
-// Behaviour says how an engine treats a request. The zero value is success.
+// Behaviour says how an engine treats a request. With the zero value, the request
+// succeeds.
 type Behaviour struct {
-	// Reject is a status to respond with, without executing the request. The
-	// response has the Not-Executed header.
+	// Reject, if not 0, is the status of a response with the Not-Executed header.
+	// The request is not executed.
 	Reject int
-	// Fail is a status to respond with after the run. The response has the
-	// Server-Stamp header of the engine.
+	// Fail, if not 0, is the status of the response after the run. The response
+	// has the engine's Server-Stamp header.
 	Fail int
 	// DropAnswer closes the connection after the run without a response.
 	DropAnswer bool
--- a/internal/lab/weightstore/weightstore.go
+++ b/internal/lab/weightstore/weightstore.go
@@ -14,7 +14,7 @@
 // Options configure a weight store.
 type Options struct {
 	Sizes             map[string]int64 // size in bytes by "model/version"
-	DefaultBytes      int64            // size of versions that are not in Sizes; with 0 they get status 404
+	DefaultBytes      int64            // size of versions that are not in Sizes; 0 means that they get status 404
 	RequestsPerSecond float64          // rate limit for all clients together; 0 means none
 	Burst             int              // requests that may exceed the rate at once
 }
--- a/internal/lab/workload/brackenlaw.go
+++ b/internal/lab/workload/brackenlaw.go
@@ -41,7 +41,8 @@
 // Brackenlaw generates fifteen minutes at a month end of a factoring platform:
 // assessments, which are sequences of model calls with tool pauses and
 // sub-agents. The assessments of one tenant share a long prefix, and one tenant
-// causes about a third of the arrivals in the peak. The scale multiplies the rate of arrivals.
+// causes about a third of the arrivals in the peak. The scale multiplies the rate
+// of arrivals.
 func Brackenlaw(seed uint64, scale float64) Trace {
 	zones := []identity.Zone{"leith-a", "leith-b", "govan-a", "govan-b"}
 	monthEnd := arrivalRate{length: 15 * time.Minute, peakFrom: 4 * time.Minute, peakTo: 12 * time.Minute, peakFactor: 1.8}
--- a/internal/lab/workload/fleet.go
+++ b/internal/lab/workload/fleet.go
@@ -6,8 +6,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// generation is the hardware generation of an engine. Its fields have
-// the same units as those of Engine.
+// generation is the hardware generation of an engine. Its fields have the same
+// units as those of Engine.
 type generation struct {
 	name          string
 	prefillPerSec float64
--- a/internal/lab/workload/random.go
+++ b/internal/lab/workload/random.go
@@ -80,8 +80,8 @@
 	return 1
 }
 
-// arrivals draws the moments of a Poisson process whose rate is perSecond times
-// the relative rate, as offsets from the start in rising order.
+// arrivals draws the arrival times of a Poisson process, as offsets from the start
+// in rising order. Its rate is perSecond times the relative rate.
 func (s arrivalRate) arrivals(random randomSource, perSecond float64) []time.Duration {
 	var moments []time.Duration
 	if !(perSecond > 0) {
