--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -2,78 +2,89 @@
 
 import "time"
 
-// Who goes first where room is short.
+// Parameters of Reach.
 const (
-	// shortFrom is the part of the bound that is taken from which room is short: below it
-	// nobody is held back. At a half, the more urgent of two kinds of programs is served as
-	// well as before when the other kind comes at 2.6 times its usual rate; at 0.85 it is
-	// served less than the kind that grew (simulation in this package).
-	shortFrom = 0.5
-	// aheadShare is how far over the mean of the tenants one is ahead: what each spends
-	// within spentFor swings by some tenths without any difference in what is asked.
-	aheadShare = 1.25
-	// leastOfShare bounds how far a tenant is held back.
-	leastOfShare = 0.25
-	// starvedShare is the part of the mean below which a tenant goes before all others.
+	// contentionFill is the fraction of the bound in use from which on priorities and shares
+	// limit programs. It is low enough to serve high-priority programs first when the load of
+	// other programs grows.
+	contentionFill = 0.5
+	// maxFairShare is the share above which a tenant is limited. It is above 1 because the
+	// tenants' spending fluctuates even if their demand is the same.
+	maxFairShare = 1.25
+	// minShareFraction is the lowest factor by which Reach multiplies the fraction of the bound
+	// for a tenant above maxFairShare.
+	minShareFraction = 0.25
+	// starvedShare is the share below which a tenant may use the whole bound at any priority.
 	starvedShare = 0.25
-	// keptBack of the bound is kept from each further step of priority, for more urgent
-	// requests; mostKeptBack bounds it, so that the least urgent are served as well.
-	keptBack     = 0.1
-	mostKeptBack = 0.2
-	// lateOf is the part of the bound that may be taken when a program begins that can't end
-	// in its time any more.
-	lateOf = 0.5
+	// reservePerPriority is the fraction of the bound that each priority level leaves to the
+	// next higher one. maxPriorityReserve limits the sum, so that the lowest priority is
+	// served, too.
+	reservePerPriority = 0.1
+	maxPriorityReserve = 0.2
+	// lateFraction is the fraction of the bound that a program may use if it can no longer
+	// meet its deadline.
+	lateFraction = 0.5
 )
 
-// Claimant is who asks for a program to begin.
+// Claimant describes a program that is to start.
 type Claimant struct {
 	Priority int // 0 is the highest
-	// Share is what the tenant spent lately against the mean of the tenants; 0: it spent
-	// nothing; 1 where there are no tenants.
+	// Share is the tenant's recent spending relative to the mean of all tenants. It is 0 if
+	// the tenant has spent nothing, and 1 without tenants.
 	Share float64
-	// Late tells that the program can't end in its time any more.
+	// Late is set if the program can no longer meet its deadline.
 	Late bool
 }
 
-// Reach is the part of the bound up to which the claimant may begin a program, and what
-// holds it back; fill is how much of the bound is taken. What tenants spent are virtual
-// counters: who is ahead of the mean gets as much less of the bound, until the others have
-// caught up.
+// Reach returns the fraction of the bound up to which the claimant may start a program, and
+// the cause to give if it is refused. fill is the fraction of the bound in use.
+//
+// A program that can no longer meet its deadline gets lateFraction. Other programs may use the
+// whole bound while fill is below contentionFill, or if their tenant is below starvedShare.
+// Otherwise each priority level below the highest reduces the fraction by reservePerPriority, by
+// maxPriorityReserve at most. For a share above maxFairShare, the fraction is then multiplied by
+// maxFairShare/share, but not by less than minShareFraction.
 func Reach(claimant Claimant, fill float64) (float64, Cause) {
 	if claimant.Late {
-		return lateOf, CauseLate
+		return lateFraction, CauseLate
 	}
-	if fill < shortFrom || claimant.Share < starvedShare {
+	if fill < contentionFill || claimant.Share < starvedShare {
 		return 1, CauseFull
 	}
-	reach, cause := 1.0, CauseFull
+	fraction, cause := 1.0, CauseFull
 	if claimant.Priority > 0 {
-		reach, cause = 1-min(keptBack*float64(claimant.Priority), mostKeptBack), CauseUrgent
+		fraction, cause = 1-min(reservePerPriority*float64(claimant.Priority), maxPriorityReserve), CauseUrgent
 	}
-	if claimant.Share > aheadShare {
-		reach, cause = reach*max(aheadShare/claimant.Share, leastOfShare), CauseShare
+	if claimant.Share > maxFairShare {
+		fraction, cause = fraction*max(maxFairShare/claimant.Share, minShareFraction), CauseShare
 	}
-	return reach, cause
+	return fraction, cause
 }
 
-// When refused callers come back.
+// Parameters of ComeBack.
 const (
-	soonestBack = 100 * time.Millisecond
-	latestBack  = 4 * time.Second
-	// usualProgram is taken for the time of a program before one has ended.
-	usualProgram = time.Second
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
+	// defaultProgramDuration is the assumed duration of a program before any has ended.
+	defaultProgramDuration = time.Second
 )
 
-// ComeBack spreads refused callers over the time in which there will be room for them: what
-// is asked within the time of a program needs as many such times as it has bounds.
-func ComeBack(asked, bound float64, usual time.Duration, random float64) time.Duration {
-	if usual <= 0 {
-		usual = usualProgram
+// ComeBack returns a random wait before a refused caller should try again. The waits spread the
+// callers from minRetryAfter to the time that it takes to serve the demand. This time is limited to
+// the range from twice minRetryAfter to maxRetryAfter. If the demand during the mean duration of a
+// program is n times the bound, serving this demand takes n such durations. If the bound is 0, one
+// such duration is assumed.
+//
+// demandPerSecond is in tokens per second, and bound is the number of available tokens. If
+// meanDuration is 0, defaultProgramDuration is used. random, from 0 to 1, selects the wait.
+func ComeBack(demandPerSecond, bound float64, meanDuration time.Duration, random float64) time.Duration {
+	if meanDuration <= 0 {
+		meanDuration = defaultProgramDuration
 	}
-	needed := usual
+	serveTime := meanDuration
 	if bound > 0 {
-		needed = time.Duration(asked * usual.Seconds() / bound * float64(usual))
+		serveTime = time.Duration(demandPerSecond * meanDuration.Seconds() / bound * float64(meanDuration))
 	}
-	span := min(max(needed, 2*soonestBack), latestBack)
-	return soonestBack + time.Duration(random*float64(span-soonestBack))
+	maxWait := min(max(serveTime, 2*minRetryAfter), maxRetryAfter)
+	return minRetryAfter + time.Duration(random*float64(maxWait-minRetryAfter))
 }
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -7,68 +7,70 @@
 	"github.com/thymeloft/thymeloft/internal/mechanism"
 )
 
-// Request is what placement needs to know of a request.
+// Request holds the properties of a request that placement uses.
 type Request struct {
-	Affinity string // requests with the same text share prefixes; empty: none
-	Prefix   []PromptPart
-	// Everywhere is how many parts of the prefix every engine keeps (Sharing.Note).
+	Affinity string       // requests with equal values share prompt prefixes; empty if there is none
+	Prefix   []PromptPart // parts of the prompt, in order
+	// Everywhere is the number of leading parts of Prefix that every engine is assumed to have
+	// cached, as returned by Sharing.Note.
 	Everywhere int
-	Zone       string // of this process
-	Slots      int    // of the service's engines, if declared
-	Excluded   []string
-	// Order differs from process to process and stays the same in one: requests
-	// without an affinity go to the same few instances first, and so over few connections.
+	Zone       string   // zone of this process
+	Slots      int      // slots of each engine of the service; 0 if not declared
+	Excluded   []string // IDs of instances that must not be chosen
+	// Order seeds the placement of requests without an affinity. It is constant within a process
+	// and differs between processes, so that each process prefers a few instances and needs few
+	// connections.
 	Order uint64
-	// LeavingAllowed is how long an instance that is gone may still be used
-	// when there is no other: its entry may have lapsed while it serves on.
+	// LeavingAllowed is how long a draining or gone instance may still be used if no other is
+	// usable: the registration of an instance may expire while it still serves.
 	LeavingAllowed time.Duration
 	Now            time.Time
-	// Off is what placement goes without; for experiments.
+	// Off lists the mechanisms that are disabled, for experiments.
 	Off mechanism.Off
 }
 
-// Choose picks an instance, or nil if none is fit. It is a pure function of
-// the request and what is known of the instances.
+// Choose returns the best instance for the request, or nil if none is usable. The choice depends
+// only on the request and on the state of the instances.
 //
-// Order: instances that are healthy and stay; then those that begin their answers too
-// late for any use; then those that failed often lately, then ejected ones (better a try than a
-// refusal); then those that left a moment ago. Within an order the lowest
-// cost wins. A slow instance has no order of its own: it is used for what it is worth.
+// Instances are ranked by class: healthy ones, then those whose responses start late, then those
+// with many recent failures, then ejected ones, then those that began draining or were gone less
+// than LeavingAllowed ago. Within a class the instance with the lowest cost is chosen. Slow
+// instances have no class of their own: their speed is part of the cost.
 func Choose(instances []*Instance, request *Request) *Instance {
-	var firstByte decayedMean
+	var allFirstBytes decayedMean
 	for _, instance := range instances {
-		firstByte = firstByte.plus(instance.quality.measure(request.Now).firstByte)
+		allFirstBytes = allFirstBytes.plus(instance.quality.snapshot(request.Now).firstByte)
 	}
-	usual := referenceOf(instances, request)
-	inHaste := hasty(request, usual)
+	baseline := computeSpeedBaseline(instances, request)
+	preferFast := prefersFast(request, baseline)
 	var best *Instance
 	bestClass, bestCost := classUnfit, math.Inf(1)
 	for _, instance := range instances {
-		class := classOf(instance, request, firstByte)
-		if class == classUnfit || class > bestClass {
+		instanceClass := classOf(instance, request, allFirstBytes)
+		if instanceClass == classUnfit || instanceClass > bestClass {
 			continue
 		}
-		cost := costOf(instance, request, usual, inHaste)
-		if class < bestClass || cost < bestCost {
-			best, bestClass, bestCost = instance, class, cost
+		cost := costOf(instance, request, baseline, preferFast)
+		if instanceClass < bestClass || cost < bestCost {
+			best, bestClass, bestCost = instance, instanceClass, cost
 		}
 	}
 	return best
 }
 
-// class orders instances by fitness; smaller is better.
+// class ranks instances by fitness; lower is better.
 type class uint8
 
 const (
-	classReady class = iota
-	classLate
-	classFailing
+	classReady   class = iota
+	classLate          // its responses start late
+	classFailing       // it had many failures recently
 	classEjected
-	classLeft
-	classUnfit
+	classLeft  // it began draining or was gone less than LeavingAllowed ago
+	classUnfit // it must not be chosen
 )
 
-func classOf(instance *Instance, request *Request, firstByte decayedMean) class {
+func classOf(instance *Instance, request *Request, allFirstBytes decayedMean) class {
 	for _, excluded := range request.Excluded {
 		if instance.ID == excluded {
 			return classUnfit
@@ -80,17 +82,17 @@
 		}
 		return classUnfit
 	}
-	if instance.health.ejected(request.Now) && !request.Off.Has(mechanism.Ejection) {
+	if instance.health.isEjected(request.Now) && !request.Off.Has(mechanism.Ejection) {
 		return classEjected
 	}
 	if request.Off.Has(mechanism.QualityClasses) {
 		return classReady
 	}
-	shown := instance.quality.measure(request.Now)
+	snapshot := instance.quality.snapshot(request.Now)
 	switch {
-	case shown.failing:
+	case snapshot.failing:
 		return classFailing
-	case shown.firstByte.late(firstByte):
+	case snapshot.firstByte.isLate(allFirstBytes):
 		return classLate
 	default:
 		return classReady
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -15,29 +15,30 @@
 
 const testProgram = identity.Program("p0001-aaaaaaaaaaaaaaaaaaaaaaaaaa")
 
-// backEnd serves a stand-in; meddle answers in its place where it returns true.
-type backEnd struct {
-	address string
-	meddle  func(http.ResponseWriter, *http.Request) bool
-	posts   atomic.Int64
+// testBackEnd serves a handler over HTTP and counts the posts. If intercept is
+// set, it is called first and returns true for requests that it has answered.
+type testBackEnd struct {
+	address   string
+	intercept func(http.ResponseWriter, *http.Request) bool
+	posts     atomic.Int64
 }
 
-func serve(standIn http.Handler) *backEnd {
-	served := &backEnd{}
+func serve(handler http.Handler) *testBackEnd {
+	backEnd := &testBackEnd{}
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method == http.MethodPost {
-			served.posts.Add(1)
+			backEnd.posts.Add(1)
 		}
-		if served.meddle == nil || !served.meddle(writer, request) {
-			standIn.ServeHTTP(writer, request)
+		if backEnd.intercept == nil || !backEnd.intercept(writer, request) {
+			handler.ServeHTTP(writer, request)
 		}
 	}))
-	served.address = server.URL
+	backEnd.address = server.URL
 	DeferCleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return served
+	return backEnd
 }
 
 func modelOrder(address string) dispatch.Order {
--- a/internal/execution/prefix.go
+++ b/internal/execution/prefix.go
@@ -8,49 +8,52 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// mostPrefixRuns bounds how many beginnings of a prompt are looked at:
-// instructions and dossiers that programs share come first.
-const mostPrefixRuns = 4
+// maxPromptPrefixes is the maximum number of prefixes computed per prompt. A few are
+// enough, because shared content such as instructions comes first in a prompt.
+const maxPromptPrefixes = 4
 
-// prefixRuns gives the beginnings of the prompt that other programs may
-// share, the shortest first: one ends after each of its first messages.
-func prefixRuns(call *program.CallSpec, history []program.Message) []engine.PrefixRun {
+// promptPrefixes returns the prefixes of the prompt that other programs may share,
+// shortest first. There is one for each of the first maxPromptPrefixes messages,
+// which covers the prompt up to the end of that message.
+func promptPrefixes(call *program.CallSpec, history []program.Message) []engine.PrefixRun {
 	digest := xxhash.New()
-	mix := func(text string) {
+	write := func(text string) {
 		_, _ = digest.WriteString(text)
 		_, _ = digest.Write([]byte{0})
 	}
-	mix(call.Name)
-	mix(call.Adapter)
-	var runs []engine.PrefixRun
+	write(call.Name)
+	write(call.Adapter)
+	var prefixes []engine.PrefixRun
 	var tokens int64
 	for _, messages := range [][]program.Message{history, call.Messages} {
 		for index := range messages {
-			if len(runs) == mostPrefixRuns {
-				return runs
+			if len(prefixes) == maxPromptPrefixes {
+				return prefixes
 			}
-			mix(messages[index].Role)
-			mix(messages[index].Content)
+			write(messages[index].Role)
+			write(messages[index].Content)
 			tokens += estimateTokens(messages[index : index+1])
-			runs = append(runs, engine.PrefixRun{Hash: digest.Sum64(), Tokens: tokens})
+			prefixes = append(prefixes, engine.PrefixRun{Hash: digest.Sum64(), Tokens: tokens})
 		}
 	}
-	return runs
+	return prefixes
 }
 
-// sharedPrefix is the longest beginning that some engine holds; zero: none.
-func sharedPrefix(snapshot *scheduling.Snapshot, runs []engine.PrefixRun) uint64 {
-	for index := len(runs) - 1; index >= 0; index-- {
-		if len(snapshot.SharedPrefixes[runs[index].Hash]) > 0 {
-			return runs[index].Hash
+// sharedPrefix returns the hash of the longest of the prefixes that some engine
+// has cached, or 0 if there is none.
+func sharedPrefix(snapshot *scheduling.Snapshot, prefixes []engine.PrefixRun) uint64 {
+	for index := len(prefixes) - 1; index >= 0; index-- {
+		if len(snapshot.SharedPrefixes[prefixes[index].Hash]) > 0 {
+			return prefixes[index].Hash
 		}
 	}
 	return 0
 }
 
-// noteServed tells the fleet what the engine holds now.
-func (r *run) noteServed(engineID string, call *program.Call) {
+// recordServed tells the fleet that the engine now has the prefixes of the call's
+// prompt cached. It does nothing if the fleet does not track prefixes.
+func (r *run) recordServed(engineID string, call *program.Call) {
 	if learner, ok := r.lead.service.options.Fleet.(engine.PrefixLearner); ok {
-		learner.Served(engineID, prefixRuns(&call.Spec, r.history))
+		learner.Served(engineID, promptPrefixes(&call.Spec, r.history))
 	}
 }
--- a/internal/program/intern.go
+++ b/internal/program/intern.go
@@ -1,18 +1,22 @@
 package program
 
-// maxInterned bounds the table; names of machines, engines and models are few.
+// maxInterned is the maximum number of interned strings. A deployment has fewer
+// machines, engines and models; further strings are kept but not interned.
 const maxInterned = 4096
 
-// interner keeps one copy of each short name that recurs in attempts and
-// answers, since decoding makes a new copy for each command.
+// interner stores one copy of each short string that recurs in commands, such as
+// engine names. This saves memory because decoding a command allocates new
+// strings.
 type interner map[string]string
 
+// intern replaces *value by the stored copy of an equal string. It stores the
+// string first if there is none and the table is not full.
 func intern[S ~string](names interner, value *S) {
 	if *value == "" {
 		return
 	}
-	if known, ok := names[string(*value)]; ok {
-		*value = S(known)
+	if copied, ok := names[string(*value)]; ok {
+		*value = S(copied)
 		return
 	}
 	if len(names) < maxInterned {
@@ -20,29 +24,29 @@
 	}
 }
 
-func (names interner) command(command *Command) {
+func (names interner) internCommand(command *Command) {
 	intern(names, &command.Tenant)
 	intern(names, &command.Class)
-	names.spec(&command.Call)
-	names.attempt(&command.Attempt)
-	names.answer(command.Answer)
+	names.internSpec(&command.Call)
+	names.internAttempt(&command.Attempt)
+	names.internAnswer(command.Answer)
 }
 
-func (names interner) aggregate(owner *aggregate) {
-	intern(names, &owner.Tenant)
-	intern(names, &owner.Class)
-	intern(names, &owner.State)
-	for _, call := range owner.Calls {
+func (names interner) internProgram(program *programRecord) {
+	intern(names, &program.Tenant)
+	intern(names, &program.Class)
+	intern(names, &program.State)
+	for _, call := range program.Calls {
 		intern(names, &call.State)
-		names.spec(&call.Spec)
-		names.answer(call.Answer)
+		names.internSpec(&call.Spec)
+		names.internAnswer(call.Answer)
 		for i := range call.Attempts {
-			names.attempt(&call.Attempts[i])
+			names.internAttempt(&call.Attempts[i])
 		}
 	}
 }
 
-func (names interner) spec(spec *CallSpec) {
+func (names interner) internSpec(spec *CallSpec) {
 	intern(names, &spec.Target)
 	intern(names, &spec.Name)
 	intern(names, &spec.Adapter)
@@ -52,7 +56,7 @@
 	}
 }
 
-func (names interner) attempt(attempt *Attempt) {
+func (names interner) internAttempt(attempt *Attempt) {
 	intern(names, &attempt.Process.Machine)
 	intern(names, &attempt.Process.Address)
 	intern(names, &attempt.Process.Zone)
@@ -61,7 +65,7 @@
 	intern(names, &attempt.Address)
 }
 
-func (names interner) answer(answer *Answer) {
+func (names interner) internAnswer(answer *Answer) {
 	if answer == nil {
 		return
 	}
--- /dev/null
+++ b/internal/quota/acquisition.go
@@ -0,0 +1,193 @@
+package quota
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/thymeloft/thymeloft/internal/members"
+	"github.com/thymeloft/thymeloft/internal/peer"
+)
+
+// acquisition is one request's attempt to get a permit from any part of its tenant's
+// quota. It is used by a single goroutine.
+type acquisition struct {
+	limiter    *Limiter
+	request    Request
+	remaining  []candidate // parts not asked yet, in the order in which to ask them
+	pending    int         // number of calls without an answer yet
+	answers    chan answer
+	retryAfter time.Duration // shortest wait after which a permit may be free; maxWait: not known
+	decision   Decision
+}
+
+// candidate is a part of the quota and its keeper.
+type candidate struct {
+	part   partKey
+	keeper members.Member
+}
+
+// answer is the result of one call to a keeper.
+type answer struct {
+	candidate
+	reply TakeReply
+	err   error
+}
+
+// newAcquisition returns an attempt for the request and determines the order in which it asks
+// the parts. Parts with a keeper in the local zone come first, because that keeper is closer and
+// stays reachable when other zones are cut off. Parts whose keeper is avoided after a failed call
+// come last. Within each group the order is random, which spreads the load evenly over the parts.
+// Parts that are known to be empty, or whose keeper is unknown or in a silent zone, are left out.
+func newAcquisition(limiter *Limiter, request Request) *acquisition {
+	attempt := &acquisition{limiter: limiter, request: request, answers: make(chan answer, limiter.settings.Parts), retryAfter: maxWait}
+	var remote, avoided []candidate
+	ownZone := limiter.directory.Self().Zone
+	for _, number := range rand.Perm(limiter.settings.Parts) {
+		part := partKey{tenant: request.Tenant, number: number}
+		if attempt.isKnownEmpty(part) {
+			continue
+		}
+		keeper, known := limiter.directory.Keeper(claimOwner(part.tenant), part.number)
+		switch {
+		case !known, limiter.directory.Silent(keeper):
+			attempt.decision.Silent++
+		case limiter.isAvoided(keeper.Process.Machine):
+			avoided = append(avoided, candidate{part, keeper})
+		case keeper.Process.Zone != ownZone:
+			remote = append(remote, candidate{part, keeper})
+		default:
+			attempt.remaining = append(attempt.remaining, candidate{part, keeper})
+		}
+	}
+	attempt.remaining = append(append(attempt.remaining, remote...), avoided...)
+	return attempt
+}
+
+// isKnownEmpty reports whether, by an earlier answer of its keeper, the part still has no permit
+// for such a request. If so, isKnownEmpty also updates retryAfter and the decision.
+func (a *acquisition) isKnownEmpty(part partKey) bool {
+	until, found := a.limiter.emptyUntil.Get(a.emptyKey(part))
+	wait := until.Sub(a.limiter.now())
+	if !found || wait <= 0 {
+		return false
+	}
+	a.retryAfter = min(a.retryAfter, wait)
+	a.decision.Known++
+	return true
+}
+
+func (a *acquisition) emptyKey(part partKey) emptyPartKey {
+	return emptyPartKey{part: part, underWay: a.request.UnderWay, revision: a.request.Revision}
+}
+
+// run asks the keepers one after another and returns the first permit. It returns nil if no
+// keeper grants a permit within callTimeout, or if the parent context ends first. When a keeper
+// is slow, run also asks the next one. Permits that arrive after run has returned are given back.
+func (a *acquisition) run(parent context.Context) *Taken {
+	ctx, cancel := context.WithTimeout(parent, callTimeout)
+	defer cancel()
+	hedgeTimer := time.NewTimer(hedgeDelay)
+	defer hedgeTimer.Stop()
+	defer a.releasePending()
+	for len(a.remaining) > 0 || a.pending > 0 {
+		if a.pending == 0 {
+			if taken := a.askNext(ctx); taken != nil {
+				return taken
+			}
+			continue
+		}
+		select {
+		case received := <-a.answers:
+			a.pending--
+			if taken := a.handleAnswer(received); taken != nil {
+				return taken
+			}
+		case <-hedgeTimer.C:
+			hedgeTimer.Reset(hedgeDelay)
+			if taken := a.askNext(ctx); taken != nil {
+				return taken
+			}
+		case <-ctx.Done():
+			a.decision.Silent += a.pending + len(a.remaining)
+			return nil
+		}
+	}
+	return nil
+}
+
+// askNext asks the next keeper, if any. A remote keeper is called in a goroutine, which sends the
+// answer to a.answers. If this daemon is the keeper, askNext handles the answer itself and returns
+// the permit, if there is one.
+func (a *acquisition) askNext(ctx context.Context) *Taken {
+	if len(a.remaining) == 0 {
+		return nil
+	}
+	next := a.remaining[0]
+	a.remaining = a.remaining[1:]
+	a.decision.Asked++
+	request := TakeRequest{
+		Tenant: a.request.Tenant, Part: next.part.number, UnderWay: a.request.UnderWay,
+		PerSecond: a.request.Quota.PerSecond, Burst: a.request.Quota.Burst, Revision: a.request.Revision,
+	}
+	if next.keeper.Process == a.limiter.directory.Self() {
+		received := answer{candidate: next}
+		received.err = a.limiter.keeper.Take(request, &received.reply)
+		return a.handleAnswer(received)
+	}
+	a.pending++
+	go func() {
+		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+		defer cancel()
+		received := answer{candidate: next}
+		received.err = a.limiter.caller.Call(callCtx, next.keeper.Process.Address, peer.Control, methodTake, request, &received.reply)
+		a.answers <- received
+	}()
+	return nil
+}
+
+// handleAnswer records the answer of a keeper and returns the permit, or nil if there is none.
+func (a *acquisition) handleAnswer(received answer) *Taken {
+	if received.err != nil {
+		a.decision.Silent++
+		a.limiter.avoid(received.keeper, received.err.Error())
+		return nil
+	}
+	a.limiter.directory.Answered(received.keeper)
+	a.decision.Keeper, a.decision.Level = string(received.keeper.Process.Machine), received.reply.Level
+	switch received.reply.Verdict {
+	case VerdictTaken:
+		return a.newTaken(received)
+	case VerdictRefused:
+		a.retryAfter = min(a.retryAfter, received.reply.Back)
+		if received.keeper.Process != a.limiter.directory.Self() {
+			a.limiter.emptyUntil.Add(a.emptyKey(received.part), a.limiter.now().Add(received.reply.Empty))
+		}
+	default:
+		a.decision.Silent++
+	}
+	return nil
+}
+
+func (a *acquisition) newTaken(received answer) *Taken {
+	giveBack := GiveBackRequest{Tenant: a.request.Tenant, Part: received.part.number, Place: received.reply.Place}
+	return &Taken{limiter: a.limiter, keeper: received.keeper, giveBack: giveBack}
+}
+
+// releasePending waits in the background for the calls that are still pending, and gives
+// back the permits that they return.
+func (a *acquisition) releasePending() {
+	if a.pending == 0 {
+		return
+	}
+	go func(pending int) {
+		for range pending {
+			received := <-a.answers
+			if received.err != nil {
+				a.limiter.avoid(received.keeper, received.err.Error())
+			} else if received.reply.Verdict == VerdictTaken {
+				a.newTaken(received).Return()
+			}
+		}
+	}(a.pending)
+}
--- a/internal/server/collaboration.go
+++ b/internal/server/collaboration.go
@@ -24,57 +24,59 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// collaboration is what this daemon shares with others: the store, reached
-// directly or through them, and the budgets that one of them holds.
-type collaboration struct {
-	availability *state.Availability
-	client       *state.Client
-	budgets      *budget.Shared
-	ledger       *budget.Ledger
-	turns        *turn.Records
-	list         *members.List
-	lease        *members.Lease
-	stopLease    context.CancelFunc
-	removal      *retention.Queue
-	loads        *load.Exchange
-	quotas       *quota.Limiter
-	keeper       *quota.Keeper
-	tellsLoads   bool
-	admission    *admission.Controller // nil: switched off
-	server       *peer.Server
-	pool         *peer.Pool
-	log          *zap.Logger
+// components holds the objects that use the store or communicate with other
+// daemons.
+type components struct {
+	availability   *state.Availability
+	client         *state.Client
+	budgets        *budget.Shared
+	ledger         *budget.Ledger
+	turns          *turn.Records
+	members        *members.List
+	lease          *members.Lease
+	stopLease      context.CancelFunc
+	removalQueue   *retention.Queue
+	loads          *load.Exchange
+	quotas         *quota.Limiter
+	quotaKeeper    *quota.Keeper
+	exchangesLoads bool                  // whether daemons tell each other the loads of instances
+	admission      *admission.Controller // nil if programs are not limited
+	peerServer     *peer.Server
+	peerPool       *peer.Pool
+	log            *zap.Logger
 }
 
-// shortestRenewal is the least time between two renewals of this daemon's
-// lease: who died is passed over at once by who calls it, so that the lease's end
-// only shortens the list.
-const shortestRenewal = 10 * time.Second
+// minLeaseRenewal is the shortest time between two renewals of this daemon's
+// lease. It can be long because other daemons skip a daemon as soon as a call to
+// it fails; the end of its lease only removes it from the member list.
+const minLeaseRenewal = 10 * time.Second
 
-// goodbyeWait bounds how long a planned stop waits for the store at its end; it
-// is below endMargin.
-const goodbyeWait = 300 * time.Millisecond
+// endLeaseTimeout limits the last call to the store in a planned stop. It must be
+// shorter than graceMargin.
+const endLeaseTimeout = 300 * time.Millisecond
 
-// Bounds of calls between daemons.
+// Limits of calls between daemons.
 const (
-	peerDialTimeout  = 300 * time.Millisecond
-	peerWriteTimeout = time.Second
-	peerBackoff      = 500 * time.Millisecond
-	peerMessageBytes = 4 << 20
-	peerClose        = 200 * time.Millisecond
+	peerDialTimeout     = 300 * time.Millisecond
+	peerWriteTimeout    = time.Second
+	peerMaxBackoff      = 500 * time.Millisecond
+	peerMaxMessageBytes = 4 << 20
+	peerCloseTimeout    = 200 * time.Millisecond
 )
 
-// collaborate listens for other daemons and makes the ways to them.
-func (s *Server) collaborate() (*collaboration, error) {
-	options := peer.Options{
-		DialTimeout: peerDialTimeout, WriteTimeout: peerWriteTimeout, BackoffMax: peerBackoff,
-		MaxMessageBytes: peerMessageBytes, CloseTimeout: peerClose, Logger: s.Log, Registerer: s.Registry,
-	}
-	listening, err := peer.Listen(s.Settings.Listen.Peers, options)
+// newComponents opens the listener for other daemons, creates all components and
+// registers their metrics. The peer server and the pool run from then on, the other
+// components only after start.
+func (s *Server) newComponents() (*components, error) {
+	peerOptions := peer.Options{
+		DialTimeout: peerDialTimeout, WriteTimeout: peerWriteTimeout, BackoffMax: peerMaxBackoff,
+		MaxMessageBytes: peerMaxMessageBytes, CloseTimeout: peerCloseTimeout, Logger: s.Log, Registerer: s.Registry,
+	}
+	rpcServer, err := peer.Listen(s.Settings.Listen.Peers, peerOptions)
 	if err != nil {
-		return nil, eris.Wrap(err, "listen for daemons")
+		return nil, eris.Wrap(err, "open the peer listener")
 	}
-	address := listening.Address()
+	address := rpcServer.Address()
 	if s.Settings.Listen.Advertise != "" {
 		address = s.Settings.Listen.Advertise
 	}
@@ -82,151 +84,157 @@
 		Machine: identity.Machine(s.Settings.Machine), Zone: identity.Zone(s.Settings.Zone), Region: identity.Region(s.Settings.Region),
 		Address: address, Incarnation: identity.Incarnation(time.Now().UnixNano()),
 	}, Capacity: s.Settings.ProcessorShare}
-	parts := &collaboration{
-		list:   members.NewList(self, time.Now, s.Log),
-		server: listening,
-		pool:   peer.NewPool(options),
-		log:    s.Log,
-	}
-	parts.list.WatchZones = !s.Settings.Disabled.Has(mechanism.SilentZones)
-	parts.list.OnZoneBack = func(addresses []string, silent time.Duration) {
+	c := &components{
+		members:    members.NewList(self, time.Now, s.Log),
+		peerServer: rpcServer,
+		peerPool:   peer.NewPool(peerOptions),
+		log:        s.Log,
+	}
+	c.members.WatchZones = !s.Settings.Disabled.Has(mechanism.SilentZones)
+	c.members.OnZoneBack = func(addresses []string, silence time.Duration) {
 		for _, address := range addresses {
-			parts.pool.RetireUnanswered(address, silent)
+			c.peerPool.RetireUnanswered(address, silence)
 		}
 	}
-	parts.availability = state.NewAvailability(time.Now, s.noteStore)
-	parts.availability.PaceTries(func() time.Duration { return triesApart(parts.list.Count()) })
-	off := s.Settings.Disabled
+	c.availability = state.NewAvailability(time.Now, s.logStoreAvailability)
+	c.availability.PaceTries(func() time.Duration { return partitionRetryInterval(c.members.Count()) })
+	disabled := s.Settings.Disabled
 	storeOptions := state.ClientOptions{
-		Store: s.Store, Availability: parts.availability, NotHedged: off.Has(mechanism.HedgedCalls),
-		Probe: state.Single(s.Rows.ConfigurationKey()), OnFailure: s.noteCall,
-		Limiter: state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), Members: parts.list.Count, OnLowered: s.noteRate}),
-		Room:    state.NewRoom(state.RoomOptions{OnChange: s.noteRoom, OnRefused: func() { parts.removal.Hurry() }}),
-	}
-	if !off.Has(mechanism.StoreRelay) {
-		storeOptions.Alternative = storerelay.NewRelay(parts.list, parts.pool, s.Settings.Seeds)
-	}
-	parts.client = state.NewClient(storeOptions)
-	parts.lease = &members.Lease{
-		List: parts.list, Store: parts.client, FirstStart: s.Settings.FirstStart, ShortestRenewal: shortestRenewal, Log: s.Log,
-	}
-	parts.removal = retention.NewQueue(parts.client, time.Now, s.Log)
-	parts.ledger = budget.NewLedger(parts.client, programsKept, programsKeptFor)
-	if !off.Has(mechanism.Lending) {
-		parts.ledger.LendWith(budget.NewLender(parts.list.MayLend, time.Now, s.Log))
-	}
-	parts.budgets = budget.NewShared(parts.ledger, parts.list, parts.pool, parts.availability, s.Log)
-	parts.budgets.Near = s.Settings.NearBudgets && !off.Has(mechanism.NearBudgets)
-	parts.budgets.Alone = off.Has(mechanism.SharedBudgets)
-	parts.turns = turn.NewRecords(turn.Options{
-		Store: parts.client, RowBytes: s.Settings.Store.RowBytes, CacheEntries: turnsCached, CacheFor: turnsCachedFor,
-		CacheBytes: turnsCachedBytes, PieceBytes: piecesCachedBytes, Log: s.Log,
-		Now: time.Now, Removal: parts.removal, Others: &turn.Others{List: parts.list, Caller: parts.pool, Log: s.Log},
+		Store: s.Store, Availability: c.availability, NotHedged: disabled.Has(mechanism.HedgedCalls),
+		Probe: state.Single(s.Rows.ConfigurationKey()), OnFailure: s.logFailedCall,
+		Limiter: state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), Members: c.members.Count, OnLowered: s.logLoweredRate}),
+		Room:    state.NewRoom(state.RoomOptions{OnChange: s.logStoreRoom, OnRefused: func() { c.removalQueue.Hurry() }}),
+	}
+	if !disabled.Has(mechanism.StoreRelay) {
+		storeOptions.Alternative = storerelay.NewRelay(c.members, c.peerPool, s.Settings.Seeds)
+	}
+	c.client = state.NewClient(storeOptions)
+	c.lease = &members.Lease{
+		List: c.members, Store: c.client, FirstStart: s.Settings.FirstStart, ShortestRenewal: minLeaseRenewal, Log: s.Log,
+	}
+	c.removalQueue = retention.NewQueue(c.client, time.Now, s.Log)
+	c.ledger = budget.NewLedger(c.client, maxLedgerPrograms, maxLedgerProgramAge)
+	if !disabled.Has(mechanism.Lending) {
+		c.ledger.LendWith(budget.NewLender(c.members.MayLend, time.Now, s.Log))
+	}
+	c.budgets = budget.NewShared(c.ledger, c.members, c.peerPool, c.availability, s.Log)
+	c.budgets.Near = s.Settings.NearBudgets && !disabled.Has(mechanism.NearBudgets)
+	c.budgets.Alone = disabled.Has(mechanism.SharedBudgets)
+	c.turns = turn.NewRecords(turn.Options{
+		Store: c.client, RowBytes: s.Settings.Store.RowBytes, CacheEntries: maxCachedTurns, CacheFor: maxCachedTurnAge,
+		CacheBytes: maxCachedTurnBytes, PieceBytes: maxCachedPieceBytes, Log: s.Log,
+		Now: time.Now, Removal: c.removalQueue, Others: &turn.Others{List: c.members, Caller: c.peerPool, Log: s.Log},
 	})
-	parts.loads = &load.Exchange{List: parts.list, Caller: parts.pool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
-	parts.tellsLoads = !off.Has(mechanism.LoadBoard)
-	parts.keeper = quota.NewKeeper(s.Settings.quota(), parts.list, time.Now)
-	parts.quotas = quota.NewLimiter(quota.Options{
-		Settings: s.Settings.quota(), Keeper: parts.keeper, Directory: parts.list, Caller: parts.pool, Now: time.Now, Log: s.Log,
+	c.loads = &load.Exchange{List: c.members, Caller: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
+	c.exchangesLoads = !disabled.Has(mechanism.LoadBoard)
+	c.quotaKeeper = quota.NewKeeper(s.Settings.quotaSettings(), c.members, time.Now)
+	c.quotas = quota.NewLimiter(quota.Options{
+		Settings: s.Settings.quotaSettings(), Keeper: c.quotaKeeper, Directory: c.members, Caller: c.peerPool, Now: time.Now, Log: s.Log,
 	})
-	measured := []error{
-		parts.client.Measure(s.Registry), parts.list.Measure(s.Registry), parts.loads.Measure(s.Registry),
-		parts.quotas.Measure(s.Registry), parts.turns.Measure(s.Registry), s.Registry.Register(s.fleet.Collector()),
+	registrations := []error{
+		c.client.Measure(s.Registry), c.members.Measure(s.Registry), c.loads.Measure(s.Registry),
+		c.quotas.Measure(s.Registry), c.turns.Measure(s.Registry), s.Registry.Register(s.fleet.Collector()),
 	}
-	if err := errors.Join(measured...); err != nil {
+	if err := errors.Join(registrations...); err != nil {
 		return nil, err
 	}
-	if err := s.boundPrograms(parts); err != nil {
+	if err := s.enableAdmission(c); err != nil {
 		return nil, err
 	}
-	if err := s.register(parts); err != nil {
+	if err := s.registerServices(c); err != nil {
 		return nil, err
 	}
-	return parts, nil
+	return c, nil
 }
 
-// boundPrograms makes what decides whether programs may begin, and lets daemons tell each
-// other of their programs with the loads.
-func (s *Server) boundPrograms(parts *collaboration) error {
+// enableAdmission creates the controller that decides whether programs may begin,
+// if the settings ask for it. Daemons then also tell each other their numbers of
+// programs, together with the loads.
+func (s *Server) enableAdmission(c *components) error {
 	if !s.Settings.BoundPrograms || s.Settings.Disabled.Has(mechanism.Admission) {
 		return nil
 	}
-	parts.admission = admission.NewController(admission.Options{
-		Members: parts.list.Count, Services: func() []string { return s.routes.Current().ModelServices() }, Now: time.Now, Log: s.Log,
+	c.admission = admission.NewController(admission.Options{
+		Members: c.members.Count, Services: func() []string { return s.routes.Current().ModelServices() }, Now: time.Now, Log: s.Log,
 	})
-	parts.loads.Programs = parts.admission
-	return parts.admission.Measure(s.Registry)
+	c.loads.Programs = c.admission
+	return c.admission.Measure(s.Registry)
 }
 
-// register offers what other daemons may ask for.
-func (s *Server) register(parts *collaboration) error {
-	listening := parts.server
-	if err := listening.Register(budget.Service, budget.NewHolder(parts.ledger, s.life.Draining)); err != nil {
+// registerServices registers the RPC services that this daemon offers to others.
+func (s *Server) registerServices(c *components) error {
+	peerServer := c.peerServer
+	if err := peerServer.Register(budget.Service, budget.NewHolder(c.ledger, s.life.Draining)); err != nil {
 		return eris.Wrap(err, "serve budgets")
 	}
-	if err := listening.Register(turn.ServiceName, turn.NewService(parts.turns)); err != nil {
+	if err := peerServer.Register(turn.ServiceName, turn.NewService(c.turns)); err != nil {
 		return eris.Wrap(err, "serve recent turns")
 	}
-	if err := listening.Register(load.ServiceName, parts.loads.Board); err != nil {
-		return eris.Wrap(err, "serve the sums of loads")
+	if err := peerServer.Register(load.ServiceName, c.loads.Board); err != nil {
+		return eris.Wrap(err, "serve loads")
 	}
-	if err := listening.Register(quota.ServiceName, parts.keeper); err != nil {
+	if err := peerServer.Register(quota.ServiceName, c.quotaKeeper); err != nil {
 		return eris.Wrap(err, "serve quotas")
 	}
-	if err := listening.Register(members.ServiceName, members.Service{}); err != nil {
+	if err := peerServer.Register(members.ServiceName, members.Service{}); err != nil {
 		return eris.Wrap(err, "serve members")
 	}
-	relay := storerelay.NewService(s.Store, parts.client.DirectUsable)
-	return eris.Wrap(listening.Register(storerelay.ServiceName, relay), "serve the store's relay")
+	relay := storerelay.NewService(s.Store, c.client.DirectUsable)
+	return eris.Wrap(peerServer.Register(storerelay.ServiceName, relay), "serve the store relay")
 }
 
-// triesApart shares out how often all daemons together try partitions of the
-// store that failed.
-func triesApart(daemons int) time.Duration {
+// partitionRetryInterval returns the time that a daemon waits between two attempts
+// to use partitions of the store that have failed. It grows with the number of
+// daemons, so that all together make at most 250 attempts a second.
+func partitionRetryInterval(daemons int) time.Duration {
 	const (
-		shareOfEach = 4 * time.Millisecond
-		least       = 50 * time.Millisecond
+		perDaemon   = 4 * time.Millisecond
+		minInterval = 50 * time.Millisecond
 	)
-	return max(time.Duration(daemons)*shareOfEach, least)
+	return max(time.Duration(daemons)*perDaemon, minInterval)
 }
 
-// join tells the others of this daemon, and follows who they are.
-func (c *collaboration) join(ctx context.Context) {
-	var keeping context.Context
-	keeping, c.stopLease = context.WithCancel(ctx)
-	go c.lease.Run(keeping)
-	go watch.Run(ctx, c.list.Watch(c.client, membersWait), c.list)
-	if c.list.WatchZones {
-		go (&members.Prober{List: c.list, Caller: c.pool}).Run(ctx)
-	}
-	go c.removal.Run(ctx)
-	if c.tellsLoads {
+// start starts the goroutines of the components, which run until the context ends.
+// One of them registers this daemon in the member list and renews its lease; it also
+// ends with endLease.
+func (c *components) start(ctx context.Context) {
+	var leaseContext context.Context
+	leaseContext, c.stopLease = context.WithCancel(ctx)
+	go c.lease.Run(leaseContext)
+	go watch.Run(ctx, c.members.Watch(c.client, membersFeedTimeout), c.members)
+	if c.members.WatchZones {
+		go (&members.Prober{List: c.members, Caller: c.peerPool}).Run(ctx)
+	}
+	go c.removalQueue.Run(ctx)
+	if c.exchangesLoads {
 		go c.loads.Run(ctx)
 	}
-	go turn.Leftovers(c.client, c.list.Sweeps, time.Now, c.log).Run(ctx)
-	go piece.Leftovers(c.client, c.list.Sweeps, time.Now, c.log).Run(ctx)
-	go budget.Leftovers(c.client, c.list.Sweeps, time.Now, c.log).Run(ctx)
+	go turn.Leftovers(c.client, c.members.Sweeps, time.Now, c.log).Run(ctx)
+	go piece.Leftovers(c.client, c.members.Sweeps, time.Now, c.log).Run(ctx)
+	go budget.Leftovers(c.client, c.members.Sweeps, time.Now, c.log).Run(ctx)
 }
 
-// release gives back what is held of budgets.
-func (c *collaboration) release(ctx context.Context) {
+// releaseBudgets gives the unused tokens of all program budgets that this daemon
+// holds back to the store.
+func (c *components) releaseBudgets(ctx context.Context) {
 	programs, tokens := c.ledger.ReleaseAll(ctx)
 	if programs > 0 {
 		c.log.Info("budget: released.", zap.Int("programs", programs), zap.Int64("tokens", tokens))
 	}
 }
 
-// goodbye tells the others that this process is over.
-func (c *collaboration) goodbye() {
+// endLease stops the renewal of the lease and ends the lease, so that the other
+// daemons learn at once that this process has stopped.
+func (c *components) endLease() {
 	c.stopLease()
-	ctx, cancel := context.WithTimeout(context.Background(), goodbyeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), endLeaseTimeout)
 	defer cancel()
 	if err := c.lease.End(ctx); err != nil {
-		c.log.Warn("members: end not told; the lease runs out by itself.", zap.String("error", err.Error()))
+		c.log.Warn("members: the lease could not be ended; it will expire.", zap.String("error", err.Error()))
 	}
 }
 
-func (c *collaboration) close() {
-	_ = c.pool.Close()
-	_ = c.server.Close()
+func (c *components) close() {
+	_ = c.peerPool.Close()
+	_ = c.peerServer.Close()
 }
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -14,10 +14,10 @@
 	"github.com/rotisserie/eris"
 )
 
-// Description is the text above the list of flags.
-const Description = "thymeloftd is the one daemon of thymeloft, the same on every machine."
+// Description is the program description in the output of --help.
+const Description = "thymeloftd is the thymeloft daemon; every machine runs the same program."
 
-// ErrVersion says that only the version was asked for, and printed.
+// ErrVersion is returned by Load after printing the version for the flag --version.
 var ErrVersion = errors.New("version printed")
 
 type commandLine struct {
@@ -26,40 +26,44 @@
 	Settings
 }
 
-// Load reads the file named by --settings, then the flags in arguments (without
-// the program's name), and checks the whole. The error lists all faults.
+// Load returns the settings from the defaults, the file named by --settings, and the
+// flags in arguments; a flag takes precedence over the file. The arguments do not
+// include the program name. Load returns an error if the flags or the file cannot be
+// read. If the settings are invalid, it returns them with an error of type Faults.
+// With --version it prints the version to output and returns ErrVersion.
 func Load(arguments []string, version string, output io.Writer) (Settings, error) {
-	line := commandLine{}
-	given, err := parse(&line, arguments, output)
+	cli := commandLine{}
+	flags, err := parseFlags(&cli, arguments, output)
 	if err != nil {
 		return Settings{}, err
 	}
-	if line.Version {
+	if cli.Version {
 		_, _ = fmt.Fprintln(output, version)
 		return Settings{}, ErrVersion
 	}
-	line.Settings = Default()
-	if line.File != "" {
-		line.Settings, err = fromFile(line.File)
+	cli.Settings = Default()
+	if cli.File != "" {
+		cli.Settings, err = loadFile(cli.File)
 		if err != nil {
 			return Settings{}, err
 		}
 	}
-	for _, flag := range given {
+	for _, flag := range flags {
 		flag.field.Set(flag.value)
 	}
-	return line.Settings, line.Check()
+	return cli.Settings, cli.Check()
 }
 
-// givenFlag is a flag on the command line: the field that it sets, and to what.
-type givenFlag struct {
+// flagValue is a flag given on the command line: the settings field that it sets, and
+// the value.
+type flagValue struct {
 	field reflect.Value
 	value reflect.Value
 }
 
-// parse reads the flags into the command line and lists those that were given.
-func parse(line *commandLine, arguments []string, output io.Writer) ([]givenFlag, error) {
-	parser, err := kong.New(line,
+// parseFlags parses the arguments into cli. It returns the flags that the arguments contain.
+func parseFlags(cli *commandLine, arguments []string, output io.Writer) ([]flagValue, error) {
+	parser, err := kong.New(cli,
 		kong.Name("thymeloftd"),
 		kong.Description(Description),
 		kong.Writers(output, output),
@@ -67,39 +71,39 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "build the command line")
 	}
-	parsed, err := parser.Parse(arguments)
+	parseContext, err := parser.Parse(arguments)
 	if err != nil {
 		return nil, eris.Wrap(err, "read the flags")
 	}
-	var given []givenFlag
-	for _, element := range parsed.Path {
+	var flags []flagValue
+	for _, element := range parseContext.Path {
 		if element.Flag == nil {
 			continue
 		}
 		value := reflect.New(element.Flag.Target.Type()).Elem()
 		value.Set(element.Flag.Target)
-		given = append(given, givenFlag{field: element.Flag.Target, value: value})
+		flags = append(flags, flagValue{field: element.Flag.Target, value: value})
 	}
-	return given, nil
+	return flags, nil
 }
 
-func fromFile(name string) (Settings, error) {
+func loadFile(name string) (Settings, error) {
 	content, err := os.ReadFile(name)
 	if err != nil {
 		return Settings{}, eris.Wrap(err, "read the settings file")
 	}
-	loaded := Default()
+	result := Default()
 	decoder := yaml.NewDecoder(bytes.NewReader(content), yaml.Strict())
-	if err := decoder.Decode(&loaded); err != nil && !errors.Is(err, io.EOF) {
+	if err := decoder.Decode(&result); err != nil && !errors.Is(err, io.EOF) {
 		return Settings{}, eris.Errorf("read the settings file %s: %s", name, yaml.FormatError(err, false, true))
 	}
-	return loaded, nil
+	return result, nil
 }
 
-// Faults is an error that lists all that is wrong with the settings.
+// Faults is an error with one entry for each fault of the settings.
 type Faults []string
 
-// Error gives one fault a line.
+// Error returns the number of faults and then one fault per line.
 func (f Faults) Error() string {
 	return fmt.Sprintf("%d faults in the settings:\n  %s", len(f), strings.Join(f, "\n  "))
 }
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,4 +1,4 @@
-// Package soak_test plays the seeds of the soak that are kept.
+// Package soak_test runs the soak with the seeds in seeds.txt.
 package soak_test
 
 import (
@@ -18,7 +18,7 @@
 
 func TestSoak(t *testing.T) {
 	RegisterFailHandler(Fail)
-	RunSpecs(t, "kept seeds of the soak")
+	RunSpecs(t, "soak seeds")
 }
 
 var gatewayBinary string
@@ -30,38 +30,39 @@
 	DeferCleanup(gexec.CleanupBuildArtifacts)
 })
 
-// kept reads the lines of seeds.txt.
-func kept() (entries []TableEntry) {
+// seedEntries returns a table entry for each seed in seeds.txt. It panics if the file
+// cannot be read or a line is malformed.
+func seedEntries() (entries []TableEntry) {
 	file, err := os.Open("seeds.txt")
 	if err != nil {
 		panic(err)
 	}
 	defer func() { _ = file.Close() }()
-	lines := bufio.NewScanner(file)
-	for lines.Scan() {
-		if strings.HasPrefix(lines.Text(), "#") || strings.TrimSpace(lines.Text()) == "" {
+	scanner := bufio.NewScanner(file)
+	for scanner.Scan() {
+		if strings.HasPrefix(scanner.Text(), "#") || strings.TrimSpace(scanner.Text()) == "" {
 			continue
 		}
-		fields := strings.SplitN(lines.Text(), ";", 3)
+		fields := strings.SplitN(scanner.Text(), ";", 3)
 		seed, seedErr := strconv.ParseUint(strings.TrimSpace(fields[0]), 10, 64)
 		seconds, secondsErr := strconv.Atoi(strings.TrimSpace(fields[1]))
 		if seedErr != nil || secondsErr != nil {
-			panic(lines.Text())
+			panic(scanner.Text())
 		}
 		entries = append(entries, Entry("of seed "+strings.TrimSpace(fields[0]), seed, seconds))
 	}
 	return entries
 }
 
-var _ = DescribeTable("every promise holds under the faults",
+var _ = DescribeTable("every guarantee holds under the faults",
 	func(ctx SpecContext, seed uint64, seconds int) {
 		verdict, err := soak.Run(ctx, soak.Options{
 			Binary: gatewayBinary, Seed: seed, Duration: time.Duration(seconds) * time.Second, Gateways: 3, Callers: 4, Untimed: true,
-			Environment: []string{"GORACE=halt_on_error=1"}, // a data race ends the process, which is a finding
+			Environment: []string{"GORACE=halt_on_error=1"}, // a data race ends the gateway, which is a finding
 			Progress:    func(format string, arguments ...any) { GinkgoWriter.Printf(format+"\n", arguments...) },
 		})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict.Findings).To(BeEmpty())
 	},
-	kept(),
+	seedEntries(),
 )
