--- a/cmd/thymeloft-gateway/main.go
+++ b/cmd/thymeloft-gateway/main.go
@@ -51,9 +51,9 @@
 
 func run(path string, settings server.Settings) error {
 	if settings.MemoryMB > 0 {
-		divided := memory.Divide(settings.MemoryMB)
-		debug.SetMemoryLimit(divided.Runtime)
-		debug.SetGCPercent(divided.Growth)
+		divided := memory.LimitsFor(settings.MemoryMB)
+		debug.SetMemoryLimit(divided.MemoryLimit)
+		debug.SetGCPercent(divided.GCPercent)
 	}
 	registry := prometheus.NewRegistry()
 	log, closeLog := telemetry.NewBounded(os.Stdout, settings.LogSuccessesPerSecond, registry)
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -29,8 +29,8 @@
 	Tokens int
 }
 
-// Room is the capacity of a service's engines, as the daemon currently knows them.
-type Room struct {
+// Capacity is the capacity of a service's engines, as the daemon currently knows them.
+type Capacity struct {
 	Engines int // number of engines that accept work
 	// MemoryTokens is how many tokens one engine keeps in memory; 0: not declared.
 	MemoryTokens int
@@ -41,7 +41,7 @@
 
 // contextCapacity returns how many tokens all engines together have for the programs' own
 // contexts.
-func (r Room) contextCapacity() float64 {
+func (r Capacity) contextCapacity() float64 {
 	return float64(r.Engines) * float64(max(r.MemoryTokens-r.SharedTokens, 0))
 }
 
@@ -55,12 +55,12 @@
 	// the highest.
 	Priority int
 	Prompt   []PromptPart
-	// Everywhere is the number of leading prompt sections that every engine keeps in memory.
+	// SharedPartCount is the number of leading prompt sections that every engine keeps in memory.
 	// They do not count as the program's own context.
-	Everywhere int
+	SharedPartCount int
 	// TimeLeft is the time until the program's deadline; 0: not known.
 	TimeLeft time.Duration
-	Room     Room
+	Capacity Capacity
 	// Random is a number from 0 to 1 that spreads the retries of refused callers.
 	Random float64
 }
@@ -70,35 +70,35 @@
 
 // The causes of a refusal.
 const (
-	CauseFull   Cause = "full"   // the daemon's part of the bound is used up
-	CauseShare  Cause = "share"  // the tenant has used more than its fair share
-	CauseUrgent Cause = "urgent" // the rest is reserved for higher priorities
-	CauseLate   Cause = "late"   // the program can no longer meet its deadline
+	CauseFull     Cause = "full"   // the daemon's part of the bound is used up
+	CauseShare    Cause = "share"  // the tenant has used more than its fair share
+	CausePriority Cause = "urgent" // the rest is reserved for higher priorities
+	CauseLate     Cause = "late"   // the program can no longer meet its deadline
 )
 
 // RefusedError is returned for a program that may not start now.
 type RefusedError struct {
-	Cause   Cause
-	After   time.Duration // wait before the next attempt
-	Figures Figures
+	Cause      Cause
+	RetryAfter time.Duration // wait before the next attempt
+	Figures    Figures
 }
 
 // Figures are the values on which a decision is based. Contexts, the part and the bound are in
 // tokens.
 type Figures struct {
-	Asked      int64         // expected context of the program
-	Held       int64         // contexts of the programs at this daemon
-	Part       int64         // this daemon's part of the bound, reduced to the fraction that this request may use
-	FleetHeld  int64         // contexts of all programs in the fleet, according to the last snapshot
-	Bound      int64         // bound of the fleet
-	Daemons    int64         // number of daemons in the snapshot
-	PictureAge time.Duration // age of the snapshot
-	Share      float64       // recent spending of the tenant, relative to the mean of all tenants
+	ExpectedTokens int64         // expected context of the program
+	Held           int64         // contexts of the programs at this daemon
+	Part           int64         // this daemon's part of the bound, reduced to the fraction that this request may use
+	FleetHeld      int64         // contexts of all programs in the fleet, according to the last snapshot
+	Bound          int64         // bound of the fleet
+	Daemons        int64         // number of daemons in the snapshot
+	SnapshotAge    time.Duration // age of the snapshot
+	Share          float64       // recent spending of the tenant, relative to the mean of all tenants
 }
 
 // Error implements error.
 func (r *RefusedError) Error() string {
 	f := r.Figures
 	return fmt.Sprintf("admission: refused (%s): the program needs a context of %d tokens; this daemon holds %d and its part of the bound is %d; the fleet holds %d at %d daemons and its bound is %d, as of %s ago; the tenant's share is %.2f",
-		r.Cause, f.Asked, f.Held, f.Part, f.FleetHeld, f.Daemons, f.Bound, f.PictureAge.Round(time.Millisecond), f.Share)
+		r.Cause, f.ExpectedTokens, f.Held, f.Part, f.FleetHeld, f.Daemons, f.Bound, f.SnapshotAge.Round(time.Millisecond), f.Share)
 }
--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -48,30 +48,30 @@
 
 // Observation describes the fleet since the previous step.
 type Observation struct {
-	Elapsed time.Duration
-	Room    Room
-	Held    float64 // tokens of the contexts held by all daemons
-	// Ratio is the mean time to first byte of turns other than first ones, relative to its
+	Elapsed  time.Duration
+	Capacity Capacity
+	Held     float64 // tokens of the contexts held by all daemons
+	// FirstByteRatio is the mean time to first byte of turns other than first ones, relative to its
 	// baseline; 0: not known.
-	Ratio float64
+	FirstByteRatio float64
 }
 
 // Step returns the bound after another observation. Normal first bytes increase the bound
 // additively, and slow first bytes decrease it multiplicatively. An unknown ratio counts as
 // normal. The result stays within the limits of b before the step.
 func (b Bound) Step(observation Observation) Bound {
-	engines := float64(max(observation.Room.Engines, 1))
+	engines := float64(max(observation.Capacity.Engines, 1))
 	heldPerEngine := observation.Held / engines
 	seconds := min(observation.Elapsed, maxStepDuration).Seconds()
-	minTokens, maxTokens := b.limits(observation.Room)
+	minTokens, maxTokens := b.limits(observation.Capacity)
 	if b.tokensPerEngine == 0 {
 		b.tokensPerEngine = maxTokens
 	}
 	switch {
-	case observation.Ratio > slowRatio:
+	case observation.FirstByteRatio > slowRatio:
 		b.tokensPerEngine = min(b.tokensPerEngine, heldPerEngine) * (1 - decreasePerSecond*seconds)
 		b.servedPerEngine *= 1 - servedDecayPerSecond*seconds
-	case observation.Ratio < normalRatio:
+	case observation.FirstByteRatio < normalRatio:
 		b.servedPerEngine += max(heldPerEngine-b.servedPerEngine, 0) * servedGainPerSecond * seconds
 		b.tokensPerEngine += increasePerSecond * minTokens * seconds
 	}
@@ -81,7 +81,7 @@
 
 // limits returns the lowest and the highest bound for one engine. There is no highest bound
 // (+Inf) if the memory size is not declared.
-func (b Bound) limits(room Room) (minTokens, maxTokens float64) {
+func (b Bound) limits(room Capacity) (minTokens, maxTokens float64) {
 	if room.MemoryTokens <= 0 {
 		return b.servedPerEngine * servedMargin, math.Inf(1)
 	}
@@ -91,7 +91,7 @@
 }
 
 // Tokens returns the bound for all engines of the service. It may be +Inf.
-func (b Bound) Tokens(room Room) float64 {
+func (b Bound) Tokens(room Capacity) float64 {
 	if room.Engines == 0 {
 		return 0
 	}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -28,26 +28,26 @@
 
 	mutex         sync.Mutex
 	services      map[string]*service
-	spentByTenant map[load.Key]*decayingSum // tokens spent at this daemon
+	spentByTenant map[load.Digest]*decayingSum // tokens spent at this daemon
 	fleetSpending tenantSpending
 }
 
 // NewController returns a controller that has no programs and no reports of other daemons.
 func NewController(options Options) *Controller {
-	return &Controller{options: options, services: map[string]*service{}, spentByTenant: map[load.Key]*decayingSum{}}
+	return &Controller{options: options, services: map[string]*service{}, spentByTenant: map[load.Digest]*decayingSum{}}
 }
 
 // service is the state of one model service.
 type service struct {
 	name           string
 	programs       programs
-	room           Room // capacity of the engines, as of the last request
+	capacity       Capacity // capacity of the engines, as of the last request
 	bound          Bound
 	baseline       idleBaseline
 	firstByteRatio float64 // mean time to first byte relative to baseline, by the last snapshot
 	claims         claims
 	meanHeld       runningMean // mean of the tokens held; reported as the claim because it fluctuates less than the current value
-	snapshot       Picture
+	snapshot       Snapshot
 	part           float64 // this daemon's part of the bound when the snapshot arrived, in tokens
 	// firstReported is the time of the first report, steppedAt that of the last step of the
 	// bound, and loggedAt that of the last log line.
@@ -68,26 +68,26 @@
 	return entry
 }
 
-// updateRoom stores the current capacity. If the daemon has reported without any engines so far,
-// updateRoom sets firstReported to now, because the earlier claims did not allow for the capacity.
-func (s *service) updateRoom(room Room, now time.Time) {
-	if s.room.Engines == 0 && !s.firstReported.IsZero() {
+// updateCapacity stores the current capacity. If the daemon has reported without any engines so far,
+// updateCapacity sets firstReported to now, because the earlier claims did not allow for the capacity.
+func (s *service) updateCapacity(room Capacity, now time.Time) {
+	if s.capacity.Engines == 0 && !s.firstReported.IsZero() {
 		s.firstReported = now
 	}
-	s.room = room
+	s.capacity = room
 }
 
-// Begin decides whether a program may start, and counts the program and its first turn. It
+// Admit decides whether a program may start, and counts the program and its first turn. It
 // returns a *RefusedError if the program may not start. A program that already runs at this
 // daemon is never refused. After a successful call the caller must call Leave or Drop when
 // the turn has ended. If there is no engine, Begin refuses nothing and leaves the error to
 // placement.
-func (c *Controller) Begin(request *Request) error {
+func (c *Controller) Admit(request *Request) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
 	service := c.service(request.Service)
-	service.updateRoom(request.Room, now)
+	service.updateCapacity(request.Capacity, now)
 	if _, underWay := service.programs.byName[request.Program]; underWay {
 		service.programs.startRequest(request, now)
 		return nil
@@ -105,14 +105,14 @@
 	return nil
 }
 
-// Continue counts a later turn of a program that started at this or another daemon. The caller
+// ContinueTurn counts a later turn of a program that started at this or another daemon. The caller
 // must call Leave when the turn has ended.
-func (c *Controller) Continue(request *Request) {
+func (c *Controller) ContinueTurn(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
 	service := c.service(request.Service)
-	service.updateRoom(request.Room, now)
+	service.updateCapacity(request.Capacity, now)
 	if _, underWay := service.programs.byName[request.Program]; !underWay {
 		service.programs.add(request, now)
 	}
@@ -122,12 +122,12 @@
 // decide returns nil if the program may start, and otherwise the refusal. The caller must hold the
 // lock.
 func (c *Controller) decide(service *service, request *Request, expected int64, now time.Time) *RefusedError {
-	if request.Room.Engines == 0 {
+	if request.Capacity.Engines == 0 {
 		return nil
 	}
-	claimant := Claimant{Priority: request.Priority, Share: c.fleetSpending.shareOf(request.Tenant), Late: service.programs.isLate(request, now)}
-	bound := service.bound.Tokens(request.Room)
-	fraction, cause := Reach(claimant, service.fill(bound, now))
+	claimant := Claimant{Priority: request.Priority, Share: c.fleetSpending.shareOf(request.Tenant), MissesDeadline: service.programs.isLate(request, now)}
+	bound := service.bound.Tokens(request.Capacity)
+	fraction, cause := AllowedFraction(claimant, service.fill(bound, now))
 	part := service.partOf(bound*fraction, c.options.Members(), now)
 	held := service.programs.heldTokens(now)
 	if float64(held+expected) <= part {
@@ -135,10 +135,10 @@
 	}
 	demandPerSecond := ratePerSecond(service.demand.value(now, demandHalfLife), demandHalfLife)
 	return &RefusedError{
-		Cause: cause, After: ComeBack(demandPerSecond, part, service.meanDuration(request.Route), request.Random),
+		Cause: cause, RetryAfter: RetryAfter(demandPerSecond, part, service.meanDuration(request.Route), request.Random),
 		Figures: Figures{
-			Asked: expected, Held: held, Part: capTokens(part), FleetHeld: service.snapshot.Held, Bound: capTokens(bound),
-			Daemons: service.snapshot.Daemons, PictureAge: service.snapshot.age(now), Share: claimant.Share,
+			ExpectedTokens: expected, Held: held, Part: capTokens(part), FleetHeld: service.snapshot.Held, Bound: capTokens(bound),
+			Daemons: service.snapshot.Daemons, SnapshotAge: service.snapshot.age(now), Share: claimant.Share,
 		},
 	}
 }
@@ -155,11 +155,11 @@
 
 // partOf returns this daemon's part of the given bound, in tokens.
 func (s *service) partOf(bound float64, members int, now time.Time) float64 {
-	return Part(Share{Bound: bound, Members: members, Picture: s.snapshot, Least: s.claims.minimum(now), Last: s.part, FirstTold: s.firstReported, Now: now})
+	return Part(PartInputs{Bound: bound, Members: members, Snapshot: s.snapshot, MinClaim: s.claims.minimum(now), LastPart: s.part, FirstReportAt: s.firstReported, Now: now})
 }
 
-// Leave records the end of a turn. spent is its cost to the engine, in tokens.
-func (c *Controller) Leave(request *Request, spent int64) {
+// EndTurn records the end of a turn. spent is its cost to the engine, in tokens.
+func (c *Controller) EndTurn(request *Request, spent int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
@@ -167,16 +167,16 @@
 	if request.Tenant == "" || spent <= 0 {
 		return
 	}
-	key := load.KeyOf(request.Tenant)
+	key := load.DigestOf(request.Tenant)
 	if c.spentByTenant[key] == nil {
 		c.spentByTenant[key] = &decayingSum{}
 	}
 	c.spentByTenant[key].add(float64(spent), now, spendingHalfLife)
 }
 
-// Drop removes a first turn that no engine started to run. It also removes the program if no
+// CancelFirstTurn removes a first turn that no engine started to run. It also removes the program if no
 // other request of it is active.
-func (c *Controller) Drop(request *Request) {
+func (c *Controller) CancelFirstTurn(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	programs := &c.service(request.Service).programs
@@ -184,8 +184,8 @@
 	programs.removeIdle(request.Program)
 }
 
-// Answered records the time to first byte of a turn that is not the first of its program.
-func (c *Controller) Answered(service string, firstByte time.Duration) {
+// RecordFirstByte records the time to first byte of a turn that is not the first of its program.
+func (c *Controller) RecordFirstByte(service string, firstByte time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -14,10 +14,10 @@
 )
 
 var _ = Describe("Bound", func() {
-	memory := Room{Engines: 10, MemoryTokens: 1200, SharedTokens: 200}
-	observe := func(bound Bound, room Room, held, ratio float64, seconds int) Bound {
+	memory := Capacity{Engines: 10, MemoryTokens: 1200, SharedTokens: 200}
+	observe := func(bound Bound, room Capacity, held, ratio float64, seconds int) Bound {
 		for range seconds {
-			bound = bound.Step(Observation{Elapsed: time.Second, Room: room, Held: held, Ratio: ratio})
+			bound = bound.Step(Observation{Elapsed: time.Second, Capacity: room, Held: held, FirstByteRatio: ratio})
 		}
 		return bound
 	}
@@ -46,7 +46,7 @@
 	})
 
 	It("has no limit without a declared memory size, until first bytes are slow", func() {
-		unknown := Room{Engines: 10}
+		unknown := Capacity{Engines: 10}
 		Expect(math.IsInf(observe(Bound{}, unknown, 5000, 1, 60).Tokens(unknown), 1)).To(BeTrue())
 		slow := observe(observe(Bound{}, unknown, 3000, 1, 60), unknown, 9000, 3, 2)
 		Expect(slow.Tokens(unknown)).To(BeNumerically("<", 9000))
@@ -66,28 +66,28 @@
 
 var _ = Describe("Reach", func() {
 	DescribeTable("limits claimants by deadline, priority and share", func(claimant Claimant, fill, expected float64, cause Cause) {
-		fraction, gotCause := Reach(claimant, fill)
+		fraction, gotCause := AllowedFraction(claimant, fill)
 		Expect(fraction).To(BeNumerically("~", expected, 1e-9))
 		Expect(gotCause).To(Equal(cause))
 	},
 		Entry("any claimant below contentionFill", Claimant{Priority: 2, Share: 5}, 0.4, 1.0, CauseFull),
 		Entry("the highest priority", Claimant{Share: 1}, 0.9, 1.0, CauseFull),
-		Entry("a lower priority", Claimant{Priority: 1, Share: 1}, 0.9, 0.9, CauseUrgent),
-		Entry("a very low priority loses at most maxPriorityReserve", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CauseUrgent),
+		Entry("a lower priority", Claimant{Priority: 1, Share: 1}, 0.9, 0.9, CausePriority),
+		Entry("a very low priority loses at most maxPriorityReserve", Claimant{Priority: 9, Share: 1}, 0.9, 0.8, CausePriority),
 		Entry("a tenant far above its share", Claimant{Share: 2.5}, 0.9, 0.5, CauseShare),
 		Entry("a tenant that spent nearly everything", Claimant{Share: 80}, 0.9, minShareFraction, CauseShare),
 		Entry("a tenant that spent hardly anything, at any priority", Claimant{Priority: 9, Share: 0.2}, 0.99, 1.0, CauseFull),
-		Entry("a program that cannot meet its deadline", Claimant{Late: true, Share: 0.1}, 0.3, lateFraction, CauseLate),
+		Entry("a program that cannot meet its deadline", Claimant{MissesDeadline: true, Share: 0.1}, 0.3, lateFraction, CauseLate),
 	)
 })
 
 var _ = Describe("ComeBack", func() {
 	It("spreads callers over the time that it takes to serve the demand", func() {
-		Expect(ComeBack(1000, 500, time.Second, 0)).To(Equal(minRetryAfter))
-		Expect(ComeBack(1000, 500, time.Second, 1)).To(Equal(2 * time.Second))
-		Expect(ComeBack(1e9, 500, time.Second, 1)).To(Equal(maxRetryAfter))
-		Expect(ComeBack(0, 500, time.Second, 1)).To(Equal(2 * minRetryAfter))
-		Expect(ComeBack(1000, math.Inf(1), time.Second, 1)).To(Equal(2 * minRetryAfter))
+		Expect(RetryAfter(1000, 500, time.Second, 0)).To(Equal(minRetryAfter))
+		Expect(RetryAfter(1000, 500, time.Second, 1)).To(Equal(2 * time.Second))
+		Expect(RetryAfter(1e9, 500, time.Second, 1)).To(Equal(maxRetryAfter))
+		Expect(RetryAfter(0, 500, time.Second, 1)).To(Equal(2 * minRetryAfter))
+		Expect(RetryAfter(1000, math.Inf(1), time.Second, 1)).To(Equal(2 * minRetryAfter))
 	})
 })
 
@@ -100,20 +100,20 @@
 			Members: func() int { return 1 }, Services: func() []string { return []string{"llm"} },
 			Now: func() time.Time { return now }, Log: zap.NewNop(),
 		})
-		Expect(controller.Measure(prometheus.NewRegistry())).To(Succeed())
+		Expect(controller.RegisterMetrics(prometheus.NewRegistry())).To(Succeed())
 	})
 	turn := func(program string, tokens int) *Request {
 		return &Request{
-			Service: "llm", Route: "chat", Program: program, Room: Room{Engines: 1, MemoryTokens: 1000},
-			Prompt: []PromptPart{{Name: "shared", Tokens: 5000}, {Name: program, Tokens: tokens}}, Everywhere: 1, Random: 0.5,
+			Service: "llm", Route: "chat", Program: program, Capacity: Capacity{Engines: 1, MemoryTokens: 1000},
+			Prompt: []PromptPart{{Name: "shared", Tokens: 5000}, {Name: program, Tokens: tokens}}, SharedPartCount: 1, Random: 0.5,
 		}
 	}
 	refusal := func(request *Request) *RefusedError {
 		var refused *RefusedError
-		errors.As(controller.Begin(request), &refused)
+		errors.As(controller.Admit(request), &refused)
 		return refused
 	}
-	held := func() int64 { return controller.Programs().Services[load.KeyOf("llm")].Held }
+	held := func() int64 { return controller.Programs().Services[load.DigestOf("llm")].Held }
 	// bound is the expected Figures.Bound, in tokens. All requests have one engine.
 	const bound = int64(1000 * maxMemoryFraction)
 
@@ -123,7 +123,7 @@
 		refused := refusal(turn("c", 200))
 		Expect(refused).NotTo(BeNil())
 		Expect(refused.Cause).To(Equal(CauseFull))
-		Expect(refused.After).To(BeNumerically(">=", minRetryAfter))
+		Expect(refused.RetryAfter).To(BeNumerically(">=", minRetryAfter))
 		Expect(refused.Figures.Held).To(BeEquivalentTo(1400))
 		Expect(refused.Figures.Bound).To(Equal(bound))
 		Expect(refused).To(MatchError(ContainSubstring("this daemon holds 1400 and its part of the bound is 1500")))
@@ -131,7 +131,7 @@
 
 	It("never refuses later turns of programs from any daemon, and counts the growth of contexts", func() {
 		Expect(refusal(turn("a", 1200))).To(BeNil())
-		controller.Continue(turn("elsewhere", 900))
+		controller.ContinueTurn(turn("elsewhere", 900))
 		grown := turn("a", 1200)
 		grown.Prompt = append(grown.Prompt, PromptPart{Name: "more", Tokens: 300})
 		Expect(refusal(grown)).To(BeNil())
@@ -140,7 +140,7 @@
 
 	It("weights an idle program by the probability that it continues, and removes it when it has ended", func() {
 		Expect(refusal(turn("a", 1000))).To(BeNil())
-		controller.Leave(turn("a", 1000), 10)
+		controller.EndTurn(turn("a", 1000), 10)
 		Expect(held()).To(BeNumerically("~", 1000*defaultContinueProbability, 1))
 		now = now.Add(300 * time.Millisecond)
 		Expect(held()).To(BeNumerically("<", 400))
@@ -151,13 +151,13 @@
 
 	It("removes a program whose first turn no engine started to run", func() {
 		Expect(refusal(turn("a", 1200))).To(BeNil())
-		controller.Drop(turn("a", 1200))
+		controller.CancelFirstTurn(turn("a", 1200))
 		Expect(refusal(turn("b", 1200))).To(BeNil())
 	})
 
 	It("refuses nothing if there is no engine", func() {
 		none := turn("a", 1<<30)
-		none.Room.Engines = 0
+		none.Capacity.Engines = 0
 		Expect(refusal(none)).To(BeNil())
 	})
 
@@ -166,7 +166,7 @@
 		slow.TimeLeft = time.Second
 		Expect(refusal(slow)).To(BeNil())
 		now = now.Add(800 * time.Millisecond) // the route's programs take four fifths of their time
-		controller.Leave(slow, 0)
+		controller.EndTurn(slow, 0)
 		now = now.Add(maxIdleTime)
 		Expect(held()).To(BeZero())
 		now = now.Add(claimWindow)
@@ -181,12 +181,12 @@
 	})
 
 	It("reports declared services from the start, and others until they are unused", func() {
-		Expect(controller.Programs().Services).To(HaveKeyWithValue(load.KeyOf("llm"), load.ServicePrograms{Daemons: 1}))
+		Expect(controller.Programs().Services).To(HaveKeyWithValue(load.DigestOf("llm"), load.ServiceStats{Daemons: 1}))
 		other := turn("a", 100)
 		other.Service = "former"
 		Expect(refusal(other)).To(BeNil())
 		Expect(controller.Programs().Services).To(HaveLen(2))
-		controller.Leave(other, 0)
+		controller.EndTurn(other, 0)
 		now = now.Add(20 * demandHalfLife)
 		controller.Programs()
 		Expect(controller.Programs().Services).To(HaveLen(1))
@@ -196,7 +196,7 @@
 		Expect(refusal(turn("a", 100))).To(BeNil())
 		controller.Programs()
 		now = now.Add(maxSnapshotAge + time.Millisecond)
-		report := controller.Programs().Services[load.KeyOf("llm")]
+		report := controller.Programs().Services[load.DigestOf("llm")]
 		Expect(report.Claimed).To(BeNumerically(">=", bound))
 		Expect(report.Held).To(BeEquivalentTo(100))
 	})
@@ -204,9 +204,9 @@
 	It("does not use the equal part before it could claim it with known engines", func() {
 		controller.Programs()
 		now = now.Add(time.Minute)
-		Expect(controller.Programs().Services[load.KeyOf("llm")].Claimed).To(BeZero())
+		Expect(controller.Programs().Services[load.DigestOf("llm")].Claimed).To(BeZero())
 		Expect(refusal(turn("a", 100))).NotTo(BeNil())
-		Expect(controller.Programs().Services[load.KeyOf("llm")].Claimed).To(Equal(bound))
+		Expect(controller.Programs().Services[load.DigestOf("llm")].Claimed).To(Equal(bound))
 		now = now.Add(claimWindow)
 		Expect(refusal(turn("a", 100))).To(BeNil())
 	})
@@ -215,11 +215,11 @@
 		spent := turn("a", 100)
 		spent.Tenant = "greedy"
 		Expect(refusal(spent)).To(BeNil())
-		controller.Leave(spent, 900)
+		controller.EndTurn(spent, 900)
 		report := controller.Programs()
-		Expect(report.Spent).To(HaveKeyWithValue(load.KeyOf("greedy"), BeNumerically(">=", 899)))
-		report.Include(load.Programs{Spent: map[load.Key]int64{load.KeyOf("other"): 100}})
-		controller.LearnPrograms(report, load.Programs{})
+		Expect(report.Spent).To(HaveKeyWithValue(load.DigestOf("greedy"), BeNumerically(">=", 899)))
+		report.Add(load.ProgramStats{Spent: map[load.Digest]int64{load.DigestOf("other"): 100}})
+		controller.UpdatePrograms(report, load.ProgramStats{})
 		Expect(controller.fleetSpending.shareOf("greedy")).To(BeNumerically("~", 1.8, 0.01))
 		Expect(controller.fleetSpending.shareOf("")).To(BeEquivalentTo(1))
 		now = now.Add(20 * spendingHalfLife)
--- a/internal/admission/exchange.go
+++ b/internal/admission/exchange.go
@@ -14,13 +14,13 @@
 // dropped.
 const minReportedSpending = 1
 
-// Programs implements load.ProgramSource. It returns this daemon's own figures and removes
+// ProgramStats implements load.ProgramSource. It returns this daemon's own figures and removes
 // services that are neither declared nor used.
-func (c *Controller) Programs() load.Programs {
+func (c *Controller) Programs() load.ProgramStats {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	report := load.Programs{Services: map[load.Key]load.ServicePrograms{}, Spent: map[load.Key]int64{}}
+	report := load.ProgramStats{Services: map[load.Digest]load.ServiceStats{}, Spent: map[load.Digest]int64{}}
 	declared := c.options.Services()
 	for _, name := range declared {
 		c.service(name)
@@ -30,7 +30,7 @@
 			delete(c.services, name)
 			continue
 		}
-		report.Services[load.KeyOf(name)] = service.report(now, c.options.Members())
+		report.Services[load.DigestOf(name)] = service.report(now, c.options.Members())
 	}
 	for key, spent := range c.spentByTenant {
 		value := int64(spent.value(now, spendingHalfLife))
@@ -45,10 +45,10 @@
 
 // report returns the service's figures and records the claim in s.claims. If there is no valid
 // snapshot, the claim is at least the equal part of the bound, except in the first report.
-func (s *service) report(now time.Time, members int) load.ServicePrograms {
+func (s *service) report(now time.Time, members int) load.ServiceStats {
 	s.programs.removeEnded(now)
 	s.meanHeld.add(float64(s.programs.heldTokens(now)))
-	claim := Claim{At: now, Held: int64(s.meanHeld.value), Asked: int64(ratePerSecond(s.demand.value(now, demandHalfLife), demandHalfLife))}
+	claim := Claim{At: now, Held: int64(s.meanHeld.value), Demand: int64(ratePerSecond(s.demand.value(now, demandHalfLife), demandHalfLife))}
 	switch {
 	case s.firstReported.IsZero():
 		s.firstReported, s.part = now, float64(claim.Held)
@@ -57,8 +57,8 @@
 	}
 	s.claims.add(claim)
 	const microseconds = 1e6
-	return load.ServicePrograms{
-		Daemons: 1, Count: int64(len(s.programs.byName)), Held: s.programs.heldTokens(now), Claimed: claim.Held, Asked: claim.Asked,
+	return load.ServiceStats{
+		Daemons: 1, Count: int64(len(s.programs.byName)), Held: s.programs.heldTokens(now), Claimed: claim.Held, Asked: claim.Demand,
 		Turns: int64(s.turns.value(now, firstByteHalfLife) + 0.5), FirstByte: int64(s.firstByteSeconds.value(now, firstByteHalfLife) * microseconds),
 	}
 }
@@ -66,7 +66,7 @@
 // equalPart returns the bound divided by the number of members, in tokens. It returns 0 if
 // there is no bound.
 func (s *service) equalPart(members int) int64 {
-	bound := s.bound.Tokens(s.room)
+	bound := s.bound.Tokens(s.capacity)
 	if math.IsInf(bound, 1) {
 		return 0
 	}
@@ -78,8 +78,8 @@
 
 func capTokens(tokens float64) int64 { return int64(min(tokens, maxLoggedTokens)) }
 
-// LearnPrograms implements load.ProgramSource.
-func (c *Controller) LearnPrograms(all, _ load.Programs) {
+// UpdatePrograms implements load.ProgramSource.
+func (c *Controller) UpdatePrograms(all, _ load.ProgramStats) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
@@ -88,7 +88,7 @@
 		c.fleetSpending.total += spent
 	}
 	for name, service := range c.services {
-		service.update(all.Services[load.KeyOf(name)], c.options.Members(), now)
+		service.update(all.Services[load.DigestOf(name)], c.options.Members(), now)
 		c.logFill(service, now)
 	}
 	c.metrics.update(c.services, c.fleetSpending, now)
@@ -100,7 +100,7 @@
 }
 
 // update computes the bound, the snapshot and the part from the sum of all daemons' reports.
-func (s *service) update(all load.ServicePrograms, members int, now time.Time) {
+func (s *service) update(all load.ServiceStats, members int, now time.Time) {
 	elapsed := now.Sub(s.steppedAt)
 	if s.steppedAt.IsZero() {
 		elapsed = 0
@@ -108,9 +108,9 @@
 	s.steppedAt = now
 	const microseconds = 1e6
 	s.firstByteRatio = s.baseline.ratio(float64(all.Turns), float64(all.FirstByte)/microseconds, elapsed)
-	s.bound = s.bound.Step(Observation{Elapsed: elapsed, Room: s.room, Held: float64(all.Held), Ratio: s.firstByteRatio})
-	s.snapshot = Picture{At: now, Daemons: all.Daemons, Held: all.Held, Claimed: all.Claimed, Asked: all.Asked}
-	s.part = s.partOf(s.bound.Tokens(s.room), members, now)
+	s.bound = s.bound.Step(Observation{Elapsed: elapsed, Capacity: s.capacity, Held: float64(all.Held), FirstByteRatio: s.firstByteRatio})
+	s.snapshot = Snapshot{At: now, Daemons: all.Daemons, Held: all.Held, Claimed: all.Claimed, Demand: all.Asked}
+	s.part = s.partOf(s.bound.Tokens(s.capacity), members, now)
 }
 
 // The figures of a service are logged at most once per logInterval while at least the fraction
@@ -123,14 +123,14 @@
 // logFill logs the figures of the service, for the fleet and for this daemon, if much of the bound
 // is in use.
 func (c *Controller) logFill(service *service, now time.Time) {
-	bound := service.bound.Tokens(service.room)
+	bound := service.bound.Tokens(service.capacity)
 	fill := service.fill(bound, now)
-	if service.room.Engines == 0 || fill < logFillThreshold || now.Sub(service.loggedAt) < logInterval {
+	if service.capacity.Engines == 0 || fill < logFillThreshold || now.Sub(service.loggedAt) < logInterval {
 		return
 	}
 	service.loggedAt = now
 	c.options.Log.Info("admission: at least half of the context bound is in use.", zap.String("service", service.name), zap.Int64("fleetHeld", service.snapshot.Held),
 		zap.Int64("bound", capTokens(bound)), zap.Float64("fill", fill), zap.Float64("firstByteRatio", service.firstByteRatio),
 		zap.Int64("held", service.programs.heldTokens(now)), zap.Int64("part", capTokens(service.part)), zap.Int("programs", len(service.programs.byName)),
-		zap.Int64("daemons", service.snapshot.Daemons), zap.Int("engines", service.room.Engines))
+		zap.Int64("daemons", service.snapshot.Daemons), zap.Int("engines", service.capacity.Engines))
 }
--- a/internal/admission/metrics.go
+++ b/internal/admission/metrics.go
@@ -16,8 +16,8 @@
 	share    prometheus.Gauge
 }
 
-// Measure registers the controller's metrics. It must be called before the first request.
-func (c *Controller) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers the controller's metrics. It must be called before the first request.
+func (c *Controller) RegisterMetrics(registerer prometheus.Registerer) error {
 	c.metrics = metrics{
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "thymeloft_admission_refused_total", Help: "Programs refused at their first turn, by cause and priority.",
@@ -56,7 +56,7 @@
 		m.contexts.WithLabelValues(name, "here").Set(float64(service.programs.heldTokens(now)))
 		m.contexts.WithLabelValues(name, "fleet").Set(float64(service.snapshot.Held))
 		m.contexts.WithLabelValues(name, "part").Set(service.part)
-		m.contexts.WithLabelValues(name, "bound").Set(service.bound.Tokens(service.room))
+		m.contexts.WithLabelValues(name, "bound").Set(service.bound.Tokens(service.capacity))
 		m.ratio.WithLabelValues(name).Set(service.firstByteRatio)
 	}
 	m.share.Set(spent.largestShare())
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -11,7 +11,7 @@
 	// maxSnapshotAge is how long a snapshot is valid. It is one and a half report intervals.
 	maxSnapshotAge = 150 * time.Millisecond
 	// claimWindow is the age of the oldest report that a valid snapshot may contain.
-	claimWindow = load.OldestPrograms + maxSnapshotAge
+	claimWindow = load.MaxProgramStatsAge + maxSnapshotAge
 )
 
 // evenFraction is the fraction of the free tokens that is divided equally among the daemons.
@@ -22,41 +22,41 @@
 
 // Claim is what a daemon reported of itself at a certain time.
 type Claim struct {
-	At    time.Time
-	Held  int64 // tokens that the daemon holds, or that it may hold if that is more
-	Asked int64 // tokens requested per second by new programs
+	At     time.Time
+	Held   int64 // tokens that the daemon holds, or that it may hold if that is more
+	Demand int64 // tokens requested per second by new programs
 }
 
-// Picture is a daemon's latest snapshot of the fleet: the sums of all daemons' reports, in
+// Snapshot is a daemon's latest snapshot of the fleet: the sums of all daemons' reports, in
 // tokens.
-type Picture struct {
+type Snapshot struct {
 	At      time.Time // when it arrived; zero: no snapshot yet
 	Daemons int64     // number of daemons in the sums
 	Held    int64     // sum of the contexts
 	Claimed int64     // sum of the claims
-	Asked   int64     // sum of the tokens per second that new programs request
+	Demand  int64     // sum of the tokens per second that new programs request
 }
 
 // age returns how long ago the snapshot arrived, or 0 if there is none.
-func (p Picture) age(now time.Time) time.Duration {
+func (p Snapshot) age(now time.Time) time.Duration {
 	if p.At.IsZero() {
 		return 0
 	}
 	return now.Sub(p.At)
 }
 
-// Share holds the inputs of Part.
-type Share struct {
-	Bound   float64 // bound of the fleet, in tokens
-	Members int     // number of all daemons
-	Picture Picture
-	Least   Claim // lowest values of this daemon's claims, as returned by claims.minimum
-	// Last is the daemon's part when its last snapshot arrived, or what it held at its first
+// PartInputs holds the inputs of Part.
+type PartInputs struct {
+	Bound    float64 // bound of the fleet, in tokens
+	Members  int     // number of all daemons
+	Snapshot Snapshot
+	MinClaim Claim // lowest values of this daemon's claims, as returned by claims.minimum
+	// LastPart is the daemon's part when its last snapshot arrived, or what it held at its first
 	// report, in tokens.
-	Last float64
-	// FirstTold is the time of the daemon's first report; zero: none yet.
-	FirstTold time.Time
-	Now       time.Time
+	LastPart float64
+	// FirstReportAt is the time of the daemon's first report; zero: none yet.
+	FirstReportAt time.Time
+	Now           time.Time
 }
 
 // Part returns how many tokens of contexts a daemon may hold when it starts a program.
@@ -77,43 +77,43 @@
 // A daemon without a valid snapshot uses an equal part. If it has reported before, that part is at
 // first limited to its last one (see isolatedPart). From its second report on, the daemon claims at
 // least the equal part.
-func Part(share Share) float64 {
-	members := max(float64(share.Members), float64(share.Picture.Daemons), 1)
+func Part(share PartInputs) float64 {
+	members := max(float64(share.Members), float64(share.Snapshot.Daemons), 1)
 	if share.isIsolated() {
 		return share.isolatedPart(share.Bound / members)
 	}
-	snapshot := share.Picture
+	snapshot := share.Snapshot
 	available := share.Bound * float64(snapshot.Daemons) / members
-	held, minClaim := float64(snapshot.Claimed), float64(min(share.Least.Held, snapshot.Claimed))
+	held, minClaim := float64(snapshot.Claimed), float64(min(share.MinClaim.Held, snapshot.Claimed))
 	if held >= available {
 		return minClaim * available / max(held, 1)
 	}
 	demandFraction := 1 / float64(snapshot.Daemons)
-	if snapshot.Asked > 0 {
-		demandFraction = min(float64(share.Least.Asked)/float64(snapshot.Asked), 1)
+	if snapshot.Demand > 0 {
+		demandFraction = min(float64(share.MinClaim.Demand)/float64(snapshot.Demand), 1)
 	}
 	return minClaim + (evenFraction/float64(snapshot.Daemons)+(1-evenFraction)*demandFraction)*(available-held)
 }
 
 // isIsolated reports whether the daemon has no valid snapshot.
-func (s Share) isIsolated() bool {
-	return s.Picture.At.IsZero() || s.Picture.Daemons <= 0 || s.Now.Sub(s.Picture.At) > maxSnapshotAge
+func (s PartInputs) isIsolated() bool {
+	return s.Snapshot.At.IsZero() || s.Snapshot.Daemons <= 0 || s.Now.Sub(s.Snapshot.At) > maxSnapshotAge
 }
 
 // isolatedPart returns the part of a daemon without a valid snapshot, given the equal part. While
 // the snapshots of other daemons may still contain its earlier claims, the part is at most its
 // last one. A daemon that has not reported yet is in no snapshot. The other daemons therefore
 // leave the equal part to it.
-func (s Share) isolatedPart(equal float64) float64 {
-	if s.FirstTold.IsZero() {
+func (s PartInputs) isolatedPart(equal float64) float64 {
+	if s.FirstReportAt.IsZero() {
 		return equal
 	}
-	since := s.FirstTold
-	if snapshotEnd := s.Picture.At.Add(maxSnapshotAge); snapshotEnd.After(since) {
+	since := s.FirstReportAt
+	if snapshotEnd := s.Snapshot.At.Add(maxSnapshotAge); snapshotEnd.After(since) {
 		since = snapshotEnd
 	}
 	if s.Now.Sub(since) < claimWindow {
-		return min(equal, s.Last)
+		return min(equal, s.LastPart)
 	}
 	return equal
 }
@@ -137,7 +137,7 @@
 	lowest := c.history[0]
 	for _, claim := range c.history[1:] {
 		lowest.Held = min(lowest.Held, claim.Held)
-		lowest.Asked = min(lowest.Asked, claim.Asked)
+		lowest.Demand = min(lowest.Demand, claim.Demand)
 	}
 	return lowest
 }
--- a/internal/admission/part_test.go
+++ b/internal/admission/part_test.go
@@ -30,7 +30,7 @@
 		for number := joins; number < times; number++ {
 			if number == joins || rapid.IntRange(0, times).Draw(t, "jumps") == 0 {
 				claim.Held = rapid.Int64Range(0, 60000).Draw(t, "held")
-				claim.Asked = rapid.Int64Range(0, 5000).Draw(t, "asked")
+				claim.Demand = rapid.Int64Range(0, 5000).Draw(t, "asked")
 			}
 			claim.At = start.Add(time.Duration(number) * reportInterval)
 			reported = append(reported, claim)
@@ -56,18 +56,18 @@
 	sum := 0.0
 	for daemon := range fleet.claims {
 		receivedAt := now.Add(-time.Duration(rapid.Int64Range(0, int64(maxSnapshotAge)).Draw(t, "believed")))
-		snapshot := Picture{At: receivedAt}
+		snapshot := Snapshot{At: receivedAt}
 		for other := range fleet.claims {
 			if partitionOf[other] != partitionOf[daemon] {
 				continue
 			}
-			reported, joined := fleet.at(other, receivedAt.Add(-time.Duration(rapid.Int64Range(0, int64(load.OldestPrograms)).Draw(t, "age"))))
+			reported, joined := fleet.at(other, receivedAt.Add(-time.Duration(rapid.Int64Range(0, int64(load.MaxProgramStatsAge)).Draw(t, "age"))))
 			if !joined {
 				continue
 			}
 			snapshot.Daemons++
 			snapshot.Claimed += reported.Held
-			snapshot.Asked += reported.Asked
+			snapshot.Demand += reported.Demand
 		}
 		recorded := claims{}
 		for _, claim := range fleet.claims[daemon] {
@@ -75,9 +75,9 @@
 				recorded.add(claim)
 			}
 		}
-		sum += Part(Share{
-			Bound: bound, Members: len(fleet.claims), Picture: snapshot, Least: recorded.minimum(now),
-			FirstTold: recorded.history[0].At, Last: float64(recorded.history[0].Held), Now: now,
+		sum += Part(PartInputs{
+			Bound: bound, Members: len(fleet.claims), Snapshot: snapshot, MinClaim: recorded.minimum(now),
+			FirstReportAt: recorded.history[0].At, LastPart: float64(recorded.history[0].Held), Now: now,
 		})
 	}
 	return sum
@@ -100,28 +100,28 @@
 
 var _ = Describe("Part", func() {
 	DescribeTable("divides nearly the whole bound if the claims are constant", func(daemons int) {
-		snapshot := Picture{At: start, Daemons: int64(daemons), Claimed: 2000 * int64(daemons), Asked: 100 * int64(daemons)}
-		part := Part(Share{
-			Bound: 40000 * float64(daemons), Members: daemons, Picture: snapshot, Least: Claim{Held: 2000, Asked: 100}, FirstTold: start, Now: start,
+		snapshot := Snapshot{At: start, Daemons: int64(daemons), Claimed: 2000 * int64(daemons), Demand: 100 * int64(daemons)}
+		part := Part(PartInputs{
+			Bound: 40000 * float64(daemons), Members: daemons, Snapshot: snapshot, MinClaim: Claim{Held: 2000, Demand: 100}, FirstReportAt: start, Now: start,
 		})
 		Expect(part).To(BeNumerically("~", 40000, 1))
 	}, Entry("84 daemons", 84), Entry("390 daemons", 390))
 
 	It("is larger for a daemon with more demand", func() {
-		share := Share{
-			Bound: 1e6, Members: 10, Picture: Picture{At: start, Daemons: 10, Asked: 1000}, FirstTold: start, Now: start, Least: Claim{Asked: 500},
+		share := PartInputs{
+			Bound: 1e6, Members: 10, Snapshot: Snapshot{At: start, Daemons: 10, Demand: 1000}, FirstReportAt: start, Now: start, MinClaim: Claim{Demand: 500},
 		}
 		busy := Part(share)
-		share.Least.Asked = 10
+		share.MinClaim.Demand = 10
 		quiet := Part(share)
 		Expect(busy).To(BeNumerically(">", 9*quiet))
 		Expect(quiet).To(BeNumerically(">=", evenFraction*1e6/10))
 	})
 
 	It("is the equal part for a daemon that has not reported, or has had no valid snapshot for long", func() {
-		share := Share{Bound: 1000, Members: 10, Now: start}
+		share := PartInputs{Bound: 1000, Members: 10, Now: start}
 		Expect(Part(share)).To(BeEquivalentTo(100))
-		share.FirstTold, share.Picture, share.Last = start, Picture{At: start, Daemons: 10}, 7
+		share.FirstReportAt, share.Snapshot, share.LastPart = start, Snapshot{At: start, Daemons: 10}, 7
 		share.Now = start.Add(maxSnapshotAge + claimWindow - time.Millisecond)
 		Expect(Part(share)).To(BeEquivalentTo(7), "other daemons may still use its earlier claims")
 		share.Now = start.Add(maxSnapshotAge + claimWindow)
@@ -129,12 +129,12 @@
 	})
 
 	It("lets the first daemons of a restarted fleet start programs", func() {
-		share := Share{Bound: 84 * 1000, Members: 84, Picture: Picture{At: start, Daemons: 3, Asked: 10}, FirstTold: start, Now: start}
+		share := PartInputs{Bound: 84 * 1000, Members: 84, Snapshot: Snapshot{At: start, Daemons: 3, Demand: 10}, FirstReportAt: start, Now: start}
 		Expect(Part(share)).To(BeNumerically("~", evenFraction*1000, 1))
 	})
 
 	It("is no longer valid when the snapshot has expired", func() {
-		share := Share{Bound: 1000, Members: 2, Picture: Picture{At: start, Daemons: 2, Claimed: 100}, Least: Claim{Held: 50}, Last: 3, FirstTold: start}
+		share := PartInputs{Bound: 1000, Members: 2, Snapshot: Snapshot{At: start, Daemons: 2, Claimed: 100}, MinClaim: Claim{Held: 50}, LastPart: 3, FirstReportAt: start}
 		share.Now = start.Add(maxSnapshotAge)
 		Expect(Part(share)).To(BeNumerically(">", 100))
 		share.Now = share.Now.Add(1)
@@ -146,7 +146,7 @@
 	It("have the lowest values of the window as their minimum, and 0 until they cover a whole window", func() {
 		reported := claims{}
 		for number, held := range []int64{9, 3, 5, 7} {
-			reported.add(Claim{At: start.Add(time.Duration(number) * reportInterval), Held: held, Asked: held})
+			reported.add(Claim{At: start.Add(time.Duration(number) * reportInterval), Held: held, Demand: held})
 		}
 		Expect(reported.minimum(start.Add(4 * reportInterval)).Held).To(BeZero())
 		Expect(reported.minimum(start.Add(claimWindow)).Held).To(BeEquivalentTo(3))
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -85,7 +85,7 @@
 // every engine keeps and those that are counted already.
 func (p *program) addPrompt(request *Request) {
 	for index, part := range request.Prompt {
-		if index < request.Everywhere {
+		if index < request.SharedPartCount {
 			continue
 		}
 		if _, counted := p.countedParts[part.Name]; counted {
--- a/internal/admission/share.go
+++ b/internal/admission/share.go
@@ -32,11 +32,11 @@
 	// Share is the tenant's recent spending relative to the mean of all tenants. It is 0 if
 	// the tenant has spent nothing, and 1 without tenants.
 	Share float64
-	// Late is set if the program can no longer meet its deadline.
-	Late bool
+	// MissesDeadline is set if the program can no longer meet its deadline.
+	MissesDeadline bool
 }
 
-// Reach returns the fraction of the bound up to which the claimant may start a program, and
+// AllowedFraction returns the fraction of the bound up to which the claimant may start a program, and
 // the cause to give if it is refused. fill is the fraction of the bound in use.
 //
 // A program that can no longer meet its deadline gets lateFraction. Other programs may use the
@@ -44,8 +44,8 @@
 // Otherwise each priority level below the highest reduces the fraction by reservePerPriority, by
 // maxPriorityReserve at most. For a share above maxFairShare, the fraction is then multiplied by
 // maxFairShare/share, but not by less than minShareFraction.
-func Reach(claimant Claimant, fill float64) (float64, Cause) {
-	if claimant.Late {
+func AllowedFraction(claimant Claimant, fill float64) (float64, Cause) {
+	if claimant.MissesDeadline {
 		return lateFraction, CauseLate
 	}
 	if fill < contentionFill || claimant.Share < starvedShare {
@@ -53,7 +53,7 @@
 	}
 	fraction, cause := 1.0, CauseFull
 	if claimant.Priority > 0 {
-		fraction, cause = 1-min(reservePerPriority*float64(claimant.Priority), maxPriorityReserve), CauseUrgent
+		fraction, cause = 1-min(reservePerPriority*float64(claimant.Priority), maxPriorityReserve), CausePriority
 	}
 	if claimant.Share > maxFairShare {
 		fraction, cause = fraction*max(maxFairShare/claimant.Share, minShareFraction), CauseShare
@@ -61,7 +61,7 @@
 	return fraction, cause
 }
 
-// Parameters of ComeBack.
+// Parameters of RetryAfter.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 4 * time.Second
@@ -69,7 +69,7 @@
 	defaultProgramDuration = time.Second
 )
 
-// ComeBack returns a random wait before a refused caller should try again. The waits spread the
+// RetryAfter returns a random wait before a refused caller should try again. The waits spread the
 // callers from minRetryAfter to the time that it takes to serve the demand. This time is limited to
 // the range from twice minRetryAfter to maxRetryAfter. If the demand during the mean duration of a
 // program is n times the bound, serving this demand takes n such durations. If the bound is 0, one
@@ -77,7 +77,7 @@
 //
 // demandPerSecond is in tokens per second, and bound is the number of available tokens. If
 // meanDuration is 0, defaultProgramDuration is used. random, from 0 to 1, selects the wait.
-func ComeBack(demandPerSecond, bound float64, meanDuration time.Duration, random float64) time.Duration {
+func RetryAfter(demandPerSecond, bound float64, meanDuration time.Duration, random float64) time.Duration {
 	if meanDuration <= 0 {
 		meanDuration = defaultProgramDuration
 	}
--- a/internal/admission/simulated_engine_test.go
+++ b/internal/admission/simulated_engine_test.go
@@ -42,7 +42,7 @@
 		queueTime := s.now - p.queuedAt
 		s.after(firstByte, func() {
 			if !p.firstTurn {
-				s.daemons[p.daemon].Answered(simService, queueTime+firstByte)
+				s.daemons[p.daemon].RecordFirstByte(simService, queueTime+firstByte)
 			}
 		})
 		s.after(firstByte+simDecodeTime, func() { s.endTurn(p, prefillTokens) })
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -89,7 +89,7 @@
 	daemons  []*Controller
 	clients  []int
 	engines  []*simEngine
-	reports  []load.Programs
+	reports  []load.ProgramStats
 	seconds  []outcomeCounts
 	byTenant map[int]*outcomeCounts
 	byKind   map[string]*outcomeCounts
@@ -167,11 +167,11 @@
 	p.request = s.request(p)
 	if !s.noAdmission {
 		var refused *RefusedError
-		if errors.As(s.daemons[p.daemon].Begin(p.request), &refused) {
+		if errors.As(s.daemons[p.daemon].Admit(p.request), &refused) {
 			s.refusals[refused.Cause]++
 			timeLeft := p.arrivedAt + p.deadline() - s.now
 			if p.refusals++; p.refusals <= 2 && timeLeft > 0 {
-				s.after(min(refused.After, timeLeft/3), func() { s.begin(p) })
+				s.after(min(refused.RetryAfter, timeLeft/3), func() { s.begin(p) })
 			}
 			return
 		}
@@ -189,7 +189,7 @@
 func (s *simulation) request(p *simProgram) *Request {
 	request := &Request{
 		Service: simService, Route: p.kind.name, Tenant: fmt.Sprint(p.tenant), Program: p.name, Priority: p.kind.priority,
-		TimeLeft: p.arrivedAt + p.deadline() - s.now, Room: Room{Engines: len(s.engines), MemoryTokens: simMemory}, Random: s.random.Float64(),
+		TimeLeft: p.arrivedAt + p.deadline() - s.now, Capacity: Capacity{Engines: len(s.engines), MemoryTokens: simMemory}, Random: s.random.Float64(),
 	}
 	for turn := range p.turn + 1 {
 		request.Prompt = append(request.Prompt, PromptPart{Name: fmt.Sprint(turn), Tokens: p.kind.promptTokens + p.kind.outputTokens})
@@ -199,7 +199,7 @@
 
 func (s *simulation) leave(p *simProgram, spent int) {
 	if !s.noAdmission {
-		s.daemons[p.daemon].Leave(p.request, int64(spent))
+		s.daemons[p.daemon].EndTurn(p.request, int64(spent))
 	}
 }
 
@@ -212,7 +212,7 @@
 	if p.turn < p.kind.turns {
 		s.after(time.Duration(s.random.ExpFloat64()*float64(p.kind.pause)), func() {
 			p.request = s.request(p)
-			s.daemons[p.daemon].Continue(p.request)
+			s.daemons[p.daemon].ContinueTurn(p.request)
 			s.enqueue(p)
 		})
 		return
@@ -229,9 +229,9 @@
 // old.
 func (s *simulation) exchange() {
 	s.after(simReportInterval, s.exchange)
-	sum := load.Programs{Services: map[load.Key]load.ServicePrograms{}, Spent: map[load.Key]int64{}}
+	sum := load.ProgramStats{Services: map[load.Digest]load.ServiceStats{}, Spent: map[load.Digest]int64{}}
 	for _, daemon := range s.daemons {
-		sum.Include(daemon.Programs())
+		sum.Add(daemon.Programs())
 	}
 	s.reports = append(s.reports, sum)
 	delay := int(s.snapshotAge / simReportInterval)
@@ -239,7 +239,7 @@
 		return
 	}
 	for _, daemon := range s.daemons {
-		daemon.LearnPrograms(s.reports[len(s.reports)-1-delay], load.Programs{})
+		daemon.UpdatePrograms(s.reports[len(s.reports)-1-delay], load.ProgramStats{})
 	}
 }
 
--- a/internal/admission/spending.go
+++ b/internal/admission/spending.go
@@ -4,7 +4,7 @@
 
 // tenantSpending is the recent spending of each tenant at all daemons, in tokens.
 type tenantSpending struct {
-	byTenant map[load.Key]int64
+	byTenant map[load.Digest]int64
 	total    int64
 }
 
@@ -31,5 +31,5 @@
 	if tenant == "" || s.total <= 0 {
 		return 1
 	}
-	return s.relativeToMean(s.byTenant[load.KeyOf(tenant)])
+	return s.relativeToMean(s.byTenant[load.DigestOf(tenant)])
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -36,12 +36,12 @@
 	return fleet, testClock
 }
 
-func choose(fleet *Fleet, now time.Time, modify func(*Request)) *Instance {
-	request := &Request{Zone: "z", Now: now, LeavingAllowed: time.Second}
+func choose(fleet *Fleet, now time.Time, modify func(*PlacementRequest)) *Instance {
+	request := &PlacementRequest{Zone: "z", Now: now, LeavingGrace: time.Second}
 	if modify != nil {
 		modify(request)
 	}
-	return Choose(fleet.Of("s"), request)
+	return Choose(fleet.Instances("s"), request)
 }
 
 var _ = Describe("Fleet", func() {
@@ -51,7 +51,7 @@
 		draining.Draining = true
 		Expect(fleet.Apply(draining)).To(Equal(EventDraining))
 		Expect(fleet.Apply(newDeclaration("a", 4))).To(Equal(EventNone))
-		_, leaving := fleet.Of("s")[0].Leaving()
+		_, leaving := fleet.Instances("s")[0].LeavingSince()
 		Expect(leaving).To(BeTrue())
 	})
 
@@ -59,7 +59,7 @@
 		fleet, _ := newTestFleet("a")
 		Expect(fleet.Apply(Declaration{ID: "a", Gone: true, Version: 2})).To(Equal(EventGone))
 		fleet.Apply(newDeclaration("a", 3))
-		_, leaving := fleet.Of("s")[0].Leaving()
+		_, leaving := fleet.Instances("s")[0].LeavingSince()
 		Expect(leaving).To(BeFalse())
 	})
 
@@ -68,8 +68,8 @@
 		fleet.Apply(newDeclaration("c", 9))
 		fleet.Replace([]Declaration{newDeclaration("a", 1)}, 5)
 		leaving := map[string]bool{}
-		for _, instance := range fleet.Of("s") {
-			_, leaving[instance.ID] = instance.Leaving()
+		for _, instance := range fleet.Instances("s") {
+			_, leaving[instance.ID] = instance.LeavingSince()
 		}
 		Expect(leaving).To(Equal(map[string]bool{"a": false, "b": true, "c": false}))
 	})
@@ -86,11 +86,11 @@
 	It("removes instances that left longer ago than the retention", func() {
 		fleet, testClock := newTestFleet("a", "b")
 		fleet.Apply(Declaration{ID: "a", Gone: true, Version: 2})
-		fleet.Forget(time.Second)
-		Expect(fleet.Of("s")).To(HaveLen(2))
+		fleet.Prune(time.Second)
+		Expect(fleet.Instances("s")).To(HaveLen(2))
 		testClock.now = start.Add(2 * time.Second)
-		fleet.Forget(time.Second)
-		Expect(fleet.Of("s")).To(HaveLen(1))
+		fleet.Prune(time.Second)
+		Expect(fleet.Instances("s")).To(HaveLen(1))
 	})
 })
 
@@ -107,16 +107,16 @@
 	DescribeTable("prefers the engine that has the prompt cached until its load outweighs that", func(tokens, staysAt, leavesAt int) {
 		fleet, _ := newTestFleet("a", "b", "c") // with 4 slots each
 		parts := []PromptPart{{Name: "shared", Tokens: tokens / 2}, {Name: "own", Tokens: tokens / 2}}
-		cached := fleet.Of("s")[1]
-		cached.Remember(parts)
-		withPrefix := func(request *Request) { request.Affinity, request.Prefix = "p", parts }
+		cached := fleet.Instances("s")[1]
+		cached.RecordPrefix(parts)
+		withPrefix := func(request *PlacementRequest) { request.Affinity, request.Prefix = "p", parts }
 		for range staysAt {
 			Expect(choose(fleet, start, withPrefix)).To(BeIdenticalTo(cached))
-			cached.Begin()
+			cached.BeginRequest()
 		}
 		Expect(choose(fleet, start, withPrefix)).To(BeIdenticalTo(cached))
 		for range leavesAt - staysAt {
-			cached.Begin()
+			cached.BeginRequest()
 		}
 		Expect(choose(fleet, start, withPrefix)).NotTo(BeIdenticalTo(cached))
 	},
@@ -127,15 +127,15 @@
 	It("sends a program to the same engine whether or not shared parts are known to be cached there", func() {
 		parts := []PromptPart{{Name: "shared", Tokens: 12_600}, {Name: "own", Tokens: 400}}
 		for _, program := range []string{"p1", "p2", "p3", "p4", "p5"} {
-			modify := func(request *Request) {
-				request.Affinity, request.Prefix, request.Everywhere = program, parts, 1
+			modify := func(request *PlacementRequest) {
+				request.Affinity, request.Prefix, request.SharedPartCount = program, parts, 1
 			}
 			started, _ := newTestFleet("a", "b", "c", "d")
 			home := choose(started, start, modify)
 			running, _ := newTestFleet("a", "b", "c", "d")
-			for _, instance := range running.Of("s") {
+			for _, instance := range running.Instances("s") {
 				if instance.ID != home.ID {
-					instance.Remember(parts[:1])
+					instance.RecordPrefix(parts[:1])
 				}
 			}
 			Expect(choose(running, start, modify).ID).To(Equal(home.ID))
@@ -144,41 +144,41 @@
 
 	It("counts the tokens that an engine has to read", func() {
 		fleet, _ := newTestFleet("a")
-		only := fleet.Of("s")[0]
-		request := &Request{Prefix: []PromptPart{{Name: "shared", Tokens: 600}, {Name: "own", Tokens: 400}, {Name: "new", Tokens: 50}}}
-		Expect(Missing(only, request)).To(Equal(1050))
-		request.Everywhere = 1
-		Expect(Missing(only, request)).To(Equal(450))
-		only.Remember(request.Prefix[1:2])
-		Expect(Missing(only, request)).To(Equal(50))
-		request.Off = mechanism.Off{mechanism.SharedParts}
-		Expect(Missing(only, request)).To(Equal(1050))
-		request.Off = mechanism.Off{mechanism.PrefixGuess}
-		Expect(Missing(only, request)).To(Equal(0))
+		only := fleet.Instances("s")[0]
+		request := &PlacementRequest{Prefix: []PromptPart{{Name: "shared", Tokens: 600}, {Name: "own", Tokens: 400}, {Name: "new", Tokens: 50}}}
+		Expect(MissingTokens(only, request)).To(Equal(1050))
+		request.SharedPartCount = 1
+		Expect(MissingTokens(only, request)).To(Equal(450))
+		only.RecordPrefix(request.Prefix[1:2])
+		Expect(MissingTokens(only, request)).To(Equal(50))
+		request.DisabledMechanisms = mechanism.Disabled{mechanism.SharedParts}
+		Expect(MissingTokens(only, request)).To(Equal(1050))
+		request.DisabledMechanisms = mechanism.Disabled{mechanism.PrefixTracking}
+		Expect(MissingTokens(only, request)).To(Equal(0))
 	})
 
 	It("sends requests with the same affinity to the same instance from every process", func() {
 		one, _ := newTestFleet("a", "b", "c", "d")
 		other, _ := newTestFleet("d", "c", "b", "a")
 		for _, program := range []string{"p1", "p2", "p3", "p4", "p5"} {
-			modify := func(request *Request) { request.Affinity = program }
+			modify := func(request *PlacementRequest) { request.Affinity = program }
 			Expect(choose(one, start, modify).ID).To(Equal(choose(other, start, modify).ID))
 		}
 	})
 
 	It("ejects an instance after consecutive failures, longer each time, and uses it if there is no other", func() {
 		fleet, _ := newTestFleet("a", "b")
-		failing := fleet.Of("s")[0]
-		_, ejected := failing.Failed(start)
+		failing := fleet.Instances("s")[0]
+		_, ejected := failing.RecordFailure(start)
 		Expect(ejected).To(BeFalse())
-		first, ejected := failing.Failed(start)
+		first, ejected := failing.RecordFailure(start)
 		Expect(ejected).To(BeTrue())
-		second, _ := failing.Failed(start)
+		second, _ := failing.RecordFailure(start)
 		Expect(second).To(BeNumerically(">", first))
 		healthy := choose(fleet, start, nil)
 		Expect(healthy).NotTo(BeIdenticalTo(failing))
-		Expect(choose(fleet, start, func(request *Request) { request.Excluded = []string{healthy.ID} })).To(BeIdenticalTo(failing))
-		failing.Succeeded()
+		Expect(choose(fleet, start, func(request *PlacementRequest) { request.Excluded = []string{healthy.ID} })).To(BeIdenticalTo(failing))
+		failing.RecordSuccess()
 		Expect(failing.health.isEjected(start)).To(BeFalse())
 	})
 
@@ -187,14 +187,14 @@
 		fleet, _ := newTestFleet("a", "b", "c", "d")
 		warmChosen := 0
 		for order := range uint64(orders) {
-			modify := func(request *Request) { request.Order = order }
-			warm := fleet.Of("s")[order%4]
+			modify := func(request *PlacementRequest) { request.Seed = order }
+			warm := fleet.Instances("s")[order%4]
 			warm.pool.warmUntil.Store(start.Add(time.Second).UnixNano())
 			if choose(fleet, start, modify) == warm {
 				warmChosen++
 			}
 			Expect(choose(fleet, start.Add(time.Second), modify)).To(BeIdenticalTo(choose(fleet, start.Add(time.Hour), modify)))
-			ends := []func(){warm.Begin(), warm.Begin(), warm.Begin(), warm.Begin()}
+			ends := []func(){warm.BeginRequest(), warm.BeginRequest(), warm.BeginRequest(), warm.BeginRequest()}
 			Expect(choose(fleet, start, modify)).NotTo(BeIdenticalTo(warm))
 			for _, end := range ends {
 				end()
@@ -209,7 +209,7 @@
 		counts := map[string]int{}
 		for order := range uint64(200) {
 			fleet, _ := newTestFleet(ids...)
-			modify := func(request *Request) { request.Order = order * 7919 }
+			modify := func(request *PlacementRequest) { request.Seed = order * 7919 }
 			first := choose(fleet, start, modify)
 			for range 10 {
 				Expect(choose(fleet, start, modify)).To(BeIdenticalTo(first))
@@ -221,10 +221,10 @@
 
 	It("moves requests without an affinity away from a loaded instance", func() {
 		fleet, _ := newTestFleet("a", "b")
-		busy := fleet.Of("s")[0]
+		busy := fleet.Instances("s")[0]
 		for range 3 {
-			busy.Begin()
+			busy.BeginRequest()
 		}
-		Expect(choose(fleet, start, func(request *Request) { request.Order = 7 })).NotTo(BeIdenticalTo(busy))
+		Expect(choose(fleet, start, func(request *PlacementRequest) { request.Seed = 7 })).NotTo(BeIdenticalTo(busy))
 	})
 })
--- a/internal/backend/choose.go
+++ b/internal/backend/choose.go
@@ -7,26 +7,26 @@
 	"github.com/thymeloft/thymeloft/internal/mechanism"
 )
 
-// Request holds the properties of a request that placement uses.
-type Request struct {
+// PlacementRequest holds the properties of a request that placement uses.
+type PlacementRequest struct {
 	Affinity string       // requests with equal values share prompt prefixes; empty if there is none
 	Prefix   []PromptPart // parts of the prompt, in order
-	// Everywhere is the number of leading parts of Prefix that every engine is assumed to have
+	// SharedPartCount is the number of leading parts of Prefix that every engine is assumed to have
 	// cached, as returned by Sharing.Note.
-	Everywhere int
-	Zone       string   // zone of this process
-	Slots      int      // slots of each engine of the service; 0 if not declared
-	Excluded   []string // IDs of instances that must not be chosen
-	// Order seeds the placement of requests without an affinity. It is constant within a process
+	SharedPartCount int
+	Zone            string   // zone of this process
+	Slots           int      // slots of each engine of the service; 0 if not declared
+	Excluded        []string // IDs of instances that must not be chosen
+	// Seed seeds the placement of requests without an affinity. It is constant within a process
 	// and differs between processes, so that each process prefers a few instances and needs few
 	// connections.
-	Order uint64
-	// LeavingAllowed is how long a draining or gone instance may still be used if no other is
+	Seed uint64
+	// LeavingGrace is how long a draining or gone instance may still be used if no other is
 	// usable: the registration of an instance may expire while it still serves.
-	LeavingAllowed time.Duration
-	Now            time.Time
-	// Off lists the mechanisms that are disabled, for experiments.
-	Off mechanism.Off
+	LeavingGrace time.Duration
+	Now          time.Time
+	// DisabledMechanisms lists the mechanisms that are disabled, for experiments.
+	DisabledMechanisms mechanism.Disabled
 }
 
 // Choose returns the best instance for the request, or nil if none is usable. The choice depends
@@ -34,9 +34,9 @@
 //
 // Instances are ranked by class: healthy ones, then those whose responses start late, then those
 // with many recent failures, then ejected ones, then those that began draining or were gone less
-// than LeavingAllowed ago. Within a class the instance with the lowest cost is chosen. Slow
+// than LeavingGrace ago. Within a class the instance with the lowest cost is chosen. Slow
 // instances have no class of their own: their speed is part of the cost.
-func Choose(instances []*Instance, request *Request) *Instance {
+func Choose(instances []*Instance, request *PlacementRequest) *Instance {
 	var allFirstBytes decayedMean
 	for _, instance := range instances {
 		allFirstBytes = allFirstBytes.plus(instance.quality.snapshot(request.Now).firstByte)
@@ -66,26 +66,26 @@
 	classLate          // its responses start late
 	classFailing       // it had many failures recently
 	classEjected
-	classLeft  // it began draining or was gone less than LeavingAllowed ago
+	classLeft  // it began draining or was gone less than LeavingGrace ago
 	classUnfit // it must not be chosen
 )
 
-func classOf(instance *Instance, request *Request, allFirstBytes decayedMean) class {
+func classOf(instance *Instance, request *PlacementRequest, allFirstBytes decayedMean) class {
 	for _, excluded := range request.Excluded {
 		if instance.ID == excluded {
 			return classUnfit
 		}
 	}
-	if since, leaving := instance.Leaving(); leaving {
-		if request.Now.Sub(since) < request.LeavingAllowed {
+	if since, leaving := instance.LeavingSince(); leaving {
+		if request.Now.Sub(since) < request.LeavingGrace {
 			return classLeft
 		}
 		return classUnfit
 	}
-	if instance.health.isEjected(request.Now) && !request.Off.Has(mechanism.Ejection) {
+	if instance.health.isEjected(request.Now) && !request.DisabledMechanisms.Has(mechanism.Ejection) {
 		return classEjected
 	}
-	if request.Off.Has(mechanism.QualityClasses) {
+	if request.DisabledMechanisms.Has(mechanism.QualityClasses) {
 		return classReady
 	}
 	snapshot := instance.quality.snapshot(request.Now)
--- a/internal/backend/cost.go
+++ b/internal/backend/cost.go
@@ -37,18 +37,18 @@
 // time to read missing prompt tokens (weighted with missingTokenWeight), the extra answer time
 // of a slow instance if preferFast is set, the load cost, and smaller costs for affinity, new
 // connections and other zones.
-func costOf(instance *Instance, request *Request, baseline speedBaseline, preferFast bool) float64 {
+func costOf(instance *Instance, request *PlacementRequest, baseline speedBaseline, preferFast bool) float64 {
 	speed := baseline.speedRatio(instance, request.Now)
-	cost := missingTokenWeight * float64(Missing(instance, request)) / tokensPerMillisecond
+	cost := missingTokenWeight * float64(MissingTokens(instance, request)) / tokensPerMillisecond
 	if preferFast && speed < 1 {
 		cost += baseline.answerTimeMs * (1/speed - 1)
 	}
 	cost += loadCost(instance, request)
 	cost += maxAffinityCostMs * preference(instance, request)
-	if !instance.pool.isWarm(request.Now) && !request.Off.Has(mechanism.WarmConnections) {
+	if !instance.pool.isWarm(request.Now) && !request.DisabledMechanisms.Has(mechanism.WarmConnections) {
 		cost += newConnectionCostMs
 	}
-	if instance.Zone != request.Zone && !request.Off.Has(mechanism.ZoneCost) {
+	if instance.Zone != request.Zone && !request.DisabledMechanisms.Has(mechanism.ZoneCost) {
 		cost += otherZoneCostMs
 	}
 	return cost
@@ -57,17 +57,17 @@
 // prefersFast reports whether the speeds of instances count in the placement of the request. It
 // compares a hash of the affinity with the baseline's preferFastShare, so that processes with
 // the same baseline decide alike for requests with the same affinity.
-func prefersFast(request *Request, baseline speedBaseline) bool {
+func prefersFast(request *PlacementRequest, baseline speedBaseline) bool {
 	return baseline.preferFastShare >= 1 || hashFraction(request, "hasty") < baseline.preferFastShare
 }
 
-// Missing returns the estimated number of prompt tokens that the instance would have to read.
-func Missing(instance *Instance, request *Request) int {
-	if request.Off.Has(mechanism.PrefixGuess) {
+// MissingTokens returns the estimated number of prompt tokens that the instance would have to read.
+func MissingTokens(instance *Instance, request *PlacementRequest) int {
+	if request.DisabledMechanisms.Has(mechanism.PrefixTracking) {
 		return 0
 	}
-	sharedParts := request.Everywhere
-	if request.Off.Has(mechanism.SharedParts) {
+	sharedParts := request.SharedPartCount
+	if request.DisabledMechanisms.Has(mechanism.SharedParts) {
 		sharedParts = 0
 	}
 	return instance.prefixes.missingTokens(request.Prefix, sharedParts)
@@ -77,14 +77,14 @@
 // the load: a few requests hardly slow an engine down, while a full one queues them. The cost is
 // far below the longest queueing time on purpose: loads are reported only every 100 ms, and a
 // stronger reaction would send the requests of all daemons to the same engines.
-func loadCost(instance *Instance, request *Request) float64 {
-	utilization := float64(instance.Load(request.Now)) / float64(Slots(instance, request))
+func loadCost(instance *Instance, request *PlacementRequest) float64 {
+	utilization := float64(instance.Load(request.Now)) / float64(SlotsOf(instance, request))
 	return fullEngineCostMs * utilization * utilization
 }
 
-// Slots returns how many requests the instance processes at a time: its own declared value, else
+// SlotsOf returns how many requests the instance processes at a time: its own declared value, else
 // that of its service, else a default.
-func Slots(instance *Instance, request *Request) int {
+func SlotsOf(instance *Instance, request *PlacementRequest) int {
 	switch {
 	case instance.Slots > 0:
 		return instance.Slots
@@ -98,17 +98,17 @@
 // preference returns a number from 0 to 1 for the instance; a lower one is preferred. For
 // requests with an affinity it is the same in every process, without communication. For others
 // it depends on request.Order.
-func preference(instance *Instance, request *Request) float64 {
+func preference(instance *Instance, request *PlacementRequest) float64 {
 	return hashFraction(request, instance.ID)
 }
 
 // hashFraction returns a hash of the name and the request's affinity as a number from 0 to 1.
 // Without an affinity, request.Order seeds the hash.
-func hashFraction(request *Request, name string) float64 {
+func hashFraction(request *PlacementRequest, name string) float64 {
 	affinity := request.Affinity
 	seed := uint64(0)
 	if affinity == "" {
-		seed = request.Order
+		seed = request.Seed
 	}
 	digest := xxhash.NewWithSeed(seed)
 	_, _ = digest.WriteString(affinity)
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -15,15 +15,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// Outgoing is a request to send to an instance.
-type Outgoing struct {
+// OutgoingRequest is a request to send to an instance.
+type OutgoingRequest struct {
 	Method string
 	Target string // path and query, exactly as the caller sent them
 	Host   string
 	Header http.Header
 	Body   [][]byte // chunks, written in this order
-	// Belongs reports whether a response with this header answers this request.
-	Belongs func(header http.Header) bool
+	// MatchesResponse reports whether a response with this header answers this request.
+	MatchesResponse func(header http.Header) bool
 }
 
 // Reply is an instance's response. The caller must read Body to the end or close it.
@@ -50,12 +50,12 @@
 // executed.
 type LostError struct {
 	Peer string
-	Step string
+	Op   string
 	Err  error
 }
 
 // Error implements error.
-func (e *LostError) Error() string { return fmt.Sprintf("%s with %s: %v", e.Step, e.Peer, e.Err) }
+func (e *LostError) Error() string { return fmt.Sprintf("%s with %s: %v", e.Op, e.Peer, e.Err) }
 
 // Unwrap returns the underlying error.
 func (e *LostError) Unwrap() error { return e.Err }
@@ -64,7 +64,7 @@
 // never sends a request twice. When the context ends, even while the body is read, the
 // connection is closed so that the instance can stop its work. The error is a *NotSentError or a
 // *LostError.
-func (i *Instance) Exchange(ctx context.Context, outgoing *Outgoing) (*Reply, error) {
+func (i *Instance) Exchange(ctx context.Context, outgoing *OutgoingRequest) (*Reply, error) {
 	conn, err := i.pool.get(ctx)
 	if err != nil {
 		return nil, &NotSentError{Peer: i.Address, Err: err}
@@ -95,7 +95,7 @@
 // it has read all of it.
 const maxInlineWriteBytes = 16 << 10
 
-func (e *exchange) run(outgoing *Outgoing) (*Reply, error) {
+func (e *exchange) run(outgoing *OutgoingRequest) (*Reply, error) {
 	request, bodyBytes := buildRequest(outgoing)
 	if bodyBytes <= maxInlineWriteBytes {
 		e.write(request)
@@ -104,7 +104,7 @@
 	}
 	reply, err := e.readResponse(request, outgoing)
 	if err != nil {
-		return nil, &LostError{Peer: e.instance.Address, Step: "read answer", Err: e.closeWithCause(err)}
+		return nil, &LostError{Peer: e.instance.Address, Op: "read answer", Err: e.closeWithCause(err)}
 	}
 	return reply, nil
 }
@@ -124,7 +124,7 @@
 
 // buildRequest returns the HTTP request and the length of its body. The target is sent
 // unchanged.
-func buildRequest(outgoing *Outgoing) (*http.Request, int64) {
+func buildRequest(outgoing *OutgoingRequest) (*http.Request, int64) {
 	bodyBytes := int64(0)
 	readers := make([]io.Reader, 0, len(outgoing.Body))
 	for _, chunk := range outgoing.Body {
@@ -150,7 +150,7 @@
 
 // readResponse reads the head of the response to this request and skips informational responses.
 // On a reused connection it discards at most one response to an earlier request.
-func (e *exchange) readResponse(request *http.Request, outgoing *Outgoing) (*Reply, error) {
+func (e *exchange) readResponse(request *http.Request, outgoing *OutgoingRequest) (*Reply, error) {
 	const maxStrayBytes = 1 << 20
 	strays := 0
 	for {
@@ -162,7 +162,7 @@
 			_ = response.Body.Close() // always empty
 			continue
 		}
-		if outgoing.Belongs(response.Header) {
+		if outgoing.MatchesResponse(response.Header) {
 			if strays > 0 {
 				response.Close = true
 			}
--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -66,7 +66,7 @@
 func (r *rawServer) instance() *Instance {
 	fleet := NewFleet(time.Now)
 	fleet.Apply(Declaration{ID: "i", Service: "s", Address: r.listener.Addr().String(), Version: 1})
-	return fleet.Of("s")[0]
+	return fleet.Instances("s")[0]
 }
 
 func responseText(id, content string) string {
@@ -74,9 +74,9 @@
 }
 
 func send(ctx context.Context, instance *Instance, id string) (string, error) {
-	reply, err := instance.Exchange(ctx, &Outgoing{
+	reply, err := instance.Exchange(ctx, &OutgoingRequest{
 		Method: "POST", Target: "/path?q=%2F", Host: "h", Header: http.Header{"Id": {id}}, Body: [][]byte{[]byte("ab"), []byte("c")},
-		Belongs: func(header http.Header) bool { return header.Get("Id") == id },
+		MatchesResponse: func(header http.Header) bool { return header.Get("Id") == id },
 	})
 	if err != nil {
 		return "", err
@@ -214,9 +214,9 @@
 			}
 		}()
 		instance := (&rawServer{listener: listener}).instance()
-		reply, err := instance.Exchange(ctx, &Outgoing{
+		reply, err := instance.Exchange(ctx, &OutgoingRequest{
 			Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Body: [][]byte{[]byte(strings.Repeat("x", 64<<20))},
-			Belongs: func(http.Header) bool { return true },
+			MatchesResponse: func(http.Header) bool { return true },
 		})
 		Expect(err).NotTo(HaveOccurred())
 		content, err := io.ReadAll(reply.Body)
@@ -236,13 +236,13 @@
 			}
 		}()
 		instance := (&rawServer{listener: listener}).instance()
-		_, err = instance.Exchange(ctx, &Outgoing{
+		_, err = instance.Exchange(ctx, &OutgoingRequest{
 			Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Body: [][]byte{[]byte(strings.Repeat("x", 64<<20))},
-			Belongs: func(http.Header) bool { return true },
+			MatchesResponse: func(http.Header) bool { return true },
 		})
 		var lost *LostError
 		Expect(errors.As(err, &lost)).To(BeTrue())
-		Expect(err).To(MatchError(ErrUnread))
+		Expect(err).To(MatchError(ErrRequestNotRead))
 		Expect(instance.pool.pop()).To(BeNil())
 		Eventually(accepted).Should(Receive())
 	})
--- a/internal/backend/fleet.go
+++ b/internal/backend/fleet.go
@@ -9,17 +9,17 @@
 // Fleet holds the known instances of all services. It is safe for concurrent use; reading the
 // instances of a service takes no lock.
 type Fleet struct {
-	// Sharing tracks the prompt parts that programs have in common.
-	Sharing   *Sharing
-	now       func() time.Time
-	mutex     sync.Mutex
-	byID      map[string]*Instance
-	byService atomic.Pointer[map[string][]*Instance] // immutable; replaced on change
+	// SharedParts tracks the prompt parts that programs have in common.
+	SharedParts *SharedPartTracker
+	now         func() time.Time
+	mutex       sync.Mutex
+	byID        map[string]*Instance
+	byService   atomic.Pointer[map[string][]*Instance] // immutable; replaced on change
 }
 
 // NewFleet returns an empty fleet that uses the given clock.
 func NewFleet(now func() time.Time) *Fleet {
-	fleet := &Fleet{Sharing: NewSharing(), now: now, byID: map[string]*Instance{}}
+	fleet := &Fleet{SharedParts: NewSharedPartTracker(), now: now, byID: map[string]*Instance{}}
 	fleet.byService.Store(&map[string][]*Instance{})
 	return fleet
 }
@@ -75,7 +75,7 @@
 // mutex.
 func (f *Fleet) createAtAddress(declaration Declaration) *Instance {
 	for id, other := range f.byID {
-		if _, leaving := other.Leaving(); leaving && other.Address == declaration.Address {
+		if _, leaving := other.LeavingSince(); leaving && other.Address == declaration.Address {
 			other.pool.closeAll()
 			delete(f.byID, id)
 		}
@@ -110,8 +110,8 @@
 	}
 }
 
-// Displace removes an instance after another instance answered at its address.
-func (f *Fleet) Displace(instance *Instance) {
+// Remove removes an instance after another instance answered at its address.
+func (f *Fleet) Remove(instance *Instance) {
 	instance.leftAt.CompareAndSwap(0, f.now().UnixNano())
 	instance.pool.closeAll()
 	f.mutex.Lock()
@@ -120,13 +120,13 @@
 	f.publish()
 }
 
-// Forget removes instances that have been draining or gone for longer than the retention.
-func (f *Fleet) Forget(retention time.Duration) {
+// Prune removes instances that have been draining or gone for longer than the retention.
+func (f *Fleet) Prune(retention time.Duration) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	changed := false
 	for id, instance := range f.byID {
-		since, leaving := instance.Leaving()
+		since, leaving := instance.LeavingSince()
 		if leaving && f.now().Sub(since) > retention {
 			instance.pool.closeAll()
 			delete(f.byID, id)
@@ -146,9 +146,9 @@
 	f.byService.Store(&next)
 }
 
-// Of returns the instances of a service, including those that are leaving. The caller must not
+// Instances returns the instances of a service, including those that are leaving. The caller must not
 // change the slice.
-func (f *Fleet) Of(service string) []*Instance { return (*f.byService.Load())[service] }
+func (f *Fleet) Instances(service string) []*Instance { return (*f.byService.Load())[service] }
 
 // Size returns the number of known instances.
 func (f *Fleet) Size() int {
--- a/internal/backend/instance.go
+++ b/internal/backend/instance.go
@@ -35,7 +35,7 @@
 	speed           speedTracker
 	health          health
 	prefixes        *prefixCache
-	loadKey         load.Key     // identifies the instance in load reports between daemons
+	loadKey         load.Digest  // identifies the instance in load reports between daemons
 	othersInFlight  atomic.Int64 // requests of other processes, as last reported
 	othersUpdatedAt atomic.Int64 // unix nanoseconds of the last report; 0 if there was none
 	leftAt          atomic.Int64 // unix nanoseconds when it began draining or was gone; 0 if neither
@@ -43,46 +43,48 @@
 
 // loadKeyOf returns the key of an instance in load reports. It includes Born, so that reports
 // about a previous start under the same ID are not applied to this one.
-func loadKeyOf(declaration Declaration) load.Key {
+func loadKeyOf(declaration Declaration) load.Digest {
 	if declaration.Born == 0 {
-		return load.KeyOf(declaration.ID)
+		return load.DigestOf(declaration.ID)
 	}
-	return load.KeyOf(declaration.ID + "\x00" + strconv.FormatInt(declaration.Born, 10))
+	return load.DigestOf(declaration.ID + "\x00" + strconv.FormatInt(declaration.Born, 10))
 }
 
 // InFlight returns the number of requests of this process at the instance.
 func (i *Instance) InFlight() int { return int(i.inFlight.Load()) }
 
-// Leaving reports whether the instance is draining or gone, and since when.
-func (i *Instance) Leaving() (since time.Time, leaving bool) {
+// LeavingSince reports whether the instance is draining or gone, and since when.
+func (i *Instance) LeavingSince() (since time.Time, leaving bool) {
 	at := i.leftAt.Load()
 	return time.Unix(0, at), at != 0
 }
 
-// Begin counts a request as in flight until the returned function is called. Calling that
+// BeginRequest counts a request as in flight until the returned function is called. Calling that
 // function again has no effect.
-func (i *Instance) Begin() (end func()) {
+func (i *Instance) BeginRequest() (end func()) {
 	i.inFlight.Add(1)
 	var once sync.Once
 	return func() { once.Do(func() { i.inFlight.Add(-1) }) }
 }
 
-// Observe records the outcome of a request for the quality and the speed of the instance. It
+// RecordOutcome records the outcome of a request for the quality and the speed of the instance. It
 // does not eject the instance; see Failed.
-func (i *Instance) Observe(outcome Outcome, now time.Time) {
+func (i *Instance) RecordOutcome(outcome Outcome, now time.Time) {
 	i.quality.observe(outcome, now)
 	i.speed.observe(outcome, now)
 }
 
-// Succeeded records that the instance sent a usable response. It ends an ejection.
-func (i *Instance) Succeeded() { i.health.recordSuccess() }
+// RecordSuccess records that the instance sent a usable response. It ends an ejection.
+func (i *Instance) RecordSuccess() { i.health.recordSuccess() }
 
-// Failed records that the instance could not be reached, sent no response, or broke one off. It
+// RecordFailure records that the instance could not be reached, sent no response, or broke one off. It
 // returns whether the instance is now ejected, and for how long.
-func (i *Instance) Failed(now time.Time) (time.Duration, bool) { return i.health.recordFailure(now) }
+func (i *Instance) RecordFailure(now time.Time) (time.Duration, bool) {
+	return i.health.recordFailure(now)
+}
 
-// Remember records that the instance has read these parts of a prompt.
-func (i *Instance) Remember(parts []PromptPart) { i.prefixes.add(parts) }
+// RecordPrefix records that the instance has read these parts of a prompt.
+func (i *Instance) RecordPrefix(parts []PromptPart) { i.prefixes.add(parts) }
 
 // health ejects an instance after consecutive failures. Until a success, each further failure
 // ejects it again, for twice as long as before, up to maxEjection.
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -10,9 +10,9 @@
 // the aggregator.
 const loadTTL = time.Second
 
-// UnderWay returns the number of requests in flight from this process at each instance, by load
+// InFlightCounts returns the number of requests in flight from this process at each instance, by load
 // key. Instances without such requests are omitted.
-func (f *Fleet) UnderWay() load.Counts {
+func (f *Fleet) InFlightCounts() load.Counts {
 	counts := load.Counts{}
 	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
@@ -24,10 +24,10 @@
 	return counts
 }
 
-// Learn updates the instances with the numbers of requests of all processes. own holds the
+// UpdateCounts updates the instances with the numbers of requests of all processes. own holds the
 // requests of this process that are included in all; they are subtracted, since Load adds the
 // current number.
-func (f *Fleet) Learn(all, own load.Counts) {
+func (f *Fleet) UpdateCounts(all, own load.Counts) {
 	now := f.now().UnixNano()
 	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
--- a/internal/backend/metrics.go
+++ b/internal/backend/metrics.go
@@ -31,7 +31,7 @@
 
 // Collect implements prometheus.Collector.
 func (c *speedsCollector) Collect(metrics chan<- prometheus.Metric) {
-	request := &Request{Now: c.fleet.now()}
+	request := &PlacementRequest{Now: c.fleet.now()}
 	for service, instances := range *c.fleet.byService.Load() {
 		baseline := computeSpeedBaseline(instances, request)
 		known, slow := 0, 0
--- a/internal/backend/quality.go
+++ b/internal/backend/quality.go
@@ -10,12 +10,12 @@
 type Outcome struct {
 	// Failed is set if the instance was unreachable, broke the connection, sent nothing before
 	// the caller left, or sent an unusable answer.
-	Failed    bool
-	FirstByte time.Duration // time until the response began; 0 if it did not
-	PerEvent  time.Duration // mean time between events of a stream; 0 if there were too few
-	Further   int           // number of events after the first
-	Load      int           // requests at the instance when it was chosen, as far as known
-	Slots     int           // slots of the instance; 0 if not declared
+	Failed           bool
+	TimeToFirstByte  time.Duration // time until the response began; 0 if it did not
+	EventInterval    time.Duration // mean time between events of a stream; 0 if there were too few
+	EventsAfterFirst int           // number of events after the first
+	Load             int           // requests at the instance when it was chosen, as far as known
+	Slots            int           // slots of the instance; 0 if not declared
 }
 
 // utilization returns the load at the time of choice as a fraction of the slots.
@@ -83,8 +83,8 @@
 	if outcome.Failed {
 		q.failures++
 	}
-	if outcome.FirstByte > 0 && outcome.utilization() < 1 {
-		q.firstByte = q.firstByte.plus(decayedMean{sum: outcome.FirstByte.Seconds(), weight: 1})
+	if outcome.TimeToFirstByte > 0 && outcome.utilization() < 1 {
+		q.firstByte = q.firstByte.plus(decayedMean{sum: outcome.TimeToFirstByte.Seconds(), weight: 1})
 	}
 }
 
--- a/internal/backend/reference.go
+++ b/internal/backend/reference.go
@@ -80,8 +80,8 @@
 // three steps: it computes the mean of all speeds, then the mean of the speeds above that, and
 // then takes all instances with at least minFastSpeedRatio of the second mean. The result is
 // zero if no speed is known or speeds are disabled.
-func computeSpeedBaseline(instances []*Instance, request *Request) speedBaseline {
-	if request.Off.Has(mechanism.EngineSpeeds) {
+func computeSpeedBaseline(instances []*Instance, request *PlacementRequest) speedBaseline {
+	if request.DisabledMechanisms.Has(mechanism.EngineSpeeds) {
 		return speedBaseline{}
 	}
 	all := sumSpeeds(instances, request.Now, 0)
@@ -107,14 +107,14 @@
 	fast  float64 // with all slots of the fast instances taken
 }
 
-func measureCapacity(instances []*Instance, request *Request, defaultSpeed, minFastSpeed float64) capacity {
+func measureCapacity(instances []*Instance, request *PlacementRequest, defaultSpeed, minFastSpeed float64) capacity {
 	var result capacity
 	for _, instance := range instances {
 		speed := defaultSpeed
 		if observed := instance.speed.current(request.Now); observed.answers >= minAnswers {
 			speed = observed.speed()
 		}
-		slots := Slots(instance, request)
+		slots := SlotsOf(instance, request)
 		result.used += speed * float64(min(instance.Load(request.Now), slots))
 		result.total += speed * float64(slots)
 		if speed >= minFastSpeed {
--- a/internal/backend/sending.go
+++ b/internal/backend/sending.go
@@ -16,9 +16,9 @@
 // unackedTimeout.
 const writeStallTimeout = 1200 * time.Millisecond
 
-// ErrUnread says that the exchange ended before the whole request was written, so that the
+// ErrRequestNotRead says that the exchange ended before the whole request was written, so that the
 // instance has not read all of it.
-var ErrUnread = errors.New("the instance has not read the whole request")
+var ErrRequestNotRead = errors.New("the instance has not read the whole request")
 
 // write writes the request to the connection and sends the result to writeResult. If the
 // instance stops reading before it responds, write closes the connection; a response that has
@@ -34,13 +34,13 @@
 	}
 }
 
-// closeWithCause closes the connection and returns why there is no response: ErrUnread, with the
+// closeWithCause closes the connection and returns why there is no response: ErrRequestNotRead, with the
 // texts of both errors, if the request was not sent completely, and err otherwise. In either
 // case the instance may have executed the request.
 func (e *exchange) closeWithCause(err error) error {
 	_ = e.connection.Close() // stops a write that is still in progress
 	if writeErr := <-e.writeResult; writeErr != nil {
-		return eris.Wrapf(ErrUnread, "%v; write request: %v", err, writeErr)
+		return eris.Wrapf(ErrRequestNotRead, "%v; write request: %v", err, writeErr)
 	}
 	return err
 }
--- a/internal/backend/sharing.go
+++ b/internal/backend/sharing.go
@@ -6,11 +6,11 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Sharing records which prompt parts several programs have in common, as far as this process
+// SharedPartTracker records which prompt parts several programs have in common, as far as this process
 // sees them. Programs on any engine use such parts, so that all engines soon have them cached.
 // Reading a shared part once more is cheaper than sending all programs that use it to one
 // engine. The result is an estimate. Sharing is safe for concurrent use.
-type Sharing struct {
+type SharedPartTracker struct {
 	mutex        sync.Mutex
 	parts        *simplelru.LRU[string, seenPart]
 	sharedTokens int // size of all shared parts in tokens
@@ -32,9 +32,9 @@
 	sharedMemoryDivisor = 2
 )
 
-// NewSharing returns an empty Sharing.
-func NewSharing() *Sharing {
-	sharing := &Sharing{}
+// NewSharedPartTracker returns an empty Sharing.
+func NewSharedPartTracker() *SharedPartTracker {
+	sharing := &SharedPartTracker{}
 	parts, err := simplelru.NewLRU(maxTrackedParts, sharing.onEvicted)
 	if err != nil {
 		panic(err) // only for a size below one
@@ -43,11 +43,11 @@
 	return sharing
 }
 
-// Note records that a program used these parts. It returns how many of the leading parts count
+// Record records that a program used these parts. It returns how many of the leading parts count
 // as cached at every engine with a memory of memoryTokens: the shared ones, or none if the
 // shared parts known to this process take too much of that memory. If program is empty, it
 // records nothing and returns 0.
-func (s *Sharing) Note(program string, parts []PromptPart, memoryTokens int) int {
+func (s *SharedPartTracker) Record(program string, parts []PromptPart, memoryTokens int) int {
 	if program == "" {
 		return 0
 	}
@@ -66,7 +66,7 @@
 }
 
 // recordPart records one use of a part and reports whether at least two programs have used it.
-func (s *Sharing) recordPart(program string, part PromptPart) bool {
+func (s *SharedPartTracker) recordPart(program string, part PromptPart) bool {
 	known, found := s.parts.Get(part.Name)
 	if !found {
 		known.tokens = part.Tokens
@@ -81,7 +81,7 @@
 }
 
 // onEvicted subtracts the tokens of an evicted part.
-func (s *Sharing) onEvicted(_ string, part seenPart) {
+func (s *SharedPartTracker) onEvicted(_ string, part seenPart) {
 	if part.shared {
 		s.sharedTokens -= part.tokens
 	}
--- a/internal/backend/sharing_test.go
+++ b/internal/backend/sharing_test.go
@@ -9,57 +9,57 @@
 
 var _ = Describe("Sharing", func() {
 	const memoryTokens = 100_000
-	var sharing *Sharing
+	var sharing *SharedPartTracker
 	prompt := []PromptPart{{Name: "shared", Tokens: 12_000}, {Name: "own", Tokens: 1_000}}
 
-	BeforeEach(func() { sharing = NewSharing() })
+	BeforeEach(func() { sharing = NewSharedPartTracker() })
 
 	It("marks a part as shared once a second program uses it", func() {
 		for range 3 {
-			Expect(sharing.Note("p1", prompt, memoryTokens)).To(Equal(0), "one program's own parts are not shared")
+			Expect(sharing.Record("p1", prompt, memoryTokens)).To(Equal(0), "one program's own parts are not shared")
 		}
 		other := []PromptPart{prompt[0], {Name: "other", Tokens: 1_000}}
-		Expect(sharing.Note("p2", other, memoryTokens)).To(Equal(1))
-		Expect(sharing.Note("p1", prompt, memoryTokens)).To(Equal(1))
+		Expect(sharing.Record("p2", other, memoryTokens)).To(Equal(1))
+		Expect(sharing.Record("p1", prompt, memoryTokens)).To(Equal(1))
 	})
 
 	It("does not count shared parts after an unshared one", func() {
-		sharing.Note("p1", prompt, memoryTokens)
-		Expect(sharing.Note("p2", []PromptPart{{Name: "new", Tokens: 10}, prompt[0]}, memoryTokens)).To(Equal(0))
+		sharing.Record("p1", prompt, memoryTokens)
+		Expect(sharing.Record("p2", []PromptPart{{Name: "new", Tokens: 10}, prompt[0]}, memoryTokens)).To(Equal(0))
 	})
 
 	It("records nothing without a program", func() {
-		sharing.Note("", prompt, memoryTokens)
-		sharing.Note("", prompt, memoryTokens)
-		Expect(sharing.Note("p1", prompt, memoryTokens)).To(Equal(0))
+		sharing.Record("", prompt, memoryTokens)
+		sharing.Record("", prompt, memoryTokens)
+		Expect(sharing.Record("p1", prompt, memoryTokens)).To(Equal(0))
 	})
 
 	It("counts no part as cached everywhere if the shared parts exceed their share of the memory", func() {
 		noteTwice := func(number int) int {
 			part := []PromptPart{{Name: fmt.Sprintf("shared %d", number), Tokens: 12_000}}
-			sharing.Note("p1", part, memoryTokens)
-			return sharing.Note("p2", part, memoryTokens)
+			sharing.Record("p1", part, memoryTokens)
+			return sharing.Record("p2", part, memoryTokens)
 		}
 		for number := range 4 {
 			Expect(noteTwice(number)).To(Equal(1))
 		}
 		Expect(noteTwice(5)).To(Equal(0), "60,000 of 100,000 tokens")
-		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, memoryTokens)).To(Equal(0))
-		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 2*memoryTokens)).To(Equal(1))
-		Expect(sharing.Note("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 0)).To(Equal(0), "unknown memory size")
+		Expect(sharing.Record("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, memoryTokens)).To(Equal(0))
+		Expect(sharing.Record("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 2*memoryTokens)).To(Equal(1))
+		Expect(sharing.Record("p3", []PromptPart{{Name: "shared 1", Tokens: 12_000}}, 0)).To(Equal(0), "unknown memory size")
 	})
 
 	It("frees the tokens of shared parts that have not been used for a long time", func() {
 		noteTwice := func(name string) int {
 			part := []PromptPart{{Name: name, Tokens: memoryTokens / 3}}
-			sharing.Note("p1", part, memoryTokens)
-			return sharing.Note("p2", part, memoryTokens)
+			sharing.Record("p1", part, memoryTokens)
+			return sharing.Record("p2", part, memoryTokens)
 		}
 		Expect(noteTwice("old")).To(Equal(1))
 		Expect(noteTwice("next")).To(Equal(0))
 		for number := range maxTrackedParts - 1 {
-			sharing.Note("p1", []PromptPart{{Name: fmt.Sprint(number), Tokens: 1}}, memoryTokens)
+			sharing.Record("p1", []PromptPart{{Name: fmt.Sprint(number), Tokens: 1}}, memoryTokens)
 		}
-		Expect(sharing.Note("p3", []PromptPart{{Name: "next", Tokens: memoryTokens / 3}}, memoryTokens)).To(Equal(1))
+		Expect(sharing.Record("p3", []PromptPart{{Name: "next", Tokens: memoryTokens / 3}}, memoryTokens)).To(Equal(1))
 	})
 })
--- a/internal/backend/simulation_test.go
+++ b/internal/backend/simulation_test.go
@@ -56,13 +56,13 @@
 	random         *rand.Rand
 	engines        []*simulatedEngine
 	daemons        []*Fleet
-	off            mechanism.Off
+	off            mechanism.Disabled
 	tasks          taskQueue
 	turnTimes      []time.Duration
 	lastEngine     map[int]int // index of the engine of the previous turn, by program
 	programs       int
 	reportedCounts []load.Counts // reports of the last interval, by daemon
-	reportedSpeeds []load.Speeds
+	reportedSpeeds []load.EngineWork
 	chooseOptimal  bool // place by the true state of all engines, which no daemon knows
 }
 
@@ -134,24 +134,24 @@
 
 // exchangeReports gives all daemons the reports of the previous interval and collects new ones.
 func (s *simulation) exchangeReports() {
-	all, speeds := load.Counts{}, load.Speeds{}
+	all, speeds := load.Counts{}, load.EngineWork{}
 	for index := range s.reportedCounts {
 		for key, count := range s.reportedCounts[index] {
 			all[key] += count
 		}
 		for key, work := range s.reportedSpeeds[index] {
-			speeds[key] = speeds[key].Plus(work)
+			speeds[key] = speeds[key].Add(work)
 		}
 	}
 	for index := range s.reportedCounts {
-		s.daemons[index].Learn(all, s.reportedCounts[index])
+		s.daemons[index].UpdateCounts(all, s.reportedCounts[index])
 		if len(speeds) > 0 {
-			s.daemons[index].LearnSpeeds(speeds, s.reportedSpeeds[index])
+			s.daemons[index].UpdateWork(speeds, s.reportedSpeeds[index])
 		}
 	}
 	s.reportedCounts, s.reportedSpeeds = nil, nil
 	for _, daemon := range s.daemons {
-		s.reportedCounts = append(s.reportedCounts, daemon.UnderWay())
+		s.reportedCounts = append(s.reportedCounts, daemon.InFlightCounts())
 		s.reportedSpeeds = append(s.reportedSpeeds, s.daemonSpeeds(daemon))
 	}
 	s.schedule(reportInterval, s.exchangeReports)
@@ -159,11 +159,11 @@
 
 // daemonSpeeds returns the speeds that a daemon reports, or nil if learning of speeds is
 // disabled.
-func (s *simulation) daemonSpeeds(daemon *Fleet) load.Speeds {
+func (s *simulation) daemonSpeeds(daemon *Fleet) load.EngineWork {
 	if s.off.Has(mechanism.EngineSpeeds) {
 		return nil
 	}
-	return daemon.Speeds()
+	return daemon.ObservedWork()
 }
 
 // startTurn places a turn of a program through a random daemon.
@@ -173,7 +173,7 @@
 	chosen := s.choose(turn, fleet)
 	turn.engine = slices.IndexFunc(s.engines, func(engine *simulatedEngine) bool { return engine.id == chosen.ID })
 	turn.expectedLoad = chosen.Load(fleet.now())
-	turn.endRequest = chosen.Begin()
+	turn.endRequest = chosen.BeginRequest()
 	s.lastEngine[program] = turn.engine
 	engine := s.engines[turn.engine]
 	if engine.running >= simulatedSlots {
@@ -184,18 +184,18 @@
 }
 
 func (s *simulation) choose(turn *simulatedTurn, fleet *Fleet) *Instance {
-	instances := fleet.Of("s")
+	instances := fleet.Instances("s")
 	if s.chooseOptimal {
 		return s.optimalInstance(turn, instances)
 	}
-	request := &Request{Affinity: fmt.Sprint(turn.program), Order: uint64(turn.daemon), Now: fleet.now(), Off: s.off}
+	request := &PlacementRequest{Affinity: fmt.Sprint(turn.program), Seed: uint64(turn.daemon), Now: fleet.now(), DisabledMechanisms: s.off}
 	for part := range turn.number + 1 {
 		request.Prefix = append(request.Prefix, PromptPart{Name: fmt.Sprint(turn.program, "/", part), Tokens: tokensPerTurn})
 	}
 	if engine, found := s.lastEngine[turn.program]; found { // in production, the daemon that holds the program's budget reports this
 		for _, instance := range instances {
 			if instance.ID == s.engines[engine].id {
-				instance.Remember(request.Prefix[:turn.number])
+				instance.RecordPrefix(request.Prefix[:turn.number])
 			}
 		}
 	}
@@ -268,11 +268,11 @@
 // observe records the outcome of the turn at its daemon.
 func (s *simulation) observe(turn *simulatedTurn) {
 	fleet := s.daemons[turn.daemon]
-	for _, instance := range fleet.Of("s") {
+	for _, instance := range fleet.Instances("s") {
 		if instance.ID == s.engines[turn.engine].id {
-			instance.Observe(Outcome{
-				FirstByte: turn.firstEvent - turn.arrived, PerEvent: (s.now - turn.firstEvent) / (eventsPerTurn - 1),
-				Further: eventsPerTurn - 1, Load: turn.expectedLoad, Slots: simulatedSlots,
+			instance.RecordOutcome(Outcome{
+				TimeToFirstByte: turn.firstEvent - turn.arrived, EventInterval: (s.now - turn.firstEvent) / (eventsPerTurn - 1),
+				EventsAfterFirst: eventsPerTurn - 1, Load: turn.expectedLoad, Slots: simulatedSlots,
 			}, fleet.now())
 		}
 	}
--- a/internal/backend/speed.go
+++ b/internal/backend/speed.go
@@ -29,7 +29,7 @@
 	// seconds.
 	speedHalfLife = 4 * time.Second
 	// speedTTL is how long a speed is used after the last observation by this process or the last
-	// call of LearnSpeeds.
+	// call of UpdateWork.
 	speedTTL = 12 * time.Second
 	// batchSlowdown is how much longer an event takes in a full batch than in an idle engine, as
 	// a fraction. Engines of language models range from 3 to 30 %. The resulting error of the
@@ -70,11 +70,11 @@
 	switch {
 	case outcome.Failed:
 		return work{}
-	case outcome.PerEvent > 0:
-		eventCount := float64(max(outcome.Further, 1))
-		return work{answers: 1, events: eventCount * slowdown, seconds: eventCount * outcome.PerEvent.Seconds()}
-	case outcome.FirstByte > 0 && utilization < 1:
-		return work{answers: 1, events: slowdown, seconds: outcome.FirstByte.Seconds()}
+	case outcome.EventInterval > 0:
+		eventCount := float64(max(outcome.EventsAfterFirst, 1))
+		return work{answers: 1, events: eventCount * slowdown, seconds: eventCount * outcome.EventInterval.Seconds()}
+	case outcome.TimeToFirstByte > 0 && utilization < 1:
+		return work{answers: 1, events: slowdown, seconds: outcome.TimeToFirstByte.Seconds()}
 	default:
 		return work{}
 	}
@@ -124,9 +124,9 @@
 	defer s.mutex.Unlock()
 	own := s.decayOwn(now)
 	return load.Work{
-		Pieces:  int(math.Round(own.events * fixedPointScale)),
-		Answers: int(math.Round(own.answers * fixedPointScale)),
-		Taken:   int(math.Round(own.seconds * millisecondsPerSecond)),
+		ChunkHundredths:  int(math.Round(own.events * fixedPointScale)),
+		AnswerHundredths: int(math.Round(own.answers * fixedPointScale)),
+		Millis:           int(math.Round(own.seconds * millisecondsPerSecond)),
 	}
 }
 
@@ -135,9 +135,9 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.others = work{
-		events:  float64(others.Pieces) / fixedPointScale,
-		answers: float64(others.Answers) / fixedPointScale,
-		seconds: float64(others.Taken) / millisecondsPerSecond,
+		events:  float64(others.ChunkHundredths) / fixedPointScale,
+		answers: float64(others.AnswerHundredths) / fixedPointScale,
+		seconds: float64(others.Millis) / millisecondsPerSecond,
 	}
 	s.othersUpdatedAt = now
 	s.decayOwn(now)
@@ -164,29 +164,29 @@
 	return snapshot.work
 }
 
-// Speeds returns the recent work that this process observed at each instance, by load key.
+// EngineWork returns the recent work that this process observed at each instance, by load key.
 // Instances without any are omitted.
-func (f *Fleet) Speeds() load.Speeds {
+func (f *Fleet) ObservedWork() load.EngineWork {
 	now := f.now()
-	speeds := load.Speeds{}
+	speeds := load.EngineWork{}
 	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
-			if report := instance.speed.report(now); report.Pieces > 0 && report.Taken > 0 {
-				speeds[instance.loadKey] = speeds[instance.loadKey].Plus(report)
+			if report := instance.speed.report(now); report.ChunkHundredths > 0 && report.Millis > 0 {
+				speeds[instance.loadKey] = speeds[instance.loadKey].Add(report)
 			}
 		}
 	}
 	return speeds
 }
 
-// LearnSpeeds updates the instances with the work that all processes observed. own holds the
+// UpdateWork updates the instances with the work that all processes observed. own holds the
 // work of this process that is included in all; it is subtracted, since this process adds its
 // current sums.
-func (f *Fleet) LearnSpeeds(all, own load.Speeds) {
+func (f *Fleet) UpdateWork(all, own load.EngineWork) {
 	now := f.now()
 	for _, instances := range *f.byService.Load() {
 		for _, instance := range instances {
-			instance.speed.setOthers(all[instance.loadKey].Less(own[instance.loadKey]), now)
+			instance.speed.setOthers(all[instance.loadKey].Sub(own[instance.loadKey]), now)
 		}
 	}
 }
--- a/internal/backend/speed_test.go
+++ b/internal/backend/speed_test.go
@@ -15,20 +15,20 @@
 
 // streamOutcome returns the outcome of a streamed answer of seven events.
 func streamOutcome(perEvent time.Duration) Outcome {
-	return Outcome{FirstByte: perEvent, PerEvent: perEvent, Further: 6, Load: 1, Slots: 4}
+	return Outcome{TimeToFirstByte: perEvent, EventInterval: perEvent, EventsAfterFirst: 6, Load: 1, Slots: 4}
 }
 
 // reportedWork returns the work of an instance as reported by other daemons.
 func reportedWork(answers int, perEvent time.Duration) load.Work {
 	const events = 6
 	return load.Work{
-		Pieces: fixedPointScale * events * answers, Answers: fixedPointScale * answers, Taken: events * answers * int(perEvent.Milliseconds()),
+		ChunkHundredths: fixedPointScale * events * answers, AnswerHundredths: fixedPointScale * answers, Millis: events * answers * int(perEvent.Milliseconds()),
 	}
 }
 
 func findInstance(fleet *Fleet, id string) *Instance {
 	GinkgoHelper()
-	for _, instance := range fleet.Of("s") {
+	for _, instance := range fleet.Instances("s") {
 		if instance.ID == id {
 			return instance
 		}
@@ -39,7 +39,7 @@
 
 func speedRatioAt(fleet *Fleet, id string, now time.Time) float64 {
 	GinkgoHelper()
-	baseline := computeSpeedBaseline(fleet.Of("s"), &Request{Now: now})
+	baseline := computeSpeedBaseline(fleet.Instances("s"), &PlacementRequest{Now: now})
 	return baseline.speedRatio(findInstance(fleet, id), now)
 }
 
@@ -48,21 +48,21 @@
 func TestDaemonsAgreeOnSpeeds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleets := []*Fleet{}
-		all, parts := load.Speeds{}, []load.Speeds{}
+		all, parts := load.EngineWork{}, []load.EngineWork{}
 		for range rapid.IntRange(2, 5).Draw(t, "daemons") {
 			fleet, _ := newTestFleet("a", "b", "c")
-			for _, instance := range fleet.Of("s") {
+			for _, instance := range fleet.Instances("s") {
 				for range rapid.IntRange(0, 9).Draw(t, "answers") {
-					instance.Observe(streamOutcome(time.Duration(rapid.IntRange(5, 200).Draw(t, "ms"))*time.Millisecond), start)
+					instance.RecordOutcome(streamOutcome(time.Duration(rapid.IntRange(5, 200).Draw(t, "ms"))*time.Millisecond), start)
 				}
 			}
-			fleets, parts = append(fleets, fleet), append(parts, fleet.Speeds())
-			for key, work := range fleet.Speeds() {
-				all[key] = all[key].Plus(work)
+			fleets, parts = append(fleets, fleet), append(parts, fleet.ObservedWork())
+			for key, work := range fleet.ObservedWork() {
+				all[key] = all[key].Add(work)
 			}
 		}
 		for number, fleet := range fleets {
-			fleet.LearnSpeeds(all, parts[number])
+			fleet.UpdateWork(all, parts[number])
 		}
 		for _, id := range []string{"a", "b", "c"} {
 			first := speedRatioAt(fleets[0], id, start)
@@ -78,8 +78,8 @@
 var _ = Describe("Speeds", func() {
 	It("are learned from the first report of other daemons", func() {
 		fleet, _ := newTestFleet("a", "b", "c")
-		fleet.LearnSpeeds(load.Speeds{
-			load.KeyOf("a"): reportedWork(50, 200*time.Millisecond), load.KeyOf("b"): reportedWork(50, 50*time.Millisecond), load.KeyOf("c"): reportedWork(50, 50*time.Millisecond),
+		fleet.UpdateWork(load.EngineWork{
+			load.DigestOf("a"): reportedWork(50, 200*time.Millisecond), load.DigestOf("b"): reportedWork(50, 50*time.Millisecond), load.DigestOf("c"): reportedWork(50, 50*time.Millisecond),
 		}, nil)
 		Expect(speedRatioAt(fleet, "a", start)).To(BeNumerically("<", 0.5))
 		Expect(speedRatioAt(fleet, "b", start)).To(Equal(1.0))
@@ -89,31 +89,31 @@
 	It("count this daemon's own observations once", func() {
 		fleet, _ := newTestFleet("a")
 		instance := findInstance(fleet, "a")
-		instance.Observe(streamOutcome(40*time.Millisecond), start)
-		own := fleet.Speeds()
+		instance.RecordOutcome(streamOutcome(40*time.Millisecond), start)
+		own := fleet.ObservedWork()
 		before := instance.speed.current(start)
-		fleet.LearnSpeeds(own, own)
+		fleet.UpdateWork(own, own)
 		Expect(instance.speed.current(start)).To(Equal(before))
 	})
 
 	It("decay at the same rate in all daemons and expire without new observations", func() {
 		fleet, testClock := newTestFleet("a")
 		instance := findInstance(fleet, "a")
-		instance.Observe(streamOutcome(40*time.Millisecond), start)
+		instance.RecordOutcome(streamOutcome(40*time.Millisecond), start)
 		testClock.now = start.Add(speedHalfLife)
-		Expect(fleet.Speeds()[load.KeyOf("a")].Answers).To(Equal(fixedPointScale / 2))
+		Expect(fleet.ObservedWork()[load.DigestOf("a")].AnswerHundredths).To(Equal(fixedPointScale / 2))
 		Expect(instance.speed.current(start.Add(speedTTL - 1)).answers).NotTo(BeZero())
 		Expect(instance.speed.current(start.Add(speedTTL)).answers).To(BeZero())
 	})
 
 	DescribeTable("are not affected by", func(outcome Outcome) {
 		fleet, _ := newTestFleet("a")
-		findInstance(fleet, "a").Observe(outcome, start)
-		Expect(fleet.Speeds()).To(BeEmpty())
+		findInstance(fleet, "a").RecordOutcome(outcome, start)
+		Expect(fleet.ObservedWork()).To(BeEmpty())
 	},
-		Entry("a failure", Outcome{Failed: true, FirstByte: time.Second, PerEvent: time.Second}),
+		Entry("a failure", Outcome{Failed: true, TimeToFirstByte: time.Second, EventInterval: time.Second}),
 		Entry("an error response", Outcome{}),
-		Entry("an answer that was queued", Outcome{FirstByte: time.Second, Load: 4, Slots: 4}),
+		Entry("an answer that was queued", Outcome{TimeToFirstByte: time.Second, Load: 4, Slots: 4}),
 	)
 
 	It("do not drop when the batch is full", func() {
@@ -128,26 +128,26 @@
 		original.Born = 1000
 		Expect(fleet.Apply(original)).To(Equal(EventJoined))
 		former := findInstance(fleet, "a")
-		former.Begin()
-		former.Remember([]PromptPart{{Name: "p", Tokens: 1}})
+		former.BeginRequest()
+		former.RecordPrefix([]PromptPart{{Name: "p", Tokens: 1}})
 		for range 50 {
-			former.Observe(streamOutcome(400*time.Millisecond), start)
-			findInstance(fleet, "b").Observe(streamOutcome(40*time.Millisecond), start)
-			findInstance(fleet, "c").Observe(streamOutcome(40*time.Millisecond), start)
+			former.RecordOutcome(streamOutcome(400*time.Millisecond), start)
+			findInstance(fleet, "b").RecordOutcome(streamOutcome(40*time.Millisecond), start)
+			findInstance(fleet, "c").RecordOutcome(streamOutcome(40*time.Millisecond), start)
 		}
-		reports := fleet.Speeds()
+		reports := fleet.ObservedWork()
 		Expect(speedRatioAt(fleet, "a", start)).To(BeNumerically("<", 0.5))
 
 		restarted := original
 		restarted.Version, restarted.Born = 3, 2000
 		Expect(fleet.Apply(restarted)).To(Equal(EventJoined))
-		fleet.LearnSpeeds(reports, nil) // reports about the previous start arrive for a while
-		fleet.Learn(load.Counts{loadKeyOf(original): 3}, nil)
+		fleet.UpdateWork(reports, nil) // reports about the previous start arrive for a while
+		fleet.UpdateCounts(load.Counts{loadKeyOf(original): 3}, nil)
 		started := findInstance(fleet, "a")
 		Expect(started).NotTo(BeIdenticalTo(former))
 		Expect(speedRatioAt(fleet, "a", start)).To(Equal(1.0))
 		Expect(started.Load(start)).To(BeZero())
-		Expect(Missing(started, &Request{Prefix: []PromptPart{{Name: "p", Tokens: 1}}})).To(Equal(1))
+		Expect(MissingTokens(started, &PlacementRequest{Prefix: []PromptPart{{Name: "p", Tokens: 1}}})).To(Equal(1))
 
 		repeated := restarted
 		repeated.Version = 4
@@ -169,7 +169,7 @@
 		slowChosen := func(loadEach int) int {
 			fleet, _ := newTestFleet("a", "b", "c", "d")
 			counts := load.Counts{}
-			for _, instance := range fleet.Of("s") {
+			for _, instance := range fleet.Instances("s") {
 				perEvent := 40 * time.Millisecond
 				if instance.ID == "a" {
 					perEvent *= 3
@@ -177,10 +177,10 @@
 				instance.speed.setOthers(reportedWork(50, perEvent), start)
 				counts[instance.loadKey] = loadEach
 			}
-			fleet.Learn(counts, nil)
+			fleet.UpdateCounts(counts, nil)
 			chosen := 0
 			for order := range uint64(200) {
-				if choose(fleet, start, func(request *Request) { request.Order = order }).ID == "a" {
+				if choose(fleet, start, func(request *PlacementRequest) { request.Seed = order }).ID == "a" {
 					chosen++
 				}
 			}
@@ -226,15 +226,15 @@
 				ids = append(ids, fmt.Sprint("e", number))
 			}
 			fleet, _ := newTestFleet(ids...)
-			for number, instance := range fleet.Of("s") {
+			for number, instance := range fleet.Instances("s") {
 				for range 4 {
-					instance.Observe(streamOutcome(time.Duration(40+number%4*20)*time.Millisecond), start)
+					instance.RecordOutcome(streamOutcome(time.Duration(40+number%4*20)*time.Millisecond), start)
 				}
 			}
-			request := &Request{Zone: "z", Affinity: "p", Now: start.Add(time.Second), Prefix: []PromptPart{{Name: "p", Tokens: 1000}}}
+			request := &PlacementRequest{Zone: "z", Affinity: "p", Now: start.Add(time.Second), Prefix: []PromptPart{{Name: "p", Tokens: 1000}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				Choose(fleet.Of("s"), request)
+				Choose(fleet.Instances("s"), request)
 			}
 		})
 	}
--- a/internal/backend/uneven_test.go
+++ b/internal/backend/uneven_test.go
@@ -103,7 +103,7 @@
 type comparison struct{ withoutSpeeds, withSpeeds, optimal simulationResult }
 
 func compare(engines []speedOverTime, programsPerSecond float64) comparison {
-	withoutSpeeds := func(run *simulation) { run.off = mechanism.Off{mechanism.EngineSpeeds} }
+	withoutSpeeds := func(run *simulation) { run.off = mechanism.Disabled{mechanism.EngineSpeeds} }
 	optimal := func(run *simulation) { run.chooseOptimal = true }
 	results := comparison{
 		withoutSpeeds: simulate(engines, programsPerSecond, withoutSpeeds),
--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -29,12 +29,12 @@
 // without a change of its rows.
 const rowTTL = 24 * time.Hour
 
-// Leftovers returns a sweep that deletes the rows that have not changed for rowTTL; their programs
+// NewSweep returns a sweep that deletes the rows that have not changed for rowTTL; their programs
 // have ended. mine reports whether this daemon sweeps a partition.
-func Leftovers(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
+func NewSweep(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.Partitions(partitions), Mine: mine, Log: log,
-		Over: func(kept state.Row) bool {
+		Store: store, Table: table, Partitions: state.PartitionNames(partitions), OwnsPartition: mine, Log: log,
+		IsExpired: func(kept state.Row) bool {
 			var current row
 			err := cbor.Unmarshal(kept.Value, &current)
 			return err == nil && current.Changed > 0 && now().Sub(time.Unix(current.Changed, 0)) > rowTTL
@@ -136,7 +136,7 @@
 			return from.checkAvailable(held, maxTokens)
 		}
 	}
-	return eris.Wrap(state.ErrNotDone, "reserve budget: too many conflicts")
+	return eris.Wrap(state.ErrNotExecuted, "reserve budget: too many conflicts")
 }
 
 // commitPending commits the pending grant and reports whether it is in the row.
@@ -164,7 +164,7 @@
 }
 
 func (a *account) spentError(need int64) error {
-	return &SpentError{Total: a.limit, Granted: a.stored.Granted, Need: need, Version: a.version}
+	return &SpentError{Total: a.limit, Granted: a.stored.Granted, Needed: need, Version: a.version}
 }
 
 // applyConflict copies the account's row from a conflict error and reports whether the row contains
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -31,13 +31,13 @@
 // SpentError is returned if an account has too few tokens left, with the state of the account. It
 // matches ErrSpent.
 type SpentError struct {
-	Total, Granted, Need int64         // tokens: the account's limit, granted so far, missing for the turn
-	Version              state.Version // of the account's row
+	Total, Granted, Needed int64         // tokens: the account's limit, granted so far, missing for the turn
+	Version                state.Version // of the account's row
 }
 
 // Error implements error.
 func (e *SpentError) Error() string {
-	return fmt.Sprintf("%v: %d of %d tokens granted, %d more needed, version %d", ErrSpent, e.Granted, e.Total, e.Need, e.Version)
+	return fmt.Sprintf("%v: %d of %d tokens granted, %d more needed, version %d", ErrSpent, e.Granted, e.Total, e.Needed, e.Version)
 }
 
 // Is reports that a SpentError matches ErrSpent.
@@ -59,7 +59,7 @@
 	// reclaim asks other processes to release their grants of a program. It may be nil.
 	reclaim func(ctx context.Context, identifier string)
 	lender  *Lender // may be nil
-	trails  *Trails
+	trails  *TurnLocations
 	// grantTimeout bounds one request to the store for a grant.
 	grantTimeout time.Duration
 }
@@ -90,9 +90,9 @@
 	return &Ledger{store: store, programs: expirable.NewLRU[string, *holding](maxPrograms, nil, ttl), trails: newTrails(maxPrograms, ttl), grantTimeout: defaultGrantTimeout}
 }
 
-// LendWith sets the lender that lends tokens while the store is unavailable. It must be called
+// SetLender sets the lender that lends tokens while the store is unavailable. It must be called
 // before the ledger is used.
-func (l *Ledger) LendWith(lender *Lender) { l.lender = lender }
+func (l *Ledger) SetLender(lender *Lender) { l.lender = lender }
 
 // Reservation holds tokens for one turn until it is settled.
 type Reservation struct {
@@ -103,9 +103,9 @@
 	loan      *loan // nil if the tokens are from a grant of the store
 }
 
-// Attained returns how many tokens the program had generated in settled turns when the reservation
+// GeneratedTokens returns how many tokens the program had generated in settled turns when the reservation
 // was made, as far as the ledger knows.
-func (r *Reservation) Attained() int64 { return r.generated }
+func (r *Reservation) GeneratedTokens() int64 { return r.generated }
 
 // OnCredit reports whether the tokens were lent rather than granted by the store.
 func (r *Reservation) OnCredit() bool { return r.loan != nil }
@@ -150,7 +150,7 @@
 			if reservation != nil || err != nil {
 				return reservation, err
 			}
-		case err != nil && !errors.Is(err, ErrSpent) && (params.failFast || ctx.Err() != nil || !state.NoVerdict(err)):
+		case err != nil && !errors.Is(err, ErrSpent) && (params.failFast || ctx.Err() != nil || !state.IsTransient(err)):
 			return nil, err
 		}
 	}
@@ -168,7 +168,7 @@
 		return nil, nil, err
 	}
 	if ctx.Err() != nil {
-		return nil, nil, eris.Wrapf(state.ErrNotDone, "no grant requested: %v", ctx.Err())
+		return nil, nil, eris.Wrapf(state.ErrNotExecuted, "no grant requested: %v", ctx.Err())
 	}
 	held.mutex.Lock()
 	defer held.mutex.Unlock()
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -105,7 +105,7 @@
 			short, cancel := context.WithTimeout(ctx, shortTimeout)
 			_, err := ledger.Reserve(short, "p", 576, 288)
 			cancel()
-			Expect(err).To(MatchError(state.ErrNotDone))
+			Expect(err).To(MatchError(state.ErrNotExecuted))
 		}
 		Expect(commits.Load()).To(BeNumerically("==", 1))
 		close(answers)
@@ -261,7 +261,7 @@
 	case <-s.answers:
 		return s.Store.Commit(ctx, commit)
 	case <-ctx.Done():
-		return 0, state.ErrUnknown
+		return 0, state.ErrUnknownOutcome
 	}
 }
 
@@ -269,7 +269,7 @@
 // answer takes.
 func newSlowLedger(store state.Store) *Ledger {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	return NewLedger(state.NewClient(state.ClientOptions{Store: store, Availability: availability, NotHedged: true}), 64, time.Hour)
+	return NewLedger(state.NewClient(state.ClientOptions{Store: store, Availability: availability, DisableHedging: true}), 64, time.Hour)
 }
 
 // canceledContext returns a context that has been canceled.
--- a/internal/budget/credit_test.go
+++ b/internal/budget/credit_test.go
@@ -19,12 +19,12 @@
 
 func refuseAll(memorystore.Call) memorystore.Fault { return memorystore.Refused }
 
-// noVerdictStore returns ErrUnknown for each commit once its context ends.
+// noVerdictStore returns ErrUnknownOutcome for each commit once its context ends.
 type noVerdictStore struct{ *memorystore.Store }
 
 func (noVerdictStore) Commit(ctx context.Context, _ state.Commit) (state.Version, error) {
 	<-ctx.Done()
-	return 0, state.ErrUnknown
+	return 0, state.ErrUnknownOutcome
 }
 
 var _ = Describe("Lender", func() {
@@ -34,7 +34,7 @@
 
 	lending := func(mayLend func(string) bool) *Ledger {
 		ledger := newLedger(store)
-		ledger.LendWith(NewLender(mayLend, time.Now, zap.NewNop()))
+		ledger.SetLender(NewLender(mayLend, time.Now, zap.NewNop()))
 		return ledger
 	}
 	// within returns a context with a deadline, for reservations that must not succeed.
@@ -87,7 +87,7 @@
 
 	It("lends if the store is up but takes too long", func(ctx SpecContext) {
 		ledger := newLedger(noVerdictStore{store})
-		ledger.LendWith(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
+		ledger.SetLender(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
 		reservation, err := ledger.Reserve(ctx, "p", 2600, 576)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(reservation.OnCredit()).To(BeTrue())
@@ -148,7 +148,7 @@
 	store := memorystore.New()
 	total = rapid.Int64Range(maxTurnTokens, 40*maxTurnTokens).Draw(t, "total")
 	ledgers := []*Ledger{newShortTimeoutLedger(store), newShortTimeoutLedger(store)}
-	ledgers[0].LendWith(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
+	ledgers[0].SetLender(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
 	turns := make([][]*Reservation, len(ledgers))
 	faults := []memorystore.Fault{memorystore.None, memorystore.Refused, memorystore.Refused, memorystore.Lost, memorystore.Late}
 	steps := rapid.IntRange(1, 80).Draw(t, "steps")
--- a/internal/budget/granting.go
+++ b/internal/budget/granting.go
@@ -59,15 +59,15 @@
 			return lent, nil
 		}
 		if params.failFast {
-			return nil, eris.Wrap(state.ErrNotDone, "no grant from the store in time")
+			return nil, eris.Wrap(state.ErrNotExecuted, "no grant from the store in time")
 		}
 	}
 	select {
 	case <-pending.done:
 	case <-ctx.Done():
-		return nil, eris.Wrapf(state.ErrNotDone, "wait for a grant: %v", ctx.Err())
+		return nil, eris.Wrapf(state.ErrNotExecuted, "wait for a grant: %v", ctx.Err())
 	}
-	if state.NoVerdict(pending.err) {
+	if state.IsTransient(pending.err) {
 		return l.lender.lend(params.turnParams, causeOutage), pending.err
 	}
 	return nil, pending.err
@@ -90,11 +90,11 @@
 	}
 	defer held.unlockStore()
 	grant := func() error { return l.drawFromAccounts(ctx, held, turn.maxTokens) }
-	err := l.store.Repeat(ctx, grant)
+	err := l.store.Retry(ctx, grant)
 	if errors.Is(err, ErrSpent) && l.startReclaim(held) {
 		l.reclaimFromOthers(ctx, turn.program)
 		held.forgetRows()
-		err = l.store.Repeat(ctx, grant)
+		err = l.store.Retry(ctx, grant)
 	}
 	return err
 }
@@ -127,7 +127,7 @@
 	case h.storeLock <- struct{}{}:
 		return nil
 	case <-ctx.Done():
-		return eris.Wrapf(state.ErrNotDone, "wait for another request about the program: %v", ctx.Err())
+		return eris.Wrapf(state.ErrNotExecuted, "wait for another request about the program: %v", ctx.Err())
 	}
 }
 
@@ -229,7 +229,7 @@
 	for _, each := range accounts {
 		names = append(names, each.key.Partition)
 	}
-	order := l.store.Prefer(names)
+	order := l.store.HealthyFirst(names)
 	ordered := slices.Clone(accounts)
 	slices.SortStableFunc(ordered, func(a, b *account) int {
 		return slices.Index(order, a.key.Partition) - slices.Index(order, b.key.Partition)
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -9,13 +9,13 @@
 	"github.com/hashicorp/golang-lru/v2/expirable"
 )
 
-// Service is the RPC service under which daemons call a holder.
-const Service = "Budget"
+// ServiceName is the RPC service under which daemons call a holder.
+const ServiceName = "Budget"
 
 // RPC methods.
 const (
-	methodReserve = Service + ".Reserve"
-	methodSettle  = Service + ".Settle"
+	methodReserve = ServiceName + ".Reserve"
+	methodSettle  = ServiceName + ".Settle"
 )
 
 // ReserveRequest asks a holder to reserve tokens for a turn.
@@ -61,11 +61,11 @@
 type SettleRequest struct {
 	Reservation string
 	Generated   int64
-	Ran         Ran
+	Ran         TurnLocation
 }
 
-// Ran is where a turn ran and was recorded.
-type Ran struct {
+// TurnLocation is where a turn ran and was recorded.
+type TurnLocation struct {
 	Program string
 	Engine  string // empty if the turn did not run
 	Part    string // last part of the prompt
@@ -117,7 +117,7 @@
 	reply.Engine, reply.Read = h.ledger.trails.findEngine(request.Program, request.Parts)
 	reply.KeptAt = h.ledger.trails.recordedAt(request.Program, request.Previous)
 	if reservation, known := h.reservations.Get(request.Reservation); known {
-		reply.Result, reply.Attained = resultReserved, reservation.Attained()
+		reply.Result, reply.Attained = resultReserved, reservation.GeneratedTokens()
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), holderTimeout)
@@ -126,7 +126,7 @@
 	var spent *SpentError
 	switch {
 	case err == nil && h.addReservation(request.Reservation, reservation):
-		reply.Result, reply.Attained = resultReserved, reservation.Attained()
+		reply.Result, reply.Attained = resultReserved, reservation.GeneratedTokens()
 	case err == nil:
 		reply.Result, reply.Detail = resultNoStore, "the reservation was settled before it was made"
 	case errors.As(err, &spent):
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -120,7 +120,7 @@
 // ReleaseReply returns the number of tokens released.
 type ReleaseReply struct{ Tokens int64 }
 
-const methodRelease = Service + ".Release"
+const methodRelease = ServiceName + ".Release"
 
 // Release is the RPC that releases a program's tokens to the store.
 func (h *Holder) Release(request ReleaseRequest, reply *ReleaseReply) error {
@@ -133,7 +133,7 @@
 
 // Reclaim asks the likely holders in all zones and regions to release a program's tokens, and waits
 // for their replies until the context ends.
-func (s *Shared) Reclaim(ctx context.Context, program string) {
+func (s *Client) Reclaim(ctx context.Context, program string) {
 	var mutex sync.Mutex
 	total := int64(0)
 	var group errgroup.Group
@@ -150,7 +150,7 @@
 	s.log.Info("budget: reclaimed from others.", zap.String("program", program), zap.Int64("tokens", total))
 }
 
-func (s *Shared) askRelease(ctx context.Context, holder members.Member, program string) (int64, error) {
+func (s *Client) askRelease(ctx context.Context, holder members.Member, program string) (int64, error) {
 	var reply ReleaseReply
 	err := s.caller.Call(ctx, holder.Process.Address, peer.Control, methodRelease, ReleaseRequest{Program: program}, &reply)
 	if errors.Is(err, peer.ErrNotSent) {
--- a/internal/budget/settling.go
+++ b/internal/budget/settling.go
@@ -25,21 +25,21 @@
 	recordedTurn string
 }
 
-// ReadAt implements Settler.
-func (p *turnPlacement) ReadAt() (engine string, parts int) { return p.engine, p.partsRead }
+// CachedPrefix implements Settler.
+func (p *turnPlacement) CachedPrefix() (engine string, parts int) { return p.engine, p.partsRead }
 
-// KeptAt implements Settler.
-func (p *turnPlacement) KeptAt() string { return p.keptAt }
+// RecorderAddress implements Settler.
+func (p *turnPlacement) RecorderAddress() string { return p.keptAt }
 
-// Recorded implements Settler.
-func (p *turnPlacement) Recorded(turn string) { p.recordedTurn = turn }
+// SetRecordedTurn implements Settler.
+func (p *turnPlacement) SetRecordedTurn(turn string) { p.recordedTurn = turn }
 
-// RanAt implements Settler.
-func (p *turnPlacement) RanAt(engine string) { p.ranAt = engine }
+// SetEngine implements Settler.
+func (p *turnPlacement) SetEngine(engine string) { p.ranAt = engine }
 
 // outcome returns what the holder is told about the turn.
-func (p *turnPlacement) outcome() Ran {
-	ran := Ran{Program: p.request.Program, Engine: p.ranAt}
+func (p *turnPlacement) outcome() TurnLocation {
+	ran := TurnLocation{Program: p.request.Program, Engine: p.ranAt}
 	if count := len(p.request.Parts); count > 0 {
 		ran.Part = p.request.Parts[count-1]
 	}
@@ -53,7 +53,7 @@
 type localSettler struct {
 	*Reservation
 	turnPlacement
-	trails *Trails
+	trails *TurnLocations
 }
 
 // Settle implements Settler.
@@ -65,13 +65,13 @@
 // remoteSettler settles a reservation at another daemon.
 type remoteSettler struct {
 	turnPlacement
-	shared    *Shared
+	shared    *Client
 	holder    members.Member
 	generated int64
 }
 
-// Attained implements Settler.
-func (r *remoteSettler) Attained() int64 { return r.generated }
+// GeneratedTokens implements Settler.
+func (r *remoteSettler) GeneratedTokens() int64 { return r.generated }
 
 // Settle implements Settler. It does not wait for the holder: it sends the settlement in the
 // background, and logs a warning if all attempts fail. If the connection to the holder is shut
--- a/internal/budget/shared.go
+++ b/internal/budget/shared.go
@@ -32,50 +32,50 @@
 
 // Settler gives access to a reservation and ends it.
 type Settler interface {
-	// Attained returns how many tokens the program had generated when the reservation was made, as
+	// GeneratedTokens returns how many tokens the program had generated when the reservation was made, as
 	// far as the holder of its budget knew. It is a hint.
-	Attained() int64
-	// ReadAt returns the engine that has read the longest prefix of the turn's prompt, and the
+	GeneratedTokens() int64
+	// CachedPrefix returns the engine that has read the longest prefix of the turn's prompt, and the
 	// number of parts in that prefix; "" and 0 if not known. It is a hint.
-	ReadAt() (engine string, parts int)
-	// KeptAt returns the address of the daemon that recorded the turn that this one continues; ""
+	CachedPrefix() (engine string, parts int)
+	// RecorderAddress returns the address of the daemon that recorded the turn that this one continues; ""
 	// if not known. It is a hint.
-	KeptAt() string
-	// RanAt sets the engine at which the turn ran. It must be called before Settle.
-	RanAt(engine string)
-	// Recorded sets the identifier under which this daemon recorded the turn. It must be called
+	RecorderAddress() string
+	// SetEngine sets the engine at which the turn ran. It must be called before Settle.
+	SetEngine(engine string)
+	// SetRecordedTurn sets the identifier under which this daemon recorded the turn. It must be called
 	// before Settle.
-	Recorded(turn string)
+	SetRecordedTurn(turn string)
 	// Settle ends the reservation and frees the tokens that were not generated. Only the first call
 	// has an effect.
 	Settle(generated int64)
 }
 
-// Shared reserves tokens at the daemon of the region that holds a program's budget. All daemons of
+// Client reserves tokens at the daemon of the region that holds a program's budget. All daemons of
 // the region thus share the tokens granted to the holder, and need no store while enough of these
 // are left. If the holder doesn't answer, the next one is asked, and finally this daemon's own
 // ledger, whose grants come from the same rows of the store. It is safe for concurrent use, but
 // Alone and Near must be set before its first use.
-type Shared struct {
+type Client struct {
 	ledger *Ledger
 	list   *members.List
 	caller peer.Caller
 	store  *state.Availability
 	log    *zap.Logger
-	// Alone makes this daemon reserve only from its own ledger. It is for experiments.
-	Alone bool
-	// Near reserves at holders in the zone of the daemon that the turn came to, instead of the
+	// LocalOnly makes this daemon reserve only from its own ledger. It is for experiments.
+	LocalOnly bool
+	// PreferZone reserves at holders in the zone of the daemon that the turn came to, instead of the
 	// whole region. A zone that is cut off can then continue the programs that started there, and
 	// calls to holders stay within the zone. The budget still limits all zones together: all grants
 	// come from the same rows of the store, and only one daemon lends. Each holder asks those of
 	// other zones to release tokens before it reports a budget as spent.
-	Near bool
+	PreferZone bool
 }
 
-// NewShared returns a Shared that uses ledger for this daemon's own reservations. It sets the
+// NewClient returns a Shared that uses ledger for this daemon's own reservations. It sets the
 // ledger's function to reclaim tokens from other holders.
-func NewShared(ledger *Ledger, list *members.List, caller peer.Caller, store *state.Availability, log *zap.Logger) *Shared {
-	shared := &Shared{ledger: ledger, list: list, caller: caller, store: store, log: log}
+func NewClient(ledger *Ledger, list *members.List, caller peer.Caller, store *state.Availability, log *zap.Logger) *Client {
+	shared := &Client{ledger: ledger, list: list, caller: caller, store: store, log: log}
 	ledger.reclaim = shared.Reclaim
 	return shared
 }
@@ -83,14 +83,14 @@
 // Reserve reserves the tokens of a turn. The name of the reservation must be unique. While the
 // store is unavailable to the holder, Reserve waits and retries until the context ends. It returns
 // ErrSpent if the budget has too few tokens left.
-func (s *Shared) Reserve(ctx context.Context, request ReserveRequest) (Settler, error) {
+func (s *Client) Reserve(ctx context.Context, request ReserveRequest) (Settler, error) {
 	name := request.Reservation
 	for attempt := 1; ; attempt++ {
 		settler, err := s.reserveOnce(ctx, request)
 		if !errors.Is(err, errNoStore) || ctx.Err() != nil {
 			return settler, err
 		}
-		if err := s.store.Wait(ctx); err != nil || !pause.For(ctx, storeRetryDelay) {
+		if err := s.store.Wait(ctx); err != nil || !pause.Sleep(ctx, storeRetryDelay) {
 			return nil, errNoStore
 		}
 		// Each attempt has a new name: the previous one may still be settled late.
@@ -100,9 +100,9 @@
 
 // reserveOnce asks the holders once: those of the region or, if Near is set, those of this zone and
 // then the region's first holder.
-func (s *Shared) reserveOnce(ctx context.Context, request ReserveRequest) (Settler, error) {
-	zoneHolders, hasZoneHolders := s.list.HomesNear(request.Program)
-	if s.Alone || !s.Near || !hasZoneHolders {
+func (s *Client) reserveOnce(ctx context.Context, request ReserveRequest) (Settler, error) {
+	zoneHolders, hasZoneHolders := s.list.ZoneHomes(request.Program)
+	if s.LocalOnly || !s.PreferZone || !hasZoneHolders {
 		return s.reserveAtHolders(ctx, s.list.Homes(request.Program), request)
 	}
 	return s.reserveInZone(ctx, zoneHolders, request)
@@ -116,7 +116,7 @@
 
 // reserveInZone asks the holders of this zone. If the budget is spent there or their store is
 // unavailable, it asks the region's first holder, which may be able to lend.
-func (s *Shared) reserveInZone(ctx context.Context, zoneHolders members.Homes, request ReserveRequest) (Settler, error) {
+func (s *Client) reserveInZone(ctx context.Context, zoneHolders members.Homes, request ReserveRequest) (Settler, error) {
 	regionHolders := s.list.Homes(request.Program)
 	first := regionHolders.At(0) // there is at least one: this daemon
 	if first.Process == zoneHolders.At(0).Process {
@@ -126,7 +126,7 @@
 	zoneRequest.Soon = true
 	settler, err := s.reserveAtHolders(ctx, zoneHolders, zoneRequest)
 	spent := errors.Is(err, ErrSpent)
-	undecided := spent || errors.Is(err, errNoStore) || state.NoVerdict(err)
+	undecided := spent || errors.Is(err, errNoStore) || state.IsTransient(err)
 	if settler != nil || ctx.Err() != nil || !undecided {
 		return settler, err
 	}
@@ -146,7 +146,7 @@
 }
 
 // reserveAt asks one holder, which may be this daemon.
-func (s *Shared) reserveAt(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
+func (s *Client) reserveAt(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
 	if holder.Process == s.list.Self() {
 		return s.reserveLocally(ctx, request)
 	}
@@ -155,15 +155,15 @@
 
 // reserveAtHolders asks the holders in order, up to this daemon, and then this daemon's own ledger.
 // It skips holders whose zones may be cut off. It returns the first definite result.
-func (s *Shared) reserveAtHolders(ctx context.Context, holders members.Homes, request ReserveRequest) (Settler, error) {
+func (s *Client) reserveAtHolders(ctx context.Context, holders members.Homes, request ReserveRequest) (Settler, error) {
 	var silentZones []identity.Zone // other zones with a holder that did not answer
 	for order := range holders.Len() {
 		holder := holders.At(order)
-		if s.Alone || holder.Process == s.list.Self() {
+		if s.LocalOnly || holder.Process == s.list.Self() {
 			break
 		}
 		zone := holder.Process.Zone
-		if s.list.Silent(holder) || slices.Contains(silentZones, zone) {
+		if s.list.IsZoneSilent(holder) || slices.Contains(silentZones, zone) {
 			continue // the whole zone may be cut off
 		}
 		settler, err := s.askHolder(ctx, holder, request)
@@ -178,7 +178,7 @@
 }
 
 // reserveLocally reserves from this daemon's own ledger.
-func (s *Shared) reserveLocally(ctx context.Context, request ReserveRequest) (Settler, error) {
+func (s *Client) reserveLocally(ctx context.Context, request ReserveRequest) (Settler, error) {
 	reservation, err := s.ledger.reserve(ctx, request.params())
 	if err != nil {
 		return nil, err
@@ -194,7 +194,7 @@
 // askHolder sends a reservation request to a holder. It returns an error that matches ErrSpent,
 // errNoStore or errStopping as the holder replied, or the error of the call if the holder did not
 // answer.
-func (s *Shared) askHolder(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
+func (s *Client) askHolder(ctx context.Context, holder members.Member, request ReserveRequest) (Settler, error) {
 	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var reply ReserveReply
@@ -202,7 +202,7 @@
 	granted := &remoteSettler{shared: s, holder: holder, turnPlacement: turnPlacement{request: request, selfAddress: s.list.Self().Address}}
 	if err != nil {
 		if ctx.Err() == nil {
-			s.list.Missed(holder)
+			s.list.RecordMiss(holder)
 			s.avoidHolder(holder, suspectDuration, err.Error())
 		}
 		if !errors.Is(err, peer.ErrNotSent) {
@@ -210,7 +210,7 @@
 		}
 		return nil, err
 	}
-	s.list.Trust(holder)
+	s.list.ClearSuspicion(holder)
 	switch reply.Result {
 	case resultReserved:
 		granted.generated = reply.Attained
@@ -218,7 +218,7 @@
 		granted.keptAt = reply.KeptAt
 		return granted, nil
 	case resultSpent:
-		return nil, &HeldError{Holder: string(holder.Process.Machine), Detail: reply.Detail}
+		return nil, &RemoteSpentError{Holder: string(holder.Process.Machine), Detail: reply.Detail}
 	case resultStopping:
 		s.avoidHolder(holder, stoppingDuration, "stopping")
 		return nil, errStopping
@@ -234,17 +234,19 @@
 
 var errStopping = errors.New("the holder is stopping")
 
-// HeldError is returned if another daemon, as the holder, reports that the budget is spent. It
+// RemoteSpentError is returned if another daemon, as the holder, reports that the budget is spent. It
 // matches ErrSpent.
-type HeldError struct{ Holder, Detail string }
+type RemoteSpentError struct{ Holder, Detail string }
 
 // Error implements error.
-func (e *HeldError) Error() string { return ErrSpent.Error() + " at " + e.Holder + ": " + e.Detail }
+func (e *RemoteSpentError) Error() string {
+	return ErrSpent.Error() + " at " + e.Holder + ": " + e.Detail
+}
 
-// Is reports that a HeldError matches ErrSpent.
-func (e *HeldError) Is(target error) bool { return target == ErrSpent }
+// Is reports that a RemoteSpentError matches ErrSpent.
+func (e *RemoteSpentError) Is(target error) bool { return target == ErrSpent }
 
-func (s *Shared) avoidHolder(holder members.Member, wait time.Duration, cause string) {
+func (s *Client) avoidHolder(holder members.Member, wait time.Duration, cause string) {
 	s.list.Suspect(holder, wait)
 	s.log.Warn("budget: holder skipped.", zap.String("holder", string(holder.Process.Machine)), zap.Duration("for", wait), zap.String("cause", cause))
 }
--- a/internal/budget/shared_test.go
+++ b/internal/budget/shared_test.go
@@ -18,7 +18,7 @@
 
 // testDaemon is a daemon with a ledger, and a holder that other daemons can call.
 type testDaemon struct {
-	shared     *Shared
+	shared     *Client
 	ledger     *Ledger
 	list       *members.List
 	server     *peer.Server
@@ -45,8 +45,8 @@
 		client := state.NewClient(state.ClientOptions{Store: store, Availability: availability})
 		daemon := &testDaemon{ledger: NewLedger(client, 64, time.Hour), server: server}
 		daemon.list = members.NewList(self, time.Now, zap.NewNop())
-		daemon.shared = NewShared(daemon.ledger, daemon.list, pool, availability, zap.NewNop())
-		Expect(server.Register(Service, NewHolder(daemon.ledger, func() bool { return daemon.isStopping }))).To(Succeed())
+		daemon.shared = NewClient(daemon.ledger, daemon.list, pool, availability, zap.NewNop())
+		Expect(server.Register(ServiceName, NewHolder(daemon.ledger, func() bool { return daemon.isStopping }))).To(Succeed())
 		daemons = append(daemons, daemon)
 		lists = append(lists, daemon.list)
 	}
--- a/internal/budget/trail.go
+++ b/internal/budget/trail.go
@@ -8,12 +8,12 @@
 	"github.com/hashicorp/golang-lru/v2/expirable"
 )
 
-// Trails records at which engine each program's turns ran, by the last part of the turn's prompt,
+// TurnLocations records at which engine each program's turns ran, by the last part of the turn's prompt,
 // and which daemon recorded each turn. The holder of a program's budget learns of all the program's
 // turns, whichever daemon they came to. It can therefore tell the next daemon which engine has read
 // most of a prompt, and which daemon has the previous turn in memory. Both are hints. Trails is
 // safe for concurrent use.
-type Trails struct {
+type TurnLocations struct {
 	mutex    sync.Mutex
 	programs *expirable.LRU[string, *programTrail]
 }
@@ -37,13 +37,13 @@
 
 // newTrails returns Trails that keep up to maxPrograms programs. A program is dropped when its
 // trail is older than ttl.
-func newTrails(maxPrograms int, ttl time.Duration) *Trails {
-	return &Trails{programs: expirable.NewLRU[string, *programTrail](maxPrograms, nil, ttl)}
+func newTrails(maxPrograms int, ttl time.Duration) *TurnLocations {
+	return &TurnLocations{programs: expirable.NewLRU[string, *programTrail](maxPrograms, nil, ttl)}
 }
 
 // recordEngine records that an engine has read a prompt up to and including the part. It does
 // nothing if the part or the engine is empty.
-func (t *Trails) recordEngine(program, part, engine string) {
+func (t *TurnLocations) recordEngine(program, part, engine string) {
 	if part == "" || engine == "" {
 		return
 	}
@@ -62,7 +62,7 @@
 
 // trailOf returns the trail of a program, and creates it if there is none. The caller holds the
 // mutex.
-func (t *Trails) trailOf(program string) *programTrail {
+func (t *TurnLocations) trailOf(program string) *programTrail {
 	trail, found := t.programs.Get(program)
 	if !found {
 		trail = &programTrail{engines: map[string]string{}}
@@ -73,7 +73,7 @@
 
 // recordTurn stores at which engine a settled turn ran, and which daemon recorded the turn, if one
 // did.
-func (t *Trails) recordTurn(ran Ran) {
+func (t *TurnLocations) recordTurn(ran TurnLocation) {
 	t.recordEngine(ran.Program, ran.Part, ran.Engine)
 	if ran.Turn == "" || ran.Daemon == "" {
 		return
@@ -86,7 +86,7 @@
 }
 
 // recordedAt returns the address of the daemon that recorded a turn, or "" if not known.
-func (t *Trails) recordedAt(program, turn string) string {
+func (t *TurnLocations) recordedAt(program, turn string) string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	trail, found := t.programs.Get(program)
@@ -103,7 +103,7 @@
 
 // findEngine returns the engine that has read the longest prefix of a prompt, and the number of
 // parts in that prefix; "" and 0 if none is known.
-func (t *Trails) findEngine(program string, parts []string) (engine string, partsRead int) {
+func (t *TurnLocations) findEngine(program string, parts []string) (engine string, partsRead int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	trail, found := t.programs.Get(program)
--- a/internal/budget/trail_test.go
+++ b/internal/budget/trail_test.go
@@ -17,15 +17,15 @@
 	BeforeEach(func() { all = newTestDaemons(memorystore.New(), "a", "a", "a") })
 
 	// turn reserves at a daemon, settles the turn with the engine at which it ran, and returns what
-	// ReadAt returned.
+	// CachedPrefix returned.
 	turn := func(ctx context.Context, daemon *testDaemon, engine string, parts ...string) (readAt string, partsRead int) {
 		GinkgoHelper()
 		settler, err := daemon.shared.Reserve(ctx, ReserveRequest{
 			Reservation: fmt.Sprint(parts, engine), Program: "p", Total: 13000, Most: 288, Parts: parts,
 		})
 		Expect(err).NotTo(HaveOccurred())
-		readAt, partsRead = settler.ReadAt()
-		settler.RanAt(engine)
+		readAt, partsRead = settler.CachedPrefix()
+		settler.SetEngine(engine)
 		settler.Settle(70)
 		return readAt, partsRead
 	}
@@ -76,10 +76,10 @@
 			GinkgoHelper()
 			settler, err := daemon.shared.Reserve(ctx, ReserveRequest{Reservation: name, Program: "p", Total: 13000, Most: 288, Previous: previous})
 			Expect(err).NotTo(HaveOccurred())
-			settler.Recorded(name)
+			settler.SetRecordedTurn(name)
 			settler.Settle(70)
 			Eventually(func() string { return holder.ledger.trails.recordedAt("p", name) }).Should(Equal(daemon.list.Self().Address))
-			return settler.KeptAt()
+			return settler.RecorderAddress()
 		}
 		Expect(recorded(others[0], "one", "")).To(BeEmpty())
 		Expect(recorded(holder, "two", "one")).To(Equal(others[0].list.Self().Address))
@@ -97,7 +97,7 @@
 		holder, _ := findHolder(all, "p")
 		settler, err := holder.shared.Reserve(ctx, ReserveRequest{Reservation: "one", Program: "p", Total: 13000, Most: 288})
 		Expect(err).NotTo(HaveOccurred())
-		settler.RanAt("e1")
+		settler.SetEngine("e1")
 		settler.Settle(70)
 		Expect(holder.ledger.trails.recordedAt("p", "one")).To(BeEmpty())
 	})
--- a/internal/budget/zones_test.go
+++ b/internal/budget/zones_test.go
@@ -39,7 +39,7 @@
 	list   *members.List
 	ledger *Ledger
 	holder atomic.Pointer[Holder]
-	shared *Shared
+	shared *Client
 }
 
 // currentIsolatedZone returns the zone that is cut off, or "" if none is.
@@ -61,7 +61,7 @@
 		fleet.daemons, lists = append(fleet.daemons, daemon), append(lists, daemon.list)
 		fleet.daemonsByAddress[name] = daemon
 		daemon.start()
-		daemon.ledger.LendWith(NewLender(daemon.hasFirstClaim, time.Now, zap.NewNop()))
+		daemon.ledger.SetLender(NewLender(daemon.hasFirstClaim, time.Now, zap.NewNop()))
 	}
 	return fleet, acquaintance.Make(lists...)
 }
@@ -69,23 +69,23 @@
 // start replaces the daemon's process by a new one, which has no state and lends nothing.
 func (d *zoneDaemon) start() {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	client := state.NewClient(state.ClientOptions{Store: d, Availability: availability, NotHedged: true})
+	client := state.NewClient(state.ClientOptions{Store: d, Availability: availability, DisableHedging: true})
 	d.ledger = NewLedger(client, 64, time.Hour)
 	d.holder.Store(NewHolder(d.ledger, func() bool { return false }))
-	d.shared = NewShared(d.ledger, d.list, d, availability, zap.NewNop())
-	d.shared.Near = true
+	d.shared = NewClient(d.ledger, d.list, d, availability, zap.NewNop())
+	d.shared.PreferZone = true
 }
 
 // hasFirstClaim reports whether this daemon has the first claim on a program among all daemons,
 // suspected or not.
-func (d *zoneDaemon) hasFirstClaim(program string) bool { return d.list.Sweeps(program) }
+func (d *zoneDaemon) hasFirstClaim(program string) bool { return d.list.HasHighestScore(program) }
 
 func (d *zoneDaemon) zone() identity.Zone { return d.list.Self().Zone }
 
 // Commit implements state.Store.
 func (d *zoneDaemon) Commit(ctx context.Context, commit state.Commit) (state.Version, error) {
 	if d.zone() == d.fleet.currentIsolatedZone() {
-		return 0, state.ErrNotDone
+		return 0, state.ErrNotExecuted
 	}
 	return d.fleet.store.Commit(ctx, commit)
 }
@@ -93,14 +93,14 @@
 // Read implements state.Store.
 func (d *zoneDaemon) Read(ctx context.Context, selected state.Range) (state.Page, error) {
 	if d.zone() == d.fleet.currentIsolatedZone() {
-		return state.Page{}, state.ErrNotDone
+		return state.Page{}, state.ErrNotExecuted
 	}
 	return d.fleet.store.Read(ctx, selected)
 }
 
 // Feed implements state.Store. No test follows a table.
-func (d *zoneDaemon) Feed(context.Context, string, state.Version, time.Duration) (state.Change, error) {
-	return state.Change{}, state.ErrNotDone
+func (d *zoneDaemon) Feed(context.Context, string, state.Version, time.Duration) (state.FeedResult, error) {
+	return state.FeedResult{}, state.ErrNotExecuted
 }
 
 var errCut = fmt.Errorf("unreachable: %w", peer.ErrNotSent)
@@ -221,7 +221,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			fleet.program = fmt.Sprint("p", number)
 			fleet.isolatedZone.Store(fleet.daemons[0].zone())
-			fleet.daemons[1].shared.Near = false
+			fleet.daemons[1].shared.PreferZone = false
 			reserved, err := fleet.reserve(ctx, 1, number, 13000, 288)
 			Expect(err).NotTo(HaveOccurred())
 			reserved.settle(70)
@@ -237,7 +237,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		_, err := newLedger(store).reserve(callCtx, reserveParams{turnParams{"p", 13000, 288}, true})
-		Expect(state.NoVerdict(err)).To(BeTrue(), "%v", err)
+		Expect(state.IsTransient(err)).To(BeTrue(), "%v", err)
 		Expect(callCtx.Err()).NotTo(HaveOccurred())
 	})
 })
--- a/internal/callerapi/authenticate.go
+++ b/internal/callerapi/authenticate.go
@@ -25,7 +25,7 @@
 		return nil, unauthenticatedProblem("a bearer key is needed in the Authorization header")
 	}
 	current := a.Configuration.Current()
-	if owner, known := current.Keys.Owner(tenant.DigestOf(key)); known {
+	if owner, known := current.Keys.Owner(tenant.HashKey(key)); known {
 		return current.TenantByName[owner], nil
 	}
 	if !a.Configuration.Confirmed() {
--- a/internal/callerapi/handler_test.go
+++ b/internal/callerapi/handler_test.go
@@ -28,7 +28,7 @@
 )
 
 func tenantWithKey(name identity.Tenant, key string) configuration.Tenant {
-	return configuration.Tenant{Name: name, KeyHashes: []string{tenant.DigestOf(key).String()}}
+	return configuration.Tenant{Name: name, KeyHashes: []string{tenant.HashKey(key).String()}}
 }
 
 // endpoint is an HTTP server with the handler under test and fake programs.
--- a/internal/configuration/stored/change.go
+++ b/internal/configuration/stored/change.go
@@ -27,15 +27,15 @@
 func (s *Service) Change(parent context.Context, change configuration.Change) (configuration.ChangeResult, error) {
 	ctx, cancel := withDeadline(parent)
 	defer cancel()
-	backoff := pause.Growing(initialRetryPause, time.Second)
+	backoff := pause.NewBackoff(initialRetryPause, time.Second)
 	uncertain := false
 	for {
 		result, err := s.tryChange(ctx, change)
 		if err == nil {
 			return result, nil
 		}
-		uncertain = uncertain || errors.Is(err, state.ErrUnknown)
-		if !pause.For(ctx, backoff.NextBackOff()) {
+		uncertain = uncertain || errors.Is(err, state.ErrUnknownOutcome)
+		if !pause.Sleep(ctx, backoff.NextBackOff()) {
 			return configuration.ChangeResult{}, changeError(err, uncertain)
 		}
 	}
--- a/internal/configuration/stored/rows.go
+++ b/internal/configuration/stored/rows.go
@@ -43,9 +43,9 @@
 // state was read from. Without a head row the machine is empty.
 func (s *Service) read(ctx context.Context) (*configuration.Machine, state.Row, error) {
 	var page state.Page
-	err := s.options.Store.Repeat(ctx, func() error {
+	err := s.options.Store.Retry(ctx, func() error {
 		var err error
-		page, err = s.options.Store.Read(ctx, state.Single(headKey))
+		page, err = s.options.Store.Read(ctx, state.KeyRange(headKey))
 		return err
 	})
 	if err != nil {
@@ -74,7 +74,7 @@
 	from, rowCount := current.Name, 0
 	for {
 		var page state.Page
-		err := s.options.Store.Repeat(ctx, func() error {
+		err := s.options.Store.Retry(ctx, func() error {
 			var err error
 			page, err = s.options.Store.Read(ctx, state.Range{Table: tableContent, From: from, To: current.Name + "~"})
 			return err
@@ -137,8 +137,8 @@
 			count++
 		}
 		if _, err := s.options.Store.Commit(ctx, state.Commit{Puts: puts[:count]}); err != nil {
-			if errors.Is(err, state.ErrUnknown) {
-				return eris.Wrap(state.ErrNotDone, "write the configuration: the store did not answer the commit of the content rows; the head row is unchanged")
+			if errors.Is(err, state.ErrUnknownOutcome) {
+				return eris.Wrap(state.ErrNotExecuted, "write the configuration: the store did not answer the commit of the content rows; the head row is unchanged")
 			}
 			return eris.Wrap(err, "write the configuration")
 		}
--- a/internal/configuration/stored/stored.go
+++ b/internal/configuration/stored/stored.go
@@ -81,8 +81,8 @@
 // always returns nil.
 func (s *Service) Run(ctx context.Context) error {
 	watch.Run(ctx, watch.Options{
-		Store: s.options.Store, Table: tableHead, Wait: s.options.ConfirmBound / readsPerConfirmBound, Log: s.log,
-		OnHeard: func() { s.storeAnsweredAt.Store(time.Now().UnixNano()) },
+		Store: s.options.Store, Table: tableHead, MaxWait: s.options.ConfirmBound / readsPerConfirmBound, Log: s.log,
+		OnAnswer: func() { s.storeAnsweredAt.Store(time.Now().UnixNano()) },
 	}, follower{s, ctx})
 	return nil
 }
@@ -94,10 +94,10 @@
 }
 
 // Replace implements watch.Follower.
-func (f follower) Replace(rows []state.Row, _ state.Version) { f.Change(rows) }
+func (f follower) Replace(rows []state.Row, _ state.Version) { f.Apply(rows) }
 
-// Change implements watch.Follower.
-func (f follower) Change(rows []state.Row) {
+// Apply implements watch.Follower.
+func (f follower) Apply(rows []state.Row) {
 	for _, row := range rows {
 		var current head
 		if row.Key != headKey || row.Removed || cbor.Unmarshal(row.Value, &current) != nil {
@@ -111,7 +111,7 @@
 // fetch reads the state from the store until the latest known revision is in force or
 // the context ends.
 func (s *Service) fetch(ctx context.Context) {
-	backoff := pause.Growing(initialRetryPause, time.Second)
+	backoff := pause.NewBackoff(initialRetryPause, time.Second)
 	for ctx.Err() == nil {
 		machine, _, err := s.read(ctx)
 		if err == nil {
@@ -122,7 +122,7 @@
 		} else {
 			s.log.Warn("configuration: cannot be read from the store; trying again.", zap.String("cause", err.Error()))
 		}
-		pause.For(ctx, backoff.NextBackOff())
+		pause.Sleep(ctx, backoff.NextBackOff())
 	}
 }
 
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -57,8 +57,8 @@
 func (d *Daemon) assembleMembers() error {
 	self := members.Member{Process: d.self, CallerAddress: firstSet(d.settings.AdvertiseCaller, d.caller.Address())}
 	d.directory = members.NewList(self, time.Now, d.logger)
-	d.lease = &members.Lease{List: d.directory, Store: d.store, ShortestRenewal: shortestRenewal, Log: d.logger}
-	return eris.Wrap(d.directory.Measure(d.registry), "measure members")
+	d.lease = &members.Lease{List: d.directory, Store: d.store, MinRenewalInterval: shortestRenewal, Log: d.logger}
+	return eris.Wrap(d.directory.RegisterMetrics(d.registry), "measure members")
 }
 
 // assembleStore makes the client of the transactional store: one probe while
@@ -86,7 +86,7 @@
 	d.configuration, err = stored.New(stored.Options{
 		Store: d.store, RowBytes: rowBytes, ConfirmBound: d.settings.ConfirmBound,
 		Log: d.logger, Registry: d.registry,
-		OnRevision: func(revision uint64) { d.lease.Revision.Store(revision) },
+		OnRevision: func(revision uint64) { d.lease.ConfigRevision.Store(revision) },
 	})
 	return eris.Wrap(err, "make the configuration")
 }
@@ -98,13 +98,13 @@
 	var err error
 	d.node, err = shards.NewNode(shards.Options{
 		Self: d.self, Store: d.store, Directory: d.directory, Caller: d.pool, Registrar: d.server,
-		NewMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
-		Idle:       func(shard identity.Shard) bool { return d.execution.Idle(shard) },
-		Shards:     d.settings.Shards,
-		Expect:     d.settings.BootstrapExpect,
-		RowBytes:   rowBytes,
-		Log:        d.logger,
-		Registry:   d.registry,
+		NewStateMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
+		IsIdle:          func(shard identity.Shard) bool { return d.execution.IsShardIdle(shard) },
+		ShardCount:      d.settings.Shards,
+		MinDaemons:      d.settings.BootstrapExpect,
+		MaxRowBytes:     rowBytes,
+		Logger:          d.logger,
+		Registerer:      d.registry,
 	})
 	return eris.Wrap(err, "make the shards")
 }
@@ -117,9 +117,9 @@
 		Directory:     d.directory,
 		Caller:        d.pool,
 		Registrar:     d.server,
-		Machines:      d.platform.machines,
-		Weights:       d.platform.weights,
-		EndedOrUnknown: func(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
+		MachineList:   d.platform.machines,
+		WeightStore:   d.platform.weights,
+		FilterEnded: func(ctx context.Context, programs []identity.Program) ([]identity.Program, error) {
 			return d.router.EndedOrUnknown(ctx, programs)
 		},
 		Logger:     d.logger,
@@ -142,7 +142,7 @@
 		Fleet:         d.fleet,
 		Policy:        scheduling.NewPolicy(schedulingSettings(&d.settings.Scheduling)),
 		Configuration: d.configuration,
-		Leaving:       d.fleet.Leaving,
+		IsLeaving:     d.fleet.IsLeaving,
 		Logger:        d.logger,
 		Registerer:    d.registry,
 		Limits:        executionLimits(&d.settings),
@@ -156,7 +156,7 @@
 		Self:       d.self,
 		Local:      d.execution,
 		Groups:     d.node,
-		Map:        d.node,
+		ShardMap:   d.node,
 		Caller:     d.pool,
 		Registrar:  d.server,
 		Logger:     d.logger,
@@ -186,7 +186,7 @@
 		Administrator: d.configuration,
 		Programs:      d.router,
 		Directory:     d.directory,
-		Revisions:     d.lease.Revisions,
+		Revisions:     d.lease.ConfigRevisions,
 		Groups:        d.node,
 		Fleet:         d.fleet,
 		Keys:          d.settings.OperatorKeyHashes,
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -30,7 +30,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
 	d.life.Drain()
-	d.node.Retire()
+	d.node.StopAcquiring()
 	if err := d.execution.Drain(ctx); err != nil && ctx.Err() == nil {
 		// Others take it once this process has ended; no call is under way here.
 		d.logger.Warn("daemon: a shard was not handed over.", zap.Error(err))
@@ -59,7 +59,7 @@
 	ticker := time.NewTicker(replaceInterval)
 	defer ticker.Stop()
 	for d.othersAlive() {
-		left := d.node.Left()
+		left := d.node.RemainingShards()
 		if left == 0 {
 			return
 		}
@@ -78,7 +78,7 @@
 func (d *Daemon) tellEnd() {
 	ctx, cancel := context.WithTimeout(context.Background(), tellEndTimeout)
 	defer cancel()
-	if err := d.lease.End(ctx); err != nil {
+	if err := d.lease.WriteEnded(ctx); err != nil {
 		d.logger.Warn("daemon: the end was not told; the lease runs out by itself.", zap.Error(err))
 	}
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -66,7 +66,7 @@
 	}
 	run("metrics", func(context.Context) error { return d.metrics.Serve(healthHandler(d.registry, d.conditions())) })
 	run("members", func(ctx context.Context) error {
-		watch.Run(ctx, d.directory.Watch(d.store, membersWait), d.directory)
+		watch.Run(ctx, d.directory.WatchOptions(d.store, membersWait), d.directory)
 		return nil
 	})
 	run("lease", func(ctx context.Context) error {
--- a/internal/daemon/tuning.go
+++ b/internal/daemon/tuning.go
@@ -37,29 +37,29 @@
 	return execution.Limits{
 		ProposeTimeout:   told.CommitTimeout,
 		MaxQueued:        told.Scheduling.Waiting,
-		HoldPrefix:       told.Scheduling.HoldPrefix,
-		RetryShare:       orOff(told.Retries.Share),
+		MaxPrefixLease:   told.Scheduling.HoldPrefix,
+		RetryRatio:       orOff(told.Retries.Share),
 		RetriesPerSecond: orOff(told.Retries.PerSecond),
 		RetryBurst:       told.Retries.Burst,
-		WarmUp:           warmUp,
+		WarmUpPeriod:     warmUp,
 	}
 }
 
 func engineSettings(told *settings.Engines) engine.Settings {
 	return engine.Settings{
-		PollInterval:         told.PollInterval,
-		SpreadInterval:       told.SpreadInterval,
-		SpreadBytesPerSecond: told.SpreadBytesPerSecond,
-		RefreshInterval:      told.RefreshInterval,
-		DigestTooOld:         told.ReportTooOld,
-		EjectAfterFailures:   told.EjectAfterFailures,
-		EjectErrorRate:       told.EjectErrorRate,
-		EjectSlowFactor:      told.EjectSlowFactor,
-		EjectFor:             told.EjectFor,
-		EjectShare:           told.EjectShare,
-		ParallelLoads:        told.ParallelLoads,
-		DrainBound:           told.DrainBound,
-		WeightBytesPerSecond: told.WeightBytesPerSecond,
+		PollInterval:          told.PollInterval,
+		DigestInterval:        told.SpreadInterval,
+		DigestBytesPerSecond:  told.SpreadBytesPerSecond,
+		DigestRefreshInterval: told.RefreshInterval,
+		MaxDigestAge:          told.ReportTooOld,
+		EjectAfterFailures:    told.EjectAfterFailures,
+		EjectErrorRate:        told.EjectErrorRate,
+		EjectSlowFactor:       told.EjectSlowFactor,
+		BaseEjectionTime:      told.EjectFor,
+		MaxEjectedShare:       told.EjectShare,
+		MaxParallelOrders:     told.ParallelLoads,
+		MaxDrainTime:          told.DrainBound,
+		WeightBytesPerSecond:  told.WeightBytesPerSecond,
 	}
 }
 
@@ -67,7 +67,7 @@
 	return dispatch.Options{
 		MaxConnectionsPerHost: told.Connections,
 		DialTimeout:           told.DialTimeout,
-		IdleStream:            told.IdleStream,
-		MaxAttempt:            told.MaxAttempt,
+		StreamIdleTimeout:     told.IdleStream,
+		AttemptTimeout:        told.MaxAttempt,
 	}
 }
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -68,12 +68,12 @@
 // tokenLimit returns the smaller of the caller's limit and the reserved tokens.
 func (c *completion) tokenLimit() int64 {
 	if c.order.Call.MaxTokens > 0 {
-		return min(c.order.Call.MaxTokens, c.order.Limit)
+		return min(c.order.Call.MaxTokens, c.order.ReservedTokens)
 	}
-	return c.order.Limit
+	return c.order.ReservedTokens
 }
 
-// follow resumes the stream while it is broken. It stops when MaxTries tries in
+// follow resumes the stream while it is broken. It stops when MaxLookupTries tries in
 // a row have made no progress or ctx has ended, and returns how the last stream
 // ended.
 func (c *completion) follow(ctx context.Context, end streamEnd) streamEnd {
@@ -84,10 +84,10 @@
 			tries = 0
 			backoff.Reset()
 		}
-		if tries == c.http.options.MaxTries {
+		if tries == c.http.options.MaxLookupTries {
 			return end
 		}
-		if tries > 0 && !pause.For(ctx, backoff.NextBackOff()) {
+		if tries > 0 && !pause.Sleep(ctx, backoff.NextBackOff()) {
 			return end
 		}
 		tries++
@@ -99,7 +99,7 @@
 
 // start posts the request once and reads the stream.
 func (c *completion) start(ctx context.Context) streamEnd {
-	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.IdleStream)
+	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.StreamIdleTimeout)
 	response, sent, err := postOnce(ctx, c.postClient(), c.order.Address+enginev1.PathCompletions, c.request())
 	if err != nil {
 		stop()
@@ -169,7 +169,7 @@
 
 // resume requests the rest of the stream after the content received so far.
 func (c *completion) resume(ctx context.Context) streamEnd {
-	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.IdleStream)
+	ctx, stop, timer := withIdleTimeout(ctx, c.http.options.StreamIdleTimeout)
 	response, err := doRequest(ctx, c.http.dataClient, http.MethodGet, c.resumeAddress())
 	if err != nil {
 		stop()
--- a/internal/dispatch/completion_test.go
+++ b/internal/dispatch/completion_test.go
@@ -96,12 +96,12 @@
 		}
 		report = dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingNeverRan))
-		Expect(report.Retry).To(Equal(2 * time.Second))
+		Expect(report.RetryAfter).To(Equal(2 * time.Second))
 
 		clear(header)
 		report = dispatcher.Send(context.Background(), modelOrder(backEnd.address), onContent)
 		Expect(report.Ending).To(Equal(dispatch.EndingFailed))
-		Expect(report.Generated).To(BeEquivalentTo(-1))
+		Expect(report.GeneratedTokens).To(BeEquivalentTo(-1))
 	})
 
 	It("does not report never-ran for an interrupted post that the engine does not know", func() {
@@ -130,7 +130,7 @@
 		Expect(report.Problem.Kind).To(Equal(problem.KindCancelled))
 		record := engine.Records().Requests[0]
 		Expect(record.State).To(Equal("cancelled"))
-		Expect(report.Generated).To(Equal(record.Generated))
+		Expect(report.GeneratedTokens).To(Equal(record.Generated))
 	})
 
 	It("leaves the request running when leadership is lost", func() {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -29,30 +29,30 @@
 	EndingUnknown
 )
 
-// Order describes one attempt to send. The back end receives the identifier of
+// AttemptSpec describes one attempt to send. The back end receives the identifier of
 // the attempt, "program/sequence/attempt". Services and tools also receive that
 // of the call, "program/sequence".
-type Order struct {
-	Program  identity.Program
-	Tenant   identity.Tenant
-	Call     program.CallSpec
-	Number   uint32 // number of the attempt in its call
-	Class    string
-	History  []program.Message // for models: the prompt before this call's messages
-	BackEnd  string            // name of the back end, for reports
-	Address  string            // base URL, "http://ip:port"
-	Limit    int64             // reserved tokens, the maximum that may be generated
-	Deadline time.Time         // zero: Options.MaxAttempt from now
-	Resume   bool              // a former leader sent the attempt, so it is looked up and not sent again
+type AttemptSpec struct {
+	Program        identity.Program
+	Tenant         identity.Tenant
+	Call           program.CallSpec
+	Number         uint32 // number of the attempt in its call
+	Class          string
+	History        []program.Message // for models: the prompt before this call's messages
+	BackEnd        string            // name of the back end, for reports
+	Address        string            // base URL, "http://ip:port"
+	ReservedTokens int64             // reserved tokens, the maximum that may be generated
+	Deadline       time.Time         // zero: Options.MaxAttempt from now
+	Resume         bool              // a former leader sent the attempt, so it is looked up and not sent again
 }
 
 // Report describes how an attempt ended.
 type Report struct {
-	Ending    Ending
-	Answer    *program.Answer  // nil unless EndingAnswered
-	Generated int64            // tokens known to have been generated; -1: unknown
-	Problem   *problem.Problem // nil for EndingAnswered
-	Retry     time.Duration    // retry delay that the back end advises; zero: none
+	Ending          Ending
+	Answer          *program.Answer  // nil unless EndingAnswered
+	GeneratedTokens int64            // tokens known to have been generated; -1: unknown
+	Problem         *problem.Problem // nil for EndingAnswered
+	RetryAfter      time.Duration    // retry delay that the back end advises; zero: none
 }
 
 // Dispatcher sends attempts. *HTTP implements it.
@@ -60,5 +60,5 @@
 	// Send runs the attempt until it ends. onContent is called with each
 	// streamed part of the content, in order. Cancelling ctx also cancels the
 	// attempt at the back end, unless the cause is ErrLeadershipLost.
-	Send(ctx context.Context, order Order, onContent func(content string)) Report
+	Send(ctx context.Context, order AttemptSpec, onContent func(content string)) Report
 }
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -95,12 +95,12 @@
 	return a.reportFailed(failure, 0, retry)
 }
 
-// lookUp polls the record of the call until it is final, MaxTries requests in a
+// lookUp polls the record of the call until it is final, MaxLookupTries requests in a
 // row have failed, or ctx ends. For an order with Resume, it also stops when
 // there is no record. It never sends the call.
 func (a *attempt) lookUp(ctx context.Context, step string, cause error) Report {
 	backoff := a.http.newBackoff()
-	for failures := 0; ctx.Err() == nil && failures < a.http.options.MaxTries; {
+	for failures := 0; ctx.Err() == nil && failures < a.http.options.MaxLookupTries; {
 		a.http.metrics.lookups.Inc()
 		reply, err := a.requestExecution(ctx, http.MethodGet)
 		switch {
@@ -117,7 +117,7 @@
 		if errors.Is(err, errNoRecord) && a.order.Resume {
 			break
 		}
-		if !pause.For(ctx, backoff.NextBackOff()) {
+		if !pause.Sleep(ctx, backoff.NextBackOff()) {
 			break
 		}
 	}
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -160,7 +160,7 @@
 			_ = connection.Close()
 			arrived <- count
 		}()
-		dispatcher := dispatch.NewHTTP(dispatch.Options{MaxTries: 1, RetryInitial: time.Millisecond, CleanupTimeout: 100 * time.Millisecond})
+		dispatcher := dispatch.NewHTTP(dispatch.Options{MaxLookupTries: 1, InitialRetryDelay: time.Millisecond, CleanupTimeout: 100 * time.Millisecond})
 		defer dispatcher.Close()
 		order := serviceOrder("http://"+listener.Addr().String(), rapid.Bool().Draw(t, "not repeatable"))
 		order.Deadline = time.Now().Add(50 * time.Millisecond) // Ends the attempt if the back end waits for more bytes than are sent.
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -39,7 +39,7 @@
 
 func newFastDispatcher() *dispatch.HTTP {
 	return dispatch.NewHTTP(dispatch.Options{
-		MaxTries: 3, RetryInitial: time.Millisecond, RetryMaximum: 3 * time.Millisecond, CleanupTimeout: 500 * time.Millisecond,
+		MaxLookupTries: 3, InitialRetryDelay: time.Millisecond, MaxRetryDelay: 3 * time.Millisecond, CleanupTimeout: 500 * time.Millisecond,
 	})
 }
 
@@ -72,9 +72,9 @@
 			}
 		case report.Ending == dispatch.EndingNeverRan && len(records) > 0:
 			t.Fatalf("reported as never ran, but the engine recorded %+v", records[0])
-		case report.Ending == dispatch.EndingFailed && report.Generated >= 0 && len(records) > 0:
-			if records[0].Generated != report.Generated || records[0].State == "running" || records[0].State == "waiting" {
-				t.Fatalf("reported as failed after %d tokens, but the engine recorded %+v", report.Generated, records[0])
+		case report.Ending == dispatch.EndingFailed && report.GeneratedTokens >= 0 && len(records) > 0:
+			if records[0].Generated != report.GeneratedTokens || records[0].State == "running" || records[0].State == "waiting" {
+				t.Fatalf("reported as failed after %d tokens, but the engine recorded %+v", report.GeneratedTokens, records[0])
 			}
 		}
 	})
--- a/internal/dispatch/helpers_test.go
+++ b/internal/dispatch/helpers_test.go
@@ -41,17 +41,17 @@
 	return backEnd
 }
 
-func modelOrder(address string) dispatch.Order {
-	return dispatch.Order{
-		Program: testProgram, Number: 1, Class: "interactive", BackEnd: "engine-1", Address: address, Limit: 50,
+func modelOrder(address string) dispatch.AttemptSpec {
+	return dispatch.AttemptSpec{
+		Program: testProgram, Number: 1, Class: "interactive", BackEnd: "engine-1", Address: address, ReservedTokens: 50,
 		History:  []program.Message{{Role: "user", Content: "before"}},
 		Call:     program.CallSpec{Sequence: 3, Target: program.TargetModel, Name: "model", MaxTokens: 80, Messages: []program.Message{{Role: "user", Content: "now tokens=60"}}},
 		Deadline: time.Now().Add(20 * time.Second),
 	}
 }
 
-func serviceOrder(address string, notRepeatable bool) dispatch.Order {
-	return dispatch.Order{
+func serviceOrder(address string, notRepeatable bool) dispatch.AttemptSpec {
+	return dispatch.AttemptSpec{
 		Program: testProgram, Number: 2, BackEnd: "ledger", Address: address,
 		Call: program.CallSpec{
 			Sequence: 5, Target: program.TargetService, Name: "ledger", Operation: "fund", Payload: []byte("x"), NotRepeatable: notRepeatable,
@@ -62,7 +62,7 @@
 
 func newDispatcher() *dispatch.HTTP {
 	dispatcher := dispatch.NewHTTP(dispatch.Options{
-		RetryInitial: time.Millisecond, RetryMaximum: 4 * time.Millisecond, MaxTries: 6, IdleStream: 5 * time.Second,
+		InitialRetryDelay: time.Millisecond, MaxRetryDelay: 4 * time.Millisecond, MaxLookupTries: 6, StreamIdleTimeout: 5 * time.Second,
 	})
 	DeferCleanup(dispatcher.Close)
 	return dispatcher
--- a/internal/dispatch/http.go
+++ b/internal/dispatch/http.go
@@ -58,11 +58,11 @@
 }
 
 // Send implements Dispatcher. Times in the Answer count from the start of Send.
-func (h *HTTP) Send(ctx context.Context, order Order, onContent func(content string)) Report {
+func (h *HTTP) Send(ctx context.Context, order AttemptSpec, onContent func(content string)) Report {
 	started := time.Now()
 	deadline := order.Deadline
 	if deadline.IsZero() {
-		deadline = started.Add(h.options.MaxAttempt)
+		deadline = started.Add(h.options.AttemptTimeout)
 	}
 	ctx, cancel := context.WithDeadlineCause(ctx, deadline, errDeadline)
 	defer cancel()
@@ -82,7 +82,7 @@
 // attempt is an order that is being sent.
 type attempt struct {
 	http      *HTTP
-	order     *Order
+	order     *AttemptSpec
 	started   time.Time
 	deadline  time.Time
 	onContent func(string)
@@ -128,7 +128,7 @@
 
 // newBackoff returns the jittered delays between lookups.
 func (h *HTTP) newBackoff() *backoff.ExponentialBackOff {
-	return pause.Growing(h.options.RetryInitial, h.options.RetryMaximum)
+	return pause.NewBackoff(h.options.InitialRetryDelay, h.options.MaxRetryDelay)
 }
 
 // postOnce sends body as JSON. net/http cannot repeat the request, because its
--- a/internal/dispatch/options.go
+++ b/internal/dispatch/options.go
@@ -18,12 +18,12 @@
 type Options struct {
 	MaxConnectionsPerHost int                   // concurrent streams and executions at one back end; 512
 	DialTimeout           time.Duration         // limit on establishing a TCP connection; 2 s
-	IdleStream            time.Duration         // time without data after which a stream is resumed; 20 s
-	MaxAttempt            time.Duration         // limit on an attempt whose order has no deadline; 15 min
+	StreamIdleTimeout     time.Duration         // time without data after which a stream is resumed; 20 s
+	AttemptTimeout        time.Duration         // limit on an attempt whose order has no deadline; 15 min
 	CleanupTimeout        time.Duration         // limit on each lookup of an execution, and on all cleanup after the attempt has ended; 2 s
-	MaxTries              int                   // successive lookups without progress before the outcome is unknown; 6
-	RetryInitial          time.Duration         // first delay between lookups, jittered; 50 ms
-	RetryMaximum          time.Duration         // maximum delay between lookups; 2 s
+	MaxLookupTries        int                   // successive lookups without progress before the outcome is unknown; 6
+	InitialRetryDelay     time.Duration         // first delay between lookups, jittered; 50 ms
+	MaxRetryDelay         time.Duration         // maximum delay between lookups; 2 s
 	MaxAnswerBytes        int                   // limit on the content or payload of one answer; 16 MiB
 	MaxEventBytes         int                   // limit on one server-sent event; 1 MiB
 	Logger                *zap.Logger           // nil: nothing is logged
@@ -46,12 +46,12 @@
 func (o Options) withDefaults() Options {
 	setDefault(&o.MaxConnectionsPerHost, defaultMaxConnectionsPerHost)
 	setDefault(&o.DialTimeout, defaultDialTimeout)
-	setDefault(&o.IdleStream, defaultIdleStream)
-	setDefault(&o.MaxAttempt, defaultMaxAttempt)
+	setDefault(&o.StreamIdleTimeout, defaultIdleStream)
+	setDefault(&o.AttemptTimeout, defaultMaxAttempt)
 	setDefault(&o.CleanupTimeout, defaultCleanupTimeout)
-	setDefault(&o.MaxTries, defaultMaxTries)
-	setDefault(&o.RetryInitial, defaultRetryInitial)
-	setDefault(&o.RetryMaximum, defaultRetryMaximum)
+	setDefault(&o.MaxLookupTries, defaultMaxTries)
+	setDefault(&o.InitialRetryDelay, defaultRetryInitial)
+	setDefault(&o.MaxRetryDelay, defaultRetryMaximum)
 	setDefault(&o.MaxAnswerBytes, defaultMaxAnswerBytes)
 	setDefault(&o.MaxEventBytes, defaultMaxEventBytes)
 	if o.Logger == nil {
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -22,32 +22,32 @@
 func (a *attempt) reportAnswered(answer *program.Answer) Report {
 	answer.Engine = a.order.BackEnd
 	answer.Elapsed = time.Since(a.started)
-	return Report{Ending: EndingAnswered, Answer: answer, Generated: answer.CompletionTokens}
+	return Report{Ending: EndingAnswered, Answer: answer, GeneratedTokens: answer.CompletionTokens}
 }
 
 // reportNeverRan must be called only if the attempt certainly did not run:
 // nothing was sent, or the back end reported that the attempt did not start.
 func (a *attempt) reportNeverRan(failure *problem.Problem, retry time.Duration) Report {
 	return Report{
-		Ending:  EndingNeverRan,
-		Problem: failure.WithOutcome(problem.OutcomeNotRun).WithRetryAfter(retry),
-		Retry:   retry,
+		Ending:     EndingNeverRan,
+		Problem:    failure.WithOutcome(problem.OutcomeNotRun).WithRetryAfter(retry),
+		RetryAfter: retry,
 	}
 }
 
 func (a *attempt) reportFailed(failure *problem.Problem, generated int64, retry time.Duration) Report {
 	return Report{
-		Ending:    EndingFailed,
-		Generated: generated,
-		Problem:   failure.WithOutcome(problem.OutcomeFailed).WithRetryAfter(retry),
-		Retry:     retry,
+		Ending:          EndingFailed,
+		GeneratedTokens: generated,
+		Problem:         failure.WithOutcome(problem.OutcomeFailed).WithRetryAfter(retry),
+		RetryAfter:      retry,
 	}
 }
 
 func (a *attempt) reportUnknown(step string, cause error) Report {
 	return Report{
-		Ending:    EndingUnknown,
-		Generated: tokensUnknown,
-		Problem:   a.problem(problem.KindOutcomeUnknown, step, cause).WithOutcome(problem.OutcomeUnknown),
+		Ending:          EndingUnknown,
+		GeneratedTokens: tokensUnknown,
+		Problem:         a.problem(problem.KindOutcomeUnknown, step, cause).WithOutcome(problem.OutcomeUnknown),
 	}
 }
--- a/internal/engine/benchmark_test.go
+++ b/internal/engine/benchmark_test.go
@@ -169,7 +169,7 @@
 	service := newBenchmarkService(b, 680)
 	for hash := range uint64(maxPrefixes) {
 		for number := range maxHoldersPerPrefix {
-			service.Served(fmt.Sprintf("engine-%04d", (int(hash)*7+number)%680), []PrefixRun{{Hash: hash, Tokens: 4000}})
+			service.RecordPrefixes(fmt.Sprintf("engine-%04d", (int(hash)*7+number)%680), []PromptPrefix{{Hash: hash, Tokens: 4000}})
 		}
 	}
 	b.ReportAllocs()
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -26,7 +26,7 @@
 
 func newHTTPClient(settings Settings) *http.Client {
 	return &http.Client{
-		Timeout: settings.PollTimeout,
+		Timeout: settings.CallTimeout,
 		Transport: &http.Transport{
 			MaxConnsPerHost:     maxConnectionsPerEngine,
 			MaxIdleConnsPerHost: 1,
--- a/internal/engine/fakes_test.go
+++ b/internal/engine/fakes_test.go
@@ -149,13 +149,13 @@
 // membership view.
 type memoryNetwork struct {
 	mutex     sync.Mutex
-	receivers map[string]*Receiver
+	receivers map[string]*DigestReceiver
 	view      *members.View
 	isolated  string // address of the daemon that cannot exchange calls with the others; empty: none
 }
 
 func newMemoryNetwork() *memoryNetwork {
-	return &memoryNetwork{receivers: map[string]*Receiver{}, view: &members.View{}}
+	return &memoryNetwork{receivers: map[string]*DigestReceiver{}, view: &members.View{}}
 }
 
 // fakeDaemon is one daemon on the network, as peer.Caller, peer.Registrar and
@@ -184,7 +184,7 @@
 func (d fakeDaemon) Register(_ string, service any) error {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.receivers[d.self.Address] = service.(*Receiver)
+	d.receivers[d.self.Address] = service.(*DigestReceiver)
 	return nil
 }
 
@@ -234,8 +234,8 @@
 // testSettings returns settings with short intervals.
 func testSettings() Settings {
 	return Settings{
-		PollInterval: 20 * time.Millisecond, SpreadInterval: 20 * time.Millisecond, RefreshInterval: 100 * time.Millisecond,
-		MachineInterval: 20 * time.Millisecond, ReconcileInterval: 30 * time.Millisecond, DigestTooOld: 2 * time.Second,
+		PollInterval: 20 * time.Millisecond, DigestInterval: 20 * time.Millisecond, DigestRefreshInterval: 100 * time.Millisecond,
+		MachineListInterval: 20 * time.Millisecond, ReconcileInterval: 30 * time.Millisecond, MaxDigestAge: 2 * time.Second,
 	}
 }
 
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -17,20 +17,20 @@
 type Fleet interface {
 	// Snapshot returns the current snapshot of the region's engines. It is never nil.
 	Snapshot() *scheduling.Snapshot
-	// Placed counts a request that was just placed at the engine until the engine's reports
+	// AddPlacement counts a request that was just placed at the engine until the engine's reports
 	// include it. The returned function must be called when the attempt ends; elapsed is zero
 	// if the request was never sent.
-	Placed(engineID string, promptTokens int64) (done func(failed bool, elapsed time.Duration))
-	// Ended reports programs that ended. The named engines are asked to release the programs'
+	AddPlacement(engineID string, promptTokens int64) (done func(failed bool, elapsed time.Duration))
+	// ReleasePrograms reports programs that ended. The named engines are asked to release the programs'
 	// memory until they confirm it.
-	Ended(programs []identity.Program, engines []string)
-	// Hold asks the engine to keep the program's prefix for the duration of the lease. It does
+	ReleasePrograms(programs []identity.Program, engines []string)
+	// HoldPrefix asks the engine to keep the program's prefix for the duration of the lease. It does
 	// not wait, and the request may be lost.
-	Hold(engineID string, program identity.Program, lease time.Duration)
+	HoldPrefix(engineID string, program identity.Program, lease time.Duration)
 }
 
-// Announcer signals new snapshots. *Service implements it.
-type Announcer interface {
+// SnapshotNotifier signals new snapshots. *Service implements it.
+type SnapshotNotifier interface {
 	// Changed returns a channel that receives a value after a new snapshot is stored. Several
 	// changes may be merged into one value.
 	Changed() <-chan struct{}
--- a/internal/engine/follow.go
+++ b/internal/engine/follow.go
@@ -97,7 +97,7 @@
 func (s *Service) applyConfiguration(current *configuration.Snapshot, daemons []identity.Process) {
 	next := s.buildTable(&current.Document)
 	s.table.Store(next)
-	s.wanted.Store(newWantedPools(current, s.settings.ParallelLoads))
+	s.wanted.Store(newWantedPools(current, s.settings.MaxParallelOrders))
 	s.daemonCount.Store(int64(max(1, len(daemons))))
 	s.exchange.setMesh(newMesh(s.self, daemons))
 	s.departures.setReaders(daemons)
@@ -144,10 +144,10 @@
 		endpoint:   hostPort(declared.Address),
 		declaredAt: time.Now(),
 		client: client{
-			http: s.options.HTTP, name: declared.Name, address: declared.Address, timeout: s.settings.PollTimeout,
+			http: s.options.HTTPClient, name: declared.Name, address: declared.Address, timeout: s.settings.CallTimeout,
 		},
 		health:   newHealth(),
-		releases: newReleaseQueue(s.settings.ReleaseQueue),
+		releases: newReleaseQueue(s.settings.MaxQueuedReleases),
 	}
 }
 
--- a/internal/engine/health.go
+++ b/internal/engine/health.go
@@ -174,11 +174,11 @@
 	}
 }
 
-// eject ejects the engine for EjectFor, doubled for each consecutive ejection up to
-// EjectAtMost, plus jitter. It also discards the samples and the mean request time.
+// eject ejects the engine for BaseEjectionTime, doubled for each consecutive ejection up to
+// MaxEjectionTime, plus jitter. It also discards the samples and the mean request time.
 func (h *health) eject(a assessment) {
-	wait := a.settings.EjectFor << min(h.ejections, maxDoublings)
-	wait = min(wait, a.settings.EjectAtMost)
+	wait := a.settings.BaseEjectionTime << min(h.ejections, maxDoublings)
+	wait = min(wait, a.settings.MaxEjectionTime)
 	wait += time.Duration(a.jitter * ejectionJitter * float64(wait))
 	h.ejections++
 	h.probeAt = a.now.Add(wait)
--- a/internal/engine/machines.go
+++ b/internal/engine/machines.go
@@ -25,9 +25,9 @@
 // use the same one.
 const machineListKey = "machine list"
 
-// Departures lists the leaving machines that one reader found in the machine list. It is sent
+// LeavingMachines lists the leaving machines that one reader found in the machine list. It is sent
 // to the other daemons of the region.
-type Departures struct {
+type LeavingMachines struct {
 	Reader   identity.Machine
 	Sequence uint64   // reader's wall clock in Unix nanoseconds when it published the list; the highest is the latest
 	Names    []string // names and "host:port" addresses of leaving machines, sorted
@@ -36,13 +36,13 @@
 // departureSet combines the lists of all readers. It is safe for concurrent use.
 type departureSet struct {
 	mutex        sync.Mutex
-	byReader     map[identity.Machine]Departures
+	byReader     map[identity.Machine]LeavingMachines
 	readers      []identity.Machine
 	leavingNames atomic.Pointer[map[string]bool]
 }
 
 func newDepartureSet() *departureSet {
-	d := &departureSet{byReader: map[identity.Machine]Departures{}}
+	d := &departureSet{byReader: map[identity.Machine]LeavingMachines{}}
 	d.leavingNames.Store(&map[string]bool{})
 	return d
 }
@@ -67,7 +67,7 @@
 // If the reader's list is newer than the known one, merge stores it and returns true. A machine
 // is leaving if any reader lists it. Lists of former readers are dropped once a current reader
 // has reported.
-func (d *departureSet) merge(update Departures) bool {
+func (d *departureSet) merge(update LeavingMachines) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if known, listed := d.byReader[update.Reader]; listed && known.Sequence >= update.Sequence {
@@ -99,17 +99,17 @@
 	return leaving[name] || leaving[endpoint] || leaving[hostOf(endpoint)]
 }
 
-// Leaving returns true if the machine list names the back end at the address (an engine,
+// IsLeaving returns true if the machine list names the back end at the address (an engine,
 // service or tool) as leaving. Such a back end must get no new work.
-func (s *Service) Leaving(address string) bool {
+func (s *Service) IsLeaving(address string) bool {
 	return s.departures.contains(address, hostPort(address))
 }
 
-// machineListLoop reads the machine list every MachineInterval while this daemon is one of the
-// readers. It publishes the leaving machines when they change, and again when RefreshInterval
+// machineListLoop reads the machine list every MachineListInterval while this daemon is one of the
+// readers. It publishes the leaving machines when they change, and again when DigestRefreshInterval
 // has passed.
 func (s *Service) machineListLoop(ctx context.Context) {
-	if s.options.Machines == nil {
+	if s.options.MachineList == nil {
 		return
 	}
 	var last []string
@@ -121,13 +121,13 @@
 			switch {
 			case err != nil:
 				s.logger.Debug("engine: reading the machine list failed.", zap.Error(err))
-			case changed || time.Since(publishedAt) >= s.settings.RefreshInterval:
+			case changed || time.Since(publishedAt) >= s.settings.DigestRefreshInterval:
 				last, publishedAt = names, time.Now()
 				s.publishDepartures(names, publishedAt)
 			}
 		}
-		interval := float64(s.settings.MachineInterval)
-		if !pause.For(ctx, time.Duration(interval*(1-pollJitter/2+pollJitter*rand.Float64()))) {
+		interval := float64(s.settings.MachineListInterval)
+		if !pause.Sleep(ctx, time.Duration(interval*(1-pollJitter/2+pollJitter*rand.Float64()))) {
 			return
 		}
 	}
@@ -136,7 +136,7 @@
 // publishDepartures merges this daemon's own list of leaving machines and passes it to the
 // digest exchange.
 func (s *Service) publishDepartures(names []string, now time.Time) {
-	update := Departures{Reader: s.self.Machine, Sequence: uint64(now.UnixNano()), Names: names}
+	update := LeavingMachines{Reader: s.self.Machine, Sequence: uint64(now.UnixNano()), Names: names}
 	if s.departures.merge(update) {
 		s.requestRebuild()
 	}
@@ -146,9 +146,9 @@
 // listLeaving returns the sorted names and "host:port" addresses of the machines that the
 // machine list marks as leaving, without machines that run a daemon.
 func (s *Service) listLeaving(ctx context.Context) ([]string, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.settings.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.settings.CallTimeout)
 	defer cancel()
-	listed, err := s.options.Machines.List(ctx)
+	listed, err := s.options.MachineList.List(ctx)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/engine/memory.go
+++ b/internal/engine/memory.go
@@ -148,8 +148,8 @@
 	return engines, programs
 }
 
-// Ended implements Fleet. Engines that are not declared are ignored.
-func (s *Service) Ended(programs []identity.Program, engines []string) {
+// ReleasePrograms implements Fleet. Engines that are not declared are ignored.
+func (s *Service) ReleasePrograms(programs []identity.Program, engines []string) {
 	table := s.table.Load()
 	for _, name := range engines {
 		if tracked, found := table.byName[name]; found {
@@ -226,9 +226,9 @@
 	lease   time.Duration
 }
 
-// Hold implements Fleet. The request is dropped if the engine is not declared, the lease is not
+// HoldPrefix implements Fleet. The request is dropped if the engine is not declared, the lease is not
 // positive or the queue of requests is full.
-func (s *Service) Hold(engineID string, program identity.Program, lease time.Duration) {
+func (s *Service) HoldPrefix(engineID string, program identity.Program, lease time.Duration) {
 	engine, found := s.table.Load().byName[engineID]
 	if !found || lease <= 0 {
 		return
@@ -262,7 +262,7 @@
 // reconcileHeld lists the programs that the engine holds memory for, at most once per
 // ReconcileInterval, and queues the release of those that ended or are unknown.
 func (s *supervisor) reconcileHeld(ctx context.Context) {
-	filter := s.service.options.EndedOrUnknown
+	filter := s.service.options.FilterEnded
 	if filter == nil || time.Now().Before(s.nextReconcile) {
 		return
 	}
@@ -284,9 +284,9 @@
 }
 
 func (s *supervisor) releaseEnded(ctx context.Context, programs []identity.Program) {
-	ctx, cancel := context.WithTimeout(ctx, s.service.settings.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.service.settings.CallTimeout)
 	defer cancel()
-	ended, err := s.service.options.EndedOrUnknown(ctx, programs)
+	ended, err := s.service.options.FilterEnded(ctx, programs)
 	if err != nil {
 		s.logger.Debug("engine: looking up ended programs failed.", zap.Error(err))
 		return
--- a/internal/engine/picture.go
+++ b/internal/engine/picture.go
@@ -34,7 +34,7 @@
 			s.rebuilding.Lock()
 			s.rebuild(time.Now())
 			s.rebuilding.Unlock()
-			if !pause.For(ctx, s.settings.RebuildInterval) {
+			if !pause.Sleep(ctx, s.settings.RebuildInterval) {
 				return
 			}
 		}
@@ -55,7 +55,7 @@
 			results:    tracked.placements.takeResults(),
 			stale:      !s.isFresh(tracked, now),
 			medianTime: group.medianTime,
-			mayEject:   float64(group.ejected+1) <= s.settings.EjectShare*float64(group.count),
+			mayEject:   float64(group.ejected+1) <= s.settings.MaxEjectedShare*float64(group.count),
 			jitter:     s.random.Float64(),
 			settings:   s.settings,
 		}
@@ -121,10 +121,10 @@
 	return groups
 }
 
-// isFresh returns true if the engine's latest report is not older than DigestTooOld.
+// isFresh returns true if the engine's latest report is not older than MaxDigestAge.
 func (s *Service) isFresh(tracked *trackedEngine, now time.Time) bool {
 	latest := tracked.report.Load()
-	return latest != nil && now.Sub(latest.received) <= s.settings.DigestTooOld
+	return latest != nil && now.Sub(latest.received) <= s.settings.MaxDigestAge
 }
 
 // rebuild builds and stores a new snapshot and signals the change. The caller must hold
@@ -159,10 +159,10 @@
 	}
 	latest := tracked.report.Load()
 	if latest == nil {
-		// For DigestTooOld after its declaration, an engine without a report is listed with the
+		// For MaxDigestAge after its declaration, an engine without a report is listed with the
 		// model that its pool wants, so that requests may wait for it. It accepts no requests.
 		pool := wanted.byEngine[tracked.declared.Name]
-		if pool != nil && now.Sub(tracked.declaredAt) <= s.settings.DigestTooOld {
+		if pool != nil && now.Sub(tracked.declaredAt) <= s.settings.MaxDigestAge {
 			engine.Model, engine.Version, engine.Adapters = pool.Model, pool.Version, pool.Adapters
 		}
 		return engine
@@ -179,19 +179,19 @@
 	engine.WaitingTokens = digest.WaitingTokens
 	engine.CacheTokens = digest.CacheTokens
 	engine.CacheUsed = digest.CacheUsed
-	engine.PlacedSince, engine.PlacedTokens = tracked.placements.unreported()
+	engine.PlacedSinceReport, engine.PlacedTokens = tracked.placements.unreported()
 	engine.ReportAge = now.Sub(latest.received)
-	usable := s.isUsable(tracked, digest, wanted, planned) && engine.ReportAge <= s.settings.DigestTooOld
+	usable := s.isUsable(tracked, digest, wanted, planned) && engine.ReportAge <= s.settings.MaxDigestAge
 	engine.Accepting = usable && tracked.health.isAccepting()
 	engine.Probing = usable && tracked.health.isProbing()
 	return engine
 }
 
-// AwaitsReport returns true if the snapshot lists an engine of the model that has not reported
+// HasUnreportedEngine returns true if the snapshot lists an engine of the model that has not reported
 // yet, which it shows with MaxRunning 0. The snapshot lists such an engine for at most
-// DigestTooOld after this daemon learned of its declaration. A request for which no engine
+// MaxDigestAge after this daemon learned of its declaration. A request for which no engine
 // accepts work should then wait instead of being refused.
-func AwaitsReport(snapshot *scheduling.Snapshot, model string) bool {
+func HasUnreportedEngine(snapshot *scheduling.Snapshot, model string) bool {
 	return slices.ContainsFunc(snapshot.ByModel[model], func(index int) bool {
 		return snapshot.Engines[index].MaxRunning == 0
 	})
--- a/internal/engine/plan.go
+++ b/internal/engine/plan.go
@@ -7,21 +7,21 @@
 	enginev1 "github.com/thymeloft/thymeloft/api/engine/v1"
 )
 
-// Wanted is the desired state of a pool's engines.
-type Wanted struct {
-	Pool           string
-	Model          string
-	Version        string
-	Adapters       []string
-	Role           string // empty: RoleServe
-	MaxUnavailable int    // maximum number of engines out of service during changes; less than 1 counts as 1
-	ParallelLoads  int    // maximum number of engines that execute orders at once; less than 1 counts as 1
+// PoolSpec is the desired state of a pool's engines.
+type PoolSpec struct {
+	Pool              string
+	Model             string
+	Version           string
+	Adapters          []string
+	Role              string // empty: RoleServe
+	MaxUnavailable    int    // maximum number of engines out of service during changes; less than 1 counts as 1
+	MaxParallelOrders int    // maximum number of engines that execute orders at once; less than 1 counts as 1
 }
 
-// Observed is the state of a pool's engine that Plan works from.
-type Observed struct {
+// ObservedEngine is the state of a pool's engine that Plan works from.
+type ObservedEngine struct {
 	Digest  Digest
-	Known   bool // the digest is fresh
+	Fresh   bool // the digest is fresh
 	Blocked bool // drained by an operator or leaving; such an engine gets no orders
 }
 
@@ -37,13 +37,13 @@
 // Plan returns the orders that may be in progress now to bring a pool's engines to the wanted
 // state. An engine in service gets an order that interrupts its service only while fewer than
 // MaxUnavailable engines are out of service. That limit does not apply to engines that are out
-// of service already, nor to orders that only change adapters. At most ParallelLoads engines
+// of service already, nor to orders that only change adapters. At most MaxParallelOrders engines
 // execute an order at once.
 //
 // Plan has no side effects, and its result does not depend on the order of engines. Daemons of
 // a region that have the same digests therefore make the same plan without further agreement,
 // and every daemon knows which engines drain.
-func Plan(wanted Wanted, engines []Observed) []Order {
+func Plan(wanted PoolSpec, engines []ObservedEngine) []Order {
 	sorted := engines
 	if !slices.IsSortedFunc(sorted, compareObserved) {
 		sorted = slices.Clone(engines)
@@ -54,10 +54,10 @@
 	for index := range sorted {
 		engine := &sorted[index]
 		order, needed := wanted.nextOrder(&engine.Digest)
-		if !needed || !engine.Known || engine.Blocked || engine.Digest.Loading {
+		if !needed || !engine.Fresh || engine.Blocked || engine.Digest.Loading {
 			continue
 		}
-		if loading >= max(1, wanted.ParallelLoads) {
+		if loading >= max(1, wanted.MaxParallelOrders) {
 			break
 		}
 		disrupts := wanted.isInService(engine) && !onlyAdaptersDiffer(&wanted, &engine.Digest)
@@ -73,16 +73,16 @@
 	return orders
 }
 
-func compareObserved(a, b Observed) int { return cmp.Compare(a.Digest.Engine, b.Digest.Engine) }
+func compareObserved(a, b ObservedEngine) int { return cmp.Compare(a.Digest.Engine, b.Digest.Engine) }
 
 // countOutOfService returns the number of engines that are out of service, and the number of
 // engines that are executing an order.
-func countOutOfService(wanted *Wanted, engines []Observed) (outOfService, loading int) {
+func countOutOfService(wanted *PoolSpec, engines []ObservedEngine) (outOfService, loading int) {
 	for index := range engines {
 		if !wanted.isInService(&engines[index]) {
 			outOfService++
 		}
-		if engines[index].Known && engines[index].Digest.Loading {
+		if engines[index].Fresh && engines[index].Digest.Loading {
 			loading++
 		}
 	}
@@ -91,14 +91,14 @@
 
 // isInService returns true if the engine serves the pool's model in the wanted role, in any
 // version.
-func (w *Wanted) isInService(engine *Observed) bool {
+func (w *PoolSpec) isInService(engine *ObservedEngine) bool {
 	digest := &engine.Digest
-	return engine.Known && !engine.Blocked && !digest.Loading &&
+	return engine.Fresh && !engine.Blocked && !digest.Loading &&
 		digest.Model == w.Model && digest.Role == w.effectiveRole()
 }
 
 // effectiveRole returns the wanted role, which is RoleServe by default.
-func (w *Wanted) effectiveRole() string {
+func (w *PoolSpec) effectiveRole() string {
 	if w.Role == "" {
 		return RoleServe
 	}
@@ -107,7 +107,7 @@
 
 // nextOrder returns the next order that the engine needs, or false if it is in the wanted
 // state. It corrects the model, the version and the adapters before the role.
-func (w *Wanted) nextOrder(digest *Digest) (enginev1.Order, bool) {
+func (w *PoolSpec) nextOrder(digest *Digest) (enginev1.Order, bool) {
 	if digest.Model != w.Model || digest.Version != w.Version || !sameElements(digest.Adapters, w.Adapters) {
 		return enginev1.Order{Kind: OrderLoad, Model: w.Model, Version: w.Version, Adapters: w.Adapters}, true
 	}
@@ -126,7 +126,7 @@
 
 // onlyAdaptersDiffer returns true if the model, version and role are as wanted, so that an
 // order only changes the adapters.
-func onlyAdaptersDiffer(wanted *Wanted, digest *Digest) bool {
+func onlyAdaptersDiffer(wanted *PoolSpec, digest *Digest) bool {
 	return digest.Model == wanted.Model && digest.Version == wanted.Version && digest.Role == wanted.effectiveRole()
 }
 
