--- a/internal/engine/pools.go
+++ b/internal/engine/pools.go
@@ -12,14 +12,14 @@
 
 // wantedPools is the desired state of all engines by one revision of the configuration.
 type wantedPools struct {
-	pools       []*Wanted
+	pools       []*PoolSpec
 	engineNames [][]string // sorted engine names of the pool with the same index
-	byEngine    map[string]*Wanted
+	byEngine    map[string]*PoolSpec
 	drained     map[string]bool // names, endpoints and hosts that an operator drains
 }
 
 func newWantedPools(current *configuration.Snapshot, maxParallelOrders int) *wantedPools {
-	wanted := &wantedPools{byEngine: map[string]*Wanted{}, drained: map[string]bool{}}
+	wanted := &wantedPools{byEngine: map[string]*PoolSpec{}, drained: map[string]bool{}}
 	models := map[string]*configuration.Model{}
 	for index := range current.Document.Models {
 		models[current.Document.Models[index].Name] = &current.Document.Models[index]
@@ -30,9 +30,9 @@
 		if model == nil {
 			continue // the configuration does not allow such a pool
 		}
-		added := &Wanted{
+		added := &PoolSpec{
 			Pool: pool.Name, Model: model.Name, Version: model.Version, Adapters: model.Adapters,
-			Role: pool.Role, MaxUnavailable: pool.MaxUnavailable, ParallelLoads: maxParallelOrders,
+			Role: pool.Role, MaxUnavailable: pool.MaxUnavailable, MaxParallelOrders: maxParallelOrders,
 		}
 		wanted.pools = append(wanted.pools, added)
 		wanted.engineNames = append(wanted.engineNames, slices.Sorted(slices.Values(pool.Engines)))
@@ -52,7 +52,7 @@
 	table := s.table.Load()
 	planned := map[string]Order{}
 	for index, pool := range wanted.pools {
-		observed := make([]Observed, 0, len(wanted.engineNames[index]))
+		observed := make([]ObservedEngine, 0, len(wanted.engineNames[index]))
 		for _, name := range wanted.engineNames[index] {
 			if tracked, found := table.byName[name]; found && wanted.byEngine[name] == pool {
 				observed = append(observed, s.observe(tracked, wanted, now))
@@ -66,11 +66,11 @@
 }
 
 // observe returns the engine's state as input for Plan.
-func (s *Service) observe(tracked *trackedEngine, wanted *wantedPools, now time.Time) Observed {
-	observed := Observed{Digest: Digest{Engine: tracked.declared.Name}, Blocked: s.isBlocked(tracked, wanted)}
+func (s *Service) observe(tracked *trackedEngine, wanted *wantedPools, now time.Time) ObservedEngine {
+	observed := ObservedEngine{Digest: Digest{Engine: tracked.declared.Name}, Blocked: s.isBlocked(tracked, wanted)}
 	if latest := tracked.report.Load(); latest != nil {
 		observed.Digest = latest.digest
-		observed.Known = now.Sub(latest.received) <= s.settings.DigestTooOld
+		observed.Fresh = now.Sub(latest.received) <= s.settings.MaxDigestAge
 	}
 	return observed
 }
@@ -110,7 +110,7 @@
 	if weights == nil {
 		return true, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.settings.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.settings.CallTimeout)
 	defer cancel()
 	size, err := weights.Size(ctx, model, version)
 	if err != nil {
--- a/internal/engine/prefixes.go
+++ b/internal/engine/prefixes.go
@@ -9,17 +9,17 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// PrefixRun is the beginning of a prompt that other programs may share.
-type PrefixRun struct {
+// PromptPrefix is the beginning of a prompt that other programs may share.
+type PromptPrefix struct {
 	Hash   uint64 // hash of the model, the adapter and the text
 	Tokens int64  // estimated length in tokens
 }
 
-// PrefixLearner records which prefixes the engines hold. *Service implements it.
-type PrefixLearner interface {
-	// Served records that the engine just served a prompt with these prefixes and so holds them
+// PrefixRecorder records which prefixes the engines hold. *Service implements it.
+type PrefixRecorder interface {
+	// RecordPrefixes records that the engine just served a prompt with these prefixes and so holds them
 	// in its cache. The snapshot includes them within about a second.
-	Served(engineID string, runs []PrefixRun)
+	RecordPrefixes(engineID string, runs []PromptPrefix)
 }
 
 const (
@@ -51,7 +51,7 @@
 
 // record makes the engine the most recent holder of each prefix that has at least
 // minPrefixTokens tokens.
-func (p *prefixIndex) record(engine string, runs []PrefixRun, now time.Time) {
+func (p *prefixIndex) record(engine string, runs []PromptPrefix, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for _, run := range runs {
@@ -82,7 +82,7 @@
 		for _, known := range recorded {
 			index, found := table.index[known.engine]
 			if found && now.Sub(known.used) <= p.keep {
-				present = append(present, scheduling.PrefixHolder{Engine: index, Tokens: known.tokens})
+				present = append(present, scheduling.PrefixHolder{EngineIndex: index, Tokens: known.tokens})
 			}
 		}
 		if len(present) == 0 {
@@ -94,8 +94,8 @@
 	return holders
 }
 
-// Served implements PrefixLearner.
-func (s *Service) Served(engineID string, runs []PrefixRun) {
+// RecordPrefixes implements PrefixRecorder.
+func (s *Service) RecordPrefixes(engineID string, runs []PromptPrefix) {
 	s.prefixes.record(engineID, runs, time.Now())
 }
 
--- a/internal/engine/properties_test.go
+++ b/internal/engine/properties_test.go
@@ -131,22 +131,22 @@
 // than allowed, and must bring all engines that answer to the wanted state.
 func TestPlanKeepsCapacityAndConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		wanted := Wanted{Model: "model", Version: "v2", MaxUnavailable: rapid.IntRange(0, 3).Draw(t, "unavailable"), ParallelLoads: rapid.IntRange(1, 3).Draw(t, "loads")}
-		engines := make([]Observed, rapid.IntRange(1, 8).Draw(t, "engines"))
+		wanted := PoolSpec{Model: "model", Version: "v2", MaxUnavailable: rapid.IntRange(0, 3).Draw(t, "unavailable"), MaxParallelOrders: rapid.IntRange(1, 3).Draw(t, "loads")}
+		engines := make([]ObservedEngine, rapid.IntRange(1, 8).Draw(t, "engines"))
 		for index := range engines {
-			engines[index] = Observed{Known: true, Digest: Digest{
+			engines[index] = ObservedEngine{Fresh: true, Digest: Digest{
 				Engine: fmt.Sprint(index), Role: rapid.SampledFrom([]string{RoleServe, RoleDrained}).Draw(t, "role"),
 				Model: rapid.SampledFrom([]string{"model", "other"}).Draw(t, "model"), Version: "v1",
 			}}
 		}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			index := rapid.IntRange(0, len(engines)-1).Draw(t, "index")
-			engines[index].Known = rapid.Bool().Draw(t, "known")
+			engines[index].Fresh = rapid.Bool().Draw(t, "known")
 			engines[index].Blocked = rapid.Bool().Draw(t, "blocked")
 			applyOrders(t, &wanted, engines)
 		}
 		for index := range engines {
-			engines[index].Known, engines[index].Blocked = true, false
+			engines[index].Fresh, engines[index].Blocked = true, false
 		}
 		for range 4 * len(engines) {
 			applyOrders(t, &wanted, engines)
@@ -161,7 +161,7 @@
 }
 
 // applyOrders checks the planned orders and applies them to the engines.
-func applyOrders(t *rapid.T, wanted *Wanted, engines []Observed) {
+func applyOrders(t *rapid.T, wanted *PoolSpec, engines []ObservedEngine) {
 	outOfService, _ := countOutOfService(wanted, engines)
 	orders := Plan(*wanted, engines)
 	drains := 0
@@ -176,7 +176,7 @@
 	for _, order := range orders {
 		for index := range engines {
 			if digest := &engines[index].Digest; digest.Engine == order.Engine {
-				if !engines[index].Known || engines[index].Blocked || digest.Loading {
+				if !engines[index].Fresh || engines[index].Blocked || digest.Loading {
 					t.Fatalf("order for an engine that is unknown, blocked or loading: %+v", engines[index])
 				}
 				if order.Order.Kind == OrderRole {
@@ -191,7 +191,7 @@
 }
 
 // finishLoads completes the load in progress at every engine.
-func finishLoads(engines []Observed) {
+func finishLoads(engines []ObservedEngine) {
 	for index := range engines {
 		engines[index].Digest.Loading = false
 	}
@@ -214,16 +214,16 @@
 	if !step(results{ended: 5, failed: 5, consecutiveFailures: 5}) || engine.isAccepting() {
 		t.Fatal("five failures in a row did not eject")
 	}
-	now = now.Add(settings.EjectFor)
+	now = now.Add(settings.BaseEjectionTime)
 	step(results{})
 	expectState(probing)
 	if !step(results{ended: 1, failed: 1, consecutiveFailures: 6}) {
 		t.Fatal("a failed probe did not eject again")
 	}
-	now = now.Add(settings.EjectFor)
+	now = now.Add(settings.BaseEjectionTime)
 	step(results{})
 	expectState(ejected) // the second ejection lasts twice as long
-	now = now.Add(settings.EjectFor)
+	now = now.Add(settings.BaseEjectionTime)
 	step(results{})
 	step(results{ended: 1, succeeded: 1, elapsed: time.Second})
 	expectState(recovering)
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -27,7 +27,7 @@
 	Sender     string // peer address from which the receiver may fetch full records
 	Relay      bool   // the receiver passes the content on along its column
 	Payload    []byte // encoded digests
-	Departures []Departures
+	Departures []LeavingMachines
 }
 
 // DigestReply acknowledges a batch.
@@ -50,7 +50,7 @@
 
 // fetchFrom fetches all digests of the daemon at the address as full records.
 func (e *digestExchange) fetchFrom(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, e.service.settings.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, e.service.settings.CallTimeout)
 	defer cancel()
 	var reply DigestBatch
 	err := e.service.options.Caller.Call(ctx, address, peer.Data, methodFetch, &FetchArguments{}, &reply)
@@ -112,11 +112,11 @@
 	return accepted && previous == nil
 }
 
-// freshDigests returns full records of all digests received at most RefreshInterval and one
-// SpreadInterval ago.
+// freshDigests returns full records of all digests received at most DigestRefreshInterval and one
+// DigestInterval ago.
 func (e *digestExchange) freshDigests(now time.Time) DigestBatch {
 	batch := DigestBatch{Sender: e.service.self.Address}
-	freshFor := e.service.settings.RefreshInterval + e.service.settings.SpreadInterval
+	freshFor := e.service.settings.DigestRefreshInterval + e.service.settings.DigestInterval
 	for _, tracked := range e.service.table.Load().engines {
 		latest := tracked.report.Load()
 		if latest != nil && now.Sub(latest.received) <= freshFor {
@@ -126,16 +126,16 @@
 	return batch
 }
 
-// Receiver serves the RPCs of other daemons with net/rpc.
-type Receiver struct{ service *Service }
+// DigestReceiver serves the RPCs of other daemons with net/rpc.
+type DigestReceiver struct{ service *Service }
 
 // Digests accepts a batch, or returns an error and accepts nothing if it is malformed.
-func (r *Receiver) Digests(batch *DigestBatch, _ *DigestReply) error {
+func (r *DigestReceiver) Digests(batch *DigestBatch, _ *DigestReply) error {
 	return r.service.exchange.receive(batch)
 }
 
 // Fetch returns all fresh digests known to this daemon.
-func (r *Receiver) Fetch(_ *FetchArguments, reply *DigestBatch) error {
+func (r *DigestReceiver) Fetch(_ *FetchArguments, reply *DigestBatch) error {
 	*reply = r.service.exchange.freshDigests(time.Now())
 	return nil
 }
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -24,7 +24,7 @@
 	self     identity.Process
 	logger   *zap.Logger
 	metrics  *metrics
-	calls    *semaphore.Weighted // limits concurrent calls to engines to PollConcurrency
+	calls    *semaphore.Weighted // limits concurrent calls to engines to MaxConcurrentCalls
 
 	snapshot        atomic.Pointer[scheduling.Snapshot]
 	table           atomic.Pointer[engineTable]
@@ -60,9 +60,9 @@
 }
 
 var (
-	_ Fleet         = (*Service)(nil)
-	_ PrefixLearner = (*Service)(nil)
-	_ Announcer     = (*Service)(nil)
+	_ Fleet            = (*Service)(nil)
+	_ PrefixRecorder   = (*Service)(nil)
+	_ SnapshotNotifier = (*Service)(nil)
 )
 
 const holdQueueSize = 256
@@ -80,7 +80,7 @@
 		self:            options.Self,
 		logger:          options.Logger.Named("engine"),
 		metrics:         newMetrics(options.Registerer),
-		calls:           semaphore.NewWeighted(int64(options.Settings.PollConcurrency)),
+		calls:           semaphore.NewWeighted(int64(options.Settings.MaxConcurrentCalls)),
 		departures:      newDepartureSet(),
 		rebuildRequests: make(chan struct{}, 1),
 		snapshotChanged: make(chan struct{}, 1),
@@ -88,7 +88,7 @@
 		pendingReleases: pendingReleases{engines: map[*trackedEngine]struct{}{}},
 		holdRequests:    make(chan holdRequest, holdQueueSize),
 		random:          rand.New(rand.NewPCG(uint64(options.Self.Incarnation), weightOf("jitter", options.Self))),
-		prefixes:        newPrefixIndex(options.Settings.KeepPrefix),
+		prefixes:        newPrefixIndex(options.Settings.PrefixTTL),
 		regions:         map[identity.Zone]identity.Region{},
 		supervisors:     map[string]supervision{},
 	}
@@ -96,9 +96,9 @@
 	s.plans.Store(&map[string]Order{})
 	s.wanted.Store(&wantedPools{})
 	s.daemonCount.Store(1)
-	s.snapshot.Store(scheduling.Build(nil, nil))
+	s.snapshot.Store(scheduling.NewSnapshot(nil, nil))
 	s.exchange = newDigestExchange(s)
-	if err := options.Registrar.Register(rpcName, &Receiver{service: s}); err != nil {
+	if err := options.Registrar.Register(rpcName, &DigestReceiver{service: s}); err != nil {
 		return nil, eris.Wrap(err, "engine: register the RPC receiver")
 	}
 	return s, nil
@@ -128,8 +128,8 @@
 // value.
 func (s *Service) Changed() <-chan struct{} { return s.snapshotChanged }
 
-// Placed implements Fleet. A placement at an engine that is not declared is ignored.
-func (s *Service) Placed(engineID string, promptTokens int64) func(bool, time.Duration) {
+// AddPlacement implements Fleet. A placement at an engine that is not declared is ignored.
+func (s *Service) AddPlacement(engineID string, promptTokens int64) func(bool, time.Duration) {
 	placedAt, found := s.table.Load().byName[engineID]
 	if !found {
 		return func(bool, time.Duration) {}
--- a/internal/engine/service_test.go
+++ b/internal/engine/service_test.go
@@ -38,7 +38,7 @@
 
 	It("accepts work for serving engines, but not for drained or leaving ones", func() {
 		machines := &fakeMachines{}
-		service, _ := startService(network, source, "daemon-a", func(o *Options) { o.Machines = machines })
+		service, _ := startService(network, source, "daemon-a", func(o *Options) { o.MachineList = machines })
 		Eventually(accepting(service), eventuallyTimeout).Should(Equal([]string{"engine-1", "engine-2"}))
 		Expect(service.Snapshot().ByModel["model"]).To(HaveLen(2))
 
@@ -46,7 +46,7 @@
 		machines.leaving = []platform.ListedMachine{{Name: "other", Kind: platform.MachineEngine, Address: first.Listener.Addr().String(), State: platform.MachineLeaving}}
 		machines.mutex.Unlock()
 		Eventually(accepting(service), eventuallyTimeout).Should(Equal([]string{"engine-2"}))
-		Expect(service.Leaving(first.URL)).To(BeTrue())
+		Expect(service.IsLeaving(first.URL)).To(BeTrue())
 
 		drained := document("v1", first, second)
 		drained.Drains = []string{"engine-2"}
@@ -57,24 +57,24 @@
 	It("counts its own placements until the engine's reports include them", func() {
 		service, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
-		done := service.Placed("engine-1", 500)
+		done := service.AddPlacement("engine-1", 500)
 		done(false, time.Millisecond)
 		done(false, time.Millisecond) // a second call has no effect
-		Eventually(func() int { return service.Snapshot().Engines[0].PlacedSince }, eventuallyTimeout).Should(BeZero())
-		service.Placed("engine-that-is-not-there", 1)(true, 0)
+		Eventually(func() int { return service.Snapshot().Engines[0].PlacedSinceReport }, eventuallyTimeout).Should(BeZero())
+		service.AddPlacement("engine-that-is-not-there", 1)(true, 0)
 	})
 
 	It("lists the holders of a shared prefix by their index in the snapshot", func() {
 		service, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
 		for _, engine := range []string{"engine-1", "engine-2", "engine-unknown"} {
-			service.Served(engine, []PrefixRun{{Hash: 7, Tokens: 900}, {Hash: 8, Tokens: minPrefixTokens - 1}})
+			service.RecordPrefixes(engine, []PromptPrefix{{Hash: 7, Tokens: 900}, {Hash: 8, Tokens: minPrefixTokens - 1}})
 		}
 		Eventually(func() any { return service.Snapshot().SharedPrefixes }, eventuallyTimeout).Should(Equal(
-			map[uint64][]scheduling.PrefixHolder{7: {{Engine: 1, Tokens: 900}, {Engine: 0, Tokens: 900}}}))
+			map[uint64][]scheduling.PrefixHolder{7: {{EngineIndex: 1, Tokens: 900}, {EngineIndex: 0, Tokens: 900}}}))
 		source.set(document("v1", second))
 		Eventually(func() any { return service.Snapshot().SharedPrefixes[7] }, eventuallyTimeout).Should(Equal(
-			[]scheduling.PrefixHolder{{Engine: 0, Tokens: 900}}))
+			[]scheduling.PrefixHolder{{EngineIndex: 0, Tokens: 900}}))
 	})
 
 	It("rolls a new version out to every engine", func() {
@@ -168,16 +168,16 @@
 		Eventually(accepting(one), eventuallyTimeout).ShouldNot(BeEmpty())
 		known := accepting(one)()
 		late, _ := startService(network, source, "daemon-b", func(o *Options) {
-			o.Settings.SpreadInterval, o.Settings.PollInterval = time.Hour, time.Hour
+			o.Settings.DigestInterval, o.Settings.PollInterval = time.Hour, time.Hour
 		})
 		Eventually(accepting(late), eventuallyTimeout).Should(ContainElements(known))
 
 		unreported := newFakeEngine("engine-3", "model", "v1")
 		unreported.Close()
 		source.set(document("v1", first, unreported))
-		Eventually(func() bool { return AwaitsReport(one.Snapshot(), "model") }, eventuallyTimeout).Should(BeTrue())
+		Eventually(func() bool { return HasUnreportedEngine(one.Snapshot(), "model") }, eventuallyTimeout).Should(BeTrue())
 		Expect(accepting(one)()).NotTo(ContainElement("engine-3"))
-		Eventually(func() bool { return AwaitsReport(one.Snapshot(), "model") }, eventuallyTimeout).Should(BeFalse())
+		Eventually(func() bool { return HasUnreportedEngine(one.Snapshot(), "model") }, eventuallyTimeout).Should(BeFalse())
 	})
 
 	It("claims an engine again after a restart that lost its fencing token", func() {
@@ -214,7 +214,7 @@
 			first.releaseFailures = 2
 		})
 		service, _ := startService(network, source, "daemon-a", func(o *Options) {
-			o.EndedOrUnknown = func(_ context.Context, asked []identity.Program) ([]identity.Program, error) {
+			o.FilterEnded = func(_ context.Context, asked []identity.Program) ([]identity.Program, error) {
 				var ended []identity.Program
 				for _, program := range asked {
 					if program == "missed" {
@@ -225,7 +225,7 @@
 			}
 		})
 		Eventually(accepting(service), eventuallyTimeout).Should(HaveLen(2))
-		service.Ended([]identity.Program{"ended"}, []string{"engine-1", "engine-unknown"})
+		service.ReleasePrograms([]identity.Program{"ended"}, []string{"engine-1", "engine-unknown"})
 		Eventually(first.heldCount, eventuallyTimeout).Should(Equal(1))
 		first.edit(func() { Expect(first.held).To(HaveKey("live")) })
 	})
--- a/internal/engine/silence.go
+++ b/internal/engine/silence.go
@@ -81,9 +81,9 @@
 }
 
 // maxSilence is the time without digests after which a supervisor counts as unresponsive. An
-// unchanged digest is sent again after at most RefreshInterval and one SpreadInterval; the
-// second SpreadInterval is a margin.
+// unchanged digest is sent again after at most DigestRefreshInterval and one DigestInterval; the
+// second DigestInterval is a margin.
 func (s *Settings) maxSilence() time.Duration {
 	const intervals = 2
-	return s.RefreshInterval + intervals*s.SpreadInterval
+	return s.DigestRefreshInterval + intervals*s.DigestInterval
 }
--- a/internal/engine/spread.go
+++ b/internal/engine/spread.go
@@ -30,7 +30,7 @@
 }
 
 // digestExchange exchanges digests with the other daemons of the region. Batches are not retried:
-// every digest is sent again after RefreshInterval.
+// every digest is sent again after DigestRefreshInterval.
 type digestExchange struct {
 	service *Service
 
@@ -39,17 +39,17 @@
 	updated           map[*trackedEngine]bool // supervised engines with a new digest since the last tick
 	sent              map[*trackedEngine]sentDigest
 	relay             map[*trackedEngine]bool // engines whose digest, received along the row, is to be sent along the column; true: as a full record
-	relayedDepartures map[identity.Machine]Departures
-	ownDepartures     *Departures
+	relayedDepartures map[identity.Machine]LeavingMachines
+	ownDepartures     *LeavingMachines
 	pendingFetches    map[string]bool // addresses to fetch full records from
 	sending           map[string]bool // addresses to which a batch is being sent
-	nextSendAt        time.Time       // digests are held back until this time to keep SpreadBytesPerSecond
+	nextSendAt        time.Time       // digests are held back until this time to keep DigestBytesPerSecond
 }
 
 func newDigestExchange(service *Service) *digestExchange {
 	return &digestExchange{
 		service: service, updated: map[*trackedEngine]bool{}, sent: map[*trackedEngine]sentDigest{}, relay: map[*trackedEngine]bool{},
-		relayedDepartures: map[identity.Machine]Departures{}, pendingFetches: map[string]bool{}, sending: map[string]bool{},
+		relayedDepartures: map[identity.Machine]LeavingMachines{}, pendingFetches: map[string]bool{}, sending: map[string]bool{},
 	}
 }
 
@@ -71,14 +71,14 @@
 }
 
 // publishDepartures sends this daemon's list of leaving machines with the next tick.
-func (e *digestExchange) publishDepartures(update Departures) {
+func (e *digestExchange) publishDepartures(update LeavingMachines) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.ownDepartures = &update
 }
 
 func (e *digestExchange) loop(ctx context.Context) {
-	ticker := time.NewTicker(e.service.settings.SpreadInterval)
+	ticker := time.NewTicker(e.service.settings.DigestInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -92,7 +92,7 @@
 
 // tick sends this daemon's new digests along the row and the column, and the digests received
 // along the row to the column. After a tick, digests are held back until the sent bytes fit
-// SpreadBytesPerSecond; meanwhile newer digests replace older ones. Departures are not held
+// DigestBytesPerSecond; meanwhile newer digests replace older ones. Departures are not held
 // back. It also starts the pending fetches.
 func (e *digestExchange) tick(ctx context.Context, now time.Time) {
 	e.mutex.Lock()
@@ -105,7 +105,7 @@
 	targets := e.mesh
 	sent := len(targets.row)*(len(row.Payload)+callOverheadBytes) + len(targets.column)*(len(column.Payload)+callOverheadBytes)
 	if len(column.Payload) > 0 {
-		e.nextSendAt = now.Add(time.Duration(float64(sent) / e.service.settings.SpreadBytesPerSecond * float64(time.Second)))
+		e.nextSendAt = now.Add(time.Duration(float64(sent) / e.service.settings.DigestBytesPerSecond * float64(time.Second)))
 	}
 	fetches := slices.Collect(maps.Keys(e.pendingFetches))
 	clear(e.pendingFetches)
@@ -123,12 +123,12 @@
 
 // appendOwn adds the digests of supervised engines that have a new digest since the last tick.
 // It leaves out a digest that did not change significantly and was last sent less than
-// RefreshInterval ago.
+// DigestRefreshInterval ago.
 func (e *digestExchange) appendOwn(batch *DigestBatch, now time.Time) {
 	for tracked := range e.updated {
 		current := tracked.report.Load()
 		lastSent, sentBefore := e.sent[tracked]
-		if sentBefore && !isSignificantChange(current, lastSent.report) && now.Sub(lastSent.sentAt) < e.service.settings.RefreshInterval {
+		if sentBefore && !isSignificantChange(current, lastSent.report) && now.Sub(lastSent.sentAt) < e.service.settings.DigestRefreshInterval {
 			continue
 		}
 		full := !sentBefore || current.checksum != lastSent.report.checksum || now.Sub(lastSent.fullSentAt) >= fullRecordInterval
@@ -158,8 +158,8 @@
 	row = DigestBatch{Sender: e.service.self.Address, Relay: true}
 	column = DigestBatch{Sender: e.service.self.Address}
 	if e.ownDepartures != nil {
-		row.Departures = []Departures{*e.ownDepartures}
-		column.Departures = []Departures{*e.ownDepartures}
+		row.Departures = []LeavingMachines{*e.ownDepartures}
+		column.Departures = []LeavingMachines{*e.ownDepartures}
 		e.ownDepartures = nil
 	}
 	for _, update := range e.relayedDepartures {
@@ -215,7 +215,7 @@
 }
 
 func (e *digestExchange) call(ctx context.Context, address string, batch DigestBatch) {
-	ctx, cancel := context.WithTimeout(ctx, e.service.settings.PollTimeout)
+	ctx, cancel := context.WithTimeout(ctx, e.service.settings.CallTimeout)
 	defer cancel()
 	var reply DigestReply
 	err := e.service.options.Caller.Call(ctx, address, peer.Control, methodDigests, &batch, &reply)
--- a/internal/engine/supervisor.go
+++ b/internal/engine/supervisor.go
@@ -16,7 +16,7 @@
 
 const (
 	pollJitter = 0.2
-	// minDrainIntervals is the minimum duration of a drain in units of SpreadInterval, so that
+	// minDrainIntervals is the minimum duration of a drain in units of DigestInterval, so that
 	// all daemons stop sending work before the engine is changed.
 	minDrainIntervals = 3
 )
@@ -56,7 +56,7 @@
 		}
 		failures = s.recordPoll(err, failures)
 		interval := float64(s.service.settings.PollInterval)
-		if !pause.For(ctx, time.Duration(interval*(1-pollJitter/2+pollJitter*rand.Float64()))) {
+		if !pause.Sleep(ctx, time.Duration(interval*(1-pollJitter/2+pollJitter*rand.Float64()))) {
 			return
 		}
 	}
@@ -199,19 +199,19 @@
 }
 
 // drain starts a drain or continues it, and returns true when it has ended: all daemons had
-// time to stop sending work, and either no requests are left or DrainBound has passed.
+// time to stop sending work, and either no requests are left or MaxDrainTime has passed.
 func (s *supervisor) drain(now time.Time) bool {
 	if s.drainStarted.IsZero() {
 		s.drainStarted = now
 		s.logger.Info("engine: draining the engine before an order.")
 	}
 	waited := now.Sub(s.drainStarted)
-	if waited < minDrainIntervals*s.service.settings.SpreadInterval {
+	if waited < minDrainIntervals*s.service.settings.DigestInterval {
 		return false
 	}
 	latest := s.engine.report.Load()
 	idle := latest != nil && latest.digest.Running+latest.digest.Waiting == 0
-	return idle || waited >= s.service.settings.DrainBound
+	return idle || waited >= s.service.settings.MaxDrainTime
 }
 
 // mayLoad returns true if the engine may load the order's model now. If the model and version
@@ -221,7 +221,7 @@
 	if latest != nil && latest.digest.Model == order.Model && latest.digest.Version == order.Version {
 		return true
 	}
-	allowed, err := s.service.mayLoad(ctx, s.service.options.Weights, order.Model, order.Version)
+	allowed, err := s.service.mayLoad(ctx, s.service.options.WeightStore, order.Model, order.Version)
 	if err != nil {
 		s.logger.Warn("engine: looking up the weights failed; the load is postponed.",
 			zap.String("model", order.Model), zap.String("version", order.Version), zap.Error(err))
--- a/internal/execution/admission.go
+++ b/internal/execution/admission.go
@@ -24,7 +24,7 @@
 }
 
 func newAdmission(shardShare func() float64) *admission {
-	return &admission{shardShare: shardShare, limiter: quota.NewAlone(quota.Settings{Window: rateWindow}, time.Now)}
+	return &admission{shardShare: shardShare, limiter: quota.NewStandalone(quota.Settings{Window: rateWindow}, time.Now)}
 }
 
 // admit counts one request against the tenant's rate. If the rate is exceeded,
@@ -35,12 +35,12 @@
 	}
 	share := a.shardShare()
 	burst := float64(max(tenantConfig.Burst, int(tenantConfig.RequestsPerSecond))) * share
-	_, err := a.limiter.Take(context.Background(), quota.Request{
+	_, err := a.limiter.Acquire(context.Background(), quota.Request{
 		Tenant: tenantConfig.Name, Quota: tenant.Quota{PerSecond: tenantConfig.RequestsPerSecond * share, Burst: max(1, int(burst))},
 	})
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
-		return exceeded.After, false
+		return exceeded.RetryAfter, false
 	}
 	return 0, true
 }
--- a/internal/execution/admission_test.go
+++ b/internal/execution/admission_test.go
@@ -15,7 +15,7 @@
 	share := 0.25
 	now := time.Unix(1000, 0)
 	limited := newAdmission(func() float64 { return share })
-	limited.limiter = quota.NewAlone(quota.Settings{Window: rateWindow}, func() time.Time { return now })
+	limited.limiter = quota.NewStandalone(quota.Settings{Window: rateWindow}, func() time.Time { return now })
 	tenant := &configuration.Tenant{Name: "tenant", RequestsPerSecond: 40, Burst: 40}
 	admitted := func() int {
 		count := 0
--- a/internal/execution/attempt.go
+++ b/internal/execution/attempt.go
@@ -93,25 +93,25 @@
 
 // newOrder returns the dispatch order for the call's attempt with the given
 // number.
-func (r *run) newOrder(call *program.Call, head *program.Head, chosen *placement, number uint32) dispatch.Order {
-	return dispatch.Order{
-		Program:  r.key.Program,
-		Tenant:   head.Tenant,
-		Call:     call.Spec,
-		Number:   number,
-		Class:    head.Class,
-		History:  r.history,
-		BackEnd:  chosen.backEnd,
-		Address:  chosen.address,
-		Limit:    chosen.reserved,
-		Deadline: r.deadline(call),
+func (r *run) newOrder(call *program.Call, head *program.Head, chosen *placement, number uint32) dispatch.AttemptSpec {
+	return dispatch.AttemptSpec{
+		Program:        r.key.Program,
+		Tenant:         head.Tenant,
+		Call:           call.Spec,
+		Number:         number,
+		Class:          head.Class,
+		History:        r.history,
+		BackEnd:        chosen.backEnd,
+		Address:        chosen.address,
+		ReservedTokens: chosen.reserved,
+		Deadline:       r.deadline(call),
 	}
 }
 
 // send dispatches the attempt and waits for its report. If the leadership ends
 // first, it returns false and does not cancel the attempt at the back end,
 // because the next leader looks it up there.
-func (r *run) send(order dispatch.Order) (dispatch.Report, bool) {
+func (r *run) send(order dispatch.AttemptSpec) (dispatch.Report, bool) {
 	ctx, cancel := context.WithCancelCause(context.WithoutCancel(r.ctx))
 	reports := make(chan dispatch.Report, 1)
 	go func() {
@@ -156,9 +156,9 @@
 		return false
 	case dispatch.EndingNeverRan:
 		r.proposeUntilDecided(r.attemptCommand(attempt, program.CommandRelease))
-		return r.backOffAndRetry(attempt.BackEnd, report.Retry)
+		return r.backOffAndRetry(attempt.BackEnd, report.RetryAfter)
 	}
-	spent := report.Generated
+	spent := report.GeneratedTokens
 	if report.Ending == dispatch.EndingUnknown {
 		spent = -1
 	}
@@ -169,7 +169,7 @@
 	settle := r.attemptCommand(attempt, program.CommandSettle)
 	settle.Spent = spent
 	r.proposeUntilDecided(settle)
-	return r.backOffAndRetry(attempt.BackEnd, report.Retry)
+	return r.backOffAndRetry(attempt.BackEnd, report.RetryAfter)
 }
 
 // attemptCommand returns a command of the given kind for an attempt. It carries
@@ -208,7 +208,7 @@
 	}
 	endProblem.Outcome = problem.OutcomeFailed
 	call, _, _ := r.call()
-	if spent < 0 || call.Uncertain(attempt.Number) {
+	if spent < 0 || call.HasUncertainAttempt(attempt.Number) {
 		endProblem.Outcome = problem.OutcomeUnknown
 	}
 	r.giveUp(attempt, spent, &endProblem)
--- a/internal/execution/daemon_test.go
+++ b/internal/execution/daemon_test.go
@@ -61,7 +61,7 @@
 		fleet:         newFakeFleet(),
 		policy:        &fakePolicy{},
 		configuration: newFakeConfiguration(),
-		limits:        execution.Limits{SweepInterval: 10 * time.Millisecond, LookupGrace: 200 * time.Millisecond},
+		limits:        execution.Limits{SweepInterval: 10 * time.Millisecond, MinLookupTimeout: 200 * time.Millisecond},
 	}
 }
 
--- a/internal/execution/drain.go
+++ b/internal/execution/drain.go
@@ -19,14 +19,14 @@
 const handOverTimeout = 5 * time.Second
 
 // Drain stops the service from accepting new work and hands over the leadership
-// of each shard once the shard's calls have ended. After Limits.DrainPatience,
+// of each shard once the shard's calls have ended. After Limits.DrainResumableTimeout,
 // repeatable model calls no longer delay the hand-over: the next leader resumes
 // their streams at the engine. Drain returns the context's error if the context
 // ends before all calls that must finish on this daemon have ended.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	s.logger.Info("execution: draining.")
-	resumableDeadline := time.Now().Add(s.limits.DrainPatience)
+	resumableDeadline := time.Now().Add(s.limits.DrainResumableTimeout)
 	var groups errgroup.Group
 	for _, status := range s.options.Groups.Status() {
 		if status.Leading {
@@ -85,9 +85,9 @@
 	return count
 }
 
-// Idle reports whether this daemon leads the shard and has no unfinished call of
+// IsShardIdle reports whether this daemon leads the shard and has no unfinished call of
 // it, so that a hand-over would not affect any caller.
-func (s *Service) Idle(number identity.Shard) bool {
+func (s *Service) IsShardIdle(number identity.Shard) bool {
 	lead := (*s.leaderships.Load())[number]
 	return lead != nil && len(lead.allRuns()) == 0
 }
--- a/internal/execution/failover_test.go
+++ b/internal/execution/failover_test.go
@@ -38,11 +38,11 @@
 	// blockFirst makes the back end execute the first attempt but delay its
 	// answer until release is closed. Later attempts are answered at once, and
 	// lookups of attempts return the report of the given function.
-	blockFirst := func(lookup func(dispatch.Order, func(string)) dispatch.Report) {
+	blockFirst := func(lookup func(dispatch.AttemptSpec, func(string)) dispatch.Report) {
 		// The variables are copied because BeforeEach replaces them, and an
 		// attempt may outlast its test.
 		release, backEnd := release, cluster.backEnd
-		backEnd.setBehaviour(func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+		backEnd.setBehaviour(func(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 			switch {
 			case order.Resume:
 				return lookup(order, piece)
@@ -67,8 +67,8 @@
 		other.awaitLeading()
 		return identifier
 	}
-	found := func(order dispatch.Order, _ func(string)) dispatch.Report { return answered(order, "answer 1") }
-	neverRan := func(dispatch.Order, func(string)) dispatch.Report { return ended(dispatch.EndingNeverRan, 0) }
+	found := func(order dispatch.AttemptSpec, _ func(string)) dispatch.Report { return answered(order, "answer 1") }
+	neverRan := func(dispatch.AttemptSpec, func(string)) dispatch.Report { return ended(dispatch.EndingNeverRan, 0) }
 
 	It("finds the answer at the back end without resending or cancelling the call", func() {
 		blockFirst(found)
@@ -88,7 +88,7 @@
 
 	It("cancels none of many calls in progress", func() {
 		backEnd := cluster.backEnd
-		backEnd.setBehaviour(func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+		backEnd.setBehaviour(func(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 			if order.Resume {
 				return ended(dispatch.EndingUnknown, -1)
 			}
--- a/internal/execution/fakes_test.go
+++ b/internal/execution/fakes_test.go
@@ -23,13 +23,13 @@
 type backEnd struct {
 	mutex      sync.Mutex
 	executions map[string]int // number of executions by callKey
-	orders     []dispatch.Order
+	orders     []dispatch.AttemptSpec
 	cancelled  int
 	// behave runs an attempt. If it is nil, attempts are answered at once.
-	behave func(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report
+	behave func(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report
 }
 
-func (b *backEnd) Send(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+func (b *backEnd) Send(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 	b.mutex.Lock()
 	b.orders = append(b.orders, order)
 	behave := b.behave
@@ -42,7 +42,7 @@
 
 // answer executes the call, streams the answer "answer <sequence>" in two pieces,
 // and reports it.
-func (b *backEnd) answer(order dispatch.Order, piece func(string)) dispatch.Report {
+func (b *backEnd) answer(order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 	b.recordExecution(order)
 	content := fmt.Sprintf("answer %d", order.Call.Sequence)
 	piece(content[:3])
@@ -50,19 +50,19 @@
 	return answered(order, content)
 }
 
-func answered(order dispatch.Order, content string) dispatch.Report {
+func answered(order dispatch.AttemptSpec, content string) dispatch.Report {
 	return dispatch.Report{Ending: dispatch.EndingAnswered, Answer: &program.Answer{
-		Content: content, FinishReason: "stop", CompletionTokens: min(order.Limit, answerTokens), Engine: order.BackEnd,
+		Content: content, FinishReason: "stop", CompletionTokens: min(order.ReservedTokens, answerTokens), Engine: order.BackEnd,
 	}}
 }
 
 const answerTokens = 10
 
 func ended(ending dispatch.Ending, generated int64) dispatch.Report {
-	return dispatch.Report{Ending: ending, Generated: generated, Problem: problem.New(problem.KindBackEndFailed, "test", "reported by the test")}
+	return dispatch.Report{Ending: ending, GeneratedTokens: generated, Problem: problem.New(problem.KindBackEndFailed, "test", "reported by the test")}
 }
 
-func (b *backEnd) recordExecution(order dispatch.Order) {
+func (b *backEnd) recordExecution(order dispatch.AttemptSpec) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.executions[callKey(order.Program, order.Call.Sequence)]++
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("%s/%d", identifier, sequence)
 }
 
-func (b *backEnd) setBehaviour(behave func(context.Context, dispatch.Order, func(string)) dispatch.Report) {
+func (b *backEnd) setBehaviour(behave func(context.Context, dispatch.AttemptSpec, func(string)) dispatch.Report) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.behave = behave
@@ -80,7 +80,7 @@
 
 // hang executes the call, streams one piece and then blocks until the attempt is
 // cancelled.
-func (b *backEnd) hang(ctx context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+func (b *backEnd) hang(ctx context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 	b.recordExecution(order)
 	piece("begun")
 	<-ctx.Done()
@@ -112,7 +112,7 @@
 	return b.executions[callKey(identifier, sequence)]
 }
 
-func (b *backEnd) sent() []dispatch.Order {
+func (b *backEnd) sent() []dispatch.AttemptSpec {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return slices.Clone(b.orders)
@@ -137,11 +137,11 @@
 }
 
 func (f *fakeFleet) Snapshot() *scheduling.Snapshot { return &f.snapshot }
-func (f *fakeFleet) Placed(string, int64) func(bool, time.Duration) {
+func (f *fakeFleet) AddPlacement(string, int64) func(bool, time.Duration) {
 	return func(bool, time.Duration) {}
 }
-func (f *fakeFleet) Hold(string, identity.Program, time.Duration) {}
-func (f *fakeFleet) Ended(programs []identity.Program, engines []string) {
+func (f *fakeFleet) HoldPrefix(string, identity.Program, time.Duration) {}
+func (f *fakeFleet) ReleasePrograms(programs []identity.Program, engines []string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.ended = append(f.ended, programs...)
@@ -167,16 +167,16 @@
 	}
 	switch p.slots.Load() {
 	case -1:
-		return scheduling.Decision{Action: scheduling.ActionWait, Retry: time.Minute}
+		return scheduling.Decision{Action: scheduling.ActionWait, RetryAfter: time.Minute}
 	case 1:
 		p.slots.Store(-1)
 	}
 	for i := range snapshot.Engines {
-		if !slices.Contains(request.Excluded, snapshot.Engines[i].ID) {
-			return scheduling.Decision{Action: scheduling.ActionPlace, Engine: i}
+		if !slices.Contains(request.ExcludedEngines, snapshot.Engines[i].ID) {
+			return scheduling.Decision{Action: scheduling.ActionPlace, EngineIndex: i}
 		}
 	}
-	return scheduling.Decision{Action: scheduling.ActionRefuse, Reason: scheduling.ReasonNoEngine, Retry: time.Second}
+	return scheduling.Decision{Action: scheduling.ActionRefuse, Reason: scheduling.ReasonNoEngine, RetryAfter: time.Second}
 }
 
 // fakeConfiguration is a configuration with three tenants, one model and one
@@ -206,5 +206,5 @@
 type fakeMap struct{ shards uint32 }
 
 func (m fakeMap) Current() *shards.Map {
-	return &shards.Map{Shards: max(1, m.shards)}
+	return &shards.Map{ShardCount: max(1, m.shards)}
 }
--- a/internal/execution/faults_test.go
+++ b/internal/execution/faults_test.go
@@ -28,7 +28,7 @@
 	// failFirst makes the first attempt end as specified and the later ones
 	// succeed.
 	failFirst := func(ending dispatch.Ending, generated int64) {
-		cluster.backEnd.setBehaviour(func(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+		cluster.backEnd.setBehaviour(func(_ context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 			if order.Number > 1 {
 				return cluster.backEnd.answer(order, piece)
 			}
@@ -60,7 +60,7 @@
 
 	It("keeps retrying while back ends refuse to start the call", func() {
 		refusals := uint32(execution.DefaultLimits.MaxAttempts) //nolint:gosec // a small constant
-		cluster.backEnd.setBehaviour(func(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+		cluster.backEnd.setBehaviour(func(_ context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 			if order.Number <= refusals {
 				return ended(dispatch.EndingNeverRan, 0)
 			}
@@ -88,7 +88,7 @@
 	)
 
 	It("ends a call as not run if no back end ever started it", func() {
-		cluster.backEnd.setBehaviour(func(context.Context, dispatch.Order, func(string)) dispatch.Report {
+		cluster.backEnd.setBehaviour(func(context.Context, dispatch.AttemptSpec, func(string)) dispatch.Report {
 			return ended(dispatch.EndingNeverRan, 0)
 		})
 		identifier := leader.create("key", program.Limits{}, "")
@@ -163,19 +163,19 @@
 		_, reply := leader.follow(parent, 1)
 		Expect(reply.Problem.Kind).To(Equal(problem.KindCancelled))
 		leader.follow(child, 1)
-		Expect(leader.history(child).EndReason).To(Equal(program.EndParent))
+		Expect(leader.history(child).EndReason).To(Equal(program.EndByParent))
 		Expect(leader.history(parent).Reserved).To(BeEquivalentTo(1), "the known cost of the child")
 		Expect(leader.history(parent).Spent).To(BeEquivalentTo(1))
 	})
 
 	It("queues or refuses a call as the scheduling policy decides", func() {
-		cluster.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionWait, Retry: time.Millisecond})
+		cluster.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionWait, RetryAfter: time.Millisecond})
 		identifier := leader.create("key", program.Limits{}, "")
 		leader.submit(identifier, modelCall(1))
 		cluster.policy.decision.Store(nil)
 		_, reply := leader.follow(identifier, 1)
 		Expect(reply.State).To(Equal(program.CallAnswered))
-		cluster.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionRefuse, Retry: 7 * time.Second})
+		cluster.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionRefuse, RetryAfter: 7 * time.Second})
 		leader.submit(identifier, modelCall(2))
 		_, reply = leader.follow(identifier, 2)
 		Expect(reply.State).To(Equal(program.CallNotRun))
--- a/internal/execution/follow.go
+++ b/internal/execution/follow.go
@@ -9,7 +9,7 @@
 )
 
 // Follow waits until a call has new content or is final. It waits no longer than
-// the request asks for, and no longer than Limits.MaxFollow. It uses the read
+// the request asks for, and no longer than Limits.MaxFollowWait. It uses the read
 // barrier before it reports that a call is unknown or that nothing is new, but
 // not before it reports a final state, which never changes.
 func (s *Service) Follow(ctx context.Context, arguments FollowArguments) (FollowReply, error) {
@@ -26,7 +26,7 @@
 			return FollowReply{Problem: fault}
 		}
 	}
-	waitContext, cancel := context.WithTimeout(ctx, min(max(0, arguments.Wait), s.limits.MaxFollow))
+	waitContext, cancel := context.WithTimeout(ctx, min(max(0, arguments.Wait), s.limits.MaxFollowWait))
 	defer cancel()
 	for {
 		reply, changed := lead.readUpdate(arguments)
@@ -72,7 +72,7 @@
 		return FollowReply{Problem: problem.New(problem.KindUnknownProgram, "follow", "no such program")}, nil
 	case !found:
 		return FollowReply{Problem: problem.New(problem.KindUnknownCall, "follow", "call %d is not in the log", key.Sequence)}, nil
-	case call.State.Final():
+	case call.State.IsFinal():
 		return finalReply(&call, arguments), nil
 	case update.hasContent():
 		return FollowReply{Content: update.content, Restarted: update.restarted, Attempt: update.attempt, State: call.State}, nil
--- a/internal/execution/leadership.go
+++ b/internal/execution/leadership.go
@@ -123,13 +123,13 @@
 // request had timed out. Later sweeps find calls that this replica has not
 // applied yet.
 func (l *leadership) resumeCalls() {
-	pending := slices.DeleteFunc(l.shard.UnderWay(), func(key program.CallKey) bool { return l.run(key) != nil })
+	pending := slices.DeleteFunc(l.shard.ActiveCalls(), func(key program.CallKey) bool { return l.run(key) != nil })
 	if len(pending) == 0 || l.service.confirmLeadership(l.ctx, l) != nil {
 		return
 	}
 	for _, key := range pending {
 		call, head, found := l.shard.Call(key.Program, key.Sequence)
-		if !found || call.State.Final() {
+		if !found || call.State.IsFinal() {
 			continue
 		}
 		l.startRun(key, l.service.gate.acquireUnbounded(classOf(head.Class)))
@@ -244,5 +244,5 @@
 		}
 	}
 	l.service.metrics.ended.Add(float64(len(ended)))
-	l.service.options.Fleet.Ended(ended, sortedKeys(engines))
+	l.service.options.Fleet.ReleasePrograms(ended, sortedKeys(engines))
 }
--- a/internal/execution/lease.go
+++ b/internal/execution/lease.go
@@ -63,21 +63,21 @@
 }
 
 // holdPrefix asks the engine that answered to keep the program's prefix cached
-// for as long as a reuse is likely enough, up to Limits.HoldPrefix.
+// for as long as a reuse is likely enough, up to Limits.MaxPrefixLease.
 func (r *run) holdPrefix(answer *program.Answer) {
 	service := r.lead.service
 	head, found := r.lead.shard.Head(r.key.Program)
 	if !found {
 		return
 	}
-	lease := scheduling.HoldLease(
+	lease := scheduling.LeaseDuration(
 		answer.PromptTokens+answer.CompletionTokens,
 		service.pauseEstimator.estimate(head.Tenant),
 		scheduling.CachePrice{Pressure: cachePressure(service.options.Fleet.Snapshot(), answer.Engine)},
-		service.limits.HoldPrefix,
+		service.limits.MaxPrefixLease,
 	)
 	if lease > 0 {
-		service.options.Fleet.Hold(answer.Engine, r.key.Program, lease)
+		service.options.Fleet.HoldPrefix(answer.Engine, r.key.Program, lease)
 	}
 }
 
@@ -108,8 +108,8 @@
 func (s *Service) shardShare() float64 {
 	shardMap := s.options.ShardMap.Current()
 	ledShards := len(*s.leaderships.Load())
-	if shardMap == nil || shardMap.Shards == 0 || ledShards == 0 {
+	if shardMap == nil || shardMap.ShardCount == 0 || ledShards == 0 {
 		return 1
 	}
-	return min(float64(ledShards)/float64(shardMap.Shards), 1)
+	return min(float64(ledShards)/float64(shardMap.ShardCount), 1)
 }
--- a/internal/execution/limits_test.go
+++ b/internal/execution/limits_test.go
@@ -17,7 +17,7 @@
 
 // makePolicyWait makes the scheduling policy queue all model calls.
 func (c *testCluster) makePolicyWait() {
-	c.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionWait, Retry: time.Millisecond})
+	c.policy.decision.Store(&scheduling.Decision{Action: scheduling.ActionWait, RetryAfter: time.Millisecond})
 }
 
 var _ = Describe("Limits", func() {
@@ -113,7 +113,7 @@
 
 	It("drain: a shard is handed over with a resumable call, but not with a non-repeatable one", func() {
 		cluster := newTestCluster()
-		cluster.limits.DrainPatience = time.Millisecond
+		cluster.limits.DrainResumableTimeout = time.Millisecond
 		leader := cluster.startLeader("a")
 		cluster.backEnd.setBehaviour(cluster.backEnd.hang)
 		funding := leader.create("funding", program.Limits{}, "")
--- a/internal/execution/options.go
+++ b/internal/execution/options.go
@@ -20,12 +20,12 @@
 type Options struct {
 	Self          identity.Process
 	Groups        shards.Groups
-	ShardMap      shards.Source // provides the number of shards
+	ShardMap      shards.MapSource // provides the number of shards
 	Dispatcher    dispatch.Dispatcher
 	Fleet         engine.Fleet
 	Policy        scheduling.Policy
 	Configuration configuration.Source
-	Leaving       func(address string) bool // reports whether the service or tool replica at the address is shutting down
+	IsLeaving     func(address string) bool // reports whether the service or tool replica at the address is shutting down
 	Logger        *zap.Logger
 	Registerer    prometheus.Registerer
 	Limits        Limits
@@ -34,25 +34,25 @@
 // Limits configure the limits and timeouts of a Service. A zero field takes its
 // value from DefaultLimits.
 type Limits struct {
-	MaxRunning       int           // maximum number of calls with a slot, including those that wait for an engine
-	MaxQueued        int           // maximum length of each queue of calls that wait for a slot or for an engine
-	MaxFollow        time.Duration // longest wait of one Follow request
-	ProposeTimeout   time.Duration // timeout of one command or read barrier
-	ModelTimeout     time.Duration // timeout of a model call without a deadline
-	ServiceTimeout   time.Duration // timeout of a service or tool call without a deadline or a configured timeout
-	MaxWait          time.Duration // longest wait for a replica, an engine report or a confirmed configuration
-	MaxAttempts      int           // maximum number of attempts per call that may have run; see totalAttemptsFactor
-	RetryShare       float64       // retries allowed per first attempt, on average; negative for none
-	RetriesPerSecond float64       // retries allowed in addition, for all calls together; negative for none
-	RetryBurst       int           // size of the retry budget, in retries
-	SweepInterval    time.Duration // interval between sweeps, which end expired programs and resume calls
-	Retention        time.Duration // how long ended programs are kept
-	MaxEnded         int           // maximum number of ended programs kept per shard; the oldest are deleted first
-	LookupGrace      time.Duration // minimum time for looking up a former leader's attempt, even past the deadline
-	DrainPatience    time.Duration // time after which Drain hands over resumable calls instead of waiting for them
-	RetryAfter       time.Duration // retry delay given to refused callers
-	WarmUp           time.Duration // time after the start during which engine reports may still be missing; zero for none
-	HoldPrefix       time.Duration // longest lease for a program's prefix between turns
+	MaxRunning            int           // maximum number of calls with a slot, including those that wait for an engine
+	MaxQueued             int           // maximum length of each queue of calls that wait for a slot or for an engine
+	MaxFollowWait         time.Duration // longest wait of one Follow request
+	ProposeTimeout        time.Duration // timeout of one command or read barrier
+	ModelTimeout          time.Duration // timeout of a model call without a deadline
+	ServiceTimeout        time.Duration // timeout of a service or tool call without a deadline or a configured timeout
+	MaxWait               time.Duration // longest wait for a replica, an engine report or a confirmed configuration
+	MaxAttempts           int           // maximum number of attempts per call that may have run; see totalAttemptsFactor
+	RetryRatio            float64       // retries allowed per first attempt, on average; negative for none
+	RetriesPerSecond      float64       // retries allowed in addition, for all calls together; negative for none
+	RetryBurst            int           // size of the retry budget, in retries
+	SweepInterval         time.Duration // interval between sweeps, which end expired programs and resume calls
+	Retention             time.Duration // how long ended programs are kept
+	MaxEndedPrograms      int           // maximum number of ended programs kept per shard; the oldest are deleted first
+	MinLookupTimeout      time.Duration // minimum time for looking up a former leader's attempt, even past the deadline
+	DrainResumableTimeout time.Duration // time after which Drain hands over resumable calls instead of waiting for them
+	RetryAfter            time.Duration // retry delay given to refused callers
+	WarmUpPeriod          time.Duration // time after the start during which engine reports may still be missing; zero for none
+	MaxPrefixLease        time.Duration // longest lease for a program's prefix between turns
 }
 
 // totalAttemptsFactor times Limits.MaxAttempts is the maximum number of attempts
@@ -60,26 +60,26 @@
 const totalAttemptsFactor = 3
 
 // DefaultLimits are suitable for a daemon that leads a few thousand programs.
-// WarmUp is zero by default.
+// WarmUpPeriod is zero by default.
 var DefaultLimits = Limits{
-	MaxRunning:       4096,
-	MaxQueued:        4096,
-	MaxFollow:        30 * time.Second,
-	ProposeTimeout:   3 * time.Second,
-	ModelTimeout:     10 * time.Minute,
-	ServiceTimeout:   time.Minute,
-	MaxWait:          30 * time.Second,
-	MaxAttempts:      4,
-	RetryShare:       0.1,
-	RetriesPerSecond: 10,
-	RetryBurst:       100,
-	SweepInterval:    time.Second,
-	Retention:        24 * time.Hour,
-	MaxEnded:         1000,
-	LookupGrace:      5 * time.Second,
-	DrainPatience:    10 * time.Second,
-	RetryAfter:       time.Second,
-	HoldPrefix:       30 * time.Second,
+	MaxRunning:            4096,
+	MaxQueued:             4096,
+	MaxFollowWait:         30 * time.Second,
+	ProposeTimeout:        3 * time.Second,
+	ModelTimeout:          10 * time.Minute,
+	ServiceTimeout:        time.Minute,
+	MaxWait:               30 * time.Second,
+	MaxAttempts:           4,
+	RetryRatio:            0.1,
+	RetriesPerSecond:      10,
+	RetryBurst:            100,
+	SweepInterval:         time.Second,
+	Retention:             24 * time.Hour,
+	MaxEndedPrograms:      1000,
+	MinLookupTimeout:      5 * time.Second,
+	DrainResumableTimeout: 10 * time.Second,
+	RetryAfter:            time.Second,
+	MaxPrefixLease:        30 * time.Second,
 }
 
 func (o Options) validate() error {
@@ -102,8 +102,8 @@
 	if o.Registerer == nil {
 		o.Registerer = prometheus.NewRegistry()
 	}
-	if o.Leaving == nil {
-		o.Leaving = func(string) bool { return false }
+	if o.IsLeaving == nil {
+		o.IsLeaving = func(string) bool { return false }
 	}
 	o.Limits = o.Limits.withDefaults()
 	return o
@@ -112,22 +112,22 @@
 func (l Limits) withDefaults() Limits {
 	setDefault(&l.MaxRunning, DefaultLimits.MaxRunning)
 	setDefault(&l.MaxQueued, DefaultLimits.MaxQueued)
-	setDefault(&l.MaxFollow, DefaultLimits.MaxFollow)
+	setDefault(&l.MaxFollowWait, DefaultLimits.MaxFollowWait)
 	setDefault(&l.ProposeTimeout, DefaultLimits.ProposeTimeout)
 	setDefault(&l.ModelTimeout, DefaultLimits.ModelTimeout)
 	setDefault(&l.ServiceTimeout, DefaultLimits.ServiceTimeout)
 	setDefault(&l.MaxWait, DefaultLimits.MaxWait)
 	setDefault(&l.MaxAttempts, DefaultLimits.MaxAttempts)
-	setDefault(&l.RetryShare, DefaultLimits.RetryShare)
+	setDefault(&l.RetryRatio, DefaultLimits.RetryRatio)
 	setDefault(&l.RetriesPerSecond, DefaultLimits.RetriesPerSecond)
 	setDefault(&l.RetryBurst, DefaultLimits.RetryBurst)
 	setDefault(&l.SweepInterval, DefaultLimits.SweepInterval)
 	setDefault(&l.Retention, DefaultLimits.Retention)
-	setDefault(&l.MaxEnded, DefaultLimits.MaxEnded)
-	setDefault(&l.LookupGrace, DefaultLimits.LookupGrace)
-	setDefault(&l.DrainPatience, DefaultLimits.DrainPatience)
+	setDefault(&l.MaxEndedPrograms, DefaultLimits.MaxEndedPrograms)
+	setDefault(&l.MinLookupTimeout, DefaultLimits.MinLookupTimeout)
+	setDefault(&l.DrainResumableTimeout, DefaultLimits.DrainResumableTimeout)
 	setDefault(&l.RetryAfter, DefaultLimits.RetryAfter)
-	setDefault(&l.HoldPrefix, DefaultLimits.HoldPrefix)
+	setDefault(&l.MaxPrefixLease, DefaultLimits.MaxPrefixLease)
 	return l
 }
 
--- a/internal/execution/placement.go
+++ b/internal/execution/placement.go
@@ -41,7 +41,7 @@
 
 func (r *run) chooseEngine(call *program.Call, head *program.Head) (*placement, time.Duration, *problem.Problem) {
 	service := r.lead.service
-	reserved := min(call.Spec.MaxTokens, head.Available())
+	reserved := min(call.Spec.MaxTokens, head.AvailableTokens())
 	if reserved <= 0 {
 		return nil, 0, problem.New(problem.KindBudgetExhausted, "reserve", "no tokens are left of the budget of %d", head.Limits.TokenBudget)
 	}
@@ -61,22 +61,22 @@
 		Zone:            r.lead.service.options.Self.Zone,
 		PromptTokens:    estimateTokens(r.history) + estimateTokens(call.Spec.Messages),
 		MaxOutputTokens: reserved,
-		Excluded:        r.excluded,
+		ExcludedEngines: r.excluded,
 		NotRepeatable:   call.Spec.NotRepeatable,
 	}
-	attained := r.lead.shard.Attained(r.key.Program)
-	if !attained.At.IsZero() && len(call.Attempts) == 0 {
-		r.lead.service.pauseEstimator.recordPause(head.Tenant, call.AcceptedAt.Sub(attained.At))
+	attained := r.lead.shard.AttainedService(r.key.Program)
+	if !attained.AnsweredAt.IsZero() && len(call.Attempts) == 0 {
+		r.lead.service.pauseEstimator.recordPause(head.Tenant, call.AcceptedAt.Sub(attained.AnsweredAt))
 	}
-	request.Attained = attained.Service
+	request.AttainedService = attained.Duration
 	if attained.Model == call.Spec.Name {
 		// The engine counted the tokens of the history exactly, so only those of
 		// the new messages are estimated.
 		request.HolderID = attained.Engine
-		r.expectedPrefix = expectedPrefix{engine: attained.Engine, tokens: attained.Tokens}
+		r.expectedPrefix = expectedPrefix{engine: attained.Engine, tokens: attained.ContextTokens}
 		hitRatio := r.lead.service.cacheHitEstimator.hitRatio(attained.Engine, time.Now())
-		request.HolderTokens = int64(hitRatio * float64(attained.Tokens))
-		request.PromptTokens = attained.Tokens + estimateTokens(call.Spec.Messages)
+		request.HolderTokens = int64(hitRatio * float64(attained.ContextTokens))
+		request.PromptTokens = attained.ContextTokens + estimateTokens(call.Spec.Messages)
 	}
 	return request
 }
@@ -100,7 +100,7 @@
 	}
 	var usable []string
 	for _, address := range target.Addresses {
-		if !isDrained(current, target.Name, address) && !service.options.Leaving(address) {
+		if !isDrained(current, target.Name, address) && !service.options.IsLeaving(address) {
 			usable = append(usable, address)
 		}
 	}
--- a/internal/execution/prefix.go
+++ b/internal/execution/prefix.go
@@ -15,7 +15,7 @@
 // promptPrefixes returns the prefixes of the prompt that other programs may share,
 // shortest first. There is one for each of the first maxPromptPrefixes messages,
 // which covers the prompt up to the end of that message.
-func promptPrefixes(call *program.CallSpec, history []program.Message) []engine.PrefixRun {
+func promptPrefixes(call *program.CallSpec, history []program.Message) []engine.PromptPrefix {
 	digest := xxhash.New()
 	write := func(text string) {
 		_, _ = digest.WriteString(text)
@@ -23,7 +23,7 @@
 	}
 	write(call.Name)
 	write(call.Adapter)
-	var prefixes []engine.PrefixRun
+	var prefixes []engine.PromptPrefix
 	var tokens int64
 	for _, messages := range [][]program.Message{history, call.Messages} {
 		for index := range messages {
@@ -33,7 +33,7 @@
 			write(messages[index].Role)
 			write(messages[index].Content)
 			tokens += estimateTokens(messages[index : index+1])
-			prefixes = append(prefixes, engine.PrefixRun{Hash: digest.Sum64(), Tokens: tokens})
+			prefixes = append(prefixes, engine.PromptPrefix{Hash: digest.Sum64(), Tokens: tokens})
 		}
 	}
 	return prefixes
@@ -41,7 +41,7 @@
 
 // sharedPrefix returns the hash of the longest of the prefixes that some engine
 // has cached, or 0 if there is none.
-func sharedPrefix(snapshot *scheduling.Snapshot, prefixes []engine.PrefixRun) uint64 {
+func sharedPrefix(snapshot *scheduling.Snapshot, prefixes []engine.PromptPrefix) uint64 {
 	for index := len(prefixes) - 1; index >= 0; index-- {
 		if len(snapshot.SharedPrefixes[prefixes[index].Hash]) > 0 {
 			return prefixes[index].Hash
@@ -53,7 +53,7 @@
 // recordServed tells the fleet that the engine now has the prefixes of the call's
 // prompt cached. It does nothing if the fleet does not track prefixes.
 func (r *run) recordServed(engineID string, call *program.Call) {
-	if learner, ok := r.lead.service.options.Fleet.(engine.PrefixLearner); ok {
-		learner.Served(engineID, promptPrefixes(&call.Spec, r.history))
+	if learner, ok := r.lead.service.options.Fleet.(engine.PrefixRecorder); ok {
+		learner.RecordPrefixes(engineID, promptPrefixes(&call.Spec, r.history))
 	}
 }
--- a/internal/execution/prefix_test.go
+++ b/internal/execution/prefix_test.go
@@ -20,7 +20,7 @@
 	other := promptPrefixes(&program.CallSpec{Name: "model", Adapter: "adapter", Messages: []program.Message{instructions}}, nil)
 	expect.Expect(other[0].Hash).NotTo(gomega.Equal(first[0].Hash))
 
-	held := map[uint64][]scheduling.PrefixHolder{first[0].Hash: {{Engine: 1}}, first[1].Hash: {{Engine: 2}}, first[2].Hash: nil}
+	held := map[uint64][]scheduling.PrefixHolder{first[0].Hash: {{EngineIndex: 1}}, first[1].Hash: {{EngineIndex: 2}}, first[2].Hash: nil}
 	expect.Expect(sharedPrefix(&scheduling.Snapshot{SharedPrefixes: held}, second)).To(gomega.Equal(first[1].Hash))
 	expect.Expect(sharedPrefix(&scheduling.Snapshot{}, second)).To(gomega.BeZero())
 }
--- a/internal/execution/programs.go
+++ b/internal/execution/programs.go
@@ -17,7 +17,7 @@
 	if tenant.MaxPrograms <= 0 || arguments.Parent != "" {
 		return nil
 	}
-	if lead.shard.Created(arguments.Tenant, arguments.Parent, arguments.CreationKey) {
+	if lead.shard.HasCreationKey(arguments.Tenant, arguments.Parent, arguments.CreationKey) {
 		return nil // a repeated request returns the existing program
 	}
 	maxOpen := int(math.Ceil(float64(tenant.MaxPrograms) * s.shardShare()))
--- a/internal/execution/requests.go
+++ b/internal/execution/requests.go
@@ -57,10 +57,10 @@
 		return number, nil
 	}
 	shardMap := s.options.ShardMap.Current()
-	if shardMap == nil || shardMap.Shards == 0 {
+	if shardMap == nil || shardMap.ShardCount == 0 {
 		return 0, problem.New(problem.KindUnavailable, "create", "no shard map is known yet").WithRetryAfter(s.limits.RetryAfter)
 	}
-	return identity.ShardOfCreation(arguments.Tenant, arguments.CreationKey, shardMap.Shards), nil
+	return identity.ShardOfCreation(arguments.Tenant, arguments.CreationKey, shardMap.ShardCount), nil
 }
 
 // resolveLimits fills in the tenant's defaults for limits that the request does
@@ -141,7 +141,7 @@
 	if fault == nil {
 		fault = result.Problem
 	}
-	if fault != nil || result.Call.State.Final() {
+	if fault != nil || result.Call.State.IsFinal() {
 		slot.release()
 		return SubmitReply{Joined: fault == nil, Problem: fault}
 	}
@@ -246,7 +246,7 @@
 		Limits:    view.Limits,
 		CreatedAt: view.CreatedAt,
 		Spent:     view.Spent,
-		Reserved:  view.Reserved + view.Lent,
+		Reserved:  view.Reserved + view.ChildrenCharged,
 		Calls:     view.Calls,
 		Messages:  view.Messages(),
 	}
--- a/internal/execution/resume.go
+++ b/internal/execution/resume.go
@@ -34,7 +34,7 @@
 		backEnd: attempt.BackEnd, address: attempt.Address, reserved: attempt.Reserved,
 	}, attempt.Number)
 	order.Resume = true
-	if earliest := time.Now().Add(r.lead.service.limits.LookupGrace); order.Deadline.Before(earliest) {
+	if earliest := time.Now().Add(r.lead.service.limits.MinLookupTimeout); order.Deadline.Before(earliest) {
 		order.Deadline = earliest
 	}
 	report, ended := r.send(order)
--- a/internal/execution/retries.go
+++ b/internal/execution/retries.go
@@ -19,15 +19,15 @@
 func newRetryBudget(limits *Limits) *retryBudget {
 	return &retryBudget{
 		started: time.Now(),
-		budget:  scheduling.NewRetryBudget(max(limits.RetryShare, 0), max(limits.RetriesPerSecond, 0), float64(limits.RetryBurst), 0),
+		budget:  scheduling.NewRetryBudget(max(limits.RetryRatio, 0), max(limits.RetriesPerSecond, 0), float64(limits.RetryBurst), 0),
 	}
 }
 
-// recordFirstAttempt adds Limits.RetryShare retries to the budget, up to its size.
+// recordFirstAttempt adds Limits.RetryRatio retries to the budget, up to its size.
 func (r *retryBudget) recordFirstAttempt() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.budget = r.budget.First(time.Since(r.started))
+	r.budget = r.budget.RecordFirstAttempt(time.Since(r.started))
 }
 
 // takeRetry takes one retry from the budget and reports whether there was one.
@@ -35,6 +35,6 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var allowed bool
-	r.budget, allowed, _ = r.budget.Retry(time.Since(r.started))
+	r.budget, allowed, _ = r.budget.TakeRetry(time.Since(r.started))
 	return allowed
 }
--- a/internal/execution/run.go
+++ b/internal/execution/run.go
@@ -53,7 +53,7 @@
 func (r *run) execute() {
 	defer r.finish()
 	call, head, found := r.call()
-	if !found || call.State.Final() {
+	if !found || call.State.IsFinal() {
 		return
 	}
 	stopTimer := r.armDeadline(&call)
@@ -61,12 +61,12 @@
 	if head.State != program.ProgramOpen && call.Spec.Target == program.TargetModel {
 		r.cancel(errProgramEnded)
 	}
-	if err := r.slot.wait(r.ctx); err != nil && !call.Unreleased() {
+	if err := r.slot.wait(r.ctx); err != nil && !call.HasUnreleasedAttempt() {
 		r.giveUpStopped(&call)
 		return
 	}
 	if call.Spec.Target == program.TargetModel {
-		r.history = r.lead.shard.Prompt(r.key.Program, r.key.Sequence)
+		r.history = r.lead.shard.HistoryBefore(r.key.Program, r.key.Sequence)
 	}
 	if !r.lookUpOpenAttempts(&call, &head) {
 		return
@@ -105,12 +105,12 @@
 }
 
 // armDeadline starts a timer that cancels the run at the call's deadline. If a
-// former leader left attempts, the timer runs for at least Limits.LookupGrace, so
+// former leader left attempts, the timer runs for at least Limits.MinLookupTimeout, so
 // that they can be looked up.
 func (r *run) armDeadline(call *program.Call) (stop func()) {
 	left := time.Until(r.deadline(call))
-	if call.Unreleased() {
-		left = max(left, r.lead.service.limits.LookupGrace)
+	if call.HasUnreleasedAttempt() {
+		left = max(left, r.lead.service.limits.MinLookupTimeout)
 	}
 	timer := time.AfterFunc(left, func() { r.cancel(errDeadline) })
 	return func() { timer.Stop() }
@@ -120,7 +120,7 @@
 // It returns true if the call needs another step, and false if the run is over.
 func (r *run) step() bool {
 	call, head, found := r.call()
-	if !found || call.State.Final() || r.lead.ctx.Err() != nil {
+	if !found || call.State.IsFinal() || r.lead.ctx.Err() != nil {
 		return false
 	}
 	if head.State != program.ProgramOpen {
@@ -156,7 +156,7 @@
 }
 
 // pause blocks for the given time or until the run is cancelled.
-func (r *run) pause(wait time.Duration) { pause.For(r.ctx, wait) }
+func (r *run) pause(wait time.Duration) { pause.Sleep(r.ctx, wait) }
 
 // giveUpStopped ends a call whose run was cancelled, with the cause as the
 // problem. If the leadership has ended, it leaves the call to the next leader.
@@ -194,7 +194,7 @@
 // retry budget has no retry left.
 func (r *run) giveUpAfterAttempts(call *program.Call) {
 	fault := problem.New(problem.KindBackEndFailed, "retry", "%d attempts ended without an answer", len(call.Attempts))
-	if !call.Unreleased() {
+	if !call.HasUnreleasedAttempt() {
 		fault.Kind = problem.KindRefused
 		fault.RetryAfter = r.lead.service.limits.RetryAfter
 	}
@@ -207,9 +207,9 @@
 func (r *run) giveUpUnsent(call *program.Call, fault *problem.Problem) {
 	endProblem := *fault
 	switch {
-	case call.Uncertain(0):
+	case call.HasUncertainAttempt(0):
 		endProblem.Outcome = problem.OutcomeUnknown
-	case call.Unreleased():
+	case call.HasUnreleasedAttempt():
 		endProblem.Outcome = problem.OutcomeFailed
 	default:
 		endProblem.Outcome = problem.OutcomeNotRun
@@ -245,7 +245,7 @@
 		if err == nil {
 			return result
 		}
-		if !pause.For(r.lead.ctx, retryBackoff.NextBackOff()) {
+		if !pause.Sleep(r.lead.ctx, retryBackoff.NextBackOff()) {
 			return nil
 		}
 	}
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -74,7 +74,7 @@
 // isWarmingUp reports whether this daemon started so recently that it may not
 // have received the reports of all engines. Calls then wait for an engine rather
 // than being refused because none is known.
-func (s *Service) isWarmingUp() bool { return time.Since(s.started) < s.limits.WarmUp }
+func (s *Service) isWarmingUp() bool { return time.Since(s.started) < s.limits.WarmUpPeriod }
 
 // NewShard returns a new state machine for the shard. The service keeps it to
 // read the shard's programs.
--- a/internal/execution/storm_test.go
+++ b/internal/execution/storm_test.go
@@ -52,7 +52,7 @@
 
 // send simulates an attempt. It may pause before it executes the call, even
 // beyond the end of the daemon's leadership, and its answer may be lost.
-func (g *groundTruth) send(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+func (g *groundTruth) send(_ context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 	attempt := fmt.Sprintf("%s/%d/%d", order.Program, order.Call.Sequence, order.Number)
 	if order.Resume {
 		return g.lookUp(attempt, order)
@@ -74,12 +74,12 @@
 	return g.answered(attempt, order, tokens)
 }
 
-func (g *groundTruth) execute(attempt string, order dispatch.Order) int64 {
+func (g *groundTruth) execute(attempt string, order dispatch.AttemptSpec) int64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var tokens int64
-	if order.Limit > 0 {
-		tokens = 1 + g.random.Int64N(order.Limit)
+	if order.ReservedTokens > 0 {
+		tokens = 1 + g.random.Int64N(order.ReservedTokens)
 	}
 	g.executions[callKey(order.Program, order.Call.Sequence)]++
 	g.attempts[attempt] = tokens
@@ -87,7 +87,7 @@
 	return tokens
 }
 
-func (g *groundTruth) lookUp(attempt string, order dispatch.Order) dispatch.Report {
+func (g *groundTruth) lookUp(attempt string, order dispatch.AttemptSpec) dispatch.Report {
 	g.mutex.Lock()
 	tokens, ran := g.attempts[attempt]
 	g.mutex.Unlock()
@@ -97,7 +97,7 @@
 	return g.answered(attempt, order, tokens)
 }
 
-func (g *groundTruth) answered(attempt string, order dispatch.Order, tokens int64) dispatch.Report {
+func (g *groundTruth) answered(attempt string, order dispatch.AttemptSpec, tokens int64) dispatch.Report {
 	report := answered(order, "answer of "+attempt)
 	report.Answer.CompletionTokens = tokens
 	return report
--- a/internal/execution/sweep.go
+++ b/internal/execution/sweep.go
@@ -32,13 +32,13 @@
 	l.resumeCalls()
 	l.cancelEnded()
 	now := time.Now().UTC()
-	for _, expiry := range l.shard.Expired(now) {
+	for _, expiry := range l.shard.ExpiredPrograms(now) {
 		if !l.proposeFromSweep(program.Command{Kind: program.CommandEnd, Program: expiry.Program, Reason: expiry.Reason}) {
 			return
 		}
 	}
 	limits := &l.service.limits
-	if before, found := l.shard.Forgettable(now.Add(-limits.Retention), limits.MaxEnded); found {
+	if before, found := l.shard.RetentionCutoff(now.Add(-limits.Retention), limits.MaxEndedPrograms); found {
 		l.proposeFromSweep(program.Command{Kind: program.CommandForget, Before: before})
 	}
 }
--- a/internal/execution/waiter.go
+++ b/internal/execution/waiter.go
@@ -25,7 +25,7 @@
 	key          queueKey
 	item         scheduling.QueueItem
 	request      *scheduling.Request
-	prefixes     []engine.PrefixRun
+	prefixes     []engine.PromptPrefix
 	waitingSince time.Time // start of the waiting time that the scheduling policy takes into account
 	enteredAt    time.Time
 	deadline     time.Time
@@ -47,14 +47,14 @@
 	if len(call.Attempts) > 0 {
 		w.waitingSince = now // the time spent on earlier attempts is not waiting time
 	}
-	w.key = queueKey{adapter: call.Spec.Adapter, firstCall: w.request.Attained == 0, hasExclusions: len(r.excluded) > 0}
+	w.key = queueKey{adapter: call.Spec.Adapter, firstCall: w.request.AttainedService == 0, hasExclusions: len(r.excluded) > 0}
 	w.item = scheduling.QueueItem{
-		Class:    w.request.Class,
-		Attained: w.request.Attained,
-		Enqueued: call.AcceptedAt.Sub(service.started),
+		Class:           w.request.Class,
+		AttainedService: w.request.AttainedService,
+		Enqueued:        call.AcceptedAt.Sub(service.started),
 	}
 	if w.key.firstCall {
-		w.item.Attained = firstCallAttained
+		w.item.AttainedService = firstCallAttained
 	}
 	return w
 }
@@ -63,12 +63,12 @@
 // or the queue. ahead is the number of queued calls ahead of this one.
 func (w *waiter) refresh(snapshot *scheduling.Snapshot, ahead int) {
 	w.request.Waited = time.Since(w.waitingSince)
-	w.request.DeadlineIn = time.Until(w.deadline)
+	w.request.TimeToDeadline = time.Until(w.deadline)
 	w.request.QueuedAhead = ahead
 	w.request.Seed = rand.Uint64() //nolint:gosec // spreading load needs no secret
 	w.request.SharedPrefix = sharedPrefix(snapshot, w.prefixes)
 	w.request.LiveTokens = w.service.liveTokens(w.request.Model)
-	w.request.FleetShare = w.service.shardShare()
+	w.request.CacheShare = w.service.shardShare()
 }
 
 // refuseIfTooLate returns a problem if the policy refuses the call with the given
@@ -94,11 +94,11 @@
 	snapshot := w.service.options.Fleet.Snapshot()
 	w.refresh(snapshot, 0)
 	decision := w.service.options.Policy.Decide(snapshot, w.request)
-	if decision.Reason == scheduling.ReasonNoEngine && len(w.request.Excluded) > 0 {
+	if decision.Reason == scheduling.ReasonNoEngine && len(w.request.ExcludedEngines) > 0 {
 		// An engine that failed this call may have recovered, so it is better
 		// than none.
 		anywhere := *w.request
-		anywhere.Excluded = nil
+		anywhere.ExcludedEngines = nil
 		decision = w.service.options.Policy.Decide(snapshot, &anywhere)
 	}
 	w.service.metrics.decisions.WithLabelValues(string(decision.Reason)).Inc()
@@ -106,9 +106,9 @@
 	case scheduling.ActionPlace:
 		return outcome{chosen: w.place(snapshot, &decision)}, 0
 	case scheduling.ActionWait:
-		return outcome{}, max(decision.Retry, time.Millisecond)
+		return outcome{}, max(decision.RetryAfter, time.Millisecond)
 	}
-	mayAppear := w.service.isWarmingUp() || engine.AwaitsReport(snapshot, w.request.Model)
+	mayAppear := w.service.isWarmingUp() || engine.HasUnreportedEngine(snapshot, w.request.Model)
 	if decision.Reason == scheduling.ReasonNoEngine && mayAppear {
 		return w.waitForReport("report from an engine")
 	}
@@ -118,8 +118,8 @@
 // place returns the placement on the engine that the policy chose and counts it
 // in the fleet's load. When the attempt ends, waiting calls are decided again.
 func (w *waiter) place(snapshot *scheduling.Snapshot, decision *scheduling.Decision) *placement {
-	chosen := &snapshot.Engines[decision.Engine]
-	done := w.service.options.Fleet.Placed(chosen.ID, w.request.PromptTokens-decision.CachedTokens)
+	chosen := &snapshot.Engines[decision.EngineIndex]
+	done := w.service.options.Fleet.AddPlacement(chosen.ID, w.request.PromptTokens-decision.CachedTokens)
 	return &placement{
 		backEnd:  chosen.ID,
 		address:  chosen.Address,
@@ -145,7 +145,7 @@
 func (w *waiter) refuse(decision *scheduling.Decision) *problem.Problem {
 	detail := "no engine accepts the call: " + string(decision.Reason)
 	// No jitter is added, because the policy has already added it to its advice.
-	return newRefusal(detail, 0).WithRetryAfter(max(decision.Retry, w.service.limits.RetryAfter))
+	return newRefusal(detail, 0).WithRetryAfter(max(decision.RetryAfter, w.service.limits.RetryAfter))
 }
 
 func (w *waiter) refuseDisplaced() *problem.Problem {
--- a/internal/execution/waiting.go
+++ b/internal/execution/waiting.go
@@ -91,7 +91,7 @@
 // decideUntilDone decides on waiting calls until the context ends.
 func (w *waitQueues) decideUntilDone(ctx context.Context) {
 	var changed <-chan struct{}
-	if announcer, ok := w.service.options.Fleet.(engine.Announcer); ok {
+	if announcer, ok := w.service.options.Fleet.(engine.SnapshotNotifier); ok {
 		changed = announcer.Changed()
 	}
 	timer := time.NewTimer(maxRetryInterval)
@@ -182,7 +182,7 @@
 func (m *modelQueues) countAhead(item scheduling.QueueItem) int {
 	count := 0
 	for _, queue := range m.queues {
-		count += queue.Ahead(item)
+		count += queue.CountAhead(item)
 	}
 	return count
 }
@@ -194,7 +194,7 @@
 	if queue == nil {
 		return
 	}
-	queue.Remove(func(candidate *waiter) bool { return candidate == queued })
+	queue.RemoveFunc(func(candidate *waiter) bool { return candidate == queued })
 	m.dropIfEmpty(queued.key)
 }
 
--- a/internal/execution/waiting_test.go
+++ b/internal/execution/waiting_test.go
@@ -25,7 +25,7 @@
 // runOneAtATime makes the policy place one call at a time: the next call is
 // placed after the last one has been answered.
 func (c *testCluster) runOneAtATime() {
-	c.backEnd.setBehaviour(func(_ context.Context, order dispatch.Order, piece func(string)) dispatch.Report {
+	c.backEnd.setBehaviour(func(_ context.Context, order dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 		report := c.backEnd.answer(order, piece)
 		c.policy.slots.Store(1)
 		return report
@@ -94,9 +94,9 @@
 var _ = Describe("Retries", func() {
 	It("are limited to a share of the first attempts, so that an outage does not multiply the load", func() {
 		cluster := newTestCluster()
-		cluster.limits.RetryBurst, cluster.limits.RetriesPerSecond, cluster.limits.RetryShare = 1, 1e-9, 1e-9
+		cluster.limits.RetryBurst, cluster.limits.RetriesPerSecond, cluster.limits.RetryRatio = 1, 1e-9, 1e-9
 		leader := cluster.startLeader("a")
-		cluster.backEnd.setBehaviour(func(context.Context, dispatch.Order, func(string)) dispatch.Report {
+		cluster.backEnd.setBehaviour(func(context.Context, dispatch.AttemptSpec, func(string)) dispatch.Report {
 			return ended(dispatch.EndingNeverRan, 0)
 		})
 		for number := range 10 {
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -26,15 +26,15 @@
 	}
 	turn := admittedTurn{request: e.admissionRequest(), isFirst: !e.hasProgramStarted(), startedAt: time.Now()}
 	if !turn.isFirst {
-		e.gateway.Admission.Continue(turn.request)
+		e.gateway.Admission.ContinueTurn(turn.request)
 		e.admitted = turn
 		return nil
 	}
-	err := e.gateway.Admission.Begin(turn.request)
+	err := e.gateway.Admission.Admit(turn.request)
 	var refused *admission.RefusedError
 	if errors.As(err, &refused) {
 		e.gateway.recentPrograms.remove(e.tenantScoped(e.call.Program)) // its quota permit is returned too, by returnQuota
-		return notRunRefusal(ReasonOverload, refused.After, err)
+		return notRunRefusal(ReasonOverload, refused.RetryAfter, err)
 	}
 	e.admitted = turn
 	return err
@@ -50,15 +50,15 @@
 	if e.reservation == nil {
 		return false
 	}
-	engine, _ := e.reservation.ReadAt()
-	return engine != "" || e.reservation.Attained() > 0
+	engine, _ := e.reservation.CachedPrefix()
+	return engine != "" || e.reservation.GeneratedTokens() > 0
 }
 
 // admissionRequest returns what admission control needs to know of the request.
 func (e *execution) admissionRequest() *admission.Request {
 	request := &admission.Request{
 		Service: e.service.Name, Route: e.route.Name, Program: e.tenantScoped(e.call.Program), Priority: e.route.Priority,
-		Everywhere: e.sharedParts, TimeLeft: e.call.ProgramDeadline, Room: e.engineRoom(), Random: rand.Float64(),
+		SharedPartCount: e.sharedParts, TimeLeft: e.call.ProgramDeadline, Capacity: e.engineRoom(), Random: rand.Float64(),
 	}
 	for _, part := range e.call.Prefix {
 		request.Prompt = append(request.Prompt, admission.PromptPart{Name: part.Name, Tokens: part.Tokens})
@@ -74,10 +74,10 @@
 
 // engineRoom returns the number of engines of the service that accept work and the number of
 // tokens that each of them can hold. Engines that are draining or gone are not counted.
-func (e *execution) engineRoom() admission.Room {
-	room := admission.Room{MemoryTokens: e.service.MemoryTokens, SharedTokens: e.gateway.Fleet.Sharing.Tokens()}
-	for _, instance := range e.gateway.Fleet.Of(e.service.Name) {
-		if _, leaving := instance.Leaving(); !leaving {
+func (e *execution) engineRoom() admission.Capacity {
+	room := admission.Capacity{MemoryTokens: e.service.MemoryTokens, SharedTokens: e.gateway.Fleet.SharedParts.SharedTokens()}
+	for _, instance := range e.gateway.Fleet.Instances(e.service.Name) {
+		if _, leaving := instance.LeavingSince(); !leaving {
 			room.Engines++
 		}
 	}
@@ -88,7 +88,7 @@
 // took from its admission to the first byte of the answer. It ignores first turns.
 func (e *execution) reportFirstByte() {
 	if e.admitted.request != nil && !e.admitted.isFirst {
-		e.gateway.Admission.Answered(e.service.Name, time.Since(e.admitted.startedAt))
+		e.gateway.Admission.RecordFirstByte(e.service.Name, time.Since(e.admitted.startedAt))
 	}
 }
 
@@ -105,8 +105,8 @@
 	}
 	generated := e.events.countWithPartial() * e.service.TokensPerEvent
 	if e.admitted.isFirst && e.runs == 0 && generated == 0 {
-		e.gateway.Admission.Drop(e.admitted.request)
+		e.gateway.Admission.CancelFirstTurn(e.admitted.request)
 		return
 	}
-	e.gateway.Admission.Leave(e.admitted.request, int64(e.placement.missingTokens+generatedTokenCost*generated))
+	e.gateway.Admission.EndTurn(e.admitted.request, int64(e.placement.missingTokens+generatedTokenCost*generated))
 }
--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -23,8 +23,8 @@
 	engine   string
 }
 
-func (r startedReservation) Attained() int64       { return r.attained }
-func (r startedReservation) ReadAt() (string, int) { return r.engine, 1 }
+func (r startedReservation) GeneratedTokens() int64      { return r.attained }
+func (r startedReservation) CachedPrefix() (string, int) { return r.engine, 1 }
 
 var _ = Describe("admitProgram", func() {
 	var current *execution
@@ -49,7 +49,7 @@
 		Expect(errors.As(current.admitProgram(), &refusal)).To(BeTrue())
 		Expect(refusal.Reason).To(Equal(ReasonOverload))
 		Expect(refusal.Status).To(Equal(503))
-		Expect(refusal.After).To(BeNumerically(">", 0))
+		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 		Expect(current.leaveAdmission).NotTo(Panic())
 		Expect(current.gateway.recentPrograms.has("p")).To(BeFalse())
 	})
@@ -67,7 +67,7 @@
 	)
 
 	It("counts only engines that accept work, and prefers the tenant's priority to the route's", func() {
-		Expect(current.engineRoom()).To(Equal(admission.Room{Engines: 1, MemoryTokens: 1000}))
+		Expect(current.engineRoom()).To(Equal(admission.Capacity{Engines: 1, MemoryTokens: 1000}))
 		Expect(current.admissionRequest().Priority).To(Equal(1))
 		highest := 0
 		current.tenant = &tenant.Tenant{Name: identity.Tenant("t"), Priority: &highest}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -41,19 +41,19 @@
 }
 
 // obtainReply returns the answer of the first instance that starts to answer the request. The
-// error is a *Refusal or a *CutError.
+// error is a *Refusal or a *AbortedError.
 //
 // While all available instances refuse the request because they are full, the search is repeated
 // with growing pauses, until storePatience has passed since the request's arrival.
 func (e *execution) obtainReply(ctx context.Context) (*startedReply, error) {
-	schedule := pause.Growing(minFullRetryPause, maxFullRetryPause)
+	schedule := pause.NewBackoff(minFullRetryPause, maxFullRetryPause)
 	for {
 		reply, err := e.searchInstance(ctx)
 		if err == nil || reasonOf(err) != ReasonEnginesFull {
 			return reply, err
 		}
 		wait := schedule.NextBackOff()
-		if time.Since(e.arrived)+wait > e.storePatience() || !pause.For(ctx, wait) {
+		if time.Since(e.arrived)+wait > e.storePatience() || !pause.Sleep(ctx, wait) {
 			return nil, err
 		}
 		e.repeatedSearches++
@@ -61,7 +61,7 @@
 }
 
 // searchInstance sends the request to one instance after another until one starts to answer.
-// The error is a *Refusal or a *CutError.
+// The error is a *Refusal or a *AbortedError.
 func (e *execution) searchInstance(ctx context.Context) (*startedReply, error) {
 	var excluded []string
 	attempts := 0
@@ -100,17 +100,17 @@
 // chooseInstance returns the best instance whose ID is not in excluded. last is the error of
 // the previous attempt in this search, or nil. If no instance is available, chooseInstance
 // polls for one until storePatience is over if last is nil, and otherwise fails at once. The
-// error is a *Refusal or a *CutError.
+// error is a *Refusal or a *AbortedError.
 func (e *execution) chooseInstance(ctx context.Context, excluded []string, last error) (*backend.Instance, error) {
-	request := &backend.Request{
-		Prefix:         e.call.Prefix,
-		Everywhere:     e.sharedParts,
-		Zone:           e.gateway.Zone,
-		Slots:          e.service.Slots,
-		Excluded:       excluded,
-		Order:          e.gateway.order,
-		LeavingAllowed: e.gateway.InstanceGrace,
-		Off:            e.gateway.Off,
+	request := &backend.PlacementRequest{
+		Prefix:             e.call.Prefix,
+		SharedPartCount:    e.sharedParts,
+		Zone:               e.gateway.Zone,
+		Slots:              e.service.Slots,
+		Excluded:           excluded,
+		Seed:               e.gateway.order,
+		LeavingGrace:       e.gateway.InstanceGrace,
+		DisabledMechanisms: e.gateway.DisabledMechanisms,
 	}
 	if e.service.Model {
 		request.Affinity = e.affinity()
@@ -120,14 +120,14 @@
 			return nil, e.endedError(eris.New("no time left to run"))
 		}
 		request.Now = time.Now()
-		if instance := backend.Choose(e.gateway.Fleet.Of(e.service.Name), request); instance != nil {
-			e.placement = placement{load: instance.Load(request.Now), missingTokens: backend.Missing(instance, request), slots: backend.Slots(instance, request)}
+		if instance := backend.Choose(e.gateway.Fleet.Instances(e.service.Name), request); instance != nil {
+			e.placement = placement{load: instance.Load(request.Now), missingTokens: backend.MissingTokens(instance, request), slots: backend.SlotsOf(instance, request)}
 			return instance, nil
 		}
 		if last != nil {
 			return nil, e.exhaustedError(last)
 		}
-		if time.Since(e.arrived) > e.storePatience() || !pause.For(ctx, instancePollInterval) {
+		if time.Since(e.arrived) > e.storePatience() || !pause.Sleep(ctx, instancePollInterval) {
 			return nil, notRunRefusal(ReasonNoEngine, storeRetryAfter, eris.Errorf("no instance of %s", e.service.Name))
 		}
 	}
@@ -156,7 +156,7 @@
 // Failures are counted as failures of the instance, except as noteFailure describes.
 func (e *execution) sendTo(ctx context.Context, instance *backend.Instance) (*startedReply, error) {
 	attemptCtx, cancel := e.attemptContext(ctx)
-	endRequest := instance.Begin()
+	endRequest := instance.BeginRequest()
 	release := func() { endRequest(); cancel() }
 	sent := time.Now()
 	e.instance = instance
@@ -170,13 +170,13 @@
 	if err != nil {
 		_ = reply.Body.Close()
 		release()
-		instance.Observe(backend.Outcome{Failed: true}, time.Now())
+		instance.RecordOutcome(backend.Outcome{Failed: true}, time.Now())
 		return nil, err
 	}
 	e.timeToFirstByte = time.Since(sent)
 	e.firstByteAt = time.Now()
-	instance.Succeeded()
-	instance.Remember(e.call.Prefix)
+	instance.RecordSuccess()
+	instance.RecordPrefix(e.call.Prefix)
 	started.release = release
 	return started, nil
 }
@@ -186,28 +186,28 @@
 // leaves enough time for the next attempt.
 func (e *execution) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	attemptsLeft := e.route.MaxAttempts - e.runs
-	if e.route.Repeat != routetable.Any || attemptsLeft <= 1 {
+	if e.route.Repeat != routetable.RepeatAllowed || attemptsLeft <= 1 {
 		return context.WithCancel(ctx)
 	}
 	const targetsPerAttempt = 2
-	timeout := max(e.remaining()/time.Duration(attemptsLeft), targetsPerAttempt*e.route.Target)
+	timeout := max(e.remaining()/time.Duration(attemptsLeft), targetsPerAttempt*e.route.LatencyTarget)
 	return context.WithTimeout(ctx, timeout)
 }
 
 // outgoingRequest returns the request to send to the instance. It has the caller's headers and
 // those that the gateway adds. Its body is the recorded history followed by the caller's
 // input.
-func (e *execution) outgoingRequest(instance *backend.Instance) *backend.Outgoing {
+func (e *execution) outgoingRequest(instance *backend.Instance) *backend.OutgoingRequest {
 	header := e.request.Header.Clone()
 	dropConnectionHeaders(header)
-	e.gateway.Wire.Forward(header, e.forwardedFor(instance))
-	outgoing := &backend.Outgoing{
+	e.gateway.Wire.SetForwarded(header, e.forwardedFor(instance))
+	outgoing := &backend.OutgoingRequest{
 		Method: e.request.Method,
 		Target: e.request.RequestURI,
 		Host:   e.request.Host,
 		Header: header,
-		Belongs: func(answer http.Header) bool {
-			return e.gateway.Wire.Answer(0, answer).ID == e.call.ID
+		MatchesResponse: func(answer http.Header) bool {
+			return e.gateway.Wire.ParseAnswer(0, answer).ID == e.call.ID
 		},
 	}
 	outgoing.Body = append(outgoing.Body, e.history.Segments()...)
@@ -219,7 +219,7 @@
 
 // forwardedFor returns the values of the headers that the gateway adds for the instance.
 func (e *execution) forwardedFor(instance *backend.Instance) Forwarded {
-	result := Forwarded{Instance: instance.ID, Remaining: e.remaining(), KeysDemanded: e.table.Tenants.Demanded()}
+	result := Forwarded{Instance: instance.ID, Remaining: e.remaining(), KeysRequired: e.table.Tenants.RequiresKey()}
 	if e.tenant != nil {
 		result.Tenant, result.Priority = e.tenant.Name, e.tenant.Priority
 	}
@@ -243,11 +243,11 @@
 	if e.request.Context().Err() != nil && waited < minSilenceForFailure {
 		return
 	}
-	instance.Observe(backend.Outcome{Failed: true}, time.Now())
+	instance.RecordOutcome(backend.Outcome{Failed: true}, time.Now())
 	if e.request.Context().Err() != nil {
 		return
 	}
-	wait, ejected := instance.Failed(time.Now())
+	wait, ejected := instance.RecordFailure(time.Now())
 	if ejected {
 		e.gateway.Log.Warn("engine: ejected.", zap.String("engine", instance.ID), zap.Duration("for", wait), zap.String("cause", err.Error()))
 	}
@@ -264,7 +264,7 @@
 	if !errors.As(err, &lost) {
 		return true
 	}
-	repeatable := e.route.Repeat == routetable.Any || e.route.Resumable
+	repeatable := e.route.Repeat == routetable.RepeatAllowed || e.route.Resumable
 	return repeatable && e.runs < e.route.MaxAttempts
 }
 
@@ -274,22 +274,22 @@
 	var notSent *backend.NotSentError
 	switch {
 	case e.runs > 0:
-		return unknownOutcomeRefusal(ReasonLost, err)
+		return unknownOutcomeRefusal(ReasonAnswerLost, err)
 	case errors.As(err, &rejected):
 		return notRunRefusal(ReasonEnginesFull, shortRetryAfter, err)
 	case errors.As(err, &notSent):
-		return notRunRefusal(ReasonUnreachable, shortRetryAfter, err)
+		return notRunRefusal(ReasonEnginesUnreachable, shortRetryAfter, err)
 	default:
-		return unknownOutcomeRefusal(ReasonLost, err)
+		return unknownOutcomeRefusal(ReasonAnswerLost, err)
 	}
 }
 
 // endedError returns the final error of a request that ran out of time or whose caller has
-// disconnected. The result is a *CutError if the caller has disconnected, and otherwise a
+// disconnected. The result is a *AbortedError if the caller has disconnected, and otherwise a
 // *Refusal.
 func (e *execution) endedError(err error) error {
 	if e.request.Context().Err() != nil {
-		return &CutError{Reason: ReasonCallerLeft, Err: err}
+		return &AbortedError{Reason: ReasonCallerDisconnected, Err: err}
 	}
 	if e.runs == 0 {
 		var lost *backend.LostError
--- a/internal/gateway/authenticate.go
+++ b/internal/gateway/authenticate.go
@@ -14,7 +14,7 @@
 // too old to be sure that a key is unknown, the status is 503 instead, so that the caller
 // retries.
 func (e *execution) authenticate() error {
-	if !e.table.Tenants.Demanded() {
+	if !e.table.Tenants.RequiresKey() {
 		return nil
 	}
 	if e.call.Key != nil {
@@ -29,8 +29,8 @@
 	if e.call.Key == nil {
 		return unauthenticatedRefusal("exactly one key is required")
 	}
-	if age, _ := e.gateway.Ages(); age > e.gateway.KeysBelieved {
-		return notRunRefusal(ReasonUnsureKey, storeRetryAfter, eris.Errorf("unknown key, but the configuration was last confirmed %s ago", age))
+	if age, _ := e.gateway.Staleness(); age > e.gateway.MaxConfigurationAge {
+		return notRunRefusal(ReasonUncertainKey, storeRetryAfter, eris.Errorf("unknown key, but the configuration was last confirmed %s ago", age))
 	}
 	return unauthenticatedRefusal("unknown key")
 }
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -26,7 +26,7 @@
 	ProgramDeadline time.Duration        // time left for the program; 0: not given
 	Budget          int64                // tokens that the whole program may generate; 0: unlimited
 	PromptTokens    int64                // length of the prompt in tokens
-	MostTokens      int64                // maximum number of tokens that this turn may generate; 0: not given
+	MaxTokens       int64                // maximum number of tokens that this turn may generate; 0: not given
 	Prefix          []backend.PromptPart // parts of the prompt, in order, for finding cached prefixes
 }
 
@@ -38,39 +38,39 @@
 	Tenant identity.Tenant
 	// Priority is the tenant's priority; nil if it has none.
 	Priority *int
-	// KeysDemanded is set if callers authenticate with keys. The headers that carry keys must then
+	// KeysRequired is set if callers authenticate with keys. The headers that carry keys must then
 	// be removed, since engines must not see them.
-	KeysDemanded bool
+	KeysRequired bool
 }
 
 // Answer holds the values of the headers of an instance's answer.
 type Answer struct {
-	ID     string // ID of the request that is answered
-	Signed bool   // whether the instance's signature header is present
-	NotRun bool   // whether the instance promises that the request did not run and never will
-	Moved  bool   // whether another instance now has the address
+	ID            string // ID of the request that is answered
+	Signed        bool   // whether the instance's signature header is present
+	NotRun        bool   // whether the instance promises that the request did not run and never will
+	WrongInstance bool   // whether another instance now has the address
 }
 
-// Wire reads and writes the headers of requests and answers.
-type Wire interface {
-	// Call parses a caller's headers. The error is a *MalformedError.
-	Call(header http.Header) (Call, error)
-	// Forward sets the headers that the gateway adds to a request for an instance.
-	Forward(header http.Header, forwarded Forwarded)
-	// Answer parses the status and headers of an instance's answer.
-	Answer(status int, header http.Header) Answer
-	// Refuse sets the headers of a refusal. after is the time after which the caller should
+// HeaderCodec reads and writes the headers of requests and answers.
+type HeaderCodec interface {
+	// ParseCall parses a caller's headers. The error is a *MalformedHeaderError.
+	ParseCall(header http.Header) (Call, error)
+	// SetForwarded sets the headers that the gateway adds to a request for an instance.
+	SetForwarded(header http.Header, forwarded Forwarded)
+	// ParseAnswer parses the status and headers of an instance's answer.
+	ParseAnswer(status int, header http.Header) Answer
+	// SetRefusal sets the headers of a refusal. after is the time after which the caller should
 	// retry; 0 means no advice.
-	Refuse(header http.Header, requestID string, after time.Duration)
+	SetRefusal(header http.Header, requestID string, after time.Duration)
 }
 
-// MalformedError reports a header whose value cannot be parsed.
-type MalformedError struct {
-	Field string
-	Value string
+// MalformedHeaderError reports a header whose value cannot be parsed.
+type MalformedHeaderError struct {
+	Header string
+	Value  string
 }
 
 // Error implements error.
-func (e *MalformedError) Error() string {
-	return fmt.Sprintf("header %s: %.60q is not a valid value", e.Field, e.Value)
+func (e *MalformedHeaderError) Error() string {
+	return fmt.Sprintf("header %s: %.60q is not a valid value", e.Header, e.Value)
 }
--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -24,17 +24,17 @@
 // *rejectedError if the instance promised not to run the request, and otherwise a
 // *backend.LostError.
 func (e *execution) examine(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
-	answer := e.gateway.Wire.Answer(reply.Status, reply.Header)
+	answer := e.gateway.Wire.ParseAnswer(reply.Status, reply.Header)
 	if answer.NotRun {
-		if answer.Moved {
-			e.gateway.Fleet.Displace(instance)
+		if answer.WrongInstance {
+			e.gateway.Fleet.Remove(instance)
 		}
 		_, _ = io.CopyN(io.Discard, reply.Body, maxBufferedBytes) // drains the body so that the connection can be reused
 		return nil, &rejectedError{status: reply.Status}
 	}
 	e.runs++
 	if err := e.checkAnswer(answer, reply); err != nil {
-		return nil, &backend.LostError{Peer: instance.Address, Step: "examine answer", Err: err}
+		return nil, &backend.LostError{Peer: instance.Address, Op: "examine answer", Err: err}
 	}
 	if e.route.Streaming && reply.Status == http.StatusOK {
 		return readFirstBytes(instance, reply)
@@ -47,9 +47,9 @@
 	switch {
 	case !answer.Signed || reply.Header.Get("Content-Encoding") != "":
 		return eris.New("the answer is unsigned or encoded, so it is not the instance's own")
-	case reply.Status >= http.StatusInternalServerError && e.route.Repeat == routetable.Any && e.runs < e.route.MaxAttempts:
+	case reply.Status >= http.StatusInternalServerError && e.route.Repeat == routetable.RepeatAllowed && e.runs < e.route.MaxAttempts:
 		return eris.Errorf("the instance failed with status %d", reply.Status)
-	case e.route.Repeat == routetable.Once && isNotRunStatus(reply.Status):
+	case e.route.Repeat == routetable.RepeatNever && isNotRunStatus(reply.Status):
 		return eris.Errorf("status %d would mean that the request did not run, but the instance did not promise that", reply.Status)
 	default:
 		return nil
@@ -76,7 +76,7 @@
 		count, err = reply.Body.Read(buffer)
 	}
 	if err != nil && err != io.EOF {
-		return nil, &backend.LostError{Peer: instance.Address, Step: "read first event", Err: err}
+		return nil, &backend.LostError{Peer: instance.Address, Op: "read first event", Err: err}
 	}
 	return &startedReply{Reply: reply, firstBytes: buffer[:count], isComplete: err == io.EOF}, nil
 }
@@ -96,7 +96,7 @@
 	}
 	content, err := io.ReadAll(io.LimitReader(reply.Body, limit))
 	if err != nil {
-		return nil, &backend.LostError{Peer: instance.Address, Step: "read answer", Err: err}
+		return nil, &backend.LostError{Peer: instance.Address, Op: "read answer", Err: err}
 	}
 	return &startedReply{Reply: reply, firstBytes: content, isComplete: int64(len(content)) < limit}, nil
 }
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -33,12 +33,12 @@
 	tenant         *tenant.Tenant // nil if the request belongs to no tenant
 	call           Call
 	input          []byte
-	history        *turn.Turn      // the turn that the request continues; nil if none
-	holding        *memory.Holding // memory accounted for this request
-	reservedOutput int64           // bytes of output for which memory has been reserved, not counting copiesWhileSaving
-	quotaPermit    *quota.Taken    // permit from the tenant's quota; nil if there is no limit
-	reservation    budget.Settler  // tokens reserved from the program's budget; nil if none
-	sharedParts    int             // number of leading prompt parts assumed to be in the prefix cache of every engine
+	history        *turn.Turn          // the turn that the request continues; nil if none
+	holding        *memory.Reservation // memory accounted for this request
+	reservedOutput int64               // bytes of output for which memory has been reserved, not counting copiesWhileSaving
+	quotaPermit    *quota.Permit       // permit from the tenant's quota; nil if there is no limit
+	reservation    budget.Settler      // tokens reserved from the program's budget; nil if none
+	sharedParts    int                 // number of leading prompt parts assumed to be in the prefix cache of every engine
 	admitted       admittedTurn
 
 	instance         *backend.Instance // the instance that was tried last
@@ -75,7 +75,7 @@
 	answerMargin = 250 * time.Millisecond
 )
 
-// serve runs all steps of the request. The error is a *Refusal or a *CutError.
+// serve runs all steps of the request. The error is a *Refusal or a *AbortedError.
 func (e *execution) serve() error {
 	defer e.returnQuota()
 	defer e.closeHolding()
@@ -104,10 +104,10 @@
 }
 
 // admit reads the headers, finds the route, authenticates the caller, takes a permit from the
-// quota, and reads the body. The error is a *Refusal or a *CutError.
+// quota, and reads the body. The error is a *Refusal or a *AbortedError.
 func (e *execution) admit() error {
 	var err error
-	e.call, err = e.gateway.Wire.Call(e.request.Header)
+	e.call, err = e.gateway.Wire.ParseCall(e.request.Header)
 	e.table = e.gateway.Routes.Current()
 	if e.table == nil {
 		return notRunRefusal(ReasonNoConfiguration, storeRetryAfter, eris.New("no configuration has been loaded yet"))
@@ -127,7 +127,7 @@
 		return err
 	}
 	e.service = e.table.Service(route.NextService())
-	e.sharedParts = e.gateway.Fleet.Sharing.Note(e.tenantScoped(e.call.Program), e.call.Prefix, e.service.MemoryTokens)
+	e.sharedParts = e.gateway.Fleet.SharedParts.Record(e.tenantScoped(e.call.Program), e.call.Prefix, e.service.MemoryTokens)
 	e.events.collect = route.Recorded
 	if err := e.takeQuota(); err != nil {
 		return err
@@ -156,13 +156,13 @@
 // budget, loads the history and reserves memory; for a turn that is to be recorded it first
 // waits until the store is available. The budget comes before the history because the
 // reservation names the daemon that has the previous turn in memory. The error is a *Refusal
-// or a *CutError.
+// or a *AbortedError.
 func (e *execution) prepare(ctx context.Context) error {
 	waitCtx, cancel := context.WithTimeout(ctx, e.storePatience())
 	defer cancel()
 	if e.route.Recorded {
 		// Stops waiting if this daemon gets cut off, so that the caller can retry in another zone.
-		stop := context.AfterFunc(e.gateway.Reach.Connected(), cancel)
+		stop := context.AfterFunc(e.gateway.Connectivity.Connected(), cancel)
 		defer stop()
 	}
 	start := time.Now()
@@ -207,10 +207,10 @@
 // cut off, it is at most maxCutOffWait.
 func (e *execution) storePatience() time.Duration {
 	patience := min(e.remaining()-answerMargin, time.Duration(maxStoreWaitShare*float64(e.timeLimit())))
-	if e.route.Streaming && e.route.Patience > 0 {
-		patience = min(patience, e.route.Patience-answerMargin)
+	if e.route.Streaming && e.route.MaxStreamGap > 0 {
+		patience = min(patience, e.route.MaxStreamGap-answerMargin)
 	}
-	if e.gateway.Reach.CutOff() {
+	if e.gateway.Connectivity.CutOff() {
 		patience = min(patience, maxCutOffWait)
 	}
 	return max(patience, 0)
@@ -221,7 +221,7 @@
 // that have started. From time to time one request is let through nevertheless, to find out
 // whether there is space again.
 func (e *execution) isNewProgramWithoutRoom() bool {
-	return e.route.Recorded && e.call.Previous == "" && !e.gateway.Room.Probe()
+	return e.route.Recorded && e.call.Previous == "" && !e.gateway.StoreSpace.AllowWrite()
 }
 
 // loadHistory loads the turn that the request continues, if there is one. Turns.Load first asks the
@@ -232,21 +232,21 @@
 	}
 	address := ""
 	if e.reservation != nil {
-		address = e.reservation.KeptAt()
+		address = e.reservation.RecorderAddress()
 	}
 	history, err := e.gateway.Turns.Load(ctx, e.tenantScoped(e.call.Previous), address)
 	e.history = history
 	return err
 }
 
-// reserveBudget reserves Call.MostTokens from the budget of the program. It does nothing if the
-// caller did not give the program, its budget or MostTokens.
+// reserveBudget reserves Call.MaxTokens from the budget of the program. It does nothing if the
+// caller did not give the program, its budget or MaxTokens.
 func (e *execution) reserveBudget(ctx context.Context) error {
-	if e.call.Program == "" || e.call.Budget <= 0 || e.call.MostTokens <= 0 {
+	if e.call.Program == "" || e.call.Budget <= 0 || e.call.MaxTokens <= 0 {
 		return nil
 	}
 	reservation, err := e.gateway.Budgets.Reserve(ctx, budget.ReserveRequest{
-		Reservation: e.tenantScoped(e.call.ID), Program: e.tenantScoped(e.call.Program), Total: e.call.Budget, Most: e.call.MostTokens, Parts: partNames(e.call.Prefix),
+		Reservation: e.tenantScoped(e.call.ID), Program: e.tenantScoped(e.call.Program), Total: e.call.Budget, Most: e.call.MaxTokens, Parts: partNames(e.call.Prefix),
 		Previous: e.tenantScoped(e.call.Previous),
 	})
 	if err != nil {
@@ -261,13 +261,13 @@
 // budget reservation, and notes it for placement. This daemon may not know the engine itself,
 // since earlier turns may have come through other daemons.
 func (e *execution) rememberReader() {
-	engine, readParts := e.reservation.ReadAt()
-	if engine == "" || e.gateway.Off.Has(mechanism.Trails) || readParts > len(e.call.Prefix) {
+	engine, readParts := e.reservation.CachedPrefix()
+	if engine == "" || e.gateway.DisabledMechanisms.Has(mechanism.TurnLocations) || readParts > len(e.call.Prefix) {
 		return
 	}
-	for _, instance := range e.gateway.Fleet.Of(e.service.Name) {
+	for _, instance := range e.gateway.Fleet.Instances(e.service.Name) {
 		if instance.ID == engine {
-			instance.Remember(e.call.Prefix[:readParts])
+			instance.RecordPrefix(e.call.Prefix[:readParts])
 		}
 	}
 }
@@ -285,32 +285,32 @@
 // returns the rest of the reservation.
 func (e *execution) settleBudget() {
 	if e.instance != nil && e.events.countWithPartial() > 0 {
-		e.reservation.RanAt(e.instance.ID)
+		e.reservation.SetEngine(e.instance.ID)
 	}
 	e.reservation.Settle(int64(e.events.countWithPartial() * e.service.TokensPerEvent))
 }
 
-// preparationError returns the *Refusal or *CutError for an error that occurred before the
+// preparationError returns the *Refusal or *AbortedError for an error that occurred before the
 // request was sent.
 func (e *execution) preparationError(ctx context.Context, err error) error {
 	switch {
 	case errors.Is(err, turn.ErrNotFound):
 		return &Refusal{Status: http.StatusNotFound, Reason: ReasonUnknownTurn, Err: err}
-	case errors.Is(err, turn.ErrUnsure):
-		return notRunRefusal(ReasonUnsureTurn, storeRetryAfter, err)
-	case e.gateway.Reach.CutOff(): // before ErrSpent, which an aborted wait may return as well
-		return notRunRefusal(ReasonCutOff, e.gateway.Reach.Back(), err)
+	case errors.Is(err, turn.ErrUncertain):
+		return notRunRefusal(ReasonUncertainTurn, storeRetryAfter, err)
+	case e.gateway.Connectivity.CutOff(): // before ErrSpent, which an aborted wait may return as well
+		return notRunRefusal(ReasonCutOff, e.gateway.Connectivity.RetryAfter(), err)
 	case errors.Is(err, budget.ErrSpent):
-		return &Refusal{Status: http.StatusPaymentRequired, Reason: ReasonBudget, Err: err}
+		return &Refusal{Status: http.StatusPaymentRequired, Reason: ReasonBudgetSpent, Err: err}
 	case e.request.Context().Err() != nil:
-		return &CutError{Reason: ReasonCallerLeft, Err: err}
+		return &AbortedError{Reason: ReasonCallerDisconnected, Err: err}
 	case errors.Is(err, state.ErrFull):
-		return notRunRefusal(ReasonStoreFull, fullStoreRetryAfter(e.gateway.Room.FullFor()), err)
+		return notRunRefusal(ReasonStoreFull, fullStoreRetryAfter(e.gateway.StoreSpace.FullDuration()), err)
 	case ctx.Err() != nil:
 		return notRunRefusal(ReasonDeadline, 0, err)
 	case errors.Is(err, state.ErrThrottled):
-		return notRunRefusal(ReasonStoreRate, storeRateRetryAfter(), err)
+		return notRunRefusal(ReasonStoreRateLimited, storeRateRetryAfter(), err)
 	default:
-		return notRunRefusal(ReasonStore, storeRetryAfter, err)
+		return notRunRefusal(ReasonStoreUnavailable, storeRetryAfter, err)
 	}
 }
--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -24,7 +24,7 @@
 				gateway: &Gateway{},
 				arrived: time.Now(),
 				call:    Call{Deadline: deadline},
-				route:   &routetable.Route{Timeout: time.Hour, Streaming: streaming, Patience: 2 * time.Second},
+				route:   &routetable.Route{Timeout: time.Hour, Streaming: streaming, MaxStreamGap: 2 * time.Second},
 			}
 			Expect(waiting.storePatience()).To(BeNumerically("<=", maxWait))
 			Expect(waiting.storePatience()).To(BeNumerically(">", maxWait/2))
@@ -42,20 +42,20 @@
 		silent := time.Now().Add(-time.Hour)
 		monitor := reach.NewMonitor(reach.Options{
 			Observe: func() reach.Observation {
-				return reach.Observation{OutsideKnown: true, OutsideHeard: silent, StoreHeard: silent}
+				return reach.Observation{OutsideKnown: true, LastOutsideContact: silent, LastStoreAnswer: silent}
 			},
-			AskStore: func(context.Context) {}, Moved: time.Second, Now: time.Now, Log: zap.NewNop(),
+			ProbeStore: func(context.Context) {}, RerouteDelay: time.Second, Now: time.Now, Log: zap.NewNop(),
 		})
 		running, end := context.WithCancel(ctx)
 		DeferCleanup(end)
 		go monitor.Run(running)
 		Eventually(monitor.CutOff).WithTimeout(time.Minute).Should(BeTrue())
 		availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-		for _, partition := range state.Partitions(3) {
-			availability.Failed(partition)
+		for _, partition := range state.PartitionNames(3) {
+			availability.RecordFailure(partition)
 		}
-		room := state.NewClient(state.ClientOptions{Availability: availability}).Room()
-		return &Gateway{Options: Options{Reach: monitor, Availability: availability, Room: room}}
+		room := state.NewClient(state.ClientOptions{Availability: availability}).SpaceTracker()
+		return &Gateway{Options: Options{Connectivity: monitor, Availability: availability, StoreSpace: room}}
 	}
 
 	It("is refused at once if its turn must be recorded, and says when to retry", func(ctx SpecContext) {
@@ -63,13 +63,13 @@
 			gateway: cutOff(ctx),
 			request: httptest.NewRequestWithContext(ctx, "POST", "/", nil),
 			arrived: time.Now(),
-			route:   &routetable.Route{Timeout: time.Hour, Streaming: true, Recorded: true, Patience: time.Hour},
+			route:   &routetable.Route{Timeout: time.Hour, Streaming: true, Recorded: true, MaxStreamGap: time.Hour},
 		}
 		var refusal *Refusal
 		Expect(errors.As(waiting.prepare(ctx), &refusal)).To(BeTrue())
 		Expect(refusal.Reason).To(Equal(ReasonCutOff))
 		Expect(refusal.Status).To(Equal(http.StatusServiceUnavailable))
-		Expect(refusal.After).To(BeNumerically(">", 0))
+		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	It("waits at most maxCutOffWait for the daemons of its zone", func(ctx SpecContext) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,10 +26,10 @@
 // Options are the dependencies and settings of a Gateway.
 type Options struct {
 	Zone    string // zone of this daemon
-	Wire    Wire
+	Wire    HeaderCodec
 	Routes  *routetable.Holder
 	Fleet   *backend.Fleet
-	Turns   *turn.Records
+	Turns   *turn.Repository
 	Budgets Budgets
 	Quotas  *quota.Limiter
 	// Admission limits the number of programs that run at the same time; nil means no limit.
@@ -37,24 +37,24 @@
 	Availability *state.Availability
 	// Memory accounts for the bytes held for callers; nil means neither counting nor limits.
 	Memory *memory.Account
-	// Reach reports whether this daemon is cut off from the store and the other zones; nil
+	// Connectivity reports whether this daemon is cut off from the store and the other zones; nil
 	// means that it never is.
-	Reach *reach.Monitor
+	Connectivity *reach.Monitor
 	// Room reports whether the store is full.
-	Room    *state.Room
-	Log     *zap.Logger
-	Metrics *Metrics
+	StoreSpace *state.SpaceTracker
+	Log        *zap.Logger
+	Metrics    *Metrics
 	// InstanceGrace is how long an instance may still be used after its registry entry is gone.
 	// It is used only if no other instance is available.
 	InstanceGrace time.Duration
 	// Off lists mechanisms that are disabled for an experiment.
-	Off mechanism.Off
-	// KeysBelieved is the maximum age of the configuration for rejecting an unknown key with
+	DisabledMechanisms mechanism.Disabled
+	// MaxConfigurationAge is the maximum age of the configuration for rejecting an unknown key with
 	// status 401. If the configuration is older, the key may have been added since.
-	KeysBelieved time.Duration
-	// Ages returns how long ago the configuration and the list of instances were last
+	MaxConfigurationAge time.Duration
+	// Staleness returns how long ago the configuration and the list of instances were last
 	// confirmed by the store.
-	Ages func() (configuration, instances time.Duration)
+	Staleness func() (configuration, instances time.Duration)
 }
 
 // Budgets reserves tokens for a turn from the budget of its program.
@@ -101,7 +101,7 @@
 // refuse writes a refusal to the caller: its status, its headers, and its reason as JSON.
 func (g *Gateway) refuse(current *execution, refusal *Refusal) {
 	header := current.writer.Header()
-	g.Wire.Refuse(header, current.call.ID, refusal.After)
+	g.Wire.SetRefusal(header, current.call.ID, refusal.RetryAfter)
 	body, err := json.Marshal(struct {
 		Error Reason `json:"error"`
 	}{refusal.Reason})
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -30,8 +30,8 @@
 	if e.tenant != nil {
 		owner = memory.Owner(e.tenant.Name)
 	}
-	e.holding = e.gateway.Memory.Open(owner)
-	writebehind.From(e.request.Context()).Own(owner)
+	e.holding = e.gateway.Memory.NewReservation(owner)
+	writebehind.ConnFromContext(e.request.Context()).SetOwner(owner)
 	if err := e.holding.Grow(memory.Request, requestOverheadBytes); err != nil {
 		return memoryRefusal(err)
 	}
@@ -45,7 +45,7 @@
 // it runs, so that a complete turn is never lost because there is no memory to save it. The
 // error is a *Refusal.
 func (e *execution) reserveTurnMemory() error {
-	history := int64(e.history.Length())
+	history := int64(e.history.Size())
 	if err := e.holding.Grow(memory.History, history); err != nil {
 		return memoryRefusal(err)
 	}
@@ -79,13 +79,13 @@
 
 // memoryRefusal returns a refusal for lack of memory. It must be used only before anything was sent
 // to an engine, since the refusal promises that the request did not run.
-func memoryRefusal(err error) *Refusal { return notRunRefusal(ReasonMemory, shortRetryAfter, err) }
+func memoryRefusal(err error) *Refusal { return notRunRefusal(ReasonNoMemory, shortRetryAfter, err) }
 
 // callerEndReason returns why nothing more can be written to the caller: it read too slowly
 // or it disconnected.
 func callerEndReason(ctx context.Context) Reason {
-	if writebehind.From(ctx).Slow() {
-		return ReasonCallerSlow
+	if writebehind.ConnFromContext(ctx).IsSlow() {
+		return ReasonSlowCaller
 	}
-	return ReasonCallerLeft
+	return ReasonCallerDisconnected
 }
--- a/internal/gateway/input.go
+++ b/internal/gateway/input.go
@@ -19,7 +19,7 @@
 // readInput reads the whole body into memory, since a request is sent to an engine only when
 // it is complete. The buffer is accounted for before it is allocated. A body whose announced
 // length exceeds the available memory is refused unread. The error is a *Refusal or a
-// *CutError.
+// *AbortedError.
 func (e *execution) readInput() error {
 	if e.request.ContentLength == 0 {
 		return nil
@@ -43,7 +43,7 @@
 	}
 	if bounded {
 		if err := control.SetReadDeadline(time.Time{}); err != nil {
-			return &CutError{Reason: ReasonCallerLeft, Err: eris.Wrap(err, "clear the read deadline")}
+			return &AbortedError{Reason: ReasonCallerDisconnected, Err: eris.Wrap(err, "clear the read deadline")}
 		}
 	}
 	e.input = input
@@ -54,7 +54,7 @@
 // before it is allocated, and the previous one is subtracted after its content was copied.
 // length is the announced length, or -1 if it is unknown. The error is an error of body or a
 // *memory.ExceededError.
-func readWithAccounting(body io.Reader, length int64, holding *memory.Holding) ([]byte, error) {
+func readWithAccounting(body io.Reader, length int64, holding *memory.Reservation) ([]byte, error) {
 	const extraByte = 1 // beyond the announced length, to see the end of the body without growing the buffer
 	size := int64(initialInputBufferBytes)
 	if length >= 0 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// inputError returns the *Refusal or *CutError for an error of reading the body. Nothing was
+// inputError returns the *Refusal or *AbortedError for an error of reading the body. Nothing was
 // sent to an engine.
 func inputError(err error) error {
 	var tooLarge *http.MaxBytesError
@@ -100,8 +100,8 @@
 	case errors.As(err, &exceeded):
 		return memoryRefusal(err)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &Refusal{Status: http.StatusRequestTimeout, Reason: ReasonBodySlow, Err: eris.Wrap(err, "read request")}
+		return &Refusal{Status: http.StatusRequestTimeout, Reason: ReasonSlowBody, Err: eris.Wrap(err, "read request")}
 	default:
-		return &CutError{Reason: ReasonCallerLeft, Err: eris.Wrap(err, "read request")}
+		return &AbortedError{Reason: ReasonCallerDisconnected, Err: eris.Wrap(err, "read request")}
 	}
 }
--- a/internal/gateway/input_test.go
+++ b/internal/gateway/input_test.go
@@ -42,7 +42,7 @@
 		func(size int, length int64, maxRead int) {
 			content := bytes.Repeat([]byte("0123456789"), size/10+1)[:size]
 			account := memory.NewAccount(1 << 30)
-			holding := account.Open("one")
+			holding := account.NewReservation("one")
 			body := &accountedBody{Reader: bytes.NewReader(content), account: account, maxRead: maxRead}
 			read, err := readWithAccounting(body, length, holding)
 			Expect(err).NotTo(HaveOccurred())
@@ -65,17 +65,17 @@
 		const announced, sent = 4 << 20, 1000
 		stopped := errors.New("stopped")
 		body := io.MultiReader(strings.NewReader(strings.Repeat("x", sent)), iotest.ErrReader(stopped))
-		_, err := readWithAccounting(body, announced, account.Open("one"))
+		_, err := readWithAccounting(body, announced, account.NewReservation("one"))
 		Expect(err).To(MatchError(stopped))
 		Expect(account.Held()).To(BeEquivalentTo(initialInputBufferBytes))
 	})
 
 	It("of unknown length is refused when there is no memory for the rest", func() {
 		account := memory.NewAccount(1 << 20)
-		_, err := readWithAccounting(iotest.DataErrReader(strings.NewReader(strings.Repeat("x", 1<<20))), -1, account.Open("one"))
+		_, err := readWithAccounting(iotest.DataErrReader(strings.NewReader(strings.Repeat("x", 1<<20))), -1, account.NewReservation("one"))
 		var refusal *Refusal
 		Expect(errors.As(inputError(err), &refusal)).To(BeTrue())
-		Expect(refusal.Reason).To(Equal(ReasonMemory))
+		Expect(refusal.Reason).To(Equal(ReasonNoMemory))
 		Expect(refusal.Status).To(Equal(http.StatusServiceUnavailable))
 	})
 
@@ -84,13 +84,13 @@
 		request := httptest.NewRequest("POST", "/", iotest.ErrReader(errors.New("the body was read")))
 		request.ContentLength = 1 << 20
 		current := &execution{
-			request: request, holding: account.Open("one"), writer: httptest.NewRecorder(),
+			request: request, holding: account.NewReservation("one"), writer: httptest.NewRecorder(),
 			table: routetable.New(1, routetable.Limits{BodyBytes: 4 << 20}, nil, nil),
 		}
 		var refusal *Refusal
 		Expect(errors.As(current.readInput(), &refusal)).To(BeTrue())
-		Expect(refusal.Reason).To(Equal(ReasonMemory))
-		Expect(refusal.After).To(BeNumerically(">", 0))
+		Expect(refusal.Reason).To(Equal(ReasonNoMemory))
+		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
 
 	It("that does not arrive in time is refused with a status that means not run", func() {
@@ -108,15 +108,15 @@
 	newTurn := func(ctx context.Context, history, input int) (*execution, *memory.Account) {
 		GinkgoHelper()
 		store := state.NewClient(state.ClientOptions{Store: memorystore.New(), Availability: state.NewAvailability(time.Now, func(bool, time.Duration) {})})
-		records := turn.NewRecords(turn.Options{
-			Store: store, RowBytes: 1 << 16, CacheEntries: 8, CacheFor: time.Hour, CacheBytes: limit, PieceBytes: limit, Now: time.Now,
+		records := turn.NewRepository(turn.Options{
+			Store: store, MaxRowBytes: 1 << 16, MaxCacheEntries: 8, CacheIdleTimeout: time.Hour, MaxCacheBytes: limit, MaxPieceCacheBytes: limit, Now: time.Now,
 		})
 		Expect(records.Save(ctx, "before", turn.Addition{Input: make([]byte, history)}, time.Minute)).To(Succeed())
 		before, err := records.Load(ctx, "before", "")
 		Expect(err).NotTo(HaveOccurred())
 		account := memory.NewAccount(limit)
 		return &execution{
-			holding: account.Open("one"), route: &routetable.Route{Recorded: true, Streaming: true},
+			holding: account.NewReservation("one"), route: &routetable.Route{Recorded: true, Streaming: true},
 			history: before, input: make([]byte, input), events: eventReader{collect: true},
 			writer: httptest.NewRecorder(), arrived: time.Now(),
 		}, account
@@ -129,7 +129,7 @@
 		current, _ = newTurn(ctx, 0, limit/4)
 		var refusal *Refusal
 		Expect(errors.As(current.reserveTurnMemory(), &refusal)).To(BeTrue())
-		Expect(refusal.Reason).To(Equal(ReasonMemory))
+		Expect(refusal.Reason).To(Equal(ReasonNoMemory))
 	})
 
 	It("is cut short with ReasonMemory before its output exceeds the memory limit", func(ctx SpecContext) {
@@ -141,7 +141,7 @@
 			err = current.writeChunk(chunk)
 			Expect(account.Held()).To(BeNumerically(">=", (1+copiesWhileSaving)*current.events.bufferedBytes()))
 		}
-		Expect(reasonOf(err)).To(Equal(ReasonMemory))
+		Expect(reasonOf(err)).To(Equal(ReasonNoMemory))
 		Expect(account.Held()).To(BeNumerically("<=", limit/2))
 		current.closeHolding()
 		Expect(account.Held()).To(BeZero())
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -20,9 +20,9 @@
 
 	It("reports the engine's speed, and how full it was believed to be", func() {
 		outcome := current().outcome(&startedReply{Reply: &backend.Reply{Status: http.StatusOK}})
-		Expect(outcome.PerEvent).To(BeNumerically(">=", 250*time.Millisecond))
-		outcome.PerEvent = 0
-		Expect(outcome).To(Equal(backend.Outcome{FirstByte: 30 * time.Millisecond, Further: 4, Load: 3, Slots: 8}))
+		Expect(outcome.EventInterval).To(BeNumerically(">=", 250*time.Millisecond))
+		outcome.EventInterval = 0
+		Expect(outcome).To(Equal(backend.Outcome{TimeToFirstByte: 30 * time.Millisecond, EventsAfterFirst: 4, Load: 3, Slots: 8}))
 	})
 
 	It("reports no speed for an error answer, since the engine did not do the work", func() {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -15,7 +15,7 @@
 )
 
 // takeQuota takes a permit from the tenant's quota, before the body is read, and notes the
-// program as admitted. The error is a *Refusal or a *CutError.
+// program as admitted. The error is a *Refusal or a *AbortedError.
 func (e *execution) takeQuota() error {
 	if e.tenant == nil {
 		return nil
@@ -33,22 +33,22 @@
 const maxKeeperWait = 500 * time.Millisecond
 
 // takePermit takes one permit from the tenant's quota and retries for up to maxKeeperWait while
-// no keeper of the quota can be reached. The error is a *Refusal or a *CutError.
-func (e *execution) takePermit(isProgramUnderWay bool) (*quota.Taken, error) {
-	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, UnderWay: isProgramUnderWay}
+// no keeper of the quota can be reached. The error is a *Refusal or a *AbortedError.
+func (e *execution) takePermit(isProgramUnderWay bool) (*quota.Permit, error) {
+	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, Continuation: isProgramUnderWay}
 	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxKeeperWait, e.storePatience()))
 	defer cancel()
-	taken, err := e.gateway.Quotas.Take(e.request.Context(), request)
-	var unreached *quota.UnreachedError
-	for errors.As(err, &unreached) && pause.For(ctx, instancePollInterval) {
-		taken, err = e.gateway.Quotas.Take(e.request.Context(), request)
+	taken, err := e.gateway.Quotas.Acquire(e.request.Context(), request)
+	var unreached *quota.UnreachableError
+	for errors.As(err, &unreached) && pause.Sleep(ctx, instancePollInterval) {
+		taken, err = e.gateway.Quotas.Acquire(e.request.Context(), request)
 	}
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
-		return nil, &Refusal{Status: http.StatusTooManyRequests, Reason: ReasonQuota, After: exceeded.After, Err: err}
+		return nil, &Refusal{Status: http.StatusTooManyRequests, Reason: ReasonQuotaExceeded, RetryAfter: exceeded.RetryAfter, Err: err}
 	}
 	if err != nil && e.request.Context().Err() != nil {
-		return nil, &CutError{Reason: ReasonCallerLeft, Err: err}
+		return nil, &AbortedError{Reason: ReasonCallerDisconnected, Err: err}
 	}
 	if err != nil {
 		return nil, notRunRefusal(ReasonQuotaUnknown, shortRetryAfter, err)
@@ -74,7 +74,7 @@
 // returnQuota returns the permit to the quota if it is certain that no engine ran the request.
 func (e *execution) returnQuota() {
 	if e.runs == 0 {
-		e.quotaPermit.Return()
+		e.quotaPermit.Release()
 	}
 }
 
--- a/internal/gateway/reader_test.go
+++ b/internal/gateway/reader_test.go
@@ -18,7 +18,7 @@
 	read   int
 }
 
-func (r prefixReservation) ReadAt() (string, int) { return r.engine, r.read }
+func (r prefixReservation) CachedPrefix() (string, int) { return r.engine, r.read }
 
 var _ = Describe("rememberReader", func() {
 	parts := []backend.PromptPart{{Name: "shared", Tokens: 12000}, {Name: "one", Tokens: 2000}, {Name: "two", Tokens: 900}}
@@ -35,7 +35,7 @@
 			reservation: prefixReservation{engine: engine, read: 2},
 		}
 		current.rememberReader()
-		chosen := backend.Choose(fleet.Of("llm"), &backend.Request{Affinity: "p", Prefix: parts, Now: time.Now()})
+		chosen := backend.Choose(fleet.Instances("llm"), &backend.PlacementRequest{Affinity: "p", Prefix: parts, Now: time.Now()})
 		Expect(chosen.ID).To(Equal(engine))
 	}, Entry("the first", "e1"), Entry("the second", "e2"), Entry("the third", "e3"))
 
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -14,42 +14,42 @@
 
 // Reasons for refusing or cutting a request; ReasonNone means that it was answered.
 const (
-	ReasonNone            Reason = ""
-	ReasonNoConfiguration Reason = "no-configuration"
-	ReasonNoRoute         Reason = "no-route"
-	ReasonUnknownKey      Reason = "unknown-key"
-	ReasonUnsureKey       Reason = "unsure-key"
-	ReasonQuota           Reason = "quota-exceeded"
-	ReasonQuotaUnknown    Reason = "quota-unknown"
-	ReasonMalformed       Reason = "malformed"
-	ReasonTooLarge        Reason = "too-large"
-	ReasonMemory          Reason = "memory"
-	ReasonBodySlow        Reason = "body-slow"
-	ReasonCallerSlow      Reason = "caller-slow"
-	ReasonUnknownTurn     Reason = "unknown-turn"
-	ReasonUnsureTurn      Reason = "unsure-turn"
-	ReasonStore           Reason = "store-unavailable"
-	ReasonCutOff          Reason = "cut-off"
-	ReasonStoreFull       Reason = "store-full"
-	ReasonStoreRate       Reason = "store-rate"
-	ReasonBudget          Reason = "budget-spent"
-	ReasonNoEngine        Reason = "no-engine"
-	ReasonEnginesFull     Reason = "engines-full"
-	ReasonOverload        Reason = "overload"
-	ReasonUnreachable     Reason = "engines-unreachable"
-	ReasonDeadline        Reason = "deadline"
-	ReasonLost            Reason = "answer-lost"
-	ReasonCallerLeft      Reason = "caller-left"
-	ReasonNotRecorded     Reason = "turn-not-recorded"
-	ReasonBroken          Reason = "stream-broken"
+	ReasonNone               Reason = ""
+	ReasonNoConfiguration    Reason = "no-configuration"
+	ReasonNoRoute            Reason = "no-route"
+	ReasonUnknownKey         Reason = "unknown-key"
+	ReasonUncertainKey       Reason = "unsure-key"
+	ReasonQuotaExceeded      Reason = "quota-exceeded"
+	ReasonQuotaUnknown       Reason = "quota-unknown"
+	ReasonMalformed          Reason = "malformed"
+	ReasonTooLarge           Reason = "too-large"
+	ReasonNoMemory           Reason = "memory"
+	ReasonSlowBody           Reason = "body-slow"
+	ReasonSlowCaller         Reason = "caller-slow"
+	ReasonUnknownTurn        Reason = "unknown-turn"
+	ReasonUncertainTurn      Reason = "unsure-turn"
+	ReasonStoreUnavailable   Reason = "store-unavailable"
+	ReasonCutOff             Reason = "cut-off"
+	ReasonStoreFull          Reason = "store-full"
+	ReasonStoreRateLimited   Reason = "store-rate"
+	ReasonBudgetSpent        Reason = "budget-spent"
+	ReasonNoEngine           Reason = "no-engine"
+	ReasonEnginesFull        Reason = "engines-full"
+	ReasonOverload           Reason = "overload"
+	ReasonEnginesUnreachable Reason = "engines-unreachable"
+	ReasonDeadline           Reason = "deadline"
+	ReasonAnswerLost         Reason = "answer-lost"
+	ReasonCallerDisconnected Reason = "caller-left"
+	ReasonTurnNotRecorded    Reason = "turn-not-recorded"
+	ReasonStreamBroken       Reason = "stream-broken"
 )
 
 // Refusal is the gateway's own final answer to a request, given instead of an engine's answer.
 type Refusal struct {
-	Status int // HTTP status
-	Reason Reason
-	After  time.Duration // time after which the caller should retry; 0: no advice
-	Err    error         // cause
+	Status     int // HTTP status
+	Reason     Reason
+	RetryAfter time.Duration // time after which the caller should retry; 0: no advice
+	Err        error         // cause
 }
 
 // Error implements error.
@@ -58,23 +58,25 @@
 // Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Err }
 
-// CutError means that the answer cannot be completed. The caller's connection must be closed before
+// AbortedError means that the answer cannot be completed. The caller's connection must be closed before
 // the end of the answer, so that the caller does not take the answer for complete.
-type CutError struct {
+type AbortedError struct {
 	Reason Reason
 	Err    error
 }
 
 // Error implements error.
-func (e *CutError) Error() string { return fmt.Sprintf("answer cut short (%s): %v", e.Reason, e.Err) }
+func (e *AbortedError) Error() string {
+	return fmt.Sprintf("answer cut short (%s): %v", e.Reason, e.Err)
+}
 
 // Unwrap returns the cause.
-func (e *CutError) Unwrap() error { return e.Err }
+func (e *AbortedError) Unwrap() error { return e.Err }
 
 // notRunRefusal returns a refusal with status 503, which promises that the request did not run
 // and never will.
 func notRunRefusal(reason Reason, after time.Duration, err error) *Refusal {
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, After: after, Err: err}
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: after, Err: err}
 }
 
 // unknownOutcomeRefusal returns a refusal that leaves open whether the request ran: with status
@@ -87,13 +89,13 @@
 	return &Refusal{Status: status, Reason: reason, Err: err}
 }
 
-// reasonOf returns the reason of a *Refusal or *CutError in the chain of err, or ReasonNone.
+// reasonOf returns the reason of a *Refusal or *AbortedError in the chain of err, or ReasonNone.
 func reasonOf(err error) Reason {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
 		return refusal.Reason
 	}
-	var cut *CutError
+	var cut *AbortedError
 	if errors.As(err, &cut) {
 		return cut.Reason
 	}
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -20,18 +20,18 @@
 
 // relay writes the answer to the caller as it arrives. On a route that records turns, it saves the
 // turn before it returns, and so before the caller sees the end of the stream. The error is a
-// *CutError.
+// *AbortedError.
 func (e *execution) relay(ctx context.Context, reply *startedReply) error {
 	e.writeHead(reply)
 	if err := e.writeBody(ctx, reply); err != nil {
 		return err
 	}
-	e.instance.Observe(e.outcome(reply), time.Now())
+	e.instance.RecordOutcome(e.outcome(reply), time.Now())
 	if !e.isStream(reply) {
 		return nil
 	}
 	if e.events.isPartial() {
-		return &CutError{Reason: ReasonBroken, Err: eris.New("the stream ended within an event")}
+		return &AbortedError{Reason: ReasonStreamBroken, Err: eris.New("the stream ended within an event")}
 	}
 	if e.route.Recorded {
 		return e.recordTurn(ctx)
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// writeBody writes the body of the answer to the caller. The error is a *CutError.
+// writeBody writes the body of the answer to the caller. The error is a *AbortedError.
 func (e *execution) writeBody(ctx context.Context, reply *startedReply) error {
 	if err := e.writeChunk(reply.firstBytes); err != nil || reply.isComplete {
 		return err
@@ -54,7 +54,7 @@
 		return backend.Outcome{}
 	}
 	return backend.Outcome{
-		FirstByte: e.timeToFirstByte, PerEvent: e.meanEventInterval(), Further: max(e.events.count-1, 0), Load: e.placement.load, Slots: e.placement.slots,
+		TimeToFirstByte: e.timeToFirstByte, EventInterval: e.meanEventInterval(), EventsAfterFirst: max(e.events.count-1, 0), Load: e.placement.load, Slots: e.placement.slots,
 	}
 }
 
@@ -97,30 +97,30 @@
 }
 
 // writeChunk writes bytes of the body to the caller; on streaming routes it also counts their
-// events and flushes them. The error is a *CutError.
+// events and flushes them. The error is a *AbortedError.
 func (e *execution) writeChunk(chunk []byte) error {
 	if len(chunk) == 0 {
 		return nil
 	}
 	if e.route.Streaming {
 		if err := e.reserveOutputMemory(e.events.bufferedBytes() + int64(len(chunk))); err != nil {
-			return &CutError{Reason: ReasonMemory, Err: err}
+			return &AbortedError{Reason: ReasonNoMemory, Err: err}
 		}
 		e.events.write(chunk)
 	}
 	if _, err := e.writer.Write(chunk); err != nil {
-		return &CutError{Reason: callerEndReason(e.request.Context()), Err: eris.Wrap(err, "write to caller")}
+		return &AbortedError{Reason: callerEndReason(e.request.Context()), Err: eris.Wrap(err, "write to caller")}
 	}
 	if !e.route.Streaming {
 		return nil
 	}
 	if err := http.NewResponseController(e.writer).Flush(); err != nil {
-		return &CutError{Reason: callerEndReason(e.request.Context()), Err: eris.Wrap(err, "flush to caller")}
+		return &AbortedError{Reason: callerEndReason(e.request.Context()), Err: eris.Wrap(err, "flush to caller")}
 	}
 	return nil
 }
 
-// relayRest relays the body from where startedReply.firstBytes ends. The error is a *CutError.
+// relayRest relays the body from where startedReply.firstBytes ends. The error is a *AbortedError.
 func (e *execution) relayRest(ctx context.Context, reply *startedReply) error {
 	buffer := make([]byte, relayBufferBytes)
 	for {
@@ -135,29 +135,29 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			return &CutError{Reason: contextEndReason(ctx), Err: err}
+			return &AbortedError{Reason: contextEndReason(ctx), Err: err}
 		}
-		e.instance.Failed(time.Now())
-		e.instance.Observe(backend.Outcome{Failed: true}, time.Now())
-		return &CutError{Reason: ReasonBroken, Err: eris.Wrap(err, "read stream")}
+		e.instance.RecordFailure(time.Now())
+		e.instance.RecordOutcome(backend.Outcome{Failed: true}, time.Now())
+		return &AbortedError{Reason: ReasonStreamBroken, Err: eris.Wrap(err, "read stream")}
 	}
 }
 
 // recordTurn saves the turn. It must succeed before the end of the stream is sent. If the store
-// does not answer in time, it returns a *CutError, and the caller is expected to repeat the
+// does not answer in time, it returns a *AbortedError, and the caller is expected to repeat the
 // turn.
 func (e *execution) recordTurn(ctx context.Context) error {
-	recordCtx, cancel := context.WithTimeout(ctx, max(e.route.Patience-answerMargin, answerMargin))
+	recordCtx, cancel := context.WithTimeout(ctx, max(e.route.MaxStreamGap-answerMargin, answerMargin))
 	defer cancel()
 	start := time.Now()
-	addition := turn.Addition{Previous: e.history, Owner: e.tenantName(), Engine: e.instance.ID, Input: e.input, Output: e.events.output}
+	addition := turn.Addition{Previous: e.history, Tenant: e.tenantName(), Engine: e.instance.ID, Input: e.input, Output: e.events.output}
 	err := e.gateway.Turns.Save(recordCtx, e.tenantScoped(e.call.ID), addition, e.route.Retention)
 	e.gateway.Metrics.observeRecord(time.Since(start), err)
 	if err != nil {
-		return &CutError{Reason: ReasonNotRecorded, Err: err}
+		return &AbortedError{Reason: ReasonTurnNotRecorded, Err: err}
 	}
 	if e.reservation != nil {
-		e.reservation.Recorded(e.tenantScoped(e.call.ID))
+		e.reservation.SetRecordedTurn(e.tenantScoped(e.call.ID))
 	}
 	return nil
 }
--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -60,7 +60,7 @@
 		fields = append(fields, zap.String("previous", e.call.Previous))
 	}
 	if e.call.Budget > 0 {
-		fields = append(fields, zap.Int64("budget", e.call.Budget), zap.Int64("most", e.call.MostTokens))
+		fields = append(fields, zap.Int64("budget", e.call.Budget), zap.Int64("most", e.call.MaxTokens))
 	}
 	return fields
 }
@@ -72,7 +72,7 @@
 		return fields
 	}
 	return append(fields, zap.String("quotaKeeper", e.quotaPermit.Keeper), zap.Float64("quotaLeft", e.quotaPermit.Level),
-		zap.Int("quotaAsked", e.quotaPermit.Asked), zap.Duration("quotaTook", e.quotaPermit.Took))
+		zap.Int("quotaAsked", e.quotaPermit.Asked), zap.Duration("quotaTook", e.quotaPermit.Duration))
 }
 
 // addEngineFields adds the engine that was tried last and its known state at that time.
@@ -92,7 +92,7 @@
 	if e.table == nil {
 		return fields
 	}
-	configurationAge, instancesAge := e.gateway.Ages()
+	configurationAge, instancesAge := e.gateway.Staleness()
 	return append(fields, zap.Uint64("revision", e.table.Revision),
 		zap.Duration("configurationAge", configurationAge), zap.Duration("enginesAge", instancesAge))
 }
@@ -110,7 +110,7 @@
 		fields = append(fields, zap.Duration("programLeft", e.call.ProgramDeadline))
 	}
 	if e.reservation != nil {
-		fields = append(fields, zap.Int64("attained", e.reservation.Attained()))
+		fields = append(fields, zap.Int64("attained", e.reservation.GeneratedTokens()))
 	}
 	if e.repeatedSearches > 0 {
 		fields = append(fields, zap.Int("searches", e.repeatedSearches))
--- a/internal/lab/acquaintance/acquaintance.go
+++ b/internal/lab/acquaintance/acquaintance.go
@@ -27,6 +27,6 @@
 // RowOf returns the row by which the store represents a member, with version 1.
 func RowOf(member members.Member) (state.Row, error) {
 	value, err := members.Encode(member)
-	key := state.Key{Table: members.Table, Name: string(member.Process.Machine)}
+	key := state.Key{Table: members.MemberTable, Name: string(member.Process.Machine)}
 	return state.Row{Key: key, Value: value, Version: 1}, err
 }
--- a/internal/lab/experiment/baselines.go
+++ b/internal/lab/experiment/baselines.go
@@ -110,7 +110,7 @@
 }
 
 func callCount(view scheduling.Engine) int {
-	return view.Running + view.Waiting + view.PlacedSince
+	return view.Running + view.Waiting + view.PlacedSinceReport
 }
 
 // firstCome keeps one queue in order of arrival. It places a call when an engine
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -99,7 +99,7 @@
 	}
 	for _, c := range d.outstanding[index] {
 		if c.placedAt+zoneDelay > last.at {
-			view.PlacedSince++
+			view.PlacedSinceReport++
 			view.PlacedTokens += c.expectedUncached
 		}
 	}
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -26,7 +26,7 @@
 	startedQueue   *scheduling.Queue[*call] // calls of programs with effectiveService above 0
 	firstCallQueue *scheduling.Queue[*call] // calls of all other programs
 	liveTokens     int64                    // history tokens of the daemon's live programs, without their shared prefixes
-	sketch         *scheduling.Sketch
+	sketch         *scheduling.PrefixIndex
 	statsByKind    map[string]*pauseStats // by Program.Kind
 	sequence       uint64
 	retryScheduled bool // by scheduleRetry
@@ -45,7 +45,7 @@
 		policy:         scheduling.NewPolicy(settings.Scheduling),
 		startedQueue:   scheduling.NewQueue[*call](maxQueuedCalls),
 		firstCallQueue: scheduling.NewQueue[*call](maxQueuedCalls),
-		sketch:         scheduling.NewSketch(maxSketchPrefixes, maxHoldersPerPrefix, sketchExpiry),
+		sketch:         scheduling.NewPrefixIndex(maxSketchPrefixes, maxHoldersPerPrefix, sketchExpiry),
 		statsByKind:    make(map[string]*pauseStats),
 	}
 }
@@ -59,10 +59,10 @@
 	t.recordPause(c)
 	t.sequence++
 	item := scheduling.QueueItem{
-		Class:    c.program.Class,
-		Attained: c.program.attainedService,
-		Enqueued: t.daemon.run.clock.now,
-		Sequence: t.sequence,
+		Class:           c.program.Class,
+		AttainedService: c.program.attainedService,
+		Enqueued:        t.daemon.run.clock.now,
+		Sequence:        t.sequence,
 	}
 	queue := t.startedQueue
 	if c.program.effectiveService() == 0 {
@@ -71,7 +71,7 @@
 	if queue.Len() > 0 {
 		decision := t.decide(c, queue.Len())
 		if decision.Action == scheduling.ActionRefuse {
-			t.daemon.run.handleRefusal(c, decision.Retry)
+			t.daemon.run.handleRefusal(c, decision.RetryAfter)
 			return
 		}
 	}
@@ -98,11 +98,11 @@
 		decision := t.decide(c, 0)
 		switch decision.Action {
 		case scheduling.ActionWait:
-			t.scheduleRetry(decision.Retry)
+			t.scheduleRetry(decision.RetryAfter)
 			return
 		case scheduling.ActionRefuse:
 			queue.Pop()
-			t.daemon.run.handleRefusal(c, decision.Retry)
+			t.daemon.run.handleRefusal(c, decision.RetryAfter)
 		case scheduling.ActionPlace:
 			queue.Pop()
 			t.place(c, int(item.Class), decision)
@@ -131,14 +131,14 @@
 	for index := range engines {
 		engines[index] = t.daemon.view(index)
 	}
-	snapshot := scheduling.Build(engines, nil)
+	snapshot := scheduling.NewSnapshot(engines, nil)
 	request := scheduling.Request{
 		Tenant: c.program.Tenant, Class: c.program.Class, Model: t.daemon.run.trace.Model,
 		Zone: t.daemon.zone, PromptTokens: c.promptTokens,
 		MaxOutputTokens: 0, // unknown, as callers rarely set it
-		Attained:        c.program.effectiveService(),
+		AttainedService: c.program.effectiveService(),
 		LiveTokens:      t.liveTokens,
-		FleetShare:      1 / float64(len(t.daemon.run.daemons)),
+		CacheShare:      1 / float64(len(t.daemon.run.daemons)),
 		Waited:          now - c.receivedAt,
 		QueuedAhead:     ahead,
 		Seed:            uint64(c.program.Index)<<16 + uint64(c.turn),
@@ -155,17 +155,17 @@
 
 // holders returns the engines that hold a shared prefix of the call, as known from
 // the sketch or, with Settings.GlobalIndex, from the caches of the engines.
-func (t *thymeloft) holders(c *call, runs []scheduling.PrefixRun, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
+func (t *thymeloft) holders(c *call, runs []scheduling.PromptPrefix, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
 	if t.settings.NoSketch {
 		return nil
 	}
 	if !t.settings.GlobalIndex {
-		return t.sketch.Holders(nil, runs, snapshot, t.daemon.run.clock.now)
+		return t.sketch.AppendHolders(nil, runs, snapshot, t.daemon.run.clock.now)
 	}
 	var result []scheduling.PrefixHolder
 	for index, engine := range t.daemon.run.engines {
 		if _, tokens := engine.cache.matchPrefix(c.path); tokens > 0 {
-			result = append(result, scheduling.PrefixHolder{Engine: index, Tokens: tokens})
+			result = append(result, scheduling.PrefixHolder{EngineIndex: index, Tokens: tokens})
 		}
 	}
 	return result
@@ -173,25 +173,25 @@
 
 // prefixRuns returns the hash and the length of each shared prefix of a call, the
 // shortest first.
-func prefixRuns(c *call) []scheduling.PrefixRun {
-	runs := make([]scheduling.PrefixRun, 0, len(c.program.Prefix))
+func prefixRuns(c *call) []scheduling.PromptPrefix {
+	runs := make([]scheduling.PromptPrefix, 0, len(c.program.Prefix))
 	tokens := int64(0)
 	for _, part := range c.program.Prefix {
 		tokens += part.Tokens
-		runs = append(runs, scheduling.PrefixRun{Hash: part.Hash, Tokens: tokens})
+		runs = append(runs, scheduling.PromptPrefix{Hash: part.Hash, Tokens: tokens})
 	}
 	return runs
 }
 
 func (t *thymeloft) place(c *call, priority int, decision scheduling.Decision) {
-	engine := t.daemon.run.engines[decision.Engine]
+	engine := t.daemon.run.engines[decision.EngineIndex]
 	t.sketch.Record(prefixRuns(c), engine.ID, t.daemon.run.clock.now)
 	t.daemon.run.measures.reasons[string(decision.Reason)]++
-	t.daemon.place(c, decision.Engine, priority, c.promptTokens-decision.CachedTokens)
+	t.daemon.place(c, decision.EngineIndex, priority, c.promptTokens-decision.CachedTokens)
 }
 
 // callAnswered updates the statistics, and leases the program's cached history if
-// scheduling.HoldLease returns a duration for that.
+// scheduling.LeaseDuration returns a duration for that.
 func (t *thymeloft) callAnswered(c *call) {
 	program := c.program
 	t.liveTokens += program.Turns[c.turn].PromptTokens + program.Turns[c.turn].OutputTokens
@@ -199,7 +199,7 @@
 	last := program.turn+1 == len(program.Turns)
 	stats.continueShare += pauseSmoothing * (boolToFloat(!last) - stats.continueShare)
 	lastReport := t.daemon.reports[c.engine.index]
-	lease := scheduling.HoldLease(program.historyTokens,
+	lease := scheduling.LeaseDuration(program.historyTokens,
 		scheduling.PauseEstimate{Mean: fromSeconds(stats.meanSeconds), ReuseChance: stats.continueShare},
 		scheduling.CachePrice{
 			HitsPerToken: lastReport.hitsPerToken,
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -22,16 +22,16 @@
 const (
 	// None executes the call normally.
 	None Fault = iota
-	// Refused does nothing and returns state.ErrNotDone.
+	// Refused does nothing and returns state.ErrNotExecuted.
 	Refused
-	// Lost executes a commit but returns state.ErrUnknown. A read or feed returns
-	// state.ErrUnknown too.
+	// Lost executes a commit but returns state.ErrUnknownOutcome. A read or feed returns
+	// state.ErrUnknownOutcome too.
 	Lost
-	// Late returns state.ErrUnknown. A commit is executed when Release is called,
+	// Late returns state.ErrUnknownOutcome. A commit is executed when Release is called,
 	// if its conditions hold then.
 	Late
 	// Silent does nothing, blocks until the caller's context ends, and returns
-	// state.ErrUnknown.
+	// state.ErrUnknownOutcome.
 	Silent
 	// Full does nothing and returns state.ErrFull.
 	Full
@@ -157,7 +157,7 @@
 	defer s.mutex.Unlock()
 	version, err := s.apply(commit)
 	if fault == Lost {
-		return 0, eris.Wrap(state.ErrUnknown, "memory store")
+		return 0, eris.Wrap(state.ErrUnknownOutcome, "memory store")
 	}
 	return version, err
 }
@@ -233,14 +233,14 @@
 }
 
 // Feed implements state.Store.
-func (s *Store) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.Change, error) {
+func (s *Store) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.FeedResult, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	s.mutex.Lock()
 	fault := s.nextFault(Call{Name: "feed", Table: table})
 	s.mutex.Unlock()
 	if fault != None {
-		return state.Change{}, faultError(ctx, fault)
+		return state.FeedResult{}, faultError(ctx, fault)
 	}
 	for {
 		change, wake, err := s.changesAfter(table, after)
@@ -252,18 +252,18 @@
 		case <-timer.C:
 			return change, nil
 		case <-ctx.Done():
-			return state.Change{}, eris.Wrap(state.ErrUnknown, "memory store")
+			return state.FeedResult{}, eris.Wrap(state.ErrUnknownOutcome, "memory store")
 		}
 	}
 }
 
-func (s *Store) changesAfter(table string, after state.Version) (state.Change, <-chan struct{}, error) {
+func (s *Store) changesAfter(table string, after state.Version) (state.FeedResult, <-chan struct{}, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if after < s.forgottenVersion {
-		return state.Change{}, nil, eris.Wrap(state.ErrHistoryLost, "memory store")
+		return state.FeedResult{}, nil, eris.Wrap(state.ErrHistoryLost, "memory store")
 	}
-	change := state.Change{Version: s.version}
+	change := state.FeedResult{Version: s.version}
 	for _, row := range s.history {
 		if row.Key.Table == table && row.Version > after {
 			change.Rows = append(change.Rows, row)
@@ -277,7 +277,7 @@
 func faultError(ctx context.Context, fault Fault) error {
 	switch fault {
 	case Refused:
-		return eris.Wrap(state.ErrNotDone, "memory store")
+		return eris.Wrap(state.ErrNotExecuted, "memory store")
 	case Full:
 		return eris.Wrap(state.ErrFull, "memory store")
 	case Throttled:
@@ -285,7 +285,7 @@
 	case Silent:
 		<-ctx.Done()
 	}
-	return eris.Wrap(state.ErrUnknown, "memory store")
+	return eris.Wrap(state.ErrUnknownOutcome, "memory store")
 }
 
 // Write puts a row without asking the script, as a write by another client of
--- a/internal/lab/platformstore/platformstore.go
+++ b/internal/lab/platformstore/platformstore.go
@@ -138,7 +138,7 @@
 		writer.WriteHeader(http.StatusInsufficientStorage)
 	case errors.Is(err, state.ErrThrottled):
 		writer.WriteHeader(http.StatusTooManyRequests)
-	case errors.Is(err, state.ErrNotDone):
+	case errors.Is(err, state.ErrNotExecuted):
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		panic(http.ErrAbortHandler)
--- a/internal/load/board.go
+++ b/internal/load/board.go
@@ -18,10 +18,10 @@
 	now func() time.Time
 
 	mutex         sync.Mutex
-	reports       map[string]received // by the reporting daemon's machine
-	shares        map[string]received // by the sending aggregator's machine
-	sum           Told                // over reports and shares
-	summedReports map[string]Told     // the reports that sum includes, by machine
+	reports       map[string]received     // by the reporting daemon's machine
+	shares        map[string]received     // by the sending aggregator's machine
+	sum           EncodedStats            // over reports and shares
+	summedReports map[string]EncodedStats // the reports that sum includes, by machine
 	summedAt      time.Time
 	// lastOutsideContact is when an aggregator of another group last answered this one. It is zero
 	// if none has since this daemon became an aggregator.
@@ -30,7 +30,7 @@
 
 // received is the last report of a daemon, or the last share of an aggregator.
 type received struct {
-	stats Told
+	stats EncodedStats
 	at    time.Time
 }
 
@@ -42,7 +42,7 @@
 // Report is the RPC by which the daemons of this group report. It records the report and fills in
 // the sums, which may be up to sumTTL old and then don't include this report. It returns an error
 // if the report can't be decoded.
-func (b *Board) Report(report Sample, picture *Picture) error {
+func (b *Board) Report(report ReportRequest, picture *ReportReply) error {
 	if err := validate(report.Told); err != nil {
 		return eris.Wrapf(err, "report of %s", report.Member)
 	}
@@ -60,11 +60,11 @@
 }
 
 // outsideSilence returns the time since another group was last reached. The caller holds the mutex.
-func (b *Board) outsideSilence(now time.Time) Silence {
+func (b *Board) outsideSilence(now time.Time) OutsideContact {
 	if b.lastOutsideContact.IsZero() {
-		return Silence{}
+		return OutsideContact{}
 	}
-	return Silence{Heard: true, Lasted: now.Sub(b.lastOutsideContact)}
+	return OutsideContact{Heard: true, Lasted: now.Sub(b.lastOutsideContact)}
 }
 
 // recordOutsideContact records that an aggregator of another group has just answered.
@@ -98,7 +98,7 @@
 // that have. The caller holds the mutex.
 func (b *Board) rebuildSum(now time.Time) {
 	total := newSum()
-	b.summedReports = make(map[string]Told, len(b.reports))
+	b.summedReports = make(map[string]EncodedStats, len(b.reports))
 	b.addReports(total, now)
 	for aggregator, share := range b.shares {
 		if now.Sub(share.at) > shareTTL {
@@ -135,7 +135,7 @@
 
 // sumReports returns the sums over the reports, without the shares of other aggregators, and the
 // number of daemons that report here (0 if this daemon is not an aggregator).
-func (b *Board) sumReports() (stats Told, reporters int) {
+func (b *Board) sumReports() (stats EncodedStats, reporters int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	total := newSum()
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -19,14 +19,14 @@
 
 // Fleet provides this daemon's statistics on engines and receives those of all daemons.
 type Fleet interface {
-	// UnderWay returns the number of this daemon's requests in flight, by engine.
-	UnderWay() Counts
-	// Learn receives the counts summed over all daemons, and this daemon's own part of them.
-	Learn(all, own Counts)
+	// InFlightCounts returns the number of this daemon's requests in flight, by engine.
+	InFlightCounts() Counts
+	// UpdateCounts receives the counts summed over all daemons, and this daemon's own part of them.
+	UpdateCounts(all, own Counts)
 	// Speeds returns the work that this daemon observed at each engine.
-	Speeds() Speeds
-	// LearnSpeeds receives the work summed over all daemons, and this daemon's own part of it.
-	LearnSpeeds(all, own Speeds)
+	ObservedWork() EngineWork
+	// UpdateWork receives the work summed over all daemons, and this daemon's own part of it.
+	UpdateWork(all, own EngineWork)
 }
 
 // Exchange reports this daemon's statistics, passes those of all daemons to Fleet and Programs, and
@@ -57,13 +57,13 @@
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	loops.Go(func() {
-		for pause.For(ctx, jittered(reportInterval)) {
+		for pause.Sleep(ctx, jittered(reportInterval)) {
 			e.report(ctx)
 		}
 	})
 	loops.Go(func() {
 		interval := idleCheckInterval
-		for pause.For(ctx, jittered(interval)) {
+		for pause.Sleep(ctx, jittered(interval)) {
 			interval = idleCheckInterval
 			if e.share(ctx) {
 				interval = exchangeInterval
@@ -92,7 +92,7 @@
 
 // isUsable reports whether a candidate may be called: neither it nor its zone is being skipped.
 func (e *Exchange) isUsable(candidate members.Member) bool {
-	if e.List.Silent(candidate) {
+	if e.List.IsZoneSilent(candidate) {
 		return false
 	}
 	e.mutex.Lock()
@@ -106,7 +106,7 @@
 }
 
 func (e *Exchange) skip(member members.Member, cause error) {
-	e.List.Missed(member)
+	e.List.RecordMiss(member)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.skippedUntil == nil {
@@ -127,8 +127,8 @@
 	}
 	index := xxhash.Sum64String(string(e.List.Self().Machine)) % uint64(len(aggregators))
 	chosen := aggregators[index]
-	var picture Picture
-	report := Sample{Member: string(e.List.Self().Machine), Told: e.localStats()}
+	var picture ReportReply
+	report := ReportRequest{Member: string(e.List.Self().Machine), Told: e.localStats()}
 	if err := e.sendReport(ctx, chosen, report, &picture); err != nil {
 		if ctx.Err() == nil {
 			e.metrics.reportEnded(resultNoAnswer)
@@ -147,21 +147,21 @@
 		e.skip(chosen, eris.Wrapf(err, "decode the picture from %s", chosen.Process.Machine))
 		return
 	}
-	e.Fleet.Learn(all.underWay, own.underWay)
-	e.Fleet.LearnSpeeds(all.speeds, own.speeds)
+	e.Fleet.UpdateCounts(all.underWay, own.underWay)
+	e.Fleet.UpdateWork(all.speeds, own.speeds)
 	e.recordOutside(picture.Outside)
 	e.metrics.reportEnded(resultLearned)
-	e.List.Answered(chosen)
+	e.List.RecordAnswer(chosen)
 	e.recordAggregator(chosen)
 }
 
 // localStats returns this daemon's statistics, encoded.
-func (e *Exchange) localStats() Told {
-	own := sum{underWay: e.Fleet.UnderWay(), speeds: e.Fleet.Speeds()}
+func (e *Exchange) localStats() EncodedStats {
+	own := sum{underWay: e.Fleet.InFlightCounts(), speeds: e.Fleet.ObservedWork()}
 	return own.encode(e.localPrograms())
 }
 
-func (e *Exchange) sendReport(parent context.Context, aggregator members.Member, report Sample, picture *Picture) error {
+func (e *Exchange) sendReport(parent context.Context, aggregator members.Member, report ReportRequest, picture *ReportReply) error {
 	if aggregator.Process == e.List.Self() {
 		return e.Board.Report(report, picture)
 	}
@@ -218,7 +218,7 @@
 	var reply ShareReply
 	err := e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodShare, share, &reply)
 	if err == nil {
-		e.List.Answered(aggregator)
+		e.List.RecordAnswer(aggregator)
 	} else if parent.Err() == nil {
 		e.skip(aggregator, err)
 	}
@@ -242,7 +242,7 @@
 
 // recordOutside records when the aggregator last reached another group. If the aggregator doesn't
 // know, for example because it started recently, the time known before is kept.
-func (e *Exchange) recordOutside(silence Silence) {
+func (e *Exchange) recordOutside(silence OutsideContact) {
 	now := time.Now()
 	contact := outsideContact{reportedAt: now}
 	if former := e.lastOutside.Load(); former != nil {
@@ -254,10 +254,10 @@
 	e.lastOutside.Store(&contact)
 }
 
-// Outside returns when this daemon's group last reached a daemon of another group. known is false
+// LastOutsideContact returns when this daemon's group last reached a daemon of another group. known is false
 // if there are no other groups, none has been reached yet, or the last picture is older than
 // reportTTL.
-func (e *Exchange) Outside() (heard time.Time, known bool) {
+func (e *Exchange) LastOutsideContact() (heard time.Time, known bool) {
 	last := e.lastOutside.Load()
 	if last == nil || last.reachedAt.IsZero() || time.Since(last.reportedAt) > reportTTL || len(e.currentPlan().others) == 0 {
 		return time.Time{}, false
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -49,42 +49,42 @@
 	shareTTL = 4 * exchangeInterval
 )
 
-// Key is the 4-byte digest of an identifier (of an engine, a service or a tenant), sent in its
+// Digest is the 4-byte digest of an identifier (of an engine, a service or a tenant), sent in its
 // place. If the digests of two identifiers collide, each gets the sum of both: among 3,400 engines
 // the probability of any collision is about 0.1 %.
-type Key uint32
+type Digest uint32
 
-// KeyOf returns the low 32 bits of the identifier's xxHash.
-func KeyOf(identifier string) Key { return Key(xxhash.Sum64String(identifier)) } //nolint:gosec // the low bits are meant
+// DigestOf returns the low 32 bits of the identifier's xxHash.
+func DigestOf(identifier string) Digest { return Digest(xxhash.Sum64String(identifier)) } //nolint:gosec // the low bits are meant
 
 // Counts are the numbers of requests in flight, by engine. Engines without requests are left out.
-type Counts map[Key]int
+type Counts map[Digest]int
 
-// Told is the encoded statistics of one daemon, or the sums over several daemons.
-type Told struct {
+// EncodedStats is the encoded statistics of one daemon, or the sums over several daemons.
+type EncodedStats struct {
 	UnderWay []byte // Counts, encoded
 	Speeds   []byte // Speeds, encoded
 	Programs []byte // Programs, encoded; empty if the sender has none
 }
 
-// Sample is a daemon's report to its aggregator.
-type Sample struct {
+// ReportRequest is a daemon's report to its aggregator.
+type ReportRequest struct {
 	Member string
-	Told   Told
+	Told   EncodedStats
 }
 
-// Picture is an aggregator's reply to a report.
-type Picture struct {
-	All Told
+// ReportReply is an aggregator's reply to a report.
+type ReportReply struct {
+	All EncodedStats
 	// Own is the reporting daemon's part of All. It may be the daemon's previous report, because
 	// the sums are cached for sumTTL.
-	Own Told
+	Own EncodedStats
 	// Outside is how long ago the aggregator last reached another group.
-	Outside Silence
+	Outside OutsideContact
 }
 
-// Silence is the time since a daemon of another group was last reached.
-type Silence struct {
+// OutsideContact is the time since a daemon of another group was last reached.
+type OutsideContact struct {
 	// Heard is false if the aggregator has reached no other group since it became an aggregator.
 	// Lasted has no meaning then.
 	Heard  bool
@@ -94,7 +94,7 @@
 // Share holds the sums over the reports to one aggregator, which it sends to the other aggregators.
 type Share struct {
 	Aggregator string
-	Told       Told
+	Told       EncodedStats
 }
 
 // ShareReply is empty: the aggregator that is called sends its own sums in a call of its own.
@@ -119,7 +119,7 @@
 		if len(encoded) <= digestBytes {
 			return eris.Errorf("load: truncated count entry of %d bytes", len(encoded))
 		}
-		key := Key(binary.LittleEndian.Uint32(encoded))
+		key := Digest(binary.LittleEndian.Uint32(encoded))
 		count, length := binary.Uvarint(encoded[digestBytes:])
 		if length <= 0 || count > maxCount {
 			return eris.Errorf("load: invalid count of engine %08x", uint32(key))
@@ -135,6 +135,6 @@
 const maxCount = 1 << 20
 
 // validate returns an error if the statistics can't be decoded.
-func validate(stats Told) error {
+func validate(stats EncodedStats) error {
 	return errors.Join(newSum().add(stats), newPrograms().addEncoded(stats.Programs))
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -37,7 +37,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		counts := Counts{}
 		for engine, count := range rapid.MapOf(rapid.Uint32(), rapid.IntRange(1, maxCount)).Draw(t, "counts") {
-			counts[Key(engine)] = count
+			counts[Digest(engine)] = count
 		}
 		decoded := Counts{}
 		encoded := counts.encode()
@@ -62,10 +62,10 @@
 		board = NewBoard(func() time.Time { return now })
 	})
 
-	report := func(member string, underWay Counts) Picture {
+	report := func(member string, underWay Counts) ReportReply {
 		GinkgoHelper()
-		var picture Picture
-		Expect(board.Report(Sample{Member: member, Told: Told{UnderWay: underWay.encode()}}, &picture)).To(Succeed())
+		var picture ReportReply
+		Expect(board.Report(ReportRequest{Member: member, Told: EncodedStats{UnderWay: underWay.encode()}}, &picture)).To(Succeed())
 		return picture
 	}
 
@@ -91,7 +91,7 @@
 
 	It("drops reports and shares that have expired", func() {
 		report("a", Counts{1: 9})
-		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
+		Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
 		now = now.Add(reportTTL)
 		Expect(decodeCounts(report("b", Counts{}).All.UnderWay)).To(Equal(Counts{1: 9, 2: 4}))
 		now = now.Add(time.Millisecond)
@@ -103,16 +103,16 @@
 		report("a", Counts{1: 2})
 		now = now.Add(reportTTL + time.Millisecond)
 		report("b", Counts{})
-		var picture Picture
-		Expect(board.Report(Sample{Member: "a", Told: Told{UnderWay: Counts{1: 3}.encode()}}, &picture)).To(Succeed())
+		var picture ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{UnderWay: Counts{1: 3}.encode()}}, &picture)).To(Succeed())
 		now = now.Add(sumTTL)
-		Expect(board.Report(Sample{Member: "b"}, &picture)).To(Succeed())
+		Expect(board.Report(ReportRequest{Member: "b"}, &picture)).To(Succeed())
 		Expect(decodeCounts(picture.All.UnderWay)).To(Equal(Counts{1: 3}))
 	})
 
 	It("sums only its own reports for a share", func() {
 		report("a", Counts{1: 9})
-		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
+		Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{UnderWay: Counts{2: 4}.encode()}}, &ShareReply{})).To(Succeed())
 		share, reporters := board.sumReports()
 		Expect(decodeCounts(share.UnderWay)).To(Equal(Counts{1: 9}))
 		Expect(reporters).To(Equal(1))
@@ -122,7 +122,7 @@
 		Expect(report("a", Counts{}).Outside.Heard).To(BeFalse())
 		board.recordOutsideContact()
 		now = now.Add(time.Second)
-		Expect(report("a", Counts{}).Outside).To(Equal(Silence{Heard: true, Lasted: time.Second}))
+		Expect(report("a", Counts{}).Outside).To(Equal(OutsideContact{Heard: true, Lasted: time.Second}))
 		board.recordOutsideContact()
 		Expect(report("a", Counts{}).Outside.Lasted).To(BeZero())
 		board.clearOutsideContact()
@@ -130,8 +130,8 @@
 	})
 
 	It("rejects reports and shares that can't be decoded", func() {
-		Expect(board.Report(Sample{Member: "a", Told: Told{UnderWay: []byte{1}}}, &Picture{})).To(MatchError(ContainSubstring("report of a")))
-		Expect(board.Share(Share{Aggregator: "z", Told: Told{UnderWay: []byte{1, 2, 3, 4}}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{UnderWay: []byte{1}}}, &ReportReply{})).To(MatchError(ContainSubstring("report of a")))
+		Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{UnderWay: []byte{1, 2, 3, 4}}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
 	})
 })
 
@@ -213,9 +213,9 @@
 	testSpeeds
 }
 
-func (e *testFleet) UnderWay() Counts { return e.own }
+func (e *testFleet) InFlightCounts() Counts { return e.own }
 
-func (e *testFleet) Learn(all, own Counts) {
+func (e *testFleet) UpdateCounts(all, own Counts) {
 	for engine, count := range own {
 		all[engine] -= count
 	}
@@ -244,7 +244,7 @@
 			self := members.Member{Process: identity.Process{
 				Machine: identity.Machine(fmt.Sprintf("d%03d", number)), Zone: identity.Zone(fmt.Sprint("z", number%zones)), Region: "r", Address: server.Address(),
 			}}
-			fleet := &testFleet{own: Counts{Key(number): 1}, learned: make(chan Counts, 1)}
+			fleet := &testFleet{own: Counts{Digest(number): 1}, learned: make(chan Counts, 1)}
 			exchange := &Exchange{
 				List: members.NewList(self, time.Now, zap.NewNop()), Caller: pool, Board: NewBoard(time.Now), Fleet: fleet, Log: zap.NewNop(),
 			}
@@ -334,7 +334,7 @@
 		}
 		last := zone[len(zone)-1]
 		awaitCounts(ctx, all, last, 44)
-		lastContact, known := last.Outside()
+		lastContact, known := last.LastOutsideContact()
 		Expect(known).To(BeTrue())
 		for _, each := range all {
 			if each.List.Self().Zone != "z0" {
@@ -342,13 +342,13 @@
 			}
 		}
 		awaitCounts(ctx, zone, last, 14)
-		afterCut, known := last.Outside()
+		afterCut, known := last.LastOutsideContact()
 		Expect(known).To(BeTrue())
 		awaitCounts(ctx, zone, last, 14)
-		afterRepeat, _ := last.Outside()
+		afterRepeat, _ := last.LastOutsideContact()
 		Expect(afterRepeat).To(BeTemporally("~", afterCut, time.Millisecond), "the time of the last contact stays the same during a silence")
-		last.recordOutside(Silence{})
-		afterRestart, known := last.Outside()
+		last.recordOutside(OutsideContact{})
+		afterRestart, known := last.LastOutsideContact()
 		Expect(known).To(BeTrue(), "a restarted aggregator doesn't clear the last contact")
 		Expect(afterRestart).To(Equal(afterRepeat))
 		Expect(afterCut).To(BeTemporally(">=", lastContact.Add(-time.Millisecond)))
@@ -362,13 +362,13 @@
 			for _, member := range view.Members {
 				row, err := acquaintance.RowOf(member)
 				Expect(err).NotTo(HaveOccurred())
-				list.Change([]state.Row{row})
+				list.Apply([]state.Row{row})
 			}
 			counted := &Exchange{
 				List: list, Caller: countingCaller{&calls}, Board: NewBoard(time.Now),
 				Fleet: &testFleet{learned: make(chan Counts, 9)}, Log: zap.NewNop(),
 			}
-			Expect(counted.Board.Report(Sample{Member: "another"}, &Picture{})).To(Succeed())
+			Expect(counted.Board.Report(ReportRequest{Member: "another"}, &ReportReply{})).To(Succeed())
 			calls = 0
 			counted.share(ctx)
 			Expect(calls).To(BeNumerically("<=", 6))
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -24,8 +24,8 @@
 	resultNoAggregator = "nobody-to-ask"
 )
 
-// Measure registers the exchange's metrics. It must be called before Run.
-func (e *Exchange) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers the exchange's metrics. It must be called before Run.
+func (e *Exchange) RegisterMetrics(registerer prometheus.Registerer) error {
 	e.metrics.reports = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "thymeloft_load_reports_total", Help: "Reports of this daemon's load to an aggregator, by result.",
 	}, []string{"result"})
--- a/internal/load/programs.go
+++ b/internal/load/programs.go
@@ -7,18 +7,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// Programs are statistics of the programs in progress, of one daemon or summed over several. From
+// ProgramStats are statistics of the programs in progress, of one daemon or summed over several. From
 // the sums each daemon derives how much of the engines' capacity is taken, and its own part of the
 // rest.
-type Programs struct {
-	Services map[Key]ServicePrograms // by digest of the service's name
+type ProgramStats struct {
+	Services map[Digest]ServiceStats // by digest of the service's name
 	// Spent is the recent cost of each tenant's programs at the engines, in tokens, by digest of
 	// the tenant's name.
-	Spent map[Key]int64
+	Spent map[Digest]int64
 }
 
-// ServicePrograms are one service's statistics, of one daemon or summed over several.
-type ServicePrograms struct {
+// ServiceStats are one service's statistics, of one daemon or summed over several.
+type ServiceStats struct {
 	Daemons int64 // number of daemons in the sum
 	Count   int64 // programs in progress
 	Held    int64 // tokens of the programs' contexts
@@ -34,9 +34,9 @@
 // ProgramSource provides this daemon's program statistics and receives those of all daemons.
 type ProgramSource interface {
 	// Programs returns this daemon's own statistics.
-	Programs() Programs
-	// LearnPrograms receives the sums over all daemons; own is this daemon's part of them.
-	LearnPrograms(all, own Programs)
+	Programs() ProgramStats
+	// UpdatePrograms receives the sums over all daemons; own is this daemon's part of them.
+	UpdatePrograms(all, own ProgramStats)
 }
 
 // Maximum ages of program statistics.
@@ -44,12 +44,12 @@
 	// programsTTL is how long a daemon's program statistics are included in an aggregator's sums,
 	// and an aggregator's sums in those of another one: one and a half intervals. The younger the
 	// statistics are, the more exactly the daemons together keep to the bound on admitted programs.
-	// A daemon whose statistics have expired isn't counted in ServicePrograms.Daemons either.
+	// A daemon whose statistics have expired isn't counted in ServiceStats.Daemons either.
 	programsTTL = 150 * time.Millisecond
-	// OldestPrograms is the maximum age of any daemon's program statistics when an aggregator
+	// MaxProgramStatsAge is the maximum age of any daemon's program statistics when an aggregator
 	// replies with a picture that includes them: the report and the share arrive within callTimeout
 	// and are used for programsTTL each, and the aggregator's sums are reused for sumTTL.
-	OldestPrograms = 2*programsTTL + 2*callTimeout + sumTTL
+	MaxProgramStatsAge = 2*programsTTL + 2*callTimeout + sumTTL
 )
 
 // Limits on the contents of a message.
@@ -66,7 +66,7 @@
 
 // encode writes the number of services, each service's digest and figures, and then each tenant's
 // digest and cost. Tenants without cost, and those beyond maxTenantsPerMessage, are left out.
-func (p Programs) encode() []byte {
+func (p ProgramStats) encode() []byte {
 	encoded := binary.AppendUvarint(nil, uint64(len(p.Services)))
 	for key, service := range p.Services {
 		encoded = binary.LittleEndian.AppendUint32(encoded, uint32(key))
@@ -87,11 +87,11 @@
 }
 
 // figures returns pointers to all fields, in the order in which they are encoded.
-func (s *ServicePrograms) figures() []*int64 {
+func (s *ServiceStats) figures() []*int64 {
 	return []*int64{&s.Daemons, &s.Count, &s.Held, &s.Claimed, &s.Asked, &s.Turns, &s.FirstByte}
 }
 
-func (s *ServicePrograms) add(other ServicePrograms) {
+func (s *ServiceStats) add(other ServiceStats) {
 	theirs := other.figures()
 	for index, figure := range s.figures() {
 		*figure += *theirs[index]
@@ -99,12 +99,12 @@
 }
 
 // newPrograms returns empty sums.
-func newPrograms() Programs {
-	return Programs{Services: map[Key]ServicePrograms{}, Spent: map[Key]int64{}}
+func newPrograms() ProgramStats {
+	return ProgramStats{Services: map[Digest]ServiceStats{}, Spent: map[Digest]int64{}}
 }
 
-// Include adds other to p.
-func (p Programs) Include(other Programs) {
+// Add adds other to p.
+func (p ProgramStats) Add(other ProgramStats) {
 	for key, service := range other.Services {
 		sum := p.Services[key]
 		sum.add(service)
@@ -117,7 +117,7 @@
 
 // addEncoded adds encoded statistics to p. Empty input adds nothing. If it returns an error, p is
 // unchanged.
-func (p Programs) addEncoded(encoded []byte) error {
+func (p ProgramStats) addEncoded(encoded []byte) error {
 	if len(encoded) == 0 {
 		return nil
 	}
@@ -129,7 +129,7 @@
 	decoded := newPrograms()
 	for range services {
 		key := reader.readKey()
-		var service ServicePrograms
+		var service ServiceStats
 		for _, figure := range service.figures() {
 			*figure = reader.readNumber()
 		}
@@ -140,7 +140,7 @@
 		decoded.Spent[key] = reader.readNumber()
 	}
 	if reader.err == nil {
-		p.Include(decoded)
+		p.Add(decoded)
 	}
 	return reader.err
 }
@@ -152,12 +152,12 @@
 	err       error
 }
 
-func (r *programReader) readKey() Key {
+func (r *programReader) readKey() Digest {
 	if r.err != nil || len(r.remaining) < digestBytes {
 		r.setError("truncated digest")
 		return 0
 	}
-	key := Key(binary.LittleEndian.Uint32(r.remaining))
+	key := Digest(binary.LittleEndian.Uint32(r.remaining))
 	r.remaining = r.remaining[digestBytes:]
 	return key
 }
@@ -208,7 +208,7 @@
 
 // learnPrograms passes the program statistics of a picture to e.Programs. It returns an error if
 // they can't be decoded.
-func (e *Exchange) learnPrograms(picture Picture) error {
+func (e *Exchange) learnPrograms(picture ReportReply) error {
 	if e.Programs == nil {
 		return nil
 	}
@@ -219,6 +219,6 @@
 	if err := own.addEncoded(picture.Own.Programs); err != nil {
 		return err
 	}
-	e.Programs.LearnPrograms(all, own)
+	e.Programs.UpdatePrograms(all, own)
 	return nil
 }
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -17,18 +17,18 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-func drawPrograms(t *rapid.T) Programs {
+func drawPrograms(t *rapid.T) ProgramStats {
 	drawn := newPrograms()
 	figure := rapid.Int64Range(0, maxNumber)
 	for key, figures := range rapid.MapOfN(rapid.Uint32(), rapid.SliceOfN(figure, 7, 7), 0, 4).Draw(t, "services") {
-		var service ServicePrograms
+		var service ServiceStats
 		for index, field := range service.figures() {
 			*field = figures[index]
 		}
-		drawn.Services[Key(key)] = service
+		drawn.Services[Digest(key)] = service
 	}
 	for key, spent := range rapid.MapOfN(rapid.Uint32(), rapid.Int64Range(1, maxNumber), 0, 8).Draw(t, "spent") {
-		drawn.Spent[Key(key)] = spent
+		drawn.Spent[Digest(key)] = spent
 	}
 	return drawn
 }
@@ -63,41 +63,41 @@
 // testProgramSource is a ProgramSource with fixed statistics. It sends the sums over all daemons to
 // learned.
 type testProgramSource struct {
-	own     Programs
-	learned chan Programs
+	own     ProgramStats
+	learned chan ProgramStats
 }
 
-func (p *testProgramSource) Programs() Programs { return p.own }
+func (p *testProgramSource) Programs() ProgramStats { return p.own }
 
-func (p *testProgramSource) LearnPrograms(all, _ Programs) { p.learned <- all }
+func (p *testProgramSource) UpdatePrograms(all, _ ProgramStats) { p.learned <- all }
 
 var _ = Describe("Programs", func() {
-	const service, tenant = Key(7), Key(9)
-	own := func(held int64) Programs {
-		return Programs{
-			Services: map[Key]ServicePrograms{service: {Daemons: 1, Count: 1, Held: held, Claimed: held, Asked: 3, Turns: 2, FirstByte: 1000}},
-			Spent:    map[Key]int64{tenant: held},
+	const service, tenant = Digest(7), Digest(9)
+	own := func(held int64) ProgramStats {
+		return ProgramStats{
+			Services: map[Digest]ServiceStats{service: {Daemons: 1, Count: 1, Held: held, Claimed: held, Asked: 3, Turns: 2, FirstByte: 1000}},
+			Spent:    map[Digest]int64{tenant: held},
 		}
 	}
 
 	It("are summed by a board over reports and shares that have not expired", func() {
 		now := time.Unix(1000, 0)
 		board := NewBoard(func() time.Time { return now })
-		var picture Picture
-		Expect(board.Report(Sample{Member: "a", Told: Told{Programs: own(10).encode()}}, &picture)).To(Succeed())
-		Expect(board.Share(Share{Aggregator: "z", Told: Told{Programs: own(5).encode()}}, &ShareReply{})).To(Succeed())
+		var picture ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Programs: own(10).encode()}}, &picture)).To(Succeed())
+		Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{Programs: own(5).encode()}}, &ShareReply{})).To(Succeed())
 		now = now.Add(sumTTL)
-		Expect(board.Report(Sample{Member: "b", Told: Told{Programs: own(1).encode()}}, &picture)).To(Succeed())
+		Expect(board.Report(ReportRequest{Member: "b", Told: EncodedStats{Programs: own(1).encode()}}, &picture)).To(Succeed())
 		all := newPrograms()
 		Expect(all.addEncoded(picture.All.Programs)).To(Succeed())
-		Expect(all.Services[service]).To(Equal(ServicePrograms{Daemons: 3, Count: 3, Held: 16, Claimed: 16, Asked: 9, Turns: 6, FirstByte: 3000}))
+		Expect(all.Services[service]).To(Equal(ServiceStats{Daemons: 3, Count: 3, Held: 16, Claimed: 16, Asked: 9, Turns: 6, FirstByte: 3000}))
 		Expect(all.Spent[tenant]).To(BeEquivalentTo(16))
 		shared, _ := board.sumReports()
 		sharedPrograms := newPrograms()
 		Expect(sharedPrograms.addEncoded(shared.Programs)).To(Succeed())
 		Expect(sharedPrograms.Services[service].Held).To(BeEquivalentTo(11))
 		now = now.Add(programsTTL + time.Millisecond)
-		Expect(board.Report(Sample{Member: "c", Told: Told{Programs: own(2).encode()}}, &picture)).To(Succeed())
+		Expect(board.Report(ReportRequest{Member: "c", Told: EncodedStats{Programs: own(2).encode()}}, &picture)).To(Succeed())
 		fresh := newPrograms()
 		Expect(fresh.addEncoded(picture.All.Programs)).To(Succeed())
 		Expect(fresh.Services[service].Held).To(BeEquivalentTo(2))
@@ -105,13 +105,13 @@
 
 	It("are rejected if they can't be decoded", func() {
 		board := NewBoard(time.Now)
-		Expect(board.Report(Sample{Member: "a", Told: Told{Programs: []byte{1, 2}}}, &Picture{})).To(MatchError(ContainSubstring("report of a")))
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Programs: []byte{1, 2}}}, &ReportReply{})).To(MatchError(ContainSubstring("report of a")))
 		Expect(newPrograms().addEncoded([]byte{200, 200, 3})).To(MatchError(ContainSubstring("services")))
 	})
 
 	It("are bounded in the size of their encoding, however many tenants there are", func() {
 		many := newPrograms()
-		for tenant := range Key(5 * maxTenantsPerMessage) {
+		for tenant := range Digest(5 * maxTenantsPerMessage) {
 			many.Spent[tenant] = 1 << 20
 		}
 		Expect(len(many.encode())).To(BeNumerically("<", 8<<10))
@@ -123,9 +123,9 @@
 		DeferCleanup(server.Close)
 		board := NewBoard(time.Now)
 		Expect(server.Register(ServiceName, board)).To(Succeed())
-		Expect(board.Report(Sample{Member: "former", Told: Told{UnderWay: Counts{1: 1}.encode()}}, &Picture{})).To(Succeed())
+		Expect(board.Report(ReportRequest{Member: "former", Told: EncodedStats{UnderWay: Counts{1: 1}.encode()}}, &ReportReply{})).To(Succeed())
 		self := members.Member{Process: identity.Process{Machine: "d", Zone: "z", Region: "r", Address: server.Address()}}
-		source := &testProgramSource{own: own(4), learned: make(chan Programs, 1)}
+		source := &testProgramSource{own: own(4), learned: make(chan ProgramStats, 1)}
 		exchange := &Exchange{
 			List: members.NewList(self, time.Now, zap.NewNop()), Caller: peer.NewPool(peer.Options{}), Board: board,
 			Fleet: &testFleet{learned: make(chan Counts, 1)}, Programs: source, Log: zap.NewNop(),
--- a/internal/load/speeds.go
+++ b/internal/load/speeds.go
@@ -10,13 +10,13 @@
 // observations count less; the weight decreases at the same rate for all three. Sums of several
 // daemons can therefore be added, and the ratio of two numbers is a mean.
 type Work struct {
-	Pieces  int // hundredths of pieces; a piece is an event of a stream, or an answer that is not a stream
-	Answers int // hundredths of answers
-	Taken   int // milliseconds that these pieces took
+	ChunkHundredths  int // hundredths of pieces; a piece is an event of a stream, or an answer that is not a stream
+	AnswerHundredths int // hundredths of answers
+	Millis           int // milliseconds that these pieces took
 }
 
-// Speeds is the recent work by engine. Engines without work are left out.
-type Speeds map[Key]Work
+// EngineWork is the recent work by engine. Engines without work are left out.
+type EngineWork map[Digest]Work
 
 // maxWork is the largest number of a Work that is accepted. As milliseconds it is 24 days, more
 // than the weighted sum of one engine's answer times can reach.
@@ -27,12 +27,12 @@
 
 // encode writes each engine's digest, followed by its numbers as varints: about ten bytes an
 // engine.
-func (s Speeds) encode() []byte {
+func (s EngineWork) encode() []byte {
 	const usualNumberBytes = 2
 	encoded := make([]byte, 0, len(s)*(digestBytes+workFieldCount*usualNumberBytes))
 	for key, work := range s {
 		encoded = binary.LittleEndian.AppendUint32(encoded, uint32(key))
-		for _, number := range [workFieldCount]int{work.Pieces, work.Answers, work.Taken} {
+		for _, number := range [workFieldCount]int{work.ChunkHundredths, work.AnswerHundredths, work.Millis} {
 			encoded = binary.AppendUvarint(encoded, uint64(min(max(number, 0), maxWork)))
 		}
 	}
@@ -41,12 +41,12 @@
 
 // addEncoded adds encoded work to s. It returns an error if the input is truncated or a number
 // exceeds maxWork; the entries before the invalid one have been added by then.
-func (s Speeds) addEncoded(encoded []byte) error {
+func (s EngineWork) addEncoded(encoded []byte) error {
 	for len(encoded) > 0 {
 		if len(encoded) <= digestBytes {
 			return eris.Errorf("load: truncated work entry of %d bytes", len(encoded))
 		}
-		key := Key(binary.LittleEndian.Uint32(encoded))
+		key := Digest(binary.LittleEndian.Uint32(encoded))
 		encoded = encoded[digestBytes:]
 		var numbers [workFieldCount]int
 		for index := range numbers {
@@ -57,19 +57,19 @@
 			numbers[index] = int(number)
 			encoded = encoded[length:]
 		}
-		s[key] = s[key].Plus(Work{Pieces: numbers[0], Answers: numbers[1], Taken: numbers[2]})
+		s[key] = s[key].Add(Work{ChunkHundredths: numbers[0], AnswerHundredths: numbers[1], Millis: numbers[2]})
 	}
 	return nil
 }
 
-// Plus returns the sums of the numbers of w and other.
-func (w Work) Plus(other Work) Work {
-	return Work{Pieces: w.Pieces + other.Pieces, Answers: w.Answers + other.Answers, Taken: w.Taken + other.Taken}
+// Add returns the sums of the numbers of w and other.
+func (w Work) Add(other Work) Work {
+	return Work{ChunkHundredths: w.ChunkHundredths + other.ChunkHundredths, AnswerHundredths: w.AnswerHundredths + other.AnswerHundredths, Millis: w.Millis + other.Millis}
 }
 
-// Less returns w minus part. Numbers don't fall below zero.
-func (w Work) Less(part Work) Work {
+// Sub returns w minus part. Numbers don't fall below zero.
+func (w Work) Sub(part Work) Work {
 	return Work{
-		Pieces: max(w.Pieces-part.Pieces, 0), Answers: max(w.Answers-part.Answers, 0), Taken: max(w.Taken-part.Taken, 0),
+		ChunkHundredths: max(w.ChunkHundredths-part.ChunkHundredths, 0), AnswerHundredths: max(w.AnswerHundredths-part.AnswerHundredths, 0), Millis: max(w.Millis-part.Millis, 0),
 	}
 }
--- a/internal/load/speeds_test.go
+++ b/internal/load/speeds_test.go
@@ -21,13 +21,13 @@
 func TestSpeeds(t *testing.T) {
 	number := rapid.IntRange(0, maxWork)
 	rapid.Check(t, func(t *rapid.T) {
-		speeds := Speeds{}
+		speeds := EngineWork{}
 		for _, engine := range rapid.SliceOfDistinct(rapid.Uint32(), rapid.ID).Draw(t, "engines") {
-			speeds[Key(engine)] = Work{
-				Pieces: number.Draw(t, "pieces"), Answers: number.Draw(t, "answers"), Taken: number.Draw(t, "taken"),
+			speeds[Digest(engine)] = Work{
+				ChunkHundredths: number.Draw(t, "pieces"), AnswerHundredths: number.Draw(t, "answers"), Millis: number.Draw(t, "taken"),
 			}
 		}
-		decoded := Speeds{}
+		decoded := EngineWork{}
 		encoded := speeds.encode()
 		if err := decoded.addEncoded(encoded); err != nil {
 			t.Fatal(err)
@@ -35,7 +35,7 @@
 		if fmt.Sprint(decoded) != fmt.Sprint(speeds) {
 			t.Fatalf("%v was decoded as %v", speeds, decoded)
 		}
-		if len(encoded) > 0 && (Speeds{}).addEncoded(encoded[:len(encoded)-1]) == nil {
+		if len(encoded) > 0 && (EngineWork{}).addEncoded(encoded[:len(encoded)-1]) == nil {
 			t.Fatal("truncated speeds were accepted")
 		}
 	})
@@ -43,13 +43,13 @@
 
 // testSpeeds implements the methods of Fleet that exchange speeds.
 type testSpeeds struct {
-	local        Speeds // of this daemon
-	all, ownPart Speeds // arguments of the last LearnSpeeds
+	local        EngineWork // of this daemon
+	all, ownPart EngineWork // arguments of the last UpdateWork
 }
 
-func (t *testSpeeds) Speeds() Speeds { return t.local }
+func (t *testSpeeds) ObservedWork() EngineWork { return t.local }
 
-func (t *testSpeeds) LearnSpeeds(all, own Speeds) { t.all, t.ownPart = all, own }
+func (t *testSpeeds) UpdateWork(all, own EngineWork) { t.all, t.ownPart = all, own }
 
 // testBoard is a board with a manual clock.
 type testBoard struct {
@@ -76,54 +76,54 @@
 	return fleet
 }
 
-func decodeSpeeds(encoded []byte) Speeds {
+func decodeSpeeds(encoded []byte) EngineWork {
 	GinkgoHelper()
-	speeds := Speeds{}
+	speeds := EngineWork{}
 	Expect(speeds.addEncoded(encoded)).To(Succeed())
 	return speeds
 }
 
 var _ = Describe("Speeds", func() {
-	one, other := Work{Pieces: 700, Answers: 100, Taken: 280}, Work{Pieces: 600, Answers: 100, Taken: 300}
+	one, other := Work{ChunkHundredths: 700, AnswerHundredths: 100, Millis: 280}, Work{ChunkHundredths: 600, AnswerHundredths: 100, Millis: 300}
 
 	It("sums the speeds of reports and shares, and returns the reporting daemon's own part", func() {
 		board := newTestBoard()
-		var picture Picture
-		Expect(board.Report(Sample{Member: "a", Told: Told{Speeds: Speeds{1: one, 2: other}.encode()}}, &picture)).To(Succeed())
-		Expect(board.Share(Share{Aggregator: "z", Told: Told{Speeds: Speeds{1: other}.encode()}}, &ShareReply{})).To(Succeed())
+		var picture ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: EngineWork{1: one, 2: other}.encode()}}, &picture)).To(Succeed())
+		Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{Speeds: EngineWork{1: other}.encode()}}, &ShareReply{})).To(Succeed())
 		board.clock = board.clock.Add(sumTTL)
-		Expect(board.Report(Sample{Member: "b", Told: Told{Speeds: Speeds{1: one}.encode()}}, &picture)).To(Succeed())
-		Expect(decodeSpeeds(picture.All.Speeds)).To(Equal(Speeds{1: one.Plus(one).Plus(other), 2: other}))
-		Expect(decodeSpeeds(picture.Own.Speeds)).To(Equal(Speeds{1: one}))
+		Expect(board.Report(ReportRequest{Member: "b", Told: EncodedStats{Speeds: EngineWork{1: one}.encode()}}, &picture)).To(Succeed())
+		Expect(decodeSpeeds(picture.All.Speeds)).To(Equal(EngineWork{1: one.Add(one).Add(other), 2: other}))
+		Expect(decodeSpeeds(picture.Own.Speeds)).To(Equal(EngineWork{1: one}))
 		share, _ := board.sumReports()
-		Expect(decodeSpeeds(share.Speeds)).To(Equal(Speeds{1: one.Plus(one), 2: other}))
+		Expect(decodeSpeeds(share.Speeds)).To(Equal(EngineWork{1: one.Add(one), 2: other}))
 	})
 
 	It("gives a newly started daemon the speeds of the others with its first picture", func(ctx SpecContext) {
 		board := newTestBoard()
-		var picture Picture
-		Expect(board.Report(Sample{Member: "a", Told: Told{Speeds: Speeds{1: one}.encode()}}, &picture)).To(Succeed())
+		var picture ReportReply
+		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: EngineWork{1: one}.encode()}}, &picture)).To(Succeed())
 		board.clock = board.clock.Add(sumTTL)
 		started := reportOnce(ctx, board.Board)
-		Expect(started.all).To(Equal(Speeds{1: one}))
+		Expect(started.all).To(Equal(EngineWork{1: one}))
 		Expect(started.ownPart).To(BeEmpty())
 	})
 
 	It("rejects speeds that can't be decoded or exceed the limit", func() {
 		board := newTestBoard()
-		for _, told := range [][]byte{{1}, {1, 2, 3, 4}, {1, 2, 3, 4, 1, 1}, Speeds{1: one}.encode()[:6]} {
-			Expect(board.Report(Sample{Member: "a", Told: Told{Speeds: told}}, &Picture{})).To(MatchError(ContainSubstring("report of a")))
-			Expect(board.Share(Share{Aggregator: "z", Told: Told{Speeds: told}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
+		for _, told := range [][]byte{{1}, {1, 2, 3, 4}, {1, 2, 3, 4, 1, 1}, EngineWork{1: one}.encode()[:6]} {
+			Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: told}}, &ReportReply{})).To(MatchError(ContainSubstring("report of a")))
+			Expect(board.Share(Share{Aggregator: "z", Told: EncodedStats{Speeds: told}}, &ShareReply{})).To(MatchError(ContainSubstring("share of z")))
 		}
-		tooMuch := append(Speeds{1: {Pieces: 1, Answers: 1}}.encode()[:6], 0x81, 0x80, 0x80, 0x80, 0x08) // maxWork + 1
-		Expect(Speeds{}.addEncoded(tooMuch)).To(MatchError(ContainSubstring("invalid work")))
+		tooMuch := append(EngineWork{1: {ChunkHundredths: 1, AnswerHundredths: 1}}.encode()[:6], 0x81, 0x80, 0x80, 0x80, 0x08) // maxWork + 1
+		Expect(EngineWork{}.addEncoded(tooMuch)).To(MatchError(ContainSubstring("invalid work")))
 	})
 
 	It("subtracts without falling below zero", func() {
-		Expect(one.Less(other)).To(Equal(Work{Pieces: 100, Answers: 0, Taken: 0}))
+		Expect(one.Sub(other)).To(Equal(Work{ChunkHundredths: 100, AnswerHundredths: 0, Millis: 0}))
 	})
 
 	It("takes at most 10 bytes an engine", func() {
-		Expect(len(Speeds{1: {Pieces: 9000, Answers: 1300, Taken: 4000}}.encode())).To(BeNumerically("<=", 10))
+		Expect(len(EngineWork{1: {ChunkHundredths: 9000, AnswerHundredths: 1300, Millis: 4000}}.encode())).To(BeNumerically("<=", 10))
 	})
 })
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -16,44 +16,44 @@
 // The mechanisms.
 const (
 	Lending        Name = "lending"         // lends parts of budgets while the store is unavailable
-	LoadBoard      Name = "load-board"      // placement considers other daemons' requests at the engines
-	Trails         Name = "trails"          // placement considers engines that have read a prompt for other daemons
+	FleetLoads     Name = "load-board"      // placement considers other daemons' requests at the engines
+	TurnLocations  Name = "trails"          // placement considers engines that have read a prompt for other daemons
 	SharedBudgets  Name = "shared-budgets"  // one holder per region for each program's budget
 	StoreRelay     Name = "store-relay"     // reaches the store through other daemons
 	HedgedCalls    Name = "hedged-calls"    // sends a slow call to the store a second time
 	QualityClasses Name = "quality-classes" // placement avoids engines that fail often or whose answers start late
 	Ejection       Name = "ejection"        // pauses an engine after several failures
-	PrefixGuess    Name = "prefix-guess"    // placement considers which prompts an engine has read
+	PrefixTracking Name = "prefix-guess"    // placement considers which prompts an engine has read
 	SharedParts    Name = "shared-parts"    // parts that many programs share count as read at every engine
 	ZoneCost       Name = "zone-cost"       // engines in other zones have a higher cost
 	// WarmConnections gives engines to which no connection is open a higher cost.
 	WarmConnections Name = "warm-connections"
-	// SilentZones skips all members of a zone that doesn't answer.
-	SilentZones Name = "silent-zones"
-	// NearBudgets takes the holders of a program's budget from the zone that its turns come
+	// SkipSilentZones skips all members of a zone that doesn't answer.
+	SkipSilentZones Name = "silent-zones"
+	// ZoneBudgetHolders takes the holders of a program's budget from the zone that its turns come
 	// through.
-	NearBudgets  Name = "near-budgets"
-	EngineSpeeds Name = "engine-speeds" // slow engines get fewer requests, by the speeds that all daemons observe
-	Admission    Name = "admission"     // bounds the programs in progress by the capacity of the engines
+	ZoneBudgetHolders Name = "near-budgets"
+	EngineSpeeds      Name = "engine-speeds" // slow engines get fewer requests, by the speeds that all daemons observe
+	Admission         Name = "admission"     // bounds the programs in progress by the capacity of the engines
 )
 
 // All returns all mechanisms.
 func All() []Name {
 	return []Name{
-		Lending, LoadBoard, Trails, SharedBudgets, StoreRelay, HedgedCalls, QualityClasses, Ejection, PrefixGuess, SharedParts, ZoneCost,
-		WarmConnections, SilentZones, NearBudgets, EngineSpeeds, Admission,
+		Lending, FleetLoads, TurnLocations, SharedBudgets, StoreRelay, HedgedCalls, QualityClasses, Ejection, PrefixTracking, SharedParts, ZoneCost,
+		WarmConnections, SkipSilentZones, ZoneBudgetHolders, EngineSpeeds, Admission,
 	}
 }
 
-// Off lists the mechanisms that are switched off; nil if none is.
-type Off []Name
+// Disabled lists the mechanisms that are switched off; nil if none is.
+type Disabled []Name
 
 // Has reports whether a mechanism is switched off.
-func (o Off) Has(name Name) bool { return slices.Contains(o, name) }
+func (o Disabled) Has(name Name) bool { return slices.Contains(o, name) }
 
-// Check returns an error if o contains a name that is not a mechanism. The error lists all
+// Validate returns an error if o contains a name that is not a mechanism. The error lists all
 // mechanisms.
-func (o Off) Check() error {
+func (o Disabled) Validate() error {
 	for _, name := range o {
 		if !slices.Contains(All(), name) {
 			return eris.Errorf("unknown mechanism %q; the mechanisms are %s", name, joinNames())
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -16,13 +16,13 @@
 
 var _ = Describe("Off", func() {
 	It("is valid and empty if it is nil", func() {
-		Expect(mechanism.Off(nil).Check()).To(Succeed())
-		Expect(mechanism.Off(nil).Has(mechanism.Trails)).To(BeFalse())
+		Expect(mechanism.Disabled(nil).Validate()).To(Succeed())
+		Expect(mechanism.Disabled(nil).Has(mechanism.TurnLocations)).To(BeFalse())
 	})
 
 	It("rejects an unknown name with an error that lists the mechanisms", func() {
-		off := mechanism.Off{mechanism.Trails, "trials"}
-		Expect(off.Has(mechanism.Trails)).To(BeTrue())
-		Expect(off.Check()).To(MatchError(And(ContainSubstring(`"trials"`), ContainSubstring("load-board"))))
+		off := mechanism.Disabled{mechanism.TurnLocations, "trials"}
+		Expect(off.Has(mechanism.TurnLocations)).To(BeTrue())
+		Expect(off.Validate()).To(MatchError(And(ContainSubstring(`"trials"`), ContainSubstring("load-board"))))
 	})
 })
--- a/internal/members/claims.go
+++ b/internal/members/claims.go
@@ -127,9 +127,9 @@
 // minZoneMembers is the minimum number of living members for a zone to have homes of its own.
 const minZoneMembers = maxHomes
 
-// HomesNear is like Homes, but considers only the members of this daemon's zone. It returns false
+// ZoneHomes is like Homes, but considers only the members of this daemon's zone. It returns false
 // if the zone has fewer than minZoneMembers living members or is the only one of its region.
-func (l *List) HomesNear(key string) (Homes, bool) {
+func (l *List) ZoneHomes(key string) (Homes, bool) {
 	current := l.current.Load()
 	if len(current.sameZone) < minZoneMembers || len(current.sameZone) == len(current.byRegion[0]) {
 		return Homes{}, false
@@ -162,10 +162,10 @@
 	return members
 }
 
-// Sweeps reports whether this daemon has the highest score for the key among the living members of
+// HasHighestScore reports whether this daemon has the highest score for the key among the living members of
 // all zones. Callers use it to select one daemon for a task. It may be true at several daemons, or
 // at none, while their lists differ.
-func (l *List) Sweeps(key string) bool {
+func (l *List) HasHighestScore(key string) bool {
 	current := l.current.Load()
 	return hasHighestScore(current.living, current.own, hashOf(key))
 }
@@ -188,10 +188,10 @@
 	return true
 }
 
-// Others returns up to limit members except this daemon, those of this daemon's zone first.
+// OtherMembers returns up to limit members except this daemon, those of this daemon's zone first.
 // Suspected members and members of silent zones are left out. To spread load, the first member
 // depends on the key.
-func (l *List) Others(key string, limit int) []Member {
+func (l *List) OtherMembers(key string, limit int) []Member {
 	current := l.current.Load()
 	now := l.now().UnixNano()
 	keyHash := hashOf(key)
--- a/internal/members/fleet_world_test.go
+++ b/internal/members/fleet_world_test.go
@@ -47,15 +47,15 @@
 	d := &daemon{env: e}
 	d.list = NewList(self, func() time.Time { return e.now }, zap.NewNop())
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	client := state.NewClient(state.ClientOptions{Store: d, Availability: availability, NotHedged: true})
-	d.lease = &Lease{List: d.list, Store: client, FirstStart: firstStart, ShortestRenewal: testRenewal, Log: zap.NewNop()}
+	client := state.NewClient(state.ClientOptions{Store: d, Availability: availability, DisableHedging: true})
+	d.lease = &Lease{List: d.list, Store: client, FirstStart: firstStart, MinRenewalInterval: testRenewal, Log: zap.NewNop()}
 	return d
 }
 
 // Commit implements state.Store.
 func (d *daemon) Commit(ctx context.Context, commit state.Commit) (state.Version, error) {
 	if d.isCutOff {
-		return 0, state.ErrNotDone
+		return 0, state.ErrNotExecuted
 	}
 	return d.env.store.Commit(ctx, commit)
 }
@@ -63,31 +63,31 @@
 // Read implements state.Store.
 func (d *daemon) Read(ctx context.Context, selected state.Range) (state.Page, error) {
 	if d.isCutOff {
-		return state.Page{}, state.ErrNotDone
+		return state.Page{}, state.ErrNotExecuted
 	}
 	return d.env.store.Read(ctx, selected)
 }
 
 // Feed implements state.Store. It works even if the daemon is cut off.
-func (d *daemon) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.Change, error) {
+func (d *daemon) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.FeedResult, error) {
 	return d.env.store.Feed(ctx, table, after, wait)
 }
 
 // read reads all rows into the daemon's list, unless the daemon is cut off.
 func (d *daemon) read() {
-	page, err := d.Read(context.Background(), state.Range{Table: Table, Partition: partition})
+	page, err := d.Read(context.Background(), state.Range{Table: MemberTable, Partition: partition})
 	if err != nil {
 		return
 	}
 	d.list.Replace(page.Rows, page.Version)
-	d.list.Heard()
+	d.list.RecordConfirmation()
 }
 
 // step runs one step of the lease and then reads the list. It returns the result of Lease.Step.
 func (d *daemon) step() bool {
 	ctx, cancel := d.storeContext()
 	defer cancel()
-	registered := d.lease.Step(ctx)
+	registered := d.lease.RenewOnce(ctx)
 	d.read()
 	return registered
 }
--- a/internal/members/founding.go
+++ b/internal/members/founding.go
@@ -19,7 +19,7 @@
 // since the member's start. The first such commit succeeds. While the store can't be reached, the
 // row isn't written and no daemon lends. The row is in Table, so a daemon that sees it has seen
 // each row written before it. No machine has this name.
-var bootstrapKey = state.Key{Table: Table, Partition: partition, Name: "/founded"}
+var bootstrapKey = state.Key{Table: MemberTable, Partition: partition, Name: "/founded"}
 
 // recordBootstrapEnd records the end of the bootstrap if rows contains bootstrapKey with a version
 // of at most completeAt, the version as of which the list is complete. A reading of several pages
@@ -51,7 +51,7 @@
 func (l *List) firstLayout() layout {
 	current := l.current.Load()
 	for _, rec := range current.owners.records {
-		if rec.member.Standing == StandingKeeps {
+		if rec.member.Standing == StandingOwner {
 			return layout{}
 		}
 	}
