--- a/internal/members/keeper.go
+++ b/internal/members/keeper.go
@@ -59,10 +59,10 @@
 // Standing is a member's status as a possible owner of shards.
 type Standing uint8
 
-// Standings of a member. StandingKeeps is zero, because rows written by earlier versions have no
+// Standings of a member. StandingOwner is zero, because rows written by earlier versions have no
 // standing.
 const (
-	StandingKeeps    Standing = iota // has claims and may own shards
+	StandingOwner    Standing = iota // has claims and may own shards
 	StandingJoined                   // joined recently; has no claims yet
 	StandingSettling                 // has claims, but may not own shards yet
 	StandingEnded                    // shut down as planned; still has claims for endedReleaseDelay
@@ -72,9 +72,9 @@
 // hasClaims reports whether members of this standing are eligible as owners of shards.
 func (s Standing) hasClaims() bool { return s != StandingJoined && s != StandingReleased }
 
-// Keeper returns the owner of a shard of the key according to this list. It returns false if the
+// ShardOwner returns the owner of a shard of the key according to this list. It returns false if the
 // shard has no owner or if its owner is dead.
-func (l *List) Keeper(key string, shardNumber int) (Member, bool) {
+func (l *List) ShardOwner(key string, shardNumber int) (Member, bool) {
 	owner := l.current.Load().owners.ownerOf(shard{hashOf(key), shardNumber})
 	if owner == nil || owner.member.State == StateDead {
 		return Member{}, false
@@ -82,9 +82,9 @@
 	return owner.member, true
 }
 
-// Keeps reports whether this process owns the given shard of the key, and returns the time since
+// OwnsShard reports whether this process owns the given shard of the key, and returns the time since
 // which no other process has owned the shard.
-func (l *List) Keeps(key string, shardNumber int) (since time.Time, owns bool) {
+func (l *List) OwnsShard(key string, shardNumber int) (since time.Time, owns bool) {
 	if !l.mayOwnShards() {
 		return time.Time{}, false
 	}
@@ -108,7 +108,7 @@
 // membership of this process are not included (see ownerSet.since).
 func (l *List) mayOwnFrom() int64 {
 	switch {
-	case l.standing() == StandingKeeps:
+	case l.standing() == StandingOwner:
 		return l.localStatus.exclusiveSince.Load()
 	case l.localStatus.isFounder.Load():
 		return 0 // a founder has no predecessors
@@ -127,7 +127,7 @@
 		return false
 	}
 	switch l.standing() {
-	case StandingKeeps:
+	case StandingOwner:
 		return true
 	case StandingSettling:
 		return l.localStatus.isBootstrapped.Load() && elapsed > l.mayOwnFrom()
@@ -138,15 +138,15 @@
 
 // inheritShards lets this process own the shards of its machine's former process as soon as it has
 // read that process's row, even before it has registered. The row must have the same address and
-// StandingKeeps, and must not be marked dead. This is safe: if the row is marked dead later, the
+// StandingOwner, and must not be marked dead. This is safe: if the row is marked dead later, the
 // claims are released deadReleaseDelay after that, and this process stops using its list sooner.
 // maxInheritedTime covers the earlier release after a planned shutdown. The caller holds the lock.
 func (l *List) inheritShards(former Member) {
-	canInherit := former.State != StateDead && former.Standing == StandingKeeps && former.Process.Address == l.self.Process.Address
+	canInherit := former.State != StateDead && former.Standing == StandingOwner && former.Process.Address == l.self.Process.Address
 	if !canInherit || former.Process.Incarnation >= l.self.Process.Incarnation || l.localStatus.registeredAt.Load() != 0 || l.localStatus.inheritedAt.Load() != 0 {
 		return
 	}
-	l.setStanding(StandingKeeps, former.claimZone())
+	l.setStanding(StandingOwner, former.claimZone())
 	l.localStatus.inheritedAt.Store(l.localStatus.elapsed(l.now()))
 }
 
@@ -167,7 +167,7 @@
 	switch {
 	case l.standing() == StandingSettling:
 		exclusiveSince = l.mayOwnFrom()
-	case !l.localStatus.hasOwned.Load() || l.standing() == StandingKeeps:
+	case !l.localStatus.hasOwned.Load() || l.standing() == StandingOwner:
 		exclusiveSince = l.localStatus.exclusiveSince.Load() // initially 0, the start of this process; the former process ended before it
 	}
 	l.localStatus.exclusiveSince.Store(exclusiveSince)
@@ -203,7 +203,7 @@
 	current := l.standing()
 	switch {
 	case current == StandingSettling && l.mayOwnShards():
-		return StandingKeeps
+		return StandingOwner
 	case current == StandingJoined && l.isJoinDelayOver():
 		return StandingSettling
 	default:
@@ -211,7 +211,7 @@
 	}
 }
 
-// untilFounderOwns returns how long a founder should wait before it tries to write StandingKeeps.
+// untilFounderOwns returns how long a founder should wait before it tries to write StandingOwner.
 // pending is false if this process is no founder or has already written it. Until it is written, a
 // restarted process of this machine would have to wait for settlingDuration.
 func (l *List) untilFounderOwns() (wait time.Duration, pending bool) {
@@ -241,8 +241,8 @@
 	case existing == nil, existing.Standing == StandingReleased:
 		return StandingJoined
 	case existing.Standing == StandingEnded:
-		return StandingKeeps // the former process stopped owning shards before it wrote this
-	case existing.Standing == StandingKeeps && existing.Process.Address != self.Process.Address:
+		return StandingOwner // the former process stopped owning shards before it wrote this
+	case existing.Standing == StandingOwner && existing.Process.Address != self.Process.Address:
 		return StandingSettling // the former process may still run at its address
 	default:
 		return existing.Standing
--- a/internal/members/keeper_play_test.go
+++ b/internal/members/keeper_play_test.go
@@ -74,7 +74,7 @@
 		s.daemons[machine] = restarted
 	case 1:
 		if !chosen.isCutOff {
-			_ = chosen.lease.End(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
+			_ = chosen.lease.WriteEnded(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
 		}
 	default:
 		s.runOtherAction(t, step, machine)
@@ -92,7 +92,7 @@
 }
 
 func (s *ownerSimulation) checkShard(t *rapid.T, key string, shardNumber int, list *List) {
-	since, owned := list.Keeps(key, shardNumber)
+	since, owned := list.OwnsShard(key, shardNumber)
 	if !owned {
 		return
 	}
--- a/internal/members/keeper_test.go
+++ b/internal/members/keeper_test.go
@@ -26,7 +26,7 @@
 		return fleet
 	}
 	owns := func(observer *daemon, key string) bool {
-		_, owned := observer.list.Keeps(key, 0)
+		_, owned := observer.list.OwnsShard(key, 0)
 		return owned
 	}
 	// ownedKey returns a key of which the daemon owns shard 0.
@@ -45,7 +45,7 @@
 		fleet := bootstrapFleet("m0", "m1", "m2")
 		key := ownedKey(fleet[0])
 		for _, each := range fleet {
-			owner, found := each.list.Keeper(key, 0)
+			owner, found := each.list.ShardOwner(key, 0)
 			Expect(found).To(BeTrue())
 			Expect(owner.Process).To(Equal(fleet[0].list.Self()))
 		}
@@ -60,13 +60,13 @@
 		startedAt := env.now
 		env.now = env.now.Add(time.Second)
 		restarted.read()
-		since, owned := restarted.list.Keeps(key, 0)
+		since, owned := restarted.list.OwnsShard(key, 0)
 		Expect(owned).To(BeTrue())
 		Expect(since).To(BeTemporally("~", startedAt, time.Microsecond), "earlier ownership is unknown")
 		env.now = env.now.Add(time.Second)
 		registerOnce(restarted)
 		restarted.read()
-		since, owned = restarted.list.Keeps(key, 0)
+		since, owned = restarted.list.OwnsShard(key, 0)
 		Expect(owned).To(BeTrue())
 		Expect(since).To(BeTemporally("~", startedAt, time.Microsecond), "ownership is unchanged")
 	})
@@ -74,7 +74,7 @@
 	It("own nothing before they register, if the former process shut down as planned", func(ctx SpecContext) {
 		fleet := bootstrapFleet("m0", "m1")
 		key := ownedKey(fleet[0])
-		Expect(fleet[0].lease.End(ctx)).To(Succeed())
+		Expect(fleet[0].lease.WriteEnded(ctx)).To(Succeed())
 		restarted := env.startDaemon("m0", false)
 		restarted.read()
 		Expect(owns(restarted, key)).To(BeFalse(), "its claims may be released at any moment")
@@ -85,7 +85,7 @@
 	It("own their shards again after a planned shutdown, unless the claims were released", func(ctx SpecContext) {
 		fleet := bootstrapFleet("m0", "m1")
 		key := ownedKey(fleet[0])
-		Expect(fleet[0].lease.End(ctx)).To(Succeed())
+		Expect(fleet[0].lease.WriteEnded(ctx)).To(Succeed())
 		Expect(owns(fleet[0], key)).To(BeFalse())
 		env.run(endedReleaseDelay-2*testRenewal, fleet[1])
 		Expect(owns(fleet[1], key)).To(BeFalse(), "m0 may be restarted")
@@ -93,7 +93,7 @@
 		registerOnce(restarted)
 		restarted.read()
 		Expect(owns(restarted, key)).To(BeTrue())
-		Expect(restarted.lease.End(ctx)).To(Succeed())
+		Expect(restarted.lease.WriteEnded(ctx)).To(Succeed())
 		env.run(endedReleaseDelay+3*testRenewal, fleet[1])
 		Expect(owns(fleet[1], key)).To(BeTrue())
 		late := env.startDaemon("m0", false)
@@ -135,14 +135,14 @@
 		joined := env.startDaemon("m2", false)
 		registerOnce(joined)
 		joined.read()
-		Expect(fleet[0].lease.End(context.Background())).To(Succeed())
+		Expect(fleet[0].lease.WriteEnded(context.Background())).To(Succeed())
 		endedAt := env.now
 		for env.now.Sub(endedAt) < endedReleaseDelay+3*testRenewal {
 			env.run(testRenewal, joined)
 			registerOnce(restarted) // renews without reading the list
 		}
 		restarted.read()
-		since, owned := restarted.list.Keeps(key, 0)
+		since, owned := restarted.list.OwnsShard(key, 0)
 		Expect(owned).To(BeTrue())
 		Expect(since).To(BeTemporally(">=", endedAt.Add(endedReleaseDelay)))
 	})
@@ -176,8 +176,8 @@
 		fleet := bootstrapFleet("m0")
 		key := ownedKey(fleet[0])
 		env.now = env.now.Add(maxOwnerListAge + time.Minute)
-		fleet[0].list.Heard()
-		since, owned := fleet[0].list.Keeps(key, 0)
+		fleet[0].list.RecordConfirmation()
+		since, owned := fleet[0].list.OwnsShard(key, 0)
 		Expect(owned).To(BeTrue())
 		Expect(since).To(BeTemporally("~", env.now, time.Microsecond))
 	})
@@ -209,16 +209,16 @@
 		fleet := bootstrapFleet("m0", "m1", "m2")
 		key, before := ownedKey(fleet[0]), env.now
 		other := ownedKey(fleet[1])
-		Expect(fleet[1].lease.End(ctx)).To(Succeed())
+		Expect(fleet[1].lease.WriteEnded(ctx)).To(Succeed())
 		env.run(endedReleaseDelay+3*testRenewal, fleet[0], fleet[2])
-		since, owned := fleet[0].list.Keeps(key, 0)
+		since, owned := fleet[0].list.OwnsShard(key, 0)
 		Expect(owned).To(BeTrue())
 		Expect(since).To(BeTemporally("<=", before), "its own shard did not move")
 		newOwner := fleet[0]
 		if !owns(newOwner, other) {
 			newOwner = fleet[2]
 		}
-		since, owned = newOwner.list.Keeps(other, 0)
+		since, owned = newOwner.list.OwnsShard(other, 0)
 		Expect(owned).To(BeTrue())
 		Expect(since).To(BeTemporally(">", before.Add(endedReleaseDelay)), "another daemon owned it before")
 	})
@@ -247,7 +247,7 @@
 	d.read()
 	b.Run("found before", func(b *testing.B) {
 		for b.Loop() {
-			d.list.Keeper("key", 0)
+			d.list.ShardOwner("key", 0)
 		}
 	})
 	b.Run("searched", func(b *testing.B) {
--- a/internal/members/laying.go
+++ b/internal/members/laying.go
@@ -20,7 +20,7 @@
 // layout's row among the living members.
 func (l *Lease) updateLayout(parent context.Context, now time.Time) {
 	stored, next, due := l.List.nextLayout(now)
-	if due && l.List.Sweeps(bootstrapKey.Name) {
+	if due && l.List.HasHighestScore(bootstrapKey.Name) {
 		l.writeLayout(parent, next, stored.version)
 	}
 }
--- a/internal/members/layout_test.go
+++ b/internal/members/layout_test.go
@@ -106,7 +106,7 @@
 
 	ownersOf := func(observer *daemon, key string) (zones []identity.Zone, machines []identity.Machine) {
 		for shardNumber := range shardsPerKey {
-			owner, found := observer.list.Keeper(key, shardNumber)
+			owner, found := observer.list.ShardOwner(key, shardNumber)
 			if found {
 				zones, machines = append(zones, owner.Process.Zone), append(machines, owner.Process.Machine)
 			}
@@ -114,7 +114,7 @@
 		return zones, machines
 	}
 	owns := func(observer *daemon, key string, shardNumber int) bool {
-		_, owned := observer.list.Keeps(key, shardNumber)
+		_, owned := observer.list.OwnsShard(key, shardNumber)
 		return owned
 	}
 
--- a/internal/members/lease.go
+++ b/internal/members/lease.go
@@ -24,7 +24,7 @@
 // Timing of leases.
 const (
 	// renewalIntervalPerMember is multiplied by the number of members to get the renewal interval,
-	// unless ShortestRenewal is longer. So a large fleet makes about 20 renewals a second in
+	// unless MinRenewalInterval is longer. So a large fleet makes about 20 renewals a second in
 	// total, of the 300 commits a second that one store partition takes.
 	renewalIntervalPerMember = 50 * time.Millisecond
 	// renewalsPerTerm is the term of a lease in renewal intervals.
@@ -35,7 +35,7 @@
 	leaseReadTimeout = 2 * time.Second
 	// maxRegistrationDelay is the interval over which daemons that start together spread their
 	// registrations, since one store partition takes 300 of them a second. For a short renewal
-	// interval it is reduced to ShortestRenewal divided by registrationDelayDivisor.
+	// interval it is reduced to MinRenewalInterval divided by registrationDelayDivisor.
 	maxRegistrationDelay     = time.Second
 	registrationDelayDivisor = 10
 	// registrationRetryDelay is the delay before a failed registration is retried.
@@ -58,12 +58,12 @@
 	// FirstStart reports whether this process was told that the system is being started for the
 	// first time.
 	FirstStart bool
-	// ShortestRenewal is the minimum renewal interval; it applies to small fleets.
-	ShortestRenewal time.Duration
-	Log             *zap.Logger
-	// Revision is the configuration revision in force at this daemon. Each registration and renewal
+	// MinRenewalInterval is the minimum renewal interval; it applies to small fleets.
+	MinRenewalInterval time.Duration
+	Log                *zap.Logger
+	// ConfigRevision is the configuration revision in force at this daemon. Each registration and renewal
 	// writes it to the lease.
-	Revision atomic.Uint64
+	ConfigRevision atomic.Uint64
 
 	mutex         sync.Mutex // guards the fields below
 	isRegistered  bool
@@ -96,30 +96,30 @@
 const partition = "members"
 
 func (l *Lease) renewalInterval() time.Duration {
-	return max(l.ShortestRenewal, time.Duration(l.List.Count())*renewalIntervalPerMember)
+	return max(l.MinRenewalInterval, time.Duration(l.List.Count())*renewalIntervalPerMember)
 }
 
 // Run registers this daemon and renews its lease until the context ends.
 func (l *Lease) Run(ctx context.Context) {
-	spread := min(maxRegistrationDelay, l.ShortestRenewal/registrationDelayDivisor)
-	pause.For(ctx, time.Duration(rand.Int64N(int64(spread)+1)))
+	spread := min(maxRegistrationDelay, l.MinRenewalInterval/registrationDelayDivisor)
+	pause.Sleep(ctx, time.Duration(rand.Int64N(int64(spread)+1)))
 	for ctx.Err() == nil {
 		wait := l.renewalInterval() // also after a failed renewal: a term spans several intervals
-		if !l.Step(ctx) {
+		if !l.RenewOnce(ctx) {
 			wait = registrationRetryDelay
 		}
 		wait -= time.Duration(rand.Int64N(int64(wait)/renewalJitterDivisor + 1))
 		if untilOwner, pending := l.List.untilFounderOwns(); pending {
 			wait = min(wait, untilOwner+time.Duration(rand.Int64N(int64(spread)+1)))
 		}
-		pause.For(ctx, wait)
+		pause.Sleep(ctx, wait)
 	}
 }
 
-// Step registers this daemon or renews its lease and, if that succeeds, checks the other members.
+// RenewOnce registers this daemon or renews its lease and, if that succeeds, checks the other members.
 // It reports whether this daemon is registered; once this process has ended or was superseded, it
 // does nothing and returns true.
-func (l *Lease) Step(ctx context.Context) bool {
+func (l *Lease) RenewOnce(ctx context.Context) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.isSuperseded || l.hasEnded {
@@ -157,8 +157,8 @@
 func (l *Lease) register(parent context.Context) error {
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
-	attempt := registration{lease: l, memberKey: keyOf(Table, l.List.self.Process.Machine), isNewcomer: true}
-	if err := l.Store.Repeat(ctx, func() error { return attempt.try(ctx) }); err != nil {
+	attempt := registration{lease: l, memberKey: keyOf(MemberTable, l.List.self.Process.Machine), isNewcomer: true}
+	if err := l.Store.Retry(ctx, func() error { return attempt.try(ctx) }); err != nil {
 		return err
 	}
 	l.isRegistered = true
@@ -193,7 +193,7 @@
 		if err != nil {
 			return err
 		}
-		commit.Puts = append(commit.Puts, state.Put{Key: keyOf(Table, l.List.self.Process.Machine), Value: row})
+		commit.Puts = append(commit.Puts, state.Put{Key: keyOf(MemberTable, l.List.self.Process.Machine), Value: row})
 	}
 	version, err := l.Store.Commit(ctx, commit)
 	if err == nil {
@@ -240,7 +240,7 @@
 }
 
 func (l *Lease) encodeLease() ([]byte, error) {
-	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: renewalsPerTerm * l.renewalInterval(), Revision: l.Revision.Load()}
+	row := leaseRow{Incarnation: l.List.self.Process.Incarnation, Term: renewalsPerTerm * l.renewalInterval(), Revision: l.ConfigRevision.Load()}
 	value, err := cbor.Marshal(row)
 	return value, eris.Wrap(err, "encode lease")
 }
@@ -259,9 +259,9 @@
 	return l.writeState(ctx, StateLeaving, state.Commit{})
 }
 
-// End writes that this process has ended, so that other daemons don't have to wait until its lease
+// WriteEnded writes that this process has ended, so that other daemons don't have to wait until its lease
 // expires.
-func (l *Lease) End(ctx context.Context) error {
+func (l *Lease) WriteEnded(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.hasEnded = true
@@ -280,7 +280,7 @@
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	standing := l.List.standing()
-	if next == StateDead && standing == StandingKeeps {
+	if next == StateDead && standing == StandingOwner {
 		standing = StandingEnded // an ended process owns no shards any more
 	}
 	member := l.member(standing)
@@ -292,7 +292,7 @@
 	machine := member.Process.Machine
 	commit.Class = state.ClassLease
 	commit.Conditions = []state.Condition{{Key: keyOf(LeaseTable, machine), Version: l.version}}
-	commit.Puts = []state.Put{{Key: keyOf(Table, machine), Value: value}}
+	commit.Puts = []state.Put{{Key: keyOf(MemberTable, machine), Value: value}}
 	_, err = l.Store.Commit(ctx, commit)
 	return eris.Wrapf(err, "write state %s of this daemon", next)
 }
--- a/internal/members/lease_test.go
+++ b/internal/members/lease_test.go
@@ -96,7 +96,7 @@
 		daemons[1].read()
 		Expect(daemons[1].stateOf("m00")).To(Equal(StateLeaving))
 		Expect(daemons[0].stateOf("m00")).To(Equal(StateLeaving))
-		Expect(daemons[0].lease.End(ctx)).To(Succeed())
+		Expect(daemons[0].lease.WriteEnded(ctx)).To(Succeed())
 		daemons[1].read()
 		Expect(daemons[1].stateOf("m00")).To(Equal(StateDead))
 		daemons[0].step()
@@ -163,12 +163,12 @@
 		followed := make(chan struct{})
 		go func() {
 			defer close(followed)
-			watch.Run(following, listener.list.Watch(env.store, time.Minute), listener.list)
+			watch.Run(following, listener.list.WatchOptions(env.store, time.Minute), listener.list)
 		}()
-		Eventually(func() bool { return listener.list.View().Read }).Should(BeTrue())
+		Eventually(func() bool { return listener.list.View().Loaded }).Should(BeTrue())
 		before := env.store.Calls("feed")
 		for number := range fleet {
-			env.startDaemon(fmt.Sprint("m", number), false).lease.Step(ctx)
+			env.startDaemon(fmt.Sprint("m", number), false).lease.RenewOnce(ctx)
 			time.Sleep(time.Millisecond) // like a store that commits one registration after the other
 		}
 		Eventually(listener.list.Count).Should(Equal(fleet + 1))
@@ -179,9 +179,9 @@
 
 	It("shows which configuration revision each daemon has in force", func(ctx SpecContext) {
 		daemons := fleetOf(3)
-		daemons[1].lease.Revision.Store(7)
+		daemons[1].lease.ConfigRevision.Store(7)
 		env.run(testRenewal, daemons...)
-		Expect(daemons[0].lease.Revisions(ctx)).To(Equal(map[identity.Machine]uint64{"m00": 0, "m01": 7, "m02": 0}))
+		Expect(daemons[0].lease.ConfigRevisions(ctx)).To(Equal(map[identity.Machine]uint64{"m00": 0, "m01": 7, "m02": 0}))
 	})
 
 	It("costs each daemon one commit and one read per renewal, independent of the fleet's size", func() {
@@ -189,7 +189,7 @@
 		env.run(testRenewal, daemons...)
 		commits, readings := env.store.Calls("commit"), env.store.Calls("read")
 		for _, each := range daemons[:40] {
-			each.lease.Step(context.Background())
+			each.lease.RenewOnce(context.Background())
 		}
 		Expect(env.store.Calls("commit") - commits).To(Equal(40))
 		Expect(env.store.Calls("read") - readings).To(Equal(40))
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -66,8 +66,8 @@
 
 func (s *localStatus) elapsed(now time.Time) int64 { return max(int64(now.Sub(s.startedAt)), 1) }
 
-// Heard records that the store has just confirmed the list.
-func (l *List) Heard() {
+// RecordConfirmation records that the store has just confirmed the list.
+func (l *List) RecordConfirmation() {
 	elapsed := l.localStatus.elapsed(l.now())
 	if previous := l.localStatus.lastHeard.Swap(elapsed); elapsed-previous > int64(maxOwnerListAge) {
 		l.localStatus.staleUntil.Store(elapsed)
--- a/internal/members/lender_play_test.go
+++ b/internal/members/lender_play_test.go
@@ -110,7 +110,7 @@
 		chosen.isCutOff = !chosen.isCutOff
 	case 3:
 		if !chosen.isCutOff {
-			_ = chosen.lease.End(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
+			_ = chosen.lease.WriteEnded(context.Background()) // an error is no failure; rapid prints the actions if a guarantee breaks
 		}
 	case 4, 5, 6: // other daemons step while the chosen one is suspended
 		for _, each := range s.daemons {
--- a/internal/members/lender_test.go
+++ b/internal/members/lender_test.go
@@ -42,23 +42,23 @@
 		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
 		registerOnce(first)
 		first.read()
-		read, err := env.store.Read(ctx, state.Range{Table: Table, Partition: partition})
+		read, err := env.store.Read(ctx, state.Range{Table: MemberTable, Partition: partition})
 		Expect(err).NotTo(HaveOccurred())
 		registerOnce(second)
 		second.read()
 		env.now = env.now.Add(founderRegistrationWindow + maxFounderStartSkew)
 		registerOnce(second)
-		change, err := env.store.Feed(ctx, Table, read.Version, time.Hour)
+		change, err := env.store.Feed(ctx, MemberTable, read.Version, time.Hour)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(change.Rows).NotTo(BeEmpty())
-		late, err := env.store.Read(ctx, state.Range{Table: Table, Partition: partition})
+		late, err := env.store.Read(ctx, state.Range{Table: MemberTable, Partition: partition})
 		Expect(err).NotTo(HaveOccurred())
 		marker := slices.IndexFunc(late.Rows, func(row state.Row) bool { return row.Key == bootstrapKey })
 		first.list.Replace(append(read.Rows, late.Rows[marker]), read.Version) // two pages that were read at different times
-		first.list.Heard()
+		first.list.RecordConfirmation()
 		Expect(first.list.MayLend("p")).To(BeFalse(), "a page of this reading is older than the end of the bootstrap")
-		first.list.Change(change.Rows)
-		first.list.Heard()
+		first.list.Apply(change.Rows)
+		first.list.RecordConfirmation()
 		second.read()
 		Expect(first.list.MayLend("p") != second.list.MayLend("p")).To(BeTrue())
 	})
@@ -140,7 +140,7 @@
 		for number := 0; !first.list.MayLend(program); number++ {
 			program = fmt.Sprint("p", number)
 		}
-		Expect(first.lease.End(ctx)).To(Succeed())
+		Expect(first.lease.WriteEnded(ctx)).To(Succeed())
 		Expect(first.list.MayLend(program)).To(BeFalse())
 		endedAt := env.now
 		for !second.list.MayLend(program) {
@@ -167,5 +167,5 @@
 func registerOnce(d *daemon) {
 	ctx, cancel := d.storeContext()
 	defer cancel()
-	d.lease.Step(ctx)
+	d.lease.RenewOnce(ctx)
 }
--- a/internal/members/list.go
+++ b/internal/members/list.go
@@ -23,12 +23,12 @@
 	log     *zap.Logger
 	current atomic.Pointer[snapshot]
 
-	// WatchZones enables the detection of silent zones. It must be set before the list is used.
-	WatchZones bool
-	// OnZoneBack, if set, is called when a silent zone answers again, with the addresses of its
+	// DetectSilentZones enables the detection of silent zones. It must be set before the list is used.
+	DetectSilentZones bool
+	// OnZoneRecovered, if set, is called when a silent zone answers again, with the addresses of its
 	// living members and the length of the silence. It must be set before the list is used and must
 	// not block.
-	OnZoneBack func(addresses []string, silent time.Duration)
+	OnZoneRecovered func(addresses []string, silent time.Duration)
 
 	mutex        sync.Mutex // serializes changes
 	zones        map[identity.Zone]*zoneHealth
@@ -90,11 +90,11 @@
 	return subscriber
 }
 
-// Watch returns the options with which watch.Run follows the member table. wait is how long a feed
+// WatchOptions returns the options with which watch.Run follows the member table. wait is how long a feed
 // call may wait for a change.
-func (l *List) Watch(store state.Store, wait time.Duration) watch.Options {
+func (l *List) WatchOptions(store state.Store, wait time.Duration) watch.Options {
 	return watch.Options{
-		Store: store, Table: Table, Partition: partition, Wait: wait, Pause: changeBatchInterval, Log: l.log, OnHeard: l.Heard,
+		Store: store, Table: MemberTable, Partition: partition, MaxWait: wait, MinBatchInterval: changeBatchInterval, Log: l.log, OnAnswer: l.RecordConfirmation,
 	}
 }
 
@@ -120,8 +120,8 @@
 	l.recordBootstrapEnd(rows, version)
 }
 
-// Change implements watch.Follower.
-func (l *List) Change(rows []state.Row) {
+// Apply implements watch.Follower.
+func (l *List) Apply(rows []state.Row) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.applyRows(rows)
@@ -222,13 +222,13 @@
 	slices.SortFunc(records, func(a, b *memberRecord) int {
 		return cmp.Compare(a.member.Process.Machine, b.member.Process.Machine)
 	})
-	view := &View{Version: l.version, Read: l.loaded, Members: make([]Member, 0, len(records))}
+	view := &View{Version: l.version, Loaded: l.loaded, Members: make([]Member, 0, len(records))}
 	for _, rec := range records {
 		view.Members = append(view.Members, rec.member)
 	}
 	next := newSnapshot(view, records, l.self.Process, l.standing(), l.storedLayout)
 	next.owners.since = l.currentOwnersSince()
-	if previous := l.current.Load(); previous != nil && previous.view.Read { // before the first reading, a snapshot holds only this daemon
+	if previous := l.current.Load(); previous != nil && previous.view.Loaded { // before the first reading, a snapshot holds only this daemon
 		next.owners = next.owners.continueFrom(previous.owners, next.owners.since)
 	}
 	l.current.Store(next)
@@ -249,12 +249,12 @@
 	}
 }
 
-// Trust ends the suspicion of a member that answered, and records the answer for its zone.
-func (l *List) Trust(member Member) {
+// ClearSuspicion ends the suspicion of a member that answered, and records the answer for its zone.
+func (l *List) ClearSuspicion(member Member) {
 	if rec := l.findLiving(member.Process); rec != nil {
 		rec.suspicion.until.Store(0)
 	}
-	l.Answered(member)
+	l.RecordAnswer(member)
 }
 
 // findLiving returns the record of a living process, or nil.
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -19,8 +19,8 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// Table is the store table with one row per member, keyed by machine name.
-const Table = "members"
+// MemberTable is the store table with one row per member, keyed by machine name.
+const MemberTable = "members"
 
 // State is a member's lifecycle state.
 type State string
@@ -60,8 +60,8 @@
 // View is an immutable snapshot of all members, ordered by machine name.
 type View struct {
 	Version uint64 // increases with each change
-	// Read reports whether the whole list was read from the store at least once.
-	Read    bool
+	// Loaded reports whether the whole list was read from the store at least once.
+	Loaded  bool
 	Members []Member
 }
 
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -103,7 +103,7 @@
 		}
 		gone := row(known[7])
 		gone.Removed = true
-		list.Change([]state.Row{gone})
+		list.Apply([]state.Row{gone})
 		for key, home := range before {
 			if home != "m7" {
 				Expect(namesOf(list.Homes(key))[0]).To(Equal(home))
@@ -117,24 +117,24 @@
 			list.Suspect(member, time.Second)
 		}
 		Expect(namesOf(list.Homes("p"))).To(Equal([]string{"a1"}))
-		Expect(list.Others("p", 9)).To(BeEmpty())
-		list.Trust(all[3])
-		Expect(namesIn(list.Others("p", 9))).To(Equal([]string{"b1"}))
+		Expect(list.OtherMembers("p", 9)).To(BeEmpty())
+		list.ClearSuspicion(all[3])
+		Expect(namesIn(list.OtherMembers("p", 9))).To(Equal([]string{"b1"}))
 		now = now.Add(2 * time.Second)
-		Expect(list.Others("p", 9)).To(HaveLen(4))
-		Expect(list.Others("p", 9)[0].Process.Zone).To(BeEquivalentTo("a"))
-		Expect(list.Others("p", 2)).To(HaveLen(2))
+		Expect(list.OtherMembers("p", 9)).To(HaveLen(4))
+		Expect(list.OtherMembers("p", 9)[0].Process.Zone).To(BeEquivalentTo("a"))
+		Expect(list.OtherMembers("p", 2)).To(HaveLen(2))
 	})
 
 	It("retains a suspicion when other members join or leave", func() {
 		list := lists(all...)[0]
 		list.Suspect(all[1], time.Minute)
-		list.Change([]state.Row{row(memberOf("a4", "a", "r")), row(all[1])})
-		Expect(namesIn(list.Others("p", 9))).NotTo(ContainElement("a2"))
+		list.Apply([]state.Row{row(memberOf("a4", "a", "r")), row(all[1])})
+		Expect(namesIn(list.OtherMembers("p", 9))).NotTo(ContainElement("a2"))
 		again := all[1]
 		again.Process.Incarnation++
-		list.Change([]state.Row{row(again)})
-		Expect(namesIn(list.Others("p", 9))).To(ContainElement("a2"), "the suspicion does not apply to a later process")
+		list.Apply([]state.Row{row(again)})
+		Expect(namesIn(list.OtherMembers("p", 9))).To(ContainElement("a2"), "the suspicion does not apply to a later process")
 	})
 
 	It("returns the likely homes of each region", func() {
@@ -146,11 +146,11 @@
 		list := lists(all[0], all[1])[0]
 		moved := all[1]
 		moved.Process.Address = "a2:2"
-		list.Change([]state.Row{row(moved)})
+		list.Apply([]state.Row{row(moved)})
 		Expect(list.View().Members).To(Equal([]members.Member{all[0], moved}))
-		list.Change([]state.Row{{Key: state.Key{Table: members.Table, Name: "a2"}, Removed: true}})
+		list.Apply([]state.Row{{Key: state.Key{Table: members.MemberTable, Name: "a2"}, Removed: true}})
 		Expect(list.View().Members).To(Equal([]members.Member{all[0]}))
-		list.Change([]state.Row{{Key: state.Key{Table: members.Table, Name: "a3"}, Value: []byte("no row")}})
+		list.Apply([]state.Row{{Key: state.Key{Table: members.MemberTable, Name: "a3"}, Value: []byte("no row")}})
 		Expect(list.View().Members).To(Equal([]members.Member{all[0]}))
 	})
 
@@ -158,7 +158,7 @@
 		list := lists(all[0])[0]
 		changed := list.Subscribe()
 		version := list.View().Version
-		list.Change([]state.Row{row(all[1])})
+		list.Apply([]state.Row{row(all[1])})
 		Expect(changed).To(Receive())
 		Expect(list.View().Version).To(Equal(version + 1))
 	})
--- a/internal/members/metrics.go
+++ b/internal/members/metrics.go
@@ -12,8 +12,8 @@
 	silent  *prometheus.Desc
 }
 
-// Measure registers the metrics of the list.
-func (l *List) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers the metrics of the list.
+func (l *List) RegisterMetrics(registerer prometheus.Registerer) error {
 	collector := &metrics{
 		list:    l,
 		members: prometheus.NewDesc("thymeloft_members", "Members by state, as this daemon knows them.", []string{"state"}, nil),
--- a/internal/members/prober.go
+++ b/internal/members/prober.go
@@ -12,13 +12,13 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// ServiceName is the name of the RPC service that answers probes.
-const ServiceName = "Members"
+// ProbeServiceName is the name of the RPC service that answers probes.
+const ProbeServiceName = "Members"
 
-const methodPing = ServiceName + ".Ping"
+const methodPing = ProbeServiceName + ".Ping"
 
-// Service is the RPC service that answers probes. It has no state.
-type Service struct{}
+// ProbeService is the RPC service that answers probes. It has no state.
+type ProbeService struct{}
 
 // PingRequest is the empty request of Service.Ping.
 type PingRequest struct{}
@@ -27,7 +27,7 @@
 type PingReply struct{}
 
 // Ping answers a probe.
-func (Service) Ping(_ PingRequest, _ *PingReply) error { return nil }
+func (ProbeService) Ping(_ PingRequest, _ *PingReply) error { return nil }
 
 const (
 	// probeInterval is the interval at which zones are checked for due probes. A cut is detected
@@ -55,7 +55,7 @@
 func (p *Prober) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	for pause.For(ctx, probeInterval) {
+	for pause.Sleep(ctx, probeInterval) {
 		for _, due := range p.startProbes() {
 			running.Go(func() { p.sendProbe(ctx, due) })
 		}
@@ -118,9 +118,9 @@
 			var serverErr rpc.ServerError // returned by the member, for example if its version lacks this method; counts as an answer
 			switch {
 			case err == nil || errors.As(err, &serverErr):
-				p.List.Answered(member)
+				p.List.RecordAnswer(member)
 			case parent.Err() == nil:
-				p.List.Missed(member)
+				p.List.RecordMiss(member)
 			}
 		})
 	}
--- a/internal/members/release.go
+++ b/internal/members/release.go
@@ -20,7 +20,7 @@
 			wait = endedReleaseDelay
 		}
 		machine := rec.member.Process.Machine
-		if !rec.member.Standing.hasClaims() || now.Sub(rec.diedAt) <= wait || !l.List.Sweeps(string(machine)) {
+		if !rec.member.Standing.hasClaims() || now.Sub(rec.diedAt) <= wait || !l.List.HasHighestScore(string(machine)) {
 			continue
 		}
 		l.releaseClaimsOf(parent, rec)
@@ -38,7 +38,7 @@
 		l.Log.Error("members: cannot encode a member's row to release its claims.", machine, zap.String("error", err.Error()))
 		return
 	}
-	key := keyOf(Table, released.Process.Machine)
+	key := keyOf(MemberTable, released.Process.Machine)
 	_, err = l.Store.Commit(ctx, state.Commit{
 		Class:      state.ClassLease,
 		Conditions: []state.Condition{{Key: key, Version: rec.rowVersion}},
--- a/internal/members/silence.go
+++ b/internal/members/silence.go
@@ -113,9 +113,9 @@
 	return health
 }
 
-// Missed records that a member did not answer a call in time. It has no effect for members of this
-// daemon's zone, or if WatchZones is false.
-func (l *List) Missed(member Member) {
+// RecordMiss records that a member did not answer a call in time. It has no effect for members of this
+// daemon's zone, or if DetectSilentZones is false.
+func (l *List) RecordMiss(member Member) {
 	rec := l.findInOtherZone(member)
 	if rec == nil {
 		return
@@ -126,9 +126,9 @@
 	}
 }
 
-// Answered records that a member answered a call. It has no effect for members of this daemon's
-// zone, or if WatchZones is false.
-func (l *List) Answered(member Member) {
+// RecordAnswer records that a member answered a call. It has no effect for members of this daemon's
+// zone, or if DetectSilentZones is false.
+func (l *List) RecordAnswer(member Member) {
 	rec := l.findInOtherZone(member)
 	if rec == nil {
 		return
@@ -140,27 +140,27 @@
 }
 
 func (l *List) notifyZoneBack(zone identity.Zone, silentFor time.Duration) {
-	if l.OnZoneBack == nil {
+	if l.OnZoneRecovered == nil {
 		return
 	}
 	var addresses []string
 	for _, living := range l.current.Load().otherZones[zone] {
 		addresses = append(addresses, living.member.Process.Address)
 	}
-	l.OnZoneBack(addresses, silentFor)
+	l.OnZoneRecovered(addresses, silentFor)
 }
 
-// Silent reports whether the member's zone is silent. Requests should not wait for members of a
+// IsZoneSilent reports whether the member's zone is silent. Requests should not wait for members of a
 // silent zone.
-func (l *List) Silent(member Member) bool {
+func (l *List) IsZoneSilent(member Member) bool {
 	rec := l.findInOtherZone(member)
 	return rec != nil && rec.zone.isSilent.Load()
 }
 
 // findInOtherZone returns the record of a living member in another zone. It returns nil if there is
-// none or if WatchZones is false.
+// none or if DetectSilentZones is false.
 func (l *List) findInOtherZone(member Member) *memberRecord {
-	if !l.WatchZones || member.Process.Zone == l.self.Process.Zone {
+	if !l.DetectSilentZones || member.Process.Zone == l.self.Process.Zone {
 		return nil
 	}
 	return l.findLiving(member.Process)
--- a/internal/members/silence_test.go
+++ b/internal/members/silence_test.go
@@ -133,7 +133,7 @@
 		for _, member := range list.View().Members {
 			if member.Process.Zone != "a" {
 				list.Suspect(member, time.Hour)
-				list.Missed(member)
+				list.RecordMiss(member)
 			}
 		}
 		homesOf := func(key string) (zones []identity.Zone) {
@@ -146,21 +146,21 @@
 		simulation.now = simulation.now.Add(2 * time.Hour) // the members' own suspicions have ended
 		Expect(homesOf("key")).To(HaveEach(identity.Zone("a")))
 		for number := range 50 {
-			for _, other := range list.Others(fmt.Sprint(number), math.MaxInt32) {
+			for _, other := range list.OtherMembers(fmt.Sprint(number), math.MaxInt32) {
 				Expect(other.Process.Zone).To(Equal(identity.Zone("a")))
-				Expect(list.Silent(other)).To(BeFalse())
+				Expect(list.IsZoneSilent(other)).To(BeFalse())
 			}
 		}
 		simulation.now = simulation.now.Add(time.Second)
 		addressCount := 0
-		list.OnZoneBack = func(addresses []string, silent time.Duration) {
+		list.OnZoneRecovered = func(addresses []string, silent time.Duration) {
 			addressCount += len(addresses)
 			Expect(silent).To(Equal(2*time.Hour + time.Second))
 		}
-		list.Answered(simulation.lists[1].self)
+		list.RecordAnswer(simulation.lists[1].self)
 		Expect(addressCount).To(Equal(28), "the members of the zone that answered")
-		Expect(list.Silent(simulation.lists[4].self)).To(BeFalse())
-		Expect(list.Silent(simulation.lists[2].self)).To(BeTrue())
-		Expect(len(list.Others("key", math.MaxInt32))).To(Equal(27 + 28))
+		Expect(list.IsZoneSilent(simulation.lists[4].self)).To(BeFalse())
+		Expect(list.IsZoneSilent(simulation.lists[2].self)).To(BeTrue())
+		Expect(len(list.OtherMembers("key", math.MaxInt32))).To(Equal(27 + 28))
 	})
 })
--- a/internal/members/watching.go
+++ b/internal/members/watching.go
@@ -146,7 +146,7 @@
 			l.Log.Error("members: cannot encode the row of a dead member.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
 			return
 		}
-		commit.Puts = []state.Put{{Key: keyOf(Table, machine), Value: value}}
+		commit.Puts = []state.Put{{Key: keyOf(MemberTable, machine), Value: value}}
 	} else if found {
 		return // the list shows an earlier or a later process than the lease
 	}
@@ -168,11 +168,11 @@
 func (l *Lease) removeDead(parent context.Context, now time.Time) {
 	for _, rec := range l.List.current.Load().dead {
 		machine := string(rec.member.Process.Machine)
-		if now.Sub(rec.diedAt) <= deadRetention || !l.List.Sweeps(machine) {
+		if now.Sub(rec.diedAt) <= deadRetention || !l.List.HasHighestScore(machine) {
 			continue
 		}
 		ctx, cancel := context.WithTimeout(parent, commitTimeout)
-		key := keyOf(Table, rec.member.Process.Machine)
+		key := keyOf(MemberTable, rec.member.Process.Machine)
 		_, err := l.Store.Commit(ctx, state.Commit{
 			Class:      state.ClassSweep,
 			Conditions: []state.Condition{{Key: key, Version: rec.rowVersion}},
@@ -188,8 +188,8 @@
 	}
 }
 
-// Revisions reads the configuration revision that each member last wrote to its lease.
-func (l *Lease) Revisions(ctx context.Context) (map[identity.Machine]uint64, error) {
+// ConfigRevisions reads the configuration revision that each member last wrote to its lease.
+func (l *Lease) ConfigRevisions(ctx context.Context) (map[identity.Machine]uint64, error) {
 	revisions := map[identity.Machine]uint64{}
 	selected := state.Range{Class: state.ClassFollow, Table: LeaseTable, Partition: partition}
 	for {
--- a/internal/members/zones_play_test.go
+++ b/internal/members/zones_play_test.go
@@ -55,11 +55,11 @@
 		zone := []identity.Zone{"a", "b", cutOffZone}[number%3]
 		self := Member{State: StateAlive, Process: identity.Process{Machine: identity.Machine(fmt.Sprintf("m%02d", number)), Zone: zone, Region: "r"}}
 		list := NewList(self, func() time.Time { return simulation.now }, zap.NewNop())
-		list.WatchZones = true
+		list.DetectSilentZones = true
 		simulation.lists = append(simulation.lists, list)
 		value, err := Encode(self)
 		Expect(err).NotTo(HaveOccurred())
-		rows = append(rows, state.Row{Key: keyOf(Table, self.Process.Machine), Value: value, Version: 1})
+		rows = append(rows, state.Row{Key: keyOf(MemberTable, self.Process.Machine), Value: value, Version: 1})
 	}
 	for number, list := range simulation.lists {
 		list.Replace(rows, 1)
@@ -126,18 +126,18 @@
 		if home.Process == own {
 			break
 		}
-		if r.list.Silent(home) || slices.Contains(r.unanswered, home.Process.Zone) {
+		if r.list.IsZoneSilent(home) || slices.Contains(r.unanswered, home.Process.Zone) {
 			continue
 		}
 		answered, after := r.simulation.simulateCall(own.Zone, home.Process.Zone, holderTimeout)
 		if answered {
-			r.list.Trust(home)
+			r.list.ClearSuspicion(home)
 			break
 		}
 		r.timeouts++
 		r.simulation.schedule(after, func() {
 			r.unanswered = append(r.unanswered, home.Process.Zone)
-			r.list.Missed(home)
+			r.list.RecordMiss(home)
 			r.list.Suspect(home, time.Second)
 			r.askFrom(order + 1)
 		})
@@ -156,9 +156,9 @@
 			ends = max(ends, after)
 			s.schedule(after, func() {
 				if answered {
-					list.Answered(member)
+					list.RecordAnswer(member)
 				} else {
-					list.Missed(member)
+					list.RecordMiss(member)
 				}
 			})
 		}
--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -40,23 +40,23 @@
 // ExceededError says that a reservation would exceed a limit, or that its holding is closed; in
 // the latter case only Kind and Wanted are set. All amounts are in bytes.
 type ExceededError struct {
-	Kind   Kind
-	Wanted int64 // requested amount
-	Held   int64 // held by all owners
-	Own    int64 // held by the owner
-	Limit  int64 // limit for all owners
-	// OwnersBound is set if only the limit of the owner would be exceeded.
-	OwnersBound bool
+	Kind        Kind
+	Requested   int64 // requested amount
+	Held        int64 // held by all owners
+	HeldByOwner int64 // held by the owner
+	Limit       int64 // limit for all owners
+	// OwnerLimited is set if only the limit of the owner would be exceeded.
+	OwnerLimited bool
 }
 
 // Error implements error.
 func (e *ExceededError) Error() string {
 	scope := "all"
-	if e.OwnersBound {
+	if e.OwnerLimited {
 		scope = "the owner's"
 	}
 	return fmt.Sprintf("cannot hold %d more bytes (%s) within the limit for %s holdings: %d held in total, %d by the owner, total limit %d",
-		e.Wanted, e.Kind, scope, e.Held, e.Own, e.Limit)
+		e.Requested, e.Kind, scope, e.Held, e.HeldByOwner, e.Limit)
 }
 
 // Account accounts for the bytes held for all owners. It is safe for concurrent use. A nil
@@ -88,9 +88,9 @@
 // Limit returns the limit in bytes; 0 if there is none.
 func (a *Account) Limit() int64 { return a.limit }
 
-// Open returns a new holding of the owner. The caller must close it. Open of a nil Account
+// NewReservation returns a new holding of the owner. The caller must close it. Open of a nil Account
 // returns a nil Holding.
-func (a *Account) Open(owner Owner) *Holding {
+func (a *Account) NewReservation(owner Owner) *Reservation {
 	if a == nil {
 		return nil
 	}
@@ -102,7 +102,7 @@
 		a.owners[owner] = usage
 	}
 	usage.openHoldings++
-	return &Holding{account: a, owner: owner, ownerUsage: usage}
+	return &Reservation{account: a, owner: owner, ownerUsage: usage}
 }
 
 // closeHolding removes one holding of an owner, and the owner itself if that was its last
@@ -177,7 +177,7 @@
 func (a *Account) refuse(usage *ownerUsage, kind Kind, bytes int64, ownerLimited bool) error {
 	a.refused[kind].Add(1)
 	return &ExceededError{
-		Kind: kind, Wanted: bytes, Held: a.held.Load(), Own: usage.held.Load(), Limit: a.limit, OwnersBound: ownerLimited,
+		Kind: kind, Requested: bytes, Held: a.held.Load(), HeldByOwner: usage.held.Load(), Limit: a.limit, OwnerLimited: ownerLimited,
 	}
 }
 
@@ -189,7 +189,7 @@
 
 // Fits reports whether an open holding could currently reserve this many bytes. It disregards
 // the lower limit for answers.
-func (h *Holding) Fits(bytes int64) bool {
+func (h *Reservation) Fits(bytes int64) bool {
 	if h == nil || h.account.limit == 0 {
 		return true
 	}
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -22,14 +22,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(1, 1000).Draw(t, "limit")
 		account := NewAccount(limit)
-		var open []*Holding
-		expected := map[*Holding]int64{}
+		var open []*Reservation
+		expected := map[*Reservation]int64{}
 		steps := rapid.IntRange(1, 120).Draw(t, "steps")
 		for range steps {
 			switch action := rapid.IntRange(0, 3).Draw(t, "action"); {
 			case action == 0 || len(open) == 0:
 				owner := Owner(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "owner")))
-				open = append(open, account.Open(owner))
+				open = append(open, account.NewReservation(owner))
 			case action == 1:
 				holding := rapid.SampledFrom(open).Draw(t, "grown")
 				bytes := rapid.Int64Range(0, limit).Draw(t, "bytes")
@@ -66,7 +66,7 @@
 	})
 }
 
-func checkSums(t *rapid.T, account *Account, expected map[*Holding]int64) {
+func checkSums(t *rapid.T, account *Account, expected map[*Reservation]int64) {
 	sum, byOwner := int64(0), map[Owner]int64{}
 	for holding, bytes := range expected {
 		sum += bytes
@@ -94,7 +94,7 @@
 		for caller := range callers {
 			all.Go(func() {
 				for round := range rounds {
-					holding := account.Open(Owner(fmt.Sprint(caller % 4)))
+					holding := account.NewReservation(Owner(fmt.Sprint(caller % 4)))
 					_ = holding.Grow(Request, int64(1+(caller*round)%(limit/8)))
 					_ = holding.Grow(Answer, int64(1+(caller+round)%(limit/16)))
 					if held := account.Held(); held > limit {
@@ -115,30 +115,30 @@
 
 	It("leaves space for another owner after a greedy one", func() {
 		account := NewAccount(100)
-		greedy := account.Open("greedy")
+		greedy := account.NewReservation("greedy")
 		for greedy.Grow(Request, 1) == nil {
 		}
 		Expect(account.Held()).To(BeEquivalentTo(50))
-		Expect(account.Open("late").Grow(Request, 25)).To(Succeed())
+		Expect(account.NewReservation("late").Grow(Request, 25)).To(Succeed())
 		var exceeded *ExceededError
 		Expect(errors.As(greedy.Grow(Request, 1), &exceeded)).To(BeTrue())
-		Expect(exceeded.OwnersBound).To(BeTrue())
+		Expect(exceeded.OwnerLimited).To(BeTrue())
 	})
 
 	It("accepts requests even if many callers do not read their answers", func() {
 		account := NewAccount(1000)
 		for caller := range 100 {
-			holding := account.Open(Owner(fmt.Sprint(caller)))
+			holding := account.NewReservation(Owner(fmt.Sprint(caller)))
 			for holding.Grow(Answer, 1) == nil {
 			}
 		}
 		Expect(account.Held()).To(BeEquivalentTo(500))
-		Expect(account.Open("late").Grow(Request, 250)).To(Succeed())
+		Expect(account.NewReservation("late").Grow(Request, 250)).To(Succeed())
 	})
 
 	It("only counts if it has no limit", func() {
 		account := NewAccount(0)
-		holding := account.Open("one")
+		holding := account.NewReservation("one")
 		Expect(holding.Grow(History, 1<<40)).To(Succeed())
 		Expect(holding.Fits(1 << 50)).To(BeTrue())
 		Expect(account.Held()).To(BeEquivalentTo(1 << 40))
@@ -149,7 +149,7 @@
 
 	It("can be nil", func() {
 		var account *Account
-		holding := account.Open("one")
+		holding := account.NewReservation("one")
 		Expect(holding.Grow(Request, 1)).To(Succeed())
 		holding.Shrink(Request, 1)
 		holding.Close()
@@ -158,15 +158,15 @@
 
 var _ = DescribeTable("Divide leaves memory for kernel buffers, the process and garbage",
 	func(machineMB int) {
-		divided := Divide(machineMB)
+		divided := LimitsFor(machineMB)
 		machine := int64(machineMB) * megabyte
-		Expect(divided.Runtime + nonRuntimeBytes + machine/kernelDivisor).To(BeNumerically("<=", machine))
-		Expect(heapFactor*divided.Held + processLiveBytes).To(BeNumerically("<=", divided.Runtime))
-		Expect(divided.Held).To(BeNumerically(">=", minHeldBytes))
+		Expect(divided.MemoryLimit + nonRuntimeBytes + machine/kernelDivisor).To(BeNumerically("<=", machine))
+		Expect(heapFactor*divided.MaxHeldBytes + processLiveBytes).To(BeNumerically("<=", divided.MemoryLimit))
+		Expect(divided.MaxHeldBytes).To(BeNumerically(">=", minHeldBytes))
 	},
 	Entry("the smallest machine", 112), Entry("a medium machine", 254), Entry("a large machine", 536), Entry("others", 4096),
 )
 
 var _ = It("Divide sets no limits if the memory size is unknown", func() {
-	Expect(Divide(0)).To(Equal(Division{}))
+	Expect(LimitsFor(0)).To(Equal(Limits{}))
 })
--- a/internal/memory/division.go
+++ b/internal/memory/division.go
@@ -1,15 +1,15 @@
 package memory
 
-// Division holds the limits derived from the size of a machine's memory. Runtime and Held are in
+// Limits holds the limits derived from the size of a machine's memory. Runtime and Held are in
 // bytes; 0 means no limit.
-type Division struct {
-	// Runtime is the soft memory limit of the Go runtime.
-	Runtime int64
-	// Held is the limit for bytes held for callers.
-	Held int64
-	// Growth is the garbage collection target in percent, as in GOGC; 0 keeps the runtime's
+type Limits struct {
+	// MemoryLimit is the soft memory limit of the Go runtime.
+	MemoryLimit int64
+	// MaxHeldBytes is the limit for bytes held for callers.
+	MaxHeldBytes int64
+	// GCPercent is the garbage collection target in percent, as in GOGC; 0 keeps the runtime's
 	// default.
-	Growth int
+	GCPercent int
 }
 
 // Parameters of Divide.
@@ -37,13 +37,13 @@
 	minHeldBytes    = 8 * megabyte
 )
 
-// Divide returns the limits for a machine with this memory in megabytes. If machineMB is 0 or
+// LimitsFor returns the limits for a machine with this memory in megabytes. If machineMB is 0 or
 // less, nothing is limited.
-func Divide(machineMB int) Division {
+func LimitsFor(machineMB int) Limits {
 	if machineMB <= 0 {
-		return Division{}
+		return Limits{}
 	}
 	machineBytes := int64(machineMB) * megabyte
 	runtimeBytes := max(machineBytes-machineBytes/kernelDivisor-nonRuntimeBytes, minRuntimeBytes)
-	return Division{Runtime: runtimeBytes, Held: max((runtimeBytes-processLiveBytes)/heapFactor, minHeldBytes), Growth: gcPercent}
+	return Limits{MemoryLimit: runtimeBytes, MaxHeldBytes: max((runtimeBytes-processLiveBytes)/heapFactor, minHeldBytes), GCPercent: gcPercent}
 }
--- a/internal/memory/holding.go
+++ b/internal/memory/holding.go
@@ -2,9 +2,9 @@
 
 import "sync"
 
-// Holding is the memory held for one request or connection of an owner. It is safe for
+// Reservation is the memory held for one request or connection of an owner. It is safe for
 // concurrent use. A nil Holding accepts everything and counts nothing.
-type Holding struct {
+type Reservation struct {
 	account    *Account
 	owner      Owner
 	ownerUsage *ownerUsage
@@ -16,14 +16,14 @@
 
 // Grow reserves bytes that the caller is about to allocate. It returns an *ExceededError if a
 // limit would be exceeded or the holding is closed.
-func (h *Holding) Grow(kind Kind, bytes int64) error {
+func (h *Reservation) Grow(kind Kind, bytes int64) error {
 	if h == nil || bytes <= 0 {
 		return nil
 	}
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.closed {
-		return &ExceededError{Kind: kind, Wanted: bytes}
+		return &ExceededError{Kind: kind, Requested: bytes}
 	}
 	if err := h.account.reserve(h.ownerUsage, kind, bytes); err != nil {
 		return err
@@ -33,7 +33,7 @@
 }
 
 // Shrink releases bytes of the kind, at most as many as the holding has reserved.
-func (h *Holding) Shrink(kind Kind, bytes int64) {
+func (h *Reservation) Shrink(kind Kind, bytes int64) {
 	if h == nil || bytes <= 0 {
 		return
 	}
@@ -42,14 +42,14 @@
 	h.shrink(kind, min(bytes, h.bytes[kind]))
 }
 
-func (h *Holding) shrink(kind Kind, bytes int64) {
+func (h *Reservation) shrink(kind Kind, bytes int64) {
 	h.bytes[kind] -= bytes
 	h.account.release(h.ownerUsage, kind, bytes)
 }
 
 // Close releases all bytes of the holding, which cannot grow afterwards. Closing it again has no
 // effect.
-func (h *Holding) Close() {
+func (h *Reservation) Close() {
 	if h == nil {
 		return
 	}
--- a/internal/memory/metrics.go
+++ b/internal/memory/metrics.go
@@ -14,8 +14,8 @@
 		"Refused reservations of memory, by kind.", []string{"kind"}, nil)
 )
 
-// Measure registers the metrics of the account.
-func (a *Account) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers the metrics of the account.
+func (a *Account) RegisterMetrics(registerer prometheus.Registerer) error {
 	return eris.Wrap(registerer.Register(a), "register memory metrics")
 }
 
--- a/internal/operatorapi/status.go
+++ b/internal/operatorapi/status.go
@@ -74,7 +74,7 @@
 		Shard:     uint32(status.Shard),
 		Epoch:     uint64(status.Term),
 		Leader:    string(status.Leader.Machine),
-		Committed: status.Committed,
+		Committed: status.CommittedIndex,
 		Normal:    status.Leader.Machine != "",
 	}
 	if group.Normal {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -8,8 +8,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// For waits for the given duration. It returns true, or false if the context ended first.
-func For(ctx context.Context, wait time.Duration) bool {
+// Sleep waits for the given duration. It returns true, or false if the context ended first.
+func Sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -20,9 +20,9 @@
 	}
 }
 
-// Growing returns an exponential backoff with jitter, whose intervals grow from first to longest
+// NewBackoff returns an exponential backoff with jitter, whose intervals grow from first to longest
 // before jitter is applied. It is not safe for concurrent use.
-func Growing(first, longest time.Duration) *backoff.ExponentialBackOff {
+func NewBackoff(first, longest time.Duration) *backoff.ExponentialBackOff {
 	schedule := backoff.NewExponentialBackOff()
 	schedule.InitialInterval = first
 	schedule.MaxInterval = longest
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -78,7 +78,7 @@
 		return nil, ErrClosed
 	}
 	if found = p.links[key]; found == nil {
-		found = &link{dialBackoff: pause.Growing(p.options.BackoffInitial, p.options.BackoffMax)}
+		found = &link{dialBackoff: pause.NewBackoff(p.options.BackoffInitial, p.options.BackoffMax)}
 		p.links[key] = found
 	}
 	return found, nil
--- a/internal/piece/piece.go
+++ b/internal/piece/piece.go
@@ -26,10 +26,10 @@
 
 // Errors of Load, in addition to those of the packages state and rowset.
 var (
-	// ErrMissing says that no partition that may hold the piece has it.
-	ErrMissing = errors.New("piece not found")
-	// ErrDiffers says that the stored bytes do not match the digest.
-	ErrDiffers = errors.New("piece does not match its digest")
+	// ErrNotFound says that no partition that may hold the piece has it.
+	ErrNotFound = errors.New("piece not found")
+	// ErrDigestMismatch says that the stored bytes do not match the digest.
+	ErrDigestMismatch = errors.New("piece does not match its digest")
 )
 
 // Reference identifies a piece by digest and length.
@@ -49,10 +49,10 @@
 
 // Options configures a Pieces.
 type Options struct {
-	Store    *state.Client
-	RowBytes int // maximum size of a row's value in bytes
-	// CacheBytes bounds the total size of the pieces cached in memory.
-	CacheBytes int
+	Store       *state.Client
+	MaxRowBytes int // maximum size of a row's value in bytes
+	// MaxCacheBytes bounds the total size of the pieces cached in memory.
+	MaxCacheBytes int
 }
 
 // Pieces stores and loads pieces and caches them in memory. It is safe for concurrent use.
@@ -70,7 +70,7 @@
 	expires int64 // time until which the store holds it, in unix seconds; 0 if unknown
 }
 
-// maxCachedPieces bounds the number of cached pieces, in addition to CacheBytes.
+// maxCachedPieces bounds the number of cached pieces, in addition to MaxCacheBytes.
 const maxCachedPieces = 4096
 
 // New returns a Pieces with an empty cache.
@@ -84,8 +84,8 @@
 	return pieces
 }
 
-// Bytes returns the total size of the cached pieces in bytes.
-func (p *Pieces) Bytes() int {
+// CachedBytes returns the total size of the cached pieces in bytes.
+func (p *Pieces) CachedBytes() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.cachedBytes
@@ -93,9 +93,9 @@
 
 // Stored describes a piece in the store.
 type Stored struct {
-	Content []byte // may be shared with the cache; must not be changed
-	Expires int64  // unix seconds after which it may be removed; 0 if unknown
-	Written int    // number of content bytes written by this call
+	Content      []byte // may be shared with the cache; must not be changed
+	Expires      int64  // unix seconds after which it may be removed; 0 if unknown
+	WrittenBytes int    // number of content bytes written by this call
 }
 
 // Ensure makes sure that the store holds the piece at least until neededUntil. If it has to
@@ -107,9 +107,9 @@
 		return Stored{Content: cached.content, Expires: cached.expires}, nil
 	}
 	stored := Stored{Content: content}
-	err := p.options.Store.Repeat(ctx, func() error {
+	err := p.options.Store.Retry(ctx, func() error {
 		var err error
-		stored.Expires, stored.Written, err = p.writeToAny(ctx, reference, content, neededUntil, expires)
+		stored.Expires, stored.WrittenBytes, err = p.writeToAny(ctx, reference, content, neededUntil, expires)
 		return err
 	})
 	if err != nil {
@@ -121,10 +121,10 @@
 
 // writeToAny tries the partitions that may hold the piece until one gives a definite result.
 func (p *Pieces) writeToAny(ctx context.Context, reference Reference, content []byte, neededUntil, expires int64) (storedExpires int64, written int, err error) {
-	for _, partition := range p.options.Store.Prefer(rowset.PlacesOf(reference.name())) {
+	for _, partition := range p.options.Store.HealthyFirst(rowset.PartitionsOf(reference.name())) {
 		key := state.Key{Table: table, Partition: partition, Name: reference.name()}
 		storedExpires, written, err = p.writeTo(ctx, key, content, neededUntil, expires)
-		if !state.NoVerdict(err) {
+		if !state.IsTransient(err) {
 			break
 		}
 	}
@@ -138,7 +138,7 @@
 // The commits depend on the stored version, so that a later expiry time is not replaced by an
 // earlier one, even if a commit is executed late.
 func (p *Pieces) writeTo(ctx context.Context, key state.Key, content []byte, neededUntil, expires int64) (storedExpires int64, written int, err error) {
-	puts, err := rowset.Cut(key, content, expires, p.options.RowBytes)
+	puts, err := rowset.Split(key, content, expires, p.options.MaxRowBytes)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -159,41 +159,41 @@
 			version = 0
 			continue
 		}
-		if storedExpires, ok := rowset.Expires(row); ok && storedExpires >= neededUntil {
+		if storedExpires, ok := rowset.ExpiryOf(row); ok && storedExpires >= neededUntil {
 			return storedExpires, 0, nil
 		}
 		version = row.Version
 	}
-	return 0, 0, eris.Wrap(state.ErrNotDone, "too many conflicts")
+	return 0, 0, eris.Wrap(state.ErrNotExecuted, "too many conflicts")
 }
 
-// Load returns a piece from the cache or the store. It returns ErrMissing only if every
+// Load returns a piece from the cache or the store. It returns ErrNotFound only if every
 // partition that may hold the piece responded that it does not.
 func (p *Pieces) Load(ctx context.Context, reference Reference) (Stored, error) {
 	if cached := p.lookUp(reference); cached != nil {
 		return Stored{Content: cached.content, Expires: cached.expires}, nil
 	}
 	var unavailableErr error
-	for _, partition := range p.options.Store.Prefer(rowset.PlacesOf(reference.name())) {
+	for _, partition := range p.options.Store.HealthyFirst(rowset.PartitionsOf(reference.name())) {
 		value, err := p.readFrom(ctx, reference, partition)
 		switch {
 		case err == nil:
-			content := p.addToCache(reference, value.Bytes, value.Expires)
-			return Stored{Content: content, Expires: value.Expires}, nil
-		case state.NoVerdict(err):
+			content := p.addToCache(reference, value.Bytes, value.ExpiresAt)
+			return Stored{Content: content, Expires: value.ExpiresAt}, nil
+		case state.IsTransient(err):
 			unavailableErr = err
-		case !errors.Is(err, rowset.ErrAbsent):
+		case !errors.Is(err, rowset.ErrNotFound):
 			return Stored{}, err
 		}
 	}
 	if unavailableErr != nil {
 		return Stored{}, unavailableErr
 	}
-	return Stored{}, eris.Wrapf(ErrMissing, "load %s", reference.name())
+	return Stored{}, eris.Wrapf(ErrNotFound, "load %s", reference.name())
 }
 
 func (p *Pieces) readFrom(ctx context.Context, reference Reference, partition string) (rowset.Value, error) {
-	rowRange := rowset.Range(state.Key{Table: table, Partition: partition, Name: reference.name()})
+	rowRange := rowset.RangeOf(state.Key{Table: table, Partition: partition, Name: reference.name()})
 	rowRange.Class = state.ClassTurn
 	page, err := p.options.Store.Read(ctx, rowRange)
 	if err != nil {
@@ -204,7 +204,7 @@
 		return rowset.Value{}, eris.Wrap(err, "read piece")
 	}
 	if ReferenceOf(value.Bytes) != reference {
-		return rowset.Value{}, eris.Wrapf(ErrDiffers, "load %s", reference.name())
+		return rowset.Value{}, eris.Wrapf(ErrDigestMismatch, "load %s", reference.name())
 	}
 	return value, nil
 }
@@ -216,14 +216,14 @@
 	return cached
 }
 
-// Share returns the cached copy of the content and adds it to the cache if it is missing. A
+// Intern returns the cached copy of the content and adds it to the cache if it is missing. A
 // piece that it adds has no known expiry time.
-func (p *Pieces) Share(content []byte) []byte {
+func (p *Pieces) Intern(content []byte) []byte {
 	return p.addToCache(ReferenceOf(content), content, 0)
 }
 
 // maxPieceCacheDivisor limits the size of a cached piece to 1/maxPieceCacheDivisor of
-// CacheBytes. Larger pieces are shared by few turns and would evict many others.
+// MaxCacheBytes. Larger pieces are shared by few turns and would evict many others.
 const maxPieceCacheDivisor = 8
 
 // addToCache adds a piece to the cache and returns the cached copy. It returns the content
@@ -235,13 +235,13 @@
 		p.cache.Add(reference, &cachedPiece{content: cached.content, expires: max(cached.expires, expires)})
 		return cached.content
 	}
-	if len(content) > p.options.CacheBytes/maxPieceCacheDivisor {
+	if len(content) > p.options.MaxCacheBytes/maxPieceCacheDivisor {
 		return content
 	}
 	copied := append([]byte(nil), content...) // the content may be part of a larger array
 	p.cache.Add(reference, &cachedPiece{content: copied, expires: expires})
 	p.cachedBytes += len(copied)
-	for p.cachedBytes > p.options.CacheBytes && p.cache.Len() > 1 {
+	for p.cachedBytes > p.options.MaxCacheBytes && p.cache.Len() > 1 {
 		p.cache.RemoveOldest()
 	}
 	return copied
@@ -251,13 +251,13 @@
 // the sweep removes pieces.
 const sweepPassDuration = 10 * time.Minute
 
-// Leftovers returns a sweep that removes expired pieces from the partitions for which mine
+// NewSweep returns a sweep that removes expired pieces from the partitions for which mine
 // returns true.
-func Leftovers(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
+func NewSweep(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: mine, Log: log, Every: sweepPassDuration,
-		Over: func(row state.Row) bool {
-			expires, ok := rowset.Expires(row)
+		Store: store, Table: table, Partitions: state.PartitionNames(rowset.PartitionCount), OwnsPartition: mine, Log: log, PassDuration: sweepPassDuration,
+		IsExpired: func(row state.Row) bool {
+			expires, ok := rowset.ExpiryOf(row)
 			return ok && now().Unix() > expires
 		},
 	}
--- a/internal/piece/piece_test.go
+++ b/internal/piece/piece_test.go
@@ -30,14 +30,14 @@
 		return state.NewClient(state.ClientOptions{Store: store, Availability: state.NewAvailability(time.Now, func(bool, time.Duration) {})})
 	}
 	newPieces := func() *piece.Pieces {
-		return piece.New(piece.Options{Store: newClient(), RowBytes: rowBytes, CacheBytes: cacheBytes})
+		return piece.New(piece.Options{Store: newClient(), MaxRowBytes: rowBytes, MaxCacheBytes: cacheBytes})
 	}
 	unixIn := func(after time.Duration) int64 { return now.Add(after).Unix() }
 	sweep := func(ctx context.Context, duringSweep func()) (removed int) {
 		GinkgoHelper()
-		sweep := piece.Leftovers(newClient(), func(string) bool { return true }, func() time.Time { return now }, zap.NewNop())
-		isExpired := sweep.Over
-		sweep.Over = func(row state.Row) bool {
+		sweep := piece.NewSweep(newClient(), func(string) bool { return true }, func() time.Time { return now }, zap.NewNop())
+		isExpired := sweep.IsExpired
+		sweep.IsExpired = func(row state.Row) bool {
 			expired := isExpired(row)
 			if duringSweep != nil {
 				duringSweep()
@@ -45,7 +45,7 @@
 			return expired
 		}
 		for _, partition := range sweep.Partitions {
-			count, err := sweep.Partition(ctx, partition)
+			count, err := sweep.SweepPartition(ctx, partition)
 			if err == nil {
 				removed += count
 			}
@@ -141,22 +141,22 @@
 		Expect(sweep(ctx, nil)).To(BeNumerically(">", 1))
 		Expect(store.Bytes()).To(BeZero())
 		_, err = newPieces().Load(ctx, piece.ReferenceOf(content))
-		Expect(err).To(MatchError(piece.ErrMissing))
+		Expect(err).To(MatchError(piece.ErrNotFound))
 	})
 
 	It("is not reported as missing if a partition does not respond", func(ctx SpecContext) {
 		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
 		_, err := newPieces().Load(ctx, piece.ReferenceOf(content))
-		Expect(err).To(MatchError(state.ErrNotDone))
+		Expect(err).To(MatchError(state.ErrNotExecuted))
 	})
 
 	It("takes a bounded amount of memory", func() {
 		pieces := newPieces()
 		for number := range 100 {
-			pieces.Share(bytes.Repeat([]byte{byte(number)}, 500))
+			pieces.Intern(bytes.Repeat([]byte{byte(number)}, 500))
 		}
-		Expect(pieces.Bytes()).To(BeNumerically("<=", cacheBytes))
-		pieces.Share(make([]byte, cacheBytes))
-		Expect(pieces.Bytes()).To(BeNumerically("<=", cacheBytes))
+		Expect(pieces.CachedBytes()).To(BeNumerically("<=", cacheBytes))
+		pieces.Intern(make([]byte, cacheBytes))
+		Expect(pieces.CachedBytes()).To(BeNumerically("<=", cacheBytes))
 	})
 })
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -31,26 +31,26 @@
 
 // The kinds of problems, with the HTTP status of the caller API.
 const (
-	KindMalformed        Kind = "malformed-request"     // 400
-	KindUnauthenticated  Kind = "unauthenticated"       // 401
-	KindForbidden        Kind = "forbidden"             // 403; programs of other tenants get 404 instead
-	KindUnknownProgram   Kind = "unknown-program"       // 404
-	KindUnknownCall      Kind = "unknown-call"          // 404
-	KindUnknownTarget    Kind = "unknown-target"        // 404; model, service or tool is not configured
-	KindConflict         Kind = "conflict"              // 409; same sequence number with other content; outdated revision
-	KindOutOfOrder       Kind = "out-of-order"          // 409
-	KindProgramEnded     Kind = "program-ended"         // 410
-	KindTooLarge         Kind = "too-large"             // 413
-	KindBudgetExhausted  Kind = "budget-exhausted"      // 402
-	KindTurnLimit        Kind = "turn-limit"            // 409
-	KindRefused          Kind = "refused"               // 429; refused by admission; with RetryAfter
-	KindUnavailable      Kind = "unavailable"           // 503; no leader, no quorum, or draining; with RetryAfter
-	KindDeadlineExceeded Kind = "deadline-exceeded"     // 504
-	KindCancelled        Kind = "cancelled"             // 409; the program ended while the call ran
-	KindBackEndFailed    Kind = "back-end-failed"       // 502
-	KindOutcomeUnknown   Kind = "outcome-unknown"       // 502
-	KindInvalidChange    Kind = "invalid-configuration" // 400; operators only
-	KindInternal         Kind = "internal"              // 500
+	KindMalformed            Kind = "malformed-request"     // 400
+	KindUnauthenticated      Kind = "unauthenticated"       // 401
+	KindForbidden            Kind = "forbidden"             // 403; programs of other tenants get 404 instead
+	KindUnknownProgram       Kind = "unknown-program"       // 404
+	KindUnknownCall          Kind = "unknown-call"          // 404
+	KindUnknownTarget        Kind = "unknown-target"        // 404; model, service or tool is not configured
+	KindConflict             Kind = "conflict"              // 409; same sequence number with other content; outdated revision
+	KindOutOfOrder           Kind = "out-of-order"          // 409
+	KindProgramEnded         Kind = "program-ended"         // 410
+	KindTooLarge             Kind = "too-large"             // 413
+	KindBudgetExhausted      Kind = "budget-exhausted"      // 402
+	KindTurnLimit            Kind = "turn-limit"            // 409
+	KindRefused              Kind = "refused"               // 429; refused by admission; with RetryAfter
+	KindUnavailable          Kind = "unavailable"           // 503; no leader, no quorum, or draining; with RetryAfter
+	KindDeadlineExceeded     Kind = "deadline-exceeded"     // 504
+	KindCancelled            Kind = "cancelled"             // 409; the program ended while the call ran
+	KindBackEndFailed        Kind = "back-end-failed"       // 502
+	KindOutcomeUnknown       Kind = "outcome-unknown"       // 502
+	KindInvalidConfiguration Kind = "invalid-configuration" // 400; operators only
+	KindInternal             Kind = "internal"              // 500
 )
 
 // Problem is an error with the details that a caller needs to handle it. All fields are exported
--- a/internal/program/aggregate.go
+++ b/internal/program/aggregate.go
@@ -13,7 +13,7 @@
 const (
 	DefaultTokenBudget = 1_000_000 // tokens
 	DefaultMaxTurns    = 300
-	DefaultIdle        = 30 * time.Minute
+	DefaultIdleTimeout = 30 * time.Minute
 	DefaultLifetime    = 24 * time.Hour
 	DefaultMaxRepeats  = 16
 )
@@ -79,7 +79,7 @@
 		return nil
 	}
 	last := p.Calls[len(p.Calls)-1]
-	if last.State.Final() {
+	if last.State.IsFinal() {
 		return nil
 	}
 	return last
@@ -189,15 +189,15 @@
 	return 0
 }
 
-// Unreleased reports whether any attempt has not been released, which means that
+// HasUnreleasedAttempt reports whether any attempt has not been released, which means that
 // the call may have run or may still run.
-func (c *Call) Unreleased() bool {
+func (c *Call) HasUnreleasedAttempt() bool {
 	return slices.ContainsFunc(c.Attempts, func(attempt Attempt) bool { return !attempt.Released })
 }
 
-// Uncertain reports whether the result of any attempt is not known, ignoring the
+// HasUncertainAttempt reports whether the result of any attempt is not known, ignoring the
 // attempt with the number except. Such a call must not be reported as failed.
-func (c *Call) Uncertain(except uint32) bool {
+func (c *Call) HasUncertainAttempt(except uint32) bool {
 	return slices.ContainsFunc(c.Attempts, func(attempt Attempt) bool {
 		return attempt.Number != except && !attempt.Released && !attempt.Known
 	})
--- a/internal/program/call.go
+++ b/internal/program/call.go
@@ -124,5 +124,5 @@
 	EndLifetime   EndReason = "lifetime"
 	EndTurnLimit  EndReason = "turn-limit"
 	EndLoop       EndReason = "loop"
-	EndParent     EndReason = "parent-ended"
+	EndByParent   EndReason = "parent-ended"
 )
--- a/internal/program/calls.go
+++ b/internal/program/calls.go
@@ -76,7 +76,7 @@
 	switch {
 	case !program.isOpen():
 		return 0, programEnded(program, "dispatch")
-	case call.Spec.NotRepeatable && call.Unreleased():
+	case call.Spec.NotRepeatable && call.HasUnreleasedAttempt():
 		return 0, problem.New(problem.KindConflict, "dispatch", "an attempt of a non-repeatable call may have been sent")
 	case len(call.Attempts) >= MaxAttempts:
 		return 0, problem.New(problem.KindConflict, "dispatch", "the call has used its %d attempts", MaxAttempts)
@@ -128,7 +128,7 @@
 	}
 	attempt.Closed, attempt.Released = true, true
 	program.setAttempt(call, attempt)
-	if call.State.Final() || call.Unreleased() {
+	if call.State.IsFinal() || call.HasUnreleasedAttempt() {
 		return nil
 	}
 	return call.transition(eventRelease)
@@ -204,12 +204,12 @@
 func outcomeEvent(call *Call, command *Command) (event, *problem.Problem) {
 	switch command.Problem.Outcome {
 	case problem.OutcomeNotRun:
-		if call.Unreleased() {
+		if call.HasUnreleasedAttempt() {
 			return "", problem.New(problem.KindConflict, "give-up", "an attempt may have been sent")
 		}
 		return eventNotRun, nil
 	case problem.OutcomeFailed:
-		if call.Uncertain(command.Number) || command.Spent < 0 {
+		if call.HasUncertainAttempt(command.Number) || command.Spent < 0 {
 			return "", problem.New(problem.KindConflict, "give-up", "the result of an attempt is not known")
 		}
 		return eventFail, nil
--- a/internal/program/lifecycle.go
+++ b/internal/program/lifecycle.go
@@ -83,7 +83,7 @@
 	return nextState, ok
 }
 
-// Final reports whether a call in this state never changes its state again.
-func (s CallState) Final() bool {
+// IsFinal reports whether a call in this state never changes its state again.
+func (s CallState) IsFinal() bool {
 	return s != CallAccepted && s != CallDispatched
 }
--- a/internal/program/live.go
+++ b/internal/program/live.go
@@ -62,9 +62,9 @@
 	return count
 }
 
-// Created reports whether a program with the creation key exists. It returns
+// HasCreationKey reports whether a program with the creation key exists. It returns
 // false for an empty key.
-func (s *Shard) Created(tenant identity.Tenant, parent identity.Program, key string) bool {
+func (s *Shard) HasCreationKey(tenant identity.Tenant, parent identity.Program, key string) bool {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	_, found := s.byCreationKey[creationKey{tenant: tenant, parent: parent, key: key}]
--- a/internal/program/programs.go
+++ b/internal/program/programs.go
@@ -68,7 +68,7 @@
 	}
 	setDefault(&limits.TokenBudget, DefaultTokenBudget)
 	setDefault(&limits.MaxTurns, DefaultMaxTurns)
-	setDefault(&limits.Idle, DefaultIdle)
+	setDefault(&limits.Idle, DefaultIdleTimeout)
 	setDefault(&limits.Lifetime, DefaultLifetime)
 	setDefault(&limits.MaxRepeats, DefaultMaxRepeats)
 	return limits, nil
@@ -137,7 +137,7 @@
 	var ended []identity.Program
 	for _, identifier := range program.Children {
 		if child := s.programs[identifier]; child != nil && child.isOpen() {
-			ended = append(ended, s.endTree(child, EndParent)...)
+			ended = append(ended, s.endTree(child, EndByParent)...)
 		}
 	}
 	nextState, ok := programLifecycle.next(program.State, eventEnd)
@@ -158,7 +158,7 @@
 // leader, reports the end of its attempts.
 func (s *Shard) endUnsentCall(program *programRecord) {
 	call := program.activeCall()
-	if call == nil || call.Unreleased() {
+	if call == nil || call.HasUnreleasedAttempt() {
 		return
 	}
 	changed := *call
--- a/internal/program/shard_rapid_test.go
+++ b/internal/program/shard_rapid_test.go
@@ -121,7 +121,7 @@
 	if spec.Sequence != uint64(len(before.Calls))+1 {
 		t.Fatalf("call %d was accepted after %d calls", spec.Sequence, len(before.Calls))
 	}
-	if len(before.Calls) > 0 && !before.Calls[len(before.Calls)-1].State.Final() {
+	if len(before.Calls) > 0 && !before.Calls[len(before.Calls)-1].State.IsFinal() {
 		t.Fatal("a call was accepted while another call was active")
 	}
 }
@@ -205,7 +205,7 @@
 		Kind: program.CommandAnswer, Program: identifier, Sequence: call.Spec.Sequence, Number: number,
 		Answer: &program.Answer{Content: "answer", CompletionTokens: max(0, drawSpent(t, &call, number))},
 	})
-	if result.Problem == nil && (call.State.Final() || !m.possiblySent[attemptKey(identifier, call.Spec.Sequence, number)]) {
+	if result.Problem == nil && (call.State.IsFinal() || !m.possiblySent[attemptKey(identifier, call.Spec.Sequence, number)]) {
 		t.Fatal("an answer was accepted for a final call or for an attempt that was never sent")
 	}
 }
@@ -219,7 +219,7 @@
 		Spent:   drawSpent(t, &call, number),
 		Problem: problem.New(problem.KindBackEndFailed, "test", "given up").WithOutcome(outcome),
 	})
-	if result.Problem == nil && call.State.Final() {
+	if result.Problem == nil && call.State.IsFinal() {
 		t.Fatal("a final call changed")
 	}
 }
@@ -264,7 +264,7 @@
 		if !found {
 			continue
 		}
-		if view.Spent+view.Reserved+view.Lent > view.Limits.TokenBudget {
+		if view.Spent+view.Reserved+view.ChildrenCharged > view.Limits.TokenBudget {
 			t.Fatalf("budget exceeded: %+v", view.Head)
 		}
 		var cost int64
@@ -316,15 +316,15 @@
 		if child.State == program.ProgramOpen {
 			held += child.Limits.TokenBudget
 		} else {
-			held += child.Spent + child.Reserved + child.Lent
+			held += child.Spent + child.Reserved + child.ChildrenCharged
 		}
 		if child.State == program.ProgramOpen && parent.State == program.ProgramEnded {
 			t.Fatal("a child outlived its parent")
 		}
 	}
 	// Deleted children stay charged, so the charge may be higher.
-	if parent.Lent < held {
-		t.Fatalf("children hold %d tokens, but the parent is charged only %d", held, parent.Lent)
+	if parent.ChildrenCharged < held {
+		t.Fatalf("children hold %d tokens, but the parent is charged only %d", held, parent.ChildrenCharged)
 	}
 }
 
@@ -356,8 +356,8 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		restored := program.NewShard(1)
 		if err := restored.Restore(data); err == nil {
-			restored.Expired(start.AddDate(1, 0, 0))
-			restored.UnderWay()
+			restored.ExpiredPrograms(start.AddDate(1, 0, 0))
+			restored.ActiveCalls()
 		}
 		if _, ok := restored.Apply(1, data).(*program.Result); !ok {
 			t.Fatal("Apply did not return a *Result")
--- a/internal/program/shard_test.go
+++ b/internal/program/shard_test.go
@@ -57,16 +57,16 @@
 
 	shard.apply(program.CommandEnd, child, nil)
 	head, _ := shard.Head(parent)
-	Expect(head.Lent).To(BeEquivalentTo(50), "the open attempt may cost its whole reservation")
+	Expect(head.ChildrenCharged).To(BeEquivalentTo(50), "the open attempt may cost its whole reservation")
 	shard.apply(program.CommandGiveUp, child, func(command *program.Command) {
 		command.Spent = -1
 		command.Problem = problem.New(problem.KindCancelled, "test", "unknown").WithOutcome(problem.OutcomeUnknown)
 	})
 	head, _ = shard.Head(parent)
-	Expect(head.Lent).To(BeEquivalentTo(50), "the cost of the attempt is unknown")
+	Expect(head.ChildrenCharged).To(BeEquivalentTo(50), "the cost of the attempt is unknown")
 	Expect(shard.apply(program.CommandSettle, child, func(command *program.Command) { command.Spent = 20 }).Problem).To(BeNil())
 	head, _ = shard.Head(parent)
-	Expect(head.Lent).To(BeEquivalentTo(20), "the cost has become known")
+	Expect(head.ChildrenCharged).To(BeEquivalentTo(20), "the cost has become known")
 }
 
 func TestLateAnswerOfEarlierAttemptIsAcceptedOnce(t *testing.T) {
@@ -164,13 +164,13 @@
 	Expect(shard.accept(identifier, 2).Call.AcceptedAt).To(Equal(start.Add(2*time.Minute)), "time never goes backwards")
 	shard.now = start.Add(25 * time.Hour)
 	Expect(end(program.EndLifetime).Ended).To(Equal([]identity.Program{identifier}))
-	before, found := shard.Forgettable(start, 1)
+	before, found := shard.RetentionCutoff(start, 1)
 	Expect(found).To(BeFalse())
 	Expect(before).To(Equal(start))
-	before, found = shard.Forgettable(start, 0)
+	before, found = shard.RetentionCutoff(start, 0)
 	Expect(found).To(BeTrue())
 	Expect(before.After(shard.now)).To(BeTrue())
 	call, _, _ := shard.Call(identifier, 2)
 	Expect(call.State).To(Equal(program.CallNotRun))
-	Expect(shard.Prompt(identifier, 3)).To(BeEmpty(), "calls without an answer add nothing to the history")
+	Expect(shard.HistoryBefore(identifier, 3)).To(BeEmpty(), "calls without an answer add nothing to the history")
 }
--- a/internal/program/view.go
+++ b/internal/program/view.go
@@ -10,26 +10,26 @@
 
 // Head is the state of a program without its calls. It is cheap to copy.
 type Head struct {
-	ID         identity.Program
-	Parent     identity.Program
-	Tenant     identity.Tenant
-	Class      string
-	State      ProgramState
-	EndReason  EndReason
-	Limits     Limits
-	CreatedAt  time.Time
-	EndedAt    time.Time
-	LastActive time.Time
-	CallCount  int
-	Spent      int64 // tokens, known cost of own attempts
-	Reserved   int64 // tokens reserved by own attempts of unknown cost
-	Lent       int64 // tokens of the budget that children hold or used
-}
-
-// Available returns how many tokens the program may still reserve. It is never
+	ID              identity.Program
+	Parent          identity.Program
+	Tenant          identity.Tenant
+	Class           string
+	State           ProgramState
+	EndReason       EndReason
+	Limits          Limits
+	CreatedAt       time.Time
+	EndedAt         time.Time
+	LastActive      time.Time
+	CallCount       int
+	Spent           int64 // tokens, known cost of own attempts
+	Reserved        int64 // tokens reserved by own attempts of unknown cost
+	ChildrenCharged int64 // tokens of the budget that children hold or used
+}
+
+// AvailableTokens returns how many tokens the program may still reserve. It is never
 // negative.
-func (h *Head) Available() int64 {
-	return max(0, h.Limits.TokenBudget-h.Spent-h.Reserved-h.Lent)
+func (h *Head) AvailableTokens() int64 {
+	return max(0, h.Limits.TokenBudget-h.Spent-h.Reserved-h.ChildrenCharged)
 }
 
 // View is the committed state of a program. The values that it points to are
@@ -103,9 +103,9 @@
 	return *call, program.head(), true
 }
 
-// Prompt returns the history of a program before the call with the given sequence
+// HistoryBefore returns the history of a program before the call with the given sequence
 // number.
-func (s *Shard) Prompt(identifier identity.Program, sequence uint64) []Message {
+func (s *Shard) HistoryBefore(identifier identity.Program, sequence uint64) []Message {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	program := s.programs[identifier]
@@ -128,8 +128,8 @@
 	Sequence uint64
 }
 
-// UnderWay returns the calls that are not final, sorted by program identifier.
-func (s *Shard) UnderWay() []CallKey {
+// ActiveCalls returns the calls that are not final, sorted by program identifier.
+func (s *Shard) ActiveCalls() []CallKey {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	keys := make([]CallKey, 0, len(s.active))
@@ -146,9 +146,9 @@
 	Reason  EndReason
 }
 
-// Expired returns the open programs whose idle time or lifetime is over at the
+// ExpiredPrograms returns the open programs whose idle time or lifetime is over at the
 // time now, sorted by identifier.
-func (s *Shard) Expired(now time.Time) []Expiry {
+func (s *Shard) ExpiredPrograms(now time.Time) []Expiry {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	var expiries []Expiry
@@ -161,11 +161,11 @@
 	return expiries
 }
 
-// Forgettable returns the time to use as Before in a CommandForget, and whether
+// RetentionCutoff returns the time to use as Before in a CommandForget, and whether
 // the command would delete any programs. It selects the programs that ended
 // before the given time and, if more than keep ended programs would remain, the
 // oldest of those as well.
-func (s *Shard) Forgettable(before time.Time, keep int) (time.Time, bool) {
+func (s *Shard) RetentionCutoff(before time.Time, keep int) (time.Time, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	var ends []time.Time
@@ -186,44 +186,44 @@
 
 func (p *programRecord) head() Head {
 	return Head{
-		ID:         p.ID,
-		Parent:     p.Parent,
-		Tenant:     p.Tenant,
-		Class:      p.Class,
-		State:      p.State,
-		EndReason:  p.Reason,
-		Limits:     p.Limits,
-		CreatedAt:  p.CreatedAt,
-		EndedAt:    p.EndedAt,
-		LastActive: p.LastActive,
-		CallCount:  len(p.Calls),
-		Spent:      p.Spent,
-		Reserved:   p.Reserved,
-		Lent:       p.ChildrenCharged,
-	}
-}
-
-// Attainment describes the service that a program has received so far. The
+		ID:              p.ID,
+		Parent:          p.Parent,
+		Tenant:          p.Tenant,
+		Class:           p.Class,
+		State:           p.State,
+		EndReason:       p.Reason,
+		Limits:          p.Limits,
+		CreatedAt:       p.CreatedAt,
+		EndedAt:         p.EndedAt,
+		LastActive:      p.LastActive,
+		CallCount:       len(p.Calls),
+		Spent:           p.Spent,
+		Reserved:        p.Reserved,
+		ChildrenCharged: p.ChildrenCharged,
+	}
+}
+
+// AttainedService describes the service that a program has received so far. The
 // scheduler uses it to order calls and to find the engine that may have the
 // program's prefix cached.
-type Attainment struct {
-	Service time.Duration // sum of the times from first token to end of the answered model calls
-	Model   string        // model of the last answered call
-	Engine  string        // engine that answered the last call
-	Tokens  int64         // tokens of the last call's prompt and answer, as counted by the engine
-	At      time.Time     // when the last call was answered
+type AttainedService struct {
+	Duration      time.Duration // sum of the times from first token to end of the answered model calls
+	Model         string        // model of the last answered call
+	Engine        string        // engine that answered the last call
+	ContextTokens int64         // tokens of the last call's prompt and answer, as counted by the engine
+	AnsweredAt    time.Time     // when the last call was answered
 }
 
 // minService is the minimum service time counted for an answered call, so that a
 // program with an answer always has a service time above zero.
 const minService = time.Millisecond
 
-// Attained returns the service that a program has received from its answered model
+// AttainedService returns the service that a program has received from its answered model
 // calls. It returns the zero value if the program does not exist.
-func (s *Shard) Attained(identifier identity.Program) Attainment {
+func (s *Shard) AttainedService(identifier identity.Program) AttainedService {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
-	var attained Attainment
+	var attained AttainedService
 	program := s.programs[identifier]
 	if program == nil {
 		return attained
@@ -234,11 +234,11 @@
 		}
 		// The time before the first token does not count as service. Otherwise,
 		// programs that waited long would be made to wait even longer.
-		attained.Service += max(call.Answer.Elapsed-call.Answer.FirstToken, minService)
-		attained.At = call.AcceptedAt.Add(call.Answer.Elapsed)
+		attained.Duration += max(call.Answer.Elapsed-call.Answer.FirstToken, minService)
+		attained.AnsweredAt = call.AcceptedAt.Add(call.Answer.Elapsed)
 		attained.Model = call.Spec.Name
 		attained.Engine = call.Answer.Engine
-		attained.Tokens = call.Answer.PromptTokens + call.Answer.CompletionTokens
+		attained.ContextTokens = call.Answer.PromptTokens + call.Answer.CompletionTokens
 	}
 	return attained
 }
--- a/internal/quota/acquisition.go
+++ b/internal/quota/acquisition.go
@@ -48,10 +48,10 @@
 		if attempt.isKnownEmpty(part) {
 			continue
 		}
-		keeper, known := limiter.directory.Keeper(claimOwner(part.tenant), part.number)
+		keeper, known := limiter.directory.ShardOwner(claimOwner(part.tenant), part.number)
 		switch {
-		case !known, limiter.directory.Silent(keeper):
-			attempt.decision.Silent++
+		case !known, limiter.directory.IsZoneSilent(keeper):
+			attempt.decision.Unreachable++
 		case limiter.isAvoided(keeper.Process.Machine):
 			avoided = append(avoided, candidate{part, keeper})
 		case keeper.Process.Zone != ownZone:
@@ -73,18 +73,18 @@
 		return false
 	}
 	a.retryAfter = min(a.retryAfter, wait)
-	a.decision.Known++
+	a.decision.KnownEmpty++
 	return true
 }
 
 func (a *acquisition) emptyKey(part partKey) emptyPartKey {
-	return emptyPartKey{part: part, underWay: a.request.UnderWay, revision: a.request.Revision}
+	return emptyPartKey{part: part, underWay: a.request.Continuation, revision: a.request.Revision}
 }
 
 // run asks the keepers one after another and returns the first permit. It returns nil if no
 // keeper grants a permit within callTimeout, or if the parent context ends first. When a keeper
 // is slow, run also asks the next one. Permits that arrive after run has returned are given back.
-func (a *acquisition) run(parent context.Context) *Taken {
+func (a *acquisition) run(parent context.Context) *Permit {
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
 	hedgeTimer := time.NewTimer(hedgeDelay)
@@ -109,7 +109,7 @@
 				return taken
 			}
 		case <-ctx.Done():
-			a.decision.Silent += a.pending + len(a.remaining)
+			a.decision.Unreachable += a.pending + len(a.remaining)
 			return nil
 		}
 	}
@@ -119,7 +119,7 @@
 // askNext asks the next keeper, if any. A remote keeper is called in a goroutine, which sends the
 // answer to a.answers. If this daemon is the keeper, askNext handles the answer itself and returns
 // the permit, if there is one.
-func (a *acquisition) askNext(ctx context.Context) *Taken {
+func (a *acquisition) askNext(ctx context.Context) *Permit {
 	if len(a.remaining) == 0 {
 		return nil
 	}
@@ -127,7 +127,7 @@
 	a.remaining = a.remaining[1:]
 	a.decision.Asked++
 	request := TakeRequest{
-		Tenant: a.request.Tenant, Part: next.part.number, UnderWay: a.request.UnderWay,
+		Tenant: a.request.Tenant, Part: next.part.number, UnderWay: a.request.Continuation,
 		PerSecond: a.request.Quota.PerSecond, Burst: a.request.Quota.Burst, Revision: a.request.Revision,
 	}
 	if next.keeper.Process == a.limiter.directory.Self() {
@@ -147,16 +147,16 @@
 }
 
 // handleAnswer records the answer of a keeper and returns the permit, or nil if there is none.
-func (a *acquisition) handleAnswer(received answer) *Taken {
+func (a *acquisition) handleAnswer(received answer) *Permit {
 	if received.err != nil {
-		a.decision.Silent++
+		a.decision.Unreachable++
 		a.limiter.avoid(received.keeper, received.err.Error())
 		return nil
 	}
-	a.limiter.directory.Answered(received.keeper)
+	a.limiter.directory.RecordAnswer(received.keeper)
 	a.decision.Keeper, a.decision.Level = string(received.keeper.Process.Machine), received.reply.Level
 	switch received.reply.Verdict {
-	case VerdictTaken:
+	case VerdictGranted:
 		return a.newTaken(received)
 	case VerdictRefused:
 		a.retryAfter = min(a.retryAfter, received.reply.Back)
@@ -164,14 +164,14 @@
 			a.limiter.emptyUntil.Add(a.emptyKey(received.part), a.limiter.now().Add(received.reply.Empty))
 		}
 	default:
-		a.decision.Silent++
+		a.decision.Unreachable++
 	}
 	return nil
 }
 
-func (a *acquisition) newTaken(received answer) *Taken {
+func (a *acquisition) newTaken(received answer) *Permit {
 	giveBack := GiveBackRequest{Tenant: a.request.Tenant, Part: received.part.number, Place: received.reply.Place}
-	return &Taken{limiter: a.limiter, keeper: received.keeper, giveBack: giveBack}
+	return &Permit{limiter: a.limiter, keeper: received.keeper, giveBack: giveBack}
 }
 
 // releasePending waits in the background for the calls that are still pending, and gives
@@ -185,8 +185,8 @@
 			received := <-a.answers
 			if received.err != nil {
 				a.limiter.avoid(received.keeper, received.err.Error())
-			} else if received.reply.Verdict == VerdictTaken {
-				a.newTaken(received).Return()
+			} else if received.reply.Verdict == VerdictGranted {
+				a.newTaken(received).Release()
 			}
 		}
 	}(a.pending)
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -45,7 +45,7 @@
 type issuedPermit struct {
 	at       time.Time
 	daemon   identity.Machine // that requested it
-	taken    *quota.Taken
+	taken    *quota.Permit
 	returned bool
 }
 
@@ -133,8 +133,8 @@
 			s.learnQuota(daemon)
 		}
 		index := s.knownQuota[daemon]
-		req := quota.Request{Tenant: "t", Quota: s.declared[index].Quota, Revision: uint64(index), UnderWay: s.random.IntN(5) > 0}
-		if taken, err := s.daemons[daemon].limiter.Take(context.Background(), req); err == nil {
+		req := quota.Request{Tenant: "t", Quota: s.declared[index].Quota, Revision: uint64(index), Continuation: s.random.IntN(5) > 0}
+		if taken, err := s.daemons[daemon].limiter.Acquire(context.Background(), req); err == nil {
 			s.permits = append(s.permits, &issuedPermit{at: s.now(), daemon: s.daemons[daemon].process.Machine, taken: taken})
 		}
 		s.advanceBy(time.Duration(float64(time.Second) * seconds / (1 + newest.PerSecond*s.loadFactor)))
@@ -154,7 +154,7 @@
 		chosen := s.permits[s.expired+s.random.IntN(len(s.permits)-s.expired)]
 		if !chosen.returned {
 			chosen.returned = true
-			chosen.taken.Return()
+			chosen.taken.Release()
 			if chosen.taken.Keeper != string(chosen.daemon) {
 				<-s.gaveBack
 			}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -111,7 +111,7 @@
 	for len(pending) > 0 {
 		next := heap.Pop(&pending).(caller)
 		simulated.advance(next.at)
-		request := quota.Request{Tenant: "t", Quota: load.quota, UnderWay: next.underWay}
+		request := quota.Request{Tenant: "t", Quota: load.quota, Continuation: next.underWay}
 		after, admitted := simulated.take(random.IntN(load.daemons), request)
 		if admitted {
 			taken = append(taken, next.at)
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -37,7 +37,7 @@
 	// Back is how long the caller should wait before it asks again. This wait allows for the
 	// retries of callers that were refused earlier.
 	Back  time.Duration
-	Place Place
+	Place PermitID
 }
 
 // Verdict is a keeper's decision on a request.
@@ -45,13 +45,13 @@
 
 // The verdicts of a keeper.
 const (
-	VerdictTaken Verdict = iota + 1
+	VerdictGranted Verdict = iota + 1
 	VerdictRefused
-	VerdictNotKept // this daemon is not the keeper of the part
+	VerdictNotKeeper // this daemon is not the keeper of the part
 )
 
-// Place identifies a permit at the keeper that issued it, so that it can be given back.
-type Place struct {
+// PermitID identifies a permit at the keeper that issued it, so that it can be given back.
+type PermitID struct {
 	Bucket uint64
 	Slot   int64
 }
@@ -60,24 +60,24 @@
 type GiveBackRequest struct {
 	Tenant identity.Tenant
 	Part   int
-	Place  Place
+	Place  PermitID
 }
 
 // GiveBackReply is empty. A permit that is too old to be given back stays issued, which is
 // not an error.
 type GiveBackReply struct{}
 
-// Standing reports which parts this process is the only keeper of, and since when.
+// Ownership reports which parts this process is the only keeper of, and since when.
 // *members.List implements it.
-type Standing interface {
-	Keeps(owner string, part int) (since time.Time, keeps bool)
+type Ownership interface {
+	OwnsShard(owner string, part int) (since time.Time, keeps bool)
 }
 
 // Keeper issues the permits of the quota parts that are assigned to this daemon. It is safe
 // for concurrent use.
 type Keeper struct {
 	settings Settings
-	claims   Standing
+	claims   Ownership
 	now      func() time.Time
 
 	mutex     sync.Mutex
@@ -106,21 +106,21 @@
 }
 
 // NewKeeper returns a keeper without any parts. A part is added when it is first asked for.
-func NewKeeper(settings Settings, claims Standing, now func() time.Time) *Keeper {
+func NewKeeper(settings Settings, claims Ownership, now func() time.Time) *Keeper {
 	return &Keeper{settings: settings, claims: claims, now: now, parts: map[partKey]*part{}}
 }
 
 // Take issues a permit or refuses the request. If this daemon is not the keeper of the part, the
-// verdict is VerdictNotKept. Other daemons call Take with net/rpc.
+// verdict is VerdictNotKeeper. Other daemons call Take with net/rpc.
 func (k *Keeper) Take(request TakeRequest, reply *TakeReply) error {
 	key := partKey{tenant: request.Tenant, number: request.Part}
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.now()
-	since, keeps := k.claims.Keeps(claimOwner(key.tenant), key.number)
+	since, keeps := k.claims.OwnsShard(claimOwner(key.tenant), key.number)
 	if !keeps {
 		// The part stays in memory and is used again if no other daemon keeps it in the meantime.
-		reply.Verdict = VerdictNotKept
+		reply.Verdict = VerdictNotKeeper
 		return nil
 	}
 	k.sweep(now)
@@ -158,7 +158,7 @@
 		minLevel = 1
 	}
 	slot, level, taken := p.take(now, current, minLevel)
-	reply := TakeReply{Verdict: VerdictTaken, Level: level, Place: Place{Bucket: p.bucketID, Slot: slot}}
+	reply := TakeReply{Verdict: VerdictGranted, Level: level, Place: PermitID{Bucket: p.bucketID, Slot: slot}}
 	if taken {
 		return reply
 	}
@@ -219,8 +219,8 @@
 	return b.isUnused() && b.level(now) >= b.rates.capacity
 }
 
-// Count returns the number of parts in memory.
-func (k *Keeper) Count() int {
+// PartCount returns the number of parts in memory.
+func (k *Keeper) PartCount() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return len(k.parts)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -34,14 +34,14 @@
 // Directory knows the keepers of the parts and whether they can be reached. *members.List
 // implements it.
 type Directory interface {
-	// Keeper returns the keeper of a part, if it is known.
-	Keeper(owner string, part int) (members.Member, bool)
-	// Silent reports whether the member's whole zone has stopped answering.
-	Silent(member members.Member) bool
-	// Missed records that a call to the member failed.
-	Missed(member members.Member)
-	// Answered records that a call to the member succeeded.
-	Answered(member members.Member)
+	// ShardOwner returns the keeper of a part, if it is known.
+	ShardOwner(owner string, part int) (members.Member, bool)
+	// IsZoneSilent reports whether the member's whole zone has stopped answering.
+	IsZoneSilent(member members.Member) bool
+	// RecordMiss records that a call to the member failed.
+	RecordMiss(member members.Member)
+	// RecordAnswer records that a call to the member succeeded.
+	RecordAnswer(member members.Member)
 	// Self returns the process of this daemon.
 	Self() identity.Process
 }
@@ -90,17 +90,17 @@
 	}
 }
 
-// Take gets a permit for the request. It returns nil without an error if the tenant has no limit.
+// Acquire gets a permit for the request. It returns nil without an error if the tenant has no limit.
 // If no keeper grants a permit, the error is *ExceededError if a keeper refused the request, or if
-// a part is known to be empty from an earlier answer. Otherwise it is *UnreachedError.
-func (l *Limiter) Take(ctx context.Context, request Request) (*Taken, error) {
-	if !request.Quota.Limited() {
+// a part is known to be empty from an earlier answer. Otherwise it is *UnreachableError.
+func (l *Limiter) Acquire(ctx context.Context, request Request) (*Permit, error) {
+	if !request.Quota.IsLimited() {
 		return nil, nil
 	}
 	start := l.now()
 	attempt := newAcquisition(l, request)
 	taken := attempt.run(ctx)
-	attempt.decision.Took = l.now().Sub(start)
+	attempt.decision.Duration = l.now().Sub(start)
 	if taken != nil {
 		taken.Decision = attempt.decision
 		l.metrics.count(resultTaken)
@@ -108,11 +108,11 @@
 	}
 	if attempt.retryAfter == maxWait {
 		l.metrics.count(resultUnreached)
-		return nil, &UnreachedError{Decision: attempt.decision, Tenant: request.Tenant}
+		return nil, &UnreachableError{Decision: attempt.decision, Tenant: request.Tenant}
 	}
 	l.metrics.count(resultRefused)
 	return nil, &ExceededError{
-		Decision: attempt.decision, Tenant: request.Tenant, Allowed: int(l.settings.limit(request.Quota)), After: addJitter(attempt.retryAfter),
+		Decision: attempt.decision, Tenant: request.Tenant, Limit: int(l.settings.limit(request.Quota)), RetryAfter: addJitter(attempt.retryAfter),
 	}
 }
 
@@ -123,8 +123,8 @@
 	return minWait + rand.N(minWait)/2
 }
 
-// Taken is a permit for one request. It is nil for a tenant without a limit.
-type Taken struct {
+// Permit is a permit for one request. It is nil for a tenant without a limit.
+type Permit struct {
 	Decision
 	limiter  *Limiter
 	keeper   members.Member
@@ -132,9 +132,9 @@
 	once     sync.Once
 }
 
-// Return gives back the permit of a request that was not run. It does not wait for the
+// Release gives back the permit of a request that was not run. It does not wait for the
 // keeper. Only the first call has an effect. A call on a nil permit does nothing.
-func (t *Taken) Return() {
+func (t *Permit) Release() {
 	if t == nil {
 		return
 	}
@@ -172,7 +172,7 @@
 
 func (l *Limiter) avoid(keeper members.Member, cause string) {
 	machine := keeper.Process.Machine
-	l.directory.Missed(keeper)
+	l.directory.RecordMiss(keeper)
 	l.mutex.Lock()
 	_, known := l.avoided[machine]
 	l.avoided[machine] = l.now().Add(avoidDuration)
--- a/internal/quota/metrics.go
+++ b/internal/quota/metrics.go
@@ -16,14 +16,14 @@
 // metrics counts the results of permit requests. The zero value counts nothing.
 type metrics struct{ results *prometheus.CounterVec }
 
-// Measure registers the limiter's metrics. It must be called before the first request.
-func (l *Limiter) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers the limiter's metrics. It must be called before the first request.
+func (l *Limiter) RegisterMetrics(registerer prometheus.Registerer) error {
 	l.metrics.results = prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "thymeloft_quota_places_total", Help: "Requests for a place in a tenant's quota, by result.",
 	}, []string{"result"})
 	partCount := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_quota_parts_kept", Help: "Parts of tenants' quotas that this daemon keeps.",
-	}, func() float64 { return float64(l.keeper.Count()) })
+	}, func() float64 { return float64(l.keeper.PartCount()) })
 	if err := registerer.Register(l.metrics.results); err != nil {
 		return eris.Wrap(err, "register the quota result counter")
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -35,51 +35,51 @@
 	Quota  tenant.Quota
 	// Revision is the revision of the configuration that declares the quota.
 	Revision uint64
-	// UnderWay is set for a request that continues earlier work. It may use the tolerance,
+	// Continuation is set for a request that continues earlier work. It may use the tolerance,
 	// because refusing it would waste the work already done.
-	UnderWay bool
+	Continuation bool
 }
 
 // Decision holds the details of how a permit was issued or refused, for logs and errors.
 type Decision struct {
-	Keeper string  // machine of the keeper that answered last
-	Level  float64 // permits left in the part of that keeper
-	Asked  int     // number of parts whose keeper was asked
-	Known  int     // number of parts not asked because they were known to be empty
-	Silent int     // number of parts whose keeper is unknown, could not be reached, or no longer keeps the part
-	Took   time.Duration
+	Keeper      string  // machine of the keeper that answered last
+	Level       float64 // permits left in the part of that keeper
+	Asked       int     // number of parts whose keeper was asked
+	KnownEmpty  int     // number of parts not asked because they were known to be empty
+	Unreachable int     // number of parts whose keeper is unknown, could not be reached, or no longer keeps the part
+	Duration    time.Duration
 }
 
 // String returns the details in one line.
 func (d Decision) String() string {
 	return fmt.Sprintf("%d parts asked, %d known to be empty, %d not reached, %.1f places left at %q, took %s",
-		d.Asked, d.Known, d.Silent, d.Level, d.Keeper, d.Took.Round(time.Millisecond))
+		d.Asked, d.KnownEmpty, d.Unreachable, d.Level, d.Keeper, d.Duration.Round(time.Millisecond))
 }
 
 // ExceededError is returned when a tenant has used up its quota.
 type ExceededError struct {
 	Decision
 	Tenant identity.Tenant
-	// Allowed is the number of requests that the quota allows in a window, without the
+	// Limit is the number of requests that the quota allows in a window, without the
 	// tolerance.
-	Allowed int
-	// After is how long the caller should wait before it tries again.
-	After time.Duration
+	Limit int
+	// RetryAfter is how long the caller should wait before it tries again.
+	RetryAfter time.Duration
 }
 
 // Error implements error.
 func (e *ExceededError) Error() string {
-	return fmt.Sprintf("tenant %s: quota used up, %d requests allowed in a window; %s", e.Tenant, e.Allowed, e.Decision)
+	return fmt.Sprintf("tenant %s: quota used up, %d requests allowed in a window; %s", e.Tenant, e.Limit, e.Decision)
 }
 
-// UnreachedError is returned when no keeper of the tenant's quota could be reached. It is then
+// UnreachableError is returned when no keeper of the tenant's quota could be reached. It is then
 // unknown whether the tenant has used up its quota.
-type UnreachedError struct {
+type UnreachableError struct {
 	Decision
 	Tenant identity.Tenant
 }
 
 // Error implements error.
-func (e *UnreachedError) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("tenant %s: no keeper of its quota could be reached; %s", e.Tenant, e.Decision)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -31,7 +31,7 @@
 var settings = quota.Settings{Window: windowLength, ToleranceShare: 0.1, ToleranceRequests: toleranceRequests, Parts: quota.DefaultParts}
 
 func request(underWay bool) quota.Request {
-	return quota.Request{Tenant: "t", Quota: tenant.Quota{PerSecond: perSecond, Burst: burst}, UnderWay: underWay}
+	return quota.Request{Tenant: "t", Quota: tenant.Quota{PerSecond: perSecond, Burst: burst}, Continuation: underWay}
 }
 
 var _ = Describe("Limiter", func() {
@@ -42,8 +42,8 @@
 		fleet.advanceBy(2 * windowLength) // fills all parts
 	})
 
-	take := func(daemon int, req quota.Request) (*quota.Taken, error) {
-		return fleet.daemons[daemon].limiter.Take(context.Background(), req)
+	take := func(daemon int, req quota.Request) (*quota.Permit, error) {
+		return fleet.daemons[daemon].limiter.Acquire(context.Background(), req)
 	}
 	// takeAll asks the daemons in turn until one refuses, and returns the number of permits.
 	takeAll := func(req quota.Request) int {
@@ -52,8 +52,8 @@
 			if _, err := take(count%len(fleet.daemons), req); err != nil {
 				var exceeded *quota.ExceededError
 				Expect(errors.As(err, &exceeded)).To(BeTrue(), "%v", err)
-				Expect(exceeded.After).To(BeNumerically(">=", 100*time.Millisecond))
-				Expect(exceeded.After).To(BeNumerically("<=", 2*windowLength))
+				Expect(exceeded.RetryAfter).To(BeNumerically(">=", 100*time.Millisecond))
+				Expect(exceeded.RetryAfter).To(BeNumerically("<=", 2*windowLength))
 				return count
 			}
 		}
@@ -81,8 +81,8 @@
 		_, err = take(0, request(true))
 		var exceeded *quota.ExceededError
 		Expect(errors.As(err, &exceeded)).To(BeTrue())
-		Expect(exceeded.Known + exceeded.Asked).To(Equal(quota.DefaultParts))
-		Expect(exceeded.Known).To(BeNumerically(">", 0))
+		Expect(exceeded.KnownEmpty + exceeded.Asked).To(Equal(quota.DefaultParts))
+		Expect(exceeded.KnownEmpty).To(BeNumerically(">", 0))
 		fleet.advanceBy(time.Second / perSecond * quota.DefaultParts * 2)
 		Expect(takeAll(request(true))).To(BeNumerically(">=", quota.DefaultParts))
 	})
@@ -98,13 +98,13 @@
 			_, err := take(0, request(false))
 			var exceeded *quota.ExceededError
 			Expect(errors.As(err, &exceeded)).To(BeTrue())
-			last = max(last, exceeded.After)
+			last = max(last, exceeded.RetryAfter)
 		}
 		Expect(last).To(BeNumerically(">", 250*time.Millisecond))
 	})
 
 	It("gives back a permit only once if the request was not run", func() {
-		var permits []*quota.Taken
+		var permits []*quota.Permit
 		for {
 			taken, err := take(0, request(true))
 			if err != nil {
@@ -112,9 +112,9 @@
 			}
 			permits = append(permits, taken)
 		}
-		permits[0].Return()
-		permits[0].Return()
-		permits[1].Return()
+		permits[0].Release()
+		permits[0].Release()
+		permits[1].Release()
 		again := 0
 		req := request(true)
 		Eventually(func() int {
@@ -122,8 +122,8 @@
 			again += takeAll(req)
 			return again
 		}).Should(Equal(2))
-		var unlimited *quota.Taken
-		unlimited.Return()
+		var unlimited *quota.Permit
+		unlimited.Release()
 	})
 
 	It("applies a new limit to all daemons once one of them uses it", func() {
@@ -155,10 +155,10 @@
 		alone := newTestFleet(2, time.Unix(1000, 0))
 		alone.soleKeeper = alone.daemons[1]
 		alone.daemons[1].unreachable = true
-		_, err = alone.daemons[0].limiter.Take(context.Background(), request(true))
-		var unreached *quota.UnreachedError
+		_, err = alone.daemons[0].limiter.Acquire(context.Background(), request(true))
+		var unreached *quota.UnreachableError
 		Expect(errors.As(err, &unreached)).To(BeTrue())
-		Expect(unreached.Silent).To(Equal(quota.DefaultParts))
+		Expect(unreached.Unreachable).To(Equal(quota.DefaultParts))
 	})
 
 	It("starts with an empty bucket after a keeper restarts, and refills at the steady rate", func() {
@@ -180,7 +180,7 @@
 			req.Revision++
 			if suspended {
 				_, err := take(0, req)
-				var unreached *quota.UnreachedError
+				var unreached *quota.UnreachableError
 				Expect(errors.As(err, &unreached)).To(BeTrue())
 			} else {
 				Expect(takeAll(req)).To(BeZero())
@@ -197,7 +197,7 @@
 		}
 		fleet.advanceBy(2 * windowLength)
 		whole := takeAll(request(true))
-		taken.Return()
+		taken.Release()
 		req := request(true)
 		req.Revision++
 		Consistently(func() int { return takeAll(req) }, 20*time.Millisecond).Should(BeZero())
@@ -216,7 +216,7 @@
 
 func ExampleExceededError() {
 	fmt.Println((&quota.ExceededError{
-		Tenant: "north", Allowed: 120, Decision: quota.Decision{Keeper: "m1", Level: 0.5, Asked: 1, Known: 3, Took: 3 * time.Millisecond},
+		Tenant: "north", Limit: 120, Decision: quota.Decision{Keeper: "m1", Level: 0.5, Asked: 1, KnownEmpty: 3, Duration: 3 * time.Millisecond},
 	}).Error())
 	// Output: tenant north: quota used up, 120 requests allowed in a window; 1 parts asked, 3 known to be empty, 0 not reached, 0.5 places left at "m1", took 3ms
 }
--- a/internal/quota/standalone.go
+++ b/internal/quota/standalone.go
@@ -13,31 +13,31 @@
 // parts since the given time.
 type standalone struct{ since time.Time }
 
-// Keeper implements Directory.
-func (standalone) Keeper(string, int) (members.Member, bool) { return members.Member{}, true }
+// ShardOwner implements Directory.
+func (standalone) ShardOwner(string, int) (members.Member, bool) { return members.Member{}, true }
 
-// Silent implements Directory.
-func (standalone) Silent(members.Member) bool { return false }
+// IsZoneSilent implements Directory.
+func (standalone) IsZoneSilent(members.Member) bool { return false }
 
-// Missed implements Directory.
-func (standalone) Missed(members.Member) {}
+// RecordMiss implements Directory.
+func (standalone) RecordMiss(members.Member) {}
 
-// Answered implements Directory.
-func (standalone) Answered(members.Member) {}
+// RecordAnswer implements Directory.
+func (standalone) RecordAnswer(members.Member) {}
 
 // Self implements Directory.
 func (standalone) Self() identity.Process { return identity.Process{} }
 
-// Keeps implements Standing.
-func (a standalone) Keeps(string, int) (time.Time, bool) { return a.since, true }
+// OwnsShard implements Standing.
+func (a standalone) OwnsShard(string, int) (time.Time, bool) { return a.since, true }
 
 // standaloneAge is how long a standalone daemon is assumed to have owned its parts. It is
 // long enough to fill the bucket of any practical quota.
 const standaloneAge = 10 * 365 * 24 * time.Hour
 
-// NewAlone returns a limiter for a single daemon. Each quota consists of one part, which
+// NewStandalone returns a limiter for a single daemon. Each quota consists of one part, which
 // is full at the start.
-func NewAlone(settings Settings, now func() time.Time) *Limiter {
+func NewStandalone(settings Settings, now func() time.Time) *Limiter {
 	settings.Parts = 1
 	directory := standalone{since: now().Add(-standaloneAge)}
 	return NewLimiter(Options{
--- a/internal/quota/test_fleet_test.go
+++ b/internal/quota/test_fleet_test.go
@@ -79,25 +79,27 @@
 	d.limiter = quota.NewLimiter(quota.Options{Settings: settings, Keeper: d.keeper, Directory: d, Caller: d, Now: now, Log: zap.NewNop()})
 }
 
-// Silent implements quota.Directory.
-func (d *testDaemon) Silent(keeper members.Member) bool { return d.silentZones[keeper.Process.Zone] }
+// IsZoneSilent implements quota.Directory.
+func (d *testDaemon) IsZoneSilent(keeper members.Member) bool {
+	return d.silentZones[keeper.Process.Zone]
+}
 
-// Missed implements quota.Directory.
-func (d *testDaemon) Missed(members.Member) {}
+// RecordMiss implements quota.Directory.
+func (d *testDaemon) RecordMiss(members.Member) {}
 
-// Answered implements quota.Directory.
-func (d *testDaemon) Answered(members.Member) {}
+// RecordAnswer implements quota.Directory.
+func (d *testDaemon) RecordAnswer(members.Member) {}
 
 // Self implements quota.Directory.
 func (d *testDaemon) Self() identity.Process { return d.process }
 
-// Keeper implements quota.Directory.
-func (d *testDaemon) Keeper(owner string, part int) (members.Member, bool) {
+// ShardOwner implements quota.Directory.
+func (d *testDaemon) ShardOwner(owner string, part int) (members.Member, bool) {
 	return members.Member{Process: d.fleet.keeperOf(owner, part).process}, true
 }
 
-// Keeps implements quota.Standing.
-func (d *testDaemon) Keeps(owner string, part int) (time.Time, bool) {
+// OwnsShard implements quota.Standing.
+func (d *testDaemon) OwnsShard(owner string, part int) (time.Time, bool) {
 	return d.since, !d.suspended && d.fleet.keeperOf(owner, part) == d
 }
 
@@ -148,10 +150,10 @@
 }
 
 func (f *testFleet) take(daemon int, request quota.Request) (after time.Duration, admitted bool) {
-	taken, err := f.daemons[daemon].limiter.Take(context.Background(), request)
+	taken, err := f.daemons[daemon].limiter.Acquire(context.Background(), request)
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
-		return exceeded.After, false
+		return exceeded.RetryAfter, false
 	}
 	return 0, taken != nil
 }
--- a/internal/quota/zones_test.go
+++ b/internal/quota/zones_test.go
@@ -22,7 +22,7 @@
 		req := quota.TakeRequest{Tenant: "t", UnderWay: true, PerSecond: perSecond, Burst: burst}
 		var reply quota.TakeReply
 		Expect(only.keeper.Take(req, &reply)).To(Succeed())
-		Expect(reply.Verdict).To(Equal(quota.VerdictTaken), "the part was full")
+		Expect(reply.Verdict).To(Equal(quota.VerdictGranted), "the part was full")
 		former := reply.Place
 		only.since = fleet.now()
 		Expect(only.keeper.Take(req, &reply)).To(Succeed())
@@ -47,7 +47,7 @@
 			for _, daemon := range fleet.daemons {
 				own := 0
 				for part := range quota.DefaultParts {
-					if keeper, _ := daemon.Keeper("quota\x00"+string(name), part); keeper.Process == daemon.process {
+					if keeper, _ := daemon.ShardOwner("quota\x00"+string(name), part); keeper.Process == daemon.process {
 						own++
 					}
 				}
@@ -56,7 +56,7 @@
 				}
 				mixed++
 				for range 5 {
-					taken, err := daemon.limiter.Take(context.Background(), quota.Request{Tenant: name, Quota: declared, UnderWay: true})
+					taken, err := daemon.limiter.Acquire(context.Background(), quota.Request{Tenant: name, Quota: declared, Continuation: true})
 					Expect(err).NotTo(HaveOccurred())
 					Expect(taken.Keeper).To(Equal(string(daemon.process.Machine)))
 					Expect(taken.Asked).To(Equal(1))
@@ -72,13 +72,13 @@
 		remote.process.Zone = "cut off"
 		fleet.advanceBy(2 * windowLength)
 		fleet.soleKeeper = remote
-		_, err := local.limiter.Take(context.Background(), request(true))
+		_, err := local.limiter.Acquire(context.Background(), request(true))
 		Expect(err).NotTo(HaveOccurred())
 		local.silentZones = map[identity.Zone]bool{"cut off": true}
-		_, err = local.limiter.Take(context.Background(), request(true))
-		var unreached *quota.UnreachedError
+		_, err = local.limiter.Acquire(context.Background(), request(true))
+		var unreached *quota.UnreachableError
 		Expect(errors.As(err, &unreached)).To(BeTrue())
 		Expect(unreached.Asked).To(BeZero())
-		Expect(unreached.Silent).To(Equal(quota.DefaultParts))
+		Expect(unreached.Unreachable).To(Equal(quota.DefaultParts))
 	})
 })
--- a/internal/reach/monitor.go
+++ b/internal/reach/monitor.go
@@ -33,12 +33,12 @@
 type Options struct {
 	// Observe returns the current observation.
 	Observe func() Observation
-	// AskStore sends a small request to the store. The next observations show whether the store
+	// ProbeStore sends a small request to the store. The next observations show whether the store
 	// answered.
-	AskStore func(ctx context.Context)
-	// Moved is the time from when daemons report that they are not ready until callers are routed
+	ProbeStore func(ctx context.Context)
+	// RerouteDelay is the time from when daemons report that they are not ready until callers are routed
 	// to other zones.
-	Moved time.Duration
+	RerouteDelay time.Duration
 	// OnChange is called after each change of CutOff, unless it is nil.
 	OnChange func(cutOff bool)
 	Now      func() time.Time
@@ -78,7 +78,7 @@
 
 // Run takes an observation every observeInterval until the context ends.
 func (m *Monitor) Run(ctx context.Context) {
-	for pause.For(ctx, observeInterval) {
+	for pause.Sleep(ctx, observeInterval) {
 		m.step(ctx)
 	}
 }
@@ -105,7 +105,7 @@
 	defer m.probeMutex.Unlock()
 	ctx, cancel := context.WithTimeout(parent, probeTimeout)
 	defer cancel()
-	m.options.AskStore(ctx)
+	m.options.ProbeStore(ctx)
 }
 
 func (m *Monitor) setCutOff(now time.Time, observation Observation, cutOff bool) {
@@ -113,7 +113,7 @@
 		m.cutOffSince.Store(now.UnixNano())
 		m.connected.Load().cancel()
 		m.options.Log.Warn("reach: cut off from other zones and the store.",
-			zap.Duration("outsideSilent", now.Sub(observation.OutsideHeard)), zap.Duration("storeSilent", now.Sub(observation.StoreHeard)))
+			zap.Duration("outsideSilent", now.Sub(observation.LastOutsideContact)), zap.Duration("storeSilent", now.Sub(observation.LastStoreAnswer)))
 	} else {
 		lasted := now.Sub(time.Unix(0, m.cutOffSince.Load()))
 		m.cutOffSince.Store(0)
@@ -137,17 +137,17 @@
 	return m.connected.Load().ctx
 }
 
-// Back returns the delay after which a refused caller is likely to reach a daemon of another zone:
+// RetryAfter returns the delay after which a refused caller is likely to reach a daemon of another zone:
 // the rest of Options.Moved but at least minRetryAfter, plus a random part so that callers don't
 // all retry at once.
-func (m *Monitor) Back() time.Duration {
+func (m *Monitor) RetryAfter() time.Duration {
 	lasted := m.options.Now().Sub(time.Unix(0, m.cutOffSince.Load()))
-	delay := max(m.options.Moved-lasted, minRetryAfter)
+	delay := max(m.options.RerouteDelay-lasted, minRetryAfter)
 	return delay + rand.N(delay/retryJitterDivisor)
 }
 
-// Measure registers a metric that shows whether this daemon is cut off.
-func (m *Monitor) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers a metric that shows whether this daemon is cut off.
+func (m *Monitor) RegisterMetrics(registerer prometheus.Registerer) error {
 	gauge := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_cut_off", Help: "1 while neither other zones nor the store can be reached, otherwise 0.",
 	}, func() float64 {
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -33,10 +33,10 @@
 	// OutsideKnown is true if there are daemons in other zones, and this zone's load aggregator
 	// recently reported when it last reached them.
 	OutsideKnown bool
-	// OutsideHeard is when this zone last reached a daemon of another zone.
-	OutsideHeard time.Time
-	// StoreHeard is when the store last answered this daemon, by any route.
-	StoreHeard time.Time
+	// LastOutsideContact is when this zone last reached a daemon of another zone.
+	LastOutsideContact time.Time
+	// LastStoreAnswer is when the store last answered this daemon, by any route.
+	LastStoreAnswer time.Time
 }
 
 // detector decides from observations whether the daemon is cut off. It reads no clock.
@@ -51,13 +51,13 @@
 		d.runningSince = now
 	}
 	d.lastObserved = now
-	return observation.OutsideKnown && d.silenceSince(now, observation.OutsideHeard) >= outsideTimeout && d.silenceSince(now, observation.StoreHeard) >= storeTimeout
+	return observation.OutsideKnown && d.silenceSince(now, observation.LastOutsideContact) >= outsideTimeout && d.silenceSince(now, observation.LastStoreAnswer) >= storeTimeout
 }
 
 // shouldProbeStore reports whether the store is to be probed, because the other zones have been
 // silent for half of outsideTimeout.
 func (d *detector) shouldProbeStore(now time.Time, observation Observation) bool {
-	return observation.OutsideKnown && d.silenceSince(now, observation.OutsideHeard) >= outsideTimeout/2
+	return observation.OutsideKnown && d.silenceSince(now, observation.LastOutsideContact) >= outsideTimeout/2
 }
 
 // silenceSince returns the time since a contact at the time heard, or since the process started or
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -24,7 +24,7 @@
 }
 
 func newTestEnvironment() *testEnvironment {
-	return &testEnvironment{now: startTime, observation: Observation{OutsideKnown: true, OutsideHeard: startTime, StoreHeard: startTime}}
+	return &testEnvironment{now: startTime, observation: Observation{OutsideKnown: true, LastOutsideContact: startTime, LastStoreAnswer: startTime}}
 }
 
 // advance moves the clock forward in steps of observeInterval and calls step after each. If outside
@@ -33,10 +33,10 @@
 	for end := e.now.Add(span); e.now.Before(end); {
 		e.now = e.now.Add(observeInterval)
 		if outside {
-			e.observation.OutsideHeard = e.now
+			e.observation.LastOutsideContact = e.now
 		}
 		if store {
-			e.observation.StoreHeard = e.now
+			e.observation.LastStoreAnswer = e.now
 		}
 		step()
 	}
@@ -67,7 +67,7 @@
 			}
 		})
 		Expect(since).To(BeNumerically("<=", 500*time.Millisecond))
-		env.observation.StoreHeard = env.now
+		env.observation.LastStoreAnswer = env.now
 		Expect(d.observe(env.now.Add(observeInterval), env.observation)).To(BeFalse())
 	})
 
@@ -96,12 +96,12 @@
 		probes := make(chan struct{}, 100) // local to this spec, since a probe may outlive the spec
 		env, changes, probed = newTestEnvironment(), nil, probes
 		monitor = NewMonitor(Options{
-			Observe:  func() Observation { return env.observation },
-			AskStore: func(context.Context) { probes <- struct{}{} },
-			Moved:    2 * time.Second,
-			OnChange: func(cutOff bool) { changes = append(changes, cutOff) },
-			Now:      func() time.Time { return env.now },
-			Log:      zap.NewNop(),
+			Observe:      func() Observation { return env.observation },
+			ProbeStore:   func(context.Context) { probes <- struct{}{} },
+			RerouteDelay: 2 * time.Second,
+			OnChange:     func(cutOff bool) { changes = append(changes, cutOff) },
+			Now:          func() time.Time { return env.now },
+			Log:          zap.NewNop(),
 		})
 	})
 
@@ -119,9 +119,9 @@
 		env.advance(outsideTimeout, false, false, func() { monitor.step(ctx) })
 		Expect(monitor.CutOff()).To(BeTrue())
 		Expect(connected.Err()).To(HaveOccurred())
-		Expect(monitor.Back()).To(BeNumerically(">=", 2*time.Second))
+		Expect(monitor.RetryAfter()).To(BeNumerically(">=", 2*time.Second))
 		env.advance(time.Minute, false, false, func() { monitor.step(ctx) })
-		Expect(monitor.Back()).To(BeNumerically("<=", minRetryAfter+minRetryAfter/retryJitterDivisor))
+		Expect(monitor.RetryAfter()).To(BeNumerically("<=", minRetryAfter+minRetryAfter/retryJitterDivisor))
 		env.advance(observeInterval, true, true, func() { monitor.step(ctx) })
 		Expect(monitor.CutOff()).To(BeFalse())
 		Expect(monitor.Connected().Err()).NotTo(HaveOccurred())
--- a/internal/retention/export_test.go
+++ b/internal/retention/export_test.go
@@ -2,5 +2,5 @@
 
 import "time"
 
-// Pause sets the interval between two removals.
-func (q *Queue) Pause(interval time.Duration) { q.interval = interval }
+// SetInterval sets the interval between two removals.
+func (q *Queue) SetInterval(interval time.Duration) { q.interval = interval }
--- a/internal/retention/retention.go
+++ b/internal/retention/retention.go
@@ -22,8 +22,8 @@
 // Batch is a group of rows that are removed in the same commit.
 type Batch struct {
 	Keys []state.Key
-	// Removed is called after the rows were removed; it may be nil.
-	Removed func()
+	// OnRemoved is called after the rows were removed; it may be nil.
+	OnRemoved func()
 
 	due time.Time
 }
@@ -51,9 +51,9 @@
 	return &Queue{store: store, now: now, log: log, wake: make(chan struct{}, 1), interval: defaultQueueInterval}
 }
 
-// Hurry makes Run remove due rows soon instead of after the full interval, for example because
+// TriggerRemoval makes Run remove due rows soon instead of after the full interval, for example because
 // the store is full. It does not block.
-func (q *Queue) Hurry() {
+func (q *Queue) TriggerRemoval() {
 	select {
 	case q.wake <- struct{}{}:
 	default: // already requested
@@ -108,15 +108,15 @@
 			return err
 		}
 		for _, batch := range due {
-			if batch.Removed != nil {
-				batch.Removed()
+			if batch.OnRemoved != nil {
+				batch.OnRemoved()
 			}
 		}
 	}
 }
 
 func removeRows(ctx context.Context, store *state.Client, keys []state.Key) error {
-	return store.Repeat(ctx, func() error {
+	return store.Retry(ctx, func() error {
 		_, err := store.Commit(ctx, state.Commit{Class: state.ClassSweep, Removals: keys})
 		return err
 	})
@@ -141,7 +141,7 @@
 
 // wait returns true when it is time for the next removal, and false when the context ended.
 func (q *Queue) wait(ctx context.Context) bool {
-	if !pause.For(ctx, minQueueInterval) {
+	if !pause.Sleep(ctx, minQueueInterval) {
 		return false
 	}
 	timer := time.NewTimer(q.interval - minQueueInterval)
--- a/internal/retention/retention_test.go
+++ b/internal/retention/retention_test.go
@@ -66,7 +66,7 @@
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		removed := 0
 		for number := range 250 {
-			queue.AddBatch(time.Minute, retention.Batch{Keys: []state.Key{key(number)}, Removed: func() { removed++ }})
+			queue.AddBatch(time.Minute, retention.Batch{Keys: []state.Key{key(number)}, OnRemoved: func() { removed++ }})
 		}
 		var classes []state.Class
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
@@ -83,7 +83,7 @@
 
 	It("are removed soon after Hurry, without waiting for the interval", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
-		queue.Pause(time.Hour)
+		queue.SetInterval(time.Hour)
 		queue.Add(0, key(0))
 		runCtx, cancel := context.WithCancel(ctx)
 		done := make(chan struct{})
@@ -91,8 +91,8 @@
 			defer close(done)
 			queue.Run(runCtx)
 		}()
-		queue.Hurry()
-		queue.Hurry()
+		queue.TriggerRemoval()
+		queue.TriggerRemoval()
 		Eventually(func() int { return rows(ctx) }).Should(Equal(249))
 		cancel()
 		Eventually(done).Should(BeClosed())
@@ -101,11 +101,11 @@
 	It("are removed by the sweep, and other rows are kept", func(ctx SpecContext) {
 		sweep := &retention.Sweep{
 			Store: client, Table: "t", Log: zap.NewNop(),
-			Over: func(row state.Row) bool { return row.Value[0] >= 100 },
+			IsExpired: func(row state.Row) bool { return row.Value[0] >= 100 },
 		}
 		removed := 0
 		for _, partition := range []string{"0", "1", "2"} {
-			count, err := sweep.Partition(ctx, partition)
+			count, err := sweep.SweepPartition(ctx, partition)
 			Expect(err).NotTo(HaveOccurred())
 			removed += count
 		}
--- a/internal/retention/sweep.go
+++ b/internal/retention/sweep.go
@@ -15,13 +15,13 @@
 	Store      *state.Client
 	Table      string
 	Partitions []string
-	// Mine reports whether this daemon sweeps a partition.
-	Mine func(partition string) bool
-	// Over reports whether a row has expired.
-	Over func(row state.Row) bool
-	Log  *zap.Logger
-	// Every is the duration of a pass over all partitions; 0 means one hour.
-	Every time.Duration
+	// OwnsPartition reports whether this daemon sweeps a partition.
+	OwnsPartition func(partition string) bool
+	// IsExpired reports whether a row has expired.
+	IsExpired func(row state.Row) bool
+	Log       *zap.Logger
+	// PassDuration is the duration of a pass over all partitions; 0 means one hour.
+	PassDuration time.Duration
 }
 
 // defaultPassDuration is the duration of a pass if Every is not set. It suits tables whose rows
@@ -30,21 +30,21 @@
 
 // Run sweeps one partition after another, spread evenly over a pass, until the context ends.
 func (s *Sweep) Run(ctx context.Context) {
-	passDuration := s.Every
+	passDuration := s.PassDuration
 	if passDuration <= 0 {
 		passDuration = defaultPassDuration
 	}
 	interval := passDuration / time.Duration(len(s.Partitions))
 	for {
 		for _, partition := range s.Partitions {
-			if !pause.For(ctx, interval) {
+			if !pause.Sleep(ctx, interval) {
 				return
 			}
-			if !s.Mine(partition) {
+			if !s.OwnsPartition(partition) {
 				continue
 			}
 			timeoutCtx, cancel := context.WithTimeout(ctx, removalTimeout)
-			removed, err := s.Partition(timeoutCtx, partition)
+			removed, err := s.SweepPartition(timeoutCtx, partition)
 			cancel()
 			if err != nil || removed > 0 {
 				s.Log.Info("retention: sweep of partition ended.", zap.String("table", s.Table), zap.String("partition", partition), zap.Int("removed", removed), zap.Error(err))
@@ -53,9 +53,9 @@
 	}
 }
 
-// Partition sweeps one partition and returns the number of removed rows. It does not remove a
+// SweepPartition sweeps one partition and returns the number of removed rows. It does not remove a
 // row that changed after it was read.
-func (s *Sweep) Partition(ctx context.Context, partition string) (int, error) {
+func (s *Sweep) SweepPartition(ctx context.Context, partition string) (int, error) {
 	removed := 0
 	start := ""
 	for {
@@ -90,7 +90,7 @@
 		return err
 	}
 	for _, row := range rows {
-		if !s.Over(row) {
+		if !s.IsExpired(row) {
 			continue
 		}
 		commit.Conditions = append(commit.Conditions, state.Condition{Key: row.Key, Version: row.Version})
--- a/internal/routetable/balancer.go
+++ b/internal/routetable/balancer.go
@@ -10,12 +10,12 @@
 // weights. It is safe for concurrent use.
 type balancer struct {
 	mutex   sync.Mutex
-	parts   []Part
+	parts   []WeightedService
 	total   int
 	current []int
 }
 
-func newBalancer(parts []Part) *balancer {
+func newBalancer(parts []WeightedService) *balancer {
 	result := &balancer{parts: parts, current: make([]int, len(parts))}
 	for _, part := range parts {
 		result.total += part.Weight
@@ -23,7 +23,7 @@
 	return result
 }
 
-func (b *balancer) hasParts(parts []Part) bool { return slices.Equal(b.parts, parts) }
+func (b *balancer) hasParts(parts []WeightedService) bool { return slices.Equal(b.parts, parts) }
 
 // next returns the service for the next request, or "" if no part has a positive
 // weight.
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -13,41 +13,41 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Repeat says whether a request may run more than once.
-type Repeat uint8
+// RepeatPolicy says whether a request may run more than once.
+type RepeatPolicy uint8
 
 // The values of Repeat.
 const (
-	// Once means that a request runs at most once.
-	Once Repeat = iota
-	// Any means that a request may run more than once.
-	Any
+	// RepeatNever means that a request runs at most once.
+	RepeatNever RepeatPolicy = iota
+	// RepeatAllowed means that a request may run more than once.
+	RepeatAllowed
 )
 
 // Route declares how to serve requests whose host is Host and whose path begins
 // with Prefix.
 type Route struct {
-	Name        string
-	Host        string
-	Prefix      string // begins and ends with a slash
-	Repeat      Repeat
-	Streaming   bool
-	Resumable   bool          // a stream may be continued on another engine
-	Recorded    bool          // turns are stored, so that later requests can continue them
-	Retention   time.Duration // how long recorded turns are kept
-	Timeout     time.Duration
-	Target      time.Duration // maximum latency of an answer that counts as in time
-	Patience    time.Duration // longest gap in a stream before callers give up
-	MaxAttempts int
-	Priority    int // 0 is the highest
+	Name          string
+	Host          string
+	Prefix        string // begins and ends with a slash
+	Repeat        RepeatPolicy
+	Streaming     bool
+	Resumable     bool          // a stream may be continued on another engine
+	Recorded      bool          // turns are stored, so that later requests can continue them
+	Retention     time.Duration // how long recorded turns are kept
+	Timeout       time.Duration
+	LatencyTarget time.Duration // maximum latency of an answer that counts as in time
+	MaxStreamGap  time.Duration // longest gap in a stream before callers give up
+	MaxAttempts   int
+	Priority      int // 0 is the highest
 	// Public means that requests need no key.
 	Public   bool
-	Parts    []Part
+	Services []WeightedService
 	balancer *balancer
 }
 
-// Part is one of the services of a route and its weight.
-type Part struct {
+// WeightedService is one of the services of a route and its weight.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -94,7 +94,7 @@
 		table.services[service.Name] = service
 	}
 	for _, route := range routes {
-		route.balancer = newBalancer(route.Parts)
+		route.balancer = newBalancer(route.Services)
 		table.byHost[route.Host] = append(table.byHost[route.Host], route)
 	}
 	for _, hostRoutes := range table.byHost {
@@ -178,7 +178,7 @@
 	for host, routes := range t.byHost {
 		for _, route := range routes {
 			for _, old := range previous.byHost[host] {
-				if old.Prefix == route.Prefix && old.balancer.hasParts(route.Parts) {
+				if old.Prefix == route.Prefix && old.balancer.hasParts(route.Services) {
 					route.balancer = old.balancer
 				}
 			}
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -14,8 +14,8 @@
 	RunSpecs(t, "routetable")
 }
 
-func route(prefix string, parts ...routetable.Part) *routetable.Route {
-	return &routetable.Route{Name: prefix, Host: "a.example", Prefix: prefix, Parts: parts}
+func route(prefix string, parts ...routetable.WeightedService) *routetable.Route {
+	return &routetable.Route{Name: prefix, Host: "a.example", Prefix: prefix, Services: parts}
 }
 
 func tableOf(revision uint64, routes ...*routetable.Route) *routetable.Table {
@@ -51,7 +51,7 @@
 	})
 
 	It("splits even a few requests by weight, also across revisions", func() {
-		parts := []routetable.Part{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}, {Service: "z", Weight: 0}}
+		parts := []routetable.WeightedService{{Service: "x", Weight: 90}, {Service: "y", Weight: 10}, {Service: "z", Weight: 0}}
 		var holder routetable.Holder
 		counts := map[string]int{}
 		for revision := range uint64(10) {
--- a/internal/routing/fake_test.go
+++ b/internal/routing/fake_test.go
@@ -77,7 +77,7 @@
 
 // setLeader makes a process the leader of all shards.
 func (m *fakeMap) setLeader(leader identity.Process) {
-	shardMap := &shards.Map{Shards: shardCount, Leaders: map[identity.Shard]shards.Leader{}}
+	shardMap := &shards.Map{ShardCount: shardCount, Leaders: map[identity.Shard]shards.Leader{}}
 	for number := range identity.Shard(shardCount) {
 		shardMap.Leaders[number+1] = shards.Leader{Process: leader, Term: 1}
 	}
@@ -115,7 +115,7 @@
 		var err error
 		created.shardMap = mapOf(replicas[0])
 		created.router, err = routing.New(routing.Options{
-			Self: created.self, Local: created, Groups: noGroups{}, Map: created.shardMap,
+			Self: created.self, Local: created, Groups: noGroups{}, ShardMap: created.shardMap,
 			Caller: pool, Registrar: created.server,
 		})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -51,7 +51,7 @@
 // maxRefusalRetry after the first refusal. The reply then holds a problem.
 func route[Arguments, Reply any](ctx context.Context, r *Router, operation operation[Arguments, Reply]) Reply {
 	started := time.Now()
-	limit := r.options.Patience + operation.wait
+	limit := r.options.RouteTimeout + operation.wait
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var reply Reply
@@ -75,17 +75,17 @@
 // second result is false if ctx ended first. If the shard does not exist, the
 // identifier was never issued, and locateShard returns a problem.
 func locateShard(ctx context.Context, r *Router, shardOf func(uint32) (identity.Shard, error)) (identity.Shard, bool, *problem.Problem) {
-	backoff := pause.Growing(initialBackoff, maxBackoff)
+	backoff := pause.NewBackoff(initialBackoff, maxBackoff)
 	for {
-		if current := r.options.Map.Current(); current != nil {
-			r.leaders.allocate(current.Shards)
-			shard, err := shardOf(current.Shards)
-			if err != nil || uint32(shard) > current.Shards {
+		if current := r.options.ShardMap.Current(); current != nil {
+			r.leaders.allocate(current.ShardCount)
+			shard, err := shardOf(current.ShardCount)
+			if err != nil || uint32(shard) > current.ShardCount {
 				return 0, false, problem.New(problem.KindUnknownProgram, stepRoute, "no such program")
 			}
 			return shard, true, nil
 		}
-		if !pause.For(ctx, backoff.NextBackOff()) {
+		if !pause.Sleep(ctx, backoff.NextBackOff()) {
 			return 0, false, nil
 		}
 	}
@@ -94,7 +94,7 @@
 // tryRounds tries all candidates in rounds, with backoff between the rounds, and
 // reports whether a daemon decided on the operation.
 func tryRounds[Arguments, Reply any](ctx context.Context, r *Router, shard identity.Shard, operation *operation[Arguments, Reply], reply *Reply, state *tryState) bool {
-	backoff := pause.Growing(initialBackoff, maxBackoff)
+	backoff := pause.NewBackoff(initialBackoff, maxBackoff)
 	for {
 		tried := make([]string, 0, 4)
 		for ctx.Err() == nil {
@@ -107,7 +107,7 @@
 				return true
 			}
 		}
-		if state.sinceRefusal() >= maxRefusalRetry || !pause.For(ctx, backoff.NextBackOff()) {
+		if state.sinceRefusal() >= maxRefusalRetry || !pause.Sleep(ctx, backoff.NextBackOff()) {
 			return false
 		}
 	}
@@ -136,7 +136,7 @@
 	if address := r.leaders.get(shard); untried(address) {
 		return address
 	}
-	if leader := r.options.Map.Current().Leaders[shard].Process; untried(leader.Address) {
+	if leader := r.options.ShardMap.Current().Leaders[shard].Process; untried(leader.Address) {
 		return leader.Address
 	}
 	return ""
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -40,15 +40,15 @@
 	Self       identity.Process
 	Local      Local // for shards led by this daemon
 	Groups     shards.Groups
-	Map        shards.Source
+	ShardMap   shards.MapSource
 	Caller     peer.Caller
 	Registrar  peer.Registrar
 	Logger     *zap.Logger           // nil: nothing is logged
 	Registerer prometheus.Registerer // nil: metrics are not exposed
 
-	Patience   time.Duration // how long a leader is searched for before giving up; 10 s
-	TryTimeout time.Duration // limit on one try, in addition to the wait that the caller asked for; 4 s
-	RetryAfter time.Duration // retry delay given to the caller when giving up, unless a reply named one; 2 s
+	RouteTimeout time.Duration // how long a leader is searched for before giving up; 10 s
+	TryTimeout   time.Duration // limit on one try, in addition to the wait that the caller asked for; 4 s
+	RetryAfter   time.Duration // retry delay given to the caller when giving up, unless a reply named one; 2 s
 }
 
 // Router implements execution.Programs for all shards. It is safe for concurrent
@@ -64,10 +64,10 @@
 
 // New returns a router and registers the net/rpc service for other daemons.
 func New(options Options) (*Router, error) {
-	if options.Local == nil || options.Groups == nil || options.Map == nil || options.Caller == nil || options.Registrar == nil {
+	if options.Local == nil || options.Groups == nil || options.ShardMap == nil || options.Caller == nil || options.Registrar == nil {
 		return nil, errors.New("routing: Local, Groups, Map, Caller and Registrar are required")
 	}
-	setDefault(&options.Patience, defaultPatience)
+	setDefault(&options.RouteTimeout, defaultPatience)
 	setDefault(&options.TryTimeout, defaultTryTimeout)
 	setDefault(&options.RetryAfter, defaultRetryAfter)
 	if options.Logger == nil {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -109,8 +109,8 @@
 		func(script []scriptedReply, expected problem.Outcome) {
 			router, err := routing.New(routing.Options{
 				Self: identity.Process{Address: "self"}, Local: &fakeDaemon{}, Groups: noGroups{},
-				Map:    mapOf(identity.Process{Address: "other"}),
-				Caller: &scriptedCaller{script: script}, Registrar: noRegistrar{}, Patience: 100 * time.Millisecond,
+				ShardMap: mapOf(identity.Process{Address: "other"}),
+				Caller:   &scriptedCaller{script: script}, Registrar: noRegistrar{}, RouteTimeout: 100 * time.Millisecond,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			submitted, err := router.Submit(ctx, execution.SubmitArguments{Program: identity.NewProgram(1)})
--- a/internal/rowset/rowset.go
+++ b/internal/rowset/rowset.go
@@ -19,13 +19,13 @@
 
 // Errors of Join and Cut.
 var (
-	// ErrAbsent means that the first row of the value does not exist.
-	ErrAbsent = errors.New("the value does not exist")
-	// ErrTorn means that rows of the value are missing or belong to another value.
-	ErrTorn = errors.New("rows of the value are missing or do not match")
-	// ErrFormat means that a row cannot be decoded: another program wrote it, or it has a
+	// ErrNotFound means that the first row of the value does not exist.
+	ErrNotFound = errors.New("the value does not exist")
+	// ErrInconsistent means that rows of the value are missing or belong to another value.
+	ErrInconsistent = errors.New("rows of the value are missing or do not match")
+	// ErrUnknownFormat means that a row cannot be decoded: another program wrote it, or it has a
 	// format that this version does not know.
-	ErrFormat = errors.New("the row has an unknown format")
+	ErrUnknownFormat = errors.New("the row has an unknown format")
 	// ErrTooLarge means that the value does not fit into one commit.
 	ErrTooLarge = errors.New("the value does not fit into one commit")
 )
@@ -38,10 +38,10 @@
 	maxRows          = 11 // rows of one value; 11 rows of 64 KiB, encoded as base64, fit into a commit of 1 MB
 	separator        = "/"
 	rangeEndSuffix   = "0" // the character after the separator; ends the range of a value's rows
-	// Partitions is the number of partitions over which values are spread. The store executes
+	// PartitionCount is the number of partitions over which values are spread. The store executes
 	// commits of different partitions in parallel, but those of one partition one after
 	// another.
-	Partitions = 256
+	PartitionCount = 256
 	// partitionsPerValue is the number of partitions in which a value may be stored. A value is
 	// stored in the first of them that accepts it, so that it can be written even if some of
 	// them are down.
@@ -60,19 +60,19 @@
 
 // Value is a value that Join read.
 type Value struct {
-	Bytes   []byte
-	Expires int64 // Unix time in seconds from which the value may be removed
-	Rows    int   // number of rows that hold the value
+	Bytes     []byte
+	ExpiresAt int64 // Unix time in seconds from which the value may be removed
+	RowCount  int   // number of rows that hold the value
 }
 
 // Capacity returns the size in bytes of the largest value that fits into one commit, if a row
 // holds at most rowBytes bytes.
 func Capacity(rowBytes int) int { return maxRows * (rowBytes - maxEnvelopeBytes) }
 
-// Cut splits a value into rows of at most rowBytes bytes, named NAME, NAME/1, NAME/2 and so on.
+// Split splits a value into rows of at most rowBytes bytes, named NAME, NAME/1, NAME/2 and so on.
 // expires is the Unix time in seconds from which the rows may be removed. Cut returns
 // ErrTooLarge if the value does not fit into one commit.
-func Cut(key state.Key, value []byte, expires int64, rowBytes int) ([]state.Put, error) {
+func Split(key state.Key, value []byte, expires int64, rowBytes int) ([]state.Put, error) {
 	if len(value) > Capacity(rowBytes) {
 		return nil, eris.Wrapf(ErrTooLarge, "split %d bytes into rows", len(value))
 	}
@@ -99,8 +99,8 @@
 	return key
 }
 
-// Range returns a range that contains all rows of the value with the key.
-func Range(key state.Key) state.Range {
+// RangeOf returns a range that contains all rows of the value with the key.
+func RangeOf(key state.Key) state.Range {
 	return state.Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + rangeEndSuffix}
 }
 
@@ -112,57 +112,57 @@
 	}
 	first, found := byName[name]
 	if !found {
-		return Value{}, ErrAbsent
+		return Value{}, ErrNotFound
 	}
 	head, err := decodeRow(first)
 	if err != nil {
 		return Value{}, err
 	}
-	value := Value{Bytes: head.Part, Expires: head.Expires, Rows: int(head.Count)}
+	value := Value{Bytes: head.Part, ExpiresAt: head.Expires, RowCount: int(head.Count)}
 	for number := 1; number < int(head.Count); number++ {
 		row, found := byName[rowKey(state.Key{Name: name}, number).Name]
 		if !found {
-			return Value{}, eris.Wrapf(ErrTorn, "row %d of %d is missing", number, head.Count)
+			return Value{}, eris.Wrapf(ErrInconsistent, "row %d of %d is missing", number, head.Count)
 		}
 		next, err := decodeRow(row)
 		if err != nil {
 			return Value{}, err
 		}
 		if next.Expires != head.Expires || next.Count != head.Count || int(next.Number) != number {
-			return Value{}, eris.Wrapf(ErrTorn, "row %d of %d belongs to another value", number, head.Count)
+			return Value{}, eris.Wrapf(ErrInconsistent, "row %d of %d belongs to another value", number, head.Count)
 		}
 		value.Bytes = append(value.Bytes, next.Part...)
 	}
 	return value, nil
 }
 
-// decodeRow decodes the envelope of a row. It returns ErrFormat if that fails.
+// decodeRow decodes the envelope of a row. It returns ErrUnknownFormat if that fails.
 func decodeRow(row state.Row) (envelope, error) {
 	var decoded envelope
 	if err := cbor.Unmarshal(row.Value, &decoded); err != nil {
-		return envelope{}, eris.Wrapf(ErrFormat, "row %s: %v", row.Key.Name, err)
+		return envelope{}, eris.Wrapf(ErrUnknownFormat, "row %s: %v", row.Key.Name, err)
 	}
 	if decoded.Format != formatVersion || decoded.Count == 0 {
-		return envelope{}, eris.Wrapf(ErrFormat, "row %s: format %d", row.Key.Name, decoded.Format)
+		return envelope{}, eris.Wrapf(ErrUnknownFormat, "row %s: format %d", row.Key.Name, decoded.Format)
 	}
 	return decoded, nil
 }
 
 // Expires returns the Unix time in seconds from which a row may be removed. The second result
 // is false if the row was not written by this package.
-func Expires(row state.Row) (int64, bool) {
+func ExpiryOf(row state.Row) (int64, bool) {
 	decoded, err := decodeRow(row)
 	return decoded.Expires, err == nil
 }
 
-// PlacesOf returns the names of the partitions in which the value with the name may be stored,
+// PartitionsOf returns the names of the partitions in which the value with the name may be stored,
 // the most likely one first.
-func PlacesOf(name string) []string {
+func PartitionsOf(name string) []string {
 	hash := xxhash.Sum64String(name)
-	home, step := hash%Partitions, 2*(hash>>32%(Partitions/2))+1
+	home, step := hash%PartitionCount, 2*(hash>>32%(PartitionCount/2))+1
 	partitions := make([]string, 0, partitionsPerValue)
 	for number := range uint64(partitionsPerValue) {
-		partitions = append(partitions, strconv.FormatUint((home+number*step)%Partitions, 16))
+		partitions = append(partitions, strconv.FormatUint((home+number*step)%PartitionCount, 16))
 	}
 	return partitions
 }
--- a/internal/rowset/rowset_test.go
+++ b/internal/rowset/rowset_test.go
@@ -27,7 +27,7 @@
 		rowBytes := rapid.IntRange(40, 300).Draw(t, "row bytes")
 		value := rapid.SliceOfN(rapid.Byte(), 0, rowset.Capacity(rowBytes)).Draw(t, "value")
 		key := state.Key{Table: "t", Partition: "1", Name: "name"}
-		puts, err := rowset.Cut(key, value, 1<<40, rowBytes)
+		puts, err := rowset.Split(key, value, 1<<40, rowBytes)
 		if err != nil {
 			t.Fatalf("cut: %v", err)
 		}
@@ -36,7 +36,7 @@
 			if len(row.Value) > rowBytes {
 				t.Fatalf("a row of %d bytes, more than %d", len(row.Value), rowBytes)
 			}
-			if expires, ours := rowset.Expires(row); !ours || expires != 1<<40 {
+			if expires, ours := rowset.ExpiryOf(row); !ours || expires != 1<<40 {
 				t.Fatalf("Expires of row %s is wrong or unknown", row.Key.Name)
 			}
 		}
@@ -58,26 +58,26 @@
 
 func TestJoinRejectsRowsOfDifferentValues(t *testing.T) {
 	key := state.Key{Table: "t", Partition: "1", Name: "name"}
-	older, err := rowset.Cut(key, bytes.Repeat([]byte("o"), 200), 1000, 100)
+	older, err := rowset.Split(key, bytes.Repeat([]byte("o"), 200), 1000, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
-	newer, err := rowset.Cut(key, bytes.Repeat([]byte("n"), 200), 2000, 100)
+	newer, err := rowset.Split(key, bytes.Repeat([]byte("n"), 200), 2000, 100)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rows := rowsOf(append(newer[:1], older[1:]...))
-	if _, err := rowset.Join("name", rows); !errors.Is(err, rowset.ErrTorn) {
+	if _, err := rowset.Join("name", rows); !errors.Is(err, rowset.ErrInconsistent) {
 		t.Fatalf("Join of rows of two values returned %v, want ErrTorn", err)
 	}
-	if _, err := rowset.Join("another", rows); !errors.Is(err, rowset.ErrAbsent) {
+	if _, err := rowset.Join("another", rows); !errors.Is(err, rowset.ErrNotFound) {
 		t.Fatalf("Join of a value that does not exist returned %v, want ErrAbsent", err)
 	}
 }
 
 func TestCutRejectsValueLargerThanOneCommit(t *testing.T) {
 	const rowBytes = 100
-	if _, err := rowset.Cut(state.Key{}, make([]byte, rowset.Capacity(rowBytes)+1), 1, rowBytes); !errors.Is(err, rowset.ErrTooLarge) {
+	if _, err := rowset.Split(state.Key{}, make([]byte, rowset.Capacity(rowBytes)+1), 1, rowBytes); !errors.Is(err, rowset.ErrTooLarge) {
 		t.Fatalf("cut: %v", err)
 	}
 }
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -40,14 +40,14 @@
 	}
 	shared := map[uint64][]scheduling.PrefixHolder{}
 	for holder := range min(count, 16) {
-		shared[9] = append(shared[9], scheduling.PrefixHolder{Engine: holder * count / 16, Tokens: 4000})
+		shared[9] = append(shared[9], scheduling.PrefixHolder{EngineIndex: holder * count / 16, Tokens: 4000})
 	}
 	call := request()
 	call.Adapter = "adapter-b"
 	call.HolderID, call.HolderTokens = engines[count/2].ID, 7000
 	call.SharedPrefix = 9
-	call.Excluded = []string{engines[0].ID}
-	return scheduling.Build(engines, shared), &call
+	call.ExcludedEngines = []string{engines[0].ID}
+	return scheduling.NewSnapshot(engines, shared), &call
 }
 
 func BenchmarkDecide(b *testing.B) {
@@ -84,7 +84,7 @@
 			engines := fleet(count)
 			b.ReportAllocs()
 			for b.Loop() {
-				scheduling.Build(engines, nil)
+				scheduling.NewSnapshot(engines, nil)
 			}
 		})
 	}
@@ -94,7 +94,7 @@
 	for _, count := range []int{10, 100, 1000, 3400} {
 		b.Run(fmt.Sprintf("engines=%d", count), func(b *testing.B) {
 			engines := fleet(count)
-			snapshot := scheduling.Build(engines, nil)
+			snapshot := scheduling.NewSnapshot(engines, nil)
 			b.ReportAllocs()
 			for b.Loop() {
 				snapshot = snapshot.Refresh(engines, nil)
--- a/internal/scheduling/budget.go
+++ b/internal/scheduling/budget.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Bucket is an immutable token bucket: its methods take the current time and
+// TokenBucket is an immutable token bucket: its methods take the current time and
 // return the changed bucket. It is used for rate limits and retry budgets.
-type Bucket struct {
-	Rate   float64       // tokens added per second
-	Burst  float64       // capacity in tokens
-	Level  float64       // tokens in the bucket at the last update
-	Filled time.Duration // time of the last update
+type TokenBucket struct {
+	Rate       float64       // tokens added per second
+	Burst      float64       // capacity in tokens
+	Tokens     float64       // tokens in the bucket at the last update
+	LastUpdate time.Duration // time of the last update
 }
 
-// NewBucket returns a full bucket. Times are relative to an epoch of the
+// NewTokenBucket returns a full bucket. Times are relative to an epoch of the
 // caller's choice, the same for all calls.
-func NewBucket(rate, burst float64, now time.Duration) Bucket {
-	return Bucket{Rate: rate, Burst: burst, Level: burst, Filled: now}
+func NewTokenBucket(rate, burst float64, now time.Duration) TokenBucket {
+	return TokenBucket{Rate: rate, Burst: burst, Tokens: burst, LastUpdate: now}
 }
 
 // Take refills the bucket up to now and removes the given number of tokens if
 // the bucket holds that many. Otherwise wait is the time until the bucket will
 // hold that many or, if the number exceeds the burst, until it will be full;
 // wait is at least a millisecond. If Rate is not positive, wait is maxBackoff.
-func (b Bucket) Take(tokens float64, now time.Duration) (next Bucket, taken bool, wait time.Duration) {
+func (b TokenBucket) Take(tokens float64, now time.Duration) (next TokenBucket, taken bool, wait time.Duration) {
 	next = b.refill(now)
-	if next.Level >= tokens {
-		next.Level -= tokens
+	if next.Tokens >= tokens {
+		next.Tokens -= tokens
 		return next, true, 0
 	}
-	missing := min(tokens, b.Burst) - next.Level
+	missing := min(tokens, b.Burst) - next.Tokens
 	if b.Rate <= 0 {
 		return next, false, maxBackoff
 	}
@@ -36,16 +36,16 @@
 
 // Add refills the bucket up to now and adds the given number of tokens, up to
 // the burst.
-func (b Bucket) Add(tokens float64, now time.Duration) Bucket {
+func (b TokenBucket) Add(tokens float64, now time.Duration) TokenBucket {
 	next := b.refill(now)
-	next.Level = min(next.Level+tokens, next.Burst)
+	next.Tokens = min(next.Tokens+tokens, next.Burst)
 	return next
 }
 
-func (b Bucket) refill(now time.Duration) Bucket {
-	elapsed := max(now-b.Filled, 0).Seconds()
-	b.Level = min(b.Level+elapsed*b.Rate, b.Burst)
-	b.Filled = max(b.Filled, now)
+func (b TokenBucket) refill(now time.Duration) TokenBucket {
+	elapsed := max(now-b.LastUpdate, 0).Seconds()
+	b.Tokens = min(b.Tokens+elapsed*b.Rate, b.Burst)
+	b.LastUpdate = max(b.LastUpdate, now)
 	return b
 }
 
@@ -54,7 +54,7 @@
 // like Bucket.
 type RetryBudget struct {
 	share  float64
-	bucket Bucket
+	bucket TokenBucket
 }
 
 // NewRetryBudget returns a full budget, which holds at most burst retries. Each
@@ -62,18 +62,18 @@
 // attempts), and each second adds perSecond retries, so that a daemon with
 // little traffic may retry too.
 func NewRetryBudget(share, perSecond, burst float64, now time.Duration) RetryBudget {
-	return RetryBudget{share: share, bucket: NewBucket(perSecond, burst, now)}
+	return RetryBudget{share: share, bucket: NewTokenBucket(perSecond, burst, now)}
 }
 
-// First records a first attempt, which adds to the budget.
-func (r RetryBudget) First(now time.Duration) RetryBudget {
+// RecordFirstAttempt records a first attempt, which adds to the budget.
+func (r RetryBudget) RecordFirstAttempt(now time.Duration) RetryBudget {
 	r.bucket = r.bucket.Add(r.share, now)
 	return r
 }
 
-// Retry takes one retry from the budget. If less than one is left, allowed is
+// TakeRetry takes one retry from the budget. If less than one is left, allowed is
 // false, and wait is the same as that of Bucket.Take.
-func (r RetryBudget) Retry(now time.Duration) (next RetryBudget, allowed bool, wait time.Duration) {
+func (r RetryBudget) TakeRetry(now time.Duration) (next RetryBudget, allowed bool, wait time.Duration) {
 	next = r
 	next.bucket, allowed, wait = r.bucket.Take(1, now)
 	return next, allowed, wait
--- a/internal/scheduling/lease.go
+++ b/internal/scheduling/lease.go
@@ -25,7 +25,7 @@
 	minHoldTokens    = 512 // shorter prefixes are cheaper to recompute than to hold
 )
 
-// HoldLease returns how long a program's prefix of the given length in tokens
+// LeaseDuration returns how long a program's prefix of the given length in tokens
 // should be kept in the cache during a pause, at most limit and at most
 // maxHoldInMeans times the mean pause. It returns zero if the prefix is shorter
 // than minHoldTokens or not worth holding, and if the cache has room, since
@@ -37,7 +37,7 @@
 // that the pause ends is lomaxShape/(mean+elapsed). Holding the prefix is worth
 // it while this, times ReuseChance, exceeds HitsPerToken, the rate at which other
 // prefixes in the same memory are hit.
-func HoldLease(tokens int64, pause PauseEstimate, price CachePrice, limit time.Duration) time.Duration {
+func LeaseDuration(tokens int64, pause PauseEstimate, price CachePrice, limit time.Duration) time.Duration {
 	if tokens < minHoldTokens || pause.ReuseChance <= 0 || price.Pressure < evictionThreshold {
 		return 0
 	}
--- a/internal/scheduling/policy.go
+++ b/internal/scheduling/policy.go
@@ -26,11 +26,11 @@
 
 // Decide implements Policy.
 func (p *costPolicy) Decide(snapshot *Snapshot, request *Request) Decision {
-	if request.DeadlineIn < 0 {
+	if request.TimeToDeadline < 0 {
 		return p.refuse(request, ReasonDeadline, 0)
 	}
 	if request.Waited > p.maxWait(request) {
-		return p.refuse(request, ReasonBound, 0)
+		return p.refuse(request, ReasonMaxWait, 0)
 	}
 	search := newSearch(p, snapshot, request)
 	search.run()
@@ -52,15 +52,15 @@
 func (p *costPolicy) place(search *search) Decision {
 	request := search.request
 	best := search.best
-	if request.DeadlineIn > 0 && secondsToDuration(best.firstToken+best.decode) > request.DeadlineIn {
+	if request.TimeToDeadline > 0 && secondsToDuration(best.firstToken+best.decode) > request.TimeToDeadline {
 		return p.refuse(request, ReasonDeadline, best.firstToken)
 	}
 	if secondsToDuration(best.queueing) > p.maxWait(request) {
-		return p.refuse(request, ReasonBound, best.queueing)
+		return p.refuse(request, ReasonMaxWait, best.queueing)
 	}
 	return Decision{
 		Action:       ActionPlace,
-		Engine:       best.engine,
+		EngineIndex:  best.engine,
 		CachedTokens: best.cachedTokens,
 		TransferFrom: best.transferFrom,
 		Cost:         secondsToDuration(best.firstToken),
@@ -74,17 +74,17 @@
 func (p *costPolicy) wait(request *Request, reason Reason, slotInterval float64) Decision {
 	expected := slotInterval * float64(request.QueuedAhead+1)
 	total := request.Waited + secondsToDuration(expected)
-	if request.DeadlineIn > 0 && secondsToDuration(expected) > request.DeadlineIn {
+	if request.TimeToDeadline > 0 && secondsToDuration(expected) > request.TimeToDeadline {
 		return p.refuse(request, ReasonDeadline, expected)
 	}
 	if total > p.maxWait(request) {
-		return p.refuse(request, ReasonBound, expected)
+		return p.refuse(request, ReasonMaxWait, expected)
 	}
 	return Decision{
 		Action:       ActionWait,
 		TransferFrom: noEngine,
 		Cost:         secondsToDuration(expected),
-		Retry:        min(max(secondsToDuration(slotInterval), time.Millisecond), p.settings.Poll),
+		RetryAfter:   min(max(secondsToDuration(slotInterval), time.Millisecond), p.settings.MaxRecheckInterval),
 		Reason:       reason,
 	}
 }
@@ -93,35 +93,35 @@
 // the prefixes of live programs fill the share of the caches that
 // Settings.WorkingSet allows. Placing the call would then evict other prefixes,
 // which would have to be recomputed. The result is false if the request has no
-// FleetShare.
+// CacheShare.
 func (p *costPolicy) isOvercommitted(snapshot *Snapshot, request *Request) bool {
-	if request.Attained > 0 || request.FleetShare <= 0 || p.settings.WorkingSet <= 0 {
+	if request.AttainedService > 0 || request.CacheShare <= 0 || p.settings.WorkingSet <= 0 {
 		return false
 	}
-	capacity := float64(snapshot.cacheTokens(request.Model)) * request.FleetShare
+	capacity := float64(snapshot.cacheTokens(request.Model)) * request.CacheShare
 	return capacity > 0 && float64(request.LiveTokens) > capacity*p.settings.WorkingSet
 }
 
 // waitForMemory queues a call of a new program until the prefixes of live
 // programs use less memory.
 func (p *costPolicy) waitForMemory() Decision {
-	return Decision{Action: ActionWait, TransferFrom: noEngine, Retry: p.settings.Poll, Reason: ReasonMemory}
+	return Decision{Action: ActionWait, TransferFrom: noEngine, RetryAfter: p.settings.MaxRecheckInterval, Reason: ReasonMemory}
 }
 
 // refuse rejects the call. expected is the estimated wait in seconds. The retry
 // delay is this wait, but at least Settings.Comeback, plus up to half of it as
 // jitter, so that callers do not all return at the same time.
 func (p *costPolicy) refuse(request *Request, reason Reason, expected float64) Decision {
-	retry := max(secondsToDuration(expected), p.settings.Comeback, time.Millisecond)
+	retry := max(secondsToDuration(expected), p.settings.MinRetryAfter, time.Millisecond)
 	jitter := time.Duration(mix(request.Seed) % uint64(retry/2+1))
-	return Decision{Action: ActionRefuse, TransferFrom: noEngine, Retry: retry + jitter, Reason: reason}
+	return Decision{Action: ActionRefuse, TransferFrom: noEngine, RetryAfter: retry + jitter, Reason: reason}
 }
 
 // maxWait returns how long the call may wait before it is placed.
 func (p *costPolicy) maxWait(request *Request) time.Duration {
 	class := min(int(request.Class), ClassCount-1)
 	bound := p.settings.MaxWait[class]
-	if request.Attained > 0 {
+	if request.AttainedService > 0 {
 		return time.Duration(float64(bound) * p.settings.StartedFactor)
 	}
 	return bound
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -31,18 +31,18 @@
 	engines := []scheduling.Engine{engine("a"), engine("b"), engine("c")}
 	call := request()
 	call.HolderID, call.HolderTokens = "c", 7500
-	call.Attained = time.Second
+	call.AttainedService = time.Second
 	engines[2].Running = 2
 
-	decision := policy.Decide(scheduling.Build(engines, nil), &call)
+	decision := policy.Decide(scheduling.NewSnapshot(engines, nil), &call)
 	expect.Expect(decision.Action).To(gomega.Equal(scheduling.ActionPlace))
-	expect.Expect(decision.Engine).To(gomega.Equal(2))
+	expect.Expect(decision.EngineIndex).To(gomega.Equal(2))
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonHolder))
 	expect.Expect(decision.CachedTokens).To(gomega.Equal(int64(7500)))
 
 	engines[2].WaitingTokens = 200_000
-	decision = policy.Decide(scheduling.Build(engines, nil), &call)
-	expect.Expect(decision.Engine).NotTo(gomega.Equal(2))
+	decision = policy.Decide(scheduling.NewSnapshot(engines, nil), &call)
+	expect.Expect(decision.EngineIndex).NotTo(gomega.Equal(2))
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonLeastCost))
 }
 
@@ -50,17 +50,17 @@
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
 	engines := []scheduling.Engine{engine("a"), engine("b"), engine("c")}
-	engines[0].PlacedSince, engines[0].PlacedTokens = 2, 16_000
-	engines[1].PlacedSince, engines[1].PlacedTokens = 1, 8_000
+	engines[0].PlacedSinceReport, engines[0].PlacedTokens = 2, 16_000
+	engines[1].PlacedSinceReport, engines[1].PlacedTokens = 1, 8_000
 	call := request()
-	decision := policy.Decide(scheduling.Build(engines, nil), &call)
-	expect.Expect(decision.Engine).To(gomega.Equal(2))
+	decision := policy.Decide(scheduling.NewSnapshot(engines, nil), &call)
+	expect.Expect(decision.EngineIndex).To(gomega.Equal(2))
 
-	shared := map[uint64][]scheduling.PrefixHolder{7: {{Engine: 1, Tokens: 6000}}}
+	shared := map[uint64][]scheduling.PrefixHolder{7: {{EngineIndex: 1, Tokens: 6000}}}
 	call.SharedPrefix = 7
 	engines[1].PlacedTokens = 1000
-	decision = policy.Decide(scheduling.Build(engines, shared), &call)
-	expect.Expect(decision.Engine).To(gomega.Equal(1))
+	decision = policy.Decide(scheduling.NewSnapshot(engines, shared), &call)
+	expect.Expect(decision.EngineIndex).To(gomega.Equal(1))
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonSharedPrefix))
 }
 
@@ -76,24 +76,24 @@
 	call := request()
 	decision := policy.Decide(snapshot, &call)
 	expect.Expect(decision.Action).To(gomega.Equal(scheduling.ActionWait))
-	expect.Expect(decision.Retry).To(gomega.BeNumerically(">", 0))
+	expect.Expect(decision.RetryAfter).To(gomega.BeNumerically(">", 0))
 
 	call.QueuedAhead = 1000
 	decision = policy.Decide(snapshot, &call)
 	expect.Expect(decision.Action).To(gomega.Equal(scheduling.ActionRefuse))
-	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonBound))
+	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonMaxWait))
 
-	call.QueuedAhead, call.DeadlineIn = 0, time.Millisecond
+	call.QueuedAhead, call.TimeToDeadline = 0, time.Millisecond
 	decision = policy.Decide(snapshot, &call)
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonDeadline))
-	expect.Expect(decision.Retry).To(gomega.BeNumerically(">", 0))
+	expect.Expect(decision.RetryAfter).To(gomega.BeNumerically(">", 0))
 }
 
 func TestHoldLease(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	pause := scheduling.PauseEstimate{Mean: 2 * time.Second, ReuseChance: 0.9}
 	lease := func(tokens int64, hits, pressure float64) time.Duration {
-		return scheduling.HoldLease(tokens, pause, scheduling.CachePrice{HitsPerToken: hits, Pressure: pressure}, time.Minute)
+		return scheduling.LeaseDuration(tokens, pause, scheduling.CachePrice{HitsPerToken: hits, Pressure: pressure}, time.Minute)
 	}
 	expect.Expect(lease(8000, 0.1, 0.2)).To(gomega.BeZero(), "the cache has room")
 	expect.Expect(lease(100, 0.1, 0.9)).To(gomega.BeZero(), "the prefix is too short")
@@ -104,7 +104,7 @@
 
 func TestBudgetsRefillAndReturnWait(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	bucket := scheduling.NewBucket(2, 4, 0)
+	bucket := scheduling.NewTokenBucket(2, 4, 0)
 	bucket, taken, _ := bucket.Take(4, 0)
 	expect.Expect(taken).To(gomega.BeTrue())
 	bucket, taken, wait := bucket.Take(1, 0)
@@ -116,14 +116,14 @@
 	expect.Expect(taken).To(gomega.BeFalse(), "more than the burst")
 
 	budget := scheduling.NewRetryBudget(0.5, 0, 1, 0)
-	budget, allowed, _ := budget.Retry(0)
+	budget, allowed, _ := budget.TakeRetry(0)
 	expect.Expect(allowed).To(gomega.BeTrue())
-	_, allowed, wait = budget.Retry(0)
+	_, allowed, wait = budget.TakeRetry(0)
 	expect.Expect(allowed).To(gomega.BeFalse())
 	expect.Expect(wait).To(gomega.BeNumerically(">", 0))
-	budget, allowed, _ = budget.First(0).First(0).Retry(0)
+	budget, allowed, _ = budget.RecordFirstAttempt(0).RecordFirstAttempt(0).TakeRetry(0)
 	expect.Expect(allowed).To(gomega.BeTrue(), "two first attempts allow one retry")
-	_, allowed, _ = budget.Retry(0)
+	_, allowed, _ = budget.TakeRetry(0)
 	expect.Expect(allowed).To(gomega.BeFalse())
 
 	for attempt := range 20 {
@@ -135,30 +135,30 @@
 
 func TestSketchIsBoundedAndExpires(t *testing.T) {
 	expect := gomega.NewWithT(t)
-	snapshot := scheduling.Build([]scheduling.Engine{engine("a"), engine("b"), engine("c")}, nil)
-	sketch := scheduling.NewSketch(2, 2, time.Minute)
-	runs := []scheduling.PrefixRun{{Hash: 1, Tokens: 1000}, {Hash: 2, Tokens: 5000}}
+	snapshot := scheduling.NewSnapshot([]scheduling.Engine{engine("a"), engine("b"), engine("c")}, nil)
+	sketch := scheduling.NewPrefixIndex(2, 2, time.Minute)
+	runs := []scheduling.PromptPrefix{{Hash: 1, Tokens: 1000}, {Hash: 2, Tokens: 5000}}
 	sketch.Record(runs, "a", 0)
 	sketch.Record(runs[:1], "b", time.Second)
-	found := sketch.Holders(nil, runs, snapshot, time.Second)
+	found := sketch.AppendHolders(nil, runs, snapshot, time.Second)
 	expect.Expect(found).To(gomega.ConsistOf(
-		scheduling.PrefixHolder{Engine: 0, Tokens: 5000}, scheduling.PrefixHolder{Engine: 1, Tokens: 1000}))
+		scheduling.PrefixHolder{EngineIndex: 0, Tokens: 5000}, scheduling.PrefixHolder{EngineIndex: 1, Tokens: 1000}))
 
 	sketch.Record(runs[:1], "c", 2*time.Second)
-	found = sketch.Holders(nil, runs[:1], snapshot, 2*time.Second)
+	found = sketch.AppendHolders(nil, runs[:1], snapshot, 2*time.Second)
 	expect.Expect(found).To(gomega.HaveLen(2), "at most two holders per prefix")
-	sketch.Record([]scheduling.PrefixRun{{Hash: 3, Tokens: 10}}, "a", 3*time.Second)
-	expect.Expect(sketch.Holders(nil, runs[1:], snapshot, 3*time.Second)).To(gomega.BeEmpty(), "at most two prefixes")
-	sketch.Forget("b")
-	found = sketch.Holders(nil, runs[:1], snapshot, 3*time.Second)
-	expect.Expect(found).To(gomega.Equal([]scheduling.PrefixHolder{{Engine: 2, Tokens: 1000}}))
-	expect.Expect(sketch.Holders(nil, runs[:1], snapshot, time.Hour)).To(gomega.BeEmpty(), "expired")
+	sketch.Record([]scheduling.PromptPrefix{{Hash: 3, Tokens: 10}}, "a", 3*time.Second)
+	expect.Expect(sketch.AppendHolders(nil, runs[1:], snapshot, 3*time.Second)).To(gomega.BeEmpty(), "at most two prefixes")
+	sketch.RemoveEngine("b")
+	found = sketch.AppendHolders(nil, runs[:1], snapshot, 3*time.Second)
+	expect.Expect(found).To(gomega.Equal([]scheduling.PrefixHolder{{EngineIndex: 2, Tokens: 1000}}))
+	expect.Expect(sketch.AppendHolders(nil, runs[:1], snapshot, time.Hour)).To(gomega.BeEmpty(), "expired")
 }
 
 func TestRefuseSpreadsRetries(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
-	outage := scheduling.Build(nil, nil)
+	outage := scheduling.NewSnapshot(nil, nil)
 	seen := map[int64]int{}
 	const callers = 1000
 	for seed := range uint64(callers) {
@@ -166,7 +166,7 @@
 		call.Seed = seed
 		decision := policy.Decide(outage, &call)
 		expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonNoEngine))
-		seen[decision.Retry.Milliseconds()/100]++
+		seen[decision.RetryAfter.Milliseconds()/100]++
 	}
 	for tenth := int64(10); tenth < 15; tenth++ {
 		expect.Expect(seen[tenth]).To(gomega.BeNumerically("~", callers/5, callers/10), "retries are spread over half a second")
@@ -181,12 +181,12 @@
 	call.HolderID, call.HolderTokens = "a", 7000
 	decide := func(perSec float64) scheduling.Decision {
 		policy := scheduling.NewPolicy(scheduling.Settings{TransferPerSec: perSec})
-		return policy.Decide(scheduling.Build(engines, nil), &call)
+		return policy.Decide(scheduling.NewSnapshot(engines, nil), &call)
 	}
 	withoutTransfer, withTransfer := decide(0), decide(100_000)
-	expect.Expect(withoutTransfer.Engine).To(gomega.Equal(1))
+	expect.Expect(withoutTransfer.EngineIndex).To(gomega.Equal(1))
 	expect.Expect(withoutTransfer.TransferFrom).To(gomega.Equal(-1))
-	expect.Expect(withTransfer.Engine).To(gomega.Equal(1))
+	expect.Expect(withTransfer.EngineIndex).To(gomega.Equal(1))
 	expect.Expect(withTransfer.TransferFrom).To(gomega.Equal(0))
 	expect.Expect(withTransfer.CachedTokens).To(gomega.Equal(int64(7000)))
 	expect.Expect(withTransfer.Cost).To(gomega.BeNumerically("<", withoutTransfer.Cost))
@@ -195,17 +195,17 @@
 func TestDecideMakesNewProgramsWaitForMemory(t *testing.T) {
 	expect := gomega.NewWithT(t)
 	policy := scheduling.NewPolicy(scheduling.Settings{})
-	snapshot := scheduling.Build([]scheduling.Engine{engine("a"), engine("b")}, nil)
+	snapshot := scheduling.NewSnapshot([]scheduling.Engine{engine("a"), engine("b")}, nil)
 	call := request()
-	call.FleetShare, call.LiveTokens = 0.5, 50_001 // one token above WorkingSet (0.5) * FleetShare (0.5) * 200,000 cache tokens
+	call.CacheShare, call.LiveTokens = 0.5, 50_001 // one token above WorkingSet (0.5) * CacheShare (0.5) * 200,000 cache tokens
 	decision := policy.Decide(snapshot, &call)
 	expect.Expect(decision.Action).To(gomega.Equal(scheduling.ActionWait))
 	expect.Expect(decision.Reason).To(gomega.Equal(scheduling.ReasonMemory))
 
-	call.Attained = time.Second
+	call.AttainedService = time.Second
 	expect.Expect(policy.Decide(snapshot, &call).Action).To(gomega.Equal(scheduling.ActionPlace))
-	call.Attained, call.LiveTokens = 0, 50_000
+	call.AttainedService, call.LiveTokens = 0, 50_000
 	expect.Expect(policy.Decide(snapshot, &call).Action).To(gomega.Equal(scheduling.ActionPlace))
-	call.LiveTokens, call.FleetShare = 1<<40, 0
+	call.LiveTokens, call.CacheShare = 1<<40, 0
 	expect.Expect(policy.Decide(snapshot, &call).Action).To(gomega.Equal(scheduling.ActionPlace))
 }
--- a/internal/scheduling/properties_test.go
+++ b/internal/scheduling/properties_test.go
@@ -23,7 +23,7 @@
 	drawn.MaxRunning = rapid.IntRange(0, 8).Draw(t, "slots")
 	drawn.Running = rapid.IntRange(0, 40).Draw(t, "running")
 	drawn.Waiting = rapid.IntRange(0, 4).Draw(t, "waiting")
-	drawn.PlacedSince = rapid.IntRange(0, 2).Draw(t, "placed")
+	drawn.PlacedSinceReport = rapid.IntRange(0, 2).Draw(t, "placed")
 	drawn.WaitingTokens = rapid.Int64Range(0, 1<<40).Draw(t, "waiting tokens")
 	drawn.PrefillPerSec = rapid.Float64Range(0, 20_000).Draw(t, "prefill")
 	drawn.DecodePerSec = rapid.Float64Range(0, 100).Draw(t, "decode")
@@ -45,16 +45,16 @@
 	drawn.PromptTokens = rapid.Int64Range(0, 1_000_000).Draw(t, "prompt")
 	drawn.MaxOutputTokens = rapid.Int64Range(0, 10_000).Draw(t, "output")
 	drawn.Waited = time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "waited"))
-	drawn.DeadlineIn = time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Minute)).Draw(t, "deadline"))
+	drawn.TimeToDeadline = time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Minute)).Draw(t, "deadline"))
 	drawn.QueuedAhead = rapid.IntRange(0, 10_000).Draw(t, "ahead")
 	drawn.HolderID = id("holder")
 	drawn.HolderTokens = rapid.Int64Range(0, 2_000_000).Draw(t, "held")
 	drawn.SharedPrefix = rapid.Uint64Range(0, 2).Draw(t, "shared")
-	drawn.Excluded = []string{id("excluded")}
+	drawn.ExcludedEngines = []string{id("excluded")}
 	drawn.NotRepeatable = rapid.Bool().Draw(t, "not repeatable")
-	drawn.Attained = time.Duration(rapid.Int64Range(0, 1).Draw(t, "attained")) * time.Second
+	drawn.AttainedService = time.Duration(rapid.Int64Range(0, 1).Draw(t, "attained")) * time.Second
 	drawn.LiveTokens = rapid.Int64Range(0, 1_000_000).Draw(t, "live")
-	drawn.FleetShare = rapid.SampledFrom([]float64{0, 0.25, 1}).Draw(t, "share")
+	drawn.CacheShare = rapid.SampledFrom([]float64{0, 0.25, 1}).Draw(t, "share")
 	drawn.Seed = rapid.Uint64().Draw(t, "seed")
 	return drawn
 }
@@ -62,15 +62,15 @@
 // mayServe reports whether an engine may serve a call. It states the rule
 // independently of the code under test.
 func mayServe(candidate scheduling.Engine, call scheduling.Request) bool {
-	probation := candidate.Probing && candidate.PlacedSince == 0 && !call.NotRepeatable
+	probation := candidate.Probing && candidate.PlacedSinceReport == 0 && !call.NotRepeatable
 	return candidate.Model == call.Model &&
 		(candidate.Accepting || probation) &&
 		(call.Adapter == "" || slices.Contains(candidate.Adapters, call.Adapter)) &&
-		!slices.Contains(call.Excluded, candidate.ID)
+		!slices.Contains(call.ExcludedEngines, candidate.ID)
 }
 
 func hasRoom(candidate scheduling.Engine) bool {
-	return candidate.Running+candidate.Waiting+candidate.PlacedSince < max(candidate.MaxRunning, 1)
+	return candidate.Running+candidate.Waiting+candidate.PlacedSinceReport < max(candidate.MaxRunning, 1)
 }
 
 func TestDecideInvariants(t *testing.T) {
@@ -82,7 +82,7 @@
 		}
 		shared := map[uint64][]scheduling.PrefixHolder{}
 		for index := range count {
-			shared[uint64(1+index%2)] = append(shared[uint64(1+index%2)], scheduling.PrefixHolder{Engine: index, Tokens: 3000})
+			shared[uint64(1+index%2)] = append(shared[uint64(1+index%2)], scheduling.PrefixHolder{EngineIndex: index, Tokens: 3000})
 		}
 		call := drawRequest(t, count)
 		settings := scheduling.Settings{
@@ -91,7 +91,7 @@
 			TransferPerSec: rapid.SampledFrom([]float64{0, 1e5}).Draw(t, "transfer"),
 		}
 		policy := scheduling.NewPolicy(settings)
-		snapshot := scheduling.Build(engines, shared)
+		snapshot := scheduling.NewSnapshot(engines, shared)
 		decision := policy.Decide(snapshot, &call)
 
 		unprepared := &scheduling.Snapshot{Engines: engines, ByModel: snapshot.ByModel, SharedPrefixes: shared}
@@ -113,7 +113,7 @@
 		older[index].Running = 0
 		older[index].Accepting = !older[index].Accepting
 	}
-	return scheduling.Build(older, nil).Refresh(engines, shared)
+	return scheduling.NewSnapshot(older, nil).Refresh(engines, shared)
 }
 
 func checkDecision(t *rapid.T, engines []scheduling.Engine, call scheduling.Request, decision scheduling.Decision) {
@@ -125,25 +125,25 @@
 	})
 	switch decision.Action {
 	case scheduling.ActionPlace:
-		if !mayServe(engines[decision.Engine], call) {
-			t.Fatalf("placed on an engine that may not serve: %+v", engines[decision.Engine])
+		if !mayServe(engines[decision.EngineIndex], call) {
+			t.Fatalf("placed on an engine that may not serve: %+v", engines[decision.EngineIndex])
 		}
 		if decision.CachedTokens > call.PromptTokens || decision.CachedTokens < 0 {
 			t.Fatalf("expects %d cached tokens of %d prompt tokens", decision.CachedTokens, call.PromptTokens)
 		}
 	case scheduling.ActionWait:
 		if decision.Reason == scheduling.ReasonMemory {
-			if call.Attained > 0 || !overcommitted(engines, call) {
+			if call.AttainedService > 0 || !overcommitted(engines, call) {
 				t.Fatalf("waits for memory although memory is available")
 			}
 		} else if roomFound {
 			t.Fatalf("waits although an engine has room")
 		}
-		if decision.Retry <= 0 {
+		if decision.RetryAfter <= 0 {
 			t.Fatalf("waits without a retry delay")
 		}
 	case scheduling.ActionRefuse:
-		if decision.Retry <= 0 {
+		if decision.RetryAfter <= 0 {
 			t.Fatalf("refused without a retry delay")
 		}
 	}
@@ -158,15 +158,15 @@
 			memory += candidate.CacheTokens
 		}
 	}
-	return float64(call.LiveTokens) > float64(memory)*call.FleetShare/2
+	return float64(call.LiveTokens) > float64(memory)*call.CacheShare/2
 }
 
 func drawItem(t *rapid.T, label string) scheduling.QueueItem {
 	return scheduling.QueueItem{
-		Class:    scheduling.Class(rapid.IntRange(0, 4).Draw(t, label+" class")),
-		Attained: time.Duration(rapid.Int64Range(-1, 300).Draw(t, label+" attained")) * time.Second,
-		Enqueued: time.Duration(rapid.Int64Range(0, 100).Draw(t, label+" enqueued")) * time.Second,
-		Sequence: rapid.Uint64Range(0, 3).Draw(t, label+" sequence"),
+		Class:           scheduling.Class(rapid.IntRange(0, 4).Draw(t, label+" class")),
+		AttainedService: time.Duration(rapid.Int64Range(-1, 300).Draw(t, label+" attained")) * time.Second,
+		Enqueued:        time.Duration(rapid.Int64Range(0, 100).Draw(t, label+" enqueued")) * time.Second,
+		Sequence:        rapid.Uint64Range(0, 3).Draw(t, label+" sequence"),
 	}
 }
 
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -7,10 +7,10 @@
 
 // QueueItem holds the properties of a waiting call that determine its order.
 type QueueItem struct {
-	Class    Class
-	Attained time.Duration // service time that the program has received so far
-	Enqueued time.Duration // when the call was queued, relative to an epoch shared by all items
-	Sequence uint64        // order of arrival; breaks ties
+	Class           Class
+	AttainedService time.Duration // service time that the program has received so far
+	Enqueued        time.Duration // when the call was queued, relative to an epoch shared by all items
+	Sequence        uint64        // order of arrival; breaks ties
 }
 
 // Each class has a head start over the next one. If two programs have received
@@ -44,7 +44,7 @@
 // service. Unknown classes count as the last one.
 func (i QueueItem) rank() time.Duration {
 	class := min(time.Duration(i.Class), ClassCount-1)
-	attained := min(max(i.Attained, 0)/attainedDivisor, maxAttainedDelay)
+	attained := min(max(i.AttainedService, 0)/attainedDivisor, maxAttainedDelay)
 	return i.Enqueued + class*ClassHeadStart + attained
 }
 
@@ -102,9 +102,9 @@
 	return first.item, first.value, true
 }
 
-// Remove removes every call for which matches returns true, and returns how
+// RemoveFunc removes every call for which matches returns true, and returns how
 // many there were.
-func (q *Queue[T]) Remove(matches func(value T) bool) int {
+func (q *Queue[T]) RemoveFunc(matches func(value T) bool) int {
 	kept := q.entries[:0]
 	for _, candidate := range q.entries {
 		if !matches(candidate.value) {
@@ -118,8 +118,8 @@
 	return removed
 }
 
-// Ahead returns the number of queued calls that go before the item.
-func (q *Queue[T]) Ahead(item QueueItem) int {
+// CountAhead returns the number of queued calls that go before the item.
+func (q *Queue[T]) CountAhead(item QueueItem) int {
 	count := 0
 	for index := range q.entries {
 		if Before(q.entries[index].item, item) {
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -22,27 +22,27 @@
 // Engine is the state of one model engine as the scheduler sees it: its last
 // load report and the calls that this daemon has placed on it since then.
 type Engine struct {
-	ID            string
-	Address       string
-	Model         string
-	Version       string
-	Adapters      []string
-	Zone          identity.Zone
-	Generation    string
-	PrefillPerSec float64 // measured prefill throughput, in prompt tokens per second
-	DecodePerSec  float64 // measured decode throughput of one stream at low load, in tokens per second
-	MaxRunning    int     // maximum number of sequences in a batch
-	Running       int     // reported number of sequences in the batch
-	Waiting       int     // reported number of sequences queued in the engine
-	WaitingTokens int64   // reported number of prompt tokens not prefilled yet
-	CacheTokens   int64   // capacity of the prefix cache, in tokens
-	CacheUsed     int64   // tokens in the prefix cache
-	PlacedSince   int     // calls placed by this daemon since the report
-	PlacedTokens  int64   // prompt tokens of the calls in PlacedSince, without the tokens expected in the cache
-	ReportAge     time.Duration
-	Accepting     bool    // false if the engine is draining, ejected, loading or not in a serving role
-	Probing       bool    // may take one trial call after an ejection
-	ErrorRate     float64 // share of failed calls, 0 to 1
+	ID                string
+	Address           string
+	Model             string
+	Version           string
+	Adapters          []string
+	Zone              identity.Zone
+	Generation        string
+	PrefillPerSec     float64 // measured prefill throughput, in prompt tokens per second
+	DecodePerSec      float64 // measured decode throughput of one stream at low load, in tokens per second
+	MaxRunning        int     // maximum number of sequences in a batch
+	Running           int     // reported number of sequences in the batch
+	Waiting           int     // reported number of sequences queued in the engine
+	WaitingTokens     int64   // reported number of prompt tokens not prefilled yet
+	CacheTokens       int64   // capacity of the prefix cache, in tokens
+	CacheUsed         int64   // tokens in the prefix cache
+	PlacedSinceReport int     // calls placed by this daemon since the report
+	PlacedTokens      int64   // prompt tokens of the calls in PlacedSinceReport, without the tokens expected in the cache
+	ReportAge         time.Duration
+	Accepting         bool    // false if the engine is draining, ejected, loading or not in a serving role
+	Probing           bool    // may take one trial call after an ejection
+	ErrorRate         float64 // share of failed calls, 0 to 1
 }
 
 // Snapshot is an immutable view of all engines of a region. It is safe for
@@ -66,8 +66,8 @@
 // PrefixHolder is an engine that holds the first Tokens tokens of a prompt in
 // its cache.
 type PrefixHolder struct {
-	Engine int // index in Snapshot.Engines
-	Tokens int64
+	EngineIndex int // index in Snapshot.Engines
+	Tokens      int64
 }
 
 // Request describes a call that is to be placed.
@@ -79,18 +79,18 @@
 	Zone            identity.Zone // zone of the daemon that decides
 	PromptTokens    int64         // estimated length of the whole prompt
 	MaxOutputTokens int64
-	Attained        time.Duration // service time that the program has received so far
+	AttainedService time.Duration // service time that the program has received so far
 	Waited          time.Duration // time since the call was accepted
-	DeadlineIn      time.Duration // time left until the deadline; zero: no deadline
+	TimeToDeadline  time.Duration // time left until the deadline; zero: no deadline
 	HolderID        string        // ID of the engine that last served the program; empty: none
 	HolderTokens    int64         // prompt tokens expected in the cache of that engine
 	SharedPrefix    uint64        // hash of the prefix that the call shares with other programs; zero: none
-	Excluded        []string      // IDs of engines that have already failed this call
+	ExcludedEngines []string      // IDs of engines that have already failed this call
 	NotRepeatable   bool          // the call must not run twice; it is never the trial call of a Probing engine
 	QueuedAhead     int           // calls before this one in the daemon's queue
 	Seed            uint64        // random number for sampling engines and for retry jitter
 	LiveTokens      int64         // unshared prefix tokens of the live programs that this daemon leads
-	FleetShare      float64       // share of the model's total cache that this daemon may use, 0 to 1; zero: unknown
+	CacheShare      float64       // share of the model's total cache that this daemon may use, 0 to 1; zero: unknown
 }
 
 // Action says what to do with a call.
@@ -115,17 +115,17 @@
 	ReasonNoEngine     Reason = "no-engine"     // no usable engine serves the model and adapter
 	ReasonDeadline     Reason = "deadline"      // the call cannot finish before its deadline
 	ReasonMemory       Reason = "memory"        // prefixes of live programs fill the caches; a new program waits
-	ReasonBound        Reason = "bound"         // the wait exceeds, or would exceed, the maximum for the call
+	ReasonMaxWait      Reason = "bound"         // the wait exceeds, or would exceed, the maximum for the call
 )
 
 // Decision is the result for one call. It holds no pointers into the snapshot.
 type Decision struct {
 	Action       Action
-	Engine       int           // index in Snapshot.Engines, for ActionPlace
+	EngineIndex  int           // index in Snapshot.Engines, for ActionPlace
 	CachedTokens int64         // prompt tokens expected in the cache of that engine
 	TransferFrom int           // index of the engine to transfer the KV cache from; -1: no transfer
 	Cost         time.Duration // ActionPlace: estimated time to the first token; ReasonFull: estimated time to a free slot; otherwise zero
-	Retry        time.Duration // for ActionWait and ActionRefuse: delay before the next try
+	RetryAfter   time.Duration // for ActionWait and ActionRefuse: delay before the next try
 	Reason       Reason
 }
 
--- a/internal/scheduling/search.go
+++ b/internal/scheduling/search.go
@@ -62,7 +62,7 @@
 		adapter:  snapshot.adapterBit(request.Adapter),
 		holder:   noEngine,
 	}
-	for _, id := range request.Excluded[:min(len(request.Excluded), maxExcludedIndexes)] {
+	for _, id := range request.ExcludedEngines[:min(len(request.ExcludedEngines), maxExcludedIndexes)] {
 		if index, found := snapshot.Find(id); found {
 			result.excluded[result.exclusions] = index
 			result.exclusions++
@@ -120,8 +120,8 @@
 		s.consider(s.holder, s.request.HolderTokens, ReasonHolder)
 	}
 	for _, holder := range holders {
-		if s.snapshot.Engines[holder.Engine].Model == s.request.Model {
-			s.consider(holder.Engine, holder.Tokens, ReasonSharedPrefix)
+		if s.snapshot.Engines[holder.EngineIndex].Model == s.request.Model {
+			s.consider(holder.EngineIndex, holder.Tokens, ReasonSharedPrefix)
 		}
 	}
 }
@@ -218,10 +218,10 @@
 			return true
 		}
 	}
-	if len(s.request.Excluded) <= maxExcludedIndexes {
+	if len(s.request.ExcludedEngines) <= maxExcludedIndexes {
 		return false
 	}
-	return slices.Contains(s.request.Excluded, s.snapshot.Engines[index].ID)
+	return slices.Contains(s.request.ExcludedEngines, s.snapshot.Engines[index].ID)
 }
 
 // candidate returns the candidate of an engine. The result is valid until the
--- a/internal/scheduling/settings.go
+++ b/internal/scheduling/settings.go
@@ -38,10 +38,10 @@
 	// StartedFactor multiplies MaxWait for programs that have been served
 	// before, because refusing them wastes the work already done for them.
 	StartedFactor float64
-	// Comeback is the minimum time after which a refused call may be retried.
-	Comeback time.Duration
-	// Poll is the maximum time until the policy decides on a waiting call again.
-	Poll time.Duration
+	// MinRetryAfter is the minimum time after which a refused call may be retried.
+	MinRetryAfter time.Duration
+	// MaxRecheckInterval is the maximum time until the policy decides on a waiting call again.
+	MaxRecheckInterval time.Duration
 	// WorkingSet is the share of the accepting engines' caches that prefixes of
 	// live programs may fill. Beyond it, new programs have to wait. A negative
 	// value disables the limit.
@@ -62,21 +62,21 @@
 // DefaultSettings returns the values that replace zero fields of Settings.
 func DefaultSettings() Settings {
 	return Settings{
-		ExpectedOutput:  100,
-		BatchSlowdown:   1,
-		InflictedWeight: 0.5,
-		WasteWeight:     2,
-		EvictionWeight:  2,
-		ZonePenalty:     4 * time.Millisecond,
-		StaleAfter:      2 * time.Second,
-		HolderQueue:     16,
-		MaxWait:         [ClassCount]time.Duration{20 * time.Second, time.Minute, 5 * time.Minute},
-		StartedFactor:   3,
-		Comeback:        time.Second,
-		Poll:            250 * time.Millisecond,
-		WorkingSet:      0.5,
-		ScanLimit:       128,
-		SampleSize:      48,
+		ExpectedOutput:     100,
+		BatchSlowdown:      1,
+		InflictedWeight:    0.5,
+		WasteWeight:        2,
+		EvictionWeight:     2,
+		ZonePenalty:        4 * time.Millisecond,
+		StaleAfter:         2 * time.Second,
+		HolderQueue:        16,
+		MaxWait:            [ClassCount]time.Duration{20 * time.Second, time.Minute, 5 * time.Minute},
+		StartedFactor:      3,
+		MinRetryAfter:      time.Second,
+		MaxRecheckInterval: 250 * time.Millisecond,
+		WorkingSet:         0.5,
+		ScanLimit:          128,
+		SampleSize:         48,
 	}
 }
 
@@ -96,8 +96,8 @@
 		applyDefault(&s.MaxWait[class], defaults.MaxWait[class])
 	}
 	applyDefault(&s.StartedFactor, defaults.StartedFactor)
-	applyDefault(&s.Comeback, defaults.Comeback)
-	applyDefault(&s.Poll, defaults.Poll)
+	applyDefault(&s.MinRetryAfter, defaults.MinRetryAfter)
+	applyDefault(&s.MaxRecheckInterval, defaults.MaxRecheckInterval)
 	applyDefault(&s.WorkingSet, defaults.WorkingSet)
 	applyDefault(&s.ScanLimit, defaults.ScanLimit)
 	applyDefault(&s.SampleSize, defaults.SampleSize)
--- a/internal/scheduling/sketch.go
+++ b/internal/scheduling/sketch.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// PrefixRun identifies a prefix of a prompt that several programs may share.
+// PromptPrefix identifies a prefix of a prompt that several programs may share.
 // Hash and Tokens cover everything from the start of the prompt.
-type PrefixRun struct {
+type PromptPrefix struct {
 	Hash   uint64
 	Tokens int64
 }
 
-// Sketch records which engines recently received which shared prefixes. Each
+// PrefixIndex records which engines recently received which shared prefixes. Each
 // daemon records its own placements, so no global index of caches is needed. The
 // number of prefixes and of engines per prefix is bounded. A wrong record costs
 // a prefill but does not affect correctness. A Sketch is not safe for concurrent
 // use.
-type Sketch struct {
+type PrefixIndex struct {
 	maxPrefixes int
 	maxHolders  int
 	expiry      time.Duration
@@ -26,7 +26,7 @@
 }
 
 type prefixEntry struct {
-	run     PrefixRun
+	run     PromptPrefix
 	engines []recentEngine
 }
 
@@ -35,12 +35,12 @@
 	lastUsed time.Duration
 }
 
-// NewSketch returns a Sketch of at most maxPrefixes prefixes with at most
+// NewPrefixIndex returns a Sketch of at most maxPrefixes prefixes with at most
 // maxHolders engines each; a limit below one counts as one. An engine counts as
 // a holder of a prefix until the expiry time has passed since it last received
 // the prefix.
-func NewSketch(maxPrefixes, maxHolders int, expiry time.Duration) *Sketch {
-	return &Sketch{
+func NewPrefixIndex(maxPrefixes, maxHolders int, expiry time.Duration) *PrefixIndex {
+	return &PrefixIndex{
 		maxPrefixes: max(maxPrefixes, 1), maxHolders: max(maxHolders, 1), expiry: expiry,
 		elements: make(map[uint64]*list.Element), lru: list.New(),
 	}
@@ -48,25 +48,25 @@
 
 // Record notes that the engine received a prompt that begins with each of the
 // given prefixes. now is relative to an epoch shared by all calls.
-func (s *Sketch) Record(runs []PrefixRun, engine string, now time.Duration) {
+func (s *PrefixIndex) Record(runs []PromptPrefix, engine string, now time.Duration) {
 	for _, run := range runs {
 		s.findOrAdd(run).recordUse(engine, now, s.maxHolders)
 	}
 }
 
-// Forget removes the engine from all prefixes. It is for an engine whose cache
+// RemoveEngine removes the engine from all prefixes. It is for an engine whose cache
 // is lost.
-func (s *Sketch) Forget(engine string) {
+func (s *PrefixIndex) RemoveEngine(engine string) {
 	for element := s.lru.Front(); element != nil; element = element.Next() {
 		element.Value.(*prefixEntry).removeEngine(engine)
 	}
 }
 
-// Holders appends to holders the engines of the snapshot that hold any of the
+// AppendHolders appends to holders the engines of the snapshot that hold any of the
 // prefixes in runs, each with the longest prefix that it holds, and returns the
 // extended slice. Engines that the slice already contains are not appended
 // again. The prefixes must be ordered by increasing length.
-func (s *Sketch) Holders(holders []PrefixHolder, runs []PrefixRun, snapshot *Snapshot, now time.Duration) []PrefixHolder {
+func (s *PrefixIndex) AppendHolders(holders []PrefixHolder, runs []PromptPrefix, snapshot *Snapshot, now time.Duration) []PrefixHolder {
 	for index := len(runs) - 1; index >= 0; index-- {
 		element, ok := s.elements[runs[index].Hash]
 		if !ok {
@@ -78,7 +78,7 @@
 			}
 			engine, exists := snapshot.Find(holder.engine)
 			if exists && !containsEngine(holders, engine) {
-				holders = append(holders, PrefixHolder{Engine: engine, Tokens: runs[index].Tokens})
+				holders = append(holders, PrefixHolder{EngineIndex: engine, Tokens: runs[index].Tokens})
 			}
 		}
 	}
@@ -87,7 +87,7 @@
 
 func containsEngine(holders []PrefixHolder, engine int) bool {
 	for _, holder := range holders {
-		if holder.Engine == engine {
+		if holder.EngineIndex == engine {
 			return true
 		}
 	}
@@ -97,7 +97,7 @@
 // findOrAdd returns the entry of a prefix and marks the entry as most recently
 // used. If the prefix has no entry, one is added; if the sketch is full, this
 // drops the least recently used entry.
-func (s *Sketch) findOrAdd(run PrefixRun) *prefixEntry {
+func (s *PrefixIndex) findOrAdd(run PromptPrefix) *prefixEntry {
 	if element, ok := s.elements[run.Hash]; ok {
 		s.lru.MoveToFront(element)
 		return element.Value.(*prefixEntry)
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -35,9 +35,9 @@
 	defaultMaxRunning = 1
 )
 
-// Build returns a snapshot of the engines and computes in advance what decisions
+// NewSnapshot returns a snapshot of the engines and computes in advance what decisions
 // read. It takes ownership of the slice and the map.
-func Build(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
+func NewSnapshot(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	snapshot := &Snapshot{
 		Engines:        engines,
 		ByModel:        make(map[string][]int),
@@ -62,7 +62,7 @@
 // the slice and the map.
 func (s *Snapshot) Refresh(engines []Engine, sharedPrefixes map[uint64][]PrefixHolder) *Snapshot {
 	if s.prepared == nil || !s.hasSameEngines(engines) {
-		return Build(engines, sharedPrefixes)
+		return NewSnapshot(engines, sharedPrefixes)
 	}
 	next := &Snapshot{
 		Engines:        engines,
@@ -205,10 +205,10 @@
 		pressure:        cachePressure(engine),
 		reportAge:       engine.ReportAge.Seconds(),
 		batchDecodeRate: float64(max(engine.MaxRunning, defaultMaxRunning)) * decode,
-		busy:            int32(engine.Running + engine.Waiting + engine.PlacedSince),
+		busy:            int32(engine.Running + engine.Waiting + engine.PlacedSinceReport),
 		slots:           int32(max(engine.MaxRunning, defaultMaxRunning)),
 		accepting:       engine.Accepting,
-		probing:         !engine.Accepting && engine.Probing && engine.PlacedSince == 0,
+		probing:         !engine.Accepting && engine.Probing && engine.PlacedSinceReport == 0,
 	}
 }
 
--- a/internal/server/answers.go
+++ b/internal/server/answers.go
@@ -11,7 +11,7 @@
 // function also registers the metrics of the group and of s.memory.
 func (s *Server) newAnswerBuffers() (*writebehind.Group, error) {
 	buffers := writebehind.NewGroup(writebehind.Options{
-		Account: s.memory, Silence: writebehind.UsualSilence, Pause: writebehind.UsualPause, Log: s.Log,
+		Account: s.memory, StallTimeout: writebehind.DefaultStallTimeout, MaxWriteWait: writebehind.DefaultMaxWriteWait, Log: s.Log,
 	})
-	return buffers, errors.Join(s.memory.Measure(s.Registry), buffers.Measure(s.Registry))
+	return buffers, errors.Join(s.memory.RegisterMetrics(s.Registry), buffers.RegisterMetrics(s.Registry))
 }
