--- a/internal/server/collaboration.go
+++ b/internal/server/collaboration.go
@@ -29,9 +29,9 @@
 type components struct {
 	availability   *state.Availability
 	client         *state.Client
-	budgets        *budget.Shared
+	budgets        *budget.Client
 	ledger         *budget.Ledger
-	turns          *turn.Records
+	turns          *turn.Repository
 	members        *members.List
 	lease          *members.Lease
 	stopLease      context.CancelFunc
@@ -90,50 +90,50 @@
 		peerPool:   peer.NewPool(peerOptions),
 		log:        s.Log,
 	}
-	c.members.WatchZones = !s.Settings.Disabled.Has(mechanism.SilentZones)
-	c.members.OnZoneBack = func(addresses []string, silence time.Duration) {
+	c.members.DetectSilentZones = !s.Settings.Disabled.Has(mechanism.SkipSilentZones)
+	c.members.OnZoneRecovered = func(addresses []string, silence time.Duration) {
 		for _, address := range addresses {
 			c.peerPool.RetireUnanswered(address, silence)
 		}
 	}
 	c.availability = state.NewAvailability(time.Now, s.logStoreAvailability)
-	c.availability.PaceTries(func() time.Duration { return partitionRetryInterval(c.members.Count()) })
+	c.availability.SetRetryIntervalFunc(func() time.Duration { return partitionRetryInterval(c.members.Count()) })
 	disabled := s.Settings.Disabled
 	storeOptions := state.ClientOptions{
-		Store: s.Store, Availability: c.availability, NotHedged: disabled.Has(mechanism.HedgedCalls),
-		Probe: state.Single(s.Rows.ConfigurationKey()), OnFailure: s.logFailedCall,
-		Limiter: state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), Members: c.members.Count, OnLowered: s.logLoweredRate}),
-		Room:    state.NewRoom(state.RoomOptions{OnChange: s.logStoreRoom, OnRefused: func() { c.removalQueue.Hurry() }}),
+		Store: s.Store, Availability: c.availability, DisableHedging: disabled.Has(mechanism.HedgedCalls),
+		Probe: state.KeyRange(s.Rows.ConfigurationKey()), OnFailure: s.logFailedCall,
+		Limiter:      state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), MemberCount: c.members.Count, OnRateLowered: s.logLoweredRate}),
+		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreRoom, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
 	}
 	if !disabled.Has(mechanism.StoreRelay) {
 		storeOptions.Alternative = storerelay.NewRelay(c.members, c.peerPool, s.Settings.Seeds)
 	}
 	c.client = state.NewClient(storeOptions)
 	c.lease = &members.Lease{
-		List: c.members, Store: c.client, FirstStart: s.Settings.FirstStart, ShortestRenewal: minLeaseRenewal, Log: s.Log,
+		List: c.members, Store: c.client, FirstStart: s.Settings.FirstStart, MinRenewalInterval: minLeaseRenewal, Log: s.Log,
 	}
 	c.removalQueue = retention.NewQueue(c.client, time.Now, s.Log)
 	c.ledger = budget.NewLedger(c.client, maxLedgerPrograms, maxLedgerProgramAge)
 	if !disabled.Has(mechanism.Lending) {
-		c.ledger.LendWith(budget.NewLender(c.members.MayLend, time.Now, s.Log))
-	}
-	c.budgets = budget.NewShared(c.ledger, c.members, c.peerPool, c.availability, s.Log)
-	c.budgets.Near = s.Settings.NearBudgets && !disabled.Has(mechanism.NearBudgets)
-	c.budgets.Alone = disabled.Has(mechanism.SharedBudgets)
-	c.turns = turn.NewRecords(turn.Options{
-		Store: c.client, RowBytes: s.Settings.Store.RowBytes, CacheEntries: maxCachedTurns, CacheFor: maxCachedTurnAge,
-		CacheBytes: maxCachedTurnBytes, PieceBytes: maxCachedPieceBytes, Log: s.Log,
-		Now: time.Now, Removal: c.removalQueue, Others: &turn.Others{List: c.members, Caller: c.peerPool, Log: s.Log},
+		c.ledger.SetLender(budget.NewLender(c.members.MayLend, time.Now, s.Log))
+	}
+	c.budgets = budget.NewClient(c.ledger, c.members, c.peerPool, c.availability, s.Log)
+	c.budgets.PreferZone = s.Settings.NearBudgets && !disabled.Has(mechanism.ZoneBudgetHolders)
+	c.budgets.LocalOnly = disabled.Has(mechanism.SharedBudgets)
+	c.turns = turn.NewRepository(turn.Options{
+		Store: c.client, MaxRowBytes: s.Settings.Store.RowBytes, MaxCacheEntries: maxCachedTurns, CacheIdleTimeout: maxCachedTurnAge,
+		MaxCacheBytes: maxCachedTurnBytes, MaxPieceCacheBytes: maxCachedPieceBytes, Log: s.Log,
+		Now: time.Now, RemovalQueue: c.removalQueue, Peers: &turn.Peers{List: c.members, Caller: c.peerPool, Log: s.Log},
 	})
 	c.loads = &load.Exchange{List: c.members, Caller: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
-	c.exchangesLoads = !disabled.Has(mechanism.LoadBoard)
+	c.exchangesLoads = !disabled.Has(mechanism.FleetLoads)
 	c.quotaKeeper = quota.NewKeeper(s.Settings.quotaSettings(), c.members, time.Now)
 	c.quotas = quota.NewLimiter(quota.Options{
 		Settings: s.Settings.quotaSettings(), Keeper: c.quotaKeeper, Directory: c.members, Caller: c.peerPool, Now: time.Now, Log: s.Log,
 	})
 	registrations := []error{
-		c.client.Measure(s.Registry), c.members.Measure(s.Registry), c.loads.Measure(s.Registry),
-		c.quotas.Measure(s.Registry), c.turns.Measure(s.Registry), s.Registry.Register(s.fleet.Collector()),
+		c.client.RegisterMetrics(s.Registry), c.members.RegisterMetrics(s.Registry), c.loads.RegisterMetrics(s.Registry),
+		c.quotas.RegisterMetrics(s.Registry), c.turns.RegisterMetrics(s.Registry), s.Registry.Register(s.fleet.Collector()),
 	}
 	if err := errors.Join(registrations...); err != nil {
 		return nil, err
@@ -158,13 +158,13 @@
 		Members: c.members.Count, Services: func() []string { return s.routes.Current().ModelServices() }, Now: time.Now, Log: s.Log,
 	})
 	c.loads.Programs = c.admission
-	return c.admission.Measure(s.Registry)
+	return c.admission.RegisterMetrics(s.Registry)
 }
 
 // registerServices registers the RPC services that this daemon offers to others.
 func (s *Server) registerServices(c *components) error {
 	peerServer := c.peerServer
-	if err := peerServer.Register(budget.Service, budget.NewHolder(c.ledger, s.life.Draining)); err != nil {
+	if err := peerServer.Register(budget.ServiceName, budget.NewHolder(c.ledger, s.life.Draining)); err != nil {
 		return eris.Wrap(err, "serve budgets")
 	}
 	if err := peerServer.Register(turn.ServiceName, turn.NewService(c.turns)); err != nil {
@@ -176,10 +176,10 @@
 	if err := peerServer.Register(quota.ServiceName, c.quotaKeeper); err != nil {
 		return eris.Wrap(err, "serve quotas")
 	}
-	if err := peerServer.Register(members.ServiceName, members.Service{}); err != nil {
+	if err := peerServer.Register(members.ProbeServiceName, members.ProbeService{}); err != nil {
 		return eris.Wrap(err, "serve members")
 	}
-	relay := storerelay.NewService(s.Store, c.client.DirectUsable)
+	relay := storerelay.NewService(s.Store, c.client.IsDirectHealthy)
 	return eris.Wrap(peerServer.Register(storerelay.ServiceName, relay), "serve the store relay")
 }
 
@@ -201,17 +201,17 @@
 	var leaseContext context.Context
 	leaseContext, c.stopLease = context.WithCancel(ctx)
 	go c.lease.Run(leaseContext)
-	go watch.Run(ctx, c.members.Watch(c.client, membersFeedTimeout), c.members)
-	if c.members.WatchZones {
+	go watch.Run(ctx, c.members.WatchOptions(c.client, membersFeedTimeout), c.members)
+	if c.members.DetectSilentZones {
 		go (&members.Prober{List: c.members, Caller: c.peerPool}).Run(ctx)
 	}
 	go c.removalQueue.Run(ctx)
 	if c.exchangesLoads {
 		go c.loads.Run(ctx)
 	}
-	go turn.Leftovers(c.client, c.members.Sweeps, time.Now, c.log).Run(ctx)
-	go piece.Leftovers(c.client, c.members.Sweeps, time.Now, c.log).Run(ctx)
-	go budget.Leftovers(c.client, c.members.Sweeps, time.Now, c.log).Run(ctx)
+	go turn.NewSweep(c.client, c.members.HasHighestScore, time.Now, c.log).Run(ctx)
+	go piece.NewSweep(c.client, c.members.HasHighestScore, time.Now, c.log).Run(ctx)
+	go budget.NewSweep(c.client, c.members.HasHighestScore, time.Now, c.log).Run(ctx)
 }
 
 // releaseBudgets gives the unused tokens of all program budgets that this daemon
@@ -229,7 +229,7 @@
 	c.stopLease()
 	ctx, cancel := context.WithTimeout(context.Background(), endLeaseTimeout)
 	defer cancel()
-	if err := c.lease.End(ctx); err != nil {
+	if err := c.lease.WriteEnded(ctx); err != nil {
 		c.log.Warn("members: the lease could not be ended; it will expire.", zap.String("error", err.Error()))
 	}
 }
--- a/internal/server/followers.go
+++ b/internal/server/followers.go
@@ -33,10 +33,10 @@
 }
 
 // Replace implements watch.Follower.
-func (c *configurationFollower) Replace(rows []state.Row, _ state.Version) { c.Change(rows) }
+func (c *configurationFollower) Replace(rows []state.Row, _ state.Version) { c.Apply(rows) }
 
-// Change implements watch.Follower.
-func (c *configurationFollower) Change(rows []state.Row) {
+// Apply implements watch.Follower.
+func (c *configurationFollower) Apply(rows []state.Row) {
 	for _, row := range rows {
 		if row.Key == c.rows.ConfigurationKey() && !row.Removed {
 			c.apply(row)
@@ -82,8 +82,8 @@
 	i.onRead()
 }
 
-// Change implements watch.Follower.
-func (i *instanceFollower) Change(rows []state.Row) {
+// Apply implements watch.Follower.
+func (i *instanceFollower) Apply(rows []state.Row) {
 	for _, row := range rows {
 		declaration, valid := i.decode(row)
 		if !valid {
@@ -94,7 +94,7 @@
 				zap.String("address", declaration.Address), zap.Uint64("version", declaration.Version))
 		}
 	}
-	i.fleet.Forget(i.retainRemoved)
+	i.fleet.Prune(i.retainRemoved)
 }
 
 // decode returns the instance that a row declares. If the row is not valid, decode
--- a/internal/server/followers_test.go
+++ b/internal/server/followers_test.go
@@ -43,7 +43,7 @@
 
 	known := func() []string {
 		var ids []string
-		for _, instance := range follower.fleet.Of("s") {
+		for _, instance := range follower.fleet.Instances("s") {
 			ids = append(ids, instance.ID)
 		}
 		return ids
@@ -56,6 +56,6 @@
 		Expect(logged.FilterMessage("engine: row cannot be decoded.").FilterField(zap.String("engine", "b")).Len()).To(Equal(1))
 	},
 		Entry("when all rows are read", func() { follower.Replace(rows, 3) }),
-		Entry("when rows change", func() { follower.Change(rows) }),
+		Entry("when rows change", func() { follower.Apply(rows) }),
 	)
 })
--- a/internal/server/front_test.go
+++ b/internal/server/front_test.go
@@ -104,7 +104,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { _, _ = writer.Write(make([]byte, responseBytes)) })
 		account := memory.NewAccount(4 * responseBytes)
-		buffers := writebehind.NewGroup(writebehind.Options{Account: account, Silence: time.Hour, Pause: time.Hour})
+		buffers := writebehind.NewGroup(writebehind.Options{Account: account, StallTimeout: time.Hour, MaxWriteWait: time.Hour})
 		buffered := newCallerServer(listener, handler, buffers, log.New(io.Discard, "", 0))
 		caller, err := net.Dial("tcp", listener.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -56,7 +56,7 @@
 	if call.Status != 0 {
 		labels.result = strconv.Itoa(call.Status)
 	}
-	s.durations.WithLabelValues(string(labels.kind), labels.table, labels.result).Observe(call.Took.Seconds())
+	s.durations.WithLabelValues(string(labels.kind), labels.table, labels.result).Observe(call.Duration.Seconds())
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.counts[labels]++
--- a/internal/server/reaching.go
+++ b/internal/server/reaching.go
@@ -13,18 +13,18 @@
 func (s *Server) initReachMonitor(c *components) error {
 	s.reach = reach.NewMonitor(reach.Options{
 		Observe: func() reach.Observation {
-			heard, known := c.loads.Outside()
-			return reach.Observation{OutsideKnown: known, OutsideHeard: heard, StoreHeard: c.availability.Answered()}
+			heard, known := c.loads.LastOutsideContact()
+			return reach.Observation{OutsideKnown: known, LastOutsideContact: heard, LastStoreAnswer: c.availability.LastAnswerTime()}
 		},
-		AskStore: func(ctx context.Context) {
+		ProbeStore: func(ctx context.Context) {
 			// The result is not needed, since Observe gets the time of the store's
 			// last answer from c.availability.
-			_, _ = c.client.Read(ctx, state.Single(s.Rows.ConfigurationKey()))
+			_, _ = c.client.Read(ctx, state.KeyRange(s.Rows.ConfigurationKey()))
 		},
-		Moved:    unreadyDelay,
-		OnChange: func(cutOff bool) { s.callerServer.SetDiverting(cutOff) },
-		Now:      time.Now,
-		Log:      s.Log,
+		RerouteDelay: unreadyDelay,
+		OnChange:     func(cutOff bool) { s.callerServer.SetDiverting(cutOff) },
+		Now:          time.Now,
+		Log:          s.Log,
 	})
-	return s.reach.Measure(s.Registry)
+	return s.reach.RegisterMetrics(s.Registry)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -28,7 +28,7 @@
 type Options struct {
 	Settings  Settings
 	Store     state.Store
-	Wire      gateway.Wire
+	Wire      gateway.HeaderCodec
 	Rows      Rows
 	ReadyPath string // HTTP path of the readiness check
 	Log       *zap.Logger
@@ -101,7 +101,7 @@
 		life:    process.NewLife("server", options.Log),
 
 		rateLog: rate.Sometimes{Interval: rateLogInterval},
-		memory:  memory.NewAccount(memory.Divide(options.Settings.MemoryMB).Held),
+		memory:  memory.NewAccount(memory.LimitsFor(options.Settings.MemoryMB).MaxHeldBytes),
 	}
 	server.Reload(options.Settings)
 	return server
@@ -159,24 +159,24 @@
 // gateway.
 func (s *Server) handler(c *components) http.Handler {
 	handler := gateway.New(gateway.Options{
-		Zone:          s.Settings.Zone,
-		Wire:          s.Wire,
-		Routes:        s.routes,
-		Fleet:         s.fleet,
-		Turns:         c.turns,
-		Budgets:       c.budgets,
-		Quotas:        c.quotas,
-		Admission:     c.admission,
-		Availability:  c.availability,
-		Reach:         s.reach,
-		Room:          c.client.Room(),
-		Memory:        s.memory,
-		Log:           s.Log,
-		Metrics:       s.metrics,
-		InstanceGrace: s.instanceGrace(),
-		Off:           s.Settings.Disabled,
-		KeysBelieved:  s.Settings.configurationFeedTimeout() + feedRecoveryTime,
-		Ages: func() (configuration, instances time.Duration) {
+		Zone:                s.Settings.Zone,
+		Wire:                s.Wire,
+		Routes:              s.routes,
+		Fleet:               s.fleet,
+		Turns:               c.turns,
+		Budgets:             c.budgets,
+		Quotas:              c.quotas,
+		Admission:           c.admission,
+		Availability:        c.availability,
+		Connectivity:        s.reach,
+		StoreSpace:          c.client.SpaceTracker(),
+		Memory:              s.memory,
+		Log:                 s.Log,
+		Metrics:             s.metrics,
+		InstanceGrace:       s.instanceGrace(),
+		DisabledMechanisms:  s.Settings.Disabled,
+		MaxConfigurationAge: s.Settings.configurationFeedTimeout() + feedRecoveryTime,
+		Staleness: func() (configuration, instances time.Duration) {
 			return s.configurationHeard.age(), s.instancesHeard.age()
 		},
 	})
@@ -207,12 +207,12 @@
 		onRead:        func() { s.instancesRead.Store(true) },
 	}
 	go watch.Run(ctx, watch.Options{
-		Store: c.client, Table: s.Rows.ConfigurationKey().Table, Wait: s.Settings.configurationFeedTimeout(), Log: s.Log,
-		OnHeard: s.configurationHeard.set,
+		Store: c.client, Table: s.Rows.ConfigurationKey().Table, MaxWait: s.Settings.configurationFeedTimeout(), Log: s.Log,
+		OnAnswer: s.configurationHeard.set,
 	}, configuration)
 	go watch.Run(ctx, watch.Options{
-		Store: c.client, Table: s.Rows.InstancesTable(), Wait: instancesFeedTimeout, Pause: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
-		OnHeard: s.instancesHeard.set,
+		Store: c.client, Table: s.Rows.InstancesTable(), MaxWait: instancesFeedTimeout, MinBatchInterval: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
+		OnAnswer: s.instancesHeard.set,
 	}, instances)
 	c.start(ctx)
 }
@@ -251,7 +251,7 @@
 	defer cancel()
 	for ctx.Err() == nil && !s.canStop(time.Since(start)) {
 		c.releaseBudgets(ctx)
-		pause.For(ctx, stopPollInterval)
+		pause.Sleep(ctx, stopPollInterval)
 	}
 	err := s.callerServer.Stop(ctx)
 	c.releaseBudgets(ctx)
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -65,7 +65,7 @@
 	NearBudgets bool `yaml:"near_budgets"`
 	// Disabled lists mechanisms that are switched off for an experiment. It is empty
 	// in production.
-	Disabled mechanism.Off `yaml:"disabled"`
+	Disabled mechanism.Disabled `yaml:"disabled"`
 	// LogSuccessesPerSecond limits the log lines about successful requests; 0 means no
 	// limit.
 	LogSuccessesPerSecond int `yaml:"log_successes_per_second"`
@@ -158,7 +158,7 @@
 	require(s.Quota.WindowSeconds >= 0, "quota.window_seconds: expected a number, 0 or above")
 	require(s.Quota.ToleranceShare >= 0, "quota.tolerance_share: expected a number, 0 or above")
 	require(s.Quota.ToleranceRequests >= 0, "quota.tolerance_requests: expected a number, 0 or above")
-	if err := s.Disabled.Check(); err != nil {
+	if err := s.Disabled.Validate(); err != nil {
 		faults = append(faults, eris.Errorf("disabled: %v", err))
 	}
 	return errors.Join(faults...)
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -85,7 +85,7 @@
 	It("accepts only known mechanisms as disabled", func() {
 		settings, err := Load(writeSettings(validSettings + "disabled: [trails, zone-cost]\n"))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settings.Disabled.Has(mechanism.Trails)).To(BeTrue())
+		Expect(settings.Disabled.Has(mechanism.TurnLocations)).To(BeTrue())
 		_, err = Load(writeSettings(validSettings + "disabled: [trials]\n"))
 		Expect(err).To(MatchError(ContainSubstring(`disabled: unknown mechanism "trials"`)))
 	})
--- a/internal/server/storelines.go
+++ b/internal/server/storelines.go
@@ -43,7 +43,7 @@
 
 // logFailedCall logs a call to the store that ended without a definite result.
 func (s *Server) logFailedCall(failure state.Failure) {
-	s.Log.Warn("store: call failed.", zap.String("call", failure.Call), zap.String("table", failure.Key.Table),
+	s.Log.Warn("store: call failed.", zap.String("call", failure.Op), zap.String("table", failure.Key.Table),
 		zap.String("partition", failure.Key.Partition), zap.String("key", failure.Key.Name),
-		zap.Duration("took", failure.Took), zap.String("cause", failure.Err.Error()))
+		zap.Duration("took", failure.Duration), zap.String("cause", failure.Err.Error()))
 }
--- a/internal/shards/follower.go
+++ b/internal/shards/follower.go
@@ -15,8 +15,8 @@
 // Replace implements watch.Follower.
 func (w leaderWatcher) Replace(rows []state.Row, _ state.Version) { w.node.applyLeaderRows(rows) }
 
-// Change implements watch.Follower.
-func (w leaderWatcher) Change(rows []state.Row) { w.node.applyLeaderRows(rows) }
+// Apply implements watch.Follower.
+func (w leaderWatcher) Apply(rows []state.Row) { w.node.applyLeaderRows(rows) }
 
 // applyLeaderRows replaces the node's map by one with the changed rows and ends replicas that
 // were superseded.
@@ -25,7 +25,7 @@
 	defer n.mutex.Unlock()
 	next := &Map{Leaders: map[identity.Shard]Leader{}}
 	if previous := n.current.Load(); previous != nil {
-		next = &Map{Shards: previous.Shards, Leaders: maps.Clone(previous.Leaders)}
+		next = &Map{ShardCount: previous.ShardCount, Leaders: maps.Clone(previous.Leaders)}
 	}
 	for _, row := range rows {
 		next.applyRow(row)
@@ -49,7 +49,7 @@
 // lower term than the known one, are ignored.
 func (m *Map) applyRow(row state.Row) {
 	if row.Key.Name == countRowName {
-		_ = cbor.Unmarshal(row.Value, &m.Shards) // an unreadable count is ignored
+		_ = cbor.Unmarshal(row.Value, &m.ShardCount) // an unreadable count is ignored
 		return
 	}
 	var number uint32
@@ -60,5 +60,5 @@
 	if row.Removed || cbor.Unmarshal(row.Value, &decoded) != nil || decoded.Term < m.Leaders[identity.Shard(number)].Term {
 		return
 	}
-	m.Leaders[identity.Shard(number)] = Leader{Process: decoded.Leader, Term: decoded.Term, Former: decoded.Former}
+	m.Leaders[identity.Shard(number)] = Leader{Process: decoded.Leader, Term: decoded.Term, FormerLeader: decoded.Former}
 }
--- a/internal/shards/leading.go
+++ b/internal/shards/leading.go
@@ -23,13 +23,13 @@
 		return
 	}
 	seen := n.currentPlacement()
-	for number := range current.Shards {
+	for number := range current.ShardCount {
 		shard := identity.Shard(number + 1)
 		if seen.shouldTake(shard, current.Leaders[shard]) {
 			n.startAcquiring(ctx, shard, current.Leaders[shard].Term)
 		}
 	}
-	if shard, found := n.balancer.nextHandOver(seen, current, n.ledShards(), n.options.Idle); found {
+	if shard, found := n.balancer.nextHandOver(seen, current, n.ledShards(), n.options.IsIdle); found {
 		n.goroutines.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, acquireTimeout)
 			defer cancel()
@@ -43,7 +43,7 @@
 // currentPlacement returns a placement from the current membership and the leaders that cannot be
 // reached.
 func (n *Node) currentPlacement() *placement {
-	current := newPlacement(n.options.Self, n.options.Directory.View(), n.balancer.uptime(), n.options.Expect)
+	current := newPlacement(n.options.Self, n.options.Directory.View(), n.balancer.uptime(), n.options.MinDaemons)
 	if n.prober == nil {
 		return current
 	}
@@ -60,7 +60,7 @@
 	}
 	seen := n.currentPlacement()
 	leaders = n.prober.unreachable()
-	for number := range current.Shards {
+	for number := range current.ShardCount {
 		shard := identity.Shard(number + 1)
 		leader := current.Leaders[shard].Process
 		if leader.Machine == "" || leader == n.options.Self || slices.Contains(leaders, leader) {
@@ -116,7 +116,7 @@
 		return err
 	}
 	acquired := &replica{
-		node: n, shard: shard, machine: n.options.NewMachine(shard), term: next.Term, head: next, version: version,
+		node: n, shard: shard, machine: n.options.NewStateMachine(shard), term: next.Term, head: next, version: version,
 		proposals: make(chan *proposal, proposalQueueSize), handOverRequests: make(chan chan error), ended: make(chan struct{}),
 	}
 	acquired.superseded, acquired.markSuperseded = context.WithCancel(parent)
@@ -184,7 +184,7 @@
 		if !errors.Is(err, errInconsistentRows) {
 			return stored, err
 		}
-		if !pause.For(ctx, readRetryDelay) {
+		if !pause.Sleep(ctx, readRetryDelay) {
 			return nil, err
 		}
 	}
@@ -196,7 +196,7 @@
 	from := ""
 	for {
 		var page state.Page
-		err := n.options.Store.Repeat(ctx, func() error {
+		err := n.options.Store.Retry(ctx, func() error {
 			var err error
 			page, err = n.options.Store.Read(ctx, state.Range{Table: tableShards, Partition: partitionName(shard), From: from})
 			return err
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -19,7 +19,7 @@
 	"github.com/thymeloft/thymeloft/internal/watch"
 )
 
-// Options configures a Node. Store, Directory, NewMachine and RowBytes are required.
+// Options configures a Node. Store, Directory, NewStateMachine and MaxRowBytes are required.
 type Options struct {
 	Self      identity.Process
 	Store     *state.Client
@@ -27,20 +27,20 @@
 	// Caller and Registrar are used to probe leaders. If either is nil, leaders are not probed.
 	Caller    peer.Caller
 	Registrar peer.Registrar
-	// NewMachine returns an empty state machine for a shard that this daemon is about to lead.
-	NewMachine func(identity.Shard) StateMachine
-	// Idle returns true if this daemon has no work in progress for the shard, so that the shard
+	// NewStateMachine returns an empty state machine for a shard that this daemon is about to lead.
+	NewStateMachine func(identity.Shard) StateMachine
+	// IsIdle returns true if this daemon has no work in progress for the shard, so that the shard
 	// may be handed over to balance the load. nil: no shard is handed over for balance.
-	Idle     func(identity.Shard) bool
-	Shards   uint32 // number of shards; ignored if the store already has a number
-	Expect   int    // daemons that must be alive before shards get their first leaders
-	RowBytes int    // maximum size of a row's value in bytes
-	// A snapshot is written when the log has grown by more than SnapshotAfter bytes plus the
+	IsIdle      func(identity.Shard) bool
+	ShardCount  uint32 // number of shards; ignored if the store already has a number
+	MinDaemons  int    // daemons that must be alive before shards get their first leaders
+	MaxRowBytes int    // maximum size of a row's value in bytes
+	// A snapshot is written when the log has grown by more than SnapshotThresholdBytes bytes plus the
 	// size of the last snapshot, or by more than 2048 batches. 0: 1 MiB.
-	SnapshotAfter int
-	Log           *zap.Logger
-	Registry      prometheus.Registerer // nil: metrics are counted but not registered
-	Reconcile     time.Duration         // interval at which leaderships are reconciled; 0: 200 ms
+	SnapshotThresholdBytes int
+	Logger                 *zap.Logger
+	Registerer             prometheus.Registerer // nil: metrics are counted but not registered
+	ReconcileInterval      time.Duration         // interval at which leaderships are reconciled; 0: 200 ms
 }
 
 const (
@@ -68,40 +68,40 @@
 }
 
 var (
-	_ Groups = (*Node)(nil)
-	_ Source = (*Node)(nil)
+	_ Groups    = (*Node)(nil)
+	_ MapSource = (*Node)(nil)
 )
 
 // NewNode returns a node that leads no shards until Run is called. If Caller and Registrar are
 // set, it registers the RPC receiver for probes.
 func NewNode(options Options) (*Node, error) {
-	if options.Store == nil || options.Directory == nil || options.NewMachine == nil || options.RowBytes <= 0 {
+	if options.Store == nil || options.Directory == nil || options.NewStateMachine == nil || options.MaxRowBytes <= 0 {
 		return nil, eris.New("shards: store, directory, NewMachine and RowBytes are required")
 	}
-	if options.Log == nil {
-		options.Log = zap.NewNop()
+	if options.Logger == nil {
+		options.Logger = zap.NewNop()
 	}
-	if options.Idle == nil {
-		options.Idle = func(identity.Shard) bool { return false }
+	if options.IsIdle == nil {
+		options.IsIdle = func(identity.Shard) bool { return false }
 	}
-	if options.SnapshotAfter <= 0 {
-		options.SnapshotAfter = defaultSnapshotAfter
+	if options.SnapshotThresholdBytes <= 0 {
+		options.SnapshotThresholdBytes = defaultSnapshotAfter
 	}
-	if options.Reconcile <= 0 {
-		options.Reconcile = defaultReconcileInterval
+	if options.ReconcileInterval <= 0 {
+		options.ReconcileInterval = defaultReconcileInterval
 	}
 	node := &Node{
-		options: options, log: options.Log.Named("shards"), changes: make(chan LeaderChange, changesBuffer),
+		options: options, log: options.Logger.Named("shards"), changes: make(chan LeaderChange, changesBuffer),
 		balancer: newBalancer(time.Now), replicas: map[identity.Shard]*replica{}, acquiring: map[identity.Shard]bool{},
 	}
 	if options.Caller != nil && options.Registrar != nil {
 		node.prober = newProber(options.Self, options.Caller, node.log)
-		if err := options.Registrar.Register(ReachService, &ReachAnswers{prober: node.prober}); err != nil {
+		if err := options.Registrar.Register(ProbeServiceName, &ProbeReceiver{prober: node.prober}); err != nil {
 			return nil, eris.Wrap(err, "shards: register the RPC receiver for probes")
 		}
 	}
 	var err error
-	node.metrics, err = newMetrics(options.Registry, node)
+	node.metrics, err = newMetrics(options.Registerer, node)
 	return node, err
 }
 
@@ -113,12 +113,12 @@
 		return nil //nolint:nilerr // the context ended first
 	}
 	n.goroutines.Go(func() {
-		watch.Run(ctx, watch.Options{Store: n.options.Store, Table: tableLeaders, Wait: watchWait, Log: n.log}, leaderWatcher{n})
+		watch.Run(ctx, watch.Options{Store: n.options.Store, Table: tableLeaders, MaxWait: watchWait, Log: n.log}, leaderWatcher{n})
 	})
 	if n.prober != nil {
 		n.goroutines.Go(func() { n.prober.run(ctx, n.probeTargets) })
 	}
-	ticker := time.NewTicker(n.options.Reconcile)
+	ticker := time.NewTicker(n.options.ReconcileInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -134,13 +134,13 @@
 // only if the context ends.
 func (n *Node) writeShardCount(ctx context.Context) error {
 	key := state.Key{Table: tableLeaders, Name: countRowName}
-	commit := state.Commit{Conditions: []state.Condition{{Key: key}}, Puts: []state.Put{{Key: key, Value: encode(n.options.Shards)}}}
+	commit := state.Commit{Conditions: []state.Condition{{Key: key}}, Puts: []state.Put{{Key: key, Value: encode(n.options.ShardCount)}}}
 	for {
-		err := n.options.Store.Repeat(ctx, func() error {
+		err := n.options.Store.Retry(ctx, func() error {
 			_, err := n.options.Store.Commit(ctx, commit)
 			return err
 		})
-		if !state.NoVerdict(err) {
+		if !state.IsTransient(err) {
 			return nil // written now, or present already
 		}
 		if ctx.Err() != nil {
@@ -152,7 +152,7 @@
 // Current implements Source. It returns nil until the number of shards is known.
 func (n *Node) Current() *Map {
 	current := n.current.Load()
-	if current == nil || current.Shards == 0 {
+	if current == nil || current.ShardCount == 0 {
 		return nil
 	}
 	return current
@@ -225,20 +225,20 @@
 	}
 }
 
-// Retire stops the node from acquiring shards, in preparation for a planned stop. Shards that it
+// StopAcquiring stops the node from acquiring shards, in preparation for a planned stop. Shards that it
 // leads are kept until they are handed over.
-func (n *Node) Retire() { n.retired.Store(true) }
+func (n *Node) StopAcquiring() { n.retired.Store(true) }
 
-// Left returns the number of shards that this process leads, plus those that it has given up
+// RemainingShards returns the number of shards that this process leads, plus those that it has given up
 // and that no other daemon leads yet.
-func (n *Node) Left() int {
+func (n *Node) RemainingShards() int {
 	left := 0
 	current := n.Current()
 	if current == nil {
 		return 0
 	}
 	for _, leader := range current.Leaders {
-		if leader.Process == n.options.Self || leader.Former == n.options.Self {
+		if leader.Process == n.options.Self || leader.FormerLeader == n.options.Self {
 			left++
 		}
 	}
@@ -252,12 +252,12 @@
 		return nil
 	}
 	var all []Status
-	for number := range current.Shards {
+	for number := range current.ShardCount {
 		shard := identity.Shard(number + 1)
 		leader := current.Leaders[shard]
 		known := Status{Shard: shard, Leader: leader.Process, Term: leader.Term}
 		if led := n.replica(shard); led != nil {
-			known.Leading, known.Leader, known.Committed = true, n.options.Self, led.lastIndex.Load()
+			known.Leading, known.Leader, known.CommittedIndex = true, n.options.Self, led.lastIndex.Load()
 			known.Term = max(known.Term, led.term)
 		}
 		all = append(all, known)
--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -27,7 +27,7 @@
 }
 
 func newPlacement(self identity.Process, view *members.View, uptime time.Duration, expect int) *placement {
-	p := &placement{self: self, members: map[identity.Machine]members.Member{}, mayAssumeLost: uptime >= minUptime && view.Read}
+	p := &placement{self: self, members: map[identity.Machine]members.Member{}, mayAssumeLost: uptime >= minUptime && view.Loaded}
 	for _, member := range view.Members {
 		p.members[member.Process.Machine] = member
 		if member.State == members.StateAlive {
@@ -61,7 +61,7 @@
 	case leader.Term == 0 && !p.enoughDaemons:
 		return false // the first start waits until enough daemons are alive
 	}
-	return p.preferred(shard, leader.Former) == p.self
+	return p.preferred(shard, leader.FormerLeader) == p.self
 }
 
 // isLost returns true if the process appears to have ended or cannot be reached. A wrong answer
@@ -126,7 +126,7 @@
 	if daemons < 2 || b.now().Sub(b.lastHandOver) < balanceInterval {
 		return 0, false
 	}
-	share := (int(current.Shards) + daemons - 1) / daemons
+	share := (int(current.ShardCount) + daemons - 1) / daemons
 	if len(led) <= share {
 		return 0, false
 	}
--- a/internal/shards/reach.go
+++ b/internal/shards/reach.go
@@ -25,12 +25,12 @@
 // Probes are only a hint; the store decides who leads. A daemon probes only the leaders that it
 // would replace, typically about two.
 
-// ReachService is the name of the RPC service for probes.
-const ReachService = "ShardReach"
+// ProbeServiceName is the name of the RPC service for probes.
+const ProbeServiceName = "ShardReach"
 
 const (
-	methodPing = ReachService + ".Ping"
-	methodAsk  = ReachService + ".Ask"
+	methodPing = ProbeServiceName + ".Ping"
+	methodAsk  = ProbeServiceName + ".Ask"
 )
 
 const (
@@ -53,11 +53,11 @@
 // PingReply identifies the process that answered.
 type PingReply struct{ Incarnation identity.Incarnation }
 
-// AskRequest asks a daemon to ping another process.
-type AskRequest struct{ Process identity.Process }
+// ProbeRequest asks a daemon to ping another process.
+type ProbeRequest struct{ Process identity.Process }
 
-// AskReply reports whether the process answered the ping.
-type AskReply struct{ Reached bool }
+// ProbeReply reports whether the process answered the ping.
+type ProbeReply struct{ Reached bool }
 
 // prober probes leaders and records which ones cannot be reached. It is safe for concurrent
 // use.
@@ -74,17 +74,17 @@
 	return &prober{self: self, caller: caller, log: log, failures: map[identity.Process]int{}}
 }
 
-// ReachAnswers serves the RPCs for probes with net/rpc.
-type ReachAnswers struct{ prober *prober }
+// ProbeReceiver serves the RPCs for probes with net/rpc.
+type ProbeReceiver struct{ prober *prober }
 
 // Ping returns the incarnation of this process.
-func (a *ReachAnswers) Ping(_ PingRequest, reply *PingReply) error {
+func (a *ProbeReceiver) Ping(_ PingRequest, reply *PingReply) error {
 	reply.Incarnation = a.prober.self.Incarnation
 	return nil
 }
 
 // Ask pings the requested process and reports whether it answered.
-func (a *ReachAnswers) Ask(request AskRequest, reply *AskReply) error {
+func (a *ProbeReceiver) Ask(request ProbeRequest, reply *ProbeReply) error {
 	reply.Reached = a.prober.ping(context.Background(), request.Process) == nil
 	return nil
 }
@@ -92,7 +92,7 @@
 // run probes the leaders that targets returns, every probeInterval, until the context ends.
 // targets also returns the daemons that may confirm a failure.
 func (p *prober) run(ctx context.Context, targets func() (leaders, witnesses []identity.Process)) {
-	for pause.For(ctx, probeInterval) {
+	for pause.Sleep(ctx, probeInterval) {
 		leaders, witnesses := targets()
 		p.probeAll(ctx, leaders, witnesses)
 	}
@@ -129,9 +129,9 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	var reply AskReply
+	var reply ProbeReply
 	witness := others[rand.IntN(len(others))]
-	err := p.caller.Call(limited, witness.Address, peer.Control, methodAsk, AskRequest{Process: leader}, &reply)
+	err := p.caller.Call(limited, witness.Address, peer.Control, methodAsk, ProbeRequest{Process: leader}, &reply)
 	return err == nil && !reply.Reached
 }
 
--- a/internal/shards/reach_test.go
+++ b/internal/shards/reach_test.go
@@ -17,8 +17,8 @@
 // memoryNetwork connects the daemons of a test by direct method calls, except for isolated
 // ones.
 type memoryNetwork struct {
-	services map[string]*ReachAnswers // key: address
-	isolated []string                 // machines that cannot exchange calls with any other machine
+	services map[string]*ProbeReceiver // key: address
+	isolated []string                  // machines that cannot exchange calls with any other machine
 }
 
 // memoryCaller makes the calls of one daemon.
@@ -36,7 +36,7 @@
 	if method == methodPing {
 		return answers.Ping(arguments.(PingRequest), reply.(*PingReply))
 	}
-	return answers.Ask(arguments.(AskRequest), reply.(*AskReply))
+	return answers.Ask(arguments.(ProbeRequest), reply.(*ProbeReply))
 }
 
 var _ = Describe("an unreachable leader", func() {
@@ -46,11 +46,11 @@
 	var probers map[identity.Process]*prober
 
 	BeforeEach(func() {
-		network = &memoryNetwork{services: map[string]*ReachAnswers{}}
+		network = &memoryNetwork{services: map[string]*ProbeReceiver{}}
 		probers = map[identity.Process]*prober{}
 		for _, process := range all {
 			probers[process] = newProber(process, memoryCaller{network, process}, zap.NewNop())
-			network.services[process.Address] = &ReachAnswers{prober: probers[process]}
+			network.services[process.Address] = &ProbeReceiver{prober: probers[process]}
 		}
 	})
 
@@ -89,7 +89,7 @@
 	})
 
 	It("loses its shards to exactly one other daemon and gets no new ones", func() {
-		view := &members.View{Read: true}
+		view := &members.View{Loaded: true}
 		for _, process := range all {
 			view.Members = append(view.Members, members.Member{Process: process, State: members.StateAlive})
 		}
--- a/internal/shards/replica.go
+++ b/internal/shards/replica.go
@@ -182,7 +182,7 @@
 func (r *replica) rejectOversized(batch []*proposal) []*proposal {
 	kept := batch[:0]
 	for _, each := range batch {
-		if len(each.command) > maxBatchBytes || len(each.command)/r.node.options.RowBytes > maxBatchRows {
+		if len(each.command) > maxBatchBytes || len(each.command)/r.node.options.MaxRowBytes > maxBatchRows {
 			each.result <- outcome{err: eris.Wrapf(ErrTooLarge, "command of %d bytes", len(each.command))}
 			continue
 		}
@@ -200,7 +200,7 @@
 	next := r.head
 	next.Last++
 	content := encode(commands)
-	puts := splitRows(r.shard, logRowName(next.Last), content, r.node.options.RowBytes)
+	puts := splitRows(r.shard, logRowName(next.Last), content, r.node.options.MaxRowBytes)
 	if err := r.commitHead(ctx, next, puts); err != nil {
 		return err
 	}
--- a/internal/shards/shards.go
+++ b/internal/shards/shards.go
@@ -53,30 +53,30 @@
 
 // Status is the state of one shard as known to this daemon.
 type Status struct {
-	Shard     identity.Shard
-	Leader    identity.Process // zero: unknown, or nobody leads the shard
-	Term      Term
-	Leading   bool   // this daemon leads the shard
-	Committed uint64 // index of the last committed log batch; 0 unless this daemon leads the shard
+	Shard          identity.Shard
+	Leader         identity.Process // zero: unknown, or nobody leads the shard
+	Term           Term
+	Leading        bool   // this daemon leads the shard
+	CommittedIndex uint64 // index of the last committed log batch; 0 unless this daemon leads the shard
 }
 
 // Map lists the leaders of all shards. It must not be changed.
 type Map struct {
-	Shards  uint32 // number of program shards; they are numbered from 1, and the number is fixed at the first start
-	Leaders map[identity.Shard]Leader
+	ShardCount uint32 // number of program shards; they are numbered from 1, and the number is fixed at the first start
+	Leaders    map[identity.Shard]Leader
 }
 
 // Leader describes the leadership of a shard.
 type Leader struct {
 	Process identity.Process // zero: nobody leads the shard
 	Term    Term
-	// Former is the process that gave up the shard in a planned hand-over. It is zero while the
+	// FormerLeader is the process that gave up the shard in a planned hand-over. It is zero while the
 	// shard has a leader.
-	Former identity.Process
+	FormerLeader identity.Process
 }
 
-// Source provides the current map of shards.
-type Source interface {
+// MapSource provides the current map of shards.
+type MapSource interface {
 	// Current returns the latest known map, or nil if none is known yet.
 	Current() *Map
 }
--- a/internal/shards/shards_test.go
+++ b/internal/shards/shards_test.go
@@ -145,13 +145,13 @@
 			Expect(first.propose(ctx, shard, "before")).To(Succeed())
 		}
 		handed := first.node.ledShards()
-		first.node.Retire()
+		first.node.StopAcquiring()
 		for _, shard := range handed {
 			Expect(first.node.HandOver(ctx, shard)).To(Succeed())
 			Expect(first.propose(ctx, shard, "no")).To(MatchError(ErrNotLeader))
 		}
 		Eventually(func() int { return len(second.node.ledShards()) }).Should(Equal(4))
-		Eventually(first.node.Left).Should(BeZero())
+		Eventually(first.node.RemainingShards).Should(BeZero())
 		for _, shard := range handed {
 			Expect(second.propose(ctx, shard, "after")).To(Succeed())
 			Expect(second.machine(shard).allCommands()).To(Equal([]string{"before", "after"}))
@@ -276,7 +276,7 @@
 var _ = Describe("the choice of leaders", func() {
 	a, b := processOf("a", 1), processOf("b", 1)
 	view := func(states map[identity.Process]members.State) *members.View {
-		made := &members.View{Read: true}
+		made := &members.View{Loaded: true}
 		for process, state := range states {
 			made.Members = append(made.Members, members.Member{Process: process, State: state})
 		}
@@ -302,7 +302,7 @@
 		for shard := identity.Shard(1); shard <= 8; shard++ {
 			Expect(seen.shouldTake(shard, Leader{Process: a, Term: 3})).To(BeFalse())
 			Expect(alone.shouldTake(shard, Leader{Process: a, Term: 3})).To(BeTrue())
-			Expect(seen.shouldTake(shard, Leader{Term: 3, Former: a})).To(BeTrue())
+			Expect(seen.shouldTake(shard, Leader{Term: 3, FormerLeader: a})).To(BeTrue())
 		}
 		restarted := newPlacement(processOf("a", 2), view(map[identity.Process]members.State{processOf("a", 2): members.StateAlive}), 0, 1)
 		Expect(restarted.shouldTake(1, Leader{Process: a, Term: 3})).To(BeTrue(), "the earlier incarnation of this daemon is lost")
@@ -312,7 +312,7 @@
 		early := view(map[identity.Process]members.State{b: members.StateAlive})
 		Expect(newPlacement(b, early, 0, 1).shouldTake(1, Leader{Process: a, Term: 1})).To(BeFalse())
 		Expect(newPlacement(b, early, minUptime, 1).shouldTake(1, Leader{Process: a, Term: 1})).To(BeTrue())
-		early.Read = false
+		early.Loaded = false
 		Expect(newPlacement(b, early, minUptime, 1).shouldTake(1, Leader{Process: a, Term: 1})).To(BeFalse(), "the membership has not been read yet")
 	})
 
@@ -320,7 +320,7 @@
 		now := time.Unix(1000, 0)
 		balancer := newBalancer(func() time.Time { return now })
 		led := []identity.Shard{1, 2, 3, 4, 5, 6, 7, 8}
-		known := &Map{Shards: 8}
+		known := &Map{ShardCount: 8}
 		idle := func(identity.Shard) bool { return true }
 		current := newPlacement(a, both, 0, 1)
 		_, found := balancer.nextHandOver(current, known, led, idle)
--- a/internal/shards/snapshot.go
+++ b/internal/shards/snapshot.go
@@ -15,7 +15,7 @@
 // needsSnapshot returns true if the log since the last snapshot has become too large or has too
 // many batches.
 func (r *replica) needsSnapshot() bool {
-	return r.logBytes > r.node.options.SnapshotAfter+r.snapshotBytes || r.head.Last-r.head.Snapshot > maxLogBatches
+	return r.logBytes > r.node.options.SnapshotThresholdBytes+r.snapshotBytes || r.head.Last-r.head.Snapshot > maxLogBatches
 }
 
 // writeSnapshot stores the state and removes the rows that it replaces. The rows of the
@@ -32,7 +32,7 @@
 	next := r.head
 	next.Snapshot = r.head.Last
 	next.StateName = fmt.Sprintf("%s%016x-%016x/", stateRowPrefix, next.Snapshot, rand.Uint64())
-	puts := splitRows(r.shard, next.StateName, content, r.node.options.RowBytes)
+	puts := splitRows(r.shard, next.StateName, content, r.node.options.MaxRowBytes)
 	next.StateRows = len(puts)
 	if err := r.node.writeRows(ctx, puts); err != nil {
 		return ctx.Err() == nil
@@ -54,7 +54,7 @@
 			count++
 		}
 		batch := puts[:max(count, 1)]
-		err := n.options.Store.Repeat(ctx, func() error {
+		err := n.options.Store.Retry(ctx, func() error {
 			_, err := n.options.Store.Commit(ctx, state.Commit{Puts: batch})
 			return err
 		})
--- a/internal/shards/suite_test.go
+++ b/internal/shards/suite_test.go
@@ -69,7 +69,7 @@
 func (f *fakeDirectory) View() *members.View {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	copied := members.View{Read: true, Members: slices.Clone(f.view.Members)}
+	copied := members.View{Loaded: true, Members: slices.Clone(f.view.Members)}
 	return &copied
 }
 
@@ -108,9 +108,9 @@
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	var err error
 	daemon.node, err = NewNode(Options{
-		Self: self, Directory: known, Shards: shardCount, Expect: expect, RowBytes: testRowBytes, Reconcile: 2 * time.Millisecond, SnapshotAfter: 2000,
-		Store: state.NewClient(state.ClientOptions{Store: store, Availability: availability, Probe: state.Single(headKey(1))}),
-		NewMachine: func(shard identity.Shard) StateMachine {
+		Self: self, Directory: known, ShardCount: shardCount, MinDaemons: expect, MaxRowBytes: testRowBytes, ReconcileInterval: 2 * time.Millisecond, SnapshotThresholdBytes: 2000,
+		Store: state.NewClient(state.ClientOptions{Store: store, Availability: availability, Probe: state.KeyRange(headKey(1))}),
+		NewStateMachine: func(shard identity.Shard) StateMachine {
 			daemon.mutex.Lock()
 			defer daemon.mutex.Unlock()
 			daemon.machines[shard] = &listMachine{}
--- a/internal/shards/swap.go
+++ b/internal/shards/swap.go
@@ -29,10 +29,10 @@
 	}
 	var written state.Version
 	maybeCommitted := false // an attempt may have been committed
-	err := n.options.Store.Repeat(ctx, func() error {
+	err := n.options.Store.Retry(ctx, func() error {
 		var err error
 		written, err = n.options.Store.Commit(ctx, commit)
-		maybeCommitted = maybeCommitted || errors.Is(err, state.ErrUnknown)
+		maybeCommitted = maybeCommitted || errors.Is(err, state.ErrUnknownOutcome)
 		return err
 	})
 	var conflict *state.ConflictError
--- a/internal/state/availability.go
+++ b/internal/state/availability.go
@@ -41,8 +41,8 @@
 	return &Availability{now: now, onChange: onChange, onRestored: func() {}, failingPartitions: map[string]bool{}, breakers: newBreakers(now)}
 }
 
-// Succeeded records that a call to the partition was answered.
-func (a *Availability) Succeeded(partition string) {
+// RecordSuccess records that a call to the partition was answered.
+func (a *Availability) RecordSuccess(partition string) {
 	a.breakers.recordSuccess(partition)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -57,9 +57,9 @@
 	a.onChange(true, a.now().Sub(a.downSince))
 }
 
-// Failed records that a call to the partition was not answered. It returns true if the store
+// RecordFailure records that a call to the partition was not answered. It returns true if the store
 // was considered available before and is considered down now.
-func (a *Availability) Failed(partition string) (wentDown bool) {
+func (a *Availability) RecordFailure(partition string) (wentDown bool) {
 	a.breakers.recordFailure(partition)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -73,8 +73,8 @@
 	return true
 }
 
-// Answered returns the time of the last answered call, or the zero time if there was none.
-func (a *Availability) Answered() time.Time { return a.breakers.lastAnswerTime() }
+// LastAnswerTime returns the time of the last answered call, or the zero time if there was none.
+func (a *Availability) LastAnswerTime() time.Time { return a.breakers.lastAnswerTime() }
 
 // Available reports whether the store is considered available.
 func (a *Availability) Available() bool {
@@ -83,20 +83,22 @@
 	return a.restoredSignal == nil
 }
 
-// PaceTries sets a function that returns the interval between two calls of this process to
+// SetRetryIntervalFunc sets a function that returns the interval between two calls of this process to
 // failed partitions. It must be called before any other method.
-func (a *Availability) PaceTries(interval func() time.Duration) { a.breakers.interval = interval }
+func (a *Availability) SetRetryIntervalFunc(interval func() time.Duration) {
+	a.breakers.interval = interval
+}
 
-// Enter waits until a call to the partition may be sent. If the partition failed, Enter waits
+// WaitBeforeCall waits until a call to the partition may be sent. If the partition failed, Enter waits
 // until the partition answers again, or until this call may be sent to test it. It returns
 // ErrNotDone if ctx ends first.
-func (a *Availability) Enter(ctx context.Context, partition string) error {
+func (a *Availability) WaitBeforeCall(ctx context.Context, partition string) error {
 	return a.breakers.enter(ctx, partition)
 }
 
-// Prefer returns the partitions in the same order, except that those which failed and have not
+// HealthyFirst returns the partitions in the same order, except that those which failed and have not
 // answered since are moved to the end.
-func (a *Availability) Prefer(partitions []string) []string {
+func (a *Availability) HealthyFirst(partitions []string) []string {
 	var healthy, suspected []string
 	for _, partition := range partitions {
 		if a.breakers.isOpen(partition) {
--- a/internal/state/breakers.go
+++ b/internal/state/breakers.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// enter waits until a call to the partition may be sent. It returns ErrNotDone if ctx ends
+// enter waits until a call to the partition may be sent. It returns ErrNotExecuted if ctx ends
 // first.
 func (b *breakers) enter(ctx context.Context, partition string) error {
 	for {
@@ -64,7 +64,7 @@
 		}
 		timer.Stop()
 		if ctx.Err() != nil {
-			return eris.Wrapf(ErrNotDone, "partition %s does not answer: %v", partition, ctx.Err())
+			return eris.Wrapf(ErrNotExecuted, "partition %s does not answer: %v", partition, ctx.Err())
 		}
 	}
 }
--- a/internal/state/breakers_test.go
+++ b/internal/state/breakers_test.go
@@ -29,9 +29,9 @@
 		count := 0
 		for ; now.Before(until); now = now.Add(step) {
 			for number := range partitions {
-				if availability.Enter(canceled, name(number)) == nil {
+				if availability.WaitBeforeCall(canceled, name(number)) == nil {
 					count++
-					availability.Failed(name(number))
+					availability.RecordFailure(name(number))
 				}
 			}
 		}
@@ -45,33 +45,33 @@
 		canceled, cancel = context.WithCancel(context.Background())
 		cancel()
 		for number := range partitions {
-			Expect(availability.Enter(canceled, name(number))).To(Succeed())
-			availability.Failed(name(number))
+			Expect(availability.WaitBeforeCall(canceled, name(number))).To(Succeed())
+			availability.RecordFailure(name(number))
 		}
 	})
 
 	It("are let through one at a time, at an interval that does not depend on how many failed", func() {
 		const interval = 100 * time.Millisecond
-		availability.PaceTries(func() time.Duration { return interval })
+		availability.SetRetryIntervalFunc(func() time.Duration { return interval })
 		admitted := countAdmitted(now.Add(span))
 		Expect(admitted).To(BeNumerically(">=", int(span/interval)))
 		Expect(admitted).To(BeNumerically("<=", int(2*span/interval)+1), "jitter shortens an interval by up to a half")
 	})
 
 	It("do not delay calls to other partitions", func() {
-		Expect(availability.Enter(canceled, "sound")).To(Succeed())
-		Expect(availability.Prefer([]string{name(1), "sound"})).To(Equal([]string{"sound", name(1)}))
+		Expect(availability.WaitBeforeCall(canceled, "sound")).To(Succeed())
+		Expect(availability.HealthyFirst([]string{name(1), "sound"})).To(Equal([]string{"sound", name(1)}))
 	})
 
 	It("are let through in quick succession once one was answered", func() {
 		countAdmitted(now.Add(span))
-		availability.Succeeded(name(0))
+		availability.RecordSuccess(name(0))
 		recovered := 0
 		for until := now.Add(300 * time.Millisecond); now.Before(until); now = now.Add(step / 2) {
 			for number := range partitions {
-				if availability.Prefer([]string{name(number), "sound"})[0] == "sound" && availability.Enter(canceled, name(number)) == nil {
+				if availability.HealthyFirst([]string{name(number), "sound"})[0] == "sound" && availability.WaitBeforeCall(canceled, name(number)) == nil {
 					recovered++
-					availability.Succeeded(name(number))
+					availability.RecordSuccess(name(number))
 				}
 			}
 		}
@@ -79,14 +79,14 @@
 	})
 
 	It("do not make the store unavailable while other calls are answered", func() {
-		availability.Succeeded("sound")
+		availability.RecordSuccess("sound")
 		for number := range partitions {
-			availability.Failed(name(number))
+			availability.RecordFailure(name(number))
 		}
 		Expect(availability.Available()).To(BeTrue())
 		now = now.Add(span)
 		for number := range partitions {
-			availability.Failed(name(number))
+			availability.RecordFailure(name(number))
 		}
 		Expect(availability.Available()).To(BeFalse())
 	})
--- a/internal/state/callkind.go
+++ b/internal/state/callkind.go
@@ -14,10 +14,10 @@
 
 // CallResult describes one finished request to the store, for metrics.
 type CallResult struct {
-	Kind   CallKind
-	Table  string // first table that the call names
-	Status int    // status code of the store's answer; 0: there was no answer
-	Took   time.Duration
+	Kind     CallKind
+	Table    string // first table that the call names
+	Status   int    // status code of the store's answer; 0: there was no answer
+	Duration time.Duration
 }
 
 // Table returns the table of the commit's first put, else of its first condition, else of its
--- a/internal/state/class.go
+++ b/internal/state/class.go
@@ -46,15 +46,15 @@
 	// removed before the store accepts more.
 	ErrFull = errors.New("the store is full")
 	// ErrThrottled means that the call exceeded the store's rate limit: the store refused it,
-	// or the limiter did not send it. It wraps ErrNotDone.
+	// or the limiter did not send it. It wraps ErrNotExecuted.
 	ErrThrottled error = throttledError{}
 )
 
-// throttledError has its own message and still matches ErrNotDone in errors.Is.
+// throttledError has its own message and still matches ErrNotExecuted in errors.Is.
 type throttledError struct{}
 
 // Error implements error.
 func (throttledError) Error() string { return "the store's rate limit is exceeded" }
 
-// Unwrap returns ErrNotDone.
-func (throttledError) Unwrap() error { return ErrNotDone }
+// Unwrap returns ErrNotExecuted.
+func (throttledError) Unwrap() error { return ErrNotExecuted }
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -23,7 +23,7 @@
 	alternative  Store // a second route to the same store, or nil
 	directHealth routeHealth
 	availability *Availability
-	room         *Room
+	room         *SpaceTracker
 	limiter      *Limiter
 	batcher      commitBatcher
 	metrics      *clientMetrics
@@ -32,12 +32,12 @@
 	onFailure    func(Failure)
 }
 
-// Failure describes a call for whose error NoVerdict is true.
+// Failure describes a call for whose error IsTransient is true.
 type Failure struct {
-	Call string // "commit", "read" or "feed"
-	Key  Key    // first key of the call
-	Took time.Duration
-	Err  error
+	Op       string // "commit", "read" or "feed"
+	Key      Key    // first key of the call
+	Duration time.Duration
+	Err      error
 }
 
 // ClientOptions configures a Client.
@@ -46,8 +46,8 @@
 	// Alternative is a second route to the same store. It is nil if there is none.
 	Alternative  Store
 	Availability *Availability
-	// Room tracks whether the store has space. If Room is nil, the client creates its own.
-	Room *Room
+	// SpaceTracker tracks whether the store has space. If Room is nil, the client creates its own.
+	SpaceTracker *SpaceTracker
 	// Limiter limits the rate of the calls. If Limiter is nil, the client creates one without
 	// declared rates, which lowers its rate only after throttled calls.
 	Limiter *Limiter
@@ -55,11 +55,11 @@
 	// again.
 	Probe Range
 	// OnFailure, if not nil, is called for calls that were sent and ended with an error for
-	// which NoVerdict is true. A throttled call is reported only if it contained several
+	// which IsTransient is true. A throttled call is reported only if it contained several
 	// commits.
 	OnFailure func(Failure)
-	// NotHedged disables further attempts of a call while its first attempt is unanswered.
-	NotHedged bool
+	// DisableHedging disables further attempts of a call while its first attempt is unanswered.
+	DisableHedging bool
 }
 
 // NewClient returns a client of the store in options.
@@ -68,15 +68,15 @@
 		direct:       options.Store,
 		alternative:  options.Alternative,
 		availability: options.Availability,
-		room:         options.Room,
+		room:         options.SpaceTracker,
 		limiter:      options.Limiter,
 		metrics:      newClientMetrics(),
 		probe:        options.Probe,
 		onFailure:    options.OnFailure,
 	}
-	client.hedger.disabled = options.NotHedged
+	client.hedger.disabled = options.DisableHedging
 	if client.room == nil {
-		client.room = NewRoom(RoomOptions{})
+		client.room = NewSpaceTracker(SpaceTrackerOptions{})
 	}
 	if client.limiter == nil {
 		client.limiter = NewLimiter(LimiterOptions{})
@@ -119,7 +119,7 @@
 // while the store is full.
 func (c *Client) commitRetryingWhenFull(ctx context.Context, commit Commit) (Version, error) {
 	if ctx.Err() != nil {
-		return 0, eris.Wrapf(ErrNotDone, "commit not sent: %v", ctx.Err())
+		return 0, eris.Wrapf(ErrNotExecuted, "commit not sent: %v", ctx.Err())
 	}
 	for isRetry := false; ; isRetry = true {
 		if err := c.room.admit(ctx, commit, isRetry); err != nil {
@@ -137,7 +137,7 @@
 // commit waits until the partition may be called, and then for the rate limit, and sends the
 // commit.
 func (c *Client) commit(ctx context.Context, commit Commit) (Version, error) {
-	if err := c.availability.Enter(ctx, commit.firstKey().Partition); err != nil {
+	if err := c.availability.WaitBeforeCall(ctx, commit.firstKey().Partition); err != nil {
 		return 0, err
 	}
 	return c.batcher.commit(ctx, commit)
@@ -152,9 +152,9 @@
 		report(ctx, err)
 		return version, err
 	})
-	failure := Failure{Call: "commit", Key: commit.firstKey(), Took: time.Since(start), Err: err}
+	failure := Failure{Op: "commit", Key: commit.firstKey(), Duration: time.Since(start), Err: err}
 	c.metrics.commitsPerCall.Observe(float64(commitCount))
-	if commitCount > 1 && NoVerdict(err) {
+	if commitCount > 1 && IsTransient(err) {
 		c.onFailure(failure) // any of the partitions may have failed, so none is recorded as failed
 		return version, err
 	}
@@ -184,9 +184,9 @@
 
 func (c *Client) read(ctx context.Context, selected Range) (Page, error) {
 	if ctx.Err() != nil {
-		return Page{}, eris.Wrapf(ErrNotDone, "read not sent: %v", ctx.Err())
+		return Page{}, eris.Wrapf(ErrNotExecuted, "read not sent: %v", ctx.Err())
 	}
-	if err := c.availability.Enter(ctx, selected.Partition); err != nil {
+	if err := c.availability.WaitBeforeCall(ctx, selected.Partition); err != nil {
 		return Page{}, err
 	}
 	if err := c.waitForRate(ctx, CallRead, selected.Class); err != nil {
@@ -200,40 +200,42 @@
 		return page, err
 	})
 	key := Key{Table: selected.Table, Partition: selected.Partition, Name: selected.From}
-	c.recordOutcome(ctx, Failure{Call: "read", Key: key, Took: time.Since(start), Err: err})
+	c.recordOutcome(ctx, Failure{Op: "read", Key: key, Duration: time.Since(start), Err: err})
 	return page, err
 }
 
 // Feed implements Store. It is not hedged, since it normally waits for changes.
-func (c *Client) Feed(ctx context.Context, table string, after Version, wait time.Duration) (Change, error) {
+func (c *Client) Feed(ctx context.Context, table string, after Version, wait time.Duration) (FeedResult, error) {
 	if err := c.waitForRate(ctx, CallFeed, ClassFollow); err != nil {
 		c.metrics.recordCall(ClassFollow, err)
-		return Change{}, err
+		return FeedResult{}, err
 	}
 	start := time.Now()
 	route, report := c.chooseRoute(0, CallFeed)
 	change, err := route.Feed(ctx, table, after, wait)
 	report(ctx, err)
 	c.metrics.recordCall(ClassFollow, err)
-	c.recordOutcome(ctx, Failure{Call: "feed", Key: Key{Table: table}, Took: time.Since(start), Err: err})
+	c.recordOutcome(ctx, Failure{Op: "feed", Key: Key{Table: table}, Duration: time.Since(start), Err: err})
 	return change, err
 }
 
 // Available reports whether the store is considered available.
 func (c *Client) Available() bool { return c.availability.Available() }
 
-// Prefer returns the partitions in the same order, except that those which failed and have not
+// HealthyFirst returns the partitions in the same order, except that those which failed and have not
 // answered since are moved to the end.
-func (c *Client) Prefer(partitions []string) []string { return c.availability.Prefer(partitions) }
+func (c *Client) HealthyFirst(partitions []string) []string {
+	return c.availability.HealthyFirst(partitions)
+}
 
-// Repeat calls the function until ctx ends or NoVerdict is false for its error, and returns the
+// Retry calls the function until ctx ends or IsTransient is false for its error, and returns the
 // last error. Between the calls Repeat backs off exponentially. While the store is down, Repeat
 // waits until the store is available again.
-func (c *Client) Repeat(ctx context.Context, call func() error) error {
-	schedule := pause.Growing(initialRetryDelay, maxRetryDelay)
+func (c *Client) Retry(ctx context.Context, call func() error) error {
+	schedule := pause.NewBackoff(initialRetryDelay, maxRetryDelay)
 	for {
 		err := call()
-		if !NoVerdict(err) || ctx.Err() != nil || !c.waitAfter(ctx, schedule) {
+		if !IsTransient(err) || ctx.Err() != nil || !c.waitAfter(ctx, schedule) {
 			return err
 		}
 	}
@@ -245,7 +247,7 @@
 	if !c.availability.Available() {
 		return c.availability.Wait(ctx) == nil
 	}
-	return pause.For(ctx, schedule.NextBackOff())
+	return pause.Sleep(ctx, schedule.NextBackOff())
 }
 
 // recordOutcome updates the availability after a call, and starts the probe if the store went
@@ -254,12 +256,12 @@
 	if errors.Is(failure.Err, ErrThrottled) {
 		return // a throttled call says nothing about the partition
 	}
-	if !NoVerdict(failure.Err) {
-		c.availability.Succeeded(failure.Key.Partition)
+	if !IsTransient(failure.Err) {
+		c.availability.RecordSuccess(failure.Key.Partition)
 		return
 	}
 	c.onFailure(failure)
-	if ctx.Err() == nil && c.availability.Failed(failure.Key.Partition) {
+	if ctx.Err() == nil && c.availability.RecordFailure(failure.Key.Partition) {
 		go c.probeUntilAnswered()
 	}
 }
@@ -272,20 +274,20 @@
 		_, err := route.Read(ctx, c.probe)
 		report(ctx, err)
 		cancel()
-		if !NoVerdict(err) {
-			c.availability.Succeeded(c.probe.Partition)
+		if !IsTransient(err) {
+			c.availability.RecordSuccess(c.probe.Partition)
 			return
 		}
-		pause.For(context.Background(), probeInterval)
+		pause.Sleep(context.Background(), probeInterval)
 	}
 }
 
-// Room returns the tracker of the store's free space.
-func (c *Client) Room() *Room { return c.room }
+// SpaceTracker returns the tracker of the store's free space.
+func (c *Client) SpaceTracker() *SpaceTracker { return c.room }
 
-// NoVerdict reports whether err is ErrNotDone, which includes ErrThrottled, or ErrUnknown. Such
-// a call may be repeated, since calls are idempotent. NoVerdict returns false for nil and for
+// IsTransient reports whether err is ErrNotExecuted, which includes ErrThrottled, or ErrUnknownOutcome. Such
+// a call may be repeated, since calls are idempotent. IsTransient returns false for nil and for
 // all other errors.
-func NoVerdict(err error) bool {
-	return errors.Is(err, ErrNotDone) || errors.Is(err, ErrUnknown)
+func IsTransient(err error) bool {
+	return errors.Is(err, ErrNotExecuted) || errors.Is(err, ErrUnknownOutcome)
 }
--- a/internal/state/commitbatcher.go
+++ b/internal/state/commitbatcher.go
@@ -13,7 +13,7 @@
 // the store. It batches only commits of ClassTurn without conditions, and only while no rate
 // slot is free. All other commits are sent one by one.
 //
-// Each commit gets the result of the call that contained it. If a batch ends with ErrUnknown,
+// Each commit gets the result of the call that contained it. If a batch ends with ErrUnknownOutcome,
 // all of its commits do. If the store refused a batch and a single commit may be the cause, the
 // commits are sent again one by one.
 type commitBatcher struct {
@@ -58,7 +58,7 @@
 	batchTimeout = 3 * time.Second
 )
 
-// commit sends the commit, alone or in a batch, and returns its result. It returns ErrUnknown
+// commit sends the commit, alone or in a batch, and returns its result. It returns ErrUnknownOutcome
 // if ctx ends after the commit was put into a batch.
 func (b *commitBatcher) commit(ctx context.Context, commit Commit) (Version, error) {
 	if b.slots.free() {
@@ -87,7 +87,7 @@
 	case result := <-pending.result:
 		return b.resolve(ctx, commit, result)
 	case <-ctx.Done():
-		return 0, eris.Wrapf(ErrUnknown, "commit in a batch: %v", ctx.Err())
+		return 0, eris.Wrapf(ErrUnknownOutcome, "commit in a batch: %v", ctx.Err())
 	}
 }
 
@@ -149,7 +149,7 @@
 		defer cancel()
 		version, err := b.send(ctx, combined, len(batch))
 		result := batchResult{version: version, err: err, split: len(batch) > 1 && isCausedByOneCommit(err)}
-		if len(batch) > 1 && errors.Is(err, ErrUnknown) {
+		if len(batch) > 1 && errors.Is(err, ErrUnknownOutcome) {
 			b.pauseBatching()
 		}
 		for _, pending := range batch {
@@ -162,7 +162,7 @@
 // that a single commit may be the cause. The partition of that commit may not answer, or the
 // batch may be too large.
 func isCausedByOneCommit(err error) bool {
-	return err != nil && !errors.Is(err, ErrUnknown) && !errors.Is(err, ErrFull) && !errors.Is(err, ErrThrottled)
+	return err != nil && !errors.Is(err, ErrUnknownOutcome) && !errors.Is(err, ErrFull) && !errors.Is(err, ErrThrottled)
 }
 
 // pauseBatching stops batching for batchingPause.
--- a/internal/state/commitbatcher_test.go
+++ b/internal/state/commitbatcher_test.go
@@ -114,7 +114,7 @@
 			}
 			Expect(calls()).To(HaveLen(1))
 		},
-		Entry("unknown", ErrUnknown),
+		Entry("unknown", ErrUnknownOutcome),
 		Entry("store full", ErrFull),
 		Entry("rate limit", ErrThrottled),
 	)
@@ -143,12 +143,12 @@
 				}
 			}
 		},
-		Entry("a partition that does not answer", ErrNotDone),
+		Entry("a partition that does not answer", ErrNotExecuted),
 		Entry("too large", errors.New("status 413")),
 	)
 
 	It("are sent one by one for a second after the result of a batch is unknown", func(ctx SpecContext) {
-		answer = func(Commit) (Version, error) { return 0, ErrUnknown }
+		answer = func(Commit) (Version, error) { return 0, ErrUnknownOutcome }
 		results := beginMany(ctx, 2)
 		availableSlots <- struct{}{}
 		for _, each := range results {
@@ -174,7 +174,7 @@
 		leave()
 		var got result
 		Eventually(gone).Should(Receive(&got))
-		Expect(got.err).To(MatchError(ErrNotDone))
+		Expect(got.err).To(MatchError(ErrNotExecuted))
 		Expect(pendingCount()).To(BeZero())
 		Expect(calls()).To(BeEmpty())
 
@@ -189,7 +189,7 @@
 		Eventually(pendingCount).Should(BeZero())
 		leave()
 		Eventually(gone).Should(Receive(&got))
-		Expect(got.err).To(MatchError(ErrUnknown))
+		Expect(got.err).To(MatchError(ErrUnknownOutcome))
 		close(release)
 		Eventually(staying).Should(Receive(Equal(result{version: 7})))
 		Expect(calls()).To(HaveLen(1))
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -60,7 +60,7 @@
 }
 
 // hedge calls the function up to maxHedgeAttempts times, and concurrently if an answer takes
-// long. It returns the first result for whose error NoVerdict is false. If there is none, it
+// long. It returns the first result for whose error IsTransient is false. If there is none, it
 // returns the error of the attempt that ended last.
 func hedge[T any](ctx context.Context, h *hedger, retry retryConditions, call func(ctx context.Context, attempt int) (T, error)) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -86,7 +86,7 @@
 		select {
 		case finished := <-outcomes:
 			pending--
-			if !NoVerdict(finished.err) {
+			if !IsTransient(finished.err) {
 				h.observe(finished.took)
 				return finished.result, finished.err
 			}
--- a/internal/state/limiter.go
+++ b/internal/state/limiter.go
@@ -29,13 +29,13 @@
 // LimiterOptions configures a Limiter.
 type LimiterOptions struct {
 	Rates Rates
-	// Members returns the number of processes that share the limits, as far as this process
+	// MemberCount returns the number of processes that share the limits, as far as this process
 	// knows. If Members is nil or returns at most 1, the limiter assumes a large fleet.
-	Members func() int
-	Now     func() time.Time
-	// OnLowered is called after the rate for a kind of call was lowered. allowed is the new
+	MemberCount func() int
+	Now         func() time.Time
+	// OnRateLowered is called after the rate for a kind of call was lowered. allowed is the new
 	// rate in calls per second.
-	OnLowered func(kind CallKind, allowed float64)
+	OnRateLowered func(kind CallKind, allowed float64)
 }
 
 // assumedMembers is the number of processes assumed while no other process is known. It is the
@@ -52,11 +52,11 @@
 	if options.Now == nil {
 		options.Now = time.Now
 	}
-	if options.Members == nil {
-		options.Members = func() int { return 0 }
+	if options.MemberCount == nil {
+		options.MemberCount = func() int { return 0 }
 	}
-	if options.OnLowered == nil {
-		options.OnLowered = func(CallKind, float64) {}
+	if options.OnRateLowered == nil {
+		options.OnRateLowered = func(CallKind, float64) {}
 	}
 	limiter := &Limiter{options: options}
 	limiter.writes = limiter.newKindLimiter(CallCommit, options.Rates.Writes)
@@ -77,7 +77,7 @@
 // newKindLimiter returns a limiter for writes or reads with the declared rate.
 func (l *Limiter) newKindLimiter(kind CallKind, declaredRate float64) *kindLimiter {
 	limiter := &kindLimiter{kind: kind, declaredRate: declaredRate}
-	limiter.queue.bucket = newBucketFor(kind, declaredRate, l.options.Members(), l.options.Now())
+	limiter.queue.bucket = newBucketFor(kind, declaredRate, l.options.MemberCount(), l.options.Now())
 	return limiter
 }
 
@@ -121,8 +121,8 @@
 	return l.reads
 }
 
-// Allowed returns how many calls of the kind this process may send per second now.
-func (l *Limiter) Allowed(kind CallKind) float64 {
+// AllowedRate returns how many calls of the kind this process may send per second now.
+func (l *Limiter) AllowedRate(kind CallKind) float64 {
 	limiter := l.forKind(kind)
 	limiter.mutex.Lock()
 	defer limiter.mutex.Unlock()
@@ -188,7 +188,7 @@
 // updateMinRate adapts the minimum rate to the current number of processes. The caller holds
 // the limiter's mutex.
 func (l *Limiter) updateMinRate(limiter *kindLimiter) {
-	limiter.queue.bucket.minRate = guaranteedRate(limiter.declaredRate, l.options.Members())
+	limiter.queue.bucket.minRate = guaranteedRate(limiter.declaredRate, l.options.MemberCount())
 }
 
 // recordResult lowers the rate if the store throttled the call.
@@ -202,7 +202,7 @@
 	allowed := limiter.queue.bucket.rate
 	limiter.mutex.Unlock()
 	if lowered {
-		l.options.OnLowered(limiter.kind, allowed)
+		l.options.OnRateLowered(limiter.kind, allowed)
 	}
 }
 
--- a/internal/state/limiter_test.go
+++ b/internal/state/limiter_test.go
@@ -30,10 +30,10 @@
 		lowered = make(chan state.CallKind, 64)
 		availability = state.NewAvailability(time.Now, func(bool, time.Duration) {})
 		client = state.NewClient(state.ClientOptions{
-			Store: memory, Availability: availability, NotHedged: true,
+			Store: memory, Availability: availability, DisableHedging: true,
 			Limiter: state.NewLimiter(state.LimiterOptions{
-				Rates: state.Rates{Writes: 100, Reads: 100}, Members: func() int { return 10 },
-				Now: func() time.Time { return now }, OnLowered: func(kind state.CallKind, _ float64) { lowered <- kind },
+				Rates: state.Rates{Writes: 100, Reads: 100}, MemberCount: func() int { return 10 },
+				Now: func() time.Time { return now }, OnRateLowered: func(kind state.CallKind, _ float64) { lowered <- kind },
 			}),
 		})
 	})
@@ -42,8 +42,8 @@
 		memory.Misbehave(always(memorystore.Throttled))
 		Expect(commit(ctx, state.ClassTurn)).To(MatchError(state.ErrThrottled))
 		Expect(lowered).To(Receive(Equal(state.CallCommit)))
-		Expect(client.Prefer([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
-		Expect(client.DirectUsable()).To(BeTrue())
+		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
+		Expect(client.IsDirectHealthy()).To(BeTrue())
 		short, cancel := context.WithTimeout(ctx, time.Hour)
 		defer cancel()
 		before := memory.Calls("commit")
@@ -62,7 +62,7 @@
 		Expect(memory.Calls("commit")).To(Equal(before))
 		leave()
 		for range 12 {
-			Eventually(ended).Should(Receive(MatchError(state.ErrNotDone)))
+			Eventually(ended).Should(Receive(MatchError(state.ErrNotExecuted)))
 		}
 	})
 
@@ -74,7 +74,7 @@
 			return memorystore.None
 		})
 		Expect(commit(ctx, state.ClassTurn)).To(MatchError(state.ErrThrottled))
-		_, err := client.Read(ctx, state.Single(keyIn("p")))
+		_, err := client.Read(ctx, state.KeyRange(keyIn("p")))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(lowered).To(Receive())
 		Expect(lowered).NotTo(Receive())
--- a/internal/state/limits_model_store_test.go
+++ b/internal/state/limits_model_store_test.go
@@ -10,7 +10,7 @@
 	if _, full := room.FullSince(); !full || m.strategy == strategyNone || call.class == ClassLease {
 		return true
 	}
-	if call.class == ClassTurn && call.attempts == 0 || room.Probe() {
+	if call.class == ClassTurn && call.attempts == 0 || room.AllowWrite() {
 		return true
 	}
 	if call.class == ClassTurn {
--- a/internal/state/limits_model_test.go
+++ b/internal/state/limits_model_test.go
@@ -73,7 +73,7 @@
 	weight       float64 // load relative to the average daemon
 	writes       *callQueue
 	reads        *callQueue
-	room         *Room
+	room         *SpaceTracker
 	budget       retryBudget
 	believesDown bool // the daemon considers the store down
 	pendingTurns map[*waiter]*modelCall
@@ -148,7 +148,7 @@
 
 // newDaemon returns a daemon with the limits of the model's strategy.
 func (m *model) newDaemon(weight float64, daemons int) *modelDaemon {
-	daemon := &modelDaemon{weight: weight, room: NewRoom(RoomOptions{Now: m.currentTime}), pendingTurns: map[*waiter]*modelCall{}}
+	daemon := &modelDaemon{weight: weight, room: NewSpaceTracker(SpaceTrackerOptions{Now: m.currentTime}), pendingTurns: map[*waiter]*modelCall{}}
 	// The buckets start at the rate of a daemon that knows no other daemons yet.
 	daemon.writes = &callQueue{bucket: m.newBucket(CallCommit, modelWriteRate, daemons)}
 	daemon.reads = &callQueue{bucket: m.newBucket(CallRead, modelReadRate, daemons)}
--- a/internal/state/metrics.go
+++ b/internal/state/metrics.go
@@ -54,27 +54,27 @@
 		return "full"
 	case errors.Is(err, ErrThrottled):
 		return "rate"
-	case errors.Is(err, ErrNotDone):
+	case errors.Is(err, ErrNotExecuted):
 		return "not done"
-	case errors.Is(err, ErrUnknown):
+	case errors.Is(err, ErrUnknownOutcome):
 		return "unknown"
 	default:
 		return "error"
 	}
 }
 
-// Measure registers the client's metrics: calls and rate-limit waits by class, commits per
+// RegisterMetrics registers the client's metrics: calls and rate-limit waits by class, commits per
 // call, the rates that are allowed now, and how long the store has been full.
-func (c *Client) Measure(registerer prometheus.Registerer) error {
+func (c *Client) RegisterMetrics(registerer prometheus.Registerer) error {
 	full := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_store_full_seconds", Help: "Time since the store became full; 0 if it is not full.",
-	}, func() float64 { return c.room.FullFor().Seconds() })
+	}, func() float64 { return c.room.FullDuration().Seconds() })
 	collectors := []prometheus.Collector{c.metrics.calls, c.metrics.waits, c.metrics.commitsPerCall, full}
 	for kind, name := range map[CallKind]string{CallCommit: "writing", CallRead: "reading"} {
 		collectors = append(collectors, prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "thymeloft_store_allowed_calls_per_second", Help: "Store calls per second that this daemon may send now.",
 			ConstLabels: prometheus.Labels{"kind": name},
-		}, func() float64 { return c.limiter.Allowed(kind) }))
+		}, func() float64 { return c.limiter.AllowedRate(kind) }))
 	}
 	for _, collector := range collectors {
 		if err := registerer.Register(collector); err != nil {
--- a/internal/state/room.go
+++ b/internal/state/room.go
@@ -10,12 +10,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Room tracks whether the store is full. While the store is full, Room holds back commits that
+// SpaceTracker tracks whether the store is full. While the store is full, Room holds back commits that
 // can wait, so that they do not use up the rate limit. It lets one of them at a time through,
 // at growing intervals, to probe whether the store has space again. A Room is safe for
 // concurrent use. FullSince takes no lock.
-type Room struct {
-	options RoomOptions
+type SpaceTracker struct {
+	options SpaceTrackerOptions
 
 	fullSince atomic.Int64 // Unix time in nanoseconds; 0: the store is not full
 
@@ -27,16 +27,16 @@
 	wake                chan struct{} // closed and replaced to make waiting commits check again
 }
 
-// RoomOptions configures a Room. All of its fields are optional.
-type RoomOptions struct {
+// SpaceTrackerOptions configures a Room. All of its fields are optional.
+type SpaceTrackerOptions struct {
 	Now func() time.Time
 	// OnChange is called when the store becomes full and when it has space again. lasted is the
 	// time for which the store was full, or 0 if it became full. OnChange runs with the Room's
 	// lock held.
 	OnChange func(full bool, lasted time.Duration)
-	// OnRefused is called for each commit that the store refused because it is full, so that
+	// OnFullError is called for each commit that the store refused because it is full, so that
 	// expired rows can be removed. It must not block.
-	OnRefused func()
+	OnFullError func()
 }
 
 const (
@@ -49,28 +49,28 @@
 	refusalRetention = 2 * maxRoomProbeInterval
 )
 
-// NewRoom returns a Room that considers the store not full.
-func NewRoom(options RoomOptions) *Room {
+// NewSpaceTracker returns a Room that considers the store not full.
+func NewSpaceTracker(options SpaceTrackerOptions) *SpaceTracker {
 	if options.Now == nil {
 		options.Now = time.Now
 	}
 	if options.OnChange == nil {
 		options.OnChange = func(bool, time.Duration) {}
 	}
-	if options.OnRefused == nil {
-		options.OnRefused = func() {}
+	if options.OnFullError == nil {
+		options.OnFullError = func() {}
 	}
-	return &Room{options: options, wake: make(chan struct{})}
+	return &SpaceTracker{options: options, wake: make(chan struct{})}
 }
 
 // FullSince returns when the store became full. The second result is false if it is not full.
-func (r *Room) FullSince() (time.Time, bool) {
+func (r *SpaceTracker) FullSince() (time.Time, bool) {
 	since := r.fullSince.Load()
 	return time.Unix(0, since), since != 0
 }
 
-// FullFor returns how long the store has been full, or 0 if it is not.
-func (r *Room) FullFor() time.Duration {
+// FullDuration returns how long the store has been full, or 0 if it is not.
+func (r *SpaceTracker) FullDuration() time.Duration {
 	since, full := r.FullSince()
 	if !full {
 		return 0
@@ -78,10 +78,10 @@
 	return r.options.Now().Sub(since)
 }
 
-// Probe returns true if the store is not full. While the store is full, Probe returns true to
+// AllowWrite returns true if the store is not full. While the store is full, Probe returns true to
 // one caller per probe interval. That caller may send a write. The next interval starts even if
 // the caller sends none.
-func (r *Room) Probe() bool {
+func (r *SpaceTracker) AllowWrite() bool {
 	if _, full := r.FullSince(); !full {
 		return true
 	}
@@ -93,7 +93,7 @@
 // takeProbe returns 0 if the store is not full. While the store is full, takeProbe takes the
 // next probe and returns 0 if that probe is due, and otherwise returns the time until it is
 // due. The caller holds the mutex.
-func (r *Room) takeProbe() time.Duration {
+func (r *SpaceTracker) takeProbe() time.Duration {
 	if r.fullSince.Load() == 0 {
 		return 0
 	}
@@ -114,7 +114,7 @@
 
 // admit returns nil if the commit may be sent, and ErrFull otherwise. isRetry means that the
 // commit was sent before. A retry of a commit of ClassTurn waits for a probe.
-func (r *Room) admit(ctx context.Context, commit Commit, isRetry bool) error {
+func (r *SpaceTracker) admit(ctx context.Context, commit Commit, isRetry bool) error {
 	if _, full := r.FullSince(); !full || len(commit.Puts) == 0 {
 		return nil
 	}
@@ -128,7 +128,7 @@
 		return nil
 	case ClassReservation, ClassSettlement, ClassSweep, ClassFollow:
 		// Even one attempt per reservation would use up the rate limit that turn commits need.
-		if !r.Probe() {
+		if !r.AllowWrite() {
 			return eris.Wrap(ErrFull, "commit not sent")
 		}
 	}
@@ -137,7 +137,7 @@
 
 // waitForProbe waits until the store has space or a probe is due, and takes that probe. It
 // returns ErrFull if ctx ends first.
-func (r *Room) waitForProbe(ctx context.Context) error {
+func (r *SpaceTracker) waitForProbe(ctx context.Context) error {
 	for {
 		r.mutex.Lock()
 		wait, wake := r.takeProbe(), r.wake
@@ -159,7 +159,7 @@
 }
 
 // recordResult records the result of a commit that was sent at the given time.
-func (r *Room) recordResult(commit Commit, sent time.Time, err error) {
+func (r *SpaceTracker) recordResult(commit Commit, sent time.Time, err error) {
 	switch {
 	case errors.Is(err, ErrFull):
 		r.recordRefusal(commit.valueBytes())
@@ -173,8 +173,8 @@
 
 // recordRefusal records that the store was full and refused a commit whose values have the
 // given size.
-func (r *Room) recordRefusal(bytes int) {
-	defer r.options.OnRefused()
+func (r *SpaceTracker) recordRefusal(bytes int) {
+	defer r.options.OnFullError()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.options.Now()
@@ -195,7 +195,7 @@
 // are at least as large as those of the smallest refused commit, or refusalRetention has passed
 // since the last refusal. A smaller commit proves less: a full store still accepts a small row
 // that replaces its former value.
-func (r *Room) recordWrite(bytes int, sent time.Time) {
+func (r *SpaceTracker) recordWrite(bytes int, sent time.Time) {
 	since, full := r.FullSince()
 	if !full {
 		return
@@ -214,7 +214,7 @@
 }
 
 // recordRemoval makes the next probe due at once, since a removal may have freed space.
-func (r *Room) recordRemoval() {
+func (r *SpaceTracker) recordRemoval() {
 	if _, full := r.FullSince(); !full {
 		return
 	}
@@ -226,7 +226,7 @@
 }
 
 // wakeWaiters makes the waiting commits check again. The caller holds the mutex.
-func (r *Room) wakeWaiters() {
+func (r *SpaceTracker) wakeWaiters() {
 	close(r.wake)
 	r.wake = make(chan struct{})
 }
--- a/internal/state/room_test.go
+++ b/internal/state/room_test.go
@@ -18,7 +18,7 @@
 var _ = Describe("a full store", func() {
 	var memory *memorystore.Store
 	var clock atomic.Int64
-	var room *state.Room
+	var room *state.SpaceTracker
 	var availability *state.Availability
 	var client *state.Client
 	var changes chan bool
@@ -38,11 +38,11 @@
 		refusals.Store(0)
 		memory = memorystore.New()
 		changes = make(chan bool, 16)
-		room = state.NewRoom(state.RoomOptions{
-			Now: now, OnChange: func(full bool, _ time.Duration) { changes <- full }, OnRefused: func() { refusals.Add(1) },
+		room = state.NewSpaceTracker(state.SpaceTrackerOptions{
+			Now: now, OnChange: func(full bool, _ time.Duration) { changes <- full }, OnFullError: func() { refusals.Add(1) },
 		})
 		availability = state.NewAvailability(time.Now, func(bool, time.Duration) {})
-		client = state.NewClient(state.ClientOptions{Store: memory, Availability: availability, Room: room, Probe: state.Single(keyIn("probe"))})
+		client = state.NewClient(state.ClientOptions{Store: memory, Availability: availability, SpaceTracker: room, Probe: state.KeyRange(keyIn("probe"))})
 		memory.Misbehave(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" && len(call.Commit.Puts) > 0 {
 				return memorystore.Full
@@ -52,12 +52,12 @@
 	})
 
 	It("is not treated as unresponsive: no call is repeated, and no partition or route counts as failed", func(ctx SpecContext) {
-		err := client.Repeat(ctx, func() error { return commit(ctx, state.ClassReservation) })
+		err := client.Retry(ctx, func() error { return commit(ctx, state.ClassReservation) })
 		Expect(err).To(MatchError(state.ErrFull))
-		Expect(state.NoVerdict(err)).To(BeFalse())
+		Expect(state.IsTransient(err)).To(BeFalse())
 		Expect(memory.Calls("commit")).To(Equal(1))
-		Expect(client.Prefer([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
-		Expect(client.DirectUsable()).To(BeTrue())
+		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
+		Expect(client.IsDirectHealthy()).To(BeTrue())
 		Expect(availability.Available()).To(BeTrue())
 		Expect(changes).To(Receive(BeTrue()))
 		Expect(refusals.Load()).To(BeEquivalentTo(1), "OnRefused must be called once")
@@ -70,7 +70,7 @@
 		for passed := time.Duration(0); passed < span; passed += step {
 			advance(step)
 			for range writers {
-				if room.Probe() {
+				if room.AllowWrite() {
 					probes++
 					Expect(commit(ctx, state.ClassOther)).To(MatchError(state.ErrFull))
 				}
--- a/internal/state/routehealth.go
+++ b/internal/state/routehealth.go
@@ -11,7 +11,7 @@
 // concurrent use.
 type routeHealth struct {
 	mutex          sync.Mutex
-	failures       int       // consecutive calls for whose error NoVerdict was true
+	failures       int       // consecutive calls for whose error IsTransient was true
 	unhealthyUntil time.Time // until then, calls attempt other routes first
 	// firstThrottled is when the first of the consecutive throttled calls ended.
 	firstThrottled time.Time
@@ -40,7 +40,7 @@
 	if errors.Is(err, ErrThrottled) && !h.recordThrottled() {
 		return
 	}
-	if !NoVerdict(err) {
+	if !IsTransient(err) {
 		h.failures, h.throttled = 0, 0
 		h.unhealthyUntil = time.Time{}
 		return
@@ -90,9 +90,9 @@
 	return false
 }
 
-// DirectUsable reports whether this process can reach the store directly. It returns false
+// IsDirectHealthy reports whether this process can reach the store directly. It returns false
 // while the direct route is unhealthy.
-func (c *Client) DirectUsable() bool { return !c.directHealth.isUnhealthy() }
+func (c *Client) IsDirectHealthy() bool { return !c.directHealth.isUnhealthy() }
 
 // isDirectDegraded reports whether there is an alternative route and the direct route is
 // degraded.
@@ -112,7 +112,7 @@
 	}
 	return c.direct, func(ctx context.Context, err error) {
 		c.limiter.recordResult(kind, err)
-		if NoVerdict(err) && ctx.Err() == context.Canceled {
+		if IsTransient(err) && ctx.Err() == context.Canceled {
 			return // hedge canceled the attempt, since another one was answered
 		}
 		c.directHealth.record(err)
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -5,7 +5,7 @@
 //
 // A Store guarantees that an acknowledged commit is never lost, that a commit is applied
 // completely or not at all, and that conditions are checked against the latest committed rows.
-// A commit that ended with ErrUnknown may have been applied, or may still be applied later if
+// A commit that ended with ErrUnknownOutcome may have been applied, or may still be applied later if
 // its conditions hold then. Callers therefore make every commit idempotent through its keys and
 // conditions.
 package state
@@ -74,8 +74,8 @@
 	}
 }
 
-// Change is one result of a feed: the rows that changed after a version, in commit order.
-type Change struct {
+// FeedResult is one result of a feed: the rows that changed after a version, in commit order.
+type FeedResult struct {
 	Rows    []Row
 	Version Version // pass it to the next call of Feed
 }
@@ -100,22 +100,22 @@
 // Store is a transactional store. Implementations are safe for concurrent use.
 type Store interface {
 	// Commit applies the commit and returns its version. An error matches *ConflictError,
-	// ErrNotDone, ErrUnknown, ErrFull or ErrThrottled.
+	// ErrNotExecuted, ErrUnknownOutcome, ErrFull or ErrThrottled.
 	Commit(ctx context.Context, commit Commit) (Version, error)
 	// Read returns the selected rows from one snapshot.
 	Read(ctx context.Context, selected Range) (Page, error)
 	// Feed waits for a change of the table after the given version. If there is none in the
 	// given time, Feed returns a Change without rows. It returns ErrHistoryLost if the store no
 	// longer knows what changed since that version.
-	Feed(ctx context.Context, table string, after Version, wait time.Duration) (Change, error)
+	Feed(ctx context.Context, table string, after Version, wait time.Duration) (FeedResult, error)
 }
 
 // Errors of a store. Implementations wrap them with the operation that failed.
 var (
-	// ErrNotDone means that the call had no effect and will have none.
-	ErrNotDone = errors.New("the store did not execute the call")
-	// ErrUnknown means that the commit may have been applied, or may still be applied later.
-	ErrUnknown = errors.New("the store did not answer")
+	// ErrNotExecuted means that the call had no effect and will have none.
+	ErrNotExecuted = errors.New("the store did not execute the call")
+	// ErrUnknownOutcome means that the commit may have been applied, or may still be applied later.
+	ErrUnknownOutcome = errors.New("the store did not answer")
 	// ErrHistoryLost means that a feed has to start again from a read.
 	ErrHistoryLost = errors.New("the store no longer has the requested history")
 )
@@ -141,13 +141,13 @@
 	return Row{}, false
 }
 
-// Single returns a range that selects only the row with the key.
-func Single(key Key) Range {
+// KeyRange returns a range that selects only the row with the key.
+func KeyRange(key Key) Range {
 	return Range{Table: key.Table, Partition: key.Partition, From: key.Name, To: key.Name + "\x00", Limit: 1}
 }
 
-// Partitions returns the names of count partitions: the hexadecimal numbers from 0 to count-1.
-func Partitions(count int) []string {
+// PartitionNames returns the names of count partitions: the hexadecimal numbers from 0 to count-1.
+func PartitionNames(count int) []string {
 	names := make([]string, 0, count)
 	for number := range count {
 		names = append(names, strconv.FormatInt(int64(number), 16))
--- a/internal/state/state_suite_test.go
+++ b/internal/state/state_suite_test.go
@@ -58,7 +58,7 @@
 		failures = make(chan state.Failure, 64)
 		availability = state.NewAvailability(time.Now, func(available bool, _ time.Duration) { changes <- available })
 		client = state.NewClient(state.ClientOptions{
-			Store: memory, Availability: availability, Probe: state.Single(keyIn("probe")),
+			Store: memory, Availability: availability, Probe: state.KeyRange(keyIn("probe")),
 			OnFailure: func(failure state.Failure) { failures <- failure },
 		})
 	})
@@ -77,9 +77,9 @@
 
 	It("repeats a call after a retryable error, but not after a conflict", func(ctx SpecContext) {
 		memory.Misbehave(first(memorystore.Lost))
-		Expect(client.Repeat(ctx, func() error { return commit(ctx, "p") })).To(Succeed())
+		Expect(client.Retry(ctx, func() error { return commit(ctx, "p") })).To(Succeed())
 		Expect(memory.Calls("commit")).To(Equal(2))
-		err := client.Repeat(ctx, func() error {
+		err := client.Retry(ctx, func() error {
 			_, err := client.Commit(ctx, state.Commit{Conditions: []state.Condition{{Key: keyIn("p")}}})
 			return err
 		})
@@ -90,34 +90,34 @@
 
 	It("reports the operation and the key of a failed call", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Refused))
-		Expect(commit(ctx, "p")).To(MatchError(state.ErrNotDone))
+		Expect(commit(ctx, "p")).To(MatchError(state.ErrNotExecuted))
 		var failure state.Failure
 		Expect(failures).To(Receive(&failure))
-		Expect(failure.Call).To(Equal("commit"))
+		Expect(failure.Op).To(Equal("commit"))
 		Expect(failure.Key).To(Equal(keyIn("p")))
 	})
 
 	It("stays available when one partition fails, and prefers the others", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Refused))
 		for range 5 {
-			Expect(commit(ctx, "p")).To(MatchError(state.ErrNotDone))
+			Expect(commit(ctx, "p")).To(MatchError(state.ErrNotExecuted))
 		}
 		Expect(availability.Available()).To(BeTrue())
-		Expect(client.Prefer([]string{"p", "q"})).To(Equal([]string{"q", "p"}))
+		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"q", "p"}))
 		memory.Misbehave(nil)
 		Expect(commit(ctx, "p")).To(Succeed())
-		Expect(client.Prefer([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
+		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
 	})
 
 	It("becomes unavailable after three partitions fail, probes the store, and resumes waiting calls", func(ctx SpecContext) {
 		memory.Misbehave(always(memorystore.Refused))
 		for _, partition := range []string{"p", "q", "r"} {
-			Expect(commit(ctx, partition)).To(MatchError(state.ErrNotDone))
+			Expect(commit(ctx, partition)).To(MatchError(state.ErrNotExecuted))
 		}
 		Expect(availability.Available()).To(BeFalse())
 		Expect(changes).To(Receive(BeFalse()))
 		done := make(chan error, 1)
-		go func() { done <- client.Repeat(ctx, func() error { return commit(ctx, "p") }) }()
+		go func() { done <- client.Retry(ctx, func() error { return commit(ctx, "p") }) }()
 		before := memory.Calls("read")
 		Eventually(func() int { return memory.Calls("read") }).Should(BeNumerically(">", before))
 		Expect(done).NotTo(Receive())
@@ -130,7 +130,7 @@
 		memory.Misbehave(always(memorystore.Silent))
 		for _, partition := range []string{"p", "q", "r"} {
 			short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
-			Expect(commit(short, partition)).To(MatchError(state.ErrUnknown))
+			Expect(commit(short, partition)).To(MatchError(state.ErrUnknownOutcome))
 			cancel()
 		}
 		Expect(availability.Available()).To(BeTrue())
@@ -139,9 +139,9 @@
 	It("sends no call and reports no failure once the context has ended", func(ctx SpecContext) {
 		ended, cancel := context.WithCancel(ctx)
 		cancel()
-		Expect(commit(ended, "p")).To(MatchError(state.ErrNotDone))
-		_, err := client.Read(ended, state.Single(keyIn("p")))
-		Expect(err).To(MatchError(state.ErrNotDone))
+		Expect(commit(ended, "p")).To(MatchError(state.ErrNotExecuted))
+		_, err := client.Read(ended, state.KeyRange(keyIn("p")))
+		Expect(err).To(MatchError(state.ErrNotExecuted))
 		Expect(memory.Calls("commit") + memory.Calls("read")).To(BeZero())
 		Expect(failures).To(BeEmpty())
 	})
@@ -156,5 +156,5 @@
 func (h *hangingStore) Commit(ctx context.Context, _ state.Commit) (state.Version, error) {
 	h.attempts.Add(1)
 	<-ctx.Done()
-	return 0, state.ErrUnknown
+	return 0, state.ErrUnknownOutcome
 }
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -29,13 +29,13 @@
 	methodFeed   = ServiceName + ".Feed"
 )
 
-// Ending is the outcome of a relayed call. It stands for the error, which net/rpc cannot
+// Outcome is the outcome of a relayed call. It stands for the error, which net/rpc cannot
 // transfer.
-type Ending uint8
+type Outcome uint8
 
 // The outcomes, one for each error of the store that callers distinguish.
 const (
-	outcomeDone Ending = iota + 1
+	outcomeDone Outcome = iota + 1
 	outcomeConflict
 	outcomeNotDone
 	outcomeUnknown
@@ -46,7 +46,7 @@
 
 // CommitReply is the reply to a relayed commit.
 type CommitReply struct {
-	Ending  Ending
+	Ending  Outcome
 	Version state.Version
 	Rows    []state.Row // rows of a state.ConflictError
 	Detail  string
@@ -54,7 +54,7 @@
 
 // ReadReply is the reply to a relayed read.
 type ReadReply struct {
-	Ending Ending
+	Ending Outcome
 	Page   state.Page
 	Detail string
 }
@@ -68,8 +68,8 @@
 
 // FeedReply is the reply to a relayed Feed.
 type FeedReply struct {
-	Ending Ending
-	Change state.Change
+	Ending Outcome
+	Change state.FeedResult
 	Detail string
 }
 
@@ -139,7 +139,7 @@
 const storeUnreachableDetail = "the relaying daemon cannot reach the store either"
 
 // outcomeOf returns the outcome that stands for an error of the store, and the error's message.
-func outcomeOf(err error) (Ending, string) {
+func outcomeOf(err error) (Outcome, string) {
 	var conflict *state.ConflictError
 	switch {
 	case err == nil:
@@ -150,7 +150,7 @@
 		return outcomeFull, err.Error()
 	case errors.Is(err, state.ErrThrottled):
 		return outcomeThrottled, err.Error()
-	case errors.Is(err, state.ErrNotDone):
+	case errors.Is(err, state.ErrNotExecuted):
 		return outcomeNotDone, err.Error()
 	case errors.Is(err, state.ErrHistoryLost):
 		return outcomeHistoryLost, err.Error()
@@ -161,14 +161,14 @@
 
 // errorOf returns the error for an outcome. It matches, with errors.Is or errors.As, the error
 // that the other daemon got from the store.
-func errorOf(outcome Ending, detail string, rows []state.Row) error {
+func errorOf(outcome Outcome, detail string, rows []state.Row) error {
 	switch outcome {
 	case outcomeDone:
 		return nil
 	case outcomeConflict:
 		return &state.ConflictError{Rows: rows}
 	case outcomeNotDone:
-		return eris.Wrap(state.ErrNotDone, detail)
+		return eris.Wrap(state.ErrNotExecuted, detail)
 	case outcomeFull:
 		return eris.Wrap(state.ErrFull, detail)
 	case outcomeThrottled:
@@ -176,7 +176,7 @@
 	case outcomeHistoryLost:
 		return eris.Wrap(state.ErrHistoryLost, detail)
 	default:
-		return eris.Wrap(state.ErrUnknown, detail)
+		return eris.Wrap(state.ErrUnknownOutcome, detail)
 	}
 }
 
@@ -217,22 +217,22 @@
 }
 
 // Feed implements state.Store.
-func (r *Relay) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.Change, error) {
+func (r *Relay) Feed(ctx context.Context, table string, after state.Version, wait time.Duration) (state.FeedResult, error) {
 	var reply FeedReply
 	request := FeedRequest{Table: table, After: after, Wait: wait}
 	if err := r.call(ctx, methodFeed, wait+callTimeout, request, &reply); err != nil {
-		return state.Change{}, err
+		return state.FeedResult{}, err
 	}
 	return reply.Change, errorOf(reply.Ending, reply.Detail, nil)
 }
 
 // call sends the request to one other daemon, which differs from call to call. It returns
-// ErrNotDone if the request was not sent, and ErrUnknown if it may have been sent but got no
+// ErrNotExecuted if the request was not sent, and ErrUnknownOutcome if it may have been sent but got no
 // reply.
 func (r *Relay) call(ctx context.Context, method string, timeout time.Duration, request, reply any) error {
 	address, reportFailure := r.chooseDaemon(method)
 	if address == "" {
-		return eris.Wrap(state.ErrNotDone, "no other daemon is known")
+		return eris.Wrap(state.ErrNotExecuted, "no other daemon is known")
 	}
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -244,16 +244,16 @@
 		reportFailure()
 	}
 	if errors.Is(err, peer.ErrNotSent) {
-		return eris.Wrapf(state.ErrNotDone, "relay: %v", err)
+		return eris.Wrapf(state.ErrNotExecuted, "relay: %v", err)
 	}
-	return eris.Wrapf(state.ErrUnknown, "relay: %v", err)
+	return eris.Wrapf(state.ErrUnknownOutcome, "relay: %v", err)
 }
 
 // chooseDaemon returns the address of another daemon, or of a seed if no other daemon is known.
 // The caller calls reportFailure if the daemon does not answer. The address is empty if there
 // is no daemon to call.
 func (r *Relay) chooseDaemon(method string) (address string, reportFailure func()) {
-	others := r.list.Others(method+strconv.FormatInt(time.Now().UnixNano(), 10), 1)
+	others := r.list.OtherMembers(method+strconv.FormatInt(time.Now().UnixNano(), 10), 1)
 	if len(others) > 0 {
 		return others[0].Process.Address, func() { r.list.Suspect(others[0], suspectDuration) }
 	}
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -28,15 +28,15 @@
 type unreachableStore struct{}
 
 func (unreachableStore) Commit(context.Context, state.Commit) (state.Version, error) {
-	return 0, state.ErrUnknown
+	return 0, state.ErrUnknownOutcome
 }
 
 func (unreachableStore) Read(context.Context, state.Range) (state.Page, error) {
-	return state.Page{}, state.ErrUnknown
+	return state.Page{}, state.ErrUnknownOutcome
 }
 
-func (unreachableStore) Feed(context.Context, string, state.Version, time.Duration) (state.Change, error) {
-	return state.Change{}, state.ErrUnknown
+func (unreachableStore) Feed(context.Context, string, state.Version, time.Duration) (state.FeedResult, error) {
+	return state.FeedResult{}, state.ErrUnknownOutcome
 }
 
 var _ = Describe("Relay", func() {
@@ -80,11 +80,11 @@
 		memory.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Full })
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrFull))
-		Expect(state.NoVerdict(err)).To(BeFalse())
+		Expect(state.IsTransient(err)).To(BeFalse())
 		memory.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Throttled })
 		_, err = relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrThrottled))
-		Expect(err).To(MatchError(state.ErrNotDone))
+		Expect(err).To(MatchError(state.ErrNotExecuted))
 	})
 
 	It("commits, reports conflicts, reads and follows changes through another daemon", func(ctx SpecContext) {
@@ -94,7 +94,7 @@
 		var conflict *state.ConflictError
 		Expect(errors.As(err, &conflict)).To(BeTrue())
 		Expect(conflict.Rows).To(HaveLen(1))
-		page, err := relay.Read(ctx, state.Single(key))
+		page, err := relay.Read(ctx, state.KeyRange(key))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(page.Rows).To(Equal([]state.Row{{Key: key, Value: []byte("v"), Version: version}}))
 		change, err := relay.Feed(ctx, "t", 0, time.Second)
@@ -110,14 +110,14 @@
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(expected))
 	},
-		Entry("refused", memorystore.Refused, state.ErrNotDone),
-		Entry("answer lost", memorystore.Lost, state.ErrUnknown),
+		Entry("refused", memorystore.Refused, state.ErrNotExecuted),
+		Entry("answer lost", memorystore.Lost, state.ErrUnknownOutcome),
 	)
 
 	It("returns ErrNotDone if the other daemon cannot reach the store either", func(ctx SpecContext) {
 		usable = false
 		_, err := relay.Commit(ctx, put)
-		Expect(err).To(MatchError(state.ErrNotDone))
+		Expect(err).To(MatchError(state.ErrNotExecuted))
 		Expect(memory.Calls("commit")).To(BeZero())
 	})
 
@@ -126,12 +126,12 @@
 		client := state.NewClient(state.ClientOptions{Store: unreachableStore{}, Alternative: relay, Availability: availability})
 		for number := range 8 {
 			commit := state.Commit{Puts: []state.Put{{Key: key, Value: []byte{byte(number)}}}}
-			Expect(client.Repeat(ctx, func() error {
+			Expect(client.Retry(ctx, func() error {
 				_, err := client.Commit(ctx, commit)
 				return err
 			})).To(Succeed())
 		}
-		Expect(client.DirectUsable()).To(BeFalse())
+		Expect(client.IsDirectHealthy()).To(BeFalse())
 		Expect(availability.Available()).To(BeTrue())
 	})
 })
--- a/internal/tenant/key.go
+++ b/internal/tenant/key.go
@@ -13,8 +13,8 @@
 // that they cannot appear in logs, metrics, errors or dumps.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest of a key.
-func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
+// HashKey returns the digest of a key.
+func HashKey(key string) Digest { return sha256.Sum256([]byte(key)) }
 
 // ParseDigest parses a digest in lower-case hexadecimal. Its error does not repeat the text,
 // which may be a key.
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -29,8 +29,8 @@
 	Burst     int     // additional requests in any window
 }
 
-// Limited reports whether the quota has a limit.
-func (q Quota) Limited() bool { return q.PerSecond > 0 }
+// IsLimited reports whether the quota has a limit.
+func (q Quota) IsLimited() bool { return q.PerSecond > 0 }
 
 // Directory finds tenants by key. It is safe for concurrent use. The zero value and a nil
 // pointer are empty directories.
@@ -52,8 +52,8 @@
 	return directory
 }
 
-// Demanded reports whether requests need a key, which is the case if there are any tenants.
-func (d *Directory) Demanded() bool { return d != nil && len(d.byName) > 0 }
+// RequiresKey reports whether requests need a key, which is the case if there are any tenants.
+func (d *Directory) RequiresKey() bool { return d != nil && len(d.byName) > 0 }
 
 // All returns the tenants by name. The caller must not change the map or the tenants.
 func (d *Directory) All() map[identity.Tenant]*Tenant {
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -17,12 +17,12 @@
 
 var _ = Describe("Directory", func() {
 	directory := tenant.NewDirectory([]tenant.Tenant{
-		{Name: "one", Keys: []tenant.Digest{tenant.DigestOf("k1"), tenant.DigestOf("k2")}},
-		{Name: "two", Keys: []tenant.Digest{tenant.DigestOf("k3")}},
+		{Name: "one", Keys: []tenant.Digest{tenant.HashKey("k1"), tenant.HashKey("k2")}},
+		{Name: "two", Keys: []tenant.Digest{tenant.HashKey("k3")}},
 	})
 
 	DescribeTable("finds the tenant that owns a key", func(key, expected string) {
-		found, known := directory.Find(tenant.DigestOf(key))
+		found, known := directory.Find(tenant.HashKey(key))
 		Expect(known).To(Equal(expected != ""))
 		if known {
 			Expect(string(found.Name)).To(Equal(expected))
@@ -33,18 +33,18 @@
 	)
 
 	It("requires keys if there are tenants", func() {
-		Expect(directory.Demanded()).To(BeTrue())
+		Expect(directory.RequiresKey()).To(BeTrue())
 		var none *tenant.Directory
-		Expect(none.Demanded()).To(BeFalse())
-		_, known := none.Find(tenant.DigestOf("k1"))
+		Expect(none.RequiresKey()).To(BeFalse())
+		_, known := none.Find(tenant.HashKey("k1"))
 		Expect(known).To(BeFalse())
-		Expect(tenant.NewDirectory(nil).Demanded()).To(BeFalse())
+		Expect(tenant.NewDirectory(nil).RequiresKey()).To(BeFalse())
 	})
 })
 
 var _ = Describe("Digest", func() {
 	It("can be parsed from its hexadecimal form", func() {
-		digest := tenant.DigestOf("k1")
+		digest := tenant.HashKey("k1")
 		Expect(tenant.ParseDigest(digest.String())).To(Equal(digest))
 	})
 
--- a/internal/turn/benchmark_test.go
+++ b/internal/turn/benchmark_test.go
@@ -30,7 +30,7 @@
 				store := memorystore.New()
 				random := rand.New(rand.NewPCG(1, 2))
 				common := randomText(random, commonBytes)
-				daemons := []*turn.Records{turn.NewRecords(typicalOptions(store))}
+				daemons := []*turn.Repository{turn.NewRepository(typicalOptions(store))}
 				for number := range programs {
 					saveProgram(context.Background(), daemons, random, fmt.Sprint("p", number), common, turns)
 				}
@@ -62,13 +62,13 @@
 			store := memorystore.New()
 			random := rand.New(rand.NewPCG(1, 2))
 			common := randomText(random, commonBytes)
-			writer := []*turn.Records{turn.NewRecords(typicalOptions(store))}
+			writer := []*turn.Repository{turn.NewRepository(typicalOptions(store))}
 			for _, name := range []string{"first", "p"} {
 				saveProgram(context.Background(), writer, random, name, common, turns)
 			}
 			readings := store.Calls("read")
 			for b.Loop() {
-				reader := turn.NewRecords(typicalOptions(slowStore{store, latency}))
+				reader := turn.NewRepository(typicalOptions(slowStore{store, latency}))
 				_, err := reader.Load(context.Background(), fmt.Sprint("p-", turns-1), "")
 				Expect(err).NotTo(HaveOccurred())
 			}
--- a/internal/turn/broken_test.go
+++ b/internal/turn/broken_test.go
@@ -35,13 +35,13 @@
 	BeforeEach(func(ctx SpecContext) {
 		store = memorystore.New()
 		options := typicalOptions(store)
-		options.RowBytes = 2000
-		records := turn.NewRecords(options)
+		options.MaxRowBytes = 2000
+		records := turn.NewRepository(options)
 		common := string(make([]byte, 4000))
 		Expect(records.Save(ctx, "other", firstTurn(common+"other"), time.Minute)).To(Succeed())
 		var previous *turn.Turn
 		for _, name := range []string{"a", "b", "c"} {
-			added := turn.Addition{Previous: previous, Owner: "tenant", Input: []byte(name)}
+			added := turn.Addition{Previous: previous, Tenant: "tenant", Input: []byte(name)}
 			if previous == nil {
 				added.Input = []byte(common + "first")
 			}
@@ -58,7 +58,7 @@
 		GinkgoHelper()
 		value, err := cbor.Marshal(content)
 		Expect(err).NotTo(HaveOccurred())
-		puts, err := rowset.Cut(keyOf(name), value, time.Now().Add(time.Hour).Unix(), 2000)
+		puts, err := rowset.Split(keyOf(name), value, time.Now().Add(time.Hour).Unix(), 2000)
 		Expect(err).NotTo(HaveOccurred())
 		for _, put := range puts {
 			store.Write(put)
@@ -68,7 +68,7 @@
 	// and the names of further rows have a suffix such as "/1".
 	pieceKey := func(ctx context.Context, suffix string) state.Key {
 		GinkgoHelper()
-		for _, partition := range state.Partitions(rowset.Partitions) {
+		for _, partition := range state.PartitionNames(rowset.PartitionCount) {
 			page, err := store.Read(ctx, state.Range{Table: "pieces", Partition: partition})
 			Expect(err).NotTo(HaveOccurred())
 			for _, row := range page.Rows {
@@ -84,52 +84,52 @@
 	DescribeTable("is reported as unsure, never as absent and never with wrong content", func(ctx SpecContext, damage func(ctx SpecContext), at string, cause error) {
 		damage(ctx)
 		_, err := newRecords(store).Load(ctx, "c", "")
-		Expect(err).To(MatchError(turn.ErrUnsure))
+		Expect(err).To(MatchError(turn.ErrUncertain))
 		Expect(err).NotTo(MatchError(turn.ErrNotFound))
 		Expect(err).To(MatchError(cause))
 		var broken *turn.BrokenError
 		Expect(errors.As(err, &broken)).To(BeTrue())
-		Expect(broken.At).To(Equal(at))
+		Expect(broken.FaultyTurn).To(Equal(at))
 	},
-		Entry("an earlier turn is missing", func(SpecContext) { store.Remove(keyOf("b")) }, "b", turn.ErrGap),
-		Entry("the first turn is missing", func(SpecContext) { store.Remove(keyOf("a")) }, "a", turn.ErrGap),
+		Entry("an earlier turn is missing", func(SpecContext) { store.Remove(keyOf("b")) }, "b", turn.ErrMissingAncestor),
+		Entry("the first turn is missing", func(SpecContext) { store.Remove(keyOf("a")) }, "a", turn.ErrMissingAncestor),
 		Entry("an earlier turn names a later one as its ancestor", func(SpecContext) {
 			write("a", body{Owner: "tenant", Ancestors: []string{"c"}})
-		}, "c", turn.ErrLoop),
+		}, "c", turn.ErrCycle),
 		Entry("an earlier turn names a different ancestor than the later ones do", func(SpecContext) {
 			write("b", body{Owner: "tenant", Ancestors: []string{"other"}, Digest: make([]byte, 32)})
-		}, "b", turn.ErrGap),
+		}, "b", turn.ErrMissingAncestor),
 		Entry("an earlier turn belongs to another tenant", func(SpecContext) {
 			write("b", body{Owner: "stranger", Ancestors: []string{"a"}, Digest: make([]byte, 32)})
-		}, "b", turn.ErrForeign),
+		}, "b", turn.ErrOtherTenant),
 		Entry("an earlier turn holds other bytes", func(SpecContext) {
 			write("a", body{Owner: "tenant", Parts: []map[string]any{{"b": []byte("changed")}}, Digest: make([]byte, 32)})
-		}, "a", turn.ErrChanged),
+		}, "a", turn.ErrDigestMismatch),
 		Entry("a row of an earlier turn is in a newer format", func(SpecContext) {
 			value, err := cbor.Marshal([]any{9, time.Now().Add(time.Hour).Unix(), 0, 1, []byte("?")})
 			Expect(err).NotTo(HaveOccurred())
 			store.Write(state.Put{Key: keyOf("b"), Value: value})
-		}, "b", rowset.ErrFormat),
+		}, "b", rowset.ErrUnknownFormat),
 		Entry("a row of an earlier turn is in an unknown format", func(SpecContext) {
 			store.Write(state.Put{Key: keyOf("b"), Value: []byte("no row of ours")})
-		}, "b", rowset.ErrFormat),
+		}, "b", rowset.ErrUnknownFormat),
 		Entry("its own row is in an unknown format", func(SpecContext) {
 			store.Write(state.Put{Key: keyOf("c"), Value: []byte("no row of ours")})
-		}, "c", rowset.ErrFormat),
-		Entry("a shared piece is missing", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "")) }, "a", piece.ErrMissing),
-		Entry("a row of a shared piece is missing", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "/1")) }, "a", rowset.ErrTorn),
+		}, "c", rowset.ErrUnknownFormat),
+		Entry("a shared piece is missing", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "")) }, "a", piece.ErrNotFound),
+		Entry("a row of a shared piece is missing", func(ctx SpecContext) { store.Remove(pieceKey(ctx, "/1")) }, "a", rowset.ErrInconsistent),
 		Entry("a shared piece holds other bytes", func(ctx SpecContext) {
 			key := pieceKey(ctx, "")
-			puts, err := rowset.Cut(key, []byte("changed"), time.Now().Add(time.Hour).Unix(), 2000)
+			puts, err := rowset.Split(key, []byte("changed"), time.Now().Add(time.Hour).Unix(), 2000)
 			Expect(err).NotTo(HaveOccurred())
 			store.Write(puts[0])
-		}, "a", piece.ErrDiffers),
+		}, "a", piece.ErrDigestMismatch),
 	)
 
 	It("is loaded after retries if the partition of an earlier turn refuses the first reads", func(ctx SpecContext) {
 		refused := 0
 		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
-			if call.Name == "read" && call.Partition == rowset.PlacesOf("b")[0] && refused < 4 {
+			if call.Name == "read" && call.Partition == rowset.PartitionsOf("b")[0] && refused < 4 {
 				refused++
 				return memorystore.Refused
 			}
@@ -152,10 +152,10 @@
 	})
 
 	It("is loaded from the second partition of a turn if the row in the first is broken", func(ctx SpecContext) {
-		page, err := store.Read(ctx, rowset.Range(keyOf("b")))
+		page, err := store.Read(ctx, rowset.RangeOf(keyOf("b")))
 		Expect(err).NotTo(HaveOccurred())
 		moved := keyOf("b")
-		moved.Partition = rowset.PlacesOf("b")[1]
+		moved.Partition = rowset.PartitionsOf("b")[1]
 		store.Write(state.Put{Key: moved, Value: page.Rows[0].Value})
 		store.Write(state.Put{Key: keyOf("b"), Value: []byte("no row of ours")})
 		loaded, err := newRecords(store).Load(ctx, "c", "")
@@ -187,7 +187,7 @@
 
 var _ = Describe("A turn that another daemon may have in memory", func() {
 	var store *memorystore.Store
-	var first *turn.Records
+	var first *turn.Repository
 
 	BeforeEach(func(ctx SpecContext) {
 		store = memorystore.New()
@@ -216,8 +216,8 @@
 		caller := &silentCaller{}
 		options := optionsOf(store)
 		list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
-		options.Others = &turn.Others{List: list, Caller: caller, Log: zap.NewNop()}
-		records := turn.NewRecords(options)
+		options.Peers = &turn.Peers{List: list, Caller: caller, Log: zap.NewNop()}
+		records := turn.NewRepository(options)
 		for _, name := range []string{"a", "b"} {
 			_, err := records.Load(ctx, name, "silent:1")
 			Expect(err).NotTo(HaveOccurred())
@@ -228,8 +228,8 @@
 	It("is read from the store if the daemon's reply is not that turn", func(ctx SpecContext) {
 		var genuine turn.ChainReply
 		Expect(turn.NewService(first).Chain(turn.ChainRequest{Identifier: "b"}, &genuine)).To(Succeed())
-		changed := turn.ChainReply{Turns: append([]turn.ToldTurn(nil), genuine.Turns...)}
-		changed.Turns[1].Parts = []turn.ToldPart{{Bytes: []byte("changed")}}
+		changed := turn.ChainReply{Turns: append([]turn.ChainTurn(nil), genuine.Turns...)}
+		changed.Turns[1].Parts = []turn.ChainPart{{Bytes: []byte("changed")}}
 		for _, falseReply := range []turn.ChainReply{changed, {Turns: genuine.Turns[:1]}} {
 			server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/turn/cache.go
+++ b/internal/turn/cache.go
@@ -28,8 +28,8 @@
 }
 
 func newCache(options Options) *cache {
-	created := &cache{maxIdle: options.CacheFor, maxBytes: options.CacheBytes, now: options.Now, references: map[*Turn]int{}}
-	recent, err := simplelru.NewLRU(max(options.CacheEntries, 1), func(_ string, evicted *cacheEntry) { created.release(evicted.turn) })
+	created := &cache{maxIdle: options.CacheIdleTimeout, maxBytes: options.MaxCacheBytes, now: options.Now, references: map[*Turn]int{}}
+	recent, err := simplelru.NewLRU(max(options.MaxCacheEntries, 1), func(_ string, evicted *cacheEntry) { created.release(evicted.turn) })
 	if err != nil {
 		panic(err) // happens only for a size below one
 	}
--- a/internal/turn/conversation.go
+++ b/internal/turn/conversation.go
@@ -32,8 +32,8 @@
 // conversation in its prefix cache.
 func (t *Turn) Engine() string { return t.engine }
 
-// Length returns the size of the whole conversation in bytes; 0 for a nil Turn.
-func (t *Turn) Length() int {
+// Size returns the size of the whole conversation in bytes; 0 for a nil Turn.
+func (t *Turn) Size() int {
 	if t == nil {
 		return 0
 	}
@@ -81,7 +81,7 @@
 // reduces its expiry to that of the previous turn if that is earlier. It returns t.
 func (t *Turn) complete() *Turn {
 	hash := sha256.New()
-	t.length = t.previous.Length()
+	t.length = t.previous.Size()
 	if t.previous != nil {
 		hash.Write(t.previous.digest[:])
 		t.expiry = min(t.expiry, t.previous.expiry)
--- a/internal/turn/conversation_test.go
+++ b/internal/turn/conversation_test.go
@@ -28,9 +28,9 @@
 // typicalOptions returns options like those of a daemon in production.
 func typicalOptions(store state.Store) turn.Options {
 	options := optionsOf(store)
-	options.RowBytes = typicalRowBytes
-	options.CacheEntries = 2048
-	options.CacheBytes = 12 << 20
+	options.MaxRowBytes = typicalRowBytes
+	options.MaxCacheEntries = 2048
+	options.MaxCacheBytes = 12 << 20
 	return options
 }
 
@@ -46,7 +46,7 @@
 
 // saveProgram saves the given number of turns of one program, using the daemons in rotation, and
 // returns the whole conversation.
-func saveProgram(ctx context.Context, daemons []*turn.Records, random *rand.Rand, name string, common []byte, turns int) string {
+func saveProgram(ctx context.Context, daemons []*turn.Repository, random *rand.Rand, name string, common []byte, turns int) string {
 	GinkgoHelper()
 	history := ""
 	var previous *turn.Turn
@@ -72,7 +72,7 @@
 	// the turns add, plus 10 % for identifiers of earlier turns, digests and row headers.
 	It("take as many bytes as their turns add, and hold shared prefixes once", func(ctx SpecContext) {
 		store := memorystore.New()
-		daemons := []*turn.Records{turn.NewRecords(typicalOptions(store)), turn.NewRecords(typicalOptions(store))}
+		daemons := []*turn.Repository{turn.NewRepository(typicalOptions(store)), turn.NewRepository(typicalOptions(store))}
 		random := rand.New(rand.NewPCG(1, 2))
 		common := randomText(random, commonBytes)
 		const programs, turns = 100, 11
@@ -89,19 +89,19 @@
 		random := rand.New(rand.NewPCG(1, 2))
 		common := randomText(random, commonBytes)
 		for number, turns := range []int{1, 2, 11, 33, 34, 70} {
-			daemons := []*turn.Records{turn.NewRecords(typicalOptions(store)), turn.NewRecords(typicalOptions(store)), turn.NewRecords(typicalOptions(store))}
+			daemons := []*turn.Repository{turn.NewRepository(typicalOptions(store)), turn.NewRepository(typicalOptions(store)), turn.NewRepository(typicalOptions(store))}
 			name := fmt.Sprint("p", number)
 			history := saveProgram(ctx, daemons, random, name, common, turns)
-			loaded, err := turn.NewRecords(typicalOptions(store)).Load(ctx, fmt.Sprint(name, "-", turns-1), "")
+			loaded, err := turn.NewRepository(typicalOptions(store)).Load(ctx, fmt.Sprint(name, "-", turns-1), "")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(historyOf(loaded) == history).To(BeTrue(), "%d turns", turns)
-			Expect(loaded.Length()).To(Equal(len(history)))
+			Expect(loaded.Size()).To(Equal(len(history)))
 		}
 	})
 
 	It("take a constant number of bytes for each turn beyond maxAncestors turns", func(ctx SpecContext) {
 		store := memorystore.New()
-		records := turn.NewRecords(typicalOptions(store))
+		records := turn.NewRepository(typicalOptions(store))
 		var previous *turn.Turn
 		var sizes []int
 		for number := range 200 {
@@ -118,10 +118,10 @@
 
 	It("are loaded with one read for each turn", func(ctx SpecContext) {
 		store := memorystore.New()
-		writer := turn.NewRecords(typicalOptions(store))
-		saveProgram(ctx, []*turn.Records{writer}, rand.New(rand.NewPCG(1, 2)), "p", nil, 22)
+		writer := turn.NewRepository(typicalOptions(store))
+		saveProgram(ctx, []*turn.Repository{writer}, rand.New(rand.NewPCG(1, 2)), "p", nil, 22)
 		before := store.Calls("read")
-		_, err := turn.NewRecords(typicalOptions(store)).Load(ctx, "p-21", "")
+		_, err := turn.NewRepository(typicalOptions(store)).Load(ctx, "p-21", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(store.Calls("read") - before).To(Equal(22))
 	})
@@ -134,10 +134,10 @@
 	BeforeEach(func() { store, now = memorystore.New(), time.Unix(1000000, 0) })
 
 	// newDaemon returns the Records of a new daemon whose clock shows the variable now.
-	newDaemon := func() *turn.Records {
+	newDaemon := func() *turn.Repository {
 		options := typicalOptions(store)
 		options.Now = func() time.Time { return now }
-		return turn.NewRecords(options)
+		return turn.NewRepository(options)
 	}
 	// save saves a turn at a new daemon. It continues the turn previous, or starts a conversation
 	// if previous is empty.
@@ -162,9 +162,9 @@
 	// sweep removes the expired rows of turns and returns their number.
 	sweep := func(ctx context.Context) (removed int) {
 		GinkgoHelper()
-		sweep := turn.Leftovers(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, nil)
+		sweep := turn.NewSweep(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, nil)
 		for _, partition := range sweep.Partitions {
-			count, err := sweep.Partition(ctx, partition)
+			count, err := sweep.SweepPartition(ctx, partition)
 			Expect(err).NotTo(HaveOccurred())
 			removed += count
 		}
@@ -174,9 +174,9 @@
 	// sweepPieces removes the expired rows of pieces.
 	sweepPieces := func(ctx context.Context) {
 		GinkgoHelper()
-		sweep := piece.Leftovers(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, nil)
+		sweep := piece.NewSweep(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, nil)
 		for _, partition := range sweep.Partitions {
-			_, err := sweep.Partition(ctx, partition)
+			_, err := sweep.SweepPartition(ctx, partition)
 			Expect(err).NotTo(HaveOccurred())
 		}
 	}
@@ -246,8 +246,8 @@
 		for number := range 200 { // copies would take 200 MiB, and the cache is limited to 12 MiB
 			Expect(records.Save(ctx, fmt.Sprint("b", number), turn.Addition{Previous: previous, Input: []byte("y")}, time.Minute)).To(Succeed())
 		}
-		Expect(records.Cached("a")).To(BeTrue())
-		Expect(records.Cached("b0")).To(BeTrue())
+		Expect(records.IsCached("a")).To(BeTrue())
+		Expect(records.IsCached("b0")).To(BeTrue())
 	})
 
 	It("is dropped from memory when newer turns exceed the limit of the cache", func(ctx SpecContext) {
@@ -256,7 +256,7 @@
 			Expect(records.Save(ctx, fmt.Sprint("a", number), firstTurn(strings.Repeat("x", 1<<20)), time.Minute)).To(Succeed())
 			Expect(records.CachedBytes()).To(BeNumerically("<=", 12<<20))
 		}
-		Expect(records.Cached("a0")).To(BeFalse())
-		Expect(records.Cached("a29")).To(BeTrue())
+		Expect(records.IsCached("a0")).To(BeFalse())
+		Expect(records.IsCached("a29")).To(BeTrue())
 	})
 })
--- a/internal/turn/export_test.go
+++ b/internal/turn/export_test.go
@@ -1,4 +1,4 @@
 package turn
 
 // CachedBytes returns how many bytes of turns are in memory.
-func (r *Records) CachedBytes() int { return r.cache.size() }
+func (r *Repository) CachedBytes() int { return r.cache.size() }
--- a/internal/turn/load.go
+++ b/internal/turn/load.go
@@ -21,8 +21,8 @@
 // Load returns the turn with the given identifier, whichever process saved it. It looks into the
 // cache, then asks the daemon at the address keptAt, and then reads the store. keptAt is the
 // daemon expected to have the turn in memory, or empty if none is known. The error is
-// ErrNotFound, ErrUnsure, a *BrokenError, or an error of the store or of the context.
-func (r *Records) Load(ctx context.Context, identifier, keptAt string) (*Turn, error) {
+// ErrNotFound, ErrUncertain, a *BrokenError, or an error of the store or of the context.
+func (r *Repository) Load(ctx context.Context, identifier, keptAt string) (*Turn, error) {
 	if known := r.cache.get(identifier); known != nil {
 		r.metrics.read(fromMemory)
 		return known, nil
@@ -42,10 +42,10 @@
 
 // loadFromStore loads the turn from the store, or from other daemons if the store gives no certain
 // answer. It retries while the store does not answer, until the context ends.
-func (r *Records) loadFromStore(ctx context.Context, identifier string) (*Turn, error) {
+func (r *Repository) loadFromStore(ctx context.Context, identifier string) (*Turn, error) {
 	current := &chainReader{records: r, identifier: identifier, rows: map[string]row{}}
 	var read *Turn
-	err := r.options.Store.Repeat(ctx, func() error {
+	err := r.options.Store.Retry(ctx, func() error {
 		var err error
 		read, err = current.load(ctx)
 		return err
@@ -53,7 +53,7 @@
 	var broken *BrokenError
 	if errors.As(err, &broken) {
 		r.metrics.broken.Inc()
-		r.options.Log.Warn("turn: its conversation is broken.", zap.String("turn", identifier), zap.String("at", broken.At), zap.String("cause", broken.Cause.Error()))
+		r.options.Log.Warn("turn: its conversation is broken.", zap.String("turn", identifier), zap.String("at", broken.FaultyTurn), zap.String("cause", broken.Cause.Error()))
 	}
 	if err == nil && !current.isFromOther {
 		r.metrics.read(fromStore)
@@ -63,18 +63,18 @@
 }
 
 // load makes one attempt to load the turn. It reads the store, and then asks other daemons if the
-// store did not answer or its answer is ErrUnsure. If the turn's most likely partition failed
+// store did not answer or its answer is ErrUncertain. If the turn's most likely partition failed
 // recently, load asks the other daemons first and reads the store only if none has the turn.
 func (r *chainReader) load(ctx context.Context) (*Turn, error) {
-	partitions := rowset.PlacesOf(r.identifier)
-	isFirstPartitionDown := r.records.options.Store.Prefer(partitions)[0] != partitions[0]
+	partitions := rowset.PartitionsOf(r.identifier)
+	isFirstPartitionDown := r.records.options.Store.HealthyFirst(partitions)[0] != partitions[0]
 	if isFirstPartitionDown {
 		if received := r.askOthers(ctx); received != nil {
 			return received, nil
 		}
 	}
 	read, err := r.readChain(ctx)
-	if !isFirstPartitionDown && (state.NoVerdict(err) || errors.Is(err, ErrUnsure)) {
+	if !isFirstPartitionDown && (state.IsTransient(err) || errors.Is(err, ErrUncertain)) {
 		if received := r.askOthers(ctx); received != nil {
 			return received, nil
 		}
@@ -84,10 +84,10 @@
 
 // askOthers returns the turn if another daemon has it in memory, and nil otherwise.
 func (r *chainReader) askOthers(ctx context.Context) *Turn {
-	if r.records.options.Others == nil {
+	if r.records.options.Peers == nil {
 		return nil
 	}
-	received := r.records.options.Others.search(ctx, r.identifier, r.records.restore)
+	received := r.records.options.Peers.search(ctx, r.identifier, r.records.restore)
 	if received != nil {
 		r.isFromOther = true
 		r.records.metrics.read(fromOtherDaemon)
@@ -97,11 +97,11 @@
 
 // askDaemon asks the daemon at the address keptAt for a turn. It returns nil if keptAt is empty or
 // if the daemon does not return the turn.
-func (r *Records) askDaemon(ctx context.Context, keptAt, identifier string) *Turn {
-	if r.options.Others == nil || keptAt == "" {
+func (r *Repository) askDaemon(ctx context.Context, keptAt, identifier string) *Turn {
+	if r.options.Peers == nil || keptAt == "" {
 		return nil
 	}
-	received, err := r.options.Others.ask(ctx, keptAt, identifier, r.restore)
+	received, err := r.options.Peers.ask(ctx, keptAt, identifier, r.restore)
 	if err != nil {
 		r.options.Log.Info("turn: the daemon expected to have it in memory did not return it.", zap.String("turn", identifier), zap.String("daemon", keptAt), zap.String("cause", err.Error()))
 		return nil
@@ -111,11 +111,11 @@
 
 // confirmAbsence checks whether the turn is absent, after reads have not found it. Reads may be
 // stale, so it makes a commit with the condition that none of the turn's possible partitions
-// holds it. It returns ErrNotFound if the condition is true, ErrUnsure if it is false, and
+// holds it. It returns ErrNotFound if the condition is true, ErrUncertain if it is false, and
 // otherwise the error of the store.
-func (r *Records) confirmAbsence(ctx context.Context, identifier string) error {
+func (r *Repository) confirmAbsence(ctx context.Context, identifier string) error {
 	var absent []state.Condition
-	for _, partition := range rowset.PlacesOf(identifier) {
+	for _, partition := range rowset.PartitionsOf(identifier) {
 		absent = append(absent, state.Condition{Key: state.Key{Table: table, Partition: partition, Name: identifier}})
 	}
 	_, err := r.options.Store.Commit(ctx, state.Commit{Class: state.ClassTurn, Conditions: absent})
@@ -124,7 +124,7 @@
 	case err == nil:
 		return ErrNotFound
 	case errors.As(err, &conflict):
-		return ErrUnsure
+		return ErrUncertain
 	default:
 		return eris.Wrap(err, "confirm that the turn is absent")
 	}
--- a/internal/turn/metrics.go
+++ b/internal/turn/metrics.go
@@ -43,14 +43,14 @@
 // read counts a loaded turn by where it was loaded from.
 func (m *metrics) read(from string) { m.reads.WithLabelValues(from).Inc() }
 
-// Measure registers the metrics of the Records. It fails if some are registered already.
-func (r *Records) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers the metrics of the Records. It fails if some are registered already.
+func (r *Repository) RegisterMetrics(registerer prometheus.Registerer) error {
 	cached := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_turn_cached_bytes", Help: "Bytes of turns in memory, without shared pieces.",
 	}, func() float64 { return float64(r.cache.size()) })
 	shared := prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "thymeloft_turn_cached_piece_bytes", Help: "Bytes of shared pieces in memory.",
-	}, func() float64 { return float64(r.pieces.Bytes()) })
+	}, func() float64 { return float64(r.pieces.CachedBytes()) })
 	m := r.metrics
 	var failures []error
 	for _, each := range []prometheus.Collector{m.keptBytes, m.pieceBytes, m.reads, m.readsPerLoad, m.rebases, m.broken, cached, shared} {
--- a/internal/turn/metrics_test.go
+++ b/internal/turn/metrics_test.go
@@ -19,10 +19,10 @@
 		clock := func() time.Time { return now }
 		options := optionsOf(store)
 		options.Now = clock
-		options.Removal = retention.NewQueue(options.Store, clock, zap.NewNop())
-		records := turn.NewRecords(options)
+		options.RemovalQueue = retention.NewQueue(options.Store, clock, zap.NewNop())
+		records := turn.NewRepository(options)
 		registry := prometheus.NewRegistry()
-		Expect(records.Measure(registry)).To(Succeed())
+		Expect(records.RegisterMetrics(registry)).To(Succeed())
 		keptBytes := func() float64 {
 			GinkgoHelper()
 			families, err := registry.Gather()
@@ -40,10 +40,10 @@
 		}
 		Expect(keptBytes()).To(BeNumerically(">", 0))
 		Expect(keptBytes()).To(BeNumerically("<=", store.Bytes()))
-		Expect(options.Removal.RemoveDue(ctx)).To(Succeed())
+		Expect(options.RemovalQueue.RemoveDue(ctx)).To(Succeed())
 		Expect(keptBytes()).To(BeNumerically(">", 0))
 		now = now.Add(3 * time.Minute)
-		Expect(options.Removal.RemoveDue(ctx)).To(Succeed())
+		Expect(options.RemovalQueue.RemoveDue(ctx)).To(Succeed())
 		Expect(keptBytes()).To(BeZero())
 		Expect(store.Bytes()).To(BeZero())
 	})
--- a/internal/turn/others.go
+++ b/internal/turn/others.go
@@ -24,29 +24,29 @@
 
 // ChainReply holds the turns of a conversation, the oldest first and the requested one last. It
 // is empty if the daemon does not have the turn in memory.
-type ChainReply struct{ Turns []ToldTurn }
+type ChainReply struct{ Turns []ChainTurn }
 
-// ToldTurn is a turn in a ChainReply.
-type ToldTurn struct {
+// ChainTurn is a turn in a ChainReply.
+type ChainTurn struct {
 	Identifier string
 	Owner      string
 	Engine     string
-	Parts      []ToldPart
+	Parts      []ChainPart
 	Digest     [32]byte // SHA-256 digest of the conversation up to the turn's end
 	Until      int64    // Unix time in seconds after which a row or piece of the conversation may be removed
 }
 
-// ToldPart is a part of the bytes that a turn adds.
-type ToldPart struct {
+// ChainPart is a part of the bytes that a turn adds.
+type ChainPart struct {
 	Bytes  []byte
 	Shared bool // whether the bytes are a piece that other conversations share
 }
 
 // Service is the RPC service that returns turns in memory to other daemons.
-type Service struct{ records *Records }
+type Service struct{ records *Repository }
 
 // NewService returns the RPC service for the turns that records has in memory.
-func NewService(records *Records) *Service { return &Service{records: records} }
+func NewService(records *Repository) *Service { return &Service{records: records} }
 
 // maxReplyBytes is the maximum size of a conversation in a reply. It is a quarter of the size limit
 // of messages between daemons. Sending a reply of this size takes less time than reading the
@@ -62,9 +62,9 @@
 		return nil
 	}
 	for _, each := range known.chain() {
-		sent := ToldTurn{Identifier: each.identifier, Owner: each.owner, Engine: each.engine, Digest: each.digest, Until: each.expiry}
+		sent := ChainTurn{Identifier: each.identifier, Owner: each.owner, Engine: each.engine, Digest: each.digest, Until: each.expiry}
 		for _, seg := range each.added {
-			sent.Parts = append(sent.Parts, ToldPart{Bytes: seg.bytes, Shared: seg.shared})
+			sent.Parts = append(sent.Parts, ChainPart{Bytes: seg.bytes, Shared: seg.shared})
 		}
 		reply.Turns = append(reply.Turns, sent)
 	}
@@ -74,19 +74,19 @@
 // restore builds the turn with the given identifier from another daemon's reply. It reuses cached
 // turns and pieces with the same content. It returns nil if the reply is empty, and a
 // *BrokenError if the reply does not match its digests or ends with another turn.
-func (r *Records) restore(identifier string, reply ChainReply) (*Turn, error) {
+func (r *Repository) restore(identifier string, reply ChainReply) (*Turn, error) {
 	var restored *Turn
 	for _, received := range reply.Turns {
 		next := &Turn{identifier: received.Identifier, owner: received.Owner, engine: received.Engine, previous: restored, expiry: received.Until}
 		for _, part := range received.Parts {
 			bytes := part.Bytes
 			if part.Shared {
-				bytes = r.pieces.Share(bytes)
+				bytes = r.pieces.Intern(bytes)
 			}
 			next.added = append(next.added, segment{bytes: bytes, shared: part.Shared})
 		}
 		if next.complete().digest != received.Digest {
-			return nil, &BrokenError{Turn: identifier, At: received.Identifier, Cause: ErrChanged}
+			return nil, &BrokenError{Turn: identifier, FaultyTurn: received.Identifier, Cause: ErrDigestMismatch}
 		}
 		restored = next
 		if known := r.cache.peek(received.Identifier); known != nil && known.digest == next.digest {
@@ -94,14 +94,14 @@
 		}
 	}
 	if restored != nil && restored.identifier != identifier {
-		return nil, &BrokenError{Turn: identifier, At: restored.identifier, Cause: ErrGap}
+		return nil, &BrokenError{Turn: identifier, FaultyTurn: restored.identifier, Cause: ErrMissingAncestor}
 	}
 	return restored, nil
 }
 
 // Others asks other daemons for turns that they have in memory. It is safe for concurrent use.
 // The exported fields are required and must not be changed after the first use.
-type Others struct {
+type Peers struct {
 	List   *members.List // the known daemons
 	Caller peer.Caller   // makes the calls
 	Log    *zap.Logger
@@ -131,7 +131,7 @@
 
 // ask asks the daemon at the address for a turn. It returns nil and no error if that daemon does
 // not have the turn, is this daemon, or is skipped because it recently did not answer.
-func (o *Others) ask(ctx context.Context, address, identifier string, restore restoreFunc) (*Turn, error) {
+func (o *Peers) ask(ctx context.Context, address, identifier string, restore restoreFunc) (*Turn, error) {
 	if address == o.List.Self().Address || o.isSilent(address) {
 		return nil, nil
 	}
@@ -146,14 +146,14 @@
 }
 
 // isSilent reports whether ask must skip the daemon because it recently did not answer.
-func (o *Others) isSilent(address string) bool {
+func (o *Peers) isSilent(address string) bool {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	return time.Now().Before(o.skippedUntil[address])
 }
 
 // noteSilent notes that the daemon did not answer just now.
-func (o *Others) noteSilent(address string) {
+func (o *Peers) noteSilent(address string) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.skippedUntil == nil || len(o.skippedUntil) >= maxSilentDaemons {
@@ -171,10 +171,10 @@
 // search asks up to maxAskedDaemons daemons for a turn at the same time, and prefers daemons of
 // this zone. It returns the first turn received, or nil if none is received within
 // searchTimeout.
-func (o *Others) search(ctx context.Context, identifier string, restore restoreFunc) *Turn {
+func (o *Peers) search(ctx context.Context, identifier string, restore restoreFunc) *Turn {
 	ctx, cancel := context.WithTimeout(ctx, searchTimeout)
 	defer cancel()
-	asked := o.List.Others(identifier, maxAskedDaemons)
+	asked := o.List.OtherMembers(identifier, maxAskedDaemons)
 	answers := make(chan answer, len(asked))
 	for _, member := range asked {
 		go func() {
--- a/internal/turn/plan.go
+++ b/internal/turn/plan.go
@@ -8,7 +8,7 @@
 // Addition is what a turn adds to a conversation.
 type Addition struct {
 	Previous *Turn  // the turn that this one continues; nil if it starts a conversation
-	Owner    string // name of the tenant; empty if there is none
+	Tenant   string // name of the tenant; empty if there is none
 	Engine   string // ID of the instance that ran the turn
 	Input    []byte // bytes that the caller sent
 	Output   []byte // bytes that the engine generated
--- a/internal/turn/play_test.go
+++ b/internal/turn/play_test.go
@@ -34,7 +34,7 @@
 
 // modelDaemon is the in-memory state of a daemon.
 type modelDaemon struct {
-	records *turn.Records
+	records *turn.Repository
 	removal *retention.Queue
 }
 
@@ -71,15 +71,15 @@
 
 func (m *storeModel) client() *state.Client {
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
-	return state.NewClient(state.ClientOptions{Store: m.store, Availability: availability, NotHedged: true})
+	return state.NewClient(state.ClientOptions{Store: m.store, Availability: availability, DisableHedging: true})
 }
 
 // newDaemon returns a daemon with empty memory.
 func (m *storeModel) newDaemon() modelDaemon {
 	client := m.client()
 	removal := retention.NewQueue(client, m.clock, zap.NewNop())
-	return modelDaemon{removal: removal, records: turn.NewRecords(turn.Options{
-		Store: client, RowBytes: modelRowBytes, CacheEntries: 5, CacheBytes: 20000, PieceBytes: 30000, CacheFor: time.Hour, Now: m.clock, Removal: removal,
+	return modelDaemon{removal: removal, records: turn.NewRepository(turn.Options{
+		Store: client, MaxRowBytes: modelRowBytes, MaxCacheEntries: 5, MaxCacheBytes: 20000, MaxPieceCacheBytes: 30000, CacheIdleTimeout: time.Hour, Now: m.clock, RemovalQueue: removal,
 	})}
 }
 
@@ -147,7 +147,7 @@
 	case err == nil && historyOf(loaded) == m.turns[name].history:
 		return true
 	case err == nil:
-		m.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Length())
+		m.t.Fatalf("turn %s: %d wrong bytes", name, loaded.Size())
 	case errors.Is(err, turn.ErrNotFound):
 		m.t.Fatalf("turn %s: not found", name)
 	case !m.hasFaults:
@@ -190,9 +190,9 @@
 	}
 	all := func(string) bool { return true }
 	client := m.client()
-	for _, sweep := range []*retention.Sweep{turn.Leftovers(client, all, m.clock, zap.NewNop()), piece.Leftovers(client, all, m.clock, zap.NewNop())} {
+	for _, sweep := range []*retention.Sweep{turn.NewSweep(client, all, m.clock, zap.NewNop()), piece.NewSweep(client, all, m.clock, zap.NewNop())} {
 		for _, partition := range sweep.Partitions {
-			if _, err := sweep.Partition(ctx, partition); err != nil && !m.hasFaults {
+			if _, err := sweep.SweepPartition(ctx, partition); err != nil && !m.hasFaults {
 				t.Fatalf("sweep: %v", err)
 			}
 		}
--- a/internal/turn/reading.go
+++ b/internal/turn/reading.go
@@ -22,7 +22,7 @@
 // chainReader loads one conversation from the store. Rows that were read are kept for the next
 // attempt if an attempt fails.
 type chainReader struct {
-	records     *Records
+	records     *Repository
 	identifier  string       // of the requested turn
 	reads       atomic.Int64 // store reads of turns' rows so far
 	isFromOther bool         // whether the turn came from another daemon
@@ -49,7 +49,7 @@
 		wanted, known = r.untilCached(last.Ancestors)
 		for _, name := range wanted {
 			if slices.Contains(order, name) {
-				return nil, r.brokenError(name, ErrLoop)
+				return nil, r.brokenError(name, ErrCycle)
 			}
 			order = append(order, name)
 		}
@@ -103,9 +103,9 @@
 			found, err := r.findRow(ctx, name)
 			switch {
 			case errors.Is(err, ErrNotFound):
-				return r.brokenError(name, ErrGap)
+				return r.brokenError(name, ErrMissingAncestor)
 			case err == nil && found.legacy != nil:
-				return r.brokenError(name, rowset.ErrFormat)
+				return r.brokenError(name, rowset.ErrUnknownFormat)
 			default:
 				return err
 			}
@@ -125,7 +125,7 @@
 		return known, nil
 	}
 	var unanswered, broken error
-	for _, partition := range r.records.options.Store.Prefer(rowset.PlacesOf(name)) {
+	for _, partition := range r.records.options.Store.HealthyFirst(rowset.PartitionsOf(name)) {
 		read, err := r.readPartition(ctx, name, partition)
 		switch {
 		case err == nil:
@@ -133,9 +133,9 @@
 			r.rows[name] = read
 			r.mutex.Unlock()
 			return read, nil
-		case state.NoVerdict(err):
+		case state.IsTransient(err):
 			unanswered = err
-		case errors.Is(err, rowset.ErrTorn) || errors.Is(err, rowset.ErrFormat):
+		case errors.Is(err, rowset.ErrInconsistent) || errors.Is(err, rowset.ErrUnknownFormat):
 			broken = r.brokenError(name, err)
 		case !errors.Is(err, ErrNotFound):
 			return row{}, err
@@ -153,7 +153,7 @@
 // readPartition reads the rows of a turn from one partition.
 func (r *chainReader) readPartition(ctx context.Context, name, partition string) (row, error) {
 	r.reads.Add(1)
-	selected := rowset.Range(state.Key{Table: table, Partition: partition, Name: name})
+	selected := rowset.RangeOf(state.Key{Table: table, Partition: partition, Name: name})
 	selected.Class = state.ClassTurn
 	page, err := r.records.options.Store.Read(ctx, selected)
 	if err != nil {
@@ -164,7 +164,7 @@
 
 // brokenError returns a *BrokenError of the requested turn. at is the identifier of the faulty turn.
 func (r *chainReader) brokenError(at string, cause error) error {
-	return &BrokenError{Turn: r.identifier, At: at, Cause: cause}
+	return &BrokenError{Turn: r.identifier, FaultyTurn: at, Cause: cause}
 }
 
 // assemble builds the requested turn from rows that have been read. order holds the names of the
@@ -190,10 +190,10 @@
 func (r *chainReader) buildTurn(previous *Turn, name string, pieces map[piece.Reference]piece.Stored) (*Turn, error) {
 	own := r.rows[name]
 	if own.Owner != r.rows[r.identifier].Owner || previous != nil && previous.owner != own.Owner {
-		return nil, r.brokenError(name, ErrForeign)
+		return nil, r.brokenError(name, ErrOtherTenant)
 	}
 	if !isNearestAncestor(own.Ancestors, previous) {
-		return nil, r.brokenError(name, ErrGap)
+		return nil, r.brokenError(name, ErrMissingAncestor)
 	}
 	built := &Turn{identifier: name, owner: own.Owner, engine: own.Engine, previous: previous, expiry: own.expires}
 	for _, each := range own.Parts {
@@ -207,7 +207,7 @@
 		built.added = append(built.added, segment{bytes: stored.Content, shared: !each.Spilled})
 	}
 	if built.complete().digest != own.Digest {
-		return nil, r.brokenError(name, ErrChanged)
+		return nil, r.brokenError(name, ErrDigestMismatch)
 	}
 	return built, nil
 }
@@ -237,7 +237,7 @@
 	for reference, name := range namedBy {
 		group.Go(func() error {
 			stored, err := r.records.pieces.Load(ctx, reference)
-			if err != nil && !state.NoVerdict(err) && ctx.Err() == nil {
+			if err != nil && !state.IsTransient(err) && ctx.Err() == nil {
 				return r.brokenError(name, err)
 			}
 			r.mutex.Lock()
--- a/internal/turn/rows.go
+++ b/internal/turn/rows.go
@@ -55,9 +55,9 @@
 func decodeRow(identifier string, rows []state.Row) (row, error) {
 	value, err := rowset.Join(identifier, rows)
 	switch {
-	case eris.Is(err, rowset.ErrAbsent):
+	case eris.Is(err, rowset.ErrNotFound):
 		return row{}, ErrNotFound
-	case eris.Is(err, rowset.ErrFormat):
+	case eris.Is(err, rowset.ErrUnknownFormat):
 		if legacyValue, isLegacy := decodeLegacy(identifier, rows); isLegacy {
 			return row{legacy: &legacyValue, expires: legacyValue.Expires}, nil
 		}
@@ -65,9 +65,9 @@
 	case err != nil:
 		return row{}, err
 	}
-	decoded := row{expires: value.Expires}
+	decoded := row{expires: value.ExpiresAt}
 	if err := cbor.Unmarshal(value.Bytes, &decoded.body); err != nil {
-		return row{}, eris.Wrapf(rowset.ErrFormat, "turn: %v", err)
+		return row{}, eris.Wrapf(rowset.ErrUnknownFormat, "turn: %v", err)
 	}
 	return decoded, nil
 }
--- a/internal/turn/rows_test.go
+++ b/internal/turn/rows_test.go
@@ -13,7 +13,7 @@
 
 // keyOf returns the key of a turn's first row in its most likely partition.
 func keyOf(identifier string) state.Key {
-	return state.Key{Table: "turns", Partition: rowset.PlacesOf(identifier)[0], Name: identifier}
+	return state.Key{Table: "turns", Partition: rowset.PartitionsOf(identifier)[0], Name: identifier}
 }
 
 // writeLegacyTurn writes a turn in the legacy format, with the whole history in one row.
--- a/internal/turn/save.go
+++ b/internal/turn/save.go
@@ -28,7 +28,7 @@
 // Save stores a turn under the identifier and retains it for at least retainFor. If it fails, it may
 // be called again with the same turn, since each call writes all rows of the turn. The error
 // is ErrTooLarge or an error of the store or of the context.
-func (r *Records) Save(ctx context.Context, identifier string, added Addition, retainFor time.Duration) error {
+func (r *Repository) Save(ctx context.Context, identifier string, added Addition, retainFor time.Duration) error {
 	expiry := newExpiryTimes(r.options.Now(), retainFor)
 	shared := 0
 	if added.Previous == nil {
@@ -36,7 +36,7 @@
 	}
 	planned := newPlan(added, shared, expiry.promised)
 	turn := &Turn{
-		identifier: identifier, owner: added.Owner, engine: added.Engine,
+		identifier: identifier, owner: added.Tenant, engine: added.Engine,
 		previous: planned.previous, added: planned.segments, expiry: expiry.expires,
 	}
 	parts := r.storeParts(ctx, turn, expiry)
@@ -45,7 +45,7 @@
 		return err
 	}
 	pending := pendingRows{identifier: identifier, value: value, expires: expiry.expires, lifetime: rowLifetime(retainFor)}
-	if err := r.options.Store.Repeat(ctx, func() error { return r.writeRows(ctx, pending) }); err != nil {
+	if err := r.options.Store.Retry(ctx, func() error { return r.writeRows(ctx, pending) }); err != nil {
 		return err
 	}
 	if planned.isRebased {
@@ -58,7 +58,7 @@
 
 // storeParts stores the shared segments of the turn as pieces and returns the parts for its rows.
 // If a piece cannot be stored within sharedPieceTimeout, its part holds the bytes instead.
-func (r *Records) storeParts(ctx context.Context, turn *Turn, expiry expiryTimes) []part {
+func (r *Repository) storeParts(ctx context.Context, turn *Turn, expiry expiryTimes) []part {
 	shortCtx, cancel := context.WithTimeout(ctx, sharedPieceTimeout)
 	defer cancel()
 	parts := make([]part, 0, len(turn.added))
@@ -75,7 +75,7 @@
 			parts = append(parts, part{Bytes: each.bytes})
 			continue
 		}
-		r.metrics.pieceBytes.Add(float64(stored.Written))
+		r.metrics.pieceBytes.Add(float64(stored.WrittenBytes))
 		each.bytes = stored.Content
 		turn.expiry = min(turn.expiry, stored.Expires)
 		parts = append(parts, referencePart(piece.ReferenceOf(stored.Content)))
@@ -87,8 +87,8 @@
 // stores the bytes of all parts as pieces and returns a body that refers to them. If the turn
 // is never committed, these pieces are removed when they expire. The error is ErrTooLarge or
 // an error of the store.
-func (r *Records) encode(ctx context.Context, turn *Turn, parts []part, expiry expiryTimes) ([]byte, error) {
-	capacity := rowset.Capacity(r.options.RowBytes)
+func (r *Repository) encode(ctx context.Context, turn *Turn, parts []part, expiry expiryTimes) ([]byte, error) {
+	capacity := rowset.Capacity(r.options.MaxRowBytes)
 	encoded := body{Engine: turn.engine, Owner: turn.owner, Ancestors: ancestorNames(turn.previous), Parts: parts, Digest: turn.digest}
 	value, err := cbor.Marshal(encoded)
 	if err != nil || len(value) <= capacity {
@@ -126,13 +126,13 @@
 
 // storePieces stores a piece for each of the contents. expires is the expiry of the turn's rows, a
 // Unix time in seconds, at which the pieces expire as well.
-func (r *Records) storePieces(ctx context.Context, contents [][]byte, expires int64) error {
+func (r *Repository) storePieces(ctx context.Context, contents [][]byte, expires int64) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(maxConcurrentSpills)
 	for _, content := range contents {
 		group.Go(func() error {
 			stored, err := r.pieces.Ensure(ctx, content, expires, expires)
-			r.metrics.pieceBytes.Add(float64(stored.Written))
+			r.metrics.pieceBytes.Add(float64(stored.WrittenBytes))
 			return err
 		})
 	}
@@ -149,17 +149,17 @@
 
 // writeRows commits the rows to one of the turn's possible partitions. It tries the next partition
 // only if one does not answer.
-func (r *Records) writeRows(ctx context.Context, pending pendingRows) error {
+func (r *Repository) writeRows(ctx context.Context, pending pendingRows) error {
 	var last error
-	for _, partition := range r.options.Store.Prefer(rowset.PlacesOf(pending.identifier)) {
+	for _, partition := range r.options.Store.HealthyFirst(rowset.PartitionsOf(pending.identifier)) {
 		key := state.Key{Table: table, Partition: partition, Name: pending.identifier}
-		puts, err := rowset.Cut(key, pending.value, pending.expires, r.options.RowBytes)
+		puts, err := rowset.Split(key, pending.value, pending.expires, r.options.MaxRowBytes)
 		if err != nil {
 			return eris.Wrap(err, "save turn")
 		}
 		_, last = r.options.Store.Commit(ctx, state.Commit{Class: state.ClassTurn, Puts: puts})
 		r.scheduleRemoval(pending, puts, last == nil)
-		if !state.NoVerdict(last) {
+		if !state.IsTransient(last) {
 			break
 		}
 	}
@@ -168,12 +168,12 @@
 
 // scheduleRemoval schedules the removal of the rows when they expire. This includes rows whose
 // commit was not acknowledged, since the store may have written them nevertheless.
-func (r *Records) scheduleRemoval(pending pendingRows, puts []state.Put, acknowledged bool) {
+func (r *Repository) scheduleRemoval(pending pendingRows, puts []state.Put, acknowledged bool) {
 	bytes := float64(len(pending.value))
 	if acknowledged {
 		r.metrics.keptBytes.Add(bytes)
 	}
-	if r.options.Removal == nil {
+	if r.options.RemovalQueue == nil {
 		return
 	}
 	batch := retention.Batch{}
@@ -181,15 +181,15 @@
 		batch.Keys = append(batch.Keys, put.Key)
 	}
 	if acknowledged {
-		batch.Removed = func() { r.metrics.keptBytes.Sub(bytes) }
+		batch.OnRemoved = func() { r.metrics.keptBytes.Sub(bytes) }
 	}
-	r.options.Removal.AddBatch(pending.lifetime, batch)
+	r.options.RemovalQueue.AddBatch(pending.lifetime, batch)
 }
 
 // addToCache caches a turn, unless it would take more than a quarter of the cache.
-func (r *Records) addToCache(turn *Turn) {
+func (r *Repository) addToCache(turn *Turn) {
 	const minTurnsInCache = 4
-	if turn.addedBytes() <= r.options.CacheBytes/minTurnsInCache {
+	if turn.addedBytes() <= r.options.MaxCacheBytes/minTurnsInCache {
 		r.cache.add(turn)
 	}
 }
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -11,7 +11,7 @@
 //
 // Guarantee: until its retention is over, any process can Load a turn whose Save returned nil,
 // byte for byte, even if other processes have been lost. If Load cannot tell for certain
-// whether the turn exists or what it holds, it returns ErrUnsure.
+// whether the turn exists or what it holds, it returns ErrUncertain.
 package turn
 
 import (
@@ -30,8 +30,8 @@
 var (
 	// ErrNotFound means that the turn does not exist, which the store has confirmed.
 	ErrNotFound = errors.New("no such turn")
-	// ErrUnsure means that it is uncertain whether the turn exists or what it holds.
-	ErrUnsure = errors.New("it is uncertain whether the turn exists or what it holds")
+	// ErrUncertain means that it is uncertain whether the turn exists or what it holds.
+	ErrUncertain = errors.New("it is uncertain whether the turn exists or what it holds")
 	// ErrTooLarge means that the turn cannot be stored even as pieces, since the references to
 	// these pieces do not fit one commit.
 	ErrTooLarge = errors.New("the turn is too large to be stored")
@@ -42,23 +42,23 @@
 
 // Options are the dependencies and limits of a Records.
 type Options struct {
-	Store        *state.Client
-	RowBytes     int              // maximum size of a row's value in bytes
-	CacheEntries int              // maximum number of cached turns, without ancestors that only they keep in memory
-	CacheBytes   int              // maximum bytes of cached turns and their ancestors
-	CacheFor     time.Duration    // how long an unused turn stays cached
-	PieceBytes   int              // maximum bytes of shared pieces in memory
-	Now          func() time.Time // current time
-	Log          *zap.Logger      // nil means that nothing is logged
-	// Others asks other daemons for a turn in memory: the daemon that the caller of Load names,
+	Store              *state.Client
+	MaxRowBytes        int              // maximum size of a row's value in bytes
+	MaxCacheEntries    int              // maximum number of cached turns, without ancestors that only they keep in memory
+	MaxCacheBytes      int              // maximum bytes of cached turns and their ancestors
+	CacheIdleTimeout   time.Duration    // how long an unused turn stays cached
+	MaxPieceCacheBytes int              // maximum bytes of shared pieces in memory
+	Now                func() time.Time // current time
+	Log                *zap.Logger      // nil means that nothing is logged
+	// Peers asks other daemons for a turn in memory: the daemon that the caller of Load names,
 	// and several others if the store gives no certain answer. If nil, no daemon is asked.
-	Others *Others
-	// Removal removes rows that Save wrote when they expire; nil leaves them to the sweep.
-	Removal *retention.Queue
+	Peers *Peers
+	// RemovalQueue removes rows that Save wrote when they expire; nil leaves them to the sweep.
+	RemovalQueue *retention.Queue
 }
 
-// Records loads and saves turns. It is safe for concurrent use.
-type Records struct {
+// Repository loads and saves turns. It is safe for concurrent use.
+type Repository struct {
 	options  Options
 	pieces   *piece.Pieces
 	cache    *cache
@@ -66,15 +66,15 @@
 	metrics  *metrics
 }
 
-// NewRecords returns a Records with empty caches.
-func NewRecords(options Options) *Records {
+// NewRepository returns a Records with empty caches.
+func NewRepository(options Options) *Repository {
 	if options.Log == nil {
 		options.Log = zap.NewNop()
 	}
-	return &Records{
+	return &Repository{
 		options: options,
 		pieces: piece.New(piece.Options{
-			Store: options.Store, RowBytes: options.RowBytes, CacheBytes: options.PieceBytes,
+			Store: options.Store, MaxRowBytes: options.MaxRowBytes, MaxCacheBytes: options.MaxPieceCacheBytes,
 		}),
 		cache:    newCache(options),
 		prefixes: newPrefixIndex(),
@@ -82,8 +82,8 @@
 	}
 }
 
-// Cached reports whether the turn is in memory, so that Load does not need the store.
-func (r *Records) Cached(identifier string) bool { return r.cache.peek(identifier) != nil }
+// IsCached reports whether the turn is in memory, so that Load does not need the store.
+func (r *Repository) IsCached(identifier string) bool { return r.cache.peek(identifier) != nil }
 
 // expiryMargin is how much longer than its retention a turn is available. It covers, several
 // times over, clock steps of some seconds, the time for which a save is retried after its expiry
@@ -119,13 +119,13 @@
 	}
 }
 
-// Leftovers returns a sweep that removes expired rows of turns. Daemons remove the rows that they
+// NewSweep returns a sweep that removes expired rows of turns. Daemons remove the rows that they
 // wrote themselves, so the sweep mostly finds rows of daemons that were lost. isMine reports
 // whether this daemon sweeps a partition.
-func Leftovers(store *state.Client, isMine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
+func NewSweep(store *state.Client, isMine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.Partitions(rowset.Partitions), Mine: isMine, Log: log, Every: sweepInterval,
-		Over: func(row state.Row) bool { return isExpired(row, now()) },
+		Store: store, Table: table, Partitions: state.PartitionNames(rowset.PartitionCount), OwnsPartition: isMine, Log: log, PassDuration: sweepInterval,
+		IsExpired: func(row state.Row) bool { return isExpired(row, now()) },
 	}
 }
 
@@ -137,7 +137,7 @@
 // isExpired reports whether the row belongs to a turn that has expired. A row that is in neither
 // the current nor the legacy format does not count as expired.
 func isExpired(row state.Row, now time.Time) bool {
-	expires, isTurnRow := rowset.Expires(row)
+	expires, isTurnRow := rowset.ExpiryOf(row)
 	if !isTurnRow {
 		expires, isTurnRow = legacyExpiry(row)
 	}
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -30,29 +30,29 @@
 
 func optionsOf(store state.Store) turn.Options {
 	return turn.Options{
-		Store: clientOf(store), RowBytes: rowBytes, CacheEntries: 64, CacheBytes: cacheBytes, PieceBytes: cacheBytes,
-		CacheFor: time.Hour, Now: time.Now,
+		Store: clientOf(store), MaxRowBytes: rowBytes, MaxCacheEntries: 64, MaxCacheBytes: cacheBytes, MaxPieceCacheBytes: cacheBytes,
+		CacheIdleTimeout: time.Hour, Now: time.Now,
 	}
 }
 
-func newRecords(store state.Store) *turn.Records { return turn.NewRecords(optionsOf(store)) }
+func newRecords(store state.Store) *turn.Repository { return turn.NewRepository(optionsOf(store)) }
 
 // newRecordsWithPeer returns the Records of a daemon that knows another daemon by its address.
-func newRecordsWithPeer(store state.Store, other string) *turn.Records {
+func newRecordsWithPeer(store state.Store, other string) *turn.Repository {
 	list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
 	row, err := acquaintance.RowOf(members.Member{Process: identity.Process{Machine: "other", Zone: "z", Address: other}, State: members.StateAlive})
 	Expect(err).NotTo(HaveOccurred())
-	list.Change([]state.Row{row})
+	list.Apply([]state.Row{row})
 	pool := peer.NewPool(peer.Options{})
 	DeferCleanup(pool.Close)
 	options := optionsOf(store)
-	options.Others = &turn.Others{List: list, Caller: pool, Log: zap.NewNop()}
-	return turn.NewRecords(options)
+	options.Peers = &turn.Peers{List: list, Caller: pool, Log: zap.NewNop()}
+	return turn.NewRepository(options)
 }
 
 // serve starts a server at which other daemons can ask for turns that records has in memory, and
 // returns its address.
-func serve(records *turn.Records) (address string) {
+func serve(records *turn.Repository) (address string) {
 	server, err := peer.Listen("127.0.0.1:0", peer.Options{CloseTimeout: time.Millisecond})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(server.Close)
@@ -107,7 +107,7 @@
 	It("loads a turn that was saved by the same process without reading the store", func(ctx SpecContext) {
 		records := newRecords(store)
 		Expect(records.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
-		Expect(records.Cached("t1")).To(BeTrue())
+		Expect(records.IsCached("t1")).To(BeTrue())
 		_, err := records.Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(store.Calls("read")).To(BeZero())
@@ -134,7 +134,7 @@
 		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		store.AnswerReadings(&state.Page{})
 		_, err := newRecords(store).Load(ctx, "t1", "")
-		Expect(err).To(MatchError(turn.ErrUnsure))
+		Expect(err).To(MatchError(turn.ErrUncertain))
 	})
 
 	It("does not report a turn as absent if the store does not answer", func(ctx SpecContext) {
@@ -147,7 +147,7 @@
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		_, err := newRecords(store).Load(short, "t1", "")
-		Expect(err).To(MatchError(state.ErrNotDone))
+		Expect(err).To(MatchError(state.ErrNotExecuted))
 		Expect(err).NotTo(MatchError(turn.ErrNotFound))
 	})
 
@@ -180,7 +180,7 @@
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		_, err = second.Load(short, "t2", "")
-		Expect(err).To(MatchError(state.ErrNotDone), "a turn that no daemon has in memory may still exist")
+		Expect(err).To(MatchError(state.ErrNotExecuted), "a turn that no daemon has in memory may still exist")
 	})
 
 	It("saves a turn again after the answer of a commit was lost", func(ctx SpecContext) {
@@ -188,7 +188,7 @@
 		records := newRecords(store)
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
-		Expect(records.Save(short, "t1", firstTurn("x"), time.Minute)).To(MatchError(state.ErrUnknown))
+		Expect(records.Save(short, "t1", firstTurn("x"), time.Minute)).To(MatchError(state.ErrUnknownOutcome))
 		store.Misbehave(nil)
 		Expect(records.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 	})
@@ -196,10 +196,10 @@
 	It("lets the sweep remove a turn after its expiry, and not before", func(ctx SpecContext) {
 		Expect(newRecords(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		now := time.Now()
-		sweep := turn.Leftovers(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, zap.NewNop())
+		sweep := turn.NewSweep(clientOf(store), func(string) bool { return true }, func() time.Time { return now }, zap.NewNop())
 		all := func() (removed int) {
 			for _, partition := range sweep.Partitions {
-				count, err := sweep.Partition(ctx, partition)
+				count, err := sweep.SweepPartition(ctx, partition)
 				Expect(err).NotTo(HaveOccurred())
 				removed += count
 			}
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -22,8 +22,8 @@
 	// Replace replaces all rows by those of a complete reading. version is the version as of which
 	// the reading is complete.
 	Replace(rows []state.Row, version state.Version)
-	// Change applies changed and removed rows, in the order of the changes.
-	Change(rows []state.Row)
+	// Apply applies changed and removed rows, in the order of the changes.
+	Apply(rows []state.Row)
 }
 
 // Options configure a watch.
@@ -32,19 +32,19 @@
 	Table string
 	// Partition is the store partition that holds all rows of the table.
 	Partition string
-	// Wait is the longest time that a feed call may wait for a change before the store is called
+	// MaxWait is the longest time that a feed call may wait for a change before the store is called
 	// again. It bounds how long a dead connection goes unnoticed.
-	Wait time.Duration
+	MaxWait time.Duration
 	// Due, if set, returns the time within which the next answer is needed, which limits the wait
 	// of the next feed call if it is shorter than Wait. If Due returns zero or less, Wait applies.
-	Due func() time.Duration
-	// Pause is the minimum time between two batches of changes. A longer pause makes batches
+	AnswerDue func() time.Duration
+	// MinBatchInterval is the minimum time between two batches of changes. A longer pause makes batches
 	// larger.
-	Pause time.Duration
-	// OnHeard, if set, is called after each feed answer and each complete reading, once the
+	MinBatchInterval time.Duration
+	// OnAnswer, if set, is called after each feed answer and each complete reading, once the
 	// follower has applied it. It isn't called after a stale reading, which is discarded.
-	OnHeard func()
-	Log     *zap.Logger
+	OnAnswer func()
+	Log      *zap.Logger
 }
 
 const (
@@ -62,11 +62,11 @@
 
 // Run follows the table until the context ends. It retries failed calls with growing delays.
 func Run(ctx context.Context, options Options, follower Follower) {
-	if options.OnHeard == nil {
-		options.OnHeard = func() {}
+	if options.OnAnswer == nil {
+		options.OnAnswer = func() {}
 	}
 	w := &watcher{Options: options, follower: follower}
-	schedule := pause.Growing(initialRetryDelay, maxRetryDelay)
+	schedule := pause.NewBackoff(initialRetryDelay, maxRetryDelay)
 	for ctx.Err() == nil {
 		err := w.step(ctx)
 		if err == nil {
@@ -77,7 +77,7 @@
 			w.hasRead = false
 			options.Log.Warn("watch: history lost, reading again.", zap.String("table", options.Table), zap.Uint64("version", uint64(w.version)))
 		}
-		pause.For(ctx, schedule.NextBackOff())
+		pause.Sleep(ctx, schedule.NextBackOff())
 	}
 }
 
@@ -91,24 +91,24 @@
 	}
 	w.version = max(w.version, change.Version)
 	if len(change.Rows) == 0 {
-		w.OnHeard()
+		w.OnAnswer()
 		return nil
 	}
-	w.follower.Change(change.Rows)
-	w.OnHeard()
-	pause.For(ctx, w.Pause)
+	w.follower.Apply(change.Rows)
+	w.OnAnswer()
+	pause.Sleep(ctx, w.MinBatchInterval)
 	return nil
 }
 
 // feedWait returns how long the next feed call may wait for a change.
 func (w *watcher) feedWait() time.Duration {
-	if w.Due == nil {
-		return w.Wait
+	if w.AnswerDue == nil {
+		return w.MaxWait
 	}
-	if due := w.Due(); due > 0 {
-		return min(w.Wait, due)
+	if due := w.AnswerDue(); due > 0 {
+		return min(w.MaxWait, due)
 	}
-	return w.Wait
+	return w.MaxWait
 }
 
 // readAll reads the table page by page. Each page is consistent as of its own version. The feed
@@ -137,7 +137,7 @@
 	w.version = oldest
 	w.hasRead = true
 	w.follower.Replace(rows, oldest)
-	w.OnHeard()
+	w.OnAnswer()
 	w.Log.Info("watch: table read.", zap.String("table", w.Table), zap.Int("rows", len(rows)), zap.Uint64("version", uint64(oldest)))
 	return nil
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -35,10 +35,10 @@
 	f.readings++
 	f.versions = append(f.versions, version)
 	f.mutex.Unlock()
-	f.Change(rows)
+	f.Apply(rows)
 }
 
-func (f *follower) Change(rows []state.Row) {
+func (f *follower) Apply(rows []state.Row) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for _, row := range rows {
@@ -85,7 +85,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			watch.Run(running, watch.Options{Store: store, Table: "t", Wait: 20 * time.Millisecond, Log: zap.NewNop()}, followed)
+			watch.Run(running, watch.Options{Store: store, Table: "t", MaxWait: 20 * time.Millisecond, Log: zap.NewNop()}, followed)
 		}()
 		DeferCleanup(func() { cancel(); <-done })
 		Eventually(followed.seen).Should(Equal(map[string]string{"a": "1"}))
@@ -99,8 +99,8 @@
 		go func() {
 			defer close(done)
 			watch.Run(running, watch.Options{
-				Store: store, Table: "t", Wait: 20 * time.Millisecond, Log: zap.NewNop(),
-				OnHeard: func() {
+				Store: store, Table: "t", MaxWait: 20 * time.Millisecond, Log: zap.NewNop(),
+				OnAnswer: func() {
 					select {
 					case atFirst <- late.seen():
 					default:
@@ -121,9 +121,9 @@
 		go func() {
 			defer close(done)
 			watch.Run(running, watch.Options{
-				Store: store, Table: "t", Wait: time.Hour, Log: zap.NewNop(),
-				Due: func() time.Duration { return time.Millisecond },
-				OnHeard: func() {
+				Store: store, Table: "t", MaxWait: time.Hour, Log: zap.NewNop(),
+				AnswerDue: func() time.Duration { return time.Millisecond },
+				OnAnswer: func() {
 					select {
 					case heard <- struct{}{}:
 					default: // the test receives only the first ones
--- a/internal/writebehind/conn.go
+++ b/internal/writebehind/conn.go
@@ -21,8 +21,8 @@
 	"github.com/thymeloft/thymeloft/internal/memory"
 )
 
-// ErrSlow means that the connection was reset because the peer read too slowly.
-var ErrSlow = errors.New("the peer reads too slowly")
+// ErrSlowPeer means that the connection was reset because the peer read too slowly.
+var ErrSlowPeer = errors.New("the peer reads too slowly")
 
 // blockBytes is the size of the blocks in which bytes are buffered. It holds a few events of a
 // stream, or half of what a relay reads at once.
@@ -44,12 +44,12 @@
 	mutex               sync.Mutex
 	changed             sync.Cond // signalled after each block, and when writing ends or fails
 	owner               memory.Owner
-	holding             *memory.Holding // counts the blocks; nil while nothing is buffered
-	blocks              [][]byte        // buffered bytes that no goroutine is writing yet
-	draining            bool            // a goroutine writes the blocks
-	failure             error           // returned by all further writes
-	closeRequested      bool            // Close was called while draining
-	closeWriteRequested bool            // CloseWrite was called
+	holding             *memory.Reservation // counts the blocks; nil while nothing is buffered
+	blocks              [][]byte            // buffered bytes that no goroutine is writing yet
+	draining            bool                // a goroutine writes the blocks
+	failure             error               // returned by all further writes
+	closeRequested      bool                // Close was called while draining
+	closeWriteRequested bool                // CloseWrite was called
 }
 
 // tryWrite writes as many bytes as the kernel accepts without blocking.
@@ -115,7 +115,7 @@
 			continue
 		}
 		if deadline.IsZero() {
-			deadline = time.Now().Add(c.group.options.Pause)
+			deadline = time.Now().Add(c.group.options.MaxWriteWait)
 			c.group.pausedWrites.Add(1)
 		}
 		if !c.draining {
@@ -144,7 +144,7 @@
 		return true
 	}
 	if c.holding == nil {
-		c.holding = c.group.options.Account.Open(c.owner)
+		c.holding = c.group.options.Account.NewReservation(c.owner)
 	}
 	if c.holding.Grow(memory.Answer, blockBytes) != nil {
 		return false
@@ -169,7 +169,7 @@
 	return count, c.failure
 }
 
-// writeUntil writes the content. It returns ErrSlow if the peer did not accept all of it before
+// writeUntil writes the content. It returns ErrSlowPeer if the peer did not accept all of it before
 // the deadline.
 func (c *Conn) writeUntil(content []byte, deadline time.Time) (int, error) {
 	if err := c.SetWriteDeadline(deadline); err != nil {
@@ -177,13 +177,13 @@
 	}
 	count, err := c.Conn.Write(content)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		err = eris.Wrap(ErrSlow, "no space to buffer the data")
+		err = eris.Wrap(ErrSlowPeer, "no space to buffer the data")
 	}
 	return count, err
 }
 
 // waitForBlock waits until a block is written or the connection fails. If neither happens
-// before the deadline, it fails the connection with ErrSlow.
+// before the deadline, it fails the connection with ErrSlowPeer.
 func (c *Conn) waitForBlock(deadline time.Time) {
 	timer := time.AfterFunc(time.Until(deadline), func() {
 		c.mutex.Lock()
@@ -193,7 +193,7 @@
 	defer timer.Stop()
 	c.changed.Wait()
 	if c.failure == nil && !time.Now().Before(deadline) {
-		c.fail(eris.Wrap(ErrSlow, "no space to buffer more data"))
+		c.fail(eris.Wrap(ErrSlowPeer, "no space to buffer more data"))
 	}
 }
 
@@ -224,9 +224,9 @@
 	return c.Conn.Close()
 }
 
-// Own sets the owner for which buffered bytes are counted. The new owner takes effect once
+// SetOwner sets the owner for which buffered bytes are counted. The new owner takes effect once
 // nothing is buffered. Own does nothing if the Conn is nil.
-func (c *Conn) Own(owner memory.Owner) {
+func (c *Conn) SetOwner(owner memory.Owner) {
 	if c == nil {
 		return
 	}
@@ -235,13 +235,13 @@
 	c.owner = owner
 }
 
-// Slow reports whether the connection was reset because the peer read too slowly. It returns
+// IsSlow reports whether the connection was reset because the peer read too slowly. It returns
 // false for a nil Conn.
-func (c *Conn) Slow() bool {
+func (c *Conn) IsSlow() bool {
 	if c == nil {
 		return false
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return errors.Is(c.failure, ErrSlow)
+	return errors.Is(c.failure, ErrSlowPeer)
 }
--- a/internal/writebehind/conn_test.go
+++ b/internal/writebehind/conn_test.go
@@ -59,7 +59,7 @@
 	GinkgoHelper()
 	near, far, err := connectedPair()
 	Expect(err).NotTo(HaveOccurred())
-	group := NewGroup(Options{Account: memory.NewAccount(limit), Silence: silence, Pause: pause})
+	group := NewGroup(Options{Account: memory.NewAccount(limit), StallTimeout: silence, MaxWriteWait: pause})
 	conn := group.Wrap(near).(*Conn)
 	DeferCleanup(func() {
 		_ = far.Close()
@@ -89,7 +89,7 @@
 		}
 		limit := rapid.Int64Range(1, 40).Draw(t, "limit") * blockBytes
 		account := memory.NewAccount(limit)
-		group := NewGroup(Options{Account: account, Silence: forever, Pause: forever})
+		group := NewGroup(Options{Account: account, StallTimeout: forever, MaxWriteWait: forever})
 		conn := group.Wrap(near).(*Conn)
 		sent := randomContent(rapid.IntRange(0, 1<<20).Draw(t, "size"))
 		pieces := rapid.SliceOfN(rapid.IntRange(1, 1<<16), 1, 20).Draw(t, "pieces")
@@ -147,7 +147,7 @@
 
 	It("does not delay writes while less than almost half of the limit is buffered for one owner", func() {
 		conn, _, group := newTestConn(limit, forever, forever)
-		conn.Own("one")
+		conn.SetOwner("one")
 		written := 0
 		for group.options.Account.Held() < limit/2-2*blockBytes {
 			count, err := conn.Write(randomContent(blockBytes))
@@ -161,8 +161,8 @@
 	It("is reset with ErrSlow if its peer reads nothing, and returns its memory", func() {
 		const soon = 50 * time.Millisecond
 		conn, far, group := newTestConn(limit, soon, forever)
-		Expect(fill(conn)).To(MatchError(ErrSlow))
-		Expect(conn.Slow()).To(BeTrue())
+		Expect(fill(conn)).To(MatchError(ErrSlowPeer))
+		Expect(conn.IsSlow()).To(BeTrue())
 		Expect(group.slowConns.Load()).To(BeEquivalentTo(1))
 		Eventually(group.options.Account.Held).Should(BeZero())
 		_, err := io.Copy(io.Discard, far)
@@ -172,7 +172,7 @@
 	It("delays a write by at most Options.Pause if there is no buffer space", func() {
 		const soon = 50 * time.Millisecond
 		conn, _, group := newTestConn(8*blockBytes, forever, soon)
-		Expect(fill(conn)).To(MatchError(ErrSlow))
+		Expect(fill(conn)).To(MatchError(ErrSlowPeer))
 		Expect(group.pausedWrites.Load()).To(BeNumerically(">=", 1))
 	})
 
@@ -243,7 +243,7 @@
 			}
 			var conn net.Conn = near
 			if wrapped {
-				conn = NewGroup(Options{Account: memory.NewAccount(1 << 20), Silence: forever, Pause: forever}).Wrap(near)
+				conn = NewGroup(Options{Account: memory.NewAccount(1 << 20), StallTimeout: forever, MaxWriteWait: forever}).Wrap(near)
 			}
 			chunk, buffer := randomContent(1000), make([]byte, 1000)
 			b.ReportAllocs()
--- a/internal/writebehind/drain.go
+++ b/internal/writebehind/drain.go
@@ -56,12 +56,12 @@
 	return nil, false
 }
 
-// writeBlock writes the block. It returns ErrSlow if the peer accepts no bytes for
+// writeBlock writes the block. It returns ErrSlowPeer if the peer accepts no bytes for
 // Options.Silence. Each write that makes some progress restarts that time, so a peer that stops
 // reading is detected after at most twice Options.Silence.
 func (c *Conn) writeBlock(block []byte) error {
 	for len(block) > 0 {
-		if err := c.SetWriteDeadline(time.Now().Add(c.group.options.Silence)); err != nil {
+		if err := c.SetWriteDeadline(time.Now().Add(c.group.options.StallTimeout)); err != nil {
 			return err
 		}
 		count, err := c.Conn.Write(block)
@@ -70,7 +70,7 @@
 			if count > 0 {
 				continue
 			}
-			return eris.Wrapf(ErrSlow, "no bytes accepted for %s", c.group.options.Silence)
+			return eris.Wrapf(ErrSlowPeer, "no bytes accepted for %s", c.group.options.StallTimeout)
 		}
 		if err != nil {
 			return err
@@ -97,7 +97,7 @@
 	c.failure = err
 	c.blocks = nil
 	c.release()
-	if errors.Is(err, ErrSlow) {
+	if errors.Is(err, ErrSlowPeer) {
 		c.group.recordSlow(c.RemoteAddr(), err)
 	}
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
--- a/internal/writebehind/group.go
+++ b/internal/writebehind/group.go
@@ -20,24 +20,24 @@
 	// Account counts the buffered bytes. If it is nil or has no limit, connections are not
 	// buffered.
 	Account *memory.Account
-	// Silence is the time after which a connection is reset if bytes are buffered for its peer
+	// StallTimeout is the time after which a connection is reset if bytes are buffered for its peer
 	// and the peer accepts none. The reset may come up to the same time later.
-	Silence time.Duration
-	// Pause is the longest time for which a Write waits for buffer space. During that time the
+	StallTimeout time.Duration
+	// MaxWriteWait is the longest time for which a Write waits for buffer space. During that time the
 	// engine that produces the data has to wait too.
-	Pause time.Duration
-	Log   *zap.Logger // may be nil
+	MaxWriteWait time.Duration
+	Log          *zap.Logger // may be nil
 }
 
 // Default values for Options.
 const (
-	// UsualSilence is the default for Options.Silence. It is longer than three retransmissions
+	// DefaultStallTimeout is the default for Options.Silence. It is longer than three retransmissions
 	// of a lost TCP segment (after 0.2, 0.4 and 0.8 s) and shorter than the time that clients
 	// allow for an answer.
-	UsualSilence = 2500 * time.Millisecond
-	// UsualPause is the default for Options.Pause. It is shorter than the time after which
+	DefaultStallTimeout = 2500 * time.Millisecond
+	// DefaultMaxWriteWait is the default for Options.Pause. It is shorter than the time after which
 	// engines cancel an answer that is not read.
-	UsualPause = 1500 * time.Millisecond
+	DefaultMaxWriteWait = 1500 * time.Millisecond
 )
 
 // Group is the set of connections of one listener. It is safe for concurrent use. A nil Group
@@ -76,7 +76,7 @@
 // Flush waits until no bytes are buffered, or ctx ends.
 func (g *Group) Flush(ctx context.Context) {
 	const pollInterval = 20 * time.Millisecond
-	for g != nil && g.drainingConns.Load() > 0 && pause.For(ctx, pollInterval) {
+	for g != nil && g.drainingConns.Load() > 0 && pause.Sleep(ctx, pollInterval) {
 		continue
 	}
 }
@@ -94,8 +94,8 @@
 		zap.String("cause", cause.Error()), zap.Int64("soFar", total), zap.Int64("held", g.options.Account.Held()))
 }
 
-// Measure registers metrics of slow connections.
-func (g *Group) Measure(registerer prometheus.Registerer) error {
+// RegisterMetrics registers metrics of slow connections.
+func (g *Group) RegisterMetrics(registerer prometheus.Registerer) error {
 	collectors := []prometheus.Collector{
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: "thymeloft_callers_behind", Help: "Client connections with buffered bytes of answers.",
@@ -123,8 +123,8 @@
 	return context.WithValue(ctx, contextKey{}, connection)
 }
 
-// From returns the Conn that the context carries, or nil if there is none.
-func From(ctx context.Context) *Conn {
+// ConnFromContext returns the Conn that the context carries, or nil if there is none.
+func ConnFromContext(ctx context.Context) *Conn {
 	connection, _ := ctx.Value(contextKey{}).(*Conn)
 	return connection
 }
