--- a/internal/lab/acquaintance/acquaintance.go
+++ b/internal/lab/acquaintance/acquaintance.go
@@ -1,4 +1,5 @@
-// Package acquaintance makes daemons of a test known to each other without a store.
+// Package acquaintance fills the member lists of daemons in tests that have no
+// store.
 package acquaintance
 
 import (
@@ -6,7 +7,8 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Make tells each list of all members, as if it had read their rows.
+// Make puts the processes of all lists into each list, as members in state alive.
+// The effect is the same as if the lists had read the members from a store.
 func Make(lists ...*members.List) error {
 	var rows []state.Row
 	for _, list := range lists {
@@ -22,7 +24,7 @@
 	return nil
 }
 
-// RowOf is the row of a member as the store has it.
+// RowOf returns the row by which the store represents a member, with version 1.
 func RowOf(member members.Member) (state.Row, error) {
 	value, err := members.Encode(member)
 	key := state.Key{Table: members.MemberTable, Name: string(member.Process.Machine)}
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -7,42 +7,41 @@
 	"github.com/thymeloft/thymeloft/internal/lab/workload"
 )
 
-// The emulated batch: with every slot taken, a stream takes batchSlowdown
-// times longer for each token in addition. While a prompt is prefilled,
-// streams go at a share of their speed, and prefill leaves them some of the step.
+// Parameters of the emulated batch.
 const (
-	batchSlowdown       = 1.0
-	decodeDuringPrefill = 0.5
-	prefillBesideDecode = 0.85
-	tokensDone          = 1e-6 // less than this left counts as done
+	batchSlowdown       = 1.0  // in a full batch, a token takes 1+batchSlowdown times as long as for a lone sequence
+	decodeDuringPrefill = 0.5  // factor of the decode speed while a prompt is prefilled
+	prefillDuringDecode = 0.85 // factor of the prefill speed while other sequences decode
+	tokenTolerance      = 1e-6 // a remainder of up to this number of tokens counts as 0
 )
 
-// sequence is one call inside an engine.
+// sequence is a call that waits or runs in an engine.
 type sequence struct {
-	call        *call
-	priority    int
-	arrived     uint64
-	deepest     *node // pinned
-	reserved    int64
-	prefillLeft float64
-	decodeLeft  float64
-	decoding    bool
+	call          *call
+	priority      int
+	arrivalNumber uint64
+	deepest       *node   // deepest cached node of the path, which the sequence pins
+	reserved      int64   // tokens of memory
+	prefillLeft   float64 // tokens
+	decodeLeft    float64 // tokens
+	decoding      bool    // false until the prompt is prefilled
 }
 
-// emulatedEngine batches continuously: it admits waiting sequences as slots
-// and memory allow, prefills one prompt at a time and decodes all others.
+// emulatedEngine emulates continuous batching: it admits waiting sequences as slots
+// and memory allow, prefills one prompt at a time, and meanwhile decodes the
+// sequences that are prefilled.
 type emulatedEngine struct {
 	workload.Engine
-	index    int
-	clock    *clock
-	run      *run
-	cache    *prefixCache
-	running  []*sequence
-	waiting  []*sequence
-	advanced time.Duration // progress is accounted up to here
-	version  uint64        // tells outdated events apart
-	arrivals uint64
-	hits     float64 // cached prompt tokens served, for the price of memory
+	index           int
+	clock           *clock
+	run             *run
+	cache           *prefixCache
+	running         []*sequence
+	waiting         []*sequence
+	advancedTo      time.Duration // time up to which the progress of the sequences is computed
+	eventVersion    uint64        // of the scheduled step; events of earlier versions do nothing
+	arrivals        uint64
+	servedFromCache float64 // prompt tokens that were found in the cache so far
 }
 
 func newEmulatedEngine(r *run, index int, description workload.Engine) *emulatedEngine {
@@ -52,24 +51,24 @@
 	}
 }
 
-// accept takes a call into the waiting line; a smaller priority goes first.
-func (e *emulatedEngine) accept(accepted *call, priority int) {
+// accept queues a call by priority, smaller numbers first, and by arrival.
+func (e *emulatedEngine) accept(c *call, priority int) {
 	e.advance()
 	e.arrivals++
-	accepted.engine = e
-	incoming := &sequence{call: accepted, priority: priority, arrived: e.arrivals}
+	c.engine = e
+	seq := &sequence{call: c, priority: priority, arrivalNumber: e.arrivals}
 	position := len(e.waiting)
 	for position > 0 && e.waiting[position-1].priority > priority {
 		position--
 	}
 	e.waiting = append(e.waiting, nil)
 	copy(e.waiting[position+1:], e.waiting[position:])
-	e.waiting[position] = incoming
+	e.waiting[position] = seq
 	e.admit()
 	e.schedule()
 }
 
-// admit starts waiting sequences in their order while there is room.
+// admit starts waiting sequences in order while there are slots and memory.
 func (e *emulatedEngine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.MaxRunning {
 		if !e.start(e.waiting[0]) {
@@ -79,63 +78,65 @@
 	}
 }
 
-// start reserves memory and begins the prefill of what is not cached.
-func (e *emulatedEngine) start(starting *sequence) bool {
-	path := starting.call.path
-	deepest, cached := e.cache.match(path)
+// start reserves memory for the sequence and starts the prefill of what is not
+// cached. It returns false if there is too little memory and other sequences run.
+func (e *emulatedEngine) start(seq *sequence) bool {
+	path := seq.call.path
+	deepest, cached := e.cache.matchPrefix(path)
 	if deepest != nil {
 		deepest.pins++
 		e.cache.touch(deepest)
 	}
-	uncached := starting.call.promptTokens - cached
-	needed := uncached + starting.call.outputTokens
+	uncached := seq.call.promptTokens - cached
+	needed := uncached + seq.call.outputTokens
 	if !e.cache.reserve(needed, e.clock.now) {
 		if len(e.running) > 0 {
 			unpin(deepest)
 			return false
 		}
-		e.cache.reserved += needed // it alone is larger than the memory: it runs by itself
-	}
-	starting.deepest = deepest
-	starting.reserved = needed
-	starting.prefillLeft = float64(uncached)
-	starting.decodeLeft = float64(starting.call.outputTokens)
-	e.hits += float64(cached)
-	e.running = append(e.running, starting)
-	e.run.started(starting.call, cached)
+		e.cache.reservedTokens += needed // larger than the whole memory: runs alone
+	}
+	seq.deepest = deepest
+	seq.reserved = needed
+	seq.prefillLeft = float64(uncached)
+	seq.decodeLeft = float64(seq.call.outputTokens)
+	e.servedFromCache += float64(cached)
+	e.running = append(e.running, seq)
+	e.run.recordPrefillStart(seq.call, cached)
 	return true
 }
 
-func unpin(pinned *node) {
-	if pinned != nil {
-		pinned.pins--
+func unpin(n *node) {
+	if n != nil {
+		n.pins--
 	}
 }
 
-// rates gives the present speeds: of the prompt being prefilled and of each stream.
+// rates returns the sequence that is being prefilled, or nil, and the current speeds
+// in tokens per second: of its prefill and of each decoding sequence.
 func (e *emulatedEngine) rates() (prefilling *sequence, prefill, decode float64) {
-	streams := 0
-	for _, member := range e.running {
-		if member.decoding {
-			streams++
+	decodingCount := 0
+	for _, seq := range e.running {
+		if seq.decoding {
+			decodingCount++
 		} else if prefilling == nil {
-			prefilling = member
+			prefilling = seq
 		}
 	}
 	prefill = e.PrefillPerSec
-	occupancy := float64(max(streams-1, 0)) / float64(max(e.MaxRunning-1, 1))
+	occupancy := float64(max(decodingCount-1, 0)) / float64(max(e.MaxRunning-1, 1))
 	decode = e.DecodePerSec / (1 + batchSlowdown*occupancy)
-	if prefilling != nil && streams > 0 {
-		prefill *= prefillBesideDecode
+	if prefilling != nil && decodingCount > 0 {
+		prefill *= prefillDuringDecode
 		decode *= decodeDuringPrefill
 	}
 	return prefilling, prefill, decode
 }
 
-// advance accounts the progress since the last change.
+// advance updates the progress of the running sequences to the current time.
 func (e *emulatedEngine) advance() {
-	elapsed := (e.clock.now - e.advanced).Seconds()
-	e.advanced = e.clock.now
+	elapsed := (e.clock.now - e.advancedTo).Seconds()
+	e.advancedTo = e.clock.now
 	if elapsed <= 0 || len(e.running) == 0 {
 		return
 	}
@@ -143,97 +144,102 @@
 	if prefilling != nil {
 		prefilling.prefillLeft -= elapsed * prefill
 	}
-	for _, member := range e.running {
-		if member.decoding {
-			member.decodeLeft -= elapsed * decode
+	for _, seq := range e.running {
+		if seq.decoding {
+			seq.decodeLeft -= elapsed * decode
 		}
 	}
 }
 
-// schedule sets the event of the next change.
+// schedule schedules step for the next time at which a sequence ends its prefill or
+// its decoding. It replaces what was scheduled before.
 func (e *emulatedEngine) schedule() {
-	e.version++
+	e.eventVersion++
 	prefilling, prefill, decode := e.rates()
 	soonest := math.Inf(1)
 	if prefilling != nil {
 		soonest = prefilling.prefillLeft / prefill
 	}
-	for _, member := range e.running {
-		if member.decoding {
-			soonest = min(soonest, member.decodeLeft/decode)
+	for _, seq := range e.running {
+		if seq.decoding {
+			soonest = min(soonest, seq.decodeLeft/decode)
 		}
 	}
 	if math.IsInf(soonest, 1) {
 		return
 	}
-	version := e.version
+	version := e.eventVersion
 	delay := time.Duration(math.Ceil(max(soonest, 0) * float64(time.Second)))
 	e.clock.after(delay, func() {
-		if version == e.version {
+		if version == e.eventVersion {
 			e.step()
 		}
 	})
 }
 
-// step carries out the changes that are due.
+// step handles the sequences that have ended their prefill or decoding, and admits
+// others.
 func (e *emulatedEngine) step() {
 	e.advance()
 	var finished []*sequence
 	remaining := e.running[:0]
-	for _, member := range e.running {
-		if !member.decoding && member.prefillLeft <= tokensDone {
-			e.beginDecoding(member)
+	for _, seq := range e.running {
+		if !seq.decoding && seq.prefillLeft <= tokenTolerance {
+			e.beginDecoding(seq)
 		}
-		if member.decoding && member.decodeLeft <= tokensDone {
-			finished = append(finished, member)
+		if seq.decoding && seq.decodeLeft <= tokenTolerance {
+			finished = append(finished, seq)
 			continue
 		}
-		remaining = append(remaining, member)
+		remaining = append(remaining, seq)
 	}
 	clear(e.running[len(remaining):])
 	e.running = remaining
-	for _, member := range finished {
-		e.finish(member)
+	for _, seq := range finished {
+		e.finish(seq)
 	}
 	e.admit()
 	e.schedule()
 }
 
-// beginDecoding puts the prompt into the cache and emits the first token.
-func (e *emulatedEngine) beginDecoding(member *sequence) {
-	member.decoding = true
-	before := e.cache.cached
-	deepest := e.cache.insert(member.call.path)
+// beginDecoding inserts the history before this turn into the cache, ends the
+// reservation of the inserted tokens, and records the first token.
+func (e *emulatedEngine) beginDecoding(seq *sequence) {
+	seq.decoding = true
+	before := e.cache.cachedTokens
+	deepest := e.cache.insert(seq.call.path)
 	if deepest != nil {
 		deepest.pins++
 	}
-	unpin(member.deepest)
-	member.deepest = deepest
-	inserted := e.cache.cached - before
+	unpin(seq.deepest)
+	seq.deepest = deepest
+	inserted := e.cache.cachedTokens - before
 	e.cache.unreserve(inserted)
-	member.reserved -= inserted
-	e.run.firstToken(member.call)
+	seq.reserved -= inserted
+	e.run.recordFirstToken(seq.call)
 }
 
-// finish caches the whole turn and answers.
-func (e *emulatedEngine) finish(member *sequence) {
-	e.cache.unreserve(member.reserved)
-	unpin(member.deepest)
-	e.cache.insert(member.call.pathAfter)
-	e.run.finished(member.call)
+// finish ends the reservation of the sequence, inserts the history with this turn
+// into the cache, and delivers the answer.
+func (e *emulatedEngine) finish(seq *sequence) {
+	e.cache.unreserve(seq.reserved)
+	unpin(seq.deepest)
+	e.cache.insert(seq.call.pathAfter)
+	e.run.deliverAnswer(seq.call)
 }
 
-// waitingTokens are prompt tokens not yet prefilled, as an engine reports them.
+// waitingTokens returns the number of prompt tokens that are still to be prefilled,
+// as reported to the daemons.
 func (e *emulatedEngine) waitingTokens() int64 {
 	total := 0.0
-	for _, member := range e.running {
-		if !member.decoding {
-			total += member.prefillLeft
+	for _, seq := range e.running {
+		if !seq.decoding {
+			total += seq.prefillLeft
 		}
 	}
-	for _, member := range e.waiting {
-		_, cached := e.cache.match(member.call.path)
-		total += float64(member.call.promptTokens - cached)
+	for _, seq := range e.waiting {
+		_, cached := e.cache.matchPrefix(seq.call.path)
+		total += float64(seq.call.promptTokens - cached)
 	}
 	return int64(total)
 }
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -6,121 +6,126 @@
 	"github.com/thymeloft/thymeloft/internal/scheduling"
 )
 
-// Bounds of a daemon's part in the emulation.
 const (
-	queueLimit     = 4096
-	sketchPrefixes = 1024
-	sketchHolders  = 8
-	sketchExpiry   = 5 * time.Minute
-	holdLimit      = time.Minute
-	pauseSmoothing = 0.05
-	firstPause     = 3 * time.Second
-	firstGoingOn   = 0.9
+	maxQueuedCalls       = 4096 // in each queue of a daemon
+	maxSketchPrefixes    = 1024
+	maxHoldersPerPrefix  = 8 // in the sketch
+	sketchExpiry         = 5 * time.Minute
+	maxLease             = time.Minute
+	pauseSmoothing       = 0.05 // weight of the latest observation in pauseStats
+	initialPause         = 3 * time.Second
+	initialContinueShare = 0.9
 )
 
-// thymeloft places calls by the product's policy, queue, sketch and leases.
+// thymeloft is the strategy that uses the product's own code: scheduling policy,
+// queue, sketch of shared prefixes, and leases.
 type thymeloft struct {
-	daemon   *daemon
-	settings Settings
-	policy   scheduling.Policy
-	queue    *scheduling.Queue[*call] // of started programs
-	entry    *scheduling.Queue[*call] // first calls of programs
-	live     int64                    // own tokens of live programs
-	sketch   *scheduling.PrefixIndex
-	pauses   map[string]*pauseMemory // by kind of program
-	sequence uint64
-	waking   bool
+	daemon         *daemon
+	settings       Settings
+	policy         scheduling.Policy
+	startedQueue   *scheduling.Queue[*call] // calls of programs with effectiveService above 0
+	firstCallQueue *scheduling.Queue[*call] // calls of all other programs
+	liveTokens     int64                    // history tokens of the daemon's live programs, without their shared prefixes
+	sketch         *scheduling.PrefixIndex
+	statsByKind    map[string]*pauseStats // by Program.Kind
+	sequence       uint64
+	retryScheduled bool // by scheduleRetry
 }
 
-// pauseMemory is what was seen of the pauses of a kind of program.
-type pauseMemory struct {
-	mean    float64 // seconds
-	goingOn float64 // share of answers after which the program goes on
+// pauseStats are smoothed averages for a kind of program.
+type pauseStats struct {
+	meanSeconds   float64 // of a pause
+	continueShare float64 // fraction of answers that are followed by another call
 }
 
 func newThymeloft(d *daemon, settings Settings) *thymeloft {
 	return &thymeloft{
-		daemon:   d,
-		settings: settings,
-		policy:   scheduling.NewPolicy(settings.Scheduling),
-		queue:    scheduling.NewQueue[*call](queueLimit),
-		entry:    scheduling.NewQueue[*call](queueLimit),
-		sketch:   scheduling.NewPrefixIndex(sketchPrefixes, sketchHolders, sketchExpiry),
-		pauses:   make(map[string]*pauseMemory),
+		daemon:         d,
+		settings:       settings,
+		policy:         scheduling.NewPolicy(settings.Scheduling),
+		startedQueue:   scheduling.NewQueue[*call](maxQueuedCalls),
+		firstCallQueue: scheduling.NewQueue[*call](maxQueuedCalls),
+		sketch:         scheduling.NewPrefixIndex(maxSketchPrefixes, maxHoldersPerPrefix, sketchExpiry),
+		statsByKind:    make(map[string]*pauseStats),
 	}
 }
 
-func (t *thymeloft) traits() traits { return traits{joinsCopies: !t.settings.RunCopies} }
-func (t *thymeloft) waiting() int   { return t.queue.Len() + t.entry.Len() }
+func (t *thymeloft) traits() traits    { return traits{joinsCopies: !t.settings.RunCopies} }
+func (t *thymeloft) waitingCalls() int { return t.startedQueue.Len() + t.firstCallQueue.Len() }
 
-// submit decides a call at once when nothing waits before it.
-func (t *thymeloft) submit(received *call) {
-	t.notePause(received)
+// submit refuses the call if the policy refuses it because of the calls queued
+// before it. Otherwise it queues the call and tries to place the waiting calls.
+func (t *thymeloft) submit(c *call) {
+	t.recordPause(c)
 	t.sequence++
 	item := scheduling.QueueItem{
-		Class:           received.program.Class,
-		AttainedService: received.program.attained,
+		Class:           c.program.Class,
+		AttainedService: c.program.attainedService,
 		Enqueued:        t.daemon.run.clock.now,
 		Sequence:        t.sequence,
 	}
-	queue := t.queue
-	if received.program.started() == 0 {
-		queue = t.entry
+	queue := t.startedQueue
+	if c.program.effectiveService() == 0 {
+		queue = t.firstCallQueue
 	}
 	if queue.Len() > 0 {
-		decision := t.decide(received, queue.Len())
+		decision := t.decide(c, queue.Len())
 		if decision.Action == scheduling.ActionRefuse {
-			t.daemon.run.refused(received, decision.RetryAfter)
+			t.daemon.run.handleRefusal(c, decision.RetryAfter)
 			return
 		}
 	}
-	if displaced, full := queue.Push(item, received); full {
-		t.daemon.run.refused(displaced, time.Second)
+	if displaced, full := queue.Push(item, c); full {
+		t.daemon.run.handleRefusal(displaced, time.Second)
 	}
-	t.changed()
+	t.stateChanged()
 }
 
-// changed decides waiting calls, those of started programs first.
-func (t *thymeloft) changed() {
-	t.drain(t.queue)
-	t.drain(t.entry)
+// stateChanged tries to place the waiting calls, first those of startedQueue.
+func (t *thymeloft) stateChanged() {
+	t.drain(t.startedQueue)
+	t.drain(t.firstCallQueue)
 }
 
-// drain decides the calls of a queue in their order until one has to wait on.
+// drain places or refuses the calls of a queue in order, until the policy decides
+// that one must wait.
 func (t *thymeloft) drain(queue *scheduling.Queue[*call]) {
 	for {
-		item, first, found := queue.Peek()
+		item, c, found := queue.Peek()
 		if !found {
 			return
 		}
-		decision := t.decide(first, 0)
+		decision := t.decide(c, 0)
 		switch decision.Action {
 		case scheduling.ActionWait:
-			t.wake(decision.RetryAfter)
+			t.scheduleRetry(decision.RetryAfter)
 			return
 		case scheduling.ActionRefuse:
 			queue.Pop()
-			t.daemon.run.refused(first, decision.RetryAfter)
+			t.daemon.run.handleRefusal(c, decision.RetryAfter)
 		case scheduling.ActionPlace:
 			queue.Pop()
-			t.place(first, int(item.Class), decision)
+			t.place(c, int(item.Class), decision)
 		}
 	}
 }
 
-// wake tries again after a time, at most once at a time.
-func (t *thymeloft) wake(retry time.Duration) {
-	if t.waking {
+// scheduleRetry tries to place the waiting calls again after the delay, unless a
+// retry is scheduled already.
+func (t *thymeloft) scheduleRetry(retry time.Duration) {
+	if t.retryScheduled {
 		return
 	}
-	t.waking = true
+	t.retryScheduled = true
 	t.daemon.run.clock.after(retry, func() {
-		t.waking = false
-		t.changed()
+		t.retryScheduled = false
+		t.stateChanged()
 	})
 }
 
-func (t *thymeloft) decide(waiting *call, ahead int) scheduling.Decision {
+// decide returns the policy's decision for a call; ahead is the number of calls
+// queued before it.
+func (t *thymeloft) decide(c *call, ahead int) scheduling.Decision {
 	now := t.daemon.run.clock.now
 	engines := make([]scheduling.Engine, len(t.daemon.run.engines))
 	for index := range engines {
@@ -128,96 +133,102 @@
 	}
 	snapshot := scheduling.NewSnapshot(engines, nil)
 	request := scheduling.Request{
-		Tenant: waiting.program.Tenant, Class: waiting.program.Class, Model: t.daemon.run.trace.Model,
-		Zone: t.daemon.zone, PromptTokens: waiting.promptTokens,
-		MaxOutputTokens: 0, // callers rarely say
-		AttainedService: waiting.program.started(),
-		LiveTokens:      t.live,
+		Tenant: c.program.Tenant, Class: c.program.Class, Model: t.daemon.run.trace.Model,
+		Zone: t.daemon.zone, PromptTokens: c.promptTokens,
+		MaxOutputTokens: 0, // unknown, as callers rarely set it
+		AttainedService: c.program.effectiveService(),
+		LiveTokens:      t.liveTokens,
 		CacheShare:      1 / float64(len(t.daemon.run.daemons)),
-		Waited:          now - waiting.received,
+		Waited:          now - c.receivedAt,
 		QueuedAhead:     ahead,
-		Seed:            uint64(waiting.program.Index)<<16 + uint64(waiting.turn),
+		Seed:            uint64(c.program.Index)<<16 + uint64(c.turn),
 	}
-	if holder := waiting.program.holder; holder != nil {
-		request.HolderID = holder.ID
-		request.HolderTokens = waiting.program.tokens
+	if lastEngine := c.program.lastEngine; lastEngine != nil {
+		request.HolderID = lastEngine.ID
+		request.HolderTokens = c.program.historyTokens
 	}
-	runs := prefixRuns(waiting)
+	runs := prefixRuns(c)
 	request.SharedPrefix = runs[len(runs)-1].Hash
-	snapshot.SharedPrefixes = map[uint64][]scheduling.PrefixHolder{request.SharedPrefix: t.holders(waiting, runs, snapshot)}
+	snapshot.SharedPrefixes = map[uint64][]scheduling.PrefixHolder{request.SharedPrefix: t.holders(c, runs, snapshot)}
 	return t.policy.Decide(snapshot, &request)
 }
 
-// holders finds the engines that hold a shared prefix of the call.
-func (t *thymeloft) holders(waiting *call, runs []scheduling.PromptPrefix, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
+// holders returns the engines that hold a shared prefix of the call, as known from
+// the sketch or, with Settings.GlobalIndex, from the caches of the engines.
+func (t *thymeloft) holders(c *call, runs []scheduling.PromptPrefix, snapshot *scheduling.Snapshot) []scheduling.PrefixHolder {
 	if t.settings.NoSketch {
 		return nil
 	}
 	if !t.settings.GlobalIndex {
 		return t.sketch.AppendHolders(nil, runs, snapshot, t.daemon.run.clock.now)
 	}
-	var found []scheduling.PrefixHolder
+	var result []scheduling.PrefixHolder
 	for index, engine := range t.daemon.run.engines {
-		if _, tokens := engine.cache.match(waiting.path); tokens > 0 {
-			found = append(found, scheduling.PrefixHolder{EngineIndex: index, Tokens: tokens})
+		if _, tokens := engine.cache.matchPrefix(c.path); tokens > 0 {
+			result = append(result, scheduling.PrefixHolder{EngineIndex: index, Tokens: tokens})
 		}
 	}
-	return found
+	return result
 }
 
-func prefixRuns(of *call) []scheduling.PromptPrefix {
-	runs := make([]scheduling.PromptPrefix, 0, len(of.program.Prefix))
+// prefixRuns returns the hash and the length of each shared prefix of a call, the
+// shortest first.
+func prefixRuns(c *call) []scheduling.PromptPrefix {
+	runs := make([]scheduling.PromptPrefix, 0, len(c.program.Prefix))
 	tokens := int64(0)
-	for _, part := range of.program.Prefix {
+	for _, part := range c.program.Prefix {
 		tokens += part.Tokens
 		runs = append(runs, scheduling.PromptPrefix{Hash: part.Hash, Tokens: tokens})
 	}
 	return runs
 }
 
-func (t *thymeloft) place(placed *call, priority int, decision scheduling.Decision) {
+func (t *thymeloft) place(c *call, priority int, decision scheduling.Decision) {
 	engine := t.daemon.run.engines[decision.EngineIndex]
-	t.sketch.Record(prefixRuns(placed), engine.ID, t.daemon.run.clock.now)
+	t.sketch.Record(prefixRuns(c), engine.ID, t.daemon.run.clock.now)
 	t.daemon.run.measures.reasons[string(decision.Reason)]++
-	t.daemon.place(placed, decision.EngineIndex, priority, placed.promptTokens-decision.CachedTokens)
+	t.daemon.place(c, decision.EngineIndex, priority, c.promptTokens-decision.CachedTokens)
 }
 
-// answered holds the prefix through the pause for as long as it pays.
-func (t *thymeloft) answered(done *call) {
-	program := done.program
-	t.live += program.Turns[done.turn].PromptTokens + program.Turns[done.turn].OutputTokens
-	memory := t.memory(program.Kind)
+// callAnswered updates the statistics, and leases the program's cached history if
+// scheduling.LeaseDuration returns a duration for that.
+func (t *thymeloft) callAnswered(c *call) {
+	program := c.program
+	t.liveTokens += program.Turns[c.turn].PromptTokens + program.Turns[c.turn].OutputTokens
+	stats := t.statsOf(program.Kind)
 	last := program.turn+1 == len(program.Turns)
-	memory.goingOn += pauseSmoothing * (truth(!last) - memory.goingOn)
-	seen := t.daemon.reports[done.engine.index]
-	lease := scheduling.LeaseDuration(program.tokens,
-		scheduling.PauseEstimate{Mean: fromSeconds(memory.mean), ReuseChance: memory.goingOn},
+	stats.continueShare += pauseSmoothing * (boolToFloat(!last) - stats.continueShare)
+	lastReport := t.daemon.reports[c.engine.index]
+	lease := scheduling.LeaseDuration(program.historyTokens,
+		scheduling.PauseEstimate{Mean: fromSeconds(stats.meanSeconds), ReuseChance: stats.continueShare},
 		scheduling.CachePrice{
-			HitsPerToken: seen.hitsPerToken,
-			Pressure:     float64(seen.cacheUsed) / float64(done.engine.CacheTokens),
-		}, holdLimit)
+			HitsPerToken: lastReport.hitsPerToken,
+			Pressure:     float64(lastReport.cacheUsed) / float64(c.engine.CacheTokens),
+		}, maxLease)
 	if t.settings.NoHold || lease <= 0 {
 		return
 	}
-	deepest, _ := done.engine.cache.match(done.pathAfter)
+	deepest, _ := c.engine.cache.matchPrefix(c.pathAfter)
 	if deepest != nil {
-		deepest.heldUntil = t.daemon.run.clock.now + lease
+		deepest.leaseUntil = t.daemon.run.clock.now + lease
 	}
 }
 
-// notePause learns how long programs of a kind pause.
-func (t *thymeloft) notePause(received *call) {
-	if received.turn == 0 || received.returns > 0 {
+// recordPause updates the mean pause of the kind of program with the pause before
+// the call.
+func (t *thymeloft) recordPause(c *call) {
+	if c.turn == 0 || c.refusals > 0 {
 		return
 	}
-	memory := t.memory(received.program.Kind)
-	pause := received.program.Turns[received.turn-1].Pause.Seconds()
-	memory.mean += pauseSmoothing * (pause - memory.mean)
+	stats := t.statsOf(c.program.Kind)
+	pause := c.program.Turns[c.turn-1].Pause.Seconds()
+	stats.meanSeconds += pauseSmoothing * (pause - stats.meanSeconds)
 }
 
-// programEnded releases what engines hold for the program alone.
+// programEnded releases what the engines have cached of the program, except its
+// shared prefix. With Settings.NoRelease it releases nothing.
 func (t *thymeloft) programEnded(program *programRun) {
-	t.live -= program.tokens - program.SharedTokens()
+	t.liveTokens -= program.historyTokens - program.SharedTokens()
 	if t.settings.NoRelease {
 		return
 	}
@@ -226,16 +237,16 @@
 	}
 }
 
-func (t *thymeloft) memory(kind string) *pauseMemory {
-	known, ok := t.pauses[kind]
+func (t *thymeloft) statsOf(kind string) *pauseStats {
+	stats, ok := t.statsByKind[kind]
 	if !ok {
-		known = &pauseMemory{mean: firstPause.Seconds(), goingOn: firstGoingOn}
-		t.pauses[kind] = known
+		stats = &pauseStats{meanSeconds: initialPause.Seconds(), continueShare: initialContinueShare}
+		t.statsByKind[kind] = stats
 	}
-	return known
+	return stats
 }
 
-func truth(value bool) float64 {
+func boolToFloat(value bool) float64 {
 	if value {
 		return 1
 	}
