--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -13,7 +13,7 @@
 	clientDelay    = 3 * time.Millisecond    // one way, between caller and daemon
 	zoneDelay      = 1500 * time.Microsecond // one way, between daemon and engine
 	reportInterval = 500 * time.Millisecond
-	reportLag      = 250 * time.Millisecond // until a report has reached the daemons
+	reportLag      = 250 * time.Millisecond // time until a load report has reached the daemons
 	sampleInterval = time.Second
 	maxRefusals    = 12            // a caller whose call is refused more often abandons the program
 	maxDrain       = 4 * time.Hour // virtual time after the end of the trace within which all programs must end
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -87,8 +87,8 @@
 	t.drain(t.firstCallQueue)
 }
 
-// drain places or refuses the calls of a queue in order, until the policy decides
-// that one must wait.
+// drain places or refuses the calls of a queue in order, until the policy makes a
+// call wait.
 func (t *thymeloft) drain(queue *scheduling.Queue[*call]) {
 	for {
 		item, c, found := queue.Peek()
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -142,7 +142,7 @@
 		return err
 	}
 	if status.ConfigurationRevision < revision || !status.ConfigurationConfirmed {
-		return eris.Errorf("daemon %s has not confirmed the configuration: it has revision %d (confirmed: %t)", daemon.Name, status.ConfigurationRevision, status.ConfigurationConfirmed)
+		return eris.Errorf("daemon %s does not have the applied configuration yet: revision %d (confirmed: %t)", daemon.Name, status.ConfigurationRevision, status.ConfigurationConfirmed)
 	}
 	accepting := 0
 	for _, engine := range status.Engines {
@@ -155,7 +155,7 @@
 	}
 	for _, group := range status.Groups {
 		if !group.Normal || group.Leader == "" {
-			return eris.Errorf("daemon %s knows no leader of group %d", daemon.Name, group.Shard)
+			return eris.Errorf("daemon %s reports group %d as not normal or without a leader", daemon.Name, group.Shard)
 		}
 	}
 	return nil
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -41,11 +41,10 @@
 
 // Call describes a call to a Script.
 type Call struct {
-	Name   string       // "commit", "read" or "feed"
-	Commit state.Commit // of a commit
-	Table  string       // of a read or feed
-	// Partition is set for a read only.
-	Partition string
+	Name      string       // "commit", "read" or "feed"
+	Commit    state.Commit // of a commit
+	Table     string       // of a read or feed
+	Partition string       // of a read
 }
 
 // Script returns the fault of a call. It must not call the store.
--- a/internal/lab/modelengine/batch.go
+++ b/internal/lab/modelengine/batch.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minSleep is the shortest sleep of the batch loop. Scaled times of
-// shorter steps are added up until they reach it.
+// minSleep is the shortest sleep of the batch loop. Scaled times of shorter steps
+// are added up until they reach it.
 const minSleep = time.Millisecond
 
 // runBatches runs batch steps while there are requests, and sleeps for their
--- a/internal/lab/modelengine/cache.go
+++ b/internal/lab/modelengine/cache.go
@@ -42,9 +42,9 @@
 	return hashes[prefixBlocks-1]
 }
 
-// block is the KV cache of blockTokens tokens. When the last program that uses the
-// block is released, the block is deleted, unless several programs have shared
-// it: then it stays until it is evicted.
+// block is the KV cache of blockTokens tokens. A block is deleted when the last
+// program that uses it is released. A block that several programs have shared
+// stays until it is evicted.
 type block struct {
 	hash     uint64
 	programs map[string]struct{} // those that use the block
--- a/internal/lab/modelengine/engine.go
+++ b/internal/lab/modelengine/engine.go
@@ -128,8 +128,8 @@
 }
 
 // cancel ends the request and returns its status, or false if the request is
-// unknown. The engine doesn't remember unknown IDs: a request that arrives with
-// one later runs all the same.
+// unknown. The engine doesn't remember the ID of an unknown request: if the request
+// arrives later, it is run.
 func (e *Engine) cancel(id string) (status enginev1.RequestStatus, found bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/lab/modelengine/options.go
+++ b/internal/lab/modelengine/options.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	batchSlowdown        = 0.015 // each further decoding request lengthens a step by this fraction of the decode time of one
+	batchSlowdown        = 0.015 // each further decoding request lengthens a step by this fraction of a lone request's decode time
 	prefillChunkTokens   = 512   // maximum number of prompt tokens per step
 	transferTokensPerSec = 40000 // tokens of KV cache imported per second
 	defaultCacheTokens   = 60000
@@ -36,8 +36,8 @@
 	defaultReportLag     = 500 * time.Millisecond
 )
 
-// Options configure an engine. LoadTime and the step times are times of the
-// modelled hardware; TimeScale converts them to real time.
+// Options configure an engine. LoadTime and the durations of batch steps are
+// modelled times; TimeScale converts them to real time.
 type Options struct {
 	Name        string
 	Generation  string // hardware generation; GenerationNew by default
--- a/internal/lab/modelengine/records.go
+++ b/internal/lab/modelengine/records.go
@@ -22,7 +22,7 @@
 	ArrivedMS    int64  `json:"arrived_unix_ms"`
 }
 
-// PromptHash returns the hash of the prompt as it stands in Record.PromptHash.
+// PromptHash returns the hash of the rendered prompt, as in Record.PromptHash.
 func PromptHash(messages []enginev1.Message) string { return hashText(renderPrompt(messages)) }
 
 func hashText(text string) string { return fmt.Sprintf("%016x", xxhash.Sum64String(text)) }
