--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -20,7 +20,7 @@
 	call          *call
 	priority      int
 	arrivalNumber uint64
-	deepest       *node   // deepest cached node of the path, which the sequence pins
+	deepest       *node   // the deepest cached node of the path; it is pinned by the sequence
 	reserved      int64   // tokens of memory
 	prefillLeft   float64 // tokens
 	decodeLeft    float64 // tokens
@@ -94,7 +94,7 @@
 			unpin(deepest)
 			return false
 		}
-		e.cache.reservedTokens += needed // larger than the whole memory: runs alone
+		e.cache.reservedTokens += needed // a sequence that needs more than the whole memory runs alone
 	}
 	seq.deepest = deepest
 	seq.reserved = needed
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// quantile returns a percentile of the histogram in seconds.
+// quantile returns the given percentile of the histogram, in seconds.
 func quantile(histogram *hdrhistogram.Histogram, percent float64) float64 {
 	return float64(histogram.ValueAtQuantile(percent)) / 1000
 }
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -13,7 +13,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Condition is the set of faults that a link injects. The zero value is none.
+// Condition is the set of faults that a link injects. The zero value injects
+// none.
 type Condition struct {
 	// Delay is the time to wait before each chunk of bytes is forwarded, in either
 	// direction.
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -42,9 +42,9 @@
 // Call describes a call to a Script.
 type Call struct {
 	Name      string       // "commit", "read" or "feed"
-	Commit    state.Commit // of a commit
-	Table     string       // of a read or feed
-	Partition string       // of a read
+	Commit    state.Commit // set for a commit
+	Table     string       // set for a read or feed
+	Partition string       // set for a read
 }
 
 // Script returns the fault of a call. It must not call the store.
--- a/internal/lab/modelengine/administration.go
+++ b/internal/lab/modelengine/administration.go
@@ -78,8 +78,8 @@
 }
 
 // startLoad sets the adapters at once if the model and its version are already
-// loaded. Otherwise it loads them in the background, which takes
-// Options.LoadTime; until then the engine refuses completions.
+// loaded. Otherwise it starts a load in the background that takes
+// Options.LoadTime. During the load the engine refuses completions.
 func (e *Engine) startLoad(order enginev1.Order) {
 	if order.Model == e.model && order.Version == e.version {
 		e.adapters = order.Adapters
--- a/internal/lab/modelengine/engine.go
+++ b/internal/lab/modelengine/engine.go
@@ -143,7 +143,7 @@
 	return enginev1.RequestStatus{RequestID: id, State: req.state, Usage: req.usage}, true
 }
 
-// currentReport returns the state as reported to clients, which is less than
+// currentReport returns the state as reported to clients. It is less than
 // Options.ReportLag old.
 func (e *Engine) currentReport() enginev1.EngineState {
 	e.mutex.Lock()
--- a/internal/lab/modelengine/stream.go
+++ b/internal/lab/modelengine/stream.go
@@ -110,7 +110,7 @@
 	sent   int // number of token events written
 }
 
-// writeToken writes the next token of the content, which ends with a space.
+// writeToken writes the next token of the content. Each token ends with a space.
 func (w *eventWriter) writeToken(content string) {
 	rest := content[w.offset:]
 	end := strings.IndexByte(rest, ' ') + 1
--- a/internal/lab/platformengine/platformengine.go
+++ b/internal/lab/platformengine/platformengine.go
@@ -160,8 +160,8 @@
 }
 
 // waitUntilClosed blocks until release is closed, or returns at once if it is
-// nil. If the caller disconnects first, it sets Run.Canceled and aborts
-// the response.
+// nil. If the caller disconnects first, it sets Run.Canceled and aborts the
+// response.
 func (e *Engine) waitUntilClosed(run *Run, request *http.Request, release chan struct{}) {
 	if release == nil {
 		return
--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -108,9 +108,9 @@
 	return true
 }
 
-// Around wraps a handler with the rules of PointBefore and PointAfter. The
-// response is buffered until the PointAfter rules have been applied, so next
-// must not stream. The key function returns the request key for Rule.Match.
+// Around wraps a handler with the rules of PointBefore and PointAfter. The whole
+// response is buffered until the PointAfter rules have been applied. The key
+// function returns the request key for Rule.Match.
 func (f *Faults) Around(key func(*http.Request) string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requestKey := key(r)
--- a/internal/lab/workload/fleet.go
+++ b/internal/lab/workload/fleet.go
@@ -22,8 +22,8 @@
 	generationNew    = generation{name: "g3", prefillPerSec: 14_000, decodePerSec: 75, maxRunning: 32, cacheTokens: 700_000}
 )
 
-// mixedFleet returns ten engines, four of the old, three of the middle and three
-// of the new generation, which are assigned to the zones in turn.
+// mixedFleet returns four engines of the old, three of the middle and three of the
+// new generation. The engines are assigned to the zones in turn.
 func mixedFleet(name string, zones []identity.Zone) []Engine {
 	generations := []generation{
 		generationOld, generationMiddle, generationNew, generationOld, generationMiddle,
--- a/internal/lab/workload/workload.go
+++ b/internal/lab/workload/workload.go
@@ -1,7 +1,7 @@
 // Package workload generates traces of two example deployments: a fleet of
 // engines and the programs that arrive at it. The same seed and scale give the
-// same trace. Each arrival draws from a random stream of its own, which does not
-// depend on the scale.
+// same trace. Each arrival draws from a random stream of its own. That stream
+// does not depend on the scale.
 package workload
 
 import (
@@ -45,7 +45,7 @@
 	Kind    string // such as "booking"
 	Tenant  identity.Tenant
 	Class   scheduling.Class
-	Arrival time.Duration // offset from the start of the trace; 0 for sub-agents, which a turn of the parent starts
+	Arrival time.Duration // offset from the start of the trace; 0 for sub-agents, since a turn of the parent starts them
 	Parent  int           // index of the parent program; NoParent for root programs
 	// Prefix is the part of the prompt that is shared with other programs. Its
 	// first part is shared by the most programs, its last part by the fewest.
