--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -64,7 +64,7 @@
 	})
 })
 
-var _ = Describe("Reach", func() {
+var _ = Describe("AllowedFraction", func() {
 	DescribeTable("limits claimants by deadline, priority and share", func(claimant Claimant, fill, expected float64, cause Cause) {
 		fraction, gotCause := AllowedFraction(claimant, fill)
 		Expect(fraction).To(BeNumerically("~", expected, 1e-9))
@@ -81,7 +81,7 @@
 	)
 })
 
-var _ = Describe("ComeBack", func() {
+var _ = Describe("RetryAfter", func() {
 	It("spreads callers over the time that it takes to serve the demand", func() {
 		Expect(RetryAfter(1000, 500, time.Second, 0)).To(Equal(minRetryAfter))
 		Expect(RetryAfter(1000, 500, time.Second, 1)).To(Equal(2 * time.Second))
--- a/internal/backend/sharing_test.go
+++ b/internal/backend/sharing_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Sharing", func() {
+var _ = Describe("SharedPartTracker", func() {
 	const memoryTokens = 100_000
 	var tracker *SharedPartTracker
 	prompt := []PromptPart{{Name: "shared", Tokens: 12_000}, {Name: "own", Tokens: 1_000}}
--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -17,7 +17,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Timeouts and retries of calls to holders.
+// Timeouts and retries of calls to holders, and how long a holder is skipped.
 const (
 	reserveTimeout = 400 * time.Millisecond // bounds one reservation request
 	// settleTimeout bounds one attempt to send a settlement. A settlement is sent up to
--- a/internal/budget/client_test.go
+++ b/internal/budget/client_test.go
@@ -88,7 +88,7 @@
 	return b.Caller.Call(ctx, address, class, method, arguments, reply)
 }
 
-var _ = Describe("Shared", func() {
+var _ = Describe("Client", func() {
 	var store *memorystore.Store
 
 	BeforeEach(func() { store = memorystore.New() })
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/golang-lru/v2/expirable"
 )
 
-// ServiceName is the RPC service under which daemons call a holder.
+// ServiceName is the name of the RPC service by which daemons call a holder.
 const ServiceName = "Budget"
 
 // RPC methods.
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -52,8 +52,8 @@
 	return released, nil
 }
 
-// returnToAccount subtracts the amount from the tokens granted from an account. The ID in the row
-// shows whether an attempt without an answer succeeded, so the amount is subtracted once. After an
+// returnToAccount subtracts the amount from the tokens granted from an account. The ID stored with the
+// change shows whether an attempt without an answer succeeded, so the amount is subtracted once. After an
 // error the tokens may stay granted.
 func (l *Ledger) returnToAccount(ctx context.Context, to *account, amount int64) error {
 	grantID := rand.Uint64()
--- a/internal/budget/zones_test.go
+++ b/internal/budget/zones_test.go
@@ -22,7 +22,8 @@
 )
 
 // zonesFleet is three zones of three daemons each, which share a store and call one another without
-// a network. The daemon with the first claim on a program may lend to it until it crashes.
+// a network. The daemon with the highest score for a program may lend tokens to it, until
+// that daemon crashes.
 type zonesFleet struct {
 	store            *memorystore.Store
 	daemons          []*zoneDaemon
@@ -39,7 +40,7 @@
 	list   *members.List
 	ledger *Ledger
 	holder atomic.Pointer[Holder]
-	shared *Client
+	client *Client
 }
 
 // currentIsolatedZone returns the zone that is cut off, or "" if none is.
@@ -61,7 +62,7 @@
 		fleet.daemons, lists = append(fleet.daemons, daemon), append(lists, daemon.list)
 		fleet.daemonsByAddress[name] = daemon
 		daemon.start()
-		daemon.ledger.SetLender(NewLender(daemon.hasFirstClaim, time.Now, zap.NewNop()))
+		daemon.ledger.SetLender(NewLender(daemon.hasHighestScore, time.Now, zap.NewNop()))
 	}
 	return fleet, acquaintance.Make(lists...)
 }
@@ -72,13 +73,13 @@
 	client := state.NewClient(state.ClientOptions{Store: d, Availability: availability, DisableHedging: true})
 	d.ledger = NewLedger(client, 64, time.Hour)
 	d.holder.Store(NewHolder(d.ledger, func() bool { return false }))
-	d.shared = NewClient(d.ledger, d.list, d, availability, zap.NewNop())
-	d.shared.PreferZone = true
+	d.client = NewClient(d.ledger, d.list, d, availability, zap.NewNop())
+	d.client.PreferZone = true
 }
 
-// hasFirstClaim reports whether this daemon has the first claim on a program among all daemons,
-// suspected or not.
-func (d *zoneDaemon) hasFirstClaim(program string) bool { return d.list.HasHighestScore(program) }
+// hasHighestScore reports whether this daemon has the highest score for a program among all
+// daemons, suspected or not.
+func (d *zoneDaemon) hasHighestScore(program string) bool { return d.list.HasHighestScore(program) }
 
 func (d *zoneDaemon) zone() identity.Zone { return d.list.Self().Zone }
 
@@ -146,7 +147,7 @@
 
 func (f *zonesFleet) reserve(ctx context.Context, daemon, number int, total, most int64) (*zoneTurn, error) {
 	request := ReserveRequest{Reservation: fmt.Sprint("r", number), Program: f.program, Total: total, Most: most}
-	settler, err := f.daemons[daemon].shared.Reserve(ctx, request)
+	settler, err := f.daemons[daemon].client.Reserve(ctx, request)
 	if err != nil {
 		return nil, err
 	}
@@ -221,7 +222,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			fleet.program = fmt.Sprint("p", number)
 			fleet.isolatedZone.Store(fleet.daemons[0].zone())
-			fleet.daemons[1].shared.PreferZone = false
+			fleet.daemons[1].client.PreferZone = false
 			reserved, err := fleet.reserve(ctx, 1, number, 13000, 288)
 			Expect(err).NotTo(HaveOccurred())
 			reserved.settle(70)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -108,7 +108,7 @@
 		Zone:               e.gateway.Zone,
 		Slots:              e.service.Slots,
 		Excluded:           excluded,
-		Seed:               e.gateway.order,
+		Seed:               e.gateway.placementSeed,
 		LeavingGrace:       e.gateway.InstanceGrace,
 		DisabledMechanisms: e.gateway.DisabledMechanisms,
 	}
--- a/internal/gateway/cached_prefix_test.go
+++ b/internal/gateway/cached_prefix_test.go
@@ -20,7 +20,7 @@
 
 func (r prefixReservation) CachedPrefix() (string, int) { return r.engine, r.read }
 
-var _ = Describe("rememberReader", func() {
+var _ = Describe("recordCachedPrefix", func() {
 	parts := []backend.PromptPart{{Name: "shared", Tokens: 12000}, {Name: "one", Tokens: 2000}, {Name: "two", Tokens: 900}}
 
 	DescribeTable("makes placement choose the engine that has read the prompt for another daemon", func(engine string) {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -203,8 +203,8 @@
 
 // maxPreparationWait returns how long the request may wait for the store, an engine or its quota
 // before it is sent. This is less than half of the time limit, so that a refused caller has
-// time to retry, and on streaming routes less than the route's patience. While this daemon is
-// cut off, it is at most maxCutOffWait.
+// time to retry, and on streaming routes less than the route's MaxStreamGap. While this daemon
+// is cut off, it is at most maxCutOffWait.
 func (e *execution) maxPreparationWait() time.Duration {
 	wait := min(e.remaining()-answerMargin, time.Duration(maxStoreWaitShare*float64(e.timeLimit())))
 	if e.route.Streaming && e.route.MaxStreamGap > 0 {
--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -17,7 +17,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-var _ = Describe("storePatience", func() {
+var _ = Describe("maxPreparationWait", func() {
 	DescribeTable("leaves a refused caller time to retry, and ends before the reader of a stream gives up",
 		func(deadline time.Duration, streaming bool, maxWait time.Duration) {
 			waiting := &execution{
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -67,12 +67,12 @@
 type Gateway struct {
 	Options
 	recentPrograms *recentPrograms
-	order          uint64 // random for each process; see backend.Request.Order
+	placementSeed  uint64 // random for each process; see backend.PlacementRequest.Seed
 }
 
 // New returns a gateway with the given options.
 func New(options Options) *Gateway {
-	return &Gateway{Options: options, recentPrograms: newRecentPrograms(), order: rand.Uint64()}
+	return &Gateway{Options: options, recentPrograms: newRecentPrograms(), placementSeed: rand.Uint64()}
 }
 
 // ServeHTTP implements http.Handler. If an answer cannot be completed, it panics with
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -22,7 +22,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// ServiceName is the RPC service under which daemons call an aggregator.
+// ServiceName is the name of the RPC service by which daemons call an aggregator.
 const ServiceName = "Load"
 
 const (
@@ -35,8 +35,8 @@
 const (
 	reportInterval   = 100 * time.Millisecond
 	exchangeInterval = 100 * time.Millisecond
-	// idleCheckInterval is how often a daemon that is not an aggregator checks whether others report to
-	// it.
+	// idleCheckInterval is how often a daemon that is not an aggregator checks whether others
+	// report to it.
 	idleCheckInterval = 300 * time.Millisecond
 	// callTimeout bounds one call to an aggregator.
 	callTimeout = 150 * time.Millisecond
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -71,7 +71,7 @@
 
 func (p *testProgramSource) UpdatePrograms(all, _ ProgramStats) { p.learned <- all }
 
-var _ = Describe("Programs", func() {
+var _ = Describe("ProgramStats", func() {
 	const service, tenant = Digest(7), Digest(9)
 	own := func(held int64) ProgramStats {
 		return ProgramStats{
--- a/internal/load/speeds.go
+++ b/internal/load/speeds.go
@@ -10,9 +10,9 @@
 // observations count less; the weight decreases at the same rate for all three. Sums of several
 // daemons can therefore be added, and the ratio of two numbers is a mean.
 type Work struct {
-	ChunkHundredths  int // hundredths of pieces; a piece is an event of a stream, or an answer that is not a stream
+	ChunkHundredths  int // hundredths of chunks; a chunk is an event of a stream, or a whole answer that is not a stream
 	AnswerHundredths int // hundredths of answers
-	Millis           int // milliseconds that these pieces took
+	Millis           int // milliseconds that these chunks took
 }
 
 // EngineWork is the recent work by engine. Engines without work are left out.
--- a/internal/load/speeds_test.go
+++ b/internal/load/speeds_test.go
@@ -83,7 +83,7 @@
 	return speeds
 }
 
-var _ = Describe("Speeds", func() {
+var _ = Describe("EngineWork", func() {
 	one, other := Work{ChunkHundredths: 700, AnswerHundredths: 100, Millis: 280}, Work{ChunkHundredths: 600, AnswerHundredths: 100, Millis: 300}
 
 	It("sums the speeds of reports and shares, and returns the reporting daemon's own part", func() {
--- a/internal/mechanism/mechanism_test.go
+++ b/internal/mechanism/mechanism_test.go
@@ -14,7 +14,7 @@
 	RunSpecs(t, "mechanism")
 }
 
-var _ = Describe("Off", func() {
+var _ = Describe("Disabled", func() {
 	It("is valid and empty if it is nil", func() {
 		Expect(mechanism.Disabled(nil).Validate()).To(Succeed())
 		Expect(mechanism.Disabled(nil).Has(mechanism.TurnLocations)).To(BeFalse())
--- a/internal/members/shard_owner_test.go
+++ b/internal/members/shard_owner_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Keepers", func() {
+var _ = Describe("ShardOwner", func() {
 	var env *testEnv
 
 	BeforeEach(func() { env = newTestEnv() })
--- a/internal/operatorapi/handler_test.go
+++ b/internal/operatorapi/handler_test.go
@@ -101,7 +101,7 @@
 		}))
 		code, detail = codeAndDetail(err)
 		Expect(code).To(Equal(connect.CodeInvalidArgument))
-		Expect(detail.(*operatorv1.Faults).GetFaults()).To(ConsistOf(ContainSubstring("not there")))
+		Expect(detail.(*operatorv1.Faults).GetFaults()).To(ConsistOf(ContainSubstring("does not exist")))
 		Expect(server.changeCounts()).To(Equal(map[string]float64{
 			"accepted": 2, "conflict": 1, "invalid": 1, "not-made": 1, "uncertain": 1,
 		}))
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -66,8 +66,8 @@
 
 // fleet is a set of daemons in simulated time.
 type fleet interface {
-	// take asks a daemon for a permit. after is how long a refused caller should wait before it
-	// retries.
+	// take asks a daemon for a permit. retryAfter is how long a refused caller should wait
+	// before it retries.
 	take(daemon int, request quota.Request) (retryAfter time.Duration, admitted bool)
 	// advance sets the clock.
 	advance(to time.Time)
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -70,7 +70,7 @@
 // Ownership reports which parts this process is the only keeper of, and since when.
 // *members.List implements it.
 type Ownership interface {
-	OwnsShard(owner string, part int) (since time.Time, keeps bool)
+	OwnsShard(key string, part int) (since time.Time, owns bool)
 }
 
 // Keeper issues the permits of the quota parts that are assigned to this daemon. It is safe
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -34,8 +34,8 @@
 // Directory knows the keepers of the parts and whether they can be reached. *members.List
 // implements it.
 type Directory interface {
-	// ShardOwner returns the keeper of a part, if it is known.
-	ShardOwner(owner string, part int) (members.Member, bool)
+	// ShardOwner returns the keeper of a part of the key, if it is known.
+	ShardOwner(key string, part int) (members.Member, bool)
 	// IsZoneSilent reports whether the member's whole zone has stopped answering.
 	IsZoneSilent(member members.Member) bool
 	// RecordMiss records that a call to the member failed.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -2,8 +2,8 @@
 // limit applies to a sliding window of time.
 //
 // A tenant's quota is divided into parts. Each part is assigned to one daemon, its keeper
-// (see members.List.Keeps). A request needs a permit from one of the parts before it runs.
-// Metrics, messages and RPC types call a permit a place.
+// (see members.List.OwnsShard). A request needs a permit from one of the parts before it runs.
+// Metrics, messages and RPC fields call a permit a place.
 //
 // Guarantee: in any window, all daemons together run at most as many requests of a tenant
 // as its limit and the tolerance allow. This holds for any load, during network partitions,
--- a/internal/scheduling/prefix_index.go
+++ b/internal/scheduling/prefix_index.go
@@ -26,7 +26,7 @@
 }
 
 type prefixEntry struct {
-	run     PromptPrefix
+	prefix  PromptPrefix
 	engines []recentEngine
 }
 
@@ -97,18 +97,18 @@
 // findOrAdd returns the entry of a prefix and marks the entry as most recently
 // used. If the prefix has no entry, one is added; if the index is full, this
 // drops the least recently used entry.
-func (p *PrefixIndex) findOrAdd(run PromptPrefix) *prefixEntry {
-	if element, ok := p.elements[run.Hash]; ok {
+func (p *PrefixIndex) findOrAdd(prefix PromptPrefix) *prefixEntry {
+	if element, ok := p.elements[prefix.Hash]; ok {
 		p.lru.MoveToFront(element)
 		return element.Value.(*prefixEntry)
 	}
 	if p.lru.Len() >= p.maxPrefixes {
 		oldest := p.lru.Back()
-		delete(p.elements, oldest.Value.(*prefixEntry).run.Hash)
+		delete(p.elements, oldest.Value.(*prefixEntry).prefix.Hash)
 		p.lru.Remove(oldest)
 	}
-	added := &prefixEntry{run: run}
-	p.elements[run.Hash] = p.lru.PushFront(added)
+	added := &prefixEntry{prefix: prefix}
+	p.elements[prefix.Hash] = p.lru.PushFront(added)
 	return added
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -84,7 +84,7 @@
 	// membersFeedTimeout is shorter than the minute within which a daemon must hear
 	// of the member list in order to lend budgets. Changes of the list arrive at
 	// once. If the list needs an answer earlier, it shortens the timeout itself
-	// (members.List.Watch), since a daemon with an outdated list may not lend.
+	// (members.List.WatchOptions), since a daemon with an outdated list may not lend.
 	membersFeedTimeout = 15 * time.Second
 	// changesPerDrain is the largest number of updates of the instances within the
 	// drain period; changes that arrive more often are combined.
--- a/internal/settings/reference_test.go
+++ b/internal/settings/reference_test.go
@@ -52,9 +52,9 @@
 		page, err := os.ReadFile(referencePage)
 		Expect(err).NotTo(HaveOccurred())
 		_, rest, found := strings.Cut(string(page), referenceBegin)
-		Expect(found).To(BeTrue(), "the reference has no begin marker")
+		Expect(found).To(BeTrue(), "the page has no marker for the start of the table")
 		table, _, found := strings.Cut(rest, referenceEnd)
-		Expect(found).To(BeTrue(), "the reference has no end marker")
+		Expect(found).To(BeTrue(), "the page has no marker for the end of the table")
 		expected := "| key in the file | flag | default | meaning |\n| --- | --- | --- | --- |\n" +
 			strings.Join(referenceRows(reflect.ValueOf(settings.Default()), nil), "")
 		Expect(table).To(Equal(expected), "the table should be:\n"+expected)
--- a/internal/state/availability.go
+++ b/internal/state/availability.go
@@ -92,7 +92,7 @@
 
 // WaitBeforeCall waits until a call to the partition may be sent. If the partition failed,
 // WaitBeforeCall waits until the partition answers again, or until this call may be sent to
-// test it. It returns ErrNotDone if ctx ends first.
+// test it. It returns ErrNotExecuted if ctx ends first.
 func (a *Availability) WaitBeforeCall(ctx context.Context, partition string) error {
 	return a.breakers.waitBeforeCall(ctx, partition)
 }
--- a/internal/turn/load.go
+++ b/internal/turn/load.go
@@ -19,9 +19,9 @@
 )
 
 // Load returns the turn with the given identifier, whichever process saved it. It looks into the
-// cache, then asks the daemon at the address keptAt, and then reads the store. keptAt is the
-// daemon expected to have the turn in memory, or empty if none is known. The error is
-// ErrNotFound, ErrUncertain, a *BrokenError, or an error of the store or of the context.
+// cache, then asks the daemon at recorderAddress, and then reads the store. recorderAddress is
+// the address of the daemon expected to have the turn in memory, or empty if none is known. The
+// error is ErrNotFound, ErrUncertain, a *BrokenError, or an error of the store or of the context.
 func (r *Repository) Load(ctx context.Context, identifier, recorderAddress string) (*Turn, error) {
 	if known := r.cache.get(identifier); known != nil {
 		r.metrics.read(fromMemory)
@@ -95,8 +95,8 @@
 	return received
 }
 
-// askDaemon asks the daemon at the address keptAt for a turn. It returns nil if keptAt is empty or
-// if the daemon does not return the turn.
+// askDaemon asks the daemon at recorderAddress for a turn. It returns nil if recorderAddress is
+// empty or if the daemon does not return the turn.
 func (r *Repository) askDaemon(ctx context.Context, recorderAddress, identifier string) *Turn {
 	if r.options.Peers == nil || recorderAddress == "" {
 		return nil
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -67,7 +67,7 @@
 // historyOf returns the whole conversation up to a turn.
 func historyOf(of *turn.Turn) string { return string(bytes.Join(of.Segments(), nil)) }
 
-var _ = Describe("Records", func() {
+var _ = Describe("Repository", func() {
 	var store *memorystore.Store
 
 	BeforeEach(func() { store = memorystore.New() })
