--- a/cmd/thymeloft-gateway/main.go
+++ b/cmd/thymeloft-gateway/main.go
@@ -35,7 +35,7 @@
 func main() {
 	var flags commandLine
 	kong.Parse(&flags, kong.Name("thymeloft-gateway"), kong.Description("Serves callers on a platform with a shared store."))
-	settings, err := server.Load(flags.Settings)
+	settings, err := server.LoadSettings(flags.Settings)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "thymeloft-gateway:", err)
 		os.Exit(exitSettings)
@@ -58,23 +58,23 @@
 		debug.SetGCPercent(division.GCPercent)
 	}
 	registry := prometheus.NewRegistry()
-	log, closeLog := telemetry.NewBounded(os.Stdout, settings.LogSuccessesPerSecond, registry)
+	log, closeLog := telemetry.NewBoundedLogger(os.Stdout, settings.LogSuccessesPerSecond, registry)
 	defer closeLog()
 	log = log.With(zap.String("machine", settings.Machine))
 	const storeCallTimeout = time.Second
-	calls := server.NewStoreCalls(registry)
+	calls := server.NewStoreMetrics(registry)
 	gateway := server.New(server.Options{
-		Settings:  settings,
-		Store:     platform.NewStore(platform.StoreOptions{Address: settings.Store.Address, Patience: storeCallTimeout, Observe: calls.Observe}),
-		Wire:      platform.Headers{},
-		Rows:      platform.Rows{},
-		ReadyPath: platform.ReadyPath,
-		Log:       log,
-		Registry:  registry,
+		Settings:    settings,
+		Store:       platform.NewStore(platform.StoreOptions{Address: settings.Store.Address, CallTimeout: storeCallTimeout, Observe: calls.Observe}),
+		HeaderCodec: platform.HeaderCodec{},
+		StoreSchema: platform.StoreSchema{},
+		ReadyPath:   platform.ReadyPath,
+		Log:         log,
+		Registry:    registry,
 	})
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	go server.NewReloader(path, settings, gateway.Reload, log).Run(ctx)
-	go calls.Summarize(ctx, log)
+	go server.NewSettingsReloader(path, settings, gateway.ApplySettings, log).Run(ctx)
+	go calls.LogSummaries(ctx, log)
 	return gateway.Run(ctx)
 }
--- a/cmd/thymeloft-lab/replay.go
+++ b/cmd/thymeloft-lab/replay.go
@@ -29,16 +29,16 @@
 // daemon's binary is thymeloftd in the directory of this program, unless a flag
 // names another.
 func (d *daemonFlags) options() (replay.Options, error) {
-	options := replay.Options{Daemon: d.DaemonBinary, Directory: d.Logs}
+	options := replay.Options{DaemonBinary: d.DaemonBinary, Directory: d.Logs}
 	options.Progress = func(format string, arguments ...any) { fmt.Fprintf(os.Stderr, format+"\n", arguments...) }
-	if options.Daemon != "" {
+	if options.DaemonBinary != "" {
 		return options, nil
 	}
 	executable, err := os.Executable()
 	if err != nil {
 		return options, eris.Wrap(err, "find the daemon's binary")
 	}
-	options.Daemon = filepath.Join(filepath.Dir(executable), "thymeloftd")
+	options.DaemonBinary = filepath.Join(filepath.Dir(executable), "thymeloftd")
 	return options, nil
 }
 
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, seed := range c.Seeds {
-		if err := c.replay(ctx, replay.Random(seed), options); err != nil {
+		if err := c.replay(ctx, replay.RandomTrace(seed), options); err != nil {
 			return err
 		}
 	}
@@ -117,7 +117,7 @@
 // checkVerdict prints the verdict. It returns an error if a guarantee was broken.
 func checkVerdict(verdict *replay.Verdict) error {
 	fmt.Print(verdict.String())
-	if !verdict.Held() {
+	if !verdict.Passed() {
 		return eris.Errorf("guarantees were broken:\n%s", verdict.Findings())
 	}
 	return nil
@@ -128,8 +128,8 @@
 	table := tabwriter.NewWriter(output, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "PROGRAM\tTENANT\tCALLS\tOUTCOMES\tLATENCY\tCACHE HITS\tENGINES")
 	for _, program := range verdict.Programs {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d ms\t%s\t%s\n", program.Name, program.Tenant, program.Calls,
-			formatOutcomes(program.Outcomes), program.Elapsed.Milliseconds(), cacheHits(program), strings.Join(program.Engines, ", "))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%d ms\t%s\t%s\n", program.Name, program.Tenant, program.CallCount,
+			formatOutcomes(program.OutcomeCounts), program.Elapsed.Milliseconds(), cacheHits(program), strings.Join(program.Engines, ", "))
 	}
 	_ = table.Flush()
 }
--- a/cmd/thymeloft-lab/serve.go
+++ b/cmd/thymeloft-lab/serve.go
@@ -43,17 +43,17 @@
 // Run serves a stand-in for a model engine until the context ends.
 func (c *engineCommand) Run(ctx context.Context) error {
 	engine := modelengine.New(modelengine.Options{
-		Name:        c.Name,
-		Generation:  c.Generation,
-		Model:       c.Model,
-		Version:     c.Version,
-		Adapters:    c.Adapters,
-		TimeScale:   c.TimeScale,
-		CacheTokens: c.CacheTokens,
-		LoadTime:    c.LoadTime,
-		ReportLag:   c.ReportLag,
-		EventLag:    c.EventLag,
-		EventGap:    c.EventGap,
+		Name:              c.Name,
+		Generation:        c.Generation,
+		Model:             c.Model,
+		Version:           c.Version,
+		Adapters:          c.Adapters,
+		TimeScale:         c.TimeScale,
+		CacheTokens:       c.CacheTokens,
+		LoadTime:          c.LoadTime,
+		ReportLag:         c.ReportLag,
+		EventLag:          c.EventLag,
+		DropEventInterval: c.EventGap,
 	})
 	defer engine.Close()
 	return standin.Run(ctx, "engine", c.Listen, engine, os.Stdout)
--- a/cmd/thymeloft-lab/soak.go
+++ b/cmd/thymeloft-lab/soak.go
@@ -59,8 +59,8 @@
 
 func (c *soakCommand) options(seed uint64) soak.Options {
 	options := soak.Options{
-		Binary: c.GatewayBinary, Directory: c.Logs, Seed: seed, Duration: c.Duration,
-		Gateways: c.Gateways, Callers: c.Callers, Kinds: c.Kinds,
+		GatewayBinary: c.GatewayBinary, Directory: c.Logs, Seed: seed, Duration: c.Duration,
+		Gateways: c.Gateways, Callers: c.Callers, FaultKinds: c.Kinds,
 	}
 	if !c.Quiet {
 		options.Progress = func(format string, arguments ...any) { fmt.Fprintf(os.Stderr, format+"\n", arguments...) }
@@ -70,17 +70,17 @@
 
 func printSoakVerdict(report *soak.Verdict) {
 	total := 0
-	for _, count := range report.Attempts {
+	for _, count := range report.AttemptCounts {
 		total += count
 	}
 	fmt.Printf("seed %d: %d requests, %d faults, %d findings\n", report.Seed, total, len(report.Faults), len(report.Findings))
-	for _, outcome := range slices.Sorted(maps.Keys(report.Attempts)) {
-		fmt.Printf("  %-24s %d\n", outcome, report.Attempts[outcome])
+	for _, outcome := range slices.Sorted(maps.Keys(report.AttemptCounts)) {
+		fmt.Printf("  %-24s %d\n", outcome, report.AttemptCounts[outcome])
 	}
 	for _, finding := range report.Findings {
 		fmt.Println("  broken:", finding)
 	}
-	if report.Logs != "" {
-		fmt.Println("  logs:", report.Logs)
+	if report.Directory != "" {
+		fmt.Println("  logs:", report.Directory)
 	}
 }
--- a/cmd/thymeloftd/main.go
+++ b/cmd/thymeloftd/main.go
@@ -29,7 +29,7 @@
 
 func main() {
 	configured, err := settings.Load(os.Args[1:], version(), os.Stdout)
-	if errors.Is(err, settings.ErrVersion) {
+	if errors.Is(err, settings.ErrVersionPrinted) {
 		return
 	}
 	if err != nil {
@@ -63,8 +63,8 @@
 // registers metrics of its calls.
 func newStore(address string, registry prometheus.Registerer) state.Store {
 	const callTimeout = time.Second
-	calls := server.NewStoreCalls(registry)
-	return platform.NewStore(platform.StoreOptions{Address: address, Patience: callTimeout, Observe: calls.Observe})
+	calls := server.NewStoreMetrics(registry)
+	return platform.NewStore(platform.StoreOptions{Address: address, CallTimeout: callTimeout, Observe: calls.Observe})
 }
 
 // version returns the program's name and its module version.
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -57,22 +57,22 @@
 			Expect(err).NotTo(HaveOccurred())
 			reservation.Settle(72)
 		}
-		Expect(store.Calls("commit")).To(Equal(1))
+		Expect(store.CallCount("commit")).To(Equal(1))
 	})
 
 	DescribeTable("leaves enough to other processes, even if none releases its tokens", func(ctx SpecContext, down ...int) {
 		for _, account := range down {
 			partition := newAccounts("p", budgetWithGrantable(1300))[account].key.Partition
-			store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+			store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 				if call.Commit.Puts[0].Key.Partition == partition {
-					return memorystore.Refused
+					return memorystore.FaultRefused
 				}
-				return memorystore.None
+				return memorystore.FaultNone
 			})
 			_, err := newLedger(store).Reserve(ctx, "p", budgetWithGrantable(1300), 288)
 			Expect(err).NotTo(HaveOccurred(), "account %d is down", account)
 		}
-		store.Misbehave(nil)
+		store.SetFaultFunc(nil)
 		for process := len(down); process < 3; process++ {
 			_, err := newLedger(store).Reserve(ctx, "p", budgetWithGrantable(1300), 288)
 			Expect(err).NotTo(HaveOccurred(), "process %d", process)
@@ -158,21 +158,21 @@
 
 	It("draws on the other half while a partition is down", func(ctx SpecContext) {
 		down := ""
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if down == "" {
 				down = call.Commit.Puts[0].Key.Partition
 			}
 			if call.Commit.Puts[0].Key.Partition == down {
-				return memorystore.Refused
+				return memorystore.FaultRefused
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		ledger := newLedger(store)
 		for range 2 {
 			_, err := ledger.Reserve(ctx, "p", 5760, 288)
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(store.Calls("commit")).To(BeNumerically("<=", 3))
+		Expect(store.CallCount("commit")).To(BeNumerically("<=", 3))
 	})
 
 	It("combines the rest of both accounts for one turn", func(ctx SpecContext) {
@@ -218,10 +218,10 @@
 		again, err := first.Reserve(ctx, "p", 500, 200)
 		Expect(err).NotTo(HaveOccurred())
 		again.Settle(0)
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Lost })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultLost })
 		_, err = first.Release(ctx, "p")
 		Expect(err).To(HaveOccurred())
-		store.Misbehave(nil)
+		store.SetFaultFunc(nil)
 		Expect(first.Release(ctx, "p")).To(BeZero())
 		_, err = newLedger(store).Reserve(ctx, "p", 500, 213)
 		Expect(err).To(MatchError(ErrSpent), "288 were spent, so 212 are left")
@@ -231,17 +231,17 @@
 
 	It("recognizes its own grant after a lost answer", func(ctx SpecContext) {
 		calls := 0
-		store.Misbehave(func(memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault {
 			calls++
 			if calls == 1 {
-				return memorystore.Lost
+				return memorystore.FaultLost
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		const total, first = 550, 288 // too small for two accounts
 		_, err := newLedger(store).Reserve(ctx, "p", total, first)
 		Expect(err).NotTo(HaveOccurred())
-		store.Misbehave(nil)
+		store.SetFaultFunc(nil)
 		_, err = newLedger(store).Reserve(ctx, "p", total, total-first)
 		Expect(err).NotTo(HaveOccurred(), "the repeated grant was counted once")
 	})
@@ -308,12 +308,12 @@
 	total = rapid.Int64Range(maxTurnTokens, 20*maxTurnTokens).Draw(t, "total")
 	ledgers := []*Ledger{newShortTimeoutLedger(store), newShortTimeoutLedger(store), newShortTimeoutLedger(store)}
 	turns := make([][]runningTurn, len(ledgers))
-	faults := []memorystore.Fault{memorystore.None, memorystore.None, memorystore.Refused, memorystore.Lost, memorystore.Late}
+	faults := []memorystore.Fault{memorystore.FaultNone, memorystore.FaultNone, memorystore.FaultRefused, memorystore.FaultLost, memorystore.FaultLate}
 	steps := rapid.IntRange(1, 60).Draw(t, "steps")
 	for step := range steps {
 		process := rapid.IntRange(0, len(ledgers)-1).Draw(t, fmt.Sprintf("process %d", step))
 		fault := rapid.SampledFrom(faults).Draw(t, fmt.Sprintf("fault %d", step))
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return fault })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return fault })
 		switch rapid.IntRange(0, 4).Draw(t, fmt.Sprintf("action %d", step)) {
 		case 0, 1:
 			short, cancel := context.WithTimeout(context.Background(), shortTimeout) // too short to wait for turns in progress
@@ -336,7 +336,7 @@
 			generated += maxTurnTokens * int64(len(turns[process]))
 			turns[process] = nil
 			ledgers[process] = newShortTimeoutLedger(store)
-			store.Release()
+			store.ApplyLateCommits()
 		}
 	}
 	for _, left := range turns {
--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -57,11 +57,11 @@
 // ledger, whose grants come from the same rows of the store. It is safe for concurrent use, but
 // LocalOnly and PreferZone must be set before its first use.
 type Client struct {
-	ledger *Ledger
-	list   *members.List
-	caller peer.Caller
-	store  *state.Availability
-	log    *zap.Logger
+	ledger     *Ledger
+	list       *members.List
+	peerClient peer.Client
+	store      *state.Availability
+	log        *zap.Logger
 	// LocalOnly makes this daemon reserve only from its own ledger. It is for experiments.
 	LocalOnly bool
 	// PreferZone reserves at holders in the zone of the daemon that the turn came to, instead of
@@ -74,8 +74,8 @@
 
 // NewClient returns a Client that uses ledger for this daemon's own reservations. It sets the
 // ledger's function to reclaim tokens from other holders.
-func NewClient(ledger *Ledger, list *members.List, caller peer.Caller, store *state.Availability, log *zap.Logger) *Client {
-	client := &Client{ledger: ledger, list: list, caller: caller, store: store, log: log}
+func NewClient(ledger *Ledger, list *members.List, peerClient peer.Client, store *state.Availability, log *zap.Logger) *Client {
+	client := &Client{ledger: ledger, list: list, peerClient: peerClient, store: store, log: log}
 	ledger.reclaim = client.Reclaim
 	return client
 }
@@ -198,7 +198,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	var reply ReserveReply
-	err := c.caller.Call(callCtx, holder.Process.Address, peer.Control, methodReserve, request, &reply)
+	err := c.peerClient.Call(callCtx, holder.Process.Address, peer.ClassControl, methodReserve, request, &reply)
 	granted := &remoteSettler{client: c, holder: holder, turnPlacement: turnPlacement{request: request, selfAddress: c.list.Self().Address}}
 	if err != nil {
 		if ctx.Err() == nil {
--- a/internal/budget/client_test.go
+++ b/internal/budget/client_test.go
@@ -50,7 +50,7 @@
 		daemons = append(daemons, daemon)
 		lists = append(lists, daemon.list)
 	}
-	Expect(acquaintance.Make(lists...)).To(Succeed())
+	Expect(acquaintance.FillLists(lists...)).To(Succeed())
 	return daemons
 }
 
@@ -70,14 +70,14 @@
 	return holder, others
 }
 
-// busyOnceCaller replies to the first reservation request as a holder that can't reach the store,
+// busyOnceClient replies to the first reservation request as a holder that can't reach the store,
 // and records the names of all reservations requested.
-type busyOnceCaller struct {
-	peer.Caller
+type busyOnceClient struct {
+	peer.Client
 	names []string
 }
 
-func (b *busyOnceCaller) Call(ctx context.Context, address string, class peer.Class, method string, arguments, reply any) error {
+func (b *busyOnceClient) Call(ctx context.Context, address string, class peer.Class, method string, arguments, reply any) error {
 	if asked, is := arguments.(ReserveRequest); is {
 		b.names = append(b.names, asked.Reservation)
 	}
@@ -85,7 +85,7 @@
 		answer.Result = resultNoStore
 		return nil
 	}
-	return b.Caller.Call(ctx, address, class, method, arguments, reply)
+	return b.Client.Call(ctx, address, class, method, arguments, reply)
 }
 
 var _ = Describe("Client", func() {
@@ -99,13 +99,13 @@
 
 	It("spends one grant at all daemons of a region", func(ctx SpecContext) {
 		all := newTestDaemons(store, "a", "a", "a")
-		before := store.Calls("commit")
+		before := store.CallCount("commit")
 		for number, daemon := range append(all, all...) {
 			settler, err := reserve(ctx, daemon, string(rune('a'+number)), 13000, 288)
 			Expect(err).NotTo(HaveOccurred())
 			settler.Settle(70)
 		}
-		Expect(store.Calls("commit") - before).To(Equal(1))
+		Expect(store.CallCount("commit") - before).To(Equal(1))
 	})
 
 	It("continues while the store is down", func(ctx SpecContext) {
@@ -113,7 +113,7 @@
 		_, others := findHolder(all, "p")
 		_, err := reserve(ctx, others[0], "first", 13000, 288)
 		Expect(err).NotTo(HaveOccurred())
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultRefused })
 		_, err = reserve(ctx, others[1], "second", 13000, 288)
 		Expect(err).NotTo(HaveOccurred())
 	})
@@ -152,8 +152,8 @@
 	It("asks again under another name, so that a late settlement doesn't end a reservation in use", func(ctx SpecContext) {
 		all := newTestDaemons(store, "a", "a", "a")
 		holder, others := findHolder(all, "p")
-		caller := &busyOnceCaller{Caller: others[0].client.caller}
-		others[0].client.caller = caller
+		caller := &busyOnceClient{Client: others[0].client.peerClient}
+		others[0].client.peerClient = caller
 		_, err := reserve(ctx, others[0], "r", 500, 288)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(caller.names).To(Equal([]string{"r", "r/1"}))
@@ -161,7 +161,7 @@
 		callCtx, cancel := context.WithTimeout(ctx, settleTimeout)
 		defer cancel()
 		late := SettleRequest{Reservation: "r"}
-		Expect(caller.Call(callCtx, holder.list.Self().Address, peer.Control, methodSettle, late, &SettleReply{})).To(Succeed())
+		Expect(caller.Call(callCtx, holder.list.Self().Address, peer.ClassControl, methodSettle, late, &SettleReply{})).To(Succeed())
 		_, err = reserve(ctx, others[1], "next", 500, 288)
 		Expect(err).To(MatchError(ErrSpent))
 	})
--- a/internal/budget/credit_test.go
+++ b/internal/budget/credit_test.go
@@ -17,7 +17,7 @@
 
 func mayAlwaysLend(string) bool { return true }
 
-func refuseAll(memorystore.Call) memorystore.Fault { return memorystore.Refused }
+func refuseAll(memorystore.Call) memorystore.Fault { return memorystore.FaultRefused }
 
 // unknownOutcomeStore returns ErrUnknownOutcome for each commit once its context ends.
 type unknownOutcomeStore struct{ *memorystore.Store }
@@ -45,7 +45,7 @@
 	}
 
 	It("lets a program begin and go on while the store is away", func(ctx SpecContext) {
-		store.Misbehave(refuseAll)
+		store.SetFaultFunc(refuseAll)
 		ledger := lending(mayAlwaysLend)
 		for range 3 {
 			reservation, err := ledger.Reserve(ctx, "p", 2600, 576)
@@ -56,7 +56,7 @@
 	})
 
 	It("lends each program its credit reserve and the maximum of one turn", func(ctx SpecContext) {
-		store.Misbehave(refuseAll)
+		store.SetFaultFunc(refuseAll)
 		ledger := lending(mayAlwaysLend)
 		for range 2 { // the reserve of 1,600 is 288, and a turn is 200
 			_, err := ledger.Reserve(ctx, "p", 1600, 200)
@@ -80,7 +80,7 @@
 	})
 
 	It("lends nothing if another daemon is the lender", func(ctx SpecContext) {
-		store.Misbehave(refuseAll)
+		store.SetFaultFunc(refuseAll)
 		_, err := lending(func(string) bool { return false }).Reserve(within(ctx), "p", 2600, 576)
 		Expect(err).To(HaveOccurred())
 	})
@@ -112,7 +112,7 @@
 	})
 
 	It("uses the smallest budget and turn that a program has named", func(ctx SpecContext) {
-		store.Misbehave(refuseAll)
+		store.SetFaultFunc(refuseAll)
 		ledger := lending(mayAlwaysLend)
 		_, err := ledger.Reserve(ctx, "p", 1600, 300)
 		Expect(err).NotTo(HaveOccurred())
@@ -150,12 +150,12 @@
 	ledgers := []*Ledger{newShortTimeoutLedger(store), newShortTimeoutLedger(store)}
 	ledgers[0].SetLender(NewLender(mayAlwaysLend, time.Now, zap.NewNop()))
 	turns := make([][]*Reservation, len(ledgers))
-	faults := []memorystore.Fault{memorystore.None, memorystore.Refused, memorystore.Refused, memorystore.Lost, memorystore.Late}
+	faults := []memorystore.Fault{memorystore.FaultNone, memorystore.FaultRefused, memorystore.FaultRefused, memorystore.FaultLost, memorystore.FaultLate}
 	steps := rapid.IntRange(1, 80).Draw(t, "steps")
 	for step := range steps {
 		process := rapid.IntRange(0, len(ledgers)-1).Draw(t, fmt.Sprintf("process %d", step))
 		fault := rapid.SampledFrom(faults).Draw(t, fmt.Sprintf("fault %d", step))
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return fault })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return fault })
 		switch action := rapid.IntRange(0, 9).Draw(t, fmt.Sprintf("action %d", step)); {
 		case action < 6:
 			short, cancel := context.WithTimeout(context.Background(), shortTimeout) // too short to wait for turns in progress
@@ -174,7 +174,7 @@
 			generated += maxTurnTokens * int64(len(turns[process]))
 			turns[process] = nil
 			ledgers[process] = newShortTimeoutLedger(store) // no longer lends
-			store.Release()
+			store.ApplyLateCommits()
 		}
 	}
 	for _, left := range turns {
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -152,7 +152,7 @@
 
 func (c *Client) askRelease(ctx context.Context, holder members.Member, program string) (int64, error) {
 	var reply ReleaseReply
-	err := c.caller.Call(ctx, holder.Process.Address, peer.Control, methodRelease, ReleaseRequest{Program: program}, &reply)
+	err := c.peerClient.Call(ctx, holder.Process.Address, peer.ClassControl, methodRelease, ReleaseRequest{Program: program}, &reply)
 	if errors.Is(err, peer.ErrNotSent) {
 		c.list.Suspect(holder, suspectDuration)
 	}
--- a/internal/budget/settling.go
+++ b/internal/budget/settling.go
@@ -94,5 +94,5 @@
 func (r *remoteSettler) settleOnce(request SettleRequest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	return r.client.caller.Call(ctx, r.holder.Process.Address, peer.Control, methodSettle, request, &SettleReply{})
+	return r.client.peerClient.Call(ctx, r.holder.Process.Address, peer.ClassControl, methodSettle, request, &SettleReply{})
 }
--- a/internal/budget/zones_test.go
+++ b/internal/budget/zones_test.go
@@ -64,7 +64,7 @@
 		daemon.start()
 		daemon.ledger.SetLender(NewLender(daemon.hasHighestScore, time.Now, zap.NewNop()))
 	}
-	return fleet, acquaintance.Make(lists...)
+	return fleet, acquaintance.FillLists(lists...)
 }
 
 // start replaces the daemon's process by a new one, which has no state and lends nothing.
@@ -106,7 +106,7 @@
 
 var errCut = fmt.Errorf("unreachable: %w", peer.ErrNotSent)
 
-// Call implements peer.Caller.
+// Call implements peer.Client.
 func (d *zoneDaemon) Call(ctx context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
 	callee := d.fleet.daemonsByAddress[address]
 	crossesCut := callee.zone() != d.zone() && (callee.zone() == d.fleet.currentIsolatedZone() || d.zone() == d.fleet.currentIsolatedZone())
@@ -234,7 +234,7 @@
 
 	It("does not wait at a holder whose store is unavailable if another one can be asked", func(ctx SpecContext) {
 		store := memorystore.New()
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultRefused })
 		callCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 		defer cancel()
 		_, err := newLedger(store).reserve(callCtx, reserveParams{turnParams{"p", 13000, 288}, true})
@@ -265,10 +265,10 @@
 	}
 	total = rapid.Int64Range(maxTurnTokens, 40*maxTurnTokens).Draw(t, "total")
 	var turns []*zoneTurn
-	faults := []memorystore.Fault{memorystore.None, memorystore.None, memorystore.None, memorystore.None, memorystore.None, memorystore.Refused, memorystore.Lost}
+	faults := []memorystore.Fault{memorystore.FaultNone, memorystore.FaultNone, memorystore.FaultNone, memorystore.FaultNone, memorystore.FaultNone, memorystore.FaultRefused, memorystore.FaultLost}
 	for step := range rapid.IntRange(1, 25).Draw(t, "steps") {
 		fault := rapid.SampledFrom(faults).Draw(t, fmt.Sprint("fault ", step))
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return fault })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return fault })
 		daemon := rapid.IntRange(0, len(fleet.daemons)-1).Draw(t, fmt.Sprint("daemon ", step))
 		switch rapid.IntRange(0, 9).Draw(t, fmt.Sprint("action ", step)) {
 		case 0:
--- a/internal/callerapi/authenticate.go
+++ b/internal/callerapi/authenticate.go
@@ -28,7 +28,7 @@
 	if owner, known := current.Keys.Owner(tenant.HashKey(key)); known {
 		return current.TenantByName[owner], nil
 	}
-	if !a.Configuration.Confirmed() {
+	if !a.Configuration.IsConfirmed() {
 		return nil, problem.New(problem.KindUnavailable, "authenticate",
 			"the bearer key is not known here, and the configuration is not confirmed: it may have been declared since").
 			WithRetryAfter(configurationRetryAfter)
--- a/internal/callerapi/calls.go
+++ b/internal/callerapi/calls.go
@@ -151,7 +151,7 @@
 	defer cancel()
 	ctx, cancelAtDeadline := context.WithDeadline(ctx, spec.Deadline)
 	defer cancelAtDeadline()
-	if a.Draining() {
+	if a.IsDraining() {
 		if rejected := a.rejectNewCall(ctx, call); rejected != nil {
 			return rejected
 		}
--- a/internal/callerapi/chat.go
+++ b/internal/callerapi/chat.go
@@ -121,7 +121,7 @@
 		return call, malformedProblem("%s must have at most %d bytes", HeaderIdempotencyKey, maxKeyBytes)
 	}
 	if key == "" {
-		if a.Draining() {
+		if a.IsDraining() {
 			return call, drainingProblem().WithOutcome(problem.OutcomeNotRun)
 		}
 		key = rand.Text()
--- a/internal/callerapi/chat_wire.go
+++ b/internal/callerapi/chat_wire.go
@@ -23,7 +23,7 @@
 	Choices             int            `json:"n,omitempty"`    // number of answers; must be 1 or missing
 	User                string         `json:"user,omitempty"` // accepted but not used; the key identifies the tenant
 	Adapter             string         `json:"adapter,omitempty"`
-	DeadlineMS          int64          `json:"deadline_ms,omitempty"` // from now, in milliseconds; 0 selects Limits.CallTimeout
+	DeadlineMS          int64          `json:"deadline_ms,omitempty"` // from now, in milliseconds; 0 selects Limits.DefaultCallTimeout
 }
 
 // StreamOptions are options of a streamed response.
@@ -123,14 +123,14 @@
 
 // ChatUsage is the number of tokens that a call used.
 type ChatUsage struct {
-	PromptTokens     int64         `json:"prompt_tokens"`
-	CompletionTokens int64         `json:"completion_tokens"`
-	TotalTokens      int64         `json:"total_tokens"`
-	Details          PromptDetails `json:"prompt_tokens_details"`
+	PromptTokens     int64               `json:"prompt_tokens"`
+	CompletionTokens int64               `json:"completion_tokens"`
+	TotalTokens      int64               `json:"total_tokens"`
+	Details          PromptTokensDetails `json:"prompt_tokens_details"`
 }
 
-// PromptDetails has details of ChatUsage.PromptTokens.
-type PromptDetails struct {
+// PromptTokensDetails has details of ChatUsage.PromptTokens.
+type PromptTokensDetails struct {
 	CachedTokens int64 `json:"cached_tokens"` // tokens that were found in the engine's cache
 }
 
@@ -204,6 +204,6 @@
 		PromptTokens:     answer.PromptTokens,
 		CompletionTokens: answer.CompletionTokens,
 		TotalTokens:      answer.PromptTokens + answer.CompletionTokens,
-		Details:          PromptDetails{CachedTokens: answer.CachedTokens},
+		Details:          PromptTokensDetails{CachedTokens: answer.CachedTokens},
 	}
 }
--- a/internal/callerapi/decode.go
+++ b/internal/callerapi/decode.go
@@ -103,14 +103,14 @@
 }
 
 // callDeadline returns the time that is the given number of milliseconds from now,
-// or Limits.CallTimeout from now if the number is zero. It returns a problem if the
-// number is negative or above Limits.LongestDeadline.
+// or Limits.DefaultCallTimeout from now if the number is zero. It returns a problem if the
+// number is negative or above Limits.MaxCallTimeout.
 func (a *api) callDeadline(milliseconds int64) (time.Time, *problem.Problem) {
-	if milliseconds < 0 || milliseconds > a.Limits.LongestDeadline.Milliseconds() {
-		return time.Time{}, malformedProblem("deadline_ms must be between 0 and %d", a.Limits.LongestDeadline.Milliseconds())
+	if milliseconds < 0 || milliseconds > a.Limits.MaxCallTimeout.Milliseconds() {
+		return time.Time{}, malformedProblem("deadline_ms must be between 0 and %d", a.Limits.MaxCallTimeout.Milliseconds())
 	}
 	if milliseconds == 0 {
-		return time.Now().Add(a.Limits.CallTimeout), nil
+		return time.Now().Add(a.Limits.DefaultCallTimeout), nil
 	}
 	return time.Now().Add(time.Duration(milliseconds) * time.Millisecond), nil
 }
--- a/internal/callerapi/fake_test.go
+++ b/internal/callerapi/fake_test.go
@@ -124,5 +124,5 @@
 }
 
 func (s fakeSource) Current() *configuration.Snapshot { return s.snapshot }
-func (s fakeSource) Confirmed() bool                  { return s.confirmed() }
+func (s fakeSource) IsConfirmed() bool                { return s.confirmed() }
 func (s fakeSource) Subscribe() <-chan struct{}       { return nil }
--- a/internal/callerapi/fuzz_test.go
+++ b/internal/callerapi/fuzz_test.go
@@ -31,7 +31,7 @@
 		request.Header.Set(callerapi.HeaderSequence, header)
 		programs := newFakePrograms(answeredReply("whole"))
 		programs.tenants["p0003-aaaaaaaaaaaaaaaaaaaaaaaaaa"] = identity.Tenant("brackenlaw")
-		snapshot := configuration.BuildSnapshot(1, configuration.Document{Tenants: []configuration.Tenant{tenantWithKey("brackenlaw", "key-b")}})
+		snapshot := configuration.NewSnapshot(1, configuration.Document{Tenants: []configuration.Tenant{tenantWithKey("brackenlaw", "key-b")}})
 		handler := callerapi.NewHandler(callerapi.Options{
 			Programs:      programs,
 			Configuration: fakeSource{snapshot, func() bool { return true }},
--- a/internal/callerapi/handler.go
+++ b/internal/callerapi/handler.go
@@ -19,22 +19,22 @@
 // Limits limits requests. The limits of the listener (header size, connections,
 // read and idle timeouts) are set where the listener is opened.
 type Limits struct {
-	BodyBytes       int64         // largest size of a request body
-	Requests        int           // active requests; further ones are rejected
-	ReadTimeout     time.Duration // time to read a request body
-	WriteTimeout    time.Duration // time to write one part of a response
-	CallTimeout     time.Duration // time until the deadline of a call that has none
-	LongestDeadline time.Duration // longest time until the deadline of a call
+	MaxBodyBytes       int64         // largest size of a request body
+	MaxActiveRequests  int           // active requests; further ones are rejected
+	ReadTimeout        time.Duration // time to read a request body
+	WriteTimeout       time.Duration // time to write one part of a response
+	DefaultCallTimeout time.Duration // time until the deadline of a call that has none
+	MaxCallTimeout     time.Duration // longest time until the deadline of a call
 }
 
 // DefaultLimits is meant for callers with a network latency of a few milliseconds.
 var DefaultLimits = Limits{
-	BodyBytes:       8 << 20,
-	Requests:        4096,
-	ReadTimeout:     30 * time.Second,
-	WriteTimeout:    10 * time.Second,
-	CallTimeout:     5 * time.Minute,
-	LongestDeadline: time.Hour,
+	MaxBodyBytes:       8 << 20,
+	MaxActiveRequests:  4096,
+	ReadTimeout:        30 * time.Second,
+	WriteTimeout:       10 * time.Second,
+	DefaultCallTimeout: 5 * time.Minute,
+	MaxCallTimeout:     time.Hour,
 }
 
 // Options configures the handler. Programs and Configuration are required.
@@ -44,7 +44,7 @@
 	Limits        Limits                // the zero value means DefaultLimits
 	Logger        *zap.Logger           // nil disables logging
 	Registerer    prometheus.Registerer // nil disables the registration of metrics
-	Draining      func() bool           // reports whether to reject new work; nil means never
+	IsDraining    func() bool           // reports whether to reject new work; nil means never
 }
 
 // URL paths of the API.
@@ -70,8 +70,8 @@
 		options.Logger = zap.NewNop()
 	}
 	options.Logger = options.Logger.Named("callerapi")
-	if options.Draining == nil {
-		options.Draining = func() bool { return false }
+	if options.IsDraining == nil {
+		options.IsDraining = func() bool { return false }
 	}
 	a := &api{Options: options, metrics: newMetrics(options.Registerer)}
 	mux := http.NewServeMux()
@@ -100,7 +100,7 @@
 		started := time.Now()
 		writer := newResponseWriter(plain, a.Limits.WriteTimeout)
 		defer func() { a.metrics.observeRequest(operation, writer.status, started) }()
-		if a.activeRequests.Add(1) > int64(a.Limits.Requests) {
+		if a.activeRequests.Add(1) > int64(a.Limits.MaxActiveRequests) {
 			a.activeRequests.Add(-1)
 			writer.writeProblem(overloadedProblem())
 			return
@@ -111,7 +111,7 @@
 			writer.writeProblem(rejected)
 			return
 		}
-		incoming.Body = http.MaxBytesReader(writer, incoming.Body, a.Limits.BodyBytes)
+		incoming.Body = http.MaxBytesReader(writer, incoming.Body, a.Limits.MaxBodyBytes)
 		serve(&request{Request: incoming, writer: writer, tenant: tenant})
 	})
 }
@@ -121,7 +121,7 @@
 	newResponseWriter(writer, DefaultLimits.WriteTimeout).writeProblemWithStatus(http.StatusNotFound, found)
 }
 
-// overloadedProblem returns the problem for a request above Limits.Requests. It has
+// overloadedProblem returns the problem for a request above Limits.MaxActiveRequests. It has
 // no outcome, because an earlier request may already have submitted the same call.
 func overloadedProblem() *problem.Problem {
 	return problem.New(problem.KindUnavailable, "admit the request", "too many requests at once at this daemon; this one was not taken").
--- a/internal/callerapi/handler_test.go
+++ b/internal/callerapi/handler_test.go
@@ -42,18 +42,18 @@
 
 func newEndpoint(programs *fakePrograms) *endpoint {
 	served := &endpoint{programs: programs, registry: prometheus.NewRegistry()}
-	snapshot := configuration.BuildSnapshot(1, configuration.Document{
+	snapshot := configuration.NewSnapshot(1, configuration.Document{
 		Tenants: []configuration.Tenant{tenantWithKey("brackenlaw", "key-b"), tenantWithKey("theory-desk", "key-t")},
 	})
 	limits := callerapi.DefaultLimits
-	limits.BodyBytes = bodyLimit
+	limits.MaxBodyBytes = bodyLimit
 	limits.WriteTimeout = writeTimeout
 	served.Server = httptest.NewServer(callerapi.NewHandler(callerapi.Options{
 		Programs:      programs,
 		Configuration: fakeSource{snapshot, func() bool { return !served.unconfirmed }},
 		Limits:        limits,
 		Registerer:    served.registry,
-		Draining:      func() bool { return served.draining },
+		IsDraining:    func() bool { return served.draining },
 	}))
 	DeferCleanup(served.Close)
 	return served
--- a/internal/callerapi/programs.go
+++ b/internal/callerapi/programs.go
@@ -26,7 +26,7 @@
 		return
 	}
 	arguments, rejected := newCreateArguments(r, body)
-	if rejected == nil && a.Draining() {
+	if rejected == nil && a.IsDraining() {
 		rejected = drainingProblem().WithOutcome(problem.OutcomeNotRun)
 	}
 	if rejected != nil {
--- a/internal/callerapi/wire.go
+++ b/internal/callerapi/wire.go
@@ -42,7 +42,7 @@
 	Payload       []byte             `json:"payload,omitempty"` // base64 in JSON
 	MaxTokens     int64              `json:"max_tokens,omitempty"`
 	NotRepeatable bool               `json:"not_repeatable,omitempty"`
-	DeadlineMS    int64              `json:"deadline_ms,omitempty"` // from now, in milliseconds; 0 selects Limits.CallTimeout
+	DeadlineMS    int64              `json:"deadline_ms,omitempty"` // from now, in milliseconds; 0 selects Limits.DefaultCallTimeout
 	Stream        bool               `json:"stream,omitempty"`
 }
 
--- a/internal/commandline/advice.go
+++ b/internal/commandline/advice.go
@@ -36,9 +36,9 @@
 // or "" for an unknown kind.
 func Advice(kind problem.Kind) string { return infoByKind[kind].advice }
 
-// ExitOfKind returns the exit code for a kind of problem whose outcome is not
+// ExitCodeForKind returns the exit code for a kind of problem whose outcome is not
 // given, or ExitFailed for an unknown kind.
-func ExitOfKind(kind problem.Kind) ExitCode {
+func ExitCodeForKind(kind problem.Kind) ExitCode {
 	if known, found := infoByKind[kind]; found {
 		return known.code
 	}
@@ -48,7 +48,7 @@
 // exitCodeForProblem returns the exit code for a problem of a call. The outcome of the
 // call takes precedence over the kind of the problem.
 func exitCodeForProblem(outcome problem.Outcome, kind problem.Kind) ExitCode {
-	code := ExitOfKind(kind)
+	code := ExitCodeForKind(kind)
 	switch {
 	case outcome == problem.OutcomeUnknown:
 		return ExitUncertain
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -23,8 +23,8 @@
 // commands are the flags and subcommands of the command line, as kong parses
 // them.
 type commands struct {
-	Connection `embed:""`
-	Output     string `enum:"table,json" default:"table" short:"o" help:"Form of what is printed: table or json."`
+	ConnectionFlags `embed:""`
+	Output          string `enum:"table,json" default:"table" short:"o" help:"Form of what is printed: table or json."`
 
 	Config  configCommands  `cmd:"" help:"Read and change the configuration."`
 	Status  statusCommand   `cmd:"" help:"Show members, groups and engines as one daemon sees them."`
@@ -34,8 +34,8 @@
 	Version versionCommand  `cmd:"" help:"Print the version."`
 }
 
-// Connection has the flags for reaching the daemons: endpoints, keys and timeout.
-type Connection struct {
+// ConnectionFlags has the flags for reaching the daemons: endpoints, keys and timeout.
+type ConnectionFlags struct {
 	OperatorURL string        `name:"operator-url" env:"THYMELOFT_OPERATOR_URL" placeholder:"URL" help:"Operators' endpoint of any daemon."`
 	OperatorKey string        `name:"operator-key" env:"THYMELOFT_OPERATOR_KEY" placeholder:"KEY" help:"Operator's bearer key; better set in the environment."`
 	CallerURL   string        `name:"caller-url" env:"THYMELOFT_CALLER_URL" placeholder:"URL" help:"Callers' endpoint of any daemon."`
--- a/internal/commandline/commandline_test.go
+++ b/internal/commandline/commandline_test.go
@@ -45,7 +45,7 @@
 }
 
 func (a *administrator) Current() *configuration.Snapshot { return a.machine.Current() }
-func (a *administrator) Confirmed() bool                  { return true }
+func (a *administrator) IsConfirmed() bool                { return true }
 
 func (a *administrator) Change(_ context.Context, change configuration.Change) (configuration.ChangeResult, error) {
 	a.mutex.Lock()
@@ -98,13 +98,13 @@
 	})
 
 	It("gets, changes, diffs and applies a file, and lists the history", func() {
-		Expect(operator("models:\n- name: a\n  version: \"1\"\n", "config", "apply", "-", "--base", "0").code).To(Equal(commandline.ExitDone))
+		Expect(operator("models:\n- name: a\n  version: \"1\"\n", "config", "apply", "-", "--base", "0").code).To(Equal(commandline.ExitOK))
 		got := operator("", "config", "get")
 		Expect(got.out).To(HavePrefix("# revision: 1\n"))
 
 		edited := strings.Replace(got.out, `"1"`, `"2"`, 1)
 		diff := operator(edited, "config", "diff", "-", "--exit-code")
-		Expect(diff.code).To(Equal(commandline.ExitDifferent))
+		Expect(diff.code).To(Equal(commandline.ExitDifferences))
 		Expect(diff.out).To(ContainSubstring("~ model a\n    version: 1 -> 2\n"))
 		Expect(diff.err).To(BeEmpty())
 		Expect(operator(edited, "config", "apply", "-", "-m", "new weights").out).To(Equal("accepted as revision 2\n"))
@@ -120,7 +120,7 @@
 	})
 
 	It("applies partial changes", func() {
-		Expect(operator("models:\n- name: b\n  version: \"1\"\n", "config", "apply", "--partial", "-", "--base", "0").code).To(Equal(commandline.ExitDone))
+		Expect(operator("models:\n- name: b\n  version: \"1\"\n", "config", "apply", "--partial", "-", "--base", "0").code).To(Equal(commandline.ExitOK))
 		deleted := operator("", "config", "apply", "--partial", "--delete", "model/b", "--base", "1", "-o", "json")
 		Expect(deleted.out).To(MatchJSON(`{"revision": "2"}`))
 		Expect(admin.Current().Document.Models).To(BeEmpty())
@@ -131,7 +131,7 @@
 	It("repeats a change whose response was lost, and applies it once", func() {
 		admin.failures = []error{configuration.ErrChangeUncertain, errors.New("no leader")}
 		applied := operator("", "drain", "add", "e1")
-		Expect(applied.code).To(Equal(commandline.ExitDone))
+		Expect(applied.code).To(Equal(commandline.ExitOK))
 		Expect(applied.out).To(Equal("revision 1, 1 drained\ne1\n"))
 		Expect(applied.err).To(ContainSubstring("note: e1 is not a declared back end"))
 		Expect(operator("", "drain", "remove", "e1").out).To(Equal("revision 2, 0 drained\n"))
@@ -181,7 +181,7 @@
 		Expect(os.WriteFile(authority, certificate, 0o600)).To(Succeed())
 		get := []string{"config", "get", "--operator-url", server.URL, "--operator-key", testKey}
 		Expect(run("", get...).code).To(Equal(commandline.ExitUnavailable))
-		Expect(run("", append(get, "--authority", authority)...).code).To(Equal(commandline.ExitDone))
+		Expect(run("", append(get, "--authority", authority)...).code).To(Equal(commandline.ExitOK))
 	})
 
 	It("exits with 6 when no daemon is reachable", func() {
@@ -194,7 +194,7 @@
 	It("does not print a key from the environment", func() {
 		GinkgoT().Setenv("THYMELOFT_OPERATOR_KEY", testKey)
 		help := run("", "config", "apply", "--help")
-		Expect(help.code).To(Equal(commandline.ExitDone))
+		Expect(help.code).To(Equal(commandline.ExitOK))
 		Expect(help.out).To(ContainSubstring("--change-id"))
 	})
 })
@@ -227,7 +227,7 @@
 		Expect(caller("program", "call", "p0001-x", "1", "--model", "assess", "-m", "check, please", "--max-tokens", "9").out).To(Equal("all paid\n"))
 		payload := filepath.Join(GinkgoT().TempDir(), "payload")
 		Expect(os.WriteFile(payload, []byte("{}"), 0o600)).To(Succeed())
-		Expect(caller("program", "call", "p0001-x", "2", "--service", "factor-app", "--operation", "flag", "--payload-file", payload, "--not-repeatable").code).To(Equal(commandline.ExitDone))
+		Expect(caller("program", "call", "p0001-x", "2", "--service", "factor-app", "--operation", "flag", "--payload-file", payload, "--not-repeatable").code).To(Equal(commandline.ExitOK))
 		answer = callerapi.CallReply{State: "dispatched"}
 		Expect(caller("program", "get", "p0001-x", "2", "--wait", "2s").out).To(Equal("dispatched\n"))
 		status = http.StatusNoContent
--- a/internal/commandline/config.go
+++ b/internal/commandline/config.go
@@ -40,9 +40,9 @@
 		return &failure{code: ExitInvalid, cause: invalidConfigurationError(faults)}
 	}
 	if s.isJSON() {
-		return s.printJSON(map[string]any{"valid": true, "items": document.Items()})
+		return s.printJSON(map[string]any{"valid": true, "items": document.ItemCount()})
 	}
-	s.printf("valid: %d items\n", document.Items())
+	s.printf("valid: %d items\n", document.ItemCount())
 	return nil
 }
 
@@ -178,7 +178,7 @@
 	if s.isJSON() {
 		return s.printMessage(response.Msg)
 	}
-	text, err := configuration.FormatYAML(convert.DocumentFrom(response.Msg.GetDocument()))
+	text, err := configuration.FormatYAML(convert.DocumentFromProto(response.Msg.GetDocument()))
 	if err != nil {
 		return err
 	}
@@ -237,8 +237,8 @@
 
 // parseDeletes returns the names in the values of --delete, each "KIND/NAME",
 // grouped by kind.
-func parseDeletes(deletes []string) (configuration.Names, error) {
-	var names configuration.Names
+func parseDeletes(deletes []string) (configuration.ItemNames, error) {
+	var names configuration.ItemNames
 	lists := map[string]*[]string{
 		"tenant":  &names.Tenants,
 		"model":   &names.Models,
--- a/internal/commandline/content.go
+++ b/internal/commandline/content.go
@@ -47,14 +47,14 @@
 		if faults := configuration.Validate(&document); len(faults) > 0 {
 			return nil, &failure{code: ExitInvalid, cause: invalidConfigurationError(faults)}
 		}
-		content.document = convert.Document(&document)
+		content.document = convert.DocumentToProto(&document)
 		return content, nil
 	}
 	deletes, err := parseDeletes(c.Delete)
 	if err != nil {
 		return nil, err
 	}
-	content.partial = convert.Difference(&configuration.Difference{Upserts: document, Deletes: deletes})
+	content.partial = convert.DifferenceToProto(&configuration.Difference{Upserts: document, Deletes: deletes})
 	return content, nil
 }
 
--- a/internal/commandline/documentation_test.go
+++ b/internal/commandline/documentation_test.go
@@ -53,7 +53,7 @@
 			Expect(found).To(BeTrue(), "errors.md has no row for %s", kind)
 			cells := strings.Split(strings.SplitN(rest, "\n", 2)[0], " | ")
 			Expect(cells).To(HaveLen(3))
-			Expect(cells[1]).To(Equal(strconv.Itoa(int(commandline.ExitOfKind(kind)))), "exit code of %s", kind)
+			Expect(cells[1]).To(Equal(strconv.Itoa(int(commandline.ExitCodeForKind(kind)))), "exit code of %s", kind)
 		}
 	})
 })
--- a/internal/commandline/exit.go
+++ b/internal/commandline/exit.go
@@ -19,7 +19,7 @@
 
 // Exit codes.
 const (
-	ExitDone            ExitCode = 0
+	ExitOK              ExitCode = 0
 	ExitFailed          ExitCode = 1
 	ExitUsage           ExitCode = 2 // wrong flags, an unreadable file or a malformed request
 	ExitInvalid         ExitCode = 3 // the input has faults; nothing was changed
@@ -28,7 +28,7 @@
 	ExitUnavailable     ExitCode = 6 // not done; try again later
 	ExitUnauthenticated ExitCode = 7
 	ExitNotFound        ExitCode = 8
-	ExitDifferent       ExitCode = 9 // config diff --exit-code found differences
+	ExitDifferences     ExitCode = 9 // config diff --exit-code found differences
 )
 
 // failure is an error with an exit code and advice to the user.
@@ -49,13 +49,13 @@
 
 // errDifferent sets the exit code of config diff --exit-code without printing an
 // error.
-var errDifferent = &failure{code: ExitDifferent}
+var errDifferent = &failure{code: ExitDifferences}
 
 // report prints an error with its advice and returns the exit code. A nil error
-// is ExitDone.
+// is ExitOK.
 func report(stream io.Writer, err error) ExitCode {
 	if err == nil {
-		return ExitDone
+		return ExitOK
 	}
 	failed := classify(err)
 	if failed.cause == nil {
@@ -99,7 +99,7 @@
 		case *operatorv1.Uncertain:
 			return uncertainError(remote, typed.GetChangeIdentifier())
 		case *operatorv1.ProgramProblem:
-			return &failure{code: ExitOfKind(problem.Kind(typed.GetKind())), cause: remote, advice: Advice(problem.Kind(typed.GetKind()))}
+			return &failure{code: ExitCodeForKind(problem.Kind(typed.GetKind())), cause: remote, advice: Advice(problem.Kind(typed.GetKind()))}
 		}
 	}
 	return classifyCode(remote)
--- a/internal/commandline/explain.go
+++ b/internal/commandline/explain.go
@@ -20,7 +20,7 @@
 // its outcome. If no line shows how a request with the identifier ended, it
 // explains the program with that identifier instead.
 func (c *explainCommand) Run(s *session) error {
-	var lines []explain.Line
+	var lines []explain.LogLine
 	for _, name := range c.Logs {
 		found, err := readLog(name)
 		if err != nil {
@@ -28,8 +28,8 @@
 		}
 		lines = append(lines, found...)
 	}
-	explained, err := explain.Of(c.Request, lines)
-	var notFound *explain.NotFoundError
+	explained, err := explain.ForRequest(c.Request, lines)
+	var notFound *explain.RequestNotFoundError
 	if errors.As(err, &notFound) {
 		return c.explainProgram(s, lines)
 	}
@@ -42,8 +42,8 @@
 	return explained.Print(s.streams.Out)
 }
 
-func (c *explainCommand) explainProgram(s *session, lines []explain.Line) error {
-	explained, err := explain.OfProgram(c.Request, lines)
+func (c *explainCommand) explainProgram(s *session, lines []explain.LogLine) error {
+	explained, err := explain.ForProgram(c.Request, lines)
 	if err != nil {
 		return err
 	}
@@ -53,12 +53,12 @@
 	return explained.Print(s.streams.Out)
 }
 
-func readLog(name string) ([]explain.Line, error) {
+func readLog(name string) ([]explain.LogLine, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, eris.Wrap(err, "open log")
 	}
 	defer func() { _ = file.Close() }()
-	lines, err := explain.Read(file)
+	lines, err := explain.ReadLog(file)
 	return lines, eris.Wrapf(err, "log %s", name)
 }
--- a/internal/commandline/revisions.go
+++ b/internal/commandline/revisions.go
@@ -39,8 +39,8 @@
 }
 
 func itemCount(difference *operatorv1.Difference) int {
-	converted := convert.DifferenceFrom(difference)
-	return converted.Items()
+	converted := convert.DifferenceFromProto(difference)
+	return converted.ItemCount()
 }
 
 type configWatchCommand struct{}
@@ -76,8 +76,8 @@
 		return s.printMessageLine(message)
 	}
 	if document := message.GetDocument(); document != nil {
-		whole := convert.DocumentFrom(document)
-		s.printf("revision %d: %d items\n", message.GetRevision(), whole.Items())
+		whole := convert.DocumentFromProto(document)
+		s.printf("revision %d: %d items\n", message.GetRevision(), whole.ItemCount())
 		return nil
 	}
 	s.printf("revision %d: %d items changed\n", message.GetRevision(), itemCount(message.GetDifference()))
--- a/internal/configuration/administrator.go
+++ b/internal/configuration/administrator.go
@@ -9,9 +9,9 @@
 	// Current returns the revision in force. It never returns nil and never
 	// goes back to an earlier revision.
 	Current() *Snapshot
-	// Confirmed reports whether the daemon has verified recently enough that its
+	// IsConfirmed reports whether the daemon has verified recently enough that its
 	// revision is the latest one. If it has not, new work must be refused.
-	Confirmed() bool
+	IsConfirmed() bool
 	// Subscribe returns a channel that receives a signal after each change of
 	// the revision in force. Several changes may be reported by one signal.
 	Subscribe() <-chan struct{}
--- a/internal/configuration/benchmark_test.go
+++ b/internal/configuration/benchmark_test.go
@@ -128,20 +128,20 @@
 	}
 	b.Run("difference", func(b *testing.B) {
 		for b.Loop() {
-			if _, found := machine.Difference(old.Revision); !found {
+			if _, found := machine.DifferenceSince(old.Revision); !found {
 				b.Fatal("the difference is no longer retained")
 			}
 		}
 	})
-	difference, _ := machine.Difference(old.Revision)
+	difference, _ := machine.DifferenceSince(old.Revision)
 	b.Run("patch", func(b *testing.B) {
 		for b.Loop() {
-			old.Patched(&difference)
+			old.WithDifference(&difference)
 		}
 	})
 	b.Run("build", func(b *testing.B) {
 		for b.Loop() {
-			configuration.BuildSnapshot(1, old.Document)
+			configuration.NewSnapshot(1, old.Document)
 		}
 	})
 }
--- a/internal/configuration/change.go
+++ b/internal/configuration/change.go
@@ -36,7 +36,7 @@
 	Comment    string
 	At         time.Time
 	Difference Difference // from the previous revision to this one
-	Back       Difference // from this revision to the previous one
+	Reverse    Difference // from this revision to the previous one
 	Document   Document
 }
 
--- a/internal/configuration/difference.go
+++ b/internal/configuration/difference.go
@@ -6,14 +6,14 @@
 // or replace, and the names of the items to delete. Its size is proportional to
 // the number of changed items, not to the size of the document.
 type Difference struct {
-	From    uint64   `json:"from,omitempty"`
-	To      uint64   `json:"to,omitempty"`
-	Upserts Document `json:"upserts,omitzero"` // items to add or replace
-	Deletes Names    `json:"deletes,omitzero"`
+	From    uint64    `json:"from,omitempty"`
+	To      uint64    `json:"to,omitempty"`
+	Upserts Document  `json:"upserts,omitzero"` // items to add or replace
+	Deletes ItemNames `json:"deletes,omitzero"`
 }
 
-// Names lists the names of items, one list for each kind of item.
-type Names struct {
+// ItemNames lists the names of items, one list for each kind of item.
+type ItemNames struct {
 	Tenants  []string `json:"tenants,omitempty"`
 	Models   []string `json:"models,omitempty"`
 	Pools    []string `json:"pools,omitempty"`
@@ -22,22 +22,22 @@
 	Drains   []string `json:"drains,omitempty"`
 }
 
-// Items returns the number of items that the difference adds, replaces or deletes.
-func (d *Difference) Items() int {
+// ItemCount returns the number of items that the difference adds, replaces or deletes.
+func (d *Difference) ItemCount() int {
 	upserts, deletes := &d.Upserts, &d.Deletes
-	return upserts.Items() +
+	return upserts.ItemCount() +
 		len(deletes.Tenants) + len(deletes.Models) + len(deletes.Pools) +
 		len(deletes.Engines) + len(deletes.Services) + len(deletes.Drains)
 }
 
-// Items returns the number of items of all kinds in the document.
-func (d *Document) Items() int {
+// ItemCount returns the number of items of all kinds in the document.
+func (d *Document) ItemCount() int {
 	return len(d.Tenants) + len(d.Models) + len(d.Pools) + len(d.Engines) + len(d.Services) + len(d.Drains)
 }
 
-// Compare returns the difference between two documents, without revision
+// ComputeDifference returns the difference between two documents, without revision
 // numbers. Both must be in normal form (see Normalize).
-func Compare(from, to *Document) Difference {
+func ComputeDifference(from, to *Document) Difference {
 	var difference Difference
 	upserts, deletes := &difference.Upserts, &difference.Deletes
 	upserts.Tenants, deletes.Tenants = compareLists(from.Tenants, to.Tenants, tenantName, equalTenants)
--- a/internal/configuration/differences.go
+++ b/internal/configuration/differences.go
@@ -1,33 +1,33 @@
 package configuration
 
-// Differences stores the differences between consecutive recent revisions. It
+// DifferenceLog stores the differences between consecutive recent revisions. It
 // computes from them the difference between an older revision and the current
-// one. It retains at most HistoryRevisions differences with at most HistoryItems
+// one. It retains at most MaxHistoryRevisions differences with at most MaxHistoryItems
 // items in total, but always the latest difference. The zero value is empty and
-// ready to use. Differences is not safe for concurrent use.
-type Differences struct {
+// ready to use. A DifferenceLog is not safe for concurrent use.
+type DifferenceLog struct {
 	retained []Difference // oldest first; each starts at the revision at which the previous one ends
 	items    int
 }
 
 // Add appends the difference. If the difference does not start at the revision
 // at which the latest retained one ends, Add first discards all earlier differences.
-func (d *Differences) Add(difference Difference) {
+func (d *DifferenceLog) Add(difference Difference) {
 	if len(d.retained) > 0 && d.retained[len(d.retained)-1].To != difference.From {
-		*d = Differences{}
+		*d = DifferenceLog{}
 	}
 	d.retained = append(d.retained, difference)
-	d.items += difference.Items()
-	for len(d.retained) > HistoryRevisions || (len(d.retained) > 1 && d.items > HistoryItems) {
-		d.items -= d.retained[0].Items()
+	d.items += difference.ItemCount()
+	for len(d.retained) > MaxHistoryRevisions || (len(d.retained) > 1 && d.items > MaxHistoryItems) {
+		d.items -= d.retained[0].ItemCount()
 		d.retained = d.retained[1:]
 	}
 }
 
-// Since returns the difference between the revision and the current one. It
+// DifferenceSince returns the difference between the revision and the current one. It
 // returns false if the differences between them are not all retained; the caller
 // then needs the whole document.
-func (d *Differences) Since(from uint64, current *Snapshot) (Difference, bool) {
+func (d *DifferenceLog) DifferenceSince(from uint64, current *Snapshot) (Difference, bool) {
 	if from == current.Revision {
 		return Difference{From: from, To: from}, true
 	}
--- a/internal/configuration/display.go
+++ b/internal/configuration/display.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Action says whether an item was added, removed or changed.
-type Action string
+// ChangeAction says whether an item was added, removed or changed.
+type ChangeAction string
 
 // Values of ItemChange.Action.
 const (
-	ActionAdded   Action = "added"
-	ActionRemoved Action = "removed"
-	ActionChanged Action = "changed"
+	ActionAdded   ChangeAction = "added"
+	ActionRemoved ChangeAction = "removed"
+	ActionChanged ChangeAction = "changed"
 )
 
 // ItemChange describes one item that differs between two documents, for display.
 type ItemChange struct {
 	Kind   string // "tenant", "model", "pool", "engine", "service", "drain"
 	Name   string
-	Action Action
+	Action ChangeAction
 	Fields []FieldChange // the fields that differ; set only for ActionChanged
 }
 
@@ -32,12 +32,12 @@
 	To   string // formatted new value
 }
 
-// Diff returns the changes between two documents, for display. The changes are
+// DiffItems returns the changes between two documents, for display. The changes are
 // grouped by kind; within a kind the removals come first, and removals and other
 // changes are each sorted by name. The documents need not be in normal form.
-func Diff(from, to Document) []ItemChange {
+func DiffItems(from, to Document) []ItemChange {
 	before, after := Normalize(&from), Normalize(&to)
-	difference := Compare(&before, &after)
+	difference := ComputeDifference(&before, &after)
 	upserts, deletes := &difference.Upserts, &difference.Deletes
 	var changes []ItemChange
 	changes = appendChanges(changes, "tenant", before.Tenants, upserts.Tenants, deletes.Tenants, tenantName)
--- a/internal/configuration/display_test.go
+++ b/internal/configuration/display_test.go
@@ -35,12 +35,12 @@
 // countFields returns the number of struct fields of the item type.
 func countFields[T any](items []T) int { return reflect.TypeOf(items[0]).NumField() }
 
-var _ = Describe("Diff", func() {
+var _ = Describe("DiffItems", func() {
 	It("reports a change of each field of each kind of item", func() {
 		base := validDocument()
 		check := func(field int, modified configuration.Document) {
 			GinkgoHelper()
-			changes := configuration.Diff(base, modified)
+			changes := configuration.DiffItems(base, modified)
 			Expect(changes).NotTo(BeEmpty(), "field %d", field)
 			if len(changes) == 1 {
 				Expect(changes[0].Fields).To(HaveLen(1), "field %d", field)
@@ -78,7 +78,7 @@
 		modified := validDocument()
 		modified.Drains = []string{"e1"}
 		modified.Services = nil
-		Expect(configuration.Diff(validDocument(), modified)).To(Equal([]configuration.ItemChange{
+		Expect(configuration.DiffItems(validDocument(), modified)).To(Equal([]configuration.ItemChange{
 			{Kind: "service", Name: "factor-app", Action: configuration.ActionRemoved},
 			{Kind: "drain", Name: "e1", Action: configuration.ActionAdded},
 		}))
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -18,7 +18,7 @@
 	Pools    []Pool    `yaml:"pools,omitempty" json:"pools,omitempty"`
 	Engines  []Engine  `yaml:"engines,omitempty" json:"engines,omitempty"`
 	Services []Service `yaml:"services,omitempty" json:"services,omitempty"`
-	Drains   []string  `yaml:"drains,omitempty" json:"drains,omitempty"` // engines, services, addresses or hosts that get no new work; see Snapshot.Names
+	Drains   []string  `yaml:"drains,omitempty" json:"drains,omitempty"` // engines, services, addresses or hosts that get no new work; see Snapshot.HasDrainTarget
 }
 
 // Tenant is a customer, with its limits and the defaults for its programs.
--- a/internal/configuration/fuzz_test.go
+++ b/internal/configuration/fuzz_test.go
@@ -32,7 +32,7 @@
 			t.Fatalf("%v\n%s", err, text)
 		}
 		before, after := configuration.Normalize(&document), configuration.Normalize(&reparsed)
-		if difference := configuration.Compare(&before, &after); difference.Items() > 0 {
+		if difference := configuration.ComputeDifference(&before, &after); difference.ItemCount() > 0 {
 			t.Fatalf("%#v\n%#v\n%s", document, reparsed, text)
 		}
 	})
@@ -46,7 +46,7 @@
 		f.Fatal(err)
 	}
 	partial, err := configuration.EncodeChange(configuration.Change{Identifier: "b", Partial: &configuration.Difference{
-		Upserts: validDocument(), Deletes: configuration.Names{Drains: []string{"x"}},
+		Upserts: validDocument(), Deletes: configuration.ItemNames{Drains: []string{"x"}},
 	}})
 	if err != nil {
 		f.Fatal(err)
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -13,8 +13,8 @@
 	Back       Difference // from this revision to the previous one
 }
 
-// history stores the records of the latest revisions, bounded by HistoryRevisions
-// and HistoryItems.
+// history stores the records of the latest revisions, bounded by MaxHistoryRevisions
+// and MaxHistoryItems.
 type history struct {
 	records []record // oldest first
 	items   int      // number of items in the differences of all records
@@ -28,7 +28,7 @@
 	return result
 }
 
-func (r *record) items() int { return r.Forward.Items() + r.Back.Items() }
+func (r *record) items() int { return r.Forward.ItemCount() + r.Back.ItemCount() }
 
 func (r *record) revision() Revision {
 	return Revision{
@@ -38,7 +38,7 @@
 		Comment:    r.Comment,
 		At:         r.At,
 		Difference: r.Forward,
-		Back:       r.Back,
+		Reverse:    r.Back,
 	}
 }
 
@@ -57,7 +57,7 @@
 	}
 	h.records = append(h.records, entry)
 	h.items += entry.items()
-	for len(h.records) > HistoryRevisions || (len(h.records) > 1 && h.items > HistoryItems) {
+	for len(h.records) > MaxHistoryRevisions || (len(h.records) > 1 && h.items > MaxHistoryItems) {
 		h.items -= h.records[0].items()
 		h.records = h.records[1:]
 	}
@@ -89,7 +89,7 @@
 // reverting the later changes. It returns false if the revision is not retained.
 func (h *history) findRevision(number uint64, current *Snapshot) (Revision, bool) {
 	revisions := h.latest(len(h.records))
-	document, found := current.Past(number, revisions)
+	document, found := current.DocumentAt(number, revisions)
 	if !found || number == 0 || number < h.records[0].Number {
 		return Revision{}, false
 	}
@@ -101,11 +101,11 @@
 // since returns the difference between the revision and the current one, or false
 // if the records between them are not all retained.
 func (h *history) since(from uint64, current *Snapshot) (Difference, bool) {
-	var forward Differences
+	var forward DifferenceLog
 	for i := range h.records {
 		if h.records[i].Number > from {
 			forward.Add(h.records[i].Forward)
 		}
 	}
-	return forward.Since(from, current)
+	return forward.DifferenceSince(from, current)
 }
--- a/internal/configuration/machine.go
+++ b/internal/configuration/machine.go
@@ -6,21 +6,21 @@
 	"sync/atomic"
 )
 
-// Bounds of the results and the history that a Machine stores. HistoryRevisions and
-// HistoryItems also apply to Differences.
+// Bounds of the results and the history that a Machine stores. MaxHistoryRevisions and
+// MaxHistoryItems also apply to a DifferenceLog.
 const (
-	// RememberedAccepted is the maximum number of accepted changes whose results
+	// MaxAcceptedResults is the maximum number of accepted changes whose results
 	// are stored. A repeat of such a change returns the stored result.
-	RememberedAccepted = 4096
-	// RememberedRejected is the maximum number of rejected changes whose results
+	MaxAcceptedResults = 4096
+	// MaxRejectedResults is the maximum number of rejected changes whose results
 	// are stored. They are stored separately, so that many rejections do not
 	// evict the results of accepted changes.
-	RememberedRejected = 256
-	// HistoryRevisions is the maximum number of revisions in the history.
-	HistoryRevisions = 1024
-	// HistoryItems is the maximum number of items in all differences of the
+	MaxRejectedResults = 256
+	// MaxHistoryRevisions is the maximum number of revisions in the history.
+	MaxHistoryRevisions = 1024
+	// MaxHistoryItems is the maximum number of items in all differences of the
 	// history. The latest revision is retained even if it exceeds this bound.
-	HistoryItems = 40000
+	MaxHistoryItems = 40000
 )
 
 // Machine is the state machine of the configuration. Its commands are encoded
@@ -36,8 +36,8 @@
 
 // NewMachine returns a machine at revision 0 with an empty document.
 func NewMachine() *Machine {
-	machine := &Machine{accepted: newResultCache(RememberedAccepted), rejected: newResultCache(RememberedRejected)}
-	machine.current.Store(BuildSnapshot(0, Document{}))
+	machine := &Machine{accepted: newResultCache(MaxAcceptedResults), rejected: newResultCache(MaxRejectedResults)}
+	machine.current.Store(NewSnapshot(0, Document{}))
 	return machine
 }
 
@@ -89,7 +89,7 @@
 	if len(faults) > 0 {
 		return ChangeResult{Revision: current.Revision, Faults: faults}
 	}
-	next := current.Patched(&difference)
+	next := current.WithDifference(&difference)
 	if change.Partial != nil { // buildDifference has already validated a whole document
 		faults = Validate(&next.Document)
 	}
@@ -112,7 +112,7 @@
 			return Difference{}, faults
 		}
 		document := Normalize(&change.Document)
-		difference = Compare(&current.Document, &document)
+		difference = ComputeDifference(&current.Document, &document)
 	} else {
 		if faults := checkPartial(change.Partial, &current.Document); len(faults) > 0 {
 			return Difference{}, faults
@@ -124,16 +124,16 @@
 	return difference, nil
 }
 
-// Reduced returns an equivalent partial change for a change of the whole document,
+// ReduceChange returns an equivalent partial change for a change of the whole document,
 // so that only the differing items have to be encoded. It returns the change as it
 // is if the change is already partial, its base is another revision, or its
 // document is invalid.
-func (s *Snapshot) Reduced(change Change) Change {
+func (s *Snapshot) ReduceChange(change Change) Change {
 	if change.Partial != nil || change.BaseRevision != s.Revision || len(Validate(&change.Document)) > 0 {
 		return change
 	}
 	document := Normalize(&change.Document)
-	difference := Compare(&s.Document, &document)
+	difference := ComputeDifference(&s.Document, &document)
 	change.Document = Document{}
 	change.Partial = &difference
 	return change
@@ -155,11 +155,11 @@
 	return m.history.findRevision(number, m.Current())
 }
 
-// Difference returns the difference between the given revision and the current
+// DifferenceSince returns the difference between the given revision and the current
 // one. It returns false if the history does not reach back to the given revision,
 // or if that is later than the current one; the caller then needs the whole
 // document.
-func (m *Machine) Difference(from uint64) (Difference, bool) {
+func (m *Machine) DifferenceSince(from uint64) (Difference, bool) {
 	m.mutex.RLock()
 	defer m.mutex.RUnlock()
 	current := m.Current()
@@ -209,8 +209,8 @@
 		return fmt.Errorf("restore configuration: revision %d is older than the current revision %d", newState.Revision, current)
 	}
 	m.history = restoreHistory(newState.History)
-	m.accepted = restoreResultCache(RememberedAccepted, newState.Accepted)
-	m.rejected = restoreResultCache(RememberedRejected, newState.Rejected)
-	m.current.Store(BuildSnapshot(newState.Revision, newState.Document))
+	m.accepted = restoreResultCache(MaxAcceptedResults, newState.Accepted)
+	m.rejected = restoreResultCache(MaxRejectedResults, newState.Rejected)
+	m.current.Store(NewSnapshot(newState.Revision, newState.Document))
 	return nil
 }
--- a/internal/configuration/machine_test.go
+++ b/internal/configuration/machine_test.go
@@ -51,9 +51,9 @@
 		Expect(current.PoolsOfModel["assess"]).To(HaveLen(1))
 		Expect(current.Document.Engines[0].Name).To(Equal("e1"), "lists are sorted by name")
 		for _, name := range []string{"e2", "factor-app", "10.0.0.2:8000", "10.0.1.1", "http://10.0.1.1:9000"} {
-			Expect(current.Names(name)).To(BeTrue(), name)
+			Expect(current.HasDrainTarget(name)).To(BeTrue(), name)
 		}
-		Expect(current.Names("e3")).To(BeFalse())
+		Expect(current.HasDrainTarget("e3")).To(BeFalse())
 	})
 
 	It("returns a conflict for a stale base revision, and the first result for a repeated change", func() {
@@ -73,10 +73,10 @@
 	})
 
 	It("keeps the document after a reduced change without differences", func() {
-		unchanged := machine.Current().Reduced(configuration.Change{Identifier: "same", BaseRevision: 1, Document: validDocument()})
-		Expect(unchanged.Partial.Items()).To(BeZero())
+		unchanged := machine.Current().ReduceChange(configuration.Change{Identifier: "same", BaseRevision: 1, Document: validDocument()})
+		Expect(unchanged.Partial.ItemCount()).To(BeZero())
 		Expect(apply(machine, unchanged)).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 2}))
-		Expect(machine.Current().Document).To(Equal(configuration.BuildSnapshot(0, validDocument()).Document))
+		Expect(machine.Current().Document).To(Equal(configuration.NewSnapshot(0, validDocument()).Document))
 	})
 
 	It("still rejects a repeated change once its base revision exists", func() {
@@ -98,7 +98,7 @@
 		}
 		Expect(apply(machine, configuration.Change{
 			Identifier: "delete", BaseRevision: 4,
-			Partial: &configuration.Difference{Deletes: configuration.Names{Models: []string{"m0"}}},
+			Partial: &configuration.Difference{Deletes: configuration.ItemNames{Models: []string{"m0"}}},
 		}).Accepted).To(BeTrue())
 
 		history := machine.History(2)
@@ -109,31 +109,31 @@
 		Expect(found).To(BeTrue())
 		Expect(old.Document).To(Equal(before.Document))
 
-		difference, found := machine.Difference(1)
+		difference, found := machine.DifferenceSince(1)
 		Expect(found).To(BeTrue())
-		Expect(before.Patched(&difference)).To(Equal(machine.Current()))
-		_, found = machine.Difference(9)
+		Expect(before.WithDifference(&difference)).To(Equal(machine.Current()))
+		_, found = machine.DifferenceSince(9)
 		Expect(found).To(BeFalse())
 	})
 
 	It("drops the oldest differences beyond its bounds", func() {
-		var retained configuration.Differences
-		for i := range uint64(configuration.HistoryRevisions + 2) {
+		var retained configuration.DifferenceLog
+		for i := range uint64(configuration.MaxHistoryRevisions + 2) {
 			retained.Add(configuration.Difference{From: i, To: i + 1})
 		}
-		current := configuration.BuildSnapshot(configuration.HistoryRevisions+2, configuration.Document{})
-		_, found := retained.Since(1, current)
+		current := configuration.NewSnapshot(configuration.MaxHistoryRevisions+2, configuration.Document{})
+		_, found := retained.DifferenceSince(1, current)
 		Expect(found).To(BeFalse())
-		_, found = retained.Since(2, current)
+		_, found = retained.DifferenceSince(2, current)
 		Expect(found).To(BeTrue())
 
-		large := make([]string, configuration.HistoryItems)
+		large := make([]string, configuration.MaxHistoryItems)
 		retained.Add(configuration.Difference{From: current.Revision, To: current.Revision + 1, Upserts: configuration.Document{Drains: large}})
-		later := configuration.BuildSnapshot(current.Revision+1, configuration.Document{})
-		_, found = retained.Since(current.Revision-1, later)
+		later := configuration.NewSnapshot(current.Revision+1, configuration.Document{})
+		_, found = retained.DifferenceSince(current.Revision-1, later)
 		Expect(found).To(BeTrue(), "empty differences do not count towards the bound")
 		retained.Add(configuration.Difference{From: later.Revision, To: later.Revision + 1, Upserts: configuration.Document{Drains: large[:1]}})
-		_, found = retained.Since(current.Revision, configuration.BuildSnapshot(later.Revision+1, configuration.Document{}))
+		_, found = retained.DifferenceSince(current.Revision, configuration.NewSnapshot(later.Revision+1, configuration.Document{}))
 		Expect(found).To(BeFalse())
 	})
 
--- a/internal/configuration/property_test.go
+++ b/internal/configuration/property_test.go
@@ -54,7 +54,7 @@
 	}
 	if rapid.Bool().Draw(t, "partial") {
 		wanted := configuration.Normalize(&change.Document)
-		partial := configuration.Compare(&current.Document, &wanted)
+		partial := configuration.ComputeDifference(&current.Document, &wanted)
 		change.Partial = &partial
 	}
 	return change
@@ -70,7 +70,7 @@
 		first := map[string]configuration.ChangeResult{}
 		accepted := map[uint64]string{}
 		documents := []configuration.Document{{}}
-		var distributed configuration.Differences
+		var distributed configuration.DifferenceLog
 		steps := rapid.IntRange(1, 25).Draw(t, "steps")
 		for range steps {
 			change := drawChange(t, machine)
@@ -100,8 +100,8 @@
 		}
 		checkHistory(g, machine, documents)
 		for number := range documents {
-			difference, found := machine.Difference(uint64(number))
-			same, alsoFound := distributed.Since(uint64(number), machine.Current())
+			difference, found := machine.DifferenceSince(uint64(number))
+			same, alsoFound := distributed.DifferenceSince(uint64(number), machine.Current())
 			g.Expect(alsoFound).To(Equal(found))
 			g.Expect(same).To(Equal(difference))
 		}
@@ -122,9 +122,9 @@
 			g.Expect(found).To(BeTrue())
 			g.Expect(old.Document).To(Equal(seen))
 		}
-		difference, found := machine.Difference(uint64(number))
+		difference, found := machine.DifferenceSince(uint64(number))
 		g.Expect(found).To(BeTrue())
-		g.Expect(configuration.BuildSnapshot(uint64(number), seen).Patched(&difference)).To(Equal(machine.Current()))
+		g.Expect(configuration.NewSnapshot(uint64(number), seen).WithDifference(&difference)).To(Equal(machine.Current()))
 	}
 }
 
@@ -158,7 +158,7 @@
 			change := drawChange(t, machine)
 			change.Identifier = fmt.Sprint(number)
 			change.Partial = nil
-			reduced := other.Current().Reduced(change)
+			reduced := other.Current().ReduceChange(change)
 			g.Expect(applyTo(t, other, reduced)).To(Equal(applyTo(t, machine, change)))
 			g.Expect(other.Current()).To(Equal(machine.Current()))
 		}
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -22,31 +22,31 @@
 	Drained       map[string]bool    // the entries of Document.Drains
 }
 
-// BuildSnapshot returns a snapshot of the normalized document with its indexes. The
+// NewSnapshot returns a snapshot of the normalized document with its indexes. The
 // document must be valid.
-func BuildSnapshot(revision uint64, document Document) *Snapshot {
+func NewSnapshot(revision uint64, document Document) *Snapshot {
 	return buildIndexes(revision, Normalize(&document), nil)
 }
 
-// Patched returns a new snapshot with the difference applied; its revision is the
+// WithDifference returns a new snapshot with the difference applied; its revision is the
 // To of the difference. Lists that the difference does not change are shared with
 // the original snapshot, as are the indexes of unchanged tenants and engines.
-func (s *Snapshot) Patched(difference *Difference) *Snapshot {
+func (s *Snapshot) WithDifference(difference *Difference) *Snapshot {
 	return buildIndexes(difference.To, Patch(&s.Document, difference), s)
 }
 
-// Past returns the document of this or an earlier revision, by reverting the
-// changes of the history. The history must be sorted newest first. Past returns
-// false if the history does not cover all changes between the two revisions.
-func (s *Snapshot) Past(revision uint64, history []Revision) (Document, bool) {
+// DocumentAt returns the document of this or an earlier revision, by reverting the
+// changes of the history. The history must be sorted newest first. DocumentAt
+// returns false if the history does not cover all changes between the two revisions.
+func (s *Snapshot) DocumentAt(revision uint64, history []Revision) (Document, bool) {
 	document, current := s.Document, s.Revision
 	for i := range history {
 		if current == revision {
 			break
 		}
 		if history[i].Number == current {
-			document = Patch(&document, &history[i].Back)
-			current = history[i].Back.To
+			document = Patch(&document, &history[i].Reverse)
+			current = history[i].Reverse.To
 		}
 	}
 	return document, current == revision
@@ -63,9 +63,9 @@
 	return document, Validate(&document)
 }
 
-// Names reports whether the drain matches a declared engine or service: by its
+// HasDrainTarget reports whether the drain matches a declared engine or service: by its
 // name, or by the base URL, "host:port" or host of one of its addresses.
-func (s *Snapshot) Names(drain string) bool {
+func (s *Snapshot) HasDrainTarget(drain string) bool {
 	if s.EngineByName[drain] != nil || s.ServiceByName[drain] != nil {
 		return true
 	}
--- a/internal/configuration/stored/change.go
+++ b/internal/configuration/stored/change.go
@@ -66,7 +66,7 @@
 		return configuration.ChangeResult{}, err
 	}
 	change.At = time.Now()
-	command, err := configuration.EncodeChange(machine.Current().Reduced(change))
+	command, err := configuration.EncodeChange(machine.Current().ReduceChange(change))
 	if err != nil {
 		return configuration.ChangeResult{Revision: machine.Current().Revision, Faults: []string{err.Error()}}, nil //nolint:nilerr // told in the result
 	}
--- a/internal/configuration/stored/metrics.go
+++ b/internal/configuration/stored/metrics.go
@@ -16,7 +16,7 @@
 	}{
 		{"thymeloft_configuration_revision", "Revision of the configuration in force here.", func() float64 { return float64(s.Current().Revision) }},
 		{"thymeloft_configuration_confirmed", "1 if the revision in force was confirmed as the latest within confirm_bound, otherwise 0.", func() float64 {
-			if s.Confirmed() {
+			if s.IsConfirmed() {
 				return 1
 			}
 			return 0
--- a/internal/configuration/stored/rows.go
+++ b/internal/configuration/stored/rows.go
@@ -107,7 +107,7 @@
 	next := head{Revision: machine.Current().Revision, Nonce: rand.Uint64()}
 	next.Name = fmt.Sprintf("%016x-%016x/", next.Revision, next.Nonce)
 	var puts []state.Put
-	for chunk := range slices.Chunk(content, s.options.RowBytes) {
+	for chunk := range slices.Chunk(content, s.options.MaxRowBytes) {
 		puts = append(puts, state.Put{Key: state.Key{Table: tableContent, Name: next.Name + fmt.Sprintf("%06x", len(puts))}, Value: chunk})
 	}
 	next.Rows = len(puts)
--- a/internal/configuration/stored/stored.go
+++ b/internal/configuration/stored/stored.go
@@ -6,7 +6,7 @@
 // Guarantees: each revision is based on the previous one, no daemon goes back to an
 // earlier revision, an accepted change survives the loss of all daemons, and a
 // repeated change returns its first result as long as that is stored (see
-// configuration.RememberedAccepted).
+// configuration.MaxAcceptedResults).
 package stored
 
 import (
@@ -28,8 +28,8 @@
 
 // Options are the parameters of a Service.
 type Options struct {
-	Store    *state.Client
-	RowBytes int // maximum size of a row's value, in bytes
+	Store       *state.Client
+	MaxRowBytes int // maximum size of a row's value, in bytes
 	// ConfirmBound is how long a revision counts as confirmed after the last
 	// answer of the store.
 	ConfirmBound time.Duration
@@ -61,10 +61,10 @@
 var _ configuration.Administrator = (*Service)(nil)
 
 // New returns a service with revision 0 in force. It returns an error if Store,
-// RowBytes or ConfirmBound is not set, or if its metrics cannot be registered.
+// MaxRowBytes or ConfirmBound is not set, or if its metrics cannot be registered.
 func New(options Options) (*Service, error) {
-	if options.Store == nil || options.RowBytes <= 0 || options.ConfirmBound <= 0 {
-		return nil, eris.New("configuration: Store, RowBytes and ConfirmBound must be set")
+	if options.Store == nil || options.MaxRowBytes <= 0 || options.ConfirmBound <= 0 {
+		return nil, eris.New("configuration: Store, MaxRowBytes and ConfirmBound must be set")
 	}
 	if options.Log == nil {
 		options.Log = zap.NewNop()
@@ -158,16 +158,16 @@
 	return channel
 }
 
-// Confirmed implements configuration.Source. It reports whether the store has
+// IsConfirmed implements configuration.Source. It reports whether the store has
 // answered the watch of the head within ConfirmBound, and the latest revision known
 // from the store is in force.
-func (s *Service) Confirmed() bool {
+func (s *Service) IsConfirmed() bool {
 	age, found := s.sinceStoreAnswer()
 	return found && age <= s.options.ConfirmBound && s.Current().Revision >= s.latestKnown.Load()
 }
 
-// Heard reports whether the store has answered the watch of the head at least once.
-func (s *Service) Heard() bool {
+// HasStoreAnswered reports whether the store has answered the watch of the head at least once.
+func (s *Service) HasStoreAnswered() bool {
 	_, found := s.sinceStoreAnswer()
 	return found
 }
--- a/internal/configuration/stored/stored_test.go
+++ b/internal/configuration/stored/stored_test.go
@@ -34,7 +34,7 @@
 	GinkgoHelper()
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
 	client := state.NewClient(state.ClientOptions{Store: store, Availability: availability})
-	service, err := stored.New(stored.Options{Store: client, RowBytes: 200, ConfirmBound: confirmBound})
+	service, err := stored.New(stored.Options{Store: client, MaxRowBytes: 200, ConfirmBound: confirmBound})
 	Expect(err).NotTo(HaveOccurred())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -70,7 +70,7 @@
 		for _, each := range []*stored.Service{second, start(store)} {
 			Eventually(func() uint64 { return each.Current().Revision }).Should(BeEquivalentTo(1))
 			Expect(each.Current().Document.Tenants).To(HaveLen(50))
-			Eventually(each.Confirmed).Should(BeTrue())
+			Eventually(each.IsConfirmed).Should(BeTrue())
 		}
 		revisions, err := second.History(ctx, 5)
 		Expect(err).NotTo(HaveOccurred())
@@ -93,12 +93,12 @@
 	It("recognizes a commit without an answer by the identifier of the change", func(ctx SpecContext) {
 		service := start(store)
 		lost := 0
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" && lost < 6 {
 				lost++
-				return memorystore.Lost
+				return memorystore.FaultLost
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		Expect(service.Change(ctx, change("one", 0, "a"))).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 1}))
 		Expect(start(store).Change(ctx, change("two", 1, "a", "b"))).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 2}))
@@ -107,8 +107,8 @@
 	It("reports that a change did not run while the store is down, and is unconfirmed after the bound", func(ctx SpecContext) {
 		service := start(store)
 		Expect(service.Change(ctx, change("one", 0, "a"))).To(HaveField("Accepted", true))
-		Eventually(service.Confirmed).Should(BeTrue())
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
+		Eventually(service.IsConfirmed).Should(BeTrue())
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultRefused })
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		_, err := service.Change(short, change("two", 1, "b"))
@@ -116,34 +116,34 @@
 		Expect(errors.As(err, &reported)).To(BeTrue())
 		Expect(reported.Outcome).To(Equal(problem.OutcomeNotRun))
 		Expect(reported.RetryAfter).To(BeNumerically(">", 0))
-		Eventually(service.Confirmed).Should(BeFalse())
+		Eventually(service.IsConfirmed).Should(BeFalse())
 		Expect(service.Current().Revision).To(BeEquivalentTo(1), "the previous revision stays in force")
-		store.Misbehave(nil)
-		Eventually(service.Confirmed).Should(BeTrue())
+		store.SetFaultFunc(nil)
+		Eventually(service.IsConfirmed).Should(BeTrue())
 	})
 
 	It("keeps its revision when reads of the store are outdated", func(ctx SpecContext) {
 		service := start(store)
 		Expect(service.Change(ctx, change("one", 0, "a"))).To(HaveField("Accepted", true))
-		store.AnswerReadings(&state.Page{})
+		store.SetFixedPage(&state.Page{})
 		store.ForgetHistory()
 		Consistently(func() uint64 { return service.Current().Revision }, "50ms").Should(BeEquivalentTo(1))
-		store.AnswerReadings(nil)
-		Eventually(service.Confirmed).Should(BeTrue())
+		store.SetFixedPage(nil)
+		Eventually(service.IsConfirmed).Should(BeTrue())
 	})
 
 	DescribeTable("accepts one of several concurrent changes of one revision", func(ctx SpecContext, seed int) {
 		services := []*stored.Service{start(store), start(store), start(store)}
 		calls := 0
-		store.Misbehave(func(memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault {
 			calls++
 			switch (calls*5 + seed) % 17 {
 			case 0, 1:
-				return memorystore.Lost
+				return memorystore.FaultLost
 			case 2:
-				return memorystore.Refused
+				return memorystore.FaultRefused
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		base := uint64(0)
 		for round := range 4 {
--- a/internal/configuration/touched.go
+++ b/internal/configuration/touched.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // changedNames collects the names of the items that occur in differences.
-type changedNames struct{ names Names }
+type changedNames struct{ names ItemNames }
 
 func (t *changedNames) add(difference *Difference) {
 	upserts, deletes := &difference.Upserts, &difference.Deletes
--- a/internal/daemon/assemble.go
+++ b/internal/daemon/assemble.go
@@ -78,7 +78,7 @@
 		d.logger.Warn("store: does not answer.")
 	})
 	d.store = state.NewClient(state.ClientOptions{
-		Store: d.newStore(d.settings.Platform.Store, d.registry), Availability: availability,
+		Store: d.storeFactory(d.settings.Platform.Store, d.registry), Availability: availability,
 		Probe: state.Range{Table: storeProbeTable, Limit: 1},
 	})
 	return nil
@@ -91,7 +91,7 @@
 func (d *Daemon) assembleConfiguration() error {
 	var err error
 	d.configuration, err = stored.New(stored.Options{
-		Store: d.store, RowBytes: maxRowBytes, ConfirmBound: d.settings.ConfirmBound,
+		Store: d.store, MaxRowBytes: maxRowBytes, ConfirmBound: d.settings.ConfirmBound,
 		Log: d.logger, Registry: d.registry,
 		OnRevision: func(revision uint64) { d.lease.ConfigRevision.Store(revision) },
 	})
@@ -104,7 +104,7 @@
 func (d *Daemon) assembleShards() error {
 	var err error
 	d.shardNode, err = shards.NewNode(shards.Options{
-		Self: d.self, Store: d.store, Directory: d.memberList, Caller: d.peerPool, Registrar: d.peerServer,
+		Self: d.self, Store: d.store, Directory: d.memberList, PeerClient: d.peerPool, Registrar: d.peerServer,
 		NewStateMachine: func(shard identity.Shard) shards.StateMachine { return d.execution.NewShard(shard) },
 		IsIdle:          func(shard identity.Shard) bool { return d.execution.IsShardIdle(shard) },
 		ShardCount:      d.settings.Shards,
@@ -122,7 +122,7 @@
 		Self:          d.self,
 		Configuration: d.configuration,
 		Directory:     d.memberList,
-		Caller:        d.peerPool,
+		PeerClient:    d.peerPool,
 		Registrar:     d.peerServer,
 		MachineList:   d.platform.machines,
 		WeightStore:   d.platform.weights,
@@ -164,7 +164,7 @@
 		Local:      d.execution,
 		Groups:     d.shardNode,
 		ShardMap:   d.shardNode,
-		Caller:     d.peerPool,
+		PeerClient: d.peerPool,
 		Registrar:  d.peerServer,
 		Logger:     d.logger,
 		Registerer: d.registry,
@@ -178,16 +178,16 @@
 		Programs:      d.router,
 		Configuration: d.configuration,
 		Limits: callerapi.Limits{
-			BodyBytes:       limits.BodyBytes,
-			Requests:        limits.Requests,
-			ReadTimeout:     limits.ReadTimeout,
-			WriteTimeout:    limits.WriteTimeout,
-			CallTimeout:     limits.CallTimeout,
-			LongestDeadline: limits.LongestDeadline,
+			MaxBodyBytes:       limits.BodyBytes,
+			MaxActiveRequests:  limits.Requests,
+			ReadTimeout:        limits.ReadTimeout,
+			WriteTimeout:       limits.WriteTimeout,
+			DefaultCallTimeout: limits.CallTimeout,
+			MaxCallTimeout:     limits.LongestDeadline,
 		},
 		Logger:     d.logger,
 		Registerer: d.registry,
-		Draining:   d.lifecycle.Draining,
+		IsDraining: d.lifecycle.IsDraining,
 	})
 	d.operatorHandler = operatorapi.NewHandler(operatorapi.Options{
 		Administrator: d.configuration,
@@ -199,7 +199,7 @@
 		Keys:          d.settings.OperatorKeyHashes,
 		Logger:        d.logger,
 		Registerer:    d.registry,
-		Draining:      d.lifecycle.Draining,
+		Draining:      d.lifecycle.IsDraining,
 	})
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,7 +33,7 @@
 	self      identity.Process
 	logger    *zap.Logger
 	registry  *prometheus.Registry
-	lifecycle *process.Life
+	lifecycle *process.Lifecycle
 
 	callerEndpoint   *process.Endpoint
 	operatorEndpoint *process.Endpoint
@@ -54,13 +54,13 @@
 	callerHandler   http.Handler
 	operatorHandler http.Handler
 
-	newStore NewStore
-	closers  []func() // called by Close, last added first
+	storeFactory StoreFactory
+	closers      []func() // called by Close, last added first
 }
 
-// NewStore creates a client of the transactional store at an address ("ip:port")
+// StoreFactory creates a client of the transactional store at an address ("ip:port")
 // and registers its metrics with the registry.
-type NewStore func(address string, registry prometheus.Registerer) state.Store
+type StoreFactory func(address string, registry prometheus.Registerer) state.Store
 
 // Addresses are the listeners' addresses, each "ip:port".
 type Addresses struct {
@@ -73,12 +73,12 @@
 // Run creates a daemon, runs it until the context ends, and then drains it. It
 // returns an error if the daemon could not start, if a component failed, or if
 // the drain did not finish within the configured timeout.
-func Run(ctx context.Context, configured settings.Settings, newStore NewStore) error {
+func Run(ctx context.Context, configured settings.Settings, storeFactory StoreFactory) error {
 	logger, err := telemetry.NewLogger(configured.Log.Level, configured.Log.Format, os.Stderr)
 	if err != nil {
 		return err
 	}
-	daemon, err := New(configured, newStore, logger)
+	daemon, err := New(configured, storeFactory, logger)
 	if err != nil {
 		return err
 	}
@@ -87,13 +87,13 @@
 
 // New checks the settings, opens the listeners and creates all components. No
 // request is served before Run is called.
-func New(configured settings.Settings, newStore NewStore, logger *zap.Logger) (*Daemon, error) {
+func New(configured settings.Settings, storeFactory StoreFactory, logger *zap.Logger) (*Daemon, error) {
 	if err := configured.Check(); err != nil {
 		return nil, err
 	}
-	d := &Daemon{settings: configured, newStore: newStore, registry: telemetry.NewRegistry()}
+	d := &Daemon{settings: configured, storeFactory: storeFactory, registry: telemetry.NewRegistry()}
 	d.logger = logger.With(zap.String("machine", configured.Machine), zap.String("zone", configured.Zone))
-	d.lifecycle = process.NewLife("daemon", d.logger.Named("daemon"))
+	d.lifecycle = process.NewLifecycle("daemon", d.logger.Named("daemon"))
 	for _, step := range []func() error{d.openListeners, d.assemble} {
 		if err := step(); err != nil {
 			d.Close()
@@ -144,7 +144,7 @@
 		Name: name, Address: address, TLS: configuration, Log: d.logger,
 		Limits: process.EndpointLimits{
 			HeaderTimeout: limits.HeaderTimeout, ReadTimeout: limits.ReadTimeout, IdleTimeout: limits.IdleTimeout,
-			HeaderBytes: limits.HeaderBytes, Connections: limits.Connections,
+			MaxHeaderBytes: limits.HeaderBytes, MaxConnections: limits.Connections,
 		},
 	})
 	if err != nil {
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -33,7 +33,7 @@
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.DrainTimeout)
 	defer cancel()
-	d.lifecycle.Drain()
+	d.lifecycle.MarkDraining()
 	d.shardNode.StopAcquiring()
 	if err := d.execution.Drain(ctx); err != nil && ctx.Err() == nil {
 		// The error is not fatal: no call runs here any more, and another daemon takes
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -120,8 +120,8 @@
 
 // newStore creates a client of the stand-in for the store.
 func newStore(address string, registry prometheus.Registerer) state.Store {
-	calls := server.NewStoreCalls(registry)
-	return platform.NewStore(platform.StoreOptions{Address: address, Patience: time.Second, Observe: calls.Observe})
+	calls := server.NewStoreMetrics(registry)
+	return platform.NewStore(platform.StoreOptions{Address: address, CallTimeout: time.Second, Observe: calls.Observe})
 }
 
 func (c *cluster) startMember(number, count int) *member {
@@ -158,7 +158,7 @@
 	}
 	response, err := c.members[0].operatorClient().ApplyConfiguration(context.Background(), withOperatorKey(&operatorv1.ApplyConfigurationRequest{
 		ChangeIdentifier: "first",
-		Content:          &operatorv1.ApplyConfigurationRequest_Document{Document: convert.Document(&document)},
+		Content:          &operatorv1.ApplyConfigurationRequest_Document{Document: convert.DocumentToProto(&document)},
 	}))
 	Expect(err).NotTo(HaveOccurred())
 	Expect(response.Msg.GetRevision()).To(BeEquivalentTo(1))
--- a/internal/daemon/platform.go
+++ b/internal/daemon/platform.go
@@ -17,8 +17,8 @@
 // platformServices are the clients of the platform's services. A client is nil
 // if the settings have no URL for its service.
 type platformServices struct {
-	machines platform.Machines
-	weights  platform.Weights
+	machines platform.MachineList
+	weights  platform.WeightStore
 	http     *http.Client
 }
 
@@ -28,10 +28,10 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePlatformConnections, IdleConnTimeout: time.Minute},
 	}}
 	if urls.Machines != "" {
-		services.machines = client.NewMachines(urls.Machines, services.http)
+		services.machines = client.NewMachineList(urls.Machines, services.http)
 	}
 	if urls.Weights != "" {
-		services.weights = client.NewWeights(urls.Weights, services.http)
+		services.weights = client.NewWeightStore(urls.Weights, services.http)
 	}
 	return services
 }
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -25,7 +25,7 @@
 // the drain finished in time and no component failed.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.Close()
-	defer d.lifecycle.Stop()
+	defer d.lifecycle.MarkStopped()
 	d.logger.Info("daemon: listening.", d.addressFields()...)
 	workContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -88,21 +88,21 @@
 
 // isStopping reports whether components are expected to return.
 func (d *Daemon) isStopping(ctx context.Context) bool {
-	return ctx.Err() != nil || d.lifecycle.Draining()
+	return ctx.Err() != nil || d.lifecycle.IsDraining()
 }
 
 // readinessConditions returns the conditions under which the daemon is ready.
 func (d *Daemon) readinessConditions() process.Conditions {
 	return process.Conditions{
-		{Unmet: "the store has not answered yet", Holds: d.configuration.Heard},
-		{Unmet: "the shard map is not known", Holds: func() bool { return d.shardNode.Current() != nil }},
-		{Unmet: "the configuration is not confirmed", Holds: d.configuration.Confirmed},
-		{Unmet: "draining", Holds: func() bool { return !d.lifecycle.Draining() }},
+		{UnmetMessage: "the store has not answered yet", IsMet: d.configuration.HasStoreAnswered},
+		{UnmetMessage: "the shard map is not known", IsMet: func() bool { return d.shardNode.Current() != nil }},
+		{UnmetMessage: "the configuration is not confirmed", IsMet: d.configuration.IsConfirmed},
+		{UnmetMessage: "draining", IsMet: func() bool { return !d.lifecycle.IsDraining() }},
 	}
 }
 
 // Ready reports whether the daemon accepts new work.
-func (d *Daemon) Ready() bool { return d.readinessConditions().Hold() }
+func (d *Daemon) Ready() bool { return d.readinessConditions().AllMet() }
 
 // awaitReady waits until the daemon is ready for the first time, then moves it
 // to the serving state and logs its addresses. It returns early if the context
@@ -117,7 +117,7 @@
 		case <-ticker.C:
 		}
 	}
-	d.lifecycle.Serve()
+	d.lifecycle.MarkServing()
 	d.logger.Info("daemon: ready.", d.addressFields()...)
 }
 
--- a/internal/engine/benchmark_test.go
+++ b/internal/engine/benchmark_test.go
@@ -28,7 +28,7 @@
 	source.set(document)
 	network := newMemoryNetwork()
 	daemon := fakeDaemon{memoryNetwork: network, self: process("daemon-a")}
-	service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon})
+	service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, PeerClient: daemon, Registrar: daemon})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -119,13 +119,13 @@
 	}
 }
 
-// countingCaller counts the calls and the bytes that one daemon sends, including an estimate of
+// countingClient counts the calls and the bytes that one daemon sends, including an estimate of
 // the RPC overhead.
-type countingCaller struct {
+type countingClient struct {
 	calls, bytes *int
 }
 
-func (c countingCaller) Call(_ context.Context, _ string, _ peer.Class, _ string, arguments, _ any) error {
+func (c countingClient) Call(_ context.Context, _ string, _ peer.Class, _ string, arguments, _ any) error {
 	batch := arguments.(*DigestBatch)
 	*c.calls++
 	*c.bytes += len(batch.Payload) + len(batch.Sender) + callOverheadBytes
@@ -138,7 +138,7 @@
 	const daemons, engines = 78, 680
 	var calls, bytes int
 	service := newBenchmarkService(b, engines)
-	service.options.Caller = countingCaller{calls: &calls, bytes: &bytes}
+	service.options.PeerClient = countingClient{calls: &calls, bytes: &bytes}
 	processes := []identity.Process{service.self}
 	for index := range daemons - 1 {
 		processes = append(processes, process(fmt.Sprintf("daemon-%03d", index)))
--- a/internal/engine/digest_exchange.go
+++ b/internal/engine/digest_exchange.go
@@ -218,7 +218,7 @@
 	ctx, cancel := context.WithTimeout(ctx, e.service.settings.CallTimeout)
 	defer cancel()
 	var reply DigestReply
-	err := e.service.options.Caller.Call(ctx, address, peer.Control, methodDigests, &batch, &reply)
+	err := e.service.options.PeerClient.Call(ctx, address, peer.ClassControl, methodDigests, &batch, &reply)
 	if err != nil {
 		e.service.metrics.digestErrors.Inc()
 		e.service.logger.Debug("engine: sending digests failed.", zap.Error(err))
--- a/internal/engine/fakes_test.go
+++ b/internal/engine/fakes_test.go
@@ -142,7 +142,7 @@
 	f.current = &configuration.Snapshot{Revision: revision, Document: document}
 }
 
-func (f *fakeSource) Confirmed() bool            { return true }
+func (f *fakeSource) IsConfirmed() bool          { return true }
 func (f *fakeSource) Subscribe() <-chan struct{} { return nil }
 
 // memoryNetwork connects the daemons of a test by direct method calls. All of them see the same
@@ -158,7 +158,7 @@
 	return &memoryNetwork{receivers: map[string]*DigestReceiver{}, view: &members.View{}}
 }
 
-// fakeDaemon is one daemon on the network, as peer.Caller, peer.Registrar and
+// fakeDaemon is one daemon on the network, as peer.Client, peer.Registrar and
 // members.Directory.
 type fakeDaemon struct {
 	*memoryNetwork
@@ -218,10 +218,10 @@
 
 type fakeMachines struct {
 	mutex   sync.Mutex
-	leaving []platform.ListedMachine
+	leaving []platform.Machine
 }
 
-func (f *fakeMachines) List(context.Context) ([]platform.ListedMachine, error) {
+func (f *fakeMachines) List(context.Context) ([]platform.Machine, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.leaving, nil
@@ -242,7 +242,7 @@
 // startService runs a service until the returned function is called, or until the spec ends.
 func startService(network *memoryNetwork, source configuration.Source, name string, change func(*Options)) (*Service, func()) {
 	daemon := fakeDaemon{memoryNetwork: network, self: process(name)}
-	options := Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon, Settings: testSettings()}
+	options := Options{Self: daemon.self, Configuration: source, Directory: daemon, PeerClient: daemon, Registrar: daemon, Settings: testSettings()}
 	if change != nil {
 		change(&options)
 	}
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -16,15 +16,15 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// Options configures a Service. Configuration, Directory, Caller and Registrar are required.
+// Options configures a Service. Configuration, Directory, PeerClient and Registrar are required.
 type Options struct {
 	Self          identity.Process
 	Configuration configuration.Source
 	Directory     members.Directory
-	Caller        peer.Caller
+	PeerClient    peer.Client
 	Registrar     peer.Registrar
-	MachineList   platform.Machines // nil: this daemon does not read the machine list
-	WeightStore   platform.Weights  // nil: loads are not limited by their size
+	MachineList   platform.MachineList // nil: this daemon does not read the machine list
+	WeightStore   platform.WeightStore // nil: loads are not limited by their size
 	// FilterEnded returns those of the given programs that have ended or are unknown. It
 	// returns an error if that cannot be determined now. nil: memory that engines hold is not
 	// reconciled.
@@ -123,7 +123,7 @@
 var errMissingOption = errors.New("configuration, directory, caller and registrar are required")
 
 func (o Options) withDefaults() (Options, error) {
-	if o.Configuration == nil || o.Directory == nil || o.Caller == nil || o.Registrar == nil {
+	if o.Configuration == nil || o.Directory == nil || o.PeerClient == nil || o.Registrar == nil {
 		return o, errMissingOption
 	}
 	o.Settings = o.Settings.withDefaults()
--- a/internal/engine/pools.go
+++ b/internal/engine/pools.go
@@ -106,7 +106,7 @@
 // mayLoad returns true if this daemon's share of the weight store's rate allows the load now.
 // It returns an error if the weight store does not know the size of the weights or cannot be
 // reached.
-func (s *Service) mayLoad(ctx context.Context, weights platform.Weights, model, version string) (bool, error) {
+func (s *Service) mayLoad(ctx context.Context, weights platform.WeightStore, model, version string) (bool, error) {
 	if weights == nil {
 		return true, nil
 	}
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -53,7 +53,7 @@
 	ctx, cancel := context.WithTimeout(ctx, e.service.settings.CallTimeout)
 	defer cancel()
 	var reply DigestBatch
-	err := e.service.options.Caller.Call(ctx, address, peer.Data, methodFetch, &FetchArguments{}, &reply)
+	err := e.service.options.PeerClient.Call(ctx, address, peer.ClassData, methodFetch, &FetchArguments{}, &reply)
 	if err == nil {
 		err = e.receive(&reply)
 	}
--- a/internal/engine/service_test.go
+++ b/internal/engine/service_test.go
@@ -43,7 +43,7 @@
 		Expect(service.Snapshot().ByModel["model"]).To(HaveLen(2))
 
 		machines.mutex.Lock()
-		machines.leaving = []platform.ListedMachine{{Name: "other", Kind: platform.MachineEngine, Address: first.Listener.Addr().String(), State: platform.MachineLeaving}}
+		machines.leaving = []platform.Machine{{Name: "other", Kind: platform.MachineEngine, Address: first.Listener.Addr().String(), State: platform.MachineLeaving}}
 		machines.mutex.Unlock()
 		Eventually(accepting(service), eventuallyTimeout).Should(Equal([]string{"engine-2"}))
 		Expect(service.IsLeaving(first.URL)).To(BeTrue())
@@ -192,7 +192,7 @@
 	It("rebuilds the engine table only when the region's daemons changed", func(ctx SpecContext) {
 		daemon := fakeDaemon{memoryNetwork: network, self: process("daemon-a")}
 		network.setMembers(daemon.self, process("daemon-b"))
-		service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, Caller: daemon, Registrar: daemon})
+		service, err := New(Options{Self: daemon.self, Configuration: source, Directory: daemon, PeerClient: daemon, Registrar: daemon})
 		Expect(err).NotTo(HaveOccurred())
 		syncContext, stop := context.WithCancel(ctx)
 		defer service.running.Wait()
--- a/internal/engine/supervisor.go
+++ b/internal/engine/supervisor.go
@@ -159,7 +159,7 @@
 // the configuration is confirmed to be current. If the plan asks for a drain, it sends the
 // order after the drain.
 func (s *supervisor) applyPlannedOrder(ctx context.Context) {
-	if !s.service.options.Configuration.Confirmed() {
+	if !s.service.options.Configuration.IsConfirmed() {
 		return // the configuration known to this daemon may be outdated
 	}
 	planned, found := (*s.service.plans.Load())[s.engine.declared.Name]
--- a/internal/execution/fakes_test.go
+++ b/internal/execution/fakes_test.go
@@ -199,7 +199,7 @@
 }
 
 func (c *fakeConfiguration) Current() *configuration.Snapshot { return &c.snapshot }
-func (c *fakeConfiguration) Confirmed() bool                  { return !c.unconfirmed.Load() }
+func (c *fakeConfiguration) IsConfirmed() bool                { return !c.unconfirmed.Load() }
 func (c *fakeConfiguration) Subscribe() <-chan struct{}       { return nil }
 
 // fakeMap is a shard map with the given number of shards, or one if that is zero.
--- a/internal/execution/placement.go
+++ b/internal/execution/placement.go
@@ -30,7 +30,7 @@
 // a problem if the call is refused. All three are zero if the run was cancelled
 // while the call waited for an engine.
 func (r *run) chooseBackEnd(call *program.Call, head *program.Head) (*placement, time.Duration, *problem.Problem) {
-	if !r.lead.service.options.Configuration.Confirmed() {
+	if !r.lead.service.options.Configuration.IsConfirmed() {
 		return r.waitFor("confirmed configuration", 0) // a newer configuration may have drained a back end
 	}
 	if call.Spec.Target == program.TargetModel {
--- a/internal/execution/requests.go
+++ b/internal/execution/requests.go
@@ -98,7 +98,7 @@
 	if s.draining.Load() {
 		return nil, refuse(problem.KindUnavailable, "this daemon is shutting down", leaderRetry)
 	}
-	if !s.options.Configuration.Confirmed() {
+	if !s.options.Configuration.IsConfirmed() {
 		return nil, refuse(problem.KindUnavailable, "the configuration is not confirmed", s.limits.RetryAfter)
 	}
 	current := s.options.Configuration.Current()
--- a/internal/execution/waiter.go
+++ b/internal/execution/waiter.go
@@ -88,7 +88,7 @@
 // decide returns the call's placement or refusal with a zero duration. If the
 // call has to wait, it returns the time after which to decide again at the latest.
 func (w *waiter) decide() (outcome, time.Duration) {
-	if !w.service.options.Configuration.Confirmed() {
+	if !w.service.options.Configuration.IsConfirmed() {
 		return w.waitForReport("confirmed configuration") // a newer configuration may have drained an engine
 	}
 	snapshot := w.service.options.Fleet.Snapshot()
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -19,8 +19,8 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// Line is one line of the JSON log of a daemon.
-type Line struct {
+// LogLine is one line of the JSON log of a daemon.
+type LogLine struct {
 	At      time.Time
 	Machine string
 	Level   string
@@ -64,14 +64,14 @@
 // maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 1 << 20
 
-// Read returns the JSON lines of a log. It ignores text before the JSON object of a
+// ReadLog returns the JSON lines of a log. It ignores text before the JSON object of a
 // line, such as the prefix of a log collector, and skips lines without a JSON object,
 // a message or a valid time. It returns an error if reading fails or if a line
 // exceeds maxLineBytes.
-func Read(log io.Reader) ([]Line, error) {
+func ReadLog(log io.Reader) ([]LogLine, error) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
-	var lines []Line
+	var lines []LogLine
 	for scanner.Scan() {
 		if line, found := parseLine(scanner.Text()); found {
 			lines = append(lines, line)
@@ -80,16 +80,16 @@
 	return lines, eris.Wrap(scanner.Err(), "read log")
 }
 
-func parseLine(text string) (Line, bool) {
+func parseLine(text string) (LogLine, bool) {
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
-		return Line{}, false
+		return LogLine{}, false
 	}
 	var fields map[string]any
 	if err := json.Unmarshal([]byte(text[start:]), &fields); err != nil {
-		return Line{}, false
+		return LogLine{}, false
 	}
-	line := Line{Fields: fields}
+	line := LogLine{Fields: fields}
 	line.Message = line.stringField(fieldMessage)
 	line.Machine = line.stringField(fieldMachine)
 	line.Level = line.stringField(fieldLevel)
@@ -98,12 +98,12 @@
 	return line, err == nil && line.Message != ""
 }
 
-func (l Line) stringField(field string) string {
+func (l LogLine) stringField(field string) string {
 	value, _ := l.Fields[field].(string)
 	return value
 }
 
-func (l Line) durationField(field string) time.Duration {
+func (l LogLine) durationField(field string) time.Duration {
 	value, _ := l.Fields[field].(float64)
 	return time.Duration(value * float64(time.Millisecond))
 }
@@ -111,25 +111,25 @@
 // Explanation contains what the logs say about a request.
 type Explanation struct {
 	Request string
-	Outcome Line   // the line that reports how the request ended
-	Way     []Line // all lines related to the request, sorted by time
-	Cause   string // how and why the request ended, without a final period
+	Outcome LogLine   // the line that reports how the request ended
+	Way     []LogLine // all lines related to the request, sorted by time
+	Cause   string    // how and why the request ended, without a final period
 }
 
-// NotFoundError is returned if no line reports how the request ended.
-type NotFoundError struct{ Request string }
+// RequestNotFoundError is returned if no line reports how the request ended.
+type RequestNotFoundError struct{ Request string }
 
 // Error implements error.
-func (e *NotFoundError) Error() string {
+func (e *RequestNotFoundError) Error() string {
 	return fmt.Sprintf("no log line reports how request %s ended; pass the logs of all daemons from the time of the request", e.Request)
 }
 
-// Of explains the request with the given identifier from log lines in any order. It
-// returns *NotFoundError if no line reports how the request ended.
-func Of(request string, lines []Line) (*Explanation, error) {
-	found := slices.IndexFunc(lines, func(line Line) bool { return line.stringField(fieldRequest) == request && line.isOutcome() })
+// ForRequest explains the request with the given identifier from log lines in any order. It
+// returns *RequestNotFoundError if no line reports how the request ended.
+func ForRequest(request string, lines []LogLine) (*Explanation, error) {
+	found := slices.IndexFunc(lines, func(line LogLine) bool { return line.stringField(fieldRequest) == request && line.isOutcome() })
 	if found < 0 {
-		return nil, &NotFoundError{Request: request}
+		return nil, &RequestNotFoundError{Request: request}
 	}
 	outcome := lines[found]
 	explanation := &Explanation{Request: request, Outcome: outcome, Cause: outcomeCause(outcome)}
@@ -138,18 +138,18 @@
 			explanation.Way = append(explanation.Way, line)
 		}
 	}
-	slices.SortStableFunc(explanation.Way, func(a, b Line) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(explanation.Way, func(a, b LogLine) int { return a.At.Compare(b.At) })
 	return explanation, nil
 }
 
-func (l Line) isOutcome() bool { return l.Message == messageAnswered || l.Message == messageFailed }
+func (l LogLine) isOutcome() bool { return l.Message == messageAnswered || l.Message == messageFailed }
 
 // isRelated reports whether a line belongs to the explanation of a request. It does if
 // it names the request or its previous turn as request, reservation or store key. From
 // contextWindow before the arrival of the request until its end, a line also belongs if
 // it names the program; if it is from another daemon, names the engine and is not about
 // a request; or if it describes the state of the request's own daemon.
-func isRelated(line, outcome Line) bool {
+func isRelated(line, outcome LogLine) bool {
 	request, program, previous := outcome.stringField(fieldRequest), outcome.stringField(fieldProgram), outcome.stringField(fieldPrevious)
 	scope := func(name string) string { return tenant.Scope(identity.Tenant(outcome.stringField(fieldTenant)), name) }
 	for _, name := range []string{line.stringField(fieldRequest), line.stringField(fieldReservation), line.stringField(fieldKey)} {
@@ -176,7 +176,7 @@
 
 // describesDaemonState reports whether a line is about the daemon itself, its
 // configuration, the store tables that it watches, or the availability of the store.
-func describesDaemonState(line Line) bool {
+func describesDaemonState(line LogLine) bool {
 	for _, prefix := range []string{"server:", "configuration:", "watch:", "store: does not", "store: answers"} {
 		if strings.HasPrefix(line.Message, prefix) {
 			return true
@@ -217,7 +217,7 @@
 	"stream-broken":       "the engine ended its stream early",
 }
 
-func outcomeCause(outcome Line) string {
+func outcomeCause(outcome LogLine) string {
 	reason := outcome.stringField(fieldReason)
 	if outcome.Message == messageAnswered {
 		return fmt.Sprintf("answered with status %v by engine %s", outcome.Fields[fieldStatus], outcome.stringField(fieldEngine))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -33,21 +33,21 @@
 const secondDaemonLog = `{"level":"info","ts":"2026-01-01T10:00:00Z","msg":"request: answered.","machine":"m2","request":"r0","status":200,"program":"p1","engine":"e1"}
 {"level":"warn","ts":"2026-01-01T10:00:02Z","msg":"store: does not answer.","machine":"m2"}`
 
-func readLogs(logs ...string) []explain.Line {
+func readLogs(logs ...string) []explain.LogLine {
 	GinkgoHelper()
-	var lines []explain.Line
+	var lines []explain.LogLine
 	for _, log := range logs {
-		found, err := explain.Read(strings.NewReader(log))
+		found, err := explain.ReadLog(strings.NewReader(log))
 		Expect(err).NotTo(HaveOccurred())
 		lines = append(lines, found...)
 	}
 	return lines
 }
 
-var _ = Describe("Of", func() {
+var _ = Describe("ForRequest", func() {
 	It("finds rows and reservations whose names are scoped to the tenant", func() {
 		owned := tenant.Scope("north", "p1")
-		explanation, err := explain.Of("r1", readLogs(`
+		explanation, err := explain.ForRequest("r1", readLogs(`
 {"level":"warn","ts":"2026-01-01T10:00:01.5Z","msg":"store: call failed.","machine":"m2","table":"budgets","key":"`+owned+`","cause":"reset"}
 {"level":"warn","ts":"2026-01-01T10:00:01.6Z","msg":"store: call failed.","machine":"m2","table":"budgets","key":"p1","cause":"of another tenant"}
 {"level":"warn","ts":"2026-01-01T10:00:02Z","msg":"request: failed.","machine":"m1","request":"r1","status":429,"took":900,"tenant":"north","program":"p1","reason":"quota-exceeded"}`))
@@ -57,7 +57,7 @@
 	})
 
 	It("merges the lines related to the request from all daemons, sorted by time", func() {
-		explanation, err := explain.Of("r1", readLogs(firstDaemonLog, secondDaemonLog))
+		explanation, err := explain.ForRequest("r1", readLogs(firstDaemonLog, secondDaemonLog))
 		Expect(err).NotTo(HaveOccurred())
 		var output bytes.Buffer
 		Expect(explanation.Print(&output)).To(Succeed())
@@ -71,7 +71,7 @@
 	})
 
 	It("asks for more logs when no line reports how the request ended", func() {
-		_, err := explain.Of("r7", readLogs(firstDaemonLog))
+		_, err := explain.ForRequest("r7", readLogs(firstDaemonLog))
 		Expect(err).To(MatchError(ContainSubstring("pass the logs of all daemons")))
 	})
 
@@ -91,7 +91,7 @@
 			}
 			count++
 			line := `{"ts":"2026-01-01T10:00:03Z","msg":"request: failed.","machine":"m","request":"r","reason":"` + reason + `"}`
-			explanation, err := explain.Of("r", readLogs(line))
+			explanation, err := explain.ForRequest("r", readLogs(line))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(explanation.Cause).NotTo(HavePrefix("unknown reason"), reason)
 			return true
--- a/internal/explain/program.go
+++ b/internal/explain/program.go
@@ -20,9 +20,9 @@
 	fieldProgramLeft = "programLeft"
 )
 
-// Share is the total time that the requests of a program spent for one cause. Requests
+// CauseDuration is the total time that the requests of a program spent for one cause. Requests
 // may run concurrently, so the shares may add up to more than the time of the program.
-type Share struct {
+type CauseDuration struct {
 	Cause string
 	Took  time.Duration
 }
@@ -48,27 +48,27 @@
 	Failures map[string]int // number of failed requests by reason
 	Daemons  []string       // machines of the daemons that logged the requests
 	Engines  []string
-	Shares   []Share // one for each cause
+	Shares   []CauseDuration // one for each cause
 }
 
-// NoProgramError is returned if no line reports how a request of the program ended.
-type NoProgramError struct{ Program string }
+// ProgramNotFoundError is returned if no line reports how a request of the program ended.
+type ProgramNotFoundError struct{ Program string }
 
 // Error implements error.
-func (e *NoProgramError) Error() string {
+func (e *ProgramNotFoundError) Error() string {
 	return fmt.Sprintf("no log line reports how a request with the identifier %s, or of a program with this identifier, ended; pass the logs of all daemons of its time", e.Program)
 }
 
-// OfProgram summarizes the times of a program by cause, from log lines in any order. It
-// returns *NoProgramError if no line reports how a request of the program ended.
-func OfProgram(program string, lines []Line) (*ProgramExplanation, error) {
-	outcomes := slices.DeleteFunc(slices.Clone(lines), func(line Line) bool {
+// ForProgram summarizes the times of a program by cause, from log lines in any order. It
+// returns *ProgramNotFoundError if no line reports how a request of the program ended.
+func ForProgram(program string, lines []LogLine) (*ProgramExplanation, error) {
+	outcomes := slices.DeleteFunc(slices.Clone(lines), func(line LogLine) bool {
 		return !line.isOutcome() || line.stringField(fieldProgram) != program
 	})
 	if len(outcomes) == 0 {
-		return nil, &NoProgramError{Program: program}
+		return nil, &ProgramNotFoundError{Program: program}
 	}
-	slices.SortStableFunc(outcomes, func(a, b Line) int { return a.arrivedAt().Compare(b.arrivedAt()) })
+	slices.SortStableFunc(outcomes, func(a, b LogLine) int { return a.arrivedAt().Compare(b.arrivedAt()) })
 	explanation := &ProgramExplanation{
 		Program: program, Began: outcomes[0].arrivedAt(), Aim: outcomes[0].durationField(fieldProgramLeft), Failures: map[string]int{},
 	}
@@ -77,22 +77,22 @@
 		explanation.count(outcome)
 		addTimes(spent, outcome)
 	}
-	end := slices.MaxFunc(outcomes, func(a, b Line) int { return a.At.Compare(b.At) }).At
+	end := slices.MaxFunc(outcomes, func(a, b LogLine) int { return a.At.Compare(b.At) }).At
 	explanation.Took = end.Sub(explanation.Began)
 	spent[causeBetween] = explanation.Took - timeUnderWay(outcomes)
 	for _, cause := range []string{causeStore, causeEngine, causeStream, causeTools, causeFailed, causeBetween} {
-		explanation.Shares = append(explanation.Shares, Share{Cause: cause, Took: spent[cause]})
+		explanation.Shares = append(explanation.Shares, CauseDuration{Cause: cause, Took: spent[cause]})
 	}
 	return explanation, nil
 }
 
-func (l Line) arrivedAt() time.Time { return l.At.Add(-l.durationField(fieldTook)) }
+func (l LogLine) arrivedAt() time.Time { return l.At.Add(-l.durationField(fieldTook)) }
 
 // isTurn reports whether an answered request counts as a turn. Requests without the field
 // budget count as tool calls.
-func (l Line) isTurn() bool { return l.Fields[fieldBudget] != nil }
+func (l LogLine) isTurn() bool { return l.Fields[fieldBudget] != nil }
 
-func (p *ProgramExplanation) count(outcome Line) {
+func (p *ProgramExplanation) count(outcome LogLine) {
 	switch {
 	case outcome.Message == messageFailed:
 		p.Failures[outcome.stringField(fieldReason)]++
@@ -112,7 +112,7 @@
 	return append(names, name)
 }
 
-func addTimes(spent map[string]time.Duration, outcome Line) {
+func addTimes(spent map[string]time.Duration, outcome LogLine) {
 	took := outcome.durationField(fieldTook)
 	switch {
 	case outcome.Message == messageFailed:
@@ -129,7 +129,7 @@
 
 // timeUnderWay returns the total time in which at least one request of the program was
 // under way. The outcomes must be sorted by arrival.
-func timeUnderWay(outcomes []Line) time.Duration {
+func timeUnderWay(outcomes []LogLine) time.Duration {
 	total := time.Duration(0)
 	until := outcomes[0].arrivedAt()
 	for _, outcome := range outcomes {
--- a/internal/explain/program_test.go
+++ b/internal/explain/program_test.go
@@ -18,9 +18,9 @@
 const secondProgramLog = `{"level":"warn","ts":"2026-01-01T10:00:00.600Z","msg":"request: failed.","machine":"m2","request":"r2","status":503,"took":10,"program":"p1","budget":1800,"reason":"engines-full","cause":"x"}
 {"level":"info","ts":"2026-01-01T10:00:01.000Z","msg":"request: answered.","machine":"m2","request":"r3","status":200,"took":300,"program":"p1","budget":1800,"engine":"e1","firstByte":100}`
 
-var _ = Describe("OfProgram", func() {
+var _ = Describe("ForProgram", func() {
 	It("adds up the time of a program by cause from the logs of several daemons", func() {
-		explanation, err := explain.OfProgram("p1", readLogs(firstProgramLog, secondProgramLog))
+		explanation, err := explain.ForProgram("p1", readLogs(firstProgramLog, secondProgramLog))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(explanation.Took).To(Equal(time.Second))
 		var output bytes.Buffer
@@ -38,7 +38,7 @@
 	})
 
 	It("reports a program that is in no log", func() {
-		_, err := explain.OfProgram("p9", readLogs(firstProgramLog))
+		_, err := explain.ForProgram("p9", readLogs(firstProgramLog))
 		Expect(err).To(MatchError(ContainSubstring("no log line reports how a request with the identifier p9, or of a program with this identifier, ended")))
 	})
 })
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -200,14 +200,14 @@
 func (e *execution) outgoingRequest(instance *backend.Instance) *backend.OutgoingRequest {
 	header := e.request.Header.Clone()
 	dropConnectionHeaders(header)
-	e.gateway.Wire.SetForwarded(header, e.forwardedFor(instance))
+	e.gateway.HeaderCodec.SetForwarded(header, e.forwardedFor(instance))
 	outgoing := &backend.OutgoingRequest{
 		Method: e.request.Method,
 		Target: e.request.RequestURI,
 		Host:   e.request.Host,
 		Header: header,
 		MatchesResponse: func(answer http.Header) bool {
-			return e.gateway.Wire.ParseAnswer(0, answer).ID == e.call.ID
+			return e.gateway.HeaderCodec.ParseAnswer(0, answer).ID == e.call.ID
 		},
 	}
 	outgoing.Body = append(outgoing.Body, e.history.Segments()...)
--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -24,7 +24,7 @@
 // *rejectedError if the instance promised not to run the request, and otherwise a
 // *backend.LostError.
 func (e *execution) examine(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
-	answer := e.gateway.Wire.ParseAnswer(reply.Status, reply.Header)
+	answer := e.gateway.HeaderCodec.ParseAnswer(reply.Status, reply.Header)
 	if answer.NotRun {
 		if answer.WrongInstance {
 			e.gateway.Fleet.Remove(instance)
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -107,7 +107,7 @@
 // quota, and reads the body. The error is a *Refusal or an *AbortedError.
 func (e *execution) admit() error {
 	var err error
-	e.call, err = e.gateway.Wire.ParseCall(e.request.Header)
+	e.call, err = e.gateway.HeaderCodec.ParseCall(e.request.Header)
 	e.table = e.gateway.Routes.Current()
 	if e.table == nil {
 		return notRunRefusal(ReasonNoConfiguration, storeRetryAfter, eris.New("no configuration has been loaded yet"))
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -25,13 +25,13 @@
 
 // Options are the dependencies and settings of a Gateway.
 type Options struct {
-	Zone    string // zone of this daemon
-	Wire    HeaderCodec
-	Routes  *routetable.Holder
-	Fleet   *backend.Fleet
-	Turns   *turn.Repository
-	Budgets Budgets
-	Quotas  *quota.Limiter
+	Zone        string // zone of this daemon
+	HeaderCodec HeaderCodec
+	Routes      *routetable.Holder
+	Fleet       *backend.Fleet
+	Turns       *turn.Repository
+	Budgets     Budgets
+	Quotas      *quota.Limiter
 	// Admission limits the number of programs that run at the same time; nil means no limit.
 	Admission    *admission.Controller
 	Availability *state.Availability
@@ -101,7 +101,7 @@
 // refuse writes a refusal to the caller: its status, its headers, and its reason as JSON.
 func (g *Gateway) refuse(current *execution, refusal *Refusal) {
 	header := current.writer.Header()
-	g.Wire.SetRefusal(header, current.call.ID, refusal.RetryAfter)
+	g.HeaderCodec.SetRefusal(header, current.call.ID, refusal.RetryAfter)
 	body, err := json.Marshal(struct {
 		Error Reason `json:"error"`
 	}{refusal.Reason})
--- a/internal/lab/acquaintance/acquaintance.go
+++ b/internal/lab/acquaintance/acquaintance.go
@@ -7,12 +7,12 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Make puts the processes of all lists into each list, as members in state alive.
+// FillLists puts the processes of all lists into each list, as members in state alive.
 // The effect is the same as if the lists had read the members from a store.
-func Make(lists ...*members.List) error {
+func FillLists(lists ...*members.List) error {
 	var rows []state.Row
 	for _, list := range lists {
-		row, err := RowOf(members.Member{Process: list.Self(), State: members.StateAlive})
+		row, err := Row(members.Member{Process: list.Self(), State: members.StateAlive})
 		if err != nil {
 			return err
 		}
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// RowOf returns the row by which the store represents a member, with version 1.
-func RowOf(member members.Member) (state.Row, error) {
+// Row returns the row by which the store represents a member, with version 1.
+func Row(member members.Member) (state.Row, error) {
 	value, err := members.Encode(member)
 	key := state.Key{Table: members.MemberTable, Name: string(member.Process.Machine)}
 	return state.Row{Key: key, Value: value, Version: 1}, err
--- a/internal/lab/appservice/appservice.go
+++ b/internal/lab/appservice/appservice.go
@@ -37,8 +37,8 @@
 	ArrivedMS int64  `json:"arrived_unix_ms"`
 }
 
-// Execution is what the service has recorded of one call.
-type Execution struct {
+// CallRecord is what the service has recorded of one call.
+type CallRecord struct {
 	CallID     string        `json:"call_id"`
 	Program    string        `json:"program"`
 	Operation  string        `json:"operation"`
@@ -51,8 +51,8 @@
 
 // Records is the response body of standin.PathRecords.
 type Records struct {
-	Name       string      `json:"name"`
-	Executions []Execution `json:"executions"` // in order of the first arrival
+	Name       string       `json:"name"`
+	Executions []CallRecord `json:"executions"` // in order of the first arrival
 }
 
 // Service is a simulated application service and its HTTP handler. Safe for
@@ -63,18 +63,18 @@
 	options Options
 
 	mutex     sync.Mutex
-	calls     map[string]*Execution
+	calls     map[string]*CallRecord
 	byArrival []string // call IDs
 }
 
 // New returns a service without recorded calls.
 func New(options Options) *Service {
-	service := &Service{Faults: &standin.Faults{}, options: options, calls: map[string]*Execution{}}
+	service := &Service{Faults: &standin.Faults{}, options: options, calls: map[string]*CallRecord{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+enginev1.PathExecute, service.handleExecute)
 	mux.HandleFunc("GET "+enginev1.PathExecutions+"{id...}", service.handleLookup)
 	mux.HandleFunc("DELETE "+enginev1.PathExecutions+"{id...}", service.handleCancel)
-	service.Handler = standin.Mount(mux, service.Faults, func() any { return service.Records() })
+	service.Handler = standin.NewMux(mux, service.Faults, func() any { return service.Records() })
 	return service
 }
 
@@ -90,7 +90,7 @@
 	if !standin.ReadJSON(w, r, &request) {
 		return
 	}
-	if standin.Carry(w, s.Faults.Meet(r.Context(), standin.PointBefore, request.AttemptID, 0)) {
+	if standin.WriteFault(w, s.Faults.Inject(r.Context(), standin.PointBefore, request.AttemptID, 0)) {
 		return
 	}
 	cancelled := s.recordAttempt(request)
@@ -99,7 +99,7 @@
 		standin.WriteJSON(w, http.StatusOK, s.replyFor(request.CallID))
 		return
 	}
-	if standin.Carry(w, s.Faults.Meet(r.Context(), standin.PointAfter, request.AttemptID, 0)) {
+	if standin.WriteFault(w, s.Faults.Inject(r.Context(), standin.PointAfter, request.AttemptID, 0)) {
 		return
 	}
 	standin.WriteJSON(w, http.StatusOK, s.replyFor(request.CallID))
@@ -112,7 +112,7 @@
 	defer s.mutex.Unlock()
 	call, found := s.calls[request.CallID]
 	if !found {
-		call = &Execution{CallID: request.CallID, Program: request.Program, Operation: request.Operation}
+		call = &CallRecord{CallID: request.CallID, Program: request.Program, Operation: request.Operation}
 		s.calls[request.CallID] = call
 		s.byArrival = append(s.byArrival, request.CallID)
 	}
@@ -173,7 +173,7 @@
 
 func (s *Service) handleLookup(w http.ResponseWriter, r *http.Request) {
 	callID := r.PathValue("id")
-	if standin.Carry(w, s.Faults.Meet(r.Context(), standin.PointBefore, "lookup "+callID, 0)) {
+	if standin.WriteFault(w, s.Faults.Inject(r.Context(), standin.PointBefore, "lookup "+callID, 0)) {
 		return
 	}
 	if !s.hasCall(callID) {
@@ -215,7 +215,7 @@
 func (s *Service) Records() Records {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	records := Records{Name: s.options.Name, Executions: []Execution{}}
+	records := Records{Name: s.options.Name, Executions: []CallRecord{}}
 	for _, callID := range s.byArrival {
 		records.Executions = append(records.Executions, *s.calls[callID])
 	}
--- a/internal/lab/appservice/appservice_test.go
+++ b/internal/lab/appservice/appservice_test.go
@@ -64,7 +64,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			statuses <- response.StatusCode
 		}()
-		Eventually(func() []appservice.Execution { return service.Records().Executions }).Should(HaveLen(1))
+		Eventually(func() []appservice.CallRecord { return service.Records().Executions }).Should(HaveLen(1))
 		request, err := http.NewRequest(http.MethodDelete, server.URL+enginev1.PathExecutions+"p/1", nil)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = http.DefaultClient.Do(request)
--- a/internal/lab/experiment/determinism_test.go
+++ b/internal/lab/experiment/determinism_test.go
@@ -19,7 +19,7 @@
 			trace := workload.Brackenlaw(3, load)
 			result, err := simulate(&trace, choice, Settings{})
 			expect.Expect(err).NotTo(gomega.HaveOccurred())
-			expect.Expect(int(result.programs.TotalCount()) + result.abandoned).To(gomega.Equal(trace.Roots()))
+			expect.Expect(int(result.programs.TotalCount()) + result.abandoned).To(gomega.Equal(trace.RootCount()))
 			trials[round][choice] = &trial{label: string(choice), measures: result}
 		}
 		strategies := trials[round]
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -172,21 +172,21 @@
 
 // Verdict compares thymeloft with its targets at the reported load.
 type Verdict struct {
-	Load          float64 // smallest load at which the queue of least-loaded grows
-	LatencyRatio  float64 // p95 of program latency divided by that of least-loaded; the target is at most AimedLatency
-	OwnTimeRatio  float64 // like LatencyRatio, but without the programs' own pauses
-	BestPossible  float64 // p95 of idealLatency divided by the p95 of program latency with least-loaded
-	WastedRatio   float64 // wasted prompt tokens divided by those of round-robin; the target is at most AimedWaste
-	LatencyIsMet  bool
-	WastedIsMet   bool
-	SeedsCompared int // number of further seeds
-	SeedsMet      int // number of further seeds with which both targets are met
+	Load              float64 // smallest load at which the queue of least-loaded grows
+	LatencyRatio      float64 // p95 of program latency divided by that of least-loaded; the target is at most MaxLatencyRatio
+	OwnTimeRatio      float64 // like LatencyRatio, but without the programs' own pauses
+	IdealLatencyRatio float64 // p95 of idealLatency divided by the p95 of program latency with least-loaded
+	WastedRatio       float64 // wasted prompt tokens divided by those of round-robin; the target is at most MaxWastedRatio
+	LatencyMet        bool
+	WastedMet         bool
+	SeedsCompared     int // number of further seeds
+	SeedsMet          int // number of further seeds with which both targets are met
 }
 
 // Targets of a Verdict.
 const (
-	AimedLatency = 0.5 // maximum of LatencyRatio
-	AimedWaste   = 0.2 // maximum of WastedRatio
+	MaxLatencyRatio = 0.5 // maximum of LatencyRatio
+	MaxWastedRatio  = 0.2 // maximum of WastedRatio
 )
 
 func (s *study) computeVerdict() Verdict {
@@ -194,7 +194,7 @@
 	for bySeed := range slices.Chunk(s.seeds, len(comparedBySeed)) {
 		other := compare(s.reportedLoad, bySeed[0], bySeed[1], bySeed[2])
 		verdict.SeedsCompared++
-		if other.LatencyIsMet && other.WastedIsMet {
+		if other.LatencyMet && other.WastedMet {
 			verdict.SeedsMet++
 		}
 	}
@@ -203,14 +203,14 @@
 
 func compare(load float64, roundRobin, leastLoaded, product *trial) Verdict {
 	verdict := Verdict{
-		Load:         load,
-		LatencyRatio: ratio(p95(product.measures.programs), p95(leastLoaded.measures.programs)),
-		OwnTimeRatio: ratio(p95(product.measures.ownTime), p95(leastLoaded.measures.ownTime)),
-		BestPossible: ratio(p95(product.measures.ideal), p95(leastLoaded.measures.programs)),
-		WastedRatio:  ratio(float64(product.measures.wastedTokens), float64(roundRobin.measures.wastedTokens)),
-	}
-	verdict.LatencyIsMet = verdict.LatencyRatio <= AimedLatency
-	verdict.WastedIsMet = verdict.WastedRatio <= AimedWaste
+		Load:              load,
+		LatencyRatio:      ratio(p95(product.measures.programs), p95(leastLoaded.measures.programs)),
+		OwnTimeRatio:      ratio(p95(product.measures.ownTime), p95(leastLoaded.measures.ownTime)),
+		IdealLatencyRatio: ratio(p95(product.measures.ideal), p95(leastLoaded.measures.programs)),
+		WastedRatio:       ratio(float64(product.measures.wastedTokens), float64(roundRobin.measures.wastedTokens)),
+	}
+	verdict.LatencyMet = verdict.LatencyRatio <= MaxLatencyRatio
+	verdict.WastedMet = verdict.WastedRatio <= MaxWastedRatio
 	return verdict
 }
 
--- a/internal/lab/experiment/measures.go
+++ b/internal/lab/experiment/measures.go
@@ -58,7 +58,7 @@
 // programEnded records the end of a root program that was not abandoned.
 func (m *measures) programEnded(trace *workload.Trace, program *programRun, latency time.Duration) {
 	record(m.programs, latency)
-	record(m.ownTime, latency-program.Pauses())
+	record(m.ownTime, latency-program.TotalPause())
 	ideal := idealLatency(trace, program.Program)
 	record(m.ideal, ideal)
 	m.slowdowns[program.Tenant] = append(m.slowdowns[program.Tenant], latency.Seconds()/ideal.Seconds())
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -89,9 +89,9 @@
 func (s *study) writeVerdict(text *strings.Builder) {
 	v := s.verdict
 	met := map[bool]string{true: "met", false: "**not met**"}
-	fmt.Fprintf(text, "- p95 program latency is %.2f of least-loaded's (aimed at: at most %.2f): %s. ", v.LatencyRatio, AimedLatency, met[v.LatencyIsMet])
-	fmt.Fprintf(text, "Without the programs' own pauses it is %.2f. Programs alone on the fastest engine would have %.2f.\n", v.OwnTimeRatio, v.BestPossible)
-	fmt.Fprintf(text, "- Wasted prompt tokens are %.3f of round-robin's (aimed at: at most %.2f): %s.\n", v.WastedRatio, AimedWaste, met[v.WastedIsMet])
+	fmt.Fprintf(text, "- p95 program latency is %.2f of least-loaded's (aimed at: at most %.2f): %s. ", v.LatencyRatio, MaxLatencyRatio, met[v.LatencyMet])
+	fmt.Fprintf(text, "Without the programs' own pauses it is %.2f. Programs alone on the fastest engine would have %.2f.\n", v.OwnTimeRatio, v.IdealLatencyRatio)
+	fmt.Fprintf(text, "- Wasted prompt tokens are %.3f of round-robin's (aimed at: at most %.2f): %s.\n", v.WastedRatio, MaxWastedRatio, met[v.WastedMet])
 	fmt.Fprintf(text, "- With further seeds both were met in %d of %d.\n\n", v.SeedsMet, v.SeedsCompared)
 }
 
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -149,7 +149,7 @@
 }
 
 // submitTurn sends the next call of a program. It schedules a copy of the call if
-// Turn.DoubledAfter is set.
+// Turn.ResendAfter is set.
 func (r *run) submitTurn(current *programRun) {
 	turn := current.Turns[current.turn]
 	history := current.history[:len(current.history):len(current.history)]
@@ -162,8 +162,8 @@
 		promptTokens: current.historyTokens + turn.PromptTokens, outputTokens: turn.OutputTokens, sentAt: r.clock.now,
 	}
 	r.clock.after(clientDelay, func() { current.daemon.receive(c) })
-	if turn.DoubledAfter > 0 {
-		r.clock.after(turn.DoubledAfter, func() { r.sendCopy(c) })
+	if turn.ResendAfter > 0 {
+		r.clock.after(turn.ResendAfter, func() { r.sendCopy(c) })
 	}
 }
 
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -15,7 +15,7 @@
 	Scheduling scheduling.Settings
 	JoinCopies bool // baselines do not run the copy of a call that the caller sends again
 	RunCopies  bool // thymeloft also runs the copies of calls that callers send again
-	NoHold     bool // thymeloft leases no cached history during pauses
+	NoLease    bool // thymeloft leases no cached history during pauses
 	NoRelease  bool // thymeloft does not release the cache of ended programs, so it stays until evicted
 	NoSketch   bool // thymeloft does not know which engines hold shared prefixes
 	// GlobalIndex makes thymeloft use the actual holders of shared prefixes at
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -205,7 +205,7 @@
 			HitsPerToken: lastReport.hitsPerToken,
 			Pressure:     float64(lastReport.cacheUsed) / float64(c.engine.CacheTokens),
 		}, maxLease)
-	if t.settings.NoHold || lease <= 0 {
+	if t.settings.NoLease || lease <= 0 {
 		return
 	}
 	deepest, _ := c.engine.cache.matchPrefix(c.pathAfter)
--- a/internal/lab/faultproxy/faultproxy.go
+++ b/internal/lab/faultproxy/faultproxy.go
@@ -18,11 +18,11 @@
 	// Delay is the time to wait before each chunk of bytes is forwarded, in either
 	// direction.
 	Delay time.Duration
-	// HoldRequests holds back what the dialling side sends, and HoldAnswers what
+	// HoldRequests holds back what the dialling side sends, and HoldResponses what
 	// the target sends. The bytes are delivered when the field is no longer set.
-	HoldRequests bool
-	HoldAnswers  bool
-	// Refuse resets new connections. While it is set, HoldRequests and HoldAnswers
+	HoldRequests  bool
+	HoldResponses bool
+	// Refuse resets new connections. While it is set, HoldRequests and HoldResponses
 	// have no effect.
 	Refuse bool
 }
@@ -35,7 +35,7 @@
 
 	mutex       sync.Mutex
 	condition   Condition
-	changed     chan struct{} // closed and replaced by Set
+	changed     chan struct{} // closed and replaced by SetCondition
 	connections map[net.Conn]struct{}
 	closed      bool
 }
@@ -55,8 +55,8 @@
 // Address returns the address ("ip:port") at which the link listens.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// Set replaces the condition, also for open connections.
-func (l *Link) Set(condition Condition) {
+// SetCondition replaces the condition, also for open connections.
+func (l *Link) SetCondition(condition Condition) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.condition = condition
@@ -64,8 +64,8 @@
 	l.changed = make(chan struct{})
 }
 
-// Reset closes all open connections with a TCP reset.
-func (l *Link) Reset() {
+// ResetConnections closes all open connections with a TCP reset.
+func (l *Link) ResetConnections() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for connection := range l.connections {
@@ -78,8 +78,8 @@
 	l.mutex.Lock()
 	l.closed = true
 	l.mutex.Unlock()
-	l.Set(Condition{Refuse: true})
-	l.Reset()
+	l.SetCondition(Condition{Refuse: true})
+	l.ResetConnections()
 	return l.listener.Close()
 }
 
@@ -140,7 +140,7 @@
 	defer l.untrack(outgoing)
 	var directions sync.WaitGroup
 	directions.Go(func() { l.copyOneWay(incoming, outgoing, func(c Condition) bool { return c.HoldRequests }) })
-	directions.Go(func() { l.copyOneWay(outgoing, incoming, func(c Condition) bool { return c.HoldAnswers }) })
+	directions.Go(func() { l.copyOneWay(outgoing, incoming, func(c Condition) bool { return c.HoldResponses }) })
 	directions.Wait()
 	_ = incoming.Close()
 	_ = outgoing.Close()
--- a/internal/lab/faultproxy/faultproxy_test.go
+++ b/internal/lab/faultproxy/faultproxy_test.go
@@ -80,22 +80,22 @@
 	})
 
 	DescribeTable("holds bytes back and loses none", func(condition faultproxy.Condition) {
-		link.Set(condition)
+		link.SetCondition(condition)
 		send("b")
 		Consistently(read, "30ms").ShouldNot(Receive())
-		link.Set(faultproxy.Condition{})
+		link.SetCondition(faultproxy.Condition{})
 		Eventually(read).Should(Receive(Equal(byte('b'))))
 	},
 		Entry("requests", faultproxy.Condition{HoldRequests: true}),
-		Entry("answers", faultproxy.Condition{HoldAnswers: true}),
-		Entry("both", faultproxy.Condition{HoldRequests: true, HoldAnswers: true}),
+		Entry("answers", faultproxy.Condition{HoldResponses: true}),
+		Entry("both", faultproxy.Condition{HoldRequests: true, HoldResponses: true}),
 	)
 
 	It("resets open connections, and new ones while it refuses them", func() {
 		send("c")
 		Eventually(read).Should(Receive())
-		link.Set(faultproxy.Condition{Refuse: true})
-		link.Reset()
+		link.SetCondition(faultproxy.Condition{Refuse: true})
+		link.ResetConnections()
 		Eventually(ended).Should(Receive(Not(MatchError(io.EOF))))
 		again, err := net.Dial("tcp4", link.Address())
 		if err == nil {
--- a/internal/lab/fleet/backends.go
+++ b/internal/lab/fleet/backends.go
@@ -28,10 +28,10 @@
 // Replica is a simulated replica of an application service or tool.
 type Replica struct {
 	*appservice.Service
-	Name string // unique in the fleet
-	Of   string // name of the service
-	Zone string
-	URL  string
+	Name        string // unique in the fleet
+	ServiceName string // name of the service
+	Zone        string
+	URL         string
 }
 
 // Platform has the stand-ins for the platform's services.
@@ -79,15 +79,15 @@
 		engine.Generation = modelengine.GenerationOld
 	}
 	engine.Engine = modelengine.New(modelengine.Options{
-		Name:        engine.Name,
-		Generation:  engine.Generation,
-		Model:       model.Name,
-		Version:     modelVersion,
-		Adapters:    model.Adapters,
-		TimeScale:   f.Deployment.TimeScale,
-		CacheTokens: model.CacheTokens,
-		EventLag:    engineEventLag,
-		EventGap:    engineEventGap,
+		Name:              engine.Name,
+		Generation:        engine.Generation,
+		Model:             model.Name,
+		Version:           modelVersion,
+		Adapters:          model.Adapters,
+		TimeScale:         f.Deployment.TimeScale,
+		CacheTokens:       model.CacheTokens,
+		EventLag:          engineEventLag,
+		DropEventInterval: engineEventGap,
 	})
 	f.closers = append(f.closers, engine.Close)
 	url, err := f.serve(engine.Engine, engine.Zone)
@@ -99,7 +99,7 @@
 func (f *Fleet) startServices() error {
 	for _, service := range f.Deployment.Services {
 		for number := range service.Replicas {
-			replica := &Replica{Name: replicaName(service.Name, number), Of: service.Name, Zone: f.Deployment.zoneOf(number)}
+			replica := &Replica{Name: replicaName(service.Name, number), ServiceName: service.Name, Zone: f.Deployment.zoneOf(number)}
 			replica.Service = newService(service, replica.Name)
 			url, err := f.serve(replica.Service, replica.Zone)
 			if err != nil {
@@ -132,7 +132,7 @@
 		"--platform-machines": f.Platform.Machines,
 		"--platform-weights":  weights,
 	} {
-		url, err := f.serve(handler, network.Clients)
+		url, err := f.serve(handler, network.ZoneClients)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleet/daemon.go
+++ b/internal/lab/fleet/daemon.go
@@ -45,7 +45,7 @@
 	command       *exec.Cmd
 	processExited chan struct{} // closed when the process has exited; nil before the first start
 	exitCode      int           // of the last process that has exited
-	frozen        bool          // by Freeze
+	suspended     bool          // by Suspend
 }
 
 // loopbackAddress returns the IP address of the daemon with this number. It
@@ -112,14 +112,14 @@
 	d.network.Register(command.Process.Pid, d.Zone)
 	d.command = command
 	d.processExited = make(chan struct{})
-	d.frozen = false
+	d.suspended = false
 	go d.waitForExit(command, d.processExited)
 	return d.setLinks(true)
 }
 
 func (d *Daemon) waitForExit(command *exec.Cmd, exited chan struct{}) {
 	_ = command.Wait() // the result is read from ProcessState
-	d.network.Forget(command.Process.Pid)
+	d.network.Unregister(command.Process.Pid)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.exitCode = command.ProcessState.ExitCode()
@@ -148,7 +148,7 @@
 	if d.command == nil {
 		return nil, eris.Errorf("daemon %s was never started", d.Name)
 	}
-	d.frozen = signal == syscall.SIGSTOP
+	d.suspended = signal == syscall.SIGSTOP
 	return d.processExited, eris.Wrapf(d.command.Process.Signal(signal), "send signal to daemon %s", d.Name)
 }
 
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// Freeze suspends the process (SIGSTOP) until Thaw or Kill.
-func (d *Daemon) Freeze() error {
+// Suspend suspends the process (SIGSTOP) until Resume or Kill.
+func (d *Daemon) Suspend() error {
 	_, err := d.signal(syscall.SIGSTOP)
 	return err
 }
 
-// Thaw resumes a frozen process (SIGCONT).
-func (d *Daemon) Thaw() error {
+// Resume resumes a suspended process (SIGCONT).
+func (d *Daemon) Resume() error {
 	_, err := d.signal(syscall.SIGCONT)
 	return err
 }
@@ -189,11 +189,11 @@
 	}
 }
 
-// Alive reports whether the process is running and not frozen.
-func (d *Daemon) Alive() bool {
+// IsRunning reports whether the process is running and not suspended.
+func (d *Daemon) IsRunning() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.command == nil || d.frozen {
+	if d.command == nil || d.suspended {
 		return false
 	}
 	select {
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -26,9 +26,9 @@
 
 // Options configure the processes of a fleet.
 type Options struct {
-	Daemon    string   // path of the daemon binary
-	Directory string   // for the logs of the daemons; if empty, a temporary one that Close removes
-	Arguments []string // appended to the arguments of every daemon
+	DaemonBinary string   // path of the daemon binary
+	Directory    string   // for the logs of the daemons; if empty, a temporary one that Close removes
+	Arguments    []string // appended to the arguments of every daemon
 }
 
 // Fleet is a running deployment. Its exported fields must not be changed.
@@ -55,7 +55,7 @@
 	deployment = deployment.withDefaults()
 	fleet := &Fleet{
 		Deployment: deployment,
-		Network:    network.New(network.Options{BetweenZones: deployment.DelayBetweenZones, ToClients: deployment.DelayToClients}),
+		Network:    network.New(network.Options{ZoneDelay: deployment.DelayBetweenZones, ClientDelay: deployment.DelayToClients}),
 		leaving:    map[string]bool{},
 		HTTP:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
 	}
@@ -85,7 +85,7 @@
 
 func (f *Fleet) createDaemons(options Options) error {
 	for number := range len(f.Deployment.Zones) * f.Deployment.DaemonsPerZone {
-		daemon, err := newDaemon(number, f.Deployment.zoneOf(number), options.Daemon, options.Directory, f.Network)
+		daemon, err := newDaemon(number, f.Deployment.zoneOf(number), options.DaemonBinary, options.Directory, f.Network)
 		if err != nil {
 			return err
 		}
--- a/internal/lab/fleet/operators.go
+++ b/internal/lab/fleet/operators.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	for _, daemon := range f.Daemons {
-		if daemon.Alive() && daemon.Name != group.Leader {
+		if daemon.IsRunning() && daemon.Name != group.Leader {
 			return daemon, nil
 		}
 	}
@@ -73,7 +73,7 @@
 func (f *Fleet) findGroup(ctx context.Context, shard uint32) (*operatorv1.Group, error) {
 	var newest *operatorv1.Group
 	for _, daemon := range f.Daemons {
-		if !daemon.Alive() {
+		if !daemon.IsRunning() {
 			continue
 		}
 		status, err := f.Status(ctx, daemon)
@@ -212,7 +212,7 @@
 		document.Timeout = durationpb.New(service.Timeout)
 	}
 	for _, replica := range f.Replicas {
-		if replica.Of == service.Name {
+		if replica.ServiceName == service.Name {
 			document.Addresses = append(document.Addresses, replica.URL)
 		}
 	}
--- a/internal/lab/machinelist/machinelist.go
+++ b/internal/lab/machinelist/machinelist.go
@@ -44,7 +44,7 @@
 		standin.WriteJSON(w, http.StatusOK, list.visibleAt(time.Now()))
 	})
 	mux := http.NewServeMux()
-	mux.Handle("GET "+platformv1.PathMachines, list.Faults.Around(standin.MethodAndPath, service))
+	mux.Handle("GET "+platformv1.PathMachines, list.Faults.Wrap(standin.MethodAndPath, service))
 	mux.Handle(standin.PathFaults, list.Faults)
 	mux.HandleFunc("POST "+PathMachines, list.handlePost)
 	list.Handler = mux
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -15,31 +15,31 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Fault is a way in which a call fails, or None.
+// Fault is a way in which a call fails, or FaultNone.
 type Fault uint8
 
 // The faults of a call.
 const (
-	// None executes the call normally.
-	None Fault = iota
-	// Refused does nothing and returns state.ErrNotExecuted.
-	Refused
-	// Lost executes a commit but returns state.ErrUnknownOutcome. A read or feed returns
+	// FaultNone executes the call normally.
+	FaultNone Fault = iota
+	// FaultRefused does nothing and returns state.ErrNotExecuted.
+	FaultRefused
+	// FaultLost executes a commit but returns state.ErrUnknownOutcome. A read or feed returns
 	// state.ErrUnknownOutcome too.
-	Lost
-	// Late returns state.ErrUnknownOutcome. A commit is executed when Release is called,
-	// if its conditions hold then.
-	Late
-	// Silent does nothing, blocks until the caller's context ends, and returns
+	FaultLost
+	// FaultLate returns state.ErrUnknownOutcome. A commit is executed when
+	// ApplyLateCommits is called, if its conditions hold then.
+	FaultLate
+	// FaultHang does nothing, blocks until the caller's context ends, and returns
 	// state.ErrUnknownOutcome.
-	Silent
-	// Full does nothing and returns state.ErrFull.
-	Full
-	// Throttled does nothing and returns state.ErrThrottled.
-	Throttled
+	FaultHang
+	// FaultFull does nothing and returns state.ErrFull.
+	FaultFull
+	// FaultThrottled does nothing and returns state.ErrThrottled.
+	FaultThrottled
 )
 
-// Call describes a call to a Script.
+// Call describes a call to a FaultFunc.
 type Call struct {
 	Name   string       // "commit", "read" or "feed"
 	Commit state.Commit // of a commit
@@ -48,8 +48,8 @@
 	Partition string
 }
 
-// Script returns the fault of a call. It must not call the store.
-type Script func(call Call) Fault
+// FaultFunc returns the fault of a call. It must not call the store.
+type FaultFunc func(call Call) Fault
 
 // Store is a state.Store in memory. It is safe for concurrent use.
 type Store struct {
@@ -59,7 +59,7 @@
 	history          []state.Row   // all changes since forgottenVersion, oldest first
 	forgottenVersion state.Version // the history up to this version is lost
 	changed          chan struct{} // closed and replaced at each change
-	script           Script
+	faultFunc        FaultFunc
 	lateCommits      []state.Commit
 	calls            map[string]int
 	fixedPage        *state.Page // returned by every read if not nil
@@ -70,25 +70,25 @@
 	return &Store{rows: map[state.Key]state.Row{}, changed: make(chan struct{}), calls: map[string]int{}}
 }
 
-// Misbehave sets the script that decides the fault of each call. With nil all
+// SetFaultFunc sets the function that chooses the fault of each call. With nil all
 // calls are executed normally.
-func (s *Store) Misbehave(script Script) {
+func (s *Store) SetFaultFunc(faultFunc FaultFunc) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.script = script
+	s.faultFunc = faultFunc
 }
 
-// Calls returns how many calls with this name ("commit", "read" or "feed") were
+// CallCount returns how many calls with this name ("commit", "read" or "feed") were
 // made so far.
-func (s *Store) Calls(name string) int {
+func (s *Store) CallCount(name string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[name]
 }
 
-// Bytes returns the total size in bytes of the values that the store holds now,
+// ValueBytes returns the total size in bytes of the values that the store holds now,
 // without their keys.
-func (s *Store) Bytes() int {
+func (s *Store) ValueBytes() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	bytes := 0
@@ -98,9 +98,9 @@
 	return bytes
 }
 
-// Release executes the commits that were delayed by Late and whose conditions
+// ApplyLateCommits executes the commits that were delayed by FaultLate and whose conditions
 // still hold. The others are dropped.
-func (s *Store) Release() {
+func (s *Store) ApplyLateCommits() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, commit := range s.lateCommits {
@@ -119,9 +119,9 @@
 	s.notifyFeeds()
 }
 
-// AnswerReadings makes every read return this page, whatever it selects. Calling
+// SetFixedPage makes every read return this page, whatever it selects. Calling
 // it with nil ends that.
-func (s *Store) AnswerReadings(page *state.Page) {
+func (s *Store) SetFixedPage(page *state.Page) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.fixedPage = page
@@ -133,30 +133,30 @@
 	s.changed = make(chan struct{})
 }
 
-// nextFault counts the call and returns the fault that the script chooses. The
+// nextFault counts the call and returns the fault that faultFunc chooses. The
 // caller must hold s.mutex.
 func (s *Store) nextFault(call Call) Fault {
 	s.calls[call.Name]++
-	if s.script == nil {
-		return None
+	if s.faultFunc == nil {
+		return FaultNone
 	}
-	return s.script(call)
+	return s.faultFunc(call)
 }
 
 // Commit implements state.Store.
 func (s *Store) Commit(ctx context.Context, commit state.Commit) (state.Version, error) {
 	s.mutex.Lock()
 	fault := s.nextFault(Call{Name: "commit", Commit: commit})
-	if fault == Late {
+	if fault == FaultLate {
 		s.lateCommits = append(s.lateCommits, commit)
 	}
-	if fault != None && fault != Lost {
+	if fault != FaultNone && fault != FaultLost {
 		s.mutex.Unlock()
 		return 0, faultError(ctx, fault)
 	}
 	defer s.mutex.Unlock()
 	version, err := s.apply(commit)
-	if fault == Lost {
+	if fault == FaultLost {
 		return 0, eris.Wrap(state.ErrUnknownOutcome, "memory store")
 	}
 	return version, err
@@ -211,7 +211,7 @@
 func (s *Store) Read(ctx context.Context, selected state.Range) (state.Page, error) {
 	s.mutex.Lock()
 	fault := s.nextFault(Call{Name: "read", Table: selected.Table, Partition: selected.Partition})
-	if fault != None {
+	if fault != FaultNone {
 		s.mutex.Unlock()
 		return state.Page{}, faultError(ctx, fault)
 	}
@@ -239,7 +239,7 @@
 	s.mutex.Lock()
 	fault := s.nextFault(Call{Name: "feed", Table: table})
 	s.mutex.Unlock()
-	if fault != None {
+	if fault != FaultNone {
 		return state.FeedResult{}, faultError(ctx, fault)
 	}
 	for {
@@ -272,23 +272,23 @@
 	return change, s.changed, nil
 }
 
-// faultError returns the error of a call with a fault. For Silent it blocks until
+// faultError returns the error of a call with a fault. For FaultHang it blocks until
 // ctx ends.
 func faultError(ctx context.Context, fault Fault) error {
 	switch fault {
-	case Refused:
+	case FaultRefused:
 		return eris.Wrap(state.ErrNotExecuted, "memory store")
-	case Full:
+	case FaultFull:
 		return eris.Wrap(state.ErrFull, "memory store")
-	case Throttled:
+	case FaultThrottled:
 		return eris.Wrap(state.ErrThrottled, "memory store")
-	case Silent:
+	case FaultHang:
 		<-ctx.Done()
 	}
 	return eris.Wrap(state.ErrUnknownOutcome, "memory store")
 }
 
-// Write puts a row without asking the script, as a write by another client of
+// Write puts a row without calling faultFunc, as a write by another client of
 // the store.
 func (s *Store) Write(put state.Put) {
 	s.mutex.Lock()
@@ -296,7 +296,7 @@
 	_, _ = s.apply(state.Commit{Puts: []state.Put{put}}) // cannot fail without a condition
 }
 
-// Remove removes a row without asking the script.
+// Remove removes a row without calling faultFunc.
 func (s *Store) Remove(key state.Key) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lab/modelengine/administration.go
+++ b/internal/lab/modelengine/administration.go
@@ -44,7 +44,7 @@
 	controlMux.HandleFunc("GET "+enginev1.PathKV+"{program}", e.handleExportKV)
 	controlMux.HandleFunc("PUT "+enginev1.PathKV+"{program}", e.handleImportKV)
 
-	mux := standin.Mount(e.Faults.Around(standin.MethodAndPath, controlMux), e.Faults, func() any { return e.Records() })
+	mux := standin.NewMux(e.Faults.Wrap(standin.MethodAndPath, controlMux), e.Faults, func() any { return e.Records() })
 	mux.HandleFunc("POST "+enginev1.PathCompletions, e.handleCompletion)
 	mux.HandleFunc("GET "+enginev1.PathRequests+"{id...}", e.handleResume)
 	return mux
--- a/internal/lab/modelengine/engine.go
+++ b/internal/lab/modelengine/engine.go
@@ -48,7 +48,7 @@
 		wake:        make(chan struct{}, 1),
 		stopped:     make(chan struct{}),
 		requests:    map[string]*request{},
-		events:      eventLog{lag: options.EventLag, dropInterval: options.EventGap},
+		events:      eventLog{lag: options.EventLag, dropInterval: options.DropEventInterval},
 		model:       options.Model,
 		version:     options.Version,
 		adapters:    options.Adapters,
--- a/internal/lab/modelengine/modelengine_test.go
+++ b/internal/lab/modelengine/modelengine_test.go
@@ -34,7 +34,7 @@
 		GinkgoHelper()
 		engine = modelengine.New(modelengine.Options{
 			Name: "e", Model: "m", Version: "1", TimeScale: timeScale, CacheTokens: 1600,
-			ReportLag: time.Nanosecond, LoadTime: time.Second, EventGap: 2,
+			ReportLag: time.Nanosecond, LoadTime: time.Second, DropEventInterval: 2,
 		})
 		DeferCleanup(engine.Close)
 		server, err := standin.Start("127.0.0.1:0", engine)
--- a/internal/lab/modelengine/options.go
+++ b/internal/lab/modelengine/options.go
@@ -39,18 +39,18 @@
 // Options configure an engine. LoadTime and the step times are times of the
 // modelled hardware; TimeScale converts them to real time.
 type Options struct {
-	Name        string
-	Generation  string // hardware generation; GenerationNew by default
-	Model       string
-	Version     string
-	Adapters    []string
-	Role        string        // "serve" by default
-	TimeScale   float64       // real time divided by modelled time, so 0.02 is 50 times faster; 1 by default
-	CacheTokens int64         // capacity of the prefix cache in tokens; 60000 by default
-	LoadTime    time.Duration // modelled time that a load order takes; 8 s by default
-	ReportLag   time.Duration // real time for which the same state report is repeated; 500 ms by default
-	EventLag    time.Duration // real time after which a cache event is delivered
-	EventGap    uint64        // if not 0, each cache event whose sequence number is a multiple of it is dropped
+	Name              string
+	Generation        string // hardware generation; GenerationNew by default
+	Model             string
+	Version           string
+	Adapters          []string
+	Role              string        // "serve" by default
+	TimeScale         float64       // real time divided by modelled time, so 0.02 is 50 times faster; 1 by default
+	CacheTokens       int64         // capacity of the prefix cache in tokens; 60000 by default
+	LoadTime          time.Duration // modelled time that a load order takes; 8 s by default
+	ReportLag         time.Duration // real time for which the same state report is repeated; 500 ms by default
+	EventLag          time.Duration // real time after which a cache event is delivered
+	DropEventInterval uint64        // if not 0, each cache event whose sequence number is a multiple of it is dropped
 }
 
 func (o Options) withDefaults() Options {
--- a/internal/lab/modelengine/stream.go
+++ b/internal/lab/modelengine/stream.go
@@ -16,12 +16,12 @@
 	if !standin.ReadJSON(w, r, &wire) {
 		return
 	}
-	if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointBefore, wire.RequestID, 0)) {
+	if standin.WriteFault(w, e.Faults.Inject(r.Context(), standin.PointBefore, wire.RequestID, 0)) {
 		return
 	}
 	req, refusal := e.submit(wire)
 	if refusal != "" {
-		standin.Refuse(w, http.StatusServiceUnavailable, refusal)
+		standin.WriteNotStartedError(w, http.StatusServiceUnavailable, refusal)
 		return
 	}
 	e.streamAnswer(w, r, req, 0)
@@ -29,7 +29,7 @@
 
 func (e *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
-	if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointBefore, "resume "+id, 0)) {
+	if standin.WriteFault(w, e.Faults.Inject(r.Context(), standin.PointBefore, "resume "+id, 0)) {
 		return
 	}
 	e.mutex.Lock()
@@ -80,13 +80,13 @@
 	for {
 		current := e.snapshotOf(req)
 		for events.offset < len(current.content) {
-			if standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointStream, req.wire.RequestID, events.sent)) {
+			if standin.WriteFault(w, e.Faults.Inject(r.Context(), standin.PointStream, req.wire.RequestID, events.sent)) {
 				return
 			}
 			events.writeToken(current.content)
 		}
 		if current.isFinal {
-			if !standin.Carry(w, e.Faults.Meet(r.Context(), standin.PointAfter, req.wire.RequestID, 0)) {
+			if !standin.WriteFault(w, e.Faults.Inject(r.Context(), standin.PointAfter, req.wire.RequestID, 0)) {
 				events.writeEnd(current)
 			}
 			return
--- a/internal/lab/network/network.go
+++ b/internal/lab/network/network.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Clients is the zone of every process that is not registered, such as callers
+// ZoneClients is the zone of every process that is not registered, such as callers
 // and operators.
-const Clients = "clients"
+const ZoneClients = "clients"
 
 // Options configure the one-way delays of a network.
 type Options struct {
-	BetweenZones time.Duration // between different zones other than Clients
-	ToClients    time.Duration // between Clients and any zone, in either direction
+	ZoneDelay   time.Duration // between different zones other than ZoneClients
+	ClientDelay time.Duration // between ZoneClients and any zone, in either direction
 }
 
 // Network forwards connections between zones. Safe for concurrent use.
@@ -50,15 +50,16 @@
 	n.zones[process] = zone
 }
 
-// Forget removes a process, so that its new connections count as those of Clients.
-func (n *Network) Forget(process int) {
+// Unregister removes a process, so that its new connections count as those of
+// ZoneClients.
+func (n *Network) Unregister(process int) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	delete(n.zones, process)
 }
 
 // Isolate holds back all bytes between the zone and the other zones except
-// Clients, until Heal.
+// ZoneClients, until Heal.
 func (n *Network) Isolate(zone string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -100,22 +101,22 @@
 // delay returns the one-way delay between two zones.
 func (n *Network) delay(from, to string) time.Duration {
 	switch {
-	case from == Clients || to == Clients:
-		return n.options.ToClients
+	case from == ZoneClients || to == ZoneClients:
+		return n.options.ClientDelay
 	case from == to:
 		return 0
 	default:
-		return n.options.BetweenZones
+		return n.options.ZoneDelay
 	}
 }
 
 // waitReachable blocks while one of the zones is isolated, unless they are the same
-// zone or one of them is Clients. It returns false if the network is closed
+// zone or one of them is ZoneClients. It returns false if the network is closed
 // meanwhile.
 func (n *Network) waitReachable(from, to string) bool {
 	for {
 		n.mutex.Lock()
-		separate := from != to && from != Clients && to != Clients
+		separate := from != to && from != ZoneClients && to != ZoneClients
 		cut := separate && (n.isolated[from] || n.isolated[to])
 		changed := n.changed
 		n.mutex.Unlock()
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -65,7 +65,7 @@
 	})
 
 	It("forwards bytes, holds them back while a zone is isolated, and delivers them afterwards", func() {
-		testNetwork := network.New(network.Options{BetweenZones: time.Millisecond})
+		testNetwork := network.New(network.Options{ZoneDelay: time.Millisecond})
 		DeferCleanup(testNetwork.Close)
 		testNetwork.Register(os.Getpid(), "here")
 		link, err := testNetwork.NewLink("127.0.0.1:0", echo(), "there")
--- a/internal/lab/network/source.go
+++ b/internal/lab/network/source.go
@@ -17,18 +17,18 @@
 )
 
 // sourceZone returns the zone of the registered process that opened the accepted
-// connection, or Clients if there is none.
+// connection, or ZoneClients if there is none.
 func (n *Network) sourceZone(accepted net.Conn) string {
 	inode := sourceInode(accepted)
 	if inode == "" {
-		return Clients
+		return ZoneClients
 	}
 	for process, zone := range n.zonesByProcess() {
 		if hasSocket(process, inode) {
 			return zone
 		}
 	}
-	return Clients
+	return ZoneClients
 }
 
 // sourceInode returns the inode of the socket at the other end of an accepted
--- a/internal/lab/platformengine/platformengine.go
+++ b/internal/lab/platformengine/platformengine.go
@@ -25,22 +25,22 @@
 // Behaviour says how an engine treats a request. With the zero value, the request
 // succeeds.
 type Behaviour struct {
-	// Reject, if not 0, is the status of a response with the Not-Executed header.
+	// RejectStatus, if not 0, is the status of a response with the Not-Executed header.
 	// The request is not executed.
-	Reject int
-	// Fail, if not 0, is the status of the response after the run. The response
+	RejectStatus int
+	// FailStatus, if not 0, is the status of the response after the run. The response
 	// has the engine's Server-Stamp header.
-	Fail int
-	// DropAnswer closes the connection after the run without a response.
-	DropAnswer bool
-	// CutAfter is the number of events after which the connection is closed, in
+	FailStatus int
+	// DropResponse closes the connection after the run without a response.
+	DropResponse bool
+	// CutAfterEvents is the number of events after which the connection is closed, in
 	// the middle of the next event; 0 means never.
-	CutAfter int
-	// Hold blocks the run until the channel is closed; nil means no wait.
-	Hold chan struct{}
-	// HoldAfterFirst blocks a stream after its first event until the channel is
+	CutAfterEvents int
+	// BlockUntil blocks the run until the channel is closed; nil means no wait.
+	BlockUntil chan struct{}
+	// BlockStreamUntil blocks a stream after its first event until the channel is
 	// closed; nil means no wait.
-	HoldAfterFirst chan struct{}
+	BlockStreamUntil chan struct{}
 }
 
 // Engine is one running engine instance. Safe for concurrent use; the exported
@@ -75,22 +75,22 @@
 // Address returns the address ("ip:port") at which the engine listens.
 func (e *Engine) Address() string { return e.server.Listener.Addr().String() }
 
-// Declaration returns the JSON value of the row by which the engine announces
+// RowValue returns the JSON value of the row by which the engine announces
 // itself in the store, with the given state.
-func (e *Engine) Declaration(state string) []byte {
+func (e *Engine) RowValue(state string) []byte {
 	return fmt.Appendf(nil, `{"service":%q,"address":%q,"zone":%q,"version":"v1","slots":12,"state":%q,"cold_remaining_ms":0,"sequence":1}`,
 		e.Service, e.Address(), e.Zone, state)
 }
 
-// Behave sets the function that decides the behaviour for each request; with nil
+// SetBehaviour sets the function that decides the behaviour for each request; with nil
 // every request succeeds. The function must not call the engine.
-func (e *Engine) Behave(behaviour func(request *http.Request) Behaviour) {
+func (e *Engine) SetBehaviour(behaviour func(request *http.Request) Behaviour) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.behaviour = behaviour
 }
 
-// Behaviour returns the function set by Behave, so that engines may share it.
+// Behaviour returns the function set by SetBehaviour, so that engines may share it.
 func (e *Engine) Behaviour() func(request *http.Request) Behaviour {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -121,19 +121,19 @@
 		return
 	}
 	behaviour := e.behaviourFor(request)
-	if behaviour.Reject != 0 {
+	if behaviour.RejectStatus != 0 {
 		writer.Header().Set("Not-Executed", "1")
-		writer.WriteHeader(behaviour.Reject)
+		writer.WriteHeader(behaviour.RejectStatus)
 		return
 	}
 	run := e.recordRun(request, string(body))
-	e.waitUntilClosed(run, request, behaviour.Hold)
+	e.waitUntilClosed(run, request, behaviour.BlockUntil)
 	switch {
-	case behaviour.DropAnswer:
+	case behaviour.DropResponse:
 		panic(http.ErrAbortHandler)
-	case behaviour.Fail != 0:
+	case behaviour.FailStatus != 0:
 		e.setServerStamp(writer)
-		writer.WriteHeader(behaviour.Fail)
+		writer.WriteHeader(behaviour.FailStatus)
 	case len(e.Events) > 0:
 		e.stream(writer, request, run, behaviour)
 	default:
@@ -185,7 +185,7 @@
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	for number, data := range e.Events {
-		if behaviour.CutAfter > 0 && number == behaviour.CutAfter {
+		if behaviour.CutAfterEvents > 0 && number == behaviour.CutAfterEvents {
 			_, _ = io.WriteString(writer, "id: "+strconv.Itoa(number+1)+"\nda")
 			_ = controller.Flush()
 			panic(http.ErrAbortHandler)
@@ -193,13 +193,13 @@
 		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number+1, data)
 		_ = controller.Flush()
 		if number == 0 {
-			e.waitUntilClosed(run, request, behaviour.HoldAfterFirst)
+			e.waitUntilClosed(run, request, behaviour.BlockStreamUntil)
 		}
 	}
 }
 
-// Unreachable returns a local address ("ip:port") at which nothing listens.
-func Unreachable() (string, error) {
+// UnusedAddress returns a local address ("ip:port") at which nothing listens.
+func UnusedAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -207,5 +207,5 @@
 	return listener.Addr().String(), listener.Close()
 }
 
-// Patience is the maximum time that tests wait for an expected state.
-const Patience = time.Minute
+// WaitTimeout is the maximum time that tests wait for an expected state.
+const WaitTimeout = time.Minute
--- a/internal/lab/platformstore/platformstore.go
+++ b/internal/lab/platformstore/platformstore.go
@@ -16,9 +16,9 @@
 // Handler serves the store's HTTP protocol.
 type Handler struct {
 	Store *memorystore.Store
-	// Throttled reports whether a request from the remote address ("ip:port")
+	// IsThrottled reports whether a request from the remote address ("ip:port")
 	// gets status 429; nil throttles no one.
-	Throttled func(remote string) bool
+	IsThrottled func(remote string) bool
 }
 
 type row struct {
@@ -46,7 +46,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if h.Throttled != nil && h.Throttled(request.RemoteAddr) {
+	if h.IsThrottled != nil && h.IsThrottled(request.RemoteAddr) {
 		writer.WriteHeader(http.StatusTooManyRequests)
 		return
 	}
--- a/internal/lab/platformstore/standin.go
+++ b/internal/lab/platformstore/standin.go
@@ -24,8 +24,8 @@
 // New returns a StandIn with an empty store.
 func New(options Options) *StandIn {
 	standIn := &StandIn{Store: memorystore.New(), Faults: &standin.Faults{}}
-	service := standIn.Faults.Around(standin.MethodAndPath, &Handler{Store: standIn.Store})
-	limited := standin.Limit(options.RequestsPerSecond, options.Burst, service)
-	standIn.Handler = standin.Mount(limited, standIn.Faults, func() any { return struct{}{} })
+	service := standIn.Faults.Wrap(standin.MethodAndPath, &Handler{Store: standIn.Store})
+	limited := standin.RateLimit(options.RequestsPerSecond, options.Burst, service)
+	standIn.Handler = standin.NewMux(limited, standIn.Faults, func() any { return struct{}{} })
 	return standIn
 }
--- a/internal/lab/replay/caller.go
+++ b/internal/lab/replay/caller.go
@@ -43,7 +43,7 @@
 func (c *caller) nextDaemon() *fleet.Daemon {
 	for range c.fleet.Daemons {
 		candidate := c.fleet.Daemons[int(c.next.Add(1))%len(c.fleet.Daemons)]
-		if candidate.Alive() {
+		if candidate.IsRunning() {
 			return candidate
 		}
 	}
--- a/internal/lab/replay/fault.go
+++ b/internal/lab/replay/fault.go
@@ -95,7 +95,7 @@
 // firstRunningDaemon returns the first running daemon.
 func (r *run) firstRunningDaemon() (*fleet.Daemon, error) {
 	for _, daemon := range r.fleet.Daemons {
-		if daemon.Alive() {
+		if daemon.IsRunning() {
 			return daemon, nil
 		}
 	}
@@ -128,7 +128,7 @@
 		return nil, err
 	}
 	for _, daemon := range r.fleet.Daemons {
-		if daemon != leader && daemon.Alive() {
+		if daemon != leader && daemon.IsRunning() {
 			return daemon, nil
 		}
 	}
@@ -152,11 +152,11 @@
 		r.restartLater(fault, daemon)
 	case ActionFreeze:
 		r.setUnavailable(daemon, true)
-		if err := daemon.Freeze(); err != nil {
+		if err := daemon.Suspend(); err != nil {
 			return err
 		}
 		r.undoLater(fault.For, func() {
-			_ = daemon.Thaw() // fails if the process was killed meanwhile
+			_ = daemon.Resume() // fails if the process was killed meanwhile
 			r.setUnavailable(daemon, false)
 		})
 	case ActionIsolate:
--- a/internal/lab/replay/fleetchecks.go
+++ b/internal/lab/replay/fleetchecks.go
@@ -118,7 +118,7 @@
 	defer cancel()
 	var findings []string
 	for _, daemon := range e.fleet.Daemons {
-		if !daemon.Alive() {
+		if !daemon.IsRunning() {
 			continue
 		}
 		for {
--- a/internal/lab/replay/moment.go
+++ b/internal/lab/replay/moment.go
@@ -93,11 +93,11 @@
 	return found
 }
 
-// injectFaultsAt injects the faults of a moment that belongs to no call: StepStart,
-// StepCreated or StepEnded. p is the program of the moment, or nil for StepStart.
-func (r *run) injectFaultsAt(ctx context.Context, moment Moment, p *programRun) error {
+// injectFaultsAt injects the faults of an injection point that belongs to no call: StepStart,
+// StepCreated or StepEnded. p is the program of the point, or nil for StepStart.
+func (r *run) injectFaultsAt(ctx context.Context, point InjectionPoint, p *programRun) error {
 	for _, fault := range r.trace.Faults {
-		if fault.At != moment {
+		if fault.At != point {
 			continue
 		}
 		inject := func() error { return r.injectFault(ctx, fault, p) }
@@ -158,7 +158,7 @@
 		}
 	}
 	for _, replica := range r.fleet.Replicas {
-		if replica.Of == name || replica.Name == name {
+		if replica.ServiceName == name || replica.Name == name {
 			found = append(found, replica.Faults)
 		}
 	}
@@ -212,7 +212,7 @@
 	var leader *fleet.Daemon
 	for {
 		leader, err = r.fleet.Leader(ctx, uint32(shard))
-		if err == nil && leader.Alive() {
+		if err == nil && leader.IsRunning() {
 			return leader, nil
 		}
 		if !sleep(ctx, pollInterval) {
--- a/internal/lab/replay/operators.go
+++ b/internal/lab/replay/operators.go
@@ -42,7 +42,7 @@
 
 func (o *revisionObserver) watch(ctx context.Context, running *fleet.Fleet, daemon *fleet.Daemon) {
 	for sleep(ctx, observeInterval) {
-		if !daemon.Alive() {
+		if !daemon.IsRunning() {
 			continue
 		}
 		asked := time.Now()
@@ -119,7 +119,7 @@
 func (r *run) latestConfiguration(ctx context.Context) (*operatorv1.GetConfigurationResponse, error) {
 	var found *operatorv1.GetConfigurationResponse
 	for _, daemon := range r.fleet.Daemons {
-		if !daemon.Alive() {
+		if !daemon.IsRunning() {
 			continue
 		}
 		reply, err := r.fleet.Operator(daemon).GetConfiguration(ctx, connect.NewRequest(&operatorv1.GetConfigurationRequest{}))
--- a/internal/lab/replay/program.go
+++ b/internal/lab/replay/program.go
@@ -48,7 +48,7 @@
 		return nil
 	}
 	created()
-	if err := r.injectFaultsAt(ctx, Moment{Program: p.name, Step: StepCreated}, p); err != nil {
+	if err := r.injectFaultsAt(ctx, InjectionPoint{Program: p.name, Step: StepCreated}, p); err != nil {
 		return err
 	}
 	calls := expandRepeats(p.Calls)
@@ -115,7 +115,7 @@
 	case !p.Abandon:
 		p.err = caller.end(ctx, p.id)
 	}
-	return r.injectFaultsAt(ctx, Moment{Program: p.name, Step: StepEnded}, p)
+	return r.injectFaultsAt(ctx, InjectionPoint{Program: p.name, Step: StepEnded}, p)
 }
 
 // awaitEnd waits until the program has ended without a request of its caller.
--- a/internal/lab/replay/random.go
+++ b/internal/lab/replay/random.go
@@ -22,9 +22,9 @@
 	randomTenant         = "theory-desk"
 )
 
-// Random returns the trace for a seed: programs with calls of every kind, and
+// RandomTrace returns the trace for a seed: programs with calls of every kind, and
 // faults at random steps. The same seed always gives the same trace.
-func Random(seed uint64) Trace {
+func RandomTrace(seed uint64) Trace {
 	random := rand.New(rand.NewPCG(seed, seed))
 	trace := Trace{
 		Name:        fmt.Sprintf("random-%d", seed),
@@ -60,13 +60,13 @@
 // allowNotRun allows the outcome "not-run" for the call of a fault at StepAccepted:
 // back ends refuse the call until the fault is injected, so a daemon may give up
 // the call before that.
-func (t *Trace) allowNotRun(moment Moment) {
+func (t *Trace) allowNotRun(point InjectionPoint) {
 	for index := range t.Programs {
 		program := &t.Programs[index]
-		if moment.Step != StepAccepted || program.Name != moment.Program {
+		if point.Step != StepAccepted || program.Name != point.Program {
 			continue
 		}
-		call := &program.Calls[moment.Call-1]
+		call := &program.Calls[point.Call-1]
 		if len(call.Outcomes) == 0 {
 			call.Outcomes = []string{"answered"}
 		}
@@ -75,9 +75,9 @@
 }
 
 // hasFaultAtCall reports whether the trace already has a fault at the same call.
-func (t *Trace) hasFaultAtCall(moment Moment) bool {
+func (t *Trace) hasFaultAtCall(point InjectionPoint) bool {
 	return slices.ContainsFunc(t.Faults, func(fault Fault) bool {
-		return fault.At.Program == moment.Program && fault.At.Call == moment.Call
+		return fault.At.Program == point.Program && fault.At.Call == point.Call
 	})
 }
 
@@ -125,7 +125,7 @@
 		steps = append(steps, StepMidStream)
 	}
 	fault := Fault{
-		At:     Moment{Program: program.Name, Call: call + 1, Step: steps[random.IntN(len(steps))]},
+		At:     InjectionPoint{Program: program.Name, Call: call + 1, Step: steps[random.IntN(len(steps))]},
 		Daemon: []string{targetLeader, targetLeader, targetFollower, targetFirstRunning}[random.IntN(4)],
 		For:    200*time.Millisecond + time.Duration(random.Int64N(int64(randomOutageDuration))),
 
@@ -155,7 +155,7 @@
 // the replay and end after randomOutageDuration, after a number of requests or at
 // the end of the programs.
 func randomRules(random *rand.Rand) []Fault {
-	start := Moment{Step: StepStart}
+	start := InjectionPoint{Step: StepStart}
 	all := []Fault{
 		{At: start, Do: ActionRules, Of: "store", For: randomOutageDuration, Rules: []standin.Rule{{Name: "down", Point: standin.PointBefore, Action: standin.ActionRefuse}}},
 		{At: start, Do: ActionRules, Of: "store", Rules: []standin.Rule{{Name: "lost", Point: standin.PointAfter, Match: "rows-tx", Action: standin.ActionLose, Times: maxLostCommits}}},
--- a/internal/lab/replay/run.go
+++ b/internal/lab/replay/run.go
@@ -15,9 +15,9 @@
 
 // Options configure Run.
 type Options struct {
-	Daemon    string                                // path to the daemon binary
-	Directory string                                // for logs; empty: a temporary directory
-	Progress  func(format string, arguments ...any) // called for each progress message; may be nil
+	DaemonBinary string                                // path to the daemon binary
+	Directory    string                                // for logs; empty: a temporary directory
+	Progress     func(format string, arguments ...any) // called for each progress message; may be nil
 }
 
 // run is the state of one replay.
@@ -68,9 +68,9 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	running, err := fleet.Start(ctx, trace.Deployment, fleet.Options{
-		Daemon:    options.Daemon,
-		Directory: options.Directory,
-		Arguments: trace.Arguments,
+		DaemonBinary: options.DaemonBinary,
+		Directory:    options.Directory,
+		Arguments:    trace.Arguments,
 	})
 	if err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 func (r *run) runPrograms(ctx context.Context) error {
 	ctx, r.cancelPrograms = context.WithCancel(ctx)
 	defer r.cancelPrograms()
-	if err := r.injectFaultsAt(ctx, Moment{Step: StepStart}, nil); err != nil {
+	if err := r.injectFaultsAt(ctx, InjectionPoint{Step: StepStart}, nil); err != nil {
 		return err
 	}
 	byName := map[string]*programRun{}
--- a/internal/lab/replay/trace.go
+++ b/internal/lab/replay/trace.go
@@ -99,8 +99,8 @@
 	StepStart, StepCreated, StepAccepted, StepDispatched, StepMidStream, StepExecuted, StepAnswered, StepEnded,
 }
 
-// Moment is the step at which a fault is injected.
-type Moment struct {
+// InjectionPoint is the step at which a fault is injected.
+type InjectionPoint struct {
 	Program string `yaml:"program,omitempty"`
 	Call    int    `yaml:"call,omitempty"` // number of the call, from 1; 0 if the step belongs to no call
 	Step    Step   `yaml:"step"`
@@ -123,7 +123,7 @@
 
 // Fault is a fault to inject, and the step at which to inject it.
 type Fault struct {
-	At        Moment         `yaml:"at"`
+	At        InjectionPoint `yaml:"at"`
 	Do        Action         `yaml:"do"`
 	Daemon    string         `yaml:"daemon,omitempty"`     // "leader", "successor" or "follower" of the program's shard, "operators", or the name of a daemon; empty: the leader, or at StepStart the first daemon of Zone
 	Zone      string         `yaml:"zone,omitempty"`       // isolate: the zone; empty: that of the daemon
--- a/internal/lab/replay/verdict.go
+++ b/internal/lab/replay/verdict.go
@@ -10,36 +10,36 @@
 	"github.com/thymeloft/thymeloft/internal/callerapi"
 )
 
-// Point is the result of checking one guarantee.
-type Point struct {
+// CheckResult is the result of checking one guarantee.
+type CheckResult struct {
 	Name     string
 	Findings []string // violations; empty: the guarantee held
 }
 
 // Verdict is the result of a replay.
 type Verdict struct {
-	Trace    string
-	Points   []Point
-	Programs []ProgramResult
-	Streams  int64 // number of streams that callers opened
+	TraceName   string
+	Checks      []CheckResult
+	Programs    []ProgramResult
+	StreamCount int64 // number of streams that callers opened
 }
 
 // ProgramResult summarizes what the caller of one program observed.
 type ProgramResult struct {
-	Name         string
-	Tenant       string
-	Calls        int
-	Outcomes     map[string]int // number of calls by outcome
-	Elapsed      time.Duration  // from creating the program to the result of its last call
-	PromptTokens int64
-	CachedTokens int64
-	Engines      []string // that answered, in order of first use
+	Name          string
+	Tenant        string
+	CallCount     int
+	OutcomeCounts map[string]int // number of calls by outcome
+	Elapsed       time.Duration  // from creating the program to the result of its last call
+	PromptTokens  int64
+	CachedTokens  int64
+	Engines       []string // that answered, in order of first use
 }
 
-// Held reports whether every guarantee held.
-func (v *Verdict) Held() bool {
-	for _, point := range v.Points {
-		if len(point.Findings) > 0 {
+// Passed reports whether every guarantee held.
+func (v *Verdict) Passed() bool {
+	for _, check := range v.Checks {
+		if len(check.Findings) > 0 {
 			return false
 		}
 	}
@@ -50,12 +50,12 @@
 // only on the name of the trace and on which guarantees held.
 func (v *Verdict) String() string {
 	var text strings.Builder
-	for _, point := range v.Points {
+	for _, check := range v.Checks {
 		word := "held"
-		if len(point.Findings) > 0 {
+		if len(check.Findings) > 0 {
 			word = "BROKEN"
 		}
-		fmt.Fprintf(&text, "%s: %-22s %s\n", v.Trace, point.Name, word)
+		fmt.Fprintf(&text, "%s: %-22s %s\n", v.TraceName, check.Name, word)
 	}
 	return text.String()
 }
@@ -63,9 +63,9 @@
 // Findings returns all findings, one per line.
 func (v *Verdict) Findings() string {
 	var text strings.Builder
-	for _, point := range v.Points {
-		for _, finding := range point.Findings {
-			fmt.Fprintf(&text, "%s: %s: %s\n", v.Trace, point.Name, finding)
+	for _, check := range v.Checks {
+		for _, finding := range check.Findings {
+			fmt.Fprintf(&text, "%s: %s: %s\n", v.TraceName, check.Name, finding)
 		}
 	}
 	return text.String()
@@ -81,10 +81,10 @@
 // buildVerdict runs all checks and summarizes the programs.
 func (r *run) buildVerdict(ctx context.Context) *Verdict {
 	e := &evidence{run: r, histories: map[*programRun]callerapi.History{}}
-	verdict := &Verdict{Trace: r.trace.Name, Streams: r.streams.opened.Load()}
+	verdict := &Verdict{TraceName: r.trace.Name, StreamCount: r.streams.opened.Load()}
 	add := func(name string, findings []string) {
 		sort.Strings(findings)
-		verdict.Points = append(verdict.Points, Point{Name: name, Findings: findings})
+		verdict.Checks = append(verdict.Checks, CheckResult{Name: name, Findings: findings})
 	}
 	add("outcomes", e.checkOutcomes())
 	add("histories", e.readHistories(ctx))
@@ -106,10 +106,10 @@
 }
 
 func summarize(p *programRun) ProgramResult {
-	result := ProgramResult{Name: p.name, Tenant: p.Tenant, Calls: len(p.results), Outcomes: map[string]int{}, Elapsed: p.elapsed}
+	result := ProgramResult{Name: p.name, Tenant: p.Tenant, CallCount: len(p.results), OutcomeCounts: map[string]int{}, Elapsed: p.elapsed}
 	engines := map[string]bool{}
 	for _, res := range p.results {
-		result.Outcomes[string(res.state)]++
+		result.OutcomeCounts[string(res.state)]++
 		if res.answer == nil {
 			continue
 		}
--- a/internal/lab/replay/whole.go
+++ b/internal/lab/replay/whole.go
@@ -77,7 +77,7 @@
 		if r.isUnavailable(daemon) {
 			return eris.Errorf("%s is unavailable because of a fault", daemon.Name)
 		}
-		if !daemon.Alive() {
+		if !daemon.IsRunning() {
 			continue
 		}
 		status, err := r.fleet.Status(ctx, daemon)
@@ -166,7 +166,7 @@
 	defer cancel()
 	var text strings.Builder
 	for _, daemon := range r.fleet.Daemons {
-		fmt.Fprintf(&text, "%s: alive %t, unavailable %t", daemon.Name, daemon.Alive(), r.isUnavailable(daemon))
+		fmt.Fprintf(&text, "%s: alive %t, unavailable %t", daemon.Name, daemon.IsRunning(), r.isUnavailable(daemon))
 		status, err := r.fleet.Status(ctx, daemon)
 		if err != nil {
 			fmt.Fprintf(&text, ", status: %v\n", err)
--- a/internal/lab/replay/whole_test.go
+++ b/internal/lab/replay/whole_test.go
@@ -76,7 +76,7 @@
 })
 
 var _ = It("orders the faults of a call by their steps", func() {
-	at := func(step Step) Fault { return Fault{At: Moment{Program: "p", Call: 1, Step: step}} }
-	r := &run{trace: Trace{Faults: []Fault{at(StepAnswered), at(StepExecuted), {At: Moment{Program: "q", Call: 1}}, at(StepAccepted)}}}
+	at := func(step Step) Fault { return Fault{At: InjectionPoint{Program: "p", Call: 1, Step: step}} }
+	r := &run{trace: Trace{Faults: []Fault{at(StepAnswered), at(StepExecuted), {At: InjectionPoint{Program: "q", Call: 1}}, at(StepAccepted)}}}
 	Expect(r.faultsOfCall("p", 1)).To(Equal([]Fault{at(StepAccepted), at(StepExecuted), at(StepAnswered)}))
 })
--- a/internal/lab/soak/checks_test.go
+++ b/internal/lab/soak/checks_test.go
@@ -113,6 +113,6 @@
 var _ = It("draws the same faults from the same seed", func() {
 	r := &soakRun{gateways: make([]*gateway, 4)}
 	for seed := range uint64(5) {
-		Expect(r.drawFaults(newFaultRandom(seed), Kinds())).To(Equal(r.drawFaults(newFaultRandom(seed), Kinds())))
+		Expect(r.drawFaults(newFaultRandom(seed), FaultKinds())).To(Equal(r.drawFaults(newFaultRandom(seed), FaultKinds())))
 	}
 })
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -150,9 +150,9 @@
 	case 1:
 		return faultproxy.Condition{HoldRequests: true}, false
 	case 2:
-		return faultproxy.Condition{HoldAnswers: true}, false
+		return faultproxy.Condition{HoldResponses: true}, false
 	case 3:
-		return faultproxy.Condition{HoldRequests: true, HoldAnswers: true}, false
+		return faultproxy.Condition{HoldRequests: true, HoldResponses: true}, false
 	default:
 		return faultproxy.Condition{Refuse: true}, true
 	}
@@ -162,14 +162,14 @@
 	condition, resets := linkCondition(f.variant)
 	set := func(next faultproxy.Condition) {
 		for _, index := range f.targets {
-			linkOf(r.gateways[index]).Set(next)
+			linkOf(r.gateways[index]).SetCondition(next)
 		}
 	}
 	r.injectFor(f, func() {
 		set(condition)
 		for _, index := range f.targets {
 			if resets {
-				linkOf(r.gateways[index]).Reset()
+				linkOf(r.gateways[index]).ResetConnections()
 			}
 		}
 	}, func() { set(faultproxy.Condition{}) })
@@ -209,11 +209,11 @@
 	}
 	condition, resets := linkCondition(f.variant / 7)
 	r.injectFor(f, func() {
-		target.link.Set(condition)
+		target.link.SetCondition(condition)
 		if resets {
-			target.link.Reset()
+			target.link.ResetConnections()
 		}
-	}, func() { target.link.Set(faultproxy.Condition{}) })
+	}, func() { target.link.SetCondition(faultproxy.Condition{}) })
 }
 
 // crashInstance stops an instance at once. Its entry in the store is removed later, and
--- a/internal/lab/soak/gateway.go
+++ b/internal/lab/soak/gateway.go
@@ -72,15 +72,15 @@
 	const rowBytes = 4096 // small, so that histories need several rows
 	g.settings = server.Settings{
 		Machine: g.name, Zone: fmt.Sprintf("z%d", index%2+1), Region: "r",
-		Listen: server.Listen{
+		Listen: server.ListenSettings{
 			Callers: at(portCallers), Ready: at(portReady), Peers: at(portPeers), Metrics: at(portMetrics),
 			Advertise: g.fromPeers.Address(),
 		},
-		Store:        server.Store{Address: g.toStore.Address(), RowBytes: rowBytes},
+		Store:        server.StoreSettings{Address: g.toStore.Address(), RowBytes: rowBytes},
 		GraceSeconds: gracePeriod.Seconds(), DrainMillis: float64(drainBound.Milliseconds()),
 		ContactMillis: float64(contactTimeout.Milliseconds()),
 		MemoryMB:      256,
-		Quota: server.Quota{
+		Quota: server.QuotaSettings{
 			WindowSeconds: quotaWindow.Seconds(), ToleranceShare: toleranceShare, ToleranceRequests: toleranceRequests,
 		},
 		// Also set at restarts. It has an effect only until the gateway has written its
@@ -111,7 +111,7 @@
 		return eris.Wrap(err, "open log")
 	}
 	defer func() { _ = output.Close() }() // the process has its own copy
-	command := exec.Command(g.run.options.Binary, "--settings", g.settingsPath)
+	command := exec.Command(g.run.options.GatewayBinary, "--settings", g.settingsPath)
 	command.Stdout, command.Stderr = output, output
 	command.Env = append(os.Environ(), g.run.options.Environment...)
 	if err := command.Start(); err != nil {
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -54,8 +54,8 @@
 	"hup":          (*soakRun).hup,
 }
 
-// Kinds returns the kinds of faults, sorted.
-func Kinds() []string {
+// FaultKinds returns the kinds of faults, sorted.
+func FaultKinds() []string {
 	var kinds []string
 	for kind := range faultInjectors {
 		kinds = append(kinds, kind)
@@ -76,9 +76,9 @@
 // limits to be checked.
 func (r *soakRun) injectFaults(ctx context.Context) {
 	random := newFaultRandom(r.options.Seed)
-	kinds := r.options.Kinds
+	kinds := r.options.FaultKinds
 	if len(kinds) == 0 {
-		kinds = Kinds()
+		kinds = FaultKinds()
 	}
 	r.sleep(ctx, time.Second)
 	for round := 1; ctx.Err() == nil && time.Since(r.startedAt) < firstStartDuration+r.options.Duration; round++ {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -18,17 +18,17 @@
 
 // Options configure Run.
 type Options struct {
-	Binary    string // path to the gateway binary
-	Directory string // for settings and logs; empty: a temporary one, removed if there are no findings
-	Seed      uint64
-	Duration  time.Duration // how long faults are injected; recovery comes after it
-	Gateways  int           // number of gateways
-	Callers   int           // number of callers that run programs concurrently
-	// Kinds limits the faults to these kinds; empty: all kinds.
-	Kinds []string
-	// Untimed skips the checks of time limits, for machines that may stall for
+	GatewayBinary string // path to the gateway binary
+	Directory     string // for settings and logs; empty: a temporary one, removed if there are no findings
+	Seed          uint64
+	Duration      time.Duration // how long faults are injected; recovery comes after it
+	Gateways      int           // number of gateways
+	Callers       int           // number of callers that run programs concurrently
+	// FaultKinds limits the faults to these kinds; empty: all kinds.
+	FaultKinds []string
+	// SkipTimingChecks skips the checks of time limits, for machines that may stall for
 	// seconds.
-	Untimed bool
+	SkipTimingChecks bool
 	// Environment is added to the gateways' environment, as "NAME=value".
 	Environment []string
 	Progress    func(format string, arguments ...any) // called for each fault and planned change; may be nil
@@ -46,11 +46,11 @@
 
 // Verdict is the result of a run.
 type Verdict struct {
-	Seed     uint64
-	Findings []string       // violated guarantees; empty: none
-	Attempts map[string]int // number of attempts, by kind and outcome
-	Faults   []string       // faults and planned changes, in the order of injection
-	Logs     string         // directory of the settings and logs; empty if it was removed
+	Seed          uint64
+	Findings      []string       // violated guarantees; empty: none
+	AttemptCounts map[string]int // number of attempts, by kind and outcome
+	Faults        []string       // faults and planned changes, in the order of injection
+	Directory     string         // directory of the settings and logs; empty if it was removed
 }
 
 // soakRun is the state of one run.
@@ -86,18 +86,18 @@
 	}
 	run := &soakRun{options: options, startedAt: time.Now(), calm: newCalmTracker()}
 	run.evidence = newEvidence(run.calm)
-	run.evidence.skipTimingChecks = options.Untimed
+	run.evidence.skipTimingChecks = options.SkipTimingChecks
 	defer run.close()
 	if err := run.start(ctx); err != nil {
 		return nil, err
 	}
 	run.runCallersAndFaults(ctx)
 	verdict := &Verdict{
-		Seed: options.Seed, Findings: run.evidence.check(), Attempts: run.evidence.countOutcomes(),
-		Faults: run.faults, Logs: options.Directory,
+		Seed: options.Seed, Findings: run.evidence.check(), AttemptCounts: run.evidence.countOutcomes(),
+		Faults: run.faults, Directory: options.Directory,
 	}
 	if len(verdict.Findings) == 0 && !keepDirectory {
-		verdict.Logs = ""
+		verdict.Directory = ""
 		return verdict, os.RemoveAll(options.Directory)
 	}
 	return verdict, nil
--- a/internal/lab/soak/store.go
+++ b/internal/lab/soak/store.go
@@ -59,7 +59,7 @@
 		go func() { _ = each.server.Serve(listener) }()
 		s.endpoints = append(s.endpoints, each)
 	}
-	s.memory.Misbehave(s.decideFault)
+	s.memory.SetFaultFunc(s.decideFault)
 	return s
 }
 
@@ -99,16 +99,16 @@
 		partition = partitionOf(call.Commit)
 		switch random := rand.Float64(); {
 		case random < current.lostShare:
-			return memorystore.Lost
+			return memorystore.FaultLost
 		case random < current.lostShare+current.lateShare:
-			time.AfterFunc(time.Duration(1000+rand.IntN(2000))*time.Millisecond, s.memory.Release)
-			return memorystore.Late
+			time.AfterFunc(time.Duration(1000+rand.IntN(2000))*time.Millisecond, s.memory.ApplyLateCommits)
+			return memorystore.FaultLate
 		}
 	}
 	if call.Name != "feed" && isPartitionDown(partition, current) {
-		return memorystore.Refused
+		return memorystore.FaultRefused
 	}
-	return memorystore.None
+	return memorystore.FaultNone
 }
 
 func partitionOf(commit state.Commit) string {
--- a/internal/lab/standin/faults_test.go
+++ b/internal/lab/standin/faults_test.go
@@ -15,10 +15,10 @@
 	faults.Add(standin.Rule{Name: "lose", Point: standin.PointAfter, Action: standin.ActionLose, Times: 1})
 	faults.Add(standin.Rule{Name: "hold", Point: standin.PointAfter, Action: standin.ActionHold})
 	action := make(chan standin.Action, 1)
-	go func() { action <- faults.Meet(context.Background(), standin.PointAfter, "call", 0) }()
+	go func() { action <- faults.Inject(context.Background(), standin.PointAfter, "call", 0) }()
 	Eventually(func() int { return faults.List().Rules[1].Holding }).Should(Equal(1))
 	Expect(action).NotTo(Receive())
 	faults.Remove("hold")
 	Eventually(action).Should(Receive(Equal(standin.ActionLose)))
-	Expect(faults.Meet(context.Background(), standin.PointAfter, "call", 0)).To(BeEmpty(), "the rule applies once")
+	Expect(faults.Inject(context.Background(), standin.PointAfter, "call", 0)).To(BeEmpty(), "the rule applies once")
 }
--- a/internal/lab/standin/limit.go
+++ b/internal/lab/standin/limit.go
@@ -6,9 +6,9 @@
 	"golang.org/x/time/rate"
 )
 
-// Limit wraps next with a rate limit that all clients share. Requests above it
+// RateLimit wraps next with a rate limit that all clients share. Requests above it
 // get status 429. A rate of 0 means no limit; a burst below 1 counts as 1.
-func Limit(requestsPerSecond float64, burst int, next http.Handler) http.Handler {
+func RateLimit(requestsPerSecond float64, burst int, next http.Handler) http.Handler {
 	if requestsPerSecond == 0 {
 		return next
 	}
--- a/internal/lab/standin/mount.go
+++ b/internal/lab/standin/mount.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Mount returns a mux with the service at "/", PathFaults and PathRecords. It
+// NewMux returns a mux with the service at "/", PathFaults and PathRecords. It
 // applies no faults or rate limits itself: the service must already be wrapped
 // in them. If records is nil, PathRecords is not registered.
-func Mount(service http.Handler, faults *Faults, records func() any) *http.ServeMux {
+func NewMux(service http.Handler, faults *Faults, records func() any) *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("/", service)
 	mux.Handle(PathFaults, faults)
