--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -84,22 +84,22 @@
 	return true
 }
 
-// Refuse writes an error response with enginev1.HeaderNeverStarted, which says that
+// WriteNotStartedError writes an error response with enginev1.HeaderNeverStarted, which says that
 // the request was not started.
-func Refuse(w http.ResponseWriter, status int, detail string) {
+func WriteNotStartedError(w http.ResponseWriter, status int, detail string) {
 	w.Header().Set(enginev1.HeaderNeverStarted, "true")
 	http.Error(w, detail, status)
 }
 
-// Carry carries out an action that Meet returned: it writes the error response
+// WriteFault carries out an action that Inject returned: it writes the error response
 // or, for ActionLose, panics with http.ErrAbortHandler. It returns false if the
 // action is "", and then writes nothing.
-func Carry(w http.ResponseWriter, action Action) bool {
+func WriteFault(w http.ResponseWriter, action Action) bool {
 	switch action {
 	case ActionLose:
 		panic(http.ErrAbortHandler) // net/http closes the connection without a response.
 	case ActionRefuse:
-		Refuse(w, http.StatusServiceUnavailable, "refused by a fault rule")
+		WriteNotStartedError(w, http.StatusServiceUnavailable, "refused by a fault rule")
 	case ActionFail:
 		http.Error(w, "failed by a fault rule", http.StatusInternalServerError)
 	default:
@@ -108,18 +108,18 @@
 	return true
 }
 
-// Around wraps a handler with the rules of PointBefore and PointAfter. The
+// Wrap wraps a handler with the rules of PointBefore and PointAfter. The
 // response is buffered until the PointAfter rules have been applied, so next
 // must not stream. The key function returns the request key for Rule.Match.
-func (f *Faults) Around(key func(*http.Request) string, next http.Handler) http.Handler {
+func (f *Faults) Wrap(key func(*http.Request) string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		requestKey := key(r)
-		if Carry(w, f.Meet(r.Context(), PointBefore, requestKey, 0)) {
+		if WriteFault(w, f.Inject(r.Context(), PointBefore, requestKey, 0)) {
 			return
 		}
 		response := newBufferedResponse()
 		next.ServeHTTP(response, r)
-		if Carry(w, f.Meet(r.Context(), PointAfter, requestKey, 0)) {
+		if WriteFault(w, f.Inject(r.Context(), PointAfter, requestKey, 0)) {
 			return
 		}
 		response.writeTo(w)
@@ -127,5 +127,5 @@
 }
 
 // MethodAndPath returns the method, the path and the query as a request key for
-// Around, such as "GET /lab?x=1".
+// Wrap, such as "GET /lab?x=1".
 func MethodAndPath(r *http.Request) string { return r.Method + " " + r.URL.RequestURI() }
--- a/internal/lab/weightstore/weightstore.go
+++ b/internal/lab/weightstore/weightstore.go
@@ -32,8 +32,8 @@
 	service := http.NewServeMux()
 	service.HandleFunc("GET "+platformv1.PathWeights+"{model}/{version}/size", store.handleSize)
 	service.HandleFunc("GET "+platformv1.PathWeights+"{model}/{version}", store.handleStream)
-	limited := standin.Limit(options.RequestsPerSecond, options.Burst, store.Faults.Around(standin.MethodAndPath, service))
-	store.Handler = standin.Mount(limited, store.Faults, nil)
+	limited := standin.RateLimit(options.RequestsPerSecond, options.Burst, store.Faults.Wrap(standin.MethodAndPath, service))
+	store.Handler = standin.NewMux(limited, store.Faults, nil)
 	return store
 }
 
--- a/internal/lab/workload/brackenlaw.go
+++ b/internal/lab/workload/brackenlaw.go
@@ -70,7 +70,7 @@
 	turns := random.logNormalCount(kind.turnsMedian, 0.5, 2, maxAssessmentTurns)
 	root.Turns = assessmentTurns(random, turns)
 	if kind.notRepeatable {
-		root.Turns[turns-1].NotRepeatable = true
+		root.Turns[turns-1].NonIdempotent = true
 	}
 	t.Programs = append(t.Programs, root)
 	if random.bernoulli(subAgentChance) {
--- a/internal/lab/workload/theorydesk.go
+++ b/internal/lab/workload/theorydesk.go
@@ -17,7 +17,7 @@
 	minClassSize       = 18
 	maxClassSize       = 28
 	classArrivalSpread = 15 * time.Second // within which the bookings of a class arrive
-	resendChance       = 0.08             // probability that Turn.DoubledAfter is set
+	resendChance       = 0.08             // probability that Turn.ResendAfter is set
 	bookingShare       = 0.25             // fraction of bookings among the single arrivals
 	courseCount        = 4
 	modulesPerCourse   = 9
@@ -71,7 +71,7 @@
 			PromptTokens: random.logNormalCount(90, 0.7, 10, 600),
 			OutputTokens: random.logNormalCount(85, 0.5, 15, 300),
 			Pause:        random.logNormal(6*time.Second, 0.7, maxThinkingPause),
-			DoubledAfter: drawResendDelay(random),
+			ResendAfter:  drawResendDelay(random),
 		}
 	}
 	session.Turns[len(session.Turns)-1].Pause = 0
@@ -95,11 +95,11 @@
 			PromptTokens: random.logNormalCount(160, 0.5, 30, 800),
 			OutputTokens: random.logNormalCount(60, 0.4, 15, 200),
 			Pause:        random.logNormal(700*time.Millisecond, 0.9, maxThinkingPause),
-			DoubledAfter: drawResendDelay(random),
+			ResendAfter:  drawResendDelay(random),
 		}
 	}
 	turns[len(turns)-1].Pause = 0
-	turns[len(turns)-1].NotRepeatable = true
+	turns[len(turns)-1].NonIdempotent = true
 	t.Programs = append(t.Programs, Program{
 		Index: len(t.Programs), Kind: "booking", Tenant: school, Class: class,
 		Arrival: arrival, Parent: NoParent, Prefix: bookingPrefix(school), Turns: turns,
@@ -110,7 +110,7 @@
 	return identity.Tenant(fmt.Sprintf("school-%02d", random.zipfIndex(theoryDeskSchools)+1))
 }
 
-// drawResendDelay returns a value for Turn.DoubledAfter.
+// drawResendDelay returns a value for Turn.ResendAfter.
 func drawResendDelay(random randomSource) time.Duration {
 	if !random.bernoulli(resendChance) {
 		return 0
--- a/internal/lab/workload/workload_test.go
+++ b/internal/lab/workload/workload_test.go
@@ -16,7 +16,7 @@
 		expect.Expect(generate(6, 0.5)).NotTo(gomega.Equal(trace))
 		expect.Expect(trace.Engines).To(gomega.HaveLen(10))
 		busier := generate(5, 1)
-		expect.Expect(busier.Roots()).To(gomega.BeNumerically(">", trace.Roots()))
+		expect.Expect(busier.RootCount()).To(gomega.BeNumerically(">", trace.RootCount()))
 		expect.Expect(generate(5, 0).Programs).To(gomega.BeEmpty())
 
 		spawned := map[int]int{}
@@ -34,6 +34,6 @@
 				}
 			}
 		}
-		expect.Expect(spawned).To(gomega.HaveLen(len(trace.Programs) - trace.Roots()))
+		expect.Expect(spawned).To(gomega.HaveLen(len(trace.Programs) - trace.RootCount()))
 	}
 }
--- a/internal/load/caller_test.go
+++ b/internal/load/caller_test.go
@@ -7,13 +7,13 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// countingCaller is a peer.Caller that counts the calls and leaves the replies empty.
-type countingCaller struct{ calls *int }
+// countingClient is a peer.Client that counts the calls and leaves the replies empty.
+type countingClient struct{ calls *int }
 
 var callsMutex sync.Mutex
 
-// Call implements peer.Caller.
-func (c countingCaller) Call(context.Context, string, peer.Class, string, any, any) error {
+// Call implements peer.Client.
+func (c countingClient) Call(context.Context, string, peer.Class, string, any, any) error {
 	callsMutex.Lock()
 	defer callsMutex.Unlock()
 	*c.calls++
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -33,10 +33,10 @@
 // sends this daemon's sums to the other aggregators while daemons report to it. Its exported fields
 // must not change after Run is called.
 type Exchange struct {
-	List   *members.List
-	Caller peer.Caller
-	Board  *Board // this daemon's own board
-	Fleet  Fleet
+	List       *members.List
+	PeerClient peer.Client
+	Board      *Board // this daemon's own board
+	Fleet      Fleet
 	// Programs is the source of the program statistics, which are exchanged in the same messages.
 	// If it is nil, none are exchanged.
 	Programs ProgramSource
@@ -167,7 +167,7 @@
 	}
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
-	return e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodReport, report, reply)
+	return e.PeerClient.Call(ctx, aggregator.Process.Address, peer.ClassControl, methodReport, report, reply)
 }
 
 func (e *Exchange) recordAggregator(aggregator members.Member) {
@@ -216,7 +216,7 @@
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
 	var reply ShareReply
-	err := e.Caller.Call(ctx, aggregator.Process.Address, peer.Control, methodShare, share, &reply)
+	err := e.PeerClient.Call(ctx, aggregator.Process.Address, peer.ClassControl, methodShare, share, &reply)
 	if err == nil {
 		e.List.RecordAnswer(aggregator)
 	} else if parent.Err() == nil {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -246,13 +246,13 @@
 			}}
 			fleet := &testFleet{own: Counts{Digest(number): 1}, learned: make(chan Counts, 1)}
 			exchange := &Exchange{
-				List: members.NewList(self, time.Now, zap.NewNop()), Caller: pool, Board: NewBoard(time.Now), Fleet: fleet, Log: zap.NewNop(),
+				List: members.NewList(self, time.Now, zap.NewNop()), PeerClient: pool, Board: NewBoard(time.Now), Fleet: fleet, Log: zap.NewNop(),
 			}
 			Expect(server.Register(ServiceName, exchange.Board)).To(Succeed())
 			lists = append(lists, exchange.List)
 			started = append(started, &testDaemon{Exchange: exchange, server: server, fleet: fleet})
 		}
-		Expect(acquaintance.Make(lists...)).To(Succeed())
+		Expect(acquaintance.FillLists(lists...)).To(Succeed())
 		return started
 	}
 	// exchangeOnce lets all daemons report and then share once. It discards what they learn.
@@ -360,12 +360,12 @@
 			view := fleetView(6, each)
 			list := members.NewList(view.Members[0], time.Now, zap.NewNop())
 			for _, member := range view.Members {
-				row, err := acquaintance.RowOf(member)
+				row, err := acquaintance.Row(member)
 				Expect(err).NotTo(HaveOccurred())
 				list.Apply([]state.Row{row})
 			}
 			counted := &Exchange{
-				List: list, Caller: countingCaller{&calls}, Board: NewBoard(time.Now),
+				List: list, PeerClient: countingClient{&calls}, Board: NewBoard(time.Now),
 				Fleet: &testFleet{learned: make(chan Counts, 9)}, Log: zap.NewNop(),
 			}
 			Expect(counted.Board.Report(ReportRequest{Member: "another"}, &ReportReply{})).To(Succeed())
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -127,10 +127,10 @@
 		self := members.Member{Process: identity.Process{Machine: "d", Zone: "z", Region: "r", Address: server.Address()}}
 		source := &testProgramSource{own: own(4), learned: make(chan ProgramStats, 1)}
 		exchange := &Exchange{
-			List: members.NewList(self, time.Now, zap.NewNop()), Caller: peer.NewPool(peer.Options{}), Board: board,
+			List: members.NewList(self, time.Now, zap.NewNop()), PeerClient: peer.NewPool(peer.Options{}), Board: board,
 			Fleet: &testFleet{learned: make(chan Counts, 1)}, Programs: source, Log: zap.NewNop(),
 		}
-		Expect(acquaintance.Make(exchange.List)).To(Succeed())
+		Expect(acquaintance.FillLists(exchange.List)).To(Succeed())
 		exchange.report(context.Background())
 		Eventually(ctx, source.learned).Should(Receive(HaveField("Services", Not(BeNil()))))
 	})
--- a/internal/load/speeds_test.go
+++ b/internal/load/speeds_test.go
@@ -68,7 +68,7 @@
 	GinkgoHelper()
 	self := members.Member{Process: identity.Process{Machine: "new", Zone: "z", Region: "r"}, State: members.StateAlive}
 	list := members.NewList(self, time.Now, zap.NewNop())
-	Expect(acquaintance.Make(list)).To(Succeed())
+	Expect(acquaintance.FillLists(list)).To(Succeed())
 	fleet := &testFleet{learned: make(chan Counts, 1)}
 	exchange := &Exchange{List: list, Board: board, Fleet: fleet, Log: zap.NewNop()}
 	exchange.report(ctx)
--- a/internal/members/lease_test.go
+++ b/internal/members/lease_test.go
@@ -127,19 +127,19 @@
 
 	It("survives lost answers to renewals and to the registration", func() {
 		calls := 0
-		env.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		env.store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			calls++
 			if call.Name == "commit" && calls%2 == 1 {
-				return memorystore.Lost
+				return memorystore.FaultLost
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		first := env.startDaemon("m00", true)
 		Expect(first.step()).To(BeTrue())
 		for range 4 {
 			first.step()
 		}
-		env.store.Misbehave(nil)
+		env.store.SetFaultFunc(nil)
 		Expect(first.step()).To(BeTrue())
 		Expect(first.lease.isRegistered).To(BeTrue())
 	})
@@ -166,13 +166,13 @@
 			watch.Run(following, listener.list.WatchOptions(env.store, time.Minute), listener.list)
 		}()
 		Eventually(func() bool { return listener.list.View().Loaded }).Should(BeTrue())
-		before := env.store.Calls("feed")
+		before := env.store.CallCount("feed")
 		for number := range fleet {
 			env.startDaemon(fmt.Sprint("m", number), false).lease.RenewOnce(ctx)
 			time.Sleep(time.Millisecond) // like a store that commits one registration after the other
 		}
 		Eventually(listener.list.Count).Should(Equal(fleet + 1))
-		Expect(env.store.Calls("feed") - before).To(BeNumerically("<", fleet/4))
+		Expect(env.store.CallCount("feed") - before).To(BeNumerically("<", fleet/4))
 		stop()
 		Eventually(followed).Should(BeClosed())
 	})
@@ -187,11 +187,11 @@
 	It("costs each daemon one commit and one read per renewal, independent of the fleet's size", func() {
 		daemons := fleetOf(50)
 		env.run(testRenewal, daemons...)
-		commits, readings := env.store.Calls("commit"), env.store.Calls("read")
+		commits, readings := env.store.CallCount("commit"), env.store.CallCount("read")
 		for _, each := range daemons[:40] {
 			each.lease.RenewOnce(context.Background())
 		}
-		Expect(env.store.Calls("commit") - commits).To(Equal(40))
-		Expect(env.store.Calls("read") - readings).To(Equal(40))
+		Expect(env.store.CallCount("commit") - commits).To(Equal(40))
+		Expect(env.store.CallCount("read") - readings).To(Equal(40))
 	})
 })
--- a/internal/members/lender_test.go
+++ b/internal/members/lender_test.go
@@ -152,12 +152,12 @@
 
 	It("recognize their own row after the answer to its commit was lost", func() {
 		calls := 0
-		env.store.Misbehave(func(memorystore.Call) memorystore.Fault {
+		env.store.SetFaultFunc(func(memorystore.Call) memorystore.Fault {
 			calls++
 			if calls == 1 {
-				return memorystore.Lost
+				return memorystore.FaultLost
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		Expect(bootstrapOne().list.MayLend("p")).To(BeTrue())
 	})
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -60,12 +60,12 @@
 		for _, member := range known {
 			made = append(made, members.NewList(member, func() time.Time { return now }, zap.NewNop()))
 		}
-		Expect(acquaintance.Make(made...)).To(Succeed())
+		Expect(acquaintance.FillLists(made...)).To(Succeed())
 		return made
 	}
 	row := func(member members.Member) state.Row {
 		GinkgoHelper()
-		made, err := acquaintance.RowOf(member)
+		made, err := acquaintance.Row(member)
 		Expect(err).NotTo(HaveOccurred())
 		return made
 	}
@@ -175,7 +175,7 @@
 		b.Run(fmt.Sprint(fleet), func(b *testing.B) {
 			var rows []state.Row
 			for number := range fleet {
-				row, err := acquaintance.RowOf(memberOf(fmt.Sprint("m", number), "z", "r"))
+				row, err := acquaintance.Row(memberOf(fmt.Sprint("m", number), "z", "r"))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/members/prober.go
+++ b/internal/members/prober.go
@@ -43,8 +43,8 @@
 // three small calls a second for each other zone that answers, or fewer if its requests bring
 // answers.
 type Prober struct {
-	List   *List
-	Caller peer.Caller
+	List       *List
+	PeerClient peer.Client
 
 	mutex   sync.Mutex
 	probing map[identity.Zone]bool
@@ -114,7 +114,7 @@
 	var calls sync.WaitGroup
 	for _, member := range due.members {
 		calls.Go(func() {
-			err := p.Caller.Call(ctx, member.Process.Address, peer.Control, methodPing, PingRequest{}, &PingReply{})
+			err := p.PeerClient.Call(ctx, member.Process.Address, peer.ClassControl, methodPing, PingRequest{}, &PingReply{})
 			var serverErr rpc.ServerError // returned by the member, for example if its version lacks this method; counts as an answer
 			switch {
 			case err == nil || errors.As(err, &serverErr):
--- a/internal/members/zone_health_test.go
+++ b/internal/members/zone_health_test.go
@@ -102,16 +102,16 @@
 	}
 })
 
-// pingCaller returns err from each call.
-type pingCaller struct{ err error }
+// pingClient returns err from each call.
+type pingClient struct{ err error }
 
-func (c *pingCaller) Call(context.Context, string, peer.Class, string, any, any) error { return c.err }
+func (c *pingClient) Call(context.Context, string, peer.Class, string, any, any) error { return c.err }
 
 var _ = Describe("Prober", func() {
 	It("counts an error returned by the other daemon as an answer, and a failed call as a miss", func(ctx SpecContext) {
 		simulation := newZoneSimulation(cutSilent)
-		caller := &pingCaller{err: errors.New("no answer")}
-		prober := &Prober{List: simulation.lists[0], Caller: caller, probing: map[identity.Zone]bool{}}
+		client := &pingClient{err: errors.New("no answer")}
+		prober := &Prober{List: simulation.lists[0], PeerClient: client, probing: map[identity.Zone]bool{}}
 		ask := func() {
 			for _, due := range prober.startProbes() {
 				prober.sendProbe(ctx, due)
@@ -121,7 +121,7 @@
 		Expect(simulation.countSilentZones()).To(BeZero(), "a single member may fail by itself")
 		ask()
 		Expect(simulation.countSilentZones()).To(Equal(2), "both other zones")
-		caller.err = rpc.ServerError("rpc: can't find service Members.Ping")
+		client.err = rpc.ServerError("rpc: can't find service Members.Ping")
 		ask()
 		Expect(simulation.countSilentZones()).To(BeZero())
 		Expect(prober.startProbes()).To(BeEmpty(), "they just answered")
--- a/internal/operatorapi/change.go
+++ b/internal/operatorapi/change.go
@@ -30,17 +30,17 @@
 	}
 	switch content := message.GetContent().(type) {
 	case *operatorv1.ApplyConfigurationRequest_Document:
-		change.Document = convert.DocumentFrom(content.Document)
+		change.Document = convert.DocumentFromProto(content.Document)
 		if faults := configuration.Validate(&change.Document); len(faults) > 0 {
 			return nil, invalidChangeError(faults...) // An invalid document is invalid at any revision.
 		}
 	case *operatorv1.ApplyConfigurationRequest_Partial:
-		partial := convert.DifferenceFrom(content.Partial)
+		partial := convert.DifferenceFromProto(content.Partial)
 		change.Partial = &partial
 	default:
 		return nil, invalidChangeError("the change has no content: neither document nor partial is set")
 	}
-	change = s.Administrator.Current().Reduced(change)
+	change = s.Administrator.Current().ReduceChange(change)
 	result, err := s.applyChange(ctx, &change)
 	if err := changeError(&change, result, err); err != nil {
 		return nil, err
--- a/internal/operatorapi/convert/document.go
+++ b/internal/operatorapi/convert/document.go
@@ -38,12 +38,12 @@
 // unknownEnumValue is a number that no enum of the API uses.
 const unknownEnumValue = -1
 
-// Class converts the name of a priority class to its enum value.
-func Class(name string) operatorv1.PriorityClass { return valueOf(classNames, name) }
+// ClassToProto converts the name of a priority class to its enum value.
+func ClassToProto(name string) operatorv1.PriorityClass { return valueOf(classNames, name) }
 
-// ClassName converts the enum value of a priority class to its name, such as
+// ClassFromProto converts the enum value of a priority class to its name, such as
 // "batch".
-func ClassName(class operatorv1.PriorityClass) string { return nameOf(classNames, class) }
+func ClassFromProto(class operatorv1.PriorityClass) string { return nameOf(classNames, class) }
 
 // nameOf returns the name of an enum value, or its number as text if it has none.
 func nameOf[E ~int32](names map[E]string, value E) string {
@@ -63,16 +63,16 @@
 	return unknownEnumValue
 }
 
-// Duration converts a duration to its message; zero becomes nil.
-func Duration(duration time.Duration) *durationpb.Duration {
+// DurationToProto converts a duration to its message; zero becomes nil.
+func DurationToProto(duration time.Duration) *durationpb.Duration {
 	if duration == 0 {
 		return nil
 	}
 	return durationpb.New(duration)
 }
 
-// Document converts a whole configuration to its message.
-func Document(document *configuration.Document) *operatorv1.Document {
+// DocumentToProto converts a whole configuration to its message.
+func DocumentToProto(document *configuration.Document) *operatorv1.Document {
 	return &operatorv1.Document{
 		Tenants:  convertAll(document.Tenants, tenantToProto),
 		Models:   convertAll(document.Models, modelToProto),
@@ -83,8 +83,8 @@
 	}
 }
 
-// DocumentFrom converts the message to a whole configuration.
-func DocumentFrom(document *operatorv1.Document) configuration.Document {
+// DocumentFromProto converts the message to a whole configuration.
+func DocumentFromProto(document *operatorv1.Document) configuration.Document {
 	return configuration.Document{
 		Tenants:  convertAll(document.GetTenants(), tenantFromProto),
 		Models:   convertAll(document.GetModels(), modelFromProto),
@@ -95,12 +95,12 @@
 	}
 }
 
-// Difference converts a difference to its message, which does not have the
+// DifferenceToProto converts a difference to its message, which does not have the
 // revisions From and To.
-func Difference(difference *configuration.Difference) *operatorv1.Difference {
+func DifferenceToProto(difference *configuration.Difference) *operatorv1.Difference {
 	deletes := difference.Deletes
 	return &operatorv1.Difference{
-		Upserts: Document(&difference.Upserts),
+		Upserts: DocumentToProto(&difference.Upserts),
 		Deletes: &operatorv1.Names{
 			Tenants:  deletes.Tenants,
 			Models:   deletes.Models,
@@ -112,13 +112,13 @@
 	}
 }
 
-// DifferenceFrom converts the message to a difference. Its revisions From and To
+// DifferenceFromProto converts the message to a difference. Its revisions From and To
 // are zero.
-func DifferenceFrom(difference *operatorv1.Difference) configuration.Difference {
+func DifferenceFromProto(difference *operatorv1.Difference) configuration.Difference {
 	deletes := difference.GetDeletes()
 	return configuration.Difference{
-		Upserts: DocumentFrom(difference.GetUpserts()),
-		Deletes: configuration.Names{
+		Upserts: DocumentFromProto(difference.GetUpserts()),
+		Deletes: configuration.ItemNames{
 			Tenants:  deletes.GetTenants(),
 			Models:   deletes.GetModels(),
 			Pools:    deletes.GetPools(),
@@ -129,8 +129,8 @@
 	}
 }
 
-// Changes converts a list of changed items to their messages.
-func Changes(changes []configuration.ItemChange) []*operatorv1.ItemChange {
+// ItemChangesToProto converts a list of changed items to their messages.
+func ItemChangesToProto(changes []configuration.ItemChange) []*operatorv1.ItemChange {
 	converted := make([]*operatorv1.ItemChange, 0, len(changes))
 	for _, change := range changes {
 		item := &operatorv1.ItemChange{Kind: change.Kind, Name: change.Name, Action: string(change.Action)}
@@ -163,8 +163,8 @@
 		Burst:             int64(tenant.Burst),
 		TokenBudget:       tenant.TokenBudget,
 		MaxTurns:          tenant.MaxTurns,
-		Idle:              Duration(tenant.Idle),
-		Lifetime:          Duration(tenant.Lifetime),
+		Idle:              DurationToProto(tenant.Idle),
+		Lifetime:          DurationToProto(tenant.Lifetime),
 		MaxPrograms:       int64(tenant.MaxPrograms),
 	}
 }
@@ -239,7 +239,7 @@
 		Name:      service.Name,
 		Kind:      valueOf(kindNames, service.Kind),
 		Addresses: service.Addresses,
-		Timeout:   Duration(service.Timeout),
+		Timeout:   DurationToProto(service.Timeout),
 	}
 }
 
--- a/internal/operatorapi/convert/document_test.go
+++ b/internal/operatorapi/convert/document_test.go
@@ -23,10 +23,10 @@
 	difference.Upserts.Tenants[0].Class = "batch"
 	difference.Upserts.Pools[0].Role = "decode"
 	difference.Upserts.Services[0].Kind = "tool"
-	g.Expect(convert.DifferenceFrom(convert.Difference(&difference))).To(Equal(difference))
+	g.Expect(convert.DifferenceFromProto(convert.DifferenceToProto(&difference))).To(Equal(difference))
 
 	difference.Upserts.Tenants[0].Class = "golden"
-	received := convert.DifferenceFrom(convert.Difference(&difference))
+	received := convert.DifferenceFromProto(convert.DifferenceToProto(&difference))
 	g.Expect(configuration.Validate(&received.Upserts)).To(ContainElement(ContainSubstring("class")))
 }
 
--- a/internal/operatorapi/drains.go
+++ b/internal/operatorapi/drains.go
@@ -80,7 +80,7 @@
 		current := s.Administrator.Current()
 		response.Revision = current.Revision
 		response.Drains = slices.Clone(current.Document.Drains)
-		response.WithoutEffect = slices.DeleteFunc(slices.Clone(response.Drains), current.Names)
+		response.WithoutEffect = slices.DeleteFunc(slices.Clone(response.Drains), current.HasDrainTarget)
 	}
 	return connect.NewResponse(response), nil
 }
--- a/internal/operatorapi/errors.go
+++ b/internal/operatorapi/errors.go
@@ -106,6 +106,6 @@
 		Kind:       string(callProblem.Kind),
 		Outcome:    string(callProblem.Outcome),
 		Detail:     callProblem.Detail,
-		RetryAfter: convert.Duration(callProblem.RetryAfter),
+		RetryAfter: convert.DurationToProto(callProblem.RetryAfter),
 	}
 }
--- a/internal/operatorapi/handler.go
+++ b/internal/operatorapi/handler.go
@@ -24,21 +24,21 @@
 // Limits are the limits of a handler. A field that is zero or negative takes its
 // value from DefaultLimits.
 type Limits struct {
-	MaxRequestBytes int           // largest size of a request message, in bytes
-	MaxConcurrent   int           // largest number of concurrent calls, not counting WatchConfiguration
-	MaxWatchers     int           // largest number of concurrent WatchConfiguration streams
-	CallTimeout     time.Duration // longest duration of a call, except WatchConfiguration
-	WatchInterval   time.Duration // time between two checks for a new revision in a WatchConfiguration stream
+	MaxRequestBytes    int           // largest size of a request message, in bytes
+	MaxConcurrentCalls int           // largest number of concurrent calls, not counting WatchConfiguration
+	MaxWatchStreams    int           // largest number of concurrent WatchConfiguration streams
+	CallTimeout        time.Duration // longest duration of a call, except WatchConfiguration
+	WatchInterval      time.Duration // time between two checks for a new revision in a WatchConfiguration stream
 }
 
 // DefaultLimits are the default values of Limits. They allow requests with a
 // configuration of 15,000 tenants.
 var DefaultLimits = Limits{
-	MaxRequestBytes: 32 << 20,
-	MaxConcurrent:   64,
-	MaxWatchers:     64,
-	CallTimeout:     10 * time.Second,
-	WatchInterval:   100 * time.Millisecond,
+	MaxRequestBytes:    32 << 20,
+	MaxConcurrentCalls: 64,
+	MaxWatchStreams:    64,
+	CallTimeout:        10 * time.Second,
+	WatchInterval:      100 * time.Millisecond,
 }
 
 // Options configure a handler. The fields from Administrator to Fleet are
@@ -76,7 +76,7 @@
 	)
 	mux := http.NewServeMux()
 	mux.Handle(path, calls)
-	return &authHandler{keys: parseKeys(options.Keys), callSlots: make(chan struct{}, service.limits.MaxConcurrent), next: mux}
+	return &authHandler{keys: parseKeys(options.Keys), callSlots: make(chan struct{}, service.limits.MaxConcurrentCalls), next: mux}
 }
 
 // service implements operatorv1connect.OperatorServiceHandler.
@@ -102,14 +102,14 @@
 		limits:     limits,
 		logger:     logger.Named("operatorapi"),
 		metrics:    newMetrics(options.Registerer),
-		watchSlots: make(chan struct{}, limits.MaxWatchers),
+		watchSlots: make(chan struct{}, limits.MaxWatchStreams),
 	}
 }
 
 func (l Limits) withDefaults() Limits {
 	l.MaxRequestBytes = orDefault(l.MaxRequestBytes, DefaultLimits.MaxRequestBytes)
-	l.MaxConcurrent = orDefault(l.MaxConcurrent, DefaultLimits.MaxConcurrent)
-	l.MaxWatchers = orDefault(l.MaxWatchers, DefaultLimits.MaxWatchers)
+	l.MaxConcurrentCalls = orDefault(l.MaxConcurrentCalls, DefaultLimits.MaxConcurrentCalls)
+	l.MaxWatchStreams = orDefault(l.MaxWatchStreams, DefaultLimits.MaxWatchStreams)
 	l.CallTimeout = orDefault(l.CallTimeout, DefaultLimits.CallTimeout)
 	l.WatchInterval = orDefault(l.WatchInterval, DefaultLimits.WatchInterval)
 	return l
--- a/internal/operatorapi/handler_test.go
+++ b/internal/operatorapi/handler_test.go
@@ -51,7 +51,7 @@
 		applied, err := server.client.ApplyConfiguration(ctx, applyRequest("two", 1, second, first))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(applied.Msg.GetRevision()).To(Equal(uint64(2)))
-		Expect(server.administrator.received[1].Partial.Items()).To(Equal(1))
+		Expect(server.administrator.received[1].Partial.ItemCount()).To(Equal(1))
 
 		got, err := server.client.GetConfiguration(ctx, connect.NewRequest(&operatorv1.GetConfigurationRequest{}))
 		Expect(err).NotTo(HaveOccurred())
@@ -153,7 +153,7 @@
 	})
 
 	It("streams the document and then differences, and limits the number of streams", func(ctx SpecContext) {
-		server = newTestServer(operatorapi.Limits{MaxWatchers: 1})
+		server = newTestServer(operatorapi.Limits{MaxWatchStreams: 1})
 		_, err := server.client.ApplyConfiguration(ctx, applyRequest("one", 0, &operatorv1.Tenant{Name: "a"}))
 		Expect(err).NotTo(HaveOccurred())
 		watching, stop := context.WithCancel(ctx)
--- a/internal/operatorapi/programs.go
+++ b/internal/operatorapi/programs.go
@@ -73,13 +73,13 @@
 		Identifier:  string(reply.Program),
 		Parent:      string(reply.Parent),
 		Tenant:      string(reply.Tenant),
-		Class:       convert.Class(reply.Class),
+		Class:       convert.ClassToProto(reply.Class),
 		State:       programStates[reply.State],
 		EndReason:   string(reply.EndReason),
 		TokenBudget: reply.Limits.TokenBudget,
 		MaxTurns:    reply.Limits.MaxTurns,
-		Idle:        convert.Duration(reply.Limits.Idle),
-		Lifetime:    convert.Duration(reply.Limits.Lifetime),
+		Idle:        convert.DurationToProto(reply.Limits.Idle),
+		Lifetime:    convert.DurationToProto(reply.Limits.Lifetime),
 		CreatedAt:   timestamp(reply.CreatedAt),
 		Spent:       reply.Spent,
 		Reserved:    reply.Reserved,
@@ -114,8 +114,8 @@
 		message.PromptTokens = answer.PromptTokens
 		message.CachedTokens = answer.CachedTokens
 		message.CompletionTokens = answer.CompletionTokens
-		message.FirstToken = convert.Duration(answer.FirstToken)
-		message.Elapsed = convert.Duration(answer.Elapsed)
+		message.FirstToken = convert.DurationToProto(answer.FirstToken)
+		message.Elapsed = convert.DurationToProto(answer.Elapsed)
 	}
 	return message
 }
--- a/internal/operatorapi/read.go
+++ b/internal/operatorapi/read.go
@@ -24,7 +24,7 @@
 // request names none, it returns the revision in force at this daemon.
 func (s *service) GetConfiguration(ctx context.Context, request *connect.Request[operatorv1.GetConfigurationRequest]) (*connect.Response[operatorv1.GetConfigurationResponse], error) {
 	current := s.Administrator.Current()
-	response := &operatorv1.GetConfigurationResponse{Revision: current.Revision, Confirmed: s.Administrator.Confirmed()}
+	response := &operatorv1.GetConfigurationResponse{Revision: current.Revision, Confirmed: s.Administrator.IsConfirmed()}
 	document := current.Document
 	if request.Msg.Revision != nil && request.Msg.GetRevision() != current.Revision {
 		earlier, err := s.documentAt(ctx, request.Msg.GetRevision())
@@ -33,18 +33,18 @@
 		}
 		response.Revision, document = request.Msg.GetRevision(), earlier
 	}
-	response.Document = convert.Document(&document)
+	response.Document = convert.DocumentToProto(&document)
 	return connect.NewResponse(response), nil
 }
 
 // documentAt returns the configuration of an earlier revision. The configuration
 // is computed from the current one and the history of changes.
 func (s *service) documentAt(ctx context.Context, revision uint64) (configuration.Document, error) {
-	revisions, err := s.Administrator.History(ctx, configuration.HistoryRevisions)
+	revisions, err := s.Administrator.History(ctx, configuration.MaxHistoryRevisions)
 	if err != nil {
 		return configuration.Document{}, connect.NewError(connect.CodeUnavailable, fmt.Errorf("cannot read the configuration history; try again: %w", err))
 	}
-	document, found := s.Administrator.Current().Past(revision, revisions)
+	document, found := s.Administrator.Current().DocumentAt(revision, revisions)
 	if !found {
 		return configuration.Document{}, connect.NewError(connect.CodeNotFound, fmt.Errorf("revision %d does not exist or is no longer kept", revision))
 	}
@@ -59,17 +59,17 @@
 	var faults []string
 	switch content := request.Msg.GetContent().(type) {
 	case *operatorv1.ValidateConfigurationRequest_Document:
-		document = convert.DocumentFrom(content.Document)
+		document = convert.DocumentFromProto(content.Document)
 		faults = configuration.Validate(&document)
 	case *operatorv1.ValidateConfigurationRequest_Partial:
-		partial := convert.DifferenceFrom(content.Partial)
+		partial := convert.DifferenceFromProto(content.Partial)
 		document, faults = current.Preview(&partial)
 	default:
 		return nil, invalidChangeError("the change has no content: neither document nor partial is set")
 	}
 	response := &operatorv1.ValidateConfigurationResponse{Revision: current.Revision, Faults: faults}
 	if len(faults) == 0 {
-		response.Changes = convert.Changes(configuration.Diff(current.Document, document))
+		response.Changes = convert.ItemChangesToProto(configuration.DiffItems(current.Document, document))
 	}
 	return connect.NewResponse(response), nil
 }
@@ -98,7 +98,7 @@
 		Operator:         revision.Operator,
 		Comment:          revision.Comment,
 		AcceptedAt:       timestamppb.New(revision.At),
-		Difference:       convert.Difference(&revision.Difference),
+		Difference:       convert.DifferenceToProto(&revision.Difference),
 	}
 }
 
@@ -109,7 +109,7 @@
 	case s.watchSlots <- struct{}{}:
 		defer func() { <-s.watchSlots }()
 	default:
-		return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("the limit of %d concurrent WatchConfiguration streams is reached", s.limits.MaxWatchers))
+		return connect.NewError(connect.CodeResourceExhausted, fmt.Errorf("the limit of %d concurrent WatchConfiguration streams is reached", s.limits.MaxWatchStreams))
 	}
 	sent := s.Administrator.Current()
 	if sent.Revision != request.Msg.GetKnownRevision() {
@@ -143,16 +143,16 @@
 func documentMessage(snapshot *configuration.Snapshot) *operatorv1.WatchConfigurationResponse {
 	return &operatorv1.WatchConfigurationResponse{
 		Revision: snapshot.Revision,
-		Content:  &operatorv1.WatchConfigurationResponse_Document{Document: convert.Document(&snapshot.Document)},
+		Content:  &operatorv1.WatchConfigurationResponse_Document{Document: convert.DocumentToProto(&snapshot.Document)},
 	}
 }
 
 // differenceMessage returns the stream message with the changes between two
 // snapshots.
 func differenceMessage(from, to *configuration.Snapshot) *operatorv1.WatchConfigurationResponse {
-	difference := configuration.Compare(&from.Document, &to.Document)
+	difference := configuration.ComputeDifference(&from.Document, &to.Document)
 	return &operatorv1.WatchConfigurationResponse{
 		Revision: to.Revision,
-		Content:  &operatorv1.WatchConfigurationResponse_Difference{Difference: convert.Difference(&difference)},
+		Content:  &operatorv1.WatchConfigurationResponse_Difference{Difference: convert.DifferenceToProto(&difference)},
 	}
 }
--- a/internal/operatorapi/status.go
+++ b/internal/operatorapi/status.go
@@ -34,7 +34,7 @@
 		Machine:                string(s.Directory.Self().Machine),
 		Incarnation:            uint64(s.Directory.Self().Incarnation),
 		ConfigurationRevision:  current.Revision,
-		ConfigurationConfirmed: s.Administrator.Confirmed(),
+		ConfigurationConfirmed: s.Administrator.IsConfirmed(),
 	}
 	readContext, cancel := context.WithTimeout(ctx, revisionsTimeout)
 	defer cancel()
@@ -100,7 +100,7 @@
 		Probing:       engine.Probing,
 		Drained:       current.Drained[engine.ID],
 		ErrorRate:     engine.ErrorRate,
-		ReportAge:     convert.Duration(engine.ReportAge),
+		ReportAge:     convert.DurationToProto(engine.ReportAge),
 		CacheUsed:     engine.CacheUsed,
 		CacheCapacity: engine.CacheTokens,
 	}
--- a/internal/operatorapi/suite_test.go
+++ b/internal/operatorapi/suite_test.go
@@ -50,7 +50,7 @@
 }
 
 func (a *administrator) Current() *configuration.Snapshot { return a.machine.Current() }
-func (a *administrator) Confirmed() bool                  { return true }
+func (a *administrator) IsConfirmed() bool                { return true }
 
 func (a *administrator) Change(_ context.Context, change configuration.Change) (configuration.ChangeResult, error) {
 	if before := a.beforeChange; before != nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -12,16 +12,16 @@
 
 // The classes of traffic between two daemons.
 const (
-	// Control is for small, urgent messages: heartbeats, votes, probes and notifications.
-	Control Class = iota
-	// Log is for the replication of program logs and of the configuration.
-	Log
-	// Data is for messages that may be large: callers' requests, answers and snapshots.
-	Data
+	// ClassControl is for small, urgent messages: heartbeats, votes, probes and notifications.
+	ClassControl Class = iota
+	// ClassLog is for the replication of program logs and of the configuration.
+	ClassLog
+	// ClassData is for messages that may be large: callers' requests, answers and snapshots.
+	ClassData
 )
 
-// Caller sends calls to other daemons. It is safe for concurrent use.
-type Caller interface {
+// Client sends calls to other daemons. It is safe for concurrent use.
+type Client interface {
 	// Call runs the method ("Service.Method") on the peer at address ("host:port")
 	// and stores its result in reply, which must be a non-nil pointer. The context
 	// must have a deadline. An error names the failed step and the peer; it wraps
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -79,21 +79,21 @@
 			callers.Go(func() {
 				defer GinkgoRecover()
 				var reply Message
-				Expect(pool.Call(newContext(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{[]byte("hello")}, &reply)).To(Succeed())
+				Expect(pool.Call(newContext(testDeadline), server.Address(), peer.ClassLog, "Echo.Repeat", Message{[]byte("hello")}, &reply)).To(Succeed())
 				Expect(string(reply.Content)).To(Equal("hello"))
 			})
 		}
 		callers.Wait()
-		err := pool.Call(newContext(testDeadline), server.Address(), peer.Control, "Echo.Fail", Message{[]byte("no")}, new(Message))
+		err := pool.Call(newContext(testDeadline), server.Address(), peer.ClassControl, "Echo.Fail", Message{[]byte("no")}, new(Message))
 		var remote rpc.ServerError
 		Expect(errors.As(err, &remote)).To(BeTrue())
 		Expect(err).NotTo(MatchError(peer.ErrNotSent))
 		Expect(err).To(MatchError(ContainSubstring(server.Address())))
 		stats := pool.Stats()
 		Expect(stats.Connections).To(Equal(2))
-		Expect(stats.OfClass(peer.Log).MessagesSent).To(BeEquivalentTo(20))
-		Expect(stats.OfClass(peer.Log).MessagesReceived).To(BeEquivalentTo(20))
-		Expect(server.Stats().OfClass(peer.Log).BytesReceived).To(Equal(stats.OfClass(peer.Log).BytesSent))
+		Expect(stats.ClassTraffic(peer.ClassLog).MessagesSent).To(BeEquivalentTo(20))
+		Expect(stats.ClassTraffic(peer.ClassLog).MessagesReceived).To(BeEquivalentTo(20))
+		Expect(server.Stats().ClassTraffic(peer.ClassLog).BytesReceived).To(Equal(stats.ClassTraffic(peer.ClassLog).BytesSent))
 		families, err := registry.Gather()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(families).NotTo(BeEmpty())
@@ -106,15 +106,15 @@
 		reply := Message{Content: []byte("untouched")}
 		failed := make(chan error, 1)
 		go func() {
-			failed <- pool.Call(ctx, server.Address(), peer.Data, "Echo.Block", Message{[]byte("late")}, &reply)
+			failed <- pool.Call(ctx, server.Address(), peer.ClassData, "Echo.Block", Message{[]byte("late")}, &reply)
 		}()
 		Eventually(service.entered).Should(Receive())
 		cancel()
 		Expect(<-failed).To(MatchError(context.Canceled))
 		close(service.release)
 		var next Message
-		Expect(pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{[]byte("next")}, &next)).To(Succeed())
-		Eventually(func() uint64 { return pool.Stats().OfClass(peer.Data).MessagesReceived }).Should(BeEquivalentTo(2))
+		Expect(pool.Call(newContext(testDeadline), server.Address(), peer.ClassData, "Echo.Repeat", Message{[]byte("next")}, &next)).To(Succeed())
+		Eventually(func() uint64 { return pool.Stats().ClassTraffic(peer.ClassData).MessagesReceived }).Should(BeEquivalentTo(2))
 		Expect(string(reply.Content)).To(Equal("untouched"))
 		Expect(string(next.Content)).To(Equal("next"))
 	})
@@ -125,10 +125,10 @@
 		address := listener.Addr().String()
 		Expect(listener.Close()).To(Succeed())
 		pool := newPool(peer.Options{BackoffInitial: time.Hour, BackoffMax: time.Hour})
-		Expect(pool.Call(context.Background(), address, peer.Control, "Echo.Repeat", Message{}, new(Message))).To(MatchError(peer.ErrNoDeadline))
-		err = pool.Call(newContext(testDeadline), address, peer.Control, "Echo.Repeat", Message{}, new(Message))
+		Expect(pool.Call(context.Background(), address, peer.ClassControl, "Echo.Repeat", Message{}, new(Message))).To(MatchError(peer.ErrNoDeadline))
+		err = pool.Call(newContext(testDeadline), address, peer.ClassControl, "Echo.Repeat", Message{}, new(Message))
 		Expect(err).To(MatchError(peer.ErrNotSent))
-		err = pool.Call(newContext(testDeadline), address, peer.Control, "Echo.Repeat", Message{}, new(Message))
+		err = pool.Call(newContext(testDeadline), address, peer.ClassControl, "Echo.Repeat", Message{}, new(Message))
 		Expect(err).To(MatchError(peer.ErrBackoff))
 		Expect(err).To(MatchError(ContainSubstring("dial")))
 	})
@@ -137,7 +137,7 @@
 		server, _ := startServer(peer.Options{})
 		pool := newPool(peer.Options{BackoffInitial: time.Millisecond})
 		call := func() error {
-			return pool.Call(newContext(testDeadline), server.Address(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(testDeadline), server.Address(), peer.ClassControl, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(Succeed())
 		Expect(server.Close()).To(Succeed())
@@ -155,7 +155,7 @@
 		var reply Message
 		ended := make(chan error, 1)
 		go func() {
-			ended <- pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Block", Message{[]byte("whole")}, &reply)
+			ended <- pool.Call(newContext(testDeadline), server.Address(), peer.ClassData, "Echo.Block", Message{[]byte("whole")}, &reply)
 		}()
 		Eventually(service.entered).Should(Receive())
 		closed := make(chan struct{})
@@ -177,7 +177,7 @@
 		pool := newPool(peer.Options{MaxQueuedBytes: 1 << 20})
 		large := Message{make([]byte, 4<<20)}
 		Eventually(func() error { // The first calls fill the network's buffers and the queue.
-			return pool.Call(newContext(20*time.Millisecond), listener.Addr().String(), peer.Data, "Echo.Repeat", large, new(Message))
+			return pool.Call(newContext(20*time.Millisecond), listener.Addr().String(), peer.ClassData, "Echo.Repeat", large, new(Message))
 		}, testDeadline).Should(And(MatchError(peer.ErrCongested), MatchError(peer.ErrNotSent)))
 	})
 
@@ -197,7 +197,7 @@
 		}()
 		pool := newPool(peer.Options{})
 		call := func() error {
-			return pool.Call(newContext(600*time.Millisecond), listener.Addr().String(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(600*time.Millisecond), listener.Addr().String(), peer.ClassControl, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(MatchError(context.DeadlineExceeded))
 		Eventually(accepted, testDeadline).Should(Receive())
@@ -208,10 +208,10 @@
 	It("rejects messages over the limit, connections without the preamble, and connections over the limit", func() {
 		server, _ := startServer(peer.Options{MaxMessageBytes: 1 << 10, MaxConnections: 2})
 		pool := newPool(peer.Options{})
-		err := pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
+		err := pool.Call(newContext(testDeadline), server.Address(), peer.ClassData, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
 		Expect(err).To(HaveOccurred())
 		small := newPool(peer.Options{MaxMessageBytes: 1 << 10})
-		err = small.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
+		err = small.Call(newContext(testDeadline), server.Address(), peer.ClassData, "Echo.Repeat", Message{make([]byte, 1<<12)}, new(Message))
 		Expect(err).To(MatchError(peer.ErrTooLarge))
 		Expect(err).To(MatchError(peer.ErrNotSent))
 
@@ -224,8 +224,8 @@
 
 		Eventually(func() int { return server.Stats().Connections }).Should(BeZero())
 		for range 2 {
-			Expect(newPool(peer.Options{}).Call(newContext(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{}, new(Message))).To(Succeed())
+			Expect(newPool(peer.Options{}).Call(newContext(testDeadline), server.Address(), peer.ClassLog, "Echo.Repeat", Message{}, new(Message))).To(Succeed())
 		}
-		Expect(newPool(peer.Options{}).Call(newContext(testDeadline), server.Address(), peer.Log, "Echo.Repeat", Message{}, new(Message))).NotTo(Succeed())
+		Expect(newPool(peer.Options{}).Call(newContext(testDeadline), server.Address(), peer.ClassLog, "Echo.Repeat", Message{}, new(Message))).NotTo(Succeed())
 	})
 })
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -23,7 +23,7 @@
 )
 
 // Pool sends calls to other daemons over one connection per address and class.
-// It implements Caller and is safe for concurrent use.
+// It implements Client and is safe for concurrent use.
 type Pool struct {
 	options    Options
 	statistics *statistics
@@ -61,7 +61,7 @@
 // Stats returns the pool's number of open connections and its traffic so far.
 func (p *Pool) Stats() Stats { return p.statistics.snapshot() }
 
-// Call implements Caller. Its errors are of type *CallError.
+// Call implements Client. Its errors are of type *CallError.
 func (p *Pool) Call(ctx context.Context, address string, class Class, method string, arguments, reply any) error {
 	newError := func(step string, notSent bool, cause error) error {
 		return &CallError{Step: step, Peer: address, Method: method, NotSent: notSent, Cause: cause}
--- a/internal/peer/stats.go
+++ b/internal/peer/stats.go
@@ -15,11 +15,11 @@
 // String returns the value of the "class" label in metrics.
 func (c Class) String() string {
 	switch c {
-	case Control:
+	case ClassControl:
 		return "control"
-	case Log:
+	case ClassLog:
 		return "log"
-	case Data:
+	case ClassData:
 		return "data"
 	}
 	return "unknown"
@@ -56,8 +56,8 @@
 	Traffic     map[TrafficKey]Traffic // since the creation of the pool or server
 }
 
-// OfClass returns the traffic of all services in one class.
-func (s Stats) OfClass(class Class) Traffic {
+// ClassTraffic returns the traffic of all services in one class.
+func (s Stats) ClassTraffic(class Class) Traffic {
 	var sum Traffic
 	for key, traffic := range s.Traffic {
 		if key.Class == class {
--- a/internal/peer/stream.go
+++ b/internal/peer/stream.go
@@ -20,7 +20,7 @@
 
 // readBufferBytes returns the size of the read buffer of a connection.
 func readBufferBytes(class Class) int {
-	if class == Control {
+	if class == ClassControl {
 		return controlBufferBytes
 	}
 	return otherBufferBytes
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -51,7 +51,7 @@
 		}})
 		call := func(configuration *tls.Config) error {
 			pool := newPool(peer.Options{TLS: configuration})
-			return pool.Call(newContext(testDeadline), server.Address(), peer.Data, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(testDeadline), server.Address(), peer.ClassData, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call(&tls.Config{Certificates: []tls.Certificate{trusted}, RootCAs: trustedPool})).To(Succeed())
 		Expect(call(&tls.Config{Certificates: []tls.Certificate{trusted}, RootCAs: untrustedPool})).To(MatchError(peer.ErrNotSent))
--- a/internal/peer/unanswered_test.go
+++ b/internal/peer/unanswered_test.go
@@ -28,7 +28,7 @@
 		}()
 		pool := newPool(peer.Options{})
 		call := func() error {
-			return pool.Call(newContext(50*time.Millisecond), listener.Addr().String(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(50*time.Millisecond), listener.Addr().String(), peer.ClassControl, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(MatchError(context.DeadlineExceeded))
 		Eventually(accepted, testDeadline).Should(Receive())
@@ -43,7 +43,7 @@
 		server, _ := startServer(peer.Options{})
 		pool := newPool(peer.Options{})
 		call := func() error {
-			return pool.Call(newContext(testDeadline), server.Address(), peer.Control, "Echo.Repeat", Message{}, new(Message))
+			return pool.Call(newContext(testDeadline), server.Address(), peer.ClassControl, "Echo.Repeat", Message{}, new(Message))
 		}
 		Expect(call()).To(Succeed())
 		pool.RetireUnanswered(server.Address(), 0)
--- a/internal/piece/piece_test.go
+++ b/internal/piece/piece_test.go
@@ -61,7 +61,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			Expect(stored.Expires).To(Equal(unixIn(time.Hour)))
 		}
-		before := store.Bytes()
+		before := store.ValueBytes()
 		Expect(before).To(BeNumerically("<", len(content)*5/4))
 		loaded, err := newPieces().Load(ctx, piece.ReferenceOf(content))
 		Expect(err).NotTo(HaveOccurred())
@@ -76,25 +76,25 @@
 			_, err = pieces.Load(ctx, piece.ReferenceOf(content))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Expect(store.Calls("commit")).To(Equal(1))
-		Expect(store.Calls("read")).To(BeZero())
+		Expect(store.CallCount("commit")).To(Equal(1))
+		Expect(store.CallCount("read")).To(BeZero())
 	})
 
 	It("never gets an earlier expiry time than one confirmed to another daemon", func(ctx SpecContext) {
 		_, err := newPieces().Ensure(ctx, content, unixIn(time.Hour), unixIn(time.Hour))
 		Expect(err).NotTo(HaveOccurred())
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" {
-				return memorystore.Late
+				return memorystore.FaultLate
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		shortCtx, cancel := context.WithTimeout(ctx, 30*time.Millisecond)
 		defer cancel()
 		_, err = newPieces().Ensure(shortCtx, content, unixIn(time.Minute), unixIn(time.Minute))
 		Expect(err).To(HaveOccurred())
-		store.Misbehave(nil)
-		store.Release()
+		store.SetFaultFunc(nil)
+		store.ApplyLateCommits()
 		stored, err := newPieces().Ensure(ctx, content, unixIn(time.Minute), unixIn(time.Minute))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(stored.Expires).To(Equal(unixIn(time.Hour)))
@@ -139,13 +139,13 @@
 		Expect(err).NotTo(HaveOccurred())
 		now = now.Add(time.Hour)
 		Expect(sweep(ctx, nil)).To(BeNumerically(">", 1))
-		Expect(store.Bytes()).To(BeZero())
+		Expect(store.ValueBytes()).To(BeZero())
 		_, err = newPieces().Load(ctx, piece.ReferenceOf(content))
 		Expect(err).To(MatchError(piece.ErrNotFound))
 	})
 
 	It("is not reported as missing if a partition does not respond", func(ctx SpecContext) {
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultRefused })
 		_, err := newPieces().Load(ctx, piece.ReferenceOf(content))
 		Expect(err).To(MatchError(state.ErrNotExecuted))
 	})
--- a/internal/platform/client/client_test.go
+++ b/internal/platform/client/client_test.go
@@ -32,14 +32,14 @@
 		ctx     context.Context
 		store   *weightstore.Store
 		server  *standin.Server
-		weights *client.Weights
+		weights *client.WeightStore
 	)
 
 	BeforeEach(func() {
 		ctx = context.Background()
 		store = weightstore.New(weightstore.Options{DefaultBytes: 7})
 		server = startServer(store)
-		weights = client.NewWeights(server.URL(), &http.Client{})
+		weights = client.NewWeightStore(server.URL(), &http.Client{})
 	})
 
 	size := func(ctx context.Context) error {
@@ -49,9 +49,9 @@
 
 	It("opens the breaker while it is unavailable, and closes it after a successful trial", func() {
 		limits := client.DefaultLimits
-		limits.FailuresToOpen = 2
-		limits.OpenFor = 50 * time.Millisecond
-		weights = client.NewWeights(server.URL(), &http.Client{}, client.WithLimits(limits))
+		limits.FailureThreshold = 2
+		limits.OpenDuration = 50 * time.Millisecond
+		weights = client.NewWeightStore(server.URL(), &http.Client{}, client.WithLimits(limits))
 		store.Faults.Set([]standin.Rule{{Point: standin.PointBefore, Action: standin.ActionRefuse}})
 		for range 5 {
 			Expect(size(ctx)).To(MatchError(platform.ErrUnavailable))
@@ -64,7 +64,7 @@
 	It("does not block more requests than its queue allows while it is slow", func() {
 		limits := client.DefaultLimits
 		limits.MaxQueued = 1
-		weights = client.NewWeights(server.URL(), &http.Client{}, client.WithLimits(limits))
+		weights = client.NewWeightStore(server.URL(), &http.Client{}, client.WithLimits(limits))
 		store.Faults.Set([]standin.Rule{{Point: standin.PointBefore, Action: standin.ActionHold}})
 		short, cancel := context.WithCancel(ctx)
 		ended := make(chan error, 1)
@@ -81,11 +81,11 @@
 	})
 })
 
-var _ = Describe("Weights", func() {
+var _ = Describe("WeightStore", func() {
 	It("returns sizes, ErrNotFound for an unknown version, and ErrRateLimited above the rate limit", func() {
 		ctx := context.Background()
 		store := weightstore.New(weightstore.Options{Sizes: map[string]int64{"m/1": 7}, RequestsPerSecond: 0.001, Burst: 2})
-		weights := client.NewWeights(startServer(store).URL(), &http.Client{})
+		weights := client.NewWeightStore(startServer(store).URL(), &http.Client{})
 		Expect(weights.Size(ctx, "m", "1")).To(Equal(int64(7)))
 		_, err := weights.Size(ctx, "m", "2")
 		Expect(err).To(MatchError(platform.ErrNotFound))
--- a/internal/platform/client/guard.go
+++ b/internal/platform/client/guard.go
@@ -21,8 +21,8 @@
 	Burst             int           // requests that may be sent at once above the rate
 	MaxQueued         int           // waiting and active requests; further ones fail with platform.ErrRateLimited
 	Timeout           time.Duration // of one request, including its wait for the rate limit
-	FailuresToOpen    int           // consecutive failures that open the breaker
-	OpenFor           time.Duration // time for which an open breaker rejects requests with platform.ErrUnavailable
+	FailureThreshold  int           // consecutive failures that open the breaker
+	OpenDuration      time.Duration // time for which an open breaker rejects requests with platform.ErrUnavailable
 }
 
 // DefaultLimits is meant for a shared service that limits the rate of each client.
@@ -31,8 +31,8 @@
 	Burst:             20,
 	MaxQueued:         32,
 	Timeout:           2 * time.Second,
-	FailuresToOpen:    5,
-	OpenFor:           time.Second,
+	FailureThreshold:  5,
+	OpenDuration:      time.Second,
 }
 
 // guard enforces the Limits of one client. It is safe for concurrent use.
@@ -91,19 +91,19 @@
 }
 
 // allowRequest reports whether the breaker lets a request through. After an open
-// breaker has rejected requests for Limits.OpenFor, it lets one trial request
+// breaker has rejected requests for Limits.OpenDuration, it lets one trial request
 // through in each further period of that length.
 func (g *guard) allowRequest() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.failures < g.limits.FailuresToOpen {
+	if g.failures < g.limits.FailureThreshold {
 		return true
 	}
 	now := g.now()
 	if now.Before(g.openUntil) {
 		return false
 	}
-	g.openUntil = now.Add(g.limits.OpenFor)
+	g.openUntil = now.Add(g.limits.OpenDuration)
 	return true
 }
 
@@ -117,7 +117,7 @@
 		return
 	}
 	g.failures++
-	if g.failures >= g.limits.FailuresToOpen {
-		g.openUntil = g.now().Add(g.limits.OpenFor)
+	if g.failures >= g.limits.FailureThreshold {
+		g.openUntil = g.now().Add(g.limits.OpenDuration)
 	}
 }
--- a/internal/platform/client/machines.go
+++ b/internal/platform/client/machines.go
@@ -10,26 +10,26 @@
 	"github.com/thymeloft/thymeloft/internal/platform"
 )
 
-// Machines is a client of the machine list. It implements platform.Machines.
-type Machines struct{ service *service }
+// MachineList is a client of the machine list. It implements platform.MachineList.
+type MachineList struct{ service *service }
 
-var _ platform.Machines = (*Machines)(nil)
+var _ platform.MachineList = (*MachineList)(nil)
 
-// NewMachines returns a client of the machine list at the base URL. A nil HTTP client
+// NewMachineList returns a client of the machine list at the base URL. A nil HTTP client
 // means http.DefaultClient.
-func NewMachines(url string, client *http.Client, options ...Option) *Machines {
-	return &Machines{service: newService("machine list", url, client, options)}
+func NewMachineList(url string, client *http.Client, options ...Option) *MachineList {
+	return &MachineList{service: newService("machine list", url, client, options)}
 }
 
-// List implements platform.Machines.
-func (m *Machines) List(ctx context.Context) ([]platform.ListedMachine, error) {
+// List implements platform.MachineList.
+func (m *MachineList) List(ctx context.Context) ([]platform.Machine, error) {
 	var reply platformv1.Machines
 	if err := m.service.read(ctx, "list machines", platformv1.PathMachines, &reply); err != nil {
 		return nil, err
 	}
-	listed := make([]platform.ListedMachine, 0, len(reply.Machines))
+	listed := make([]platform.Machine, 0, len(reply.Machines))
 	for _, machine := range reply.Machines {
-		listed = append(listed, platform.ListedMachine{
+		listed = append(listed, platform.Machine{
 			Name:    identity.Machine(machine.Name),
 			Kind:    platform.MachineKind(machine.Kind),
 			Address: machine.Address,
@@ -40,19 +40,19 @@
 	return listed, nil
 }
 
-// Weights is a client of the weight store. It implements platform.Weights.
-type Weights struct{ service *service }
+// WeightStore is a client of the weight store. It implements platform.WeightStore.
+type WeightStore struct{ service *service }
 
-var _ platform.Weights = (*Weights)(nil)
+var _ platform.WeightStore = (*WeightStore)(nil)
 
-// NewWeights returns a client of the weight store at the base URL. A nil HTTP client
+// NewWeightStore returns a client of the weight store at the base URL. A nil HTTP client
 // means http.DefaultClient.
-func NewWeights(url string, client *http.Client, options ...Option) *Weights {
-	return &Weights{service: newService("weight store", url, client, options)}
+func NewWeightStore(url string, client *http.Client, options ...Option) *WeightStore {
+	return &WeightStore{service: newService("weight store", url, client, options)}
 }
 
-// Size implements platform.Weights.
-func (w *Weights) Size(ctx context.Context, model, version string) (int64, error) {
+// Size implements platform.WeightStore.
+func (w *WeightStore) Size(ctx context.Context, model, version string) (int64, error) {
 	var size platformv1.WeightSize
 	path := platformv1.PathWeights + url.PathEscape(model) + "/" + url.PathEscape(version) + "/size"
 	err := w.service.read(ctx, "size of weights", path, &size)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -40,8 +40,8 @@
 	MachineService MachineKind = "service"
 )
 
-// ListedMachine is an entry of the machine list.
-type ListedMachine struct {
+// Machine is an entry of the machine list.
+type Machine struct {
 	Name    identity.Machine
 	Kind    MachineKind
 	Address string // host and port, or URL, of its process; may be empty
@@ -49,15 +49,15 @@
 	State   MachineState
 }
 
-// Machines is the platform's machine list.
-type Machines interface {
+// MachineList is the platform's machine list.
+type MachineList interface {
 	// List returns all machines. The list may be out of date.
-	List(ctx context.Context) ([]ListedMachine, error)
+	List(ctx context.Context) ([]Machine, error)
 }
 
-// Weights is the platform's weight store, which limits the rate of requests.
+// WeightStore is the platform's weight store, which limits the rate of requests.
 // Engines load model weights from it; other processes only ask for their size.
-type Weights interface {
+type WeightStore interface {
 	// Size returns the size of the weights of a model's version, in bytes. The error
 	// is ErrNotFound if there is no such version.
 	Size(ctx context.Context, model, version string) (int64, error)
--- a/internal/process/endpoint.go
+++ b/internal/process/endpoint.go
@@ -29,11 +29,11 @@
 // EndpointLimits limits the use of an endpoint. If a field is zero, the default of
 // http.Server applies; the number of connections is then not limited.
 type EndpointLimits struct {
-	HeaderTimeout time.Duration // time to read the header of a request
-	ReadTimeout   time.Duration // time to read a whole request
-	IdleTimeout   time.Duration // time for which an idle connection is kept open
-	HeaderBytes   int           // largest size of a request header
-	Connections   int           // largest number of open connections; further ones wait in the kernel's backlog
+	HeaderTimeout  time.Duration // time to read the header of a request
+	ReadTimeout    time.Duration // time to read a whole request
+	IdleTimeout    time.Duration // time for which an idle connection is kept open
+	MaxHeaderBytes int           // largest size of a request header
+	MaxConnections int           // largest number of open connections; further ones wait in the kernel's backlog
 }
 
 // Endpoint is an HTTP server with its listener.
@@ -52,8 +52,8 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "listen for %s at %s", options.Name, options.Address)
 	}
-	if options.Limits.Connections > 0 {
-		listener = netutil.LimitListener(listener, options.Limits.Connections)
+	if options.Limits.MaxConnections > 0 {
+		listener = netutil.LimitListener(listener, options.Limits.MaxConnections)
 	}
 	if options.TLS != nil {
 		listener = tls.NewListener(listener, options.TLS)
@@ -64,7 +64,7 @@
 			ReadHeaderTimeout: options.Limits.HeaderTimeout,
 			ReadTimeout:       options.Limits.ReadTimeout,
 			IdleTimeout:       options.Limits.IdleTimeout,
-			MaxHeaderBytes:    options.Limits.HeaderBytes,
+			MaxHeaderBytes:    options.Limits.MaxHeaderBytes,
 			ErrorLog:          zap.NewStdLog(options.Log.Named(options.Name)),
 		},
 	}, nil
--- a/internal/process/life.go
+++ b/internal/process/life.go
@@ -29,19 +29,19 @@
 	eventStop  event = "stop"
 )
 
-// Life holds the state of a process and logs its changes. It is safe for
+// Lifecycle holds the state of a process and logs its changes. It is safe for
 // concurrent use.
-type Life struct {
+type Lifecycle struct {
 	stateMachine *fsm.FSM
 	log          *zap.Logger
 	prefix       string
 }
 
-// NewLife returns a Life in StateStarting. Its log lines begin with the prefix and a
+// NewLifecycle returns a Lifecycle in StateStarting. Its log lines begin with the prefix and a
 // colon.
-func NewLife(prefix string, log *zap.Logger) *Life {
-	life := &Life{log: log, prefix: prefix}
-	life.stateMachine = fsm.NewFSM(string(StateStarting),
+func NewLifecycle(prefix string, log *zap.Logger) *Lifecycle {
+	lifecycle := &Lifecycle{log: log, prefix: prefix}
+	lifecycle.stateMachine = fsm.NewFSM(string(StateStarting),
 		fsm.Events{
 			{Name: string(eventServe), Src: []string{string(StateStarting)}, Dst: string(StateServing)},
 			{Name: string(eventDrain), Src: []string{string(StateStarting), string(StateServing)}, Dst: string(StateDraining)},
@@ -50,32 +50,32 @@
 		fsm.Callbacks{
 			"enter_state": func(_ context.Context, entered *fsm.Event) { log.Info(prefix + ": " + entered.Dst + ".") },
 		})
-	return life
+	return lifecycle
 }
 
-// Serve changes the state from StateStarting to StateServing.
-func (l *Life) Serve() { l.fire(eventServe) }
+// MarkServing changes the state from StateStarting to StateServing.
+func (l *Lifecycle) MarkServing() { l.fire(eventServe) }
 
-// Drain changes the state to StateDraining, unless the process has stopped.
-func (l *Life) Drain() { l.fire(eventDrain) }
+// MarkDraining changes the state to StateDraining, unless the process has stopped.
+func (l *Lifecycle) MarkDraining() { l.fire(eventDrain) }
 
-// Stop changes the state to StateStopped.
-func (l *Life) Stop() { l.fire(eventStop) }
+// MarkStopped changes the state to StateStopped.
+func (l *Lifecycle) MarkStopped() { l.fire(eventStop) }
 
 // fire triggers a state transition. It does nothing if the current state does not
 // allow that transition.
-func (l *Life) fire(trigger event) {
+func (l *Lifecycle) fire(trigger event) {
 	if err := l.stateMachine.Event(context.Background(), string(trigger)); err != nil {
 		l.log.Debug(l.prefix+": event ignored.", zap.String("event", string(trigger)), zap.String("cause", err.Error()))
 	}
 }
 
 // State returns the current state.
-func (l *Life) State() State { return State(l.stateMachine.Current()) }
+func (l *Lifecycle) State() State { return State(l.stateMachine.Current()) }
 
-// Draining reports whether new work must be rejected: the process is draining or
+// IsDraining reports whether new work must be rejected: the process is draining or
 // has stopped.
-func (l *Life) Draining() bool {
+func (l *Lifecycle) IsDraining() bool {
 	state := l.State()
 	return state == StateDraining || state == StateStopped
 }
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -18,25 +18,25 @@
 	RunSpecs(t, "process")
 }
 
-var _ = Describe("Life", func() {
+var _ = Describe("Lifecycle", func() {
 	It("never returns to an earlier state, and rejects new work once it drains", func() {
-		life := process.NewLife("process", zap.NewNop())
-		Expect(life.State()).To(Equal(process.StateStarting))
-		life.Serve()
-		Expect(life.Draining()).To(BeFalse())
-		life.Drain()
-		Expect(life.Draining()).To(BeTrue())
-		life.Serve()
-		Expect(life.State()).To(Equal(process.StateDraining), "a draining process must not serve again")
-		life.Stop()
-		Expect(life.State()).To(Equal(process.StateStopped))
-		Expect(life.Draining()).To(BeTrue())
+		lifecycle := process.NewLifecycle("process", zap.NewNop())
+		Expect(lifecycle.State()).To(Equal(process.StateStarting))
+		lifecycle.MarkServing()
+		Expect(lifecycle.IsDraining()).To(BeFalse())
+		lifecycle.MarkDraining()
+		Expect(lifecycle.IsDraining()).To(BeTrue())
+		lifecycle.MarkServing()
+		Expect(lifecycle.State()).To(Equal(process.StateDraining), "a draining process must not serve again")
+		lifecycle.MarkStopped()
+		Expect(lifecycle.State()).To(Equal(process.StateStopped))
+		Expect(lifecycle.IsDraining()).To(BeTrue())
 	})
 
 	It("can stop without having served", func() {
-		life := process.NewLife("process", zap.NewNop())
-		life.Stop()
-		Expect(life.State()).To(Equal(process.StateStopped))
+		lifecycle := process.NewLifecycle("process", zap.NewNop())
+		lifecycle.MarkStopped()
+		Expect(lifecycle.State()).To(Equal(process.StateStopped))
 	})
 })
 
@@ -44,8 +44,8 @@
 	It("report which of them do not hold", func() {
 		met := false
 		conditions := process.Conditions{
-			{Unmet: "one is missing", Holds: func() bool { return met }},
-			{Unmet: "never reported", Holds: func() bool { return true }},
+			{UnmetMessage: "one is missing", IsMet: func() bool { return met }},
+			{UnmetMessage: "never reported", IsMet: func() bool { return true }},
 		}
 		answer := httptest.NewRecorder()
 		conditions.ServeHTTP(answer, nil)
@@ -55,7 +55,7 @@
 		answer = httptest.NewRecorder()
 		conditions.ServeHTTP(answer, nil)
 		Expect(answer.Code).To(Equal(http.StatusOK))
-		Expect(conditions.Hold()).To(BeTrue())
+		Expect(conditions.AllMet()).To(BeTrue())
 	})
 })
 
--- a/internal/quota/acquisition.go
+++ b/internal/quota/acquisition.go
@@ -140,7 +140,7 @@
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
 		received := answer{candidate: next}
-		received.err = a.limiter.caller.Call(callCtx, next.keeper.Process.Address, peer.Control, methodTake, request, &received.reply)
+		received.err = a.limiter.peerClient.Call(callCtx, next.keeper.Process.Address, peer.ClassControl, methodTake, request, &received.reply)
 		a.answers <- received
 	}()
 	return nil
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -52,7 +52,7 @@
 	settings   Settings
 	keeper     *Keeper // of the parts assigned to this daemon
 	directory  Directory
-	caller     peer.Caller
+	peerClient peer.Client
 	now        func() time.Time
 	log        *zap.Logger
 	emptyUntil *lru.Cache[emptyPartKey, time.Time] // when the part may have a permit again
@@ -70,12 +70,12 @@
 
 // Options are the settings and dependencies of a Limiter.
 type Options struct {
-	Settings  Settings
-	Keeper    *Keeper
-	Directory Directory
-	Caller    peer.Caller
-	Now       func() time.Time
-	Log       *zap.Logger
+	Settings   Settings
+	Keeper     *Keeper
+	Directory  Directory
+	PeerClient peer.Client
+	Now        func() time.Time
+	Log        *zap.Logger
 }
 
 // NewLimiter returns a limiter with its own cache of empty parts.
@@ -85,7 +85,7 @@
 		panic(err) // only for a size below 1
 	}
 	return &Limiter{
-		settings: options.Settings, keeper: options.Keeper, directory: options.Directory, caller: options.Caller, now: options.Now, log: options.Log,
+		settings: options.Settings, keeper: options.Keeper, directory: options.Directory, peerClient: options.PeerClient, now: options.Now, log: options.Log,
 		emptyUntil: emptyUntil, avoided: map[identity.Machine]time.Time{},
 	}
 }
@@ -151,7 +151,7 @@
 func (l *Limiter) giveBack(keeper members.Member, request GiveBackRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), giveBackTimeout)
 	defer cancel()
-	if err := l.caller.Call(ctx, keeper.Process.Address, peer.Control, methodGiveBack, request, &GiveBackReply{}); err != nil {
+	if err := l.peerClient.Call(ctx, keeper.Process.Address, peer.ClassControl, methodGiveBack, request, &GiveBackReply{}); err != nil {
 		l.metrics.count(resultNotGivenBack)
 		l.log.Info("quota: giving back a place failed; it may still count as taken.", zap.String("tenant", string(request.Tenant)),
 			zap.String("keeper", string(keeper.Process.Machine)), zap.String("cause", err.Error()))
--- a/internal/quota/test_fleet_test.go
+++ b/internal/quota/test_fleet_test.go
@@ -76,7 +76,7 @@
 	d.since = now()
 	d.process.Incarnation++
 	d.keeper = quota.NewKeeper(settings, d, now)
-	d.limiter = quota.NewLimiter(quota.Options{Settings: settings, Keeper: d.keeper, Directory: d, Caller: d, Now: now, Log: zap.NewNop()})
+	d.limiter = quota.NewLimiter(quota.Options{Settings: settings, Keeper: d.keeper, Directory: d, PeerClient: d, Now: now, Log: zap.NewNop()})
 }
 
 // IsZoneSilent implements quota.Directory.
@@ -117,7 +117,7 @@
 
 var errUnreachable = errors.New("no answer")
 
-// Call implements peer.Caller.
+// Call implements peer.Client.
 func (d *testDaemon) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
 	d.fleet.mutex.Lock()
 	defer d.fleet.mutex.Unlock()
--- a/internal/retention/retention_test.go
+++ b/internal/retention/retention_test.go
@@ -53,13 +53,13 @@
 		for number := range 250 {
 			queue.Add(time.Minute, key(number))
 		}
-		before := store.Calls("commit")
+		before := store.CallCount("commit")
 		Expect(queue.RemoveDue(ctx)).To(Succeed())
 		Expect(rows(ctx)).To(Equal(250))
 		now = now.Add(time.Minute)
 		Expect(queue.RemoveDue(ctx)).To(Succeed())
 		Expect(rows(ctx)).To(BeZero())
-		Expect(store.Calls("commit") - before).To(Equal(3))
+		Expect(store.CallCount("commit") - before).To(Equal(3))
 	})
 
 	It("trigger the OnRemoved callback after their removal, which uses the sweep class", func(ctx SpecContext) {
@@ -69,9 +69,9 @@
 			queue.AddBatch(time.Minute, retention.Batch{Keys: []state.Key{key(number)}, OnRemoved: func() { removed++ }})
 		}
 		var classes []state.Class
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			classes = append(classes, call.Commit.Class)
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		Expect(queue.RemoveDue(ctx)).To(Succeed())
 		Expect(removed).To(BeZero())
--- a/internal/routing/benchmark_test.go
+++ b/internal/routing/benchmark_test.go
@@ -23,7 +23,7 @@
 	local := &fakeDaemon{}
 	local.leading.Store(true)
 	replicas := []identity.Process{{Machine: "a", Address: leader.Address()}}
-	options := routing.Options{Self: replicas[0], Local: local, Groups: noGroups{}, ShardMap: mapOf(replicas[0]), Caller: pool, Registrar: leader}
+	options := routing.Options{Self: replicas[0], Local: local, Groups: noGroups{}, ShardMap: mapOf(replicas[0]), PeerClient: pool, Registrar: leader}
 	if _, err := routing.New(options); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/routing/fake_test.go
+++ b/internal/routing/fake_test.go
@@ -116,7 +116,7 @@
 		created.shardMap = mapOf(replicas[0])
 		created.router, err = routing.New(routing.Options{
 			Self: created.self, Local: created, Groups: noGroups{}, ShardMap: created.shardMap,
-			Caller: pool, Registrar: created.server,
+			PeerClient: pool, Registrar: created.server,
 		})
 		Expect(err).NotTo(HaveOccurred())
 	}
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -182,7 +182,7 @@
 	var reply Reply
 	deadline, _ := ctx.Deadline()
 	request := Request[Arguments]{TimeLeft: time.Until(deadline), Arguments: operation.arguments}
-	err := r.options.Caller.Call(ctx, address, peer.Data, serviceName+"."+operation.method, request, &reply)
+	err := r.options.PeerClient.Call(ctx, address, peer.ClassData, serviceName+"."+operation.method, request, &reply)
 	return reply, err
 }
 
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -41,7 +41,7 @@
 	Local      Local // for shards led by this daemon
 	Groups     shards.Groups
 	ShardMap   shards.MapSource
-	Caller     peer.Caller
+	PeerClient peer.Client
 	Registrar  peer.Registrar
 	Logger     *zap.Logger           // nil: nothing is logged
 	Registerer prometheus.Registerer // nil: metrics are not exposed
@@ -64,8 +64,8 @@
 
 // New returns a router and registers the net/rpc service for other daemons.
 func New(options Options) (*Router, error) {
-	if options.Local == nil || options.Groups == nil || options.ShardMap == nil || options.Caller == nil || options.Registrar == nil {
-		return nil, errors.New("routing: Local, Groups, ShardMap, Caller and Registrar are required")
+	if options.Local == nil || options.Groups == nil || options.ShardMap == nil || options.PeerClient == nil || options.Registrar == nil {
+		return nil, errors.New("routing: Local, Groups, ShardMap, PeerClient and Registrar are required")
 	}
 	setDefault(&options.RouteTimeout, defaultRouteTimeout)
 	setDefault(&options.TryTimeout, defaultTryTimeout)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -16,16 +16,16 @@
 	"github.com/thymeloft/thymeloft/internal/routing"
 )
 
-// scriptedCaller answers each try with the next step of its script and repeats
+// scriptedClient answers each try with the next step of its script and repeats
 // the last one.
-type scriptedCaller struct{ script []scriptedReply }
+type scriptedClient struct{ script []scriptedReply }
 
 type scriptedReply struct {
 	err     error
 	problem *problem.Problem
 }
 
-func (c *scriptedCaller) Call(_ context.Context, _ string, _ peer.Class, _ string, _, reply any) error {
+func (c *scriptedClient) Call(_ context.Context, _ string, _ peer.Class, _ string, _, reply any) error {
 	step := c.script[0]
 	if len(c.script) > 1 {
 		c.script = c.script[1:]
@@ -109,8 +109,8 @@
 		func(script []scriptedReply, expected problem.Outcome) {
 			router, err := routing.New(routing.Options{
 				Self: identity.Process{Address: "self"}, Local: &fakeDaemon{}, Groups: noGroups{},
-				ShardMap: mapOf(identity.Process{Address: "other"}),
-				Caller:   &scriptedCaller{script: script}, Registrar: noRegistrar{}, RouteTimeout: 100 * time.Millisecond,
+				ShardMap:   mapOf(identity.Process{Address: "other"}),
+				PeerClient: &scriptedClient{script: script}, Registrar: noRegistrar{}, RouteTimeout: 100 * time.Millisecond,
 			})
 			Expect(err).NotTo(HaveOccurred())
 			submitted, err := router.Submit(ctx, execution.SubmitArguments{Program: identity.NewProgram(1)})
--- a/internal/scheduling/prefix_index.go
+++ b/internal/scheduling/prefix_index.go
@@ -48,9 +48,9 @@
 
 // Record notes that the engine received a prompt that begins with each of the
 // given prefixes. now is relative to an epoch shared by all calls.
-func (p *PrefixIndex) Record(runs []PromptPrefix, engine string, now time.Duration) {
-	for _, run := range runs {
-		p.findOrAdd(run).recordUse(engine, now, p.maxHolders)
+func (p *PrefixIndex) Record(prefixes []PromptPrefix, engine string, now time.Duration) {
+	for _, prefix := range prefixes {
+		p.findOrAdd(prefix).recordUse(engine, now, p.maxHolders)
 	}
 }
 
@@ -63,12 +63,12 @@
 }
 
 // AppendHolders appends to holders the engines of the snapshot that hold any of
-// the prefixes in runs, each with the longest prefix that it holds, and returns
+// the prefixes, each with the longest prefix that it holds, and returns
 // the extended slice. Engines that the slice already contains are not appended
 // again. The prefixes must be ordered by increasing length.
-func (p *PrefixIndex) AppendHolders(holders []PrefixHolder, runs []PromptPrefix, snapshot *Snapshot, now time.Duration) []PrefixHolder {
-	for index := len(runs) - 1; index >= 0; index-- {
-		element, ok := p.elements[runs[index].Hash]
+func (p *PrefixIndex) AppendHolders(holders []PrefixHolder, prefixes []PromptPrefix, snapshot *Snapshot, now time.Duration) []PrefixHolder {
+	for index := len(prefixes) - 1; index >= 0; index-- {
+		element, ok := p.elements[prefixes[index].Hash]
 		if !ok {
 			continue
 		}
@@ -78,7 +78,7 @@
 			}
 			engine, exists := snapshot.Find(holder.engine)
 			if exists && !containsEngine(holders, engine) {
-				holders = append(holders, PrefixHolder{EngineIndex: engine, Tokens: runs[index].Tokens})
+				holders = append(holders, PrefixHolder{EngineIndex: engine, Tokens: prefixes[index].Tokens})
 			}
 		}
 	}
--- a/internal/server/collaboration.go
+++ b/internal/server/collaboration.go
@@ -101,7 +101,7 @@
 	disabled := s.Settings.Disabled
 	storeOptions := state.ClientOptions{
 		Store: s.Store, Availability: c.availability, DisableHedging: disabled.Has(mechanism.HedgedCalls),
-		Probe: state.KeyRange(s.Rows.ConfigurationKey()), OnFailure: s.logFailedCall,
+		Probe: state.KeyRange(s.StoreSchema.ConfigurationKey()), OnFailure: s.logFailedCall,
 		Limiter:      state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), MemberCount: c.members.Count, OnRateLowered: s.logLoweredRate}),
 		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreRoom, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
 	}
@@ -123,13 +123,13 @@
 	c.turns = turn.NewRepository(turn.Options{
 		Store: c.client, MaxRowBytes: s.Settings.Store.RowBytes, MaxCacheEntries: maxCachedTurns, CacheIdleTimeout: maxCachedTurnAge,
 		MaxCacheBytes: maxCachedTurnBytes, MaxPieceCacheBytes: maxCachedPieceBytes, Log: s.Log,
-		Now: time.Now, RemovalQueue: c.removalQueue, Peers: &turn.Peers{List: c.members, Caller: c.peerPool, Log: s.Log},
+		Now: time.Now, RemovalQueue: c.removalQueue, Peers: &turn.Peers{List: c.members, PeerClient: c.peerPool, Log: s.Log},
 	})
-	c.loads = &load.Exchange{List: c.members, Caller: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
+	c.loads = &load.Exchange{List: c.members, PeerClient: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
 	c.exchangesLoads = !disabled.Has(mechanism.FleetLoads)
 	c.quotaKeeper = quota.NewKeeper(s.Settings.quotaSettings(), c.members, time.Now)
 	c.quotas = quota.NewLimiter(quota.Options{
-		Settings: s.Settings.quotaSettings(), Keeper: c.quotaKeeper, Directory: c.members, Caller: c.peerPool, Now: time.Now, Log: s.Log,
+		Settings: s.Settings.quotaSettings(), Keeper: c.quotaKeeper, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
 	})
 	registrations := []error{
 		c.client.RegisterMetrics(s.Registry), c.members.RegisterMetrics(s.Registry), c.loads.RegisterMetrics(s.Registry),
@@ -164,7 +164,7 @@
 // registerServices registers the RPC services that this daemon offers to others.
 func (s *Server) registerServices(c *components) error {
 	peerServer := c.peerServer
-	if err := peerServer.Register(budget.ServiceName, budget.NewHolder(c.ledger, s.life.Draining)); err != nil {
+	if err := peerServer.Register(budget.ServiceName, budget.NewHolder(c.ledger, s.lifecycle.IsDraining)); err != nil {
 		return eris.Wrap(err, "serve budgets")
 	}
 	if err := peerServer.Register(turn.ServiceName, turn.NewService(c.turns)); err != nil {
@@ -203,7 +203,7 @@
 	go c.lease.Run(leaseContext)
 	go watch.Run(ctx, c.members.WatchOptions(c.client, membersFeedTimeout), c.members)
 	if c.members.DetectSilentZones {
-		go (&members.Prober{List: c.members, Caller: c.peerPool}).Run(ctx)
+		go (&members.Prober{List: c.members, PeerClient: c.peerPool}).Run(ctx)
 	}
 	go c.removalQueue.Run(ctx)
 	if c.exchangesLoads {
--- a/internal/server/followers.go
+++ b/internal/server/followers.go
@@ -10,23 +10,23 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Rows knows where operators and instances write their rows in the store, and
+// StoreSchema knows where operators and instances write their rows in the store, and
 // decodes these rows.
-type Rows interface {
+type StoreSchema interface {
 	// ConfigurationKey returns the key of the row with the configuration.
 	ConfigurationKey() state.Key
-	// Table returns the routing table that the row with the configuration describes.
-	Table(row state.Row) (*routetable.Table, error)
-	// InstancesTable returns the name of the table of instances.
-	InstancesTable() string
-	// Instance returns the instance that a row of the table of instances declares.
-	Instance(row state.Row) (backend.Declaration, error)
+	// DecodeRoutes returns the routing table that the row with the configuration describes.
+	DecodeRoutes(row state.Row) (*routetable.Table, error)
+	// InstancesTableName returns the name of the table of instances.
+	InstancesTableName() string
+	// DecodeInstance returns the instance that a row of the table of instances declares.
+	DecodeInstance(row state.Row) (backend.Declaration, error)
 }
 
 // configurationFollower replaces the routing table whenever a newer configuration
 // is read from the store.
 type configurationFollower struct {
-	rows     Rows
+	schema   StoreSchema
 	routes   *routetable.Holder
 	onChange func(*routetable.Table)
 	log      *zap.Logger
@@ -38,7 +38,7 @@
 // Apply implements watch.Follower.
 func (c *configurationFollower) Apply(rows []state.Row) {
 	for _, row := range rows {
-		if row.Key == c.rows.ConfigurationKey() && !row.Removed {
+		if row.Key == c.schema.ConfigurationKey() && !row.Removed {
 			c.apply(row)
 		}
 	}
@@ -47,7 +47,7 @@
 // apply decodes the configuration and puts it in force if it is newer than the
 // current one.
 func (c *configurationFollower) apply(row state.Row) {
-	table, err := c.rows.Table(row)
+	table, err := c.schema.DecodeRoutes(row)
 	if err != nil {
 		c.log.Error("configuration: cannot be decoded; the previous one stays in force.", zap.Uint64("version", uint64(row.Version)), zap.String("error", err.Error()))
 		return
@@ -61,8 +61,8 @@
 
 // instanceFollower updates the fleet when the table of instances changes.
 type instanceFollower struct {
-	rows  Rows
-	fleet *backend.Fleet
+	schema StoreSchema
+	fleet  *backend.Fleet
 	// retainRemoved is how long an instance stays in the fleet after it was removed
 	// from the table, so that requests running there can end.
 	retainRemoved time.Duration
@@ -100,7 +100,7 @@
 // decode returns the instance that a row declares. If the row is not valid, decode
 // logs the error and returns false.
 func (i *instanceFollower) decode(row state.Row) (backend.Declaration, bool) {
-	declaration, err := i.rows.Instance(row)
+	declaration, err := i.schema.DecodeInstance(row)
 	if err != nil {
 		i.log.Error("engine: row cannot be decoded.", zap.String("engine", row.Key.Name), zap.String("error", err.Error()))
 	}
--- a/internal/server/followers_test.go
+++ b/internal/server/followers_test.go
@@ -15,9 +15,9 @@
 
 // addressRows decodes a row whose value is the address of an engine. An empty
 // value is an error.
-type addressRows struct{ Rows }
+type addressRows struct{ StoreSchema }
 
-func (addressRows) Instance(row state.Row) (backend.Declaration, error) {
+func (addressRows) DecodeInstance(row state.Row) (backend.Declaration, error) {
 	if len(row.Value) == 0 {
 		return backend.Declaration{}, eris.New("no engine")
 	}
@@ -37,7 +37,7 @@
 		core, observed := observer.New(zap.InfoLevel)
 		logged = observed
 		follower = &instanceFollower{
-			rows: addressRows{}, fleet: backend.NewFleet(time.Now), retainRemoved: time.Minute, onRead: func() {}, log: zap.New(core),
+			schema: addressRows{}, fleet: backend.NewFleet(time.Now), retainRemoved: time.Minute, onRead: func() {}, log: zap.New(core),
 		}
 	})
 
--- a/internal/server/metrics.go
+++ b/internal/server/metrics.go
@@ -16,10 +16,10 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// StoreCalls counts the calls to the store. It exports them as metrics and writes
+// StoreMetrics counts the calls to the store. It exports them as metrics and writes
 // them to the log, for operators who have only the log. It is safe for concurrent
 // use.
-type StoreCalls struct {
+type StoreMetrics struct {
 	durations *prometheus.HistogramVec
 	mutex     sync.Mutex
 	counts    map[callLabels]int64
@@ -35,10 +35,10 @@
 // noAnswer is the result of a call to which the store did not respond.
 const noAnswer = "no answer"
 
-// NewStoreCalls returns counters that are zero and registers their metrics. It
+// NewStoreMetrics returns counters that are zero and registers their metrics. It
 // panics if the metrics are already registered.
-func NewStoreCalls(registry prometheus.Registerer) *StoreCalls {
-	calls := &StoreCalls{
+func NewStoreMetrics(registry prometheus.Registerer) *StoreMetrics {
+	calls := &StoreMetrics{
 		durations: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "thymeloft_store_call_seconds",
 			Help:    "Time of calls to the store, by call, table and result.",
@@ -51,7 +51,7 @@
 }
 
 // Observe counts one call that has ended.
-func (s *StoreCalls) Observe(call state.CallResult) {
+func (s *StoreMetrics) Observe(call state.CallResult) {
 	labels := callLabels{kind: call.Kind, table: call.Table, result: noAnswer}
 	if call.Status != 0 {
 		labels.result = strconv.Itoa(call.Status)
@@ -62,12 +62,12 @@
 	s.counts[labels]++
 }
 
-// summaryInterval is the time between two log lines of Summarize.
+// summaryInterval is the time between two log lines of LogSummaries.
 const summaryInterval = 15 * time.Second
 
-// Summarize logs the numbers of calls so far once per summaryInterval, until the
+// LogSummaries logs the numbers of calls so far once per summaryInterval, until the
 // context ends.
-func (s *StoreCalls) Summarize(ctx context.Context, log *zap.Logger) {
+func (s *StoreMetrics) LogSummaries(ctx context.Context, log *zap.Logger) {
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
 	for {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (s *StoreCalls) snapshot() callCounts {
+func (s *StoreMetrics) snapshot() callCounts {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.counts)
--- a/internal/server/reaching.go
+++ b/internal/server/reaching.go
@@ -19,7 +19,7 @@
 		ProbeStore: func(ctx context.Context) {
 			// The result is not needed, since Observe gets the time of the store's
 			// last answer from c.availability.
-			_, _ = c.client.Read(ctx, state.KeyRange(s.Rows.ConfigurationKey()))
+			_, _ = c.client.Read(ctx, state.KeyRange(s.StoreSchema.ConfigurationKey()))
 		},
 		RerouteDelay: unreadyDelay,
 		OnChange:     func(cutOff bool) { s.callerServer.SetDiverting(cutOff) },
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -16,9 +16,9 @@
 // changed without a signal.
 const reloadCheckInterval = 5 * time.Second
 
-// Reloader reads the settings file again while the process runs. It is not safe
+// SettingsReloader reads the settings file again while the process runs. It is not safe
 // for concurrent use.
-type Reloader struct {
+type SettingsReloader struct {
 	Path  string
 	Log   *zap.Logger
 	Apply func(Settings) // called with each valid version of the file
@@ -27,16 +27,16 @@
 	modTime time.Time // modification time of the file when it was last read
 }
 
-// NewReloader returns a Reloader for the file at path, from which the current
+// NewSettingsReloader returns a SettingsReloader for the file at path, from which the current
 // settings were read.
-func NewReloader(path string, current Settings, apply func(Settings), log *zap.Logger) *Reloader {
-	reloader := &Reloader{Path: path, Log: log, Apply: apply, current: current}
+func NewSettingsReloader(path string, current Settings, apply func(Settings), log *zap.Logger) *SettingsReloader {
+	reloader := &SettingsReloader{Path: path, Log: log, Apply: apply, current: current}
 	reloader.modTime = reloader.fileModTime()
 	return reloader
 }
 
 // Run calls Reload on SIGHUP and when the file has changed, until the context ends.
-func (r *Reloader) Run(ctx context.Context) {
+func (r *SettingsReloader) Run(ctx context.Context) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	ticker := time.NewTicker(reloadCheckInterval)
@@ -57,7 +57,7 @@
 
 // fileModTime returns the modification time of the file, or the zero time if it
 // cannot be read.
-func (r *Reloader) fileModTime() time.Time {
+func (r *SettingsReloader) fileModTime() time.Time {
 	information, err := os.Stat(r.Path)
 	if err != nil {
 		return time.Time{}
@@ -68,9 +68,9 @@
 // Reload reads the file and applies its settings. If the file is invalid, the
 // previous settings stay in force. Reload logs which settings wait for a restart, but
 // does not check all of them (see needingRestart).
-func (r *Reloader) Reload() {
+func (r *SettingsReloader) Reload() {
 	r.modTime = r.fileModTime()
-	next, err := Load(r.Path)
+	next, err := LoadSettings(r.Path)
 	if err != nil {
 		r.Log.Error("server: settings not reloaded; the previous settings stay in force.", zap.String("error", err.Error()))
 		return
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -26,13 +26,13 @@
 
 // Options configures a Server. All fields but OnStarted are required.
 type Options struct {
-	Settings  Settings
-	Store     state.Store
-	Wire      gateway.HeaderCodec
-	Rows      Rows
-	ReadyPath string // HTTP path of the readiness check
-	Log       *zap.Logger
-	Registry  *prometheus.Registry
+	Settings    Settings
+	Store       state.Store
+	HeaderCodec gateway.HeaderCodec
+	StoreSchema StoreSchema
+	ReadyPath   string // HTTP path of the readiness check
+	Log         *zap.Logger
+	Registry    *prometheus.Registry
 	// OnStarted, if not nil, is called once when the process has started to serve.
 	OnStarted func(Addresses)
 }
@@ -55,7 +55,7 @@
 	reach              *reach.Monitor
 	memory             *memory.Account
 	metrics            *gateway.Metrics
-	life               *process.Life
+	lifecycle          *process.Lifecycle
 	instancesRead      atomic.Bool // the table of instances was read at least once
 	activeRequests     atomic.Int64
 	graceNanos         atomic.Int64   // the grace period, in nanoseconds
@@ -94,22 +94,22 @@
 // New returns a server that starts to listen when Run is called.
 func New(options Options) *Server {
 	server := &Server{
-		Options: options,
-		routes:  &routetable.Holder{},
-		fleet:   backend.NewFleet(time.Now),
-		metrics: gateway.NewMetrics(options.Registry),
-		life:    process.NewLife("server", options.Log),
+		Options:   options,
+		routes:    &routetable.Holder{},
+		fleet:     backend.NewFleet(time.Now),
+		metrics:   gateway.NewMetrics(options.Registry),
+		lifecycle: process.NewLifecycle("server", options.Log),
 
 		rateLog: rate.Sometimes{Interval: rateLogInterval},
 		memory:  memory.NewAccount(memory.LimitsFor(options.Settings.MemoryMB).MaxHeldBytes),
 	}
-	server.Reload(options.Settings)
+	server.ApplySettings(options.Settings)
 	return server
 }
 
-// Reload applies the settings that may change while the process runs: only the
+// ApplySettings applies the settings that may change while the process runs: only the
 // grace period of a planned stop.
-func (s *Server) Reload(settings Settings) { s.graceNanos.Store(int64(settings.gracePeriod())) }
+func (s *Server) ApplySettings(settings Settings) { s.graceNanos.Store(int64(settings.gracePeriod())) }
 
 func (s *Server) grace() time.Duration { return time.Duration(s.graceNanos.Load()) }
 
@@ -145,7 +145,7 @@
 	if err := s.serveMetrics(background); err != nil {
 		return err
 	}
-	s.life.Serve()
+	s.lifecycle.MarkServing()
 	if s.OnStarted != nil {
 		s.OnStarted(addresses)
 	}
@@ -160,7 +160,7 @@
 func (s *Server) handler(c *components) http.Handler {
 	handler := gateway.New(gateway.Options{
 		Zone:                s.Settings.Zone,
-		Wire:                s.Wire,
+		HeaderCodec:         s.HeaderCodec,
 		Routes:              s.routes,
 		Fleet:               s.fleet,
 		Turns:               c.turns,
@@ -198,20 +198,20 @@
 // components up to date until the context ends.
 func (s *Server) follow(ctx context.Context, c *components) {
 	configuration := &configurationFollower{
-		rows: s.Rows, routes: s.routes, log: s.Log,
+		schema: s.StoreSchema, routes: s.routes, log: s.Log,
 		onChange: func(table *routetable.Table) { s.callerServer.SetLimits(table.Limits) },
 	}
 	instances := &instanceFollower{
-		rows: s.Rows, fleet: s.fleet, log: s.Log,
+		schema: s.StoreSchema, fleet: s.fleet, log: s.Log,
 		retainRemoved: s.Settings.gracePeriod(),
 		onRead:        func() { s.instancesRead.Store(true) },
 	}
 	go watch.Run(ctx, watch.Options{
-		Store: c.client, Table: s.Rows.ConfigurationKey().Table, MaxWait: s.Settings.configurationFeedTimeout(), Log: s.Log,
+		Store: c.client, Table: s.StoreSchema.ConfigurationKey().Table, MaxWait: s.Settings.configurationFeedTimeout(), Log: s.Log,
 		OnAnswer: s.configurationHeard.set,
 	}, configuration)
 	go watch.Run(ctx, watch.Options{
-		Store: c.client, Table: s.Rows.InstancesTable(), MaxWait: instancesFeedTimeout, MinBatchInterval: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
+		Store: c.client, Table: s.StoreSchema.InstancesTableName(), MaxWait: instancesFeedTimeout, MinBatchInterval: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
 		OnAnswer: s.instancesHeard.set,
 	}, instances)
 	c.start(ctx)
@@ -221,10 +221,10 @@
 // this process only while all of them hold.
 func (s *Server) conditions() process.Conditions {
 	return process.Conditions{
-		{Unmet: "stopping", Holds: func() bool { return !s.life.Draining() }},
-		{Unmet: "the engines are not known", Holds: s.instancesRead.Load},
-		{Unmet: "the configuration is not known", Holds: func() bool { return s.routes.Current() != nil }},
-		{Unmet: "cut off from other zones and the store", Holds: func() bool { return !s.reach.CutOff() }},
+		{UnmetMessage: "stopping", IsMet: func() bool { return !s.lifecycle.IsDraining() }},
+		{UnmetMessage: "the engines are not known", IsMet: s.instancesRead.Load},
+		{UnmetMessage: "the configuration is not known", IsMet: func() bool { return s.routes.Current() != nil }},
+		{UnmetMessage: "cut off from other zones and the store", IsMet: func() bool { return !s.reach.CutOff() }},
 	}
 }
 
@@ -244,7 +244,7 @@
 // that are then still active are not an error.
 func (s *Server) stop(c *components) error {
 	start := time.Now()
-	s.life.Drain()
+	s.lifecycle.MarkDraining()
 	s.Log.Info("server: stopping.", zap.Int64("underWay", s.activeRequests.Load()))
 	s.callerServer.CloseIdle()
 	ctx, cancel := context.WithTimeout(context.Background(), s.grace()-graceMargin)
@@ -256,7 +256,7 @@
 	err := s.callerServer.Stop(ctx)
 	c.releaseBudgets(ctx)
 	c.endLease()
-	s.life.Stop()
+	s.lifecycle.MarkStopped()
 	s.Log.Info("server: stopped.", zap.Duration("took", time.Since(start)), zap.Int64("cut", s.activeRequests.Load()))
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -22,13 +22,13 @@
 	Zone    string `yaml:"zone"`
 	// Region is the name of a group of zones near each other. If it is empty, all
 	// daemons count as near.
-	Region string `yaml:"region"`
-	Listen Listen `yaml:"listen"`
+	Region string         `yaml:"region"`
+	Listen ListenSettings `yaml:"listen"`
 	// Seeds are addresses at which other daemons listen for their peers; some may no
 	// longer exist. A daemon that cannot reach the store uses them until it knows the
 	// member list.
-	Seeds []string `yaml:"seeds"`
-	Store Store    `yaml:"store"`
+	Seeds []string      `yaml:"seeds"`
+	Store StoreSettings `yaml:"store"`
 	// FirstStart means that the whole system has never been started before. It must
 	// be true only when a machine is started for the first time as part of that first
 	// start of the system. The default is false.
@@ -53,7 +53,7 @@
 	// shortest time.
 	ContactMillis float64 `yaml:"contact_millis"`
 	// Quota configures how tenants' quotas are enforced.
-	Quota Quota `yaml:"quota"`
+	Quota QuotaSettings `yaml:"quota"`
 	// BoundPrograms rejects programs at their first turn while the engines hold as
 	// many programs as they can. It is meant for fleets whose engines have little
 	// memory. The default is false.
@@ -71,9 +71,9 @@
 	LogSuccessesPerSecond int `yaml:"log_successes_per_second"`
 }
 
-// Listen holds the configured addresses ("ip:port") of a process's listeners. Port 0
+// ListenSettings holds the configured addresses ("ip:port") of a process's listeners. Port 0
 // selects a free port.
-type Listen struct {
+type ListenSettings struct {
 	Callers string `yaml:"callers"` // requests of callers
 	Ready   string `yaml:"ready"`   // the platform's readiness checks
 	Peers   string `yaml:"peers"`   // calls of other daemons
@@ -83,8 +83,8 @@
 	Metrics   string `yaml:"metrics"` // empty disables the metrics listener
 }
 
-// Store describes the store and its limits.
-type Store struct {
+// StoreSettings describes the store and its limits.
+type StoreSettings struct {
 	Address  string `yaml:"address"`   // "ip:port"
 	RowBytes int    `yaml:"row_bytes"` // largest value of a row, in bytes
 	// WritesPerSecond and ReadsPerSecond are the rates that the store accepts from all
@@ -94,12 +94,12 @@
 	ReadsPerSecond  float64 `yaml:"reads_per_second"`
 }
 
-func (s Store) rates() state.Rates {
+func (s StoreSettings) rates() state.Rates {
 	return state.Rates{Writes: s.WritesPerSecond, Reads: s.ReadsPerSecond}
 }
 
-// Quota configures how tenants' quotas are enforced.
-type Quota struct {
+// QuotaSettings configures how tenants' quotas are enforced.
+type QuotaSettings struct {
 	// WindowSeconds is the length of the windows in which requests are counted. The
 	// default is 5 seconds.
 	WindowSeconds float64 `yaml:"window_seconds"`
@@ -110,9 +110,9 @@
 	ToleranceRequests int     `yaml:"tolerance_requests"`
 }
 
-// Load reads and validates a settings file. The error names the file and all
+// LoadSettings reads and validates a settings file. The error names the file and all
 // invalid settings.
-func Load(path string) (Settings, error) {
+func LoadSettings(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
 		return Settings{}, eris.Wrap(err, "read settings")
@@ -168,7 +168,7 @@
 	return time.Duration(s.GraceSeconds * float64(time.Second))
 }
 
-// defaultQuotaWindow is used if Quota.WindowSeconds is 0.
+// defaultQuotaWindow is used if QuotaSettings.WindowSeconds is 0.
 const defaultQuotaWindow = 5 * time.Second
 
 func (s *Settings) quotaSettings() quota.Settings {
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -42,9 +42,9 @@
 	return path
 }
 
-var _ = Describe("Load", func() {
+var _ = Describe("LoadSettings", func() {
 	It("reads settings", func() {
-		settings, err := Load(writeSettings(validSettings))
+		settings, err := LoadSettings(writeSettings(validSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.gracePeriod()).To(Equal(8 * time.Second))
 		Expect(settings.drainPeriod()).To(Equal(2 * time.Second))
@@ -63,47 +63,47 @@
 
 	It("reports all invalid settings at once, with the name of the file", func() {
 		path := writeSettings("machine: \"\"\nmemory_mb: -1\n")
-		_, err := Load(path)
+		_, err := LoadSettings(path)
 		Expect(err).To(MatchError(And(ContainSubstring(path), ContainSubstring("machine: missing"),
 			ContainSubstring("listen.callers: missing, expected IP:PORT"), ContainSubstring("memory_mb: expected a number, 0 or above"))))
 	})
 
 	It("reads the store's rates, which are optional and must not be negative", func() {
-		settings, err := Load(writeSettings(validSettings))
+		settings, err := LoadSettings(writeSettings(validSettings))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.Store.rates()).To(Equal(state.Rates{}))
 		declared := strings.Replace(validSettings, "  row_bytes: 65536\n", "  row_bytes: 65536\n  writes_per_second: 800\n  reads_per_second: 2000\n", 1)
-		settings, err = Load(writeSettings(declared))
+		settings, err = LoadSettings(writeSettings(declared))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.Store.rates()).To(Equal(state.Rates{Writes: 800, Reads: 2000}))
-		_, err = Load(writeSettings(strings.Replace(declared, "2000", "-1", 1)))
+		_, err = LoadSettings(writeSettings(strings.Replace(declared, "2000", "-1", 1)))
 		Expect(err).To(MatchError(ContainSubstring("store.reads_per_second: expected a number, 0 or above")))
-		_, err = Load(writeSettings(strings.Replace(declared, "800", "-1", 1)))
+		_, err = LoadSettings(writeSettings(strings.Replace(declared, "800", "-1", 1)))
 		Expect(err).To(MatchError(ContainSubstring("store.writes_per_second: expected a number, 0 or above")))
 	})
 
 	It("accepts only known mechanisms as disabled", func() {
-		settings, err := Load(writeSettings(validSettings + "disabled: [trails, zone-cost]\n"))
+		settings, err := LoadSettings(writeSettings(validSettings + "disabled: [trails, zone-cost]\n"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settings.Disabled.Has(mechanism.TurnLocations)).To(BeTrue())
-		_, err = Load(writeSettings(validSettings + "disabled: [trials]\n"))
+		_, err = LoadSettings(writeSettings(validSettings + "disabled: [trials]\n"))
 		Expect(err).To(MatchError(ContainSubstring(`disabled: unknown mechanism "trials"`)))
 	})
 
 	It("reports the position and the name of an unknown field", func() {
-		_, err := Load(writeSettings(validSettings + "grace: 9\n"))
+		_, err := LoadSettings(writeSettings(validSettings + "grace: 9\n"))
 		Expect(err).To(MatchError(And(ContainSubstring("[12:1]"), ContainSubstring("grace"))))
 	})
 })
 
-var _ = Describe("Reloader", func() {
+var _ = Describe("SettingsReloader", func() {
 	It("applies a changed file, names settings that need a restart, and ignores an invalid file", func() {
 		path := writeSettings(validSettings)
-		settings, err := Load(path)
+		settings, err := LoadSettings(path)
 		Expect(err).NotTo(HaveOccurred())
 		core, logs := observer.New(zap.InfoLevel)
 		var applied []Settings
-		reloader := NewReloader(path, settings, func(next Settings) { applied = append(applied, next) }, zap.New(core))
+		reloader := NewSettingsReloader(path, settings, func(next Settings) { applied = append(applied, next) }, zap.New(core))
 
 		changed := strings.Replace(strings.Replace(validSettings, "grace_seconds: 8", "grace_seconds: 5", 1), `zone: "z"`, `zone: "y"`, 1)
 		Expect(os.WriteFile(path, []byte(changed), 0o600)).To(Succeed())
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -20,13 +20,13 @@
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
 // checker collects faults. Each fault starts with the key of its setting.
-type checker struct{ faults Faults }
+type checker struct{ faults ValidationError }
 
 func (c *checker) add(key, format string, arguments ...any) {
 	c.faults = append(c.faults, key+": "+fmt.Sprintf(format, arguments...))
 }
 
-// Check validates the settings. It returns nil, or an error of type Faults that lists
+// Check validates the settings. It returns nil, or an error of type ValidationError that lists
 // all faults.
 func (s *Settings) Check() error {
 	c := &checker{}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -17,8 +17,8 @@
 // Description is the program description in the output of --help.
 const Description = "thymeloftd is the thymeloft daemon; every machine runs the same program."
 
-// ErrVersion is returned by Load after printing the version for the flag --version.
-var ErrVersion = errors.New("version printed")
+// ErrVersionPrinted is returned by Load after printing the version for the flag --version.
+var ErrVersionPrinted = errors.New("version printed")
 
 type commandLine struct {
 	File    string `name:"settings" short:"s" help:"YAML file of settings; flags win over it." placeholder:"FILE"`
@@ -29,8 +29,8 @@
 // Load returns the settings from the defaults, the file named by --settings, and the
 // flags in arguments; a flag takes precedence over the file. The arguments do not
 // include the program name. Load returns an error if the flags or the file cannot be
-// read. If the settings are invalid, it returns them with an error of type Faults.
-// With --version it prints the version to output and returns ErrVersion.
+// read. If the settings are invalid, it returns them with an error of type ValidationError.
+// With --version it prints the version to output and returns ErrVersionPrinted.
 func Load(arguments []string, version string, output io.Writer) (Settings, error) {
 	cli := commandLine{}
 	flags, err := parseFlags(&cli, arguments, output)
@@ -39,7 +39,7 @@
 	}
 	if cli.Version {
 		_, _ = fmt.Fprintln(output, version)
-		return Settings{}, ErrVersion
+		return Settings{}, ErrVersionPrinted
 	}
 	cli.Settings = Default()
 	if cli.File != "" {
@@ -100,10 +100,10 @@
 	return result, nil
 }
 
-// Faults is an error with one entry for each fault of the settings.
-type Faults []string
+// ValidationError is an error with one entry for each fault of the settings.
+type ValidationError []string
 
 // Error returns the number of faults and then one fault per line.
-func (f Faults) Error() string {
+func (f ValidationError) Error() string {
 	return fmt.Sprintf("%d faults in the settings:\n  %s", len(f), strings.Join(f, "\n  "))
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -56,7 +56,7 @@
 			"--commit-timeout=0s", "--scheduling-stale-after=3s", "--scheduling-waste-weight=NaN", "--scheduling-working-set=2",
 			"--scheduling-waiting=0", "--retries-share=-1", "--engines-eject-share=0", "--engines-report-too-old=1s", "--engines-idle-stream=0s",
 		}, "v0", GinkgoWriter)
-		var faults settings.Faults
+		var faults settings.ValidationError
 		Expect(err).To(BeAssignableToTypeOf(faults))
 		for _, key := range []string{
 			"machine", "zone", "region", "advertise", "listen.caller", "bootstrap_expect", "shards", "platform.store", "platform.machines",
@@ -76,7 +76,7 @@
 	It("are not loaded for --version, which prints the version", func() {
 		var output bytes.Buffer
 		_, err := settings.Load([]string{"--version"}, "v9", &output)
-		Expect(err).To(MatchError(settings.ErrVersion))
+		Expect(err).To(MatchError(settings.ErrVersionPrinted))
 		Expect(output.String()).To(Equal("v9\n"))
 	})
 })
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -24,9 +24,9 @@
 	Self      identity.Process
 	Store     *state.Client
 	Directory members.Directory
-	// Caller and Registrar are used to probe leaders. If either is nil, leaders are not probed.
-	Caller    peer.Caller
-	Registrar peer.Registrar
+	// PeerClient and Registrar are used to probe leaders. If either is nil, leaders are not probed.
+	PeerClient peer.Client
+	Registrar  peer.Registrar
 	// NewStateMachine returns an empty state machine for a shard that this daemon is about to
 	// lead.
 	NewStateMachine func(identity.Shard) StateMachine
@@ -73,7 +73,7 @@
 	_ MapSource = (*Node)(nil)
 )
 
-// NewNode returns a node that leads no shards until Run is called. If Caller and Registrar are
+// NewNode returns a node that leads no shards until Run is called. If PeerClient and Registrar are
 // set, it registers the RPC receiver for probes.
 func NewNode(options Options) (*Node, error) {
 	if options.Store == nil || options.Directory == nil || options.NewStateMachine == nil || options.MaxRowBytes <= 0 {
@@ -95,8 +95,8 @@
 		options: options, log: options.Logger.Named("shards"), changes: make(chan LeaderChange, changesBuffer),
 		balancer: newBalancer(time.Now), replicas: map[identity.Shard]*replica{}, acquiring: map[identity.Shard]bool{},
 	}
-	if options.Caller != nil && options.Registrar != nil {
-		node.prober = newProber(options.Self, options.Caller, node.log)
+	if options.PeerClient != nil && options.Registrar != nil {
+		node.prober = newProber(options.Self, options.PeerClient, node.log)
 		if err := options.Registrar.Register(ProbeServiceName, &ProbeReceiver{prober: node.prober}); err != nil {
 			return nil, eris.Wrap(err, "shards: register the RPC receiver for probes")
 		}
--- a/internal/shards/probe.go
+++ b/internal/shards/probe.go
@@ -62,16 +62,16 @@
 // prober probes leaders and records which ones cannot be reached. It is safe for concurrent
 // use.
 type prober struct {
-	self   identity.Process
-	caller peer.Caller
-	log    *zap.Logger
+	self       identity.Process
+	peerClient peer.Client
+	log        *zap.Logger
 
 	mutex    sync.Mutex
 	failures map[identity.Process]int // consecutive confirmed failures
 }
 
-func newProber(self identity.Process, caller peer.Caller, log *zap.Logger) *prober {
-	return &prober{self: self, caller: caller, log: log, failures: map[identity.Process]int{}}
+func newProber(self identity.Process, peerClient peer.Client, log *zap.Logger) *prober {
+	return &prober{self: self, peerClient: peerClient, log: log, failures: map[identity.Process]int{}}
 }
 
 // ProbeReceiver serves the RPCs for probes with net/rpc.
@@ -131,7 +131,7 @@
 	defer cancel()
 	var reply ProbeReply
 	witness := others[rand.IntN(len(others))]
-	err := p.caller.Call(limited, witness.Address, peer.Control, methodAsk, ProbeRequest{Process: leader}, &reply)
+	err := p.peerClient.Call(limited, witness.Address, peer.ClassControl, methodAsk, ProbeRequest{Process: leader}, &reply)
 	return err == nil && !reply.Reached
 }
 
@@ -141,7 +141,7 @@
 	ctx, cancel := context.WithTimeout(parent, pingTimeout)
 	defer cancel()
 	var reply PingReply
-	if err := p.caller.Call(ctx, process.Address, peer.Control, methodPing, PingRequest{}, &reply); err != nil {
+	if err := p.peerClient.Call(ctx, process.Address, peer.ClassControl, methodPing, PingRequest{}, &reply); err != nil {
 		return eris.Wrapf(err, "ping %s", process)
 	}
 	if reply.Incarnation != process.Incarnation {
--- a/internal/shards/probe_test.go
+++ b/internal/shards/probe_test.go
@@ -21,14 +21,14 @@
 	isolated []string                  // machines that cannot exchange calls with any other machine
 }
 
-// memoryCaller makes the calls of one daemon.
-type memoryCaller struct {
+// memoryClient makes the calls of one daemon.
+type memoryClient struct {
 	network *memoryNetwork
 	self    identity.Process
 }
 
-// Call implements peer.Caller.
-func (c memoryCaller) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
+// Call implements peer.Client.
+func (c memoryClient) Call(_ context.Context, address string, _ peer.Class, method string, arguments, reply any) error {
 	answers := c.network.services[address]
 	if answers == nil || slices.Contains(c.network.isolated, string(c.self.Machine)) || slices.Contains(c.network.isolated, string(answers.prober.self.Machine)) {
 		return errors.New("cut")
@@ -49,7 +49,7 @@
 		network = &memoryNetwork{services: map[string]*ProbeReceiver{}}
 		probers = map[identity.Process]*prober{}
 		for _, process := range all {
-			probers[process] = newProber(process, memoryCaller{network, process}, zap.NewNop())
+			probers[process] = newProber(process, memoryClient{network, process}, zap.NewNop())
 			network.services[process.Address] = &ProbeReceiver{prober: probers[process]}
 		}
 	})
--- a/internal/shards/shards_test.go
+++ b/internal/shards/shards_test.go
@@ -95,15 +95,15 @@
 		alone := startDaemon(store, known, processOf("a", 1), 1, 1)
 		Eventually(func() bool { return alone.leads(1) }).Should(BeTrue())
 		lost := 0
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" && lost < 3 {
 				lost++
-				return memorystore.Lost
+				return memorystore.FaultLost
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		Expect(alone.propose(ctx, 1, "one")).To(Succeed())
-		store.Misbehave(nil)
+		store.SetFaultFunc(nil)
 		Expect(alone.propose(ctx, 1, "two")).To(Succeed())
 		alone.kill()
 		again := startDaemon(store, known, processOf("a", 2), 1, 1)
@@ -114,17 +114,17 @@
 	It("returns ErrNotLeader only for commands that are never committed", func(ctx SpecContext) {
 		alone := startDaemon(store, known, processOf("a", 1), 1, 1)
 		Eventually(func() bool { return alone.leads(1) }).Should(BeTrue())
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" {
-				return memorystore.Refused
+				return memorystore.FaultRefused
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 		defer cancel()
 		taken := make(chan error, 1)
 		go func() { taken <- alone.propose(short, 1, "taken") }()
-		Eventually(func() int { return store.Calls("commit") }).Should(BeNumerically(">", 2))
+		Eventually(func() int { return store.CallCount("commit") }).Should(BeNumerically(">", 2))
 		waiting, cancelWaiting := context.WithCancel(ctx)
 		queued := make(chan error, 1)
 		go func() { queued <- alone.propose(waiting, 1, "waiting") }()
@@ -132,7 +132,7 @@
 		cancelWaiting()
 		Eventually(queued).Should(Receive(MatchError(ErrNotLeader)))
 		Eventually(taken).Should(Receive(MatchError(ErrUncertain)))
-		store.Misbehave(nil)
+		store.SetFaultFunc(nil)
 		Expect(alone.propose(ctx, 1, "last")).To(Succeed())
 		Expect(alone.machine(1).allCommands()).To(Equal([]string{"taken", "last"}))
 	}, SpecTimeout(time.Minute))
@@ -201,20 +201,20 @@
 			daemons = append(daemons, startDaemon(store, views[name], processOf(name, 1), 1, 1))
 		}
 		calls := 0
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			calls++
 			switch (calls*7 + seed) % 23 {
 			case 1, 2:
-				return memorystore.Lost
+				return memorystore.FaultLost
 			case 3:
-				return memorystore.Refused
+				return memorystore.FaultRefused
 			case 4:
 				if call.Name == "commit" {
-					go store.Release()
-					return memorystore.Late
+					go store.ApplyLateCommits()
+					return memorystore.FaultLate
 				}
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		var mutex sync.Mutex
 		var events []porcupine.Operation
@@ -245,8 +245,8 @@
 			})
 		}
 		proposing.Wait()
-		store.Misbehave(nil)
-		store.Release()
+		store.SetFaultFunc(nil)
+		store.ApplyLateCommits()
 		for _, each := range daemons {
 			each.kill()
 		}
--- a/internal/state/limiter_test.go
+++ b/internal/state/limiter_test.go
@@ -39,14 +39,14 @@
 	})
 
 	It("lowers its rate, marks no partition as failed, and refuses at once a call without a slot in time", func(ctx SpecContext) {
-		memory.Misbehave(always(memorystore.Throttled))
+		memory.SetFaultFunc(always(memorystore.FaultThrottled))
 		Expect(commit(ctx, state.ClassTurn)).To(MatchError(state.ErrThrottled))
 		Expect(lowered).To(Receive(Equal(state.CallCommit)))
 		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
 		Expect(client.IsDirectHealthy()).To(BeTrue())
 		short, cancel := context.WithTimeout(ctx, time.Hour)
 		defer cancel()
-		before := memory.Calls("commit")
+		before := memory.CallCount("commit")
 		// The limiter allows nine calls per second and its clock does not advance, so nine of
 		// these calls are in time for their slots and keep waiting.
 		waiting, leave := context.WithCancel(ctx)
@@ -59,7 +59,7 @@
 			defer cancel()
 			return commit(soon, state.ClassSweep)
 		}).Should(MatchError(ContainSubstring("no rate-limit slot in time")))
-		Expect(memory.Calls("commit")).To(Equal(before))
+		Expect(memory.CallCount("commit")).To(Equal(before))
 		leave()
 		for range 12 {
 			Eventually(ended).Should(Receive(MatchError(state.ErrNotExecuted)))
@@ -67,11 +67,11 @@
 	})
 
 	It("keeps its read rate while its writes are throttled", func(ctx SpecContext) {
-		memory.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		memory.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" {
-				return memorystore.Throttled
+				return memorystore.FaultThrottled
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		Expect(commit(ctx, state.ClassTurn)).To(MatchError(state.ErrThrottled))
 		_, err := client.Read(ctx, state.KeyRange(keyIn("p")))
--- a/internal/state/spacetracker_test.go
+++ b/internal/state/spacetracker_test.go
@@ -43,11 +43,11 @@
 		})
 		availability = state.NewAvailability(time.Now, func(bool, time.Duration) {})
 		client = state.NewClient(state.ClientOptions{Store: memory, Availability: availability, SpaceTracker: tracker, Probe: state.KeyRange(keyIn("probe"))})
-		memory.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		memory.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" && len(call.Commit.Puts) > 0 {
-				return memorystore.Full
+				return memorystore.FaultFull
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 	})
 
@@ -55,7 +55,7 @@
 		err := client.Retry(ctx, func() error { return commit(ctx, state.ClassReservation) })
 		Expect(err).To(MatchError(state.ErrFull))
 		Expect(state.IsTransient(err)).To(BeFalse())
-		Expect(memory.Calls("commit")).To(Equal(1))
+		Expect(memory.CallCount("commit")).To(Equal(1))
 		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
 		Expect(client.IsDirectHealthy()).To(BeTrue())
 		Expect(availability.Available()).To(BeTrue())
@@ -84,27 +84,27 @@
 
 	It("is sent lease commits and commits without puts, but no commits that can wait", func(ctx SpecContext) {
 		Expect(commit(ctx, state.ClassReservation)).To(MatchError(state.ErrFull))
-		before := memory.Calls("commit")
+		before := memory.CallCount("commit")
 		for _, class := range []state.Class{state.ClassReservation, state.ClassSettlement, state.ClassSweep} {
 			Expect(commit(ctx, class)).To(MatchError(state.ErrFull))
 		}
-		Expect(memory.Calls("commit")).To(Equal(before))
+		Expect(memory.CallCount("commit")).To(Equal(before))
 		Expect(commit(ctx, state.ClassLease)).To(MatchError(state.ErrFull))
-		Expect(memory.Calls("commit")).To(Equal(before + 1))
+		Expect(memory.CallCount("commit")).To(Equal(before + 1))
 		_, err := client.Commit(ctx, state.Commit{Conditions: []state.Condition{{Key: keyIn("p")}}})
 		Expect(err).NotTo(HaveOccurred())
 	})
 
 	It("is sent a waiting turn commit again as soon as it has space", func(ctx SpecContext) {
 		Expect(commit(ctx, state.ClassReservation)).To(MatchError(state.ErrFull))
-		before := memory.Calls("commit")
+		before := memory.CallCount("commit")
 		ended := make(chan error, 1)
 		go func() { ended <- commit(ctx, state.ClassTurn) }()
-		Eventually(func() int { return memory.Calls("commit") }).Should(Equal(before+1), "the first attempt must be sent at once")
+		Eventually(func() int { return memory.CallCount("commit") }).Should(Equal(before+1), "the first attempt must be sent at once")
 		Eventually(refusals.Load).Should(BeEquivalentTo(2))
 		Expect(ended).NotTo(Receive())
 		advance(time.Millisecond)
-		memory.Misbehave(nil)
+		memory.SetFaultFunc(nil)
 		_, err := client.Commit(ctx, state.Commit{Class: state.ClassSweep, Removals: []state.Key{keyIn("old")}})
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(ended).Should(Receive(BeNil()))
@@ -116,11 +116,11 @@
 
 	It("is sent a turn commit once if its deadline is near", func(ctx SpecContext) {
 		Expect(commit(ctx, state.ClassReservation)).To(MatchError(state.ErrFull))
-		before := memory.Calls("commit")
+		before := memory.CallCount("commit")
 		short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 		defer cancel()
 		Expect(commit(short, state.ClassTurn)).To(MatchError(state.ErrFull))
-		Expect(memory.Calls("commit")).To(Equal(before + 1))
+		Expect(memory.CallCount("commit")).To(Equal(before + 1))
 	})
 
 	It("still counts as full after a small row was overwritten", func(ctx SpecContext) {
@@ -128,7 +128,7 @@
 		large.Puts[0].Value = make([]byte, 1000)
 		_, err := client.Commit(ctx, large)
 		Expect(err).To(MatchError(state.ErrFull))
-		memory.Misbehave(nil)
+		memory.SetFaultFunc(nil)
 		advance(time.Second)
 		Expect(commit(ctx, state.ClassLease)).To(Succeed())
 		_, full := tracker.FullSince()
--- a/internal/state/state_suite_test.go
+++ b/internal/state/state_suite_test.go
@@ -30,18 +30,18 @@
 }
 
 // always returns a script that gives every call the fault.
-func always(fault memorystore.Fault) memorystore.Script {
+func always(fault memorystore.Fault) memorystore.FaultFunc {
 	return func(memorystore.Call) memorystore.Fault { return fault }
 }
 
 // first returns a script that gives the first call the fault, and none to later calls.
-func first(fault memorystore.Fault) memorystore.Script {
+func first(fault memorystore.Fault) memorystore.FaultFunc {
 	var calls atomic.Int64
 	return func(memorystore.Call) memorystore.Fault {
 		if calls.Add(1) == 1 {
 			return fault
 		}
-		return memorystore.None
+		return memorystore.FaultNone
 	}
 }
 
@@ -69,27 +69,27 @@
 	}
 
 	It("hedges a slow call and returns the first answer", func(ctx SpecContext) {
-		memory.Misbehave(first(memorystore.Silent))
+		memory.SetFaultFunc(first(memorystore.FaultHang))
 		Expect(commit(ctx, "p")).To(Succeed())
-		Expect(memory.Calls("commit")).To(Equal(2))
+		Expect(memory.CallCount("commit")).To(Equal(2))
 		Expect(failures).To(BeEmpty())
 	})
 
 	It("repeats a call after a retryable error, but not after a conflict", func(ctx SpecContext) {
-		memory.Misbehave(first(memorystore.Lost))
+		memory.SetFaultFunc(first(memorystore.FaultLost))
 		Expect(client.Retry(ctx, func() error { return commit(ctx, "p") })).To(Succeed())
-		Expect(memory.Calls("commit")).To(Equal(2))
+		Expect(memory.CallCount("commit")).To(Equal(2))
 		err := client.Retry(ctx, func() error {
 			_, err := client.Commit(ctx, state.Commit{Conditions: []state.Condition{{Key: keyIn("p")}}})
 			return err
 		})
 		var conflict *state.ConflictError
 		Expect(err).To(BeAssignableToTypeOf(conflict))
-		Expect(memory.Calls("commit")).To(Equal(3))
+		Expect(memory.CallCount("commit")).To(Equal(3))
 	})
 
 	It("reports the operation and the key of a failed call", func(ctx SpecContext) {
-		memory.Misbehave(always(memorystore.Refused))
+		memory.SetFaultFunc(always(memorystore.FaultRefused))
 		Expect(commit(ctx, "p")).To(MatchError(state.ErrNotExecuted))
 		var failure state.Failure
 		Expect(failures).To(Receive(&failure))
@@ -98,19 +98,19 @@
 	})
 
 	It("stays available when one partition fails, and prefers the others", func(ctx SpecContext) {
-		memory.Misbehave(always(memorystore.Refused))
+		memory.SetFaultFunc(always(memorystore.FaultRefused))
 		for range 5 {
 			Expect(commit(ctx, "p")).To(MatchError(state.ErrNotExecuted))
 		}
 		Expect(availability.Available()).To(BeTrue())
 		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"q", "p"}))
-		memory.Misbehave(nil)
+		memory.SetFaultFunc(nil)
 		Expect(commit(ctx, "p")).To(Succeed())
 		Expect(client.HealthyFirst([]string{"p", "q"})).To(Equal([]string{"p", "q"}))
 	})
 
 	It("becomes unavailable after three partitions fail, probes the store, and resumes waiting calls", func(ctx SpecContext) {
-		memory.Misbehave(always(memorystore.Refused))
+		memory.SetFaultFunc(always(memorystore.FaultRefused))
 		for _, partition := range []string{"p", "q", "r"} {
 			Expect(commit(ctx, partition)).To(MatchError(state.ErrNotExecuted))
 		}
@@ -118,16 +118,16 @@
 		Expect(changes).To(Receive(BeFalse()))
 		done := make(chan error, 1)
 		go func() { done <- client.Retry(ctx, func() error { return commit(ctx, "p") }) }()
-		before := memory.Calls("read")
-		Eventually(func() int { return memory.Calls("read") }).Should(BeNumerically(">", before))
+		before := memory.CallCount("read")
+		Eventually(func() int { return memory.CallCount("read") }).Should(BeNumerically(">", before))
 		Expect(done).NotTo(Receive())
-		memory.Misbehave(nil)
+		memory.SetFaultFunc(nil)
 		Eventually(done).Should(Receive(BeNil()))
 		Eventually(changes).Should(Receive(BeTrue()))
 	})
 
 	It("returns when the context ends, without counting it as a failure of the store", func(ctx SpecContext) {
-		memory.Misbehave(always(memorystore.Silent))
+		memory.SetFaultFunc(always(memorystore.FaultHang))
 		for _, partition := range []string{"p", "q", "r"} {
 			short, cancel := context.WithTimeout(ctx, 10*time.Millisecond)
 			Expect(commit(short, partition)).To(MatchError(state.ErrUnknownOutcome))
@@ -142,7 +142,7 @@
 		Expect(commit(ended, "p")).To(MatchError(state.ErrNotExecuted))
 		_, err := client.Read(ended, state.KeyRange(keyIn("p")))
 		Expect(err).To(MatchError(state.ErrNotExecuted))
-		Expect(memory.Calls("commit") + memory.Calls("read")).To(BeZero())
+		Expect(memory.CallCount("commit") + memory.CallCount("read")).To(BeZero())
 		Expect(failures).To(BeEmpty())
 	})
 })
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -182,17 +182,17 @@
 
 // Relay implements state.Store by calling other daemons. It is safe for concurrent use.
 type Relay struct {
-	list   *members.List
-	caller peer.Caller
-	seeds  []string
+	list       *members.List
+	peerClient peer.Client
+	seeds      []string
 }
 
 // NewRelay returns a Relay that calls the daemons in list. If every other daemon in the list is
 // suspected, or there is none, the Relay calls one of the seeds, which are addresses of daemons
 // that may be gone. This lets a daemon read the list of members even if it cannot reach the
 // store when it starts.
-func NewRelay(list *members.List, caller peer.Caller, seeds []string) *Relay {
-	return &Relay{list: list, caller: caller, seeds: seeds}
+func NewRelay(list *members.List, peerClient peer.Client, seeds []string) *Relay {
+	return &Relay{list: list, peerClient: peerClient, seeds: seeds}
 }
 
 // suspectDuration is the time in which a daemon that failed to answer is not called again.
@@ -236,7 +236,7 @@
 	}
 	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err := r.caller.Call(callCtx, address, peer.Data, method, request, reply)
+	err := r.peerClient.Call(callCtx, address, peer.ClassData, method, request, reply)
 	if err == nil {
 		return nil
 	}
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -58,7 +58,7 @@
 		DeferCleanup(pool.Close)
 		list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
 		other := members.NewList(members.Member{Process: identity.Process{Machine: "other", Zone: "z", Address: server.Address()}}, time.Now, zap.NewNop())
-		Expect(acquaintance.Make(list, other)).To(Succeed())
+		Expect(acquaintance.FillLists(list, other)).To(Succeed())
 		relay = storerelay.NewRelay(list, pool, nil)
 		newSeededRelay = func(seeds ...string) *storerelay.Relay {
 			emptyList := members.NewList(members.Member{Process: identity.Process{Machine: "new", Zone: "z", Address: "127.0.0.1:1"}}, time.Now, zap.NewNop())
@@ -77,11 +77,11 @@
 	})
 
 	It("returns ErrFull and ErrThrottled as the store did", func(ctx SpecContext) {
-		memory.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Full })
+		memory.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultFull })
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrFull))
 		Expect(state.IsTransient(err)).To(BeFalse())
-		memory.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Throttled })
+		memory.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultThrottled })
 		_, err = relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrThrottled))
 		Expect(err).To(MatchError(state.ErrNotExecuted))
@@ -106,19 +106,19 @@
 	})
 
 	DescribeTable("returns the error that the other daemon got", func(ctx SpecContext, fault memorystore.Fault, expected error) {
-		memory.Misbehave(func(memorystore.Call) memorystore.Fault { return fault })
+		memory.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return fault })
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(expected))
 	},
-		Entry("refused", memorystore.Refused, state.ErrNotExecuted),
-		Entry("answer lost", memorystore.Lost, state.ErrUnknownOutcome),
+		Entry("refused", memorystore.FaultRefused, state.ErrNotExecuted),
+		Entry("answer lost", memorystore.FaultLost, state.ErrUnknownOutcome),
 	)
 
 	It("returns ErrNotDone if the other daemon cannot reach the store either", func(ctx SpecContext) {
 		usable = false
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrNotExecuted))
-		Expect(memory.Calls("commit")).To(BeZero())
+		Expect(memory.CallCount("commit")).To(BeZero())
 	})
 
 	It("serves a daemon that cannot reach the store directly", func(ctx SpecContext) {
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -11,14 +11,14 @@
 	"golang.org/x/time/rate"
 )
 
-// NewBounded returns a JSON logger for level info and above that never blocks on the
+// NewBoundedLogger returns a JSON logger for level info and above that never blocks on the
 // output. Lines wait in a queue of limited size; lines that do not fit are dropped.
 // If perSecond is positive, lines below level warn beyond that rate are dropped too, so
 // that they do not displace warnings and errors. Dropped lines are counted in the
-// metric thymeloft_log_lines_dropped_total; NewBounded panics if it cannot be
+// metric thymeloft_log_lines_dropped_total; NewBoundedLogger panics if it cannot be
 // registered. The returned function waits at most 200 ms until the queued lines are
 // written, and returns at once if the queue is full; lines logged after it are lost.
-func NewBounded(output io.Writer, perSecond int, registry prometheus.Registerer) (*zap.Logger, func()) {
+func NewBoundedLogger(output io.Writer, perSecond int, registry prometheus.Registerer) (*zap.Logger, func()) {
 	dropped := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "thymeloft_log_lines_dropped_total", Help: "Log lines that were dropped, by reason.",
 	}, []string{"reason"})
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -43,7 +43,7 @@
 	g := NewWithT(t)
 	output := &blockedOutput{release: make(chan struct{})}
 	registry := prometheus.NewRegistry()
-	log, closeLog := telemetry.NewBounded(output, 0, registry)
+	log, closeLog := telemetry.NewBoundedLogger(output, 0, registry)
 	const lines = 5000
 	for range lines {
 		log.Warn("test: a line.")
@@ -64,7 +64,7 @@
 	g := NewWithT(t)
 	var output bytes.Buffer
 	registry := prometheus.NewRegistry()
-	log, closeLog := telemetry.NewBounded(&output, 5, registry)
+	log, closeLog := telemetry.NewBoundedLogger(&output, 5, registry)
 	const lines = 300
 	for range lines {
 		log.Info("test: a success.")
--- a/internal/turn/benchmark_test.go
+++ b/internal/turn/benchmark_test.go
@@ -34,7 +34,7 @@
 				for number := range programs {
 					saveProgram(context.Background(), daemons, random, fmt.Sprint("p", number), common, turns)
 				}
-				bytes = store.Bytes()
+				bytes = store.ValueBytes()
 			}
 			b.ReportMetric(float64(bytes)/programs, "bytes/program")
 		})
@@ -66,13 +66,13 @@
 			for _, name := range []string{"first", "p"} {
 				saveProgram(context.Background(), writer, random, name, common, turns)
 			}
-			readings := store.Calls("read")
+			readings := store.CallCount("read")
 			for b.Loop() {
 				reader := turn.NewRepository(typicalOptions(slowStore{store, latency}))
 				_, err := reader.Load(context.Background(), fmt.Sprint("p-", turns-1), "")
 				Expect(err).NotTo(HaveOccurred())
 			}
-			b.ReportMetric(float64(store.Calls("read")-readings)/float64(b.N), "readings/chain")
+			b.ReportMetric(float64(store.CallCount("read")-readings)/float64(b.N), "readings/chain")
 		})
 	}
 }
--- a/internal/turn/broken_test.go
+++ b/internal/turn/broken_test.go
@@ -128,12 +128,12 @@
 
 	It("is loaded after retries if the partition of an earlier turn refuses the first reads", func(ctx SpecContext) {
 		refused := 0
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "read" && call.Partition == rowset.PartitionsOf("b")[0] && refused < 4 {
 				refused++
-				return memorystore.Refused
+				return memorystore.FaultRefused
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		loaded, err := newRepository(store).Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -164,13 +164,13 @@
 	})
 })
 
-// silentCaller is a peer.Caller that counts calls and answers none of them.
-type silentCaller struct {
-	peer.Caller
+// silentClient is a peer.Client that counts calls and answers none of them.
+type silentClient struct {
+	peer.Client
 	calls int
 }
 
-func (s *silentCaller) Call(ctx context.Context, _ string, _ peer.Class, _ string, _, _ any) error {
+func (s *silentClient) Call(ctx context.Context, _ string, _ peer.Class, _ string, _, _ any) error {
 	s.calls++
 	<-ctx.Done()
 	return ctx.Err()
@@ -205,7 +205,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("AB"))
 		Expect(loaded.Engine()).To(Equal("e"))
-		Expect(store.Calls("read")).To(BeZero())
+		Expect(store.CallCount("read")).To(BeZero())
 		Expect(second.Save(ctx, "c", turn.Addition{Previous: loaded, Input: []byte("C")}, time.Minute)).To(Succeed())
 		afterwards, err := newRepository(store).Load(ctx, "c", "")
 		Expect(err).NotTo(HaveOccurred())
@@ -213,10 +213,10 @@
 	})
 
 	It("is not requested again from a daemon that has just failed to answer", func(ctx SpecContext) {
-		caller := &silentCaller{}
+		caller := &silentClient{}
 		options := optionsOf(store)
 		list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
-		options.Peers = &turn.Peers{List: list, Caller: caller, Log: zap.NewNop()}
+		options.Peers = &turn.Peers{List: list, PeerClient: caller, Log: zap.NewNop()}
 		repository := turn.NewRepository(options)
 		for _, name := range []string{"a", "b"} {
 			_, err := repository.Load(ctx, name, "silent:1")
--- a/internal/turn/conversation_test.go
+++ b/internal/turn/conversation_test.go
@@ -81,7 +81,7 @@
 		}
 		own := firstOwnBytes + (turns-1)*turnBytes + 500
 		held := commonBytes * 2 // the piece, and the first program's own copy of the prefix
-		Expect(store.Bytes()).To(BeNumerically("<", (programs*own+held)*11/10))
+		Expect(store.ValueBytes()).To(BeNumerically("<", (programs*own+held)*11/10))
 	})
 
 	It("are loaded whole by another daemon, whatever the number of turns", func(ctx SpecContext) {
@@ -105,10 +105,10 @@
 		var previous *turn.Turn
 		var sizes []int
 		for number := range 200 {
-			before := store.Bytes()
+			before := store.ValueBytes()
 			name := fmt.Sprintf("turn-%03d", number)
 			Expect(repository.Save(ctx, name, turn.Addition{Previous: previous, Input: []byte("x")}, time.Minute)).To(Succeed())
-			sizes = append(sizes, store.Bytes()-before)
+			sizes = append(sizes, store.ValueBytes()-before)
 			var err error
 			previous, err = repository.Load(ctx, name, "")
 			Expect(err).NotTo(HaveOccurred())
@@ -120,10 +120,10 @@
 		store := memorystore.New()
 		writer := turn.NewRepository(typicalOptions(store))
 		saveProgram(ctx, []*turn.Repository{writer}, rand.New(rand.NewPCG(1, 2)), "p", nil, 22)
-		before := store.Calls("read")
+		before := store.CallCount("read")
 		_, err := turn.NewRepository(typicalOptions(store)).Load(ctx, "p-21", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(store.Calls("read") - before).To(Equal(22))
+		Expect(store.CallCount("read") - before).To(Equal(22))
 	})
 })
 
--- a/internal/turn/model_test.go
+++ b/internal/turn/model_test.go
@@ -205,18 +205,18 @@
 	m.hasFaults = true
 	lost := rapid.Bool().Draw(t, "lost")
 	rest := rapid.IntRange(0, 2).Draw(t, "third")
-	m.store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+	m.store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 		partition := call.Partition
 		for _, put := range call.Commit.Puts {
 			partition = put.Key.Partition
 		}
 		if len(partition) == 0 || int(partition[len(partition)-1])%3 != rest {
-			return memorystore.None
+			return memorystore.FaultNone
 		}
 		if lost && call.Name == "commit" {
-			return memorystore.Lost
+			return memorystore.FaultLost
 		}
-		return memorystore.Refused
+		return memorystore.FaultRefused
 	})
 }
 
@@ -224,7 +224,7 @@
 // that failed before.
 func (m *storeModel) EndFaults(*rapid.T) {
 	m.hasFaults = false
-	m.store.Misbehave(nil)
+	m.store.SetFaultFunc(nil)
 	for index := range m.daemons {
 		m.daemons[index] = m.newDaemon()
 	}
--- a/internal/turn/peers.go
+++ b/internal/turn/peers.go
@@ -102,9 +102,9 @@
 // Peers asks other daemons for turns that they have in memory. It is safe for concurrent use.
 // The exported fields are required and must not be changed after the first use.
 type Peers struct {
-	List   *members.List // the known daemons
-	Caller peer.Caller   // makes the calls
-	Log    *zap.Logger
+	List       *members.List // the known daemons
+	PeerClient peer.Client   // makes the calls
+	Log        *zap.Logger
 
 	mutex        sync.Mutex
 	skippedUntil map[string]time.Time // time until which ask skips a daemon, by the daemon's address
@@ -138,7 +138,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	var reply ChainReply
-	if err := p.Caller.Call(ctx, address, peer.Data, methodChain, ChainRequest{Identifier: identifier}, &reply); err != nil {
+	if err := p.PeerClient.Call(ctx, address, peer.ClassData, methodChain, ChainRequest{Identifier: identifier}, &reply); err != nil {
 		p.noteSilent(address)
 		return nil, eris.Wrap(err, "ask for a turn")
 	}
@@ -179,7 +179,7 @@
 	for _, member := range asked {
 		go func() {
 			var received answer
-			received.err = p.Caller.Call(ctx, member.Process.Address, peer.Data, methodChain, ChainRequest{Identifier: identifier}, &received.reply)
+			received.err = p.PeerClient.Call(ctx, member.Process.Address, peer.ClassData, methodChain, ChainRequest{Identifier: identifier}, &received.reply)
 			answers <- received
 		}()
 	}
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -41,13 +41,13 @@
 // address.
 func newRepositoryWithPeer(store state.Store, other string) *turn.Repository {
 	list := members.NewList(members.Member{Process: identity.Process{Machine: "self", Zone: "z"}}, time.Now, zap.NewNop())
-	row, err := acquaintance.RowOf(members.Member{Process: identity.Process{Machine: "other", Zone: "z", Address: other}, State: members.StateAlive})
+	row, err := acquaintance.Row(members.Member{Process: identity.Process{Machine: "other", Zone: "z", Address: other}, State: members.StateAlive})
 	Expect(err).NotTo(HaveOccurred())
 	list.Apply([]state.Row{row})
 	pool := peer.NewPool(peer.Options{})
 	DeferCleanup(pool.Close)
 	options := optionsOf(store)
-	options.Peers = &turn.Peers{List: list, Caller: pool, Log: zap.NewNop()}
+	options.Peers = &turn.Peers{List: list, PeerClient: pool, Log: zap.NewNop()}
 	return turn.NewRepository(options)
 }
 
@@ -79,8 +79,8 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal(string(added.Input) + "out"))
 		Expect(loaded.Engine()).To(Equal("e"))
-		Expect(store.Calls("commit")).To(Equal(1))
-		Expect(store.Calls("read")).To(Equal(1))
+		Expect(store.CallCount("commit")).To(Equal(1))
+		Expect(store.CallCount("read")).To(Equal(1))
 	},
 		Entry("one row", 30),
 		Entry("as many rows as allowed", 1860),
@@ -111,14 +111,14 @@
 		Expect(repository.IsCached("t1")).To(BeTrue())
 		_, err := repository.Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(store.Calls("read")).To(BeZero())
+		Expect(store.CallCount("read")).To(BeZero())
 	})
 
 	It("writes rows and pieces with ClassTurn, the class of calls that an answer waits for", func(ctx SpecContext) {
 		var classes []state.Class
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			classes = append(classes, call.Commit.Class)
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		added := firstTurn(string(make([]byte, 3000))) // the turn's rows, and pieces
 		Expect(newRepository(store).Save(ctx, "t1", added, time.Minute)).To(Succeed())
@@ -133,17 +133,17 @@
 
 	It("returns ErrUncertain if a read of the store is stale", func(ctx SpecContext) {
 		Expect(newRepository(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
-		store.AnswerReadings(&state.Page{})
+		store.SetFixedPage(&state.Page{})
 		_, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).To(MatchError(turn.ErrUncertain))
 	})
 
 	It("does not report a turn as absent if the store does not answer", func(ctx SpecContext) {
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" {
-				return memorystore.Refused
+				return memorystore.FaultRefused
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
@@ -154,17 +154,17 @@
 
 	It("is saved and found while a part of the partitions is down", func(ctx SpecContext) {
 		down := map[string]bool{}
-		store.Misbehave(func(call memorystore.Call) memorystore.Fault {
+		store.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" && len(down) < 4 {
 				down[call.Commit.Puts[0].Key.Partition] = true
 			}
 			if call.Name == "commit" && down[call.Commit.Puts[0].Key.Partition] {
-				return memorystore.Refused
+				return memorystore.FaultRefused
 			}
-			return memorystore.None
+			return memorystore.FaultNone
 		})
 		Expect(newRepository(store).Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
-		Expect(store.Calls("commit")).To(Equal(5))
+		Expect(store.CallCount("commit")).To(Equal(5))
 		loaded, err := newRepository(store).Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("x"))
@@ -174,7 +174,7 @@
 		first := newRepository(store)
 		Expect(first.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 		second := newRepositoryWithPeer(store, serve(first))
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Refused })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultRefused })
 		loaded, err := second.Load(ctx, "t1", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(historyOf(loaded)).To(Equal("x"))
@@ -185,12 +185,12 @@
 	})
 
 	It("saves a turn again after the answer of a commit was lost", func(ctx SpecContext) {
-		store.Misbehave(func(memorystore.Call) memorystore.Fault { return memorystore.Lost })
+		store.SetFaultFunc(func(memorystore.Call) memorystore.Fault { return memorystore.FaultLost })
 		repository := newRepository(store)
 		short, cancel := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer cancel()
 		Expect(repository.Save(short, "t1", firstTurn("x"), time.Minute)).To(MatchError(state.ErrUnknownOutcome))
-		store.Misbehave(nil)
+		store.SetFaultFunc(nil)
 		Expect(repository.Save(ctx, "t1", firstTurn("x"), time.Minute)).To(Succeed())
 	})
 
--- a/test/replay/replay_test.go
+++ b/test/replay/replay_test.go
@@ -36,8 +36,8 @@
 
 func replayTrace(ctx context.Context, trace replay.Trace) *replay.Verdict {
 	verdict, err := replay.Run(ctx, trace, replay.Options{
-		Daemon:   daemonBinary,
-		Progress: func(format string, arguments ...any) { GinkgoWriter.Printf(format+"\n", arguments...) },
+		DaemonBinary: daemonBinary,
+		Progress:     func(format string, arguments ...any) { GinkgoWriter.Printf(format+"\n", arguments...) },
 	})
 	Expect(err).NotTo(HaveOccurred())
 	return verdict
@@ -47,7 +47,7 @@
 	func(ctx SpecContext, name string) {
 		verdict := replayFile(ctx, name)
 		Expect(verdict.Findings()).To(BeEmpty())
-		Expect(verdict.Held()).To(BeTrue())
+		Expect(verdict.Passed()).To(BeTrue())
 	},
 	Entry("of Brackenlaw's deployment", "brackenlaw"),
 	Entry("of the Theory Desk's deployment", "theory-desk"),
@@ -70,7 +70,7 @@
 
 var _ = DescribeTable("every guarantee holds under random faults",
 	func(ctx SpecContext, seed int) {
-		verdict := replayTrace(ctx, replay.Random(uint64(seed)))
+		verdict := replayTrace(ctx, replay.RandomTrace(uint64(seed)))
 		Expect(verdict.Findings()).To(BeEmpty())
 	},
 	Entry("of seed 2", 2),
--- a/test/scheduling/scheduling_test.go
+++ b/test/scheduling/scheduling_test.go
@@ -51,7 +51,7 @@
 		Region: "region", Zones: []string{"a", "b", "c"}, Shards: shards, TimeScale: timeScale,
 		Models:  []fleet.Model{{Name: modelName, Engines: engines, Old: oldEngines}},
 		Tenants: []fleet.Tenant{tenant},
-	}, fleet.Options{Daemon: daemonBinary})
+	}, fleet.Options{DaemonBinary: daemonBinary})
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(running.Close)
 	return running
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -57,7 +57,7 @@
 var _ = DescribeTable("every guarantee holds under the faults",
 	func(ctx SpecContext, seed uint64, seconds int) {
 		verdict, err := soak.Run(ctx, soak.Options{
-			Binary: gatewayBinary, Seed: seed, Duration: time.Duration(seconds) * time.Second, Gateways: 3, Callers: 4, Untimed: true,
+			GatewayBinary: gatewayBinary, Seed: seed, Duration: time.Duration(seconds) * time.Second, Gateways: 3, Callers: 4, SkipTimingChecks: true,
 			Environment: []string{"GORACE=halt_on_error=1"}, // a data race ends the gateway, which is a finding
 			Progress:    func(format string, arguments ...any) { GinkgoWriter.Printf(format+"\n", arguments...) },
 		})
