--- a/internal/gateway/report.go
+++ b/internal/gateway/report.go
@@ -71,7 +71,7 @@
 	if e.quotaPermit == nil {
 		return fields
 	}
-	return append(fields, zap.String("quotaKeeper", e.quotaPermit.Keeper), zap.Float64("quotaLeft", e.quotaPermit.Level),
+	return append(fields, zap.String("quotaKeeper", e.quotaPermit.Owner), zap.Float64("quotaLeft", e.quotaPermit.Level),
 		zap.Int("quotaAsked", e.quotaPermit.Asked), zap.Duration("quotaTook", e.quotaPermit.Duration))
 }
 
--- a/internal/quota/acquisition.go
+++ b/internal/quota/acquisition.go
@@ -21,13 +21,13 @@
 	decision   Decision
 }
 
-// candidate is a part of the quota and its keeper.
+// candidate is a part of the quota and its owner.
 type candidate struct {
-	part   partKey
-	keeper members.Member
+	part  partKey
+	owner members.Member
 }
 
-// answer is the result of one call to a keeper.
+// answer is the result of one call to an owner.
 type answer struct {
 	candidate
 	reply TakeReply
@@ -35,10 +35,10 @@
 }
 
 // newAcquisition returns an attempt for the request and determines the order in which it asks
-// the parts. Parts with a keeper in the local zone come first, because that keeper is closer and
-// stays reachable when other zones are cut off. Parts whose keeper is avoided after a failed call
+// the parts. Parts with an owner in the local zone come first, because that owner is closer and
+// stays reachable when other zones are cut off. Parts whose owner is avoided after a failed call
 // come last. Within each group the order is random, which spreads the load evenly over the parts.
-// Parts that are known to be empty, or whose keeper is unknown or in a silent zone, are left out.
+// Parts that are known to be empty, or whose owner is unknown or in a silent zone, are left out.
 func newAcquisition(limiter *Limiter, request Request) *acquisition {
 	attempt := &acquisition{limiter: limiter, request: request, answers: make(chan answer, limiter.settings.Parts), retryAfter: maxWait}
 	var remote, avoided []candidate
@@ -48,23 +48,23 @@
 		if attempt.isKnownEmpty(part) {
 			continue
 		}
-		keeper, known := limiter.directory.ShardOwner(claimOwner(part.tenant), part.number)
+		owner, known := limiter.directory.ShardOwner(shardKey(part.tenant), part.number)
 		switch {
-		case !known, limiter.directory.IsZoneSilent(keeper):
+		case !known, limiter.directory.IsZoneSilent(owner):
 			attempt.decision.Unreachable++
-		case limiter.isAvoided(keeper.Process.Machine):
-			avoided = append(avoided, candidate{part, keeper})
-		case keeper.Process.Zone != ownZone:
-			remote = append(remote, candidate{part, keeper})
+		case limiter.isAvoided(owner.Process.Machine):
+			avoided = append(avoided, candidate{part, owner})
+		case owner.Process.Zone != ownZone:
+			remote = append(remote, candidate{part, owner})
 		default:
-			attempt.remaining = append(attempt.remaining, candidate{part, keeper})
+			attempt.remaining = append(attempt.remaining, candidate{part, owner})
 		}
 	}
 	attempt.remaining = append(append(attempt.remaining, remote...), avoided...)
 	return attempt
 }
 
-// isKnownEmpty reports whether, by an earlier answer of its keeper, the part still has no permit
+// isKnownEmpty reports whether, by an earlier answer of its owner, the part still has no permit
 // for such a request. If so, isKnownEmpty also updates retryAfter and the decision.
 func (a *acquisition) isKnownEmpty(part partKey) bool {
 	until, found := a.limiter.emptyUntil.Get(a.emptyKey(part))
@@ -81,9 +81,9 @@
 	return emptyPartKey{part: part, continuation: a.request.Continuation, revision: a.request.Revision}
 }
 
-// run asks the keepers one after another and returns the first permit. It returns nil if no
-// keeper grants a permit within callTimeout, or if the parent context ends first. When a keeper
-// is slow, run also asks the next one. Permits that arrive after run has returned are given back.
+// run asks the owners one after another and returns the first permit. It returns nil if no
+// owner grants a permit within callTimeout, or if the parent context ends first. When an owner
+// is slow, run also asks the next one. Permits that arrive after run has returned are released.
 func (a *acquisition) run(parent context.Context) *Permit {
 	ctx, cancel := context.WithTimeout(parent, callTimeout)
 	defer cancel()
@@ -116,8 +116,8 @@
 	return nil
 }
 
-// askNext asks the next keeper, if any. A remote keeper is called in a goroutine, which sends the
-// answer to a.answers. If this daemon is the keeper, askNext handles the answer itself and returns
+// askNext asks the next owner, if any. A remote owner is called in a goroutine, which sends the
+// answer to a.answers. If this daemon is the owner, askNext handles the answer itself and returns
 // the permit, if there is one.
 func (a *acquisition) askNext(ctx context.Context) *Permit {
 	if len(a.remaining) == 0 {
@@ -130,9 +130,9 @@
 		Tenant: a.request.Tenant, Part: next.part.number, UnderWay: a.request.Continuation,
 		PerSecond: a.request.Quota.PerSecond, Burst: a.request.Quota.Burst, Revision: a.request.Revision,
 	}
-	if next.keeper.Process == a.limiter.directory.Self() {
+	if next.owner.Process == a.limiter.directory.Self() {
 		received := answer{candidate: next}
-		received.err = a.limiter.keeper.Take(request, &received.reply)
+		received.err = a.limiter.issuer.Take(request, &received.reply)
 		return a.handleAnswer(received)
 	}
 	a.pending++
@@ -140,27 +140,27 @@
 		callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 		defer cancel()
 		received := answer{candidate: next}
-		received.err = a.limiter.peerClient.Call(callCtx, next.keeper.Process.Address, peer.ClassControl, methodTake, request, &received.reply)
+		received.err = a.limiter.peerClient.Call(callCtx, next.owner.Process.Address, peer.ClassControl, methodTake, request, &received.reply)
 		a.answers <- received
 	}()
 	return nil
 }
 
-// handleAnswer records the answer of a keeper and returns the permit, or nil if there is none.
+// handleAnswer records the answer of an owner and returns the permit, or nil if there is none.
 func (a *acquisition) handleAnswer(received answer) *Permit {
 	if received.err != nil {
 		a.decision.Unreachable++
-		a.limiter.avoid(received.keeper, received.err.Error())
+		a.limiter.avoidOwner(received.owner, received.err.Error())
 		return nil
 	}
-	a.limiter.directory.RecordAnswer(received.keeper)
-	a.decision.Keeper, a.decision.Level = string(received.keeper.Process.Machine), received.reply.Level
+	a.limiter.directory.RecordAnswer(received.owner)
+	a.decision.Owner, a.decision.Level = string(received.owner.Process.Machine), received.reply.Level
 	switch received.reply.Verdict {
 	case VerdictGranted:
 		return a.newPermit(received)
 	case VerdictRefused:
 		a.retryAfter = min(a.retryAfter, received.reply.Back)
-		if received.keeper.Process != a.limiter.directory.Self() {
+		if received.owner.Process != a.limiter.directory.Self() {
 			a.limiter.emptyUntil.Add(a.emptyKey(received.part), a.limiter.now().Add(received.reply.Empty))
 		}
 	default:
@@ -170,12 +170,12 @@
 }
 
 func (a *acquisition) newPermit(received answer) *Permit {
-	giveBack := GiveBackRequest{Tenant: a.request.Tenant, Part: received.part.number, Place: received.reply.Place}
-	return &Permit{limiter: a.limiter, keeper: received.keeper, giveBack: giveBack}
+	releaseRequest := GiveBackRequest{Tenant: a.request.Tenant, Part: received.part.number, Place: received.reply.Place}
+	return &Permit{limiter: a.limiter, owner: received.owner, releaseRequest: releaseRequest}
 }
 
-// releasePending waits in the background for the calls that are still pending, and gives
-// back the permits that they return.
+// releasePending waits in the background for the calls that are still pending, and releases
+// the permits that they return.
 func (a *acquisition) releasePending() {
 	if a.pending == 0 {
 		return
@@ -184,7 +184,7 @@
 		for range pending {
 			received := <-a.answers
 			if received.err != nil {
-				a.limiter.avoid(received.keeper, received.err.Error())
+				a.limiter.avoidOwner(received.owner, received.err.Error())
 			} else if received.reply.Verdict == VerdictGranted {
 				a.newPermit(received).Release()
 			}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -16,7 +16,7 @@
 }
 
 // slotCount is the number of slots in a window. A bucket counts its permits by slot. A permit
-// can be given back until its slot is slotCount slots old.
+// can be released until its slot is slotCount slots old.
 const slotCount = 250
 
 // roundingError is the rounding error allowed in the comparison of levels, in permits.
@@ -25,10 +25,10 @@
 // bucket is a token bucket for the permits of one part. It refills at a constant rate up to
 // its capacity. It is not safe for concurrent use.
 //
-// Guarantee: in any interval of t seconds, the permits that were issued and not given back
-// number at most capacity + perSecond x t. The rates are those of the last call to take.
+// Guarantee: in any interval of t seconds, the permits that were issued and not released
+// number at most capacity + perSecond x t. The rates are those of the last call to issuePermit.
 //
-// When a permit is given back, the level becomes what it would be if the permit had not been
+// When a permit is released, the level becomes what it would be if the permit had not been
 // issued. In particular, it does not exceed the capacity. For this purpose the bucket counts
 // the permits of each recent slot and computes its level from the counts. Within a slot, the
 // refill is added and capped before the permits are subtracted, so that the computed level is
@@ -50,10 +50,10 @@
 // slotAt returns the number of the slot at the given time.
 func (b *bucket) slotAt(now time.Time) int64 { return max(int64(now.Sub(b.start)/b.slotLength), 0) }
 
-// take sets the rates, then issues a permit if the level is at least minLevel and the counter of
-// the current slot is not full. It returns the current slot, in which the permit is counted, and
+// issuePermit sets the rates, then issues a permit if the level is at least minLevel and the counter
+// of the current slot is not full. It returns the current slot, in which the permit is counted, and
 // the level afterwards.
-func (b *bucket) take(now time.Time, current rates, minLevel float64) (slot int64, level float64, taken bool) {
+func (b *bucket) issuePermit(now time.Time, current rates, minLevel float64) (slot int64, level float64, issued bool) {
 	b.rates = current
 	b.advance(now)
 	slot = b.slotAt(now)
@@ -65,9 +65,9 @@
 	return slot, level - 1, true
 }
 
-// giveBack removes a permit from the count of the slot in which it was issued. It returns false
+// release removes a permit from the count of the slot in which it was issued. It returns false
 // if the slot is too old, is in the future, or counts no permit.
-func (b *bucket) giveBack(now time.Time, slot int64) bool {
+func (b *bucket) release(now time.Time, slot int64) bool {
 	b.advance(now)
 	if slot < b.oldestSlot || slot > b.slotAt(now) || b.counts[slot%slotCount] == 0 {
 		return false
@@ -77,13 +77,13 @@
 }
 
 // advance folds the slots that have become too old into settledLevel. Permits issued in
-// them can no longer be given back.
+// them can no longer be released.
 func (b *bucket) advance(now time.Time) {
 	newest := b.slotAt(now)
 	for b.oldestSlot+slotCount <= newest {
-		if idle := newest - b.oldestSlot - 2*slotCount; idle > 0 && b.isUnused() {
-			b.settledLevel = b.refill(b.settledLevel, time.Duration(idle)*b.slotLength)
-			b.oldestSlot += idle
+		if skipped := newest - b.oldestSlot - 2*slotCount; skipped > 0 && b.isUnused() {
+			b.settledLevel = b.refill(b.settledLevel, time.Duration(skipped)*b.slotLength)
+			b.oldestSlot += skipped
 			continue
 		}
 		index := b.oldestSlot % slotCount
@@ -122,5 +122,5 @@
 }
 
 // maxWait is the longest wait that is computed. As acquisition.retryAfter it means that no
-// keeper has said when to try again.
+// owner has returned a time at which to try again.
 const maxWait = time.Hour
--- a/internal/quota/faults_test.go
+++ b/internal/quota/faults_test.go
@@ -16,8 +16,8 @@
 
 // TestQuotasUnderFaults checks that in no window more requests are admitted than the quota allows,
 // with 1 to 390 daemons and a load of up to ten times the quota. Meanwhile daemons restart, become
-// unreachable, lose replies, stop keeping their parts, and disagree on the current quota; parts
-// move to other keepers; and permits are given back at any time.
+// unreachable, lose replies, stop owning their parts, and disagree on the current quota; parts
+// move to other owners; and permits are released at any time.
 func TestQuotasUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { newFaultSimulation(t).run() })
 }
@@ -32,7 +32,7 @@
 	knownQuota []int           // by daemon: index in declared of the quota that it uses
 	loadFactor float64
 	permits    []*issuedPermit
-	expired    int // number of leading entries of permits that are too old to be given back
+	expired    int // number of leading entries of permits that are too old to be released
 }
 
 // declaredQuota is a quota and the time at which the last daemon stopped using it.
@@ -68,25 +68,25 @@
 		s.advanceBy(time.Duration(rapid.SampledFrom([]int{0, 1, 20, 100, 300, 1000, 4000}).Draw(s.t, fmt.Sprint("pause ", step))) * time.Millisecond)
 		switch rapid.IntRange(0, 9).Draw(s.t, fmt.Sprint("action ", step)) {
 		case 0:
-			s.locked(s.drawDaemon(step).start)
+			s.withLock(s.drawDaemon(step).start)
 		case 1:
 			chosen := s.drawDaemon(step)
-			s.locked(func() { chosen.unreachable = !chosen.unreachable })
+			s.withLock(func() { chosen.unreachable = !chosen.unreachable })
 		case 2:
 			chosen := s.drawDaemon(step)
 			loses := rapid.IntRange(1, 5).Draw(s.t, fmt.Sprint("loses ", step))
-			s.locked(func() { chosen.lostReplies = loses })
+			s.withLock(func() { chosen.lostReplies = loses })
 		case 3:
-			s.locked(s.moveClaims)
+			s.withLock(s.moveClaims)
 		case 4:
-			s.declare(step)
+			s.declareQuota(step)
 		case 5:
-			s.giveBack(rapid.IntRange(1, 30).Draw(s.t, fmt.Sprint("gives back ", step)))
+			s.releasePermits(rapid.IntRange(1, 30).Draw(s.t, fmt.Sprint("releases ", step)))
 		case 6:
 			chosen := s.drawDaemon(step)
-			s.locked(func() { chosen.suspended = !chosen.suspended })
+			s.withLock(func() { chosen.suspended = !chosen.suspended })
 		default:
-			s.ask(step)
+			s.sendRequests(step)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 	return s.daemons[rapid.IntRange(0, len(s.daemons)-1).Draw(s.t, fmt.Sprint("daemon ", step))]
 }
 
-// moveClaims reassigns the parts. Each new keeper is the only keeper of its parts from now on.
+// moveClaims reassigns the parts. Each new owner is the only owner of its parts from now on.
 func (s *faultSimulation) moveClaims() {
 	s.assignment++
 	for _, daemon := range s.daemons {
@@ -103,14 +103,14 @@
 	}
 }
 
-// declare adds a new quota. Daemons learn of it one after the other.
-func (s *faultSimulation) declare(step int) {
+// declareQuota adds a new quota. Daemons start to use it one after the other.
+func (s *faultSimulation) declareQuota(step int) {
 	s.declared = append(s.declared, declaredQuota{Quota: rapid.SampledFrom(testQuotas).Draw(s.t, fmt.Sprint("quota ", step))})
 }
 
-// learnQuota makes a daemon use the newest quota, and records the time at which no daemon uses an
+// updateQuota makes a daemon use the newest quota, and records the time at which no daemon uses an
 // older quota any more.
-func (s *faultSimulation) learnQuota(daemon int) {
+func (s *faultSimulation) updateQuota(daemon int) {
 	s.knownQuota[daemon] = len(s.declared) - 1
 	used := make([]bool, len(s.declared))
 	for _, index := range s.knownQuota {
@@ -123,14 +123,15 @@
 	}
 }
 
-// ask sends the requests that arrive in 0.1 s or 1 s, as drawn by rapid, and calls check.
-func (s *faultSimulation) ask(step int) {
+// sendRequests sends the requests that arrive in 0.1 s or 1 s, as drawn by rapid, and calls
+// checkWindows.
+func (s *faultSimulation) sendRequests(step int) {
 	seconds := rapid.SampledFrom([]float64{0.1, 1}).Draw(s.t, fmt.Sprint("lasting ", step))
 	newest := s.declared[len(s.declared)-1]
 	for range 1 + int(newest.PerSecond*s.loadFactor*seconds) {
 		daemon := s.random.IntN(len(s.daemons))
 		if s.random.IntN(3) == 0 {
-			s.learnQuota(daemon)
+			s.updateQuota(daemon)
 		}
 		index := s.knownQuota[daemon]
 		req := quota.Request{Tenant: "t", Quota: s.declared[index].Quota, Revision: uint64(index), Continuation: s.random.IntN(5) > 0}
@@ -139,11 +140,11 @@
 		}
 		s.advanceBy(time.Duration(float64(time.Second) * seconds / (1 + newest.PerSecond*s.loadFactor)))
 	}
-	s.check()
+	s.checkWindows()
 }
 
-// giveBack gives back up to count random permits of the last two windows.
-func (s *faultSimulation) giveBack(count int) {
+// releasePermits releases up to count random permits of the last two windows.
+func (s *faultSimulation) releasePermits(count int) {
 	for s.expired < len(s.permits) && s.now().Sub(s.permits[s.expired].at) > 2*windowLength {
 		s.expired++
 	}
@@ -155,16 +156,16 @@
 		if !chosen.returned {
 			chosen.returned = true
 			chosen.permit.Release()
-			if chosen.permit.Keeper != string(chosen.daemon) {
-				<-s.gaveBack
+			if chosen.permit.Owner != string(chosen.daemon) {
+				<-s.released
 			}
 		}
 	}
 }
 
-// check fails the test if more requests were admitted in any window than maxRequestsSince allows.
-// Requests whose permit was given back do not count.
-func (s *faultSimulation) check() {
+// checkWindows fails the test if more requests were admitted in any window than maxRequestsSince
+// allows. Requests whose permit was released do not count.
+func (s *faultSimulation) checkWindows() {
 	var admitted []time.Time
 	for _, permit := range s.permits {
 		if !permit.returned {
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -66,11 +66,11 @@
 
 // fleet is a set of daemons in simulated time.
 type fleet interface {
-	// take asks a daemon for a permit. retryAfter is how long a refused caller should wait
+	// acquire asks a daemon for a permit. retryAfter is how long a refused caller should wait
 	// before it retries.
-	take(daemon int, request quota.Request) (retryAfter time.Duration, admitted bool)
-	// advance sets the clock.
-	advance(to time.Time)
+	acquire(daemon int, request quota.Request) (retryAfter time.Duration, admitted bool)
+	// setClock sets the time that all daemons read.
+	setClock(to time.Time)
 }
 
 // caller is a request that arrives, or is retried, at a certain time.
@@ -110,9 +110,9 @@
 	var taken []time.Time
 	for len(pending) > 0 {
 		next := heap.Pop(&pending).(caller)
-		simulated.advance(next.at)
+		simulated.setClock(next.at)
 		request := quota.Request{Tenant: "t", Quota: load.quota, Continuation: next.continuation}
-		retryAfter, admitted := simulated.take(random.IntN(load.daemons), request)
+		retryAfter, admitted := simulated.acquire(random.IntN(load.daemons), request)
 		if admitted {
 			taken = append(taken, next.at)
 			continue
@@ -131,7 +131,7 @@
 // arrivals returns requests that arrive in groups of groupSize at random times. If the load is
 // below the rate of the quota, it returns evenArrivals instead.
 func arrivals(load demand, start time.Time, random *rand.Rand) callers {
-	const groupSize, underWayShare = 4, 0.8
+	const groupSize, continuationShare = 4, 0.8
 	perSecond := load.quota.PerSecond * load.loadFactor / groupSize
 	if load.loadFactor < 1 {
 		return evenArrivals(load, start, random)
@@ -139,7 +139,7 @@
 	var result callers
 	for at := time.Duration(0); at < load.length; at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)) {
 		for range groupSize {
-			result = append(result, caller{at: start.Add(at), continuation: random.Float64() < underWayShare})
+			result = append(result, caller{at: start.Add(at), continuation: random.Float64() < continuationShare})
 		}
 	}
 	return result
@@ -160,11 +160,11 @@
 }
 
 // maxInWindow returns the largest number of the given times in any window.
-func maxInWindow(moments []time.Time) int {
-	sort.Slice(moments, func(a, b int) bool { return moments[a].Before(moments[b]) })
+func maxInWindow(times []time.Time) int {
+	sort.Slice(times, func(a, b int) bool { return times[a].Before(times[b]) })
 	maximum, oldest := 0, 0
-	for newest := range moments {
-		for moments[newest].Sub(moments[oldest]) > windowLength {
+	for newest := range times {
+		for times[newest].Sub(times[oldest]) > windowLength {
 			oldest++
 		}
 		maximum = max(maximum, newest-oldest+1)
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -9,7 +9,7 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// ServiceName is the net/rpc service name of Keeper.
+// ServiceName is the net/rpc service name of Issuer.
 const ServiceName = "Quota"
 
 const (
@@ -17,7 +17,7 @@
 	methodGiveBack = ServiceName + ".GiveBack"
 )
 
-// TakeRequest asks a keeper for a permit from one part of a tenant's quota.
+// TakeRequest asks an owner for a permit from one part of a tenant's quota.
 type TakeRequest struct {
 	Tenant    identity.Tenant
 	Part      int
@@ -27,12 +27,12 @@
 	Revision  uint64 // of the configuration that declares the quota
 }
 
-// TakeReply is a keeper's answer to a TakeRequest.
+// TakeReply is an owner's answer to a TakeRequest.
 type TakeReply struct {
 	Verdict Verdict
 	Level   float64 // permits left in the part
-	// Empty is how long the part will have no permit for such a request, unless one is given
-	// back.
+	// Empty is how long the part will have no permit for such a request, unless one is
+	// released.
 	Empty time.Duration
 	// Back is how long the caller should wait before it asks again. This wait allows for the
 	// retries of callers that were refused earlier.
@@ -40,49 +40,49 @@
 	Place PermitID
 }
 
-// Verdict is a keeper's decision on a request.
+// Verdict is an owner's decision on a request.
 type Verdict uint8
 
-// The verdicts of a keeper.
+// The verdicts of an owner.
 const (
 	VerdictGranted Verdict = iota + 1
 	VerdictRefused
-	VerdictNotKeeper // this daemon is not the keeper of the part
+	VerdictNotOwner // this daemon is not the owner of the part
 )
 
-// PermitID identifies a permit at the keeper that issued it, so that it can be given back.
+// PermitID identifies a permit at the owner that issued it, so that it can be released.
 type PermitID struct {
 	Bucket uint64
 	Slot   int64
 }
 
-// GiveBackRequest gives back the permit of a request that was not run.
+// GiveBackRequest releases the permit of a request that was not executed.
 type GiveBackRequest struct {
 	Tenant identity.Tenant
 	Part   int
 	Place  PermitID
 }
 
-// GiveBackReply is empty. A permit that is too old to be given back stays issued, which is
-// not an error.
+// GiveBackReply is empty. A permit that is too old to be released stays issued, which is not
+// an error.
 type GiveBackReply struct{}
 
-// Ownership reports which parts this process is the only keeper of, and since when.
+// Ownership reports which parts this process is the only owner of, and since when.
 // *members.List implements it.
 type Ownership interface {
 	OwnsShard(key string, part int) (since time.Time, owns bool)
 }
 
-// Keeper issues the permits of the quota parts that are assigned to this daemon. It is safe
+// Issuer issues the permits of the quota parts that are assigned to this daemon. It is safe
 // for concurrent use.
-type Keeper struct {
-	settings Settings
-	claims   Ownership
-	now      func() time.Time
+type Issuer struct {
+	settings  Settings
+	ownership Ownership
+	now       func() time.Time
 
 	mutex     sync.Mutex
 	parts     map[partKey]*part
-	lastSweep time.Time
+	droppedAt time.Time
 }
 
 type partKey struct {
@@ -90,14 +90,14 @@
 	number int
 }
 
-// claimOwner returns the name under which members claim the parts of the tenant's quota.
-func claimOwner(tenant identity.Tenant) string { return "quota\x00" + string(tenant) }
+// shardKey returns the key of the shards that are the parts of the tenant's quota.
+func shardKey(tenant identity.Tenant) string { return "quota\x00" + string(tenant) }
 
 // part is the state of one part of a tenant's quota.
 type part struct {
 	*bucket
 	bucketID       uint64    // random, so that buckets of earlier processes have other IDs
-	since          time.Time // when this daemon became the only keeper of the part
+	since          time.Time // when this daemon became the only owner of the part
 	declared       tenant.Quota
 	revision       uint64
 	lastUsed       time.Time
@@ -105,38 +105,38 @@
 	queueUpdatedAt time.Time
 }
 
-// NewKeeper returns a keeper without any parts. A part is added when it is first asked for.
-func NewKeeper(settings Settings, claims Ownership, now func() time.Time) *Keeper {
-	return &Keeper{settings: settings, claims: claims, now: now, parts: map[partKey]*part{}}
+// NewIssuer returns an issuer without any parts. A part is added when it is first asked for.
+func NewIssuer(settings Settings, ownership Ownership, now func() time.Time) *Issuer {
+	return &Issuer{settings: settings, ownership: ownership, now: now, parts: map[partKey]*part{}}
 }
 
-// Take issues a permit or refuses the request. If this daemon is not the keeper of the part, the
-// verdict is VerdictNotKeeper. Other daemons call Take with net/rpc.
-func (k *Keeper) Take(request TakeRequest, reply *TakeReply) error {
+// Take issues a permit or refuses the request. If this daemon is not the owner of the part, the
+// verdict is VerdictNotOwner. Other daemons call Take with net/rpc.
+func (i *Issuer) Take(request TakeRequest, reply *TakeReply) error {
 	key := partKey{tenant: request.Tenant, number: request.Part}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	now := k.now()
-	since, keeps := k.claims.OwnsShard(claimOwner(key.tenant), key.number)
-	if !keeps {
-		// The part stays in memory and is used again if no other daemon keeps it in the meantime.
-		reply.Verdict = VerdictNotKeeper
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	now := i.now()
+	since, owns := i.ownership.OwnsShard(shardKey(key.tenant), key.number)
+	if !owns {
+		// The part stays in memory and is used again if no other daemon owns it in the meantime.
+		reply.Verdict = VerdictNotOwner
 		return nil
 	}
-	k.sweep(now)
-	entry := k.part(key, since, now)
+	i.dropUnusedParts(now)
+	entry := i.getOrCreatePart(key, since, now)
 	entry.updateQuota(request)
-	*reply = entry.serve(now, k.settings, request)
+	*reply = entry.serveRequest(now, i.settings, request)
 	return nil
 }
 
-// part returns the part with the key. If the part is new, or another daemon kept it in the
-// meantime, it gets a new bucket that was empty at since. The caller must hold the lock.
-func (k *Keeper) part(key partKey, since, now time.Time) *part {
-	entry := k.parts[key]
+// getOrCreatePart returns the part with the key. If the part is new, or another daemon owned it in
+// the meantime, it gets a new bucket that was empty at since. The caller must hold the lock.
+func (i *Issuer) getOrCreatePart(key partKey, since, now time.Time) *part {
+	entry := i.parts[key]
 	if entry == nil || !entry.since.Equal(since) {
-		entry = &part{bucket: newBucket(k.settings.Window, since), bucketID: rand.Uint64(), since: since, queueUpdatedAt: now}
-		k.parts[key] = entry
+		entry = &part{bucket: newBucket(i.settings.Window, since), bucketID: rand.Uint64(), since: since, queueUpdatedAt: now}
+		i.parts[key] = entry
 	}
 	entry.lastUsed = now
 	return entry
@@ -151,15 +151,15 @@
 	}
 }
 
-func (p *part) serve(now time.Time, settings Settings, request TakeRequest) TakeReply {
+func (p *part) serveRequest(now time.Time, settings Settings, request TakeRequest) TakeReply {
 	current := settings.rates(p.declared, request.Part)
 	minLevel := current.reservedLevel
 	if request.UnderWay {
 		minLevel = 1
 	}
-	slot, level, taken := p.take(now, current, minLevel)
+	slot, level, issued := p.issuePermit(now, current, minLevel)
 	reply := TakeReply{Verdict: VerdictGranted, Level: level, Place: PermitID{Bucket: p.bucketID, Slot: slot}}
-	if taken {
+	if issued {
 		return reply
 	}
 	reply.Verdict = VerdictRefused
@@ -170,8 +170,8 @@
 }
 
 // enqueue adds a refused caller to the estimated queue and returns the length of the queue ahead
-// of this caller. Refused callers usually ask all parts, so each part adds only the given share
-// of a caller.
+// of this caller. Most refused callers ask all parts, so each part adds only the given share of a
+// caller.
 func (p *part) enqueue(now time.Time, current rates, share float64) float64 {
 	served := current.perSecond * now.Sub(p.queueUpdatedAt).Seconds()
 	p.queueLength, p.queueUpdatedAt = max(p.queueLength-served, 0), now
@@ -182,34 +182,34 @@
 
 // GiveBack makes an issued permit available again, unless the permit is too old or from a bucket
 // that no longer exists. Other daemons call GiveBack with net/rpc.
-func (k *Keeper) GiveBack(request GiveBackRequest, _ *GiveBackReply) error {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	entry := k.parts[partKey{tenant: request.Tenant, number: request.Part}]
+func (i *Issuer) GiveBack(request GiveBackRequest, _ *GiveBackReply) error {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	entry := i.parts[partKey{tenant: request.Tenant, number: request.Part}]
 	if entry != nil && entry.bucketID == request.Place.Bucket {
-		entry.giveBack(k.now(), request.Place.Slot)
+		entry.release(i.now(), request.Place.Slot)
 	}
 	return nil
 }
 
 // A part that was not asked for during sweepAfter is dropped if it is full. No permit is lost: a
-// new bucket for the part refills from the time at which this daemon became its keeper.
+// new bucket for the part refills from the time at which this daemon became its owner.
 // sweepInterval is the shortest time between two searches for such parts.
 const (
 	sweepAfter    = 10 * time.Minute
 	sweepInterval = time.Minute
 )
 
-// sweep drops full parts that were not asked for during sweepAfter, at most once per
+// dropUnusedParts drops full parts that were not asked for during sweepAfter, at most once per
 // sweepInterval. The caller must hold the lock.
-func (k *Keeper) sweep(now time.Time) {
-	if now.Sub(k.lastSweep) < sweepInterval {
+func (i *Issuer) dropUnusedParts(now time.Time) {
+	if now.Sub(i.droppedAt) < sweepInterval {
 		return
 	}
-	k.lastSweep = now
-	for key, entry := range k.parts {
+	i.droppedAt = now
+	for key, entry := range i.parts {
 		if now.Sub(entry.lastUsed) > sweepAfter && entry.isFull(now) {
-			delete(k.parts, key)
+			delete(i.parts, key)
 		}
 	}
 }
@@ -220,8 +220,8 @@
 }
 
 // PartCount returns the number of parts in memory.
-func (k *Keeper) PartCount() int {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return len(k.parts)
+func (i *Issuer) PartCount() int {
+	i.mutex.Lock()
+	defer i.mutex.Unlock()
+	return len(i.parts)
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -18,23 +18,23 @@
 const (
 	// callTimeout limits the duration of one call, and that of the whole search for a permit.
 	callTimeout = 150 * time.Millisecond
-	// hedgeDelay is how long to wait for an answer before the next keeper is asked as well.
+	// hedgeDelay is how long to wait for an answer before the next owner is asked as well.
 	hedgeDelay = 30 * time.Millisecond
-	// avoidDuration is how long a keeper stays last in the order after a call to it has failed.
+	// avoidDuration is how long an owner stays last in the order after a call to it has failed.
 	avoidDuration = 500 * time.Millisecond
-	// giveBackTimeout limits the duration of the call that gives back a permit.
-	giveBackTimeout = time.Second
-	// minRetryAfter is the shortest wait that a refused caller is told, before jitter.
+	// releaseTimeout limits the duration of the call that releases a permit.
+	releaseTimeout = time.Second
+	// minRetryAfter is the shortest wait that is returned to a refused caller, before jitter.
 	minRetryAfter = 100 * time.Millisecond
 	// emptyCacheSize is the maximum number of parts that are remembered as empty. It allows for
 	// many tenants that are at their limit at the same time.
 	emptyCacheSize = 4096
 )
 
-// Directory knows the keepers of the parts and whether they can be reached. *members.List
+// Directory provides the owners of the parts and reports which zones are silent. *members.List
 // implements it.
 type Directory interface {
-	// ShardOwner returns the keeper of a part of the key, if it is known.
+	// ShardOwner returns the owner of a part of the key, if it is known.
 	ShardOwner(key string, part int) (members.Member, bool)
 	// IsZoneSilent reports whether the member's whole zone has stopped answering.
 	IsZoneSilent(member members.Member) bool
@@ -50,7 +50,7 @@
 // concurrent use.
 type Limiter struct {
 	settings   Settings
-	keeper     *Keeper // of the parts assigned to this daemon
+	issuer     *Issuer // of the parts assigned to this daemon
 	directory  Directory
 	peerClient peer.Client
 	now        func() time.Time
@@ -71,7 +71,7 @@
 // Options are the settings and dependencies of a Limiter.
 type Options struct {
 	Settings   Settings
-	Keeper     *Keeper
+	Issuer     *Issuer
 	Directory  Directory
 	PeerClient peer.Client
 	Now        func() time.Time
@@ -85,13 +85,13 @@
 		panic(err) // only for a size below 1
 	}
 	return &Limiter{
-		settings: options.Settings, keeper: options.Keeper, directory: options.Directory, peerClient: options.PeerClient, now: options.Now, log: options.Log,
+		settings: options.Settings, issuer: options.Issuer, directory: options.Directory, peerClient: options.PeerClient, now: options.Now, log: options.Log,
 		emptyUntil: emptyUntil, avoided: map[identity.Machine]time.Time{},
 	}
 }
 
 // Acquire gets a permit for the request. It returns nil without an error if the tenant has no
-// limit. If no keeper grants a permit, the error is *ExceededError if a keeper refused the
+// limit. If no owner grants a permit, the error is *ExceededError if an owner refused the
 // request, or if a part is known to be empty from an earlier answer. Otherwise it is
 // *UnreachableError.
 func (l *Limiter) Acquire(ctx context.Context, request Request) (*Permit, error) {
@@ -104,14 +104,14 @@
 	attempt.decision.Duration = l.now().Sub(start)
 	if permit != nil {
 		permit.Decision = attempt.decision
-		l.metrics.count(resultTaken)
+		l.metrics.countResult(resultTaken)
 		return permit, nil
 	}
 	if attempt.retryAfter == maxWait {
-		l.metrics.count(resultUnreached)
+		l.metrics.countResult(resultUnreached)
 		return nil, &UnreachableError{Decision: attempt.decision, Tenant: request.Tenant}
 	}
-	l.metrics.count(resultRefused)
+	l.metrics.countResult(resultRefused)
 	return nil, &ExceededError{
 		Decision: attempt.decision, Tenant: request.Tenant, Limit: int(l.settings.limit(request.Quota)), RetryAfter: addJitter(attempt.retryAfter),
 	}
@@ -127,38 +127,38 @@
 // Permit is a permit for one request. It is nil for a tenant without a limit.
 type Permit struct {
 	Decision
-	limiter  *Limiter
-	keeper   members.Member
-	giveBack GiveBackRequest
-	once     sync.Once
+	limiter        *Limiter
+	owner          members.Member
+	releaseRequest GiveBackRequest
+	once           sync.Once
 }
 
-// Release gives back the permit of a request that was not run. It does not wait for the
-// keeper. Only the first call has an effect. A call on a nil permit does nothing.
+// Release releases the permit of a request that was not executed. It does not wait for the
+// owner. Only the first call has an effect. A call on a nil permit does nothing.
 func (p *Permit) Release() {
 	if p == nil {
 		return
 	}
 	p.once.Do(func() {
-		if p.keeper.Process == p.limiter.directory.Self() {
-			_ = p.limiter.keeper.GiveBack(p.giveBack, &GiveBackReply{}) // never fails
+		if p.owner.Process == p.limiter.directory.Self() {
+			_ = p.limiter.issuer.GiveBack(p.releaseRequest, &GiveBackReply{}) // never fails
 			return
 		}
-		go p.limiter.giveBack(p.keeper, p.giveBack)
+		go p.limiter.releasePermit(p.owner, p.releaseRequest)
 	})
 }
 
-func (l *Limiter) giveBack(keeper members.Member, request GiveBackRequest) {
-	ctx, cancel := context.WithTimeout(context.Background(), giveBackTimeout)
+func (l *Limiter) releasePermit(owner members.Member, request GiveBackRequest) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if err := l.peerClient.Call(ctx, keeper.Process.Address, peer.ClassControl, methodGiveBack, request, &GiveBackReply{}); err != nil {
-		l.metrics.count(resultNotGivenBack)
-		l.log.Info("quota: giving back a place failed; it may still count as taken.", zap.String("tenant", string(request.Tenant)),
-			zap.String("keeper", string(keeper.Process.Machine)), zap.String("cause", err.Error()))
+	if err := l.peerClient.Call(ctx, owner.Process.Address, peer.ClassControl, methodGiveBack, request, &GiveBackReply{}); err != nil {
+		l.metrics.countResult(resultNotReleased)
+		l.log.Info("quota: releasing a permit failed; it may still count as issued.", zap.String("tenant", string(request.Tenant)),
+			zap.String("keeper", string(owner.Process.Machine)), zap.String("cause", err.Error()))
 	}
 }
 
-// isAvoided reports whether a call to the keeper on the machine has failed during the last
+// isAvoided reports whether a call to the owner on the machine has failed during the last
 // avoidDuration.
 func (l *Limiter) isAvoided(machine identity.Machine) bool {
 	l.mutex.Lock()
@@ -171,14 +171,14 @@
 	return found
 }
 
-func (l *Limiter) avoid(keeper members.Member, cause string) {
-	machine := keeper.Process.Machine
-	l.directory.RecordMiss(keeper)
+func (l *Limiter) avoidOwner(owner members.Member, cause string) {
+	machine := owner.Process.Machine
+	l.directory.RecordMiss(owner)
 	l.mutex.Lock()
 	_, known := l.avoided[machine]
 	l.avoided[machine] = l.now().Add(avoidDuration)
 	l.mutex.Unlock()
 	if !known {
-		l.log.Info("quota: call to keeper failed; asking it last.", zap.String("keeper", string(machine)), zap.Duration("for", avoidDuration), zap.String("cause", cause))
+		l.log.Info("quota: call to owner failed; asking it last.", zap.String("keeper", string(machine)), zap.Duration("for", avoidDuration), zap.String("cause", cause))
 	}
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,23 +1,23 @@
 // Package quota limits the rate at which the whole fleet runs each tenant's requests. The
 // limit applies to a sliding window of time.
 //
-// A tenant's quota is divided into parts. Each part is assigned to one daemon, its keeper
+// A tenant's quota is divided into parts. Each part is assigned to one daemon, its owner
 // (see members.List.OwnsShard). A request needs a permit from one of the parts before it runs.
-// Metrics, messages and RPC fields call a permit a place.
+// Metric names and RPC fields call a permit a place.
 //
 // Guarantee: in any window, all daemons together run at most as many requests of a tenant
 // as its limit and the tolerance allow. This holds for any load, during network partitions,
-// and with outdated information at any daemon. A keeper decides only by the permits that it
-// issued itself. A new keeper starts with an empty bucket that refills from the time at
-// which the previous keeper can no longer have issued permits. A request counts at the time
+// and with outdated information at any daemon. An owner decides only by the permits that it
+// issued itself. A new owner starts with an empty bucket that refills from the time at
+// which the previous owner can no longer have issued permits. A request counts at the time
 // at which it got its permit, which is after its arrival and before an engine starts it.
 // While daemons have different revisions of a quota, the higher limit applies.
 //
-// If all parts have a reachable keeper, new work is served as long as the tenant stays
+// If all parts have a reachable owner, new work is served as long as the tenant stays
 // within its rate and burst. Work in progress may also use the tolerance.
 //
-// Cost: usually one call to another daemon for each request of a limited tenant. A request
-// that is refused asks each part at most once. A daemon that reaches no keeper refuses all
+// Cost: in most cases one call to another daemon for each request of a limited tenant. A request
+// that is refused asks each part at most once. A daemon that reaches no owner refuses all
 // requests of limited tenants.
 package quota
 
@@ -42,18 +42,18 @@
 
 // Decision holds the details of how a permit was issued or refused, for logs and errors.
 type Decision struct {
-	Keeper      string  // machine of the keeper that answered last
-	Level       float64 // permits left in the part of that keeper
-	Asked       int     // number of parts whose keeper was asked
+	Owner       string  // machine of the owner that answered last
+	Level       float64 // permits left in the part of that owner
+	Asked       int     // number of parts whose owner was asked
 	KnownEmpty  int     // number of parts not asked because they were known to be empty
-	Unreachable int     // number of parts whose keeper is unknown, could not be reached, or no longer keeps the part
+	Unreachable int     // number of parts whose owner is unknown, could not be reached, or no longer owns the part
 	Duration    time.Duration
 }
 
 // String returns the details in one line.
 func (d Decision) String() string {
-	return fmt.Sprintf("%d parts asked, %d known to be empty, %d not reached, %.1f places left at %q, took %s",
-		d.Asked, d.KnownEmpty, d.Unreachable, d.Level, d.Keeper, d.Duration.Round(time.Millisecond))
+	return fmt.Sprintf("%d parts asked, %d known to be empty, %d not reached, %.1f permits left at %q, took %s",
+		d.Asked, d.KnownEmpty, d.Unreachable, d.Level, d.Owner, d.Duration.Round(time.Millisecond))
 }
 
 // ExceededError is returned when a tenant has used up its quota.
@@ -72,8 +72,8 @@
 	return fmt.Sprintf("tenant %s: quota used up, %d requests allowed in a window; %s", e.Tenant, e.Limit, e.Decision)
 }
 
-// UnreachableError is returned when no keeper of the tenant's quota could be reached. It is
-// then unknown whether the tenant has used up its quota.
+// UnreachableError is returned when no owner of a part of the tenant's quota could be reached. It
+// is then unknown whether the tenant has used up its quota.
 type UnreachableError struct {
 	Decision
 	Tenant identity.Tenant
@@ -81,5 +81,5 @@
 
 // Error implements error.
 func (e *UnreachableError) Error() string {
-	return fmt.Sprintf("tenant %s: no keeper of its quota could be reached; %s", e.Tenant, e.Decision)
+	return fmt.Sprintf("tenant %s: no owner of a part of its quota could be reached; %s", e.Tenant, e.Decision)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -103,7 +103,7 @@
 		Expect(last).To(BeNumerically(">", 250*time.Millisecond))
 	})
 
-	It("gives back a permit only once if the request was not run", func() {
+	It("releases a permit only once if the request was not executed", func() {
 		var permits []*quota.Permit
 		for {
 			permit, err := take(0, request(true))
@@ -136,13 +136,13 @@
 		Expect(before).To(BeNumerically("<=", 1+toleranceRequests+1), "daemons that do not know the new limit still send the old one")
 	})
 
-	It("continues with the remaining parts when a keeper does not answer, and refuses when none does", func() {
+	It("continues with the remaining parts when an owner does not answer, and refuses when none does", func() {
 		_, err := take(0, request(true))
 		Expect(err).NotTo(HaveOccurred())
 		for _, daemon := range fleet.daemons {
 			daemon.unreachable = true
 		}
-		// The asking daemon may be the keeper of some parts.
+		// The asking daemon may be the owner of some parts.
 		takeOwn := func() (err error) {
 			for range burst + tolerance + 1 {
 				if _, err = take(0, request(true)); err != nil {
@@ -153,7 +153,7 @@
 		}
 		Expect(takeOwn()).To(HaveOccurred())
 		alone := newTestFleet(2, time.Unix(1000, 0))
-		alone.soleKeeper = alone.daemons[1]
+		alone.soleOwner = alone.daemons[1]
 		alone.daemons[1].unreachable = true
 		_, err = alone.daemons[0].limiter.Acquire(context.Background(), request(true))
 		var unreachable *quota.UnreachableError
@@ -161,7 +161,7 @@
 		Expect(unreachable.Unreachable).To(Equal(quota.DefaultParts))
 	})
 
-	It("starts with an empty bucket after a keeper restarts, and refills at the steady rate", func() {
+	It("starts with an empty bucket after an owner restarts, and refills at the steady rate", func() {
 		for _, daemon := range fleet.daemons {
 			daemon.start()
 		}
@@ -170,7 +170,7 @@
 		Expect(takeAll(request(true))).To(Equal(perSecond), "the refill of each part is a whole number")
 	})
 
-	It("remembers issued permits while a keeper is suspended", func() {
+	It("remembers issued permits while an owner is suspended", func() {
 		taken := takeAll(request(true))
 		for _, suspended := range []bool{true, false} {
 			for _, daemon := range fleet.daemons {
@@ -189,7 +189,7 @@
 		Expect(taken).To(Equal(burst + tolerance))
 	})
 
-	It("does not take back a permit that an earlier process issued", func() {
+	It("does not accept the release of a permit that an earlier process issued", func() {
 		permit, err := take(0, request(true))
 		Expect(err).NotTo(HaveOccurred())
 		for _, daemon := range fleet.daemons {
@@ -216,7 +216,7 @@
 
 func ExampleExceededError() {
 	fmt.Println((&quota.ExceededError{
-		Tenant: "north", Limit: 120, Decision: quota.Decision{Keeper: "m1", Level: 0.5, Asked: 1, KnownEmpty: 3, Duration: 3 * time.Millisecond},
+		Tenant: "north", Limit: 120, Decision: quota.Decision{Owner: "m1", Level: 0.5, Asked: 1, KnownEmpty: 3, Duration: 3 * time.Millisecond},
 	}).Error())
-	// Output: tenant north: quota used up, 120 requests allowed in a window; 1 parts asked, 3 known to be empty, 0 not reached, 0.5 places left at "m1", took 3ms
+	// Output: tenant north: quota used up, 120 requests allowed in a window; 1 parts asked, 3 known to be empty, 0 not reached, 0.5 permits left at "m1", took 3ms
 }
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -19,10 +19,10 @@
 	Parts int
 }
 
-// DefaultParts is the usual number of parts of a quota. When a keeper fails, its parts issue no
+// DefaultParts is the default number of parts of a quota. When an owner fails, its parts issue no
 // permits until it restarts or its claims are released. If one of four parts is lost, a tenant
 // that uses less than three quarters of its limit is not affected. With more parts, the loss of
-// one costs less, but each part has fewer permits and a refused request has to ask more keepers.
+// one costs less, but each part has fewer permits and a refused request has to ask more owners.
 const DefaultParts = 4
 
 // maxPermits returns how many permits a quota allows in a window, including the tolerance.
--- a/internal/quota/standalone.go
+++ b/internal/quota/standalone.go
@@ -29,7 +29,7 @@
 func (standalone) Self() identity.Process { return identity.Process{} }
 
 // OwnsShard implements Ownership.
-func (a standalone) OwnsShard(string, int) (time.Time, bool) { return a.since, true }
+func (s standalone) OwnsShard(string, int) (time.Time, bool) { return s.since, true }
 
 // standaloneAge is how long a standalone daemon is assumed to have owned its parts. It is
 // long enough to fill the bucket of any practical quota.
@@ -41,6 +41,6 @@
 	settings.Parts = 1
 	directory := standalone{since: now().Add(-standaloneAge)}
 	return NewLimiter(Options{
-		Settings: settings, Keeper: NewKeeper(settings, directory, now), Directory: directory, Now: now, Log: zap.NewNop(),
+		Settings: settings, Issuer: NewIssuer(settings, directory, now), Directory: directory, Now: now, Log: zap.NewNop(),
 	})
 }
--- a/internal/quota/test_fleet_test.go
+++ b/internal/quota/test_fleet_test.go
@@ -16,26 +16,26 @@
 	"github.com/thymeloft/thymeloft/internal/quota"
 )
 
-// testFleet is a set of daemons that call each other directly. All daemons agree on the keeper of
+// testFleet is a set of daemons that call each other directly. All daemons agree on the owner of
 // each part.
 type testFleet struct {
 	clock      atomic.Int64 // nanoseconds since the epoch
 	mutex      sync.Mutex   // guards the daemons' state; a call may still run after its request has ended
 	daemons    []*testDaemon
 	byAddress  map[string]*testDaemon
-	soleKeeper *testDaemon // keeper of all parts, if not nil
+	soleOwner  *testDaemon // owner of all parts, if not nil
 	assignment byte        // any change reassigns the parts
-	// gaveBack receives a value after each Quota.GiveBack call. The value is dropped if an earlier
+	// released receives a value after each Quota.GiveBack call. The value is dropped if an earlier
 	// one has not been received yet.
-	gaveBack chan struct{}
+	released chan struct{}
 }
 
 func (f *testFleet) now() time.Time { return time.Unix(0, f.clock.Load()) }
 
 func (f *testFleet) advanceBy(elapsed time.Duration) { f.clock.Add(int64(elapsed)) }
 
-// locked runs update while no call is being handled.
-func (f *testFleet) locked(update func()) {
+// withLock runs update while no call is being handled.
+func (f *testFleet) withLock(update func()) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	update()
@@ -46,10 +46,10 @@
 	fleet       *testFleet
 	process     identity.Process
 	since       time.Time // start time of the process
-	keeper      *quota.Keeper
+	issuer      *quota.Issuer
 	limiter     *quota.Limiter
 	unreachable bool // it gets no calls and its own calls fail
-	// suspended daemons may not issue permits, although no other daemon keeps their parts.
+	// suspended daemons may not issue permits, although no other daemon owns their parts.
 	suspended   bool
 	silentZones map[identity.Zone]bool
 	lostReplies int // number of its next replies that are lost
@@ -58,7 +58,7 @@
 func newFleet(daemons int, start time.Time) fleet { return newTestFleet(daemons, start) }
 
 func newTestFleet(daemons int, start time.Time) *testFleet {
-	f := &testFleet{byAddress: map[string]*testDaemon{}, gaveBack: make(chan struct{}, 1)}
+	f := &testFleet{byAddress: map[string]*testDaemon{}, released: make(chan struct{}, 1)}
 	f.clock.Store(start.UnixNano())
 	for number := range daemons {
 		name := fmt.Sprint("m", number)
@@ -75,13 +75,13 @@
 	now := d.fleet.now
 	d.since = now()
 	d.process.Incarnation++
-	d.keeper = quota.NewKeeper(settings, d, now)
-	d.limiter = quota.NewLimiter(quota.Options{Settings: settings, Keeper: d.keeper, Directory: d, PeerClient: d, Now: now, Log: zap.NewNop()})
+	d.issuer = quota.NewIssuer(settings, d, now)
+	d.limiter = quota.NewLimiter(quota.Options{Settings: settings, Issuer: d.issuer, Directory: d, PeerClient: d, Now: now, Log: zap.NewNop()})
 }
 
 // IsZoneSilent implements quota.Directory.
-func (d *testDaemon) IsZoneSilent(keeper members.Member) bool {
-	return d.silentZones[keeper.Process.Zone]
+func (d *testDaemon) IsZoneSilent(member members.Member) bool {
+	return d.silentZones[member.Process.Zone]
 }
 
 // RecordMiss implements quota.Directory.
@@ -94,21 +94,21 @@
 func (d *testDaemon) Self() identity.Process { return d.process }
 
 // ShardOwner implements quota.Directory.
-func (d *testDaemon) ShardOwner(owner string, part int) (members.Member, bool) {
-	return members.Member{Process: d.fleet.keeperOf(owner, part).process}, true
+func (d *testDaemon) ShardOwner(key string, part int) (members.Member, bool) {
+	return members.Member{Process: d.fleet.ownerOf(key, part).process}, true
 }
 
 // OwnsShard implements quota.Ownership.
-func (d *testDaemon) OwnsShard(owner string, part int) (time.Time, bool) {
-	return d.since, !d.suspended && d.fleet.keeperOf(owner, part) == d
+func (d *testDaemon) OwnsShard(key string, part int) (time.Time, bool) {
+	return d.since, !d.suspended && d.fleet.ownerOf(key, part) == d
 }
 
-func (f *testFleet) keeperOf(owner string, part int) *testDaemon {
-	if f.soleKeeper != nil {
-		return f.soleKeeper
+func (f *testFleet) ownerOf(key string, part int) *testDaemon {
+	if f.soleOwner != nil {
+		return f.soleOwner
 	}
 	digest := uint64(0)
-	for _, b := range append([]byte(fmt.Sprint(owner, "\x00", part)), f.assignment) {
+	for _, b := range append([]byte(fmt.Sprint(key, "\x00", part)), f.assignment) {
 		const prime = 1099511628211
 		digest = (digest ^ uint64(b)) * prime
 	}
@@ -122,7 +122,7 @@
 	d.fleet.mutex.Lock()
 	defer d.fleet.mutex.Unlock()
 	if method == "Quota.GiveBack" {
-		defer d.fleet.signalGivenBack()
+		defer d.fleet.signalReleased()
 	}
 	callee := d.fleet.byAddress[address]
 	if d.unreachable || callee.unreachable {
@@ -131,9 +131,9 @@
 	var err error
 	switch method {
 	case "Quota.Take":
-		err = callee.keeper.Take(arguments.(quota.TakeRequest), reply.(*quota.TakeReply))
+		err = callee.issuer.Take(arguments.(quota.TakeRequest), reply.(*quota.TakeReply))
 	case "Quota.GiveBack":
-		err = callee.keeper.GiveBack(arguments.(quota.GiveBackRequest), reply.(*quota.GiveBackReply))
+		err = callee.issuer.GiveBack(arguments.(quota.GiveBackRequest), reply.(*quota.GiveBackReply))
 	}
 	if callee.lostReplies > 0 {
 		callee.lostReplies--
@@ -142,14 +142,14 @@
 	return err
 }
 
-func (f *testFleet) signalGivenBack() {
+func (f *testFleet) signalReleased() {
 	select {
-	case f.gaveBack <- struct{}{}:
+	case f.released <- struct{}{}:
 	default:
 	}
 }
 
-func (f *testFleet) take(daemon int, request quota.Request) (retryAfter time.Duration, admitted bool) {
+func (f *testFleet) acquire(daemon int, request quota.Request) (retryAfter time.Duration, admitted bool) {
 	permit, err := f.daemons[daemon].limiter.Acquire(context.Background(), request)
 	var exceeded *quota.ExceededError
 	if errors.As(err, &exceeded) {
@@ -158,4 +158,4 @@
 	return 0, permit != nil
 }
 
-func (f *testFleet) advance(to time.Time) { f.clock.Store(to.UnixNano()) }
+func (f *testFleet) setClock(to time.Time) { f.clock.Store(to.UnixNano()) }
--- a/internal/quota/zones_test.go
+++ b/internal/quota/zones_test.go
@@ -14,22 +14,22 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-var _ = Describe("Keeper", func() {
-	It("starts a part with an empty bucket after another daemon kept it", func() {
+var _ = Describe("Issuer", func() {
+	It("starts a part with an empty bucket after another daemon owned it", func() {
 		fleet := newTestFleet(1, time.Unix(1000, 0))
 		only := fleet.daemons[0]
 		fleet.advanceBy(2 * windowLength)
 		req := quota.TakeRequest{Tenant: "t", UnderWay: true, PerSecond: perSecond, Burst: burst}
 		var reply quota.TakeReply
-		Expect(only.keeper.Take(req, &reply)).To(Succeed())
+		Expect(only.issuer.Take(req, &reply)).To(Succeed())
 		Expect(reply.Verdict).To(Equal(quota.VerdictGranted), "the part was full")
-		former := reply.Place
+		previous := reply.Place
 		only.since = fleet.now()
-		Expect(only.keeper.Take(req, &reply)).To(Succeed())
-		Expect(reply.Verdict).To(Equal(quota.VerdictRefused), "the other keeper may have issued all permits")
-		Expect(only.keeper.GiveBack(quota.GiveBackRequest{Tenant: "t", Place: former}, &quota.GiveBackReply{})).To(Succeed())
-		Expect(only.keeper.Take(req, &reply)).To(Succeed())
-		Expect(reply.Verdict).To(Equal(quota.VerdictRefused), "a permit from before the change cannot be given back")
+		Expect(only.issuer.Take(req, &reply)).To(Succeed())
+		Expect(reply.Verdict).To(Equal(quota.VerdictRefused), "the other owner may have issued all permits")
+		Expect(only.issuer.GiveBack(quota.GiveBackRequest{Tenant: "t", Place: previous}, &quota.GiveBackReply{})).To(Succeed())
+		Expect(only.issuer.Take(req, &reply)).To(Succeed())
+		Expect(reply.Verdict).To(Equal(quota.VerdictRefused), "a permit from before the change cannot be released")
 	})
 })
 
@@ -47,7 +47,7 @@
 			for _, daemon := range fleet.daemons {
 				own := 0
 				for part := range quota.DefaultParts {
-					if keeper, _ := daemon.ShardOwner("quota\x00"+string(name), part); keeper.Process == daemon.process {
+					if owner, _ := daemon.ShardOwner("quota\x00"+string(name), part); owner.Process == daemon.process {
 						own++
 					}
 				}
@@ -58,7 +58,7 @@
 				for range 5 {
 					permit, err := daemon.limiter.Acquire(context.Background(), quota.Request{Tenant: name, Quota: declared, Continuation: true})
 					Expect(err).NotTo(HaveOccurred())
-					Expect(permit.Keeper).To(Equal(string(daemon.process.Machine)))
+					Expect(permit.Owner).To(Equal(string(daemon.process.Machine)))
 					Expect(permit.Asked).To(Equal(1))
 				}
 			}
@@ -66,12 +66,12 @@
 		Expect(mixed).To(BeNumerically(">", 0))
 	})
 
-	It("does not ask keepers in a silent zone, and fails at once if there are no others", func() {
+	It("does not ask owners in a silent zone, and fails at once if there are no others", func() {
 		fleet := newTestFleet(2, time.Unix(1000, 0))
 		local, remote := fleet.daemons[0], fleet.daemons[1]
 		remote.process.Zone = "cut off"
 		fleet.advanceBy(2 * windowLength)
-		fleet.soleKeeper = remote
+		fleet.soleOwner = remote
 		_, err := local.limiter.Acquire(context.Background(), request(true))
 		Expect(err).NotTo(HaveOccurred())
 		local.silentZones = map[identity.Zone]bool{"cut off": true}
--- a/internal/server/components.go
+++ b/internal/server/components.go
@@ -38,7 +38,7 @@
 	removalQueue   *retention.Queue
 	loads          *load.Exchange
 	quotas         *quota.Limiter
-	quotaKeeper    *quota.Keeper
+	quotaKeeper    *quota.Issuer
 	exchangesLoads bool                  // whether daemons tell each other the loads of instances
 	admission      *admission.Controller // nil if programs are not limited
 	peerServer     *peer.Server
@@ -127,9 +127,9 @@
 	})
 	c.loads = &load.Exchange{List: c.members, PeerClient: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
 	c.exchangesLoads = !disabled.Has(mechanism.FleetLoads)
-	c.quotaKeeper = quota.NewKeeper(s.Settings.quotaSettings(), c.members, time.Now)
+	c.quotaKeeper = quota.NewIssuer(s.Settings.quotaSettings(), c.members, time.Now)
 	c.quotas = quota.NewLimiter(quota.Options{
-		Settings: s.Settings.quotaSettings(), Keeper: c.quotaKeeper, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
+		Settings: s.Settings.quotaSettings(), Issuer: c.quotaKeeper, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
 	})
 	registrations := []error{
 		c.client.RegisterMetrics(s.Registry), c.members.RegisterMetrics(s.Registry), c.loads.RegisterMetrics(s.Registry),
