--- a/internal/members/bootstrap.go
+++ b/internal/members/bootstrap.go
@@ -11,7 +11,7 @@
 // bootstrapKey is the row that marks the end of the bootstrap and holds the layout. The bootstrap
 // is the time in which the founders of a system register. A founder's registration is conditional
 // on the absence of this row. So no founder can register once the row exists, however often a
-// machine is told that the system is being started for the first time. A daemon whose list doesn't
+// process is started with Lease.FirstStart set. A daemon whose list doesn't
 // show the row doesn't lend, and doesn't become a shard owner by settling.
 //
 // Any member writes the row after a registration or renewal, if the store has confirmed its list,
@@ -30,11 +30,11 @@
 		return row.Key.Name == bootstrapKey.Name && row.Version <= completeAt
 	})
 	if hasMarker && !l.localStatus.isBootstrapped.Swap(true) {
-		l.log.Info("members: bootstrap is over.")
+		l.log.Info("members: bootstrap ended.")
 	}
 }
 
-// untilBootstrapEnd returns the time that is left until this process may end the bootstrap. It is
+// untilBootstrapEnd returns the time until this process may end the bootstrap. It is
 // zero or negative if the process may end it now.
 func (l *List) untilBootstrapEnd() time.Duration {
 	return founderRegistrationWindow + maxFounderStartSkew - time.Duration(l.localStatus.elapsed(l.now()))
@@ -42,7 +42,7 @@
 
 // shouldEndBootstrap reports whether this process should write the end of the bootstrap.
 func (l *List) shouldEndBootstrap() bool {
-	return !l.localStatus.isBootstrapped.Load() && l.localStatus.lastHeard.Load() != 0 && l.untilBootstrapEnd() <= 0
+	return !l.localStatus.isBootstrapped.Load() && l.localStatus.lastConfirmed.Load() != 0 && l.untilBootstrapEnd() <= 0
 }
 
 // firstLayout returns the layout that takes effect at the end of the bootstrap. It is empty if the
--- a/internal/members/layout.go
+++ b/internal/members/layout.go
@@ -16,7 +16,7 @@
 // A change takes two commits. The first one announces the change: from then on, shards that move to
 // another zone have no owner. The second one, layoutChangeDelay later, puts the change in force. By
 // then, each list that daemons still use shows the announcement. The stored layout and the one
-// before it never give a shard two different owners.
+// before it never assign two different owners to a shard.
 //
 // Because a key's shards are spread over the zones, a zone that is cut off still reaches those
 // assigned to it, and the other zones still reach theirs. The cost is that shards that move have no
@@ -55,7 +55,9 @@
 	isEveryZone bool
 }
 
-func (g zoneGroup) has(member *Member) bool { return g.isEveryZone || member.claimZone() == g.zone }
+func (g zoneGroup) contains(member *Member) bool {
+	return g.isEveryZone || member.claimZone() == g.zone
+}
 
 // groupOf returns the group to which a shard is assigned. It returns false while the shard moves to
 // another group, during which it has no owner.
@@ -65,23 +67,24 @@
 }
 
 // assignZone returns the zone to which a shard is assigned, or the group of all members if zones is
-// empty. The shards of a key choose zones in order: each takes the zone with the highest score for
-// it among those not yet chosen. Once all zones are chosen, all are available again. So each zone
-// has a shard if the key has enough shards, and few shards move when a zone is added.
+// empty. The zones of a key's shards are chosen in the order of their numbers: each shard is
+// assigned to the zone with the highest score for it among those not yet chosen. Once all zones are
+// chosen, all are available again. So each zone has a shard if the key has enough shards, and few
+// shards move when a zone is added.
 func assignZone(zones []identity.Zone, wanted shard) zoneGroup {
 	if len(zones) == 0 {
 		return zoneGroup{isEveryZone: true}
 	}
-	var left []identity.Zone
+	var available []identity.Zone
 	for number := 0; ; number++ {
-		if len(left) == 0 {
-			left = slices.Clone(zones)
+		if len(available) == 0 {
+			available = slices.Clone(zones)
 		}
-		chosen := highestScoringZone(left, shard{wanted.key, number}.hash())
+		chosen := highestScoringZone(available, shard{wanted.key, number}.hash())
 		if number == wanted.number {
-			return zoneGroup{zone: left[chosen]}
+			return zoneGroup{zone: available[chosen]}
 		}
-		left = slices.Delete(left, chosen, chosen+1)
+		available = slices.Delete(available, chosen, chosen+1)
 	}
 }
 
--- a/internal/members/layout_test.go
+++ b/internal/members/layout_test.go
@@ -26,7 +26,7 @@
 		return assignZone(zones, shard{hashOf(fmt.Sprint("owner ", key)), shardNumber}).zone
 	}
 
-	It("give each zone some of a key's shards, and all zones equally many", func() {
+	It("assign some of a key's shards to each zone, and equally many to all zones", func() {
 		for count := 2; count <= 5; count++ {
 			held := map[identity.Zone]int{}
 			for key := range keyCount {
@@ -85,7 +85,7 @@
 	})
 })
 
-// startZonedFleet starts a daemon on each machine and runs them until the bootstrap is over. The
+// startZonedFleet starts a daemon on each machine and runs them until the bootstrap has ended. The
 // first letter of a machine's name is its zone.
 func startZonedFleet(env *testEnv, machines ...string) []*daemon {
 	var fleet []*daemon
@@ -212,7 +212,7 @@
 		for shardNumber, machine := range machines {
 			Expect(owns(moved, "tenant", shardNumber)).To(Equal(machine == "a1"))
 			Expect(owns(fleet[1], "tenant", shardNumber)).To(Equal(machine == "b1"))
-			Expect(owns(fleet[0], "tenant", shardNumber)).To(Equal(machine == "a1"), "the former process hasn't seen the new row; the claims belong to the machine")
+			Expect(owns(fleet[0], "tenant", shardNumber)).To(Equal(machine == "a1"), "the previous process hasn't seen the new row; the claims belong to the machine")
 		}
 		Expect(machines).To(ContainElements(identity.Machine("a1"), identity.Machine("b1")))
 	})
@@ -228,10 +228,10 @@
 
 	It("don't overwrite a layout that another member wrote meanwhile", func(ctx SpecContext) {
 		fleet := startZonedFleet(env, "a1", "b1")
-		laid := fleet[0].list.layoutInForce()
+		original := fleet[0].list.layoutInForce()
 		fleet[0].lease.writeLayout(context.WithoutCancel(ctx), layout{Zones: []identity.Zone{"b"}}, 0)
 		fleet[0].read()
-		Expect(fleet[0].list.layoutInForce()).To(Equal(laid))
+		Expect(fleet[0].list.layoutInForce()).To(Equal(original))
 	})
 })
 
--- a/internal/members/layout_update.go
+++ b/internal/members/layout_update.go
@@ -9,7 +9,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// endBootstrap ends the bootstrap by writing the first layout, if shouldEndBootstrap says so.
+// endBootstrap ends the bootstrap by writing the first layout, if shouldEndBootstrap returns true.
 func (l *Lease) endBootstrap(parent context.Context) {
 	if l.List.shouldEndBootstrap() {
 		l.writeLayout(parent, l.List.firstLayout(), 0)
--- a/internal/members/lease.go
+++ b/internal/members/lease.go
@@ -25,7 +25,7 @@
 const (
 	// renewalIntervalPerMember is multiplied by the number of members to get the renewal interval,
 	// unless MinRenewalInterval is longer. So a large fleet makes about 20 renewals a second in
-	// total, of the 300 commits a second that one store partition takes.
+	// total, of the 300 commits a second that one store partition accepts.
 	renewalIntervalPerMember = 50 * time.Millisecond
 	// renewalsPerTerm is the term of a lease in renewal intervals.
 	renewalsPerTerm = 4
@@ -34,7 +34,7 @@
 	// leaseReadTimeout bounds one check of the leases of other members.
 	leaseReadTimeout = 2 * time.Second
 	// maxRegistrationDelay is the interval over which daemons that start together spread their
-	// registrations, since one store partition takes 300 of them a second. For a short renewal
+	// registrations, since one store partition accepts 300 of them a second. For a short renewal
 	// interval it is reduced to MinRenewalInterval divided by registrationDelayDivisor.
 	maxRegistrationDelay     = time.Second
 	registrationDelayDivisor = 10
@@ -55,8 +55,7 @@
 type Lease struct {
 	List  *List
 	Store *state.Client
-	// FirstStart reports whether this process was told that the system is being started for the
-	// first time.
+	// FirstStart is set if this process was started as part of the first start of the system.
 	FirstStart bool
 	// MinRenewalInterval is the minimum renewal interval; it applies to small fleets.
 	MinRenewalInterval time.Duration
@@ -126,7 +125,7 @@
 		return true
 	}
 	if err := l.registerOrRenew(ctx); err != nil {
-		l.watchedLeases.reset() // the cause may have kept other members from renewing, too
+		l.watchedLeases.reset() // the cause may have prevented other members from renewing, too
 		if ctx.Err() == nil {
 			l.Log.Warn("members: lease not registered or renewed.", zap.Bool("registered", l.isRegistered), zap.String("error", err.Error()))
 		}
@@ -158,7 +157,7 @@
 	ctx, cancel := context.WithTimeout(parent, commitTimeout)
 	defer cancel()
 	attempt := registration{lease: l, memberKey: keyOf(MemberTable, l.List.self.Process.Machine), isNewcomer: true}
-	if err := l.Store.Retry(ctx, func() error { return attempt.try(ctx) }); err != nil {
+	if err := l.Store.Retry(ctx, func() error { return attempt.tryCommit(ctx) }); err != nil {
 		return err
 	}
 	l.isRegistered = true
@@ -173,8 +172,8 @@
 var errLeaseLost = errors.New("lease was removed or overwritten")
 
 // renew renews this daemon's lease, and writes the next standing if it differs from the current
-// one. It returns errLeaseLost if the lease was removed or was overwritten by a former process. If
-// a later process has written the lease, renew sets isSuperseded and returns nil.
+// one. It returns errLeaseLost if the lease was removed or was overwritten by an earlier process.
+// If a later process has written the lease, renew sets isSuperseded and returns nil.
 func (l *Lease) renew(ctx context.Context) error {
 	value, err := l.encodeLease()
 	if err != nil {
@@ -223,7 +222,7 @@
 		l.Log.Error("members: a later process runs on this machine.", zap.Uint64("incarnation", uint64(lease.Incarnation)))
 		return nil
 	case lease.Incarnation < own:
-		return errLeaseLost // a delayed registration of a former process overwrote the lease
+		return errLeaseLost // a delayed registration of an earlier process overwrote the lease
 	}
 	l.version = found.Version // an earlier renewal was committed, but its answer was lost
 	return nil
@@ -250,7 +249,7 @@
 	return lease, eris.Wrapf(cbor.Unmarshal(row.Value, &lease), "decode lease of %s", row.Key.Name)
 }
 
-// Leave writes that this daemon is leaving, so that other daemons give it no new work.
+// Leave writes that this daemon is leaving, so that other daemons assign it no new work.
 func (l *Lease) Leave(ctx context.Context) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/members/lease_checks.go
+++ b/internal/members/lease_checks.go
@@ -43,9 +43,9 @@
 
 func (w *watchedLeases) reset() { w.seen = nil }
 
-// unchangedFor records the row's version and returns how long this daemon has observed that
+// recordVersion records the row's version and returns how long this daemon has observed that
 // version.
-func (w *watchedLeases) unchangedFor(row state.Row, now time.Time) time.Duration {
+func (w *watchedLeases) recordVersion(row state.Row, now time.Time) time.Duration {
 	if w.seen == nil {
 		w.seen = map[string]watchedLease{}
 	}
@@ -120,7 +120,7 @@
 		l.Log.Error("members: cannot decode a lease.", zap.String("member", row.Key.Name), zap.String("error", err.Error()))
 		return true
 	}
-	unchanged := l.watchedLeases.unchangedFor(row, now)
+	unchanged := l.watchedLeases.recordVersion(row, now)
 	if unchanged > lease.Term {
 		l.expireLease(ctx, row, lease, unchanged)
 	}
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -16,11 +16,11 @@
 //     stop lending by lists without that row after maxLenderListAge, which is far shorter.
 //   - A daemon ends. Its row stays for deadRetention, marked dead, and its score still counts. It
 //     lends for the last time at most maxLenderListAge after the store last confirmed a list in
-//     which it was alive. A daemon that learns that it was marked dead stops lending; it lends
+//     which it was alive. A daemon that detects that it was marked dead stops lending; it lends
 //     again only after it has registered again and waited like a daemon that joins.
 //   - The system starts for the first time. Its founders lend early, since there were no programs
 //     before and no row was ever removed (removedKey). Each founder's row was committed on
-//     condition that the bootstrap was not over (bootstrapKey), and no daemon lends by a list that
+//     condition that the bootstrap had not ended (bootstrapKey), and no daemon lends by a list that
 //     doesn't show the end of the bootstrap. A list that shows it has the rows of all founders.
 const (
 	// founderRegistrationWindow is the time, from its own start, within which a process must
@@ -44,14 +44,14 @@
 type localStatus struct {
 	startedAt      time.Time
 	registeredAt   atomic.Int64 // when this process's registration was acknowledged; 0: not registered
-	lastHeard      atomic.Int64 // when the store last confirmed the list; 0: never
+	lastConfirmed  atomic.Int64 // when the store last confirmed the list; 0: never
 	isFounder      atomic.Bool
 	isBootstrapped atomic.Bool   // the list has shown the end of the bootstrap
 	standing       atomic.Uint32 // Standing in this process's row; before registration StandingJoined, or as inherited
 	standingSince  atomic.Int64  // when standing was set; 0: never
 	// exclusiveSince is the result of mayOwnFrom while standing is StandingOwner.
 	exclusiveSince atomic.Int64
-	// inheritedAt is when this process took over the shards of its machine's former process without
+	// inheritedAt is when this process took over the shards of its machine's previous process without
 	// being registered (see inheritShards); 0: it didn't, or it has registered or lost its
 	// membership since.
 	inheritedAt atomic.Int64
@@ -69,7 +69,7 @@
 // RecordConfirmation records that the store has just confirmed the list.
 func (l *List) RecordConfirmation() {
 	elapsed := l.localStatus.elapsed(l.now())
-	if previous := l.localStatus.lastHeard.Swap(elapsed); elapsed-previous > int64(maxOwnerListAge) {
+	if previous := l.localStatus.lastConfirmed.Swap(elapsed); elapsed-previous > int64(maxOwnerListAge) {
 		l.localStatus.staleUntil.Store(elapsed)
 	}
 }
@@ -89,8 +89,8 @@
 
 func (s *localStatus) mayLend(now time.Time) bool {
 	elapsed := s.elapsed(now)
-	heard, registered := s.lastHeard.Load(), s.registeredAt.Load()
-	if heard == 0 || registered == 0 || elapsed-heard > int64(maxLenderListAge) || !s.isBootstrapped.Load() {
+	lastConfirmed, registered := s.lastConfirmed.Load(), s.registeredAt.Load()
+	if lastConfirmed == 0 || registered == 0 || elapsed-lastConfirmed > int64(maxLenderListAge) || !s.isBootstrapped.Load() {
 		return false
 	}
 	return s.isFounder.Load() || elapsed-registered > int64(programReuseWindow)
@@ -98,7 +98,7 @@
 
 // recordRegistration records that this process has registered. mayBeFounder reports that the system
 // is being started for the first time and that no process of this machine existed before. The
-// process is a founder if this holds and founderRegistrationWindow isn't over yet.
+// process is a founder if this holds and founderRegistrationWindow hasn't passed yet.
 func (l *List) recordRegistration(mayBeFounder bool) {
 	elapsed := l.localStatus.elapsed(l.now())
 	l.localStatus.isFounder.Store(mayBeFounder && elapsed < int64(founderRegistrationWindow))
--- a/internal/members/lender_property_test.go
+++ b/internal/members/lender_property_test.go
@@ -69,7 +69,7 @@
 	s.now = s.now.Add(rapid.SampledFrom(pauses).Draw(t, fmt.Sprint("pause ", step)))
 }
 
-// registerDueDaemons registers the daemons whose registration delay is over.
+// registerDueDaemons registers the daemons whose registration delay has passed.
 func (s *lenderSimulation) registerDueDaemons() {
 	for late, delay := range s.delays {
 		if s.now.Sub(late.list.localStatus.startedAt) >= delay {
@@ -85,10 +85,10 @@
 	switch rapid.IntRange(0, 11).Draw(t, fmt.Sprint("action ", step)) {
 	case 0: // the process is killed, or only assumed to be killed, and restarted
 		delete(s.delays, chosen)
-		restarted := s.startDaemon(fmt.Sprint("m", machine), rapid.Bool().Draw(t, "told that it is the first start"))
+		restarted := s.startDaemon(fmt.Sprint("m", machine), rapid.Bool().Draw(t, "first start flag is set"))
 		registerOnce(restarted)
 		s.daemons[machine] = restarted
-		if rapid.Bool().Draw(t, "the former process still runs") {
+		if rapid.Bool().Draw(t, "the previous process still runs") {
 			s.replaced = append(s.replaced, chosen)
 		}
 	default:
--- a/internal/members/lender_test.go
+++ b/internal/members/lender_test.go
@@ -33,12 +33,12 @@
 		env.now = env.now.Add(time.Minute / 2)
 		Expect(first.list.MayLend("p")).To(BeFalse(), "the list is older than the end of the bootstrap")
 		registerOnce(first)
-		Expect(first.list.MayLend("p")).To(BeFalse(), "the list does not show that the bootstrap is over")
+		Expect(first.list.MayLend("p")).To(BeFalse(), "the list does not show that the bootstrap has ended")
 		first.read()
 		Expect(first.list.MayLend("p")).To(BeTrue())
 	})
 
-	It("learn from the feed at once that the bootstrap is over, but not before they know all founders", func(ctx SpecContext) {
+	It("detect from the feed at once that the bootstrap has ended, but not before they know all founders", func(ctx SpecContext) {
 		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
 		registerOnce(first)
 		first.read()
@@ -90,8 +90,8 @@
 	})
 
 	// Guards against two processes lending to one program. A machine failed to write its row at its
-	// first start. It was restarted, told again that the system was being started for the first
-	// time, and registered as a founder. Another founder already lent by a list that it had read
+	// first start. It was restarted with FirstStart set again, and registered as a
+	// founder. Another founder already lent by a list that it had read
 	// before.
 	It("are one where a machine that has no row yet is told of the system's first start once more", func() {
 		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
@@ -109,7 +109,7 @@
 		}
 	})
 
-	It("are unique if a machine is told of the first start again after the bootstrap is over", func() {
+	It("are unique if a machine is started with FirstStart again after the bootstrap has ended", func() {
 		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
 		first.isCutOff = true
 		registerOnce(second)
--- a/internal/members/list.go
+++ b/internal/members/list.go
@@ -274,7 +274,7 @@
 // epoch. They skip suspected members and members of silent zones. The end of a zone's silence also
 // ends earlier suspicions of its members.
 func (r *memberRecord) isAvoided(now int64) bool {
-	return r.zone.isSilent.Load() || now < r.suspicion.until.Load() && r.suspicion.from.Load() > r.zone.backAt.Load()
+	return r.zone.isSilent.Load() || now < r.suspicion.until.Load() && r.suspicion.from.Load() > r.zone.recoveredAt.Load()
 }
 
 // member returns the latest known process of a machine, and whether one is known.
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -44,7 +44,7 @@
 	State    State
 	Standing Standing
 	// ClaimZone is the zone in which shards are assigned to the member; empty: its own zone. If a
-	// machine moves to another zone, it owns shards of the former zone until its claims are
+	// machine moves to another zone, it owns shards of the previous zone until its claims are
 	// released.
 	ClaimZone identity.Zone
 }
@@ -71,7 +71,7 @@
 	View() *View
 	// Self returns this process.
 	Self() identity.Process
-	// Subscribe returns a channel that receives a signal after a change. One signal may stand for
+	// Subscribe returns a channel that receives a signal after a change. One signal may cover
 	// several changes.
 	Subscribe() <-chan struct{}
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -70,7 +70,7 @@
 		return made
 	}
 
-	It("gives each key the same homes in a region at every member", func() {
+	It("returns the same homes for each key in a region at every member", func() {
 		made := lists(all...)
 		homes := map[string]int{}
 		for _, key := range []string{"p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"} {
@@ -185,7 +185,7 @@
 			list.Replace(rows, 1)
 			b.ReportAllocs()
 			for b.Loop() {
-				_ = list.Homes("a program of usual length")
+				_ = list.Homes("a program of average length")
 			}
 		})
 	}
--- a/internal/members/metrics.go
+++ b/internal/members/metrics.go
@@ -18,7 +18,7 @@
 		list:    l,
 		members: prometheus.NewDesc("thymeloft_members", "Members by state, as this daemon knows them.", []string{"state"}, nil),
 		silent: prometheus.NewDesc("thymeloft_member_zone_silent",
-			"1 for another zone whose members are skipped, because several of them gave no answer and none has answered since.", []string{"zone"}, nil),
+			"1 for another zone whose members are skipped, because several of them did not answer and none has answered since.", []string{"zone"}, nil),
 	}
 	return eris.Wrap(registerer.Register(collector), "register metrics of members")
 }
--- a/internal/members/owner_set.go
+++ b/internal/members/owner_set.go
@@ -17,7 +17,7 @@
 	// members. Each new version of the list starts with an empty cache.
 	cache *sync.Map // shard to *memberRecord
 	// previous is the set before the last change, or nil. The chain of previous sets has at most
-	// maxPreviousSets elements. It tells how long this process has owned a shard across changes.
+	// maxPreviousSets elements. It shows how long this process has owned a shard across changes.
 	previous *ownerSet
 }
 
@@ -96,7 +96,7 @@
 	var owner *memberRecord
 	key, highest := wanted.hash(), uint64(0)
 	for _, candidate := range s.records {
-		if !group.has(&candidate.member) {
+		if !group.contains(&candidate.member) {
 			continue
 		}
 		if candidateScore := score(candidate.nameHash, key); owner == nil || candidateScore > highest {
--- a/internal/members/registration.go
+++ b/internal/members/registration.go
@@ -19,7 +19,7 @@
 	seenVersion state.Version // of the row found at memberKey; zero: none was found
 	existing    *Member       // decoded row found at memberKey; nil: none was found
 	// isNewcomer is true until a conflict shows that this machine already had a row, that a row of
-	// any machine was removed before, or that the bootstrap is over.
+	// any machine was removed before, or that the bootstrap has ended.
 	isNewcomer bool
 	standing   Standing
 	// claimZone is the zone of the claims that the machine already has; empty: it has none, or they
@@ -27,8 +27,8 @@
 	claimZone identity.Zone
 }
 
-// try commits the rows. After a conflict it tries once more, with the row that the conflict showed.
-func (r *registration) try(ctx context.Context) error {
+// tryCommit commits the rows. After a conflict it tries once more, with the row that the conflict showed.
+func (r *registration) tryCommit(ctx context.Context) error {
 	err := r.commit(ctx)
 	var conflict *state.ConflictError
 	if !errors.As(err, &conflict) {
@@ -89,7 +89,7 @@
 func (r *registration) applyConflict(conflict *state.ConflictError) (done bool, err error) {
 	row, exists := conflict.Find(r.memberKey)
 	if !exists {
-		r.isNewcomer, r.seenVersion, r.existing = false, 0, nil // a member row was removed before, or the bootstrap is over
+		r.isNewcomer, r.seenVersion, r.existing = false, 0, nil // a member row was removed before, or the bootstrap has ended
 		return false, nil
 	}
 	found, err := decode(row.Key.Name, row.Value)
--- a/internal/members/shard_owner.go
+++ b/internal/members/shard_owner.go
@@ -15,18 +15,18 @@
 // owner knows since when no other process has owned the shard. Shards move to another zone by an
 // announced change of the layout (layout.go). Within a zone they move in two cases.
 //   - A member joins. It has no claims until it is settling, and owns no shards until
-//     settlingDuration is over (a founder: until the bootstrap is over). The former owners stop
-//     when they see that it is settling, or maxOwnerListAge after the store last confirmed their
-//     list; both happen before settlingDuration is over.
-//   - A member ends. It has claims until its row says that they are released; the commit that
+//     settlingDuration has passed (a founder: until the bootstrap has ended). The previous owners
+//     stop when they see that it is settling, or maxOwnerListAge after the store last confirmed
+//     their list; both happen before settlingDuration has passed.
+//   - A member ends. It has claims until its row shows that they are released; the commit that
 //     releases them is conditional on the row being unchanged. The claims of a member that was
 //     killed or cut off are released only when the member must have stopped using its list. A
 //     member that shuts down as planned stops owning shards before it writes that it has ended.
 //
-// A process that is restarted at its machine's former address takes over the standing of the former
-// process, unless the machine's claims were released. If the former process could own shards, the
-// new one can own them as soon as it has registered, or earlier (see inheritShards). The former
-// process can't be running, since it used the same address.
+// A process that is restarted at its machine's previous address takes over the standing of the
+// previous process, unless the machine's claims were released. If the previous process could own
+// shards, the new one can own them as soon as it has registered, or earlier (see inheritShards). The
+// previous process can't be running, since it used the same address.
 const (
 	// maxOwnerListAge is how long a shard owner may use its list after the store last confirmed the
 	// list. It is long enough to bridge outages of the store.
@@ -48,8 +48,8 @@
 	// restarted without losing its claims.
 	endedReleaseDelay = 20 * time.Second
 	// maxInheritedTime is how long a process may own its machine's shards without having
-	// registered. The list may not show yet that the former process shut down as planned. In that
-	// case the claims are released endedReleaseDelay after the shutdown.
+	// registered. The list may not show yet that the previous process shut down as planned. In
+	// that case the claims are released endedReleaseDelay after the shutdown.
 	maxInheritedTime = endedReleaseDelay / 2
 	// deadReleaseDelay is the time after which a member that was marked dead must have stopped
 	// using its list.
@@ -120,10 +120,10 @@
 // mayOwnShards reports whether this process may own the shards for which it has the highest score.
 func (l *List) mayOwnShards() bool {
 	elapsed := l.localStatus.elapsed(l.now())
-	heard := l.localStatus.lastHeard.Load()
+	lastConfirmed := l.localStatus.lastConfirmed.Load()
 	inherited := l.localStatus.inheritedAt.Load()
 	isMember := l.localStatus.registeredAt.Load() != 0 || inherited != 0 && elapsed-inherited < int64(maxInheritedTime)
-	if heard == 0 || !isMember || elapsed-heard > int64(maxOwnerListAge) {
+	if lastConfirmed == 0 || !isMember || elapsed-lastConfirmed > int64(maxOwnerListAge) {
 		return false
 	}
 	switch l.standing() {
@@ -136,17 +136,17 @@
 	}
 }
 
-// inheritShards lets this process own the shards of its machine's former process as soon as it has
-// read that process's row, even before it has registered. The row must have the same address and
-// StandingOwner, and must not be marked dead. This is safe: if the row is marked dead later, the
+// inheritShards lets this process own the shards of its machine's previous process as soon as it
+// has read that process's row, even before it has registered. The row must have the same address
+// and StandingOwner, and must not be marked dead. This is safe: if the row is marked dead later, the
 // claims are released deadReleaseDelay after that, and this process stops using its list sooner.
 // maxInheritedTime covers the earlier release after a planned shutdown. The caller holds the lock.
-func (l *List) inheritShards(former Member) {
-	canInherit := former.State != StateDead && former.Standing == StandingOwner && former.Process.Address == l.self.Process.Address
-	if !canInherit || former.Process.Incarnation >= l.self.Process.Incarnation || l.localStatus.registeredAt.Load() != 0 || l.localStatus.inheritedAt.Load() != 0 {
+func (l *List) inheritShards(previous Member) {
+	canInherit := previous.State != StateDead && previous.Standing == StandingOwner && previous.Process.Address == l.self.Process.Address
+	if !canInherit || previous.Process.Incarnation >= l.self.Process.Incarnation || l.localStatus.registeredAt.Load() != 0 || l.localStatus.inheritedAt.Load() != 0 {
 		return
 	}
-	l.setStanding(StandingOwner, former.claimZone())
+	l.setStanding(StandingOwner, previous.claimZone())
 	l.localStatus.inheritedAt.Store(l.localStatus.elapsed(l.now()))
 }
 
@@ -168,7 +168,7 @@
 	case l.standing() == StandingSettling:
 		exclusiveSince = l.mayOwnFrom()
 	case !l.localStatus.hasOwned.Load() || l.standing() == StandingOwner:
-		exclusiveSince = l.localStatus.exclusiveSince.Load() // initially 0, the start of this process; the former process ended before it
+		exclusiveSince = l.localStatus.exclusiveSince.Load() // initially 0, the start of this process; the previous process ended before it
 	}
 	l.localStatus.exclusiveSince.Store(exclusiveSince)
 	l.localStatus.standingSince.Store(now)
@@ -181,12 +181,12 @@
 // currentOwnersSince returns a time since which no other process can have owned the shards that the
 // current ownerSet assigns to this process. It is the start of this process if the process has
 // owned no shard yet and started less than endedReleaseDelay ago; otherwise it is now. The start is
-// safe: the former process of the machine ended before it (if not, mayOwnFrom returns a later
+// safe: the previous process of the machine ended before it (if not, mayOwnFrom returns a later
 // time), and other owners stop at least endedReleaseDelay before a release of claims or a change of
 // the layout takes effect.
 func (l *List) currentOwnersSince() time.Time {
 	now := l.now()
-	if earliest := now.Add(-endedReleaseDelay); !l.localStatus.hasOwned.Load() && l.localStatus.startedAt.After(earliest) {
+	if minStart := now.Add(-endedReleaseDelay); !l.localStatus.hasOwned.Load() && l.localStatus.startedAt.After(minStart) {
 		return l.localStatus.startedAt
 	}
 	return now
@@ -204,7 +204,7 @@
 	switch {
 	case current == StandingSettling && l.mayOwnShards():
 		return StandingOwner
-	case current == StandingJoined && l.isJoinDelayOver():
+	case current == StandingJoined && l.hasJoinDelayPassed():
 		return StandingSettling
 	default:
 		return current
@@ -225,7 +225,7 @@
 // doesn't renew without pause until its list shows the end of the bootstrap.
 const founderRecheckInterval = 200 * time.Millisecond
 
-func (l *List) isJoinDelayOver() bool {
+func (l *List) hasJoinDelayPassed() bool {
 	own := hashOf(string(l.self.Process.Machine))
 	wait := int64(joinDelay) + int64(own%uint64(joinDelaySpread))
 	return l.localStatus.elapsed(l.now())-l.localStatus.standingSince.Load() > wait
@@ -241,9 +241,9 @@
 	case existing == nil, existing.Standing == StandingReleased:
 		return StandingJoined
 	case existing.Standing == StandingEnded:
-		return StandingOwner // the former process stopped owning shards before it wrote this
+		return StandingOwner // the previous process stopped owning shards before it wrote this
 	case existing.Standing == StandingOwner && existing.Process.Address != self.Process.Address:
-		return StandingSettling // the former process may still run at its address
+		return StandingSettling // the previous process may still run at its address
 	default:
 		return existing.Standing
 	}
--- a/internal/members/shard_owner_property_test.go
+++ b/internal/members/shard_owner_property_test.go
@@ -61,12 +61,12 @@
 		changesAddress := rapid.Bool().Draw(t, "moves")
 		if changesAddress {
 			address = fmt.Sprint(name, "/", s.started)
-			s.replaced = append(s.replaced, chosen) // it may still run at the former address
+			s.replaced = append(s.replaced, chosen) // it may still run at the previous address
 		}
 		if s.zoneCount > 1 && rapid.IntRange(0, 3).Draw(t, "moves to another zone") == 0 {
 			s.zones[name] = zoneName(rapid.IntRange(0, s.zoneCount-1).Draw(t, "zone"))
 		}
-		restarted := s.startDaemonAt(name, address, rapid.Bool().Draw(t, "told that it is the first start"))
+		restarted := s.startDaemonAt(name, address, rapid.Bool().Draw(t, "first start flag is set"))
 		if rapid.Bool().Draw(t, "registers at once") {
 			registerOnce(restarted)
 		} else {
--- a/internal/members/shard_owner_test.go
+++ b/internal/members/shard_owner_test.go
@@ -71,7 +71,7 @@
 		Expect(since).To(BeTemporally("~", startedAt, time.Microsecond), "ownership is unchanged")
 	})
 
-	It("own nothing before they register, if the former process shut down as planned", func(ctx SpecContext) {
+	It("own nothing before they register, if the previous process shut down as planned", func(ctx SpecContext) {
 		fleet := bootstrapFleet("m0", "m1")
 		key := ownedKey(fleet[0])
 		Expect(fleet[0].lease.WriteEnded(ctx)).To(Succeed())
@@ -160,7 +160,7 @@
 		Expect(owns(restarted, key)).To(BeTrue())
 	})
 
-	It("own nothing before they register, if the former process was marked dead", func() {
+	It("own nothing before they register, if the previous process was marked dead", func() {
 		fleet := bootstrapFleet("m0", "m1")
 		key := ownedKey(fleet[0])
 		env.run(renewalsPerTerm*testRenewal+3*testRenewal, fleet[1])
@@ -223,7 +223,7 @@
 		Expect(since).To(BeTemporally(">", before.Add(endedReleaseDelay)), "another daemon owned it before")
 	})
 
-	It("wait after a restart at another address, since the former process may still run", func() {
+	It("wait after a restart at another address, since the previous process may still run", func() {
 		fleet := bootstrapFleet("m0", "m1")
 		key := ownedKey(fleet[0])
 		moved := env.startDaemonAt("m0", "elsewhere", false)
--- a/internal/members/zone_health.go
+++ b/internal/members/zone_health.go
@@ -13,7 +13,7 @@
 
 // Without detection, each request would wait for a timeout at members of a zone that is cut off. A
 // zone becomes silent if several of its members fail to answer and no member answers in between.
-// Lookups skip all members of a silent zone until one answers. If a zone is wrongly taken for
+// Lookups skip all members of a silent zone until one answers. If a zone is wrongly considered
 // silent, requests go to other members until the next probe is answered; no guarantee depends on
 // it.
 const (
@@ -33,19 +33,19 @@
 // atomic fields are read without the lock. Times are nanoseconds since the epoch.
 type zoneHealth struct {
 	isSilent    atomic.Bool
-	isSuspected atomic.Bool  // a member gave no answer since the last answer
+	isSuspected atomic.Bool  // a member did not answer since the last answer
 	answeredAt  atomic.Int64 // when the last answer came
-	backAt      atomic.Int64 // when the last silence ended; earlier suspicions of members are void
+	recoveredAt atomic.Int64 // when the last silence ended; earlier suspicions of members are void
 
 	mutex       sync.Mutex
-	missed      []uint64 // name hashes of the members that gave no answer since the last answer, without duplicates
+	missed      []uint64 // name hashes of the members that did not answer since the last answer, without duplicates
 	silentSince int64    // when the last silence began
 }
 
-// recordMiss records that the member with this name hash gave no answer. living is the number of
+// recordMiss records that the member with this name hash did not answer. living is the number of
 // living members of its zone. It reports whether the zone became silent by this miss.
 func (h *zoneHealth) recordMiss(member uint64, living int, now int64) (becameSilent bool) {
-	if h.isSilent.Load() || now-h.backAt.Load() < int64(lateMissWindow) {
+	if h.isSilent.Load() || now-h.recoveredAt.Load() < int64(lateMissWindow) {
 		return false
 	}
 	h.mutex.Lock()
@@ -62,9 +62,9 @@
 	return true
 }
 
-// recordAnswer records an answer from a member. isBack reports whether it ended a silence;
+// recordAnswer records an answer from a member. hasRecovered reports whether it ended a silence;
 // silentFor is the length of that silence.
-func (h *zoneHealth) recordAnswer(now int64) (silentFor time.Duration, isBack bool) {
+func (h *zoneHealth) recordAnswer(now int64) (silentFor time.Duration, hasRecovered bool) {
 	h.answeredAt.Store(now)
 	if !h.isSuspected.Load() {
 		return 0, false
@@ -76,7 +76,7 @@
 	if !h.isSilent.Load() {
 		return 0, false
 	}
-	h.backAt.Store(now)
+	h.recoveredAt.Store(now)
 	h.isSilent.Store(false)
 	return time.Duration(now - h.silentSince), true
 }
@@ -133,13 +133,13 @@
 	if rec == nil {
 		return
 	}
-	if silentFor, back := rec.zone.recordAnswer(l.now().UnixNano()); back {
+	if silentFor, hasRecovered := rec.zone.recordAnswer(l.now().UnixNano()); hasRecovered {
 		l.log.Info("members: zone answers again.", zap.String("zone", string(member.Process.Zone)), zap.Duration("silent", silentFor))
-		l.notifyZoneBack(member.Process.Zone, silentFor)
+		l.notifyZoneRecovered(member.Process.Zone, silentFor)
 	}
 }
 
-func (l *List) notifyZoneBack(zone identity.Zone, silentFor time.Duration) {
+func (l *List) notifyZoneRecovered(zone identity.Zone, silentFor time.Duration) {
 	if l.OnZoneRecovered == nil {
 		return
 	}
--- a/internal/members/zone_simulation_test.go
+++ b/internal/members/zone_simulation_test.go
@@ -115,7 +115,7 @@
 	homes      Homes
 	startedAt  time.Time
 	timeouts   int
-	// unanswered holds the zones of holders that gave no answer.
+	// unanswered holds the zones of holders that did not answer.
 	unanswered []identity.Zone
 }
 
