--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
 // Package admission decides whether a new agent program may start. A program is a sequence of
-// requests to a model, called turns, with a growing context. Engines keep the contexts of the
+// requests to a model, called turns, with a growing context. Engines retain the contexts of the
 // programs that they serve in memory. If too many programs run, their contexts evict each
 // other, each turn has to process its whole context again, and throughput falls as the load
 // rises. Admission therefore bounds the total size of the contexts of all running programs.
@@ -7,7 +7,7 @@
 // and tool calls are counted but never refused.
 //
 // Every daemon decides alone, within its own part of the bound (see Part). The figures that it
-// needs of other daemons come with the load reports that daemons exchange.
+// needs from other daemons are received with the load reports that daemons exchange.
 //
 // Guarantee: while all daemons agree on the bound and on the number of members, their parts sum
 // to at most the bound, no matter how old their snapshots of the fleet are. If there are engines,
@@ -32,7 +32,7 @@
 // Capacity is the capacity of a service's engines, as the daemon currently knows them.
 type Capacity struct {
 	Engines int // number of engines that accept work
-	// MemoryTokens is how many tokens one engine keeps in memory; 0: not declared.
+	// MemoryTokens is how many tokens one engine retains in memory; 0: not declared.
 	MemoryTokens int
 	// SharedTokens is how many of the MemoryTokens are used for prompt parts that all
 	// programs share.
@@ -55,7 +55,7 @@
 	// the highest.
 	Priority int
 	Prompt   []PromptPart
-	// SharedPartCount is the number of leading prompt parts that every engine keeps in memory.
+	// SharedPartCount is the number of leading prompt parts that every engine retains in memory.
 	// They do not count as the program's own context.
 	SharedPartCount int
 	// TimeLeft is the time until the program's deadline; 0: not known.
--- a/internal/admission/bound.go
+++ b/internal/admission/bound.go
@@ -32,14 +32,14 @@
 	servedGainPerSecond  = 0.2
 	servedDecayPerSecond = 0.02
 	// servedMargin times servedPerEngine is a lower limit of the bound, unless the highest bound
-	// is below it. The margin allows for the usual fluctuation of the demand.
+	// is below it. The margin allows for the average fluctuation of the demand.
 	servedMargin = 1.5
-	// maxStepDuration is the longest time that a single step accounts for. It limits the change
+	// maxStepDuration is the maximum time that a single step accounts for. It limits the change
 	// after a gap in the observations.
 	maxStepDuration = time.Second
 )
 
-// Bound is the number of context tokens that an engine can serve, learned from observations
+// Bound is the number of context tokens that an engine can serve, estimated from observations
 // of the fleet. The zero value has no observations.
 type Bound struct {
 	tokensPerEngine float64 // +Inf: no limit known; 0: no observation yet
@@ -110,10 +110,10 @@
 // doubles in six minutes if all turns are slower.
 const baselineRisePerSecond = 0.002
 
-// ratio updates the baseline and returns the current mean relative to it. The mean is
+// updateRatio updates the baseline and returns the current mean relative to it. The mean is
 // firstByteSeconds, the sum of the times to first byte, divided by the number of turns. The
 // result is 0 if there are fewer than minTurns turns.
-func (i *idleBaseline) ratio(turns, firstByteSeconds float64, elapsed time.Duration) float64 {
+func (i *idleBaseline) updateRatio(turns, firstByteSeconds float64, elapsed time.Duration) float64 {
 	// minTurns is the number of turns that a reliable mean needs.
 	const minTurns = 20
 	if turns < minTurns {
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -58,8 +58,9 @@
 	firstByteSeconds decayingSum // sum of the times to first byte of these turns
 }
 
-// service returns the service with the name, and adds the service if it is not known yet.
-func (c *Controller) service(name string) *service {
+// getOrCreateService returns the service with the name, and adds the service if it is not known
+// yet.
+func (c *Controller) getOrCreateService(name string) *service {
 	entry, found := c.services[name]
 	if !found {
 		entry = &service{name: name, programs: newPrograms()}
@@ -86,7 +87,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	service := c.service(request.Service)
+	service := c.getOrCreateService(request.Service)
 	service.updateCapacity(request.Capacity, now)
 	if _, underWay := service.programs.byName[request.Program]; underWay {
 		service.programs.startRequest(request, now)
@@ -111,7 +112,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	service := c.service(request.Service)
+	service := c.getOrCreateService(request.Service)
 	service.updateCapacity(request.Capacity, now)
 	if _, underWay := service.programs.byName[request.Program]; !underWay {
 		service.programs.add(request, now)
@@ -145,7 +146,7 @@
 
 // meanDuration returns the mean duration of the programs of a route, or 0 if none has ended.
 func (s *service) meanDuration(route string) time.Duration {
-	return time.Duration(s.programs.stats(route).durationSeconds.value * float64(time.Second))
+	return time.Duration(s.programs.getOrCreateStats(route).durationSeconds.value * float64(time.Second))
 }
 
 // fill returns the fraction of the bound that is in use, as far as this daemon knows.
@@ -163,7 +164,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	c.service(request.Service).programs.endRequest(request.Program, now)
+	c.getOrCreateService(request.Service).programs.endRequest(request.Program, now)
 	if request.Tenant == "" || spent <= 0 {
 		return
 	}
@@ -179,7 +180,7 @@
 func (c *Controller) CancelFirstTurn(request *Request) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	programs := &c.service(request.Service).programs
+	programs := &c.getOrCreateService(request.Service).programs
 	programs.endRequest(request.Program, c.options.Now())
 	programs.removeIdle(request.Program)
 }
@@ -189,7 +190,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.options.Now()
-	entry := c.service(service)
+	entry := c.getOrCreateService(service)
 	entry.turns.add(1, now, firstByteHalfLife)
 	entry.firstByteSeconds.add(firstByte.Seconds(), now, firstByteHalfLife)
 }
--- a/internal/admission/decaying_sum.go
+++ b/internal/admission/decaying_sum.go
@@ -12,7 +12,7 @@
 	// demandHalfLife lets the parts follow callers that move to another daemon, but not single
 	// requests.
 	demandHalfLife = 10 * time.Second
-	// spendingHalfLife is several times the usual duration of a program.
+	// spendingHalfLife is several times the average duration of a program.
 	spendingHalfLife = 10 * time.Second
 )
 
--- a/internal/admission/decision_test.go
+++ b/internal/admission/decision_test.go
@@ -57,10 +57,10 @@
 var _ = Describe("idle", func() {
 	It("compares the mean with the lowest one so far if there are enough turns", func() {
 		var baseline idleBaseline
-		Expect(baseline.ratio(5, 50, time.Second)).To(BeZero())
-		Expect(baseline.ratio(100, 10, time.Second)).To(BeNumerically("~", 1, 0.01))
-		Expect(baseline.ratio(100, 25, time.Second)).To(BeNumerically("~", 2.5, 0.01))
-		Expect(baseline.ratio(100, 5, time.Second)).To(BeNumerically("~", 1, 0.01))
+		Expect(baseline.updateRatio(5, 50, time.Second)).To(BeZero())
+		Expect(baseline.updateRatio(100, 10, time.Second)).To(BeNumerically("~", 1, 0.01))
+		Expect(baseline.updateRatio(100, 25, time.Second)).To(BeNumerically("~", 2.5, 0.01))
+		Expect(baseline.updateRatio(100, 5, time.Second)).To(BeNumerically("~", 1, 0.01))
 	})
 })
 
--- a/internal/admission/exchange.go
+++ b/internal/admission/exchange.go
@@ -23,14 +23,14 @@
 	report := load.ProgramStats{Services: map[load.Digest]load.ServiceStats{}, Spent: map[load.Digest]int64{}}
 	declared := c.options.Services()
 	for _, name := range declared {
-		c.service(name)
+		c.getOrCreateService(name)
 	}
 	for name, service := range c.services {
 		if !slices.Contains(declared, name) && service.isUnused() {
 			delete(c.services, name)
 			continue
 		}
-		report.Services[load.DigestOf(name)] = service.report(now, c.options.Members())
+		report.Services[load.DigestOf(name)] = service.buildReport(now, c.options.Members())
 	}
 	for key, spent := range c.spentByTenant {
 		value := int64(spent.value(now, spendingHalfLife))
@@ -43,9 +43,9 @@
 	return report
 }
 
-// report returns the service's figures and records the claim in s.claims. If there is no valid
+// buildReport returns the service's figures and records the claim in s.claims. If there is no valid
 // snapshot, the claim is at least the equal part of the bound, except in the first report.
-func (s *service) report(now time.Time, members int) load.ServiceStats {
+func (s *service) buildReport(now time.Time, members int) load.ServiceStats {
 	s.programs.removeEnded(now)
 	s.meanHeld.add(float64(s.programs.heldTokens(now)))
 	claim := Claim{At: now, Held: int64(s.meanHeld.value), Demand: int64(ratePerSecond(s.demand.value(now, demandHalfLife), demandHalfLife))}
@@ -107,7 +107,7 @@
 	}
 	s.steppedAt = now
 	const microseconds = 1e6
-	s.firstByteRatio = s.baseline.ratio(float64(all.Turns), float64(all.FirstByte)/microseconds, elapsed)
+	s.firstByteRatio = s.baseline.updateRatio(float64(all.Turns), float64(all.FirstByte)/microseconds, elapsed)
 	s.bound = s.bound.Step(Observation{Elapsed: elapsed, Capacity: s.capacity, Held: float64(all.Held), FirstByteRatio: s.firstByteRatio})
 	s.snapshot = Snapshot{At: now, Daemons: all.Daemons, Held: all.Held, Claimed: all.Claimed, Demand: all.Asked}
 	s.part = s.partOf(s.bound.Tokens(s.capacity), members, now)
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// The usual load is 64 short and 33 long programs per second on 44 engines, each with memory
+// The baseline load is 64 short and 33 long programs per second on 44 engines, each with memory
 // for about ten long programs. These specs guard against a persistent overload: without
 // admission, a burst makes contexts evict each other, and programs miss their deadlines long
 // after the burst has ended.
@@ -19,7 +19,7 @@
 	usualLoad  = 1.0
 )
 
-// burst returns the usual load, multiplied by factor for the given duration from burstStart on.
+// burst returns the baseline load, multiplied by factor for the given duration from burstStart on.
 func burst(factor float64, duration time.Duration) func(time.Duration, kind, int) float64 {
 	return func(at time.Duration, _ kind, _ int) float64 {
 		if at >= burstStart && at < burstStart+duration {
@@ -29,7 +29,7 @@
 	}
 }
 
-// overloads are loads at or above the capacity of the engines, as multiples of the usual load.
+// overloads are loads at or above the capacity of the engines, as multiples of the baseline load.
 var overloads = []float64{1.5, 2.5, 4}
 
 // simulateOverloads runs a scenario for each of overloads in parallel and returns the results
@@ -59,7 +59,7 @@
 		Expect(result.servedShare(20, 28)).To(BeNumerically("<", 0.1))
 	})
 
-	DescribeTable("maintains its goodput at any load, even with old snapshots", func(snapshotAge time.Duration, least float64) {
+	DescribeTable("maintains its goodput at any load, even with old snapshots", func(snapshotAge time.Duration, minFraction float64) {
 		const from, to = 14, 32
 		goodput := map[float64]float64{}
 		best := 0.0
@@ -72,8 +72,8 @@
 		}
 		withoutAdmission := simulate(scenario{length: to * time.Second, seed: 1, noAdmission: true, load: burst(1.5, time.Hour)})
 		best = max(best, withoutAdmission.goodput(from, to))
-		for times, reached := range goodput {
-			Expect(reached).To(BeNumerically(">=", least*best), "goodput at %g times the usual load, best goodput %.0f", times, best)
+		for times, measured := range goodput {
+			Expect(measured).To(BeNumerically(">=", minFraction*best), "goodput at %g times the baseline load, best goodput %.0f", times, best)
 		}
 	}, Entry("100 ms", 100*time.Millisecond, 0.9), Entry("500 ms, with a slower reaction of the bound", 500*time.Millisecond, 0.85))
 
@@ -87,7 +87,7 @@
 		}
 	})
 
-	It("refuses few programs at the usual load", func() {
+	It("refuses few programs at the baseline load", func() {
 		result := simulate(scenario{length: 30 * time.Second, seed: 5, snapshotAge: snapshotAge, load: burst(usualLoad, 0)})
 		refused := 0
 		for _, count := range result.refusals {
@@ -158,8 +158,8 @@
 		GinkgoWriter.Printf("served fraction: others %.3f, tenant with a high load %.3f\n", rate(&others), rate(result.byTenant[0]))
 		Expect(rate(&others)).To(BeNumerically(">", minOthersRate))
 	},
-		Entry("one tenant at six times the usual load", 1, highLoad(1), 0.6, 0.75),
-		Entry("three tenants at six times the usual load", 3, highLoad(3), 0.6, 0.75),
+		Entry("one tenant at six times the baseline load", 1, highLoad(1), 0.6, 0.75),
+		Entry("three tenants at six times the baseline load", 3, highLoad(3), 0.6, 0.75),
 		Entry("a burst of the low-priority kind", 0, ofKind("short"), 1.0, 0.68),
 		Entry("a burst of the high-priority kind", 0, ofKind("long"), 1.0, 0.48),
 		Entry("three tenants and a burst of the low-priority kind", 3, together, 0.6, 0.68),
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -71,7 +71,7 @@
 // Therefore the parts of all daemons sum to at most the bound, even if their snapshots differ.
 //
 // If a snapshot covers only some of the members, these daemons divide only the corresponding
-// fraction of the bound. During a network partition, no tokens are therefore given out on
+// fraction of the bound. During a network partition, no tokens are therefore assigned on
 // both sides.
 //
 // A daemon without a valid snapshot uses an equal part. If it has reported before, that part is at
--- a/internal/admission/programs.go
+++ b/internal/admission/programs.go
@@ -14,7 +14,7 @@
 	// counts as ended.
 	minContinueProbability = 0.02
 	// maxIdleTime is the idle time after which a program has ended in any case. The tools
-	// that callers run between two turns usually answer sooner.
+	// that callers run between two turns answer sooner in most cases.
 	maxIdleTime = 2 * time.Second
 	// defaultContinueProbability and defaultPauseSeconds are used before any program of the
 	// route was observed.
@@ -82,7 +82,7 @@
 }
 
 // addPrompt adds the tokens of the prompt's parts to contextTokens, without the parts that
-// every engine keeps and those that are counted already.
+// every engine retains and those that are counted already.
 func (p *program) addPrompt(request *Request) {
 	for index, part := range request.Prompt {
 		if index < request.SharedPartCount {
@@ -113,8 +113,9 @@
 	return programs{byName: map[string]*program{}, routes: map[string]*routeStats{}, refusals: refusals}
 }
 
-// stats returns the statistics of the route, and adds empty ones if the route is not known yet.
-func (p *programs) stats(route string) *routeStats {
+// getOrCreateStats returns the statistics of the route, and adds empty ones if the route is not
+// known yet.
+func (p *programs) getOrCreateStats(route string) *routeStats {
 	entry, found := p.routes[route]
 	if !found {
 		entry = &routeStats{}
@@ -130,7 +131,7 @@
 func (p *programs) expectedTokens(request *Request) int64 {
 	candidate := &program{countedParts: map[string]struct{}{}}
 	candidate.addPrompt(request)
-	usualTokens := int64(p.stats(request.Route).contextTokens.value)
+	usualTokens := int64(p.getOrCreateStats(request.Route).contextTokens.value)
 	return max(candidate.contextTokens, (candidate.contextTokens+usualTokens)/2)
 }
 
@@ -142,7 +143,7 @@
 	for _, current := range p.ordered {
 		probability := 1.0
 		if current.activeRequests == 0 {
-			probability = p.stats(current.route).continueProbability(now.Sub(current.idleSince))
+			probability = p.getOrCreateStats(current.route).continueProbability(now.Sub(current.idleSince))
 		}
 		sum += probability * float64(current.expectedTokens)
 	}
@@ -178,10 +179,10 @@
 	if !refused || request.TimeLeft <= 0 {
 		return false
 	}
-	return request.TimeLeft.Seconds() < p.stats(request.Route).timeUsedShare.valueOr(0)*first.timeLeft.Seconds()
+	return request.TimeLeft.Seconds() < p.getOrCreateStats(request.Route).timeUsedShare.valueOr(0)*first.timeLeft.Seconds()
 }
 
-// recordRefusal records the first refusal of the program with its remaining time. It keeps an
+// recordRefusal records the first refusal of the program with its remaining time. It retains an
 // earlier refusal that is still recent.
 func (p *programs) recordRefusal(request *Request, now time.Time) {
 	if _, known := p.recentRefusal(request.Program, now); !known {
@@ -203,7 +204,7 @@
 func (p *programs) startRequest(request *Request, now time.Time) {
 	current := p.byName[request.Program]
 	if current.activeRequests == 0 && !current.idleSince.IsZero() {
-		stats := p.stats(current.route)
+		stats := p.getOrCreateStats(current.route)
 		stats.pauseSeconds.add(now.Sub(current.idleSince).Seconds())
 		stats.continueShare.add(1)
 	}
@@ -244,7 +245,7 @@
 // statistics.
 func (p *programs) removeEnded(now time.Time) {
 	p.removeIf(func(candidate *program) bool {
-		stats := p.stats(candidate.route)
+		stats := p.getOrCreateStats(candidate.route)
 		if candidate.activeRequests > 0 || stats.continueProbability(now.Sub(candidate.idleSince)) >= minContinueProbability {
 			return false
 		}
--- a/internal/admission/simulated_engine_test.go
+++ b/internal/admission/simulated_engine_test.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// simEngine keeps contexts until others evict them. It processes one prompt after another and
+// simEngine retains contexts until others evict them. It processes one prompt after another and
 // decodes for up to simSlots turns at once.
 type simEngine struct {
 	contexts      *simplelru.LRU[string, int]
--- a/internal/admission/simulation_test.go
+++ b/internal/admission/simulation_test.go
@@ -24,7 +24,7 @@
 	deadlineFactor             float64
 }
 
-// Parameters of a deployment whose engines each keep about ten long programs in memory.
+// Parameters of a deployment whose engines each retain about ten long programs in memory.
 const (
 	simEngines                = 44
 	simMemory                 = 40000 // tokens for programs' own contexts
@@ -52,7 +52,7 @@
 }
 
 // scenario is the configuration of a simulation. load returns the load as a multiple
-// of the usual one.
+// of the baseline load.
 type scenario struct {
 	length         time.Duration
 	load           func(at time.Duration, kind kind, tenant int) float64
--- a/internal/budget/account.go
+++ b/internal/budget/account.go
@@ -25,18 +25,18 @@
 	Changed int64    `cbor:"c"` // time of the last change, in Unix seconds
 }
 
-// rowTTL is how long a row is kept after its last change. It must be longer than any program can go
-// without a change of its rows.
+// rowTTL is how long a row is retained after its last change. It must be longer than any program
+// can go without a change of its rows.
 const rowTTL = 24 * time.Hour
 
 // NewSweep returns a sweep that deletes the rows that have not changed for rowTTL; their programs
-// have ended. mine reports whether this daemon sweeps a partition.
-func NewSweep(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
+// have ended. ownsPartition reports whether this daemon sweeps a partition.
+func NewSweep(store *state.Client, ownsPartition func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.PartitionNames(partitions), OwnsPartition: mine, Log: log,
-		IsExpired: func(kept state.Row) bool {
+		Store: store, Table: table, Partitions: state.PartitionNames(partitions), OwnsPartition: ownsPartition, Log: log,
+		IsExpired: func(stored state.Row) bool {
 			var current row
-			err := cbor.Unmarshal(kept.Value, &current)
+			err := cbor.Unmarshal(stored.Value, &current)
 			return err == nil && current.Changed > 0 && now().Sub(time.Unix(current.Changed, 0)) > rowTTL
 		},
 	}
@@ -45,7 +45,7 @@
 // account is one account of a program's budget, as this process knows it.
 type account struct {
 	key        state.Key
-	limit      int64 // the most tokens that may be granted from the account
+	limit      int64 // the maximum number of tokens that may be granted from the account
 	grantWhole bool  // if true, all that remains is granted at once
 	stored     row   // as last read or written
 	version    state.Version
@@ -103,11 +103,11 @@
 	return max(need, remaining/remainingHolders)
 }
 
-// draw obtains a grant from one account if fewer than maxTokens tokens are available in held. If
-// inAdvance is set, the grant may include tokens for later turns. If the outcome of an earlier
-// grant is unknown, draw repeats that grant instead. It returns a *SpentError if nothing is left in
-// the account, or if fewer than maxTokens tokens are available even with the grant.
-func (l *Ledger) draw(ctx context.Context, held *holding, from *account, maxTokens int64, inAdvance bool) error {
+// drawGrant obtains a grant from one account if fewer than maxTokens tokens are available in held.
+// If inAdvance is set, the grant may include tokens for later turns. If the outcome of an earlier
+// grant is unknown, drawGrant repeats that grant instead. It returns a *SpentError if nothing is
+// left in the account, or if fewer than maxTokens tokens are available even with the grant.
+func (l *Ledger) drawGrant(ctx context.Context, held *holding, from *account, maxTokens int64, inAdvance bool) error {
 	for range maxConflicts {
 		if from.pending == nil {
 			need := held.shortfall(maxTokens)
@@ -207,8 +207,8 @@
 // appendRecent returns a copy of grants with the ID appended, shortened to the last
 // maxRecentGrants.
 func appendRecent(grants []uint64, id uint64) []uint64 {
-	kept := append(slices.Clone(grants), id)
-	return kept[max(0, len(kept)-maxRecentGrants):]
+	appended := append(slices.Clone(grants), id)
+	return appended[max(0, len(appended)-maxRecentGrants):]
 }
 
 func accountKey(identifier string, hash uint64) state.Key {
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -46,7 +46,7 @@
 const (
 	table           = "budgets"
 	partitions      = 256
-	maxRecentGrants = 4 // commit IDs kept in a row, to recognize a commit whose answer was lost
+	maxRecentGrants = 4 // commit IDs stored in a row, to recognize a commit whose answer was lost
 	maxConflicts    = 8 // conflicting commits after which a grant or release fails
 )
 
@@ -81,10 +81,10 @@
 	accounts       []*account
 	totalGranted   int64         // sum of the grants to this process, in tokens
 	lastReclaim    time.Time     // when other processes were last asked to release
-	reclaimBackoff time.Duration // least time until they are asked again; doubled with each request, up to maxReclaimBackoff
+	reclaimBackoff time.Duration // minimum time until they are asked again; doubled with each request, up to maxReclaimBackoff
 }
 
-// NewLedger returns a ledger that keeps the holdings of up to maxPrograms programs. A holding is
+// NewLedger returns a ledger that stores the holdings of up to maxPrograms programs. A holding is
 // dropped when it is older than ttl.
 func NewLedger(store *state.Client, maxPrograms int, ttl time.Duration) *Ledger {
 	return &Ledger{store: store, programs: expirable.NewLRU[string, *holding](maxPrograms, nil, ttl), turnLocations: newTurnLocations(maxPrograms, ttl), grantTimeout: defaultGrantTimeout}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -293,8 +293,8 @@
 
 const (
 	maxTurnTokens = 100
-	// shortTimeout is long enough for an answer of the in-memory store, and keeps simulations with
-	// a refusing store fast.
+	// shortTimeout is long enough for an answer of the in-memory store, and short enough that
+	// simulations with a refusing store are fast.
 	shortTimeout = 2 * time.Millisecond
 )
 
--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -30,7 +30,7 @@
 	stoppingDuration  = 10 * time.Second // a holder that is stopping is skipped for this long
 )
 
-// Settler gives access to a reservation and ends it.
+// Settler describes a reservation and ends it.
 type Settler interface {
 	// GeneratedTokens returns how many tokens the program had generated when the reservation was
 	// made, as far as the holder of its budget knew. It is a hint.
--- a/internal/budget/client_test.go
+++ b/internal/budget/client_test.go
@@ -93,8 +93,8 @@
 
 	BeforeEach(func() { store = memorystore.New() })
 
-	reserve := func(ctx context.Context, daemon *testDaemon, name string, total, most int64) (Settler, error) {
-		return daemon.client.Reserve(ctx, ReserveRequest{Reservation: name, Program: "p", Total: total, Most: most})
+	reserve := func(ctx context.Context, daemon *testDaemon, name string, total, maxTokens int64) (Settler, error) {
+		return daemon.client.Reserve(ctx, ReserveRequest{Reservation: name, Program: "p", Total: total, Most: maxTokens})
 	}
 
 	It("spends one grant at all daemons of a region", func(ctx SpecContext) {
@@ -120,12 +120,12 @@
 
 	It("keeps nothing for who settled before the reservation was made", func() {
 		holder := NewHolder(newLedger(memorystore.New()), func() bool { return false })
-		const total, most = 500, 288
+		const total, maxTokens = 500, 288
 		Expect(holder.Settle(SettleRequest{Reservation: "given up"}, &SettleReply{})).To(Succeed())
 		var late, next ReserveReply
-		Expect(holder.Reserve(ReserveRequest{Reservation: "given up", Program: "p", Total: total, Most: most}, &late)).To(Succeed())
+		Expect(holder.Reserve(ReserveRequest{Reservation: "given up", Program: "p", Total: total, Most: maxTokens}, &late)).To(Succeed())
 		Expect(late.Result).To(Equal(resultNoStore))
-		Expect(holder.Reserve(ReserveRequest{Reservation: "next", Program: "p", Total: total, Most: most}, &next)).To(Succeed())
+		Expect(holder.Reserve(ReserveRequest{Reservation: "next", Program: "p", Total: total, Most: maxTokens}, &next)).To(Succeed())
 		Expect(next.Result).To(Equal(resultReserved), next.Detail)
 	})
 
--- a/internal/budget/credit.go
+++ b/internal/budget/credit.go
@@ -14,7 +14,7 @@
 // A program generates at most its budget plus the maximum of one turn: the store grants at most the
 // budget without the credit reserve, and one daemon lends at most the credit reserve plus the
 // maximum of one turn. members.List.MayLend guarantees that only one daemon lends to a program for
-// as long as the program may come back. Loans need not be stored, since they are not part of any
+// as long as the program may return. Loans need not be stored, since they are not part of any
 // grant.
 
 // The credit reserve is three tenths of what a budget has above minBudgetWithCreditTokens. With one
@@ -31,13 +31,13 @@
 	return max(total-minBudgetWithCreditTokens, 0) * creditReserveNumerator / creditReserveDenominator
 }
 
-// Limits on the credits that are kept. Only expired credits are deleted to make room, since a
-// program whose credit was deleted could be lent the same tokens again.
+// Limits on the stored credits. Only expired credits are deleted to free space, since a program
+// whose credit was deleted could be lent the same tokens again.
 const (
-	// maxCredits is the largest number of programs with a credit.
+	// maxCredits is the maximum number of programs with a credit.
 	maxCredits = 16384
 	// creditTTL is the time after its last use from which a credit may be deleted. It is longer
-	// than the time in which a program may come back.
+	// than the time in which a program may return.
 	creditTTL = 10 * time.Minute
 )
 
@@ -136,7 +136,7 @@
 	maxTokens int64
 }
 
-// settle gives the tokens that were not generated back to the credit. It must be called only once.
+// settle returns to the credit the tokens that were not generated. It must be called only once.
 func (l *loan) settle(generated int64) {
 	l.lender.mutex.Lock()
 	defer l.lender.mutex.Unlock()
--- a/internal/budget/credit_test.go
+++ b/internal/budget/credit_test.go
@@ -99,7 +99,7 @@
 		Expect(reservation.OnCredit()).To(BeFalse())
 	})
 
-	It("gives a program its whole budget while the store is available, and no more", func(ctx SpecContext) {
+	It("lets a program use its whole budget while the store is available, and no more", func(ctx SpecContext) {
 		ledger := lending(mayAlwaysLend)
 		const total, turn = 2040, 105 // the reserve is 420: four turns
 		for generated := 0; generated+turn <= total; generated += turn {
--- a/internal/budget/granting.go
+++ b/internal/budget/granting.go
@@ -25,7 +25,7 @@
 	// holders to release tokens.
 	defaultGrantTimeout = time.Second
 	// maxLoanDelay is how long a turn waits for the store before it gets a loan: several times the
-	// usual response time.
+	// average response time.
 	maxLoanDelay = 60 * time.Millisecond
 )
 
@@ -93,7 +93,7 @@
 	err := l.store.Retry(ctx, grant)
 	if errors.Is(err, ErrSpent) && l.startReclaim(held) {
 		l.reclaimFromOthers(ctx, turn.program)
-		held.forgetRows()
+		held.discardRows()
 		err = l.store.Retry(ctx, grant)
 	}
 	return err
@@ -191,9 +191,9 @@
 	l.reclaim(ctx, identifier)
 }
 
-// forgetRows discards the copies of the rows of accounts without a pending grant, since other
+// discardRows discards the copies of the rows of accounts without a pending grant, since other
 // processes may have released tokens. The caller holds the store lock.
-func (h *holding) forgetRows() {
+func (h *holding) discardRows() {
 	for _, each := range h.accounts {
 		if each.pending == nil {
 			each.stored, each.version = row{}, 0
@@ -210,7 +210,7 @@
 		if held.shortfall(maxTokens) <= 0 {
 			return nil
 		}
-		err := l.draw(ctx, held, from, maxTokens, held.totalGranted == before)
+		err := l.drawGrant(ctx, held, from, maxTokens, held.totalGranted == before)
 		var spent *SpentError
 		if err != nil && (failure == nil || errors.As(failure, &spent)) {
 			failure = err
--- a/internal/budget/holder.go
+++ b/internal/budget/holder.go
@@ -23,11 +23,11 @@
 	Reservation string // unique name; a repeated request with the same name reserves once
 	Program     string
 	Total       int64    // the program's budget, in tokens
-	Most        int64    // the most tokens that the turn may generate
+	Most        int64    // maximum number of tokens that the turn may generate
 	Parts       []string // identifiers of the parts of the turn's prompt, in order
 	Previous    string   // the turn that this one continues; empty if none
-	// Soon tells the holder not to wait for a slow or unavailable store, since the caller can ask
-	// another holder.
+	// If Soon is set, the holder doesn't wait for a slow or unavailable store, since the caller can
+	// ask another holder.
 	Soon bool
 }
 
@@ -67,7 +67,7 @@
 // TurnLocation is where a turn ran and was recorded.
 type TurnLocation struct {
 	Program string
-	Engine  string // empty if the turn did not run
+	Engine  string // empty if the turn was not executed
 	Part    string // last part of the prompt
 	Turn    string // identifier of the turn; empty if it was not recorded
 	Daemon  string // address of the daemon that recorded the turn
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// addReservation keeps a reservation until it is settled, but for at most reservationTTL. If it
+// addReservation stores a reservation until it is settled, but for at most reservationTTL. If it
 // has already been settled, addReservation ends it and returns false.
 func (h *Holder) addReservation(name string, reservation *Reservation) bool {
 	h.mutex.Lock()
--- a/internal/budget/release.go
+++ b/internal/budget/release.go
@@ -15,9 +15,9 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// Release gives back to the store the tokens of a program that were granted to this process and are
+// Release returns to the store the tokens of a program that were granted to this process and are
 // neither reserved nor spent, so that they can be granted to other processes. It returns how many
-// it gave back, also with an error.
+// tokens it released, also with an error.
 func (l *Ledger) Release(ctx context.Context, identifier string) (int64, error) {
 	held, known := l.programs.Get(identifier)
 	if !known {
@@ -146,7 +146,7 @@
 			return err
 		})
 	}
-	_ = group.Wait() // a holder that doesn't reply keeps its tokens
+	_ = group.Wait() // a holder that doesn't reply retains its tokens
 	c.log.Info("budget: reclaimed from others.", zap.String("program", program), zap.Int64("tokens", total))
 }
 
--- a/internal/budget/settling.go
+++ b/internal/budget/settling.go
@@ -37,8 +37,8 @@
 // SetEngine implements Settler.
 func (p *turnPlacement) SetEngine(engine string) { p.ranAt = engine }
 
-// outcome returns what the holder is told about the turn.
-func (p *turnPlacement) outcome() TurnLocation {
+// location returns the turn's location, which is reported to the holder.
+func (p *turnPlacement) location() TurnLocation {
 	location := TurnLocation{Program: p.request.Program, Engine: p.ranAt}
 	if count := len(p.request.Parts); count > 0 {
 		location.Part = p.request.Parts[count-1]
@@ -58,7 +58,7 @@
 
 // Settle implements Settler.
 func (l *localSettler) Settle(generated int64) {
-	l.turnLocations.recordTurn(l.outcome())
+	l.turnLocations.recordTurn(l.location())
 	l.Reservation.Settle(generated)
 }
 
@@ -77,7 +77,7 @@
 // background, and logs a warning if all attempts fail. If the connection to the holder is shut
 // down, it stops without a warning.
 func (r *remoteSettler) Settle(generated int64) {
-	request := SettleRequest{Reservation: r.request.Reservation, Generated: generated, Ran: r.outcome()}
+	request := SettleRequest{Reservation: r.request.Reservation, Generated: generated, Ran: r.location()}
 	go func() {
 		var err error
 		for try := range maxSettleAttempts {
--- a/internal/budget/turn_locations.go
+++ b/internal/budget/turn_locations.go
@@ -9,16 +9,17 @@
 )
 
 // TurnLocations records at which engine each program's turns ran, by the last part of the turn's
-// prompt, and which daemon recorded each turn. The holder of a program's budget learns of all the
-// program's turns, whichever daemon they came to. It can therefore tell the next daemon which
-// engine has read most of a prompt, and which daemon has the previous turn in memory. Both are
-// hints. TurnLocations is safe for concurrent use.
+// prompt, and which daemon recorded each turn. The holder of a program's budget receives the
+// locations of all the program's turns, whichever daemon they arrived at. It can therefore report
+// to the next daemon which engine has read most of a prompt, and which daemon has the previous turn
+// in memory. Both are hints. TurnLocations is safe for concurrent use.
 type TurnLocations struct {
 	mutex    sync.Mutex
 	programs *expirable.LRU[string, *programLocations]
 }
 
-// maxPartsPerProgram is the number of parts kept for each program; beyond it the oldest is dropped.
+// maxPartsPerProgram is the number of parts stored for each program; beyond it the oldest is
+// dropped.
 const maxPartsPerProgram = 64
 
 type programLocations struct {
@@ -31,12 +32,12 @@
 // recordedTurn is a turn and the address of the daemon that recorded it.
 type recordedTurn struct{ turn, daemon string }
 
-// maxTurnsPerProgram is the number of recorded turns kept for each program. A program continues one
-// of its last few turns, even if it runs several conversations at once.
+// maxTurnsPerProgram is the number of recorded turns stored for each program. A program continues
+// one of its last few turns, even if it runs several conversations at once.
 const maxTurnsPerProgram = 16
 
-// newTurnLocations returns TurnLocations that keep up to maxPrograms programs. A program is dropped
-// when its entry is older than ttl.
+// newTurnLocations returns TurnLocations that store up to maxPrograms programs. A program is
+// dropped when its entry is older than ttl.
 func newTurnLocations(maxPrograms int, ttl time.Duration) *TurnLocations {
 	return &TurnLocations{programs: expirable.NewLRU[string, *programLocations](maxPrograms, nil, ttl)}
 }
@@ -49,7 +50,7 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	locations := t.locationsOf(program)
+	locations := t.getOrCreateLocations(program)
 	if _, exists := locations.engines[part]; !exists {
 		locations.parts = append(locations.parts, part)
 	}
@@ -60,9 +61,9 @@
 	}
 }
 
-// locationsOf returns the locations of a program's turns, and adds an entry if there is none. The
-// caller holds the mutex.
-func (t *TurnLocations) locationsOf(program string) *programLocations {
+// getOrCreateLocations returns the locations of a program's turns, and adds an entry if there is
+// none. The caller holds the mutex.
+func (t *TurnLocations) getOrCreateLocations(program string) *programLocations {
 	locations, found := t.programs.Get(program)
 	if !found {
 		locations = &programLocations{engines: map[string]string{}}
@@ -80,7 +81,7 @@
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	locations := t.locationsOf(location.Program)
+	locations := t.getOrCreateLocations(location.Program)
 	locations.recordedTurns = append(locations.recordedTurns, recordedTurn{turn: location.Turn, daemon: location.Daemon})
 	locations.recordedTurns = locations.recordedTurns[max(0, len(locations.recordedTurns)-maxTurnsPerProgram):]
 }
--- a/internal/budget/turn_locations_test.go
+++ b/internal/budget/turn_locations_test.go
@@ -61,7 +61,7 @@
 		Expect(read).To(Equal(3))
 	})
 
-	It("is not recorded for a turn that did not run, nor for other programs", func(ctx SpecContext) {
+	It("is not recorded for a turn that was not executed, nor for other programs", func(ctx SpecContext) {
 		holder, _ := findHolder(all, "p")
 		turn(ctx, holder, "", "shared", "one")
 		engine, _ := turn(ctx, holder, "e1", "shared", "one")
--- a/internal/budget/zones_test.go
+++ b/internal/budget/zones_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-func (f *zonesFleet) reserve(ctx context.Context, daemon, number int, total, most int64) (*zoneTurn, error) {
-	request := ReserveRequest{Reservation: fmt.Sprint("r", number), Program: f.program, Total: total, Most: most}
+func (f *zonesFleet) reserve(ctx context.Context, daemon, number int, total, maxTokens int64) (*zoneTurn, error) {
+	request := ReserveRequest{Reservation: fmt.Sprint("r", number), Program: f.program, Total: total, Most: maxTokens}
 	settler, err := f.daemons[daemon].client.Reserve(ctx, request)
 	if err != nil {
 		return nil, err
@@ -215,7 +215,7 @@
 })
 
 var _ = Describe("Asking the holders", func() {
-	It("skips the other holders of a zone after one gave no answer", func(ctx SpecContext) {
+	It("skips the other holders of a zone after one did not answer", func(ctx SpecContext) {
 		asked := 0
 		for number := range 20 {
 			fleet, err := newZonesFleet(memorystore.New())
--- a/internal/load/board.go
+++ b/internal/load/board.go
@@ -43,7 +43,7 @@
 // the sums, which may be up to sumTTL old and then don't include this report. It returns an error
 // if the report can't be decoded.
 func (b *Board) Report(report ReportRequest, reply *ReportReply) error {
-	if err := validate(report.Told); err != nil {
+	if err := validateStats(report.Told); err != nil {
 		return eris.Wrapf(err, "report of %s", report.Member)
 	}
 	b.mutex.Lock()
@@ -75,8 +75,8 @@
 	b.lastOutsideContact = b.now()
 }
 
-// clearOutsideContact forgets the last contact with another group. It is called while no daemon
-// reports here.
+// clearOutsideContact deletes the time of the last contact with another group. It is called while no
+// daemon reports here.
 func (b *Board) clearOutsideContact() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -86,7 +86,7 @@
 // Share is the RPC by which other aggregators send their sums. It returns an error if they can't be
 // decoded.
 func (b *Board) Share(share Share, _ *ShareReply) error {
-	if err := validate(share.Told); err != nil {
+	if err := validateStats(share.Told); err != nil {
 		return eris.Wrapf(err, "share of %s", share.Aggregator)
 	}
 	b.mutex.Lock()
--- a/internal/load/exchange.go
+++ b/internal/load/exchange.go
@@ -57,13 +57,13 @@
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	loops.Go(func() {
-		for pause.Sleep(ctx, jittered(reportInterval)) {
+		for pause.Sleep(ctx, withJitter(reportInterval)) {
 			e.report(ctx)
 		}
 	})
 	loops.Go(func() {
 		interval := idleCheckInterval
-		for pause.Sleep(ctx, jittered(interval)) {
+		for pause.Sleep(ctx, withJitter(interval)) {
 			interval = idleCheckInterval
 			if e.share(ctx) {
 				interval = exchangeInterval
@@ -72,9 +72,9 @@
 	})
 }
 
-// jittered shortens an interval by a random part of up to a quarter, so that daemons that started
+// withJitter shortens an interval by a random part of up to a quarter, so that daemons that started
 // at the same moment don't all report at once.
-func jittered(interval time.Duration) time.Duration {
+func withJitter(interval time.Duration) time.Duration {
 	const jitterShare = 4
 	return interval - time.Duration(rand.Int64N(int64(interval)/jitterShare))
 }
@@ -105,7 +105,7 @@
 	return !found
 }
 
-func (e *Exchange) skip(member members.Member, cause error) {
+func (e *Exchange) skipAggregator(member members.Member, cause error) {
 	e.List.RecordMiss(member)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -120,9 +120,9 @@
 // report sends this daemon's statistics to an aggregator of its group and processes the reply.
 func (e *Exchange) report(ctx context.Context) {
 	current := e.currentPlan()
-	aggregators := current.own.choose(e.isUsable)
+	aggregators := current.own.chooseAggregators(e.isUsable)
 	if len(aggregators) == 0 {
-		e.metrics.reportEnded(resultNoAggregator) // all candidates are being skipped
+		e.metrics.countReport(resultNoAggregator) // all candidates are being skipped
 		return
 	}
 	index := xxhash.Sum64String(string(e.List.Self().Machine)) % uint64(len(aggregators))
@@ -131,26 +131,26 @@
 	report := ReportRequest{Member: string(e.List.Self().Machine), Told: e.localStats()}
 	if err := e.sendReport(ctx, chosen, report, &reply); err != nil {
 		if ctx.Err() == nil {
-			e.metrics.reportEnded(resultNoAnswer)
-			e.skip(chosen, err)
+			e.metrics.countReport(resultNoAnswer)
+			e.skipAggregator(chosen, err)
 		}
 		return
 	}
 	all, own := newSum(), newSum()
 	if err := errors.Join(all.add(reply.All), own.add(reply.Own)); err != nil {
-		e.metrics.reportEnded(resultUnreadable)
-		e.skip(chosen, eris.Wrapf(err, "decode the reply from %s", chosen.Process.Machine))
+		e.metrics.countReport(resultUnreadable)
+		e.skipAggregator(chosen, eris.Wrapf(err, "decode the reply from %s", chosen.Process.Machine))
 		return
 	}
 	if err := e.updatePrograms(reply); err != nil {
-		e.metrics.reportEnded(resultUnreadable)
-		e.skip(chosen, eris.Wrapf(err, "decode the reply from %s", chosen.Process.Machine))
+		e.metrics.countReport(resultUnreadable)
+		e.skipAggregator(chosen, eris.Wrapf(err, "decode the reply from %s", chosen.Process.Machine))
 		return
 	}
 	e.Fleet.UpdateCounts(all.underWay, own.underWay)
 	e.Fleet.UpdateWork(all.speeds, own.speeds)
 	e.recordOutside(reply.Outside)
-	e.metrics.reportEnded(resultLearned)
+	e.metrics.countReport(resultReceived)
 	e.List.RecordAnswer(chosen)
 	e.recordAggregator(chosen)
 }
@@ -194,13 +194,13 @@
 	share := Share{Aggregator: string(e.List.Self().Machine), Told: stats}
 	var sending sync.WaitGroup
 	defer sending.Wait()
-	for _, aggregator := range current.own.choose(e.isUsable) {
+	for _, aggregator := range current.own.chooseAggregators(e.isUsable) {
 		if aggregator.Process != e.List.Self() {
 			sending.Go(func() { e.sendShare(ctx, aggregator, share) })
 		}
 	}
 	for _, other := range current.others {
-		for _, aggregator := range other.choose(e.isUsable) {
+		for _, aggregator := range other.chooseAggregators(e.isUsable) {
 			sending.Go(func() {
 				if e.sendShare(ctx, aggregator, share) {
 					e.Board.recordOutsideContact()
@@ -220,7 +220,7 @@
 	if err == nil {
 		e.List.RecordAnswer(aggregator)
 	} else if parent.Err() == nil {
-		e.skip(aggregator, err)
+		e.skipAggregator(aggregator, err)
 	}
 	return err == nil
 }
@@ -241,12 +241,12 @@
 }
 
 // recordOutside records when the aggregator last reached another group. If the aggregator doesn't
-// know, for example because it started recently, the time known before is kept.
+// know, for example because it started recently, the previous time is retained.
 func (e *Exchange) recordOutside(outside OutsideContact) {
 	now := time.Now()
 	contact := outsideContact{reportedAt: now}
-	if former := e.lastOutside.Load(); former != nil {
-		contact.reachedAt = former.reachedAt
+	if previous := e.lastOutside.Load(); previous != nil {
+		contact.reachedAt = previous.reachedAt
 	}
 	if outside.Heard {
 		contact.reachedAt = now.Add(-outside.Lasted)
@@ -257,7 +257,7 @@
 // LastOutsideContact returns when this daemon's group last reached a daemon of another group. known
 // is false if there are no other groups, none has been reached yet, or the last reply is older than
 // reportTTL.
-func (e *Exchange) LastOutsideContact() (heard time.Time, known bool) {
+func (e *Exchange) LastOutsideContact() (lastContact time.Time, known bool) {
 	last := e.lastOutside.Load()
 	if last == nil || last.reachedAt.IsZero() || time.Since(last.reportedAt) > reportTTL || len(e.currentPlan().others) == 0 {
 		return time.Time{}, false
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,16 +1,18 @@
-// Package load gives every daemon the sums of all daemons' statistics: the requests in flight and
-// the speed of each engine, and the programs in progress. Every daemon sends its own statistics to
-// an aggregator of its group, and the reply holds the sums over all daemons (ReportReply). A group
-// is a zone, or the whole region if the region has at most maxReportersPerAggregator daemons. A
-// group's aggregators are a few of its larger machines, selected by hash. Each sends the sums over
-// the reports that it received (Share) to all other aggregators of the region.
+// Package load provides every daemon with the sums of all daemons' statistics: the requests in
+// flight and the speed of each engine, and the programs in progress. Every daemon sends its own
+// statistics to an aggregator of its group, and the reply holds the sums over all daemons
+// (ReportReply). A group is a zone, or the whole region if the region has at most
+// maxReportersPerAggregator daemons. A group's aggregators are a few of its larger machines,
+// selected by hash. Each sends the sums over the reports that it received (Share) to all other
+// aggregators of the region.
 //
 // There are no guarantees: the sums are hints. While no call fails, their age is at most
 // 2*reportInterval + exchangeInterval + sumTTL plus the network delays. A daemon that reaches no
 // aggregator receives no sums.
 //
-// Each daemon sends about one report per reportInterval, and gets one reply to each, however large
-// the fleet is. A group has one aggregator for every maxReportersPerAggregator daemons, rounded up.
+// Each daemon sends about one report per reportInterval, and receives one reply to each, however
+// large the fleet is. A group has one aggregator for every maxReportersPerAggregator daemons,
+// rounded up.
 package load
 
 import (
@@ -134,7 +136,7 @@
 // flight at the target load of 22,000 requests a second for the whole fleet.
 const maxCount = 1 << 20
 
-// validate returns an error if the statistics can't be decoded.
-func validate(stats EncodedStats) error {
+// validateStats returns an error if the statistics can't be decoded.
+func validateStats(stats EncodedStats) error {
 	return errors.Join(newSum().add(stats), newPrograms().addEncoded(stats.Programs))
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -162,9 +162,9 @@
 		view := fleetView(6, 50)
 		first, second := newPlan(view, view.Members[0].Process), newPlan(view, view.Members[49].Process)
 		Expect(first.own).To(Equal(second.own))
-		Expect(first.own.choose(anyMember)).To(HaveLen(2))
+		Expect(first.own.chooseAggregators(anyMember)).To(HaveLen(2))
 		Expect(first.others).To(HaveLen(5))
-		for _, chosen := range first.own.choose(anyMember) {
+		for _, chosen := range first.own.chooseAggregators(anyMember) {
 			Expect(chosen.Capacity).To(Equal(0.8))
 		}
 	})
@@ -180,8 +180,8 @@
 	It("replaces aggregators that are skipped", func() {
 		view := fleetView(6, 50)
 		plan := newPlan(view, view.Members[0].Process)
-		gone := plan.own.choose(anyMember)[0].Process
-		chosen := plan.own.choose(func(member members.Member) bool { return member.Process != gone })
+		gone := plan.own.chooseAggregators(anyMember)[0].Process
+		chosen := plan.own.chooseAggregators(func(member members.Member) bool { return member.Process != gone })
 		Expect(chosen).To(HaveLen(2))
 		Expect(chosen).NotTo(ContainElement(HaveField("Process", gone)))
 	})
@@ -206,10 +206,10 @@
 	})
 })
 
-// testFleet is a Fleet with fixed counts. It sends the counts of the other daemons to learned.
+// testFleet is a Fleet with fixed counts. It sends the counts of the other daemons to updates.
 type testFleet struct {
 	own     Counts
-	learned chan Counts
+	updates chan Counts
 	testSpeeds
 }
 
@@ -219,7 +219,7 @@
 	for engine, count := range own {
 		all[engine] -= count
 	}
-	e.learned <- all
+	e.updates <- all
 }
 
 var _ = Describe("Exchange", func() {
@@ -244,7 +244,7 @@
 			self := members.Member{Process: identity.Process{
 				Machine: identity.Machine(fmt.Sprintf("d%03d", number)), Zone: identity.Zone(fmt.Sprint("z", number%zones)), Region: "r", Address: server.Address(),
 			}}
-			fleet := &testFleet{own: Counts{Digest(number): 1}, learned: make(chan Counts, 1)}
+			fleet := &testFleet{own: Counts{Digest(number): 1}, updates: make(chan Counts, 1)}
 			exchange := &Exchange{
 				List: members.NewList(self, time.Now, zap.NewNop()), PeerClient: pool, Board: NewBoard(time.Now), Fleet: fleet, Log: zap.NewNop(),
 			}
@@ -255,12 +255,13 @@
 		Expect(acquaintance.FillLists(lists...)).To(Succeed())
 		return started
 	}
-	// exchangeOnce lets all daemons report and then share once. It discards what they learn.
+	// exchangeOnce lets all daemons report and then share once. It discards the counts that they
+	// receive.
 	exchangeOnce := func(ctx context.Context, all []*testDaemon) {
 		for _, each := range all {
 			each.report(ctx)
 			select {
-			case <-each.fleet.learned:
+			case <-each.fleet.updates:
 			default:
 			}
 		}
@@ -268,28 +269,28 @@
 			each.share(ctx)
 		}
 	}
-	// awaitCounts repeats exchangeOnce until the asking daemon knows the counts of engineCount
-	// other engines.
+	// awaitCounts repeats exchangeOnce until the asking daemon has received the counts of
+	// engineCount other engines.
 	awaitCounts := func(ctx context.Context, all []*testDaemon, asking *testDaemon, engineCount int) {
 		GinkgoHelper()
 		Eventually(func() Counts {
 			exchangeOnce(ctx, all)
 			asking.report(ctx)
 			select {
-			case learned := <-asking.fleet.learned:
-				for engine, count := range learned {
+			case received := <-asking.fleet.updates:
+				for engine, count := range received {
 					if count == 0 {
-						delete(learned, engine)
+						delete(received, engine)
 					}
 				}
-				return learned
+				return received
 			default:
 				return nil
 			}
 		}).Should(HaveLen(engineCount))
 	}
 
-	It("gives each daemon the counts of the others, across zones", func(ctx SpecContext) {
+	It("delivers the counts of the others to each daemon, across zones", func(ctx SpecContext) {
 		all := startDaemons(3, 15)
 		awaitCounts(ctx, all, all[0], 44)
 		awaitCounts(ctx, all, all[44], 44)
@@ -366,7 +367,7 @@
 			}
 			counted := &Exchange{
 				List: list, PeerClient: countingClient{&calls}, Board: NewBoard(time.Now),
-				Fleet: &testFleet{learned: make(chan Counts, 9)}, Log: zap.NewNop(),
+				Fleet: &testFleet{updates: make(chan Counts, 9)}, Log: zap.NewNop(),
 			}
 			Expect(counted.Board.Report(ReportRequest{Member: "another"}, &ReportReply{})).To(Succeed())
 			calls = 0
--- a/internal/load/metrics.go
+++ b/internal/load/metrics.go
@@ -11,14 +11,14 @@
 // metrics counts reports by result and holds the time of the last reply.
 type metrics struct {
 	reports *prometheus.CounterVec
-	// learnedAt is when a reply was last received, in nanoseconds since the Unix epoch; 0 if
+	// receivedAt is when a reply was last received, in nanoseconds since the Unix epoch; 0 if
 	// never.
-	learnedAt atomic.Int64
+	receivedAt atomic.Int64
 }
 
 // Results of a report: values of the label "result".
 const (
-	resultLearned      = "learned"
+	resultReceived     = "learned"
 	resultNoAnswer     = "no-answer"
 	resultUnreadable   = "unreadable"
 	resultNoAggregator = "nobody-to-ask"
@@ -46,18 +46,18 @@
 // age returns the seconds since a reply was last received, or -1 if none was.
 func (m *metrics) age() float64 {
 	const never = -1
-	at := m.learnedAt.Load()
+	at := m.receivedAt.Load()
 	if at == 0 {
 		return never
 	}
 	return time.Since(time.Unix(0, at)).Seconds()
 }
 
-// reportEnded counts a report if the metrics are registered, and records the time of a
+// countReport counts a report if the metrics are registered, and records the time of a
 // successful one.
-func (m *metrics) reportEnded(result string) {
-	if result == resultLearned {
-		m.learnedAt.Store(time.Now().UnixNano())
+func (m *metrics) countReport(result string) {
+	if result == resultReceived {
+		m.receivedAt.Store(time.Now().UnixNano())
 	}
 	if m.reports != nil {
 		m.reports.WithLabelValues(result).Inc()
--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxReportersPerAggregator is the most daemons per aggregator of a group, on average: daemons
-	// are assigned by hash. 40 daemons send about 400 reports a second, which take about 4 % of a
-	// core.
+	// maxReportersPerAggregator is the maximum number of daemons per aggregator of a group, on
+	// average: daemons are assigned by hash. 40 daemons send about 400 reports a second, which take
+	// about 4 % of a core.
 	maxReportersPerAggregator = 40
 	// spareAggregators is how many further candidates a group has, to replace aggregators that
 	// don't answer.
@@ -89,8 +89,8 @@
 	return xxhash.Sum64String("load\x00" + string(member.Process.Machine))
 }
 
-// choose returns the first usable candidates, at most g.aggregators of them.
-func (g *group) choose(usable func(members.Member) bool) []members.Member {
+// chooseAggregators returns the first usable candidates, at most g.aggregators of them.
+func (g *group) chooseAggregators(usable func(members.Member) bool) []members.Member {
 	chosen := make([]members.Member, 0, g.aggregators)
 	for _, candidate := range g.candidates {
 		if len(chosen) < g.aggregators && usable(candidate) {
--- a/internal/load/programs.go
+++ b/internal/load/programs.go
@@ -8,8 +8,8 @@
 )
 
 // ProgramStats are statistics of the programs in progress, of one daemon or summed over several.
-// From the sums each daemon derives how much of the engines' capacity is taken, and its own part of
-// the rest.
+// From the sums each daemon derives how much of the engines' capacity is in use, and its own part
+// of the remaining capacity.
 type ProgramStats struct {
 	Services map[Digest]ServiceStats // by digest of the service's name
 	// Spent is the recent cost of each tenant's programs at the engines, in tokens, by digest of
@@ -43,7 +43,7 @@
 const (
 	// programsTTL is how long a daemon's program statistics are included in an aggregator's sums,
 	// and an aggregator's sums in those of another one: one and a half intervals. The younger the
-	// statistics are, the more exactly the daemons together keep to the bound on admitted programs.
+	// statistics are, the more exactly the daemons together observe the bound on admitted programs.
 	// A daemon whose statistics have expired isn't counted in ServiceStats.Daemons either.
 	programsTTL = 150 * time.Millisecond
 	// MaxProgramStatsAge is the maximum age of any daemon's program statistics when an aggregator
--- a/internal/load/programs_test.go
+++ b/internal/load/programs_test.go
@@ -61,15 +61,15 @@
 }
 
 // testProgramSource is a ProgramSource with fixed statistics. It sends the sums over all daemons to
-// learned.
+// updates.
 type testProgramSource struct {
 	own     ProgramStats
-	learned chan ProgramStats
+	updates chan ProgramStats
 }
 
 func (p *testProgramSource) Programs() ProgramStats { return p.own }
 
-func (p *testProgramSource) UpdatePrograms(all, _ ProgramStats) { p.learned <- all }
+func (p *testProgramSource) UpdatePrograms(all, _ ProgramStats) { p.updates <- all }
 
 var _ = Describe("ProgramStats", func() {
 	const service, tenant = Digest(7), Digest(9)
@@ -125,13 +125,13 @@
 		Expect(server.Register(ServiceName, board)).To(Succeed())
 		Expect(board.Report(ReportRequest{Member: "former", Told: EncodedStats{UnderWay: Counts{1: 1}.encode()}}, &ReportReply{})).To(Succeed())
 		self := members.Member{Process: identity.Process{Machine: "d", Zone: "z", Region: "r", Address: server.Address()}}
-		source := &testProgramSource{own: own(4), learned: make(chan ProgramStats, 1)}
+		source := &testProgramSource{own: own(4), updates: make(chan ProgramStats, 1)}
 		exchange := &Exchange{
 			List: members.NewList(self, time.Now, zap.NewNop()), PeerClient: peer.NewPool(peer.Options{}), Board: board,
-			Fleet: &testFleet{learned: make(chan Counts, 1)}, Programs: source, Log: zap.NewNop(),
+			Fleet: &testFleet{updates: make(chan Counts, 1)}, Programs: source, Log: zap.NewNop(),
 		}
 		Expect(acquaintance.FillLists(exchange.List)).To(Succeed())
 		exchange.report(context.Background())
-		Eventually(ctx, source.learned).Should(Receive(HaveField("Services", Not(BeNil()))))
+		Eventually(ctx, source.updates).Should(Receive(HaveField("Services", Not(BeNil()))))
 	})
 })
--- a/internal/load/speeds_test.go
+++ b/internal/load/speeds_test.go
@@ -69,10 +69,10 @@
 	self := members.Member{Process: identity.Process{Machine: "new", Zone: "z", Region: "r"}, State: members.StateAlive}
 	list := members.NewList(self, time.Now, zap.NewNop())
 	Expect(acquaintance.FillLists(list)).To(Succeed())
-	fleet := &testFleet{learned: make(chan Counts, 1)}
+	fleet := &testFleet{updates: make(chan Counts, 1)}
 	exchange := &Exchange{List: list, Board: board, Fleet: fleet, Log: zap.NewNop()}
 	exchange.report(ctx)
-	Expect(fleet.learned).To(Receive())
+	Expect(fleet.updates).To(Receive())
 	return fleet
 }
 
@@ -99,7 +99,7 @@
 		Expect(decodeSpeeds(share.Speeds)).To(Equal(EngineWork{1: one.Add(one), 2: other}))
 	})
 
-	It("gives a newly started daemon the speeds of the others with its first reply", func(ctx SpecContext) {
+	It("returns the speeds of the others to a newly started daemon with its first reply", func(ctx SpecContext) {
 		board := newTestBoard()
 		var reply ReportReply
 		Expect(board.Report(ReportRequest{Member: "a", Told: EncodedStats{Speeds: EngineWork{1: one}.encode()}}, &reply)).To(Succeed())
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -51,8 +51,8 @@
 	standingSince  atomic.Int64  // when standing was set; 0: never
 	// exclusiveSince is the result of mayOwnFrom while standing is StandingOwner.
 	exclusiveSince atomic.Int64
-	// inheritedAt is when this process took over the shards of its machine's previous process without
-	// being registered (see inheritShards); 0: it didn't, or it has registered or lost its
+	// inheritedAt is when this process took over the shards of its machine's previous process
+	// without being registered (see inheritShards); 0: it didn't, or it has registered or lost its
 	// membership since.
 	inheritedAt atomic.Int64
 	// hasOwned reports whether OwnsShard has returned true. From then on, currentOwnersSince no
--- a/internal/members/registration.go
+++ b/internal/members/registration.go
@@ -27,7 +27,8 @@
 	claimZone identity.Zone
 }
 
-// tryCommit commits the rows. After a conflict it tries once more, with the row that the conflict showed.
+// tryCommit commits the rows. After a conflict it tries once more, with the row that the conflict
+// showed.
 func (r *registration) tryCommit(ctx context.Context) error {
 	err := r.commit(ctx)
 	var conflict *state.ConflictError
--- a/internal/members/shard_owner.go
+++ b/internal/members/shard_owner.go
@@ -25,8 +25,8 @@
 //
 // A process that is restarted at its machine's previous address takes over the standing of the
 // previous process, unless the machine's claims were released. If the previous process could own
-// shards, the new one can own them as soon as it has registered, or earlier (see inheritShards). The
-// previous process can't be running, since it used the same address.
+// shards, the new one can own them as soon as it has registered, or earlier (see inheritShards).
+// The previous process can't be running, since it used the same address.
 const (
 	// maxOwnerListAge is how long a shard owner may use its list after the store last confirmed the
 	// list. It is long enough to bridge outages of the store.
@@ -138,9 +138,10 @@
 
 // inheritShards lets this process own the shards of its machine's previous process as soon as it
 // has read that process's row, even before it has registered. The row must have the same address
-// and StandingOwner, and must not be marked dead. This is safe: if the row is marked dead later, the
-// claims are released deadReleaseDelay after that, and this process stops using its list sooner.
-// maxInheritedTime covers the earlier release after a planned shutdown. The caller holds the lock.
+// and StandingOwner, and must not be marked dead. This is safe: if the row is marked dead later,
+// the claims are released deadReleaseDelay after that, and this process stops using its list
+// sooner. maxInheritedTime covers the earlier release after a planned shutdown. The caller holds
+// the lock.
 func (l *List) inheritShards(previous Member) {
 	canInherit := previous.State != StateDead && previous.Standing == StandingOwner && previous.Process.Address == l.self.Process.Address
 	if !canInherit || previous.Process.Incarnation >= l.self.Process.Incarnation || l.localStatus.registeredAt.Load() != 0 || l.localStatus.inheritedAt.Load() != 0 {
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,7 +1,7 @@
 // Package problem defines the typed errors that callers and operators see. Daemons pass them to
 // each other in net/rpc replies.
 //
-// A call that ends without an answer was not run, failed, or has an unknown outcome. A problem
+// A call that ends without an answer was not executed, failed, or has an unknown outcome. A problem
 // states one of the first two only if it is certain.
 package problem
 
@@ -22,7 +22,7 @@
 	OutcomeNotRun Outcome = "not-run"
 	// OutcomeFailed is used if a back end ran or rejected the call and it ended without an answer.
 	OutcomeFailed Outcome = "failed"
-	// OutcomeUnknown is used if the call may have run.
+	// OutcomeUnknown is used if the call may have been executed.
 	OutcomeUnknown Outcome = "outcome-unknown"
 )
 
@@ -46,7 +46,7 @@
 	KindRefused              Kind = "refused"               // 429; refused by admission; with RetryAfter
 	KindUnavailable          Kind = "unavailable"           // 503; no leader, no quorum, or draining; with RetryAfter
 	KindDeadlineExceeded     Kind = "deadline-exceeded"     // 504
-	KindCancelled            Kind = "cancelled"             // 409; the program ended while the call ran
+	KindCancelled            Kind = "cancelled"             // 409; the program ended during the call
 	KindBackEndFailed        Kind = "back-end-failed"       // 502
 	KindOutcomeUnknown       Kind = "outcome-unknown"       // 502
 	KindInvalidConfiguration Kind = "invalid-configuration" // 400; operators only
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -50,9 +50,9 @@
 // slotAt returns the number of the slot at the given time.
 func (b *bucket) slotAt(now time.Time) int64 { return max(int64(now.Sub(b.start)/b.slotLength), 0) }
 
-// issuePermit sets the rates, then issues a permit if the level is at least minLevel and the counter
-// of the current slot is not full. It returns the current slot, in which the permit is counted, and
-// the level afterwards.
+// issuePermit sets the rates, then issues a permit if the level is at least minLevel and the
+// counter of the current slot is not full. It returns the current slot, in which the permit is
+// counted, and the level afterwards.
 func (b *bucket) issuePermit(now time.Time, current rates, minLevel float64) (slot int64, level float64, issued bool) {
 	b.rates = current
 	b.advance(now)
--- a/internal/reach/monitor.go
+++ b/internal/reach/monitor.go
@@ -18,11 +18,11 @@
 	// observeInterval is the time between two observations: an eighth of outsideTimeout and
 	// storeTimeout.
 	observeInterval = 50 * time.Millisecond
-	// probeInterval is the least time between the starts of two probes of the store.
+	// probeInterval is the minimum time between the starts of two probes of the store.
 	probeInterval = 150 * time.Millisecond
 	// probeTimeout bounds one probe.
 	probeTimeout = 300 * time.Millisecond
-	// minRetryAfter is the least delay after which a refused caller is told to retry.
+	// minRetryAfter is the minimum delay that RetryAfter returns, without the random part.
 	minRetryAfter = 100 * time.Millisecond
 	// retryJitterDivisor sets the random part that is added to a retry delay: it is less than the
 	// delay divided by retryJitterDivisor.
@@ -138,8 +138,8 @@
 }
 
 // RetryAfter returns the delay after which a refused caller is likely to reach a daemon of another
-// zone: the rest of Options.RerouteDelay but at least minRetryAfter, plus a random part so that
-// callers don't all retry at once.
+// zone: the remaining part of Options.RerouteDelay but at least minRetryAfter, plus a random part
+// so that callers don't all retry at once.
 func (m *Monitor) RetryAfter() time.Duration {
 	lasted := m.options.Now().Sub(time.Unix(0, m.cutOffSince.Load()))
 	delay := max(m.options.RerouteDelay-lasted, minRetryAfter)
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -4,10 +4,10 @@
 // and refuses requests that need the store without waiting.
 //
 // The result is a hint, and correctness must not depend on it. A daemon that is connected may be
-// taken as cut off until the next observation; the requests that it refuses meanwhile have not been
-// run.
+// considered cut off until the next observation; the requests that it refuses meanwhile were not
+// executed.
 //
-// Each daemon decides for itself. It knows from the replies of its load aggregator (package load)
+// Each daemon decides for itself. The replies of its load aggregator (package load) show
 // whether other zones are silent, so no further messages are needed for that. The store is probed
 // only while the other zones are silent.
 package reach
@@ -22,7 +22,7 @@
 	// storeTimeout is how long the store must be silent before a daemon counts as cut off. It is
 	// longer than a slow answer of the store, which takes about 300 ms.
 	storeTimeout = 400 * time.Millisecond
-	// maxObservationGap is the longest time between two observations of a process that runs
+	// maxObservationGap is the maximum time between two observations of a process that runs
 	// normally. After a longer gap the process was suspended, and contacts from before the gap are
 	// ignored.
 	maxObservationGap = 300 * time.Millisecond
@@ -60,11 +60,11 @@
 	return observation.OutsideKnown && d.silenceSince(now, observation.LastOutsideContact) >= outsideTimeout/2
 }
 
-// silenceSince returns the time since a contact at the time heard, or since the process started or
-// resumed if that is later.
-func (d *detector) silenceSince(now, heard time.Time) time.Duration {
-	if heard.Before(d.runningSince) {
-		heard = d.runningSince
+// silenceSince returns the time since lastContact, or since the process started or resumed if that
+// is later.
+func (d *detector) silenceSince(now, lastContact time.Time) time.Duration {
+	if lastContact.Before(d.runningSince) {
+		lastContact = d.runningSince
 	}
-	return now.Sub(heard)
+	return now.Sub(lastContact)
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -32,7 +32,7 @@
 	Table string
 	// Partition is the store partition that holds all rows of the table.
 	Partition string
-	// MaxWait is the longest time that a feed call may wait for a change before the store is
+	// MaxWait is the maximum time that a feed call may wait for a change before the store is
 	// called again. It bounds how long a dead connection goes unnoticed.
 	MaxWait time.Duration
 	// AnswerDue, if set, returns the time within which the next answer is needed, which limits the
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -114,8 +114,8 @@
 		Expect(first).To(Equal(map[string]string{"a": "1"}))
 	})
 
-	It("polls again when an answer is due, before the feed's own wait is over", func() {
-		heard := make(chan struct{}, 8)
+	It("polls again when an answer is due, before the feed's own wait has ended", func() {
+		answers := make(chan struct{}, 8)
 		running, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
@@ -125,7 +125,7 @@
 				AnswerDue: func() time.Duration { return time.Millisecond },
 				OnAnswer: func() {
 					select {
-					case heard <- struct{}{}:
+					case answers <- struct{}{}:
 					default: // the test receives only the first ones
 					}
 				},
@@ -133,7 +133,7 @@
 		}()
 		DeferCleanup(func() { cancel(); <-done })
 		for range 3 { // the reading and two feed calls without a change
-			Eventually(heard).Should(Receive())
+			Eventually(answers).Should(Receive())
 		}
 	})
 
