--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -6,7 +6,7 @@
 // A program that would exceed the bound is refused at its first turn. Later turns, sub-agents
 // and tool calls are counted but never refused.
 //
-// Every daemon decides alone, within its own part of the bound (see Part). The figures that it
+// Every daemon decides independently, within its own part of the bound (see Part). The figures that it
 // needs from other daemons are received with the load reports that daemons exchange.
 //
 // Guarantee: while all daemons agree on the bound and on the number of members, their parts sum
--- a/internal/budget/client.go
+++ b/internal/budget/client.go
@@ -64,7 +64,7 @@
 	log        *zap.Logger
 	// LocalOnly makes this daemon reserve only from its own ledger. It is for experiments.
 	LocalOnly bool
-	// PreferZone reserves at holders in the zone of the daemon that the turn came to, instead of
+	// PreferZone reserves at holders in the zone of the daemon that the turn arrived at, instead of
 	// the whole region. A zone that is cut off can then continue the programs that started there,
 	// and calls to holders stay within the zone. The budget still limits all zones together: all
 	// grants come from the same rows of the store, and only one daemon lends. Each holder asks
--- a/internal/members/lease_checks.go
+++ b/internal/members/lease_checks.go
@@ -23,7 +23,7 @@
 	// die at the same moment.
 	furtherLeasesPerRead = 100
 	maxLeaseReads        = 6
-	// maxRenewalsBetweenChecks is the longest time between two checks, in renewal intervals, for
+	// maxRenewalsBetweenChecks is the maximum time between two checks, in renewal intervals, for
 	// which the observations of the first check remain valid. After a longer pause they are
 	// discarded, because this process may have been suspended.
 	maxRenewalsBetweenChecks = 3
--- a/internal/members/shard_owner.go
+++ b/internal/members/shard_owner.go
@@ -34,7 +34,7 @@
 	// maxListDelay is the maximum age of the list's contents at the time when the store confirms
 	// the list.
 	maxListDelay = time.Minute
-	// settlingDuration is the longest time for which another member may use a list that doesn't
+	// settlingDuration is the maximum time for which another member may use a list that doesn't
 	// show this member's claims.
 	settlingDuration = maxOwnerListAge + maxListDelay
 	// joinDelay is the minimum time for which a member that joined has no claims. When it gets
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -121,6 +121,6 @@
 	return min(time.Duration((minLevel-level)/r.perSecond*float64(time.Second)), maxWait)
 }
 
-// maxWait is the longest wait that is computed. As acquisition.retryAfter it means that no
+// maxWait is the maximum wait that is computed. As acquisition.retryAfter it means that no
 // owner has returned a time at which to try again.
 const maxWait = time.Hour
--- a/internal/quota/keeper.go
+++ b/internal/quota/keeper.go
@@ -82,7 +82,7 @@
 
 	mutex     sync.Mutex
 	parts     map[partKey]*part
-	droppedAt time.Time
+	lastSweep time.Time
 }
 
 type partKey struct {
@@ -123,7 +123,7 @@
 		reply.Verdict = VerdictNotOwner
 		return nil
 	}
-	i.dropUnusedParts(now)
+	i.sweepParts(now)
 	entry := i.getOrCreatePart(key, since, now)
 	entry.updateQuota(request)
 	*reply = entry.serveRequest(now, i.settings, request)
@@ -194,19 +194,19 @@
 
 // A part that was not asked for during sweepAfter is dropped if it is full. No permit is lost: a
 // new bucket for the part refills from the time at which this daemon became its owner.
-// sweepInterval is the shortest time between two searches for such parts.
+// sweepInterval is the minimum time between two searches for such parts.
 const (
 	sweepAfter    = 10 * time.Minute
 	sweepInterval = time.Minute
 )
 
-// dropUnusedParts drops full parts that were not asked for during sweepAfter, at most once per
+// sweepParts drops full parts that were not asked for during sweepAfter, at most once per
 // sweepInterval. The caller must hold the lock.
-func (i *Issuer) dropUnusedParts(now time.Time) {
-	if now.Sub(i.droppedAt) < sweepInterval {
+func (i *Issuer) sweepParts(now time.Time) {
+	if now.Sub(i.lastSweep) < sweepInterval {
 		return
 	}
-	i.droppedAt = now
+	i.lastSweep = now
 	for key, entry := range i.parts {
 		if now.Sub(entry.lastUsed) > sweepAfter && entry.isFull(now) {
 			delete(i.parts, key)
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -24,7 +24,7 @@
 	avoidDuration = 500 * time.Millisecond
 	// releaseTimeout limits the duration of the call that releases a permit.
 	releaseTimeout = time.Second
-	// minRetryAfter is the shortest wait that is returned to a refused caller, before jitter.
+	// minRetryAfter is the minimum wait that is returned to a refused caller, before jitter.
 	minRetryAfter = 100 * time.Millisecond
 	// emptyCacheSize is the maximum number of parts that are remembered as empty. It allows for
 	// many tenants that are at their limit at the same time.
