--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -34,7 +34,7 @@
 	Body   io.ReadCloser
 }
 
-// NotSentError says that no byte of the request was sent.
+// NotSentError means that no byte of the request was sent.
 type NotSentError struct {
 	Peer string
 	Err  error
@@ -46,7 +46,7 @@
 // Unwrap returns the underlying error.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError says that no usable response was received although the request may have been
+// LostError means that no usable response was received although the request may have been
 // executed.
 type LostError struct {
 	Peer string
--- a/internal/backend/exchange_test.go
+++ b/internal/backend/exchange_test.go
@@ -247,7 +247,7 @@
 		Eventually(accepted).Should(Receive())
 	})
 
-	It("keeps writing to an instance that reads slowly", func() {
+	It("continues to write to an instance that reads slowly", func() {
 		local, remote := net.Pipe()
 		defer local.Close()
 		const stallTimeout, writes = 200 * time.Millisecond, 8
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -30,7 +30,7 @@
 	idleTimeout        time.Duration
 }
 
-// pool keeps idle connections to one address and reuses the most recently used one first. It is
+// pool holds idle connections to one address and reuses the most recently used one first. It is
 // safe for concurrent use.
 type pool struct {
 	address string
--- a/internal/backend/reference.go
+++ b/internal/backend/reference.go
@@ -125,7 +125,7 @@
 }
 
 // preferFastShare returns the share of the programs that are to prefer fast instances: as many
-// as the fast instances have room for. The share falls to 0 as the fleet fills up; in a full
+// as the fast instances have capacity for. The share falls to 0 as the fleet fills up; in a full
 // fleet speeds have no effect on placement. The used capacity depends little on which instances
 // do the work, so that the share is stable and daemons do not oscillate.
 func (c capacity) preferFastShare() float64 {
--- a/internal/backend/sending.go
+++ b/internal/backend/sending.go
@@ -16,7 +16,7 @@
 // unackedTimeout.
 const writeStallTimeout = 1200 * time.Millisecond
 
-// ErrRequestNotRead says that the exchange ended before the whole request was written, so that
+// ErrRequestNotRead means that the exchange ended before the whole request was written, so that
 // the instance has not read all of it.
 var ErrRequestNotRead = errors.New("the instance has not read the whole request")
 
--- a/internal/backend/uneven_test.go
+++ b/internal/backend/uneven_test.go
@@ -133,8 +133,8 @@
 	fourSpeeds := constantSpeeds(0.5, 0.8, 1.1, 1.4)
 	oneFast := constantSpeeds(append([]float64{3}, slices.Repeat([]float64{1}, simulatedEngines-1)...)...)
 
-	// With learned speeds, the mean turn time is close to that of optimal placement while fast
-	// engines have free slots. Without learned speeds it is not.
+	// With observed speeds, the mean turn time is close to that of optimal placement while fast
+	// engines have free slots. Without observed speeds it is not.
 	DescribeTable("minimizes the turn time while engines have free slots", func(engines []speedOverTime, maxRatio float64) {
 		results := compare(engines, fewPrograms)
 		Expect(results.withSpeeds.mean.Seconds()).To(BeNumerically("<=", maxRatio*results.optimal.mean.Seconds()))
@@ -147,7 +147,7 @@
 	)
 
 	// When more than half of the slots are taken, each engine gets work in proportion to its
-	// speed, and turns take no longer than without learned speeds.
+	// speed, and turns take no longer than without observed speeds.
 	DescribeTable("loads engines in proportion to their capacity when more than half of the slots are taken", func(engines []speedOverTime, maxRelativeLoad float64) {
 		results := compare(engines, manyPrograms)
 		const noise = 1.05
@@ -168,7 +168,7 @@
 		Expect(results.withSpeeds.firstShare).To(BeNumerically("<", 0.7*results.withoutSpeeds.firstShare))
 	})
 
-	It("places equal engines as it does without learned speeds", func() {
+	It("places equal engines as it does without observed speeds", func() {
 		results := compare(constantSpeeds(1), manyPrograms)
 		Expect(results.withSpeeds).To(Equal(results.withoutSpeeds))
 	})
--- a/internal/callerapi/follow.go
+++ b/internal/callerapi/follow.go
@@ -21,7 +21,7 @@
 	endOnlyOffset = math.MaxInt
 )
 
-// follower reads a call's answer with successive Follow requests. It keeps the
+// follower reads a call's answer with successive Follow requests. It retains the
 // content of the current attempt of the call. It is not safe for concurrent use.
 type follower struct {
 	programs execution.Programs
@@ -43,7 +43,7 @@
 
 // next waits for news of the call for up to maxPollWait, or until the context ends,
 // and returns what is known then. If the context has ended before the call, the
-// problem says that the deadline has passed.
+// problem states that the deadline has passed.
 func (f *follower) next(ctx context.Context) (execution.FollowReply, *problem.Problem) {
 	return f.nextWithin(ctx, maxPollWait)
 }
--- a/internal/callerapi/handler.go
+++ b/internal/callerapi/handler.go
@@ -1,6 +1,6 @@
 // Package callerapi implements the HTTP API for callers, which every daemon serves.
 // It authenticates and validates requests, passes them to the programs, and returns
-// or streams the results. It keeps no state between requests.
+// or streams the results. It holds no state between requests.
 package callerapi
 
 import (
@@ -81,7 +81,7 @@
 	a.handle(mux, "POST "+PathPrograms+"/{program}/calls/{sequence}", "submit", a.handleCall)
 	a.handle(mux, "GET "+PathPrograms+"/{program}/calls/{sequence}", "read", a.readCall)
 	a.handle(mux, "POST "+PathCompletions, "chat", a.handleChat)
-	mux.HandleFunc("/", notFound)
+	mux.HandleFunc("/", writeNotFound)
 	return mux
 }
 
@@ -116,7 +116,7 @@
 	})
 }
 
-func notFound(writer http.ResponseWriter, incoming *http.Request) {
+func writeNotFound(writer http.ResponseWriter, incoming *http.Request) {
 	found := problem.New(problem.KindMalformed, "match the path", "no such method and path: %s %s", incoming.Method, incoming.URL.Path)
 	newResponseWriter(writer, DefaultLimits.WriteTimeout).writeProblemWithStatus(http.StatusNotFound, found)
 }
--- a/internal/commandline/advice.go
+++ b/internal/commandline/advice.go
@@ -32,7 +32,7 @@
 	problem.KindInternal:             {ExitFailed, "This is a bug in thymeloft: report it with the daemon's log."},
 }
 
-// Advice returns a text that says what the user can do about a kind of problem,
+// Advice returns a text that explains what the user can do about a kind of problem,
 // or "" for an unknown kind.
 func Advice(kind problem.Kind) string { return infoByKind[kind].advice }
 
--- a/internal/commandline/operator_client.go
+++ b/internal/commandline/operator_client.go
@@ -98,7 +98,7 @@
 // the outcome is unknown, up to maxChangeAttempts calls in all. Repeating a change
 // is safe because each attempt has the same change identifier. If the last
 // attempt fails too, and any attempt may have applied the change, the returned
-// error says that the outcome is uncertain.
+// error states that the outcome is uncertain.
 func retryChange[T any](ctx context.Context, identifier string, change func() (T, error)) (T, error) {
 	mayBeApplied := false
 	attempt := func() (T, error) {
--- a/internal/commandline/program.go
+++ b/internal/commandline/program.go
@@ -65,7 +65,7 @@
 }
 
 // withCreationKey returns the error of a failed creation. If the outcome is
-// unknown, its advice says how to repeat the command with the creation key.
+// unknown, its advice explains how to repeat the command with the creation key.
 func withCreationKey(err error, key string) error {
 	var failed *failure
 	if errors.As(err, &failed) && failed.code == ExitUncertain {
--- a/internal/configuration/diff_items.go
+++ b/internal/configuration/diff_items.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// ChangeAction says whether an item was added, removed or changed.
+// ChangeAction is the kind of a change: whether an item was added, removed or changed.
 type ChangeAction string
 
 // Values of ItemChange.Action.
--- a/internal/configuration/difference.go
+++ b/internal/configuration/difference.go
@@ -66,7 +66,7 @@
 
 // Normalize returns a copy of the document in normal form: each list is sorted
 // by name, so that the order in which items were declared does not matter. The
-// order within an item (key hashes, engines of a pool, addresses) is kept.
+// order within an item (key hashes, engines of a pool, addresses) is preserved.
 func Normalize(document *Document) Document {
 	return Document{
 		Tenants:  sortedList(document.Tenants, tenantName),
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -1,6 +1,6 @@
 // Package configuration defines the configuration document that operators
 // declare (tenants, models, pools, engines, services and drains), its validation,
-// its YAML form, and a state machine that applies changes to it and keeps a
+// its YAML form, and a state machine that applies changes to it and retains a
 // bounded history of revisions.
 package configuration
 
--- a/internal/configuration/machine_test.go
+++ b/internal/configuration/machine_test.go
@@ -72,7 +72,7 @@
 		Expect(machine.Current().Drained).To(HaveKey("e1"))
 	})
 
-	It("keeps the document after a reduced change without differences", func() {
+	It("retains the document after a reduced change without differences", func() {
 		unchanged := machine.Current().ReduceChange(configuration.Change{Identifier: "same", BaseRevision: 1, Document: validDocument()})
 		Expect(unchanged.Partial.ItemCount()).To(BeZero())
 		Expect(apply(machine, unchanged)).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 2}))
--- a/internal/configuration/stored/change.go
+++ b/internal/configuration/stored/change.go
@@ -49,7 +49,7 @@
 }
 
 // changeError returns the error of a change that had no result before its deadline.
-// The uncertain argument says whether a commit of the change may have been done.
+// uncertain reports whether a commit of the change may have been accepted.
 func changeError(err error, uncertain bool) error {
 	if uncertain {
 		return errors.Join(configuration.ErrChangeUncertain, err)
--- a/internal/configuration/stored/stored.go
+++ b/internal/configuration/stored/stored.go
@@ -1,4 +1,4 @@
-// Package stored keeps the configuration in the transactional store. Any daemon can
+// Package stored reads and writes the configuration in the transactional store. Any daemon can
 // apply a change: it commits the new state on the condition that no other change was
 // committed meanwhile. Every daemon watches the head row, which changes with each
 // revision, and reads the new state.
--- a/internal/configuration/stored/stored_test.go
+++ b/internal/configuration/stored/stored_test.go
@@ -104,7 +104,7 @@
 		Expect(start(store).Change(ctx, change("two", 1, "a", "b"))).To(Equal(configuration.ChangeResult{Accepted: true, Revision: 2}))
 	})
 
-	It("reports that a change did not run while the store is down, and is unconfirmed after the bound", func(ctx SpecContext) {
+	It("reports that a change was not made while the store is down, and is unconfirmed after the bound", func(ctx SpecContext) {
 		service := start(store)
 		Expect(service.Change(ctx, change("one", 0, "a"))).To(HaveField("Accepted", true))
 		Eventually(service.IsConfirmed).Should(BeTrue())
@@ -122,7 +122,7 @@
 		Eventually(service.IsConfirmed).Should(BeTrue())
 	})
 
-	It("keeps its revision when reads of the store are outdated", func(ctx SpecContext) {
+	It("retains its revision when reads of the store are outdated", func(ctx SpecContext) {
 		service := start(store)
 		Expect(service.Change(ctx, change("one", 0, "a"))).To(HaveField("Accepted", true))
 		store.SetFixedPage(&state.Page{})
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -103,7 +103,7 @@
 }
 
 // truncateSecret shortens a text for a message, since an operator may have written a
-// key in place of its hash.
+// key instead of its hash.
 func truncateSecret(text string) string {
 	const shown = 4
 	if len(text) <= shown {
--- a/internal/dispatch/cancel.go
+++ b/internal/dispatch/cancel.go
@@ -23,14 +23,14 @@
 // sent content. It must have restarted and lost the count.
 var errEngineRestarted = errors.New("the engine restarted and lost the count of tokens")
 
-// cleanup returns a context for requests after the attempt has ended. It is not
+// cleanupContext returns a context for requests after the attempt has ended. It is not
 // cancelled with ctx, but ends after CleanupTimeout.
-func (a *attempt) cleanup(ctx context.Context) (context.Context, context.CancelFunc) {
+func (a *attempt) cleanupContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(ctx), a.http.options.CleanupTimeout)
 }
 
 // abandon ends a completion whose answer was not received completely. It cancels
-// the request at the engine to learn the exact number of generated tokens or, if
+// the request at the engine to get the exact number of generated tokens or, if
 // the request has finished meanwhile, calls collectFinished. If the stream broke
 // and the engine no longer knows the request, the outcome is unknown. After a
 // loss of leadership, the request is left to the next leader instead.
@@ -38,7 +38,7 @@
 	if errors.Is(context.Cause(ctx), ErrLeadershipLost) {
 		return c.reportUnknown("leave to the next leader", ErrLeadershipLost)
 	}
-	cleanup, cancel := c.cleanup(ctx)
+	cleanup, cancel := c.cleanupContext(ctx)
 	defer cancel()
 	if !end.endedLocally && !c.isKnown(cleanup) {
 		return c.reportUnknown(end.step, end.err)
@@ -99,7 +99,7 @@
 	if reported != nil {
 		return reported.CompletionTokens
 	}
-	cleanup, cancel := c.cleanup(ctx)
+	cleanup, cancel := c.cleanupContext(ctx)
 	defer cancel()
 	status, err := c.cancel(cleanup)
 	if err != nil || (status.State != stateCancelled && status.State != stateFailed && status.State != stateFinished) {
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -54,10 +54,10 @@
 }
 
 func (c *completion) run(ctx context.Context) Report {
-	end := streamEnd{step: "resume stream", err: errors.New("the attempt of a former leader has not been found yet")}
+	end := streamEnd{step: "resume stream", err: errors.New("the attempt of a previous leader has not been found yet")}
 	if !c.spec.Resume {
 		if c.tokenLimit() <= 0 {
-			return c.reportNeverRan(c.problem(problem.KindBudgetExhausted, "check limit", errors.New("no tokens reserved")), 0)
+			return c.reportNotExecuted(c.problem(problem.KindBudgetExhausted, "check limit", errors.New("no tokens reserved")), 0)
 		}
 		end = c.start(ctx)
 	}
@@ -249,9 +249,9 @@
 	case verdictNeverRan:
 		kind := problem.KindBackEndFailed
 		if ctx.Err() != nil {
-			return c.reportNeverRan(c.contextProblem(ctx, end.step), end.retryAfter)
+			return c.reportNotExecuted(c.contextProblem(ctx, end.step), end.retryAfter)
 		}
-		return c.reportNeverRan(c.problem(kind, end.step, end.err), end.retryAfter)
+		return c.reportNotExecuted(c.problem(kind, end.step, end.err), end.retryAfter)
 	case verdictFailed:
 		return c.reportFailed(c.problem(problem.KindBackEndFailed, end.step, end.err), c.generatedTokens(ctx, end.usage), end.retryAfter)
 	case verdictGone:
--- a/internal/dispatch/completion_test.go
+++ b/internal/dispatch/completion_test.go
@@ -67,7 +67,7 @@
 		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("follows an attempt of a former leader without posting it", func() {
+	It("follows an attempt of a previous leader without posting it", func() {
 		spec := modelSpec(backEnd.address)
 		spec.Resume = true
 		Expect(dispatcher.Send(context.Background(), spec, onContent).Ending).To(Equal(dispatch.EndingUnknown))
@@ -77,7 +77,7 @@
 		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("reports never-ran only if nothing was sent or the engine says so", func() {
+	It("reports never-ran only if nothing was sent or the engine reports it", func() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		address := listener.Addr().String()
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -23,7 +23,7 @@
 )
 
 // errNoRecord means that the service has no record of the call. That does not
-// prove that the call will not run, since it may still arrive.
+// prove that the call will not be executed, since it may still arrive.
 var errNoRecord = errors.New("the service has no record of the call")
 
 // finishReasonDone is the finish reason of answers from services and tools.
@@ -32,7 +32,7 @@
 // execute runs an attempt at a service or tool.
 func (a *attempt) execute(ctx context.Context) Report {
 	if a.spec.Resume {
-		return a.lookUp(ctx, "look up execution", errors.New("the attempt of a former leader has not been found yet"))
+		return a.lookUp(ctx, "look up execution", errors.New("the attempt of a previous leader has not been found yet"))
 	}
 	response, sent, err := postOnce(ctx, a.postClient(), a.spec.Address+enginev1.PathExecute, a.executeRequest())
 	if err != nil {
@@ -40,9 +40,9 @@
 			return a.lookUp(ctx, "post execution", err)
 		}
 		if ctx.Err() != nil {
-			return a.reportNeverRan(a.contextProblem(ctx, "dial service"), 0)
+			return a.reportNotExecuted(a.contextProblem(ctx, "dial service"), 0)
 		}
-		return a.reportNeverRan(a.problem(problem.KindBackEndFailed, "dial service", err), 0)
+		return a.reportNotExecuted(a.problem(problem.KindBackEndFailed, "dial service", err), 0)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
@@ -75,13 +75,13 @@
 // handleExecuteError returns the report of an attempt that was answered with an
 // error status. After a server error the execution may still be running, so its
 // record is requested first, and the attempt is reported as failed only if none
-// is returned or the record says so.
+// is returned or the record shows it.
 func (a *attempt) handleExecuteError(ctx context.Context, response *http.Response) Report {
 	retry := retryAfter(response)
 	_, detail := readErrorReply(response)
 	failure := a.problem(problem.KindBackEndFailed, "post execution", detail)
 	if isNeverStarted(response) {
-		return a.reportNeverRan(failure, retry)
+		return a.reportNotExecuted(failure, retry)
 	}
 	if response.StatusCode >= http.StatusInternalServerError {
 		reply, err := a.requestExecution(ctx, http.MethodGet)
@@ -139,7 +139,7 @@
 	if ctx.Err() == nil && !a.spec.Call.NotRepeatable {
 		return a.reportUnknown(step, cause)
 	}
-	cleanup, cancel := a.cleanup(ctx)
+	cleanup, cancel := a.cleanupContext(ctx)
 	defer cancel()
 	reply, err := a.cancelExecution(cleanup)
 	if err != nil || reply.State == executionRunning {
--- a/internal/dispatch/faults_test.go
+++ b/internal/dispatch/faults_test.go
@@ -71,7 +71,7 @@
 				t.Fatalf("answered %q (%d tokens), engine generated %q (%d)", report.Answer.Content, report.Answer.CompletionTokens, want, records[0].Generated)
 			}
 		case report.Ending == dispatch.EndingNeverRan && len(records) > 0:
-			t.Fatalf("reported as never ran, but the engine recorded %+v", records[0])
+			t.Fatalf("reported as not executed, but the engine recorded %+v", records[0])
 		case report.Ending == dispatch.EndingFailed && report.GeneratedTokens >= 0 && len(records) > 0:
 			if records[0].Generated != report.GeneratedTokens || records[0].State == "running" || records[0].State == "waiting" {
 				t.Fatalf("reported as failed after %d tokens, but the engine recorded %+v", report.GeneratedTokens, records[0])
@@ -105,7 +105,7 @@
 			}
 		case dispatch.EndingNeverRan:
 			if executions != 0 {
-				t.Fatalf("reported as never ran, but there were %d executions", executions)
+				t.Fatalf("reported as not executed, but there were %d executions", executions)
 			}
 		}
 		if executions > 1 {
--- a/internal/dispatch/http.go
+++ b/internal/dispatch/http.go
@@ -90,7 +90,7 @@
 
 func (a *attempt) run(ctx context.Context) Report {
 	if ctx.Err() != nil && !a.spec.Resume {
-		return a.reportNeverRan(a.contextProblem(ctx, "before sending"), 0)
+		return a.reportNotExecuted(a.contextProblem(ctx, "before sending"), 0)
 	}
 	if a.spec.Call.Target == program.TargetModel {
 		return newCompletion(a).run(ctx)
@@ -132,7 +132,7 @@
 }
 
 // postOnce sends body as JSON. net/http cannot repeat the request, because its
-// body cannot be rewound. In case of an error, the second result says whether any
+// body cannot be rewound. In case of an error, the second result is whether any
 // byte may have been sent.
 func postOnce(ctx context.Context, client *http.Client, address string, body any) (*http.Response, bool, error) {
 	encoded, err := json.Marshal(body)
@@ -193,7 +193,7 @@
 	return response.Header.Get(enginev1.HeaderNeverStarted) == "true"
 }
 
-// contextProblem returns a problem that says why ctx ended.
+// contextProblem returns a problem that states why ctx ended.
 func (a *attempt) contextProblem(ctx context.Context, step string) *problem.Problem {
 	cause := context.Cause(ctx)
 	if errors.Is(cause, errDeadline) || errors.Is(cause, context.DeadlineExceeded) {
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -47,7 +47,7 @@
 			Name: "thymeloft_dispatch_cancellations_total", Help: "Cancellations sent to back ends.",
 		}),
 		inFlight: prometheus.NewGauge(prometheus.GaugeOpts{
-			Name: "thymeloft_dispatch_in_flight", Help: "Attempts under way.",
+			Name: "thymeloft_dispatch_in_flight", Help: "Attempts in progress.",
 		}),
 	}
 	if registerer != nil {
--- a/internal/dispatch/report.go
+++ b/internal/dispatch/report.go
@@ -26,9 +26,9 @@
 	return Report{Ending: EndingAnswered, Answer: answer, GeneratedTokens: answer.CompletionTokens}
 }
 
-// reportNeverRan must be called only if the attempt certainly did not run:
+// reportNotExecuted must be called only if the attempt was certainly not executed:
 // nothing was sent, or the back end reported that the attempt did not start.
-func (a *attempt) reportNeverRan(failure *problem.Problem, retry time.Duration) Report {
+func (a *attempt) reportNotExecuted(failure *problem.Problem, retry time.Duration) Report {
 	return Report{
 		Ending:     EndingNeverRan,
 		Problem:    failure.WithOutcome(problem.OutcomeNotRun).WithRetryAfter(retry),
--- a/internal/dispatch/stream_test.go
+++ b/internal/dispatch/stream_test.go
@@ -41,7 +41,7 @@
 	f.Fuzz(func(t *testing.T, first, second string) {
 		result, passedOn := follow(first, second)
 		if result.content.String() != passedOn || len(passedOn) > 1<<10 {
-			t.Fatalf("kept %q, passed on %q", result.content.String(), passedOn)
+			t.Fatalf("retained %q, passed on %q", result.content.String(), passedOn)
 		}
 	})
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -70,7 +70,7 @@
 	return c.do(ctx, http.MethodPost, enginev1.PathRelease, enginev1.ReleaseRequest{Programs: programs}, nil)
 }
 
-// hold asks the engine to keep the program's prefix in its cache for the duration of the lease.
+// hold asks the engine to retain the program's prefix in its cache for the duration of the lease.
 func (c *client) hold(ctx context.Context, program string, lease time.Duration) error {
 	request := enginev1.HoldRequest{Program: program, LeaseMS: lease.Milliseconds()}
 	return c.do(ctx, http.MethodPost, enginev1.PathHold, request, nil)
--- a/internal/engine/digest_exchange.go
+++ b/internal/engine/digest_exchange.go
@@ -43,7 +43,7 @@
 	ownLeavingMachines     *LeavingMachines
 	pendingFetches         map[string]bool // addresses to fetch full records from
 	sending                map[string]bool // addresses to which a batch is being sent
-	nextSendAt             time.Time       // digests are held back until this time to keep DigestBytesPerSecond
+	nextSendAt             time.Time       // no digests are sent before this time, to stay within DigestBytesPerSecond
 }
 
 func newDigestExchange(service *Service) *digestExchange {
--- a/internal/engine/digest_times.go
+++ b/internal/engine/digest_times.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/identity"
 )
 
-// A daemon may keep its lease and still be cut off from this daemon, if both can reach the
+// A daemon may retain its lease and still be cut off from this daemon, if both can reach the
 // store. This daemon then receives no digests of the engines that the other one supervises, and
 // would refuse requests for them. Therefore a daemon that supervises engines but whose digests
 // stop arriving here is ignored when engines are assigned, and another daemon claims its
@@ -33,7 +33,7 @@
 	d.byProcess[fence&fenceMask] = now
 }
 
-// setSupervisors replaces the set of known supervisors. Known supervisors keep their times. For
+// setSupervisors replaces the set of known supervisors. Known supervisors retain their times. For
 // a new one the time is set to now, as if a digest had just been received.
 func (d *digestTimes) setSupervisors(supervisors []identity.Process, now time.Time) {
 	d.mutex.Lock()
--- a/internal/engine/fleet.go
+++ b/internal/engine/fleet.go
@@ -24,7 +24,7 @@
 	// ReleasePrograms reports programs that ended. The named engines are asked to release the
 	// programs' memory until they confirm it.
 	ReleasePrograms(programs []identity.Program, engines []string)
-	// HoldPrefix asks the engine to keep the program's prefix for the duration of the lease.
+	// HoldPrefix asks the engine to retain the program's prefix for the duration of the lease.
 	// It does not wait, and the request may be lost.
 	HoldPrefix(engineID string, program identity.Program, lease time.Duration)
 }
--- a/internal/engine/leaving_machines.go
+++ b/internal/engine/leaving_machines.go
@@ -52,7 +52,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.readers = s.readers[:0]
-	for _, reader := range rendezvous(machineListKey, daemons, machineListReaders) {
+	for _, reader := range selectByRendezvous(machineListKey, daemons, machineListReaders) {
 		s.readers = append(s.readers, reader.Machine)
 	}
 }
@@ -65,7 +65,7 @@
 }
 
 // If the reader's list is newer than the known one, merge stores it and returns true. A machine
-// is leaving if any reader lists it. Lists of former readers are dropped once a current reader
+// is leaving if any reader lists it. Lists of previous readers are dropped once a current reader
 // has reported.
 func (s *leavingMachineSet) merge(update LeavingMachines) bool {
 	s.mutex.Lock()
--- a/internal/engine/ownership.go
+++ b/internal/engine/ownership.go
@@ -12,9 +12,9 @@
 	"github.com/thymeloft/thymeloft/internal/members"
 )
 
-// rendezvous returns the count processes with the highest weights for the key, highest first.
-// When a process joins or leaves, only the results that include it change.
-func rendezvous(key string, processes []identity.Process, count int) []identity.Process {
+// selectByRendezvous returns the count processes with the highest weights for the key, highest
+// first. When a process joins or leaves, only the results that include it change.
+func selectByRendezvous(key string, processes []identity.Process, count int) []identity.Process {
 	type weighted struct {
 		process identity.Process
 		weight  uint64
--- a/internal/engine/prefixes.go
+++ b/internal/engine/prefixes.go
@@ -29,12 +29,12 @@
 )
 
 // prefixIndex records which engines hold frequently shared prefixes, from the requests that
-// this daemon placed. It forgets prefixes that were not used for the keep duration. It is only
+// this daemon placed. It forgets prefixes that were not used for the retention time. It is only
 // a hint, since an engine may have evicted a prefix. It is safe for concurrent use.
 type prefixIndex struct {
-	mutex   sync.Mutex
-	holders *lru.Cache[uint64, []holder]
-	keep    time.Duration
+	mutex     sync.Mutex
+	holders   *lru.Cache[uint64, []holder]
+	retention time.Duration
 }
 
 // holder is an engine that holds a prefix.
@@ -44,9 +44,9 @@
 	used   time.Time
 }
 
-func newPrefixIndex(keep time.Duration) *prefixIndex {
+func newPrefixIndex(retention time.Duration) *prefixIndex {
 	holders, _ := lru.New[uint64, []holder](maxPrefixes) // the only error is for a size below one
-	return &prefixIndex{holders: holders, keep: keep}
+	return &prefixIndex{holders: holders, retention: retention}
 }
 
 // record makes the engine the most recent holder of each prefix that has at least
@@ -81,7 +81,7 @@
 		present := make([]scheduling.PrefixHolder, 0, len(recorded))
 		for _, known := range recorded {
 			index, found := table.index[known.engine]
-			if found && now.Sub(known.used) <= p.keep {
+			if found && now.Sub(known.used) <= p.retention {
 				present = append(present, scheduling.PrefixHolder{EngineIndex: index, Tokens: known.tokens})
 			}
 		}
--- a/internal/engine/receive.go
+++ b/internal/engine/receive.go
@@ -88,7 +88,7 @@
 			e.relayedLeavingMachines[update.Reader] = update
 		}
 	}
-	e.service.digestsReceived(urgent)
+	e.service.handleReceivedDigests(urgent)
 	return nil
 }
 
--- a/internal/engine/releases.go
+++ b/internal/engine/releases.go
@@ -92,7 +92,7 @@
 	q.retryBackoff.Reset()
 }
 
-// scheduleRetry keeps the batch in the queue until the next attempt, and returns the number of
+// scheduleRetry retains the batch in the queue until the next attempt, and returns the number of
 // consecutive failures.
 func (q *releaseQueue) scheduleRetry(now time.Time) int {
 	q.mutex.Lock()
@@ -219,7 +219,7 @@
 	}
 }
 
-// holdRequest asks an engine to keep a program's prefix for the duration of the lease.
+// holdRequest asks an engine to retain a program's prefix for the duration of the lease.
 type holdRequest struct {
 	engine  *trackedEngine
 	program identity.Program
--- a/internal/engine/service.go
+++ b/internal/engine/service.go
@@ -157,10 +157,10 @@
 // requestRebuild asks rebuildLoop for a new snapshot.
 func (s *Service) requestRebuild() { notify(s.rebuildRequests) }
 
-// digestsReceived updates the snapshot after new digests. In a large fleet a rebuild is
+// handleReceivedDigests updates the snapshot after new digests. In a large fleet a rebuild is
 // requested only if a digest is urgent; other digests, which are already about a second old,
 // wait for the next assessment.
-func (s *Service) digestsReceived(urgent bool) {
+func (s *Service) handleReceivedDigests(urgent bool) {
 	if urgent || len(s.table.Load().engines) <= maxImmediateRebuildEngines {
 		s.requestRebuild()
 	}
--- a/internal/engine/service_test.go
+++ b/internal/engine/service_test.go
@@ -162,7 +162,7 @@
 		Eventually(accepting(one), eventuallyTimeout).Should(HaveLen(2))
 	})
 
-	It("fetches digests from other daemons at its start and tells whether a model has an engine without a report", func() {
+	It("fetches digests from other daemons at its start and reports whether a model has an engine without a report", func() {
 		network.setMembers(process("daemon-a"), process("daemon-b"))
 		one, _ := startService(network, source, "daemon-a", nil)
 		Eventually(accepting(one), eventuallyTimeout).ShouldNot(BeEmpty())
--- a/internal/engine/snapshot.go
+++ b/internal/engine/snapshot.go
@@ -189,7 +189,7 @@
 
 // HasUnreportedEngine returns true if the snapshot lists an engine of the model that has not
 // reported yet, which it shows with MaxRunning 0. The snapshot lists such an engine for at most
-// MaxDigestAge after this daemon learned of its declaration. A request for which no engine
+// MaxDigestAge after this daemon received its declaration. A request for which no engine
 // accepts work should then wait instead of being refused.
 func HasUnreportedEngine(snapshot *scheduling.Snapshot, model string) bool {
 	return slices.ContainsFunc(snapshot.ByModel[model], func(index int) bool {
--- a/internal/engine/supervisor.go
+++ b/internal/engine/supervisor.go
@@ -151,7 +151,7 @@
 	first := s.engine.report.Load() == nil
 	if s.engine.accept(digest, staticChecksum(&digest), time.Now()) {
 		s.service.exchange.publish(s.engine)
-		s.service.digestsReceived(first)
+		s.service.handleReceivedDigests(first)
 	}
 }
 
--- a/internal/engine/tracked_engine.go
+++ b/internal/engine/tracked_engine.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/configuration"
 )
 
-// trackedEngine is a declared engine with the state that this daemon keeps for it. When the
+// trackedEngine is a declared engine with the state that this daemon stores for it. When the
 // declaration changes, a new trackedEngine replaces it.
 type trackedEngine struct {
 	declared   configuration.Engine
@@ -43,7 +43,7 @@
 func (t *trackedEngine) accept(digest Digest, checksum uint16, received time.Time) bool {
 	for {
 		known := t.report.Load()
-		if known != nil && !newer(&digest, &known.digest) {
+		if known != nil && !isNewer(&digest, &known.digest) {
 			return false
 		}
 		if t.report.CompareAndSwap(known, &report{digest: digest, checksum: checksum, received: received}) {
@@ -53,7 +53,7 @@
 	}
 }
 
-func newer(digest, known *Digest) bool {
+func isNewer(digest, known *Digest) bool {
 	if digest.Fence != known.Fence {
 		return digest.Fence > known.Fence
 	}
--- a/internal/engine/watch.go
+++ b/internal/engine/watch.go
@@ -114,20 +114,20 @@
 }
 
 // buildTable returns the engine table for the document. Engines whose declaration did not
-// change keep their tracked state.
+// change retain their tracked state.
 func (s *Service) buildTable(document *configuration.Document) *engineTable {
 	previous := s.table.Load()
 	next := &engineTable{byName: map[string]*trackedEngine{}, byHash: map[uint64]*trackedEngine{}}
 	for _, declared := range document.Engines {
-		kept, found := previous.byName[declared.Name]
-		if !found || kept.declared != declared {
-			kept = s.newTrackedEngine(declared)
+		tracked, found := previous.byName[declared.Name]
+		if !found || tracked.declared != declared {
+			tracked = s.newTrackedEngine(declared)
 		}
-		next.byName[declared.Name] = kept
+		next.byName[declared.Name] = tracked
 		region, known := s.regions[declared.Zone]
 		if !known || region == s.self.Region {
-			next.engines = append(next.engines, kept)
-			next.byHash[nameHash(declared.Name)] = kept
+			next.engines = append(next.engines, tracked)
+			next.byHash[nameHash(declared.Name)] = tracked
 		}
 	}
 	slices.SortFunc(next.engines, func(a, b *trackedEngine) int { return cmp.Compare(a.declared.Name, b.declared.Name) })
--- a/internal/execution/attempt.go
+++ b/internal/execution/attempt.go
@@ -16,9 +16,9 @@
 // or its cancellation, to cancel at the back end and return its report.
 const cancelGrace = 10 * time.Second
 
-// attempt commits an attempt to the log, sends it, and commits its result. It
-// returns true if the call needs another step, and false if the run is over.
-func (r *run) attempt(call *program.Call, head *program.Head, chosen *placement) bool {
+// executeAttempt commits an attempt to the log, sends it, and commits its result. It
+// returns true if the call needs another step, and false if the run has ended.
+func (r *run) executeAttempt(call *program.Call, head *program.Head, chosen *placement) bool {
 	attempt, ok := r.commitDispatch(chosen)
 	if !ok {
 		chosen.done(false, 0)
@@ -38,7 +38,7 @@
 // assessReport returns what the fleet should record about the engine that was
 // tried. Every attempt without an answer counts as a failure, including those
 // that did not reach the engine or that it refused. For a cancelled attempt,
-// which says nothing about the engine, the results are false and zero.
+// which is no evidence about the engine, the results are false and zero.
 func assessReport(report *dispatch.Report, elapsed time.Duration) (failed bool, duration time.Duration) {
 	if report.Problem != nil && report.Problem.Kind == problem.KindCancelled {
 		return false, 0
@@ -148,7 +148,7 @@
 }
 
 // commitReport commits the result of the attempt. It returns true if the call
-// needs another attempt, and false if the run is over.
+// needs another attempt, and false if the run has ended.
 func (r *run) commitReport(call *program.Call, attempt *program.Attempt, report *dispatch.Report) bool {
 	switch report.Ending {
 	case dispatch.EndingAnswered:
--- a/internal/execution/concurrent_failures_test.go
+++ b/internal/execution/concurrent_failures_test.go
@@ -223,7 +223,7 @@
 	return g.executions[callKey(identifier, sequence)]
 }
 
-// checkOutcome checks that a refused call did not run, and that an answer belongs
+// checkOutcome checks that a refused call was not executed, and that an answer belongs
 // to the call.
 func checkOutcome(truth *groundTruth, identifier identity.Program, sequence uint64, reply *execution.FollowReply) {
 	if reply == nil { // the call was refused, because no budget was left or an earlier call had been refused
--- a/internal/execution/failover_test.go
+++ b/internal/execution/failover_test.go
@@ -76,7 +76,7 @@
 		_, reply := other.follow(identifier, 1)
 		Expect(reply.State).To(Equal(program.CallAnswered))
 		Expect(cluster.backEnd.count(identifier, 1)).To(Equal(1))
-		close(release) // the former leader receives its answer too late
+		close(release) // the previous leader receives its answer too late
 		Eventually(func() any {
 			followed, _ := first.Follow(context.Background(), execution.FollowArguments{Tenant: tenant, Program: identifier, Sequence: 1})
 			return followed.Problem
@@ -116,7 +116,7 @@
 		Expect(cluster.log.count(program.CommandDispatch)).To(Equal(1))
 	})
 
-	It("retries a repeatable call and keeps the reservation of the lost attempt", func() {
+	It("retries a repeatable call and retains the reservation of the lost attempt", func() {
 		blockFirst(neverRan)
 		identifier := submitAndMove(modelCall(1))
 		content, reply := other.follow(identifier, 1)
--- a/internal/execution/fake_groups_test.go
+++ b/internal/execution/fake_groups_test.go
@@ -43,7 +43,7 @@
 	return replica
 }
 
-// setLeader makes the daemon the leader. The former leader is notified unless it is
+// setLeader makes the daemon the leader. The previous leader is notified unless it is
 // isolated.
 func (l *fakeLog) setLeader(next *fakeGroups) {
 	l.mutex.Lock()
--- a/internal/execution/fakes_test.go
+++ b/internal/execution/fakes_test.go
@@ -18,7 +18,7 @@
 	"github.com/thymeloft/thymeloft/internal/shards"
 )
 
-// backEnd is a fake dispatcher that stands for all back ends of all daemons. It
+// backEnd is a fake dispatcher that represents all back ends of all daemons. It
 // counts the executions of each call.
 type backEnd struct {
 	mutex      sync.Mutex
--- a/internal/execution/faults_test.go
+++ b/internal/execution/faults_test.go
@@ -53,12 +53,12 @@
 			Expect(history.Calls[0].Attempts[1].BackEnd).To(Equal("engine-b"))
 			Expect([]int64{history.Spent, history.Reserved}).To(Equal([]int64{spent + answerTokens, reserved}))
 		},
-		Entry("never ran: nothing is spent", dispatch.EndingNeverRan, int64(0), int64(0), int64(0)),
+		Entry("not executed: nothing is spent", dispatch.EndingNeverRan, int64(0), int64(0), int64(0)),
 		Entry("failed: the known cost is spent", dispatch.EndingFailed, int64(7), int64(7), int64(0)),
-		Entry("unknown: the whole reservation is kept", dispatch.EndingUnknown, int64(-1), int64(0), int64(100)),
+		Entry("unknown: the whole reservation is retained", dispatch.EndingUnknown, int64(-1), int64(0), int64(100)),
 	)
 
-	It("keeps retrying while back ends refuse to start the call", func() {
+	It("continues to retry while back ends refuse to start the call", func() {
 		refusals := uint32(execution.DefaultLimits.MaxAttempts) //nolint:gosec // a small constant
 		cluster.backEnd.setBehaviour(func(_ context.Context, spec dispatch.AttemptSpec, piece func(string)) dispatch.Report {
 			if spec.Number <= refusals {
@@ -82,7 +82,7 @@
 			Expect(cluster.backEnd.count(identifier, 1)).To(Equal(executions))
 			Expect(cluster.backEnd.sent()[0].Address).To(Equal("http://10.0.0.2"), "the other address is drained")
 		},
-		Entry("never ran: it is sent elsewhere", dispatch.EndingNeverRan, 1, program.CallAnswered),
+		Entry("not executed: it is sent elsewhere", dispatch.EndingNeverRan, 1, program.CallAnswered),
 		Entry("failed", dispatch.EndingFailed, 1, program.CallFailed),
 		Entry("unknown", dispatch.EndingUnknown, 1, program.CallUnknown),
 	)
--- a/internal/execution/follow.go
+++ b/internal/execution/follow.go
@@ -37,13 +37,13 @@
 		case <-changed:
 		case <-waitContext.Done():
 			// Without this check, a partitioned leader that does not know that it
-			// lost the leadership would keep its followers waiting forever.
+			// lost the leadership would let its followers wait forever.
 			if fault := s.confirmLeadership(ctx, lead); fault != nil {
 				return FollowReply{Problem: fault}
 			}
 			return lead.readAfterWait(arguments)
 		case <-lead.ctx.Done():
-			return FollowReply{Problem: s.notLeader(lead.number, "follow")}
+			return FollowReply{Problem: s.notLeaderProblem(lead.number, "follow")}
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	return FollowReply{}, update.changed
 }
 
-// readAfterWait returns the reply to a follower whose wait is over. If the
+// readAfterWait returns the reply to a follower whose wait has ended. If the
 // follower did not name the attempt of its content, and the attempt in progress
 // is not the first one, the reply carries the whole content of that attempt.
 func (l *leadership) readAfterWait(arguments FollowArguments) FollowReply {
--- a/internal/execution/gate.go
+++ b/internal/execution/gate.go
@@ -38,7 +38,7 @@
 	queues     [classCount]*list.List // of *ticket
 }
 
-// ticket is a call's slot or, until a slot is granted, its place in a queue. The
+// ticket is a call's slot or, until a slot is granted, its position in a queue. The
 // gate's mutex guards granted and released.
 type ticket struct {
 	gate     *gate
@@ -57,7 +57,7 @@
 	return g
 }
 
-// acquire takes a slot or a place in the queue of the class. It returns nil if
+// acquire takes a slot or a position in the queue of the class. It returns nil if
 // the queue is full.
 func (g *gate) acquire(class scheduling.Class) *ticket { return g.takeTicket(class, false) }
 
--- a/internal/execution/gone.go
+++ b/internal/execution/gone.go
@@ -24,12 +24,12 @@
 
 // Gone returns which of the programs have ended or are unknown, so that engines
 // can release the memory held for them. It uses the read barrier, since memory
-// of any other program must be kept.
+// of any other program must be retained.
 func (s *Service) Gone(ctx context.Context, arguments GoneArguments) (GoneReply, error) {
-	return s.gone(ctx, arguments), nil
+	return s.findGone(ctx, arguments), nil
 }
 
-func (s *Service) gone(ctx context.Context, arguments GoneArguments) GoneReply {
+func (s *Service) findGone(ctx context.Context, arguments GoneArguments) GoneReply {
 	lead, fault := s.leadershipOf(arguments.Shard, "find ended programs")
 	if fault == nil {
 		fault = s.confirmLeadership(ctx, lead)
--- a/internal/execution/leadership.go
+++ b/internal/execution/leadership.go
@@ -50,7 +50,7 @@
 }
 
 // startLeading makes this daemon serve requests for the shard and resumes the
-// former leader's unfinished calls in the background.
+// previous leader's unfinished calls in the background.
 func (s *Service) startLeading(ctx context.Context, change shards.LeaderChange) {
 	s.mutex.Lock()
 	shard := s.shards[change.Shard]
@@ -119,7 +119,7 @@
 }
 
 // resumeCalls starts a run for each call that is not final and has none, such as
-// the calls of a former leader and calls whose acceptance committed after the
+// the calls of a previous leader and calls whose acceptance committed after the
 // request had timed out. Later sweeps find calls that this replica has not
 // applied yet.
 func (l *leadership) resumeCalls() {
@@ -168,7 +168,7 @@
 		return result, nil
 	}
 	if errors.Is(err, shards.ErrNotLeader) {
-		return nil, l.service.notLeader(l.number, string(command.Kind))
+		return nil, l.service.notLeaderProblem(l.number, string(command.Kind))
 	}
 	return nil, problem.New(problem.KindUnavailable, string(command.Kind), "the command may still commit, so repeat the same request; proposing it failed: %v", err).
 		WithOutcome(problem.OutcomeUnknown).
@@ -182,7 +182,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.limits.ProposeTimeout)
 	defer cancel()
 	if err := s.options.Groups.ConfirmLeadership(ctx, lead.number); err != nil {
-		fault := s.notLeader(lead.number, "confirm leadership")
+		fault := s.notLeaderProblem(lead.number, "confirm leadership")
 		fault.Detail += ": " + err.Error()
 		return fault
 	}
@@ -222,7 +222,7 @@
 	delete(l.runs, key)
 }
 
-// handleEndedPrograms cancels the unfinished calls of ended programs and tells
+// handleEndedPrograms cancels the unfinished calls of ended programs and asks
 // the fleet to release the engine memory held for these programs.
 func (l *leadership) handleEndedPrograms(ended []identity.Program) {
 	if len(ended) == 0 {
--- a/internal/execution/lease.go
+++ b/internal/execution/lease.go
@@ -62,7 +62,7 @@
 	p.byTenant[tenant] = estimate
 }
 
-// holdPrefix asks the engine that answered to keep the program's prefix cached
+// holdPrefix asks the engine that answered to retain the program's prefix in its cache
 // for as long as a reuse is likely enough, up to Limits.MaxPrefixLease.
 func (r *run) holdPrefix(answer *program.Answer) {
 	service := r.lead.service
--- a/internal/execution/messages.go
+++ b/internal/execution/messages.go
@@ -1,7 +1,7 @@
 // Package execution runs the calls of programs on the daemon that leads their
 // shard. It commits each step to the shard's log, asks the scheduler for a
 // placement, sends attempts through package dispatch, and streams answers to
-// callers. After a leader change it resumes the former leader's unfinished calls.
+// callers. After a leader change it resumes the previous leader's unfinished calls.
 package execution
 
 import (
@@ -54,14 +54,14 @@
 	Program  identity.Program
 	Sequence uint64
 	Offset   int    // bytes of streamed content that the caller already has
-	Attempt  uint32 // FollowReply.Attempt of the content that the caller already has; 0 stands for the first attempt
+	Attempt  uint32 // FollowReply.Attempt of the content that the caller already has; 0 means the first attempt
 	Wait     time.Duration
 }
 
 // FollowReply is the reply of Programs.Follow: the next part of a call's answer.
 // If another attempt replaces the one whose content the caller has, Restarted is
 // true and Content starts at offset 0 and replaces everything that the caller
-// has. A caller that has already forwarded content may go on only if Content
+// has. A caller that has already forwarded content may continue only if Content
 // begins with it.
 type FollowReply struct {
 	Content   string // starts at the requested Offset, or at 0 if Restarted
--- a/internal/execution/metrics.go
+++ b/internal/execution/metrics.go
@@ -31,7 +31,7 @@
 		calls:     counters("calls_total", "Calls that became final on this daemon, by state.", "state"),
 		refused:   counters("refused_total", "Requests refused before acceptance and retries suppressed, by reason.", "reason"),
 		decisions: counters("decisions_total", "Decisions of the scheduler, by reason.", "reason"),
-		resumed:   counters("resumed_total", "Attempts of former leaders looked up, by ending.", "ending"),
+		resumed:   counters("resumed_total", "Attempts of previous leaders looked up, by ending.", "ending"),
 		retries:   counter("retries_total", "Attempts after the first of a call."),
 		ended:     counter("programs_ended_total", "Programs that ended while this daemon led their shard."),
 		latency: prometheus.NewHistogramVec(prometheus.HistogramOpts{
--- a/internal/execution/options.go
+++ b/internal/execution/options.go
@@ -46,9 +46,9 @@
 	RetriesPerSecond      float64       // retries allowed in addition, for all calls together; negative for none
 	RetryBurst            int           // size of the retry budget, in retries
 	SweepInterval         time.Duration // interval between sweeps, which end expired programs and resume calls
-	Retention             time.Duration // how long ended programs are kept
-	MaxEndedPrograms      int           // maximum number of ended programs kept per shard; the oldest are deleted first
-	MinLookupTimeout      time.Duration // minimum time for looking up a former leader's attempt, even past the deadline
+	Retention             time.Duration // how long ended programs are retained
+	MaxEndedPrograms      int           // maximum number of ended programs retained per shard; the oldest are deleted first
+	MinLookupTimeout      time.Duration // minimum time for looking up a previous leader's attempt, even past the deadline
 	DrainResumableTimeout time.Duration // time after which Drain hands over resumable calls instead of waiting for them
 	RetryAfter            time.Duration // retry delay given to refused callers
 	WarmUpPeriod          time.Duration // time after the start during which engine reports may still be missing; zero for none
@@ -56,7 +56,7 @@
 }
 
 // totalAttemptsFactor times Limits.MaxAttempts is the maximum number of attempts
-// per call, including those that never ran.
+// per call, including those that were not executed.
 const totalAttemptsFactor = 3
 
 // DefaultLimits are suitable for a daemon that leads a few thousand programs.
--- a/internal/execution/placement.go
+++ b/internal/execution/placement.go
@@ -14,7 +14,7 @@
 )
 
 // placement is the back end chosen for an attempt. done must be called exactly
-// once when the attempt is over, with false and a zero duration if there is
+// once when the attempt has ended, with false and a zero duration if there is
 // nothing to record about the back end.
 type placement struct {
 	backEnd  string
@@ -130,15 +130,15 @@
 
 // waitFor returns how long to wait before the next try: the advice, capped at
 // maxBackoff, or a backoff if the advice is 0. Once the call has waited for
-// longer than Limits.MaxWait, it returns a refusal instead. The parameter what is
-// the name of the missing resource for the text of the refusal.
-func (r *run) waitFor(what string, advice time.Duration) (*placement, time.Duration, *problem.Problem) {
+// longer than Limits.MaxWait, it returns a refusal instead. resource
+// names what is missing, for the text of the refusal.
+func (r *run) waitFor(resource string, advice time.Duration) (*placement, time.Duration, *problem.Problem) {
 	limits := &r.lead.service.limits
 	if r.waitingSince.IsZero() {
 		r.waitingSince = time.Now()
 	}
 	if time.Since(r.waitingSince) > limits.MaxWait {
-		return nil, 0, newRefusal("timed out waiting for a "+what, limits.RetryAfter)
+		return nil, 0, newRefusal("timed out waiting for a "+resource, limits.RetryAfter)
 	}
 	pause := r.backoff.NextBackOff()
 	if advice > 0 {
@@ -147,7 +147,7 @@
 	return nil, pause, nil
 }
 
-// newRefusal returns a problem that tells the caller to retry after wait plus
+// newRefusal returns a problem that asks the caller to retry after wait plus
 // jitter.
 func newRefusal(detail string, wait time.Duration) *problem.Problem {
 	return problem.New(problem.KindRefused, "place", "%s", detail).WithRetryAfter(addJitter(wait))
--- a/internal/execution/prefix.go
+++ b/internal/execution/prefix.go
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// recordServed tells the fleet that the engine now has the prefixes of the call's
+// recordServed reports to the fleet that the engine now has the prefixes of the call's
 // prompt cached. It does nothing if the fleet does not track prefixes.
 func (r *run) recordServed(engineID string, call *program.Call) {
 	if recorder, ok := r.lead.service.options.Fleet.(engine.PrefixRecorder); ok {
--- a/internal/execution/requests.go
+++ b/internal/execution/requests.go
@@ -156,7 +156,7 @@
 const DefaultMaxTokens = 4096
 
 // admit returns a slot for a call that is not in the local replica of the log, or
-// a problem if the call is refused. The problem says that the call did not run.
+// a problem if the call is refused. The problem states that the call was not executed.
 // admit uses the read barrier first, since a newer leader may have accepted it.
 func (s *Service) admit(ctx context.Context, lead *leadership, head *program.Head, tenant identity.Tenant, spec *program.CallSpec) (*ticket, *problem.Problem) {
 	fault := s.validateTarget(spec)
@@ -221,10 +221,10 @@
 
 // History returns the committed state of a program. It uses the read barrier.
 func (s *Service) History(ctx context.Context, arguments HistoryArguments) (HistoryReply, error) {
-	return s.history(ctx, arguments), nil
+	return s.readHistory(ctx, arguments), nil
 }
 
-func (s *Service) history(ctx context.Context, arguments HistoryArguments) HistoryReply {
+func (s *Service) readHistory(ctx context.Context, arguments HistoryArguments) HistoryReply {
 	lead, fault := s.leadershipOfProgram(arguments.Program, "history")
 	if fault == nil {
 		fault = s.confirmLeadership(ctx, lead)
--- a/internal/execution/resume.go
+++ b/internal/execution/resume.go
@@ -8,8 +8,8 @@
 	"github.com/thymeloft/thymeloft/internal/program"
 )
 
-// lookUpOpenAttempts looks up the results of the attempts that a former leader
-// left open, latest first. It returns false if the run is over.
+// lookUpOpenAttempts looks up the results of the attempts that a previous leader
+// left open, latest first. It returns false if the run has ended.
 func (r *run) lookUpOpenAttempts(call *program.Call, head *program.Head) bool {
 	for index := len(call.Attempts) - 1; index >= 0; index-- {
 		attempt := call.Attempts[index]
@@ -25,9 +25,9 @@
 
 // lookUpAttempt asks the back end for the result of an attempt and commits it.
 // If the back end does not know the attempt, its result is unknown, because the
-// former leader may be paused and still send it. A call that is not repeatable
-// then ends with an unknown outcome. Any other call goes on, and the attempt
-// keeps its token reservation. It returns false if the run is over.
+// previous leader may be paused and still send it. A call that is not repeatable
+// then ends with an unknown outcome. Any other call continues, and the attempt
+// retains its token reservation. It returns false if the run has ended.
 func (r *run) lookUpAttempt(call *program.Call, head *program.Head, attempt *program.Attempt) bool {
 	r.stream.restart(attempt.Number)
 	spec := r.newAttemptSpec(call, head, &placement{
@@ -44,7 +44,7 @@
 	r.lead.service.metrics.resumed.WithLabelValues(endingLabels[report.Ending]).Inc()
 	if report.Ending == dispatch.EndingNeverRan {
 		report.Ending = dispatch.EndingUnknown
-		report.Problem = problem.New(problem.KindOutcomeUnknown, "look up attempt", "the back end does not know the attempt, but a former leader may still send it").
+		report.Problem = problem.New(problem.KindOutcomeUnknown, "look up attempt", "the back end does not know the attempt, but a previous leader may still send it").
 			WithPeer(attempt.BackEnd)
 	}
 	return r.commitReport(call, attempt, &report)
--- a/internal/execution/run.go
+++ b/internal/execution/run.go
@@ -105,7 +105,7 @@
 }
 
 // armDeadline starts a timer that cancels the run at the call's deadline. If a
-// former leader left attempts, the timer runs for at least
+// previous leader left attempts, the timer runs for at least
 // Limits.MinLookupTimeout, so that they can be looked up.
 func (r *run) armDeadline(call *program.Call) (stop func()) {
 	left := time.Until(r.deadline(call))
@@ -117,7 +117,7 @@
 }
 
 // step places and sends one attempt, or waits if no back end is available yet.
-// It returns true if the call needs another step, and false if the run is over.
+// It returns true if the call needs another step, and false if the run has ended.
 func (r *run) step() bool {
 	call, head, found := r.call()
 	if !found || call.State.IsFinal() || r.lead.ctx.Err() != nil {
@@ -152,7 +152,7 @@
 	if len(call.Attempts) == 0 {
 		r.lead.service.retryBudget.recordFirstAttempt()
 	}
-	return r.attempt(&call, &head, chosen)
+	return r.executeAttempt(&call, &head, chosen)
 }
 
 // pause blocks for the given time or until the run is cancelled.
--- a/internal/execution/service.go
+++ b/internal/execution/service.go
@@ -76,7 +76,7 @@
 // than being refused because none is known.
 func (s *Service) isWarmingUp() bool { return time.Since(s.started) < s.limits.WarmUpPeriod }
 
-// NewShard returns a new state machine for the shard. The service keeps it to
+// NewShard returns a new state machine for the shard. The service retains it to
 // read the shard's programs.
 func (s *Service) NewShard(number identity.Shard) shards.StateMachine {
 	shard := program.NewShard(number)
@@ -117,7 +117,7 @@
 	if lead := (*s.leaderships.Load())[number]; lead != nil {
 		return lead, nil
 	}
-	return nil, s.notLeader(number, step)
+	return nil, s.notLeaderProblem(number, step)
 }
 
 func (s *Service) leadershipOfProgram(identifier identity.Program, step string) (*leadership, *problem.Problem) {
@@ -132,7 +132,7 @@
 // be changing.
 const leaderRetry = 200 * time.Millisecond
 
-func (s *Service) notLeader(number identity.Shard, step string) *problem.Problem {
+func (s *Service) notLeaderProblem(number identity.Shard, step string) *problem.Problem {
 	fault := problem.New(problem.KindUnavailable, step, "this daemon does not lead shard %d", number).
 		WithPeer(s.options.Self.String()).
 		WithRetryAfter(leaderRetry)
--- a/internal/execution/sweep.go
+++ b/internal/execution/sweep.go
@@ -24,7 +24,7 @@
 
 // sweep updates the count of live tokens, resumes calls without a run, cancels
 // calls of ended programs, ends expired programs, and deletes ended programs
-// whose retention is over.
+// whose retention time has passed.
 func (l *leadership) sweep() {
 	defer l.sweeping.Store(false)
 	tokens := l.shard.LiveTokens(time.Now().Add(-liveWindow))
--- a/internal/execution/wait_queues.go
+++ b/internal/execution/wait_queues.go
@@ -14,7 +14,7 @@
 const maxRetryInterval = 250 * time.Millisecond
 
 // waitQueues holds the model calls that wait for an engine. One goroutine tries to
-// place the first call of each queue whenever an engine may have room: when an
+// place the first call of each queue whenever an engine may have capacity: when an
 // attempt has ended, when the fleet's snapshot has changed, and after the retry
 // time that the scheduling policy returned. It is safe for concurrent use.
 type waitQueues struct {
--- a/internal/execution/wait_queues_test.go
+++ b/internal/execution/wait_queues_test.go
@@ -37,22 +37,22 @@
 var _ = Describe("Calls that wait for an engine", func() {
 	It("are placed by class, then started programs first, then by arrival, even after a leader change", func() {
 		cluster := newTestCluster()
-		former, next := cluster.startLeader("a"), cluster.start("b")
-		started := former.createClass("started", "standard")
-		former.submit(started, modelCall(1))
-		former.follow(started, 1)
+		previous, next := cluster.startLeader("a"), cluster.start("b")
+		started := previous.createClass("started", "standard")
+		previous.submit(started, modelCall(1))
+		previous.follow(started, 1)
 		cluster.makePolicyWait()
 		var expected []identity.Program
 		for _, class := range []string{"batch", "standard", "interactive"} {
 			var ofClass []identity.Program
 			for number := range 3 {
-				waits := former.createClass(fmt.Sprintf("%s-%d", class, number), class)
-				Expect(former.submit(waits, modelCall(1)).Problem).To(BeNil())
+				waits := previous.createClass(fmt.Sprintf("%s-%d", class, number), class)
+				Expect(previous.submit(waits, modelCall(1)).Problem).To(BeNil())
 				ofClass = append(ofClass, waits)
 			}
 			expected = append(ofClass, expected...)
 		}
-		Expect(former.submit(started, modelCall(2)).Problem).To(BeNil())
+		Expect(previous.submit(started, modelCall(2)).Problem).To(BeNil())
 		expected = slices.Insert(expected, 3, started) // arrives last, but is placed first in its class
 
 		cluster.log.setLeader(next.groups)
--- a/internal/execution/waiter.go
+++ b/internal/execution/waiter.go
@@ -132,12 +132,12 @@
 }
 
 // waitForReport returns the time after which to decide again, or a refusal once
-// the call has waited for longer than Limits.MaxWait. The parameter what is the
-// name of the missing information for the text of the refusal.
-func (w *waiter) waitForReport(what string) (outcome, time.Duration) {
+// the call has waited for longer than Limits.MaxWait. information names what
+// is missing, for the text of the refusal.
+func (w *waiter) waitForReport(information string) (outcome, time.Duration) {
 	limits := &w.service.limits
 	if time.Since(w.enteredAt) > limits.MaxWait {
-		return outcome{refused: newRefusal("timed out waiting for a "+what, limits.RetryAfter)}, 0
+		return outcome{refused: newRefusal("timed out waiting for a "+information, limits.RetryAfter)}, 0
 	}
 	return outcome{}, missingReportRetry
 }
--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/admission"
 )
 
-// admittedTurn is a turn that admission control counts as running. The zero value stands for a
+// admittedTurn is a turn that admission control counts as running. The zero value represents a
 // request that was not reported to admission control.
 type admittedTurn struct {
 	request   *admission.Request
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,7 +18,7 @@
 const (
 	maxAttemptsPerSearch = 4 // number of instances to which one search sends the request
 	// instancePollInterval is the pause before another look for an instance while a service has
-	// none, and before another request for a quota permit while no quota keeper can be reached.
+	// none, and before another request for a quota permit while no quota owner can be reached.
 	instancePollInterval = 40 * time.Millisecond
 	// Bounds of the growing pause between two searches while all instances are full.
 	minFullRetryPause = 20 * time.Millisecond
@@ -99,7 +99,7 @@
 
 // chooseInstance returns the best instance whose ID is not in excluded. last is the error of
 // the previous attempt in this search, or nil. If no instance is available, chooseInstance
-// polls for one until maxPreparationWait is over if last is nil, and otherwise fails at once. The
+// polls for one until maxPreparationWait has elapsed if last is nil, and otherwise fails at once. The
 // error is a *Refusal or an *AbortedError.
 func (e *execution) chooseInstance(ctx context.Context, excluded []string, last error) (*backend.Instance, error) {
 	request := &backend.PlacementRequest{
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -47,7 +47,7 @@
 type Answer struct {
 	ID            string // ID of the request that is answered
 	Signed        bool   // whether the instance's signature header is present
-	NotRun        bool   // whether the instance promises that the request did not run and never will
+	NotRun        bool   // whether the instance promises that the request was not executed and never will be
 	WrongInstance bool   // whether another instance now has the address
 }
 
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -3,9 +3,9 @@
 import "bytes"
 
 // eventReader parses a server-sent event stream while it is relayed. It counts the events
-// that have data and, if collect is set, keeps their data. It is not safe for concurrent use.
+// that have data and, if collect is set, collects their data. It is not safe for concurrent use.
 type eventReader struct {
-	collect bool   // whether to keep the data of events
+	collect bool   // whether to collect the data of events
 	line    []byte // current line so far, without its end
 	data    []byte // data of the current event
 	hasData bool   // whether the current event has a data field
--- a/internal/gateway/events_test.go
+++ b/internal/gateway/events_test.go
@@ -30,7 +30,7 @@
 		}
 	})
 
-	It("counts events with long lines without keeping their data", func() {
+	It("counts events with long lines without collecting their data", func() {
 		reader := eventReader{}
 		long := strings.Repeat("x", 1<<16)
 		for range 3 {
--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -50,14 +50,14 @@
 	case reply.Status >= http.StatusInternalServerError && e.route.Repeat == routetable.RepeatAllowed && e.runs < e.route.MaxAttempts:
 		return eris.Errorf("the instance failed with status %d", reply.Status)
 	case e.route.Repeat == routetable.RepeatNever && isNotRunStatus(reply.Status):
-		return eris.Errorf("status %d would mean that the request did not run, but the instance did not promise that", reply.Status)
+		return eris.Errorf("status %d would mean that the request was not executed, but the instance did not promise that", reply.Status)
 	default:
 		return nil
 	}
 }
 
 // isNotRunStatus reports whether callers understand the status as a promise that the request
-// did not run and never will.
+// was not executed and never will be.
 func isNotRunStatus(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -82,7 +82,7 @@
 }
 
 // readPlainAnswer reads the beginning of an answer that is not a stream. It reads at most
-// maxBufferedBytes, or firstReadBytes if the memory account has no room for more. If the
+// maxBufferedBytes, or firstReadBytes if the memory account has no space for more. If the
 // answer breaks off later, while the rest is relayed, the request cannot be repeated. The
 // error is a *backend.LostError.
 func (e *execution) readPlainAnswer(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -175,7 +175,7 @@
 		return e.preparationError(ctx, eris.Wrap(state.ErrFull, "start a program"))
 	}
 	if e.route.Recorded {
-		// A turn that could not be recorded afterwards must not run.
+		// A turn that could not be recorded afterwards must not be executed.
 		if err := e.gateway.Availability.Wait(waitCtx); err != nil {
 			return e.preparationError(ctx, eris.Wrap(err, "wait for the store"))
 		}
@@ -194,7 +194,8 @@
 	return nil
 }
 
-// cancelReservation returns all reserved tokens to the budget, for a turn that will not run.
+// cancelReservation returns all reserved tokens to the budget, for a turn that will not be
+// executed.
 func (e *execution) cancelReservation() {
 	if e.reservation != nil {
 		e.reservation.Settle(0)
--- a/internal/gateway/execution_test.go
+++ b/internal/gateway/execution_test.go
@@ -58,7 +58,7 @@
 		return &Gateway{Options: Options{Connectivity: monitor, Availability: availability, StoreSpace: capacity}}
 	}
 
-	It("is refused at once if its turn must be recorded, and says when to retry", func(ctx SpecContext) {
+	It("is refused at once if its turn must be recorded, and reports when to retry", func(ctx SpecContext) {
 		waiting := &execution{
 			gateway: cutOff(ctx),
 			request: httptest.NewRequestWithContext(ctx, "POST", "/", nil),
--- a/internal/gateway/input_test.go
+++ b/internal/gateway/input_test.go
@@ -93,7 +93,7 @@
 		Expect(refusal.RetryAfter).To(BeNumerically(">", 0))
 	})
 
-	It("that does not arrive in time is refused with a status that means not run", func() {
+	It("that does not arrive in time is refused with a status that means not executed", func() {
 		var refusal *Refusal
 		Expect(errors.As(inputError(eris.Wrap(os.ErrDeadlineExceeded, "read")), &refusal)).To(BeTrue())
 		Expect(refusal.Status).To(Equal(http.StatusRequestTimeout))
@@ -122,7 +122,7 @@
 		}, account
 	}
 
-	It("reserves memory for its history and for saving before it runs, or does not run", func(ctx SpecContext) {
+	It("reserves memory for its history and for saving before it runs, or is not executed", func(ctx SpecContext) {
 		current, account := newTurn(ctx, 20_000, 20_000)
 		Expect(current.reserveTurnMemory()).To(Succeed())
 		Expect(account.Held()).To(BeNumerically(">=", (1+copiesWhileSaving)*20_000))
--- a/internal/gateway/memory.go
+++ b/internal/gateway/memory.go
@@ -78,7 +78,7 @@
 }
 
 // memoryRefusal returns a refusal for lack of memory. It must be used only before anything was sent
-// to an engine, since the refusal promises that the request did not run.
+// to an engine, since the refusal promises that the request was not executed.
 func memoryRefusal(err error) *Refusal { return notRunRefusal(ReasonNoMemory, shortRetryAfter, err) }
 
 // callerEndReason returns why nothing more can be written to the caller: it read too slowly
--- a/internal/gateway/refusal.go
+++ b/internal/gateway/refusal.go
@@ -73,7 +73,7 @@
 // Unwrap returns the cause.
 func (e *AbortedError) Unwrap() error { return e.Err }
 
-// notRunRefusal returns a refusal with status 503, which promises that the request did not run
+// notRunRefusal returns a refusal with status 503, which promises that the request was not executed
 // and never will.
 func notRunRefusal(reason Reason, retryAfter time.Duration, err error) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: retryAfter, Err: err}
--- a/internal/lab/experiment/clock.go
+++ b/internal/lab/experiment/clock.go
@@ -23,8 +23,8 @@
 	run      func()
 }
 
-// after schedules run after the delay. A negative delay counts as 0.
-func (c *clock) after(delay time.Duration, run func()) {
+// schedule makes the clock call run after the delay. A negative delay counts as 0.
+func (c *clock) schedule(delay time.Duration, run func()) {
 	c.lastSequence++
 	heap.Push(&c.events, event{at: c.now + max(delay, 0), sequence: c.lastSequence, run: run})
 }
--- a/internal/lab/experiment/daemon.go
+++ b/internal/lab/experiment/daemon.go
@@ -31,7 +31,7 @@
 	hitsPerToken    float64 // cached prompt tokens served per second and token of cache capacity, smoothed
 }
 
-// endedCall is a placement that ended. It is kept until a report from after its end
+// endedCall is a placement that ended. It is retained until a report from after its end
 // arrives.
 type endedCall struct {
 	placed time.Duration
@@ -61,18 +61,18 @@
 }
 
 // place sends a call to an engine, which admits calls with smaller priority numbers
-// first. The parameter expectedUncached is the number of prompt tokens that the
+// first. The parameter uncachedTokens is the number of prompt tokens that the
 // engine is expected to prefill.
-func (d *daemon) place(c *call, engine, priority int, expectedUncached int64) {
+func (d *daemon) place(c *call, engine, priority int, uncachedTokens int64) {
 	c.placedAt = d.run.clock.now
-	c.expectedUncached = expectedUncached
+	c.expectedUncached = uncachedTokens
 	d.outstanding[engine] = append(d.outstanding[engine], c)
-	d.run.clock.after(zoneDelay, func() { d.run.engines[engine].accept(c, priority) })
+	d.run.clock.schedule(zoneDelay, func() { d.run.engines[engine].accept(c, priority) })
 }
 
-// callEnded records the end of a placement and lets the strategy place waiting
+// handleCallEnd records the end of a placement and lets the strategy place waiting
 // calls.
-func (d *daemon) callEnded(c *call) {
+func (d *daemon) handleCallEnd(c *call) {
 	engine := c.engine.index
 	outstanding := d.outstanding[engine]
 	for index, candidate := range outstanding {
@@ -82,7 +82,7 @@
 		}
 	}
 	d.endedCalls[engine] = append(d.endedCalls[engine], endedCall{placed: c.placedAt, ended: d.run.clock.now})
-	d.strategy.stateChanged()
+	d.strategy.handleStateChange()
 }
 
 // view returns the state of an engine as the daemon estimates it. It corrects the
@@ -127,7 +127,7 @@
 		}
 	}
 	d.endedCalls[engine] = kept
-	d.strategy.stateChanged()
+	d.strategy.handleStateChange()
 }
 
 // hitsSmoothing is the weight of the latest report in report.hitsPerToken.
@@ -136,13 +136,13 @@
 // scheduleReport makes the engine report to every daemon after the delay, and then
 // every reportInterval while programs are open.
 func (r *run) scheduleReport(engine *emulatedEngine, delay time.Duration) {
-	r.clock.after(delay, func() {
+	r.clock.schedule(delay, func() {
 		engine.advance()
 		latest := report{
 			at: r.clock.now, running: len(engine.running), waiting: len(engine.waiting),
 			waitingTokens: engine.waitingTokens(), cacheUsed: engine.cache.cachedTokens + engine.cache.reservedTokens, servedFromCache: engine.servedFromCache,
 		}
-		r.clock.after(r.reportLag, func() {
+		r.clock.schedule(r.reportLag, func() {
 			for _, daemon := range r.daemons {
 				daemon.receiveReport(engine.index, latest)
 			}
@@ -165,6 +165,6 @@
 	}
 	r.measures.queueSamples = append(r.measures.queueSamples, float64(waiting))
 	if r.measures.openPrograms > 0 {
-		r.clock.after(sampleInterval, r.sampleQueues)
+		r.clock.schedule(sampleInterval, r.sampleQueues)
 	}
 }
--- a/internal/lab/experiment/engine.go
+++ b/internal/lab/experiment/engine.go
@@ -170,7 +170,7 @@
 	}
 	version := e.eventVersion
 	delay := time.Duration(math.Ceil(max(soonest, 0) * float64(time.Second)))
-	e.clock.after(delay, func() {
+	e.clock.schedule(delay, func() {
 		if version == e.eventVersion {
 			e.step()
 		}
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -138,7 +138,7 @@
 // least-loaded grows. It returns an error if there is none.
 func (s *study) findReportedLoad(loads []float64) error {
 	for _, load := range loads {
-		if s.at(LeastLoaded, load).measures.isQueueGrowing(s.engines) {
+		if s.findTrial(LeastLoaded, load).measures.isQueueGrowing(s.engines) {
 			s.reportedLoad = load
 			return nil
 		}
@@ -146,8 +146,8 @@
 	return eris.Errorf("experiment: %s: the queue of least-loaded does not grow at any load of the sweep", s.name)
 }
 
-// at returns the trial of the sweep with this strategy and load, or nil.
-func (s *study) at(strategy Strategy, load float64) *trial {
+// findTrial returns the trial of the sweep with this strategy and load, or nil.
+func (s *study) findTrial(strategy Strategy, load float64) *trial {
 	for _, candidate := range s.sweep {
 		if candidate.strategy == strategy && cmp.Compare(candidate.load, load) == 0 {
 			return candidate
@@ -190,7 +190,7 @@
 )
 
 func (s *study) computeVerdict() Verdict {
-	verdict := compare(s.reportedLoad, s.at(RoundRobin, s.reportedLoad), s.at(LeastLoaded, s.reportedLoad), s.at(Thymeloft, s.reportedLoad))
+	verdict := compare(s.reportedLoad, s.findTrial(RoundRobin, s.reportedLoad), s.findTrial(LeastLoaded, s.reportedLoad), s.findTrial(Thymeloft, s.reportedLoad))
 	for bySeed := range slices.Chunk(s.seeds, len(comparedBySeed)) {
 		other := compare(s.reportedLoad, bySeed[0], bySeed[1], bySeed[2])
 		verdict.SeedsCompared++
--- a/internal/lab/experiment/measures.go
+++ b/internal/lab/experiment/measures.go
@@ -55,8 +55,8 @@
 	_ = histogram.RecordValue(milliseconds) // cannot fail for a value in range
 }
 
-// programEnded records the end of a root program that was not abandoned.
-func (m *measures) programEnded(trace *workload.Trace, program *programRun, latency time.Duration) {
+// recordProgramEnd records the end of a root program that was not abandoned.
+func (m *measures) recordProgramEnd(trace *workload.Trace, program *programRun, latency time.Duration) {
 	record(m.programs, latency)
 	record(m.ownTime, latency-program.TotalPause())
 	ideal := idealLatency(trace, program.Program)
--- a/internal/lab/experiment/plots.go
+++ b/internal/lab/experiment/plots.go
@@ -63,7 +63,7 @@
 func (s *study) distributions(pick func(m *measures) *hdrhistogram.Histogram) []series {
 	var lines []series
 	for _, strategy := range Strategies() {
-		histogram := pick(s.at(strategy, s.reportedLoad).measures)
+		histogram := pick(s.findTrial(strategy, s.reportedLoad).measures)
 		line := series{label: string(strategy)}
 		for percent := 1; percent <= 99; percent++ {
 			line.points = append(line.points, plotter.XY{X: quantile(histogram, float64(percent)), Y: float64(percent) / 100})
@@ -113,7 +113,7 @@
 	var values plotter.Values
 	var names []string
 	for _, strategy := range Strategies() {
-		values = append(values, millions(s.at(strategy, s.reportedLoad).measures.wastedTokens))
+		values = append(values, millions(s.findTrial(strategy, s.reportedLoad).measures.wastedTokens))
 		names = append(names, string(strategy))
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(28))
--- a/internal/lab/experiment/report.go
+++ b/internal/lab/experiment/report.go
@@ -67,7 +67,7 @@
 	s.writeVerdict(text)
 	writeHeader(text)
 	for _, strategy := range Strategies() {
-		writeRow(text, s.at(strategy, s.reportedLoad))
+		writeRow(text, s.findTrial(strategy, s.reportedLoad))
 	}
 	s.writeWinners(text)
 	for _, name := range []string{"latency-by-load", "latency", "first-token", "waste"} {
@@ -132,11 +132,11 @@
 
 // writeWinners lists the measures in which a baseline is better than thymeloft.
 func (s *study) writeWinners(text *strings.Builder) {
-	product := s.at(Thymeloft, s.reportedLoad).measures
+	product := s.findTrial(Thymeloft, s.reportedLoad).measures
 	var wins []string
 	for _, col := range columns() {
 		for _, strategy := range Strategies() {
-			if col.value(s.at(strategy, s.reportedLoad).measures) < col.value(product) {
+			if col.value(s.findTrial(strategy, s.reportedLoad).measures) < col.value(product) {
 				wins = append(wins, fmt.Sprintf("%s in %s", strategy, col.name))
 			}
 		}
@@ -192,7 +192,7 @@
 	text.WriteString("deployment,strategy,load,measure,histogram\n")
 	for _, s := range studies {
 		for _, strategy := range Strategies() {
-			m := s.at(strategy, s.reportedLoad).measures
+			m := s.findTrial(strategy, s.reportedLoad).measures
 			for _, entry := range []struct {
 				name      string
 				histogram *hdrhistogram.Histogram
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -138,7 +138,7 @@
 		r.programs = append(r.programs, program)
 		if program.parent == nil {
 			r.measures.openPrograms++
-			r.clock.after(description.Arrival, func() { r.startProgram(program) })
+			r.clock.schedule(description.Arrival, func() { r.startProgram(program) })
 		}
 	}
 }
@@ -161,9 +161,9 @@
 		program: current, turn: current.turn, path: history, pathAfter: append(history, turnSegment),
 		promptTokens: current.historyTokens + turn.PromptTokens, outputTokens: turn.OutputTokens, sentAt: r.clock.now,
 	}
-	r.clock.after(clientDelay, func() { current.daemon.receive(c) })
+	r.clock.schedule(clientDelay, func() { current.daemon.receive(c) })
 	if turn.ResendAfter > 0 {
-		r.clock.after(turn.ResendAfter, func() { r.sendCopy(c) })
+		r.clock.schedule(turn.ResendAfter, func() { r.sendCopy(c) })
 	}
 }
 
@@ -178,7 +178,7 @@
 	duplicate.refusals = 0
 	duplicate.engine = nil
 	r.measures.copiesRun++
-	r.clock.after(clientDelay, func() { duplicate.program.daemon.receive(&duplicate) })
+	r.clock.schedule(clientDelay, func() { duplicate.program.daemon.receive(&duplicate) })
 }
 
 // handleRefusal sends the call again after the retry delay, or abandons its program
@@ -193,7 +193,7 @@
 		r.abandon(c.program)
 		return
 	}
-	r.clock.after(clientDelay+retry+clientDelay, func() { c.program.daemon.receive(c) })
+	r.clock.schedule(clientDelay+retry+clientDelay, func() { c.program.daemon.receive(c) })
 }
 
 // abandon ends a program that its caller abandons, and all its ancestors.
@@ -203,7 +203,7 @@
 			continue
 		}
 		program.ended = true
-		program.daemon.strategy.programEnded(program)
+		program.daemon.strategy.handleProgramEnd(program)
 		if program.parent == nil {
 			r.measures.abandoned++
 			r.measures.openPrograms--
@@ -249,9 +249,9 @@
 // updates the history of the program.
 func (r *run) deliverAnswer(c *call) {
 	r.computed[c.pathAfter[len(c.pathAfter)-1].key] = true
-	r.clock.after(zoneDelay, func() {
+	r.clock.schedule(zoneDelay, func() {
 		daemon := c.program.daemon
-		daemon.callEnded(c)
+		daemon.handleCallEnd(c)
 		if c.isCopy || c.program.ended {
 			return
 		}
@@ -260,13 +260,13 @@
 		c.program.lastEngine = c.engine
 		c.program.history = c.pathAfter
 		c.program.historyTokens = c.promptTokens + c.outputTokens
-		daemon.strategy.callAnswered(c)
-		r.clock.after(clientDelay, func() { r.afterAnswer(c.program) })
+		daemon.strategy.handleAnswer(c)
+		r.clock.schedule(clientDelay, func() { r.continueAfterAnswer(c.program) })
 	})
 }
 
-// afterAnswer starts the sub-agents of the turn or, if there are none, its pause.
-func (r *run) afterAnswer(program *programRun) {
+// continueAfterAnswer starts the sub-agents of the turn or, if there are none, its pause.
+func (r *run) continueAfterAnswer(program *programRun) {
 	turn := program.Turns[program.turn]
 	program.openChildren = len(turn.Children)
 	for _, child := range turn.Children {
@@ -286,7 +286,7 @@
 		r.endProgram(program)
 		return
 	}
-	r.clock.after(turn.Pause, func() {
+	r.clock.schedule(turn.Pause, func() {
 		if !program.ended {
 			r.submitTurn(program)
 		}
@@ -297,7 +297,7 @@
 // parent continues with its pause.
 func (r *run) endProgram(program *programRun) {
 	program.ended = true
-	program.daemon.strategy.programEnded(program)
+	program.daemon.strategy.handleProgramEnd(program)
 	if program.parent != nil {
 		program.parent.openChildren--
 		if program.parent.openChildren == 0 && !program.parent.ended {
@@ -306,5 +306,5 @@
 		return
 	}
 	r.measures.openPrograms--
-	r.measures.programEnded(r.trace, program, r.clock.now-program.startedAt)
+	r.measures.recordProgramEnd(r.trace, program, r.clock.now-program.startedAt)
 }
--- a/internal/lab/experiment/settings.go
+++ b/internal/lab/experiment/settings.go
@@ -13,7 +13,7 @@
 // Settings are the parameters of a run besides its trace and strategy.
 type Settings struct {
 	Scheduling scheduling.Settings
-	JoinCopies bool // baselines do not run the copy of a call that the caller sends again
+	JoinCopies bool // baselines do not execute the copy of a call that the caller sends again
 	RunCopies  bool // thymeloft also runs the copies of calls that callers send again
 	NoLease    bool // thymeloft leases no cached history during pauses
 	NoRelease  bool // thymeloft does not release the cache of ended programs, so it stays until evicted
--- a/internal/lab/experiment/strategies.go
+++ b/internal/lab/experiment/strategies.go
@@ -26,17 +26,17 @@
 
 // traits are the properties of a strategy besides placement.
 type traits struct {
-	joinsCopies bool // the copies of calls that callers send again are not run
+	joinsCopies bool // the copies of calls that callers send again are not executed
 }
 
 // strategy places the calls of one daemon.
 type strategy interface {
 	traits() traits
 	submit(c *call)
-	stateChanged()                    // called when a report arrives or a placement ends
-	callAnswered(c *call)             // called when the answer reaches the daemon
-	programEnded(program *programRun) // called when the program has ended or is abandoned
-	waitingCalls() int                // number of calls queued in the daemon
+	handleStateChange()                   // called when a report arrives or a placement ends
+	handleAnswer(c *call)                 // called when the answer reaches the daemon
+	handleProgramEnd(program *programRun) // called when the program has ended or is abandoned
+	waitingCalls() int                    // number of calls queued in the daemon
 }
 
 func newStrategy(d *daemon, choice Strategy, settings Settings) strategy {
@@ -67,11 +67,11 @@
 	choose func(d *daemon, turn int, c *call) int
 }
 
-func (b *balancer) traits() traits           { return traits{joinsCopies: b.joins} }
-func (b *balancer) stateChanged()            {}
-func (b *balancer) callAnswered(*call)       {}
-func (b *balancer) programEnded(*programRun) {}
-func (b *balancer) waitingCalls() int        { return 0 }
+func (b *balancer) traits() traits               { return traits{joinsCopies: b.joins} }
+func (b *balancer) handleStateChange()           {}
+func (b *balancer) handleAnswer(*call)           {}
+func (b *balancer) handleProgramEnd(*programRun) {}
+func (b *balancer) waitingCalls() int            { return 0 }
 
 func (b *balancer) submit(c *call) {
 	b.turn++
@@ -113,7 +113,7 @@
 	return view.Running + view.Waiting + view.PlacedSinceReport
 }
 
-// firstCome keeps one queue in order of arrival. It places a call when an engine
+// firstCome has one queue in order of arrival. It places a call when an engine
 // has a free slot, on the engine with the smallest share of its slots in use.
 type firstCome struct {
 	balancer
@@ -122,12 +122,12 @@
 
 func (f *firstCome) submit(c *call) {
 	f.queue = append(f.queue, c)
-	f.stateChanged()
+	f.handleStateChange()
 }
 
 func (f *firstCome) waitingCalls() int { return len(f.queue) }
 
-func (f *firstCome) stateChanged() {
+func (f *firstCome) handleStateChange() {
 	for len(f.queue) > 0 {
 		engine, found := f.findFree()
 		if !found {
--- a/internal/lab/experiment/thymeloft.go
+++ b/internal/lab/experiment/thymeloft.go
@@ -78,11 +78,11 @@
 	if displaced, full := queue.Push(item, c); full {
 		t.daemon.run.handleRefusal(displaced, time.Second)
 	}
-	t.stateChanged()
+	t.handleStateChange()
 }
 
-// stateChanged tries to place the waiting calls, first those of startedQueue.
-func (t *thymeloft) stateChanged() {
+// handleStateChange tries to place the waiting calls, first those of startedQueue.
+func (t *thymeloft) handleStateChange() {
 	t.drain(t.startedQueue)
 	t.drain(t.firstCallQueue)
 }
@@ -117,9 +117,9 @@
 		return
 	}
 	t.retryScheduled = true
-	t.daemon.run.clock.after(retry, func() {
+	t.daemon.run.clock.schedule(retry, func() {
 		t.retryScheduled = false
-		t.stateChanged()
+		t.handleStateChange()
 	})
 }
 
@@ -190,9 +190,9 @@
 	t.daemon.place(c, decision.EngineIndex, priority, c.promptTokens-decision.CachedTokens)
 }
 
-// callAnswered updates the statistics, and leases the program's cached history if
+// handleAnswer updates the statistics, and leases the program's cached history if
 // scheduling.LeaseDuration returns a duration for that.
-func (t *thymeloft) callAnswered(c *call) {
+func (t *thymeloft) handleAnswer(c *call) {
 	program := c.program
 	t.liveTokens += program.Turns[c.turn].PromptTokens + program.Turns[c.turn].OutputTokens
 	stats := t.statsOf(program.Kind)
@@ -225,9 +225,9 @@
 	stats.meanSeconds += pauseSmoothing * (pause - stats.meanSeconds)
 }
 
-// programEnded releases what the engines have cached of the program, except its
+// handleProgramEnd releases what the engines have cached of the program, except its
 // shared prefix. With Settings.NoRelease it releases nothing.
-func (t *thymeloft) programEnded(program *programRun) {
+func (t *thymeloft) handleProgramEnd(program *programRun) {
 	t.liveTokens -= program.historyTokens - program.SharedTokens()
 	if t.settings.NoRelease {
 		return
--- a/internal/lab/fleet/operator.go
+++ b/internal/lab/fleet/operator.go
@@ -119,8 +119,8 @@
 }
 
 // Apply replaces the whole configuration document through the daemon and returns
-// the new revision. Calls with the same identifier count as one change. The base
-// parameter is the revision that the document replaces.
+// the new revision. Calls with the same identifier count as one change. base is
+// the revision that the document replaces.
 func (f *Fleet) Apply(ctx context.Context, daemon *Daemon, identifier string, base uint64, document *operatorv1.Document) (uint64, error) {
 	reply, err := f.Operator(daemon).ApplyConfiguration(ctx, connect.NewRequest(&operatorv1.ApplyConfigurationRequest{
 		ChangeIdentifier: identifier,
--- a/internal/lab/memorystore/memorystore.go
+++ b/internal/lab/memorystore/memorystore.go
@@ -1,4 +1,4 @@
-// Package memorystore implements state.Store in memory for tests. It keeps the
+// Package memorystore implements state.Store in memory for tests. It provides the
 // guarantees of state.Store, and a test can inject faults: refused, lost, late or
 // unanswered calls, a full store, an exceeded rate, and a lost history.
 package memorystore
--- a/internal/lab/modelengine/batch.go
+++ b/internal/lab/modelengine/batch.go
@@ -71,7 +71,7 @@
 	e.running = slices.DeleteFunc(e.running, ended)
 }
 
-// admit moves waiting requests into the batch while it has room, in the order
+// admit moves waiting requests into the batch while it has free capacity, in the order
 // of request.isBefore.
 func (e *Engine) admit() {
 	for len(e.running) < e.speed.MaxRunning && len(e.waiting) > 0 {
--- a/internal/lab/modelengine/cache.go
+++ b/internal/lab/modelengine/cache.go
@@ -65,7 +65,7 @@
 	blocks   map[uint64]*block
 	recent   *list.List // of *block; front: most recently used
 	programs map[string]*programEntry
-	emit     func(kind, program string, prefix uint64, tokens int64) // emits a cache event; the tokens parameter is what the program has cached after it
+	emit     func(kind, program string, prefix uint64, tokens int64) // emits a cache event; tokens is the number of tokens that the program has cached after it
 }
 
 func newPrefixCache(tokens int64, emit func(kind, program string, prefix uint64, tokens int64)) *prefixCache {
@@ -95,7 +95,7 @@
 
 // store adds the blocks to the program, and evicts the least recently used
 // blocks if the cache is full. It stops at the first block for which there is no
-// room because all cached blocks are pinned.
+// space because all cached blocks are pinned.
 func (c *prefixCache) store(program string, hashes []uint64, now time.Time) {
 	entry := c.entryOf(program)
 	entry.prefixHash = prefixHash(hashes)
@@ -122,7 +122,7 @@
 	return entry
 }
 
-// storeBlock returns false if there is no room for the block.
+// storeBlock returns false if there is no space for the block.
 func (c *prefixCache) storeBlock(program string, hash uint64, now time.Time) bool {
 	if cached, found := c.blocks[hash]; found {
 		cached.programs[program] = struct{}{}
--- a/internal/lab/modelengine/events.go
+++ b/internal/lab/modelengine/events.go
@@ -11,7 +11,7 @@
 	event   enginev1.CacheEvent
 }
 
-// eventLog keeps cache events. It delivers them late and drops some, as real
+// eventLog stores cache events. It delivers them late and drops some, as real
 // engines may. Not safe for concurrent use.
 type eventLog struct {
 	lag          time.Duration
@@ -34,9 +34,9 @@
 	}
 }
 
-// after returns the kept events with sequence numbers greater than the given one.
+// listAfter returns the stored events with sequence numbers greater than the given one.
 // It stops before the first event that is younger than the lag.
-func (l *eventLog) after(sequence uint64, now time.Time) enginev1.CacheEvents {
+func (l *eventLog) listAfter(sequence uint64, now time.Time) enginev1.CacheEvents {
 	page := enginev1.CacheEvents{Events: []enginev1.CacheEvent{}, Latest: sequence}
 	for _, entry := range l.events {
 		if entry.event.Sequence <= sequence {
--- a/internal/lab/modelengine/handlers.go
+++ b/internal/lab/modelengine/handlers.go
@@ -15,7 +15,7 @@
 const roleServe = "serve"
 
 // kvTransfer is the body of a KV export or import. It has the hashes of the
-// blocks in place of their content.
+// blocks instead of their content.
 type kvTransfer struct {
 	Program string   `json:"program"`
 	Blocks  []uint64 `json:"blocks"`
@@ -109,7 +109,7 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64) // 0 if absent: all events
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	standin.WriteJSON(w, http.StatusOK, e.events.after(after, time.Now()))
+	standin.WriteJSON(w, http.StatusOK, e.events.listAfter(after, time.Now()))
 }
 
 // Held returns the number of cached tokens and the lease of each program, sorted by
--- a/internal/lab/modelengine/options.go
+++ b/internal/lab/modelengine/options.go
@@ -31,7 +31,7 @@
 	prefillChunkTokens   = 512   // maximum number of prompt tokens per step
 	transferTokensPerSec = 40000 // tokens of KV cache imported per second
 	defaultCacheTokens   = 60000
-	maxEvents            = 4096 // maximum number of kept cache events; above it the older half is dropped
+	maxEvents            = 4096 // maximum number of stored cache events; above it the older half is dropped
 	defaultLoadTime      = 8 * time.Second
 	defaultReportLag     = 500 * time.Millisecond
 )
--- a/internal/lab/network/network_test.go
+++ b/internal/lab/network/network_test.go
@@ -42,7 +42,7 @@
 }
 
 var _ = Describe("Network", func() {
-	It("keeps the address of a link that goes down and up while its URL is read", func() {
+	It("retains the address of a link that goes down and up while its URL is read", func() {
 		testNetwork := network.New(network.Options{})
 		DeferCleanup(testNetwork.Close)
 		link, err := testNetwork.NewLink("127.0.0.1:0", echo(), "a")
--- a/internal/lab/platformengine/platformengine.go
+++ b/internal/lab/platformengine/platformengine.go
@@ -22,7 +22,7 @@
 	Canceled bool   // the caller disconnected while the run was blocked
 }
 
-// Behaviour says how an engine treats a request. With the zero value, the request
+// Behaviour specifies how an engine treats a request. With the zero value, the request
 // succeeds.
 type Behaviour struct {
 	// RejectStatus, if not 0, is the status of a response with the Not-Executed header.
--- a/internal/lab/platformstore/platformstore.go
+++ b/internal/lab/platformstore/platformstore.go
@@ -1,5 +1,5 @@
 // Package platformstore provides a stand-in for the platform's store. It serves
-// the store's published HTTP protocol and keeps the rows in memory.
+// the store's published HTTP protocol and stores the rows in memory.
 package platformstore
 
 import (
--- a/internal/lab/replay/health.go
+++ b/internal/lab/replay/health.go
@@ -70,7 +70,7 @@
 // checkHealthy returns nil if the fleet is healthy: no daemon is unavailable because of
 // a fault, every running daemon has confirmed its configuration and lists exactly the
 // running processes as alive, and every shard is led by one of them. Otherwise the
-// error says what is missing.
+// error states what is missing.
 func (r *run) checkHealthy(ctx context.Context) error {
 	all := statuses{}
 	for _, daemon := range r.fleet.Daemons {
--- a/internal/lab/replay/program.go
+++ b/internal/lab/replay/program.go
@@ -28,7 +28,7 @@
 
 // runProgram creates the program, makes its calls one after the other and ends it.
 // It returns an error only if a fault could not be injected; errors of the
-// creation and the end are kept in p.err.
+// creation and the end are stored in p.err.
 func (r *run) runProgram(ctx context.Context, p *programRun, callerIndex int) error {
 	var doneOnce, createdOnce sync.Once
 	done := func() { doneOnce.Do(func() { close(p.done) }) }
@@ -100,7 +100,7 @@
 }
 
 // endProgram waits until the calls of its sub-agents are done, then ends the
-// program or, if the trace says so, waits until something else ends it.
+// program or, if the trace specifies it, waits until something else ends it.
 func (r *run) endProgram(ctx context.Context, caller *caller, p *programRun) error {
 	for _, other := range r.programs {
 		if other.parent == p {
--- a/internal/lab/replay/submission.go
+++ b/internal/lab/replay/submission.go
@@ -35,7 +35,7 @@
 	elapsedMS         int64     // from startedAt to the result
 }
 
-// streamCounts counts the streams of a replay, and those that ended in an unusual way.
+// streamCounts counts the streams of a replay, and those that ended abnormally.
 type streamCounts struct {
 	opened     atomic.Int64
 	incomplete atomic.Int64 // without a terminal event
--- a/internal/lab/replay/verdict.go
+++ b/internal/lab/replay/verdict.go
@@ -46,7 +46,7 @@
 	return true
 }
 
-// String returns one line for each guarantee, which says whether it held. The text depends
+// String returns one line for each guarantee, which states whether it held. The text depends
 // only on the name of the trace and on which guarantees held.
 func (v *Verdict) String() string {
 	var text strings.Builder
--- a/internal/lab/soak/caller.go
+++ b/internal/lab/soak/caller.go
@@ -15,14 +15,14 @@
 
 // caller runs programs one after the other.
 type caller struct {
-	run       *soakRun
-	name      string
-	random    *rand.Rand
-	mutex     sync.Mutex // protects random, requests and keptTurns, which sub-agents share
-	clients   []*http.Client
-	requests  int
-	programs  int
-	keptTurns []*attempt // completely answered turns that later programs may continue
+	run           *soakRun
+	name          string
+	random        *rand.Rand
+	mutex         sync.Mutex // protects random, requests and retainedTurns, which sub-agents share
+	clients       []*http.Client
+	requests      int
+	programs      int
+	retainedTurns []*attempt // completely answered turns that later programs may continue
 }
 
 func newCaller(r *soakRun, index int, random *rand.Rand) *caller {
@@ -68,7 +68,7 @@
 const (
 	maxTurns         = 6
 	maxTokensPerTurn = maxEvents * tokensPerEvent
-	maxKeptTurns     = 30
+	maxRetainedTurns = 30
 	continueOneIn    = 4 // one in this number of programs continues a turn of another program
 	forkOneIn        = 3 // one in this number of turns starts sub-agents
 	loopOneIn        = 6 // one in this number of programs makes turns until its budget is used up
@@ -83,9 +83,9 @@
 	if c.drawInt(2) == 0 {
 		conv.kind = kindRecorded
 	}
-	if kept := c.pickKeptTurn(); kept != nil && c.drawInt(continueOneIn) == 0 {
-		conv.kind, conv.last = kindRecorded, kept
-		conv.history = kept.prompt + kept.content
+	if continued := c.pickRetainedTurn(); continued != nil && c.drawInt(continueOneIn) == 0 {
+		conv.kind, conv.last = kindRecorded, continued
+		conv.history = continued.prompt + continued.content
 	}
 	turns := 1 + c.drawInt(maxTurns)
 	if c.drawInt(loopOneIn) == 0 {
@@ -119,19 +119,19 @@
 	agents.Wait()
 }
 
-// pickKeptTurn returns a random turn of an earlier program that ended at most maxKeptAge
+// pickRetainedTurn returns a random turn of an earlier program that ended at most maxRetainedAge
 // ago, or nil if there is none.
-func (c *caller) pickKeptTurn() *attempt {
-	const maxKeptAge = 40 * time.Second
+func (c *caller) pickRetainedTurn() *attempt {
+	const maxRetainedAge = 40 * time.Second
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for len(c.keptTurns) > 0 && time.Since(c.keptTurns[0].ended) > maxKeptAge {
-		c.keptTurns = c.keptTurns[1:]
+	for len(c.retainedTurns) > 0 && time.Since(c.retainedTurns[0].ended) > maxRetainedAge {
+		c.retainedTurns = c.retainedTurns[1:]
 	}
-	if len(c.keptTurns) == 0 {
+	if len(c.retainedTurns) == 0 {
 		return nil
 	}
-	return c.keptTurns[c.random.IntN(len(c.keptTurns))]
+	return c.retainedTurns[c.random.IntN(len(c.retainedTurns))]
 }
 
 const maxAttempts = 4 // of one turn
@@ -152,7 +152,7 @@
 		switch {
 		case a.status == http.StatusOK && a.complete:
 			conv.last, conv.history = a, a.prompt+a.content
-			c.keepTurn(a)
+			c.retainTurn(a)
 			return true
 		case a.status == http.StatusPaymentRequired || a.status == http.StatusNotFound || ctx.Err() != nil:
 			return false
@@ -162,14 +162,14 @@
 	return false
 }
 
-func (c *caller) keepTurn(a *attempt) {
+func (c *caller) retainTurn(a *attempt) {
 	if a.kind != kindRecorded {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.keptTurns = append(c.keptTurns, a)
-	c.keptTurns = c.keptTurns[max(0, len(c.keptTurns)-maxKeptTurns):]
+	c.retainedTurns = append(c.retainedTurns, a)
+	c.retainedTurns = c.retainedTurns[max(0, len(c.retainedTurns)-maxRetainedTurns):]
 }
 
 // callServices sends up to two requests to services, of random kinds.
--- a/internal/lab/soak/checks.go
+++ b/internal/lab/soak/checks.go
@@ -24,7 +24,7 @@
 	for id, executions := range e.executions {
 		findings = append(findings, checkRequested(id, executions, known[id])...)
 	}
-	findings = append(findings, e.checkKeptTurns(known)...)
+	findings = append(findings, e.checkRetainedTurns(known)...)
 	findings = append(findings, e.checkBudgets()...)
 	findings = append(findings, e.checkQuota()...)
 	if !e.skipTimingChecks {
@@ -105,9 +105,9 @@
 	return findings
 }
 
-// checkKeptTurns checks that a completely answered turn can be continued, whatever
+// checkRetainedTurns checks that a completely answered turn can be continued, whatever
 // happened since, and that a turn that does not exist cannot.
-func (e *evidence) checkKeptTurns(known map[string]*attempt) []string {
+func (e *evidence) checkRetainedTurns(known map[string]*attempt) []string {
 	var findings []string
 	for _, a := range e.attempts {
 		previous := known[a.previous]
--- a/internal/lab/soak/engines.go
+++ b/internal/lab/soak/engines.go
@@ -148,7 +148,7 @@
 	i.owner.store.writeAsOperator(state.Put{Key: state.Key{Table: "servers", Name: i.id}, Value: value})
 }
 
-// drain writes an entry that says that the instance is draining.
+// drain writes an entry that states that the instance is draining.
 func (i *instance) drain() {
 	i.mutex.Lock()
 	i.draining = true
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -71,7 +71,7 @@
 	maxFaultDuration    = 4 * time.Second
 )
 
-// injectFaults runs rounds of faults until the duration is over. All faults of a
+// injectFaults runs rounds of faults until the duration has elapsed. All faults of a
 // round end before the next round begins. Calm rounds, without faults, allow time
 // limits to be checked.
 func (r *soakRun) injectFaults(ctx context.Context) {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -140,8 +140,8 @@
 }
 
 // firstStartDuration is how long the gateways of a new system need until each has
-// recorded in the store that it keeps a share of the quotas. A gateway that is killed
-// before that gets its share back only six minutes later (package members).
+// recorded in the store that it owns a share of the quotas. A gateway that is killed
+// before that gets its share again only six minutes later (package members).
 const firstStartDuration = 7 * time.Second
 
 // runCallersAndFaults injects the faults while callers send requests, then stops the
--- a/internal/lab/standin/faults.go
+++ b/internal/lab/standin/faults.go
@@ -130,7 +130,7 @@
 
 // Inject applies the rules that match the point and the request key, and returns
 // the action that the caller must carry out, or "" for none. It blocks for
-// ActionDelay and ActionHold until the wait is over, the rule is removed or ctx
+// ActionDelay and ActionHold until the wait ends, the rule is removed or ctx
 // ends. It returns at the first rule with ActionRefuse or ActionFail; after a
 // rule with ActionLose it first applies the remaining rules. The chunks parameter
 // is the number of chunks sent so far and matters for PointStream only.
--- a/internal/lab/standin/serve.go
+++ b/internal/lab/standin/serve.go
@@ -84,7 +84,7 @@
 	return true
 }
 
-// WriteNotStartedError writes an error response with enginev1.HeaderNeverStarted, which says that
+// WriteNotStartedError writes an error response with enginev1.HeaderNeverStarted, which states that
 // the request was not started.
 func WriteNotStartedError(w http.ResponseWriter, status int, detail string) {
 	w.Header().Set(enginev1.HeaderNeverStarted, "true")
--- a/internal/memory/account.go
+++ b/internal/memory/account.go
@@ -37,7 +37,7 @@
 	return [kindCount]string{"request", "history", "answer", "unsaved-turn"}[k]
 }
 
-// ExceededError says that a reservation would exceed a limit or is closed; in the latter case
+// ExceededError means that a reservation would exceed a limit or is closed; in the latter case
 // only Kind and Requested are set. All amounts are in bytes.
 type ExceededError struct {
 	Kind        Kind
--- a/internal/memory/account_test.go
+++ b/internal/memory/account_test.go
@@ -86,7 +86,7 @@
 }
 
 var _ = Describe("Account", func() {
-	It("keeps its limits under concurrent use", func() {
+	It("enforces its limits under concurrent use", func() {
 		const limit, callers, rounds = 1 << 20, 32, 400
 		account := NewAccount(limit)
 		var all sync.WaitGroup
--- a/internal/memory/limits.go
+++ b/internal/memory/limits.go
@@ -7,7 +7,7 @@
 	MemoryLimit int64
 	// MaxHeldBytes is the limit for bytes held for callers.
 	MaxHeldBytes int64
-	// GCPercent is the garbage collection target in percent, as in GOGC; 0 keeps the runtime's
+	// GCPercent is the garbage collection target in percent, as in GOGC; 0 retains the runtime's
 	// default.
 	GCPercent int
 }
@@ -31,8 +31,8 @@
 	// gcPercent is half of the runtime's default: the live heap is usually a few megabytes, so
 	// that collections are cheap and garbage makes up most of the peak.
 	gcPercent = 50
-	// minRuntimeBytes and minHeldBytes let a small machine serve at least a few requests of the
-	// usual maximum size.
+	// minRuntimeBytes and minHeldBytes let a small machine serve at least a few requests of a
+	// typical maximum size.
 	minRuntimeBytes = 32 * megabyte
 	minHeldBytes    = 8 * megabyte
 )
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -29,7 +29,7 @@
 	removed     bool // if true, the link was deleted from Pool.links and must be looked up again
 }
 
-// closedChannel is returned in place of link.dialDone if there is nothing to wait for.
+// closedChannel is returned instead of link.dialDone if there is nothing to wait for.
 var closedChannel = func() chan struct{} {
 	channel := make(chan struct{})
 	close(channel)
--- a/internal/peer/retire_test.go
+++ b/internal/peer/retire_test.go
@@ -39,7 +39,7 @@
 		Eventually(accepted, testDeadline).Should(Receive())
 	})
 
-	It("are kept if a reply has arrived since their last use", func() {
+	It("are retained if a reply has arrived since their last use", func() {
 		server, _ := startServer(peer.Options{})
 		pool := newPool(peer.Options{})
 		call := func() error {
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -24,7 +24,7 @@
 const (
 	keepAlivePeriod  = time.Minute
 	acceptRetryDelay = 20 * time.Millisecond
-	// unknownServiceName stands in metrics for services that are not registered.
+	// unknownServiceName is the name in metrics of services that are not registered.
 	unknownServiceName = "unknown"
 )
 
--- a/internal/piece/piece.go
+++ b/internal/piece/piece.go
@@ -26,9 +26,9 @@
 
 // Errors of Load, in addition to those of the packages state and rowset.
 var (
-	// ErrNotFound says that no partition that may hold the piece has it.
+	// ErrNotFound means that no partition that may hold the piece has it.
 	ErrNotFound = errors.New("piece not found")
-	// ErrDigestMismatch says that the stored bytes do not match the digest.
+	// ErrDigestMismatch means that the stored bytes do not match the digest.
 	ErrDigestMismatch = errors.New("piece does not match its digest")
 )
 
--- a/internal/piece/piece_test.go
+++ b/internal/piece/piece_test.go
@@ -116,7 +116,7 @@
 		Expect(sweep(ctx, nil)).To(BeZero())
 	})
 
-	It("is kept if it is written again during a sweep", func(ctx SpecContext) {
+	It("is retained if it is written again during a sweep", func(ctx SpecContext) {
 		_, err := newPieces().Ensure(ctx, content, unixIn(time.Minute), unixIn(time.Minute))
 		Expect(err).NotTo(HaveOccurred())
 		now = now.Add(time.Hour)
--- a/internal/process/endpoint.go
+++ b/internal/process/endpoint.go
@@ -31,7 +31,7 @@
 type EndpointLimits struct {
 	HeaderTimeout  time.Duration // time to read the header of a request
 	ReadTimeout    time.Duration // time to read a whole request
-	IdleTimeout    time.Duration // time for which an idle connection is kept open
+	IdleTimeout    time.Duration // time for which an idle connection stays open
 	MaxHeaderBytes int           // largest size of a request header
 	MaxConnections int           // largest number of open connections; further ones wait in the kernel's backlog
 }
--- a/internal/program/call.go
+++ b/internal/program/call.go
@@ -31,7 +31,7 @@
 // if the tenant has none, the default of this package.
 type Limits struct {
 	TokenBudget int64         `cbor:"1,keyasint,omitzero"` // maximum tokens generated for the program and its children together
-	MaxTurns    uint64        `cbor:"2,keyasint,omitzero"` // maximum number of calls, without those that did not run
+	MaxTurns    uint64        `cbor:"2,keyasint,omitzero"` // maximum number of calls, without those that were not executed
 	Idle        time.Duration `cbor:"3,keyasint,omitzero"` // maximum time without a call in progress or other activity
 	Lifetime    time.Duration `cbor:"4,keyasint,omitzero"` // maximum time since creation
 	MaxRepeats  uint64        `cbor:"5,keyasint,omitzero"` // identical consecutive calls allowed; one more ends the program
@@ -59,7 +59,7 @@
 	CallAccepted   CallState = "accepted"        // committed to the log, but no attempt can have run
 	CallDispatched CallState = "dispatched"      // an attempt may have been sent
 	CallAnswered   CallState = "answered"        // the answer is stored
-	CallNotRun     CallState = "not-run"         // the call certainly did not run
+	CallNotRun     CallState = "not-run"         // the call was certainly not executed
 	CallFailed     CallState = "failed"          // all attempts ended without an answer
 	CallUnknown    CallState = "outcome-unknown" // final, but it is not known whether an attempt ran or with what result
 )
--- a/internal/program/calls.go
+++ b/internal/program/calls.go
@@ -11,13 +11,13 @@
 	spec := command.Call
 	if existing := program.call(spec.Sequence); existing != nil {
 		if !isSameCall(&existing.Spec, &spec) {
-			return rejected(problem.New(problem.KindConflict, "accept", "call %d already exists with different content", spec.Sequence))
+			return rejectedResult(problem.New(problem.KindConflict, "accept", "call %d already exists with different content", spec.Sequence))
 		}
 		copied := *existing
 		return &Result{Program: program.ID, Joined: true, Call: &copied}
 	}
 	if fault := s.validateAccept(program, &spec); fault != nil {
-		return rejected(fault.WithOutcome(problem.OutcomeNotRun))
+		return rejectedResult(fault.WithOutcome(problem.OutcomeNotRun))
 	}
 	if fault, reason := checkRunaway(program, &spec); fault != nil {
 		return &Result{Problem: fault, Program: program.ID, Ended: s.endTree(program, reason)}
@@ -36,7 +36,7 @@
 	expected := uint64(len(program.Calls)) + 1
 	switch {
 	case !program.isOpen():
-		return programEnded(program, "accept")
+		return programEndedProblem(program, "accept")
 	case spec.Sequence != expected:
 		return problem.New(problem.KindOutOfOrder, "accept", "expected call %d, got %d", expected, spec.Sequence)
 	case program.activeCall() != nil:
@@ -75,7 +75,7 @@
 func (s *Shard) dispatch(program *programRecord, call *Call, command *Command) (uint32, *problem.Problem) {
 	switch {
 	case !program.isOpen():
-		return 0, programEnded(program, "dispatch")
+		return 0, programEndedProblem(program, "dispatch")
 	case call.Spec.NotRepeatable && call.HasUnreleasedAttempt():
 		return 0, problem.New(problem.KindConflict, "dispatch", "an attempt of a non-repeatable call may have been sent")
 	case len(call.Attempts) >= MaxAttempts:
@@ -146,7 +146,7 @@
 }
 
 // answer stores the answer of an attempt and makes the call final. The call's
-// other attempts of unknown cost keep their whole reservations until they are
+// other attempts of unknown cost retain their whole reservations until they are
 // settled or released.
 func (s *Shard) answer(program *programRecord, call *Call, command *Command) *problem.Problem {
 	attempt, ok := call.findAttempt(command)
@@ -154,9 +154,9 @@
 	case command.Answer == nil:
 		return problem.New(problem.KindMalformed, "answer", "the command does not contain an answer")
 	case !ok:
-		return unknownAttempt(command)
+		return unknownAttemptProblem(command)
 	case attempt.Released:
-		return problem.New(problem.KindConflict, "answer", "attempt %d was released because it never ran", command.Number)
+		return problem.New(problem.KindConflict, "answer", "attempt %d was released because it was not executed", command.Number)
 	}
 	if fault := call.transition(eventAnswer); fault != nil {
 		return fault
@@ -180,7 +180,7 @@
 	}
 	if command.Number != 0 {
 		if _, ok := call.findAttempt(command); !ok {
-			return unknownAttempt(command)
+			return unknownAttemptProblem(command)
 		}
 	}
 	trigger, fault := outcomeEvent(call, command)
@@ -224,7 +224,7 @@
 func findUnsettled(call *Call, command *Command) (Attempt, *problem.Problem) {
 	attempt, ok := call.findAttempt(command)
 	if !ok {
-		return attempt, unknownAttempt(command)
+		return attempt, unknownAttemptProblem(command)
 	}
 	if attempt.Released || attempt.Known {
 		return attempt, problem.New(problem.KindConflict, string(command.Kind), "attempt %d is already settled", command.Number)
@@ -266,6 +266,6 @@
 // MaxTokenBudget, so that sums of counts cannot overflow.
 func clampTokens(tokens int64) int64 { return min(max(0, tokens), MaxTokenBudget) }
 
-func unknownAttempt(command *Command) *problem.Problem {
+func unknownAttemptProblem(command *Command) *problem.Problem {
 	return problem.New(problem.KindConflict, string(command.Kind), "attempt %d of call %d is not in the log", command.Number, command.Sequence)
 }
--- a/internal/program/codec.go
+++ b/internal/program/codec.go
@@ -33,7 +33,7 @@
 	mode, err := cbor.DecOptions{
 		MaxArrayElements: maxArrayElements,
 		MaxNestedLevels:  maxNestedLevels,
-		UTF8:             cbor.UTF8DecodeInvalid, // content that is not valid UTF-8 is kept unchanged
+		UTF8:             cbor.UTF8DecodeInvalid, // content that is not valid UTF-8 is retained unchanged
 		IndefLength:      cbor.IndefLengthForbidden,
 	}.DecMode()
 	if err != nil {
--- a/internal/program/command.go
+++ b/internal/program/command.go
@@ -15,8 +15,8 @@
 	CommandCreate   CommandKind = "create"   // creates a program; a repeated creation key returns the existing one
 	CommandAccept   CommandKind = "accept"   // appends a call to a program; a repeated call joins the first
 	CommandDispatch CommandKind = "dispatch" // adds an attempt and reserves its tokens; committed before the attempt is sent
-	CommandRelease  CommandKind = "release"  // closes an attempt that did not run and frees its reservation
-	CommandSettle   CommandKind = "settle"   // closes an attempt that ended without an answer; the call goes on
+	CommandRelease  CommandKind = "release"  // closes an attempt that was not executed and frees its reservation
+	CommandSettle   CommandKind = "settle"   // closes an attempt that ended without an answer; the call continues
 	CommandAnswer   CommandKind = "answer"   // stores the answer and its cost, and makes the call final
 	CommandGiveUp   CommandKind = "give-up"  // makes the call final without an answer
 	CommandEnd      CommandKind = "end"      // ends the program and its children
@@ -53,7 +53,7 @@
 	Problem *problem.Problem `cbor:"14,keyasint,omitzero"` // give-up: why the call ends
 
 	// Spent is the number of tokens that the attempt of a settle or give-up
-	// generated. If it is -1, the number is unknown and the attempt keeps its
+	// generated. If it is -1, the number is unknown and the attempt retains its
 	// whole reservation.
 	Spent int64 `cbor:"15,keyasint,omitzero"`
 
--- a/internal/program/intern.go
+++ b/internal/program/intern.go
@@ -1,7 +1,7 @@
 package program
 
 // maxInterned is the maximum number of interned strings. A deployment has fewer
-// machines, engines and models; further strings are kept but not interned.
+// machines, engines and models; further strings are stored but not interned.
 const maxInterned = 4096
 
 // interner stores one copy of each short string that recurs in commands, such as
--- a/internal/program/program_record.go
+++ b/internal/program/program_record.go
@@ -32,12 +32,12 @@
 	childBudgetDivisor = 8
 
 	// maxCallsPerTurn times Limits.MaxTurns is the maximum number of stored calls.
-	// Calls that did not run are stored, although they do not count as turns.
+	// Calls that were not executed are stored, although they do not count as turns.
 	maxCallsPerTurn = 4
 )
 
 // programRecord is the state of one program. The calls that Calls points to are
-// never modified in place, so that readers can keep them without a lock.
+// never modified in place, so that readers can retain them without a lock.
 type programRecord struct {
 	ID              identity.Program   `cbor:"1,keyasint,omitzero"`
 	Tenant          identity.Tenant    `cbor:"2,keyasint,omitzero"`
@@ -93,7 +93,7 @@
 	return p.Calls[sequence-1]
 }
 
-// countTurns returns the number of calls, without those that did not run.
+// countTurns returns the number of calls, without those that were not executed.
 func (p *programRecord) countTurns() uint64 {
 	var count uint64
 	for _, call := range p.Calls {
@@ -105,7 +105,7 @@
 }
 
 // countRepeats returns how many of the program's latest consecutive calls are the
-// same request as spec. Calls that did not run are skipped.
+// same request as spec. Calls that were not executed are skipped.
 func (p *programRecord) countRepeats(spec *CallSpec) uint64 {
 	var count uint64
 	for _, call := range slices.Backward(p.Calls) {
--- a/internal/program/programs.go
+++ b/internal/program/programs.go
@@ -20,7 +20,7 @@
 		fault = s.validateCreate(command)
 	}
 	if fault != nil {
-		return rejected(fault)
+		return rejectedResult(fault)
 	}
 	program := &programRecord{
 		ID:          command.Program,
@@ -35,7 +35,7 @@
 	}
 	if command.Parent != "" {
 		if fault := s.attachToParent(program, command.Limits.TokenBudget); fault != nil {
-			return rejected(fault)
+			return rejectedResult(fault)
 		}
 	}
 	s.programs[program.ID] = program
@@ -88,11 +88,11 @@
 func (s *Shard) attachToParent(child *programRecord, requested int64) *problem.Problem {
 	parent := s.programs[child.Parent]
 	if parent == nil || parent.Tenant != child.Tenant {
-		return unknownProgram("create")
+		return unknownProgramProblem("create")
 	}
 	switch {
 	case !parent.isOpen():
-		return programEnded(parent, "create")
+		return programEndedProblem(parent, "create")
 	case parent.Depth+1 > MaxDepth:
 		return problem.New(problem.KindMalformed, "create", "sub-agents can be nested at most %d levels deep", MaxDepth)
 	case len(parent.Children) >= MaxChildren:
@@ -123,7 +123,7 @@
 		return &Result{Program: program.ID, Joined: true, Ended: []identity.Program{program.ID}}
 	}
 	if isTimeBased(command.Reason) && s.expiryReason(program, s.now) != command.Reason {
-		return rejected(problem.New(problem.KindConflict, "end", "the program has not expired for the given reason"))
+		return rejectedResult(problem.New(problem.KindConflict, "end", "the program has not expired for the given reason"))
 	}
 	return &Result{Program: program.ID, Ended: s.endTree(program, command.Reason)}
 }
@@ -227,6 +227,6 @@
 	})
 }
 
-func programEnded(program *programRecord, step string) *problem.Problem {
+func programEndedProblem(program *programRecord, step string) *problem.Problem {
 	return problem.New(problem.KindProgramEnded, step, "the program ended: %s", program.Reason)
 }
--- a/internal/program/shard.go
+++ b/internal/program/shard.go
@@ -61,7 +61,7 @@
 func (s *Shard) Apply(_ uint64, encoded []byte) any {
 	command, err := DecodeCommand(encoded)
 	if err != nil {
-		return rejected(problem.New(problem.KindInternal, "apply", "%v", err))
+		return rejectedResult(problem.New(problem.KindInternal, "apply", "%v", err))
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -82,7 +82,7 @@
 	}
 	found := s.programs[command.Program]
 	if found == nil || (command.Tenant != "" && command.Tenant != found.Tenant) {
-		return rejected(unknownProgram(string(command.Kind)))
+		return rejectedResult(unknownProgramProblem(string(command.Kind)))
 	}
 	switch command.Kind {
 	case CommandAccept:
@@ -92,7 +92,7 @@
 	}
 	call := found.call(command.Sequence)
 	if call == nil {
-		return rejected(problem.New(problem.KindUnknownCall, string(command.Kind), "call %d is not in the log", command.Sequence))
+		return rejectedResult(problem.New(problem.KindUnknownCall, string(command.Kind), "call %d is not in the log", command.Sequence))
 	}
 	return s.applyToCall(found, call, command)
 }
@@ -177,10 +177,10 @@
 	s.active[program.ID] = struct{}{}
 }
 
-func rejected(fault *problem.Problem) *Result { return &Result{Problem: fault} }
+func rejectedResult(fault *problem.Problem) *Result { return &Result{Problem: fault} }
 
-// unknownProgram returns the problem for a program that is not in the shard. It
+// unknownProgramProblem returns the problem for a program that is not in the shard. It
 // has no outcome, because a call of a deleted program may have run.
-func unknownProgram(step string) *problem.Problem {
+func unknownProgramProblem(step string) *problem.Problem {
 	return problem.New(problem.KindUnknownProgram, step, "no such program")
 }
--- a/internal/program/view.go
+++ b/internal/program/view.go
@@ -146,7 +146,7 @@
 	Reason  EndReason
 }
 
-// ExpiredPrograms returns the open programs whose idle time or lifetime is over at
+// ExpiredPrograms returns the open programs whose idle time or lifetime has expired at
 // the time now, sorted by identifier.
 func (s *Shard) ExpiredPrograms(now time.Time) []Expiry {
 	s.mutex.RLock()
@@ -163,9 +163,9 @@
 
 // RetentionCutoff returns the time to use as Before in a CommandForget, and
 // whether the command would delete any programs. It selects the programs that
-// ended before the given time and, if more than keep ended programs would remain,
+// ended before the given time and, if more than maxEnded ended programs would remain,
 // the oldest of those as well.
-func (s *Shard) RetentionCutoff(before time.Time, keep int) (time.Time, bool) {
+func (s *Shard) RetentionCutoff(before time.Time, maxEnded int) (time.Time, bool) {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	var ends []time.Time
@@ -178,7 +178,7 @@
 		return before, false
 	}
 	slices.SortFunc(ends, time.Time.Compare)
-	if excess := len(ends) - keep; excess > 0 && !ends[excess-1].Before(before) {
+	if excess := len(ends) - maxEnded; excess > 0 && !ends[excess-1].Before(before) {
 		before = ends[excess-1].Add(1)
 	}
 	return before, ends[0].Before(before)
--- a/internal/retention/retention_test.go
+++ b/internal/retention/retention_test.go
@@ -98,7 +98,7 @@
 		Eventually(done).Should(BeClosed())
 	})
 
-	It("are removed by the sweep, and other rows are kept", func(ctx SpecContext) {
+	It("are removed by the sweep, and other rows are retained", func(ctx SpecContext) {
 		sweep := &retention.Sweep{
 			Store: client, Table: "t", Log: zap.NewNop(),
 			IsExpired: func(row state.Row) bool { return row.Value[0] >= 100 },
--- a/internal/routetable/routetable.go
+++ b/internal/routetable/routetable.go
@@ -13,7 +13,7 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-// RepeatPolicy says whether a request may run more than once.
+// RepeatPolicy determines whether a request may be executed more than once.
 type RepeatPolicy uint8
 
 // The values of RepeatPolicy.
@@ -34,7 +34,7 @@
 	Streaming     bool
 	Resumable     bool          // a stream may be continued on another engine
 	Recorded      bool          // turns are stored, so that later requests can continue them
-	Retention     time.Duration // how long recorded turns are kept
+	Retention     time.Duration // how long recorded turns are retained
 	Timeout       time.Duration
 	LatencyTarget time.Duration // maximum latency of an answer that counts as in time
 	MaxStreamGap  time.Duration // longest gap in a stream before callers give up
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -39,7 +39,7 @@
 
 // tryState holds what the tries so far have shown about an operation.
 type tryState struct {
-	outcomeUnknown bool             // a try may have taken effect without a reply that says so
+	outcomeUnknown bool             // a try may have taken effect without a reply that reports it
 	refusedAt      time.Time        // time of the first reply with OutcomeNotRun; zero: none
 	lastProblem    *problem.Problem // last problem in a reply
 	lastError      error            // last transport error
--- a/internal/routing/service.go
+++ b/internal/routing/service.go
@@ -64,11 +64,11 @@
 	result, err := local(ctx, request.Arguments)
 	*reply = result
 	if err != nil && *problemField == nil {
-		*problemField = unknownOutcome(err)
+		*problemField = unknownOutcomeProblem(err)
 	}
 	return nil
 }
 
-func unknownOutcome(err error) *problem.Problem {
+func unknownOutcomeProblem(err error) *problem.Problem {
 	return problem.New(problem.KindUnavailable, "serve an operation", "%v", err).WithOutcome(problem.OutcomeUnknown)
 }
--- a/internal/scheduling/benchmark_test.go
+++ b/internal/scheduling/benchmark_test.go
@@ -28,13 +28,13 @@
 }
 
 // decisionCase returns a snapshot and a call whose prefix some engines hold. If
-// roomEvery is n > 1, every nth engine has room; if it is zero, all engines have
-// room; if it is negative, none has.
-func decisionCase(count, roomEvery int) (*scheduling.Snapshot, *scheduling.Request) {
+// freeEvery is n > 1, every nth engine has free capacity; if it is zero, all engines
+// have; if it is negative, none has.
+func decisionCase(count, freeEvery int) (*scheduling.Snapshot, *scheduling.Request) {
 	engines := fleet(count)
 	engines[count-1].Adapters = append(engines[count-1].Adapters, "adapter-rare")
 	for index := range engines {
-		if roomEvery < 0 || roomEvery > 0 && index%roomEvery != 1 {
+		if freeEvery < 0 || freeEvery > 0 && index%freeEvery != 1 {
 			engines[index].Running = engines[index].MaxRunning + 100
 		}
 	}
--- a/internal/scheduling/policy_test.go
+++ b/internal/scheduling/policy_test.go
@@ -95,7 +95,7 @@
 	lease := func(tokens int64, hits, pressure float64) time.Duration {
 		return scheduling.LeaseDuration(tokens, pause, scheduling.CachePrice{HitsPerToken: hits, Pressure: pressure}, time.Minute)
 	}
-	expect.Expect(lease(8000, 0.1, 0.2)).To(gomega.BeZero(), "the cache has room")
+	expect.Expect(lease(8000, 0.1, 0.2)).To(gomega.BeZero(), "the cache has free space")
 	expect.Expect(lease(100, 0.1, 0.9)).To(gomega.BeZero(), "the prefix is too short")
 	expect.Expect(lease(8000, 10, 0.9)).To(gomega.BeZero(), "other prefixes are hit more often")
 	expect.Expect(lease(8000, 0.3, 0.9)).To(gomega.Equal(4 * time.Second))
--- a/internal/scheduling/properties_test.go
+++ b/internal/scheduling/properties_test.go
@@ -137,7 +137,7 @@
 				t.Fatalf("waits for memory although memory is available")
 			}
 		} else if roomFound {
-			t.Fatalf("waits although an engine has room")
+			t.Fatalf("waits although an engine has free capacity")
 		}
 		if decision.RetryAfter <= 0 {
 			t.Fatalf("waits without a retry delay")
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -24,7 +24,7 @@
 )
 
 // Before reports whether a goes before b. An earlier queueing time, a better
-// class and less attained service move an item forward; rank says by how much.
+// class and less attained service move an item forward; rank determines by how much.
 // Before is a strict weak order and does not depend on the current time. No item
 // is overtaken by one that was queued later by ClassCount * ClassHeadStart or
 // more.
@@ -68,7 +68,7 @@
 
 // Push adds a call. If the queue is full, the call that is last in order,
 // which may be the new one, is dropped and returned with full set. The caller
-// must then report the dropped call as not run.
+// must then report that the dropped call was not executed.
 func (q *Queue[T]) Push(item QueueItem, value T) (dropped T, full bool) {
 	if len(q.entries) < q.limit {
 		heap.Push(&q.entries, entry[T]{item: item, value: value})
--- a/internal/scheduling/scheduling.go
+++ b/internal/scheduling/scheduling.go
@@ -59,7 +59,7 @@
 	prepared      []candidate       // by index in Engines
 	byID          map[string]int    // indexes in Engines by engine ID
 	adapterBits   map[string]uint64 // the bit of each adapter that has its own
-	withRoom      map[string][]int  // ByModel without the full engines
+	withCapacity  map[string][]int  // ByModel without the full engines
 	cacheCapacity map[string]int64  // total CacheTokens of the accepting engines, by model
 }
 
@@ -86,14 +86,14 @@
 	HolderTokens    int64         // prompt tokens expected in the cache of that engine
 	SharedPrefix    uint64        // hash of the prefix that the call shares with other programs; zero: none
 	ExcludedEngines []string      // IDs of engines that have already failed this call
-	NotRepeatable   bool          // the call must not run twice; it is never the trial call of a Probing engine
+	NotRepeatable   bool          // the call must not be executed twice; it is never the trial call of a Probing engine
 	QueuedAhead     int           // calls before this one in the daemon's queue
 	Seed            uint64        // random number for sampling engines and for retry jitter
 	LiveTokens      int64         // unshared prefix tokens of the live programs that this daemon leads
 	CacheShare      float64       // share of the model's total cache that this daemon may use, 0 to 1; zero: unknown
 }
 
-// Action says what to do with a call.
+// Action is what to do with a call.
 type Action uint8
 
 // The actions.
@@ -103,7 +103,7 @@
 	ActionRefuse               // reject it at once; the caller may retry after Decision.RetryAfter
 )
 
-// Reason says why a decision was made. It is logged and used as a metric label.
+// Reason is why a decision was made. It is logged and used as a metric label.
 type Reason string
 
 // The reasons of decisions.
--- a/internal/scheduling/search.go
+++ b/internal/scheduling/search.go
@@ -9,9 +9,9 @@
 // there are more, IDs are compared too, which is slower.
 const maxExcludedIndexes = 8
 
-// minWithRoom is how many engines with room a sample must include. If it has
-// fewer, all engines with room are evaluated.
-const minWithRoom = 4
+// minWithCapacity is the minimum number of engines with free capacity in a
+// sample. If it has fewer, all engines with free capacity are evaluated.
+const minWithCapacity = 4
 
 // noEngine means that there is no engine, in Decision.TransferFrom and
 // search.holder.
@@ -35,21 +35,21 @@
 	snapshot *Snapshot
 	request  *Request
 
-	output     float64                 // expected number of output tokens
-	zone       uint32                  // hash of the daemon's zone
-	adapter    uint64                  // bit that an engine must have to serve the request
-	excluded   [maxExcludedIndexes]int // indexes of excluded engines
-	exclusions int                     // number of valid entries in excluded
-	unprepared candidate               // result of candidate for a snapshot without prepared candidates
-	holder     int                     // index of the engine that last served the program; -1: none
-	mostCached int64                   // tokens of the longest part of the prompt that any engine is known to hold
+	output          float64                 // expected number of output tokens
+	zone            uint32                  // hash of the daemon's zone
+	adapter         uint64                  // bit that an engine must have to serve the request
+	excluded        [maxExcludedIndexes]int // indexes of excluded engines
+	exclusions      int                     // number of valid entries in excluded
+	unprepared      candidate               // result of candidateAt for a snapshot without prepared candidates
+	holder          int                     // index of the engine that last served the program; -1: none
+	maxCachedTokens int64                   // tokens of the longest part of the prompt that any engine is known to hold
 
 	found          bool
 	best           placement
 	usable         bool    // some engine may serve the call, though it may be full
 	slotInterval   float64 // expected seconds between two slots becoming free on the full engines
 	fullDecodeRate float64 // sum of batchDecodeRate of the full engines evaluated
-	withRoom       int     // evaluations of engines with room; an engine drawn twice counts twice
+	withCapacity   int     // evaluations of engines with free capacity; an engine drawn twice counts twice
 }
 
 func newSearch(policy *costPolicy, snapshot *Snapshot, request *Request) search {
@@ -73,24 +73,24 @@
 	}
 	if index, found := snapshot.Find(request.HolderID); found {
 		result.holder = index
-		result.mostCached = min(request.HolderTokens, request.PromptTokens)
+		result.maxCachedTokens = min(request.HolderTokens, request.PromptTokens)
 	}
 	return result
 }
 
 // run evaluates the holders of the prefix first and then engines of the model:
 // all of them if there are at most ScanLimit, otherwise a random sample. If the
-// sample has too few engines with room, it evaluates all engines with room. If
-// there is still no placement and no sampled engine was full, it evaluates all
-// engines to estimate the slot interval. If no engine has the adapter, it
-// evaluates none.
+// sample has too few engines with free capacity, it evaluates all engines with
+// free capacity. If there is still no placement and no sampled engine was full,
+// it evaluates all engines to estimate the slot interval. If no engine has the
+// adapter, it evaluates none.
 func (s *search) run() {
 	if s.snapshot.isUnknownAdapter(s.request.Adapter) {
 		return
 	}
 	s.considerHolders()
 	indexes := s.snapshot.ByModel[s.request.Model]
-	s.fullDecodeRate, s.withRoom = 0, 0
+	s.fullDecodeRate, s.withCapacity = 0, 0
 	if len(indexes) <= s.policy.settings.ScanLimit {
 		s.considerAll(indexes)
 		s.estimateSlotInterval(1)
@@ -98,11 +98,11 @@
 	}
 	s.sample(indexes)
 	s.estimateSlotInterval(float64(len(indexes)) / float64(s.policy.settings.SampleSize))
-	if s.withRoom >= minWithRoom {
+	if s.withCapacity >= minWithCapacity {
 		return
 	}
 	sampledFull := s.fullDecodeRate > 0
-	s.considerAll(s.indexesWithRoom(indexes))
+	s.considerAll(s.indexesWithCapacity(indexes))
 	if !s.found && !sampledFull {
 		s.fullDecodeRate = 0
 		s.considerAll(indexes)
@@ -114,7 +114,7 @@
 func (s *search) considerHolders() {
 	holders := s.sharedHolders()
 	for _, holder := range holders {
-		s.mostCached = max(s.mostCached, min(holder.Tokens, s.request.PromptTokens))
+		s.maxCachedTokens = max(s.maxCachedTokens, min(holder.Tokens, s.request.PromptTokens))
 	}
 	if s.holder >= 0 && s.snapshot.Engines[s.holder].Model == s.request.Model {
 		s.consider(s.holder, s.request.HolderTokens, ReasonHolder)
@@ -141,14 +141,14 @@
 	}
 }
 
-// indexesWithRoom returns the indexes of the model's engines that are not full.
+// indexesWithCapacity returns the indexes of the model's engines that are not full.
 // If the snapshot has no prepared candidates, it returns its argument, the
 // indexes of all engines of the model.
-func (s *search) indexesWithRoom(indexes []int) []int {
+func (s *search) indexesWithCapacity(indexes []int) []int {
 	if s.snapshot.prepared == nil {
 		return indexes
 	}
-	return s.snapshot.withRoom[s.request.Model]
+	return s.snapshot.withCapacity[s.request.Model]
 }
 
 // estimateSlotInterval sets slotInterval from the full engines evaluated, if
@@ -167,24 +167,24 @@
 	return s.snapshot.SharedPrefixes[s.request.SharedPrefix]
 }
 
-// consider evaluates one engine. It keeps the placement if the engine is
-// eligible and has room and the score is the lowest so far. cachedTokens is how
+// consider evaluates one engine. It stores the placement in best if the engine is
+// eligible and has free capacity and the score is the lowest so far. cachedTokens is how
 // many tokens of the prompt the engine is expected to hold.
 func (s *search) consider(index int, cachedTokens int64, reason Reason) {
-	engine := s.candidate(index)
+	engine := s.candidateAt(index)
 	if !s.isEligible(index, engine) {
 		return
 	}
 	s.usable = true
-	room := engine.slots
+	capacity := engine.slots
 	if index == s.holder {
-		room += int32(s.policy.settings.HolderQueue)
+		capacity += int32(s.policy.settings.HolderQueue)
 	}
-	if engine.busy >= room {
+	if engine.busy >= capacity {
 		s.fullDecodeRate += engine.batchDecodeRate
 		return
 	}
-	s.withRoom++
+	s.withCapacity++
 	if s.found && engine.backlog >= s.best.score {
 		return // the other terms of the score can only add to the backlog
 	}
@@ -224,9 +224,9 @@
 	return slices.Contains(s.request.ExcludedEngines, s.snapshot.Engines[index].ID)
 }
 
-// candidate returns the candidate of an engine. The result is valid until the
+// candidateAt returns the candidate of an engine. The result is valid until the
 // next call.
-func (s *search) candidate(index int) *candidate {
+func (s *search) candidateAt(index int) *candidate {
 	if s.snapshot.prepared != nil {
 		return &s.snapshot.prepared[index]
 	}
@@ -250,11 +250,11 @@
 	result.queueing = engine.backlog + s.slotWait(engine)
 	result.decode = s.output * engine.outputCost * slowdown
 	prefill := uncached * engine.promptCost
-	wasted := float64(s.mostCached-cachedTokens) * engine.promptCost
+	wasted := float64(s.maxCachedTokens-cachedTokens) * engine.promptCost
 	if moved := s.transferTime(cachedTokens); moved < wasted {
 		prefill -= wasted - moved
 		wasted = 0
-		result.cachedTokens = s.mostCached
+		result.cachedTokens = s.maxCachedTokens
 		result.transferFrom = s.holder
 	}
 	result.firstToken = result.queueing + prefill + s.zoneCost(engine)
@@ -286,16 +286,16 @@
 }
 
 // transferTime returns the seconds that it takes to transfer the KV cache of the
-// prompt tokens from cachedTokens up to mostCached from the holder. It returns
+// prompt tokens from cachedTokens up to maxCachedTokens from the holder. It returns
 // infinity if transfers are disabled or the holder does not have all these
 // tokens.
 func (s *search) transferTime(cachedTokens int64) float64 {
 	perSec := s.policy.settings.TransferPerSec
-	movable := s.holder >= 0 && s.mostCached <= s.request.HolderTokens
+	movable := s.holder >= 0 && s.maxCachedTokens <= s.request.HolderTokens
 	if perSec <= 0 || !movable {
 		return math.Inf(1)
 	}
-	return float64(s.mostCached-cachedTokens) / perSec
+	return float64(s.maxCachedTokens-cachedTokens) / perSec
 }
 
 func (s *search) zoneCost(engine *candidate) float64 {
--- a/internal/scheduling/settings.go
+++ b/internal/scheduling/settings.go
@@ -51,7 +51,7 @@
 	// ScanLimit is the number of engines of a model up to which all of them are
 	// evaluated. If there are more, the prefix holders and a random sample of
 	// SampleSize engines are evaluated, and further engines only if too few of
-	// the sample have room.
+	// the sample have free capacity.
 	ScanLimit int
 	// SampleSize is the number of engines drawn at random; an engine may be
 	// drawn more than once.
--- a/internal/scheduling/snapshot.go
+++ b/internal/scheduling/snapshot.go
@@ -15,7 +15,7 @@
 	outputCost      float64 // seconds per output token in an almost empty batch
 	backlog         float64 // seconds of prefill queued before a new prompt
 	failureFactor   float64 // at least 1; grows with the error rate
-	pressure        float64 // share of a new prefix that evicts others, 0 (cache has room) to 1 (cache full)
+	pressure        float64 // share of a new prefix that evicts others, 0 (cache has free space) to 1 (cache full)
 	reportAge       float64 // age of the load report in seconds
 	batchDecodeRate float64 // output tokens per second of all slots, without the slowdown of a full batch
 	adapters        uint64  // bits of the engine's adapters
@@ -96,10 +96,10 @@
 // hashes and adapter bits are copied.
 func (s *Snapshot) prepareAll(previous []candidate) {
 	s.prepared = make([]candidate, len(s.Engines))
-	s.withRoom = make(map[string][]int, len(s.ByModel))
+	s.withCapacity = make(map[string][]int, len(s.ByModel))
 	s.cacheCapacity = make(map[string]int64, len(s.ByModel))
 	for model, indexes := range s.ByModel {
-		withRoom := make([]int, 0, len(indexes))
+		notFull := make([]int, 0, len(indexes))
 		for _, index := range indexes {
 			prepared := &s.prepared[index]
 			engine := &s.Engines[index]
@@ -110,10 +110,10 @@
 				prepared.zone, prepared.adapters = zoneHash(engine.Zone), s.adapterBitsOf(engine.Adapters)
 			}
 			if prepared.busy < prepared.slots {
-				withRoom = append(withRoom, index)
+				notFull = append(notFull, index)
 			}
 		}
-		s.withRoom[model] = withRoom
+		s.withCapacity[model] = notFull
 		s.cacheCapacity[model] = s.sumCacheTokens(indexes)
 	}
 }
--- a/internal/server/caller_connections.go
+++ b/internal/server/caller_connections.go
@@ -22,7 +22,7 @@
 }
 
 // Read implements net.Conn. After the connection was retired, it returns
-// net.ErrClosed in place of bytes that still arrive.
+// net.ErrClosed instead of bytes that still arrive.
 func (c *callerConnection) Read(buffer []byte) (int, error) {
 	count, err := c.Conn.Read(buffer)
 	if count == 0 {
--- a/internal/server/caller_server.go
+++ b/internal/server/caller_server.go
@@ -13,7 +13,7 @@
 	"github.com/thymeloft/thymeloft/internal/writebehind"
 )
 
-// callerServer serves callers on one listener. A connection keeps the limits that
+// callerServer serves callers on one listener. A connection retains the limits that
 // were in force when it was accepted. For each change of the limits there is a
 // new http.Server, which gets the connections accepted from then on. A callerServer
 // is safe for concurrent use.
@@ -107,7 +107,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(retryDelay) // wait for free file descriptors, whose lack is the usual cause
+			time.Sleep(retryDelay) // wait for free file descriptors, whose lack is the most likely cause
 			continue
 		}
 		s.mutex.Lock()
--- a/internal/server/components.go
+++ b/internal/server/components.go
@@ -38,8 +38,8 @@
 	removalQueue   *retention.Queue
 	loads          *load.Exchange
 	quotas         *quota.Limiter
-	quotaKeeper    *quota.Keeper
-	exchangesLoads bool                  // whether daemons tell each other the loads of instances
+	quotaOwner     *quota.Keeper
+	exchangesLoads bool                  // whether daemons report to each other the loads of instances
 	admission      *admission.Controller // nil if programs are not limited
 	peerServer     *peer.Server
 	peerPool       *peer.Pool
@@ -103,7 +103,7 @@
 		Store: s.Store, Availability: c.availability, DisableHedging: disabled.Has(mechanism.HedgedCalls),
 		Probe: state.KeyRange(s.StoreSchema.ConfigurationKey()), OnFailure: s.logFailedCall,
 		Limiter:      state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), MemberCount: c.members.Count, OnRateLowered: s.logLoweredRate}),
-		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreRoom, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
+		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreSpace, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
 	}
 	if !disabled.Has(mechanism.StoreRelay) {
 		storeOptions.Alternative = storerelay.NewRelay(c.members, c.peerPool, s.Settings.Seeds)
@@ -127,9 +127,9 @@
 	})
 	c.loads = &load.Exchange{List: c.members, PeerClient: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
 	c.exchangesLoads = !disabled.Has(mechanism.FleetLoads)
-	c.quotaKeeper = quota.NewKeeper(s.Settings.quotaSettings(), c.members, time.Now)
+	c.quotaOwner = quota.NewKeeper(s.Settings.quotaSettings(), c.members, time.Now)
 	c.quotas = quota.NewLimiter(quota.Options{
-		Settings: s.Settings.quotaSettings(), Keeper: c.quotaKeeper, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
+		Settings: s.Settings.quotaSettings(), Keeper: c.quotaOwner, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
 	})
 	registrations := []error{
 		c.client.RegisterMetrics(s.Registry), c.members.RegisterMetrics(s.Registry), c.loads.RegisterMetrics(s.Registry),
@@ -148,8 +148,8 @@
 }
 
 // enableAdmission creates the controller that decides whether programs may begin,
-// if the settings ask for it. Daemons then also tell each other their numbers of
-// programs, together with the loads.
+// if the settings ask for it. Daemons then also report to each other their numbers
+// of programs, together with the loads.
 func (s *Server) enableAdmission(c *components) error {
 	if !s.Settings.BoundPrograms || s.Settings.Disabled.Has(mechanism.Admission) {
 		return nil
@@ -173,7 +173,7 @@
 	if err := peerServer.Register(load.ServiceName, c.loads.Board); err != nil {
 		return eris.Wrap(err, "serve loads")
 	}
-	if err := peerServer.Register(quota.ServiceName, c.quotaKeeper); err != nil {
+	if err := peerServer.Register(quota.ServiceName, c.quotaOwner); err != nil {
 		return eris.Wrap(err, "serve quotas")
 	}
 	if err := peerServer.Register(members.ProbeServiceName, members.ProbeService{}); err != nil {
@@ -224,7 +224,7 @@
 }
 
 // endLease stops the renewal of the lease and ends the lease, so that the other
-// daemons learn at once that this process has stopped.
+// daemons see at once that this process has stopped.
 func (c *components) endLease() {
 	c.stopLease()
 	ctx, cancel := context.WithTimeout(context.Background(), endLeaseTimeout)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -81,9 +81,9 @@
 // timeout is requested again.
 const (
 	instancesFeedTimeout = 1500 * time.Millisecond
-	// membersFeedTimeout is shorter than the minute within which a daemon must hear
-	// of the member list in order to lend budgets. Changes of the list arrive at
-	// once. If the list needs an answer earlier, it shortens the timeout itself
+	// membersFeedTimeout is shorter than the minute within which a daemon must
+	// receive news of the member list in order to lend budgets. Changes of the list
+	// arrive at once. If the list needs an answer earlier, it shortens the timeout itself
 	// (members.List.WatchOptions), since a daemon with an outdated list may not lend.
 	membersFeedTimeout = 15 * time.Second
 	// changesPerDrain is the largest number of updates of the instances within the
@@ -114,7 +114,7 @@
 func (s *Server) grace() time.Duration { return time.Duration(s.graceNanos.Load()) }
 
 // Run serves callers until the context ends, and then performs a planned stop: it
-// returns when the requests have ended or the grace period is over. It must be
+// returns when the requests have ended or the grace period has elapsed. It must be
 // called only once.
 func (s *Server) Run(ctx context.Context) error {
 	c, err := s.newComponents()
@@ -266,7 +266,7 @@
 
 // canStop reports whether a planned stop that has lasted for the elapsed time may
 // close the listener: callers are no longer sent here, and either no request is
-// active or half of the grace period is over.
+// active or half of the grace period has elapsed.
 func (s *Server) canStop(elapsed time.Duration) bool {
 	if elapsed < unreadyDelay {
 		return false
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -37,7 +37,7 @@
 	// killed.
 	GraceSeconds float64 `yaml:"grace_seconds"`
 	// DrainMillis is how long an instance may still get new requests after its row in
-	// the store was removed or changed to say that it is leaving.
+	// the store was removed or changed to state that it is leaving.
 	DrainMillis float64 `yaml:"drain_millis"`
 	// MemoryMB is the memory of the machine, in MiB, from which the process derives
 	// its own limits; 0 means no limits.
@@ -104,8 +104,8 @@
 	// default is 5 seconds.
 	WindowSeconds float64 `yaml:"window_seconds"`
 	// ToleranceShare is a fraction of a tenant's limit, and ToleranceRequests a number
-	// of requests. Both may be used in excess of the limit, since daemons learn late
-	// of each other's requests. The defaults are 0.
+	// of requests. Both may be used in excess of the limit, since each daemon
+	// receives the counts of the others with a delay. The defaults are 0.
 	ToleranceShare    float64 `yaml:"tolerance_share"`
 	ToleranceRequests int     `yaml:"tolerance_requests"`
 }
--- a/internal/server/store_log.go
+++ b/internal/server/store_log.go
@@ -22,14 +22,14 @@
 	s.Log.Warn("store: does not answer.")
 }
 
-// logStoreRoom logs that the store is full, or that it has room again after being
-// full for the given time.
-func (s *Server) logStoreRoom(full bool, lasted time.Duration) {
+// logStoreSpace logs that the store is full, or that it has free space again
+// after being full for the given time.
+func (s *Server) logStoreSpace(full bool, lasted time.Duration) {
 	if full {
 		s.Log.Warn("store: full.")
 		return
 	}
-	s.Log.Info("store: has room again.", zap.Duration("after", lasted))
+	s.Log.Info("store: has free space again.", zap.Duration("after", lasted))
 }
 
 // logLoweredRate logs that calls of a kind were limited to a lower rate, in calls
--- a/internal/shards/commit_head.go
+++ b/internal/shards/commit_head.go
@@ -15,7 +15,7 @@
 
 // commitHead commits the next head and the puts on condition that the head row still has the
 // given version, and returns the new version of the head row. It retries until the store
-// accepts or rejects the commit, or the context ends. If former equals next and there are no
+// accepts or rejects the commit, or the context ends. If previous equals next and there are no
 // puts, it writes nothing and only checks the condition.
 //
 // The error is ErrUncertain if the commit may have been accepted, and ErrNotLeader if it was
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -227,7 +227,7 @@
 }
 
 // StopAcquiring stops the node from acquiring shards, in preparation for a planned stop. Shards
-// that it leads are kept until they are handed over.
+// that it leads are retained until they are handed over.
 func (n *Node) StopAcquiring() { n.retired.Store(true) }
 
 // RemainingShards returns the number of shards that this process leads, plus those that it has
--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -23,7 +23,7 @@
 	members       map[identity.Machine]members.Member
 	mayAssumeLost bool               // a process that is not in the membership counts as lost
 	enoughDaemons bool               // as many daemons are alive as the first start requires
-	unreachable   []identity.Process // processes that keep their lease but cannot be reached
+	unreachable   []identity.Process // processes that retain their lease but cannot be reached
 }
 
 func newPlacement(self identity.Process, view *members.View, uptime time.Duration, expect int) *placement {
@@ -48,7 +48,7 @@
 
 // isNext returns true if this daemon would lead the shard if the leader were lost.
 func (p *placement) isNext(shard identity.Shard, leader identity.Process) bool {
-	return p.preferred(shard, leader) == p.self
+	return p.preferredLeader(shard, leader) == p.self
 }
 
 // shouldTake returns true if this daemon should become the shard's leader now.
@@ -61,7 +61,7 @@
 	case leader.Term == 0 && !p.enoughDaemons:
 		return false // the first start waits until enough daemons are alive
 	}
-	return p.preferred(shard, leader.FormerLeader) == p.self
+	return p.preferredLeader(shard, leader.FormerLeader) == p.self
 }
 
 // isLost returns true if the process appears to have ended or cannot be reached. A wrong answer
@@ -78,14 +78,14 @@
 	}
 }
 
-// preferred returns the alive daemon with the highest rendezvous weight for the shard. The
-// process that gave up the shard is excluded if any other daemon is alive. Without an alive
-// daemon the result is zero.
-func (p *placement) preferred(shard identity.Shard, former identity.Process) identity.Process {
+// preferredLeader returns the alive daemon with the highest rendezvous weight for the shard. It
+// returns the excluded process only if no other daemon is alive. Without an alive daemon the
+// result is zero.
+func (p *placement) preferredLeader(shard identity.Shard, excluded identity.Process) identity.Process {
 	var best identity.Process
 	var highest uint64
 	for _, process := range p.alive {
-		if process == former && len(p.alive) > 1 {
+		if process == excluded && len(p.alive) > 1 {
 			continue
 		}
 		if weight := shardWeight(process, shard); best.Machine == "" || weight > highest {
@@ -132,7 +132,7 @@
 	}
 	slices.Sort(led)
 	for _, shard := range led {
-		if seen.preferred(shard, identity.Process{}) != seen.self && idle(shard) {
+		if seen.preferredLeader(shard, identity.Process{}) != seen.self && idle(shard) {
 			b.lastHandOver = b.now()
 			return shard, true
 		}
--- a/internal/shards/probe.go
+++ b/internal/shards/probe.go
@@ -15,7 +15,7 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// A leader may keep its lease and still be cut off from the daemons that serve requests, if all
+// A leader may retain its lease and still be cut off from the daemons that serve requests, if all
 // of them can reach the store. Therefore the daemon that would lead a shard next probes the
 // shard's leader. If the leader does not answer, another daemon is asked to probe it too. The
 // leader counts as lost after several consecutive failures that were confirmed in this way. A
--- a/internal/shards/probe_test.go
+++ b/internal/shards/probe_test.go
@@ -103,7 +103,7 @@
 					Expect(next).To(BeTrue())
 					taken++
 				}
-				Expect(seen.preferred(shard, identity.Process{})).NotTo(Equal(a))
+				Expect(seen.preferredLeader(shard, identity.Process{})).NotTo(Equal(a))
 			}
 			Expect(taken).To(Equal(1))
 		}
--- a/internal/shards/replica.go
+++ b/internal/shards/replica.go
@@ -222,7 +222,7 @@
 }
 
 // resign gives up the leadership: it commits a head without a leader and names this process as
-// the former leader.
+// the previous leader.
 func (r *replica) resign(ctx context.Context) error {
 	next := r.head
 	next.Leader = identity.Process{}
--- a/internal/shards/shards_test.go
+++ b/internal/shards/shards_test.go
@@ -43,7 +43,7 @@
 		Expect(len(first.node.Status())).To(Equal(8))
 	})
 
-	It("keeps committed commands through the loss of all daemons, snapshots and commands split over several rows", func(ctx SpecContext) {
+	It("retains committed commands through the loss of all daemons, snapshots and commands split over several rows", func(ctx SpecContext) {
 		alone := startDaemon(store, known, processOf("a", 1), 1, 1)
 		Eventually(func() bool { return alone.leads(1) }).Should(BeTrue())
 		var expected []string
@@ -63,32 +63,32 @@
 	}, SpecTimeout(time.Minute))
 
 	It("rejects the commits of a leader that was replaced without noticing", func(ctx SpecContext) {
-		former := startDaemon(store, known, processOf("a", 1), 1, 1)
-		Eventually(func() bool { return former.leads(1) }).Should(BeTrue())
-		Expect(former.propose(ctx, 1, "one")).To(Succeed())
-		seen := &fakeDirectory{} // the next leader regards the former one as dead; the former one regards itself as alive
-		seen.set(members.StateDead, former.self)
+		previous := startDaemon(store, known, processOf("a", 1), 1, 1)
+		Eventually(func() bool { return previous.leads(1) }).Should(BeTrue())
+		Expect(previous.propose(ctx, 1, "one")).To(Succeed())
+		seen := &fakeDirectory{} // the next leader regards the previous one as dead; the previous one regards itself as alive
+		seen.set(members.StateDead, previous.self)
 		next := startDaemon(store, seen, processOf("b", 1), 1, 1)
 		Eventually(func() bool { return next.leads(1) }).Should(BeTrue())
-		Expect(former.propose(ctx, 1, "two")).To(MatchError(ErrNotLeader))
-		Expect(former.node.ConfirmLeadership(ctx, 1)).To(MatchError(ErrNotLeader))
+		Expect(previous.propose(ctx, 1, "two")).To(MatchError(ErrNotLeader))
+		Expect(previous.node.ConfirmLeadership(ctx, 1)).To(MatchError(ErrNotLeader))
 		Expect(next.propose(ctx, 1, "three")).To(Succeed())
 		Expect(next.machine(1).allCommands()).To(Equal([]string{"one", "three"}))
 		Eventually(func() string {
-			leader, _ := former.node.Leader(1)
+			leader, _ := previous.node.Leader(1)
 			return string(leader.Machine)
 		}).Should(Equal("b"))
-		Consistently(func() bool { return former.leads(1) }, "50ms").Should(BeFalse(), "the former leader does not take the shard back")
+		Consistently(func() bool { return previous.leads(1) }, "50ms").Should(BeFalse(), "the previous leader does not take the shard back")
 	}, SpecTimeout(time.Minute))
 
 	It("ends a superseded leadership even if nothing is proposed", func(ctx SpecContext) {
-		former := startDaemon(store, known, processOf("a", 1), 1, 1)
-		Eventually(func() bool { return former.leads(1) }).Should(BeTrue())
+		previous := startDaemon(store, known, processOf("a", 1), 1, 1)
+		Eventually(func() bool { return previous.leads(1) }).Should(BeTrue())
 		seen := &fakeDirectory{}
-		seen.set(members.StateDead, former.self)
+		seen.set(members.StateDead, previous.self)
 		next := startDaemon(store, seen, processOf("b", 1), 1, 1)
 		Eventually(func() bool { return next.leads(1) }).Should(BeTrue())
-		Eventually(func() bool { return former.leads(1) }).Should(BeFalse())
+		Eventually(func() bool { return previous.leads(1) }).Should(BeFalse())
 	}, SpecTimeout(time.Minute))
 
 	It("commits a command once when it retries after lost answers", func(ctx SpecContext) {
@@ -288,15 +288,15 @@
 		counts := map[identity.Process]int{}
 		for shard := identity.Shard(1); shard <= 64; shard++ {
 			forA, forB := newPlacement(a, both, 0, 1), newPlacement(b, both, 0, 1)
-			Expect(forA.preferred(shard, identity.Process{})).To(Equal(forB.preferred(shard, identity.Process{})))
+			Expect(forA.preferredLeader(shard, identity.Process{})).To(Equal(forB.preferredLeader(shard, identity.Process{})))
 			Expect(forA.shouldTake(shard, Leader{})).NotTo(Equal(forB.shouldTake(shard, Leader{})))
-			counts[forA.preferred(shard, identity.Process{})]++
+			counts[forA.preferredLeader(shard, identity.Process{})]++
 		}
 		Expect(counts[a]).To(BeNumerically(">", 10))
 		Expect(counts[b]).To(BeNumerically(">", 10))
 	})
 
-	It("keeps a live leader and replaces one that is lost or gave up the shard", func() {
+	It("retains a live leader and replaces one that is lost or gave up the shard", func() {
 		alone := newPlacement(b, view(map[identity.Process]members.State{a: members.StateDead, b: members.StateAlive}), 0, 1)
 		seen := newPlacement(b, both, 0, 1)
 		for shard := identity.Shard(1); shard <= 8; shard++ {
@@ -330,7 +330,7 @@
 		Expect(found).To(BeFalse(), "not a busy shard")
 		shard, found := balancer.nextHandOver(current, known, led, idle)
 		Expect(found).To(BeTrue())
-		Expect(current.preferred(shard, identity.Process{})).To(Equal(b))
+		Expect(current.preferredLeader(shard, identity.Process{})).To(Equal(b))
 		_, found = balancer.nextHandOver(current, known, led, idle)
 		Expect(found).To(BeFalse(), "one at a time")
 		now = now.Add(balanceInterval)
--- a/internal/state/adaptivebucket.go
+++ b/internal/state/adaptivebucket.go
@@ -104,7 +104,7 @@
 	return time.Duration(math.Ceil(missing / b.rate * float64(time.Second)))
 }
 
-// restart lowers the rate to the minimum and keeps at most one token.
+// restart lowers the rate to the minimum and retains at most one token.
 func (b *adaptiveBucket) restart(now time.Time) {
 	b.advance(now)
 	b.rate = b.minRate
--- a/internal/state/availability.go
+++ b/internal/state/availability.go
@@ -64,7 +64,7 @@
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.failingPartitions[partition] = true
-	if len(a.failingPartitions) < minFailingPartitions || a.restoredSignal != nil || a.breakers.answeredWithin(minUnansweredTime) {
+	if len(a.failingPartitions) < minFailingPartitions || a.restoredSignal != nil || a.breakers.hasAnsweredWithin(minUnansweredTime) {
 		return false
 	}
 	a.restoredSignal = make(chan struct{})
--- a/internal/state/breakers.go
+++ b/internal/state/breakers.go
@@ -158,8 +158,8 @@
 	return found
 }
 
-// answeredWithin reports whether any call was answered within the given time before now.
-func (b *breakers) answeredWithin(span time.Duration) bool {
+// hasAnsweredWithin reports whether any call was answered within the given time before now.
+func (b *breakers) hasAnsweredWithin(span time.Duration) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.now().Sub(b.lastAnswer) < span
--- a/internal/state/callqueue.go
+++ b/internal/state/callqueue.go
@@ -19,7 +19,7 @@
 type waiter struct {
 	class    Class
 	deadline time.Time
-	// notify tells the caller whether the call may be sent. It is called once, unless the
+	// notify reports to the caller whether the call may be sent. It is called once, unless the
 	// waiter is removed before, and must not block.
 	notify func(granted bool)
 }
--- a/internal/state/commitbatcher.go
+++ b/internal/state/commitbatcher.go
@@ -46,7 +46,7 @@
 }
 
 const (
-	// maxBatchRows and maxBatchBytes keep a batch below the limits of one commit, which are 100
+	// maxBatchRows and maxBatchBytes limit a batch to less than the limits of one commit, which are 100
 	// rows and 1 MB of encoded request. The encoding, base64, makes values a third larger.
 	maxBatchRows  = 100
 	maxBatchBytes = 600 << 10
@@ -182,7 +182,7 @@
 	combined.add(first.commit, keys)
 	var remaining []*pendingCommit
 	for _, pending := range b.pending {
-		if !combined.fits(pending.commit, keys) {
+		if !combined.canAdd(pending.commit, keys) {
 			remaining = append(remaining, pending)
 			continue
 		}
@@ -193,9 +193,9 @@
 	return batch, combined
 }
 
-// fits reports whether the other commit can be added to c without exceeding the batch limits or
+// canAdd reports whether the other commit can be added to c without exceeding the batch limits or
 // writing a row twice. keys contains the keys of the rows that c writes.
-func (c Commit) fits(other Commit, keys map[Key]bool) bool {
+func (c Commit) canAdd(other Commit, keys map[Key]bool) bool {
 	for _, key := range other.writtenKeys() {
 		if keys[key] {
 			return false
--- a/internal/state/hedge.go
+++ b/internal/state/hedge.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// hedger sends a call again if its answer takes much longer than usual, while the earlier
+// hedger sends a call again if its answer takes much longer than the average, while the earlier
 // attempt continues. The answer to an attempt may be lost although the store executed the call.
 // Repeating the call is safe because calls are idempotent. A hedger is safe for concurrent use.
 type hedger struct {
--- a/internal/state/limiter_test.go
+++ b/internal/state/limiter_test.go
@@ -66,7 +66,7 @@
 		}
 	})
 
-	It("keeps its read rate while its writes are throttled", func(ctx SpecContext) {
+	It("maintains its read rate while its writes are throttled", func(ctx SpecContext) {
 		memory.SetFaultFunc(func(call memorystore.Call) memorystore.Fault {
 			if call.Name == "commit" {
 				return memorystore.FaultThrottled
--- a/internal/state/retrybudget.go
+++ b/internal/state/retrybudget.go
@@ -3,8 +3,8 @@
 import "sync"
 
 // retryBudget limits the further attempts of calls to a share of the first attempts, so that an
-// unresponsive store does not get a multiple of its usual load. It is safe for concurrent use.
-// The zero value starts with maxRetryTokens tokens.
+// unresponsive store does not get a multiple of the load of the first attempts. It is safe for
+// concurrent use. The zero value starts with maxRetryTokens tokens.
 type retryBudget struct {
 	mutex  sync.Mutex
 	tokens float64
--- a/internal/state/spacetracker.go
+++ b/internal/state/spacetracker.go
@@ -22,7 +22,7 @@
 	mutex               sync.Mutex
 	consecutiveRefusals int // refused commits since the store last had space or rows were removed
 	lastRefused         time.Time
-	smallestRefused     int // value bytes of the smallest commit refused since the store became full
+	minRefusedBytes     int // value bytes of the smallest commit refused since the store became full
 	nextProbe           time.Time
 	wake                chan struct{} // closed and replaced to make waiting commits check again
 }
@@ -41,7 +41,7 @@
 
 const (
 	initialSpaceProbeInterval = 100 * time.Millisecond
-	// maxSpaceProbeInterval keeps the probes of 400 daemons at 200 to 400 per second, a small
+	// maxSpaceProbeInterval limits the probes of 400 daemons to 200 to 400 per second, a small
 	// part of the 1,500 writes per second that a large store accepts.
 	maxSpaceProbeInterval = 2 * time.Second
 	// refusalRetention is the time without a refusal after which a successful write of any size
@@ -182,10 +182,10 @@
 	t.nextProbe = now.Add(spaceProbeInterval(t.consecutiveRefusals))
 	t.consecutiveRefusals++
 	if t.fullSince.Load() != 0 {
-		t.smallestRefused = min(t.smallestRefused, bytes)
+		t.minRefusedBytes = min(t.minRefusedBytes, bytes)
 		return
 	}
-	t.smallestRefused = bytes
+	t.minRefusedBytes = bytes
 	t.fullSince.Store(now.UnixNano())
 	t.options.OnChange(true, 0)
 }
@@ -194,7 +194,7 @@
 // no longer counts as full if the commit was sent after the last refusal, and either its values
 // are at least as large as those of the smallest refused commit, or refusalRetention has passed
 // since the last refusal. A smaller commit proves less: a full store still accepts a small row
-// that replaces its former value.
+// that replaces its previous value.
 func (t *SpaceTracker) recordWrite(bytes int, sent time.Time) {
 	since, full := t.FullSince()
 	if !full {
@@ -203,7 +203,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.options.Now()
-	largeEnough := bytes >= t.smallestRefused || now.Sub(t.lastRefused) >= refusalRetention
+	largeEnough := bytes >= t.minRefusedBytes || now.Sub(t.lastRefused) >= refusalRetention
 	if !largeEnough || !sent.After(t.lastRefused) || t.fullSince.Load() == 0 {
 		return
 	}
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -29,7 +29,7 @@
 	methodFeed   = ServiceName + ".Feed"
 )
 
-// Outcome is the outcome of a relayed call. It stands for the error, which net/rpc cannot
+// Outcome is the outcome of a relayed call. It represents the error, which net/rpc cannot
 // transfer.
 type Outcome uint8
 
@@ -138,7 +138,7 @@
 // storeUnreachableDetail is the detail of a reply to a call that was not sent to the store.
 const storeUnreachableDetail = "the relaying daemon cannot reach the store either"
 
-// outcomeOf returns the outcome that stands for an error of the store, and the error's message.
+// outcomeOf returns the outcome that represents an error of the store, and the error's message.
 func outcomeOf(err error) (Outcome, string) {
 	var conflict *state.ConflictError
 	switch {
--- a/internal/turn/cache.go
+++ b/internal/turn/cache.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// cache holds recently used turns. An entry also keeps the ancestors of its turn in memory, even
+// cache holds recently used turns. An entry also holds the ancestors of its turn in memory, even
 // if they have no entry of their own. The bytes of each turn are counted once, even if several
 // turns continue it. It is safe for concurrent use.
 type cache struct {
@@ -62,8 +62,8 @@
 	return found.turn
 }
 
-// add adds an entry for the turn, and drops the least recently used entries until all limits are
-// kept.
+// add adds an entry for the turn, and drops the least recently used entries until no limit is
+// exceeded.
 func (c *cache) add(turn *Turn) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/turn/chain_reader.go
+++ b/internal/turn/chain_reader.go
@@ -19,7 +19,7 @@
 // at the same time. It is half of the connections that a daemon has to the store.
 const maxConcurrentReads = 8
 
-// chainReader loads one conversation from the store. Rows that were read are kept for the next
+// chainReader loads one conversation from the store. Rows that were read are retained for the next
 // attempt if an attempt fails.
 type chainReader struct {
 	repository  *Repository
@@ -46,7 +46,7 @@
 	var known *Turn // the nearest ancestor in memory; nil if none was found
 	for known == nil && len(last.Ancestors) > 0 {
 		var wanted []string
-		wanted, known = r.untilCached(last.Ancestors)
+		wanted, known = r.splitAtCached(last.Ancestors)
 		for _, name := range wanted {
 			if slices.Contains(order, name) {
 				return nil, r.brokenError(name, ErrCycle)
@@ -82,9 +82,9 @@
 	return restored.complete()
 }
 
-// untilCached finds the first of the names whose turn is in memory. It returns the names before
+// splitAtCached finds the first of the names whose turn is in memory. It returns the names before
 // that one, and the turn. If no turn is in memory, it returns all names and nil.
-func (r *chainReader) untilCached(names []string) ([]string, *Turn) {
+func (r *chainReader) splitAtCached(names []string) ([]string, *Turn) {
 	for index, name := range names {
 		if known := r.repository.cache.peek(name); known != nil {
 			return names[:index], known
--- a/internal/turn/conversation_test.go
+++ b/internal/turn/conversation_test.go
@@ -202,7 +202,7 @@
 		Expect(load(ctx, "aaaaaaaaa")).To(Equal("ABBBBBBBB"))
 	})
 
-	DescribeTable("stays whole until its retention and margin are over although its shared piece expires earlier", func(ctx SpecContext, cached bool) {
+	DescribeTable("stays whole until its retention and margin have passed although its shared piece expires earlier", func(ctx SpecContext, cached bool) {
 		common := strings.Repeat("common ", 1000)
 		save(ctx, "", "other", common+"other")
 		shared := newDaemon()
--- a/internal/turn/load.go
+++ b/internal/turn/load.go
@@ -11,7 +11,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// Values of the metric label that says where a turn was loaded from.
+// Values of the metric label that states where a turn was loaded from.
 const (
 	fromMemory      = "memory"
 	fromOtherDaemon = "another daemon"
--- a/internal/turn/model_test.go
+++ b/internal/turn/model_test.go
@@ -95,7 +95,7 @@
 	return m.daemons[rapid.IntRange(0, len(m.daemons)-1).Draw(m.t, "daemon")]
 }
 
-// retainedTurn draws a saved turn whose retention is not over, usually the newest one. It returns
+// retainedTurn draws a saved turn whose retention has not ended, usually the newest one. It returns
 // false if there is none.
 func (m *storeModel) retainedTurn() (string, bool) {
 	var retained []string
@@ -231,7 +231,7 @@
 }
 
 // TestSavedTurnsCanBeLoaded checks random sequences of saves, branches, lost daemons, removals and
-// failing partitions. Until its retention is over, a turn whose Save returned nil must be loaded
+// failing partitions. Until its retention ends, a turn whose Save returned nil must be loaded
 // byte for byte. While partitions fail, Load may return an error instead, but not ErrNotFound.
 func TestSavedTurnsCanBeLoaded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -239,9 +239,9 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"save": model.Save, "save again": model.Save, "save once more": model.Save,
 			"load": model.Load, "lose": model.RestartDaemon, "pass": model.AdvanceClock, "remove": model.RemoveExpired,
-			"pass and go on": func(t *rapid.T) { model.AdvanceClock(t); model.Save(t); model.RemoveExpired(t) },
-			"pass, go on":    func(t *rapid.T) { model.AdvanceClock(t); model.Save(t) },
-			"break":          model.InjectFaults, "mend": model.EndFaults,
+			"pass and continue": func(t *rapid.T) { model.AdvanceClock(t); model.Save(t); model.RemoveExpired(t) },
+			"pass, continue":    func(t *rapid.T) { model.AdvanceClock(t); model.Save(t) },
+			"break":             model.InjectFaults, "mend": model.EndFaults,
 		})
 		model.EndFaults(t)
 		for _, name := range model.names {
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -9,8 +9,8 @@
 // or the piece expire too soon, the turn's own rows hold the bytes. Rows can therefore be
 // removed when they expire, without counting references.
 //
-// Guarantee: until its retention is over, any process can Load a turn whose Save returned nil,
-// byte for byte, even if other processes have been lost. If Load cannot tell for certain
+// Guarantee: until its retention ends, any process can Load a turn whose Save returned nil,
+// byte for byte, even if other processes have been lost. If Load cannot determine for certain
 // whether the turn exists or what it holds, it returns ErrUncertain.
 package turn
 
@@ -44,7 +44,7 @@
 type Options struct {
 	Store              *state.Client
 	MaxRowBytes        int              // maximum size of a row's value in bytes
-	MaxCacheEntries    int              // maximum number of cached turns, without ancestors that only they keep in memory
+	MaxCacheEntries    int              // maximum number of cached turns, without ancestors that only they hold in memory
 	MaxCacheBytes      int              // maximum bytes of cached turns and their ancestors
 	CacheIdleTimeout   time.Duration    // how long an unused turn stays cached
 	MaxPieceCacheBytes int              // maximum bytes of shared pieces in memory
--- a/internal/writebehind/conn_test.go
+++ b/internal/writebehind/conn_test.go
@@ -54,7 +54,7 @@
 
 // newTestConn returns a Conn whose account has the given limit, the TCP connection of its peer,
 // and its group. A cleanup function closes both connections after the test and checks that all
-// memory was given back to the account.
+// memory was returned to the account.
 func newTestConn(limit int64, stallTimeout, maxWriteWait time.Duration) (*Conn, *net.TCPConn, *Group) {
 	GinkgoHelper()
 	near, far, err := connectedPair()
