--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// hup changes the settings file of a gateway and sends it SIGHUP.
-func (r *soakRun) hup(f fault) {
+// reloadSettings changes the settings file of a gateway and sends it SIGHUP.
+func (r *soakRun) reloadSettings(f fault) {
 	target := r.gateways[f.targets[0]]
 	target.mutex.Lock()
 	target.settings.GraceSeconds = gracePeriod.Seconds() - float64(f.variant%2)/2
--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -51,7 +51,7 @@
 var plannedChanges = map[string]injector{
 	"engine-drain": (*soakRun).replaceInstance,
 	"configure":    (*soakRun).reconfigure,
-	"hup":          (*soakRun).hup,
+	"hup":          (*soakRun).reloadSettings,
 }
 
 // FaultKinds returns the kinds of faults, sorted.
