--- a/internal/lab/soak/plan.go
+++ b/internal/lab/soak/plan.go
@@ -51,7 +51,7 @@
 var plannedChanges = map[string]injector{
 	"engine-drain": (*soakRun).replaceInstance,
 	"configure":    (*soakRun).reconfigure,
-	"hup":          (*soakRun).hup,
+	"hup":          (*soakRun).reloadSettings,
 }
 
 // FaultKinds returns the kinds of faults, sorted.
@@ -71,7 +71,7 @@
 	maxFaultDuration    = 4 * time.Second
 )
 
-// injectFaults runs rounds of faults until the duration is over. All faults of a
+// injectFaults runs rounds of faults until the duration has elapsed. All faults of a
 // round end before the next round begins. Calm rounds, without faults, allow time
 // limits to be checked.
 func (r *soakRun) injectFaults(ctx context.Context) {
