--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -69,9 +69,9 @@
 	return entry
 }
 
-// updateCapacity stores the current capacity. If the daemon has reported without any engines so
-// far, updateCapacity sets firstReported to now, because the earlier claims did not allow for the
-// capacity.
+// updateCapacity stores the current capacity. If the daemon has already reported and the previous
+// capacity had no engines, updateCapacity sets firstReported to now, because the earlier claims did
+// not allow for the engines.
 func (s *service) updateCapacity(capacity Capacity, now time.Time) {
 	if s.capacity.Engines == 0 && !s.firstReported.IsZero() {
 		s.firstReported = now
--- a/internal/admission/part.go
+++ b/internal/admission/part.go
@@ -20,7 +20,7 @@
 // engine holds about ten programs.
 const evenFraction = 0.25
 
-// Claim is what a daemon reported of itself at a certain time.
+// Claim is what a daemon reported about itself at a certain time.
 type Claim struct {
 	At     time.Time
 	Held   int64 // tokens that the daemon holds, or that it may hold if that is more
@@ -51,8 +51,8 @@
 	Members  int     // number of all daemons
 	Snapshot Snapshot
 	MinClaim Claim // lowest values of this daemon's claims, as returned by claims.minimum
-	// LastPart is the daemon's part when its last snapshot arrived, or what it held at its first
-	// report, in tokens.
+	// LastPart is the daemon's part, in tokens, when its last snapshot arrived. Before the first
+	// snapshot, it is what the daemon held at its first report.
 	LastPart float64
 	// FirstReportAt is the time of the daemon's first report; zero: none yet.
 	FirstReportAt time.Time
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -74,7 +74,7 @@
 		Expect(leaving).To(Equal(map[string]bool{"a": false, "b": true, "c": false}))
 	})
 
-	It("removes the former instance at a reused address", func() {
+	It("removes the previous instance at a reused address", func() {
 		fleet, _ := newTestFleet("a")
 		fleet.Apply(Declaration{ID: "a", Gone: true, Version: 2})
 		next := newDeclaration("b", 3)
--- a/internal/backend/pool.go
+++ b/internal/backend/pool.go
@@ -17,7 +17,7 @@
 	unackedTimeout       = 2500 * time.Millisecond // TCP closes a connection whose data stays unacknowledged for this long
 	readBufferBytes      = 4 << 10
 	defaultIdleTimeout   = 10 * time.Second
-	idleTimeoutMargin    = 700 * time.Millisecond // idle connections are given up this long before the instance closes them
+	idleTimeoutMargin    = 700 * time.Millisecond // an idle connection is no longer reused from this long before the instance closes it
 	tcpUserTimeoutOption = 18                     // TCP_USER_TIMEOUT on Linux
 )
 
--- a/internal/backend/speed_test.go
+++ b/internal/backend/speed_test.go
@@ -127,11 +127,11 @@
 		original := newDeclaration("a", 2)
 		original.Born = 1000
 		Expect(fleet.Apply(original)).To(Equal(EventJoined))
-		former := findInstance(fleet, "a")
-		former.BeginRequest()
-		former.RecordPrefix([]PromptPart{{Name: "p", Tokens: 1}})
+		previous := findInstance(fleet, "a")
+		previous.BeginRequest()
+		previous.RecordPrefix([]PromptPart{{Name: "p", Tokens: 1}})
 		for range 50 {
-			former.RecordOutcome(streamOutcome(400*time.Millisecond), start)
+			previous.RecordOutcome(streamOutcome(400*time.Millisecond), start)
 			findInstance(fleet, "b").RecordOutcome(streamOutcome(40*time.Millisecond), start)
 			findInstance(fleet, "c").RecordOutcome(streamOutcome(40*time.Millisecond), start)
 		}
@@ -144,7 +144,7 @@
 		fleet.UpdateWork(reports, nil) // reports about the previous start arrive for a while
 		fleet.UpdateCounts(load.Counts{loadKeyOf(original): 3}, nil)
 		started := findInstance(fleet, "a")
-		Expect(started).NotTo(BeIdenticalTo(former))
+		Expect(started).NotTo(BeIdenticalTo(previous))
 		Expect(speedRatioAt(fleet, "a", start)).To(Equal(1.0))
 		Expect(started.Load(start)).To(BeZero())
 		Expect(MissingTokens(started, &PlacementRequest{Prefix: []PromptPart{{Name: "p", Tokens: 1}}})).To(Equal(1))
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -54,7 +54,7 @@
 }
 
 func (c *completion) run(ctx context.Context) Report {
-	end := streamEnd{step: "resume stream", err: errors.New("the attempt of a former leader has not been found yet")}
+	end := streamEnd{step: "resume stream", err: errors.New("the attempt of the previous leader has not been found yet")}
 	if !c.spec.Resume {
 		if c.tokenLimit() <= 0 {
 			return c.reportNeverRan(c.problem(problem.KindBudgetExhausted, "check limit", errors.New("no tokens reserved")), 0)
--- a/internal/dispatch/completion_test.go
+++ b/internal/dispatch/completion_test.go
@@ -67,7 +67,7 @@
 		Expect(backEnd.posts.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("follows an attempt of a former leader without posting it", func() {
+	It("follows an attempt of the previous leader without posting it", func() {
 		spec := modelSpec(backEnd.address)
 		spec.Resume = true
 		Expect(dispatcher.Send(context.Background(), spec, onContent).Ending).To(Equal(dispatch.EndingUnknown))
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -43,7 +43,7 @@
 	Address        string            // base URL, "http://ip:port"
 	ReservedTokens int64             // maximum number of tokens that may be generated
 	Deadline       time.Time         // zero: Options.AttemptTimeout from now
-	Resume         bool              // a former leader sent the attempt, so it is looked up and not sent again
+	Resume         bool              // a previous leader may have sent the attempt, so it is looked up and not sent again
 }
 
 // Report describes how an attempt ended.
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -32,7 +32,7 @@
 // execute runs an attempt at a service or tool.
 func (a *attempt) execute(ctx context.Context) Report {
 	if a.spec.Resume {
-		return a.lookUp(ctx, "look up execution", errors.New("the attempt of a former leader has not been found yet"))
+		return a.lookUp(ctx, "look up execution", errors.New("the attempt of the previous leader has not been found yet"))
 	}
 	response, sent, err := postOnce(ctx, a.postClient(), a.spec.Address+enginev1.PathExecute, a.executeRequest())
 	if err != nil {
--- a/internal/dispatch/execution_test.go
+++ b/internal/dispatch/execution_test.go
@@ -111,7 +111,7 @@
 		Expect(cancelled).To(BeTrue())
 	})
 
-	It("does not send an attempt of a former leader again", func() {
+	It("does not send an attempt of the previous leader again", func() {
 		spec := serviceSpec(backEnd.address, false)
 		spec.Resume = true
 		Expect(dispatcher.Send(context.Background(), spec, ignore).Ending).To(Equal(dispatch.EndingUnknown))
--- a/internal/mechanism/mechanism.go
+++ b/internal/mechanism/mechanism.go
@@ -22,7 +22,7 @@
 	StoreRelay     Name = "store-relay"     // reaches the store through other daemons
 	HedgedCalls    Name = "hedged-calls"    // sends a slow call to the store a second time
 	QualityClasses Name = "quality-classes" // placement avoids engines that fail often or whose answers start late
-	Ejection       Name = "ejection"        // pauses an engine after several failures
+	Ejection       Name = "ejection"        // placement avoids an engine for some time after consecutive failures
 	PrefixTracking Name = "prefix-guess"    // placement considers which prompts an engine has read
 	SharedParts    Name = "shared-parts"    // parts that many programs share count as read at every engine
 	ZoneCost       Name = "zone-cost"       // engines in other zones have a higher cost
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -20,12 +20,12 @@
 	}
 }
 
-// NewBackoff returns an exponential backoff with jitter, whose intervals grow from first to
-// longest before jitter is applied. It is not safe for concurrent use.
-func NewBackoff(first, longest time.Duration) *backoff.ExponentialBackOff {
+// NewBackoff returns an exponential backoff with jitter, whose intervals grow from
+// initialInterval to maxInterval before jitter is applied. It is not safe for concurrent use.
+func NewBackoff(initialInterval, maxInterval time.Duration) *backoff.ExponentialBackOff {
 	schedule := backoff.NewExponentialBackOff()
-	schedule.InitialInterval = first
-	schedule.MaxInterval = longest
+	schedule.InitialInterval = initialInterval
+	schedule.MaxInterval = maxInterval
 	schedule.Reset()
 	return schedule
 }
--- a/internal/piece/piece.go
+++ b/internal/piece/piece.go
@@ -251,11 +251,11 @@
 // the sweep removes pieces.
 const sweepPassDuration = 10 * time.Minute
 
-// NewSweep returns a sweep that removes expired pieces from the partitions for which mine
-// returns true.
-func NewSweep(store *state.Client, mine func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
+// NewSweep returns a sweep that removes expired pieces. ownsPartition reports whether this
+// daemon sweeps a partition.
+func NewSweep(store *state.Client, ownsPartition func(partition string) bool, now func() time.Time, log *zap.Logger) *retention.Sweep {
 	return &retention.Sweep{
-		Store: store, Table: table, Partitions: state.PartitionNames(rowset.PartitionCount), OwnsPartition: mine, Log: log, PassDuration: sweepPassDuration,
+		Store: store, Table: table, Partitions: state.PartitionNames(rowset.PartitionCount), OwnsPartition: ownsPartition, Log: log, PassDuration: sweepPassDuration,
 		IsExpired: func(row state.Row) bool {
 			expires, ok := rowset.ExpiryOf(row)
 			return ok && now().Unix() > expires
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -4,7 +4,7 @@
 // and refuses requests that need the store without waiting.
 //
 // The result is a hint, and correctness must not depend on it. A daemon that is connected may be
-// considered cut off until the next observation; the requests that it refuses meanwhile were not
+// considered cut off until the next observation; the requests that it refuses meanwhile are not
 // executed.
 //
 // Each daemon decides for itself. The replies of its load aggregator (package load) show
--- a/internal/retention/retention_test.go
+++ b/internal/retention/retention_test.go
@@ -62,7 +62,7 @@
 		Expect(store.CallCount("commit") - before).To(Equal(3))
 	})
 
-	It("trigger the OnRemoved callback after their removal, which uses the sweep class", func(ctx SpecContext) {
+	It("are removed in commits of the sweep class, after which OnRemoved is called", func(ctx SpecContext) {
 		queue := retention.NewQueue(client, func() time.Time { return now }, zap.NewNop())
 		removed := 0
 		for number := range 250 {
--- a/internal/routing/route.go
+++ b/internal/routing/route.go
@@ -18,8 +18,8 @@
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 	// maxRefusalRetry is how long an operation is retried after its first
-	// refusal. This is enough for a draining leader to hand over; after other
-	// refusals, the caller has to retry.
+	// refusal. This is enough for a draining leader to hand over. An operation
+	// that is refused for longer is left to the caller to retry.
 	maxRefusalRetry = 2 * time.Second
 	stepRoute       = "find the leader"
 )
--- a/internal/scheduling/queue.go
+++ b/internal/scheduling/queue.go
@@ -40,8 +40,8 @@
 }
 
 // rank returns the sort key of the item; lower goes first. It is the queueing
-// time, plus one head start for each better class, plus a delay for attained
-// service. Unknown classes count as the last one.
+// time, plus one head start for each class that is better than the item's, plus a
+// delay for attained service. Unknown classes count as the last one.
 func (i QueueItem) rank() time.Duration {
 	class := min(time.Duration(i.Class), ClassCount-1)
 	attained := min(max(i.AttainedService, 0)/attainedDivisor, maxAttainedDelay)
