--- a/internal/scheduling/lease.go
+++ b/internal/scheduling/lease.go
@@ -26,9 +26,9 @@
 )
 
 // LeaseDuration returns how long a program's prefix of the given length in tokens
-// should be kept in the cache during a pause. The result is at most the given
+// should be retained in the cache during a pause. The result is at most the given
 // limit and at most maxHoldInMeans times the mean pause. It is zero if the prefix
-// is shorter than minHoldTokens or not worth holding, and if the cache has room,
+// is shorter than minHoldTokens or not worth holding, and if the cache has free space,
 // since nothing is evicted then.
 //
 // Pause lengths are assumed to follow a Lomax distribution, which has a long
