--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,7 +18,8 @@
 const (
 	maxAttemptsPerSearch = 4 // number of instances to which one search sends the request
 	// instancePollInterval is the pause before another look for an instance while a service has
-	// none, and before another request for a quota permit while no quota keeper can be reached.
+	// none, and before another request for a quota permit while no owner of a part of the quota
+	// can be reached.
 	instancePollInterval = 40 * time.Millisecond
 	// Bounds of the growing pause between two searches while all instances are full.
 	minFullRetryPause = 20 * time.Millisecond
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -28,15 +28,15 @@
 	return err
 }
 
-// maxKeeperWait is how long a request waits for a quota keeper, that is, a daemon that manages a
-// part of the tenant's quota. A keeper that was killed is restarted and ready within that time.
-const maxKeeperWait = 500 * time.Millisecond
+// maxOwnerWait is how long a request waits while no owner of a part of the tenant's quota can be
+// reached. An owner that was killed is usually restarted and ready within that time.
+const maxOwnerWait = 500 * time.Millisecond
 
-// takePermit takes one permit from the tenant's quota and retries for up to maxKeeperWait while
-// no keeper of the quota can be reached. The error is a *Refusal or an *AbortedError.
+// takePermit takes one permit from the tenant's quota and retries for up to maxOwnerWait while
+// no owner of a part of the quota can be reached. The error is a *Refusal or an *AbortedError.
 func (e *execution) takePermit(isProgramUnderWay bool) (*quota.Permit, error) {
 	request := quota.Request{Tenant: e.tenant.Name, Quota: e.tenant.Quota, Revision: e.table.Revision, Continuation: isProgramUnderWay}
-	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxKeeperWait, e.maxPreparationWait()))
+	ctx, cancel := context.WithTimeout(e.request.Context(), min(maxOwnerWait, e.maxPreparationWait()))
 	defer cancel()
 	permit, err := e.gateway.Quotas.Acquire(e.request.Context(), request)
 	var unreachable *quota.UnreachableError
--- a/internal/quota/zones_test.go
+++ b/internal/quota/zones_test.go
@@ -14,7 +14,7 @@
 	"github.com/thymeloft/thymeloft/internal/tenant"
 )
 
-var _ = Describe("Keeper", func() {
+var _ = Describe("Issuer", func() {
 	It("starts a part with an empty bucket after another daemon owned it", func() {
 		fleet := newTestFleet(1, time.Unix(1000, 0))
 		only := fleet.daemons[0]
--- a/internal/server/components.go
+++ b/internal/server/components.go
@@ -38,7 +38,7 @@
 	removalQueue   *retention.Queue
 	loads          *load.Exchange
 	quotas         *quota.Limiter
-	quotaKeeper    *quota.Issuer
+	quotaIssuer    *quota.Issuer
 	exchangesLoads bool                  // whether daemons tell each other the loads of instances
 	admission      *admission.Controller // nil if programs are not limited
 	peerServer     *peer.Server
@@ -127,9 +127,9 @@
 	})
 	c.loads = &load.Exchange{List: c.members, PeerClient: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
 	c.exchangesLoads = !disabled.Has(mechanism.FleetLoads)
-	c.quotaKeeper = quota.NewIssuer(s.Settings.quotaSettings(), c.members, time.Now)
+	c.quotaIssuer = quota.NewIssuer(s.Settings.quotaSettings(), c.members, time.Now)
 	c.quotas = quota.NewLimiter(quota.Options{
-		Settings: s.Settings.quotaSettings(), Issuer: c.quotaKeeper, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
+		Settings: s.Settings.quotaSettings(), Issuer: c.quotaIssuer, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
 	})
 	registrations := []error{
 		c.client.RegisterMetrics(s.Registry), c.members.RegisterMetrics(s.Registry), c.loads.RegisterMetrics(s.Registry),
@@ -173,7 +173,7 @@
 	if err := peerServer.Register(load.ServiceName, c.loads.Board); err != nil {
 		return eris.Wrap(err, "serve loads")
 	}
-	if err := peerServer.Register(quota.ServiceName, c.quotaKeeper); err != nil {
+	if err := peerServer.Register(quota.ServiceName, c.quotaIssuer); err != nil {
 		return eris.Wrap(err, "serve quotas")
 	}
 	if err := peerServer.Register(members.ProbeServiceName, members.ProbeService{}); err != nil {
--- a/internal/shards/leader_watcher.go
+++ b/internal/shards/leader_watcher.go
@@ -60,5 +60,5 @@
 	if row.Removed || cbor.Unmarshal(row.Value, &decoded) != nil || decoded.Term < m.Leaders[identity.Shard(number)].Term {
 		return
 	}
-	m.Leaders[identity.Shard(number)] = Leader{Process: decoded.Leader, Term: decoded.Term, FormerLeader: decoded.Former}
+	m.Leaders[identity.Shard(number)] = Leader{Process: decoded.Leader, Term: decoded.Term, PreviousLeader: decoded.Former}
 }
--- a/internal/shards/node.go
+++ b/internal/shards/node.go
@@ -239,7 +239,7 @@
 		return 0
 	}
 	for _, leader := range current.Leaders {
-		if leader.Process == n.options.Self || leader.FormerLeader == n.options.Self {
+		if leader.Process == n.options.Self || leader.PreviousLeader == n.options.Self {
 			left++
 		}
 	}
--- a/internal/shards/shards.go
+++ b/internal/shards/shards.go
@@ -70,9 +70,9 @@
 type Leader struct {
 	Process identity.Process // zero: nobody leads the shard
 	Term    Term
-	// FormerLeader is the process that gave up the shard in a planned hand-over. It is zero
+	// PreviousLeader is the process that gave up the shard in a planned hand-over. It is zero
 	// while the shard has a leader.
-	FormerLeader identity.Process
+	PreviousLeader identity.Process
 }
 
 // MapSource provides the current map of shards.
--- a/internal/shards/shards_test.go
+++ b/internal/shards/shards_test.go
@@ -302,7 +302,7 @@
 		for shard := identity.Shard(1); shard <= 8; shard++ {
 			Expect(seen.shouldTake(shard, Leader{Process: a, Term: 3})).To(BeFalse())
 			Expect(alone.shouldTake(shard, Leader{Process: a, Term: 3})).To(BeTrue())
-			Expect(seen.shouldTake(shard, Leader{Term: 3, FormerLeader: a})).To(BeTrue())
+			Expect(seen.shouldTake(shard, Leader{Term: 3, PreviousLeader: a})).To(BeTrue())
 		}
 		restarted := newPlacement(processOf("a", 2), view(map[identity.Process]members.State{processOf("a", 2): members.StateAlive}), 0, 1)
 		Expect(restarted.shouldTake(1, Leader{Process: a, Term: 3})).To(BeTrue(), "the earlier incarnation of this daemon is lost")
