--- a/internal/gateway/admission_test.go
+++ b/internal/gateway/admission_test.go
@@ -43,7 +43,7 @@
 		}
 	})
 
-	It("refuses a first turn when the engines have no room, and says when to retry", func() {
+	It("refuses a first turn when the engines have no capacity left, and says when to retry", func() {
 		var refusal *Refusal
 		current.gateway.recentPrograms.add("p")
 		Expect(errors.As(current.admitProgram(), &refusal)).To(BeTrue())
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -31,7 +31,7 @@
 	*backend.Reply
 	firstBytes []byte // the bytes of the body that have been read
 	isComplete bool   // whether firstBytes is the whole body
-	release    func() // cancels the request's context and no longer counts the request at the instance
+	release    func() // cancels the request's context and stops counting the request at the instance
 }
 
 // close closes the body and releases the request. If the body was not read to its end, the
@@ -100,7 +100,7 @@
 
 // chooseInstance returns the best instance whose ID is not in excluded. last is the error of
 // the previous attempt in this search, or nil. If no instance is available, chooseInstance
-// polls for one until maxPreparationWait is over if last is nil, and otherwise fails at once. The
+// fails at once if last is set, and otherwise polls for one until maxPreparationWait is over. The
 // error is a *Refusal or an *AbortedError.
 func (e *execution) chooseInstance(ctx context.Context, excluded []string, last error) (*backend.Instance, error) {
 	request := &backend.PlacementRequest{
@@ -227,7 +227,7 @@
 	return result
 }
 
-// minSilenceForFailure is the shortest time without an answer after which a caller that
+// minSilenceForFailure is the minimum time without an answer after which a caller that
 // disconnects counts as a failure of the instance.
 const minSilenceForFailure = 500 * time.Millisecond
 
--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -13,8 +13,8 @@
 
 // Limits of what is read of an answer before its status and headers are relayed.
 const (
-	// maxBufferedBytes is the most that is buffered of an answer that is not a stream. A request
-	// whose answer breaks off within these bytes can still be repeated.
+	// maxBufferedBytes is the maximum number of bytes that are buffered of an answer that is not a
+	// stream. A request whose answer breaks off within these bytes can still be repeated.
 	maxBufferedBytes = 64 << 10
 	// firstReadBytes is the size of the buffer for the first bytes of a stream.
 	firstReadBytes = 4 << 10
@@ -82,7 +82,7 @@
 }
 
 // readPlainAnswer reads the beginning of an answer that is not a stream. It reads at most
-// maxBufferedBytes, or firstReadBytes if the memory account has no room for more. If the
+// maxBufferedBytes, or firstReadBytes if the memory account has no space for more. If the
 // answer breaks off later, while the rest is relayed, the request cannot be repeated. The
 // error is a *backend.LostError.
 func (e *execution) readPlainAnswer(instance *backend.Instance, reply *backend.Reply) (*startedReply, error) {
--- a/internal/gateway/execution.go
+++ b/internal/gateway/execution.go
@@ -61,9 +61,9 @@
 	// storeRetryAfter is the delay after which callers should retry if the store, the
 	// configuration or an engine is unavailable.
 	storeRetryAfter = 400 * time.Millisecond
-	// minTimeToSend is the least time that must be left for a request to be sent.
+	// minTimeToSend is the minimum time that must be left for a request to be sent.
 	minTimeToSend = 30 * time.Millisecond
-	// maxStoreWaitShare is the largest part of a request's time limit that it may spend waiting
+	// maxStoreWaitShare is the maximum share of a request's time limit that it may spend waiting
 	// before it is sent.
 	maxStoreWaitShare = 0.45
 	// maxCutOffWait bounds how long a request waits for daemons of its own zone while this
--- a/internal/gateway/outcome_test.go
+++ b/internal/gateway/outcome_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 
-	It("reports the engine's speed, and how full it was believed to be", func() {
+	It("reports the engine's speed, and its known load at that time", func() {
 		outcome := current().outcome(&startedReply{Reply: &backend.Reply{Status: http.StatusOK}})
 		Expect(outcome.EventInterval).To(BeNumerically(">=", 250*time.Millisecond))
 		outcome.EventInterval = 0
--- a/internal/members/bootstrap.go
+++ b/internal/members/bootstrap.go
@@ -11,8 +11,8 @@
 // bootstrapKey is the row that marks the end of the bootstrap and holds the layout. The bootstrap
 // is the time in which the founders of a system register. A founder's registration is conditional
 // on the absence of this row. So no founder can register once the row exists, however often a
-// process is started with Lease.FirstStart set. A daemon whose list doesn't
-// show the row doesn't lend, and doesn't become a shard owner by settling.
+// process is started with Lease.FirstStart set. A daemon whose list doesn't show the row doesn't
+// lend, and doesn't become a shard owner by settling.
 //
 // Any member writes the row after a registration or renewal, if the store has confirmed its list,
 // the list doesn't show the row, and founderRegistrationWindow plus maxFounderStartSkew have passed
--- a/internal/members/lender.go
+++ b/internal/members/lender.go
@@ -58,9 +58,9 @@
 	// hasOwned reports whether OwnsShard has returned true. From then on, currentOwnersSince no
 	// longer returns the start of this process.
 	hasOwned atomic.Bool
-	// staleUntil is the time of the latest confirmation of the list that came more than
-	// maxOwnerListAge after the confirmation before it or, if it was the first, after startedAt; 0:
-	// there was none.
+	// staleUntil is when the latest gap of more than maxOwnerListAge between two confirmations of
+	// the list ended; 0: there was no such gap. The time from startedAt to the first confirmation
+	// counts as a gap as well.
 	staleUntil atomic.Int64
 }
 
--- a/internal/members/lender_test.go
+++ b/internal/members/lender_test.go
@@ -90,9 +90,8 @@
 	})
 
 	// Guards against two processes lending to one program. A machine failed to write its row at its
-	// first start. It was restarted with FirstStart set again, and registered as a
-	// founder. Another founder already lent by a list that it had read
-	// before.
+	// first start. It was restarted with FirstStart set again, and registered as a founder. Another
+	// founder already lent by a list that it had read before.
 	It("are one where a machine that has no row yet is told of the system's first start once more", func() {
 		first, second := env.startDaemon("m0", true), env.startDaemon("m1", true)
 		first.isCutOff = true
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -65,7 +65,7 @@
 	Leader     string        // peer address of the leader, if the receiver of the call is not the leader
 }
 
-// New returns a problem of the kind at the step. Its detail is formatted like fmt.Sprintf.
+// New returns a problem of the kind at the step. Its detail is formatted as by fmt.Sprintf.
 func New(kind Kind, step, format string, arguments ...any) *Problem {
 	return &Problem{Kind: kind, Step: step, Detail: fmt.Sprintf(format, arguments...)}
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -42,7 +42,7 @@
 	rates        rates
 }
 
-// newBucket returns a bucket that was empty at start. Its slots cover one window.
+// newBucket returns a bucket that was empty at the start time. Its slots cover one window.
 func newBucket(window time.Duration, start time.Time) *bucket {
 	return &bucket{slotLength: window / slotCount, start: start}
 }
--- a/internal/quota/issuer.go
+++ b/internal/quota/issuer.go
@@ -130,8 +130,9 @@
 	return nil
 }
 
-// getOrCreatePart returns the part with the key. If the part is new, or another daemon owned it in
-// the meantime, it gets a new bucket that was empty at since. The caller must hold the lock.
+// getOrCreatePart returns the part with the key. since is when this daemon became its only owner.
+// If the part is new, or another daemon owned it in the meantime, it gets a new bucket, which was
+// empty at that time. The caller must hold the lock.
 func (i *Issuer) getOrCreatePart(key partKey, since, now time.Time) *part {
 	entry := i.parts[key]
 	if entry == nil || !entry.since.Equal(since) {
--- a/internal/server/caller_server.go
+++ b/internal/server/caller_server.go
@@ -107,7 +107,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(retryDelay) // wait for free file descriptors, whose lack is the usual cause
+			time.Sleep(retryDelay) // the usual cause is a lack of file descriptors
 			continue
 		}
 		s.mutex.Lock()
--- a/internal/server/components.go
+++ b/internal/server/components.go
@@ -39,14 +39,14 @@
 	loads          *load.Exchange
 	quotas         *quota.Limiter
 	quotaIssuer    *quota.Issuer
-	exchangesLoads bool                  // whether daemons tell each other the loads of instances
+	exchangesLoads bool                  // whether daemons exchange the loads of instances
 	admission      *admission.Controller // nil if programs are not limited
 	peerServer     *peer.Server
 	peerPool       *peer.Pool
 	log            *zap.Logger
 }
 
-// minLeaseRenewal is the shortest time between two renewals of this daemon's
+// minLeaseRenewal is the minimum time between two renewals of this daemon's
 // lease. It can be long because other daemons skip a daemon as soon as a call to
 // it fails; the end of its lease only removes it from the member list.
 const minLeaseRenewal = 10 * time.Second
@@ -103,7 +103,7 @@
 		Store: s.Store, Availability: c.availability, DisableHedging: disabled.Has(mechanism.HedgedCalls),
 		Probe: state.KeyRange(s.StoreSchema.ConfigurationKey()), OnFailure: s.logFailedCall,
 		Limiter:      state.NewLimiter(state.LimiterOptions{Rates: s.Settings.Store.rates(), MemberCount: c.members.Count, OnRateLowered: s.logLoweredRate}),
-		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreRoom, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
+		SpaceTracker: state.NewSpaceTracker(state.SpaceTrackerOptions{OnChange: s.logStoreSpace, OnFullError: func() { c.removalQueue.TriggerRemoval() }}),
 	}
 	if !disabled.Has(mechanism.StoreRelay) {
 		storeOptions.Alternative = storerelay.NewRelay(c.members, c.peerPool, s.Settings.Seeds)
@@ -148,8 +148,8 @@
 }
 
 // enableAdmission creates the controller that decides whether programs may begin,
-// if the settings ask for it. Daemons then also tell each other their numbers of
-// programs, together with the loads.
+// if the settings ask for it. Daemons then also report their numbers of programs
+// to each other, together with the loads.
 func (s *Server) enableAdmission(c *components) error {
 	if !s.Settings.BoundPrograms || s.Settings.Disabled.Has(mechanism.Admission) {
 		return nil
@@ -214,8 +214,8 @@
 	go budget.NewSweep(c.client, c.members.HasHighestScore, time.Now, c.log).Run(ctx)
 }
 
-// releaseBudgets gives the unused tokens of all program budgets that this daemon
-// holds back to the store.
+// releaseBudgets returns to the store the unused tokens of all program budgets that
+// this daemon holds.
 func (c *components) releaseBudgets(ctx context.Context) {
 	programs, tokens := c.ledger.ReleaseAll(ctx)
 	if programs > 0 {
--- a/internal/server/reach.go
+++ b/internal/server/reach.go
@@ -13,8 +13,8 @@
 func (s *Server) initReachMonitor(c *components) error {
 	s.reach = reach.NewMonitor(reach.Options{
 		Observe: func() reach.Observation {
-			heard, known := c.loads.LastOutsideContact()
-			return reach.Observation{OutsideKnown: known, LastOutsideContact: heard, LastStoreAnswer: c.availability.LastAnswerTime()}
+			lastContact, known := c.loads.LastOutsideContact()
+			return reach.Observation{OutsideKnown: known, LastOutsideContact: lastContact, LastStoreAnswer: c.availability.LastAnswerTime()}
 		},
 		ProbeStore: func(ctx context.Context) {
 			// The result is not needed, since Observe gets the time of the store's
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -49,19 +49,19 @@
 // store and to other daemons.
 type Server struct {
 	Options
-	routes             *routetable.Holder
-	fleet              *backend.Fleet
-	callerServer       *callerServer
-	reach              *reach.Monitor
-	memory             *memory.Account
-	metrics            *gateway.Metrics
-	lifecycle          *process.Lifecycle
-	instancesRead      atomic.Bool // the table of instances was read at least once
-	activeRequests     atomic.Int64
-	graceNanos         atomic.Int64   // the grace period, in nanoseconds
-	rateLog            rate.Sometimes // limits the log lines of logLoweredRate
-	configurationHeard timestamp      // of the store's last answer about the configuration
-	instancesHeard     timestamp      // of the store's last answer about instances
+	routes                  *routetable.Holder
+	fleet                   *backend.Fleet
+	callerServer            *callerServer
+	reach                   *reach.Monitor
+	memory                  *memory.Account
+	metrics                 *gateway.Metrics
+	lifecycle               *process.Lifecycle
+	instancesRead           atomic.Bool // the table of instances was read at least once
+	activeRequests          atomic.Int64
+	graceNanos              atomic.Int64   // the grace period, in nanoseconds
+	rateLog                 rate.Sometimes // limits the log lines of logLoweredRate
+	lastConfigurationAnswer timestamp      // when the store last answered about the configuration
+	lastInstancesAnswer     timestamp      // when the store last answered about the instances
 }
 
 // Limits of what is cached in memory.
@@ -81,12 +81,12 @@
 // timeout is requested again.
 const (
 	instancesFeedTimeout = 1500 * time.Millisecond
-	// membersFeedTimeout is shorter than the minute within which a daemon must hear
-	// of the member list in order to lend budgets. Changes of the list arrive at
-	// once. If the list needs an answer earlier, it shortens the timeout itself
-	// (members.List.WatchOptions), since a daemon with an outdated list may not lend.
+	// membersFeedTimeout is shorter than the minute for which a daemon may lend
+	// budgets after the store last confirmed its member list. Changes of the list
+	// arrive at once. If the list needs an answer earlier, it shortens the timeout
+	// itself (members.List.WatchOptions).
 	membersFeedTimeout = 15 * time.Second
-	// changesPerDrain is the largest number of updates of the instances within the
+	// changesPerDrain is the maximum number of updates of the instances within the
 	// drain period; changes that arrive more often are combined.
 	changesPerDrain = 4
 )
@@ -177,7 +177,7 @@
 		DisabledMechanisms:  s.Settings.Disabled,
 		MaxConfigurationAge: s.Settings.configurationFeedTimeout() + feedRecoveryTime,
 		Staleness: func() (configuration, instances time.Duration) {
-			return s.configurationHeard.age(), s.instancesHeard.age()
+			return s.lastConfigurationAnswer.age(), s.lastInstancesAnswer.age()
 		},
 	})
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -208,11 +208,11 @@
 	}
 	go watch.Run(ctx, watch.Options{
 		Store: c.client, Table: s.StoreSchema.ConfigurationKey().Table, MaxWait: s.Settings.configurationFeedTimeout(), Log: s.Log,
-		OnAnswer: s.configurationHeard.set,
+		OnAnswer: s.lastConfigurationAnswer.set,
 	}, configuration)
 	go watch.Run(ctx, watch.Options{
 		Store: c.client, Table: s.StoreSchema.InstancesTableName(), MaxWait: instancesFeedTimeout, MinBatchInterval: s.Settings.drainPeriod() / changesPerDrain, Log: s.Log,
-		OnAnswer: s.instancesHeard.set,
+		OnAnswer: s.lastInstancesAnswer.set,
 	}, instances)
 	c.start(ctx)
 }
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -86,7 +86,7 @@
 // StoreSettings describes the store and its limits.
 type StoreSettings struct {
 	Address  string `yaml:"address"`   // "ip:port"
-	RowBytes int    `yaml:"row_bytes"` // largest value of a row, in bytes
+	RowBytes int    `yaml:"row_bytes"` // maximum size of a row's value, in bytes
 	// WritesPerSecond and ReadsPerSecond are the rates that the store accepts from all
 	// daemons together. The default, 0, means unknown: a daemon then lowers its rate
 	// only when the store rejects calls.
@@ -104,8 +104,8 @@
 	// default is 5 seconds.
 	WindowSeconds float64 `yaml:"window_seconds"`
 	// ToleranceShare is a fraction of a tenant's limit, and ToleranceRequests a number
-	// of requests. Both may be used in excess of the limit, since daemons learn late
-	// of each other's requests. The defaults are 0.
+	// of requests. Requests that continue earlier work may exceed the limit by both
+	// together. The defaults are 0.
 	ToleranceShare    float64 `yaml:"tolerance_share"`
 	ToleranceRequests int     `yaml:"tolerance_requests"`
 }
@@ -185,7 +185,7 @@
 
 // Parameters of configurationFeedTimeout.
 const (
-	// feedRecoveryTime is the longest time needed to close a silent feed and to read
+	// feedRecoveryTime is the maximum time needed to close a silent feed and to read
 	// the configuration again.
 	feedRecoveryTime     = 1800 * time.Millisecond
 	minConfigurationWait = 500 * time.Millisecond
--- a/internal/server/store_log.go
+++ b/internal/server/store_log.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// rateLogInterval is the shortest time between two log lines about a lowered rate.
+// rateLogInterval is the minimum time between two log lines about a lowered rate.
 // An overload lasts for seconds and lowers the rate several times a second.
 const rateLogInterval = 2 * time.Second
 
@@ -22,9 +22,9 @@
 	s.Log.Warn("store: does not answer.")
 }
 
-// logStoreRoom logs that the store is full, or that it has room again after being
-// full for the given time.
-func (s *Server) logStoreRoom(full bool, lasted time.Duration) {
+// logStoreSpace logs that the store is full, or that it has free space again after
+// being full for the given time.
+func (s *Server) logStoreSpace(full bool, lasted time.Duration) {
 	if full {
 		s.Log.Warn("store: full.")
 		return
