--- a/internal/gateway/examine.go
+++ b/internal/gateway/examine.go
@@ -13,8 +13,8 @@
 
 // Limits of what is read of an answer before its status and headers are relayed.
 const (
-	// maxBufferedBytes is the most that is buffered of an answer that is not a stream. A request
-	// whose answer breaks off within these bytes can still be repeated.
+	// maxBufferedBytes is the maximum number of bytes that are buffered of an answer that is not a
+	// stream. A request whose answer breaks off within these bytes can still be repeated.
 	maxBufferedBytes = 64 << 10
 	// firstReadBytes is the size of the buffer for the first bytes of a stream.
 	firstReadBytes = 4 << 10
--- a/internal/server/components.go
+++ b/internal/server/components.go
@@ -38,15 +38,15 @@
 	removalQueue   *retention.Queue
 	loads          *load.Exchange
 	quotas         *quota.Limiter
-	quotaKeeper    *quota.Issuer
-	exchangesLoads bool                  // whether daemons report to each other the loads of instances
+	quotaIssuer    *quota.Issuer
+	exchangesLoads bool                  // whether daemons exchange the loads of instances
 	admission      *admission.Controller // nil if programs are not limited
 	peerServer     *peer.Server
 	peerPool       *peer.Pool
 	log            *zap.Logger
 }
 
-// minLeaseRenewal is the shortest time between two renewals of this daemon's
+// minLeaseRenewal is the minimum time between two renewals of this daemon's
 // lease. It can be long because other daemons skip a daemon as soon as a call to
 // it fails; the end of its lease only removes it from the member list.
 const minLeaseRenewal = 10 * time.Second
@@ -127,9 +127,9 @@
 	})
 	c.loads = &load.Exchange{List: c.members, PeerClient: c.peerPool, Board: load.NewBoard(time.Now), Fleet: s.fleet, Log: s.Log}
 	c.exchangesLoads = !disabled.Has(mechanism.FleetLoads)
-	c.quotaKeeper = quota.NewIssuer(s.Settings.quotaSettings(), c.members, time.Now)
+	c.quotaIssuer = quota.NewIssuer(s.Settings.quotaSettings(), c.members, time.Now)
 	c.quotas = quota.NewLimiter(quota.Options{
-		Settings: s.Settings.quotaSettings(), Issuer: c.quotaKeeper, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
+		Settings: s.Settings.quotaSettings(), Issuer: c.quotaIssuer, Directory: c.members, PeerClient: c.peerPool, Now: time.Now, Log: s.Log,
 	})
 	registrations := []error{
 		c.client.RegisterMetrics(s.Registry), c.members.RegisterMetrics(s.Registry), c.loads.RegisterMetrics(s.Registry),
@@ -148,8 +148,8 @@
 }
 
 // enableAdmission creates the controller that decides whether programs may begin,
-// if the settings ask for it. Daemons then also report to each other their numbers
-// of programs, together with the loads.
+// if the settings ask for it. Daemons then also report their numbers of programs
+// to each other, together with the loads.
 func (s *Server) enableAdmission(c *components) error {
 	if !s.Settings.BoundPrograms || s.Settings.Disabled.Has(mechanism.Admission) {
 		return nil
@@ -173,7 +173,7 @@
 	if err := peerServer.Register(load.ServiceName, c.loads.Board); err != nil {
 		return eris.Wrap(err, "serve loads")
 	}
-	if err := peerServer.Register(quota.ServiceName, c.quotaKeeper); err != nil {
+	if err := peerServer.Register(quota.ServiceName, c.quotaIssuer); err != nil {
 		return eris.Wrap(err, "serve quotas")
 	}
 	if err := peerServer.Register(members.ProbeServiceName, members.ProbeService{}); err != nil {
@@ -214,8 +214,8 @@
 	go budget.NewSweep(c.client, c.members.HasHighestScore, time.Now, c.log).Run(ctx)
 }
 
-// releaseBudgets gives the unused tokens of all program budgets that this daemon
-// holds back to the store.
+// releaseBudgets returns to the store the unused tokens of all program budgets that
+// this daemon holds.
 func (c *components) releaseBudgets(ctx context.Context) {
 	programs, tokens := c.ledger.ReleaseAll(ctx)
 	if programs > 0 {
--- a/internal/server/store_log.go
+++ b/internal/server/store_log.go
@@ -8,7 +8,7 @@
 	"github.com/thymeloft/thymeloft/internal/state"
 )
 
-// rateLogInterval is the shortest time between two log lines about a lowered rate.
+// rateLogInterval is the minimum time between two log lines about a lowered rate.
 // An overload lasts for seconds and lowers the rate several times a second.
 const rateLogInterval = 2 * time.Second
 
@@ -22,8 +22,8 @@
 	s.Log.Warn("store: does not answer.")
 }
 
-// logStoreSpace logs that the store is full, or that it has free space again
-// after being full for the given time.
+// logStoreSpace logs that the store is full, or that it has free space again after
+// being full for the given time.
 func (s *Server) logStoreSpace(full bool, lasted time.Duration) {
 	if full {
 		s.Log.Warn("store: full.")
