--- a/internal/engine/leaving_machines.go
+++ b/internal/engine/leaving_machines.go
@@ -64,9 +64,9 @@
 	return slices.Contains(s.readers, machine)
 }
 
-// If the reader's list is newer than the known one, merge stores it and returns true. A machine
-// is leaving if any reader lists it. Lists of former readers are dropped once a current reader
-// has reported.
+// merge stores the update and returns true if it is newer than the known list of the same
+// reader, and otherwise returns false. A machine is leaving if any reader lists it. Lists of
+// former readers are dropped once a current reader has reported.
 func (s *leavingMachineSet) merge(update LeavingMachines) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -64,53 +64,53 @@
 }
 
 const (
-	defaultPollInterval         = time.Second
-	defaultPollTimeout          = 2 * time.Second
-	defaultPollConcurrency      = 32
-	defaultSpreadInterval       = time.Second
-	defaultSpreadBytesPerSecond = 8192.0
-	defaultRefreshInterval      = 3 * time.Second
-	defaultDigestTooOld         = 8 * time.Second
-	defaultRebuildInterval      = 50 * time.Millisecond
-	defaultMachineInterval      = 2 * time.Second
-	defaultReconcileInterval    = 15 * time.Second
-	defaultReconcileBatch       = 256
-	defaultReleaseQueue         = 4096
-	defaultEjectAfterFailures   = 5
-	defaultEjectErrorRate       = 0.5
-	defaultEjectSlowFactor      = 4.0
-	defaultEjectFor             = 5 * time.Second
-	defaultEjectAtMost          = time.Minute
-	defaultEjectShare           = 0.5
-	defaultSlowStart            = 10 * time.Second
-	defaultMaxParallelOrders    = 4
-	defaultKeepPrefix           = 2 * time.Minute
-	defaultDrainBound           = time.Minute
+	defaultPollInterval          = time.Second
+	defaultCallTimeout           = 2 * time.Second
+	defaultMaxConcurrentCalls    = 32
+	defaultDigestInterval        = time.Second
+	defaultDigestBytesPerSecond  = 8192.0
+	defaultDigestRefreshInterval = 3 * time.Second
+	defaultMaxDigestAge          = 8 * time.Second
+	defaultRebuildInterval       = 50 * time.Millisecond
+	defaultMachineListInterval   = 2 * time.Second
+	defaultReconcileInterval     = 15 * time.Second
+	defaultReconcileBatch        = 256
+	defaultMaxQueuedReleases     = 4096
+	defaultEjectAfterFailures    = 5
+	defaultEjectErrorRate        = 0.5
+	defaultEjectSlowFactor       = 4.0
+	defaultBaseEjectionTime      = 5 * time.Second
+	defaultMaxEjectionTime       = time.Minute
+	defaultMaxEjectedShare       = 0.5
+	defaultSlowStart             = 10 * time.Second
+	defaultMaxParallelOrders     = 4
+	defaultPrefixTTL             = 2 * time.Minute
+	defaultMaxDrainTime          = time.Minute
 )
 
 func (s Settings) withDefaults() Settings {
 	setDefault(&s.PollInterval, defaultPollInterval)
-	setDefault(&s.CallTimeout, defaultPollTimeout)
-	setDefault(&s.MaxConcurrentCalls, defaultPollConcurrency)
-	setDefault(&s.DigestInterval, defaultSpreadInterval)
-	setDefault(&s.DigestBytesPerSecond, defaultSpreadBytesPerSecond)
-	setDefault(&s.DigestRefreshInterval, defaultRefreshInterval)
-	setDefault(&s.MaxDigestAge, defaultDigestTooOld)
+	setDefault(&s.CallTimeout, defaultCallTimeout)
+	setDefault(&s.MaxConcurrentCalls, defaultMaxConcurrentCalls)
+	setDefault(&s.DigestInterval, defaultDigestInterval)
+	setDefault(&s.DigestBytesPerSecond, defaultDigestBytesPerSecond)
+	setDefault(&s.DigestRefreshInterval, defaultDigestRefreshInterval)
+	setDefault(&s.MaxDigestAge, defaultMaxDigestAge)
 	setDefault(&s.RebuildInterval, defaultRebuildInterval)
-	setDefault(&s.MachineListInterval, defaultMachineInterval)
+	setDefault(&s.MachineListInterval, defaultMachineListInterval)
 	setDefault(&s.ReconcileInterval, defaultReconcileInterval)
 	setDefault(&s.ReconcileBatch, defaultReconcileBatch)
-	setDefault(&s.MaxQueuedReleases, defaultReleaseQueue)
+	setDefault(&s.MaxQueuedReleases, defaultMaxQueuedReleases)
 	setDefault(&s.EjectAfterFailures, defaultEjectAfterFailures)
 	setDefault(&s.EjectErrorRate, defaultEjectErrorRate)
 	setDefault(&s.EjectSlowFactor, defaultEjectSlowFactor)
-	setDefault(&s.BaseEjectionTime, defaultEjectFor)
-	setDefault(&s.MaxEjectionTime, defaultEjectAtMost)
-	setDefault(&s.MaxEjectedShare, defaultEjectShare)
+	setDefault(&s.BaseEjectionTime, defaultBaseEjectionTime)
+	setDefault(&s.MaxEjectionTime, defaultMaxEjectionTime)
+	setDefault(&s.MaxEjectedShare, defaultMaxEjectedShare)
 	setDefault(&s.SlowStart, defaultSlowStart)
 	setDefault(&s.MaxParallelOrders, defaultMaxParallelOrders)
-	setDefault(&s.PrefixTTL, defaultKeepPrefix)
-	setDefault(&s.MaxDrainTime, defaultDrainBound)
+	setDefault(&s.PrefixTTL, defaultPrefixTTL)
+	setDefault(&s.MaxDrainTime, defaultMaxDrainTime)
 	return s
 }
 
@@ -120,7 +120,7 @@
 	}
 }
 
-var errMissingOption = errors.New("configuration, directory, caller and registrar are required")
+var errMissingOption = errors.New("options Configuration, Directory, PeerClient and Registrar are required")
 
 func (o Options) withDefaults() (Options, error) {
 	if o.Configuration == nil || o.Directory == nil || o.PeerClient == nil || o.Registrar == nil {
--- a/internal/engine/prefixes.go
+++ b/internal/engine/prefixes.go
@@ -19,7 +19,7 @@
 type PrefixRecorder interface {
 	// RecordPrefixes records that the engine just served a prompt with these prefixes and so
 	// holds them in its cache. The snapshot includes them within about a second.
-	RecordPrefixes(engineID string, runs []PromptPrefix)
+	RecordPrefixes(engineID string, prefixes []PromptPrefix)
 }
 
 const (
@@ -51,22 +51,22 @@
 
 // record makes the engine the most recent holder of each prefix that has at least
 // minPrefixTokens tokens.
-func (p *prefixIndex) record(engine string, runs []PromptPrefix, now time.Time) {
+func (p *prefixIndex) record(engine string, prefixes []PromptPrefix, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, run := range runs {
-		if run.Tokens < minPrefixTokens {
+	for _, prefix := range prefixes {
+		if prefix.Tokens < minPrefixTokens {
 			continue
 		}
-		previous, _ := p.holders.Get(run.Hash)
+		previous, _ := p.holders.Get(prefix.Hash)
 		updated := make([]holder, 1, maxHoldersPerPrefix)
-		updated[0] = holder{engine: engine, tokens: run.Tokens, used: now}
+		updated[0] = holder{engine: engine, tokens: prefix.Tokens, used: now}
 		for _, other := range previous {
 			if other.engine != engine && len(updated) < maxHoldersPerPrefix {
 				updated = append(updated, other)
 			}
 		}
-		p.holders.Add(run.Hash, updated)
+		p.holders.Add(prefix.Hash, updated)
 	}
 }
 
@@ -95,8 +95,8 @@
 }
 
 // RecordPrefixes implements PrefixRecorder.
-func (s *Service) RecordPrefixes(engineID string, runs []PromptPrefix) {
-	s.prefixes.record(engineID, runs, time.Now())
+func (s *Service) RecordPrefixes(engineID string, prefixes []PromptPrefix) {
+	s.prefixes.record(engineID, prefixes, time.Now())
 }
 
 // cachedHolders is the result of holdersByHash for one engine table.
--- a/internal/engine/service_test.go
+++ b/internal/engine/service_test.go
@@ -138,7 +138,7 @@
 		Consistently(accepting(one), 100*time.Millisecond).Should(HaveLen(2))
 	})
 
-	It("takes over the engines of a daemon whose lease stands but which is cut off, until it is heard again", func() {
+	It("takes over the engines of a daemon whose lease stands but which is cut off, until its digests arrive again", func() {
 		both := []identity.Process{process("daemon-a"), process("daemon-b")}
 		network.setMembers(both...)
 		reassigned := newFakeEngine(nameOwnedBy("daemon-b", both), "model", "v1")
--- a/internal/process/endpoint.go
+++ b/internal/process/endpoint.go
@@ -26,8 +26,8 @@
 	Log     *zap.Logger // required
 }
 
-// EndpointLimits limits the use of an endpoint. If a field is zero, the default of
-// http.Server applies; the number of connections is then not limited.
+// EndpointLimits limits the use of an endpoint. For a zero field the default of
+// http.Server applies, except that a zero MaxConnections means no limit.
 type EndpointLimits struct {
 	HeaderTimeout  time.Duration // time to read the header of a request
 	ReadTimeout    time.Duration // time to read a whole request
--- a/internal/rowset/rowset_test.go
+++ b/internal/rowset/rowset_test.go
@@ -29,7 +29,7 @@
 		key := state.Key{Table: "t", Partition: "1", Name: "name"}
 		puts, err := rowset.Split(key, value, 1<<40, rowBytes)
 		if err != nil {
-			t.Fatalf("cut: %v", err)
+			t.Fatalf("split: %v", err)
 		}
 		rows := rowsOf(puts)
 		for _, row := range rows {
@@ -78,6 +78,6 @@
 func TestSplitRejectsValueLargerThanOneCommit(t *testing.T) {
 	const rowBytes = 100
 	if _, err := rowset.Split(state.Key{}, make([]byte, rowset.Capacity(rowBytes)+1), 1, rowBytes); !errors.Is(err, rowset.ErrTooLarge) {
-		t.Fatalf("cut: %v", err)
+		t.Fatalf("split: %v", err)
 	}
 }
--- a/internal/shards/commit_head.go
+++ b/internal/shards/commit_head.go
@@ -15,7 +15,7 @@
 
 // commitHead commits the next head and the puts on condition that the head row still has the
 // given version, and returns the new version of the head row. It retries until the store
-// accepts or rejects the commit, or the context ends. If former equals next and there are no
+// accepts or rejects the commit, or the context ends. If previous equals next and there are no
 // puts, it writes nothing and only checks the condition.
 //
 // The error is ErrUncertain if the commit may have been accepted, and ErrNotLeader if it was
@@ -52,8 +52,8 @@
 
 // resolveConflict returns the version of the head row if the conflict was caused by an earlier
 // attempt of the same commit, which it recognizes by the nonce. Otherwise another leader
-// changed the head. The error is then ErrUncertain if an attempt had no answer and the new
-// head's Last is at least next.Last, so that the attempt may have been committed before the
+// changed the head. The error is then ErrUncertain if maybeCommitted is true and the new
+// head's Last is at least next.Last, so that an attempt may have been committed before the
 // change, else ErrNotLeader.
 func (n *Node) resolveConflict(shard identity.Shard, conflict *state.ConflictError, next head, maybeCommitted, checkOnly bool) (state.Version, error) {
 	row, found := conflict.Find(headKey(shard))
--- a/internal/shards/probe.go
+++ b/internal/shards/probe.go
@@ -15,12 +15,11 @@
 	"github.com/thymeloft/thymeloft/internal/peer"
 )
 
-// A leader may keep its lease and still be cut off from the daemons that serve requests, if all
-// of them can reach the store. Therefore the daemon that would lead a shard next probes the
-// shard's leader. If the leader does not answer, another daemon is asked to probe it too. The
-// leader counts as lost after several consecutive failures that were confirmed in this way. A
-// daemon that is cut off alone finds no other daemon to confirm a failure, and therefore takes
-// over nothing.
+// A leader that can reach the store keeps its lease even if it is cut off from the daemons that
+// serve requests. Therefore the daemon that would lead a shard next probes the shard's leader.
+// If the leader does not answer, another daemon is asked to probe it too. The leader counts as
+// lost after several consecutive failures that were confirmed in this way. A daemon that is cut
+// off alone finds no other daemon to confirm a failure, and therefore takes over nothing.
 //
 // Probes are only a hint; the store decides who leads. A daemon probes only the leaders that it
 // would replace, typically about two.
--- a/internal/shards/shards_test.go
+++ b/internal/shards/shards_test.go
@@ -270,7 +270,7 @@
 		Expect(len(events)).To(Equal(len(log)), "the log contains exactly the accepted commands and the uncertain ones that were committed, once each")
 		Expect(porcupine.CheckOperations(logModel, events)).To(BeTrue())
 	},
-		Entry("as seed 1 has it", 1), Entry("as seed 2 has it", 2), Entry("as seed 3 has it", 3), Entry("as seed 4 has it", 4))
+		Entry("seed 1", 1), Entry("seed 2", 2), Entry("seed 3", 3), Entry("seed 4", 4))
 })
 
 var _ = Describe("the choice of leaders", func() {
--- a/internal/state/breakers_test.go
+++ b/internal/state/breakers_test.go
@@ -23,7 +23,7 @@
 
 	name := func(number int) string { return strconv.Itoa(number) }
 
-	// countAdmitted tries to enter all partitions in each step until the given time, and
+	// countAdmitted attempts a call to each partition in each step until the given time, and
 	// returns how many calls were let through without waiting. All these calls fail.
 	countAdmitted := func(until time.Time) int {
 		count := 0
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -114,7 +114,7 @@
 		Entry("answer lost", memorystore.FaultLost, state.ErrUnknownOutcome),
 	)
 
-	It("returns ErrNotDone if the other daemon cannot reach the store either", func(ctx SpecContext) {
+	It("returns ErrNotExecuted if the other daemon cannot reach the store either", func(ctx SpecContext) {
 		usable = false
 		_, err := relay.Commit(ctx, put)
 		Expect(err).To(MatchError(state.ErrNotExecuted))
--- a/internal/turn/broken_test.go
+++ b/internal/turn/broken_test.go
@@ -81,7 +81,7 @@
 		return state.Key{}
 	}
 
-	DescribeTable("is reported as unsure, never as absent and never with wrong content", func(ctx SpecContext, damage func(ctx SpecContext), at string, cause error) {
+	DescribeTable("is reported as uncertain, never as absent and never with wrong content", func(ctx SpecContext, damage func(ctx SpecContext), at string, cause error) {
 		damage(ctx)
 		_, err := newRepository(store).Load(ctx, "c", "")
 		Expect(err).To(MatchError(turn.ErrUncertain))
--- a/internal/writebehind/conn_test.go
+++ b/internal/writebehind/conn_test.go
@@ -111,7 +111,7 @@
 			}
 		}
 		if err := <-failed; err != nil || !bytes.Equal(received, sent) {
-			t.Fatalf("%d of %d bytes arrived, or others: %v", len(received), len(sent), err)
+			t.Fatalf("%d of %d bytes arrived, or their content differs: %v", len(received), len(sent), err)
 		}
 		group.Flush(context.Background())
 		if account.Held() != 0 {
