--- a/internal/shards/placement.go
+++ b/internal/shards/placement.go
@@ -61,7 +61,7 @@
 	case leader.Term == 0 && !p.enoughDaemons:
 		return false // the first start waits until enough daemons are alive
 	}
-	return p.preferred(shard, leader.PreviousLeader) == p.self
+	return p.preferredLeader(shard, leader.PreviousLeader) == p.self
 }
 
 // isLost returns true if the process appears to have ended or cannot be reached. A wrong answer
