--- a/internal/callerapi/chat_wire.go
+++ b/internal/callerapi/chat_wire.go
@@ -61,7 +61,7 @@
 	var joined strings.Builder
 	for _, part := range parts {
 		if part.Type != "text" {
-			return errors.New("only parts of type text are taken")
+			return errors.New("only parts of type text are supported")
 		}
 		joined.WriteString(part.Text)
 	}
--- a/internal/callerapi/handler.go
+++ b/internal/callerapi/handler.go
@@ -124,6 +124,6 @@
 // overloadedProblem returns the problem for a request above Limits.MaxActiveRequests. It has
 // no outcome, because an earlier request may already have submitted the same call.
 func overloadedProblem() *problem.Problem {
-	return problem.New(problem.KindUnavailable, "admit the request", "too many requests at once at this daemon; this one was not taken").
+	return problem.New(problem.KindUnavailable, "admit the request", "too many requests at once at this daemon; this one was not accepted").
 		WithRetryAfter(time.Second)
 }
--- a/internal/callerapi/stream.go
+++ b/internal/callerapi/stream.go
@@ -86,8 +86,9 @@
 }
 
 // isConsistent reports whether the content of the current attempt agrees with what
-// was already sent to the caller. The content must begin with everything that was
-// sent. If it is shorter and not complete yet, what was sent must begin with it.
+// was already sent to the caller: content that is complete, or at least as long as
+// what was sent, must begin with what was sent. For shorter incomplete content, what
+// was sent must begin with the content.
 func isConsistent(sent, content []byte, complete bool) bool {
 	if len(content) >= len(sent) {
 		return bytes.HasPrefix(content, sent)
--- a/internal/configuration/stored/change.go
+++ b/internal/configuration/stored/change.go
@@ -76,7 +76,7 @@
 		return configuration.ChangeResult{}, eris.New("the configuration machine returned no result")
 	}
 	if machine.Current().Revision == before {
-		return *result, s.verifyHead(ctx, row) // the rows read may be outdated; a condition is checked against the latest ones
+		return *result, s.verifyHead(ctx, row) // the rows that were read may be outdated
 	}
 	if err := s.write(ctx, row, machine); err != nil {
 		return configuration.ChangeResult{}, err
--- a/internal/configuration/stored/stored_test.go
+++ b/internal/configuration/stored/stored_test.go
@@ -28,8 +28,8 @@
 
 const confirmBound = 400 * time.Millisecond
 
-// start returns a running service, as one daemon has it. It is stopped at the end of
-// the spec.
+// start starts a service, as each daemon does, and returns it. The service is stopped
+// at the end of the spec.
 func start(store state.Store) *stored.Service {
 	GinkgoHelper()
 	availability := state.NewAvailability(time.Now, func(bool, time.Duration) {})
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -145,10 +145,11 @@
 func (l LogLine) isOutcome() bool { return l.Message == messageAnswered || l.Message == messageFailed }
 
 // isRelated reports whether a line belongs to the explanation of a request. It does if
-// it names the request or its previous turn as request, reservation or store key. From
-// contextWindow before the arrival of the request until its end, a line also belongs if
-// it names the program; if it is from another daemon, names the engine and is not about
-// a request; or if it describes the state of the request's own daemon.
+// its field for the request, the reservation or the store key names the request or the
+// request's previous turn. From contextWindow before the arrival of the request until
+// its end, a line also belongs if it names the program; if it is from another daemon,
+// names the engine and is not about a request; or if it is from the request's own
+// daemon and describes that daemon's state.
 func isRelated(line, outcome LogLine) bool {
 	request, program, previous := outcome.stringField(fieldRequest), outcome.stringField(fieldProgram), outcome.stringField(fieldPrevious)
 	scope := func(name string) string { return tenant.Scope(identity.Tenant(outcome.stringField(fieldTenant)), name) }
--- a/internal/lab/experiment/experiment.go
+++ b/internal/lab/experiment/experiment.go
@@ -214,7 +214,7 @@
 	return verdict
 }
 
-// ratio returns 0 if whole is 0.
+// ratio returns part divided by whole, or 0 if whole is 0.
 func ratio(part, whole float64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/lab/experiment/run.go
+++ b/internal/lab/experiment/run.go
@@ -69,7 +69,7 @@
 	receivedAt       time.Duration // when the daemon received the call last
 	placedAt         time.Duration
 	prefillStart     time.Duration
-	expectedUncached int64 // prompt tokens expected at placement not to be cached
+	expectedUncached int64 // prompt tokens that were expected at placement to be uncached
 	refusals         int   // how often the call was refused
 	answered         bool
 	engine           *emulatedEngine
--- a/internal/lab/modelengine/cache.go
+++ b/internal/lab/modelengine/cache.go
@@ -122,7 +122,8 @@
 	return entry
 }
 
-// storeBlock returns false if there is no room for the block.
+// storeBlock adds the block to the cache, or the program to the block if it is already
+// cached. It returns false if there is no room for the block.
 func (c *prefixCache) storeBlock(program string, hash uint64, now time.Time) bool {
 	if cached, found := c.blocks[hash]; found {
 		cached.programs[program] = struct{}{}
--- a/internal/lab/network/link.go
+++ b/internal/lab/network/link.go
@@ -156,8 +156,8 @@
 }
 
 // readChunks reads from the connection and queues chunks that are due after the
-// delay. It returns when the connection ends, or if it finds stopped closed when it
-// queues a chunk. On return it closes the queue.
+// delay. It returns when the connection ends, or when the channel "stopped" is closed
+// while a chunk waits for room in the queue. On return it closes the queue.
 func readChunks(from net.Conn, chunks chan<- chunk, stopped <-chan struct{}, delay time.Duration) {
 	defer close(chunks)
 	for {
